--- a/lab/day/bulletin.go
+++ b/lab/day/bulletin.go
@@ -43,7 +43,7 @@
 func (d *Day) publish(e event) {
 	e.No, e.at = len(d.events)+1, d.w.Now()
 	d.events = append(d.events, e)
-	d.w.Note("publish", "", int64(e.No))
+	d.w.Note(world.StepPublish, "", "", int64(e.No))
 	for _, b := range d.bulletins {
 		b.stir()
 	}
--- a/lab/day/caller.go
+++ b/lab/day/caller.go
@@ -140,7 +140,7 @@
 		x.ends, x.phases = x.ends[1:], x.phases[1:]
 		if a.taken == 0 {
 			a.taken = d.w.Now()
-			d.w.Note("taken", a.id, 0)
+			d.w.Note(world.StepTaken, a.id, "", 0)
 		}
 		if phase == 4 && x.s != nil {
 			d.ref.endSend(x.s)
--- a/lab/day/day.go
+++ b/lab/day/day.go
@@ -177,7 +177,7 @@
 		d.story = slices.Delete(d.story, 0, 1)
 	}
 	d.story = append(d.story, fmt.Sprintf("%10.6f ", d.w.Now().Seconds())+fmt.Sprintf(format, a...))
-	d.w.Note("tell", format, 0)
+	d.w.Note(world.StepTell, "", format, 0)
 }
 
 // line is a line of a gateway's log.
--- a/lab/day/gateway.go
+++ b/lab/day/gateway.go
@@ -138,6 +138,7 @@
 	if p := plants[d.Plan.Plant]; p.make != nil {
 		watch.Between, ground = p.make(d, l)
 	}
+	watch.Between = d.noting(l.p.Name, watch.Between)
 	d.w.Start(g.host, l.p, func(under clock.Ground) error {
 		if ground != nil {
 			under = ground(under)
@@ -188,3 +189,48 @@
 		l.p.Signal(clock.Reread)
 	}
 }
+
+// noting takes every decision of the module into the digest, before whoever else looks on.
+func (d *Day) noting(process string, between facade.Between) facade.Between {
+	return func(h logic.Host, start func(logic.Host) facade.Module) facade.Module {
+		under := func(h logic.Host) facade.Module { return start(&noted{Host: h, w: d.w, process: process}) }
+		if between == nil {
+			return under(h)
+		}
+		return between(h, under)
+	}
+}
+
+// noted notes what the module decides.
+type noted struct {
+	logic.Host
+	w       *world.World
+	process string
+}
+
+func (n *noted) note(lk *logic.Lookup, decision string, numbers ...logic.Micros) {
+	n.w.Note(world.StepDecision, n.process+" "+lk.Door+" "+decision, "", int64(len(numbers)))
+	for _, m := range numbers {
+		n.w.Note(world.StepDecision, "", "", int64(m))
+	}
+}
+
+func (n *noted) Fetch(lk *logic.Lookup, to, source *logic.Cache, rank int, how logic.How, patience, hush, oldest logic.Micros) {
+	n.note(lk, "fetch "+to.Name+" "+source.Name, logic.Micros(rank), logic.Micros(how), patience, hush, oldest)
+	n.Host.Fetch(lk, to, source, rank, how, patience, hush, oldest)
+}
+
+func (n *noted) Cancel(lk *logic.Lookup, send int) {
+	n.note(lk, "cancel", logic.Micros(send))
+	n.Host.Cancel(lk, send)
+}
+
+func (n *noted) Nack(lk *logic.Lookup, retryIn logic.Micros) {
+	n.note(lk, "reject", retryIn)
+	n.Host.Nack(lk, retryIn)
+}
+
+func (n *noted) Fail(lk *logic.Lookup) {
+	n.note(lk, "fail")
+	n.Host.Fail(lk)
+}
--- a/lab/world/net.go
+++ b/lab/world/net.go
@@ -187,7 +187,7 @@
 				c.got = nil
 			}
 			c.peer.push()
-			c.w.Note("read", c.p.Name, int64(c.no)<<32|int64(n))
+			c.w.Note(StepRead, c.p.Name, "", int64(c.no)<<32|int64(n))
 			return n, nil
 		case c.eof:
 			return 0, io.EOF
@@ -243,7 +243,8 @@
 	}
 	data := append([]byte(nil), b[:n]...)
 	c.flying += n
-	c.w.Note("write", c.p.Name, int64(c.no)<<32|int64(n))
+	c.w.Note(StepWrite, c.p.Name, "", int64(c.no)<<32|int64(n))
+	c.w.digest.Write(data)
 	c.out.send(segment{data: data})
 	if c.peer.h != nil {
 		c.peer.h.Written(n, data)
@@ -270,7 +271,7 @@
 	if c.closed {
 		return opError("close", net.ErrClosed)
 	}
-	c.w.Note("close", c.p.Name, int64(c.no))
+	c.w.Note(StepClose, c.p.Name, "", int64(c.no))
 	c.shut(len(c.got) > 0)
 	return nil
 }
@@ -541,7 +542,7 @@
 	drop()
 	switch {
 	case ok && !cancelled && told == taken:
-		w.Note("dial", p.Name+" "+to, int64(e.No))
+		w.Note(StepDial, p.Name+" "+to, "", int64(e.No))
 		if !made.reset {
 			e.h.Opened()
 		}
@@ -624,7 +625,7 @@
 			}
 			c := l.queue[0]
 			l.queue = l.queue[1:]
-			w.Note("accept", l.p.Name, int64(c.no))
+			w.Note(StepAccept, l.p.Name, "", int64(c.no))
 			return c, nil
 		}
 		within := time.Duration(-1)
--- a/lab/world/proc.go
+++ b/lab/world/proc.go
@@ -120,7 +120,7 @@
 	p.w, p.host, p.began = w, h, w.now
 	p.logger = slog.New(&handler{p: p})
 	w.procs = append(w.procs, p)
-	w.Note("start", p.Name, 0)
+	w.Note(StepStart, p.Name, "", 0)
 	w.spawn(p, "main", func() {
 		err := main(p)
 		p.over = true
@@ -170,7 +170,7 @@
 	if p.dead {
 		return
 	}
-	p.w.Note("kill", p.Name, 0)
+	p.w.Note(StepKill, p.Name, "", 0)
 	p.dead = true
 	for _, d := range p.Disks {
 		d.locked = false
@@ -201,7 +201,7 @@
 	if !p.Alive() {
 		return
 	}
-	p.w.Note("signal", p.Name, int64(s))
+	p.w.Note(StepSignal, p.Name, "", int64(s))
 	if p.hear == nil {
 		p.Kill()
 		return
@@ -373,7 +373,7 @@
 	if h.p.dead {
 		return nil
 	}
-	h.p.w.Note("log", h.p.Name+" "+b.String(), 0)
+	h.p.w.trace(StepLog, h.p.Name, b.String(), 0)
 	if h.p.Line != nil {
 		h.p.Line(h.p, r.Level, b.String())
 	}
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -16,6 +16,7 @@
 	"math/rand/v2"
 	"runtime/debug"
 	"slices"
+	"strings"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
@@ -62,7 +63,8 @@
 // Unix is the true time of day.
 func (w *World) Unix() time.Time { return Epoch.Add(w.now) }
 
-// Digest is a hash over every step so far.
+// Digest is a hash over what was done so far: which goroutine ran when, bytes on connections, decisions, endings. No text that
+// is meant for people (log lines, names of goroutines, lines of a story) is in it.
 func (w *World) Digest() uint64 { return w.digest.Sum64() }
 
 func (w *World) add(n uint64) {
@@ -70,14 +72,49 @@
 	w.digest.Write(w.number[:])
 }
 
-// Note takes a step into the digest, and into the trace where one is kept.
-func (w *World) Note(what, detail string, n int64) {
+// Step is the kind of a step. Its number goes into the digest, its name into the trace only: numbers are never changed.
+type Step uint64
+
+// The kinds of steps.
+const (
+	StepRun Step = iota + 1
+	StepRead
+	StepWrite
+	StepClose
+	StepDial
+	StepAccept
+	StepStart
+	StepKill
+	StepSignal
+	StepLog
+	StepAsk
+	StepSent
+	StepTaken
+	StepTell
+	StepPublish
+	StepDecision
+)
+
+var stepNames = [...]string{StepRun: "run", StepRead: "read", StepWrite: "write", StepClose: "close", StepDial: "dial", StepAccept: "accept",
+	StepStart: "start", StepKill: "kill", StepSignal: "signal", StepLog: "log", StepAsk: "ask", StepSent: "sent", StepTaken: "taken",
+	StepTell: "tell", StepPublish: "publish", StepDecision: "decision"}
+
+func (s Step) String() string { return stepNames[s] }
+
+// Note takes a step into the digest, and into the trace where one is kept. What is hashed of its text is up to the caller: subject
+// is, detail is not.
+func (w *World) Note(step Step, subject, detail string, n int64) {
 	w.add(uint64(w.now))
-	w.digest.WriteString(what)
-	w.digest.WriteString(detail)
+	w.add(uint64(step))
+	w.digest.WriteString(subject)
 	w.add(uint64(n))
+	w.trace(step, subject, detail, n)
+}
+
+// trace adds a line to the trace, where one is kept, and nothing to the digest.
+func (w *World) trace(step Step, subject, detail string, n int64) {
 	if w.Trace != nil {
-		w.Trace(w.now, fmt.Sprintf("%s %s %d", what, detail, n))
+		w.Trace(w.now, strings.Join(strings.Fields(fmt.Sprintf("%s %s %s %d", step, subject, detail, n)), " "))
 	}
 }
 
@@ -236,7 +273,7 @@
 		return
 	}
 	w.Steps++
-	w.Note("run", t.name, int64(t.no))
+	w.Note(StepRun, t.p.Name, t.name, int64(t.no))
 	was := w.cur
 	w.cur = t
 	_, more := t.next()
--- a/lab/world/world_test.go
+++ b/lab/world/world_test.go
@@ -280,3 +280,39 @@
 		t.Errorf("only %d of 24 orders in 40 seeds", len(orders))
 	}
 }
+
+// The digest tells apart what a process does, not what it calls things.
+func TestDigestHoldsActionsAndNoText(t *testing.T) {
+	run := func(data, logLine, goroutine string, after time.Duration) uint64 {
+		w, _, _ := room(t, 1, func(g clock.Ground, dial func() (net.Conn, error)) {
+			c, err := dial()
+			if err != nil {
+				t.Error(err)
+				return
+			}
+			defer c.Close()
+			group := g.Group()
+			group.Go(goroutine, func() error {
+				g.Log().Info(logLine)
+				g.Bell().Wait(after)
+				_, err := c.Write([]byte(data))
+				return err
+			})
+			if err := group.Wait(); err != nil {
+				t.Error(err)
+			}
+		})
+		w.Run(time.Minute)
+		return w.Digest()
+	}
+	first := run("abc", "began", "writer", time.Second)
+	if got := run("abc", "started", "sender", time.Second); got != first {
+		t.Error("another log line or name of a goroutine changes the digest")
+	}
+	if got := run("abd", "began", "writer", time.Second); got == first {
+		t.Error("another byte on a connection does not change the digest")
+	}
+	if got := run("abc", "began", "writer", time.Second+time.Microsecond); got == first {
+		t.Error("another instant does not change the digest")
+	}
+}
