--- a/caller/caller.go
+++ b/client/caller.go
@@ -1,11 +1,11 @@
-// Package caller is a client of the door for other proxies, for programs that make the sends of their lookups themselves:
+// Package client is a client of the door for other proxies, for programs that make the sends of their lookups themselves:
 //
 //	client := caller.New(conn)
 //	outcome, err := client.Lookup(ctx, caller.Request{Path: "/call/segment/7f3a/part-3", Header: header}, send)
 //
 // Lookup keeps the contract of docs/external-processor.md: one stream a send, each send made once and reported, asked again under
 // the same id for as long as the door says so. It holds nothing between lookups; a Client may be used by many goroutines.
-package caller
+package client
 
 import (
 	"context"
--- a/caller/example_test.go
+++ b/client/example_test.go
@@ -1,4 +1,4 @@
-package caller_test
+package client_test
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/credentials/insecure"
 
-	"foldslip/caller"
+	"foldslip/client"
 )
 
 // A program that makes its sends over HTTP asks the door of the gateway beside it.
@@ -21,19 +21,19 @@
 	}
 	defer conn.Close()
 	header := http.Header{"X-Job-Id": {"9b1f03aa5c7e2d41"}, "X-Ram-Kb": {"420"}}
-	outcome, err := caller.New(conn).Lookup(context.Background(), caller.Request{Path: "/call/segment/7f3a9c21e0b4d655/part-3", Header: header},
-		func(ctx context.Context, d caller.Decision) caller.Ending {
+	outcome, err := client.New(conn).Lookup(context.Background(), client.Request{Path: "/call/segment/7f3a9c21e0b4d655/part-3", Header: header},
+		func(ctx context.Context, d client.Decision) client.Ending {
 			r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.Addr+"/7f3a9c21e0b4d655/part-3", nil)
 			if err != nil {
-				return caller.Ending{Word: "late"} // it never ran
+				return client.Ending{Word: "late"} // it never ran
 			}
 			answer, err := http.DefaultClient.Do(r)
 			if err != nil {
-				return caller.Ending{Word: "reset"} // it may have run
+				return client.Ending{Word: "reset"} // it may have run
 			}
 			defer answer.Body.Close()
 			born, _ := time.Parse(http.TimeFormat, answer.Header.Get("Last-Modified"))
-			return caller.Ending{Word: "hit", Born: born, Version: answer.Header.Get("ETag")}
+			return client.Ending{Word: "hit", Born: born, Version: answer.Header.Get("ETag")}
 		})
 	if err != nil {
 		fmt.Println(err)
--- a/cmd/foldslip-door/main.go
+++ b/cmd/foldslip-door/main.go
@@ -1,11 +1,10 @@
-// Command foldslip-door is the gateway with the door for other proxies, and a client of that door. It is a program of its own
-// since its libraries take 13 MB resident from the start.
+// Command foldslip-door is the old name of foldslip-extproc, kept for scripts that start the gateway's external processor by it.
 package main
 
 import (
 	"os"
 
-	"foldslip/cli/doors"
+	"foldslip/internal/cli/extproccli"
 )
 
-func main() { os.Exit(doors.Main(os.Args[1:], os.Stdout, os.Stderr)) }
+func main() { os.Exit(extproccli.Main(os.Args[1:], os.Stdout, os.Stderr)) }
--- a/cmd/foldslip-rig/main.go
+++ b/cmd/foldslip-rig/main.go
@@ -1,6 +1,6 @@
 // Command foldslip-rig is the rig for fleets of gateways (what foldslip fleet run becomes).
 package main
 
-import "foldslip/cli/rigs"
+import "foldslip/internal/cli/rigcli"
 
-func main() { rigs.Run() }
+func main() { rigcli.Run() }
--- a/door/operator/operator.go
+++ b/internal/admin/operator.go
@@ -1,9 +1,9 @@
-// Package operator is the way in for operators on this machine: a Unix socket that takes steps of the routes (package route/steer) and
+// Package admin is the way in for operators on this machine: a Unix socket that takes steps of the routes (package route/steer) and
 // questions about the fleet (package fleet/membership), a line of JSON each, and answers with one. Only the gateway's own user and root may call: the socket says so, and the kernel's word on who
 // calls is checked again.
 //
 // Bounds: mostCalls connections at once, mostLine a line, callIn for each line. It decides nothing.
-package operator
+package admin
 
 import (
 	"bufio"
@@ -16,15 +16,15 @@
 	"syscall"
 	"time"
 
-	"foldslip/clock"
-	"foldslip/config"
-	"foldslip/config/change"
-	"foldslip/fleet/broadcast/carrier"
-	"foldslip/fleet/limits"
-	"foldslip/fleet/membership"
-	"foldslip/fleet/post"
-	"foldslip/route/pools"
-	"foldslip/route/steer"
+	"foldslip/internal/config"
+	"foldslip/internal/config/change"
+	"foldslip/internal/env"
+	"foldslip/internal/fleet/broadcast/driver"
+	"foldslip/internal/fleet/gossip"
+	"foldslip/internal/fleet/limits"
+	"foldslip/internal/fleet/membership"
+	"foldslip/internal/route/pools"
+	"foldslip/internal/route/rollout"
 )
 
 const (
@@ -58,14 +58,14 @@
 	Faults    []pools.Fault      `json:"faults,omitempty"`
 	Fleet     *membership.Report `json:"fleet,omitempty"`
 	Limits    []limits.Row       `json:"limits,omitempty"`
-	Broadcast *carrier.Report    `json:"broadcast,omitempty"`
+	Broadcast *driver.Report     `json:"broadcast,omitempty"`
 	Error     string             `json:"error,omitempty"`
 	Remedy    string             `json:"remedy,omitempty"`
 }
 
 // Operator is the socket.
 type Operator struct {
-	g        clock.Ground
+	g        env.Ground
 	of       Of
 	listener net.Listener
 	calls    chan struct{} // has room for those at once
@@ -73,15 +73,15 @@
 
 // Of are the parts of a gateway that operators call for; what is nil is off.
 type Of struct {
-	Routes    *steer.Steer
+	Routes    *rollout.Steer
 	Fleet     *membership.Fleet
-	Limits    *post.Post
-	Broadcast *carrier.Carrier
+	Limits    *gossip.Post
+	Broadcast *driver.Carrier
 }
 
 // Open listens on a path, for some parts.
-func Open(g clock.Ground, path string, of Of) (*Operator, error) {
-	l, err := clock.ListenUnix(path, mode)
+func Open(g env.Ground, path string, of Of) (*Operator, error) {
+	l, err := env.ListenUnix(path, mode)
 	if err != nil {
 		return nil, err
 	}
@@ -89,7 +89,7 @@
 }
 
 // Run serves until life ends.
-func (o *Operator) Run(life *clock.Life) error {
+func (o *Operator) Run(life *env.Life) error {
 	defer life.OnEnd(func() { o.listener.Close() })()
 	for {
 		conn, err := o.listener.Accept()
--- a/cli/config.go
+++ b/internal/cli/config.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"os"
 
-	"foldslip/config"
+	"foldslip/internal/config"
 )
 
 type configs struct {
--- a/cli/doors/doors.go
+++ b/internal/cli/extproccli/doors.go
@@ -1,8 +1,8 @@
-// Package doors is the command line of foldslip-door: the gateway with the door for other proxies, and a client of that door.
+// Package extproccli is the command line of foldslip-extproc: the gateway with the door for other proxies, and a client of that door.
 // It is a program of its own since its libraries take memory from the start that a gateway of 32 MB has not.
 // Exit status as of package cli: 0 done, 1 what was asked for failed (a lookup nacked, failed or refused), 2 it could not be
 // asked for like that.
-package doors
+package extproccli
 
 import (
 	"context"
@@ -26,12 +26,15 @@
 	"google.golang.org/grpc/credentials"
 	"google.golang.org/grpc/credentials/insecure"
 
-	"foldslip/caller"
-	"foldslip/clock"
-	"foldslip/door/extproc"
-	"foldslip/service"
+	"foldslip/client"
+	"foldslip/internal/env"
+	"foldslip/internal/extproc/extprocgrpc"
+	"foldslip/internal/gateway"
 )
 
+// programName is what messages call the program.
+const programName = "foldslip-extproc"
+
 type commands struct {
 	Ask   ask   `cmd:"" help:"Ask a door for one lookup and print its decisions and the end. The sends are not made: --end says how each is to be reported."`
 	Serve serve `cmd:"" default:"withargs" help:"Be the gateway with the doors that the operators' settings name."`
@@ -40,11 +43,11 @@
 // Main runs the command that args name and gives the exit status.
 func Main(args []string, out, errs io.Writer) (status int) {
 	var all commands
-	parser, err := kong.New(&all, kong.Name("foldslip-door"), kong.Writers(out, errs), kong.BindTo(out, (*io.Writer)(nil)),
+	parser, err := kong.New(&all, kong.Name(programName), kong.Writers(out, errs), kong.BindTo(out, (*io.Writer)(nil)),
 		kong.Description("foldslip with the door for other proxies (external processing)."), kong.UsageOnError(),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}), kong.Exit(func(code int) { panic(exit(code)) }))
 	if err != nil {
-		fmt.Fprintln(errs, "foldslip-door:", err)
+		fmt.Fprintln(errs, programName+":", err)
 		return 2
 	}
 	defer func() {
@@ -65,7 +68,7 @@
 		err = misuse{err}
 	}
 	if err != errTold {
-		fmt.Fprintln(errs, "foldslip-door:", strings.ReplaceAll(err.Error(), "\n", " "))
+		fmt.Fprintln(errs, programName+":", strings.ReplaceAll(err.Error(), "\n", " "))
 	}
 	if errors.As(err, new(misuse)) {
 		return 2
@@ -89,11 +92,11 @@
 	var least slog.Level
 	least.UnmarshalText([]byte(s.LogLevel)) // kong has checked it
 	os.Setenv("FOLDSLIP_SETTINGS", s.Settings)
-	g := clock.NewSystem(os.Stderr, least)
+	g := env.NewSystem(os.Stderr, least)
 	if g.Env("ROUTER_CONFIG") == "" {
 		return misuse{errors.New("ROUTER_CONFIG is not set: name the gateway's configuration file in it, see docs/external-processor.md (Start)")}
 	}
-	if err := service.Run(g, service.Watch{Doors: extproc.Doors}); err != nil {
+	if err := gateway.Run(g, gateway.Watch{Doors: extprocgrpc.Doors}); err != nil {
 		g.Log().Error("ended", "text", err.Error())
 		return errTold
 	}
@@ -143,8 +146,8 @@
 	ctx, stop := context.WithTimeout(context.Background(), a.Timeout)
 	defer stop()
 	began := time.Now()
-	o, err := caller.New(conn).Lookup(ctx, caller.Request{Path: a.Path, Header: header}, func(_ context.Context, d caller.Decision) caller.Ending {
-		e := caller.Ending{Word: a.End[min(d.N, len(a.End)-1)], Born: time.Now().Add(-a.Born)}
+	o, err := client.New(conn).Lookup(ctx, client.Request{Path: a.Path, Header: header}, func(_ context.Context, d client.Decision) client.Ending {
+		e := client.Ending{Word: a.End[min(d.N, len(a.End)-1)], Born: time.Now().Add(-a.Born)}
 		if e.Word == "hit" {
 			e.Note = "hit"
 		}
@@ -173,7 +176,7 @@
 		}
 		fmt.Fprintf(out, ", after %v\n", time.Since(began).Round(10*time.Microsecond))
 	}
-	if o.Result != caller.Satisfied {
+	if o.Result != client.Satisfied {
 		return errTold
 	}
 	return nil
--- a/cli/faults.go
+++ b/internal/cli/faults.go
@@ -19,7 +19,7 @@
 	"github.com/schollz/progressbar/v3"
 	"golang.org/x/sync/errgroup"
 
-	"foldslip/lab/day"
+	"foldslip/internal/lab/scenario"
 )
 
 type faults struct {
@@ -38,8 +38,8 @@
 	JSON  bool   `help:"Print JSON."`
 }
 
-func (f dayFlags) draw(seed uint64) (day.Plan, error) {
-	p := day.Draw(seed, f.Days)
+func (f dayFlags) draw(seed uint64) (scenario.Plan, error) {
+	p := scenario.Draw(seed, f.Days)
 	p.Plant = f.Plant
 	if err := p.Check(); err != nil {
 		return p, usage("%v", err)
@@ -48,15 +48,15 @@
 }
 
 // load gives the plan that a seed or a file names.
-func (f dayFlags) load(what string) (day.Plan, error) {
+func (f dayFlags) load(what string) (scenario.Plan, error) {
 	if seed, err := strconv.ParseUint(what, 10, 64); err == nil {
 		return f.draw(seed)
 	}
 	text, err := os.ReadFile(what)
 	if err != nil {
-		return day.Plan{}, usage("%s is no seed, and as a file: %v", what, err)
+		return scenario.Plan{}, usage("%s is no seed, and as a file: %v", what, err)
 	}
-	p, err := day.Read(text)
+	p, err := scenario.Read(text)
 	if err != nil {
 		return p, usage("%s: %v", what, err)
 	}
@@ -94,10 +94,10 @@
 }
 
 type brokenDay struct {
-	Seed   uint64       `json:"seed"`
-	Digest string       `json:"digest"`
-	Broken []day.Broken `json:"broken"`
-	Story  []string     `json:"story"`
+	Seed   uint64            `json:"seed"`
+	Digest string            `json:"digest"`
+	Broken []scenario.Broken `json:"broken"`
+	Story  []string          `json:"story"`
 }
 
 func readSeeds(text string) (from, to uint64, err error) {
@@ -168,7 +168,7 @@
 				if err != nil {
 					return err
 				}
-				r, err := day.Play(p, day.Look{})
+				r, err := scenario.Play(p, scenario.Look{})
 				if err != nil {
 					return err
 				}
@@ -186,7 +186,7 @@
 	}
 	err := group.Wait()
 	t.Real = time.Since(began)
-	t.Digest = day.Sum(digests)
+	t.Digest = scenario.Sum(digests)
 	slices.SortFunc(t.Broken, func(a, b brokenDay) int { return cmp.Compare(a.Seed, b.Seed) })
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -194,7 +194,7 @@
 	return t, err
 }
 
-func (t *tally) add(r day.Result) {
+func (t *tally) add(r scenario.Result) {
 	t.Days++
 	t.Steps += r.Steps
 	t.Virtual += r.Virtual
@@ -238,8 +238,8 @@
 		}
 	}
 	all := map[string]int{}
-	for _, k := range day.Kinds {
-		if day.Belongs(f.Days, k.Name) {
+	for _, k := range scenario.Kinds {
+		if scenario.Belongs(f.Days, k.Name) {
 			all[k.Name] = t.Kinds[k.Name]
 		}
 	}
@@ -250,7 +250,7 @@
 	table("reason or mode in the logs", t.Reasons)
 	table("what became of lookups", t.Ends)
 	w.Flush()
-	none, least, pairs := day.Unmet(f.Days, t.Pairs)
+	none, least, pairs := scenario.Unmet(f.Days, t.Pairs)
 	fmt.Fprintf(out, "pairs of kinds: %d, never met %d, the rarest met %d times\n", pairs, len(none), least)
 	for _, b := range t.Broken {
 		fmt.Fprintf(out, "seed %d broke:\n", b.Seed)
@@ -275,7 +275,7 @@
 	if err != nil {
 		return err
 	}
-	var look day.Look
+	var look scenario.Look
 	if f.Trace {
 		look.Trace = func(at time.Duration, line string) {
 			if at.Seconds() >= f.From {
@@ -283,14 +283,14 @@
 			}
 		}
 	}
-	r, err := day.Play(p, look)
+	r, err := scenario.Play(p, look)
 	if err != nil {
 		return err
 	}
 	return tellDay(to.out, r, f.JSON)
 }
 
-func tellDay(out io.Writer, r day.Result, asJSON bool) error {
+func tellDay(out io.Writer, r scenario.Result, asJSON bool) error {
 	if asJSON {
 		if err := json.NewEncoder(out).Encode(r); err != nil {
 			return err
@@ -321,7 +321,7 @@
 	if err != nil {
 		return err
 	}
-	small, r, tried, err := day.Shrink(p, func(text string) { fmt.Fprintln(to.errs, text) })
+	small, r, tried, err := scenario.Shrink(p, func(text string) { fmt.Fprintln(to.errs, text) })
 	if err != nil {
 		return usage("%v", err)
 	}
@@ -346,20 +346,20 @@
 }
 
 func (f *faultsKinds) Run(to *streams) error {
-	faults, planted := map[string]string{}, day.PlantHelp()
-	for _, k := range day.Kinds {
+	faults, planted := map[string]string{}, scenario.PlantHelp()
+	for _, k := range scenario.Kinds {
 		faults[k.Name] = k.Help
 	}
 	if f.JSON {
-		return json.NewEncoder(to.out).Encode(map[string]any{"days": day.Days, "faults": faults, "plants": planted})
+		return json.NewEncoder(to.out).Encode(map[string]any{"days": scenario.Days, "faults": faults, "plants": planted})
 	}
 	w := tabwriter.NewWriter(to.out, 0, 8, 2, ' ', 0)
 	for _, part := range []struct {
 		title string
 		of    map[string]string
-	}{{"days (--days)", day.Days}, {"faults", faults}, {"faults of the gateway (--plant)", planted}} {
+	}{{"days (--days)", scenario.Days}, {"faults", faults}, {"faults of the gateway (--plant)", planted}} {
 		fmt.Fprintln(w, part.title)
-		for _, name := range day.Names(part.of) {
+		for _, name := range scenario.Names(part.of) {
 			fmt.Fprintf(w, "  %s\t%s\n", name, part.of[name])
 		}
 	}
--- a/cli/guards.go
+++ b/internal/cli/guards.go
@@ -11,7 +11,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"foldslip/lab/day"
+	"foldslip/internal/lab/scenario"
 )
 
 type faultsGuards struct {
@@ -44,16 +44,16 @@
 	group.SetLimit(runtime.GOMAXPROCS(0))
 	for seed := first; seed <= last; seed++ {
 		group.Go(func() error {
-			oracle, err := day.Try(seed, "none", true)
+			oracle, err := scenario.Try(seed, "none", true)
 			if err != nil {
 				return err
 			}
-			for kind, bad := range day.Trials {
-				with, err := day.Try(seed, kind, true)
+			for kind, bad := range scenario.Trials {
+				with, err := scenario.Try(seed, kind, true)
 				if err != nil {
 					return err
 				}
-				without, err := day.Try(seed, kind, false)
+				without, err := scenario.Try(seed, kind, false)
 				if err != nil {
 					return err
 				}
--- a/cli/list.go
+++ b/internal/cli/list.go
@@ -10,9 +10,9 @@
 	"text/tabwriter"
 	"time"
 
-	"foldslip/store/record"
-	"foldslip/store/roster"
-	"foldslip/trust"
+	"foldslip/internal/freshness"
+	"foldslip/internal/store/endpoints"
+	"foldslip/internal/store/wal"
 )
 
 // listName is the record's name in its folder.
@@ -31,29 +31,29 @@
 }
 
 // open is the folder, which must be there.
-func (f listFolder) open() (record.Folder, error) {
+func (f listFolder) open() (wal.Folder, error) {
 	if at, err := os.Stat(f.Folder); err != nil {
-		return record.Folder{}, usage("%v: name the folder that holds the list", err)
+		return wal.Folder{}, usage("%v: name the folder that holds the list", err)
 	} else if !at.IsDir() {
-		return record.Folder{}, usage("%s is no folder", f.Folder)
+		return wal.Folder{}, usage("%s is no folder", f.Folder)
 	}
-	return record.Folder{Path: f.Folder}, nil
+	return wal.Folder{Path: f.Folder}, nil
 }
 
 // read reads what a folder holds, without its lock: the files of a running gateway can be looked at.
-func (f listFolder) read() (*roster.State, record.Kept, error) {
+func (f listFolder) read() (*endpoints.State, wal.Kept, error) {
 	disk, err := f.open()
 	if err != nil {
-		return nil, record.Kept{}, err
+		return nil, wal.Kept{}, err
 	}
-	kept, err := record.Read(disk, listName)
+	kept, err := wal.Read(disk, listName)
 	if err != nil {
 		return nil, kept, fmt.Errorf("%s: %w", f.Folder, err)
 	}
 	if kept.Generation == 0 {
-		return roster.New(), kept, nil
+		return endpoints.New(), kept, nil
 	}
-	s, err := roster.Restore(kept.Snapshot, kept.Changes)
+	s, err := endpoints.Restore(kept.Snapshot, kept.Changes)
 	if err != nil {
 		err = fmt.Errorf("%s: generation %d: %w", f.Folder, kept.Generation, err)
 	}
@@ -98,14 +98,14 @@
 	return time.UnixMilli(ms).UTC().Format(time.RFC3339)
 }
 
-func view(s *roster.State, now time.Time) listed {
+func view(s *endpoints.State, now time.Time) listed {
 	v := listed{Bulletin: s.Bulletin, Last: s.Last, Stood: when(s.Stood), Caches: []listedRow{}, Left: []listedOld{}, Purges: len(s.Purges)}
-	all := trust.List{Hours: s.Hours, Departed: s.Departed}
+	all := freshness.List{Hours: s.Hours, Departed: s.Departed}
 	for _, k := range s.Sorted() {
-		standing, budget := trust.Weigh(all, trust.Entry{Age: now.Sub(time.UnixMilli(s.Stood)), Imported: k.Source == roster.Imported,
-			Ill: k.Ill > 0, Left: k.Phase != roster.Up || s.Tombs[k.ID].ID != ""})
+		standing, budget := freshness.Weigh(all, freshness.Entry{Age: now.Sub(time.UnixMilli(s.Stood)), Imported: k.Source == endpoints.Imported,
+			Ill: k.Ill > 0, Left: k.Phase != endpoints.Up || s.Tombs[k.ID].ID != ""})
 		v.Caches = append(v.Caches, listedRow{k.ID, k.Addr, k.Zone, k.Machine, k.Cell, k.Size, k.UpSince,
-			[...]string{"up", "draining", "removed"}[k.Phase], k.Source == roster.Imported, k.Ill > 0, standing.String(), budget})
+			[...]string{"up", "draining", "removed"}[k.Phase], k.Source == endpoints.Imported, k.Ill > 0, standing.String(), budget})
 	}
 	for _, t := range s.SortedTombs() {
 		v.Left = append(v.Left, listedOld{t.ID, when(t.At), t.Gone})
@@ -195,34 +195,34 @@
 		in = file
 	}
 	var v listed
-	d := json.NewDecoder(io.LimitReader(in, record.MostEntry))
+	d := json.NewDecoder(io.LimitReader(in, wal.MostEntry))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&v); err != nil {
 		return usage("%s: not a list as export writes it: %v", f.File, err)
 	}
-	c := roster.Change{At: time.Now().UnixMilli()}
+	c := endpoints.Change{At: time.Now().UnixMilli()}
 	for i, k := range v.Caches {
 		if _, err := netip.ParseAddrPort(k.Addr); err != nil || k.ID == "" || k.Zone == "" || k.Machine == "" {
 			return usage("%s: caches[%d] %q: id, host_port (an address and a port), locality and flavor must be told", f.File, i, k.ID)
 		}
 		if k.Phase == "up" {
-			c.Rows = append(c.Rows, roster.Cache{ID: k.ID, Addr: k.Addr, Zone: k.Zone, Machine: k.Machine, Cell: k.Cell, Size: k.Size,
-				UpSince: k.UpSince, Source: roster.Imported})
+			c.Rows = append(c.Rows, endpoints.Cache{ID: k.ID, Addr: k.Addr, Zone: k.Zone, Machine: k.Machine, Cell: k.Cell, Size: k.Size,
+				UpSince: k.UpSince, Source: endpoints.Imported})
 		}
 	}
-	disk, err := record.OpenFolder(f.Folder)
+	disk, err := wal.OpenFolder(f.Folder)
 	if err != nil {
 		return usage("%v", err)
 	}
-	r, kept, err := record.Open(disk, listName)
-	if errors.Is(err, record.ErrLocked) {
+	r, kept, err := wal.Open(disk, listName)
+	if errors.Is(err, wal.ErrLocked) {
 		return usage("%v: stop the gateway that uses it first", err)
 	}
 	if err != nil {
 		return err
 	}
 	defer r.Close()
-	s, err := roster.Restore(kept.Snapshot, kept.Changes)
+	s, err := endpoints.Restore(kept.Snapshot, kept.Changes)
 	if err != nil {
 		return fmt.Errorf("%s: %w", f.Folder, err)
 	}
@@ -246,8 +246,8 @@
 	if err != nil {
 		return err
 	}
-	n, err := record.Forget(disk, listName)
-	if errors.Is(err, record.ErrLocked) {
+	n, err := wal.Forget(disk, listName)
+	if errors.Is(err, wal.ErrLocked) {
 		return usage("%v: stop the gateway that uses it first", err)
 	}
 	if err != nil {
--- a/cli/rigs/broadcast.go
+++ b/internal/cli/rigcli/broadcast.go
@@ -1,4 +1,4 @@
-package rigs
+package rigcli
 
 import (
 	"cmp"
@@ -16,7 +16,7 @@
 
 	"github.com/schollz/progressbar/v3"
 
-	"foldslip/lab/scale"
+	"foldslip/internal/lab/scale"
 )
 
 type scaleBroadcast struct {
--- a/cli/rigs/broadcast_test.go
+++ b/internal/cli/rigcli/broadcast_test.go
@@ -1,4 +1,4 @@
-package rigs
+package rigcli
 
 import (
 	"bufio"
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"foldslip/lab/scale"
+	"foldslip/internal/lab/scale"
 )
 
 // called runs the program and gives its exit status and what it said.
--- a/cli/rigs/capacity.go
+++ b/internal/cli/rigcli/capacity.go
@@ -1,10 +1,10 @@
-package rigs
+package rigcli
 
 import (
 	"fmt"
 	"os"
 
-	"foldslip/lab/scale"
+	"foldslip/internal/lab/scale"
 )
 
 type scalePlot struct {
--- a/cli/rigs/rigs.go
+++ b/internal/cli/rigcli/rigs.go
@@ -1,7 +1,7 @@
-// Package rigs is the command line of foldslip-rig: scenarios of whole fleets on real processes. It is a program of its own since its
+// Package rigcli is the command line of foldslip-rig: scenarios of whole fleets on real processes. It is a program of its own since its
 // libraries (plots) take memory from the start that a gateway of 32 MB has not. Exit status as of package cli: 0 done, 1 a run did
 // what must not be, 2 it could not be asked for like that.
-package rigs
+package rigcli
 
 import (
 	"encoding/json"
@@ -18,7 +18,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"foldslip/lab/fleet"
+	"foldslip/internal/lab/fleet"
 )
 
 type commands struct {
--- a/cli/rigs/rigs_test.go
+++ b/internal/cli/rigcli/rigs_test.go
@@ -1,4 +1,4 @@
-package rigs
+package rigcli
 
 import (
 	"bytes"
--- a/cli/rigs/scale.go
+++ b/internal/cli/rigcli/scale.go
@@ -1,4 +1,4 @@
-package rigs
+package rigcli
 
 import (
 	"encoding/json"
@@ -15,7 +15,7 @@
 
 	"github.com/schollz/progressbar/v3"
 
-	"foldslip/lab/scale"
+	"foldslip/internal/lab/scale"
 )
 
 // scales are the measurements against the size of the fleet.
--- a/cli/routes.go
+++ b/internal/cli/routes.go
@@ -13,9 +13,9 @@
 
 	"github.com/pmezard/go-difflib/difflib"
 
-	"foldslip/config/change"
-	"foldslip/door/operator"
-	"foldslip/route/pools"
+	"foldslip/internal/admin"
+	"foldslip/internal/config/change"
+	"foldslip/internal/route/pools"
 )
 
 // socket is a gateway's socket for operators.
@@ -26,10 +26,10 @@
 }
 
 // call makes a call and tells what is wrong with it.
-func (s socket) call(c operator.Call) (operator.Answer, error) {
+func (s socket) call(c admin.Call) (admin.Answer, error) {
 	ctx, stop := context.WithTimeout(context.Background(), s.Wait)
 	defer stop()
-	a, err := operator.Ask(ctx, s.Socket, c)
+	a, err := admin.Ask(ctx, s.Socket, c)
 	if err != nil {
 		return a, fmt.Errorf("%s: %w; see whether the gateway runs and routing.socket names it", s.Socket, err)
 	}
@@ -40,7 +40,7 @@
 }
 
 // step makes a call that is a step of a change, and prints it.
-func (s socket) step(to *streams, c operator.Call) error {
+func (s socket) step(to *streams, c admin.Call) error {
 	a, err := s.call(c)
 	if err != nil {
 		return err
@@ -98,7 +98,7 @@
 	if err != nil {
 		return err
 	}
-	call := operator.Call{Do: "plan", Config: c}
+	call := admin.Call{Do: "plan", Config: c}
 	if p.Load != "" {
 		text, err := os.ReadFile(p.Load)
 		if err != nil {
@@ -152,7 +152,7 @@
 	if err != nil {
 		return err
 	}
-	return p.step(to, operator.Call{Do: "propose", Parent: p.Parent, Author: p.Author, Reason: p.Reason, Config: c})
+	return p.step(to, admin.Call{Do: "propose", Parent: p.Parent, Author: p.Author, Reason: p.Reason, Config: c})
 }
 
 type configStage struct {
@@ -163,7 +163,7 @@
 }
 
 func (p *configStage) Run(to *streams) error {
-	return p.step(to, operator.Call{Do: "stage", No: p.No, Share: p.Share, WithinMS: p.Within.Milliseconds()})
+	return p.step(to, admin.Call{Do: "stage", No: p.No, Share: p.Share, WithinMS: p.Within.Milliseconds()})
 }
 
 type configApply struct {
@@ -173,7 +173,7 @@
 }
 
 func (p *configApply) Run(to *streams) error {
-	return p.step(to, operator.Call{Do: "apply", No: p.No, WithinMS: p.Within.Milliseconds()})
+	return p.step(to, admin.Call{Do: "apply", No: p.No, WithinMS: p.Within.Milliseconds()})
 }
 
 type configConfirm struct {
@@ -182,7 +182,7 @@
 }
 
 func (p *configConfirm) Run(to *streams) error {
-	return p.step(to, operator.Call{Do: "confirm", No: p.No})
+	return p.step(to, admin.Call{Do: "confirm", No: p.No})
 }
 
 type configUndo struct {
@@ -192,7 +192,7 @@
 }
 
 func (p *configUndo) Run(to *streams) error {
-	return p.step(to, operator.Call{Do: "undo", No: p.No, Reason: p.Why})
+	return p.step(to, admin.Call{Do: "undo", No: p.No, Reason: p.Why})
 }
 
 type configBack struct {
@@ -203,13 +203,13 @@
 }
 
 func (p *configBack) Run(to *streams) error {
-	return p.step(to, operator.Call{Do: "back", No: p.No, Author: p.Author, Reason: p.Reason})
+	return p.step(to, admin.Call{Do: "back", No: p.No, Author: p.Author, Reason: p.Reason})
 }
 
 type configHistory struct{ socket }
 
 func (p *configHistory) Run(to *streams) error {
-	a, err := p.call(operator.Call{Do: "history"})
+	a, err := p.call(admin.Call{Do: "history"})
 	if err != nil {
 		return err
 	}
@@ -243,7 +243,7 @@
 func (p *configDiff) Run(to *streams) error {
 	var lines [2][]string
 	for i, no := range []uint64{p.From, p.To} {
-		a, err := p.call(operator.Call{Do: "text", No: no})
+		a, err := p.call(admin.Call{Do: "text", No: no})
 		if err != nil {
 			return err
 		}
--- a/cli/routes_test.go
+++ b/internal/cli/routes_test.go
@@ -11,29 +11,29 @@
 	"strings"
 	"testing"
 
-	"foldslip/clock"
-	"foldslip/door/operator"
-	"foldslip/route/pools"
-	"foldslip/route/steer"
-	"foldslip/store/roster"
+	"foldslip/internal/admin"
+	"foldslip/internal/env"
+	"foldslip/internal/route/pools"
+	"foldslip/internal/route/rollout"
+	"foldslip/internal/store/endpoints"
 )
 
 // A change before a sale, from the plan to its undoing, as an operator makes it.
 func TestRoutesByHand(t *testing.T) {
 	dir := t.TempDir()
-	g := clock.NewSystem(io.Discard, slog.LevelInfo)
-	s, err := steer.Open(g, nil, pools.Config{Pools: map[string]pools.Pool{"town": {Locations: []string{"town"}}},
+	g := env.NewSystem(io.Discard, slog.LevelInfo)
+	s, err := rollout.Open(g, nil, pools.Config{Pools: map[string]pools.Pool{"town": {Locations: []string{"town"}}},
 		Routes: []pools.Route{{Name: "all", To: []pools.To{{Pool: "town"}}}}}, []string{"segment"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.List(roster.Change{Whole: true, Rows: []roster.Cache{{ID: "c1", Zone: "town", Machine: "edge"}, {ID: "c2", Zone: "hill", Machine: "edge"}}})
+	s.List(endpoints.Change{Whole: true, Rows: []endpoints.Cache{{ID: "c1", Zone: "town", Machine: "edge"}, {ID: "c2", Zone: "hill", Machine: "edge"}}})
 	path := filepath.Join(dir, "operator")
-	o, err := operator.Open(g, path, operator.Of{Routes: s})
+	o, err := admin.Open(g, path, admin.Of{Routes: s})
 	if err != nil {
 		t.Fatal(err)
 	}
-	life := clock.NewLife(nil)
+	life := env.NewLife(nil)
 	ended := make(chan error)
 	go func() { ended <- o.Run(life) }()
 	t.Cleanup(func() { life.End(); <-ended })
@@ -100,7 +100,7 @@
 			}
 			conn.Close()
 		}
-		if _, err := operator.Open(g, path, operator.Of{Routes: s}); err == nil {
+		if _, err := admin.Open(g, path, admin.Of{Routes: s}); err == nil {
 			t.Error("a socket in use is taken over")
 		}
 	})
--- a/cli/serve.go
+++ b/internal/cli/serve.go
@@ -7,13 +7,13 @@
 	"syscall"
 	"time"
 
-	"foldslip/clock"
-	"foldslip/service"
+	"foldslip/internal/env"
+	"foldslip/internal/gateway"
 )
 
 type serve struct {
 	Settings    string        `env:"FOLDSLIP_SETTINGS" help:"The operators' own settings, a Jsonnet template such as deploy/foldslip.jsonnet; none: all that they switch on is off."`
-	Doors       bool          `help:"Open the doors that the settings name, too (runs foldslip-door, which stands beside this program)."`
+	Doors       bool          `help:"Open the doors that the settings name, too (runs foldslip-extproc, which stands beside this program)."`
 	ClockOffset time.Duration `hidden:"" help:"Tell other machines a time that is off by so much, as a machine with a wrong clock does; for tests of a fleet."`
 	LogLevel    string        `enum:"debug,info,warn,error" default:"info" help:"The least level that is logged: ${enum}."`
 }
@@ -29,27 +29,27 @@
 	if s.Doors {
 		return besideThis("serve", "--settings="+s.Settings, "--log-level="+s.LogLevel)
 	}
-	g := clock.NewSystem(to.errs, least)
+	g := env.NewSystem(to.errs, least)
 	g.Offset = s.ClockOffset
 	if g.Env("ROUTER_CONFIG") == "" {
 		return usage("ROUTER_CONFIG is not set: name the gateway's configuration file in it, see README.md (Start)")
 	}
-	if err := service.Run(g, service.Watch{}); err != nil {
+	if err := gateway.Run(g, gateway.Watch{}); err != nil {
 		g.Log().Error("ended", "text", err.Error())
 		return quiet{err}
 	}
 	return nil
 }
 
-// beside is a command of foldslip-door.
+// beside is a command of foldslip-extproc.
 type beside struct {
 	Args []string `arg:"" optional:""`
 }
 
 func (b *beside) Run() error { return besideThis(append([]string{"ask"}, b.Args...)...) }
 
-// besideThis becomes foldslip-door, whose libraries this program does without.
-func besideThis(args ...string) error { return become("foldslip-door", args...) }
+// besideThis becomes foldslip-extproc, whose libraries this program does without.
+func besideThis(args ...string) error { return become("foldslip-extproc", args...) }
 
 // become becomes a program that stands beside this one.
 func become(name string, args ...string) error {
--- a/cli/twins.go
+++ b/internal/cli/twins.go
@@ -12,7 +12,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"foldslip/lab/day"
+	"foldslip/internal/lab/scenario"
 )
 
 type faultsTwins struct {
@@ -23,12 +23,12 @@
 
 // twins is what many pairs were.
 type twins struct {
-	Pairs     int            `json:"pairs"`
-	Whole     int            `json:"whole"` // compared to their end
-	Lookups   int            `json:"lookups"`
-	Decisions int            `json:"decisions"` // compared one by one, and the same
-	Terms     map[string]int `json:"terms"`     // of the contract, from which on a pair may differ
-	Different []day.Pair     `json:"different"`
+	Pairs     int             `json:"pairs"`
+	Whole     int             `json:"whole"` // compared to their end
+	Lookups   int             `json:"lookups"`
+	Decisions int             `json:"decisions"` // compared one by one, and the same
+	Terms     map[string]int  `json:"terms"`     // of the contract, from which on a pair may differ
+	Different []scenario.Pair `json:"different"`
 }
 
 func (f *faultsTwins) Run(to *streams) error {
@@ -45,7 +45,7 @@
 	for range cmp.Or(f.Jobs, runtime.GOMAXPROCS(0)) {
 		group.Go(func() error {
 			for seed := first + next.Add(1) - 1; seed <= last; seed = first + next.Add(1) - 1 {
-				p, err := day.Twins(seed)
+				p, err := scenario.Twins(seed)
 				if err != nil {
 					return err
 				}
@@ -78,7 +78,7 @@
 	return err
 }
 
-func (t *twins) add(p day.Pair) {
+func (t *twins) add(p scenario.Pair) {
 	t.Pairs++
 	t.Lookups += p.Lookups
 	t.Decisions += p.Compared
--- a/config/config.go
+++ b/internal/config/config.go
@@ -17,9 +17,9 @@
 
 	"github.com/google/go-jsonnet"
 
-	"foldslip/config/change"
-	"foldslip/route"
-	"foldslip/route/pools"
+	"foldslip/internal/config/change"
+	"foldslip/internal/route"
+	"foldslip/internal/route/pools"
 )
 
 const (
--- a/config/config_test.go
+++ b/internal/config/config_test.go
@@ -63,7 +63,7 @@
 }
 
 func TestTheFileUnderDeploy(t *testing.T) {
-	if s, err := Read("../deploy/foldslip.jsonnet", os.ReadFile); err != nil || s.List == nil {
+	if s, err := Read("../../deploy/foldslip.jsonnet", os.ReadFile); err != nil || s.List == nil {
 		t.Errorf("%+v, %v", s, err)
 	}
 }
--- a/facade/facade.go
+++ b/internal/dispatch/facade.go
@@ -1,6 +1,6 @@
-// Package facade owns the router and gives the network three blocking calls: Pick waits for what a lookup
+// Package dispatch owns the router and gives the network three blocking calls: Pick waits for what a lookup
 // needs done next, Report tells how a send ended, Tick brings time, lists and purges. It decides nothing.
-package facade
+package dispatch
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"foldslip/clock"
-	"foldslip/logic"
+	"foldslip/internal/env"
+	"foldslip/internal/policy"
 )
 
 // lateBy is past a lookup's deadline, within the slack that its answer has.
@@ -34,77 +34,77 @@
 type Step struct {
 	What       What
 	N          int
-	To, Source *logic.Cache // Source is To where a miss is not to be filled
+	To, Source *policy.Cache // Source is To where a miss is not to be filled
 	Rank       int
-	How        logic.How
-	Patience   logic.Micros
-	Hush       logic.Micros // how long its connection may say nothing
-	Oldest     logic.Micros
-	RetryIn    logic.Micros
+	How        policy.How
+	Patience   policy.Micros
+	Hush       policy.Micros // how long its connection may say nothing
+	Oldest     policy.Micros
+	RetryIn    policy.Micros
 }
 
 // Lookup is one lookup that the router holds.
 type Lookup struct {
 	Deadline time.Time
-	its      *logic.Lookup
+	its      *policy.Lookup
 	steps    []Step
-	some     clock.Bell // rung when there are steps
-	ready    func()     // called in its place, under the lock: it must not wait
-	sentAt   []logic.Micros
+	some     env.Bell // rung when there are steps
+	ready    func()   // called in its place, under the lock: it must not wait
+	sentAt   []policy.Micros
 	ways     []way // of sends, while someone looks on
 	out      int   // sends without an ending
 	over     bool
 }
 
 // way is where a send went.
-type way struct{ to, source *logic.Cache }
+type way struct{ to, source *policy.Cache }
 
 type timer struct {
-	due   logic.Micros
+	due   policy.Micros
 	token int64
 }
 
 // Facade is the router behind one lock, which is never held over a wait.
 type Facade struct {
-	g      clock.Ground
+	g      env.Ground
 	mu     sync.Mutex
 	router Module
-	its    *logic.Router // the same, whoever stands between
-	queued int           // sends decided and not yet picked
+	its    *policy.Router // the same, whoever stands between
+	queued int            // sends decided and not yet picked
 	began  time.Time
-	base   logic.Micros // the Unix clock at began; from there the clock that never runs backwards counts
+	base   policy.Micros // the Unix clock at began; from there the clock that never runs backwards counts
 	open   map[string]*Lookup
 	timers []timer
-	seen   func(to, source *logic.Cache, how logic.Ending, remark logic.Remark)
+	seen   func(to, source *policy.Cache, how policy.Ending, remark policy.Remark)
 }
 
 // Module is what the facade tells the router, each call at its instant; *logic.Router is one.
 type Module interface {
-	Listed(now logic.Micros, what logic.ListKind, rows []logic.Row)
-	Arrive(now logic.Micros, door string, kind int, name string, part, group int, kb float64,
-		deadline logic.Micros, write, repeat bool) *logic.Lookup
-	Ended(now logic.Micros, lk *logic.Lookup, n int, e logic.Ending, remark logic.Remark, took, waited logic.Micros,
+	Listed(now policy.Micros, what policy.ListKind, rows []policy.Row)
+	Arrive(now policy.Micros, door string, kind int, name string, part, group int, kb float64,
+		deadline policy.Micros, write, repeat bool) *policy.Lookup
+	Ended(now policy.Micros, lk *policy.Lookup, n int, e policy.Ending, remark policy.Remark, took, waited policy.Micros,
 		closed bool)
-	Departed(now logic.Micros, lk *logic.Lookup)
-	GiveUp(now logic.Micros, lk *logic.Lookup)
-	MayBegin(now logic.Micros, lk *logic.Lookup, n int) bool
-	Purged(now logic.Micros, name string, group int, ago logic.Micros)
-	Woken(now logic.Micros, token int64)
-	Within(s *logic.Scope)
+	Departed(now policy.Micros, lk *policy.Lookup)
+	GiveUp(now policy.Micros, lk *policy.Lookup)
+	MayBegin(now policy.Micros, lk *policy.Lookup, n int) bool
+	Purged(now policy.Micros, name string, group int, ago policy.Micros)
+	Woken(now policy.Micros, token int64)
+	Within(s *policy.Scope)
 	InFlight() int
-	Health(see func(c *logic.Cache, heard logic.Micros, out bool))
+	Health(see func(c *policy.Cache, heard policy.Micros, out bool))
 }
 
 // Between stands between the facade and the module, for whoever looks on: it makes the module with a host of its own
 // choosing before h, and what it returns is told everything.
-type Between func(h logic.Host, start func(h logic.Host) Module) Module
+type Between func(h policy.Host, start func(h policy.Host) Module) Module
 
 // Start makes the router; between may be nil.
-func Start(g clock.Ground, seed uint64, its *logic.Charter, between Between) *Facade {
+func Start(g env.Ground, seed uint64, its *policy.Charter, between Between) *Facade {
 	f := &Facade{g: g, began: g.Now(), open: map[string]*Lookup{}}
 	f.base = f.began.UnixMicro()
-	start := func(h logic.Host) Module {
-		f.its = logic.Start(f.base, seed, its, h)
+	start := func(h policy.Host) Module {
+		f.its = policy.Start(f.base, seed, its, h)
 		return f.its
 	}
 	if between == nil {
@@ -115,7 +115,7 @@
 	return f
 }
 
-func (f *Facade) now() logic.Micros { return f.base + f.g.Now().Sub(f.began).Microseconds() }
+func (f *Facade) now() policy.Micros { return f.base + f.g.Now().Sub(f.began).Microseconds() }
 
 // guard keeps a fault of the module from ending the gateway: the lookup concerned runs into its deadline.
 func (f *Facade) guard() {
@@ -131,7 +131,7 @@
 
 // TakeFor is Take within a scope (nil: all), for who does not wait in Pick where ready is told: it is called, under the facade's lock,
 // whenever Next has something.
-func (f *Facade) TakeFor(id string, kind int, object string, part, group int, kb float64, deadline time.Time, scope *logic.Scope,
+func (f *Facade) TakeFor(id string, kind int, object string, part, group int, kb float64, deadline time.Time, scope *policy.Scope,
 	ready func()) (l *Lookup) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -184,7 +184,7 @@
 		if f.queued--; f.may(l, s) {
 			return s, true
 		}
-		f.ended(l, s.N, logic.NeverSent, logic.Untold, 0)
+		f.ended(l, s.N, policy.NeverSent, policy.Untold, 0)
 	}
 	return Step{}, false
 }
@@ -202,7 +202,7 @@
 // circle are the module's; a fault of it there withdraws the send.
 func (f *Facade) may(l *Lookup, s Step) (may bool) {
 	defer f.guard()
-	return !l.over && f.g.Now().Before(l.Deadline) && s.To.State == logic.Ready && s.Source.State == logic.Ready &&
+	return !l.over && f.g.Now().Before(l.Deadline) && s.To.State == policy.Ready && s.Source.State == policy.Ready &&
 		f.router.MayBegin(f.now(), l.its, s.N)
 }
 
@@ -213,15 +213,15 @@
 func (f *Facade) Late(l *Lookup) { f.close(l, Failed) }
 
 // Report tells how a send ended. It returns false for an answer that came too late to be used.
-func (f *Facade) Report(l *Lookup, n int, how logic.Ending, remark logic.Remark, waited logic.Micros) bool {
+func (f *Facade) Report(l *Lookup, n int, how policy.Ending, remark policy.Remark, waited policy.Micros) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.ended(l, n, how, remark, waited)
 }
 
 // ended takes a send's ending, under the lock.
-func (f *Facade) ended(l *Lookup, n int, how logic.Ending, remark logic.Remark, waited logic.Micros) bool {
-	now, used := f.now(), how == logic.Satisfied && !l.over
+func (f *Facade) ended(l *Lookup, n int, how policy.Ending, remark policy.Remark, waited policy.Micros) bool {
+	now, used := f.now(), how == policy.Satisfied && !l.over
 	if l.out--; used {
 		l.end(Step{What: Satisfied, N: n})
 	}
@@ -282,15 +282,15 @@
 }
 
 // Tick brings the time, changes to the list (or the whole of it) and purges; it returns when to come next.
-func (f *Facade) Tick(rows []logic.Row, whole bool, purges []Purge) time.Duration {
+func (f *Facade) Tick(rows []policy.Row, whole bool, purges []Purge) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	defer f.guard()
 	now := f.now()
 	if whole {
-		f.router.Listed(now, logic.FullList, rows)
+		f.router.Listed(now, policy.FullList, rows)
 	} else if len(rows) > 0 {
-		f.router.Listed(now, logic.Changes, rows)
+		f.router.Listed(now, policy.Changes, rows)
 	}
 	for _, p := range purges {
 		f.router.Purged(now, p.Object, p.Group, max(0, now-p.Issued.UnixMicro()))
@@ -316,15 +316,15 @@
 }
 
 // Relist tells the router of the whole list as it was kept from before, with what each row is worth.
-func (f *Facade) Relist(rows []logic.Row) {
+func (f *Facade) Relist(rows []policy.Row) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	defer f.guard()
-	f.router.Listed(f.now(), logic.CachedList, rows)
+	f.router.Listed(f.now(), policy.CachedList, rows)
 }
 
 // See has each ending told to look, under the lock: it must not wait, nor call the facade.
-func (f *Facade) See(look func(to, source *logic.Cache, how logic.Ending, remark logic.Remark)) {
+func (f *Facade) See(look func(to, source *policy.Cache, how policy.Ending, remark policy.Remark)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.seen = look
@@ -335,7 +335,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	from := f.base + since.Sub(f.began).Microseconds()
-	f.router.Health(func(c *logic.Cache, last logic.Micros, isOut bool) {
+	f.router.Health(func(c *policy.Cache, last policy.Micros, isOut bool) {
 		if last > 0 && last >= from {
 			heard = append(heard, c.Name)
 		}
@@ -392,8 +392,8 @@
 // host is the router's side of the facade; its calls come from within the router's, under the lock.
 type host Facade
 
-func (h *host) Fetch(lk *logic.Lookup, to, source *logic.Cache, rank int, how logic.How,
-	patience, hush, oldest logic.Micros) {
+func (h *host) Fetch(lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.How,
+	patience, hush, oldest policy.Micros) {
 	l := h.open[lk.Door]
 	l.sentAt = append(l.sentAt, (*Facade)(h).now())
 	l.out++
@@ -408,27 +408,27 @@
 		Patience: patience, Hush: hush, Oldest: oldest})
 }
 
-func (h *host) Cancel(lk *logic.Lookup, send int) {
+func (h *host) Cancel(lk *policy.Lookup, send int) {
 	if l := h.open[lk.Door]; l != nil {
 		l.push(Step{What: Cancel, N: send})
 	}
 }
 
-func (h *host) Nack(lk *logic.Lookup, retryIn logic.Micros) {
+func (h *host) Nack(lk *policy.Lookup, retryIn policy.Micros) {
 	h.finish(lk, Step{What: Nacked, RetryIn: retryIn})
 }
 
-func (h *host) Fail(lk *logic.Lookup) { h.finish(lk, Step{What: Failed}) }
+func (h *host) Fail(lk *policy.Lookup) { h.finish(lk, Step{What: Failed}) }
 
 // finish ends a lookup for the router, which may do so amid a call about another one, and forgets it.
-func (h *host) finish(lk *logic.Lookup, s Step) {
+func (h *host) finish(lk *policy.Lookup, s Step) {
 	if l := h.open[lk.Door]; l != nil {
 		l.end(s)
 		(*Facade)(h).drop(lk.Door, l)
 	}
 }
 
-func (h *host) Wake(in logic.Micros, token int64) {
+func (h *host) Wake(in policy.Micros, token int64) {
 	h.timers = append(h.timers, timer{(*Facade)(h).now() + in, token})
 }
 
--- a/facade/facade_test.go
+++ b/internal/dispatch/facade_test.go
@@ -1,4 +1,4 @@
-package facade
+package dispatch
 
 import (
 	"fmt"
@@ -8,15 +8,15 @@
 	"testing"
 	"time"
 
-	"foldslip/clock"
-	"foldslip/logic"
+	"foldslip/internal/env"
+	"foldslip/internal/policy"
 )
 
 // open starts a router with one edge and the origin.
 func open() *Facade {
-	f := Start(clock.NewSystem(io.Discard, slog.LevelInfo), 1, &logic.Charter{Gateways: 1, ParentKind: -1, OriginKind: 1, SendLimit: 6, Cancelling: true,
-		Kinds: []logic.ObjectKind{{Budget: 400000, GiveUp: 5000000, Utility: 1}}}, nil)
-	f.Tick([]logic.Row{{Cache: logic.NewCache("edge")}, {Cache: logic.NewCache("origin"), Kind: 1}}, true, nil)
+	f := Start(env.NewSystem(io.Discard, slog.LevelInfo), 1, &policy.Charter{Gateways: 1, ParentKind: -1, OriginKind: 1, SendLimit: 6, Cancelling: true,
+		Kinds: []policy.ObjectKind{{Budget: 400000, GiveUp: 5000000, Utility: 1}}}, nil)
+	f.Tick([]policy.Row{{Cache: policy.NewCache("edge")}, {Cache: policy.NewCache("origin"), Kind: 1}}, true, nil)
 	return f
 }
 
@@ -34,7 +34,7 @@
 		if s := f.Pick(l); s.What != Send || s.To.Name != "edge" || s.Source.Name != "origin" || s.Patience <= 0 {
 			t.Fatalf("%+v", s)
 		}
-		if !f.Report(l, 0, logic.Satisfied, logic.Hit, 0) {
+		if !f.Report(l, 0, policy.Satisfied, policy.Hit, 0) {
 			t.Error("the answer was not used")
 		}
 		if s := f.Pick(l); s.What != Satisfied || s.N != 0 || f.Open() != 0 {
@@ -75,7 +75,7 @@
 		if a, b := f.Pick(l), f.Pick(l); a.What != Departed || b.What != Cancel {
 			t.Errorf("%+v, %+v", a, b)
 		}
-		if f.Report(l, 0, logic.Satisfied, logic.Hit, 0) || f.Open() != 0 {
+		if f.Report(l, 0, policy.Satisfied, policy.Hit, 0) || f.Open() != 0 {
 			t.Error("the late answer was used, or the lookup is not forgotten")
 		}
 	})
@@ -94,7 +94,7 @@
 		f := open()
 		l := take(f, "0a")
 		edge := l.steps[0].To
-		f.Tick([]logic.Row{{Cache: edge, State: logic.Draining}, {Cache: logic.NewCache("next")}}, false, nil)
+		f.Tick([]policy.Row{{Cache: edge, State: policy.Draining}, {Cache: policy.NewCache("next")}}, false, nil)
 		if s := f.Pick(l); s.What != Send || s.To.Name != "next" || s.N != 1 {
 			t.Errorf("%+v", s)
 		}
@@ -102,18 +102,18 @@
 	t.Run("nor one that names a source told gone meanwhile", func(t *testing.T) {
 		f := open()
 		l := take(f, "0a")
-		f.Tick([]logic.Row{{Cache: l.steps[0].Source, Kind: 1, State: logic.Gone}}, false, nil)
+		f.Tick([]policy.Row{{Cache: l.steps[0].Source, Kind: 1, State: policy.Gone}}, false, nil)
 		if s := f.Pick(l); s.What != Send || s.Source != s.To {
 			t.Errorf("%+v", s)
 		}
 	})
 	t.Run("nor one of a lookup that may have had its effect, past its window: the lookup fails", func(t *testing.T) {
-		f := Start(clock.NewSystem(io.Discard, slog.LevelInfo), 1, &logic.Charter{Gateways: 1, ParentKind: -1, OriginKind: 1, SendLimit: 6,
-			Kinds: []logic.ObjectKind{{Budget: 2000000, GiveUp: 5000000, Utility: 1, Effect: logic.Deduplicated, Memory: 150000}}}, nil)
-		f.Tick([]logic.Row{{Cache: logic.NewCache("edge")}, {Cache: logic.NewCache("origin"), Kind: 1}}, true, nil)
+		f := Start(env.NewSystem(io.Discard, slog.LevelInfo), 1, &policy.Charter{Gateways: 1, ParentKind: -1, OriginKind: 1, SendLimit: 6,
+			Kinds: []policy.ObjectKind{{Budget: 2000000, GiveUp: 5000000, Utility: 1, Effect: policy.Deduplicated, Memory: 150000}}}, nil)
+		f.Tick([]policy.Row{{Cache: policy.NewCache("edge")}, {Cache: policy.NewCache("origin"), Kind: 1}}, true, nil)
 		l := take(f, "0a")
 		f.Pick(l)
-		f.Report(l, 0, logic.Reset, logic.Untold, 0)
+		f.Report(l, 0, policy.Reset, policy.Untold, 0)
 		if len(l.steps) != 1 || l.steps[0].What != Send || !f.May(l, l.steps[0]) {
 			t.Fatalf("%+v: not sent again inside its window", l.steps)
 		}
@@ -127,9 +127,9 @@
 		}
 	})
 	t.Run("Stop fails what may have had its effect", func(t *testing.T) {
-		f := Start(clock.NewSystem(io.Discard, slog.LevelInfo), 1, &logic.Charter{Gateways: 1, ParentKind: -1, OriginKind: 1, SendLimit: 6,
-			Kinds: []logic.ObjectKind{{Budget: 400000, GiveUp: 5000000, Utility: 1, Effect: logic.SideEffecting}}}, nil)
-		f.Tick([]logic.Row{{Cache: logic.NewCache("edge")}, {Cache: logic.NewCache("origin"), Kind: 1}}, true, nil)
+		f := Start(env.NewSystem(io.Discard, slog.LevelInfo), 1, &policy.Charter{Gateways: 1, ParentKind: -1, OriginKind: 1, SendLimit: 6,
+			Kinds: []policy.ObjectKind{{Budget: 400000, GiveUp: 5000000, Utility: 1, Effect: policy.SideEffecting}}}, nil)
+		f.Tick([]policy.Row{{Cache: policy.NewCache("edge")}, {Cache: policy.NewCache("origin"), Kind: 1}}, true, nil)
 		l := take(f, "0a")
 		f.Pick(l)
 		if f.Stop(); f.Pick(l).What != Failed {
@@ -161,7 +161,7 @@
 		l := take(f, fmt.Sprint(i))
 		var all sync.WaitGroup
 		for _, call := range []func(){
-			func() { f.Report(l, 0, logic.Satisfied, logic.Hit, 0) },
+			func() { f.Report(l, 0, policy.Satisfied, policy.Hit, 0) },
 			func() { f.Leave(l) },
 			func() { f.Tick(nil, false, nil) },
 			func() {
--- a/clock/clock.go
+++ b/internal/env/clock.go
@@ -1,11 +1,11 @@
-// Package clock is the ground that the network code stands on: time, timers, goroutines, waiting, connections, files,
+// Package env is the ground that the network code stands on: time, timers, goroutines, waiting, connections, files,
 // signals and the log, behind one interface. In service it is the system's (System); in the lab it is a virtual world
 // that runs one goroutine at a time and moves time on when all wait. It knows nothing of lookups.
 //
 // Whatever waits does so here and nowhere else: a Bell in place of a channel and a select, a Life in place of a
 // context, a Group in place of an errgroup, AfterFunc in place of time.AfterFunc. A mutex stays sync.Mutex, since none
 // is held over a wait; a lock that is, would stop a virtual world for good, and the lab says so.
-package clock
+package env
 
 import (
 	"container/list"
--- a/clock/folder.go
+++ b/internal/env/folder.go
@@ -1,4 +1,4 @@
-package clock
+package env
 
 import (
 	"errors"
--- a/door/door.go
+++ b/internal/extproc/door.go
@@ -1,4 +1,4 @@
-// Package door is what the doors for callers that make their sends themselves have in common: a proxy asks, for each lookup,
+// Package extproc is what the doors for callers that make their sends themselves have in common: a proxy asks, for each lookup,
 // where it should go, sends it there, and tells how that ended. Messages of a stream come in and replies go out in plain
 // terms; how they stand on a wire is each door's own (door/extproc). What a lookup's sends may do is said by the desk
 // (package retry), which cache gets one by the module behind the facade; this package decides neither.
@@ -6,7 +6,7 @@
 // A stream has two goroutines while it lives, one that receives and one that replies. A lookup has none: who tells the router
 // something looks for the steps that come of it, and Run does for steps that come by themselves. All stand on clock.Ground, so that the door plays on a virtual clock too. Bounds: Terms; a stream holds one message
 // and at most mostReplies replies, past which it is read no further.
-package door
+package extproc
 
 import (
 	"errors"
@@ -20,15 +20,15 @@
 
 	"golang.org/x/time/rate"
 
-	"foldslip/charter"
-	"foldslip/clock"
-	"foldslip/facade"
-	"foldslip/limit"
-	"foldslip/logic"
-	"foldslip/memory"
-	"foldslip/retry"
-	"foldslip/route"
-	"foldslip/route/steer"
+	"foldslip/internal/dispatch"
+	"foldslip/internal/env"
+	"foldslip/internal/limit"
+	"foldslip/internal/memory"
+	"foldslip/internal/policy"
+	"foldslip/internal/retry"
+	"foldslip/internal/route"
+	"foldslip/internal/route/rollout"
+	"foldslip/internal/settings"
 )
 
 // Prefix is that of headers that are this program's to set, on the way to caches and back.
@@ -46,22 +46,22 @@
 
 // Door is the service behind one listener. It lives as long as the gateway.
 type Door struct {
-	g       clock.Ground
+	g       env.Ground
 	terms   Terms
-	its     *charter.Terms
-	router  *facade.Facade
+	its     *settings.Terms
+	router  *dispatch.Facade
 	caches  *memory.Caches
 	purges  *memory.Purges
 	room    *memory.Room
-	Routes  *steer.Steer // nil: a lookup may go anywhere
-	mu      sync.Mutex   // of what follows; held over one call of the facade only, Take, which waits for nothing
+	Routes  *rollout.Steer // nil: a lookup may go anywhere
+	mu      sync.Mutex     // of what follows; held over one call of the facade only, Take, which waits for nothing
 	table   *route.Table
 	desk    *retry.Desk
 	callers map[string]*caller
 	odd     map[string]int // what callers did against the contract, beside what the desk saw
-	group   clock.Group
+	group   env.Group
 	trace   Tracer
-	some    clock.Bell // rung when lookups have steps, and at the end
+	some    env.Bell // rung when lookups have steps, and at the end
 	readyMu sync.Mutex
 	waiting []*retry.Lookup // have steps that nobody is about to look for
 }
@@ -91,7 +91,7 @@
 )
 
 // New makes a door behind a table. purges may be nil.
-func New(g clock.Ground, its *charter.Terms, router *facade.Facade, caches *memory.Caches, purges *memory.Purges, room *memory.Room,
+func New(g env.Ground, its *settings.Terms, router *dispatch.Facade, caches *memory.Caches, purges *memory.Purges, room *memory.Room,
 	table *route.Table, terms Terms) *Door {
 	if terms.Weight <= 0 {
 		terms.Weight = 1
@@ -133,7 +133,7 @@
 }
 
 // Run brings the desk its time and lookups their steps until life ends, and then waits for the streams.
-func (d *Door) Run(life *clock.Life) error {
+func (d *Door) Run(life *env.Life) error {
 	defer life.OnEnd(d.some.Ring)()
 	for wait := time.Duration(0); !life.Over(); {
 		d.some.Wait(wait)
@@ -190,7 +190,7 @@
 		d.mu.Unlock()
 		d.trace.Decided(lk, step)
 		d.apply(do)
-		if step.What != facade.Send && step.What != facade.Cancel {
+		if step.What != dispatch.Send && step.What != dispatch.Cancel {
 			lk.Places.Leave()
 			d.leaveRoute(lk, step.What)
 		}
@@ -198,10 +198,10 @@
 }
 
 // leaveRoute ends what the lookup's route let in.
-func (d *Door) leaveRoute(lk *retry.Lookup, how facade.What) {
+func (d *Door) leaveRoute(lk *retry.Lookup, how dispatch.What) {
 	if lk.Pass != nil {
 		late := d.g.Now().Sub(lk.Came) > d.its.Budget(lk.Asked.Kind, lk.Asked.KB)
-		lk.Pass.End(how == facade.Satisfied && !late, how == facade.Nacked, late || how == facade.Failed)
+		lk.Pass.End(how == dispatch.Satisfied && !late, how == dispatch.Nacked, late || how == dispatch.Failed)
 	}
 }
 
@@ -355,7 +355,7 @@
 		return d.full(), true
 	}
 	lk.Object, lk.Group, lk.Tag, lk.Asked, lk.Places = a.Object, a.Group, a.Tag, &a, places
-	var scope *logic.Scope
+	var scope *policy.Scope
 	if d.Routes != nil {
 		pass, why, wait := d.Routes.Admit(a.Kind, a.Group, a.Object, a.KB)
 		if why != limit.Allowed {
@@ -376,7 +376,7 @@
 		d.desk.Refused(lk)
 		d.mu.Unlock()
 		places.Leave()
-		d.leaveRoute(lk, facade.Failed)
+		d.leaveRoute(lk, dispatch.Failed)
 		return final(409, "this lookup is open already"), true
 	}
 	d.trace.Began(lk, m.Get)
@@ -401,10 +401,10 @@
 	r := readReport(m.Get)
 	d.mu.Lock()
 	lk := d.desk.Of(&st.on)
-	if lk != nil && r.how == logic.Satisfied {
+	if lk != nil && r.how == policy.Satisfied {
 		if r.same && (r.tag != lk.Tag || lk.Tag == "") {
 			d.odd["valid_for_another_copy"]++
-			r.how = logic.Errored
+			r.how = policy.Errored
 		}
 		if d.purges != nil {
 			issued, told := d.purges.Heeded(lk.Object, lk.Group)
@@ -413,12 +413,12 @@
 			case r.born.IsZero() && d.its.Router.Kinds[lk.Asked.Kind].PassThrough:
 			case r.born.IsZero():
 				d.odd["birth_untold"]++ // with a purge about, an answer of no known age is not passed on
-				r.how, r.remark = logic.TimedOut, logic.Untold
+				r.how, r.remark = policy.TimedOut, policy.Untold
 			case r.born.Before(issued):
 				now := d.g.Now()
 				d.g.Log().Warn("outdated_copy", "caller", st.caller.name, "older_ms", issued.Sub(r.born).Milliseconds(), "told_ms_ago",
 					now.Sub(told).Milliseconds())
-				r.how, r.remark = logic.TimedOut, logic.Untold
+				r.how, r.remark = policy.TimedOut, policy.Untold
 			}
 		}
 	}
@@ -461,7 +461,7 @@
 }
 
 // decision tells the caller what to send where.
-func (d *Door) decision(s facade.Step) Reply {
+func (d *Door) decision(s dispatch.Step) Reply {
 	addr := ""
 	if c := d.caches.Find(s.To.Name); c != nil {
 		addr = c.Addr
--- a/door/extproc/caller_test.go
+++ b/internal/extproc/extprocgrpc/caller_test.go
@@ -1,4 +1,4 @@
-package extproc
+package extprocgrpc
 
 import (
 	"context"
@@ -25,12 +25,12 @@
 	"google.golang.org/grpc/credentials"
 	"google.golang.org/grpc/credentials/insecure"
 
-	"foldslip/caller"
-	"foldslip/clock"
-	"foldslip/config"
-	"foldslip/memory"
-	"foldslip/route"
-	"foldslip/service"
+	"foldslip/client"
+	"foldslip/internal/config"
+	"foldslip/internal/env"
+	"foldslip/internal/gateway"
+	"foldslip/internal/memory"
+	"foldslip/internal/route"
 )
 
 // authority signs certificates for a test.
@@ -83,16 +83,16 @@
 // listening is a door of the operators' settings on loopback.
 func listening(t *testing.T, x *config.ExternalProcessor) *Listener {
 	t.Helper()
-	g, caches := clock.NewSystem(io.Discard, slog.LevelInfo), &memory.Caches{}
+	g, caches := env.NewSystem(io.Discard, slog.LevelInfo), &memory.Caches{}
 	terms, f := router(t, caches, false)
 	x.Streams, x.StreamsEach, x.Lookups, x.Each, x.AgainMS, x.RememberMS, x.SilentMS, x.Weight = 100, 100, 100, 100, 300, 2000, 5000, 1
 	x.Table = []route.Rule{{Path: "/call/{kind}/{object}/part-{part}", Kind: "path:kind", Object: "path:object", Part: "path:part", ID: "header:x-job-id"}}
-	l, err := Listen(service.Inside{Name: "n0", Ground: g, Terms: terms, Router: f, Caches: caches, Purges: &memory.Purges{Clock: g, Keep: time.Minute},
+	l, err := Listen(gateway.Inside{Name: "n0", Ground: g, Terms: terms, Router: f, Caches: caches, Purges: &memory.Purges{Clock: g, Keep: time.Minute},
 		Room: memory.NewRoom(g, 100, 1<<20), Own: &config.Settings{ExternalProcessor: x}}, x)
 	if err != nil {
 		t.Fatal(err)
 	}
-	life, ended := clock.NewLife(nil), make(chan error)
+	life, ended := env.NewLife(nil), make(chan error)
 	go func() { ended <- l.Run(life) }()
 	go func() { // as service does
 		for !life.Over() {
@@ -110,7 +110,7 @@
 }
 
 // ask has one lookup through the client package; ends are how its sends end.
-func ask(t *testing.T, target string, creds credentials.TransportCredentials, id string, ends ...string) (caller.Outcome, error) {
+func ask(t *testing.T, target string, creds credentials.TransportCredentials, id string, ends ...string) (client.Outcome, error) {
 	t.Helper()
 	conn, err := grpc.NewClient(target, grpc.WithTransportCredentials(creds))
 	if err != nil {
@@ -119,9 +119,9 @@
 	defer conn.Close()
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 	defer stop()
-	return caller.New(conn).Lookup(ctx, caller.Request{Path: "/call/segment/o/part-1", Header: http.Header{"X-Job-Id": {id}}},
-		func(_ context.Context, d caller.Decision) caller.Ending {
-			return caller.Ending{Word: ends[min(d.N, len(ends)-1)], Born: time.Now()}
+	return client.New(conn).Lookup(ctx, client.Request{Path: "/call/segment/o/part-1", Header: http.Header{"X-Job-Id": {id}}},
+		func(_ context.Context, d client.Decision) client.Ending {
+			return client.Ending{Word: ends[min(d.N, len(ends)-1)], Born: time.Now()}
 		})
 }
 
@@ -132,11 +132,11 @@
 	for i, story := range []struct {
 		name   string
 		ends   []string
-		result caller.Result
+		result client.Result
 		sends  int
-	}{{"a hit", []string{"hit"}, caller.Satisfied, 1}, {"shed, then a hit elsewhere", []string{"shed", "hit"}, caller.Satisfied, 2},
-		{"never connected, an error, a hit", []string{"unconnected", "fault", "hit"}, caller.Satisfied, 3},
-		{"errors without end", []string{"fault"}, caller.Nacked, 3}} {
+	}{{"a hit", []string{"hit"}, client.Satisfied, 1}, {"shed, then a hit elsewhere", []string{"shed", "hit"}, client.Satisfied, 2},
+		{"never connected, an error, a hit", []string{"unconnected", "fault", "hit"}, client.Satisfied, 3},
+		{"errors without end", []string{"fault"}, client.Nacked, 3}} {
 		t.Run(story.name, func(t *testing.T) {
 			o, err := ask(t, at, insecure.NewCredentials(), fmt.Sprint("a", i), story.ends...)
 			if err != nil || o.Result != story.result || len(o.Sends) != story.sends {
@@ -145,13 +145,13 @@
 		})
 	}
 	t.Run("one that is answered already is refused", func(t *testing.T) {
-		if o, err := ask(t, at, insecure.NewCredentials(), "a0", "hit"); err != nil || o.Result != caller.Refused || o.Status != 409 {
+		if o, err := ask(t, at, insecure.NewCredentials(), "a0", "hit"); err != nil || o.Result != client.Refused || o.Status != 409 {
 			t.Errorf("%+v, %v", o, err)
 		}
 	})
 	t.Run("another process on the socket is told, a socket left behind is taken over", func(t *testing.T) {
 		path := strings.TrimPrefix(x.Listen, "unix:")
-		if _, err := open(clock.NewSystem(io.Discard, slog.LevelInfo), x.Listen); err == nil || !strings.Contains(err.Error(), "another process") {
+		if _, err := open(env.NewSystem(io.Discard, slog.LevelInfo), x.Listen); err == nil || !strings.Contains(err.Error(), "another process") {
 			t.Error(err)
 		}
 		if info, err := os.Stat(path); err != nil || info.Mode().Perm() != socketMode {
@@ -163,7 +163,7 @@
 		}
 		left.(*net.UnixListener).SetUnlinkOnClose(false)
 		left.Close()
-		again, err := open(clock.NewSystem(io.Discard, slog.LevelInfo), x.Listen+"2")
+		again, err := open(env.NewSystem(io.Discard, slog.LevelInfo), x.Listen+"2")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -209,7 +209,7 @@
 		}
 		return credentials.NewTLS(c)
 	}
-	if o, err := ask(t, at, creds(ours, "edge"), "a", "hit"); err != nil || o.Result != caller.Satisfied {
+	if o, err := ask(t, at, creds(ours, "edge"), "a", "hit"); err != nil || o.Result != client.Satisfied {
 		t.Fatalf("%+v, %v", o, err)
 	}
 	for name, c := range map[string]credentials.TransportCredentials{"no certificate": creds(nil, ""), "a stranger's": creds(theirs, "stranger"),
@@ -226,21 +226,21 @@
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		during := func(_ context.Context, d caller.Decision) caller.Ending {
+		during := func(_ context.Context, d client.Decision) client.Ending {
 			ours.make("door", ours) // a new certificate under the same name
 			change, err := l.Prepare(&config.Settings{ExternalProcessor: x})
 			if err != nil {
 				t.Error(err)
-				return caller.Ending{}
+				return client.Ending{}
 			}
 			change()
-			if o, err := ask(t, at, creds(ours, "edge"), "d", "hit"); err != nil || o.Result != caller.Satisfied {
+			if o, err := ask(t, at, creds(ours, "edge"), "d", "hit"); err != nil || o.Result != client.Satisfied {
 				t.Errorf("%+v, %v", o, err)
 			}
-			return caller.Ending{Word: "hit", Born: time.Now()}
+			return client.Ending{Word: "hit", Born: time.Now()}
 		}
-		o, err := caller.New(conn).Lookup(context.Background(), caller.Request{Path: "/call/segment/o/part-1", Header: http.Header{"X-Job-Id": {"c"}}}, during)
-		if err != nil || o.Result != caller.Satisfied {
+		o, err := client.New(conn).Lookup(context.Background(), client.Request{Path: "/call/segment/o/part-1", Header: http.Header{"X-Job-Id": {"c"}}}, during)
+		if err != nil || o.Result != client.Satisfied {
 			t.Errorf("%+v, %v", o, err)
 		}
 	})
@@ -263,7 +263,7 @@
 	defer conn.Close()
 	where := func(id string) string {
 		o, err := ask(t, x.Listen, insecure.NewCredentials(), id, "hit")
-		if err != nil || o.Result != caller.Satisfied {
+		if err != nil || o.Result != client.Satisfied {
 			t.Fatalf("%+v, %v", o, err)
 		}
 		return o.Sends[0].Cache
@@ -271,11 +271,11 @@
 	before := where("before")
 	for i := range 12 {
 		ctx, leave := context.WithCancel(context.Background())
-		caller.New(conn).Lookup(ctx, caller.Request{Path: "/call/segment/o/part-1", Header: http.Header{"X-Job-Id": {fmt.Sprint("left", i)}}},
-			func(context.Context, caller.Decision) caller.Ending {
+		client.New(conn).Lookup(ctx, client.Request{Path: "/call/segment/o/part-1", Header: http.Header{"X-Job-Id": {fmt.Sprint("left", i)}}},
+			func(context.Context, client.Decision) client.Ending {
 				leave()
 				time.Sleep(5 * time.Millisecond)
-				return caller.Ending{}
+				return client.Ending{}
 			})
 	}
 	for range 2000 {
--- a/door/extproc/extproc.go
+++ b/internal/extproc/extprocgrpc/extproc.go
@@ -1,9 +1,9 @@
-// Package extproc is the door for other proxies on gRPC: the external-processing service of Envoy
+// Package extprocgrpc is the door for other proxies on gRPC: the external-processing service of Envoy
 // (envoy.service.ext_proc.v3), which a proxy calls for each request. It turns the protocol's messages into those of package door
 // and the replies back; it decides nothing. The contract for callers stands in docs/external-processor.md.
 //
 // A stream of gRPC is one of package door. Messages are bounded by MostMessage, streams by the listener's settings.
-package extproc
+package extprocgrpc
 
 import (
 	"context"
@@ -25,8 +25,8 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/structpb"
 
-	"foldslip/door"
-	"foldslip/route"
+	"foldslip/internal/extproc"
+	"foldslip/internal/route"
 )
 
 const (
@@ -38,7 +38,7 @@
 // Server is the service.
 type Server struct {
 	extprocv3.UnimplementedExternalProcessorServer
-	*door.Door
+	*extproc.Door
 }
 
 // Process is one stream of a caller.
@@ -47,18 +47,18 @@
 	switch err {
 	case nil:
 		return nil
-	case door.ErrFull:
+	case extproc.ErrFull:
 		return status.Error(codes.ResourceExhausted, err.Error())
-	case door.Disorder:
+	case extproc.Disorder:
 		return status.Error(codes.FailedPrecondition, err.Error())
-	case door.TooMuch:
+	case extproc.TooMuch:
 		return status.Error(codes.ResourceExhausted, err.Error())
-	case door.Silence:
+	case extproc.Silence:
 		return status.Error(codes.DeadlineExceeded, err.Error())
-	case door.Closing:
+	case extproc.Closing:
 		return status.Error(codes.Unavailable, err.Error())
 	}
-	if errors.Is(err, door.ErrTooLarge) {
+	if errors.Is(err, extproc.ErrTooLarge) {
 		return status.Error(codes.ResourceExhausted, err.Error())
 	}
 	return err
@@ -93,36 +93,36 @@
 	extprocv3.ExternalProcessor_ProcessServer
 }
 
-func (w wire) Recv() (door.Message, error) {
+func (w wire) Recv() (extproc.Message, error) {
 	m, err := w.ExternalProcessor_ProcessServer.Recv()
 	if status.Code(err) == codes.ResourceExhausted { // the library's word for a message past MostMessage
-		return door.Message{}, fmt.Errorf("%w: %w", door.ErrTooLarge, err)
+		return extproc.Message{}, fmt.Errorf("%w: %w", extproc.ErrTooLarge, err)
 	}
 	if err != nil {
-		return door.Message{}, err
+		return extproc.Message{}, err
 	}
 	return message(m), nil
 }
 
-func (w wire) Send(r door.Reply) error { return w.ExternalProcessor_ProcessServer.Send(response(r)) }
+func (w wire) Send(r extproc.Reply) error { return w.ExternalProcessor_ProcessServer.Send(response(r)) }
 
 // message reads a message; one without a phase that is known has phase 0, and none comes after it.
-func message(m *extprocv3.ProcessingRequest) door.Message {
-	out := door.Message{Size: proto.Size(m), Watch: m.ObservabilityMode}
+func message(m *extprocv3.ProcessingRequest) extproc.Message {
+	out := extproc.Message{Size: proto.Size(m), Watch: m.ObservabilityMode}
 	var h *extprocv3.HttpHeaders
 	switch r := m.Request.(type) {
 	case *extprocv3.ProcessingRequest_RequestHeaders:
-		out.Phase, h = door.RequestHeaders, r.RequestHeaders
+		out.Phase, h = extproc.RequestHeaders, r.RequestHeaders
 	case *extprocv3.ProcessingRequest_RequestBody:
-		out.Phase = door.RequestBody
+		out.Phase = extproc.RequestBody
 	case *extprocv3.ProcessingRequest_RequestTrailers:
-		out.Phase = door.RequestTrailers
+		out.Phase = extproc.RequestTrailers
 	case *extprocv3.ProcessingRequest_ResponseHeaders:
-		out.Phase, h = door.ResponseHeaders, r.ResponseHeaders
+		out.Phase, h = extproc.ResponseHeaders, r.ResponseHeaders
 	case *extprocv3.ProcessingRequest_ResponseBody:
-		out.Phase = door.ResponseBody
+		out.Phase = extproc.ResponseBody
 	case *extprocv3.ProcessingRequest_ResponseTrailers:
-		out.Phase = door.ResponseTrailers
+		out.Phase = extproc.ResponseTrailers
 	}
 	out.Get = reader(m, h)
 	out.Method, _ = out.Get(":method")
@@ -181,7 +181,7 @@
 	RequestTrailerMode: filterv3.ProcessingMode_SKIP, ResponseTrailerMode: filterv3.ProcessingMode_SKIP}
 
 // response writes a reply in the form of the phase that it answers.
-func response(r door.Reply) *extprocv3.ProcessingResponse {
+func response(r extproc.Reply) *extprocv3.ProcessingResponse {
 	out := &extprocv3.ProcessingResponse{}
 	switch {
 	case r.Status != 0:
@@ -190,13 +190,13 @@
 			set.SetHeaders = append(set.SetHeaders, option(f))
 		}
 		if r.Wait > 0 {
-			set.SetHeaders = append(set.SetHeaders, option(door.Field{Name: "x-wait-ms",
+			set.SetHeaders = append(set.SetHeaders, option(extproc.Field{Name: "x-wait-ms",
 				Value: strconv.FormatInt((r.Wait + time.Millisecond - 1).Milliseconds(), 10)}))
 		}
 		out.Response = &extprocv3.ProcessingResponse_ImmediateResponse{ImmediateResponse: &extprocv3.ImmediateResponse{
 			Status: &typev3.HttpStatus{Code: typev3.StatusCode(r.Status)}, Headers: set, Body: []byte(r.Text + "\n"),
 			Details: strings.ReplaceAll(r.Text, " ", "_")}}
-	case r.Phase == door.RequestHeaders:
+	case r.Phase == extproc.RequestHeaders:
 		set := &extprocv3.HeaderMutation{}
 		meta := make(map[string]*structpb.Value, len(r.Send))
 		for _, f := range r.Send {
@@ -205,27 +205,27 @@
 				continue
 			}
 			set.SetHeaders = append(set.SetHeaders, option(f))
-			meta[f.Name[len(door.Prefix):]] = structpb.NewStringValue(f.Value)
+			meta[f.Name[len(extproc.Prefix):]] = structpb.NewStringValue(f.Value)
 		}
 		out.Response = &extprocv3.ProcessingResponse_RequestHeaders{RequestHeaders: &extprocv3.HeadersResponse{
 			Response: &extprocv3.CommonResponse{HeaderMutation: set, ClearRouteCache: true}}}
 		out.DynamicMetadata = &structpb.Struct{Fields: map[string]*structpb.Value{space: structpb.NewStructValue(&structpb.Struct{Fields: meta})}}
 		out.ModeOverride = mode
-	case r.Phase == door.RequestBody:
+	case r.Phase == extproc.RequestBody:
 		out.Response = &extprocv3.ProcessingResponse_RequestBody{RequestBody: &extprocv3.BodyResponse{}}
-	case r.Phase == door.RequestTrailers:
+	case r.Phase == extproc.RequestTrailers:
 		out.Response = &extprocv3.ProcessingResponse_RequestTrailers{RequestTrailers: &extprocv3.TrailersResponse{}}
-	case r.Phase == door.ResponseHeaders:
+	case r.Phase == extproc.ResponseHeaders:
 		out.Response = &extprocv3.ProcessingResponse_ResponseHeaders{ResponseHeaders: &extprocv3.HeadersResponse{}}
-	case r.Phase == door.ResponseBody:
+	case r.Phase == extproc.ResponseBody:
 		out.Response = &extprocv3.ProcessingResponse_ResponseBody{ResponseBody: &extprocv3.BodyResponse{}}
-	case r.Phase == door.ResponseTrailers:
+	case r.Phase == extproc.ResponseTrailers:
 		out.Response = &extprocv3.ProcessingResponse_ResponseTrailers{ResponseTrailers: &extprocv3.TrailersResponse{}}
 	}
 	return out
 }
 
-func option(f door.Field) *corev3.HeaderValueOption {
+func option(f extproc.Field) *corev3.HeaderValueOption {
 	return &corev3.HeaderValueOption{Header: &corev3.HeaderValue{Key: f.Name, RawValue: []byte(f.Value)},
 		AppendAction: corev3.HeaderValueOption_OVERWRITE_IF_EXISTS_OR_ADD}
 }
--- a/door/extproc/extproc_test.go
+++ b/internal/extproc/extprocgrpc/extproc_test.go
@@ -1,4 +1,4 @@
-package extproc
+package extprocgrpc
 
 import (
 	"context"
@@ -17,17 +17,17 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/structpb"
 
-	"foldslip/charter"
-	"foldslip/clock"
-	"foldslip/door"
-	"foldslip/facade"
-	"foldslip/logic"
-	"foldslip/memory"
-	"foldslip/retry"
-	"foldslip/route"
+	"foldslip/internal/dispatch"
+	"foldslip/internal/env"
+	"foldslip/internal/extproc"
+	"foldslip/internal/memory"
+	"foldslip/internal/policy"
+	"foldslip/internal/retry"
+	"foldslip/internal/route"
+	"foldslip/internal/settings"
 )
 
-var settings = []byte(`{"areas":["town"],"machine_types":["edge","parent","origin"],"ceilings":{"cancelling":true,"try_limit":6,"retry_after":true,
+var testSettings = []byte(`{"areas":["town"],"machine_types":["edge","parent","origin"],"ceilings":{"cancelling":true,"try_limit":6,"retry_after":true,
 "max_retry_after":2000000},"classes":[{"name":"segment","aim":400000,"deadline":5000000,"points":1,"effect":"idempotent"},
 {"name":"order","aim":400000,"deadline":5000000,"points":1,"effect":"at_most_once"}],
 "specifics":{"parent_kind":1,"source_kind":2,"flow_kb_per_s":100000,"max_age":[0,0],"grace_for":[0,0],"pass_on":[false,true],"seats_by_zone":[1],"merges_fills":true}}`)
@@ -35,21 +35,21 @@
 // place is a door on loopback before a router with four caches, two parents and an origin.
 type place struct {
 	t      *testing.T
-	router *facade.Facade
+	router *dispatch.Facade
 	door   *Server
 	purges *memory.Purges
 	client extprocv3.ExternalProcessorClient
 }
 
-func router(t testing.TB, caches *memory.Caches, empty bool) (*charter.Terms, *facade.Facade) {
-	terms, err := charter.Read(settings)
+func router(t testing.TB, caches *memory.Caches, empty bool) (*settings.Terms, *dispatch.Facade) {
+	terms, err := settings.Read(testSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := facade.Start(clock.NewSystem(io.Discard, slog.LevelInfo), 7, terms.Router, nil)
-	var rows []logic.Row
+	f := dispatch.Start(env.NewSystem(io.Discard, slog.LevelInfo), 7, terms.Router, nil)
+	var rows []policy.Row
 	for i, kind := range []int{0, 0, 0, 0, 1, 1, 2} {
-		rows = append(rows, logic.Row{Cache: caches.Note(fmt.Sprint("c", i), fmt.Sprint("10.1.0.1:", 1000+i)).Its, Kind: kind})
+		rows = append(rows, policy.Row{Cache: caches.Note(fmt.Sprint("c", i), fmt.Sprint("10.1.0.1:", 1000+i)).Its, Kind: kind})
 	}
 	if !empty {
 		f.Tick(rows, true, nil)
@@ -59,7 +59,7 @@
 
 func begin(t *testing.T, empty bool) *place {
 	t.Helper()
-	g, caches := clock.NewSystem(io.Discard, slog.LevelInfo), &memory.Caches{}
+	g, caches := env.NewSystem(io.Discard, slog.LevelInfo), &memory.Caches{}
 	p := &place{t: t}
 	terms, f := router(t, caches, empty)
 	p.router = f
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	p.purges = &memory.Purges{Clock: g, Keep: time.Minute}
-	p.door = &Server{Door: door.New(g, terms, f, caches, p.purges, memory.NewRoom(g, 8, 1<<20), table, door.Terms{Silent: 2 * time.Second,
+	p.door = &Server{Door: extproc.New(g, terms, f, caches, p.purges, memory.NewRoom(g, 8, 1<<20), table, extproc.Terms{Silent: 2 * time.Second,
 		Desk: retry.Terms{Lookups: 8, Each: 6, AgainIn: 150 * time.Millisecond, Remember: time.Second}})}
 	at, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -78,7 +78,7 @@
 	server := grpc.NewServer(grpc.MaxRecvMsgSize(MostMessage), grpc.WaitForHandlers(true)) // as Serve makes it
 	extprocv3.RegisterExternalProcessorServer(server, p.door)
 	go server.Serve(at)
-	life, ended := clock.NewLife(nil), make(chan error)
+	life, ended := env.NewLife(nil), make(chan error)
 	go func() { ended <- p.door.Run(life) }()
 	go func() { // as service does
 		for !life.Over() {
--- a/door/extproc/keys.go
+++ b/internal/extproc/extprocgrpc/keys.go
@@ -1,4 +1,4 @@
-package extproc
+package extprocgrpc
 
 import (
 	"crypto/tls"
@@ -7,7 +7,7 @@
 	"os"
 	"sync/atomic"
 
-	"foldslip/config"
+	"foldslip/internal/config"
 )
 
 // Keys are the door's certificate and whose callers' certificates it takes. They are read whole and swapped by pointer:
--- a/door/extproc/measure_test.go
+++ b/internal/extproc/extprocgrpc/measure_test.go
@@ -1,4 +1,4 @@
-package extproc
+package extprocgrpc
 
 import (
 	"context"
@@ -22,11 +22,11 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/credentials/insecure"
 
-	"foldslip/clock"
-	"foldslip/door"
-	"foldslip/memory"
-	"foldslip/retry"
-	"foldslip/route"
+	"foldslip/internal/env"
+	"foldslip/internal/extproc"
+	"foldslip/internal/memory"
+	"foldslip/internal/retry"
+	"foldslip/internal/route"
 )
 
 // The measurements of docs/external-processor.md: the door on one core of a process of its own, against the smallest server of the
@@ -80,7 +80,7 @@
 	if which == "noop" {
 		extprocv3.RegisterExternalProcessorServer(server, noop{})
 	} else {
-		g, caches := clock.NewSystem(io.Discard, slog.LevelInfo), &memory.Caches{}
+		g, caches := env.NewSystem(io.Discard, slog.LevelInfo), &memory.Caches{}
 		terms, f := router(nil, caches, false)
 		table, err := route.Compile([]route.Rule{{Path: "/call/{kind}/{object}/part-{part}", Kind: "path:kind", Object: "path:object", Part: "path:part",
 			KB: "header:x-ram-kb", ID: "header:x-job-id"}}, terms.Kinds)
@@ -91,12 +91,12 @@
 		if which == "guarded" { // as the settings have it where nothing is told, but for the rate
 			messages, streams, lookups, each = 3000, 1024, 256, 128
 		}
-		d := &Server{Door: door.New(g, terms, f, caches, nil, memory.NewRoom(g, lookups, 1<<30), table, door.Terms{Silent: 30 * time.Second,
+		d := &Server{Door: extproc.New(g, terms, f, caches, nil, memory.NewRoom(g, lookups, 1<<30), table, extproc.Terms{Silent: 30 * time.Second,
 			Messages: messages, Streams: streams,
 			Desk: retry.Terms{Lookups: lookups, Each: each, AgainIn: 300 * time.Millisecond, Remember: 5 * time.Second}})}
 		guard.Server = *d
 		extprocv3.RegisterExternalProcessorServer(server, d)
-		life := clock.NewLife(nil)
+		life := env.NewLife(nil)
 		go d.Run(life)
 		go func() {
 			for {
--- a/door/extproc/serve.go
+++ b/internal/extproc/extprocgrpc/serve.go
@@ -1,4 +1,4 @@
-package extproc
+package extprocgrpc
 
 import (
 	"context"
@@ -20,13 +20,13 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/grpc/tap"
 
-	"foldslip/clock"
-	"foldslip/config"
-	"foldslip/door"
-	"foldslip/retry"
-	"foldslip/route"
-	"foldslip/service"
-	"foldslip/telemetry"
+	"foldslip/internal/config"
+	"foldslip/internal/env"
+	"foldslip/internal/extproc"
+	"foldslip/internal/gateway"
+	"foldslip/internal/retry"
+	"foldslip/internal/route"
+	"foldslip/internal/telemetry"
 )
 
 const (
@@ -43,7 +43,7 @@
 // Listener is the service with where it listens.
 type Listener struct {
 	Server
-	g        clock.Ground
+	g        env.Ground
 	at       string
 	listener net.Listener
 	grpc     *grpc.Server
@@ -54,7 +54,7 @@
 }
 
 // Doors opens the door that the operators' settings name, if they name one.
-func Doors(in service.Inside) ([]service.Door, error) {
+func Doors(in gateway.Inside) ([]gateway.Door, error) {
 	x := in.Own.ExternalProcessor
 	if x == nil {
 		return nil, nil
@@ -63,11 +63,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return []service.Door{l}, nil
+	return []gateway.Door{l}, nil
 }
 
 // Listen opens the door as told.
-func Listen(in service.Inside, x *config.ExternalProcessor) (*Listener, error) {
+func Listen(in gateway.Inside, x *config.ExternalProcessor) (*Listener, error) {
 	table, err := route.Compile(x.Table, in.Terms.Kinds)
 	if err != nil {
 		return nil, err
@@ -86,7 +86,7 @@
 		return nil, err
 	}
 	l.listener = netutil.LimitListener(l.listener, mostConns)
-	l.Server = Server{Door: door.New(in.Ground, in.Terms, in.Router, in.Caches, in.Purges, in.Room, table, terms(x))}
+	l.Server = Server{Door: extproc.New(in.Ground, in.Terms, in.Router, in.Caches, in.Purges, in.Room, table, terms(x))}
 	if t := x.Trace; t != nil {
 		if l.tracer, err = telemetry.Open(telemetry.Terms{Endpoint: t.Endpoint, Share: t.Share, Name: in.Name}); err != nil {
 			l.listener.Close()
@@ -102,16 +102,16 @@
 	return l, nil
 }
 
-func terms(x *config.ExternalProcessor) door.Terms {
+func terms(x *config.ExternalProcessor) extproc.Terms {
 	ms := func(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
-	return door.Terms{Streams: int(x.StreamsEach), Messages: x.Messages, Bytes: x.Bytes, Silent: ms(x.SilentMS), Weight: x.Weight,
+	return extproc.Terms{Streams: int(x.StreamsEach), Messages: x.Messages, Bytes: x.Bytes, Silent: ms(x.SilentMS), Weight: x.Weight,
 		Desk: retry.Terms{Lookups: int(x.Lookups), Each: int(x.Each), AgainIn: ms(x.AgainMS), Remember: ms(x.RememberMS)}}
 }
 
 // open listens at an address, or at a Unix socket that owner and group may use.
-func open(g clock.Ground, at string) (net.Listener, error) {
+func open(g env.Ground, at string) (net.Listener, error) {
 	if path, unix := strings.CutPrefix(at, "unix:"); unix {
-		return clock.ListenUnix(path, socketMode)
+		return env.ListenUnix(path, socketMode)
 	}
 	return g.Listen(at)
 }
@@ -121,7 +121,7 @@
 func (l *Listener) tap(ctx context.Context, _ *tap.Info) (context.Context, error) {
 	if !l.Admits(callerOf(ctx)) {
 		time.Sleep(refuseIn)
-		return nil, status.Error(codes.ResourceExhausted, door.TooMuch.Error())
+		return nil, status.Error(codes.ResourceExhausted, extproc.TooMuch.Error())
 	}
 	return ctx, nil
 }
@@ -130,7 +130,7 @@
 func (l *Listener) Addr() net.Addr { return l.listener.Addr() }
 
 // Run serves until life ends.
-func (l *Listener) Run(life *clock.Life) error {
+func (l *Listener) Run(life *env.Life) error {
 	defer life.OnEnd(func() { go l.grpc.Stop() })()
 	served := make(chan error, 1)
 	go func() { served <- l.grpc.Serve(l.listener) }()
@@ -147,7 +147,7 @@
 }
 
 // tell logs what callers do against the contract, where that has changed.
-func (l *Listener) tell(life *clock.Life) {
+func (l *Listener) tell(life *env.Life) {
 	end := l.g.Bell()
 	defer life.OnEnd(end.Ring)()
 	for was := ""; !end.Wait(oddEvery); {
--- a/door/extproc/serve_test.go
+++ b/internal/extproc/extprocgrpc/serve_test.go
@@ -1,4 +1,4 @@
-package extproc
+package extprocgrpc
 
 import (
 	"bytes"
@@ -20,8 +20,8 @@
 	"google.golang.org/grpc/credentials/insecure"
 	healthv1 "google.golang.org/grpc/health/grpc_health_v1"
 
-	"foldslip/clock"
-	"foldslip/service"
+	"foldslip/internal/env"
+	"foldslip/internal/gateway"
 )
 
 type safe struct {
@@ -63,12 +63,12 @@
 	t.Setenv("ROUTER_CONFIG", write("config.json", fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"1","bulletin":"127.0.0.1:1","limits":{"memory_mb":64,"sockets":256},
 "settings":%s,"known":{"no":1,"items":[{"no":1,"roster":{"complete":true,"members":[
 {"id":"c0","host_port":"127.0.0.1:1","locality":"town","flavor":"edge","phase":"up"},{"id":"c1","host_port":"127.0.0.1:1","locality":"town","flavor":"origin","phase":"up"}]}}]}}`,
-		free(), settings)))
+		free(), testSettings)))
 	t.Setenv("FOLDSLIP_SETTINGS", write("own.jsonnet", fmt.Sprintf(`{ external_processor: { listen: '%s', table: [
   { path: '/call/{kind}/{object}/part-{part}', kind: 'path:kind', object: 'path:object', part: 'path:part', id: 'header:x-job-id' }] } }`, at)))
 	log := &safe{}
 	ended := make(chan error, 1)
-	go func() { ended <- service.Run(clock.NewSystem(log, slog.LevelInfo), service.Watch{Doors: Doors}) }()
+	go func() { ended <- gateway.Run(env.NewSystem(log, slog.LevelInfo), gateway.Watch{Doors: Doors}) }()
 	conn, err := grpc.NewClient(at, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		t.Fatal(err)
--- a/door/stream.go
+++ b/internal/extproc/stream.go
@@ -1,4 +1,4 @@
-package door
+package extproc
 
 import (
 	"errors"
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"foldslip/clock"
-	"foldslip/retry"
+	"foldslip/internal/env"
+	"foldslip/internal/retry"
 )
 
 // Wire is one stream of a caller, in whatever form it comes.
@@ -24,8 +24,8 @@
 	caller *caller
 	on     retry.Stream
 	mu     sync.Mutex
-	some   clock.Bell // rung for the replying side
-	room   clock.Bell // rung for the receiving side when replies have gone out
+	some   env.Bell // rung for the replying side
+	room   env.Bell // rung for the receiving side when replies have gone out
 	out    []Reply
 	owed   Phase // that waits for the desk's word; 0: none
 	early  *retry.Say
--- a/door/words.go
+++ b/internal/extproc/words.go
@@ -1,13 +1,13 @@
-package door
+package extproc
 
 import (
 	"strconv"
 	"time"
 
-	"foldslip/facade"
-	"foldslip/logic"
-	"foldslip/retry"
-	"foldslip/route"
+	"foldslip/internal/dispatch"
+	"foldslip/internal/policy"
+	"foldslip/internal/retry"
+	"foldslip/internal/route"
 )
 
 // Phase is what a message of a stream is about, in the order in which phases come.
@@ -68,12 +68,12 @@
 var All = []string{"cache", "addr", "send", "source", "rank", "oldest-ms", "mode", "wait-ms"}
 
 var modes = []struct {
-	bit  logic.How
+	bit  policy.How
 	word string
-}{{logic.Join, "j"}, {logic.HeldOnly, "h"}, {logic.SourceSkip, "n"}, {logic.Renew, "r"}}
+}{{policy.Join, "j"}, {policy.HeldOnly, "h"}, {policy.SourceSkip, "n"}, {policy.Renew, "r"}}
 
 // decision is a send in words.
-func decision(s facade.Step, addr string) []Field {
+func decision(s dispatch.Step, addr string) []Field {
 	out := make([]Field, len(All))
 	for i, name := range All {
 		out[i].Name = Prefix + name
@@ -100,21 +100,21 @@
 
 // report is how a send ended, by its caller's word.
 type report struct {
-	how    logic.Ending
-	remark logic.Remark
-	waited logic.Micros
+	how    policy.Ending
+	remark policy.Remark
+	waited policy.Micros
 	born   time.Time // of the copy; zero: not told
 	tag    string
 	same   bool // the client's own copy holds
 }
 
-var words = map[string]logic.Ending{"hit": logic.Satisfied, "ok": logic.Satisfied, "valid": logic.Satisfied, "none": logic.Missed,
-	"shed": logic.TurnedAway, "fault": logic.Errored, "late": logic.NeverSent, "timeout": logic.TimedOut,
-	"unconnected": logic.Unconnected, "reset": logic.Reset}
+var words = map[string]policy.Ending{"hit": policy.Satisfied, "ok": policy.Satisfied, "valid": policy.Satisfied, "none": policy.Missed,
+	"shed": policy.TurnedAway, "fault": policy.Errored, "late": policy.NeverSent, "timeout": policy.TimedOut,
+	"unconnected": policy.Unconnected, "reset": policy.Reset}
 
-var notes = map[string]logic.Remark{"hit": logic.Hit, "filled": logic.Filled, "via_origin": logic.FilledFromOrigin, "joined": logic.Joined,
-	"stale": logic.Aged, "src_refused": logic.SourceRefused, "src_broke": logic.SourceLost, "src_lacks": logic.SourceLacks,
-	"no_slot": logic.NoFillPlace, "origin_failed": logic.OriginFailed}
+var notes = map[string]policy.Remark{"hit": policy.Hit, "filled": policy.Filled, "via_origin": policy.FilledFromOrigin, "joined": policy.Joined,
+	"stale": policy.Aged, "src_refused": policy.SourceRefused, "src_broke": policy.SourceLost, "src_lacks": policy.SourceLacks,
+	"no_slot": policy.NoFillPlace, "origin_failed": policy.OriginFailed}
 
 // readReport reads how a send ended: the cache's own word, else what the status says. A word that is not known may have run.
 func readReport(get route.Get) (r report) {
@@ -123,22 +123,22 @@
 	how, known := words[word]
 	switch {
 	case n > 0 && !known:
-		r.how = logic.Errored
+		r.how = policy.Errored
 	case n > 0:
 		r.how = how
 	case code == "200" || code == "304":
-		r.how = logic.Satisfied
+		r.how = policy.Satisfied
 	case code == "504":
-		r.how = logic.TimedOut
+		r.how = policy.TimedOut
 	default:
-		r.how = logic.Errored
+		r.how = policy.Errored
 	}
 	r.same = word == "valid" || code == "304"
 	note, _ := get(Prefix + "note")
 	r.remark = notes[note]
 	waited, _ := get(Prefix + "waited-ms")
 	if ms, err := strconv.ParseFloat(waited, 64); err == nil && ms >= 0 && ms < 1e7 {
-		r.waited = logic.Micros(ms * 1000)
+		r.waited = policy.Micros(ms * 1000)
 	}
 	born, _ := get(Prefix + "born")
 	if ms, err := strconv.ParseInt(born, 10, 64); err == nil && ms > 0 {
@@ -151,15 +151,15 @@
 // Tracer hears of each lookup's steps; it must not wait. Began is called under the door's lock.
 type Tracer interface {
 	Began(lk *retry.Lookup, get route.Get)
-	Decided(lk *retry.Lookup, s facade.Step)
+	Decided(lk *retry.Lookup, s dispatch.Step)
 	Ended(lk *retry.Lookup, t retry.Tell)
 }
 
 type noTracer struct{}
 
-func (noTracer) Began(*retry.Lookup, route.Get)     {}
-func (noTracer) Decided(*retry.Lookup, facade.Step) {}
-func (noTracer) Ended(*retry.Lookup, retry.Tell)    {}
+func (noTracer) Began(*retry.Lookup, route.Get)       {}
+func (noTracer) Decided(*retry.Lookup, dispatch.Step) {}
+func (noTracer) Ended(*retry.Lookup, retry.Tell)      {}
 
 // Trace has a tracer hear of the lookups to come; before Run.
 func (d *Door) Trace(t Tracer) { d.trace = t }
--- a/fleet/broadcast/carrier/carrier.go
+++ b/internal/fleet/broadcast/driver/carrier.go
@@ -1,4 +1,4 @@
-// Package carrier carries the broadcast of purges (package fleet/broadcast, which decides) over the fleet's datagrams: what the own
+// Package driver carries the broadcast of purges (package fleet/broadcast, which decides) over the fleet's datagrams: what the own
 // discovery watch told and what peers sent goes in, letters go out, and purges that peers told first are brought to where they count.
 //
 // A datagram of a peer is told from others by its first byte, broadcast.Kind; eight bytes of the sender's key (view.Key) follow, as
@@ -8,7 +8,7 @@
 // mostTold purges of the own watch wait, past them the new ones are dropped and counted: the repair of the broadcast finds them, and the
 // own watch is heeded without it anyway. The latest mostLatest purges that counted here are kept for who asks, some 100 KB. Locks: mu
 // guards node, queues and that list and is never held over I/O, nor over a line of the log. It lives as long as the gateway.
-package carrier
+package driver
 
 import (
 	"encoding/binary"
@@ -18,8 +18,8 @@
 	"sync"
 	"time"
 
-	"foldslip/fleet/broadcast"
-	"foldslip/fleet/view"
+	"foldslip/internal/fleet/broadcast"
+	"foldslip/internal/fleet/view"
 )
 
 const (
--- a/fleet/broadcast/carrier/carrier_test.go
+++ b/internal/fleet/broadcast/driver/carrier_test.go
@@ -1,4 +1,4 @@
-package carrier
+package driver
 
 import (
 	"bytes"
@@ -13,8 +13,8 @@
 	"testing/synctest"
 	"time"
 
-	"foldslip/fleet/broadcast"
-	"foldslip/fleet/view"
+	"foldslip/internal/fleet/broadcast"
+	"foldslip/internal/fleet/view"
 )
 
 // town is a fleet of carriers in one process; datagrams take a millisecond, unless their way is cut.
--- a/fleet/post/cost_test.go
+++ b/internal/fleet/gossip/cost_test.go
@@ -1,4 +1,4 @@
-package post
+package gossip
 
 import (
 	"fmt"
@@ -6,10 +6,10 @@
 	"log/slog"
 	"testing"
 
-	"foldslip/fleet/membership"
-	"foldslip/fleet/verdict"
-	"foldslip/fleet/view"
-	"foldslip/lab/cost"
+	"foldslip/internal/fleet/membership"
+	"foldslip/internal/fleet/purgesync"
+	"foldslip/internal/fleet/view"
+	"foldslip/internal/lab/cost"
 )
 
 var costs = cost.Flags("./fleet/post")
@@ -37,7 +37,7 @@
 		for i := 1; i < n; i++ {
 			v.Join(gateway(i), gateway(i).Name, 1)
 		}
-		p := New(v.Self(), nil, func([]verdict.Purge) {}, slog.New(slog.NewTextHandler(io.Discard, nil)), 1)
+		p := New(v.Self(), nil, func([]purgesync.Purge) {}, slog.New(slog.NewTextHandler(io.Discard, nil)), 1)
 		p.Over(large{v})
 		us := costs.Micros(func(int) { p.step() })
 		if len(p.peers) != n-1 {
--- a/fleet/post/post.go
+++ b/internal/fleet/gossip/post.go
@@ -1,10 +1,10 @@
-// Package post carries what gateways of a fleet tell each other beside the view: limits (package fleet/limits, which decides: what
+// Package gossip carries what gateways of a fleet tell each other beside the view: limits (package fleet/limits, which decides: what
 // lookups here wanted goes in, asks and loans go over the fleet's datagrams, leases are put in force where lookups are let in) and purges
 // (package fleet/verdict: what the own bulletin told goes in, and what peers heard before it is heeded here).
 //
 // One goroutine (Run) does all of it; Take only queues. Bounds: mostQueued frames that wait, past them they are dropped and counted, which
 // costs a loan's time and never more than the limit. It lives as long as the gateway.
-package post
+package gossip
 
 import (
 	"cmp"
@@ -15,10 +15,10 @@
 	"sync"
 	"time"
 
-	"foldslip/fleet/limits"
-	"foldslip/fleet/membership"
-	"foldslip/fleet/verdict"
-	"foldslip/limit"
+	"foldslip/internal/fleet/limits"
+	"foldslip/internal/fleet/membership"
+	"foldslip/internal/fleet/purgesync"
+	"foldslip/internal/limit"
 )
 
 const (
@@ -31,7 +31,7 @@
 var Usual = limits.Settings{Loan: 4_000_000, Lend: 0.8, Turn: 250_000, Wait: 15_000_000}
 
 // Purges are the settings of the purges' book.
-var Purges = verdict.Settings{Turn: 500_000, Keep: 60_000_000}
+var Purges = purgesync.Settings{Turn: 500_000, Keep: 60_000_000}
 
 // Fleet is the part of membership that it needs.
 type Fleet interface {
@@ -66,9 +66,9 @@
 	peers map[uint64]string // of gateways
 	ripe  bool
 
-	purges *verdict.Book
-	heed   func([]verdict.Purge) // nil: purges are not shared
-	due    []verdict.Purge       // to be heeded
+	purges *purgesync.Book
+	heed   func([]purgesync.Purge) // nil: purges are not shared
+	due    []purgesync.Purge       // to be heeded
 }
 
 // seen is what was counted of a limit at the turn before.
@@ -81,16 +81,16 @@
 }
 
 // New makes a gateway's. doors is nil where no limit can be shared, heed where purges of peers are not to be heeded.
-func New(self string, doors Doors, heed func([]verdict.Purge), log *slog.Logger, seed uint64) *Post {
+func New(self string, doors Doors, heed func([]purgesync.Purge), log *slog.Logger, seed uint64) *Post {
 	p := &Post{self: self, doors: doors, log: log, began: time.Now(), bell: make(chan struct{}, 1), seen: map[string]*seen{},
 		names: map[uint64]string{}, peers: map[uint64]string{}}
-	p.heed, p.purges = heed, verdict.New(Purges, rand.New(rand.NewPCG(seed, 0x707572676573)), p.now())
+	p.heed, p.purges = heed, purgesync.New(Purges, rand.New(rand.NewPCG(seed, 0x707572676573)), p.now())
 	p.book = limits.New(Usual, rand.New(rand.NewPCG(seed, 0x6c696d697473)), p.now())
 	return p
 }
 
 // Told takes an event of the own bulletin: its number, and its purges.
-func (p *Post) Told(last int64, purges []verdict.Purge) {
+func (p *Post) Told(last int64, purges []purgesync.Purge) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.purges.Own(last, purges, p.now())
@@ -155,7 +155,7 @@
 	p.in = nil
 	now := p.now()
 	for _, b := range in {
-		if b[0] == verdict.Kind {
+		if b[0] == purgesync.Kind {
 			out = append(out, p.purge(b, now)...)
 			continue
 		}
@@ -183,7 +183,7 @@
 
 // purge takes a frame of purges, and answers a hello.
 func (p *Post) purge(b []byte, now int64) []letter {
-	f, err := verdict.ReadFrame(b)
+	f, err := purgesync.ReadFrame(b)
 	from := p.peers[f.From]
 	if err != nil || from == "" || p.heed == nil {
 		p.lost++
@@ -194,7 +194,7 @@
 		return nil
 	}
 	if more := p.purges.Answer(f.Seen); len(more) > 0 {
-		return []letter{{from, verdict.Frame{From: limits.Key(p.self), Answer: true, Seen: p.purges.Hello(), Purges: more}.Append(nil)}}
+		return []letter{{from, purgesync.Frame{From: limits.Key(p.self), Answer: true, Seen: p.purges.Hello(), Purges: more}.Append(nil)}}
 	}
 	return nil
 }
@@ -226,7 +226,7 @@
 	}
 	if p.heed != nil {
 		for _, to := range p.purges.Hellos(peers, now) {
-			out = append(out, letter{to, verdict.Frame{From: limits.Key(p.self), Seen: p.purges.Hello()}.Append(nil)})
+			out = append(out, letter{to, purgesync.Frame{From: limits.Key(p.self), Seen: p.purges.Hello()}.Append(nil)})
 		}
 	}
 	if p.doors == nil {
--- a/fleet/post/post_test.go
+++ b/internal/fleet/gossip/post_test.go
@@ -1,4 +1,4 @@
-package post
+package gossip
 
 import (
 	"fmt"
@@ -8,10 +8,10 @@
 	"testing/synctest"
 	"time"
 
-	"foldslip/fleet/limits"
-	"foldslip/fleet/membership"
-	"foldslip/fleet/verdict"
-	"foldslip/limit"
+	"foldslip/internal/fleet/limits"
+	"foldslip/internal/fleet/membership"
+	"foldslip/internal/fleet/purgesync"
+	"foldslip/internal/limit"
 )
 
 // wire stands in for the fleet: all hear each other, but who is cut off.
@@ -189,7 +189,7 @@
 		var wait sync.WaitGroup
 		for i := range 8 {
 			name := fmt.Sprintf("n%d", i)
-			p := New(name, nil, func(some []verdict.Purge) {
+			p := New(name, nil, func(some []purgesync.Purge) {
 				mu.Lock()
 				defer mu.Unlock()
 				heeded[name] += len(some)
@@ -203,10 +203,10 @@
 			go func() { defer wait.Done(); p.Run(stop) }()
 		}
 		time.Sleep(time.Second)
-		w.all["n3"].Told(5, []verdict.Purge{{No: 5, Object: "x", Issued: 1e12}})
+		w.all["n3"].Told(5, []purgesync.Purge{{No: 5, Object: "x", Issued: 1e12}})
 		time.Sleep(5 * time.Second)
 		for _, p := range w.all { // the bulletins catch up
-			p.Told(5, []verdict.Purge{{No: 5, Object: "x", Issued: 1e12}})
+			p.Told(5, []purgesync.Purge{{No: 5, Object: "x", Issued: 1e12}})
 		}
 		time.Sleep(2 * time.Second)
 		mu.Lock()
--- a/fleet/limits/cost_test.go
+++ b/internal/fleet/limits/cost_test.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"testing"
 
-	"foldslip/lab/cost"
+	"foldslip/internal/lab/cost"
 )
 
 var costs = cost.Flags("./fleet/limits")
--- a/fleet/membership/delegate.go
+++ b/internal/fleet/membership/delegate.go
@@ -12,7 +12,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"foldslip/fleet/view"
+	"foldslip/internal/fleet/view"
 )
 
 // NodeMeta is memberlist's Delegate.
--- a/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -25,10 +25,10 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/hashicorp/memberlist"
 
-	"foldslip/clock"
-	"foldslip/fleet/link"
-	"foldslip/fleet/recover"
-	"foldslip/fleet/view"
+	"foldslip/internal/env"
+	"foldslip/internal/fleet/rejoin"
+	"foldslip/internal/fleet/transport"
+	"foldslip/internal/fleet/view"
 )
 
 const (
@@ -75,7 +75,7 @@
 	Shelf *Shelf                                 // none: who was known is forgotten at the end
 	Open  func() (memberlist.Transport, error)   // for each start of the detector
 	Tell  func(change view.Change, at time.Time) // each change, in order; may be nil
-	Count *link.Counts
+	Count *transport.Counts
 	Take  func([]byte) // datagrams of other parts (Send), at once and without waiting; the bytes are the caller's; may be nil
 }
 
@@ -89,7 +89,7 @@
 	mu       sync.Mutex
 	id       view.ID
 	view     *view.View
-	desk     *recover.Desk
+	desk     *rejoin.Desk
 	lines    []line
 	lost     int // lines dropped at the bound
 	leaving  bool
@@ -99,7 +99,7 @@
 	spoke    int64 // when words last rode on gossip
 	wanted   bool  // somebody asked this gateway to speak up
 	uttered  int64 // when it last did
-	seen     recover.Sight
+	seen     rejoin.Sight
 	seenAt   uint64 // the view's version that it is of
 	counts   Counts
 	rtt      *hdrhistogram.Histogram // microseconds of probes
@@ -146,7 +146,7 @@
 	now := f.now()
 	f.last = now
 	f.view = view.New(f.id, f.viewSettings(), now)
-	f.desk = recover.New(recover.Settings{First: 200_000, Most: 10_000_000, Rejoin: us(set.Rejoin), RejoinMost: 12 * us(set.Rejoin), Differ: us(set.Settle),
+	f.desk = rejoin.New(rejoin.Settings{First: 200_000, Most: 10_000_000, Rejoin: us(set.Rejoin), RejoinMost: 12 * us(set.Rejoin), Differ: us(set.Settle),
 		Claim: 30_000_000, ClaimMost: 300_000_000}, rand.New(rand.NewPCG(binary.LittleEndian.Uint64(b[2:]), f.id.Stamp)), now)
 	f.know(now)
 	return f, nil
@@ -372,7 +372,7 @@
 }
 
 // begin makes a call; mu is held.
-func (f *Fleet) begin(call recover.Call) {
+func (f *Fleet) begin(call rejoin.Call) {
 	f.calling = true
 	f.counts.Calls++
 	list, before := f.list, f.view.Version()
@@ -395,18 +395,18 @@
 }
 
 // sight is the view as fleet/recover asks for it, made anew where the view changed; mu is held.
-func (f *Fleet) sight() recover.Sight {
+func (f *Fleet) sight() rejoin.Sight {
 	if f.seenAt == f.view.Version() && slices.Equal(f.seen.Seeds, f.seeds) {
 		return f.seen
 	}
-	s := recover.Sight{Self: f.id.Addr, Seeds: f.seeds}
+	s := rejoin.Sight{Self: f.id.Addr, Seeds: f.seeds}
 	for _, m := range f.view.All() {
 		switch {
 		case m.Name == f.id.Name || m.State == view.Left:
 		case m.State.Live():
 			s.Live = append(s.Live, m.Addr)
 		default:
-			s.Lost = append(s.Lost, recover.Lost{Addr: m.Addr, Since: m.Since, Heard: m.Heard})
+			s.Lost = append(s.Lost, rejoin.Lost{Addr: m.Addr, Since: m.Since, Heard: m.Heard})
 		}
 	}
 	f.seen, f.seenAt = s, f.view.Version()
@@ -452,15 +452,15 @@
 	other, stamp, accepted := f.claimant, f.claimBy, f.view.Count() > 1
 	f.claimant = ""
 	again := f.desk.Reclaim(now)
-	if other == "" || f.calling && !recover.Yields(f.id.Stamp, stamp) {
+	if other == "" || f.calling && !rejoin.Yields(f.id.Stamp, stamp) {
 		f.mu.Unlock()
 		if again {
 			f.restart(now)
 		}
 		return
 	}
-	if !recover.Yields(f.id.Stamp, stamp) {
-		f.begin(recover.Call{Addr: other, Why: "claimed"}) // the other one learns of it, and yields
+	if !rejoin.Yields(f.id.Stamp, stamp) {
+		f.begin(rejoin.Call{Addr: other, Why: "claimed"}) // the other one learns of it, and yields
 		f.mu.Unlock()
 		return
 	}
@@ -521,7 +521,7 @@
 }
 
 // Ground is where the parts of a real process come from.
-func Ground(g clock.Ground) Parts {
+func Ground(g env.Ground) Parts {
 	p := Parts{Log: g.Log(), Now: g.Now, Read: g.ReadFile}
 	if w, ok := g.(interface{ Wall() time.Time }); ok {
 		p.Now = w.Wall
--- a/fleet/membership/meta.go
+++ b/internal/fleet/membership/meta.go
@@ -6,7 +6,7 @@
 	"encoding/binary"
 	"errors"
 
-	"foldslip/fleet/view"
+	"foldslip/internal/fleet/view"
 )
 
 // meta is what a gateway tells of itself with the detector's messages: form, stamp, whether it goes; and, where it was told one, its
--- a/fleet/membership/meta_test.go
+++ b/internal/fleet/membership/meta_test.go
@@ -5,10 +5,10 @@
 	"strings"
 	"testing"
 
-	"foldslip/fleet/broadcast"
-	"foldslip/fleet/limits"
-	"foldslip/fleet/verdict"
-	"foldslip/fleet/view"
+	"foldslip/internal/fleet/broadcast"
+	"foldslip/internal/fleet/limits"
+	"foldslip/internal/fleet/purgesync"
+	"foldslip/internal/fleet/view"
 )
 
 // A gateway tells its place with its stamp; one that was told none speaks byte for byte as the builds before places did.
@@ -57,7 +57,7 @@
 // What gateways say to each other is told apart by its first byte alone.
 func TestKindsOfDatagramsDiffer(t *testing.T) {
 	kinds := map[byte]string{}
-	for what, kind := range map[string]byte{"words of life": view.Form, "limits": limits.Kind, "verdicts": verdict.Kind, "speak up": speakUp,
+	for what, kind := range map[string]byte{"words of life": view.Form, "limits": limits.Kind, "verdicts": purgesync.Kind, "speak up": speakUp,
 		"broadcast": broadcast.Kind} {
 		if other, taken := kinds[kind]; taken || kind == 0 {
 			t.Errorf("%s and %q are %d", what, other, kind)
--- a/fleet/membership/report.go
+++ b/internal/fleet/membership/report.go
@@ -5,7 +5,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"foldslip/fleet/view"
+	"foldslip/internal/fleet/view"
 )
 
 // Report is what a gateway holds of its fleet, for operators and for the fleet's limits and choices. Ages in place of times, in
--- a/fleet/membership/shelf.go
+++ b/internal/fleet/membership/shelf.go
@@ -7,15 +7,15 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"foldslip/clock"
-	"foldslip/fleet/view"
-	"foldslip/store/record"
+	"foldslip/internal/env"
+	"foldslip/internal/fleet/view"
+	"foldslip/internal/store/wal"
 )
 
 // Shelf keeps on disk who was known (store/record), so that a gateway that restarts finds the fleet again where no seed answers,
 // and knows how large the fleet was. It keeps no state: what another gateway is, only it and the detector say.
 type Shelf struct {
-	record *record.Record
+	record *wal.Record
 	self   string
 	known  []view.ID
 }
@@ -38,8 +38,8 @@
 }
 
 // OpenShelf opens what is kept in a folder for a gateway's name. What cannot be read is told in why, and none is known.
-func OpenShelf(disk clock.Disk, self string, most int) (s *Shelf, why, err error) {
-	r, kept, err := record.Open(disk, shelfName)
+func OpenShelf(disk env.Disk, self string, most int) (s *Shelf, why, err error) {
+	r, kept, err := wal.Open(disk, shelfName)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/fleet/verdict/verdict.go
+++ b/internal/fleet/purgesync/verdict.go
@@ -1,4 +1,4 @@
-// Package verdict spreads purges among gateways: one that hears the bulletin late, or not at all for a while, hears of a purge from
+// Package purgesync spreads purges among gateways: one that hears the bulletin late, or not at all for a while, hears of a purge from
 // peers. It is pure: what the own bulletin told, hellos and verdicts of peers and whole microseconds go in, what to tell whom and what
 // to heed come out. Package fleet/post carries it beside the fleet's limits.
 //
@@ -9,7 +9,7 @@
 // Epidemic Algorithms, PODC 1987, pull). A gateway that is told passes it on in the same way.
 //
 // Bounds: mostKept purges, each for Keep; mostTold a frame. Owner: its carrier, under its lock.
-package verdict
+package purgesync
 
 import (
 	"encoding/binary"
--- a/fleet/verdict/verdict_test.go
+++ b/internal/fleet/purgesync/verdict_test.go
@@ -1,4 +1,4 @@
-package verdict
+package purgesync
 
 import (
 	"bytes"
--- a/fleet/recover/recover.go
+++ b/internal/fleet/rejoin/recover.go
@@ -1,4 +1,4 @@
-// Package recover decides whom a gateway calls to find the fleet, and to find it again: after its start, after a cut was mended,
+// Package rejoin decides whom a gateway calls to find the fleet, and to find it again: after its start, after a cut was mended,
 // after it stood still. It is pure: what the view holds and whole microseconds go in, an address to call comes out, chance comes
 // from the caller. Who calls is package fleet/membership.
 //
@@ -21,7 +21,7 @@
 //   - Of two processes with one name the one that started later yields, and asks again after Claim, doubled up to ClaimMost.
 //
 // Bounds: calls one at a time; an entry for each lost address given, dropped with it. Owner: package fleet/membership.
-package recover
+package rejoin
 
 import (
 	"math/rand/v2"
--- a/fleet/recover/recover_test.go
+++ b/internal/fleet/rejoin/recover_test.go
@@ -1,4 +1,4 @@
-package recover
+package rejoin
 
 import (
 	"fmt"
--- a/fleet/link/link.go
+++ b/internal/fleet/transport/link.go
@@ -1,11 +1,11 @@
-// Package link carries the detector's messages between gateways: datagrams and streams at one address, as memberlist's Transport
+// Package transport carries the detector's messages between gateways: datagrams and streams at one address, as memberlist's Transport
 // interface asks (hashicorp/memberlist, transport.go). In place of the library's own transport it binds every dialled stream to
 // the gateway's own address too, so that firewalls (and the fault relay of lab/fleet) can tell who calls, counts what goes by,
 // and holds bounds: mostPackets datagrams that wait, mostStreams streams let in at once; what comes past them is dropped and
 // counted, as a network would.
 //
 // Owner: package fleet/membership, which opens one for each start of the detector; Shutdown ends its two goroutines.
-package link
+package transport
 
 import (
 	"context"
--- a/fleet/link/link_test.go
+++ b/internal/fleet/transport/link_test.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"bytes"
--- a/fleet/view/cost_test.go
+++ b/internal/fleet/view/cost_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"foldslip/lab/cost"
+	"foldslip/internal/lab/cost"
 )
 
 var costs = cost.Flags("./fleet/view")
--- a/trust/book_test.go
+++ b/internal/freshness/book_test.go
@@ -1,4 +1,4 @@
-package trust
+package freshness
 
 import (
 	"testing"
--- a/trust/trust.go
+++ b/internal/freshness/trust.go
@@ -1,8 +1,8 @@
-// Package trust weighs a list of caches that was kept on disk: how far each entry may be relied on, from its age, its
+// Package freshness weighs a list of caches that was kept on disk: how far each entry may be relied on, from its age, its
 // source, how long entries of this list have lasted so far, and how many of them have proved right or wrong since the
 // start. It does no I/O and keeps nothing but counts; which cache gets a lookup is decided by the module, which is told of
 // a doubt by the inputs it has: a late start (it bears little and gains) and a doubt (it gets trials only).
-package trust
+package freshness
 
 import (
 	"math"
--- a/service/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -1,4 +1,4 @@
-package service
+package gateway
 
 import (
 	"bufio"
@@ -15,12 +15,12 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"foldslip/clock"
 	"foldslip/example/standin"
+	"foldslip/internal/env"
 )
 
 // runHere starts a gateway in this process.
-var runHere = func() error { return Run(clock.NewSystem(io.Discard, slog.LevelInfo), Watch{}) }
+var runHere = func() error { return Run(env.NewSystem(io.Discard, slog.LevelInfo), Watch{}) }
 
 // BenchmarkLookup is a lookup through a gateway on loopback, client and cache in the same process. It holds CPU time and
 // allocations of a lookup: both count the stand-ins too, which stay the same.
--- a/service/descriptors.go
+++ b/internal/gateway/descriptors.go
@@ -1,12 +1,12 @@
-package service
+package gateway
 
 import (
 	"net"
 	"sync"
 	"time"
 
-	"foldslip/clock"
-	"foldslip/config"
+	"foldslip/internal/config"
+	"foldslip/internal/env"
 )
 
 const (
@@ -66,16 +66,16 @@
 // frugal is a ground whose dials that find no descriptor have someone else give one up. The parts of the roles keep that from coming to
 // pass, unless the process holds descriptors that it does not know of or its limit has been lowered since it started.
 type frugal struct {
-	clock.Ground
+	env.Ground
 	yield func() bool // one is free now
 	mu    sync.Mutex
 	short time.Time // the last shortage
 }
 
 // Dial is the ground's, tried again as often as something gives way, yieldsADial times at most.
-func (f *frugal) Dial(life *clock.Life, addr string, within time.Duration) (net.Conn, error) {
+func (f *frugal) Dial(life *env.Life, addr string, within time.Duration) (net.Conn, error) {
 	conn, err := f.Ground.Dial(life, addr, within)
-	for n := 0; n < yieldsADial && clock.NoDescriptor(err); n++ {
+	for n := 0; n < yieldsADial && env.NoDescriptor(err); n++ {
 		f.tell()
 		if !f.yield() {
 			break
--- a/service/descriptors_test.go
+++ b/internal/gateway/descriptors_test.go
@@ -1,10 +1,10 @@
-package service
+package gateway
 
 import (
 	"bufio"
 	"bytes"
 	"fmt"
-	"foldslip/clock"
+	"foldslip/internal/env"
 	"io"
 	"log/slog"
 	"net"
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"foldslip/config"
 	"foldslip/example/standin"
+	"foldslip/internal/config"
 )
 
 func TestPartsOfTheDescriptors(t *testing.T) {
@@ -146,11 +146,11 @@
 
 // dry is a ground that has no descriptor for a dial until so many are given up.
 type dry struct {
-	clock.Ground
+	env.Ground
 	wants int
 }
 
-func (d *dry) Dial(*clock.Life, string, time.Duration) (net.Conn, error) {
+func (d *dry) Dial(*env.Life, string, time.Duration) (net.Conn, error) {
 	if d.wants > 0 {
 		return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.EMFILE)}
 	}
@@ -163,7 +163,7 @@
 func TestADialWithoutADescriptor(t *testing.T) {
 	for _, c := range []struct{ wants, idle, asked int }{{0, 9, 0}, {1, 9, 1}, {4, 9, 4}, {5, 9, 4}, {2, 1, 2}} {
 		var log bytes.Buffer
-		d := &dry{Ground: clock.NewSystem(&log, slog.LevelWarn), wants: c.wants}
+		d := &dry{Ground: env.NewSystem(&log, slog.LevelWarn), wants: c.wants}
 		idle, asked := c.idle, 0
 		f := &frugal{Ground: d, yield: func() bool {
 			if asked++; idle == 0 {
--- a/service/ending_test.go
+++ b/internal/gateway/ending_test.go
@@ -1,4 +1,4 @@
-package service
+package gateway
 
 import (
 	"io"
--- a/service/fleet.go
+++ b/internal/gateway/fleet.go
@@ -1,4 +1,4 @@
-package service
+package gateway
 
 import (
 	crand "crypto/rand"
@@ -10,34 +10,34 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"foldslip/clock"
-	"foldslip/config"
-	"foldslip/door/operator"
-	"foldslip/facade"
-	"foldslip/fleet/broadcast"
-	"foldslip/fleet/broadcast/carrier"
-	"foldslip/fleet/link"
-	"foldslip/fleet/membership"
-	"foldslip/fleet/post"
-	"foldslip/fleet/verdict"
-	"foldslip/fleet/view"
-	"foldslip/route/steer"
-	"foldslip/wire"
+	"foldslip/internal/admin"
+	"foldslip/internal/config"
+	"foldslip/internal/dispatch"
+	"foldslip/internal/env"
+	"foldslip/internal/fleet/broadcast"
+	"foldslip/internal/fleet/broadcast/driver"
+	"foldslip/internal/fleet/gossip"
+	"foldslip/internal/fleet/membership"
+	"foldslip/internal/fleet/purgesync"
+	"foldslip/internal/fleet/transport"
+	"foldslip/internal/fleet/view"
+	"foldslip/internal/route/rollout"
+	"foldslip/internal/wire"
 )
 
 // part is this gateway's part in its fleet. Like a door it runs for the gateway's life and ends with the drain; it takes no lookups,
 // and no decision asks it.
 type part struct {
 	fleet  *membership.Fleet
-	post   *post.Post       // nil: no limits to share
-	caster *carrier.Carrier // nil: purges are not broadcast
-	router *facade.Facade
+	post   *gossip.Post    // nil: no limits to share
+	caster *driver.Carrier // nil: purges are not broadcast
+	router *dispatch.Facade
 	stop   chan struct{}
 	ended  chan struct{}
 }
 
 // joining makes it; nil where the operators' settings name no fleet, as on the platform.
-func joining(g clock.Ground, own *config.Settings, name string, seed uint64, routes *steer.Steer, router *facade.Facade,
+func joining(g env.Ground, own *config.Settings, name string, seed uint64, routes *rollout.Steer, router *dispatch.Facade,
 	bulletin *wire.Bulletin) (*part, error) {
 	if own.Fleet == nil {
 		return nil, nil
@@ -61,9 +61,9 @@
 		set.Key = key
 	}
 	parts := membership.Ground(g)
-	parts.Count = &link.Counts{}
+	parts.Count = &transport.Counts{}
 	listen, advertise := netip.MustParseAddrPort(c.Listen), netip.MustParseAddrPort(c.Advertise) // checked with the settings
-	parts.Open = func() (memberlist.Transport, error) { return link.Open(listen, advertise, parts.Count, g.Log()) }
+	parts.Open = func() (memberlist.Transport, error) { return transport.Open(listen, advertise, parts.Count, g.Log()) }
 	if c.Folder != "" {
 		disk, err := g.Folder(c.Folder)
 		if err != nil {
@@ -79,29 +79,29 @@
 		parts.Shelf = shelf
 	}
 	p := &part{router: router, stop: make(chan struct{}), ended: make(chan struct{})}
-	var doors post.Doors
+	var doors gossip.Doors
 	if routes != nil {
 		doors = routes
 	}
 	// heard brings purges that peers told first to where they count, as those of the own watch.
-	heard := func(purges []facade.Purge) {
+	heard := func(purges []dispatch.Purge) {
 		for _, one := range purges {
 			bulletin.Purges.Note(one.Object, one.Group, one.Issued)
 		}
 		router.Tick(nil, false, purges)
 	}
-	var heed func([]verdict.Purge)
+	var heed func([]purgesync.Purge)
 	if c.Purges {
-		heed = func(some []verdict.Purge) {
-			var purges []facade.Purge
+		heed = func(some []purgesync.Purge) {
+			var purges []dispatch.Purge
 			for _, v := range some {
-				purges = append(purges, facade.Purge{Object: v.Object, Group: int(v.Group), Issued: time.UnixMilli(v.Issued)})
+				purges = append(purges, dispatch.Purge{Object: v.Object, Group: int(v.Group), Issued: time.UnixMilli(v.Issued)})
 			}
 			heard(purges)
 		}
 	}
 	if doors != nil || heed != nil {
-		p.post = post.New(name, doors, heed, g.Log(), seed)
+		p.post = gossip.New(name, doors, heed, g.Log(), seed)
 		parts.Take = p.post.Take
 	}
 	if c.Broadcast {
@@ -112,7 +112,7 @@
 		p.broadcast(set, parts.Now, binary.LittleEndian.Uint64(stamp[:]), g, bulletin, heard)
 		others := parts.Take
 		parts.Take = func(b []byte) {
-			if carrier.Mine(b) {
+			if driver.Mine(b) {
 				p.caster.Take(b)
 			} else if others != nil {
 				others(b)
@@ -120,10 +120,10 @@
 		}
 	}
 	if heed != nil {
-		bulletin.Event = func(no int64, purges []facade.Purge) {
-			var told []verdict.Purge
+		bulletin.Event = func(no int64, purges []dispatch.Purge) {
+			var told []purgesync.Purge
 			for _, v := range purges {
-				told = append(told, verdict.Purge{No: no, Object: v.Object, Group: int64(v.Group), Issued: v.Issued.UnixMilli()})
+				told = append(told, purgesync.Purge{No: no, Object: v.Object, Group: int64(v.Group), Issued: v.Issued.UnixMilli()})
 			}
 			p.post.Told(no, told)
 		}
@@ -143,16 +143,16 @@
 }
 
 // broadcast makes the carrier of purges between gateways, told what the own discovery watch tells.
-func (p *part) broadcast(set membership.Settings, wall func() time.Time, stamp uint64, g clock.Ground, bulletin *wire.Bulletin,
-	heard func([]facade.Purge)) {
-	p.caster = carrier.New(set.Name, set.Place, func(some []broadcast.Purge) {
-		purges := make([]facade.Purge, 0, len(some))
+func (p *part) broadcast(set membership.Settings, wall func() time.Time, stamp uint64, g env.Ground, bulletin *wire.Bulletin,
+	heard func([]dispatch.Purge)) {
+	p.caster = driver.New(set.Name, set.Place, func(some []broadcast.Purge) {
+		purges := make([]dispatch.Purge, 0, len(some))
 		for _, v := range some {
-			purges = append(purges, facade.Purge{Object: v.Object, Group: int(v.Group), Issued: time.UnixMilli(v.Issued)})
+			purges = append(purges, dispatch.Purge{Object: v.Object, Group: int(v.Group), Issued: time.UnixMilli(v.Issued)})
 		}
 		heard(purges)
 	}, g.Log(), stamp, wall)
-	bulletin.Event = func(_ int64, purges []facade.Purge) {
+	bulletin.Event = func(_ int64, purges []dispatch.Purge) {
 		told := make([]broadcast.Purge, 0, len(purges))
 		for _, v := range purges {
 			told = append(told, broadcast.Purge{Object: v.Object, Group: int64(v.Group), Issued: v.Issued.UnixMilli()})
@@ -162,7 +162,7 @@
 }
 
 // Run takes part until the gateway drains or its life ends.
-func (p *part) Run(life *clock.Life) error {
+func (p *part) Run(life *env.Life) error {
 	defer close(p.ended)
 	stop := make(chan struct{})
 	end := sync.OnceFunc(func() { close(stop) })
@@ -220,21 +220,21 @@
 func (p *part) Wait() { <-p.ended }
 
 // operators opens the sockets that the settings name, one where both are the same.
-func operators(g clock.Ground, own *config.Settings, routes *steer.Steer, p *part) (doors []Door, err error) {
+func operators(g env.Ground, own *config.Settings, routes *rollout.Steer, p *part) (doors []Door, err error) {
 	routing, fleet := "", ""
 	if routes != nil {
 		routing = own.Routing.Socket
 	}
-	of := operator.Of{Routes: routes}
+	of := admin.Of{Routes: routes}
 	if p != nil {
 		of.Fleet, of.Limits, of.Broadcast, fleet = p.fleet, p.post, p.caster, own.Fleet.Socket
 	}
-	open := func(what, path string, of operator.Of) {
+	open := func(what, path string, of admin.Of) {
 		if path == "" || err != nil {
 			return
 		}
-		var o *operator.Operator
-		if o, err = operator.Open(g, path, of); err != nil {
+		var o *admin.Operator
+		if o, err = admin.Open(g, path, of); err != nil {
 			err = fmt.Errorf("%s.socket: %w", what, err)
 			return
 		}
@@ -244,7 +244,7 @@
 		open("routing", routing, of)
 		return doors, err
 	}
-	open("routing", routing, operator.Of{Routes: routes})
-	open("fleet", fleet, operator.Of{Fleet: of.Fleet, Limits: of.Limits, Broadcast: of.Broadcast})
+	open("routing", routing, admin.Of{Routes: routes})
+	open("fleet", fleet, admin.Of{Fleet: of.Fleet, Limits: of.Limits, Broadcast: of.Broadcast})
 	return doors, err
 }
--- a/service/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -1,4 +1,4 @@
-package service
+package gateway
 
 import (
 	"encoding/json"
@@ -15,10 +15,10 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"foldslip/fleet/broadcast"
-	"foldslip/fleet/broadcast/carrier"
-	"foldslip/fleet/link"
-	"foldslip/fleet/membership"
+	"foldslip/internal/fleet/broadcast"
+	"foldslip/internal/fleet/broadcast/driver"
+	"foldslip/internal/fleet/membership"
+	"foldslip/internal/fleet/transport"
 )
 
 // Operators ask a gateway of a fleet at its socket; one that knows no fleet says so.
@@ -81,13 +81,13 @@
 func joinAs(t *testing.T, name, seed string) *peer {
 	p := &peer{kinds: map[byte]int{}}
 	at := strings.Replace(freeAddr(), ":10080", ":7946", 1)
-	log, counts := slog.New(slog.DiscardHandler), &link.Counts{}
+	log, counts := slog.New(slog.DiscardHandler), &transport.Counts{}
 	own := netip.MustParseAddrPort(at)
 	var err error
 	p.fleet, err = membership.New(membership.Settings{Name: name, Listen: at, Advertise: at, Seeds: []string{seed}, Most: 64, Probe: 200 * time.Millisecond,
 		ProbeTimeout: 100 * time.Millisecond, Gossip: 40 * time.Millisecond, Reap: time.Hour, Settle: 300 * time.Millisecond, Rejoin: time.Second},
 		membership.Parts{Log: log, Now: time.Now, Read: os.ReadFile, Count: counts, Take: p.take,
-			Open: func() (memberlist.Transport, error) { return link.Open(own, own, counts, log) }})
+			Open: func() (memberlist.Transport, error) { return transport.Open(own, own, counts, log) }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -147,7 +147,7 @@
 				return
 			}
 			until("the peer is told", func() bool { return other.had(broadcast.Kind) > 0 })
-			var r carrier.Report
+			var r driver.Report
 			until("all ten count", func() bool { return json.Unmarshal([]byte(ask("--json")), &r) == nil && r.Heeded == 10 })
 			if h := r.Latest; len(h) != 10 || h[9].No != 10 || h[9].Object != "000000000000000a" || h[9].Peer || h[9].AtMS > r.UpMS {
 				t.Errorf("%+v", h)
--- a/service/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -1,4 +1,4 @@
-package service
+package gateway
 
 import (
 	"bufio"
@@ -83,7 +83,7 @@
 
 // sources are read once by a test, so that a kept result of it does not outlive the program it was measured with.
 var sources = sync.OnceFunc(func() {
-	for _, files := range []string{"../*/*.go", "../cmd/*/*.go"} {
+	for _, files := range []string{"../*/*.go", "../../cmd/*/*.go"} {
 		for _, path := range must(filepath.Glob(files)) {
 			must(os.ReadFile(path))
 		}
@@ -167,7 +167,7 @@
 // config writes the example's configuration with the stage's parties, and changes to its top level.
 func (s *stage) config(change ...map[string]any) string {
 	var c map[string]any
-	if err := json.Unmarshal(must(os.ReadFile("../example/config.json")), &c); err != nil {
+	if err := json.Unmarshal(must(os.ReadFile("../../example/config.json")), &c); err != nil {
 		s.t.Fatal(err)
 	}
 	c["bulletin"] = s.bulletin.Addr
@@ -187,7 +187,7 @@
 // graceOf is the example's settings with another time to heed a purge, in microseconds.
 func graceOf(grace int) map[string]any {
 	var c struct{ Settings map[string]any }
-	if err := json.Unmarshal(must(os.ReadFile("../example/config.json")), &c); err != nil {
+	if err := json.Unmarshal(must(os.ReadFile("../../example/config.json")), &c); err != nil {
 		panic(err)
 	}
 	c.Settings["specifics"].(map[string]any)["obey_after"] = grace
--- a/service/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -1,4 +1,4 @@
-package service
+package gateway
 
 import (
 	"bufio"
@@ -94,7 +94,7 @@
 			first := discovery("127.0.0.1:0")
 			slow := relay(t, first.Addr, slowBy)
 			var config map[string]any
-			if err := json.Unmarshal(must(os.ReadFile("../example/config.json")), &config); err != nil {
+			if err := json.Unmarshal(must(os.ReadFile("../../example/config.json")), &config); err != nil {
 				t.Fatal(err)
 			}
 			delete(config, "listen")
--- a/service/service.go
+++ b/internal/gateway/service.go
@@ -1,5 +1,5 @@
-// Package service starts the gateway and stops it.
-package service
+// Package gateway starts the gateway and stops it.
+package gateway
 
 import (
 	"bytes"
@@ -12,16 +12,16 @@
 	"sync"
 	"time"
 
-	"foldslip/charter"
-	"foldslip/clock"
-	"foldslip/config"
-	"foldslip/config/change"
-	"foldslip/facade"
-	"foldslip/member"
-	"foldslip/memory"
-	"foldslip/route/steer"
-	"foldslip/store/keeper"
-	"foldslip/wire"
+	"foldslip/internal/config"
+	"foldslip/internal/config/change"
+	"foldslip/internal/dispatch"
+	"foldslip/internal/env"
+	"foldslip/internal/memory"
+	"foldslip/internal/route/rollout"
+	"foldslip/internal/settings"
+	"foldslip/internal/store/snapshot"
+	"foldslip/internal/warmstart"
+	"foldslip/internal/wire"
 )
 
 const (
@@ -55,7 +55,7 @@
 	Settings json.RawMessage
 }
 
-func readStart(g clock.Ground, path, name, listen string, own *config.Settings) (*start, *charter.Terms, uint64, error) {
+func readStart(g env.Ground, path, name, listen string, own *config.Settings) (*start, *settings.Terms, uint64, error) {
 	text, err := g.ReadFile(path)
 	if err != nil {
 		return nil, nil, 0, err
@@ -77,7 +77,7 @@
 	if err != nil {
 		return nil, nil, 0, fmt.Errorf("%s: seed is not hex digits", path)
 	}
-	terms, err := charter.Read(s.Settings)
+	terms, err := settings.Read(s.Settings)
 	if err != nil {
 		return nil, nil, 0, fmt.Errorf("%s: settings: %w", path, err)
 	}
@@ -85,7 +85,7 @@
 }
 
 // readAll reads what the gateway is told, as its variables say.
-func readAll(g clock.Ground) (*start, *charter.Terms, uint64, *config.Settings, error) {
+func readAll(g env.Ground) (*start, *settings.Terms, uint64, *config.Settings, error) {
 	own := &config.Settings{}
 	if path := g.Env("FOLDSLIP_SETTINGS"); path != "" {
 		var err error
@@ -99,11 +99,11 @@
 }
 
 // keep opens the list kept on disk. What is wrong with it is told, and the gateway serves without it.
-func keep(g clock.Ground, own *config.Settings) *keeper.Keeper {
+func keep(g env.Ground, own *config.Settings) *snapshot.Keeper {
 	if own.List == nil {
 		return nil
 	}
-	list, why, err := keeper.Open(g, own.List.Folder, keeper.Terms{Bytes: own.List.Bytes, Writes: own.List.Writes})
+	list, why, err := snapshot.Open(g, own.List.Folder, snapshot.Terms{Bytes: own.List.Bytes, Writes: own.List.Writes})
 	if err != nil {
 		g.Log().Warn("list_not_kept", "folder", own.List.Folder, "text", err.Error())
 		return nil
@@ -115,18 +115,18 @@
 }
 
 // steering puts the operators' routes in force; nil where they name none.
-func steering(g clock.Ground, own *config.Settings, terms *charter.Terms, bulletin *wire.Bulletin) (*steer.Steer, error) {
+func steering(g env.Ground, own *config.Settings, terms *settings.Terms, bulletin *wire.Bulletin) (*rollout.Steer, error) {
 	if own.Routing == nil {
 		return nil, nil
 	}
-	var disk clock.Disk
+	var disk env.Disk
 	if own.Routing.Folder != "" {
 		var err error
 		if disk, err = g.Folder(own.Routing.Folder); err != nil {
 			return nil, fmt.Errorf("routing.folder: %w", err)
 		}
 	}
-	s, err := steer.Open(g, disk, own.Routing.Config, terms.Kinds)
+	s, err := rollout.Open(g, disk, own.Routing.Config, terms.Kinds)
 	if err != nil {
 		return nil, err
 	}
@@ -139,14 +139,14 @@
 
 // Gateway is a gateway at work, for whoever looks on.
 type Gateway struct {
-	router *facade.Facade
+	router *dispatch.Facade
 	links  *wire.Links
 	front  *wire.Front
-	routes *steer.Steer
+	routes *rollout.Steer
 }
 
 // Routes are the routes in force; nil: none.
-func (w *Gateway) Routes() *steer.Steer { return w.routes }
+func (w *Gateway) Routes() *rollout.Steer { return w.routes }
 
 // Load is what a gateway holds: lookups without a final answer or with sends out, sends as the module counts them,
 // those not picked yet, sends as the connections count them, and connections to caches and of clients.
@@ -164,27 +164,27 @@
 // Watch is what may look on, and what further doors there are; all may be nil.
 type Watch struct {
 	Up      func(*Gateway)
-	Between facade.Between
+	Between dispatch.Between
 	Doors   func(Inside) ([]Door, error)
 }
 
 // Inside is what a door stands before.
 type Inside struct {
 	Name   string
-	Ground clock.Ground
-	Terms  *charter.Terms
-	Router *facade.Facade
+	Ground env.Ground
+	Terms  *settings.Terms
+	Router *dispatch.Facade
 	Caches *memory.Caches
 	Purges *memory.Purges
 	Room   *memory.Room
 	Own    *config.Settings
-	Routes *steer.Steer // nil: a lookup may go anywhere
+	Routes *rollout.Steer // nil: a lookup may go anywhere
 }
 
 // Door takes lookups beside the users' door.
 type Door interface {
 	// Run serves until life ends.
-	Run(life *clock.Life) error
+	Run(life *env.Life) error
 	// Prepare reads the operators' settings anew; what it returns puts them in place. It changes nothing by itself.
 	Prepare(own *config.Settings) (func(), error)
 	// Drain takes no more callers; what is open goes on. It does not wait.
@@ -194,7 +194,7 @@
 }
 
 // Run runs a gateway on its ground until it is told to stop; every lookup taken by then is answered.
-func Run(g clock.Ground, watch Watch) error {
+func Run(g env.Ground, watch Watch) error {
 	told := newOrders(g)
 	defer g.Signals(told.hear)()
 	s, terms, seed, own, err := readAll(g)
@@ -209,12 +209,12 @@
 		memoryLimit = int64(s.Limits.MemoryMB * memoryPart * (1 << 20))
 	}
 	g.Limit(cores, memoryLimit)
-	life := clock.NewLife(nil)
+	life := env.NewLife(nil)
 	defer life.End()
 
 	caches := &memory.Caches{}
 	purges := &memory.Purges{Clock: g, Grace: time.Duration(terms.PurgeGrace) * time.Microsecond, Keep: time.Duration(terms.Router.PurgeDone)*time.Microsecond + purgeSlack}
-	router := facade.Start(g, seed, terms.Router, watch.Between)
+	router := dispatch.Start(g, seed, terms.Router, watch.Between)
 	calling := &frugal{Ground: g}
 	bulletin := wire.NewBulletin(calling, s.Bulletin, terms, router, caches, purges)
 	routes, err := steering(g, own, terms, bulletin)
@@ -222,9 +222,9 @@
 		return err
 	}
 	list := keep(g, own)
-	var members *member.Members
+	var members *warmstart.Members
 	if list != nil {
-		members = member.New(g, terms, router, caches, list)
+		members = warmstart.New(g, terms, router, caches, list)
 		bulletin.Members = members
 	}
 	listed := 0
@@ -327,16 +327,16 @@
 type orders struct {
 	mu           sync.Mutex
 	stopped, hup bool
-	stopping     clock.Bell
-	rereading    clock.Bell
+	stopping     env.Bell
+	rereading    env.Bell
 }
 
-func newOrders(g clock.Ground) *orders { return &orders{stopping: g.Bell(), rereading: g.Bell()} }
+func newOrders(g env.Ground) *orders { return &orders{stopping: g.Bell(), rereading: g.Bell()} }
 
-func (o *orders) hear(s clock.Signal) {
+func (o *orders) hear(s env.Signal) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if s == clock.Reread {
+	if s == env.Reread {
 		o.hup = true
 		o.rereading.Ring()
 		return
@@ -346,7 +346,7 @@
 }
 
 // stop waits for the word to stop; false if the life ends first.
-func (o *orders) stop(life *clock.Life) bool {
+func (o *orders) stop(life *env.Life) bool {
 	defer life.OnEnd(o.stopping.Ring)()
 	o.stopping.Wait(-1)
 	o.mu.Lock()
@@ -366,7 +366,7 @@
 
 // reread reads the configuration anew at each SIGHUP. The bulletin moves at once and nothing else is touched; what
 // is told of the rest counts from the next start. A file that cannot be used leaves all as it is.
-func reread(g clock.Ground, life *clock.Life, told *orders, was *start, bulletin *wire.Bulletin, routes *steer.Steer,
+func reread(g env.Ground, life *env.Life, told *orders, was *start, bulletin *wire.Bulletin, routes *rollout.Steer,
 	doors []Door) error {
 	defer life.OnEnd(told.rereading.Ring)()
 	for {
@@ -400,7 +400,7 @@
 }
 
 // rerouted brings the routes of the file in; an error if they cannot be used.
-func rerouted(routes *steer.Steer, r *config.Routing) error {
+func rerouted(routes *rollout.Steer, r *config.Routing) error {
 	step, err := routes.File(r.Config, confirmIn)
 	if err == nil && step.Stage == change.Undone && len(step.Finding) > 0 {
 		err = fmt.Errorf("routing: version %d is undone: %s", step.No, step.Reason)
@@ -409,7 +409,7 @@
 }
 
 // drain stops the gateway as the platform stops it. What is still open shortly before the kill is given up, so that it has its answer.
-func drain(g clock.Ground, terms *charter.Terms, router *facade.Facade, front *wire.Front, doors []Door,
+func drain(g env.Ground, terms *settings.Terms, router *dispatch.Facade, front *wire.Front, doors []Door,
 	listener net.Listener) error {
 	kill := time.Duration(0)
 	for _, k := range terms.Router.Kinds {
@@ -443,7 +443,7 @@
 }
 
 // tick brings the router its timers.
-func tick(g clock.Ground, life *clock.Life, router *facade.Facade) error {
+func tick(g env.Ground, life *env.Life, router *dispatch.Facade) error {
 	end := g.Bell()
 	defer life.OnEnd(end.Ring)()
 	for !end.Wait(max(router.Tick(nil, false, nil), time.Millisecond)) {
--- a/lab/ci/known_red_test.go
+++ b/internal/lab/ci/known_red_test.go
@@ -49,7 +49,7 @@
 func module(t *testing.T, packages map[string]string) string {
 	t.Helper()
 	root := t.TempDir()
-	script, err := os.ReadFile("../../.ci/known-red")
+	script, err := os.ReadFile("../../../.ci/known-red")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -206,7 +206,7 @@
 }
 
 func TestCIRunsTheScript(t *testing.T) {
-	script, err := os.ReadFile("../../.ci/run")
+	script, err := os.ReadFile("../../../.ci/run")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/fleet/cost_test.go
+++ b/internal/lab/fleet/cost_test.go
@@ -5,7 +5,7 @@
 	"testing/synctest"
 	"time"
 
-	"foldslip/lab/cost"
+	"foldslip/internal/lab/cost"
 )
 
 var costs = cost.Flags("./lab/fleet")
--- a/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -16,8 +16,8 @@
 
 	"github.com/go-logfmt/logfmt"
 
-	"foldslip/door/operator"
-	"foldslip/fleet/membership"
+	"foldslip/internal/admin"
+	"foldslip/internal/fleet/membership"
 )
 
 // sighting is what a gateway's own log says of the fleet.
@@ -206,7 +206,7 @@
 
 // report asks the gateway at its socket.
 func (p *process) report(ctx context.Context) (*membership.Report, error) {
-	a, err := operator.Ask(ctx, p.socket(), operator.Call{Do: "fleet"})
+	a, err := admin.Ask(ctx, p.socket(), admin.Call{Do: "fleet"})
 	if err != nil {
 		return nil, err
 	}
--- a/lab/fleet/rig_test.go
+++ b/internal/lab/fleet/rig_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"foldslip/config"
+	"foldslip/internal/config"
 )
 
 var program string
--- a/lab/fleet/scenario.go
+++ b/internal/lab/fleet/scenario.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"foldslip/config"
+	"foldslip/internal/config"
 )
 
 const (
--- a/lab/fleet/spread.go
+++ b/internal/lab/fleet/spread.go
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"foldslip/door/operator"
-	"foldslip/fleet/broadcast"
-	"foldslip/fleet/broadcast/carrier"
+	"foldslip/internal/admin"
+	"foldslip/internal/fleet/broadcast"
+	"foldslip/internal/fleet/broadcast/driver"
 )
 
 // Purges are those that the bulletin tells at a steady rate, and what their spreading among gateways is held to (docs/fleet-broadcast-operators.md).
@@ -193,8 +193,8 @@
 	}
 }
 
-func askBroadcast(ctx context.Context, p *process, after uint64) (*carrier.Report, error) {
-	a, err := operator.Ask(ctx, p.socket(), operator.Call{Do: "broadcast", No: after})
+func askBroadcast(ctx context.Context, p *process, after uint64) (*driver.Report, error) {
+	a, err := admin.Ask(ctx, p.socket(), admin.Call{Do: "broadcast", No: after})
 	if err != nil {
 		return nil, err
 	}
--- a/lab/fleet/virtual.go
+++ b/internal/lab/fleet/virtual.go
@@ -13,10 +13,10 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"foldslip/clock"
-	"foldslip/fleet/link"
-	"foldslip/fleet/membership"
-	"foldslip/fleet/view"
+	"foldslip/internal/env"
+	"foldslip/internal/fleet/membership"
+	"foldslip/internal/fleet/transport"
+	"foldslip/internal/fleet/view"
 )
 
 // Net carries the detector's messages between gateways of one process, as the links say. With testing/synctest its time is virtual:
@@ -37,7 +37,7 @@
 	net     *Net
 	name    string
 	addr    *net.UDPAddr
-	counts  *link.Counts
+	counts  *transport.Counts
 	packets chan *memberlist.Packet
 	streams chan net.Conn
 	mu      sync.Mutex
@@ -45,7 +45,7 @@
 }
 
 // Open gives a gateway's transport at an address that nobody has open.
-func (n *Net) Open(name, addr string, counts *link.Counts) (memberlist.Transport, error) {
+func (n *Net) Open(name, addr string, counts *transport.Counts) (memberlist.Transport, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.ports[addr] != nil {
@@ -152,7 +152,7 @@
 
 type pipeEnd struct {
 	net.Conn
-	counts *link.Counts
+	counts *transport.Counts
 	far    net.Addr
 }
 
@@ -204,8 +204,8 @@
 	fleet      *membership.Fleet // nil: does not run
 	stop       chan struct{}
 	ended      chan struct{}
-	counts     *link.Counts
-	disk       clock.Disk // nil: keeps nothing
+	counts     *transport.Counts
+	disk       env.Disk // nil: keeps nothing
 }
 
 // NewVirtual makes a fleet of so many gateways, none of which runs.
@@ -215,7 +215,7 @@
 	for i := range n {
 		name := fmt.Sprintf("n%d", i+1)
 		v.all = append(v.all, name)
-		v.by[name] = &gateway{name: name, addr: fmt.Sprintf("10.%d.%d.%d:7946", i>>16, i>>8&255, i&255), counts: &link.Counts{}}
+		v.by[name] = &gateway{name: name, addr: fmt.Sprintf("10.%d.%d.%d:7946", i>>16, i>>8&255, i&255), counts: &transport.Counts{}}
 	}
 	return v
 }
@@ -241,7 +241,7 @@
 		for _, seed := range v.all[:min(v.seeds, len(v.all))] {
 			set.Seeds = append(set.Seeds, v.by[seed].addr)
 		}
-		g.counts = &link.Counts{}
+		g.counts = &transport.Counts{}
 		parts := membership.Parts{Log: v.Log.With("on", name), Now: time.Now, Count: g.counts,
 			Open: func() (memberlist.Transport, error) { return v.Net.Open(name, g.addr, g.counts) },
 			Tell: func(c view.Change, _ time.Time) {
@@ -304,11 +304,11 @@
 
 // Add adds a gateway beside the others, that does not run yet; as is the name that it claims, if not its own.
 func (v *Virtual) Add(name, as string) {
-	v.by[name] = &gateway{name: name, as: as, addr: fmt.Sprintf("10.9.9.%d:7946", len(v.by)%250+1), counts: &link.Counts{}}
+	v.by[name] = &gateway{name: name, as: as, addr: fmt.Sprintf("10.9.9.%d:7946", len(v.by)%250+1), counts: &transport.Counts{}}
 }
 
 // Keep gives a gateway a disk for whom it knew.
-func (v *Virtual) Keep(name string, disk clock.Disk) { v.by[name].disk = disk }
+func (v *Virtual) Keep(name string, disk env.Disk) { v.by[name].disk = disk }
 
 // Running are the names of gateways that run.
 func (v *Virtual) Running() (names []string) {
--- a/lab/fleet/virtual_test.go
+++ b/internal/lab/fleet/virtual_test.go
@@ -13,10 +13,10 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"foldslip/clock"
-	"foldslip/fleet/link"
-	"foldslip/fleet/membership"
-	"foldslip/fleet/view"
+	"foldslip/internal/env"
+	"foldslip/internal/fleet/membership"
+	"foldslip/internal/fleet/transport"
+	"foldslip/internal/fleet/view"
 )
 
 // logged keeps the log's lines.
@@ -52,7 +52,7 @@
 		}
 		v := NewVirtual(n, 1, set)
 		log := &logged{}
-		v.Log = slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug, ReplaceAttr: clock.Plain}))
+		v.Log = slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug, ReplaceAttr: env.Plain}))
 		defer v.End()
 		if err := v.Start(v.all...); err != nil {
 			t.Fatal(err)
@@ -274,7 +274,7 @@
 func TestAnotherVersionIsRefusedAndTold(t *testing.T) {
 	on(t, 3, func(t *testing.T, v *Virtual, log *logged) {
 		c := memberlist.DefaultLANConfig()
-		transport, err := v.Net.Open("old", "10.9.9.9:7946", &link.Counts{})
+		transport, err := v.Net.Open("old", "10.9.9.9:7946", &transport.Counts{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -313,7 +313,7 @@
 
 func TestWithoutSeedsTheFleetIsFoundFromDisk(t *testing.T) {
 	on(t, 5, func(t *testing.T, v *Virtual, log *logged) {
-		disk, err := clock.OpenFolder(t.TempDir())
+		disk, err := env.OpenFolder(t.TempDir())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/lab/scale/broadcast.go
+++ b/internal/lab/scale/broadcast.go
@@ -14,7 +14,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"foldslip/fleet/broadcast"
+	"foldslip/internal/fleet/broadcast"
 )
 
 // BroadcastOptions are of a run of the spreading of purges among gateways, on a virtual clock.
--- a/lab/scale/capacity.go
+++ b/internal/lab/scale/capacity.go
@@ -14,7 +14,7 @@
 	"gonum.org/v1/plot/vg"
 	"gonum.org/v1/plot/vg/draw"
 
-	"foldslip/lab/cost"
+	"foldslip/internal/lab/cost"
 )
 
 // Capacity is a figure of docs/CAPACITY.md with the line fitted through it.
--- a/lab/scale/capacity_test.go
+++ b/internal/lab/scale/capacity_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"foldslip/lab/cost"
+	"foldslip/internal/lab/cost"
 )
 
 func figure(budget, at float64, of func(n float64) float64, sizes ...float64) *Capacity {
@@ -79,7 +79,7 @@
 
 // The figures that docs/CAPACITY.md plans by can be read, each with its run.
 func TestTheFiguresKept(t *testing.T) {
-	all, err := CapacityOf("../../docs/capacity")
+	all, err := CapacityOf("../../../docs/capacity")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -12,12 +12,12 @@
 	"sync/atomic"
 	"time"
 
-	"foldslip/charter"
-	"foldslip/clock"
-	"foldslip/facade"
-	"foldslip/logic"
-	"foldslip/memory"
-	"foldslip/wire"
+	"foldslip/internal/dispatch"
+	"foldslip/internal/env"
+	"foldslip/internal/memory"
+	"foldslip/internal/policy"
+	"foldslip/internal/settings"
+	"foldslip/internal/wire"
 )
 
 const (
@@ -29,11 +29,11 @@
 // real TCP, put together as service.Run does. It has no door, no connections to caches, no list on disk, no routes and no part in a
 // fleet. Its goroutines end with Stop.
 type Hollow struct {
-	Router *facade.Facade
+	Router *dispatch.Facade
 	Caches *memory.Caches
 	Purges *memory.Purges
-	life   *clock.Life
-	group  clock.Group
+	life   *env.Life
+	group  env.Group
 }
 
 // HollowSpec is what a hollow gateway is told.
@@ -48,20 +48,20 @@
 }
 
 // StartHollow starts one on a ground.
-func StartHollow(g clock.Ground, s HollowSpec) (*Hollow, error) {
-	terms, err := charter.Read(s.Settings)
+func StartHollow(g env.Ground, s HollowSpec) (*Hollow, error) {
+	terms, err := settings.Read(s.Settings)
 	if err != nil {
 		return nil, err
 	}
-	h := &Hollow{Caches: &memory.Caches{}, life: clock.NewLife(nil), group: g.Group()}
+	h := &Hollow{Caches: &memory.Caches{}, life: env.NewLife(nil), group: g.Group()}
 	h.Purges = &memory.Purges{Clock: g, Grace: time.Duration(terms.PurgeGrace) * time.Microsecond, Keep: time.Duration(terms.Router.PurgeDone)*time.Microsecond + purgeSlack}
-	h.Router = facade.Start(g, s.Seed, terms.Router, nil)
+	h.Router = dispatch.Start(g, s.Seed, terms.Router, nil)
 	watch := wire.NewBulletin(g, s.Watch, terms, h.Router, h.Caches, h.Purges)
 	if err := watch.Known(s.Known); err != nil {
 		return nil, err
 	}
 	if s.Event != nil {
-		watch.Event = func(no int64, _ []facade.Purge) { s.Event(no) }
+		watch.Event = func(no int64, _ []dispatch.Purge) { s.Event(no) }
 	}
 	h.group.Go("bulletin", func() error { return watch.Follow(h.life) })
 	h.group.Go("tick", func() error { return h.tick(g) })
@@ -72,7 +72,7 @@
 }
 
 // tick brings the router its timers, as service does.
-func (h *Hollow) tick(g clock.Ground) error {
+func (h *Hollow) tick(g env.Ground) error {
 	end := g.Bell()
 	defer h.life.OnEnd(end.Ring)()
 	for !end.Wait(max(h.Router.Tick(nil, false, nil), time.Millisecond)) {
@@ -81,7 +81,7 @@
 }
 
 // trickle has lookups decided: each is picked and told satisfied at once, so that only the decision costs.
-func (h *Hollow) trickle(g clock.Ground, terms *charter.Terms, s HollowSpec) error {
+func (h *Hollow) trickle(g env.Ground, terms *settings.Terms, s HollowSpec) error {
 	end := g.Bell()
 	defer h.life.OnEnd(end.Ring)()
 	chance := rand.New(rand.NewPCG(s.Seed, 0x6c6f6f6b))
@@ -89,9 +89,9 @@
 		l := h.Router.Take(fmt.Sprintf("%016x", n), 0, fmt.Sprintf("%016x", chance.Uint64N(1000)), 0, 0, 449, g.Now().Add(terms.Budget(0, 449)))
 		for l != nil {
 			step := h.Router.Pick(l)
-			if step.What == facade.Send {
-				h.Router.Report(l, step.N, logic.Satisfied, logic.Hit, 0)
-			} else if step.What != facade.Cancel {
+			if step.What == dispatch.Send {
+				h.Router.Report(l, step.N, policy.Satisfied, policy.Hit, 0)
+			} else if step.What != dispatch.Cancel {
 				break
 			}
 		}
@@ -107,7 +107,7 @@
 
 // Ground is the system's ground with its connections counted, its log kept as counts of events, and its time at a pace.
 type Ground struct {
-	*clock.System
+	*env.System
 	pace Pace
 	log  *slog.Logger
 	// In and Out are payload bytes, Reads and Writes calls that moved any, Dials connections that came up.
@@ -117,7 +117,7 @@
 
 // NewGround makes one; many hollow gateways may share it.
 func NewGround(pace Pace) *Ground {
-	g := &Ground{System: &clock.System{}, pace: pace, tally: &tally{by: map[string]int64{}}}
+	g := &Ground{System: &env.System{}, pace: pace, tally: &tally{by: map[string]int64{}}}
 	g.log = slog.New(g.tally)
 	return g
 }
@@ -140,12 +140,12 @@
 func (g *Ground) Now() time.Time { return g.pace.Now() }
 
 // AfterFunc waits at the ground's pace.
-func (g *Ground) AfterFunc(d time.Duration, f func()) clock.Timer {
+func (g *Ground) AfterFunc(d time.Duration, f func()) env.Timer {
 	return g.System.AfterFunc(g.pace.span(d), f)
 }
 
 // Bell waits at the ground's pace.
-func (g *Ground) Bell() clock.Bell {
+func (g *Ground) Bell() env.Bell {
 	if g.pace.k == 1 {
 		return g.System.Bell()
 	}
@@ -153,7 +153,7 @@
 }
 
 // Dial connects as the system does.
-func (g *Ground) Dial(life *clock.Life, addr string, within time.Duration) (net.Conn, error) {
+func (g *Ground) Dial(life *env.Life, addr string, within time.Duration) (net.Conn, error) {
 	conn, err := g.System.Dial(life, addr, g.pace.span(within))
 	if err != nil {
 		return nil, err
--- a/lab/scale/pace.go
+++ b/internal/lab/scale/pace.go
@@ -4,7 +4,7 @@
 	"net"
 	"time"
 
-	"foldslip/clock"
+	"foldslip/internal/env"
 )
 
 // Pace is a clock that runs k times slower than the machine's. Gateways on it, and the stand-in that tells them events by it, need
@@ -46,7 +46,7 @@
 }
 
 type slowBell struct {
-	clock.Bell
+	env.Bell
 	pace Pace
 }
 
--- a/lab/scale/roles.go
+++ b/internal/lab/scale/roles.go
@@ -4,7 +4,7 @@
 	"encoding/binary"
 	"fmt"
 
-	"foldslip/fleet/broadcast"
+	"foldslip/internal/fleet/broadcast"
 )
 
 // spreaders make a mechanism's part of a gateway.
--- a/lab/scale/spread.go
+++ b/internal/lab/scale/spread.go
@@ -3,7 +3,7 @@
 import (
 	"math/rand/v2"
 
-	"foldslip/fleet/verdict"
+	"foldslip/internal/fleet/purgesync"
 )
 
 // told is a purge as a discovery watch tells it.
@@ -77,19 +77,19 @@
 // oldSpread is fleet/verdict as fleet/post carries it: a turn each 0.25 s, hellos to two gateways each 0.5 s, answers at once.
 type oldSpread struct {
 	g    *gateway
-	book *verdict.Book
+	book *purgesync.Book
 	due  int64
 	came uint64
 }
 
 func newOldSpread(g *gateway, now int64) spreader {
 	chance := rand.New(rand.NewPCG(g.run.o.Seed, uint64(g.i)<<32|uint64(g.life)))
-	return &oldSpread{g: g, book: verdict.New(verdict.Settings{Turn: oldHello, Keep: oldKeep}, chance, now), due: now + chance.Int64N(oldTurn)}
+	return &oldSpread{g: g, book: purgesync.New(purgesync.Settings{Turn: oldHello, Keep: oldKeep}, chance, now), due: now + chance.Int64N(oldTurn)}
 }
 
 func (s *oldSpread) own(last int64, numbers []int64, purges []told, now int64) {
 	for k, p := range purges {
-		s.book.Own(numbers[k], []verdict.Purge{{No: numbers[k], Object: p.Object, Group: p.Group, Issued: p.Issued}}, now)
+		s.book.Own(numbers[k], []purgesync.Purge{{No: numbers[k], Object: p.Object, Group: p.Group, Issued: p.Issued}}, now)
 	}
 	s.book.Own(last, nil, now)
 }
@@ -97,7 +97,7 @@
 func (s *oldSpread) see(int64) {}
 
 func (s *oldSpread) take(from int, b []byte, now int64) (heed []told) {
-	f, err := verdict.ReadFrame(b)
+	f, err := purgesync.ReadFrame(b)
 	if err != nil || !s.g.view.has(from) {
 		return nil
 	}
@@ -109,7 +109,7 @@
 		return heed
 	}
 	if more := s.book.Answer(f.Seen); len(more) > 0 {
-		s.g.send(from, verdict.Frame{From: uint64(s.g.i), Answer: true, Seen: s.book.Hello(), Purges: more}.Append(nil))
+		s.g.send(from, purgesync.Frame{From: uint64(s.g.i), Answer: true, Seen: s.book.Hello(), Purges: more}.Append(nil))
 	}
 	return heed
 }
@@ -128,7 +128,7 @@
 	}
 	r.scratch = live
 	for _, to := range s.book.Hellos(live, now) {
-		s.g.send(r.at[to], verdict.Frame{From: uint64(s.g.i), Seen: s.book.Hello()}.Append(nil))
+		s.g.send(r.at[to], purgesync.Frame{From: uint64(s.g.i), Seen: s.book.Hello()}.Append(nil))
 	}
 }
 
--- a/lab/scale/spread_new.go
+++ b/internal/lab/scale/spread_new.go
@@ -3,7 +3,7 @@
 import (
 	"math/rand/v2"
 
-	"foldslip/fleet/broadcast"
+	"foldslip/internal/fleet/broadcast"
 )
 
 // newSpread is fleet/broadcast.
--- a/lab/day/bulletin.go
+++ b/internal/lab/scenario/bulletin.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"bytes"
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"foldslip/lab/world"
+	"foldslip/internal/lab/simenv"
 )
 
 type event struct {
@@ -43,7 +43,7 @@
 func (d *Day) publish(e event) {
 	e.No, e.at = len(d.events)+1, d.w.Now()
 	d.events = append(d.events, e)
-	d.w.Note(world.StepPublish, "", "", int64(e.No))
+	d.w.Note(simenv.StepPublish, "", "", int64(e.No))
 	for _, b := range d.bulletins {
 		b.stir()
 	}
@@ -53,7 +53,7 @@
 type bulletin struct {
 	d     *Day
 	no    int
-	host  *world.Host
+	host  *simenv.Host
 	lag   time.Duration
 	mute  bool // stays open and says nothing
 	down  bool
@@ -73,7 +73,7 @@
 
 func (b *bulletin) serve() {
 	b.down = false
-	b.host.Serve("8500", func(e *world.End) world.Handler {
+	b.host.Serve("8500", func(e *simenv.End) simenv.Handler {
 		c := &bulletinConn{b: b, e: e, after: -1}
 		for _, g := range b.d.gateways {
 			if g.host == e.Peer {
@@ -126,7 +126,7 @@
 // bulletinConn is a gateway's connection to a bulletin.
 type bulletinConn struct {
 	b       *bulletin
-	e       *world.End
+	e       *simenv.End
 	l       *life
 	in      []byte
 	after   int // -1 until it is said
--- a/lab/day/cache.go
+++ b/internal/lab/scenario/cache.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"foldslip/lab/world"
+	"foldslip/internal/lab/simenv"
 )
 
 const (
@@ -24,7 +24,7 @@
 	d        *Day
 	id, zone string
 	flavor   string
-	host     *world.Host
+	host     *simenv.Host
 	size     float64
 	cell     int
 	started  time.Duration // a late start; 0: long ago
@@ -79,7 +79,7 @@
 func (c *cache) member(phase string) member {
 	since := int64(0)
 	if c.started > 0 {
-		since = world.Epoch.Add(c.started).UnixMilli()
+		since = simenv.Epoch.Add(c.started).UnixMilli()
 	}
 	return member{ID: c.id, HostPort: c.addr(), Locality: c.zone, Flavor: c.flavor, Cell: c.cell, Phase: phase, Size: c.size,
 		UpSince: since}
@@ -92,7 +92,7 @@
 	clear(c.copies)
 	c.work, c.running, c.filling = nil, 0, 0
 	c.fills = map[string]*fill{}
-	c.host.Serve("10080", func(e *world.End) world.Handler {
+	c.host.Serve("10080", func(e *simenv.End) simenv.Handler {
 		k := &cacheConn{c: c, e: e}
 		e.Arrived = k.arrived
 		if c.deaf {
--- a/lab/day/cache_conn.go
+++ b/internal/lab/scenario/cache_conn.go
@@ -1,19 +1,19 @@
 // A gateway's connection to a stand-in cache.
 
-package day
+package scenario
 
 import (
 	"bytes"
 	"strings"
 	"time"
 
-	"foldslip/lab/world"
+	"foldslip/internal/lab/simenv"
 )
 
 // cacheConn is a gateway's connection to a cache, seen from the cache.
 type cacheConn struct {
 	c      *cache
-	e      *world.End
+	e      *simenv.End
 	l      *life
 	in     []byte
 	open   map[string]*do
--- a/lab/day/cache_send.go
+++ b/internal/lab/scenario/cache_send.go
@@ -1,6 +1,6 @@
 // A send as it reaches a stand-in cache, read from its line.
 
-package day
+package scenario
 
 import (
 	"fmt"
--- a/lab/day/caller.go
+++ b/internal/lab/scenario/caller.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"fmt"
@@ -6,15 +6,15 @@
 	"strings"
 	"time"
 
-	"foldslip/lab/world"
+	"foldslip/internal/lab/simenv"
 )
 
 // proxy is a stand-in caller beside a gateway: it asks the gateway's door for each lookup, makes the send it is told, and
 // reports how it ended. Written from the door's contract (docs/external-processor.md). Its faults are what the days draw.
 type proxy struct {
 	d       *Day
-	g       *gateway
-	host    *world.Host
+	g       *gatewayActor
+	host    *simenv.Host
 	streams map[*errand]bool
 	age     int // it has been restarted so often
 	// one in so many, 0 none:
@@ -27,7 +27,7 @@
 	p       *proxy
 	age     int
 	a       *ask
-	e       *world.End
+	e       *simenv.End
 	out     []byte // written by the gateway and not a whole message
 	in      []byte
 	ends    []int // bytes to be arrived at the gateway, for each message
@@ -47,7 +47,7 @@
 	slow    bool // it was asked again long after it was told to
 }
 
-func newProxy(d *Day, g *gateway, no int) *proxy {
+func newProxy(d *Day, g *gatewayActor, no int) *proxy {
 	return &proxy{d: d, g: g, host: d.w.Host(fmt.Sprintf("10.0.%d.%d", 100+no, g.no+1), "gateways"), streams: map[*errand]bool{}}
 }
 
@@ -140,7 +140,7 @@
 		x.ends, x.phases = x.ends[1:], x.phases[1:]
 		if a.taken == 0 {
 			a.taken = d.w.Now()
-			d.w.Note(world.StepTaken, a.id, "", 0)
+			d.w.Note(simenv.StepTaken, a.id, "", 0)
 		}
 		if phase == 4 && x.s != nil {
 			d.ref.endSend(x.s)
--- a/lab/day/client.go
+++ b/internal/lab/scenario/client.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"foldslip/lab/world"
+	"foldslip/internal/lab/simenv"
 )
 
 const (
@@ -20,8 +20,8 @@
 type front struct {
 	d       *Day
 	on      bool
-	host    *world.Host
-	pool    map[*gateway][]*clientConn
+	host    *simenv.Host
+	pool    map[*gatewayActor][]*clientConn
 	asks    uint64
 	rate    float64 // multiplies the plan's
 	hot     string  // an object that half of all ask for
@@ -32,7 +32,7 @@
 }
 
 func newFront(d *Day) *front {
-	return &front{d: d, host: d.w.Host("10.200.0.1", "clients"), pool: map[*gateway][]*clientConn{}, rate: 1,
+	return &front{d: d, host: d.w.Host("10.200.0.1", "clients"), pool: map[*gatewayActor][]*clientConn{}, rate: 1,
 		tags: map[string]string{}}
 }
 
@@ -47,7 +47,7 @@
 func (f *front) shut() { f.on = false }
 
 // next brings the next lookup to a gateway, after a time by chance.
-func (f *front) next(g *gateway) {
+func (f *front) next(g *gatewayActor) {
 	gap := -math.Log(1-f.d.w.Chance.Float64()) / (f.d.Plan.Rate * f.rate)
 	f.d.after(time.Duration(gap*float64(time.Second)), func() {
 		if !f.on {
@@ -59,7 +59,7 @@
 }
 
 // lookup draws what is asked for.
-func (f *front) lookup(g *gateway) {
+func (f *front) lookup(g *gatewayActor) {
 	d := f.d
 	n, kind := d.chance(100), 0
 	for n >= kinds[kind].share {
@@ -90,7 +90,7 @@
 }
 
 // try asks a gateway, or another where that one is known to be away.
-func (f *front) try(g *gateway, a *ask) {
+func (f *front) try(g *gatewayActor, a *ask) {
 	d := f.d
 	for i := range d.gateways {
 		o := d.gateways[(g.no+i)%len(d.gateways)]
@@ -103,7 +103,7 @@
 	d.ref.ends["no gateway"]++
 }
 
-func (f *front) send(g *gateway, a *ask) {
+func (f *front) send(g *gatewayActor, a *ask) {
 	d := f.d
 	a.l = g.its
 	a.id = fmt.Sprintf("%016x", d.w.Chance.Uint64())
@@ -148,9 +148,9 @@
 // clientConn is a connection of a client; one lookup at a time.
 type clientConn struct {
 	f        *front
-	g        *gateway
+	g        *gatewayActor
 	l        *life
-	e        *world.End
+	e        *simenv.End
 	up       bool
 	closed   bool
 	split    bool // the network lost something on it
@@ -391,9 +391,9 @@
 // badClient is a connection that sends what it was made with and reads what comes.
 type badClient struct {
 	d    *Day
-	e    *world.End
+	e    *simenv.End
 	text []byte
-	g    *gateway
+	g    *gatewayActor
 }
 
 func (b *badClient) Opened() {
@@ -406,7 +406,7 @@
 func (b *badClient) Written(int, []byte) {}
 
 // bad sends one thing that no client should.
-func (f *front) bad(g *gateway, n int) {
+func (f *front) bad(g *gatewayActor, n int) {
 	d := f.d
 	id := fmt.Sprintf("%016x", d.w.Chance.Uint64())
 	head := "GET /call/segment/zz/part-0 HTTP/1.1\r\nHost: x\r\nX-Job-Id: " + id + "\r\n"
--- a/lab/day/day.go
+++ b/internal/lab/scenario/day.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"encoding/json"
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"foldslip/lab/world"
-	kept "foldslip/store/roster"
+	"foldslip/internal/lab/simenv"
+	kept "foldslip/internal/store/endpoints"
 )
 
 // What the location is like. Times are in the units of the settings, microseconds.
@@ -52,9 +52,9 @@
 // Day is a day while it is played.
 type Day struct {
 	Plan       Plan
-	w          *world.World
+	w          *simenv.World
 	ref        *referee
-	gateways   []*gateway
+	gateways   []*gatewayActor
 	caches     []*cache // edges, as the list has them now
 	parents    []*cache
 	origin     *cache
@@ -70,7 +70,7 @@
 	look       Look
 	yesterday  []kept.Cache
 	early      Early
-	proxies    map[*gateway]*proxy
+	proxies    map[*gatewayActor]*proxy
 	firstEdges []string // ids of the edges at the day's start
 }
 
@@ -117,7 +117,7 @@
 	if err := p.Check(); err != nil {
 		return Result{}, err
 	}
-	d := &Day{Plan: p, w: world.New(p.Seed), byID: map[string]*cache{}, reasons: map[string]int{}, zones: 1, look: look}
+	d := &Day{Plan: p, w: simenv.New(p.Seed), byID: map[string]*cache{}, reasons: map[string]int{}, zones: 1, look: look}
 	defer d.w.Close()
 	if p.Gateways > 4 {
 		d.zones = 2
@@ -125,7 +125,7 @@
 	d.w.Trace, d.w.Even = look.Trace, look.script != nil
 	d.ref = newReferee(d)
 	d.w.Quiet = d.ref.quiet
-	d.w.Crashed = func(proc *world.Proc, text string) { d.ref.broken("crash", "%s: %s", proc.Name, text) }
+	d.w.Crashed = func(proc *simenv.Proc, text string) { d.ref.broken("crash", "%s: %s", proc.Name, text) }
 	d.found(look)
 	end := warmup + time.Duration(p.Seconds)*time.Second
 	for _, f := range p.Faults {
@@ -177,11 +177,11 @@
 		d.story = slices.Delete(d.story, 0, 1)
 	}
 	d.story = append(d.story, fmt.Sprintf("%10.6f ", d.w.Now().Seconds())+fmt.Sprintf(format, a...))
-	d.w.Note(world.StepTell, "", format, 0)
+	d.w.Note(simenv.StepTell, "", format, 0)
 }
 
 // line is a line of a gateway's log.
-func (d *Day) line(p *world.Proc, level slog.Level, line string) {
+func (d *Day) line(p *simenv.Proc, level slog.Level, line string) {
 	name, rest, _ := strings.Cut(strings.TrimPrefix(line, "event="), " ")
 	key := name
 	if _, after, ok := strings.Cut(rest, "reason="); ok {
@@ -234,7 +234,7 @@
 		d.gateways = append(d.gateways, newGateway(d, i))
 	}
 	if d.Plan.proxied() || look.script != nil && look.script.door {
-		d.proxies = map[*gateway]*proxy{}
+		d.proxies = map[*gatewayActor]*proxy{}
 		for _, g := range d.gateways {
 			d.proxies[g] = newProxy(d, g, 0)
 		}
--- a/lab/day/door.go
+++ b/internal/lab/scenario/door.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"bufio"
@@ -12,12 +12,12 @@
 	"sync"
 	"time"
 
-	"foldslip/clock"
-	"foldslip/config"
-	"foldslip/door"
-	"foldslip/retry"
-	"foldslip/route"
-	"foldslip/service"
+	"foldslip/internal/config"
+	"foldslip/internal/env"
+	"foldslip/internal/extproc"
+	"foldslip/internal/gateway"
+	"foldslip/internal/retry"
+	"foldslip/internal/route"
 )
 
 // The door for other proxies on the virtual clock: the streams, the desk and the steps are the program's own (package door);
@@ -29,23 +29,23 @@
 var doorTable = []route.Rule{{Path: "/call/{kind}/{object}/part-{part}", Kind: "path:kind", Object: "path:object", Part: "path:part",
 	Group: "header:x-group", KB: "header:x-ram-kb", ID: "header:x-job-id", AllowMS: "header:x-allow-ms", Tag: "header:x-tag"}}
 
-var doorTerms = door.Terms{Streams: 200, Silent: 8 * time.Second, Messages: 400, Bytes: 200_000,
+var doorTerms = extproc.Terms{Streams: 200, Silent: 8 * time.Second, Messages: 400, Bytes: 200_000,
 	Desk: retry.Terms{Lookups: 256, Each: 200, AgainIn: 300 * time.Millisecond, Remember: 5 * time.Second}}
 
 // plainDoor is a service.Door on the lab's wire.
 type plainDoor struct {
-	*door.Door
-	g     clock.Ground
+	*extproc.Door
+	g     env.Ground
 	l     net.Listener
 	mu    sync.Mutex
 	conns map[net.Conn]int
 	count int
-	group clock.Group
+	group env.Group
 	plant doorPlant
 	d     *Day
 }
 
-func doorOf(in service.Inside, at string, d *Day) (*plainDoor, error) {
+func doorOf(in gateway.Inside, at string, d *Day) (*plainDoor, error) {
 	terms, plant := doorTerms, doorPlants[d.Plan.Plant]
 	if plant.terms != nil {
 		plant.terms(&in, &terms)
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &plainDoor{Door: door.New(in.Ground, in.Terms, in.Router, in.Caches, in.Purges, in.Room, table, terms), g: in.Ground, l: l,
+	return &plainDoor{Door: extproc.New(in.Ground, in.Terms, in.Router, in.Caches, in.Purges, in.Room, table, terms), g: in.Ground, l: l,
 		conns: map[net.Conn]int{}, group: in.Ground.Group(), plant: plant, d: d}, nil
 }
 
@@ -69,7 +69,7 @@
 	return len(p.conns)
 }
 
-func (p *plainDoor) Run(life *clock.Life) error {
+func (p *plainDoor) Run(life *env.Life) error {
 	defer life.OnEnd(func() {
 		p.l.Close()
 		p.mu.Lock()
@@ -97,7 +97,7 @@
 				host, _, _ := net.SplitHostPort(c.RemoteAddr().String())
 				w := &plainWire{c: c, in: bufio.NewReader(c), p: p}
 				err := p.Serve(w, host)
-				var why door.Ends
+				var why extproc.Ends
 				if errors.As(err, &why) {
 					c.SetWriteDeadline(p.g.Now().Add(100 * time.Millisecond))
 					fmt.Fprintf(c, "E%d\n\n", why)
@@ -129,16 +129,16 @@
 	p  *plainDoor
 }
 
-func (w *plainWire) Recv() (door.Message, error) {
+func (w *plainWire) Recv() (extproc.Message, error) {
 	first, err := w.in.ReadString('\n')
 	if err != nil {
-		return door.Message{}, err
+		return extproc.Message{}, err
 	}
 	phase, err := strconv.Atoi(strings.TrimSuffix(strings.TrimPrefix(first, "P"), "\n"))
 	if err != nil {
-		return door.Message{}, errors.New("a message that cannot be read")
+		return extproc.Message{}, errors.New("a message that cannot be read")
 	}
-	m, fields := door.Message{Phase: door.Phase(phase), Size: len(first)}, []string(nil)
+	m, fields := extproc.Message{Phase: extproc.Phase(phase), Size: len(first)}, []string(nil)
 	for {
 		line, err := w.in.ReadString('\n')
 		if m.Size += len(line); err != nil || m.Size > 64<<10 {
@@ -167,7 +167,7 @@
 	return m, nil
 }
 
-func (w *plainWire) Send(r door.Reply) error {
+func (w *plainWire) Send(r extproc.Reply) error {
 	var b strings.Builder
 	if r.Status != 0 {
 		fmt.Fprintf(&b, "F%d\n", r.Status)
@@ -193,43 +193,43 @@
 // doorPlant is a fault of the door, planted at its wire and its terms.
 type doorPlant struct {
 	help  string
-	terms func(in *service.Inside, t *door.Terms)
-	recv  func(d *Day, m *door.Message, fields []string)
-	send  func(d *Day, g clock.Ground, r door.Reply, text string) string
+	terms func(in *gateway.Inside, t *extproc.Terms)
+	recv  func(d *Day, m *extproc.Message, fields []string)
+	send  func(d *Day, g env.Ground, r extproc.Reply, text string) string
 }
 
 var doorPlants = map[string]doorPlant{
-	"door_reply_lost": {help: "a reply is not written", send: func(d *Day, _ clock.Ground, _ door.Reply, text string) string {
+	"door_reply_lost": {help: "a reply is not written", send: func(d *Day, _ env.Ground, _ extproc.Reply, text string) string {
 		if d.chance(60) == 0 {
 			return ""
 		}
 		return text
 	}},
-	"door_reply_twice": {help: "a reply is written twice", send: func(d *Day, _ clock.Ground, _ door.Reply, text string) string {
+	"door_reply_twice": {help: "a reply is written twice", send: func(d *Day, _ env.Ground, _ extproc.Reply, text string) string {
 		if d.chance(60) == 0 {
 			return text + text
 		}
 		return text
 	}},
-	"door_end_kept_back": {help: "a final answer is written near the deadline", send: func(d *Day, g clock.Ground, r door.Reply, text string) string {
+	"door_end_kept_back": {help: "a final answer is written near the deadline", send: func(d *Day, g env.Ground, r extproc.Reply, text string) string {
 		if r.Status == 503 && r.Wait > 0 {
 			g.Bell().Wait(1400 * time.Millisecond)
 		}
 		return text
 	}},
-	"door_purges_unheard": {help: "births of answers are not held against purges", terms: func(in *service.Inside, _ *door.Terms) { in.Purges = nil }},
-	"door_forgetful":      {help: "an ended lookup is forgotten at once", terms: func(_ *service.Inside, t *door.Terms) { t.Desk.Remember = 1 }},
-	"door_answer_never_ran": {help: "a send that brought its answer is taken for one that did not run", recv: func(d *Day, m *door.Message, fields []string) {
+	"door_purges_unheard": {help: "births of answers are not held against purges", terms: func(in *gateway.Inside, _ *extproc.Terms) { in.Purges = nil }},
+	"door_forgetful":      {help: "an ended lookup is forgotten at once", terms: func(_ *gateway.Inside, t *extproc.Terms) { t.Desk.Remember = 1 }},
+	"door_answer_never_ran": {help: "a send that brought its answer is taken for one that did not run", recv: func(d *Day, m *extproc.Message, fields []string) {
 		for i, f := range fields {
 			if f == "x-foldslip-end: hit" && d.chance(40) == 0 {
 				fields[i] = "x-foldslip-end: shed"
 			}
 		}
 	}},
-	"door_wait_untold": {help: "a nack does not say when to come back", send: func(_ *Day, _ clock.Ground, r door.Reply, text string) string {
+	"door_wait_untold": {help: "a nack does not say when to come back", send: func(_ *Day, _ env.Ground, r extproc.Reply, text string) string {
 		return strings.ReplaceAll(text, "x-wait-ms", "x-wait")
 	}},
-	"door_other_cache": {help: "a decision names another cache than the module's", send: func(d *Day, _ clock.Ground, _ door.Reply, text string) string {
+	"door_other_cache": {help: "a decision names another cache than the module's", send: func(d *Day, _ env.Ground, _ extproc.Reply, text string) string {
 		if d.chance(40) > 0 {
 			return text
 		}
--- a/lab/day/gateway.go
+++ b/internal/lab/scenario/gateway.go
@@ -1,38 +1,38 @@
-package day
+package scenario
 
 import (
 	"fmt"
 	"time"
 
-	"foldslip/clock"
-	"foldslip/facade"
-	"foldslip/lab/world"
-	"foldslip/logic"
-	"foldslip/service"
+	"foldslip/internal/dispatch"
+	"foldslip/internal/env"
+	"foldslip/internal/gateway"
+	"foldslip/internal/lab/simenv"
+	"foldslip/internal/policy"
 )
 
-// gateway is a place where a gateway runs, one life after another.
-type gateway struct {
+// gatewayActor is a place where a gateway runs, one life after another.
+type gatewayActor struct {
 	d        *Day
 	no, zone int
 	name, ip string
-	host     *world.Host
+	host     *simenv.Host
 	skew     time.Duration
 	bulletin int
 	memory   float64
 	fds      int
 	its      *life
 	lives    int
-	disk     *world.Disk
+	disk     *simenv.Disk
 	sides    map[uint64]side // configurations by version, on days of routes
 	barred   map[string]bool // caches that its list on disk knows to drain
 }
 
 // life is one process of a gateway, from its start to its end.
 type life struct {
-	g      *gateway
-	p      *world.Proc
-	its    *service.Gateway
+	g      *gatewayActor
+	p      *simenv.Proc
+	its    *gateway.Gateway
 	door   *plainDoor // where other proxies ask
 	began  time.Duration
 	ready  bool
@@ -46,17 +46,17 @@
 	looked time.Duration
 }
 
-func newGateway(d *Day, no int) *gateway {
-	g := &gateway{d: d, no: no, zone: no % d.zones, name: fmt.Sprintf("n%d", no), ip: fmt.Sprintf("10.0.%d.%d", no%d.zones, no+1),
+func newGateway(d *Day, no int) *gatewayActor {
+	g := &gatewayActor{d: d, no: no, zone: no % d.zones, name: fmt.Sprintf("n%d", no), ip: fmt.Sprintf("10.0.%d.%d", no%d.zones, no+1),
 		memory: d.Plan.MemoryMB, fds: d.Plan.FDs}
-	g.host, g.disk, g.barred = d.w.Host(g.ip, "gateways"), world.NewDisk(), map[string]bool{}
+	g.host, g.disk, g.barred = d.w.Host(g.ip, "gateways"), simenv.NewDisk(), map[string]bool{}
 	return g
 }
 
-func (g *gateway) addr() string { return g.ip + ":10080" }
+func (g *gatewayActor) addr() string { return g.ip + ":10080" }
 
 // config is the text of its configuration file now.
-func (g *gateway) config() []byte {
+func (g *gatewayActor) config() []byte {
 	items := append([]event{}, g.d.events...)
 	known := any(map[string]any{"no": len(g.d.events), "items": items})
 	if g.d.Plan.Morning != nil {
@@ -73,7 +73,7 @@
 }
 
 // start begins a life, if none is under way.
-func (g *gateway) start() {
+func (g *gatewayActor) start() {
 	if g.its != nil && !g.its.over {
 		return
 	}
@@ -91,14 +91,14 @@
 	}
 	g.its = l
 	g.host.Mute = false
-	l.p = &world.Proc{Name: fmt.Sprintf("%s.%d", g.name, g.lives), FDs: g.fds, Skew: g.skew,
+	l.p = &simenv.Proc{Name: fmt.Sprintf("%s.%d", g.name, g.lives), FDs: g.fds, Skew: g.skew,
 		Env_:  map[string]string{"ROUTER_CONFIG": "/config.json"},
 		Files: map[string][]byte{"/config.json": g.config()}, Line: d.line,
-		Done: func(_ *world.Proc, err error) { d.ref.ended(l, err) }}
+		Done: func(_ *simenv.Proc, err error) { d.ref.ended(l, err) }}
 	if d.Plan.Morning != nil {
 		g.morning(l.p)
 	}
-	watch := service.Watch{Up: func(its *service.Gateway) {
+	watch := gateway.Watch{Up: func(its *gateway.Gateway) {
 		if l.its, l.ready = its, true; its.Routes() != nil {
 			l.note()
 			l.forced[0].at = 0
@@ -114,19 +114,19 @@
 		g.routes(l.p)
 	}
 	if d.proxies != nil {
-		watch.Doors = func(in service.Inside) ([]service.Door, error) {
+		watch.Doors = func(in gateway.Inside) ([]gateway.Door, error) {
 			var err error
 			if l.door, err = doorOf(in, g.ip+":"+doorPort, d); err != nil {
 				return nil, err
 			}
-			return []service.Door{l.door}, nil
+			return []gateway.Door{l.door}, nil
 		}
 	}
-	var ground func(clock.Ground) clock.Ground
+	var ground func(env.Ground) env.Ground
 	if d.look.decided != nil {
-		watch.Between = func(h logic.Host, start func(logic.Host) facade.Module) facade.Module {
-			return start(&says{Host: h, fetch: func(h logic.Host, lk *logic.Lookup, to, source *logic.Cache, rank int, how logic.How,
-				patience, hush, oldest logic.Micros) {
+		watch.Between = func(h policy.Host, start func(policy.Host) dispatch.Module) dispatch.Module {
+			return start(&says{Host: h, fetch: func(h policy.Host, lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.How,
+				patience, hush, oldest policy.Micros) {
 				h.Fetch(lk, to, source, rank, how, patience, hush, oldest)
 				d.look.decided(d, l, to.Name)
 			}})
@@ -139,16 +139,16 @@
 		watch.Between, ground = p.make(d, l)
 	}
 	watch.Between = d.noting(l.p.Name, watch.Between)
-	d.w.Start(g.host, l.p, func(under clock.Ground) error {
+	d.w.Start(g.host, l.p, func(under env.Ground) error {
 		if ground != nil {
 			under = ground(under)
 		}
-		return service.Run(under, watch)
+		return gateway.Run(under, watch)
 	})
 }
 
 // kill ends the life at once; what it had taken is lost, and not owed.
-func (g *gateway) kill() {
+func (g *gatewayActor) kill() {
 	if l := g.its; l != nil && !l.over {
 		l.over, l.ended = true, g.d.w.Now()
 		l.p.Kill()
@@ -157,14 +157,14 @@
 }
 
 // term stops the gateway as the platform does, and starts it again if asked.
-func (g *gateway) term(again bool) {
+func (g *gatewayActor) term(again bool) {
 	l := g.its
 	if l == nil || l.over || l.term > 0 {
 		return
 	}
 	d := g.d
 	l.term = d.w.Now()
-	l.p.Signal(clock.Stop)
+	l.p.Signal(env.Stop)
 	longest := 3 * time.Second
 	for _, k := range kinds {
 		longest = max(longest, k.deadline)
@@ -183,17 +183,17 @@
 }
 
 // reread puts a file in place of the configuration and says so.
-func (g *gateway) reread(text []byte) {
+func (g *gatewayActor) reread(text []byte) {
 	if l := g.its; l != nil && !l.over && l.ready && l.term == 0 {
 		l.p.Files["/config.json"] = text
-		l.p.Signal(clock.Reread)
+		l.p.Signal(env.Reread)
 	}
 }
 
 // noting takes every decision of the module into the digest, before whoever else looks on.
-func (d *Day) noting(process string, between facade.Between) facade.Between {
-	return func(h logic.Host, start func(logic.Host) facade.Module) facade.Module {
-		under := func(h logic.Host) facade.Module { return start(&noted{Host: h, w: d.w, process: process}) }
+func (d *Day) noting(process string, between dispatch.Between) dispatch.Between {
+	return func(h policy.Host, start func(policy.Host) dispatch.Module) dispatch.Module {
+		under := func(h policy.Host) dispatch.Module { return start(&noted{Host: h, w: d.w, process: process}) }
 		if between == nil {
 			return under(h)
 		}
@@ -203,34 +203,34 @@
 
 // noted notes what the module decides.
 type noted struct {
-	logic.Host
-	w       *world.World
+	policy.Host
+	w       *simenv.World
 	process string
 }
 
-func (n *noted) note(lk *logic.Lookup, decision string, numbers ...logic.Micros) {
-	n.w.Note(world.StepDecision, n.process+" "+lk.Door+" "+decision, "", int64(len(numbers)))
+func (n *noted) note(lk *policy.Lookup, decision string, numbers ...policy.Micros) {
+	n.w.Note(simenv.StepDecision, n.process+" "+lk.Door+" "+decision, "", int64(len(numbers)))
 	for _, m := range numbers {
-		n.w.Note(world.StepDecision, "", "", int64(m))
+		n.w.Note(simenv.StepDecision, "", "", int64(m))
 	}
 }
 
-func (n *noted) Fetch(lk *logic.Lookup, to, source *logic.Cache, rank int, how logic.How, patience, hush, oldest logic.Micros) {
-	n.note(lk, "fetch "+to.Name+" "+source.Name, logic.Micros(rank), logic.Micros(how), patience, hush, oldest)
+func (n *noted) Fetch(lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.How, patience, hush, oldest policy.Micros) {
+	n.note(lk, "fetch "+to.Name+" "+source.Name, policy.Micros(rank), policy.Micros(how), patience, hush, oldest)
 	n.Host.Fetch(lk, to, source, rank, how, patience, hush, oldest)
 }
 
-func (n *noted) Cancel(lk *logic.Lookup, send int) {
-	n.note(lk, "cancel", logic.Micros(send))
+func (n *noted) Cancel(lk *policy.Lookup, send int) {
+	n.note(lk, "cancel", policy.Micros(send))
 	n.Host.Cancel(lk, send)
 }
 
-func (n *noted) Nack(lk *logic.Lookup, retryIn logic.Micros) {
+func (n *noted) Nack(lk *policy.Lookup, retryIn policy.Micros) {
 	n.note(lk, "reject", retryIn)
 	n.Host.Nack(lk, retryIn)
 }
 
-func (n *noted) Fail(lk *logic.Lookup) {
+func (n *noted) Fail(lk *policy.Lookup) {
 	n.note(lk, "fail")
 	n.Host.Fail(lk)
 }
--- a/lab/day/morning.go
+++ b/internal/lab/scenario/morning.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"encoding/json"
@@ -7,10 +7,10 @@
 	"slices"
 	"time"
 
-	"foldslip/lab/world"
-	"foldslip/store/keeper"
-	"foldslip/store/record"
-	kept "foldslip/store/roster"
+	"foldslip/internal/lab/simenv"
+	kept "foldslip/internal/store/endpoints"
+	"foldslip/internal/store/snapshot"
+	"foldslip/internal/store/wal"
 )
 
 // Morning is a day that begins without the bulletin. What of the list is wrong is drawn from the day's seed.
@@ -161,7 +161,7 @@
 	if m.From != "list" {
 		return
 	}
-	at := world.Epoch.Add(-time.Duration(m.Age-m.Skew) * time.Second).UnixMilli()
+	at := simenv.Epoch.Add(-time.Duration(m.Age-m.Skew) * time.Second).UnixMilli()
 	last := int64(1)
 	if m.Spans {
 		last = 500
@@ -175,7 +175,7 @@
 		if err != nil {
 			panic(err) // of our own plain types
 		}
-		rec, _, err := record.Open(g.disk, keeper.Name)
+		rec, _, err := wal.Open(g.disk, snapshot.Name)
 		if err != nil {
 			panic(err)
 		}
@@ -215,19 +215,19 @@
 }
 
 // morning sets a gateway's process up.
-func (g *gateway) morning(p *world.Proc) {
+func (g *gatewayActor) morning(p *simenv.Proc) {
 	if g.d.Plan.Morning.From != "list" && g.d.Plan.Morning.From != "wait" {
 		return
 	}
 	text, _ := json.Marshal(map[string]any{"list": map[string]any{"folder": listAt}})
 	p.Files[settingsAt] = append([]byte("// of this gateway\n"), text...)
 	p.Env_["FOLDSLIP_SETTINGS"] = settingsAt
-	p.Disks = map[string]*world.Disk{listAt: g.disk}
+	p.Disks = map[string]*simenv.Disk{listAt: g.disk}
 }
 
 // wake takes a machine up again: its power may have gone with the process. What the life before was told of drains, long
 // enough before its end to have it on disk, holds for the next one.
-func (g *gateway) wake(was *life) {
+func (g *gatewayActor) wake(was *life) {
 	d := g.d
 	if was == nil || g.disk == nil || d.Plan.Morning.From != "list" {
 		return
--- a/lab/day/plan.go
+++ b/internal/lab/scenario/plan.go
@@ -1,9 +1,9 @@
-// Package day plays days of trouble: gateways of the real program, with parties that are state machines, on a virtual
+// Package scenario plays days of trouble: gateways of the real program, with parties that are state machines, on a virtual
 // world, under faults drawn from a seed, watched by a referee that sees the wires and the true state of every party.
 //
 // A Plan is all that a day is made of; the same plan gives the same day, byte for byte. Play plays it, Shrink makes the
 // smallest plan that still breaks a rule. A day owns its world and everything in it, and leaves nothing behind.
-package day
+package scenario
 
 import (
 	"bytes"
--- a/lab/day/plant.go
+++ b/internal/lab/scenario/plant.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"bytes"
@@ -8,16 +8,16 @@
 	"slices"
 	"time"
 
-	"foldslip/clock"
-	"foldslip/facade"
-	"foldslip/logic"
+	"foldslip/internal/dispatch"
+	"foldslip/internal/env"
+	"foldslip/internal/policy"
 )
 
 // plant is a fault of the gateway itself, planted at its seams (its ground, or between facade and module) to prove that
 // the referee sees it. Nothing of this is in the gateway's own code.
 type plant struct {
 	help string
-	make func(d *Day, l *life) (facade.Between, func(clock.Ground) clock.Ground)
+	make func(d *Day, l *life) (dispatch.Between, func(env.Ground) env.Ground)
 }
 
 // Plants are the names of the faults that can be planted.
@@ -25,19 +25,19 @@
 
 // ground is a process's ground with some of it replaced.
 type ground struct {
-	clock.Ground
-	conn    func(c clock.Conn, dialled bool) clock.Conn
-	timer   func(t clock.Timer) clock.Timer
-	group   func(g clock.Group) clock.Group
-	signals func(hear func(clock.Signal)) func(clock.Signal)
+	env.Ground
+	conn    func(c env.Conn, dialled bool) env.Conn
+	timer   func(t env.Timer) env.Timer
+	group   func(g env.Group) env.Group
+	signals func(hear func(env.Signal)) func(env.Signal)
 	fds     func(n uint64) uint64
 	file    func(text []byte) []byte
 }
 
-func (g *ground) Dial(life *clock.Life, addr string, within time.Duration) (net.Conn, error) {
+func (g *ground) Dial(life *env.Life, addr string, within time.Duration) (net.Conn, error) {
 	c, err := g.Ground.Dial(life, addr, within)
 	if err == nil && g.conn != nil {
-		return g.conn(c.(clock.Conn), true), nil
+		return g.conn(c.(env.Conn), true), nil
 	}
 	return c, err
 }
@@ -50,7 +50,7 @@
 func (t tampered) Accept() (net.Conn, error) {
 	c, err := t.Listener.Accept()
 	if err == nil && t.g.conn != nil {
-		return t.g.conn(c.(clock.Conn), false), nil
+		return t.g.conn(c.(env.Conn), false), nil
 	}
 	return c, err
 }
@@ -64,7 +64,7 @@
 	return tampered{l, g}, err
 }
 
-func (g *ground) AfterFunc(d time.Duration, f func()) clock.Timer {
+func (g *ground) AfterFunc(d time.Duration, f func()) env.Timer {
 	t := g.Ground.AfterFunc(d, f)
 	if g.timer != nil {
 		return g.timer(t)
@@ -72,14 +72,14 @@
 	return t
 }
 
-func (g *ground) Group() clock.Group {
+func (g *ground) Group() env.Group {
 	if g.group != nil {
 		return g.group(g.Ground.Group())
 	}
 	return g.Ground.Group()
 }
 
-func (g *ground) Signals(hear func(clock.Signal)) func() {
+func (g *ground) Signals(hear func(env.Signal)) func() {
 	if g.signals != nil {
 		hear = g.signals(hear)
 	}
@@ -103,11 +103,11 @@
 
 // wired is a connection whose bytes or end are tampered with.
 type wired struct {
-	clock.Conn
-	write func(c clock.Conn, b []byte) (int, error)
+	env.Conn
+	write func(c env.Conn, b []byte) (int, error)
 	read  func(b []byte) []byte // of the same length
 	ended func()                // before the far side's end is told
-	close func(c clock.Conn) error
+	close func(c env.Conn) error
 }
 
 func (w *wired) Write(b []byte) (int, error) {
@@ -137,35 +137,35 @@
 
 // told stands before the module: it passes on what it is told, but for what a plant replaces.
 type told struct {
-	facade.Module
-	rows   func(rows []logic.Row) []logic.Row
+	dispatch.Module
+	rows   func(rows []policy.Row) []policy.Row
 	purged func() bool // whether a purge is passed on
 	ended  func() bool
-	within func(s *logic.Scope) *logic.Scope
+	within func(s *policy.Scope) *policy.Scope
 }
 
-func (t *told) Within(s *logic.Scope) {
+func (t *told) Within(s *policy.Scope) {
 	if t.within != nil {
 		s = t.within(s)
 	}
 	t.Module.Within(s)
 }
 
-func (t *told) Listed(now logic.Micros, what logic.ListKind, rows []logic.Row) {
+func (t *told) Listed(now policy.Micros, what policy.ListKind, rows []policy.Row) {
 	if t.rows != nil {
 		rows = t.rows(slices.Clone(rows))
 	}
 	t.Module.Listed(now, what, rows)
 }
 
-func (t *told) Purged(now logic.Micros, name string, group int, ago logic.Micros) {
+func (t *told) Purged(now policy.Micros, name string, group int, ago policy.Micros) {
 	if t.purged == nil || t.purged() {
 		t.Module.Purged(now, name, group, ago)
 	}
 }
 
-func (t *told) Ended(now logic.Micros, lk *logic.Lookup, n int, e logic.Ending, remark logic.Remark, took,
-	waited logic.Micros, closed bool) {
+func (t *told) Ended(now policy.Micros, lk *policy.Lookup, n int, e policy.Ending, remark policy.Remark, took,
+	waited policy.Micros, closed bool) {
 	if t.ended == nil || t.ended() {
 		t.Module.Ended(now, lk, n, e, remark, took, waited, closed)
 	}
@@ -173,12 +173,12 @@
 
 // says stands before the facade: it does what the module asks for, but for what a plant replaces.
 type says struct {
-	logic.Host
-	fetch func(h logic.Host, lk *logic.Lookup, to, source *logic.Cache, rank int, how logic.How, patience, hush, oldest logic.Micros)
-	nack  func(h logic.Host, lk *logic.Lookup, in logic.Micros)
+	policy.Host
+	fetch func(h policy.Host, lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.How, patience, hush, oldest policy.Micros)
+	nack  func(h policy.Host, lk *policy.Lookup, in policy.Micros)
 }
 
-func (s *says) Fetch(lk *logic.Lookup, to, source *logic.Cache, rank int, how logic.How, patience, hush, oldest logic.Micros) {
+func (s *says) Fetch(lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.How, patience, hush, oldest policy.Micros) {
 	if s.fetch != nil {
 		s.fetch(s.Host, lk, to, source, rank, how, patience, hush, oldest)
 		return
@@ -186,7 +186,7 @@
 	s.Host.Fetch(lk, to, source, rank, how, patience, hush, oldest)
 }
 
-func (s *says) Nack(lk *logic.Lookup, in logic.Micros) {
+func (s *says) Nack(lk *policy.Lookup, in policy.Micros) {
 	if s.nack != nil {
 		s.nack(s.Host, lk, in)
 		return
@@ -195,13 +195,13 @@
 }
 
 // onAnswers plants at the connections of clients, for one answer in so many.
-func onAnswers(one int, do func(d *Day, l *life, g clock.Ground, c clock.Conn, b []byte) (int, error)) func(*Day, *life) (
-	facade.Between, func(clock.Ground) clock.Ground) {
-	return onConns(func(d *Day, l *life, g clock.Ground, c clock.Conn, dialled bool) clock.Conn {
+func onAnswers(one int, do func(d *Day, l *life, g env.Ground, c env.Conn, b []byte) (int, error)) func(*Day, *life) (
+	dispatch.Between, func(env.Ground) env.Ground) {
+	return onConns(func(d *Day, l *life, g env.Ground, c env.Conn, dialled bool) env.Conn {
 		if dialled {
 			return c
 		}
-		return &wired{Conn: c, write: func(c clock.Conn, b []byte) (int, error) {
+		return &wired{Conn: c, write: func(c env.Conn, b []byte) (int, error) {
 			if bytes.HasPrefix(b, []byte("HTTP/1.1 ")) && d.chance(one) == 0 {
 				return do(d, l, g, c, b)
 			}
@@ -210,20 +210,20 @@
 	})
 }
 
-func onConns(do func(d *Day, l *life, g clock.Ground, c clock.Conn, dialled bool) clock.Conn) func(*Day, *life) (
-	facade.Between, func(clock.Ground) clock.Ground) {
-	return func(d *Day, l *life) (facade.Between, func(clock.Ground) clock.Ground) {
-		return nil, func(under clock.Ground) clock.Ground {
+func onConns(do func(d *Day, l *life, g env.Ground, c env.Conn, dialled bool) env.Conn) func(*Day, *life) (
+	dispatch.Between, func(env.Ground) env.Ground) {
+	return func(d *Day, l *life) (dispatch.Between, func(env.Ground) env.Ground) {
+		return nil, func(under env.Ground) env.Ground {
 			g := &ground{Ground: under}
-			g.conn = func(c clock.Conn, dialled bool) clock.Conn { return do(d, l, under, c, dialled) }
+			g.conn = func(c env.Conn, dialled bool) env.Conn { return do(d, l, under, c, dialled) }
 			return g
 		}
 	}
 }
 
 // leftLate plants that the end of a client's connection is heard late.
-func leftLate(by time.Duration) func(*Day, *life) (facade.Between, func(clock.Ground) clock.Ground) {
-	return onConns(func(_ *Day, _ *life, g clock.Ground, c clock.Conn, dialled bool) clock.Conn {
+func leftLate(by time.Duration) func(*Day, *life) (dispatch.Between, func(env.Ground) env.Ground) {
+	return onConns(func(_ *Day, _ *life, g env.Ground, c env.Conn, dialled bool) env.Conn {
 		if dialled {
 			return c
 		}
@@ -231,9 +231,9 @@
 	})
 }
 
-func onGround(change func(d *Day, g *ground)) func(*Day, *life) (facade.Between, func(clock.Ground) clock.Ground) {
-	return func(d *Day, _ *life) (facade.Between, func(clock.Ground) clock.Ground) {
-		return nil, func(under clock.Ground) clock.Ground {
+func onGround(change func(d *Day, g *ground)) func(*Day, *life) (dispatch.Between, func(env.Ground) env.Ground) {
+	return func(d *Day, _ *life) (dispatch.Between, func(env.Ground) env.Ground) {
+		return nil, func(under env.Ground) env.Ground {
 			g := &ground{Ground: under}
 			change(d, g)
 			return g
@@ -241,9 +241,9 @@
 	}
 }
 
-func onTold(change func(d *Day, l *life, t *told)) func(*Day, *life) (facade.Between, func(clock.Ground) clock.Ground) {
-	return func(d *Day, l *life) (facade.Between, func(clock.Ground) clock.Ground) {
-		return func(h logic.Host, start func(logic.Host) facade.Module) facade.Module {
+func onTold(change func(d *Day, l *life, t *told)) func(*Day, *life) (dispatch.Between, func(env.Ground) env.Ground) {
+	return func(d *Day, l *life) (dispatch.Between, func(env.Ground) env.Ground) {
+		return func(h policy.Host, start func(policy.Host) dispatch.Module) dispatch.Module {
 			t := &told{Module: start(h)}
 			change(d, l, t)
 			return t
@@ -251,9 +251,9 @@
 	}
 }
 
-func onSays(change func(d *Day, s *says)) func(*Day, *life) (facade.Between, func(clock.Ground) clock.Ground) {
-	return func(d *Day, _ *life) (facade.Between, func(clock.Ground) clock.Ground) {
-		return func(h logic.Host, start func(logic.Host) facade.Module) facade.Module {
+func onSays(change func(d *Day, s *says)) func(*Day, *life) (dispatch.Between, func(env.Ground) env.Ground) {
+	return func(d *Day, _ *life) (dispatch.Between, func(env.Ground) env.Ground) {
+		return func(h policy.Host, start func(policy.Host) dispatch.Module) dispatch.Module {
 			s := &says{Host: h}
 			change(d, s)
 			return start(s)
@@ -261,14 +261,14 @@
 	}
 }
 
-type stuckTimer struct{ clock.Timer }
+type stuckTimer struct{ env.Timer }
 
 func (stuckTimer) Stop() bool { return true }
 
 type leakyGroup struct {
-	clock.Group
+	env.Group
 	d *Day
-	g clock.Ground
+	g env.Ground
 }
 
 func (l leakyGroup) Go(name string, f func() error) {
@@ -282,26 +282,26 @@
 
 func init() {
 	plants = map[string]plant{
-		"answer_lost": {"an answer is not written", onAnswers(60, func(_ *Day, _ *life, _ clock.Ground, _ clock.Conn, b []byte) (int, error) {
+		"answer_lost": {"an answer is not written", onAnswers(60, func(_ *Day, _ *life, _ env.Ground, _ env.Conn, b []byte) (int, error) {
 			return len(b), nil
 		})},
-		"answer_twice": {"an answer is written twice", onAnswers(60, func(_ *Day, _ *life, _ clock.Ground, c clock.Conn, b []byte) (int, error) {
+		"answer_twice": {"an answer is written twice", onAnswers(60, func(_ *Day, _ *life, _ env.Ground, c env.Conn, b []byte) (int, error) {
 			c.Write(b)
 			return c.Write(b)
 		})},
-		"answer_late": {"an answer is held up past its time", onAnswers(60, func(_ *Day, _ *life, g clock.Ground, c clock.Conn, b []byte) (int, error) {
+		"answer_late": {"an answer is held up past its time", onAnswers(60, func(_ *Day, _ *life, g env.Ground, c env.Conn, b []byte) (int, error) {
 			g.Bell().Wait(5100 * time.Millisecond)
 			return c.Write(b)
 		})},
-		"answer_spoilt": {"a byte of an answer is changed", onAnswers(60, func(_ *Day, _ *life, _ clock.Ground, c clock.Conn, b []byte) (int, error) {
+		"answer_spoilt": {"a byte of an answer is changed", onAnswers(60, func(_ *Day, _ *life, _ env.Ground, c env.Conn, b []byte) (int, error) {
 			b = slices.Clone(b)
 			b[len(b)-1] ^= 1
 			return c.Write(b)
 		})},
-		"answer_mixed": {"an answer brings another's bytes", func() func(*Day, *life) (facade.Between, func(clock.Ground) clock.Ground) {
-			return func(d *Day, l *life) (facade.Between, func(clock.Ground) clock.Ground) {
+		"answer_mixed": {"an answer brings another's bytes", func() func(*Day, *life) (dispatch.Between, func(env.Ground) env.Ground) {
+			return func(d *Day, l *life) (dispatch.Between, func(env.Ground) env.Ground) {
 				var last []byte
-				return onAnswers(1, func(d *Day, _ *life, _ clock.Ground, c clock.Conn, b []byte) (int, error) {
+				return onAnswers(1, func(d *Day, _ *life, _ env.Ground, c env.Conn, b []byte) (int, error) {
 					was := last
 					if last = slices.Clone(b); was != nil && bytes.HasPrefix(b, []byte("HTTP/1.1 200")) && d.chance(80) == 0 {
 						c.Write(was)
@@ -311,11 +311,11 @@
 				})(d, l)
 			}
 		}()},
-		"nack_kept_back": {"a nack is written near the deadline", onConns(func(d *Day, _ *life, g clock.Ground, c clock.Conn, dialled bool) clock.Conn {
+		"nack_kept_back": {"a nack is written near the deadline", onConns(func(d *Day, _ *life, g env.Ground, c env.Conn, dialled bool) env.Conn {
 			if dialled {
 				return c
 			}
-			return &wired{Conn: c, write: func(c clock.Conn, b []byte) (int, error) {
+			return &wired{Conn: c, write: func(c env.Conn, b []byte) (int, error) {
 				if bytes.HasPrefix(b, []byte("HTTP/1.1 503 ")) && bytes.Contains(b, []byte("X-Wait-Ms")) {
 					g.Bell().Wait(1200 * time.Millisecond)
 				}
@@ -325,21 +325,21 @@
 		"leave_unheard": {"that a client left is heard 1.5 s late", leftLate(1500 * time.Millisecond)},
 		"leave_late":    {"that a client left is heard 0.2 s late", leftLate(200 * time.Millisecond)},
 		"drain_unheard": {"a drain does not reach the module", onTold(func(_ *Day, _ *life, t *told) {
-			t.rows = func(rows []logic.Row) []logic.Row {
+			t.rows = func(rows []policy.Row) []policy.Row {
 				for i := range rows {
-					if rows[i].State == logic.Draining {
-						rows[i].State = logic.Ready
+					if rows[i].State == policy.Draining {
+						rows[i].State = policy.Ready
 					}
 				}
 				return rows
 			}
 		})},
 		"gone_unheard": {"word that a cache has gone does not reach the module", onTold(func(_ *Day, _ *life, t *told) {
-			t.rows = func(rows []logic.Row) []logic.Row {
-				return slices.DeleteFunc(rows, func(r logic.Row) bool { return r.State != logic.Ready })
+			t.rows = func(rows []policy.Row) []policy.Row {
+				return slices.DeleteFunc(rows, func(r policy.Row) bool { return r.State != policy.Ready })
 			}
 		})},
-		"purge_unheard": {"recalls are read as of another object", onConns(func(_ *Day, _ *life, _ clock.Ground, c clock.Conn, _ bool) clock.Conn {
+		"purge_unheard": {"recalls are read as of another object", onConns(func(_ *Day, _ *life, _ env.Ground, c env.Conn, _ bool) env.Conn {
 			return &wired{Conn: c, read: func(b []byte) []byte {
 				for _, old := range []string{`"item":"s`, `"item":"p`} {
 					b = bytes.ReplaceAll(b, []byte(old), []byte(old[:len(old)-1]+"z"))
@@ -347,7 +347,7 @@
 				return b
 			}}
 		})},
-		"purge_late": {"the bulletin is read three seconds late", onConns(func(_ *Day, _ *life, g clock.Ground, c clock.Conn, dialled bool) clock.Conn {
+		"purge_late": {"the bulletin is read three seconds late", onConns(func(_ *Day, _ *life, g env.Ground, c env.Conn, dialled bool) env.Conn {
 			if !dialled || c.RemoteAddr().String()[:5] != "10.7." {
 				return c
 			}
@@ -359,7 +359,7 @@
 			}}
 		})},
 		"doubled_send": {"a side-effecting send goes out twice", onSays(func(_ *Day, s *says) {
-			s.fetch = func(h logic.Host, lk *logic.Lookup, to, source *logic.Cache, rank int, how logic.How, patience, hush, oldest logic.Micros) {
+			s.fetch = func(h policy.Host, lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.How, patience, hush, oldest policy.Micros) {
 				h.Fetch(lk, to, source, rank, how, patience, hush, oldest)
 				if oldest == 0 && rank == 0 && how == 0 {
 					h.Fetch(lk, to, source, rank, how, patience, hush, oldest)
@@ -367,15 +367,15 @@
 			}
 		})},
 		"two_at_once": {"an idempotent send goes out twice at once", onSays(func(d *Day, s *says) {
-			s.fetch = func(h logic.Host, lk *logic.Lookup, to, source *logic.Cache, rank int, how logic.How, patience, hush, oldest logic.Micros) {
+			s.fetch = func(h policy.Host, lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.How, patience, hush, oldest policy.Micros) {
 				h.Fetch(lk, to, source, rank, how, patience, hush, oldest)
 				if rank > 0 && d.chance(40) == 0 {
 					h.Fetch(lk, to, source, rank, how, patience, hush, oldest)
 				}
 			}
 		})},
-		"undo_unsaid": {"a send that is given up is not undone", onConns(func(_ *Day, _ *life, _ clock.Ground, c clock.Conn, dialled bool) clock.Conn {
-			return &wired{Conn: c, write: func(c clock.Conn, b []byte) (int, error) {
+		"undo_unsaid": {"a send that is given up is not undone", onConns(func(_ *Day, _ *life, _ env.Ground, c env.Conn, dialled bool) env.Conn {
+			return &wired{Conn: c, write: func(c env.Conn, b []byte) (int, error) {
 				if bytes.HasPrefix(b, []byte("undo ")) {
 					return len(b), nil
 				}
@@ -383,7 +383,7 @@
 			}}
 		})},
 		"cold_cache": {"the module is not told that a cache is cold", onTold(func(d *Day, l *life, t *told) {
-			t.rows = func(rows []logic.Row) []logic.Row {
+			t.rows = func(rows []policy.Row) []policy.Row {
 				for i := range rows {
 					if rows[i].Kind == 0 {
 						rows[i].Started = 0
@@ -397,8 +397,8 @@
 				return bytes.Replace(text, []byte(`"parent_ramp":21000000`), []byte(`"parent_ramp":1`), 1)
 			}
 		})},
-		"conn_leaked": {"a connection is not closed", onConns(func(d *Day, _ *life, _ clock.Ground, c clock.Conn, _ bool) clock.Conn {
-			return &wired{Conn: c, close: func(c clock.Conn) error {
+		"conn_leaked": {"a connection is not closed", onConns(func(d *Day, _ *life, _ env.Ground, c env.Conn, _ bool) env.Conn {
+			return &wired{Conn: c, close: func(c env.Conn) error {
 				if d.chance(20) == 0 {
 					return nil
 				}
@@ -406,30 +406,30 @@
 			}}
 		})},
 		"timer_leaked": {"timers are not stopped", onGround(func(d *Day, g *ground) {
-			g.timer = func(t clock.Timer) clock.Timer { return stuckTimer{t} }
+			g.timer = func(t env.Timer) env.Timer { return stuckTimer{t} }
 		})},
 		"goroutine_leaked": {"a goroutine stays", onGround(func(d *Day, g *ground) {
-			g.group = func(of clock.Group) clock.Group { return leakyGroup{of, d, g.Ground} }
+			g.group = func(of env.Group) env.Group { return leakyGroup{of, d, g.Ground} }
 		})},
 		"ending_untold": {"the module is not told how a send ended", onTold(func(d *Day, _ *life, t *told) {
 			t.ended = func() bool { return d.chance(100) > 0 }
 		})},
 		"stop_unheard": {"SIGTERM is not heard", onGround(func(_ *Day, g *ground) {
-			g.signals = func(hear func(clock.Signal)) func(clock.Signal) {
-				return func(s clock.Signal) {
-					if s != clock.Stop {
+			g.signals = func(hear func(env.Signal)) func(env.Signal) {
+				return func(s env.Signal) {
+					if s != env.Stop {
 						hear(s)
 					}
 				}
 			}
 		})},
 		"reread_ends": {"SIGHUP ends the gateway", onGround(func(_ *Day, g *ground) {
-			g.signals = func(hear func(clock.Signal)) func(clock.Signal) {
-				return func(s clock.Signal) { hear(clock.Stop) }
+			g.signals = func(hear func(env.Signal)) func(env.Signal) {
+				return func(s env.Signal) { hear(env.Stop) }
 			}
 		})},
 		"scope_lost": {"a lookup's scope does not reach the module", onTold(func(d *Day, _ *life, t *told) {
-			t.within = func(s *logic.Scope) *logic.Scope {
+			t.within = func(s *policy.Scope) *policy.Scope {
 				if d.chance(30) == 0 {
 					return nil
 				}
@@ -437,8 +437,8 @@
 			}
 		})},
 		"scope_mixed": {"a lookup has the scope of the one before it", onTold(func(_ *Day, _ *life, t *told) {
-			var last *logic.Scope
-			t.within = func(s *logic.Scope) *logic.Scope {
+			var last *policy.Scope
+			t.within = func(s *policy.Scope) *policy.Scope {
 				was := last
 				if last = s; was == nil {
 					was = s
@@ -447,7 +447,7 @@
 			}
 		})},
 		"wait_untold": {"a nack does not say when to come back", onSays(func(_ *Day, s *says) {
-			s.nack = func(h logic.Host, lk *logic.Lookup, _ logic.Micros) { h.Nack(lk, 0) }
+			s.nack = func(h policy.Host, lk *policy.Lookup, _ policy.Micros) { h.Nack(lk, 0) }
 		})},
 	}
 }
--- a/lab/day/referee.go
+++ b/internal/lab/scenario/referee.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"foldslip/lab/world"
+	"foldslip/internal/lab/simenv"
 )
 
 // referee sees the wires and the true state of every party, never the gateway's own view but for its counts, which
@@ -170,7 +170,7 @@
 		}
 	}
 	r.asks[a.id] = a
-	r.d.w.Note(world.StepAsk, a.id, "", 0)
+	r.d.w.Note(simenv.StepAsk, a.id, "", 0)
 }
 
 // took notes that a lookup has reached its gateway whole, and looks after its time.
@@ -346,7 +346,7 @@
 	s := &send{a: a, k: k, first: first, out: true, waits: true}
 	a.sends = append(a.sends, s)
 	k.out = append(k.out, s)
-	d.w.Note(world.StepSent, q.id, "", int64(len(a.sends)))
+	d.w.Note(simenv.StepSent, q.id, "", int64(len(a.sends)))
 	if d.look.sent != nil {
 		d.look.sent(d, k, q)
 	}
--- a/lab/day/routes.go
+++ b/internal/lab/scenario/routes.go
@@ -1,11 +1,11 @@
-package day
+package scenario
 
 import (
 	"time"
 
-	"foldslip/config/change"
-	"foldslip/lab/world"
-	"foldslip/route/pools"
+	"foldslip/internal/config/change"
+	"foldslip/internal/lab/simenv"
+	"foldslip/internal/route/pools"
 )
 
 // Days on which operators change the routes of gateways at any time: two configurations, left and right, of which neither leads to the
@@ -45,7 +45,7 @@
 }
 
 // routes sets a gateway's process up: its changes are kept on its disk.
-func (g *gateway) routes(p *world.Proc) {
+func (g *gatewayActor) routes(p *simenv.Proc) {
 	own := struct {
 		Folder string         `json:"folder"`
 		Guards *change.Guards `json:"guards,omitempty"`
@@ -59,7 +59,7 @@
 	}
 	p.Files[settingsAt] = must(map[string]any{"routing": own})
 	p.Env_["FOLDSLIP_SETTINGS"] = settingsAt
-	p.Disks = map[string]*world.Disk{routesAt: g.disk}
+	p.Disks = map[string]*simenv.Disk{routesAt: g.disk}
 }
 
 // note notes what is in force at a gateway from now on.
--- a/lab/day/stories_test.go
+++ b/internal/lab/scenario/stories_test.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"fmt"
--- a/lab/day/trials.go
+++ b/internal/lab/scenario/trials.go
@@ -1,11 +1,11 @@
-package day
+package scenario
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"time"
 
-	"foldslip/route/pools"
+	"foldslip/internal/route/pools"
 )
 
 // Trial is one change of routes, good or bad, tried on all gateways of a calm day: how soon its guards undo it, and what it costs.
