--- a/lab/day/twin.go
+++ b/internal/lab/scenario/twin.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"foldslip/facade"
-	"foldslip/logic"
+	"foldslip/internal/dispatch"
+	"foldslip/internal/policy"
 )
 
 // Twins: the same lookups and the same endings of their sends, at the same instants, once at a gateway and once at its door with a
@@ -94,41 +94,41 @@
 }
 
 // between notes every decision of the module.
-func (s *script) between(d *Day) facade.Between {
+func (s *script) between(d *Day) dispatch.Between {
 	note := func(format string, a ...any) {
 		s.told = append(s.told, fmt.Sprintf("%d us ", d.w.Now().Microseconds())+fmt.Sprintf(format, a...))
 		s.at = append(s.at, d.w.Now())
 	}
-	return func(h logic.Host, start func(logic.Host) facade.Module) facade.Module {
+	return func(h policy.Host, start func(policy.Host) dispatch.Module) dispatch.Module {
 		return start(&decisions{Host: h, s: s, d: d, note: note})
 	}
 }
 
 // decisions stands before the facade.
 type decisions struct {
-	logic.Host
+	policy.Host
 	s    *script
 	d    *Day
 	note func(format string, a ...any)
 }
 
-func (n *decisions) Fetch(lk *logic.Lookup, to, source *logic.Cache, rank int, how logic.How, patience, hush, oldest logic.Micros) {
+func (n *decisions) Fetch(lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.How, patience, hush, oldest policy.Micros) {
 	n.note("send %s to %s from %s rank %d how %d for %d oldest %d", lk.Door, to.Name, source.Name, rank, how, patience, oldest)
 	n.Host.Fetch(lk, to, source, rank, how, patience, hush, oldest)
 }
 
-func (n *decisions) Nack(lk *logic.Lookup, in logic.Micros) {
+func (n *decisions) Nack(lk *policy.Lookup, in policy.Micros) {
 	n.note("nack %s, again in %d", lk.Door, in)
 	n.Host.Nack(lk, in)
 }
 
-func (n *decisions) Fail(lk *logic.Lookup) {
+func (n *decisions) Fail(lk *policy.Lookup) {
 	n.note("fail %s", lk.Door)
 	n.Host.Fail(lk)
 }
 
 // Cancel gives a send up. A gateway takes it back at its cache, a caller cannot be called back: the contract's term.
-func (n *decisions) Cancel(lk *logic.Lookup, send int) {
+func (n *decisions) Cancel(lk *policy.Lookup, send int) {
 	n.s.differ(n.d.w.Now(), "cancelled")
 	n.Host.Cancel(lk, send)
 }
--- a/lab/world/disk.go
+++ b/internal/lab/simenv/disk.go
@@ -1,4 +1,4 @@
-package world
+package simenv
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"foldslip/store/record"
+	"foldslip/internal/store/wal"
 )
 
 // Disk is a folder whose machine may lose power: what was not synced is then there in part or not at all. It is a
@@ -120,7 +120,7 @@
 	return nil, &fs.PathError{Op: "open", Path: name, Err: fs.ErrNotExist}
 }
 
-func (d *Disk) Create(name string) (record.File, error) {
+func (d *Disk) Create(name string) (wal.File, error) {
 	if err := d.op(); err != nil {
 		return nil, err
 	}
@@ -166,7 +166,7 @@
 		return nil, err
 	}
 	if d.locked {
-		return nil, record.ErrLocked
+		return nil, wal.ErrLocked
 	}
 	d.locked = true
 	return func() { d.locked = false }, nil
--- a/lab/world/net.go
+++ b/internal/lab/simenv/net.go
@@ -1,4 +1,4 @@
-package world
+package simenv
 
 import (
 	"cmp"
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"foldslip/clock"
+	"foldslip/internal/env"
 )
 
 const (
@@ -252,7 +252,7 @@
 	return n
 }
 
-func (p *Proc) Direct(conn net.Conn) clock.Direct {
+func (p *Proc) Direct(conn net.Conn) env.Direct {
 	c, ok := conn.(*Conn)
 	if !ok { // someone stands between
 		return nil
@@ -478,7 +478,7 @@
 	return taken
 }
 
-func (p *Proc) Dial(life *clock.Life, to string, within time.Duration) (net.Conn, error) {
+func (p *Proc) Dial(life *env.Life, to string, within time.Duration) (net.Conn, error) {
 	w := p.w
 	w.lapse()
 	ip, port, _ := strings.Cut(to, ":")
--- a/lab/world/proc.go
+++ b/internal/lab/simenv/proc.go
@@ -1,4 +1,4 @@
-package world
+package simenv
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"foldslip/clock"
+	"foldslip/internal/env"
 )
 
 // Host is a machine: it has an address and, in the end, a fate.
@@ -111,12 +111,12 @@
 	blocks  int
 	blocked time.Duration // when a write last was
 	dialled time.Duration // when the last one ended
-	hear    func(clock.Signal)
+	hear    func(env.Signal)
 	logger  *slog.Logger
 }
 
 // Start makes a process and calls main in a goroutine of it.
-func (w *World) Start(h *Host, p *Proc, main func(g clock.Ground) error) *Proc {
+func (w *World) Start(h *Host, p *Proc, main func(g env.Ground) error) *Proc {
 	p.w, p.host, p.began = w, h, w.now
 	p.logger = slog.New(&handler{p: p})
 	w.procs = append(w.procs, p)
@@ -197,7 +197,7 @@
 }
 
 // Signal gives it a signal, if it hears them; without ears it ends.
-func (p *Proc) Signal(s clock.Signal) {
+func (p *Proc) Signal(s env.Signal) {
 	if !p.Alive() {
 		return
 	}
@@ -236,7 +236,7 @@
 	return false
 }
 
-func (p *Proc) AfterFunc(d time.Duration, f func()) clock.Timer {
+func (p *Proc) AfterFunc(d time.Duration, f func()) env.Timer {
 	p.timers++
 	return &timer{p, p.w.After(d, func() {
 		p.timers--
@@ -250,7 +250,7 @@
 	wait []*task
 }
 
-func (p *Proc) Bell() clock.Bell { return &bell{p: p} }
+func (p *Proc) Bell() env.Bell { return &bell{p: p} }
 
 func (b *bell) Ring() {
 	for len(b.wait) > 0 {
@@ -295,7 +295,7 @@
 	wait []*task
 }
 
-func (p *Proc) Group() clock.Group { return &group{p: p} }
+func (p *Proc) Group() env.Group { return &group{p: p} }
 
 func (g *group) Go(name string, f func() error) {
 	g.open++
@@ -325,7 +325,7 @@
 func (p *Proc) Env(name string) string { return p.Env_[name] }
 
 // Folder is the disk that the process's machine has at a path.
-func (p *Proc) Folder(path string) (clock.Disk, error) {
+func (p *Proc) Folder(path string) (env.Disk, error) {
 	d := p.Disks[path]
 	if d == nil {
 		return nil, &fs.PathError{Op: "mkdir", Path: path, Err: fs.ErrPermission}
@@ -341,7 +341,7 @@
 	return b, nil
 }
 
-func (p *Proc) Signals(hear func(clock.Signal)) (stop func()) {
+func (p *Proc) Signals(hear func(env.Signal)) (stop func()) {
 	p.hear = hear
 	return func() { p.hear = nil }
 }
--- a/lab/world/world.go
+++ b/internal/lab/simenv/world.go
@@ -1,4 +1,4 @@
-// Package world is a machine room without a machine: a clock that moves when all wait, goroutines that run one at a time,
+// Package simenv is a machine room without a machine: a clock that moves when all wait, goroutines that run one at a time,
 // and a network of hosts. The gateway's own network code runs in it unchanged, on a Proc, which is its clock.Ground.
 // Everything that is left open by the real thing (which goroutine goes first, which of two things at one instant, how a
 // message is cut) is drawn from one seed, so that a seed is a story that can be told again.
@@ -6,7 +6,7 @@
 // A goroutine of a process is a coroutine (iter.Pull): it runs until it waits at the seam, and gives the baton back.
 // Other parties are state machines that the world calls; they have no goroutines. A World belongs to one goroutine and
 // holds what its processes and connections hold; Close ends every coroutine.
-package world
+package simenv
 
 import (
 	"container/heap"
--- a/lab/world/world_test.go
+++ b/internal/lab/simenv/world_test.go
@@ -1,4 +1,4 @@
-package world
+package simenv
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"foldslip/clock"
+	"foldslip/internal/env"
 )
 
 // echo is a party that sends back what it gets.
@@ -33,15 +33,15 @@
 func (x echoed) Written(int, []byte) {}
 
 // room is a world with a process on one host and an echo on another.
-func room(t *testing.T, seed uint64, main func(g clock.Ground, dial func() (net.Conn, error))) (*World, *echo, *Proc) {
+func room(t *testing.T, seed uint64, main func(g env.Ground, dial func() (net.Conn, error))) (*World, *echo, *Proc) {
 	t.Helper()
 	w := New(seed)
 	t.Cleanup(w.Close)
 	w.Crashed = func(p *Proc, text string) { t.Error(text) }
 	x := &echo{}
 	w.Host("10.0.0.2", "far").Serve("80", func(e *End) Handler { x.e = e; return echoed{x, e} })
-	p := w.Start(w.Host("10.0.0.1", "near"), &Proc{Name: "p", FDs: 3}, func(g clock.Ground) error {
-		life := clock.NewLife(nil)
+	p := w.Start(w.Host("10.0.0.1", "near"), &Proc{Name: "p", FDs: 3}, func(g env.Ground) error {
+		life := env.NewLife(nil)
 		defer life.End()
 		main(g, func() (net.Conn, error) { return g.Dial(life, "10.0.0.2:80", time.Second) })
 		return nil
@@ -53,7 +53,7 @@
 	t.Run("what is written comes back whole, past any window, and the end is an EOF", func(t *testing.T) {
 		done := false
 		text := strings.Repeat("0123456789", 30000)
-		w, x, p := room(t, 1, func(g clock.Ground, dial func() (net.Conn, error)) {
+		w, x, p := room(t, 1, func(g env.Ground, dial func() (net.Conn, error)) {
 			c, err := dial()
 			if err != nil {
 				t.Error(err)
@@ -68,7 +68,7 @@
 			if err := all.Wait(); err != nil {
 				t.Error(err)
 			}
-			x := c.(clock.Conn)
+			x := c.(env.Conn)
 			x.CloseWrite()
 			if n, err := c.Read(got); err != io.EOF {
 				t.Errorf("%d, %v", n, err)
@@ -83,14 +83,14 @@
 	})
 	t.Run("errors are those of the net package", func(t *testing.T) {
 		met := 0
-		w, x, _ := room(t, 2, func(g clock.Ground, dial func() (net.Conn, error)) {
+		w, x, _ := room(t, 2, func(g env.Ground, dial func() (net.Conn, error)) {
 			is := func(what string, err, want error) {
 				met++
 				if !errors.Is(err, want) {
 					t.Errorf("%s: %v", what, err)
 				}
 			}
-			life := clock.NewLife(nil)
+			life := env.NewLife(nil)
 			_, err := g.Dial(life, "10.0.0.2:81", time.Second)
 			is("nobody listens", err, syscall.ECONNREFUSED)
 			_, err = g.Dial(life, "10.0.0.9:80", time.Second)
@@ -124,7 +124,7 @@
 	t.Run("a split holds bytes back, a heal brings them", func(t *testing.T) {
 		var at time.Duration
 		var w *World
-		w, _, _ = room(t, 3, func(g clock.Ground, dial func() (net.Conn, error)) {
+		w, _, _ = room(t, 3, func(g env.Ground, dial func() (net.Conn, error)) {
 			c, _ := dial()
 			g.Bell().Wait(2 * time.Second)
 			io.WriteString(c, "x")
@@ -141,7 +141,7 @@
 	})
 	t.Run("a reset at a byte lets the bytes before it through", func(t *testing.T) {
 		n, failed := 0, error(nil)
-		w, x, _ := room(t, 4, func(g clock.Ground, dial func() (net.Conn, error)) {
+		w, x, _ := room(t, 4, func(g env.Ground, dial func() (net.Conn, error)) {
 			c, _ := dial()
 			io.WriteString(c, "0123456789")
 			b := make([]byte, 10)
@@ -165,7 +165,7 @@
 	})
 	t.Run("a killed process says nothing more, and its peers see a reset", func(t *testing.T) {
 		ran := 0
-		w, x, p := room(t, 5, func(g clock.Ground, dial func() (net.Conn, error)) {
+		w, x, p := room(t, 5, func(g env.Ground, dial func() (net.Conn, error)) {
 			c, _ := dial()
 			defer func() { ran = 100 }() // a killed process runs nothing that shows
 			for {
@@ -185,7 +185,7 @@
 	})
 	t.Run("a deaf peer blocks a write until its deadline", func(t *testing.T) {
 		n, failed := 0, error(nil)
-		w, x, _ := room(t, 6, func(g clock.Ground, dial func() (net.Conn, error)) {
+		w, x, _ := room(t, 6, func(g env.Ground, dial func() (net.Conn, error)) {
 			c, _ := dial()
 			io.WriteString(c, "x")
 			g.Bell().Wait(time.Second)
@@ -204,7 +204,7 @@
 func TestBells(t *testing.T) {
 	t.Run("one ring wakes one, and a ring without waiters is kept", func(t *testing.T) {
 		woken, timely := 0, false
-		w, _, _ := room(t, 7, func(g clock.Ground, _ func() (net.Conn, error)) {
+		w, _, _ := room(t, 7, func(g env.Ground, _ func() (net.Conn, error)) {
 			b, all := g.Bell(), g.Group()
 			for range 3 {
 				all.Go("waiter", func() error {
@@ -229,7 +229,7 @@
 	})
 	t.Run("a stopped timer does not come, and says so once", func(t *testing.T) {
 		came := 0
-		w, _, p := room(t, 8, func(g clock.Ground, _ func() (net.Conn, error)) {
+		w, _, p := room(t, 8, func(g env.Ground, _ func() (net.Conn, error)) {
 			a := g.AfterFunc(time.Second, func() { came += 10 })
 			g.AfterFunc(2*time.Second, func() { came++ })
 			if !a.Stop() || a.Stop() {
@@ -243,7 +243,7 @@
 		}
 	})
 	t.Run("a wait outside the world's goroutines is a fault of the rig", func(t *testing.T) {
-		w, _, p := room(t, 9, func(clock.Ground, func() (net.Conn, error)) {})
+		w, _, p := room(t, 9, func(env.Ground, func() (net.Conn, error)) {})
 		w.Run(time.Second)
 		defer func() {
 			if recover() == nil {
@@ -258,7 +258,7 @@
 func TestSeeds(t *testing.T) {
 	run := func(seed uint64) (string, uint64) {
 		order := ""
-		w, _, _ := room(t, seed, func(g clock.Ground, _ func() (net.Conn, error)) {
+		w, _, _ := room(t, seed, func(g env.Ground, _ func() (net.Conn, error)) {
 			for _, name := range []string{"a", "b", "c", "d"} {
 				g.AfterFunc(time.Second, func() { order += name })
 			}
@@ -284,7 +284,7 @@
 // The digest tells apart what a process does, not what it calls things.
 func TestDigestHoldsActionsAndNoText(t *testing.T) {
 	run := func(data, logLine, goroutine string, after time.Duration) uint64 {
-		w, _, _ := room(t, 1, func(g clock.Ground, dial func() (net.Conn, error)) {
+		w, _, _ := room(t, 1, func(g env.Ground, dial func() (net.Conn, error)) {
 			c, err := dial()
 			if err != nil {
 				t.Error(err)
--- a/limit/limit.go
+++ b/internal/limit/limit.go
@@ -12,7 +12,7 @@
 
 	"golang.org/x/time/rate"
 
-	"foldslip/memory"
+	"foldslip/internal/memory"
 )
 
 // Terms are the limits of one thing. Zero is no limit.
--- a/memory/cost_test.go
+++ b/internal/memory/cost_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"foldslip/lab/cost"
+	"foldslip/internal/lab/cost"
 )
 
 var costs = cost.Flags("./memory")
--- a/memory/memory.go
+++ b/internal/memory/memory.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
-	"foldslip/clock"
-	"foldslip/logic"
+	"foldslip/internal/env"
+	"foldslip/internal/policy"
 )
 
 // Buffer is the one buffer of a connection: it grows as needed and is compacted in place.
@@ -55,7 +55,7 @@
 // Cache is a server of the list as the network needs it.
 type Cache struct {
 	ID, Addr string
-	Its      *logic.Cache
+	Its      *policy.Cache
 }
 
 // Caches are the servers told of, by id. Ids of those gone are forgotten: a return is a new cache.
@@ -73,7 +73,7 @@
 	}
 	k := c.by[id]
 	if k == nil {
-		k = &Cache{ID: id, Its: logic.NewCache(id)}
+		k = &Cache{ID: id, Its: policy.NewCache(id)}
 		c.by[id] = k
 	}
 	if addr != "" && addr != k.Addr {
@@ -119,7 +119,7 @@
 type Purges struct {
 	Keep    time.Duration
 	Grace   time.Duration // to heed a purge
-	Clock   clock.Ground
+	Clock   env.Ground
 	mu      sync.Mutex
 	objects map[string][]purge
 	groups  map[int][]purge
@@ -210,7 +210,7 @@
 
 // Room bounds the lookups open at once, shared out among those who hold them, and the bytes of answers held for them.
 type Room struct {
-	Clock  clock.Ground
+	Clock  env.Ground
 	mu     sync.Mutex // of shares
 	shares *Shares
 	most   int64
@@ -224,7 +224,7 @@
 }
 
 // NewRoom makes room for so many lookups and so many bytes.
-func NewRoom(g clock.Ground, lookups int, bytes int64) *Room {
+func NewRoom(g env.Ground, lookups int, bytes int64) *Room {
 	return &Room{Clock: g, shares: NewShares(lookups), most: bytes}
 }
 
--- a/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -10,7 +10,7 @@
 	"testing/iotest"
 	"time"
 
-	"foldslip/clock"
+	"foldslip/internal/env"
 )
 
 func TestBuffer(t *testing.T) {
@@ -48,7 +48,7 @@
 }
 
 func TestPurges(t *testing.T) {
-	p := &Purges{Keep: time.Hour, Grace: -1, Clock: clock.NewSystem(io.Discard, 0)}
+	p := &Purges{Keep: time.Hour, Grace: -1, Clock: env.NewSystem(io.Discard, 0)}
 	at := time.Now()
 	p.Note("a", 0, at)
 	p.Note("a", 0, at.Add(-time.Second)) // told late, of an earlier one
@@ -70,7 +70,7 @@
 
 // later is a clock that the story moves.
 type later struct {
-	clock.Ground
+	env.Ground
 	now time.Time
 }
 
@@ -124,7 +124,7 @@
 }
 
 func TestRoom(t *testing.T) {
-	r := NewRoom(clock.NewSystem(io.Discard, slog.LevelInfo), 1, 100)
+	r := NewRoom(env.NewSystem(io.Discard, slog.LevelInfo), 1, 100)
 	in := r.For("clients", 1)
 	if !in.Enter() || in.Enter() {
 		t.Error("one place, but not one entered")
--- a/memory/size_test.go
+++ b/internal/memory/size_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"foldslip/clock"
+	"foldslip/internal/env"
 )
 
 // A probe of purges at size: it documents the cost as it stands (docs/CAPACITY.md) and prints; times are of this machine.
@@ -21,7 +21,7 @@
 
 // still is a ground whose time is set.
 type still struct {
-	clock.Ground
+	env.Ground
 	now time.Time
 }
 
--- a/logic/cost_test.go
+++ b/internal/policy/cost_test.go
@@ -1,10 +1,10 @@
-package logic
+package policy
 
 import (
 	"fmt"
 	"testing"
 
-	"foldslip/lab/cost"
+	"foldslip/internal/lab/cost"
 )
 
 var costs = cost.Flags("./logic")
--- a/logic/edge.go
+++ b/internal/policy/edge.go
@@ -1,6 +1,6 @@
 // The choice of the edge cache: rendezvous order, limits of open sends, what an ending tells of the cache.
 
-package logic
+package policy
 
 import (
 	"cmp"
--- a/logic/fake_test.go
+++ b/internal/policy/fake_test.go
@@ -1,4 +1,4 @@
-package logic
+package policy
 
 import (
 	"fmt"
--- a/logic/fills.go
+++ b/internal/policy/fills.go
@@ -1,6 +1,6 @@
 // The source of a fill, and the limit of fills that are open at once.
 
-package logic
+package policy
 
 import (
 	"math"
--- a/logic/host.go
+++ b/internal/policy/host.go
@@ -1,4 +1,4 @@
-package logic
+package policy
 
 // Micros is a time or a span in whole microseconds.
 type Micros = int64
--- a/logic/logic.go
+++ b/internal/policy/logic.go
@@ -1,11 +1,11 @@
-// Package logic decides for one router: which cache, which source, which rank, how long, what is given up.
+// Package policy decides for one router: which cache, which source, which rank, how long, what is given up.
 // The front end (an adapter or a gateway) makes a Router with Start, caches with NewCache, and tells it what
 // happens and when; it answers through Host (host.go; plain types in state.go). One call at a time. A lookup
 // goes down the chain intake > copies > edge > parent > dispatch as the draft of a send. A stage
 // passes it on, keeps it (held) or ends it; what comes back runs the same stages in reverse.
 // Choice of the edge: edge.go; of the source, and fills: fills.go; slow start of cold caches: slowstart.go;
 // outlier ejection: outlier.go; load shedding: shedding.go. Sums and hashes without a decision: measure.go.
-package logic
+package policy
 
 import (
 	"maps"
--- a/logic/measure.go
+++ b/internal/policy/measure.go
@@ -1,6 +1,6 @@
 // Sums that decay, chance and hashes: no decision and no tuned value stands here.
 
-package logic
+package policy
 
 import (
 	"fmt"
--- a/logic/outlier.go
+++ b/internal/policy/outlier.go
@@ -1,6 +1,6 @@
 // Outlier ejection: which cache is out of use, its probes, and when it is readmitted.
 
-package logic
+package policy
 
 import (
 	"fmt"
--- a/logic/shedding.go
+++ b/internal/policy/shedding.go
@@ -1,6 +1,6 @@
 // Load shedding: which held lookup goes first, and which is given up.
 
-package logic
+package policy
 
 import (
 	"cmp"
--- a/logic/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -1,6 +1,6 @@
 // Slow start: what a cache that started lately may be sent (rule 4).
 
-package logic
+package policy
 
 const (
 	coldAfter  = 3 * second // a parent out for longer may have started anew
--- a/retry/retry.go
+++ b/internal/retry/retry.go
@@ -18,11 +18,11 @@
 	"sync/atomic"
 	"time"
 
-	"foldslip/facade"
-	"foldslip/logic"
-	"foldslip/memory"
-	"foldslip/route"
-	"foldslip/route/steer"
+	"foldslip/internal/dispatch"
+	"foldslip/internal/memory"
+	"foldslip/internal/policy"
+	"foldslip/internal/route"
+	"foldslip/internal/route/rollout"
 )
 
 // Terms are the bounds of a desk.
@@ -45,8 +45,8 @@
 type Say struct {
 	To   *Stream
 	What What
-	Send facade.Step // where What is Go
-	Of   *Lookup     // likewise
+	Send dispatch.Step // where What is Go
+	Of   *Lookup       // likewise
 	Wait time.Duration
 }
 
@@ -82,9 +82,9 @@
 type Tell struct {
 	Of     *Lookup
 	N      int
-	How    logic.Ending
-	Remark logic.Remark
-	Waited logic.Micros
+	How    policy.Ending
+	Remark policy.Remark
+	Waited policy.Micros
 }
 
 // Do is what is to be done now, in this order.
@@ -113,20 +113,20 @@
 // Lookup is a lookup between its first ask and some time after its end.
 type Lookup struct {
 	Key    string // caller and id
-	Lk     *facade.Lookup
+	Lk     *dispatch.Lookup
 	Object string // as the door read it, for what it checks of answers
 	Group  int
 	Tag    string
 	Asked  *route.Asked
 	Trace  any // the door's own
 	Places *memory.Places
-	Pass   *steer.Pass // nil: it came by no route
+	Pass   *rollout.Pass // nil: it came by no route
 	Came   time.Time
 	busy   atomic.Int32
 	who    string
 	at     stage
 	on     *Stream // that waits for an answer, or makes the send
-	step   facade.Step
+	step   dispatch.Step
 	n      int       // of the send that is handed
 	due    time.Time // by then its caller must have come
 	until  time.Time // its own time is over
@@ -192,7 +192,7 @@
 // Handed is how many sends are at their callers, or decided and not asked for yet.
 func (d *Desk) Handed() (n int) {
 	for _, lk := range d.by { // a sum: the order does not matter
-		if lk.at == handed || lk.at == waiting && lk.step.What == facade.Send {
+		if lk.at == handed || lk.at == waiting && lk.step.What == dispatch.Send {
 			n++
 		}
 	}
@@ -217,7 +217,7 @@
 	case lk.at == handed:
 		at = lk.until
 	case lk.on != nil && !lk.late:
-		at = lk.until.Add(facade.LateBy)
+		at = lk.until.Add(dispatch.LateBy)
 	}
 	switch lk.wake = at; {
 	case at.IsZero() && lk.index > 0:
@@ -287,25 +287,25 @@
 }
 
 // Step is the router's next step of a lookup.
-func (d *Desk) Step(now time.Time, lk *Lookup, s facade.Step) (do Do) {
+func (d *Desk) Step(now time.Time, lk *Lookup, s dispatch.Step) (do Do) {
 	switch {
 	case lk.at == over:
-		if s.What == facade.Send { // it was decided before the end was told
-			do.Tell = append(do.Tell, Tell{Of: lk, N: s.N, How: logic.NeverSent})
+		if s.What == dispatch.Send { // it was decided before the end was told
+			do.Tell = append(do.Tell, Tell{Of: lk, N: s.N, How: policy.NeverSent})
 		}
-	case s.What == facade.Cancel:
+	case s.What == dispatch.Cancel:
 		// The send is at its caller, which cannot be called back: it ends with its report, or with its stream. One not handed
 		// yet is taken back.
-		if lk.at == waiting && lk.step.What == facade.Send && lk.step.N == s.N {
+		if lk.at == waiting && lk.step.What == dispatch.Send && lk.step.N == s.N {
 			lk.at = deciding
-			do.Tell = append(do.Tell, Tell{Of: lk, N: s.N, How: logic.NeverSent})
+			do.Tell = append(do.Tell, Tell{Of: lk, N: s.N, How: policy.NeverSent})
 		}
 	default:
 		switch { // an end while a send is out, as at the gateway's stop: nobody hears of that send any more
 		case lk.at == handed:
-			do.Tell = append(do.Tell, Tell{Of: lk, N: lk.n, How: logic.Cancelled})
-		case lk.at == waiting && lk.step.What == facade.Send:
-			do.Tell = append(do.Tell, Tell{Of: lk, N: lk.step.N, How: logic.NeverSent})
+			do.Tell = append(do.Tell, Tell{Of: lk, N: lk.n, How: policy.Cancelled})
+		case lk.at == waiting && lk.step.What == dispatch.Send:
+			do.Tell = append(do.Tell, Tell{Of: lk, N: lk.step.N, How: policy.NeverSent})
 		}
 		lk.step, lk.at = s, waiting
 		d.speak(now, lk, &do)
@@ -319,21 +319,21 @@
 	if lk.at != waiting {
 		return
 	}
-	if lk.step.What == facade.Send && lk.on != nil && lk.asked { // that stream's send is over: the next needs an ask of its own
+	if lk.step.What == dispatch.Send && lk.on != nil && lk.asked { // that stream's send is over: the next needs an ask of its own
 		do.say(lk.on, Again)
 		lk.on.its, lk.on, lk.asked = nil, nil, false
 	}
-	if lk.on == nil && lk.step.What == facade.Send {
+	if lk.on == nil && lk.step.What == dispatch.Send {
 		lk.due = now.Add(d.terms.AgainIn)
 		return
 	}
 	s := lk.step
-	if s.What == facade.Send {
+	if s.What == dispatch.Send {
 		lk.at, lk.n = handed, s.N
 		do.Say = append(do.Say, Say{To: lk.on, What: Go, Send: s, Of: lk})
 		return
 	}
-	end := map[facade.What]What{facade.Satisfied: Accepted, facade.Nacked: Nack, facade.Failed: Fail, facade.Departed: Fail}[s.What]
+	end := map[dispatch.What]What{dispatch.Satisfied: Accepted, dispatch.Nacked: Nack, dispatch.Failed: Fail, dispatch.Departed: Fail}[s.What]
 	lk.wait = time.Duration(s.RetryIn) * time.Microsecond
 	if lk.on != nil {
 		do.Say = append(do.Say, Say{To: lk.on, What: end, Wait: lk.wait})
@@ -344,16 +344,16 @@
 
 // Report is a caller's word how the send on a stream ended. What follows is said once the module has decided: that its answer
 // is the lookup's, that it is to ask again, or the end.
-func (d *Desk) Report(now time.Time, on *Stream, how logic.Ending, remark logic.Remark, waited logic.Micros) (do Do) {
+func (d *Desk) Report(now time.Time, on *Stream, how policy.Ending, remark policy.Remark, waited policy.Micros) (do Do) {
 	lk := on.its
 	if lk == nil || lk.at != handed || lk.on != on {
 		d.Odd["report_of_nothing"]++
 		do.say(on, Disorder)
 		return do
 	}
-	if how == logic.Cancelled || how < logic.Satisfied || how > logic.Missed || remark < logic.Untold || remark > logic.OriginFailed {
+	if how == policy.Cancelled || how < policy.Satisfied || how > policy.Missed || remark < policy.Untold || remark > policy.OriginFailed {
 		d.Odd["report_unknown"]++ // it may have run
-		how, remark = logic.Errored, logic.Untold
+		how, remark = policy.Errored, policy.Untold
 	}
 	lk.at, lk.asked = deciding, true // the module has the word; the stream waits for it
 	d.arm(lk)
@@ -373,7 +373,7 @@
 	case handed: // it may have reached its cache
 		d.Odd["stream_ended_with_send"]++
 		lk.at = deciding
-		do.Tell = append(do.Tell, Tell{Of: lk, N: lk.n, How: logic.Cancelled}) // the caller's doing: it may have run, and is no word of the cache
+		do.Tell = append(do.Tell, Tell{Of: lk, N: lk.n, How: policy.Cancelled}) // the caller's doing: it may have run, and is no word of the cache
 		lk.due = now.Add(d.terms.AgainIn)
 	case deciding, waiting: // nobody waits for a first word any more
 		d.leave(now, lk, &do)
@@ -384,8 +384,8 @@
 
 // leave gives a lookup up for its client.
 func (d *Desk) leave(now time.Time, lk *Lookup, do *Do) {
-	if lk.at == waiting && lk.step.What == facade.Send {
-		do.Tell = append(do.Tell, Tell{Of: lk, N: lk.step.N, How: logic.NeverSent})
+	if lk.at == waiting && lk.step.What == dispatch.Send {
+		do.Tell = append(do.Tell, Tell{Of: lk, N: lk.step.N, How: policy.NeverSent})
 	}
 	do.Leave = append(do.Leave, lk)
 	d.finish(now, lk, Fail)
@@ -427,7 +427,7 @@
 		lk := d.wakes[0]
 		if lk.at == handed { // its caller never reported
 			d.Odd["never_reported"]++
-			do.Tell = append(do.Tell, Tell{Of: lk, N: lk.n, How: logic.TimedOut})
+			do.Tell = append(do.Tell, Tell{Of: lk, N: lk.n, How: policy.TimedOut})
 			lk.at = deciding
 		} else if lk.on != nil { // guards rule 1 against a fault of the module
 			lk.late = true
--- a/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -7,8 +7,8 @@
 
 	"pgregory.net/rapid"
 
-	"foldslip/facade"
-	"foldslip/logic"
+	"foldslip/internal/dispatch"
+	"foldslip/internal/policy"
 )
 
 var (
@@ -39,7 +39,7 @@
 	}
 }
 
-func send(n int) facade.Step { return facade.Step{What: facade.Send, N: n} }
+func send(n int) dispatch.Step { return dispatch.Step{What: dispatch.Send, N: n} }
 
 // asked opens a lookup whose first send is at its caller.
 func asked(t *testing.T) (*Desk, *Stream, *Lookup) {
@@ -54,8 +54,8 @@
 func TestDesk(t *testing.T) {
 	t.Run("a send, its report, the answer", func(t *testing.T) {
 		d, on, lk := asked(t)
-		want(t, d.Report(at(10), on, logic.Satisfied, logic.Hit, 0), fmt.Sprintf("tell 0 %d;", logic.Satisfied))
-		want(t, d.Step(at(10), lk, facade.Step{What: facade.Satisfied}), "accepted;")
+		want(t, d.Report(at(10), on, policy.Satisfied, policy.Hit, 0), fmt.Sprintf("tell 0 %d;", policy.Satisfied))
+		want(t, d.Step(at(10), lk, dispatch.Step{What: dispatch.Satisfied}), "accepted;")
 		if d.Open() != 0 {
 			t.Error(d.Open())
 		}
@@ -70,7 +70,7 @@
 	})
 	t.Run("a send that missed: the next one is told to the next ask, on another stream", func(t *testing.T) {
 		d, on, lk := asked(t)
-		want(t, d.Report(at(10), on, logic.Missed, logic.Untold, 0), fmt.Sprintf("tell 0 %d;", logic.Missed))
+		want(t, d.Report(at(10), on, policy.Missed, policy.Untold, 0), fmt.Sprintf("tell 0 %d;", policy.Missed))
 		want(t, d.Step(at(10), lk, send(1)), "again;")
 		next := &Stream{Caller: "edge"}
 		_, do := d.Ask(at(20), next, "a", at(1000))
@@ -79,8 +79,8 @@
 	})
 	t.Run("a send that failed and an end: told to the stream that waits", func(t *testing.T) {
 		d, on, lk := asked(t)
-		d.Report(at(10), on, logic.Errored, logic.Untold, 0)
-		want(t, d.Step(at(11), lk, facade.Step{What: facade.Nacked, RetryIn: 5000}), "nack;")
+		d.Report(at(10), on, policy.Errored, policy.Untold, 0)
+		want(t, d.Step(at(11), lk, dispatch.Step{What: dispatch.Nacked, RetryIn: 5000}), "nack;")
 		_, do := d.Ask(at(20), on, "a", at(1000)) // the same stream may go on, and hears the same end
 		want(t, do, "nack;")
 		if do.Say[0].Wait != 5*time.Millisecond {
@@ -89,7 +89,7 @@
 	})
 	t.Run("the caller gives up halfway: its send may have run", func(t *testing.T) {
 		d, on, lk := asked(t)
-		want(t, d.End(at(10), on), fmt.Sprintf("tell 0 %d;", logic.Cancelled))
+		want(t, d.End(at(10), on), fmt.Sprintf("tell 0 %d;", policy.Cancelled))
 		want(t, d.Step(at(11), lk, send(1)), "")
 		do, next := d.Tick(at(100))
 		want(t, do, "")
@@ -97,7 +97,7 @@
 			t.Error(next.Sub(noon))
 		}
 		do, _ = d.Tick(at(211))
-		want(t, do, fmt.Sprintf("tell 1 %d;leave;", logic.NeverSent))
+		want(t, do, fmt.Sprintf("tell 1 %d;leave;", policy.NeverSent))
 		if d.Open() != 0 || d.Odd["stream_ended_with_send"] != 1 || d.Odd["never_asked_again"] != 1 {
 			t.Error(d.Open(), d.Odd)
 		}
@@ -106,8 +106,8 @@
 		d, on := New(terms), &Stream{Caller: "edge"}
 		lk, _ := d.Ask(at(0), on, "a", at(1000))
 		want(t, d.End(at(1), on), "leave;")
-		want(t, d.Step(at(2), lk, send(0)), fmt.Sprintf("tell 0 %d;", logic.NeverSent)) // decided before that
-		want(t, d.Step(at(2), lk, facade.Step{What: facade.Departed}), "")
+		want(t, d.Step(at(2), lk, send(0)), fmt.Sprintf("tell 0 %d;", policy.NeverSent)) // decided before that
+		want(t, d.Step(at(2), lk, dispatch.Step{What: dispatch.Departed}), "")
 	})
 	t.Run("the same lookup twice", func(t *testing.T) {
 		d, on, lk := asked(t)
@@ -120,8 +120,8 @@
 			t.Error("another caller's lookup is another lookup")
 		}
 		d.Refused(other) // the router has that id open
-		d.Report(at(3), on, logic.Satisfied, logic.Hit, 0)
-		d.Step(at(3), lk, facade.Step{What: facade.Satisfied})
+		d.Report(at(3), on, policy.Satisfied, policy.Hit, 0)
+		d.Step(at(3), lk, dispatch.Step{What: dispatch.Satisfied})
 		_, do = d.Ask(at(4), &Stream{Caller: "edge"}, "a", at(1000))
 		want(t, do, "known;")
 		d.Tick(at(2004))
@@ -131,15 +131,15 @@
 	})
 	t.Run("an answer and a cancel crossing", func(t *testing.T) {
 		d, on, lk := asked(t)
-		want(t, d.Step(at(5), lk, facade.Step{What: facade.Cancel, N: 0}), "") // it is at the caller
-		want(t, d.Report(at(6), on, logic.Satisfied, logic.Hit, 0), fmt.Sprintf("tell 0 %d;", logic.Satisfied))
-		want(t, d.Step(at(6), lk, facade.Step{What: facade.Satisfied}), "accepted;")
+		want(t, d.Step(at(5), lk, dispatch.Step{What: dispatch.Cancel, N: 0}), "") // it is at the caller
+		want(t, d.Report(at(6), on, policy.Satisfied, policy.Hit, 0), fmt.Sprintf("tell 0 %d;", policy.Satisfied))
+		want(t, d.Step(at(6), lk, dispatch.Step{What: dispatch.Satisfied}), "accepted;")
 	})
 	t.Run("a cancel of a send that nobody has asked for takes it back", func(t *testing.T) {
 		d, on, lk := asked(t)
-		d.Report(at(5), on, logic.Missed, logic.Untold, 0)
+		d.Report(at(5), on, policy.Missed, policy.Untold, 0)
 		d.Step(at(5), lk, send(1))
-		want(t, d.Step(at(6), lk, facade.Step{What: facade.Cancel, N: 1}), fmt.Sprintf("tell 1 %d;", logic.NeverSent))
+		want(t, d.Step(at(6), lk, dispatch.Step{What: dispatch.Cancel, N: 1}), fmt.Sprintf("tell 1 %d;", policy.NeverSent))
 		_, do := d.Ask(at(7), on, "a", at(1000))
 		want(t, do, "")
 		want(t, d.Step(at(8), lk, send(2)), "go;")
@@ -149,23 +149,23 @@
 		do, _ := d.Tick(at(999))
 		want(t, do, "")
 		do, _ = d.Tick(at(1000))
-		want(t, do, fmt.Sprintf("tell 0 %d;", logic.TimedOut))
-		want(t, d.Step(at(1001), lk, facade.Step{What: facade.Failed}), "fail;")
+		want(t, do, fmt.Sprintf("tell 0 %d;", policy.TimedOut))
+		want(t, d.Step(at(1001), lk, dispatch.Step{What: dispatch.Failed}), "fail;")
 	})
 	t.Run("the gateway stops while a send is out, or decided and not asked for: its end is told, and the end of the lookup", func(t *testing.T) {
 		d, on, lk := asked(t)
-		want(t, d.Step(at(5), lk, facade.Step{What: facade.Failed}), fmt.Sprintf("tell 0 %d;fail;", logic.Cancelled))
-		want(t, d.Report(at(6), on, logic.Satisfied, logic.Hit, 0), "disorder;")
+		want(t, d.Step(at(5), lk, dispatch.Step{What: dispatch.Failed}), fmt.Sprintf("tell 0 %d;fail;", policy.Cancelled))
+		want(t, d.Report(at(6), on, policy.Satisfied, policy.Hit, 0), "disorder;")
 		d, on, lk = asked(t)
-		d.Report(at(5), on, logic.Missed, logic.Untold, 0)
+		d.Report(at(5), on, policy.Missed, policy.Untold, 0)
 		d.Step(at(5), lk, send(1))
-		want(t, d.Step(at(6), lk, facade.Step{What: facade.Failed}), fmt.Sprintf("tell 1 %d;", logic.NeverSent))
+		want(t, d.Step(at(6), lk, dispatch.Step{What: dispatch.Failed}), fmt.Sprintf("tell 1 %d;", policy.NeverSent))
 	})
 	t.Run("reports of nothing, twice, or of no known kind", func(t *testing.T) {
 		d, on, _ := asked(t)
-		want(t, d.Report(at(1), &Stream{Caller: "edge"}, logic.Satisfied, logic.Hit, 0), "disorder;")
-		want(t, d.Report(at(2), on, 99, 77, -5), fmt.Sprintf("tell 0 %d;", logic.Errored))
-		want(t, d.Report(at(3), on, logic.Satisfied, logic.Hit, 0), "disorder;")
+		want(t, d.Report(at(1), &Stream{Caller: "edge"}, policy.Satisfied, policy.Hit, 0), "disorder;")
+		want(t, d.Report(at(2), on, 99, 77, -5), fmt.Sprintf("tell 0 %d;", policy.Errored))
+		want(t, d.Report(at(3), on, policy.Satisfied, policy.Hit, 0), "disorder;")
 	})
 	t.Run("no more than so many open, of one caller and of all", func(t *testing.T) {
 		d := New(terms)
@@ -207,9 +207,9 @@
 				}
 				delete(s.owed, x.N)
 				s.out = nil
-				if x.How == logic.Satisfied && !s.over {
+				if x.How == policy.Satisfied && !s.over {
 					s.over = true
-					apply(d.Step(at(now), x.Of, facade.Step{What: facade.Satisfied, N: x.N}))
+					apply(d.Step(at(now), x.Of, dispatch.Step{What: dispatch.Satisfied, N: x.N}))
 				}
 			}
 			for _, lk := range do.Leave {
@@ -263,7 +263,7 @@
 				}
 				if len(s.owed) > 0 || rapid.IntRange(0, 3).Draw(t, "end") == 0 {
 					s.over = true
-					apply(d.Step(at(now), lk, facade.Step{What: facade.Nacked}))
+					apply(d.Step(at(now), lk, dispatch.Step{What: dispatch.Nacked}))
 					return
 				}
 				s.owed[s.next] = true
@@ -275,7 +275,7 @@
 					t.Skip()
 				}
 				on := rapid.SampledFrom(streams).Draw(t, "stream")
-				apply(d.Report(at(now), on, rapid.SampledFrom([]logic.Ending{logic.Satisfied, logic.Missed, logic.Errored, 99}).Draw(t, "how"), logic.Untold, 0))
+				apply(d.Report(at(now), on, rapid.SampledFrom([]policy.Ending{policy.Satisfied, policy.Missed, policy.Errored, 99}).Draw(t, "how"), policy.Untold, 0))
 			},
 			"end": func(t *rapid.T) {
 				if len(streams) == 0 {
@@ -310,7 +310,7 @@
 			for _, lk := range live {
 				if s := of[lk]; !s.over && len(s.owed) == 0 {
 					s.over = true
-					apply(d.Step(at(now), lk, facade.Step{What: facade.Failed}))
+					apply(d.Step(at(now), lk, dispatch.Step{What: dispatch.Failed}))
 				}
 			}
 		}
--- a/route/pools/cost_test.go
+++ b/internal/route/pools/cost_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"testing"
 
-	"foldslip/lab/cost"
+	"foldslip/internal/lab/cost"
 )
 
 var costs = cost.Flags("./route/pools")
--- a/route/pools/pools.go
+++ b/internal/route/pools/pools.go
@@ -19,7 +19,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"foldslip/limit"
+	"foldslip/internal/limit"
 )
 
 const (
--- a/route/steer/steer.go
+++ b/internal/route/rollout/steer.go
@@ -1,11 +1,11 @@
-// Package steer puts routes, pools and limits in force: it holds the changes of their configuration (package config/change), the views
+// Package rollout puts routes, pools and limits in force: it holds the changes of their configuration (package config/change), the views
 // that lookups are decided under (route/pools) and the limits (package limit), and keeps each step on disk. What lookups ask is one
 // pointer; a lookup is decided under the one version that it found there, whole, and carries its number.
 //
 // The pure parts decide: which step a change may take, which route a lookup has, what a limit refuses. This package brings them the time,
 // the list of caches and the disk. One lock, never held over a write: a step counts once it is on disk (it is put in force after that), so
 // that a restart never finds less than was in force as confirmed. Owner: the process. Bounds: those of change, pools and limit; two views.
-package steer
+package rollout
 
 import (
 	"encoding/json"
@@ -19,13 +19,13 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"foldslip/clock"
-	"foldslip/config/change"
-	"foldslip/limit"
-	"foldslip/logic"
-	"foldslip/route/pools"
-	"foldslip/store/record"
-	"foldslip/store/roster"
+	"foldslip/internal/config/change"
+	"foldslip/internal/env"
+	"foldslip/internal/limit"
+	"foldslip/internal/policy"
+	"foldslip/internal/route/pools"
+	"foldslip/internal/store/endpoints"
+	"foldslip/internal/store/wal"
 )
 
 const (
@@ -37,7 +37,7 @@
 
 // Steer is the routes in force.
 type Steer struct {
-	g       clock.Ground
+	g       env.Ground
 	kinds   []string
 	step    sync.Mutex // held over a whole step, its write included: steps come one after the other
 	mu      sync.Mutex // of what follows; never held over a write
@@ -46,7 +46,7 @@
 	tables  map[uint64]*pools.Table // of the versions in force or under way
 	limits  *limit.Set
 	guard   *change.Guard
-	rec     *record.Record // nil: nothing is kept
+	rec     *wal.Record // nil: nothing is kept
 	now     atomic.Pointer[force]
 }
 
@@ -57,7 +57,7 @@
 }
 
 // Open begins with the routes that the record holds, or without one with the first configuration. disk may be nil: nothing is kept.
-func Open(g clock.Ground, disk clock.Disk, first pools.Config, kinds []string) (*Steer, error) {
+func Open(g env.Ground, disk env.Disk, first pools.Config, kinds []string) (*Steer, error) {
 	s := &Steer{g: g, kinds: kinds, guard: change.NewGuard(g.Now(), change.Usual), list: map[string]pools.Cache{}, tables: map[uint64]*pools.Table{}}
 	text, err := json.Marshal(first)
 	if err != nil {
@@ -71,8 +71,8 @@
 	if disk == nil {
 		begin()
 	} else {
-		var kept record.Kept
-		if s.rec, kept, err = record.Open(disk, file); err != nil {
+		var kept wal.Kept
+		if s.rec, kept, err = wal.Open(disk, file); err != nil {
 			return nil, fmt.Errorf("the record of routes: %w", err)
 		}
 		if err := s.recover(kept, begin); err != nil {
@@ -88,7 +88,7 @@
 }
 
 // recover reads the record; what was under way is undone, and a generation of its own begins.
-func (s *Steer) recover(kept record.Kept, begin func() change.Step) error {
+func (s *Steer) recover(kept wal.Kept, begin func() change.Step) error {
 	var steps []change.Step
 	if kept.Snapshot != nil {
 		if err := cbor.Unmarshal(kept.Snapshot, &steps); err != nil {
@@ -136,19 +136,19 @@
 func (s *Steer) Guards(g change.Guards) { s.guard = change.NewGuard(s.g.Now(), g) }
 
 // List is word of the bulletin, before the router has it.
-func (s *Steer) List(c roster.Change) {
+func (s *Steer) List(c endpoints.Change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if c.Whole {
 		clear(s.list)
 	}
 	for _, r := range c.Rows {
-		if r.Phase == roster.Gone {
+		if r.Phase == endpoints.Gone {
 			delete(s.list, r.ID)
 			continue
 		}
 		s.list[r.ID] = pools.Cache{Name: r.ID, Location: r.Zone, Labels: []string{r.Machine, fmt.Sprint("cell-", r.Cell)}, Source: r.Machine != "edge",
-			Draining: r.Phase == roster.Draining}
+			Draining: r.Phase == endpoints.Draining}
 	}
 	if len(c.Rows) > 0 || c.Whole {
 		s.view()
@@ -279,11 +279,11 @@
 }
 
 // Scope is what the module may choose from.
-func (p *Pass) Scope() *logic.Scope {
+func (p *Pass) Scope() *policy.Scope {
 	if p.Decided.Scope == nil {
 		return nil
 	}
-	sc := &logic.Scope{Caches: p.Decided.Scope.Caches, Sources: p.Decided.Scope.Sources, Oldest: p.OldestMS * 1000}
+	sc := &policy.Scope{Caches: p.Decided.Scope.Caches, Sources: p.Decided.Scope.Sources, Oldest: p.OldestMS * 1000}
 	if len(p.named) > 0 {
 		sc.Again = p.again
 	}
--- a/route/steer/steer_test.go
+++ b/internal/route/rollout/steer_test.go
@@ -1,4 +1,4 @@
-package steer
+package rollout
 
 import (
 	"fmt"
@@ -10,36 +10,36 @@
 	"testing"
 	"time"
 
-	"foldslip/clock"
-	"foldslip/config/change"
-	"foldslip/lab/world"
-	"foldslip/limit"
-	"foldslip/route/pools"
-	"foldslip/store/roster"
+	"foldslip/internal/config/change"
+	"foldslip/internal/env"
+	"foldslip/internal/lab/simenv"
+	"foldslip/internal/limit"
+	"foldslip/internal/route/pools"
+	"foldslip/internal/store/endpoints"
 )
 
 var kinds = []string{"segment", "page"}
 
 // ground is the system's, with a clock that the test moves.
 type ground struct {
-	clock.Ground
+	env.Ground
 	at time.Time
 }
 
 func (g *ground) Now() time.Time { return g.at }
 
 func newGround() *ground {
-	return &ground{clock.NewSystem(io.Discard, slog.LevelInfo), time.Unix(9000, 0)}
+	return &ground{env.NewSystem(io.Discard, slog.LevelInfo), time.Unix(9000, 0)}
 }
 
-var rows = roster.Change{Whole: true, Rows: []roster.Cache{{ID: "c1", Zone: "town", Machine: "edge"}, {ID: "c2", Zone: "town", Machine: "edge"},
+var rows = endpoints.Change{Whole: true, Rows: []endpoints.Cache{{ID: "c1", Zone: "town", Machine: "edge"}, {ID: "c2", Zone: "town", Machine: "edge"},
 	{ID: "c3", Zone: "hill", Machine: "edge"}, {ID: "p1", Zone: "hub", Machine: "parent"}}}
 
 func routes(location string) pools.Config {
 	return pools.Config{Pools: map[string]pools.Pool{"main": {Locations: []string{location}}}, Routes: []pools.Route{{Name: "all", To: []pools.To{{Pool: "main"}}}}}
 }
 
-func begin(t *testing.T, g *ground, disk clock.Disk, first pools.Config) *Steer {
+func begin(t *testing.T, g *ground, disk env.Disk, first pools.Config) *Steer {
 	t.Helper()
 	s, err := Open(g, disk, first, kinds)
 	if err != nil {
@@ -105,7 +105,7 @@
 		named := routes("town")
 		named.Pools["main"] = pools.Pool{Names: []string{"c3"}}
 		must(t)(s.Propose(1, named, "ada", "sale"))
-		s.List(roster.Change{Rows: []roster.Cache{{ID: "c3", Zone: "hill", Machine: "edge", Phase: roster.Draining}}})
+		s.List(endpoints.Change{Rows: []endpoints.Cache{{ID: "c3", Zone: "hill", Machine: "edge", Phase: endpoints.Draining}}})
 		if step := must(t)(s.Apply(2, time.Minute)); step.Stage != change.Undone || !strings.Contains(step.Reason, "c3 drains") {
 			t.Fatal(step)
 		}
@@ -120,7 +120,7 @@
 		s := begin(t, newGround(), nil, routes("town"))
 		must(t)(s.Propose(1, routes("hill"), "ada", "sale"))
 		must(t)(s.Stage(2, 0.2, time.Minute))
-		s.List(roster.Change{Rows: []roster.Cache{{ID: "c4", Zone: "hill", Machine: "edge"}, {ID: "c1", Phase: roster.Gone}}})
+		s.List(endpoints.Change{Rows: []endpoints.Cache{{ID: "c4", Zone: "hill", Machine: "edge"}, {ID: "c1", Phase: endpoints.Gone}}})
 		if got := goes(t, s); got["1 c2"]+got["2 c3+c4"] != 1000 {
 			t.Fatal(got)
 		}
@@ -309,7 +309,7 @@
 	never := 0
 	for seed := range uint64(500) {
 		r := rand.New(rand.NewPCG(seed, 9))
-		g, disk := newGround(), world.NewDisk()
+		g, disk := newGround(), simenv.NewDisk()
 		s := begin(t, g, disk, routes("town"))
 		confirmed, after := "town", "" // after: what a step under way would confirm
 		head := uint64(1)
--- a/route/steer/steps.go
+++ b/internal/route/rollout/steps.go
@@ -1,4 +1,4 @@
-package steer
+package rollout
 
 import (
 	"bytes"
@@ -7,9 +7,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"foldslip/clock"
-	"foldslip/config/change"
-	"foldslip/route/pools"
+	"foldslip/internal/config/change"
+	"foldslip/internal/env"
+	"foldslip/internal/route/pools"
 )
 
 // do takes a step: it is decided, written and synced, and then put in force. A step that cannot be written is none.
@@ -237,7 +237,7 @@
 }
 
 // Run undoes what is not confirmed in time, and what its guard finds worse, until life ends.
-func (s *Steer) Run(life *clock.Life) error {
+func (s *Steer) Run(life *env.Life) error {
 	end := s.g.Bell()
 	defer life.OnEnd(end.Ring)()
 	for !end.Wait(pace) {
--- a/charter/charter.go
+++ b/internal/settings/charter.go
@@ -1,5 +1,5 @@
-// Package charter reads the settings text that a router or gateway is given at its start.
-package charter
+// Package settings reads the settings text that a router or gateway is given at its start.
+package settings
 
 import (
 	"cmp"
@@ -9,18 +9,18 @@
 	"slices"
 	"time"
 
-	"foldslip/logic"
+	"foldslip/internal/policy"
 )
 
 // Terms are what the module is told, and what only a door of sockets needs besides.
 type Terms struct {
-	Router                 *logic.Charter
+	Router                 *policy.Charter
 	Kinds, Zones, Machines []string // names, in the order of their numbers
-	ConnectWithin          logic.Micros
-	IdleFor                logic.Micros // a connection to a cache is closed when idle for so long
-	Streams                int          // open sends that one connection to a cache carries
-	PurgeGrace             logic.Micros // time to heed a purge
-	DrainGrace             logic.Micros // time to heed that a cache drains or is gone
+	ConnectWithin          policy.Micros
+	IdleFor                policy.Micros // a connection to a cache is closed when idle for so long
+	Streams                int           // open sends that one connection to a cache carries
+	PurgeGrace             policy.Micros // time to heed a purge
+	DrainGrace             policy.Micros // time to heed that a cache drains or is gone
 }
 
 // What holds where the settings do not tell it. What else is missing counts as its strictest value: no giving up of sends, no time
@@ -123,9 +123,9 @@
 	if in.Ceilings.TryLimit < 0 {
 		return nil, fmt.Errorf("ceilings.try_limit: %d, expected how many sends a lookup may have", in.Ceilings.TryLimit)
 	}
-	us := func(v float64) logic.Micros { return logic.Micros(v) }
+	us := func(v float64) policy.Micros { return policy.Micros(v) }
 	x := in.Specifics
-	c := &logic.Charter{Gateways: in.Balancers, Zone: in.Zone, Seats: x.Seats, ParentKind: -1, OriginKind: -1,
+	c := &policy.Charter{Gateways: in.Balancers, Zone: in.Zone, Seats: x.Seats, ParentKind: -1, OriginKind: -1,
 		Joins: x.Merges, FirstByteTold: x.Tells == "all", HitsTold: x.Tells != "off" && x.Tells != "none",
 		Weighted: in.Weights == "nominal", Sized: in.Weights == "nominal" || in.Weights == "rough",
 		FlowKB: x.Flow, SendLimit: cmp.Or(in.Ceilings.TryLimit, sendLimit),
@@ -163,28 +163,28 @@
 			return nil, fmt.Errorf("%s: stream is true; answers that stream are not known here", where)
 		}
 		t.Kinds = append(t.Kinds, k.Name)
-		row := logic.ObjectKind{Budget: us(k.Aim), Stretch: k.AimStretch, GiveUp: us(k.Deadline),
+		row := policy.ObjectKind{Budget: us(k.Aim), Stretch: k.AimStretch, GiveUp: us(k.Deadline),
 			Utility: k.Points, LateUtility: k.LateWorth, Memory: us(k.Window), Fresh: us(at(x.Fresh, i)),
 			Grace: us(at(x.Grace, i)), AgedUtility: at(x.AgedWorth, i), PassThrough: at(x.PassOn, i)}
 		switch k.Effect {
 		case "idempotent":
 		case "deduplicated":
-			row.Effect = logic.Deduplicated
+			row.Effect = policy.Deduplicated
 		case "at_most_once":
-			row.Effect = logic.SideEffecting
+			row.Effect = policy.SideEffecting
 		default:
 			return nil, fmt.Errorf("%s: effect %q, expected idempotent, deduplicated or at_most_once", where, k.Effect)
 		}
 		switch k.Group {
 		case "all", "":
 		case "zone":
-			row.Circle = logic.SameZone
+			row.Circle = policy.SameZone
 		case "cell":
-			row.Circle = logic.SameCell
+			row.Circle = policy.SameCell
 		default:
 			return nil, fmt.Errorf("%s: group %q, expected all, zone or cell", where, k.Group)
 		}
-		if k.Group == "" && row.Effect == logic.Deduplicated {
+		if k.Group == "" && row.Effect == policy.Deduplicated {
 			return nil, fmt.Errorf("%s: group is missing, expected all, zone or cell with effect deduplicated", where)
 		}
 		c.Kinds = append(c.Kinds, row)
--- a/charter/charter_test.go
+++ b/internal/settings/charter_test.go
@@ -1,10 +1,10 @@
-package charter
+package settings
 
 import (
 	"strings"
 	"testing"
 
-	"foldslip/logic"
+	"foldslip/internal/policy"
 )
 
 func TestRead(t *testing.T) {
@@ -16,8 +16,8 @@
 		t.Fatal(err)
 	}
 	c := got.Router
-	if a := c.Kinds[0]; a.Effect != logic.Deduplicated || a.Circle != logic.SameZone || a.Budget != 400000 ||
-		a.Fresh != 8000000 || c.Kinds[1].Fresh != 0 || c.Kinds[1].Effect != logic.Idempotent {
+	if a := c.Kinds[0]; a.Effect != policy.Deduplicated || a.Circle != policy.SameZone || a.Budget != 400000 ||
+		a.Fresh != 8000000 || c.Kinds[1].Fresh != 0 || c.Kinds[1].Effect != policy.Idempotent {
 		t.Errorf("%+v", c.Kinds)
 	}
 	if c.SendLimit != sendLimit || got.DrainGrace != 0 {
--- a/simwire/fields.go
+++ b/internal/simadapter/fields.go
@@ -1,4 +1,4 @@
-package simwire
+package simadapter
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"foldslip/logic"
+	"foldslip/internal/policy"
 )
 
 // fields are the values of one line, taken in order; the first that cannot be read is the error.
@@ -72,7 +72,7 @@
 	return f.err
 }
 
-func (f *fields) micros(field string) logic.Micros {
+func (f *fields) micros(field string) policy.Micros {
 	v := f.optional(field)
 	if v == "" {
 		return 0
@@ -137,48 +137,48 @@
 	return v == "1"
 }
 
-func (f *fields) ending(field string) logic.Ending {
+func (f *fields) ending(field string) policy.Ending {
 	n := f.int(field)
 	if f.err == nil && (n < 1 || n > 9) {
 		f.fault(field, strconv.Itoa(n), "an outcome from 1 to 9")
 	}
-	return logic.Ending(n)
+	return policy.Ending(n)
 }
 
-func (f *fields) remark(field string) logic.Remark {
+func (f *fields) remark(field string) policy.Remark {
 	n := f.int(field)
 	if n > 10 {
 		f.fault(field, strconv.Itoa(n), "a remark from 0 to 10")
 	}
-	return logic.Remark(n)
+	return policy.Remark(n)
 }
 
-func (f *fields) state(field string) logic.State {
+func (f *fields) state(field string) policy.State {
 	switch v := f.text(field); v {
 	case "ready":
-		return logic.Ready
+		return policy.Ready
 	case "draining":
-		return logic.Draining
+		return policy.Draining
 	case "gone":
-		return logic.Gone
+		return policy.Gone
 	default:
 		f.fault(field, v, "ready, draining or gone")
-		return logic.Gone
+		return policy.Gone
 	}
 }
 
-func (f *fields) listKind(field string) logic.ListKind {
+func (f *fields) listKind(field string) policy.ListKind {
 	switch v := f.text(field); v {
 	case "delta":
-		return logic.Changes
+		return policy.Changes
 	case "full":
-		return logic.FullList
+		return policy.FullList
 	case "cached":
-		return logic.CachedList
+		return policy.CachedList
 	case "failed":
-		return logic.ListFailed
+		return policy.ListFailed
 	default:
 		f.fault(field, v, "delta, full, cached or failed")
-		return logic.ListFailed
+		return policy.ListFailed
 	}
 }
--- a/simwire/host.go
+++ b/internal/simadapter/host.go
@@ -1,9 +1,9 @@
-package simwire
+package simadapter
 
 import (
 	"fmt"
 
-	"foldslip/logic"
+	"foldslip/internal/policy"
 )
 
 // say writes one action of this gateway; an empty text stands for an absent value.
@@ -19,23 +19,23 @@
 }
 
 // Fetch implements logic.Host.
-func (g *gateway) Fetch(lk *logic.Lookup, to, source *logic.Cache, rank int, how logic.How,
-	patience, _, oldest logic.Micros) {
+func (g *gateway) Fetch(lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.How,
+	patience, _, oldest policy.Micros) {
 	g.lookups[lk.Door].out++
 	g.say("SERVE_OR_FILL", lk.Door, rank, int(how), source.Name, to.Name, patience, oldest)
 }
 
 // Cancel implements logic.Host.
-func (g *gateway) Cancel(lk *logic.Lookup, send int) { g.say("ABORT_ATTEMPT", lk.Door, send) }
+func (g *gateway) Cancel(lk *policy.Lookup, send int) { g.say("ABORT_ATTEMPT", lk.Door, send) }
 
 // Nack implements logic.Host.
-func (g *gateway) Nack(lk *logic.Lookup, retryIn logic.Micros) { g.say("SAY_NO", lk.Door, retryIn) }
+func (g *gateway) Nack(lk *policy.Lookup, retryIn policy.Micros) { g.say("SAY_NO", lk.Door, retryIn) }
 
 // Fail implements logic.Host.
-func (g *gateway) Fail(lk *logic.Lookup) { g.say("LOSE", lk.Door) }
+func (g *gateway) Fail(lk *policy.Lookup) { g.say("LOSE", lk.Door) }
 
 // Wake implements logic.Host.
-func (g *gateway) Wake(in logic.Micros, token int64) { g.say("WAKE_ME", in, token) }
+func (g *gateway) Wake(in policy.Micros, token int64) { g.say("WAKE_ME", in, token) }
 
 // Subscribe implements logic.Host.
 func (g *gateway) Subscribe(on bool) {
--- a/simwire/serve.go
+++ b/internal/simadapter/serve.go
@@ -1,6 +1,6 @@
-// Package simwire puts routers on the simulator's wire: it decodes events, turns ids into pointers, calls the
+// Package simadapter puts routers on the simulator's wire: it decodes events, turns ids into pointers, calls the
 // router of the gateway concerned and encodes what it decides. It decides nothing itself.
-package simwire
+package simadapter
 
 import (
 	"bufio"
@@ -9,23 +9,23 @@
 	"io"
 	"strings"
 
-	"foldslip/charter"
-	"foldslip/logic"
+	"foldslip/internal/policy"
+	"foldslip/internal/settings"
 )
 
 // gateway is one router and the ids that its door knows. Gateways share nothing.
 type gateway struct {
 	name    string
 	kinds   int // object kinds in its charter
-	router  *logic.Router
-	caches  map[string]*logic.Cache
+	router  *policy.Router
+	caches  map[string]*policy.Cache
 	lookups map[string]*pending
 	out     *bufio.Writer
 }
 
 // pending is a lookup and how many of its sends still owe an ending.
 type pending struct {
-	lk  *logic.Lookup
+	lk  *policy.Lookup
 	out int
 }
 
@@ -33,7 +33,7 @@
 	in       *bufio.Reader
 	out      *bufio.Writer
 	line     int
-	now      logic.Micros
+	now      policy.Micros
 	gateways map[string]*gateway
 }
 
@@ -205,8 +205,8 @@
 }
 
 // rows reads the entries of a list.
-func (s *server) rows(g *gateway, n int) ([]logic.Row, error) {
-	var list []logic.Row
+func (s *server) rows(g *gateway, n int) ([]policy.Row, error) {
+	var list []policy.Row
 	for range n {
 		text, err := s.within()
 		if err != nil {
@@ -217,13 +217,13 @@
 			return nil, fmt.Errorf("message %q, expected CACHE", f.word)
 		}
 		name := f.text("cache")
-		row := logic.Row{Zone: f.int("dc"), Kind: f.int("sku"), Cell: f.int("cluster"), State: f.state("state"),
+		row := policy.Row{Zone: f.int("dc"), Kind: f.int("sku"), Cell: f.int("cluster"), State: f.state("state"),
 			Weight: f.float("power_hint"), Started: f.micros("came_up")}
 		if err := f.done(); err != nil {
 			return nil, err
 		}
 		if g.caches[name] == nil {
-			g.caches[name] = logic.NewCache(name)
+			g.caches[name] = policy.NewCache(name)
 		}
 		row.Cache = g.caches[name]
 		list = append(list, row)
@@ -236,14 +236,14 @@
 	if f.err != nil {
 		return f.err
 	}
-	terms, err := charter.Read([]byte(info))
+	terms, err := settings.Read([]byte(info))
 	if err != nil {
 		return fmt.Errorf("UP: boot_info: %w", err)
 	}
 	g := &gateway{name: name, kinds: len(terms.Kinds), out: s.out,
-		caches: map[string]*logic.Cache{}, lookups: map[string]*pending{}}
+		caches: map[string]*policy.Cache{}, lookups: map[string]*pending{}}
 	s.gateways[name] = g
-	g.guard(func() { g.router = logic.Start(s.now, seed, terms.Router, g) })
+	g.guard(func() { g.router = policy.Start(s.now, seed, terms.Router, g) })
 	return nil
 }
 
--- a/simwire/serve_test.go
+++ b/internal/simadapter/serve_test.go
@@ -1,4 +1,4 @@
-package simwire
+package simadapter
 
 import (
 	"strings"
--- a/store/roster/roster.go
+++ b/internal/store/endpoints/roster.go
@@ -1,10 +1,10 @@
-// Package roster is the list of caches as a gateway keeps it over its own end: what it was told of caches, drains and
+// Package endpoints is the list of caches as a gateway keeps it over its own end: what it was told of caches, drains and
 // purges, and what it learnt of them. A State is changed by Changes only, so that a snapshot and the changes since give
 // the same State again. It does no I/O and knows no clock: every change brings its time.
 //
 // Its owner is the keeper that also owns the record on disk. Bounds: MostCaches, MostTombs, MostPurges; past them the
 // oldest goes, but a cache that is told as up never goes for another.
-package roster
+package endpoints
 
 import (
 	"cmp"
--- a/store/roster/roster_test.go
+++ b/internal/store/endpoints/roster_test.go
@@ -1,4 +1,4 @@
-package roster
+package endpoints
 
 import (
 	"bytes"
--- a/store/keeper/bench_test.go
+++ b/internal/store/snapshot/bench_test.go
@@ -1,4 +1,4 @@
-package keeper
+package snapshot
 
 import (
 	"fmt"
@@ -7,22 +7,22 @@
 	"runtime"
 	"testing"
 
-	"foldslip/clock"
-	"foldslip/store/record"
-	"foldslip/store/roster"
+	"foldslip/internal/env"
+	"foldslip/internal/store/endpoints"
+	"foldslip/internal/store/wal"
 )
 
 const fleet = 10000
 
-func ofFleet(i int, phase roster.Phase) roster.Cache {
-	return roster.Cache{ID: fmt.Sprintf("edge-%08x", i), Addr: fmt.Sprintf("10.%d.%d.9:10080", i/256, i%256), Zone: "harbour", Machine: "edge",
+func ofFleet(i int, phase endpoints.Phase) endpoints.Cache {
+	return endpoints.Cache{ID: fmt.Sprintf("edge-%08x", i), Addr: fmt.Sprintf("10.%d.%d.9:10080", i/256, i%256), Zone: "harbour", Machine: "edge",
 		Cell: i, Size: 4, Phase: phase}
 }
 
-func whole() roster.Change {
-	c := roster.Change{Last: 1, Bulletin: "10.7.0.1:8500", Whole: true}
+func whole() endpoints.Change {
+	c := endpoints.Change{Last: 1, Bulletin: "10.7.0.1:8500", Whole: true}
 	for i := range fleet {
-		c.Rows = append(c.Rows, ofFleet(i, roster.Up))
+		c.Rows = append(c.Rows, ofFleet(i, endpoints.Up))
 	}
 	return c
 }
@@ -31,7 +31,7 @@
 // that the teller waits, the bytes on disk and the syncs of a change at 2 writes and 100 changes a second.
 func BenchmarkChange(b *testing.B) {
 	path := b.TempDir()
-	k, _, err := Open(clock.NewSystem(io.Discard, slog.LevelInfo), path, Terms{8 << 20, 2})
+	k, _, err := Open(env.NewSystem(io.Discard, slog.LevelInfo), path, Terms{8 << 20, 2})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		n++
-		k.Told(roster.Change{Last: int64(1 + n), Rows: []roster.Cache{ofFleet(n%fleet, roster.Phase(n/fleet%2))}})
+		k.Told(endpoints.Change{Last: int64(1 + n), Rows: []endpoints.Cache{ofFleet(n%fleet, endpoints.Phase(n/fleet%2))}})
 		if n%50 == 0 { // half a second of them
 			b.StopTimer()
 			if err := k.write(); err != nil {
@@ -67,7 +67,7 @@
 // BenchmarkStart reads a list of 10,000 caches with 1,000 changes since its snapshot.
 func BenchmarkStart(b *testing.B) {
 	path := b.TempDir()
-	g := clock.NewSystem(io.Discard, slog.LevelInfo)
+	g := env.NewSystem(io.Discard, slog.LevelInfo)
 	k, _, err := Open(g, path, Terms{8 << 20, 2})
 	if err != nil {
 		b.Fatal(err)
@@ -77,7 +77,7 @@
 		b.Fatal(err)
 	}
 	for n := range 1000 {
-		k.Told(roster.Change{Last: int64(2 + n), Rows: []roster.Cache{ofFleet(n, roster.Draining)}})
+		k.Told(endpoints.Change{Last: int64(2 + n), Rows: []endpoints.Cache{ofFleet(n, endpoints.Draining)}})
 	}
 	if err := k.write(); err != nil {
 		b.Fatal(err)
@@ -86,14 +86,14 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	var last *roster.State
+	var last *endpoints.State
 	b.ReportAllocs()
 	for b.Loop() {
-		kept, err := record.Read(record.Folder{Path: path}, Name)
+		kept, err := wal.Read(wal.Folder{Path: path}, Name)
 		if err != nil {
 			b.Fatal(err)
 		}
-		if last, err = roster.Restore(kept.Snapshot, kept.Changes); err != nil || len(last.Caches) != fleet {
+		if last, err = endpoints.Restore(kept.Snapshot, kept.Changes); err != nil || len(last.Caches) != fleet {
 			b.Fatal(err)
 		}
 	}
--- a/store/keeper/keeper.go
+++ b/internal/store/snapshot/keeper.go
@@ -1,4 +1,4 @@
-// Package keeper writes the list of caches to disk while a gateway works, and reads it at the start. What it is told is
+// Package snapshot writes the list of caches to disk while a gateway works, and reads it at the start. What it is told is
 // taken into a State in memory at once, under a lock of its own that is never held over a write, and written by one
 // goroutine: changes that came together go out in one synced append, so many writes a second at most. The router's lock
 // and a lookup's way never meet it.
@@ -6,7 +6,7 @@
 // A disk that is full, read-only or failing costs the list and nothing else: it is told once when that changes, and
 // tried again with a growing pause, with the whole state. Bounds: Terms.Bytes on disk a generation (two are kept),
 // mostPending bytes of changes that wait; past that the next write is a snapshot.
-package keeper
+package snapshot
 
 import (
 	"errors"
@@ -14,9 +14,9 @@
 	"sync"
 	"time"
 
-	"foldslip/clock"
-	"foldslip/store/record"
-	"foldslip/store/roster"
+	"foldslip/internal/env"
+	"foldslip/internal/store/endpoints"
+	"foldslip/internal/store/wal"
 )
 
 // Name is the record's name in its folder.
@@ -39,13 +39,13 @@
 
 // Keeper is an open list.
 type Keeper struct {
-	g     clock.Ground
+	g     env.Ground
 	terms Terms
-	rec   *record.Record
-	turn  clock.Bell
+	rec   *wal.Record
+	turn  env.Bell
 
 	mu      sync.Mutex
-	state   *roster.State
+	state   *endpoints.State
 	pending [][]byte
 	bytes   int             // of pending
 	whole   bool            // the next write is a snapshot
@@ -55,18 +55,18 @@
 
 // Open reads the list in a folder and begins a generation of its own. A folder that another process has is an error; a
 // list that cannot be read is told in why and begun anew, and the generation before stays on disk.
-func Open(g clock.Ground, path string, terms Terms) (k *Keeper, why error, err error) {
+func Open(g env.Ground, path string, terms Terms) (k *Keeper, why error, err error) {
 	disk, err := g.Folder(path)
 	if err != nil {
 		return nil, nil, err
 	}
-	rec, kept, err := record.Open(disk, Name)
+	rec, kept, err := wal.Open(disk, Name)
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
-	k = &Keeper{g: g, terms: terms, rec: rec, turn: g.Bell(), state: roster.New(), whole: true}
+	k = &Keeper{g: g, terms: terms, rec: rec, turn: g.Bell(), state: endpoints.New(), whole: true}
 	if kept.Generation > 0 {
-		s, fault := roster.Restore(kept.Snapshot, kept.Changes)
+		s, fault := endpoints.Restore(kept.Snapshot, kept.Changes)
 		k.state = s
 		why = fault
 	}
@@ -78,14 +78,14 @@
 }
 
 // State is a copy of what is kept.
-func (k *Keeper) State() *roster.State {
+func (k *Keeper) State() *endpoints.State {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.state.Clone()
 }
 
 // Told takes a change. It waits for no disk.
-func (k *Keeper) Told(c roster.Change) {
+func (k *Keeper) Told(c endpoints.Change) {
 	if k == nil {
 		return
 	}
@@ -124,7 +124,7 @@
 	k.ill = now
 	k.mu.Unlock()
 	if !same {
-		k.Told(roster.Change{Health: true, Heard: heard, Ill: ill})
+		k.Told(endpoints.Change{Health: true, Heard: heard, Ill: ill})
 	}
 }
 
@@ -137,12 +137,12 @@
 	due := k.g.Now().Sub(time.UnixMilli(k.state.Stood)) >= standsEvery && k.state.Stood > 0
 	k.mu.Unlock()
 	if due {
-		k.Told(roster.Change{Standing: true})
+		k.Told(endpoints.Change{Standing: true})
 	}
 }
 
 // Run writes until life ends, and once more then.
-func (k *Keeper) Run(life *clock.Life) error {
+func (k *Keeper) Run(life *env.Life) error {
 	defer life.OnEnd(k.turn.Ring)()
 	defer k.rec.Close()
 	pace := &bucket{rate: k.terms.Writes, left: burst, at: k.g.Now()}
@@ -176,7 +176,7 @@
 }
 
 // hold waits for a time, or until life ends.
-func (k *Keeper) hold(life *clock.Life, span time.Duration) {
+func (k *Keeper) hold(life *env.Life, span time.Duration) {
 	over := k.g.Bell()
 	defer life.OnEnd(over.Ring)()
 	over.Wait(span)
@@ -194,7 +194,7 @@
 		return nil
 	}
 	var snap []byte
-	var state *roster.State
+	var state *endpoints.State
 	if whole {
 		state = k.state.Clone()
 	}
--- a/store/keeper/keeper_test.go
+++ b/internal/store/snapshot/keeper_test.go
@@ -1,4 +1,4 @@
-package keeper
+package snapshot
 
 import (
 	"bufio"
@@ -17,29 +17,29 @@
 	"testing"
 	"time"
 
-	"foldslip/clock"
-	"foldslip/lab/world"
-	"foldslip/store/record"
-	"foldslip/store/roster"
+	"foldslip/internal/env"
+	"foldslip/internal/lab/simenv"
+	"foldslip/internal/store/endpoints"
+	"foldslip/internal/store/wal"
 )
 
 // ground is the system's with another disk and a log that can be read.
 type ground struct {
-	clock.Ground
-	disk clock.Disk
+	env.Ground
+	disk env.Disk
 }
 
-func (g ground) Folder(string) (clock.Disk, error) { return g.disk, nil }
+func (g ground) Folder(string) (env.Disk, error) { return g.disk, nil }
 
 // sick is a disk that can be told to fail, and counts its syncs.
 type sick struct {
-	*world.Disk
+	*simenv.Disk
 	mu    sync.Mutex
 	err   error
 	syncs int
 }
 
-func (s *sick) Create(name string) (clock.File, error) {
+func (s *sick) Create(name string) (env.File, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.err != nil {
@@ -50,7 +50,7 @@
 }
 
 type sickFile struct {
-	clock.File
+	env.File
 	s *sick
 }
 
@@ -77,23 +77,23 @@
 }
 
 // event is the change of a number: fifty caches that come up and drain in turn.
-func event(n int64) roster.Change {
-	c := roster.Change{Last: n, Bulletin: "10.7.0.1:8500"}
-	phase := []roster.Phase{roster.Up, roster.Draining, roster.Gone}[n/50%3]
-	c.Rows = []roster.Cache{{ID: fmt.Sprint("edge-", n%50), Addr: fmt.Sprint("10.1.0.1:", 1000+n%50), Zone: "town", Machine: "edge", Phase: phase}}
+func event(n int64) endpoints.Change {
+	c := endpoints.Change{Last: n, Bulletin: "10.7.0.1:8500"}
+	phase := []endpoints.Phase{endpoints.Up, endpoints.Draining, endpoints.Gone}[n/50%3]
+	c.Rows = []endpoints.Cache{{ID: fmt.Sprint("edge-", n%50), Addr: fmt.Sprint("10.1.0.1:", 1000+n%50), Zone: "town", Machine: "edge", Phase: phase}}
 	return c
 }
 
 // after is what the list says after so many events.
 func after(n int64) string {
-	s := roster.New()
+	s := endpoints.New()
 	for i := int64(1); i <= n; i++ {
 		s.Apply(event(i))
 	}
 	return said(s)
 }
 
-func said(s *roster.State) string {
+func said(s *endpoints.State) string {
 	text := fmt.Sprint(s.Last)
 	for _, k := range s.Sorted() {
 		text += fmt.Sprint(" ", k.ID, k.Phase)
@@ -104,13 +104,13 @@
 	return text
 }
 
-func start(t *testing.T, g clock.Ground, terms Terms) (*Keeper, func()) {
+func start(t *testing.T, g env.Ground, terms Terms) (*Keeper, func()) {
 	t.Helper()
 	k, why, err := Open(g, "/list", terms)
 	if err != nil || why != nil {
 		t.Fatal(why, err)
 	}
-	life, ended := clock.NewLife(nil), make(chan error)
+	life, ended := env.NewLife(nil), make(chan error)
 	go func() { ended <- k.Run(life) }()
 	return k, func() { life.End(); <-ended }
 }
@@ -128,9 +128,9 @@
 
 func TestKeeper(t *testing.T) {
 	var log bytes.Buffer
-	system := clock.NewSystem(&log, slog.LevelInfo)
+	system := env.NewSystem(&log, slog.LevelInfo)
 	t.Run("what was told is there at the next start", func(t *testing.T) {
-		g := ground{system, world.NewDisk()}
+		g := ground{system, simenv.NewDisk()}
 		k, stop := start(t, g, Terms{1 << 20, 1000})
 		for n := int64(1); n <= 170; n++ {
 			k.Told(event(n))
@@ -144,7 +144,7 @@
 	})
 	t.Run("a disk that fails is told once, and once when it is well again; nothing told is lost", func(t *testing.T) {
 		log.Reset()
-		d := &sick{Disk: world.NewDisk()}
+		d := &sick{Disk: simenv.NewDisk()}
 		k, stop := start(t, ground{system, d}, Terms{1 << 20, 1000})
 		k.Told(event(1))
 		await(t, "the first event on disk", func() bool { return k.Kept() == 1 })
@@ -167,7 +167,7 @@
 		}
 	})
 	t.Run("a disk that never works costs the list only, in bounded memory", func(t *testing.T) {
-		d := &sick{Disk: world.NewDisk()}
+		d := &sick{Disk: simenv.NewDisk()}
 		d.fail(syscall.EROFS)
 		k, stop := start(t, ground{system, d}, Terms{1 << 20, 1000})
 		defer stop()
@@ -181,7 +181,7 @@
 		}
 	})
 	t.Run("so many writes a second and no more, whatever is told", func(t *testing.T) {
-		d := &sick{Disk: world.NewDisk()}
+		d := &sick{Disk: simenv.NewDisk()}
 		k, stop := start(t, ground{system, d}, Terms{1 << 20, 20})
 		began := time.Now()
 		for n := int64(1); time.Since(began) < 300*time.Millisecond; n++ {
@@ -198,7 +198,7 @@
 		}
 	})
 	t.Run("the record is compacted before it outgrows its bytes", func(t *testing.T) {
-		d := world.NewDisk()
+		d := simenv.NewDisk()
 		k, stop := start(t, ground{system, d}, Terms{200 << 10, 1e6})
 		for n := int64(1); n <= 6000; n++ {
 			k.Told(event(n))
@@ -219,10 +219,10 @@
 	})
 	t.Run("a list that outgrows its bytes is told", func(t *testing.T) {
 		log.Reset()
-		k, stop := start(t, ground{system, world.NewDisk()}, Terms{64 << 10, 1000})
-		many := roster.Change{Last: 1, Whole: true}
+		k, stop := start(t, ground{system, simenv.NewDisk()}, Terms{64 << 10, 1000})
+		many := endpoints.Change{Last: 1, Whole: true}
 		for i := range 3000 {
-			many.Rows = append(many.Rows, roster.Cache{ID: fmt.Sprint("edge-", i), Addr: "10.1.0.1:1", Zone: "town", Machine: "edge"})
+			many.Rows = append(many.Rows, endpoints.Cache{ID: fmt.Sprint("edge-", i), Addr: "10.1.0.1:1", Zone: "town", Machine: "edge"})
 		}
 		k.Told(many)
 		stop()
@@ -231,15 +231,15 @@
 		}
 	})
 	t.Run("a second process on one folder says so", func(t *testing.T) {
-		g := ground{system, world.NewDisk()}
+		g := ground{system, simenv.NewDisk()}
 		_, stop := start(t, g, Terms{1 << 20, 1000})
 		defer stop()
-		if _, _, err := Open(g, "/list", Terms{1 << 20, 1000}); !errors.Is(err, record.ErrLocked) {
+		if _, _, err := Open(g, "/list", Terms{1 << 20, 1000}); !errors.Is(err, wal.ErrLocked) {
 			t.Error(err)
 		}
 	})
 	t.Run("what is out is kept when that changes, not each time", func(t *testing.T) {
-		k, stop := start(t, ground{system, world.NewDisk()}, Terms{1 << 20, 1000})
+		k, stop := start(t, ground{system, simenv.NewDisk()}, Terms{1 << 20, 1000})
 		defer stop()
 		k.Told(event(1))
 		k.Learnt([]string{"edge-1"}, []string{"edge-1"})
@@ -260,11 +260,11 @@
 	if path == "" {
 		os.Exit(m.Run())
 	}
-	k, _, err := Open(clock.NewSystem(io.Discard, slog.LevelInfo), path, Terms{64 << 10, 1e6})
+	k, _, err := Open(env.NewSystem(io.Discard, slog.LevelInfo), path, Terms{64 << 10, 1e6})
 	if err != nil {
 		panic(err)
 	}
-	go k.Run(clock.NewLife(nil))
+	go k.Run(env.NewLife(nil))
 	for n := k.State().Last + 1; ; n++ {
 		k.Told(event(n))
 		if n%3 == 0 {
@@ -282,7 +282,7 @@
 	}
 	path := t.TempDir()
 	chance := rand.New(rand.NewPCG(3, 4))
-	moved, last, fresh := 0, int64(0), roster.New()
+	moved, last, fresh := 0, int64(0), endpoints.New()
 	for i := range kills {
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), "FOLDSLIP_LIST_IN="+path)
@@ -303,11 +303,11 @@
 			}
 		}
 		cmd.Wait()
-		got, err := record.Read(record.Folder{Path: path}, Name)
+		got, err := wal.Read(wal.Folder{Path: path}, Name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, err := roster.Restore(got.Snapshot, got.Changes)
+		s, err := endpoints.Restore(got.Snapshot, got.Changes)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/store/record/kill_test.go
+++ b/internal/store/wal/kill_test.go
@@ -1,4 +1,4 @@
-package record_test
+package wal_test
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"foldslip/store/record"
+	"foldslip/internal/store/wal"
 )
 
 // TestMain is the process that is killed, where it is told so: it counts up on disk, and says each number once it is synced.
@@ -20,7 +20,7 @@
 	if path == "" {
 		os.Exit(m.Run())
 	}
-	r, kept, err := record.Open(record.Folder{Path: path}, "count")
+	r, kept, err := wal.Open(wal.Folder{Path: path}, "count")
 	if err != nil {
 		panic(err)
 	}
@@ -43,7 +43,7 @@
 	}
 }
 
-func counted(k record.Kept) uint64 {
+func counted(k wal.Kept) uint64 {
 	if k.Generation == 0 {
 		return 0
 	}
@@ -89,7 +89,7 @@
 		if said > before {
 			moved++
 		}
-		kept, err := record.Read(record.Folder{Path: path}, "count")
+		kept, err := wal.Read(wal.Folder{Path: path}, "count")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/store/record/record.go
+++ b/internal/store/wal/record.go
@@ -1,4 +1,4 @@
-// Package record keeps a state on disk as an append-only record: a snapshot, then the changes since, each with a checksum.
+// Package wal keeps a state on disk as an append-only record: a snapshot, then the changes since, each with a checksum.
 // The newest whole state is what can be read back after any cut, flipped byte or kill; never a mix of two.
 //
 // A record is a folder with files NAME-GENERATION.rec. A generation is written aside, synced, renamed and the folder
@@ -8,7 +8,7 @@
 //
 // The package knows nothing of what it keeps. Its owner is whoever opened it; one process at a time, by a lock on the
 // folder. Not for several goroutines at once.
-package record
+package wal
 
 import (
 	"encoding/binary"
@@ -21,7 +21,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"foldslip/clock"
+	"foldslip/internal/env"
 )
 
 const (
@@ -36,12 +36,12 @@
 
 // Disk is the folder of a record, and File a file in it.
 type (
-	Disk = clock.Disk
-	File = clock.File
+	Disk = env.Disk
+	File = env.File
 )
 
 // ErrLocked tells that another process has the folder.
-var ErrLocked = clock.ErrLocked
+var ErrLocked = env.ErrLocked
 
 // ErrNewer tells that the files are of a newer form than this program reads.
 var ErrNewer = errors.New("the files are of a newer form than this program reads")
--- a/store/record/record_test.go
+++ b/internal/store/wal/record_test.go
@@ -1,4 +1,4 @@
-package record_test
+package wal_test
 
 import (
 	"bytes"
@@ -8,18 +8,18 @@
 	"os"
 	"testing"
 
-	"foldslip/lab/world"
-	"foldslip/store/record"
+	"foldslip/internal/lab/simenv"
+	"foldslip/internal/store/wal"
 )
 
 // state is what was last synced well, as text: a snapshot and the changes since.
-func state(k record.Kept) string {
+func state(k wal.Kept) string {
 	return fmt.Sprintf("%s+%s", k.Snapshot, bytes.Join(k.Changes, []byte(",")))
 }
 
 // write opens, begins and appends by a fixed script; done is told each state that is synced, before is told it is tried.
-func write(d record.Disk, done func(string)) error {
-	r, kept, err := record.Open(d, "list")
+func write(d wal.Disk, done func(string)) error {
+	r, kept, err := wal.Open(d, "list")
 	if err != nil {
 		return err
 	}
@@ -52,15 +52,15 @@
 
 func TestRecords(t *testing.T) {
 	t.Run("what was appended is read again, in a generation of its own", func(t *testing.T) {
-		d := world.NewDisk()
-		if k, err := record.Read(d, "list"); err != nil || k.Generation != 0 || k.Snapshot != nil {
+		d := simenv.NewDisk()
+		if k, err := wal.Read(d, "list"); err != nil || k.Generation != 0 || k.Snapshot != nil {
 			t.Fatalf("%+v, %v", k, err)
 		}
 		last := ""
 		if err := write(d, func(s string) { last = s }); err != nil {
 			t.Fatal(err)
 		}
-		k, err := record.Read(d, "list")
+		k, err := wal.Read(d, "list")
 		if err != nil || state(k) != last || k.Generation != 2 || k.Lost != 0 {
 			t.Errorf("%s, expected %s, %+v, %v", state(k), last, k, err)
 		}
@@ -69,25 +69,25 @@
 		}
 	})
 	t.Run("a second process is told that the first has the folder", func(t *testing.T) {
-		f, err := record.OpenFolder(t.TempDir())
+		f, err := wal.OpenFolder(t.TempDir())
 		if err != nil {
 			t.Fatal(err)
 		}
-		r, _, err := record.Open(f, "list")
+		r, _, err := wal.Open(f, "list")
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := record.Open(f, "list"); !errors.Is(err, record.ErrLocked) {
+		if _, _, err := wal.Open(f, "list"); !errors.Is(err, wal.ErrLocked) {
 			t.Errorf("%v", err)
 		}
 		r.Close()
-		if r, _, err = record.Open(f, "list"); err != nil {
+		if r, _, err = wal.Open(f, "list"); err != nil {
 			t.Fatal(err)
 		}
 		r.Close()
 	})
 	t.Run("cut or flipped at any byte: the newest whole state, or the generation before", func(t *testing.T) {
-		whole := world.NewDisk()
+		whole := simenv.NewDisk()
 		seen := map[string]bool{}
 		if err := write(whole, func(s string) { seen[s] = true }); err != nil {
 			t.Fatal(err)
@@ -96,27 +96,27 @@
 			for _, cut := range []bool{true, false} {
 				d := whole.Copy()
 				d.Spoil("list-2.rec", at, cut)
-				k, err := record.Read(d, "list")
+				k, err := wal.Read(d, "list")
 				if err != nil || !seen[state(k)] {
 					t.Fatalf("byte %d, cut %v: %s, %v", at, cut, state(k), err)
 				}
 				if k.Generation == 1 && state(k) != "s++c0,c1,c2,c3" {
 					t.Fatalf("byte %d, cut %v: %s of the generation before", at, cut, state(k))
 				}
-				if r, _, err := record.Open(d, "list"); err != nil || r.Begin([]byte("n")) != nil || r.Generation() != 3 {
+				if r, _, err := wal.Open(d, "list"); err != nil || r.Begin([]byte("n")) != nil || r.Generation() != 3 {
 					t.Fatalf("byte %d: cannot go on: %v", at, err)
 				}
 			}
 		}
 	})
 	t.Run("power lost at any operation, by many chances: nothing synced is lost", func(t *testing.T) {
-		all := world.NewDisk()
+		all := simenv.NewDisk()
 		if err := write(all, func(string) {}); err != nil {
 			t.Fatal(err)
 		}
 		for left := range all.Ops {
 			for seed := range uint64(40) {
-				d := world.NewDisk()
+				d := simenv.NewDisk()
 				d.Left = left
 				synced, tried := "+", []string{"+"}
 				err := write(d, func(s string) { synced = s; tried = append(tried, s) })
@@ -124,12 +124,12 @@
 					t.Fatal("the power held")
 				}
 				d.Crash(rand.New(rand.NewPCG(seed, 1)))
-				k, err := record.Read(d, "list")
+				k, err := wal.Read(d, "list")
 				if err != nil {
 					t.Fatal(err)
 				}
 				// The state synced last, or the one under way.
-				next := world.NewDisk()
+				next := simenv.NewDisk()
 				after, passed := "", false
 				write(next, func(s string) {
 					if passed && after == "" {
@@ -147,15 +147,15 @@
 		}
 	})
 	t.Run("a newer form is refused and left alone", func(t *testing.T) {
-		f, err := record.OpenFolder(t.TempDir())
+		f, err := wal.OpenFolder(t.TempDir())
 		if err != nil {
 			t.Fatal(err)
 		}
-		head := record.Head(record.Form+1, 7)
+		head := wal.Head(wal.Form+1, 7)
 		if err := os.WriteFile(f.Path+"/list-7.rec", head, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := record.Open(f, "list"); !errors.Is(err, record.ErrNewer) {
+		if _, _, err := wal.Open(f, "list"); !errors.Is(err, wal.ErrNewer) {
 			t.Errorf("%v", err)
 		}
 		if got, _ := os.ReadFile(f.Path + "/list-7.rec"); !bytes.Equal(got, head) {
@@ -163,8 +163,8 @@
 		}
 	})
 	t.Run("after a failed append only a snapshot goes on", func(t *testing.T) {
-		d := world.NewDisk()
-		r, _, err := record.Open(d, "list")
+		d := simenv.NewDisk()
+		r, _, err := wal.Open(d, "list")
 		if err != nil || r.Begin([]byte("a")) != nil {
 			t.Fatal(err)
 		}
@@ -179,23 +179,23 @@
 		if err := r.Begin([]byte("d")); err != nil || r.Append([]byte("e")) != nil {
 			t.Error(err)
 		}
-		if k, _ := record.Read(d, "list"); state(k) != "d+e" {
+		if k, _ := wal.Read(d, "list"); state(k) != "d+e" {
 			t.Error(state(k))
 		}
 	})
 }
 
 func FuzzRead(f *testing.F) {
-	d := world.NewDisk()
+	d := simenv.NewDisk()
 	write(d, func(string) {})
 	text, _ := d.Read("list-2.rec")
 	f.Add(text)
-	f.Add(record.Head(1, 2))
+	f.Add(wal.Head(1, 2))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		d := world.NewDisk()
+		d := simenv.NewDisk()
 		file, _ := d.Create("list-2.rec")
 		file.Write(text)
-		k, err := record.Read(d, "list")
+		k, err := wal.Read(d, "list")
 		if err == nil && k.Generation == 2 && k.Snapshot == nil {
 			t.Error("a generation without a snapshot")
 		}
--- a/telemetry/trace.go
+++ b/internal/telemetry/trace.go
@@ -18,10 +18,10 @@
 	sdk "go.opentelemetry.io/otel/sdk/trace"
 	"go.opentelemetry.io/otel/trace"
 
-	"foldslip/facade"
-	"foldslip/logic"
-	"foldslip/retry"
-	"foldslip/route"
+	"foldslip/internal/dispatch"
+	"foldslip/internal/policy"
+	"foldslip/internal/retry"
+	"foldslip/internal/route"
 )
 
 const (
@@ -109,7 +109,7 @@
 }
 
 // Decided is the module's word on a lookup.
-func (t *Tracer) Decided(lk *retry.Lookup, s facade.Step) {
+func (t *Tracer) Decided(lk *retry.Lookup, s dispatch.Step) {
 	its, ok := lk.Trace.(*spans)
 	if !ok {
 		return
@@ -117,7 +117,7 @@
 	its.mu.Lock()
 	defer its.mu.Unlock()
 	switch s.What {
-	case facade.Send:
+	case dispatch.Send:
 		_, span := t.its.Start(its.ctx, "send", trace.WithSpanKind(trace.SpanKindClient), trace.WithAttributes(attribute.Int("foldslip.send", s.N),
 			attribute.String("foldslip.cache", s.To.Name), attribute.Int("foldslip.rank", s.Rank), attribute.Int64("foldslip.wait_us", s.Patience)))
 		if s.Source != s.To {
@@ -125,22 +125,22 @@
 		}
 		its.sends[s.N] = span
 		return
-	case facade.Cancel:
+	case dispatch.Cancel:
 		its.root.AddEvent("given up", trace.WithAttributes(attribute.Int("foldslip.send", s.N)))
 		return
-	case facade.Nacked:
+	case dispatch.Nacked:
 		its.root.SetAttributes(attribute.Int64("foldslip.again_us", s.RetryIn))
 	}
 	end := endings[s.What]
 	its.root.SetAttributes(attribute.String("foldslip.end", end))
-	if s.What != facade.Satisfied {
+	if s.What != dispatch.Satisfied {
 		its.root.SetStatus(codes.Error, end)
 	}
 	its.root.End()
 	its.over = true
 }
 
-var endings = map[facade.What]string{facade.Satisfied: "satisfied", facade.Nacked: "nacked", facade.Failed: "failed", facade.Departed: "departed"}
+var endings = map[dispatch.What]string{dispatch.Satisfied: "satisfied", dispatch.Nacked: "nacked", dispatch.Failed: "failed", dispatch.Departed: "departed"}
 
 var words = [...]string{"untold", "satisfied", "error", "turned_away", "timed_out", "unconnected", "reset", "cancelled", "never_sent", "missed"}
 
@@ -158,7 +158,7 @@
 	}
 	delete(its.sends, tell.N)
 	span.SetAttributes(attribute.String("foldslip.end", words[tell.How]), attribute.Int("foldslip.remark", int(tell.Remark)))
-	if tell.How != logic.Satisfied {
+	if tell.How != policy.Satisfied {
 		span.SetStatus(codes.Error, words[tell.How])
 	}
 	span.End()
--- a/telemetry/trace_test.go
+++ b/internal/telemetry/trace_test.go
@@ -6,9 +6,9 @@
 	sdk "go.opentelemetry.io/otel/sdk/trace"
 	"go.opentelemetry.io/otel/sdk/trace/tracetest"
 
-	"foldslip/facade"
-	"foldslip/logic"
-	"foldslip/retry"
+	"foldslip/internal/dispatch"
+	"foldslip/internal/policy"
+	"foldslip/internal/retry"
 )
 
 const parent = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
@@ -28,13 +28,13 @@
 	tracer := New(Terms{Share: share, Name: "n0"}, sdk.WithSyncer(to))
 	lk := &retry.Lookup{Object: "o", Group: 3}
 	tracer.Began(lk, headers(traceparent, times))
-	cache, other := &logic.Cache{Name: "c0"}, &logic.Cache{Name: "c1"}
-	tracer.Decided(lk, facade.Step{What: facade.Send, N: 0, To: cache, Source: other})
-	tracer.Ended(lk, retry.Tell{Of: lk, N: 0, How: logic.TurnedAway})
-	tracer.Decided(lk, facade.Step{What: facade.Send, N: 1, To: other, Source: other})
-	tracer.Ended(lk, retry.Tell{Of: lk, N: 1, How: logic.Satisfied})
-	tracer.Ended(lk, retry.Tell{Of: lk, N: 1, How: logic.Satisfied}) // nothing to end
-	tracer.Decided(lk, facade.Step{What: facade.Satisfied, N: 1})
+	cache, other := &policy.Cache{Name: "c0"}, &policy.Cache{Name: "c1"}
+	tracer.Decided(lk, dispatch.Step{What: dispatch.Send, N: 0, To: cache, Source: other})
+	tracer.Ended(lk, retry.Tell{Of: lk, N: 0, How: policy.TurnedAway})
+	tracer.Decided(lk, dispatch.Step{What: dispatch.Send, N: 1, To: other, Source: other})
+	tracer.Ended(lk, retry.Tell{Of: lk, N: 1, How: policy.Satisfied})
+	tracer.Ended(lk, retry.Tell{Of: lk, N: 1, How: policy.Satisfied}) // nothing to end
+	tracer.Decided(lk, dispatch.Step{What: dispatch.Satisfied, N: 1})
 	return to.GetSpans()
 }
 
--- a/member/member.go
+++ b/internal/warmstart/member.go
@@ -1,11 +1,11 @@
-// Package member knows which caches there are when the bulletin does not say: it starts the router from the list kept on
+// Package warmstart knows which caches there are when the bulletin does not say: it starts the router from the list kept on
 // disk, follows what each entry proves to be, and lays the list aside when the bulletin's word comes. How far an entry is
 // relied on is decided by package trust, and which cache gets a lookup by the module, which is told of doubts with its
 // rows. What is told goes to the keeper from here.
 //
 // Members is owned by the process; its lock mu is taken under the facade's (what sends show) and never held over a call to
 // the facade, listing is. It is bounded by the list.
-package member
+package warmstart
 
 import (
 	"cmp"
@@ -13,14 +13,14 @@
 	"sync"
 	"time"
 
-	"foldslip/charter"
-	"foldslip/clock"
-	"foldslip/facade"
-	"foldslip/logic"
-	"foldslip/memory"
-	"foldslip/store/keeper"
-	"foldslip/store/roster"
-	"foldslip/trust"
+	"foldslip/internal/dispatch"
+	"foldslip/internal/env"
+	"foldslip/internal/freshness"
+	"foldslip/internal/memory"
+	"foldslip/internal/policy"
+	"foldslip/internal/settings"
+	"foldslip/internal/store/endpoints"
+	"foldslip/internal/store/snapshot"
 )
 
 const (
@@ -37,18 +37,18 @@
 
 // Members is the list while it may be in doubt. A nil one takes what it is told and does nothing, as on the platform.
 type Members struct {
-	g      clock.Ground
-	terms  *charter.Terms
-	router *facade.Facade
+	g      env.Ground
+	terms  *settings.Terms
+	router *dispatch.Facade
 	caches *memory.Caches
-	keep   *keeper.Keeper
+	keep   *snapshot.Keeper
 
 	listing sync.Mutex // held while the kept list is told to the router, or laid aside
 
 	mu    sync.Mutex
-	rows  map[string]logic.Row // of the list, while it stands for the bulletin
-	book  *trust.Book          // nil once the bulletin has spoken
-	began time.Time            // the start
+	rows  map[string]policy.Row // of the list, while it stands for the bulletin
+	book  *freshness.Book       // nil once the bulletin has spoken
+	began time.Time             // the start
 	bars  map[string]*bar
 	last  int64 // number of the last event in the list
 	lower int
@@ -56,12 +56,12 @@
 
 // bar is a cache that the list knows to drain or to be gone.
 type bar struct {
-	tomb roster.Tomb
-	row  *logic.Row // as the bulletin told it meanwhile
+	tomb endpoints.Tomb
+	row  *policy.Row // as the bulletin told it meanwhile
 }
 
 // New makes members over an open list.
-func New(g clock.Ground, terms *charter.Terms, router *facade.Facade, caches *memory.Caches, keep *keeper.Keeper) *Members {
+func New(g env.Ground, terms *settings.Terms, router *dispatch.Facade, caches *memory.Caches, keep *snapshot.Keeper) *Members {
 	m := &Members{g: g, terms: terms, router: router, caches: caches, keep: keep, bars: map[string]*bar{}}
 	s := keep.State()
 	m.last = s.Last
@@ -80,23 +80,23 @@
 	if s.Stood == 0 {
 		age = now.Sub(time.UnixMilli(s.At)) // of an operator's file alone
 	}
-	book, rows := trust.NewBook(trust.List{Hours: s.Hours, Departed: s.Departed}, now), map[string]logic.Row{}
+	book, rows := freshness.NewBook(freshness.List{Hours: s.Hours, Departed: s.Departed}, now), map[string]policy.Row{}
 	for _, k := range s.Sorted() {
-		row := logic.Row{Cell: k.Cell, Weight: k.Size, Zone: slices.Index(m.terms.Zones, k.Zone),
+		row := policy.Row{Cell: k.Cell, Weight: k.Size, Zone: slices.Index(m.terms.Zones, k.Zone),
 			Kind: slices.Index(m.terms.Machines, k.Machine)}
 		if row.Zone < 0 || row.Kind < 0 {
 			continue // of other settings
 		}
 		row.Cache = m.caches.Note(k.ID, k.Addr).Its
 		rows[k.ID] = row
-		book.Enter(k.ID, row.Kind == m.terms.Router.ParentKind, trust.Entry{Age: age, Imported: k.Source == roster.Imported, Ill: k.Ill > 0,
-			Left: k.Phase != roster.Up || s.Tombs[k.ID].ID != ""})
+		book.Enter(k.ID, row.Kind == m.terms.Router.ParentKind, freshness.Entry{Age: age, Imported: k.Source == endpoints.Imported, Ill: k.Ill > 0,
+			Left: k.Phase != endpoints.Up || s.Tombs[k.ID].ID != ""})
 	}
 	for _, p := range s.Purges { // those still in force; what came since is told by the bulletin
 		issued := time.UnixMilli(p.Issued)
 		if purges.Keep > now.Sub(issued) {
 			purges.Note(p.Object, p.Group, issued)
-			m.router.Tick(nil, false, []facade.Purge{{Object: p.Object, Group: p.Group, Issued: issued}})
+			m.router.Tick(nil, false, []dispatch.Purge{{Object: p.Object, Group: p.Group, Issued: issued}})
 		}
 	}
 	if len(rows) == 0 {
@@ -109,25 +109,25 @@
 	m.mu.Unlock()
 	m.router.Relist(list)
 	m.router.See(m.saw)
-	m.g.Log().Warn("from_list", "caches", len(rows), "age_ms", age.Milliseconds(), "trusted", by[trust.Trusted], "on_trial",
-		by[trust.OnTrial], "doubted", by[trust.Doubted], "barred", by[trust.Barred], "bulletin", s.Bulletin, "last", s.Last)
+	m.g.Log().Warn("from_list", "caches", len(rows), "age_ms", age.Milliseconds(), "trusted", by[freshness.Trusted], "on_trial",
+		by[freshness.OnTrial], "doubted", by[freshness.Doubted], "barred", by[freshness.Barred], "bulletin", s.Bulletin, "last", s.Last)
 	return len(rows)
 }
 
 // list is the rows of verdicts, under the lock.
-func (m *Members) list(all []trust.Verdict) (list []logic.Row) {
+func (m *Members) list(all []freshness.Verdict) (list []policy.Row) {
 	for _, v := range all {
 		row := m.rows[v.ID]
 		switch {
-		case v.Standing == trust.Barred:
-			row.State = logic.Gone
+		case v.Standing == freshness.Barred:
+			row.State = policy.Gone
 		case row.Kind == m.terms.Router.OriginKind: // there is no other
-		case v.Standing == trust.Doubted:
-			row.Standing = logic.Doubted
+		case v.Standing == freshness.Doubted:
+			row.Standing = policy.Doubted
 		default:
-			row.Standing = logic.OnTrial
+			row.Standing = policy.OnTrial
 		}
-		if row.Standing != logic.Told && v.Standing != trust.Trusted {
+		if row.Standing != policy.Told && v.Standing != freshness.Trusted {
 			row.Started = m.began.UnixMicro()
 			if row.Kind == m.terms.Router.ParentKind {
 				row.Started += parentBy.Microseconds()
@@ -139,7 +139,7 @@
 }
 
 // saw is told of each send's ending, under the facade's lock.
-func (m *Members) saw(to, source *logic.Cache, how logic.Ending, remark logic.Remark) {
+func (m *Members) saw(to, source *policy.Cache, how policy.Ending, remark policy.Remark) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.book == nil {
@@ -147,32 +147,32 @@
 	}
 	now := m.g.Now()
 	switch {
-	case how == logic.Unconnected || how == logic.Reset:
-		m.book.Saw(to.Name, trust.Broken, now)
-	case how == logic.Satisfied && (remark == logic.Hit || remark == logic.Aged):
-		m.book.Saw(to.Name, trust.Found, now)
-	case how == logic.Satisfied && remark != logic.Untold || how == logic.Missed:
-		m.book.Saw(to.Name, trust.Fetched, now)
-	case how == logic.Satisfied || how == logic.Errored || how == logic.TurnedAway:
-		m.book.Saw(to.Name, trust.Word, now)
+	case how == policy.Unconnected || how == policy.Reset:
+		m.book.Saw(to.Name, freshness.Broken, now)
+	case how == policy.Satisfied && (remark == policy.Hit || remark == policy.Aged):
+		m.book.Saw(to.Name, freshness.Found, now)
+	case how == policy.Satisfied && remark != policy.Untold || how == policy.Missed:
+		m.book.Saw(to.Name, freshness.Fetched, now)
+	case how == policy.Satisfied || how == policy.Errored || how == policy.TurnedAway:
+		m.book.Saw(to.Name, freshness.Word, now)
 	}
 	if source == to {
 		return
 	}
 	switch {
-	case how == logic.Satisfied && remark == logic.Filled:
-		m.book.Saw(source.Name, trust.Found, now)
-	case how == logic.Satisfied && remark == logic.FilledFromOrigin:
-		m.book.Saw(source.Name, trust.Fetched, now)
-	case remark == logic.SourceRefused || remark == logic.SourceLost:
-		m.book.Saw(source.Name, trust.Broken, now)
+	case how == policy.Satisfied && remark == policy.Filled:
+		m.book.Saw(source.Name, freshness.Found, now)
+	case how == policy.Satisfied && remark == policy.FilledFromOrigin:
+		m.book.Saw(source.Name, freshness.Fetched, now)
+	case remark == policy.SourceRefused || remark == policy.SourceLost:
+		m.book.Saw(source.Name, freshness.Broken, now)
 	}
 }
 
 // Hold changes rows that an event of a bulletin tells as up although the list knows that they drain: a list is newer
 // than a bulletin that is behind it. Events past the list's last number count as told, and so does a later start.
 // A whole list ends the time of the kept one before the router hears of it, so that the kept one is never told after it.
-func (m *Members) Hold(no int64, isWhole bool, ids []string, rows []logic.Row) {
+func (m *Members) Hold(no int64, isWhole bool, ids []string, rows []policy.Row) {
 	if m == nil {
 		return
 	}
@@ -185,12 +185,12 @@
 		b := m.bars[id]
 		switch {
 		case b == nil:
-		case no > m.last || rows[i].State != logic.Ready || rows[i].Started > b.tomb.At*1000 || m.unbarred():
+		case no > m.last || rows[i].State != policy.Ready || rows[i].Started > b.tomb.At*1000 || m.unbarred():
 			delete(m.bars, id)
 		default:
 			row := rows[i]
 			b.row = &row
-			rows[i].State = logic.Draining
+			rows[i].State = policy.Draining
 		}
 	}
 }
@@ -221,7 +221,7 @@
 }
 
 // Told takes what a bulletin has told, once the router knows it.
-func (m *Members) Told(c roster.Change) {
+func (m *Members) Told(c endpoints.Change) {
 	if m == nil {
 		return
 	}
@@ -255,14 +255,14 @@
 }
 
 // Run follows what entries prove to be, lets bars go when their time is over, and learns which caches are out.
-func (m *Members) Run(life *clock.Life) error {
+func (m *Members) Run(life *env.Life) error {
 	end := m.g.Bell()
 	defer life.OnEnd(end.Ring)()
 	learnt := m.g.Now()
 	for !end.Wait(m.pause()) {
 		m.relist()
 		m.mu.Lock()
-		var free []logic.Row
+		var free []policy.Row
 		if m.unbarred() {
 			for _, b := range m.bars {
 				if b.row != nil {
@@ -273,7 +273,7 @@
 		}
 		m.mu.Unlock()
 		if len(free) > 0 {
-			slices.SortFunc(free, func(a, b logic.Row) int { return cmp.Compare(a.Cache.Name, b.Cache.Name) })
+			slices.SortFunc(free, func(a, b policy.Row) int { return cmp.Compare(a.Cache.Name, b.Cache.Name) })
 			m.router.Tick(free, false, nil)
 		}
 		if now := m.g.Now(); now.Sub(learnt) >= learnEvery {
@@ -289,7 +289,7 @@
 	m.listing.Lock()
 	defer m.listing.Unlock()
 	m.mu.Lock()
-	var list []logic.Row
+	var list []policy.Row
 	if m.book != nil {
 		list = m.list(m.book.Verdicts())
 	}
--- a/member/member_test.go
+++ b/internal/warmstart/member_test.go
@@ -1,4 +1,4 @@
-package member
+package warmstart
 
 import (
 	"bytes"
@@ -8,25 +8,25 @@
 	"testing"
 	"time"
 
-	"foldslip/charter"
-	"foldslip/clock"
-	"foldslip/facade"
-	"foldslip/logic"
-	"foldslip/memory"
-	"foldslip/store/keeper"
-	"foldslip/store/roster"
+	"foldslip/internal/dispatch"
+	"foldslip/internal/env"
+	"foldslip/internal/memory"
+	"foldslip/internal/policy"
+	"foldslip/internal/settings"
+	"foldslip/internal/store/endpoints"
+	"foldslip/internal/store/snapshot"
 )
 
 // module takes what the router would be told of lists.
 type module struct {
-	facade.Module
-	kind logic.ListKind
-	rows map[string]logic.Row
+	dispatch.Module
+	kind policy.ListKind
+	rows map[string]policy.Row
 }
 
-func (m *module) Listed(now logic.Micros, what logic.ListKind, rows []logic.Row) {
-	if m.kind = what; what != logic.Changes || m.rows == nil {
-		m.rows = map[string]logic.Row{}
+func (m *module) Listed(now policy.Micros, what policy.ListKind, rows []policy.Row) {
+	if m.kind = what; what != policy.Changes || m.rows == nil {
+		m.rows = map[string]policy.Row{}
 	}
 	for _, r := range rows {
 		m.rows[r.Cache.Name] = r
@@ -35,37 +35,37 @@
 }
 
 type place struct {
-	g       clock.Ground
+	g       env.Ground
 	log     bytes.Buffer
 	told    *module
-	terms   *charter.Terms
-	router  *facade.Facade
+	terms   *settings.Terms
+	router  *dispatch.Facade
 	caches  *memory.Caches
 	purges  *memory.Purges
-	keep    *keeper.Keeper
+	keep    *snapshot.Keeper
 	members *Members
 }
 
-var settings = []byte(`{"areas":["town"],"machine_types":["edge","parent","origin"],"classes":[{"name":"segment","aim":400000,"deadline":5000000,"effect":"idempotent"}],
+var testSettings = []byte(`{"areas":["town"],"machine_types":["edge","parent","origin"],"classes":[{"name":"segment","aim":400000,"deadline":5000000,"effect":"idempotent"}],
 "specifics":{"parent_kind":1,"source_kind":2,"max_age":[0],"grace_for":[0],"pass_on":[false],"seats_by_zone":[1],"cleared_within":6000000}}`)
 
 // morning starts from a folder into which a gateway before wrote some changes.
-func morning(t *testing.T, before ...roster.Change) *place {
+func morning(t *testing.T, before ...endpoints.Change) *place {
 	t.Helper()
 	p := &place{caches: &memory.Caches{}}
-	p.g = clock.NewSystem(&p.log, slog.LevelInfo)
+	p.g = env.NewSystem(&p.log, slog.LevelInfo)
 	p.purges = &memory.Purges{Clock: p.g, Keep: time.Hour}
 	var err error
-	if p.terms, err = charter.Read(settings); err != nil {
+	if p.terms, err = settings.Read(testSettings); err != nil {
 		t.Fatal(err)
 	}
-	p.router = facade.Start(p.g, 1, p.terms.Router, func(h logic.Host, start func(logic.Host) facade.Module) facade.Module {
+	p.router = dispatch.Start(p.g, 1, p.terms.Router, func(h policy.Host, start func(policy.Host) dispatch.Module) dispatch.Module {
 		p.told = &module{Module: start(h)}
 		return p.told
 	})
 	folder := t.TempDir()
-	open := func() *keeper.Keeper {
-		k, why, err := keeper.Open(p.g, folder, keeper.Terms{Bytes: 1 << 20, Writes: 100})
+	open := func() *snapshot.Keeper {
+		k, why, err := snapshot.Open(p.g, folder, snapshot.Terms{Bytes: 1 << 20, Writes: 100})
 		if why != nil || err != nil {
 			t.Fatal(why, err)
 		}
@@ -75,7 +75,7 @@
 	for _, c := range before {
 		k.Told(c)
 	}
-	life := clock.NewLife(nil)
+	life := env.NewLife(nil)
 	life.End()
 	k.Run(life)
 	p.keep = open()
@@ -83,12 +83,12 @@
 	return p
 }
 
-func edge(id string, phase roster.Phase) roster.Cache {
-	return roster.Cache{ID: id, Addr: "10.0.0.1:" + fmt.Sprint(1000+len(id)+int(id[0])), Zone: "town", Machine: "edge", Phase: phase}
+func edge(id string, phase endpoints.Phase) endpoints.Cache {
+	return endpoints.Cache{ID: id, Addr: "10.0.0.1:" + fmt.Sprint(1000+len(id)+int(id[0])), Zone: "town", Machine: "edge", Phase: phase}
 }
 
-var whole = roster.Change{Last: 40, Whole: true, Bulletin: "10.7.0.1:8500", Rows: []roster.Cache{edge("a", roster.Up), edge("b", roster.Up),
-	edge("c", roster.Draining)}}
+var whole = endpoints.Change{Last: 40, Whole: true, Bulletin: "10.7.0.1:8500", Rows: []endpoints.Cache{edge("a", endpoints.Up), edge("b", endpoints.Up),
+	edge("c", endpoints.Draining)}}
 
 func TestStart(t *testing.T) {
 	t.Run("no list: nothing is listed", func(t *testing.T) {
@@ -100,12 +100,12 @@
 	t.Run("what drained is not listed, the rest is on trial", func(t *testing.T) {
 		p := morning(t, whole)
 		p.members.Start(p.purges)
-		if p.told.kind != logic.CachedList || len(p.told.rows) != 3 || p.told.rows["c"].State != logic.Gone {
+		if p.told.kind != policy.CachedList || len(p.told.rows) != 3 || p.told.rows["c"].State != policy.Gone {
 			t.Fatalf("%+v", p.told)
 		}
 		delete(p.told.rows, "c")
 		for _, r := range p.told.rows {
-			if r.Standing != logic.OnTrial || r.Started == 0 || r.State != logic.Ready {
+			if r.Standing != policy.OnTrial || r.Started == 0 || r.State != policy.Ready {
 				t.Errorf("%+v", r)
 			}
 		}
@@ -114,15 +114,15 @@
 		}
 	})
 	t.Run("what was out when the list was kept gets trials", func(t *testing.T) {
-		p := morning(t, whole, roster.Change{Health: true, Ill: []string{"b"}})
+		p := morning(t, whole, endpoints.Change{Health: true, Ill: []string{"b"}})
 		p.members.Start(p.purges)
-		if p.told.rows["a"].Standing != logic.OnTrial || p.told.rows["b"].Standing != logic.Doubted {
+		if p.told.rows["a"].Standing != policy.OnTrial || p.told.rows["b"].Standing != policy.Doubted {
 			t.Errorf("%+v", p.told.rows)
 		}
 	})
 	t.Run("purges in force are heeded, old ones not", func(t *testing.T) {
 		now := time.Now()
-		p := morning(t, whole, roster.Change{Purges: []roster.Purge{{Object: "new", Issued: now.UnixMilli()}, {Object: "old", Issued: 1000}}})
+		p := morning(t, whole, endpoints.Change{Purges: []endpoints.Purge{{Object: "new", Issued: now.UnixMilli()}, {Object: "old", Issued: 1000}}})
 		p.members.Start(p.purges)
 		if at, _ := p.purges.Heeded("new", 0); at.UnixMilli() != now.UnixMilli() {
 			t.Error(at)
@@ -136,59 +136,59 @@
 		p.members.Start(p.purges)
 		a := p.caches.Find("a").Its
 		for range 8 {
-			p.members.saw(a, a, logic.Satisfied, logic.Hit)
+			p.members.saw(a, a, policy.Satisfied, policy.Hit)
 		}
-		if p.members.relist(); p.told.kind != logic.Changes || p.told.rows["a"].Started != 0 || p.told.rows["b"].Started == 0 {
+		if p.members.relist(); p.told.kind != policy.Changes || p.told.rows["a"].Started != 0 || p.told.rows["b"].Started == 0 {
 			t.Errorf("%+v", p.told)
 		}
 	})
 }
 
 func TestTheBulletinComesBack(t *testing.T) {
-	ready := func(p *place, no int64, started logic.Micros) logic.State {
-		rows := []logic.Row{{Cache: p.caches.Note("c", "10.0.0.1:9").Its, Started: started}}
+	ready := func(p *place, no int64, started policy.Micros) policy.State {
+		rows := []policy.Row{{Cache: p.caches.Note("c", "10.0.0.1:9").Its, Started: started}}
 		p.members.Hold(no, false, []string{"c"}, rows)
 		return rows[0].State
 	}
 	t.Run("a bulletin behind the list does not undo a drain", func(t *testing.T) {
 		p := morning(t, whole)
-		if got := ready(p, 3, 0); got != logic.Draining {
+		if got := ready(p, 3, 0); got != policy.Draining {
 			t.Error(got)
 		}
 	})
 	t.Run("its later word does", func(t *testing.T) {
 		p := morning(t, whole)
-		if got := ready(p, 41, 0); got != logic.Ready {
+		if got := ready(p, 41, 0); got != policy.Ready {
 			t.Error(got)
 		}
 	})
 	t.Run("a cache started after its drain is another life", func(t *testing.T) {
 		p := morning(t, whole)
-		if got := ready(p, 3, time.Now().Add(time.Second).UnixMicro()); got != logic.Ready {
+		if got := ready(p, 3, time.Now().Add(time.Second).UnixMicro()); got != policy.Ready {
 			t.Error(got)
 		}
 	})
 	t.Run("so does a drain of long ago, until ten minutes after the start", func(t *testing.T) {
 		p := morning(t, whole)
 		p.members.bars["c"].tomb.At -= 24 * time.Hour.Milliseconds()
-		if got := ready(p, 3, 0); got != logic.Draining {
+		if got := ready(p, 3, 0); got != policy.Draining {
 			t.Error(got)
 		}
 		p.members.began = p.members.began.Add(-barFor)
-		if got := ready(p, 3, 0); got != logic.Ready {
+		if got := ready(p, 3, 0); got != policy.Ready {
 			t.Error(got)
 		}
 	})
 	t.Run("the time on the list ends with a whole list, and is told", func(t *testing.T) {
 		p := morning(t, whole)
 		p.members.Start(p.purges)
-		p.members.Hold(1, true, []string{"a", "d"}, make([]logic.Row, 2))
+		p.members.Hold(1, true, []string{"a", "d"}, make([]policy.Row, 2))
 		p.told.rows = nil
-		p.members.saw(p.caches.Find("a").Its, p.caches.Find("a").Its, logic.Satisfied, logic.Hit)
+		p.members.saw(p.caches.Find("a").Its, p.caches.Find("a").Its, policy.Satisfied, policy.Hit)
 		if p.members.relist(); p.told.rows != nil {
 			t.Error("the kept list is told after the bulletin's")
 		}
-		p.members.Told(roster.Change{Last: 1, Whole: true, Rows: []roster.Cache{edge("a", roster.Up), edge("d", roster.Up)}})
+		p.members.Told(endpoints.Change{Last: 1, Whole: true, Rows: []endpoints.Cache{edge("a", endpoints.Up), edge("d", endpoints.Up)}})
 		if !strings.Contains(p.log.String(), "event=from_bulletin") || !strings.Contains(p.log.String(), "told=2 listed=3 in_both=1") {
 			t.Error(p.log.String())
 		}
--- a/wire/answer.go
+++ b/internal/wire/answer.go
@@ -10,19 +10,19 @@
 	"sync"
 	"time"
 
-	"foldslip/facade"
-	"foldslip/memory"
-	"foldslip/route/steer"
+	"foldslip/internal/dispatch"
+	"foldslip/internal/memory"
+	"foldslip/internal/route/rollout"
 )
 
 // open is a lookup between its request and its answer, as the network sees it.
 type open struct {
 	req     Request
-	lk      *facade.Lookup
+	lk      *dispatch.Lookup
 	flights []*flight
 	room    *memory.Room
-	runs    bool        // at the origin: what it brings is no copy
-	pass    *steer.Pass // nil: it came by no route
+	runs    bool          // at the origin: what it brings is no copy
+	pass    *rollout.Pass // nil: it came by no route
 	came    time.Time
 	mu      sync.Mutex
 	got     map[int]*copied
@@ -64,9 +64,9 @@
 }
 
 // leave ends what its route let in.
-func (o *open) leave(how facade.What, late bool) {
+func (o *open) leave(how dispatch.What, late bool) {
 	if o.pass != nil {
-		o.pass.End(how == facade.Satisfied && !late, how == facade.Nacked, late || how == facade.Failed)
+		o.pass.End(how == dispatch.Satisfied && !late, how == dispatch.Nacked, late || how == dispatch.Failed)
 	}
 }
 
@@ -76,10 +76,10 @@
 	for {
 		s := f.router.Pick(o.lk)
 		switch s.What {
-		case facade.Send:
+		case dispatch.Send:
 			f.links.send(o, s)
 			continue
-		case facade.Cancel:
+		case dispatch.Cancel:
 			f.links.cancel(o, s.N)
 			continue
 		}
@@ -87,22 +87,22 @@
 		o.leave(s.What, f.g.Now().Sub(o.came) > f.terms.Budget(f.kinds[o.req.Kind], o.req.KB))
 		end := o.req.Close || c.ends()
 		switch s.What {
-		case facade.Satisfied:
+		case dispatch.Satisfied:
 			c.mu.Lock()
 			c.usual = true
 			c.mu.Unlock()
 			c.pass(o, s.N, end)
-		case facade.Nacked:
+		case dispatch.Nacked:
 			wait := ""
 			if s.RetryIn > 0 {
 				wait = "X-Wait-Ms: " + strconv.FormatInt((s.RetryIn+999)/1000, 10) + "\r\n"
 			}
 			c.say(appendHead(nil, 503, 0, wait, end), o.lk.Deadline)
-		case facade.Failed:
+		case dispatch.Failed:
 			c.say(appendHead(nil, 502, 0, "", end), o.lk.Deadline)
 		}
 		switch {
-		case end && s.What == facade.Satisfied:
+		case end && s.What == dispatch.Satisfied:
 			c.part()
 		case end: // a head alone is out whole; what is given up before the kill must not linger up to Cut
 			c.shut("asked")
--- a/wire/bulletin.go
+++ b/internal/wire/bulletin.go
@@ -12,13 +12,13 @@
 	"sync"
 	"time"
 
-	"foldslip/charter"
-	"foldslip/clock"
-	"foldslip/facade"
-	"foldslip/logic"
-	"foldslip/member"
-	"foldslip/memory"
-	"foldslip/store/roster"
+	"foldslip/internal/dispatch"
+	"foldslip/internal/env"
+	"foldslip/internal/memory"
+	"foldslip/internal/policy"
+	"foldslip/internal/settings"
+	"foldslip/internal/store/endpoints"
+	"foldslip/internal/warmstart"
 )
 
 const (
@@ -36,32 +36,32 @@
 // Bulletin follows the numbered events: lists of caches and purges.
 type Bulletin struct {
 	Last   int64 // number of the last event held
-	Terms  *charter.Terms
-	Router *facade.Facade
+	Terms  *settings.Terms
+	Router *dispatch.Facade
 	Caches *memory.Caches
 	Purges *memory.Purges
 	// Members, if there are any, are told all that counts beside the router.
-	Members *member.Members
+	Members *warmstart.Members
 	// Heard, if set, is told of each event before the router is; it must not wait.
-	Heard func(c roster.Change)
+	Heard func(c endpoints.Change)
 	// Event, if set, is told the number of each event and its purges once they count; it must not wait.
-	Event func(no int64, purges []facade.Purge)
+	Event func(no int64, purges []dispatch.Purge)
 	// Listed, if set, is called once a whole list has been told.
 	Listed func()
 	// Spread, if set, draws a pause by chance up to the one given.
 	Spread func(time.Duration) time.Duration
-	g      clock.Ground
+	g      env.Ground
 	failed int64 // number of the event that could not be used when it came last
 	mu     sync.Mutex
 	addr   string
-	quiet  int         // sessions in a row that fell silent without a line
-	its    *clock.Life // of the session under way
-	moved  bool        // it is to be asked at once
-	turn   clock.Bell  // rung when moved is set, and at the end
+	quiet  int       // sessions in a row that fell silent without a line
+	its    *env.Life // of the session under way
+	moved  bool      // it is to be asked at once
+	turn   env.Bell  // rung when moved is set, and at the end
 }
 
 // NewBulletin makes the follower of the bulletin at an address.
-func NewBulletin(g clock.Ground, addr string, terms *charter.Terms, router *facade.Facade, caches *memory.Caches,
+func NewBulletin(g env.Ground, addr string, terms *settings.Terms, router *dispatch.Facade, caches *memory.Caches,
 	purges *memory.Purges) *Bulletin {
 	return &Bulletin{g: g, addr: addr, Terms: terms, Router: router, Caches: caches, Purges: purges, turn: g.Bell()}
 }
@@ -80,15 +80,15 @@
 }
 
 // next is the address to ask now, with the life of a session there, which Move ends.
-func (b *Bulletin) next(life *clock.Life) (string, *clock.Life) {
+func (b *Bulletin) next(life *env.Life) (string, *env.Life) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.moved, b.its = false, clock.NewLife(life) // this session is at the new address
+	b.moved, b.its = false, env.NewLife(life) // this session is at the new address
 	return b.addr, b.its
 }
 
 // pause waits before the bulletin is asked again; true if it has moved meanwhile.
-func (b *Bulletin) pause(life *clock.Life, span time.Duration) bool {
+func (b *Bulletin) pause(life *env.Life, span time.Duration) bool {
 	for till := b.g.Now().Add(span); !life.Over(); {
 		b.mu.Lock()
 		moved := b.moved
@@ -184,12 +184,12 @@
 	if err != nil {
 		return err
 	}
-	var purges []facade.Purge
+	var purges []dispatch.Purge
 	if r := e.Recall; r != nil {
 		if (r.Item == "") == (r.Lot == nil) || !(r.Issued > 0 && r.Issued < 1e14) {
 			return errors.New("a recall that names not one thing and its time")
 		}
-		p := facade.Purge{Object: r.Item, Issued: time.UnixMicro(int64(r.Issued * 1000))}
+		p := dispatch.Purge{Object: r.Item, Issued: time.UnixMicro(int64(r.Issued * 1000))}
 		if r.Lot != nil {
 			p.Group = *r.Lot
 		}
@@ -233,10 +233,10 @@
 }
 
 // change is an event as the list keeps it.
-func (b *Bulletin) change(e *event) roster.Change {
-	c := roster.Change{Last: b.Last, Bulletin: b.at()}
+func (b *Bulletin) change(e *event) endpoints.Change {
+	c := endpoints.Change{Last: b.Last, Bulletin: b.at()}
 	if r := e.Recall; r != nil {
-		p := roster.Purge{Object: r.Item, Issued: int64(r.Issued), Told: b.g.Now().UnixMilli()}
+		p := endpoints.Purge{Object: r.Item, Issued: int64(r.Issued), Told: b.g.Now().UnixMilli()}
 		if r.Lot != nil {
 			p.Group = *r.Lot
 		}
@@ -247,8 +247,8 @@
 	}
 	c.Whole = e.Roster.Complete
 	for _, m := range e.Roster.Members {
-		phase := map[string]roster.Phase{"draining": roster.Draining, "removed": roster.Gone}[m.Phase]
-		c.Rows = append(c.Rows, roster.Cache{ID: m.ID, Addr: m.HostPort, Zone: m.Locality, Machine: m.Flavor, Cell: m.Cell, Size: m.Size,
+		phase := map[string]endpoints.Phase{"draining": endpoints.Draining, "removed": endpoints.Gone}[m.Phase]
+		c.Rows = append(c.Rows, endpoints.Cache{ID: m.ID, Addr: m.HostPort, Zone: m.Locality, Machine: m.Flavor, Cell: m.Cell, Size: m.Size,
 			UpSince: int64(m.UpSince), Phase: phase})
 	}
 	return c
@@ -261,20 +261,20 @@
 }
 
 // rows reads a roster; all of it must be usable before any of it counts.
-func (b *Bulletin) rows(e *event) (rows []logic.Row, gone []string, err error) {
+func (b *Bulletin) rows(e *event) (rows []policy.Row, gone []string, err error) {
 	if e.Roster == nil {
 		return nil, nil, nil
 	}
 	for _, m := range e.Roster.Members {
-		row := logic.Row{Cell: m.Cell, Weight: m.Size, Started: logic.Micros(m.UpSince * 1000),
+		row := policy.Row{Cell: m.Cell, Weight: m.Size, Started: policy.Micros(m.UpSince * 1000),
 			Zone: slices.Index(b.Terms.Zones, m.Locality), Kind: slices.Index(b.Terms.Machines, m.Flavor)}
 		switch m.Phase {
 		case "up":
-			row.State = logic.Ready
+			row.State = policy.Ready
 		case "draining":
-			row.State = logic.Draining
+			row.State = policy.Draining
 		case "removed":
-			row.State = logic.Gone
+			row.State = policy.Gone
 			gone = append(gone, m.ID)
 		default:
 			return nil, nil, fmt.Errorf("member %q: phase %q is unknown", m.ID, m.Phase)
@@ -282,7 +282,7 @@
 		if !isWord(m.ID) {
 			return nil, nil, fmt.Errorf("member %q: the id cannot be used", m.ID)
 		}
-		if row.State != logic.Gone {
+		if row.State != policy.Gone {
 			if _, err := netip.ParseAddrPort(m.HostPort); err != nil || row.Zone < 0 || row.Kind < 0 {
 				return nil, nil, fmt.Errorf("member %q: address, locality or flavor is unknown", m.ID)
 			}
@@ -296,7 +296,7 @@
 }
 
 // Follow keeps a connection to the bulletin until life ends.
-func (b *Bulletin) Follow(life *clock.Life) error {
+func (b *Bulletin) Follow(life *env.Life) error {
 	defer life.OnEnd(b.turn.Ring)()
 	for pause := retryBulletin; ; {
 		began, last := b.g.Now(), b.Last
@@ -343,7 +343,7 @@
 }
 
 // session is one connection, from after the last event held up to its end.
-func (b *Bulletin) session(life *clock.Life, addr string) (reason string) {
+func (b *Bulletin) session(life *env.Life, addr string) (reason string) {
 	conn, err := b.g.Dial(life, addr, dialBulletin)
 	if err != nil {
 		return "no_connection"
--- a/wire/client.go
+++ b/internal/wire/client.go
@@ -10,11 +10,11 @@
 	"sync"
 	"time"
 
-	"foldslip/clock"
-	"foldslip/facade"
-	"foldslip/limit"
-	"foldslip/logic"
-	"foldslip/memory"
+	"foldslip/internal/dispatch"
+	"foldslip/internal/env"
+	"foldslip/internal/limit"
+	"foldslip/internal/memory"
+	"foldslip/internal/policy"
 )
 
 // client is one connection of a client.
@@ -22,15 +22,15 @@
 	f      *Front
 	conn   net.Conn
 	mu     sync.Mutex
-	busy   bool       // with a request, from its last byte to its answer's
-	lk     *open      // the lookup that it is
-	done   clock.Bell // rung when the next request may be taken
-	no     int64      // in the order of accepting
-	begun  bool       // bytes of a request are there
-	bad    bool       // nothing it sends is taken any more: what came is no request, or it has its last answer; it ends
-	ahead  bool       // a next request is there while one is being answered
-	unseen bool       // its end may be behind what has not been read yet; its reader's own
-	going  string     // why this side ends it once nothing is there
+	busy   bool     // with a request, from its last byte to its answer's
+	lk     *open    // the lookup that it is
+	done   env.Bell // rung when the next request may be taken
+	no     int64    // in the order of accepting
+	begun  bool     // bytes of a request are there
+	bad    bool     // nothing it sends is taken any more: what came is no request, or it has its last answer; it ends
+	ahead  bool     // a next request is there while one is being answered
+	unseen bool     // its end may be behind what has not been read yet; its reader's own
+	going  string   // why this side ends it once nothing is there
 	reason string
 	since  time.Time // without a request on it
 	usual  bool      // a lookup of it was satisfied
@@ -285,7 +285,7 @@
 // linger ends this side's half and reads on for so long at most, so that what the client still sends does not undo the answer it was
 // sent. The connection may be displaced meanwhile, or cut at the end of a drain.
 func (c *client) linger(within time.Duration) {
-	if t, ok := c.conn.(clock.Conn); ok && t.CloseWrite() == nil {
+	if t, ok := c.conn.(env.Conn); ok && t.CloseWrite() == nil {
 		t.SetReadDeadline(c.f.g.Now().Add(within))
 		io.CopyN(io.Discard, t, lingerBytes)
 	}
@@ -375,7 +375,7 @@
 		status, text = 503, "too many lookups"
 	default:
 		var why limit.Reason
-		var scope *logic.Scope
+		var scope *policy.Scope
 		if f.Routes != nil {
 			if o.pass, why, wait = f.Routes.Admit(kind, req.Group, req.Object, req.KB); why == limit.Allowed {
 				scope = o.pass.Scope()
@@ -389,7 +389,7 @@
 		o.lk = f.router.TakeFor(req.ID, kind, req.Object, req.Part, req.Group, req.KB, came.Add(req.Allow), scope, nil)
 		if o.lk == nil {
 			f.places.Leave()
-			o.leave(facade.Failed, false)
+			o.leave(dispatch.Failed, false)
 			status, text = 409, "this lookup is open already"
 		}
 	}
--- a/wire/descriptors_test.go
+++ b/internal/wire/descriptors_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"foldslip/clock"
+	"foldslip/internal/env"
 )
 
 // toEach asks for objects until each of the edges has had a send; it answers each at once.
@@ -125,7 +125,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	life := clock.NewLife(nil)
+	life := env.NewLife(nil)
 	t.Cleanup(func() { life.End(); l.Close() })
 	go r.front.Accept(life, &short{Listener: l})
 	c, err := net.Dial("tcp", l.Addr().String())
--- a/wire/ending_test.go
+++ b/internal/wire/ending_test.go
@@ -12,12 +12,12 @@
 	"testing"
 	"time"
 
-	"foldslip/charter"
-	"foldslip/clock"
 	"foldslip/example/standin"
-	"foldslip/facade"
-	"foldslip/logic"
-	"foldslip/memory"
+	"foldslip/internal/dispatch"
+	"foldslip/internal/env"
+	"foldslip/internal/memory"
+	"foldslip/internal/policy"
+	"foldslip/internal/settings"
 )
 
 // The crossings of docs/ending.md on loopback: the real front and links, with stand-in caches, on a ground that holds the exact
@@ -25,7 +25,7 @@
 
 // held is the system's ground with gates in it; a nil gate is open.
 type held struct {
-	*clock.System
+	*env.System
 	dial   chan bool    // each connection to a cache waits for one
 	read   chan bool    // each read of a client's connection waits for one
 	asked  chan bool    // told of each read that waits
@@ -37,7 +37,7 @@
 	idle   chan bool    // each read of a client whose lookup is open waits for one
 }
 
-func (h *held) Dial(life *clock.Life, addr string, within time.Duration) (net.Conn, error) {
+func (h *held) Dial(life *env.Life, addr string, within time.Duration) (net.Conn, error) {
 	if h.dial != nil {
 		<-h.dial
 	}
@@ -51,7 +51,7 @@
 	return c, err
 }
 
-func (h *held) Direct(c net.Conn) clock.Direct {
+func (h *held) Direct(c net.Conn) env.Direct {
 	if h.write != nil {
 		return nil
 	}
@@ -148,7 +148,7 @@
 // rig is a front and links before two edges and the origin.
 type rig struct {
 	t        *testing.T
-	router   *facade.Facade
+	router   *dispatch.Facade
 	front    *Front
 	links    *Links
 	listener gated
@@ -166,18 +166,18 @@
 "specifics":{"parent_kind":1,"source_kind":2,"flow_kb_per_s":100000,"max_age":[0,0,0],"grace_for":[0,0,0],"pass_on":[false,true,true],"seats_by_zone":[1],"cleared_within":6000000}}`
 
 func stand(t *testing.T, h *held, cancelling bool, most int) *rig {
-	terms, err := charter.Read([]byte(strings.Replace(rigSettings, "CANCEL", fmt.Sprint(cancelling), 1)))
+	terms, err := settings.Read([]byte(strings.Replace(rigSettings, "CANCEL", fmt.Sprint(cancelling), 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.System = clock.NewSystem(io.Discard, 0)
+	h.System = env.NewSystem(io.Discard, 0)
 	r := &rig{t: t, caches: &memory.Caches{}, came: make(chan standin.Do, 99), purges: &memory.Purges{Clock: h, Keep: time.Minute}}
-	r.router = facade.Start(h, 1, terms.Router, nil)
-	life := clock.NewLife(nil)
+	r.router = dispatch.Start(h, 1, terms.Router, nil)
+	life := env.NewLife(nil)
 	r.links = NewLinks(h, life, terms, r.router, r.caches, r.purges, 99)
 	r.front = NewFront(h, terms, r.router, r.links, memory.NewRoom(h, 100, 1<<20), most)
 	r.front.Ready()
-	var rows []logic.Row
+	var rows []policy.Row
 	for i := range 2 {
 		c, err := standin.NewCache("127.0.0.1:0", func(d standin.Do) { r.came <- d })
 		if err != nil {
@@ -185,9 +185,9 @@
 		}
 		t.Cleanup(c.Close)
 		r.edges = append(r.edges, c)
-		rows = append(rows, logic.Row{Cache: r.caches.Note(fmt.Sprint("edge", i), c.Addr).Its})
+		rows = append(rows, policy.Row{Cache: r.caches.Note(fmt.Sprint("edge", i), c.Addr).Its})
 	}
-	rows = append(rows, logic.Row{Cache: r.caches.Note("origin", "127.0.0.1:1").Its, Kind: 2})
+	rows = append(rows, policy.Row{Cache: r.caches.Note("origin", "127.0.0.1:1").Its, Kind: 2})
 	r.router.Tick(rows, true, nil)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -270,12 +270,12 @@
 }
 
 // tell lists a cache in another state.
-func (r *rig) tell(name string, state logic.State) {
-	row := logic.Row{Cache: r.caches.Find(name).Its, State: state}
+func (r *rig) tell(name string, state policy.State) {
+	row := policy.Row{Cache: r.caches.Find(name).Its, State: state}
 	if name == "origin" {
 		row.Kind = 2
 	}
-	r.router.Tick([]logic.Row{row}, false, nil)
+	r.router.Tick([]policy.Row{row}, false, nil)
 }
 
 // A send waits for its connection to come up while something ends. Nothing of it has gone out, so nothing of it goes out any more,
@@ -307,7 +307,7 @@
 		c := r.ask("segment")
 		r.sent(1)
 		home, other := r.home()
-		r.tell(home, logic.Draining)
+		r.tell(home, policy.Draining)
 		close(h.dial)
 		d := r.take()
 		if at := d.On.LocalAddr().String(); at != r.caches.Find(other).Addr {
@@ -321,7 +321,7 @@
 		r := stand(t, h, true, 50)
 		c := r.ask("segment")
 		r.sent(1)
-		r.tell("origin", logic.Gone)
+		r.tell("origin", policy.Gone)
 		close(h.dial)
 		d := r.take()
 		if d.Fields["from"] != "" {
@@ -402,7 +402,7 @@
 	second := r.ask("segment")
 	r.sent(2)
 	home, other := r.home()
-	r.tell(home, logic.Draining)
+	r.tell(home, policy.Draining)
 	close(h.write)
 	at := map[string]int{}
 	for range 2 {
--- a/wire/front.go
+++ b/internal/wire/front.go
@@ -10,11 +10,11 @@
 	"sync"
 	"time"
 
-	"foldslip/charter"
-	"foldslip/clock"
-	"foldslip/facade"
-	"foldslip/memory"
-	"foldslip/route/steer"
+	"foldslip/internal/dispatch"
+	"foldslip/internal/env"
+	"foldslip/internal/memory"
+	"foldslip/internal/route/rollout"
+	"foldslip/internal/settings"
 )
 
 const (
@@ -35,30 +35,30 @@
 
 // Front is the side of the clients.
 type Front struct {
-	g        clock.Ground
-	terms    *charter.Terms
-	router   *facade.Facade
+	g        env.Ground
+	terms    *settings.Terms
+	router   *dispatch.Facade
 	links    *Links
 	room     *memory.Room
 	places   *memory.Places // in it, of direct clients
 	most     int            // connections
 	spare    int            // of these, for those that make room, while they are looked at once more
-	Routes   *steer.Steer   // nil: a lookup may go anywhere
+	Routes   *rollout.Steer // nil: a lookup may go anywhere
 	kinds    map[string]int
 	mu       sync.Mutex
 	clients  map[*client]bool
 	draining bool
 	ready    bool
 	count    int64 // connections so far
-	group    clock.Group
-	accepted clock.Bell // rung when no more are accepted
-	leaving  int        // displaced connections that are looked at once more
-	left     clock.Bell // rung when one of them has ended
-	waited   time.Time  // when accepting last waited; Accept's own
+	group    env.Group
+	accepted env.Bell  // rung when no more are accepted
+	leaving  int       // displaced connections that are looked at once more
+	left     env.Bell  // rung when one of them has ended
+	waited   time.Time // when accepting last waited; Accept's own
 }
 
 // NewFront makes a front that takes so many connections at most.
-func NewFront(g clock.Ground, terms *charter.Terms, router *facade.Facade, links *Links, room *memory.Room, most int) *Front {
+func NewFront(g env.Ground, terms *settings.Terms, router *dispatch.Facade, links *Links, room *memory.Room, most int) *Front {
 	f := &Front{g: g, terms: terms, router: router, links: links, room: room, places: room.For("clients", 1), most: most, spare: most / 8, kinds: map[string]int{},
 		clients: map[*client]bool{}, group: g.Group(), accepted: g.Bell(), left: g.Bell()}
 	for i, k := range terms.Kinds {
@@ -82,7 +82,7 @@
 }
 
 // Accept takes clients until the listener closes; see Shut.
-func (f *Front) Accept(life *clock.Life, from net.Listener) error {
+func (f *Front) Accept(life *env.Life, from net.Listener) error {
 	defer f.accepted.Ring()
 	again := f.g.Bell() // rung at the end
 	defer life.OnEnd(again.Ring)()
@@ -109,7 +109,7 @@
 				told = f.g.Now()
 				f.g.Log().Warn("accept_failed", "text", err.Error())
 			}
-			if clock.NoDescriptor(err) && f.Yield() {
+			if env.NoDescriptor(err) && f.Yield() {
 				f.waited = f.g.Now() // those that come now may have waited with a request on them, and have gone
 				continue
 			}
--- a/wire/lines.go
+++ b/internal/wire/lines.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"foldslip/logic"
+	"foldslip/internal/policy"
 )
 
 const (
@@ -20,8 +20,8 @@
 )
 
 // appendDo writes the line of a send, with the bytes that its client sent.
-func appendDo(b []byte, id, kind, object string, part int, patience logic.Micros, source string, rank int,
-	oldest logic.Micros, how logic.How, tag, unique string, body []byte) []byte {
+func appendDo(b []byte, id, kind, object string, part int, patience policy.Micros, source string, rank int,
+	oldest policy.Micros, how policy.How, tag, unique string, body []byte) []byte {
 	b = fmt.Appendf(b, "do %s c=%s,k=%s,p=%d,w=%d", id, kind, object, part, max(1, (patience+999)/1000))
 	if source != "" {
 		b = fmt.Appendf(b, ",from=%s", source)
@@ -34,9 +34,9 @@
 	}
 	sign := ",mode="
 	for _, h := range [...]struct {
-		how  logic.How
+		how  policy.How
 		word string
-	}{{logic.Join, "j"}, {logic.HeldOnly, "h"}, {logic.SourceSkip, "n"}, {logic.Renew, "r"}} {
+	}{{policy.Join, "j"}, {policy.HeldOnly, "h"}, {policy.SourceSkip, "n"}, {policy.Renew, "r"}} {
 		if how&h.how != 0 {
 			b = append(append(b, sign...), h.word...)
 			sign = "+"
@@ -57,20 +57,20 @@
 // answer is what a cache said of a send.
 type answer struct {
 	id     string
-	end    logic.Ending
+	end    policy.Ending
 	same   bool // the client's copy is the one
-	remark logic.Remark
-	waited logic.Micros
+	remark policy.Remark
+	waited policy.Micros
 	tag    string
 	born   time.Time
 	bare   bool   // without ver or born: no copy, only what a lookup that ran at the origin brought
 	body   []byte // within the buffer that was parsed
 }
 
-var remarks = map[string]logic.Remark{"hit": logic.Hit, "filled": logic.Filled,
-	"via_origin": logic.FilledFromOrigin, "joined": logic.Joined, "stale": logic.Aged,
-	"src_refused": logic.SourceRefused, "src_broke": logic.SourceLost, "src_lacks": logic.SourceLacks,
-	"no_slot": logic.NoFillPlace, "origin_failed": logic.OriginFailed}
+var remarks = map[string]policy.Remark{"hit": policy.Hit, "filled": policy.Filled,
+	"via_origin": policy.FilledFromOrigin, "joined": policy.Joined, "stale": policy.Aged,
+	"src_refused": policy.SourceRefused, "src_broke": policy.SourceLost, "src_lacks": policy.SourceLacks,
+	"no_slot": policy.NoFillPlace, "origin_failed": policy.OriginFailed}
 
 // parseAnswer reads an answer at the front of b and tells how long it is; errShort asks for more bytes. An answer
 // that ends where it says and makes no sense comes with id and length beside the error, else the length is 0.
@@ -112,22 +112,22 @@
 func (a *answer) content(word, fields string) error {
 	switch word {
 	case "HIT", "VALID":
-		a.end, a.same = logic.Satisfied, word == "VALID"
+		a.end, a.same = policy.Satisfied, word == "VALID"
 	case "NONE":
-		a.end = logic.Missed
+		a.end = policy.Missed
 	case "SHED":
-		a.end = logic.TurnedAway
+		a.end = policy.TurnedAway
 	case "FAULT":
-		a.end = logic.Errored
+		a.end = policy.Errored
 	case "LATE":
-		a.end = logic.NeverSent
+		a.end = policy.NeverSent
 	default:
 		return errors.New("the word is unknown")
 	}
 	if err := a.fields(fields); err != nil {
 		return err
 	}
-	if a.bare = a.end == logic.Satisfied && (a.tag == "" || a.born.IsZero()); a.same && (a.bare || len(a.body) > 0) {
+	if a.bare = a.end == policy.Satisfied && (a.tag == "" || a.born.IsZero()); a.same && (a.bare || len(a.body) > 0) {
 		return errors.New("VALID without ver or born, or with bytes")
 	}
 	return nil
@@ -151,7 +151,7 @@
 			if err != nil || !(n >= 0 && n < 1e9) {
 				return errors.New("waited cannot be read")
 			}
-			a.waited = logic.Micros(math.Round(n * 1000))
+			a.waited = policy.Micros(math.Round(n * 1000))
 		case "ver":
 			if !isWord(v) {
 				return errors.New("ver cannot be read")
--- a/wire/link_write.go
+++ b/internal/wire/link_write.go
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"foldslip/logic"
+	"foldslip/internal/policy"
 )
 
 // put queues a send once the connection is up, under the link's lock. Its line says how long is left by now, and its hush begins:
@@ -61,7 +61,7 @@
 			delete(l.flights, f.open.req.ID)
 			f.stop()
 			at := slices.IndexFunc(l.undone, func(u undone) bool { return u.no > one.no })
-			l.undone = slices.Insert(l.undone, cmp.Or(at+1, len(l.undone)+1)-1, undone{f, logic.NeverSent, one.no})
+			l.undone = slices.Insert(l.undone, cmp.Or(at+1, len(l.undone)+1)-1, undone{f, policy.NeverSent, one.no})
 			l.closeEmpty()
 			one.text = nil
 		}
--- a/wire/links.go
+++ b/internal/wire/links.go
@@ -7,11 +7,11 @@
 	"sync/atomic"
 	"time"
 
-	"foldslip/charter"
-	"foldslip/clock"
-	"foldslip/facade"
-	"foldslip/logic"
-	"foldslip/memory"
+	"foldslip/internal/dispatch"
+	"foldslip/internal/env"
+	"foldslip/internal/memory"
+	"foldslip/internal/policy"
+	"foldslip/internal/settings"
 )
 
 const (
@@ -25,9 +25,9 @@
 
 // Links are the connections to caches. Each carries many sends; their answers come in any order.
 type Links struct {
-	g      clock.Ground
-	terms  *charter.Terms
-	router *facade.Facade
+	g      env.Ground
+	terms  *settings.Terms
+	router *dispatch.Facade
 	caches *memory.Caches
 	purges *memory.Purges
 	mu     sync.Mutex
@@ -36,12 +36,12 @@
 	conns  int                // of these, how many there are
 	boards atomic.Int64       // sends so far
 	flying atomic.Int64       // sends without an ending
-	group  clock.Group
-	life   *clock.Life
+	group  env.Group
+	life   *env.Life
 }
 
 // NewLinks makes the links, so many connections at most; they end with life.
-func NewLinks(g clock.Ground, life *clock.Life, terms *charter.Terms, router *facade.Facade, caches *memory.Caches,
+func NewLinks(g env.Ground, life *env.Life, terms *settings.Terms, router *dispatch.Facade, caches *memory.Caches,
 	purges *memory.Purges, most int) *Links {
 	return &Links{g: g, terms: terms, router: router, caches: caches, purges: purges, by: map[string][]*link{},
 		most: most, group: g.Group(), life: life}
@@ -57,10 +57,10 @@
 	group  int
 	open   *open
 	n      int
-	step   facade.Step
+	step   dispatch.Step
 	till   time.Time // it is given up then
-	over   clock.Timer
-	hush   clock.Timer
+	over   env.Timer
+	hush   env.Timer
 	no     int64 // in the order of boarding
 	on     *link
 	// Under the link's lock:
@@ -81,10 +81,10 @@
 func (f *flight) begun() bool { return f.at.no > 0 && f.at.no <= f.on.begun }
 
 // send writes a send to its cache or reports at once why it cannot.
-func (ls *Links) send(o *open, s facade.Step) {
+func (ls *Links) send(o *open, s dispatch.Step) {
 	to := ls.caches.Find(s.To.Name)
 	if to == nil || to.Addr == "" {
-		ls.router.Report(o.lk, s.N, logic.Unconnected, logic.Untold, 0)
+		ls.router.Report(o.lk, s.N, policy.Unconnected, policy.Untold, 0)
 		return
 	}
 	f := &flight{open: o, n: s.N, step: s, object: o.req.Object, group: o.req.Group,
@@ -97,7 +97,7 @@
 		if l == nil {
 			// As if the cache had turned it away: it never ran, the cache is not held for dead, and after a pause the module looks for
 			// one that is connected. As never sent it would choose the same cache again at once.
-			ls.report(f, logic.TurnedAway, logic.Untold, 0)
+			ls.report(f, policy.TurnedAway, policy.Untold, 0)
 			return
 		}
 		if l.board(f) {
@@ -188,21 +188,21 @@
 
 // undo gives a send up, unless it has ended. Where the settings allow no giving up the cache is not told, and only what it has seen
 // nothing of is withdrawn before its time is over.
-func (ls *Links) undo(f *flight, how logic.Ending) {
+func (ls *Links) undo(f *flight, how policy.Ending) {
 	l := f.on
 	if l == nil {
 		return
 	}
 	l.mu.Lock()
 	tells := ls.terms.Router.Cancelling
-	if f.begun() && how == logic.Cancelled && !tells || !l.take(f, true) {
+	if f.begun() && how == policy.Cancelled && !tells || !l.take(f, true) {
 		l.mu.Unlock()
 		return
 	}
 	switch {
 	case !f.begun(): // its connection is not up, or it waits behind what the cache does not take
 		l.waiting -= len(f.at.text)
-		f.at.text, how = nil, logic.NeverSent
+		f.at.text, how = nil, policy.NeverSent
 	case tells && !l.dead:
 		// Behind its own line, which it cannot overtake. It has ended once that is out: the next send of the lookup
 		// must not be on its way before.
@@ -214,11 +214,11 @@
 		return
 	}
 	l.mu.Unlock()
-	ls.report(f, how, logic.Untold, 0)
+	ls.report(f, how, policy.Untold, 0)
 }
 
 // report tells the ending of a send, once.
-func (ls *Links) report(f *flight, how logic.Ending, remark logic.Remark, waited logic.Micros) {
+func (ls *Links) report(f *flight, how policy.Ending, remark policy.Remark, waited policy.Micros) {
 	ls.router.Report(f.open.lk, f.n, how, remark, waited)
 	ls.flying.Add(-1)
 }
@@ -237,7 +237,7 @@
 func (ls *Links) cancel(o *open, n int) {
 	for _, f := range o.flights {
 		if f.n == n {
-			ls.undo(f, logic.Cancelled)
+			ls.undo(f, policy.Cancelled)
 		}
 	}
 }
@@ -245,6 +245,6 @@
 // leave gives up all that is still out for a lookup that is over.
 func (ls *Links) leave(o *open) {
 	for _, f := range o.flights {
-		ls.undo(f, logic.Cancelled)
+		ls.undo(f, policy.Cancelled)
 	}
 }
--- a/wire/silence_test.go
+++ b/internal/wire/silence_test.go
@@ -4,9 +4,9 @@
 	"testing"
 	"time"
 
-	"foldslip/charter"
-	"foldslip/logic"
-	"foldslip/memory"
+	"foldslip/internal/memory"
+	"foldslip/internal/policy"
+	"foldslip/internal/settings"
 )
 
 // How long a watch may bring no line, by the time to heed a drain: it is asked anew half a second before that time is over, where lines due
@@ -23,7 +23,7 @@
 	} {
 		caches := &memory.Caches{}
 		caches.Note("a", "127.0.0.1:1")
-		b := &Bulletin{Terms: &charter.Terms{DrainGrace: logic.Micros(c.grace.Microseconds())}, Caches: caches}
+		b := &Bulletin{Terms: &settings.Terms{DrainGrace: policy.Micros(c.grace.Microseconds())}, Caches: caches}
 		if got := b.silent(); got != c.silent {
 			t.Errorf("grace %v: silent after %v, expected %v", c.grace, got, c.silent)
 		}
