--- /dev/null
+++ b/internal/fleet/broadcast/driver/frozen_test.go
@@ -0,0 +1,78 @@
+package driver
+
+import (
+	"log/slog"
+	"slices"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"foldslip/internal/fleet/broadcast"
+	"foldslip/internal/fleet/view"
+	"foldslip/internal/lab/golden"
+)
+
+// twoGateways is a fleet of n1 and n2 that records what n1 sends.
+type twoGateways struct {
+	mu   sync.Mutex
+	sent [][]byte
+}
+
+func (f *twoGateways) Send(to string, b []byte) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.sent = append(f.sent, slices.Clone(b))
+	return nil
+}
+
+func (f *twoGateways) LiveIDs() ([]view.ID, uint64) {
+	return []view.ID{{Name: "n1", Addr: "10.0.0.1:7946", Stamp: 1}, {Name: "n2", Addr: "10.0.0.2:7946", Stamp: 2}}, 1
+}
+
+func (f *twoGateways) Version() uint64 { return 1 }
+
+// A datagram with a batch, as released builds sent it, is read, and sent with the same bytes.
+func TestFrozenDatagramKeepsItsBytes(t *testing.T) {
+	const name = "batch.datagram"
+	synctest.Test(t, func(t *testing.T) {
+		purge := broadcast.Purge{Object: "segment-1", Group: 3, Issued: time.Now().UnixMilli()}
+		fleet := &twoGateways{}
+		sender := New("n1", view.Place{}, func([]broadcast.Purge) {}, slog.New(slog.DiscardHandler), 7, time.Now)
+		sender.Over(fleet)
+		stop := make(chan struct{})
+		var wait sync.WaitGroup
+		wait.Go(func() { sender.Run(stop) })
+		time.Sleep(time.Second)
+		sender.Told([]broadcast.Purge{purge})
+		time.Sleep(5 * time.Second)
+		close(stop)
+		wait.Wait()
+		golden.Equal(t, name, firstBatch(t, fleet.sent))
+
+		receiver := New("n2", view.Place{}, nil, slog.New(slog.DiscardHandler), 8, time.Now)
+		receiver.Over(fleet)
+		receiver.turn()
+		receiver.Take(golden.Read(t, name))
+		if got := receiver.turn().heed; !slices.Equal(got, []broadcast.Purge{purge}) {
+			t.Errorf("read %+v, not %+v", got, purge)
+		}
+	})
+}
+
+// firstBatch is the first datagram whose frame is a batch of purges.
+func firstBatch(t *testing.T, sent [][]byte) []byte {
+	t.Helper()
+	for _, b := range sent {
+		if len(b) > headSize+1 && b[headSize] == broadcast.Kind && b[headSize+1] == 0 {
+			return b
+		}
+	}
+	t.Fatalf("no batch in %d datagrams", len(sent))
+	return nil
+}
+
+func TestFrozenReportsKeepTheirKeys(t *testing.T) {
+	golden.JSON[Report](t, "report.json")
+	golden.JSON[Report](t, "report-empty.json")
+}
--- /dev/null
+++ b/internal/fleet/membership/frozen_test.go
@@ -0,0 +1,75 @@
+package membership
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+
+	"foldslip/internal/env"
+	"foldslip/internal/fleet/view"
+	"foldslip/internal/lab/golden"
+)
+
+const keptFile = "fleet-1.rec"
+
+// What released builds kept of the fleet is read, and written to the same bytes.
+func TestFrozenKeptMembersKeepTheirBytes(t *testing.T) {
+	want := []view.ID{{Name: "n2", Addr: "10.0.0.2:7946", Stamp: 0x0102030405060708}, {Name: "n3", Addr: "[fd00::3]:7946", Stamp: 1},
+		{Name: "n4", Addr: "10.0.0.4:7946"}}
+	read := t.TempDir()
+	if err := os.WriteFile(filepath.Join(read, keptFile), golden.Read(t, keptFile), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	shelf, why, err := OpenShelf(env.Folder{Path: read}, "n1", 100)
+	if err != nil || why != nil {
+		t.Fatal(err, why)
+	}
+	known := shelf.Known()
+	if !slices.Equal(known, want) {
+		t.Errorf("read %+v, not %+v", known, want)
+	}
+	if err := shelf.Close(); err != nil {
+		t.Error(err)
+	}
+
+	written := t.TempDir()
+	if shelf, why, err = OpenShelf(env.Folder{Path: written}, "n1", 100); err != nil || why != nil {
+		t.Fatal(err, why)
+	}
+	if err := shelf.Keep(known); err != nil {
+		t.Fatal(err)
+	}
+	if err := shelf.Close(); err != nil {
+		t.Error(err)
+	}
+	got, err := os.ReadFile(filepath.Join(written, keptFile))
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Equal(t, keptFile, got)
+}
+
+// Metadata that released builds sent is read, and written to the same bytes.
+func TestFrozenMetadataKeepsItsBytes(t *testing.T) {
+	for name, want := range map[string]meta{
+		"without-place.meta": {stamp: 0x0102030405060708},
+		"leaving.meta":       {stamp: 0x0102030405060708, leaving: true},
+		"place.meta":         {stamp: 0x0102030405060708, leaving: true, place: view.Place{Region: "north", Zone: "n-1", Site: "日本"}},
+	} {
+		got, err := readMeta(golden.Read(t, name))
+		if err != nil || got != want {
+			t.Errorf("%s: read %+v, %v, not %+v", name, got, err, want)
+		}
+		golden.Equal(t, name, got.append(nil))
+	}
+	if !bytes.Equal(golden.Read(t, "speak-up.datagram"), []byte{speakUp}) {
+		t.Error("the datagram that asks a gateway to speak up is another one")
+	}
+}
+
+func TestFrozenReportsKeepTheirKeys(t *testing.T) {
+	golden.JSON[Report](t, "report.json")
+	golden.JSON[Report](t, "report-empty.json")
+}
--- /dev/null
+++ b/internal/lab/fleet/mixed_test.go
@@ -0,0 +1,122 @@
+package fleet
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"foldslip/internal/fleet/membership"
+	"foldslip/internal/fleet/view"
+)
+
+// buildBefore is the commit whose gateway the mixed fleet runs beside the one of this tree.
+const buildBefore = "58d6067"
+
+// programBefore builds the gateway of buildBefore from the repository's history.
+func programBefore(t *testing.T) string {
+	t.Helper()
+	root, err := exec.Command("git", "rev-parse", "--show-toplevel").Output()
+	if err != nil {
+		t.Fatalf("the mixed fleet needs the project's git repository: %v", err)
+	}
+	git := func(args ...string) *exec.Cmd {
+		return exec.Command("git", append([]string{"-C", strings.TrimSpace(string(root))}, args...)...)
+	}
+	if out, err := git("cat-file", "-e", buildBefore+"^{commit}").CombinedOutput(); err != nil {
+		t.Fatalf("the mixed fleet needs commit %s in the repository, whose history has no such commit (fetch the whole history): %s", buildBefore, out)
+	}
+	source, archive := t.TempDir(), filepath.Join(t.TempDir(), "source.tar")
+	if out, err := git("archive", "--output", archive, buildBefore, ":(exclude)journal").CombinedOutput(); err != nil {
+		t.Fatalf("git archive: %v: %s", err, out)
+	}
+	if out, err := exec.Command("tar", "-xf", archive, "-C", source).CombinedOutput(); err != nil {
+		t.Fatalf("tar: %v: %s", err, out)
+	}
+	built := filepath.Join(t.TempDir(), "foldslip")
+	build := exec.Command("go", "build", "-o", built, "./cmd/foldslip")
+	build.Dir = source
+	if out, err := build.CombinedOutput(); err != nil {
+		t.Fatalf("the gateway of %s cannot be built: %v: %s", buildBefore, err, out)
+	}
+	return built
+}
+
+// waitForRow asks a gateway for its view until its row of another one holds.
+func waitForRow(t *testing.T, asked *process, other, what string, holds func(membership.Report, membership.Row) bool) {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), 15*time.Second)
+	defer cancel()
+	seen := "it did not answer"
+	for {
+		report, err := asked.report(ctx)
+		if err == nil {
+			seen = fmt.Sprintf("it is %s and has no row", report.State)
+			for _, row := range report.Members {
+				if row.Name != other {
+					continue
+				}
+				if holds(*report, row) {
+					return
+				}
+				seen = fmt.Sprintf("it is %s: %+v", report.State, row)
+			}
+		}
+		select {
+		case <-ctx.Done():
+			log, _ := os.ReadFile(asked.log.Name())
+			t.Fatalf("%s does not see that %s %s: %s\n%s", asked.name, other, what, seen, log)
+		case <-time.After(look):
+		}
+	}
+}
+
+// A gateway of the build before and one of this tree see each other come, agree and leave, in both directions.
+func TestAGatewayOfTheBuildBeforeAndOneOfThisTreeSeeEachOther(t *testing.T) {
+	t.Parallel()
+	scenario := Scenario{Name: "mixed", Gateways: 2, Disk: true, Fleet: brief, Places: []Place{
+		{Who: []string{"n1"}, Region: "north", Zone: "a", Site: "a1"}, {Who: []string{"n2"}, Region: "south", Zone: "b", Site: "b1"}}}
+	if err := scenario.check("mixed"); err != nil {
+		t.Fatal(err)
+	}
+	links := NewLinks(1)
+	rig := &Rig{s: &scenario, o: Options{Program: program, Dir: t.TempDir(), Seed: 1, Net: testNet + 23}, cast: scenario.NewCast(1), links: links,
+		relay: NewRelay(links, scenario.streams()), by: map[string]*process{}, poke: make(chan struct{}, 1), over: make(chan struct{})}
+	rig.began = time.Now()
+	t.Cleanup(rig.close)
+	if err := rig.open(); err != nil {
+		t.Fatal(err)
+	}
+	before, current := rig.by["n1"], rig.by["n2"]
+	before.program = programBefore(t)
+	for _, p := range []*process{before, current} {
+		if err := p.start(); err != nil {
+			t.Fatal(err)
+		}
+	}
+
+	places := map[string]view.Place{"n1": {Region: "north", Zone: "a", Site: "a1"}, "n2": {Region: "south", Zone: "b", Site: "b1"}}
+	settled := func(report membership.Report, row membership.Row) bool {
+		return report.State == "settled" && row.State == view.Alive && row.Agrees && row.Place == places[row.Name]
+	}
+	for _, pair := range []struct{ asked, other *process }{{before, current}, {current, before}} {
+		waitForRow(t, pair.asked, pair.other.name, "is alive, where it stands, and agrees", settled)
+	}
+	for _, pair := range []struct{ stays, leaves *process }{{before, current}, {current, before}} {
+		if err := pair.leaves.end(syscall.SIGTERM, stopIn); err != nil {
+			t.Fatal(err)
+		}
+		waitForRow(t, pair.stays, pair.leaves.name, "left", func(_ membership.Report, row membership.Row) bool { return row.State == view.Left })
+		if err := pair.leaves.start(); err != nil {
+			t.Fatal(err)
+		}
+		waitForRow(t, pair.stays, pair.leaves.name, "is back as another process", func(report membership.Report, row membership.Row) bool {
+			return settled(report, row) && row.Restarts == 1 && row.Deaths == 0
+		})
+	}
+}
