--- a/internal/fleet/broadcast/broadcast.go
+++ b/internal/fleet/broadcast/broadcast.go
@@ -27,7 +27,11 @@
 )
 
 // Place is where a gateway stands.
-type Place struct{ Region, Zone, Site string }
+type Place struct {
+	Region string `json:"Region"`
+	Zone   string `json:"Zone"`
+	Site   string `json:"Site"`
+}
 
 // Member is a live gateway of the view.
 type Member struct {
@@ -70,45 +74,45 @@
 
 // Stats are counters since New, and what is at hand.
 type Stats struct {
-	Parent   string   // "": the root, or not in the list
-	Children []string // at most 3
-	Kept     int      // purges
-	Waiting  int      // purges of the own watch that may be said yet
-	Behind   Behind
-
-	Heeded     uint64 // purges that a peer told first
-	Grafts     int    // edges that stand for those of silent neighbours
-	Batches    uint64 // said by this gateway
-	Said       uint64 // purges in them
-	Copies     uint64 // batches that came, again or not
-	Again      uint64 // of them those that had come before
-	Wants      uint64 // frames that asked for batches
-	Repairs    uint64 // batches sent again
-	GivenUp    uint64 // batches left to reconciliation
-	Passes     uint64 // of reconciliation begun
-	Unanswered uint64 // of them those that a peer did not answer to the end
-	ItemsIn    uint64 // purges that reconciliation brought
-	ItemsOut   uint64 // and gave
-	Unreadable uint64 // frames
-	Wrong      uint64 // purges of the own watch whose issue cannot be
-	Long       uint64 // purges with names of more than 255 bytes: not told, they wait for the own watch
-	Held       uint64 // times that batches waited for the rate
-	Unsaid     uint64 // purges that found no room to wait or are not recent: left to reconciliation
-	Unkept     uint64 // purges that were too old or far ahead of the clock to keep
-	Dropped    uint64 // kept ones that went for want of room
-	Shed       uint64 // copies of batches not sent on: out of the rate
-	Refused    uint64 // questions of peers not answered: out of the rate
-	FramesIn   uint64
-	FramesOut  uint64
-	BytesIn    uint64 // UDP and IP included
-	BytesOut   uint64
+	Parent   string   `json:"Parent"`   // "": the root, or not in the list
+	Children []string `json:"Children"` // at most 3
+	Kept     int      `json:"Kept"`     // purges
+	Waiting  int      `json:"Waiting"`  // purges of the own watch that may be said yet
+	Behind   Behind   `json:"Behind"`
+
+	Heeded     uint64 `json:"Heeded"`     // purges that a peer told first
+	Grafts     int    `json:"Grafts"`     // edges that stand for those of silent neighbours
+	Batches    uint64 `json:"Batches"`    // said by this gateway
+	Said       uint64 `json:"Said"`       // purges in them
+	Copies     uint64 `json:"Copies"`     // batches that came, again or not
+	Again      uint64 `json:"Again"`      // of them those that had come before
+	Wants      uint64 `json:"Wants"`      // frames that asked for batches
+	Repairs    uint64 `json:"Repairs"`    // batches sent again
+	GivenUp    uint64 `json:"GivenUp"`    // batches left to reconciliation
+	Passes     uint64 `json:"Passes"`     // of reconciliation begun
+	Unanswered uint64 `json:"Unanswered"` // of them those that a peer did not answer to the end
+	ItemsIn    uint64 `json:"ItemsIn"`    // purges that reconciliation brought
+	ItemsOut   uint64 `json:"ItemsOut"`   // and gave
+	Unreadable uint64 `json:"Unreadable"` // frames
+	Wrong      uint64 `json:"Wrong"`      // purges of the own watch whose issue cannot be
+	Long       uint64 `json:"Long"`       // purges with names of more than 255 bytes: not told, they wait for the own watch
+	Held       uint64 `json:"Held"`       // times that batches waited for the rate
+	Unsaid     uint64 `json:"Unsaid"`     // purges that found no room to wait or are not recent: left to reconciliation
+	Unkept     uint64 `json:"Unkept"`     // purges that were too old or far ahead of the clock to keep
+	Dropped    uint64 `json:"Dropped"`    // kept ones that went for want of room
+	Shed       uint64 `json:"Shed"`       // copies of batches not sent on: out of the rate
+	Refused    uint64 `json:"Refused"`    // questions of peers not answered: out of the rate
+	FramesIn   uint64 `json:"FramesIn"`
+	FramesOut  uint64 `json:"FramesOut"`
+	BytesIn    uint64 `json:"BytesIn"` // UDP and IP included
+	BytesOut   uint64 `json:"BytesOut"`
 }
 
 // Behind tells what this gateway knows that it lacks; its own watch remains the authority, and nothing is refused for it.
 type Behind struct {
-	Batches int   // heard of and not had
-	Seconds int   // of issue time that may lack something, by the peer asked last
-	Since   int64 // of now, of the oldest; 0: not behind. A batch given up counts until a pass of reconciliation ends
+	Batches int   `json:"Batches"` // heard of and not had
+	Seconds int   `json:"Seconds"` // of issue time that may lack something, by the peer asked last
+	Since   int64 `json:"Since"`   // of now, of the oldest; 0: not behind. A batch given up counts until a pass of reconciliation ends
 }
 
 // Node is one gateway's. No lock: its owner is its carrier.
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -120,8 +120,21 @@
 
 // Counts are since the process started.
 type Counts struct {
-	Joins, Deaths, WrongDeaths, Lefts, Suspicions, Cleared, Restarts, Settled uint64
-	Calls, CallsFailed, Refused, Conflicts, Yields, Pauses, BadWords          uint64
+	Joins       uint64 `json:"Joins"`
+	Deaths      uint64 `json:"Deaths"`
+	WrongDeaths uint64 `json:"WrongDeaths"`
+	Lefts       uint64 `json:"Lefts"`
+	Suspicions  uint64 `json:"Suspicions"`
+	Cleared     uint64 `json:"Cleared"`
+	Restarts    uint64 `json:"Restarts"`
+	Settled     uint64 `json:"Settled"`
+	Calls       uint64 `json:"Calls"`
+	CallsFailed uint64 `json:"CallsFailed"`
+	Refused     uint64 `json:"Refused"`
+	Conflicts   uint64 `json:"Conflicts"`
+	Yields      uint64 `json:"Yields"`
+	Pauses      uint64 `json:"Pauses"`
+	BadWords    uint64 `json:"BadWords"`
 }
 
 type line struct {
