--- a/internal/lab/ci/known_red_test.go
+++ b/internal/lab/ci/known_red_test.go
@@ -43,7 +43,7 @@
 func TestAlsoRed(t *testing.T) { mark(t); t.Error("red too") }
 `
 
-const line = "made/one.TestRed | its answer comes late | issue 7\n"
+const line = "made/one.TestRed | go test ./one -run TestRed, seed 4 | its answer comes late | issue 7\n"
 
 // module is a small module that has the script, and packages by name with the source of their tests.
 func module(t *testing.T, packages map[string]string) string {
@@ -155,7 +155,8 @@
 
 func TestThreeKnownRed(t *testing.T) {
 	root := module(t, map[string]string{"one": red + alsoRed + besides, "two": red})
-	known := line + "made/one.TestAlsoRed | not found yet | issue 7\n" + "made/two.TestRed | one more | issue 12\n"
+	known := line + "made/one.TestAlsoRed | go test ./one, no seed | not found yet | issue 7\n" +
+		"made/two.TestRed | bin/foldslip faults run --seeds 3-4 | one more | issue 12\n"
 	passed, printed, ran := check(t, root, known)
 	if !passed || strings.Count(printed, "known red, passed over: ") != 3 {
 		t.Errorf("passed %v, printed\n%s", passed, printed)
@@ -167,27 +168,37 @@
 
 func TestTheFileIsWrong(t *testing.T) {
 	root := module(t, map[string]string{"one": red + alsoRed + besides, "two": red + alsoRed})
-	four := line + "made/one.TestAlsoRed | a | issue 1\n" + "made/two.TestRed | b | issue 2\n" + "made/two.TestAlsoRed | c | issue 3\n"
+	const command = "go test ./one, seed 1"
+	entry := func(fields ...string) string { return strings.Join(fields, " | ") + "\n" }
+	four := line + entry("made/one.TestAlsoRed", command, "a", "issue 1") + entry("made/two.TestRed", command, "b", "issue 2") +
+		entry("made/two.TestAlsoRed", command, "c", "issue 3")
+	const malformed = "not 'PACKAGE.TestName | command and seed | what was seen | issue N'"
 	for _, wrong := range []struct{ known, says string }{
 		{four, "4 lines, three at most"},
-		{"made/one.TestRed |  | issue 7\n", "no cause"},
-		{"made/one.TestRed | issue 7\n", "not 'PACKAGE.TestName | cause | issue N'"},
-		{"made/one.TestRed | its answer comes late\n", "not 'PACKAGE.TestName | cause | issue N'"},
-		{"made/one.TestRed | its answer comes late |\n", "no issue"},
-		{"made/one.TestRed | its answer comes late | issue\n", "no issue"},
-		{"made/one.TestRed | its answer comes late | issue 7 and more\n", "no issue"},
-		{"made/one.TestRed\n", "not 'PACKAGE.TestName | cause | issue N'"},
+		{"made/one.TestRed |  | its answer comes late | issue 7\n", "no command"},
+		{entry("made/one.TestRed", "run it, seed 4", "its answer comes late", "issue 7"), "no command"},
+		{entry("made/one.TestRed", "go test", "its answer comes late", "issue 7"), "no command"},
+		{entry("made/one.TestRed", "go test ./one", "its answer comes late", "issue 7"), "does not say its seed"},
+		{"made/one.TestRed | " + command + " |  | issue 7\n", "nothing that was seen"},
+		{entry("made/one.TestRed", "issue 7"), malformed},
+		{entry("made/one.TestRed", "its answer comes late", "issue 7"), malformed},
+		{entry("made/one.TestRed", command, "its answer comes late", "and later", "issue 7"), malformed},
+		{entry("made/one.TestRed", command, "its answer comes late"), malformed},
+		{"made/one.TestRed | " + command + " | its answer comes late |\n", "no issue"},
+		{entry("made/one.TestRed", command, "its answer comes late", "issue"), "no issue"},
+		{entry("made/one.TestRed", command, "its answer comes late", "issue 7 and more"), "no issue"},
+		{"made/one.TestRed\n", malformed},
 		{line + line, "named twice"},
-		{line + "made/one.TestRed | another cause | issue 8\n", "named twice"},
-		{"TestRed | its answer comes late | issue 7\n", "no full name"},
-		{"made/one.TestR.* | a pattern | issue 7\n", "no full name"},
-		{"made/one.TestOuter/TestRed | a subtest | issue 7\n", "no full name"},
-		{"made/one.TestRe | the start of a name | issue 7\n", "matches 0 tests"},
-		{"made/one.TestGone | its answer comes late | issue 7\n", "matches 0 tests"},
-		{"made/three.TestRed | its answer comes late | issue 7\n", "no such package"},
-		{"made/... .TestRed | all packages | issue 7\n", "no full name"},
-		{"made/....TestRed | all packages | issue 7\n", "no such package"},
-		{line + "made/two.TestGone | one good line before it | issue 7\n", "matches 0 tests"},
+		{line + entry("made/one.TestRed", command, "another cause", "issue 8"), "named twice"},
+		{entry("TestRed", command, "its answer comes late", "issue 7"), "no full name"},
+		{entry("made/one.TestR.*", command, "a pattern", "issue 7"), "no full name"},
+		{entry("made/one.TestOuter/TestRed", command, "a subtest", "issue 7"), "no full name"},
+		{entry("made/one.TestRe", command, "the start of a name", "issue 7"), "matches 0 tests"},
+		{entry("made/one.TestGone", command, "its answer comes late", "issue 7"), "matches 0 tests"},
+		{entry("made/three.TestRed", command, "its answer comes late", "issue 7"), "no such package"},
+		{entry("made/... .TestRed", command, "all packages", "issue 7"), "no full name"},
+		{entry("made/....TestRed", command, "all packages", "issue 7"), "no such package"},
+		{line + entry("made/two.TestGone", command, "one good line before it", "issue 7"), "matches 0 tests"},
 	} {
 		passed, printed, ran := check(t, root, wrong.known)
 		if passed || !strings.Contains(printed, wrong.says) || len(ran) > 0 {
