--- a/internal/lab/simenv/net.go
+++ b/internal/lab/simenv/net.go
@@ -383,7 +383,7 @@
 	}
 }
 
-// Go on reading after Stalled.
+// Resume goes on reading after Stalled.
 func (e *End) Resume() {
 	e.Stalled = false
 	held := e.held
