--- /dev/null
+++ b/internal/config/change/frozen_test.go
@@ -0,0 +1,51 @@
+package change
+
+import (
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"foldslip/internal/lab/frozen"
+)
+
+// keepsForm checks that a CBOR file decodes into a pointer and encodes to the same bytes again.
+func keepsForm(t *testing.T, name string, into any) {
+	t.Helper()
+	if err := cbor.Unmarshal(frozen.Read(t, name), into); err != nil {
+		t.Fatal(name, err)
+	}
+	got, err := cbor.Marshal(into)
+	if err != nil {
+		t.Fatal(name, err)
+	}
+	frozen.Equal(t, name, got)
+}
+
+// The files under testdata were written by the build before the names of Go changed.
+func TestStepsKeepTheirForm(t *testing.T) {
+	var step Step
+	keepsForm(t, "step.cbor", &step)
+	frozen.Complete(t, "step.cbor", step)
+	keepsForm(t, "empty-step.cbor", &Step{})
+	frozen.JSON(t, "step.json", &Step{}, true)
+}
+
+func TestStagesKeepTheirWords(t *testing.T) {
+	var steps []Step
+	keepsForm(t, "stages.cbor", &steps)
+	want := []Stage{Proposed, Checked, Staged, Applied, Confirmed, Undone, Kept}
+	if len(steps) != len(want) {
+		t.Fatal(steps)
+	}
+	for i, step := range steps {
+		if step.Stage != want[i] {
+			t.Errorf("step %d is %q, want %q", i, step.Stage, want[i])
+		}
+	}
+}
+
+func TestReportsOfChangesKeepTheirForm(t *testing.T) {
+	frozen.JSON(t, "entry.json", &Entry{}, true)
+	frozen.JSON(t, "force.json", &Force{}, true)
+	frozen.JSON(t, "guards.json", &Guards{}, true)
+}
--- /dev/null
+++ b/internal/lab/frozen/frozen.go
@@ -0,0 +1,91 @@
+// Package frozen helps tests hold stored and sent forms to the byte against files under testdata that an earlier build wrote. Only tests
+// import it.
+package frozen
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+)
+
+// Read returns a file of the calling package's testdata.
+func Read(t *testing.T, name string) []byte {
+	t.Helper()
+	content, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return content
+}
+
+// Equal fails the test if got differs from a file of the calling package's testdata.
+func Equal(t *testing.T, name string, got []byte) {
+	t.Helper()
+	if want := Read(t, name); !bytes.Equal(got, want) {
+		t.Errorf("%s: got\n%q\nwant\n%q", name, got, want)
+	}
+}
+
+// JSON decodes a file of one JSON value into a pointer and checks that it encodes to the same bytes again. With complete set it also checks
+// that the file sets every exported field, so that no key can change unseen.
+func JSON(t *testing.T, name string, into any, complete bool) {
+	t.Helper()
+	text := Read(t, name)
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(into); err != nil {
+		t.Fatalf("%s: %v", name, err)
+	}
+	got, err := json.Marshal(into)
+	if err != nil {
+		t.Fatalf("%s: %v", name, err)
+	}
+	Equal(t, name, append(got, '\n'))
+	if complete {
+		Complete(t, name, into)
+	}
+}
+
+// Complete fails the test for each exported field that is zero in a value read from a file.
+func Complete(t *testing.T, name string, value any) {
+	t.Helper()
+	for _, path := range zeroFields("", reflect.ValueOf(value)) {
+		t.Errorf("%s leaves %s unset", name, path)
+	}
+}
+
+func zeroFields(path string, value reflect.Value) (zero []string) {
+	switch value.Kind() {
+	case reflect.Pointer:
+		if !value.IsNil() {
+			return zeroFields(path, value.Elem())
+		}
+	case reflect.Slice:
+		for i := range value.Len() {
+			zero = append(zero, zeroFields(fmt.Sprintf("%s[%d]", path, i), value.Index(i))...)
+		}
+		if value.Len() > 0 {
+			return zero
+		}
+	case reflect.Struct:
+		if _, isText := value.Interface().(interface{ MarshalText() ([]byte, error) }); isText {
+			break
+		}
+		for i := range value.NumField() {
+			field := value.Type().Field(i)
+			if field.IsExported() && field.Tag.Get("cbor") != "-" {
+				zero = append(zero, zeroFields(strings.TrimPrefix(path+"."+field.Name, "."), value.Field(i))...)
+			}
+		}
+		return zero
+	}
+	if value.IsZero() {
+		zero = append(zero, path)
+	}
+	return zero
+}
--- /dev/null
+++ b/internal/store/endpoints/frozen_test.go
@@ -0,0 +1,62 @@
+package endpoints
+
+import (
+	"testing"
+
+	"foldslip/internal/lab/frozen"
+)
+
+// rewrite restores a state of a snapshot file and change files and writes it again.
+func rewrite(t *testing.T, snapshotFile string, changeFiles ...string) []byte {
+	t.Helper()
+	var changes [][]byte
+	for _, name := range changeFiles {
+		changes = append(changes, frozen.Read(t, name))
+	}
+	state, err := Restore(frozen.Read(t, snapshotFile), changes)
+	if err != nil {
+		t.Fatal(err)
+	}
+	written, err := state.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return written
+}
+
+// The files under testdata were written by the build before the names of Go changed.
+func TestSnapshotsKeepTheirForm(t *testing.T) {
+	frozen.Equal(t, "snapshot.bin", rewrite(t, "snapshot.bin"))
+	frozen.Equal(t, "empty-snapshot.bin", rewrite(t, "empty-snapshot.bin"))
+	frozen.Equal(t, "after-changes.bin", rewrite(t, "snapshot.bin", "change.bin", "small-change.bin"))
+	var first snapshot
+	if err := decode(frozen.Read(t, "snapshot.bin"), &first); err != nil {
+		t.Fatal(err)
+	}
+	frozen.Complete(t, "snapshot.bin", first.State)
+	frozen.Complete(t, "snapshot.bin", first.Caches[0])
+	frozen.Complete(t, "snapshot.bin", first.Tombs[1])
+	frozen.Complete(t, "snapshot.bin", first.Purges[0])
+}
+
+func TestASnapshotWithAKeyThatIsNoLongerWrittenIsRead(t *testing.T) {
+	frozen.Equal(t, "old-key-as-written-now.bin", rewrite(t, "old-key-snapshot.bin"))
+}
+
+func TestChangesKeepTheirForm(t *testing.T) {
+	for _, name := range []string{"change.bin", "small-change.bin"} {
+		var change Change
+		if err := decode(frozen.Read(t, name), &change); err != nil {
+			t.Fatal(name, err)
+		}
+		written, err := change.Encode()
+		if err != nil {
+			t.Fatal(name, err)
+		}
+		frozen.Equal(t, name, written)
+		if name == "change.bin" {
+			change.Rows = change.Rows[1:] // the row of all fields
+			frozen.Complete(t, name, change)
+		}
+	}
+}
--- /dev/null
+++ b/internal/store/wal/frozen_test.go
@@ -0,0 +1,55 @@
+package wal_test
+
+import (
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+
+	"foldslip/internal/lab/frozen"
+	"foldslip/internal/store/wal"
+)
+
+// The files under testdata were written by the build before the names of Go changed.
+func TestGenerationsKeepTheirFormAndNames(t *testing.T) {
+	old, err := wal.OpenFolder(t.TempDir())
+	if err != nil {
+		t.Fatal(err)
+	}
+	fresh, err := wal.OpenFolder(t.TempDir())
+	if err != nil {
+		t.Fatal(err)
+	}
+	log, _, err := wal.Open(fresh, "list")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer log.Close()
+	for i, name := range []string{"list-1.rec", "list-2.rec"} {
+		if err := os.WriteFile(filepath.Join(old.Path, name), frozen.Read(t, name), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		held, err := wal.Read(old, "list")
+		if err != nil || held.Generation != uint64(i+1) || held.Lost != 0 || len(held.Skipped) != 0 {
+			t.Fatal(held, err)
+		}
+		if err := log.Begin(held.Snapshot); err != nil {
+			t.Fatal(err)
+		}
+		if err := log.Append(held.Changes...); err != nil {
+			t.Fatal(err)
+		}
+		written, err := fresh.Read(name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		frozen.Equal(t, name, written)
+	}
+	if names, err := fresh.Names(); err != nil || !slices.Contains(names, "list-1.rec") || !slices.Contains(names, "list-2.rec") {
+		t.Error(names, err)
+	}
+}
+
+func TestHeadKeepsItsForm(t *testing.T) {
+	frozen.Equal(t, "head.bin", wal.Head(1, 0x0102030405060708))
+}
