--- a/internal/config/change/change.go
+++ b/internal/config/change/change.go
@@ -93,8 +93,9 @@
 
 // Force is what is in force: Base for all objects but those of Share, which have Next. Next 0: Base for all.
 type Force struct {
-	Base, Next uint64
-	Share      float64
+	Base  uint64  `json:"Base"`
+	Next  uint64  `json:"Next"`
+	Share float64 `json:"Share"`
 }
 
 // Side is the version under which an object's lookups are decided. Hash is of the object alone.
--- a/internal/route/pools/pools.go
+++ b/internal/route/pools/pools.go
@@ -81,10 +81,10 @@
 
 // Fault is what is wrong with a configuration: where, what, and what to do. Where Error is false it is a remark.
 type Fault struct {
-	Error  bool
-	Path   string
-	Text   string
-	Remedy string
+	Error  bool   `json:"Error"`
+	Path   string `json:"Path"`
+	Text   string `json:"Text"`
+	Remedy string `json:"Remedy"`
 }
 
 type route struct {
--- a/internal/route/pools/view.go
+++ b/internal/route/pools/view.go
@@ -144,17 +144,21 @@
 
 // Load is a lookup of a captured load.
 type Load struct {
-	Kind, Group int
-	Object      string
-	Bytes       float64
+	Kind   int     `json:"Kind"`
+	Group  int     `json:"Group"`
+	Object string  `json:"Object"`
+	Bytes  float64 `json:"Bytes"`
 }
 
 // Move is what a change does to a load.
 type Move struct {
-	Lookups, Objects, Moved int
-	Bytes, MovedBytes       float64
-	Cold                    int            // objects that moved to caches none of which had them
-	To                      map[string]int // objects moved, by new pool
+	Lookups    int            `json:"Lookups"`
+	Objects    int            `json:"Objects"`
+	Moved      int            `json:"Moved"`
+	Bytes      float64        `json:"Bytes"`
+	MovedBytes float64        `json:"MovedBytes"`
+	Cold       int            `json:"Cold"` // objects that moved to caches none of which had them
+	To         map[string]int `json:"To"`   // objects moved, by new pool
 }
 
 // Plan tells what a change from this view to another moves of a load, before it is applied.
