--- /dev/null
+++ b/client/frozen_test.go
@@ -0,0 +1,90 @@
+package client
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
+	extprocv3 "github.com/envoyproxy/go-control-plane/envoy/service/ext_proc/v3"
+	typev3 "github.com/envoyproxy/go-control-plane/envoy/type/v3"
+	"google.golang.org/protobuf/encoding/protojson"
+)
+
+// TestFrozenMessages compares the messages that the client sends with those that an earlier build sent.
+func TestFrozenMessages(t *testing.T) {
+	var got strings.Builder
+	for _, m := range []*extprocv3.HttpHeaders{
+		headers(Request{Path: "/call/segment/o/part-0"}),
+		headers(Request{Method: "POST", Path: "/", Header: http.Header{"X-Job-Id": {"a1"}, "A": {"1", "2"}}}),
+		ending(Ending{}),
+		ending(Ending{Word: "valid", Note: "hit", Waited: 12345 * time.Microsecond, Born: time.UnixMilli(1700000000123), Version: `"v1"`}),
+	} {
+		text, err := protojson.Marshal(m)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var lines bytes.Buffer // the library varies its spaces
+		if err := json.Indent(&lines, text, "", " "); err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintln(&got, lines.String())
+	}
+	compareWithFile(t, "testdata/messages.txt", got.String())
+}
+
+// TestFrozenAnswers reads the answers of a gateway as an earlier build read them.
+func TestFrozenAnswers(t *testing.T) {
+	set := func(all ...string) *extprocv3.HeaderMutation {
+		m := &extprocv3.HeaderMutation{}
+		for i := 0; i < len(all); i += 2 {
+			m.SetHeaders = append(m.SetHeaders, &corev3.HeaderValueOption{Header: &corev3.HeaderValue{Key: all[i], RawValue: []byte(all[i+1])}})
+		}
+		return m
+	}
+	var got strings.Builder
+	for _, mutation := range []*extprocv3.HeaderMutation{
+		set("x-foldslip-cache", "c0", "x-foldslip-addr", "10.0.0.1:1", "x-foldslip-send", "3", "x-foldslip-source", "c1", "x-foldslip-rank", "2", "x-foldslip-oldest-ms", "25",
+			"x-foldslip-mode", "j+h", "x-foldslip-route", "films", "x-foldslip-version", "7", "x-foldslip-wait-ms", "1234.567", "x-other", "1"),
+		set("x-foldslip-cache", "c0", "x-foldslip-wait-ms", "1"),
+		set("x-foldslip-cache", "c0"),
+		set("x-foldslip-cache", "c0", "x-foldslip-wait-ms", "soon"),
+		set(),
+	} {
+		d, err := decision(&extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_RequestHeaders{RequestHeaders: &extprocv3.HeadersResponse{
+			Response: &extprocv3.CommonResponse{HeaderMutation: mutation}}}})
+		fmt.Fprintf(&got, "send %d cache %q addr %q source %q rank %d oldest %v wait %v mode %q route %q version %d: read %v\n", d.N, d.Cache, d.Addr, d.Source, d.Rank, d.Oldest, d.Wait,
+			d.Mode, d.Route, d.Version, err == nil)
+	}
+	for _, i := range []*extprocv3.ImmediateResponse{
+		{Status: &typev3.HttpStatus{Code: 503}, Body: []byte("nacked\n"), Headers: set("x-wait-ms", "1500")},
+		{Status: &typev3.HttpStatus{Code: 503}, Body: []byte("ask again\n"), Headers: set("x-foldslip-again", "1")},
+		{Status: &typev3.HttpStatus{Code: 502}, Body: []byte("failed\n")},
+		{Status: &typev3.HttpStatus{Code: 409}, Body: []byte("this lookup has been answered\n")},
+		{},
+	} {
+		o := Outcome{Sends: []Decision{{}}}
+		again := o.end(i)
+		fmt.Fprintf(&got, "again %v result %d %v status %d text %q wait %v sends %d\n", again, o.Result, o.Result, o.Status, o.Text, o.Wait, len(o.Sends))
+	}
+	for r := Result(0); r <= Refused; r++ {
+		fmt.Fprintf(&got, "result %d %v\n", r, r)
+	}
+	compareWithFile(t, "testdata/answers.txt", got.String())
+}
+
+func compareWithFile(t *testing.T, path, got string) {
+	t.Helper()
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s differs; got:\n%s\nwant:\n%s", path, got, want)
+	}
+}
--- /dev/null
+++ b/internal/settings/frozen_test.go
@@ -0,0 +1,95 @@
+package settings
+
+import (
+	"fmt"
+	"os"
+	"strings"
+	"testing"
+)
+
+// TestFrozenSettings reads settings texts as the platform sends them: testdata/NAME.txt holds what an earlier build understood.
+func TestFrozenSettings(t *testing.T) {
+	for _, name := range []string{"full", "bare", "words", "silent"} {
+		t.Run(name, func(t *testing.T) {
+			text, err := os.ReadFile("testdata/" + name + ".json")
+			if err != nil {
+				t.Fatal(err)
+			}
+			got, err := Read(text)
+			if err != nil {
+				t.Fatal(err)
+			}
+			compareWithFile(t, "testdata/"+name+".txt", describe(got))
+		})
+	}
+}
+
+// TestFrozenRefusals compares the errors for settings that are refused, one a line of testdata/refused.txt: they reach the platform.
+func TestFrozenRefusals(t *testing.T) {
+	texts, err := os.ReadFile("testdata/refused.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got strings.Builder
+	for text := range strings.Lines(string(texts)) {
+		_, err := Read([]byte(text))
+		reason, _, _ := strings.Cut(fmt.Sprint(err), " json: ") // the library's part names Go types
+		fmt.Fprintln(&got, reason)
+	}
+	compareWithFile(t, "testdata/refused.errors.txt", got.String())
+}
+
+func compareWithFile(t *testing.T, path, got string) {
+	t.Helper()
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s differs; got:\n%s\nwant:\n%s", path, got, want)
+	}
+}
+
+// describe lists every value that was read, under labels that don't follow the names of fields.
+func describe(got *Terms) string {
+	var b strings.Builder
+	line := func(label string, value any) { fmt.Fprintf(&b, "%s: %v\n", label, value) }
+	line("class names", got.Kinds)
+	line("areas", got.Zones)
+	line("machine types", got.Machines)
+	line("connect timeout", got.ConnectWithin)
+	line("idle timeout", got.IdleFor)
+	line("streams", got.Streams)
+	line("obey after", got.PurgeGrace)
+	line("stop sending within", got.DrainGrace)
+	r := got.Router
+	line("balancers", r.Gateways)
+	line("az", r.Zone)
+	line("seats by zone", r.Seats)
+	line("parent kind", r.ParentKind)
+	line("source kind", r.OriginKind)
+	line("merges fills", r.Joins)
+	line("first byte told", r.FirstByteTold)
+	line("hits told", r.HitsTold)
+	line("weights are links", r.Weighted)
+	line("weights are sizes", r.Sized)
+	line("flow kb", r.FlowKB)
+	line("send limit", r.SendLimit)
+	line("cancelling", r.Cancelling)
+	line("max retry after", r.MaxRetryIn)
+	line("asks for list", r.AsksForList)
+	line("cold from, cold", fmt.Sprint(r.ColdShare, r.ColdFor))
+	line("fall multiple, fall", fmt.Sprint(r.FallMultiple, r.FallFor))
+	line("parent starts at, ramp, breaks at", fmt.Sprint(r.ParentColdShare, r.ParentColdFor, r.ParentFall))
+	line("cleared within", r.PurgeDone)
+	for i, k := range r.Kinds {
+		line(fmt.Sprint("class ", i), "")
+		line("  aim, stretch, deadline", fmt.Sprint(k.Budget, k.Stretch, k.GiveUp))
+		line("  points, late worth", fmt.Sprint(k.Utility, k.LateUtility))
+		line("  effect, group, window", fmt.Sprint(int(k.Effect), int(k.Circle), k.Memory))
+		line("  max age, grace, worth when old", fmt.Sprint(k.Fresh, k.Grace, k.AgedUtility))
+		line("  pass on", k.PassThrough)
+		line("  budget of 0 and 1000 kb", fmt.Sprint(got.Budget(i, 0), got.Budget(i, 1000)))
+	}
+	return b.String()
+}
--- /dev/null
+++ b/internal/telemetry/frozen_test.go
@@ -0,0 +1,66 @@
+package telemetry
+
+import (
+	"fmt"
+	"os"
+	"strings"
+	"testing"
+
+	"go.opentelemetry.io/otel/attribute"
+	sdk "go.opentelemetry.io/otel/sdk/trace"
+	"go.opentelemetry.io/otel/sdk/trace/tracetest"
+
+	"foldslip/internal/dispatch"
+	"foldslip/internal/policy"
+	"foldslip/internal/retry"
+	"foldslip/internal/route"
+	"foldslip/internal/route/rollout"
+)
+
+// TestFrozenSpans compares names, attributes, events and statuses of spans with those that an earlier build made.
+func TestFrozenSpans(t *testing.T) {
+	exporter := tracetest.NewInMemoryExporter()
+	tracer := New(Terms{Share: 1, Name: "n0"}, sdk.WithSyncer(exporter))
+	edge, parent := &policy.Cache{Name: "c0"}, &policy.Cache{Name: "p0"}
+	routed := &rollout.Pass{Version: 7}
+	routed.Decided.Route = "films"
+	for _, end := range []dispatch.Step{{What: dispatch.Satisfied}, {What: dispatch.Nacked, RetryIn: 2500}, {What: dispatch.Failed}, {What: dispatch.Departed}} {
+		lk := &retry.Lookup{Object: "o", Group: 3, Asked: &route.Asked{ID: "a1", Part: 2, KB: 12.5}, Pass: routed}
+		tracer.Began(lk, headers("", 0))
+		tracer.Decided(lk, dispatch.Step{What: dispatch.Send, N: 0, To: edge, Source: parent, Rank: 3, Patience: 99})
+		tracer.Decided(lk, dispatch.Step{What: dispatch.Cancel, N: 0})
+		for how := policy.Satisfied; how <= policy.Missed; how++ {
+			tracer.Decided(lk, dispatch.Step{What: dispatch.Send, N: int(how), To: edge, Source: edge})
+			tracer.Ended(lk, retry.Tell{Of: lk, N: int(how), How: how, Remark: policy.Aged})
+		}
+		tracer.Decided(lk, end)
+	}
+	tracer.Began(&retry.Lookup{}, headers("", 0))
+	var got strings.Builder
+	list := func(indent string, attributes []attribute.KeyValue) {
+		for _, a := range attributes {
+			fmt.Fprintf(&got, "%s%s=%v %s\n", indent, a.Key, a.Value.AsInterface(), a.Value.Type())
+		}
+	}
+	for _, span := range exporter.GetSpans() {
+		fmt.Fprintf(&got, "%s kind %v status %v %q scope %s\n", span.Name, span.SpanKind, span.Status.Code, span.Status.Description, span.InstrumentationScope.Name)
+		list("  ", span.Resource.Attributes())
+		list("  ", span.Attributes)
+		for _, e := range span.Events {
+			fmt.Fprintf(&got, "  event %s\n", e.Name)
+			list("    ", e.Attributes)
+		}
+	}
+	compareWithFile(t, "testdata/spans.txt", got.String())
+}
+
+func compareWithFile(t *testing.T, path, got string) {
+	t.Helper()
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s differs; got:\n%s\nwant:\n%s", path, got, want)
+	}
+}
