--- /dev/null
+++ b/internal/lab/fleet/testdata/rig-settings.jsonnet
@@ -0,0 +1,1 @@
+{"fleet":{"listen":"127.1.0.2:82","advertise":"127.1.1.2:82","seeds":["127.1.0.1:82"],"folder":"DIR/kept","socket":"DIR/s","members":8,"broadcast":true,"region":"r","zone":"z","site":"s","probe_ms":0,"probe_timeout_ms":0,"gossip_ms":0,"rejoin_ms":0,"settle_ms":0,"reap_ms":0},"routing":{"pools":{"all":{"locations":["town"]}},"routes":[{"name":"all","tenant":"all","to":[{"pool":"all"}]}],"tenants":{"all":{"fleet":true,"lookups_a_second":20}}}}
