--- a/internal/lab/scale/crowd.go
+++ b/internal/lab/scale/crowd.go
@@ -52,9 +52,16 @@
 
 // Usage is what a crowd has spent since it began; see runtime.MemStats.
 type Usage struct {
-	Heap, Mallocs, AllocBytes          uint64
-	In, Out, Reads, Writes, Dials, Log int64
-	Closed                             map[string]int64 // ends of watches and faults by reason
+	Heap       uint64           `json:"Heap"`
+	Mallocs    uint64           `json:"Mallocs"`
+	AllocBytes uint64           `json:"AllocBytes"`
+	In         int64            `json:"In"`
+	Out        int64            `json:"Out"`
+	Reads      int64            `json:"Reads"`
+	Writes     int64            `json:"Writes"`
+	Dials      int64            `json:"Dials"`
+	Log        int64            `json:"Log"`
+	Closed     map[string]int64 `json:"Closed"` // ends of watches and faults by reason
 }
 
 const orderMost = 4 << 20 // bytes of a line: a whole list is some 300 KB
--- a/internal/lab/scenario/morning.go
+++ b/internal/lab/scenario/morning.go
@@ -39,8 +39,9 @@
 
 // Early is what became of the lookups of a day's first 30 s; repeats count with the lookup they repeat.
 type Early struct {
-	Asked, Satisfied int
-	Pushed           int // times that a cold cache or parent was sent more than it bears
+	Asked     int `json:"Asked"`
+	Satisfied int `json:"Satisfied"`
+	Pushed    int `json:"Pushed"` // times that a cold cache or parent was sent more than it bears
 }
 
 func (m *Morning) check() error {
--- a/internal/lab/scenario/plan.go
+++ b/internal/lab/scenario/plan.go
@@ -167,7 +167,9 @@
 	var p Plan
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
-	var form struct{ Form int }
+	var form struct {
+		Form int `json:"form"`
+	}
 	if err := json.Unmarshal(text, &form); err != nil {
 		return p, fmt.Errorf("not a plan in JSON: %w", err)
 	}
