--- a/internal/fleet/broadcast/driver/frozen_test.go
+++ b/internal/fleet/broadcast/driver/frozen_test.go
@@ -10,7 +10,7 @@
 
 	"foldslip/internal/fleet/broadcast"
 	"foldslip/internal/fleet/view"
-	"foldslip/internal/lab/golden"
+	"foldslip/internal/lab/frozen"
 )
 
 // twoGateways is a fleet of n1 and n2 that records what n1 sends.
@@ -48,12 +48,12 @@
 		time.Sleep(5 * time.Second)
 		close(stop)
 		wait.Wait()
-		golden.Equal(t, name, firstBatch(t, fleet.sent))
+		frozen.Equal(t, name, firstBatch(t, fleet.sent))
 
 		receiver := New("n2", view.Place{}, nil, slog.New(slog.DiscardHandler), 8, time.Now)
 		receiver.Over(fleet)
 		receiver.turn()
-		receiver.Take(golden.Read(t, name))
+		receiver.Take(frozen.Read(t, name))
 		if got := receiver.turn().heed; !slices.Equal(got, []broadcast.Purge{purge}) {
 			t.Errorf("read %+v, not %+v", got, purge)
 		}
@@ -73,6 +73,6 @@
 }
 
 func TestFrozenReportsKeepTheirKeys(t *testing.T) {
-	golden.JSON[Report](t, "report.json")
-	golden.JSON[Report](t, "report-empty.json")
+	frozen.JSON(t, "report.json", new(Report), false)
+	frozen.JSON(t, "report-empty.json", new(Report), false)
 }
--- a/internal/fleet/broadcast/frozen_test.go
+++ b/internal/fleet/broadcast/frozen_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"foldslip/internal/lab/golden"
+	"foldslip/internal/lab/frozen"
 )
 
 // Frames that released builds sent are read, and written to the same bytes.
@@ -26,8 +26,8 @@
 		"items-complete.frame": complete,
 		"items-part.frame":     some,
 	} {
-		golden.Equal(t, name, written)
-		golden.Equal(t, name, rewritten(t, golden.Read(t, name)))
+		frozen.Equal(t, name, written)
+		frozen.Equal(t, name, rewritten(t, frozen.Read(t, name)))
 	}
 }
 
@@ -66,6 +66,6 @@
 }
 
 func TestFrozenStatsKeepTheirKeys(t *testing.T) {
-	golden.JSON[Stats](t, "stats.json")
-	golden.JSON[Place](t, "place.json")
+	frozen.JSON(t, "stats.json", new(Stats), false)
+	frozen.JSON(t, "place.json", new(Place), false)
 }
--- a/internal/fleet/limits/frozen_test.go
+++ b/internal/fleet/limits/frozen_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"foldslip/internal/lab/golden"
+	"foldslip/internal/lab/frozen"
 )
 
 // Frames that released builds sent are read, and written to the same bytes.
@@ -16,7 +16,7 @@
 			{Limit: Key("tenant x/lookups"), ID: 0x0102030405060708, Amount: 12.5, Wanted: 10, Used: 9.75}}},
 		"empty.frame": {From: Key("n1")},
 	} {
-		got, err := ReadFrame(golden.Read(t, name))
+		got, err := ReadFrame(frozen.Read(t, name))
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
@@ -28,11 +28,11 @@
 				t.Errorf("%s: entry %d is read as %+v, not %+v", name, i, got.Entries[i], want.Entries[i])
 			}
 		}
-		golden.Equal(t, name, got.Append(nil))
-		golden.Equal(t, name, want.Append(nil))
+		frozen.Equal(t, name, got.Append(nil))
+		frozen.Equal(t, name, want.Append(nil))
 	}
 }
 
 func TestFrozenRowsKeepTheirKeys(t *testing.T) {
-	golden.JSON[[]Row](t, "rows.json")
+	frozen.JSON(t, "rows.json", new([]Row), false)
 }
--- a/internal/fleet/membership/frozen_test.go
+++ b/internal/fleet/membership/frozen_test.go
@@ -9,7 +9,7 @@
 
 	"foldslip/internal/env"
 	"foldslip/internal/fleet/view"
-	"foldslip/internal/lab/golden"
+	"foldslip/internal/lab/frozen"
 )
 
 const keptFile = "fleet-1.rec"
@@ -19,7 +19,7 @@
 	want := []view.ID{{Name: "n2", Addr: "10.0.0.2:7946", Stamp: 0x0102030405060708}, {Name: "n3", Addr: "[fd00::3]:7946", Stamp: 1},
 		{Name: "n4", Addr: "10.0.0.4:7946"}}
 	read := t.TempDir()
-	if err := os.WriteFile(filepath.Join(read, keptFile), golden.Read(t, keptFile), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(read, keptFile), frozen.Read(t, keptFile), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	shelf, why, err := OpenShelf(env.Folder{Path: read}, "n1", 100)
@@ -48,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Equal(t, keptFile, got)
+	frozen.Equal(t, keptFile, got)
 }
 
 // Metadata that released builds sent is read, and written to the same bytes.
@@ -58,18 +58,18 @@
 		"leaving.meta":       {stamp: 0x0102030405060708, leaving: true},
 		"place.meta":         {stamp: 0x0102030405060708, leaving: true, place: view.Place{Region: "north", Zone: "n-1", Site: "日本"}},
 	} {
-		got, err := readMeta(golden.Read(t, name))
+		got, err := readMeta(frozen.Read(t, name))
 		if err != nil || got != want {
 			t.Errorf("%s: read %+v, %v, not %+v", name, got, err, want)
 		}
-		golden.Equal(t, name, got.append(nil))
+		frozen.Equal(t, name, got.append(nil))
 	}
-	if !bytes.Equal(golden.Read(t, "speak-up.datagram"), []byte{speakUp}) {
+	if !bytes.Equal(frozen.Read(t, "speak-up.datagram"), []byte{speakUp}) {
 		t.Error("the datagram that asks a gateway to speak up is another one")
 	}
 }
 
 func TestFrozenReportsKeepTheirKeys(t *testing.T) {
-	golden.JSON[Report](t, "report.json")
-	golden.JSON[Report](t, "report-empty.json")
+	frozen.JSON(t, "report.json", new(Report), false)
+	frozen.JSON(t, "report-empty.json", new(Report), false)
 }
--- a/internal/fleet/view/frozen_test.go
+++ b/internal/fleet/view/frozen_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"foldslip/internal/lab/golden"
+	"foldslip/internal/lab/frozen"
 )
 
 // frozenFleet is a settled fleet of four in which d is suspected by a.
@@ -18,13 +18,13 @@
 // Heartbeat records that released builds sent are read, and written to the same bytes.
 func TestFrozenFramesKeepTheirBytes(t *testing.T) {
 	all := frozenFleet(t)
-	golden.Equal(t, "heartbeat.frame", all[0].Words(MostWords, 6*second))
-	golden.Equal(t, "heartbeat-short.frame", all[1].Words(wordsHead+1+wordSize, 6*second))
+	frozen.Equal(t, "heartbeat.frame", all[0].Words(MostWords, 6*second))
+	frozen.Equal(t, "heartbeat-short.frame", all[1].Words(wordsHead+1+wordSize, 6*second))
 	alone := New(id("a"), Settings{Most: 4, Settle: second, Evident: 30 * second, Reap: 3600 * second}, 1)
-	golden.Equal(t, "heartbeat-alone.frame", alone.Words(MostWords, 6*second))
+	frozen.Equal(t, "heartbeat-alone.frame", alone.Words(MostWords, 6*second))
 
 	for _, name := range []string{"heartbeat.frame", "heartbeat-short.frame", "heartbeat-alone.frame"} {
-		if _, err := all[2].Take(golden.Read(t, name), 7*second); err != nil {
+		if _, err := all[2].Take(frozen.Read(t, name), 7*second); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
