--- a/client/caller.go
+++ b/client/caller.go
@@ -24,13 +24,13 @@
 )
 
 const (
-	prefix    = "x-foldslip-"
-	mostSends = 64 // the module's own limit is far below; a door that passes this is broken
+	prefix      = "x-foldslip-"
+	maxAttempts = 64 // the module's own limit is far below; a door that passes this is broken
 )
 
 // Client asks at one door.
 type Client struct {
-	door extprocv3.ExternalProcessorClient
+	processor extprocv3.ExternalProcessorClient
 }
 
 // New makes a client over a connection, which stays the caller's own to close.
@@ -47,74 +47,74 @@
 
 // Decision is a send to make: once, now, to that cache.
 type Decision struct {
-	N           int // of the lookup's sends, from 0
+	Attempt     int // of the lookup's sends, from 0
 	Cache, Addr string
 	Source      string // where the cache fills a miss from; "": it does not
 	Rank        int
-	Oldest      time.Duration // the oldest copy that will do; 0: the object kind's own
-	Wait        time.Duration // how long to wait at most
+	MaxAge      time.Duration // the oldest copy that will do; 0: the object kind's own
+	Timeout     time.Duration // how long to wait at most
 	Mode        string        // as the caches' protocol has it
 	Route       string        // that it was decided by, and the version of the routes; "" and 0 where there are none
 	Version     uint64
 }
 
-// Ending is how a send ended. Its zero value is a send that may have run and brought nothing.
-type Ending struct {
-	Word    string // hit, valid, none, shed, fault, late (never sent), timeout, unconnected, reset
-	Note    string // the cache's
-	Waited  time.Duration
-	Born    time.Time // of the copy; without it the door lets no answer pass while a purge may have old copies about
-	Version string
+// AttemptOutcome is how a send ended. Its zero value is a send that may have run and brought nothing.
+type AttemptOutcome struct {
+	Word       string // hit, valid, none, shed, fault, late (never sent), timeout, unconnected, reset
+	Note       string // the cache's
+	SourceWait time.Duration
+	CreatedAt  time.Time // of the copy; without it the door lets no answer pass while a purge may have old copies about
+	ETag       string
 }
 
-// Result is what became of a lookup.
-type Result int
+// ResultKind is what became of a lookup.
+type ResultKind int
 
 const (
-	Satisfied Result = 1 + iota // pass on what the last send brought
-	Nacked                      // trying again is harmless, after Wait if it is not 0
+	Satisfied ResultKind = 1 + iota // pass on what the last send brought
+	Rejected                        // trying again is harmless, after Wait if it is not 0
 	Failed
 	Refused // no lookup, or one that is open elsewhere or answered already: see Status
 )
 
-func (r Result) String() string {
+func (r ResultKind) String() string {
 	return [...]string{"unknown", "satisfied", "nacked", "failed", "refused"}[r]
 }
 
-// Outcome is the end of a lookup.
-type Outcome struct {
-	Result Result
-	Status int // the door's, for the client
-	Text   string
-	Wait   time.Duration
-	Sends  []Decision
+// Result is the end of a lookup.
+type Result struct {
+	Kind       ResultKind
+	Status     int // the door's, for the client
+	Text       string
+	RetryAfter time.Duration
+	Attempts   []Decision
 }
 
-// Send makes one send and tells how it ended. It must not make it twice, and must end when ctx does.
-type Send func(ctx context.Context, d Decision) Ending
+// AttemptFunc makes one send and tells how it ended. It must not make it twice, and must end when ctx does.
+type AttemptFunc func(ctx context.Context, d Decision) AttemptOutcome
 
 // Lookup asks the door, makes the sends it is told, and tells the end. Its error is of the way to the door or of the door
 // itself; the lookup may then have had effects if a send was made (Outcome.Sends).
-func (c *Client) Lookup(ctx context.Context, r Request, send Send) (Outcome, error) {
-	var o Outcome
-	for len(o.Sends) < mostSends {
-		again, err := c.once(ctx, r, send, &o)
+func (c *Client) Lookup(ctx context.Context, r Request, send AttemptFunc) (Result, error) {
+	var o Result
+	for len(o.Attempts) < maxAttempts {
+		again, err := c.runStream(ctx, r, send, &o)
 		if err != nil || !again {
 			return o, err
 		}
 	}
-	return o, fmt.Errorf("the door told more than %d sends of one lookup", mostSends)
+	return o, fmt.Errorf("the door told more than %d sends of one lookup", maxAttempts)
 }
 
-// once is one stream: an ask, at most one send, and its report.
-func (c *Client) once(ctx context.Context, r Request, send Send, o *Outcome) (again bool, err error) {
+// runStream is one stream: an ask, at most one send, and its report.
+func (c *Client) runStream(ctx context.Context, r Request, send AttemptFunc, o *Result) (again bool, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	stream, err := c.door.Process(ctx)
+	stream, err := c.processor.Process(ctx)
 	if err != nil {
 		return false, err
 	}
-	if err := stream.Send(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestHeaders{RequestHeaders: headers(r)}}); err != nil &&
+	if err := stream.Send(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestHeaders{RequestHeaders: requestHeaders(r)}}); err != nil &&
 		!errors.Is(err, io.EOF) {
 		return false, err
 	}
@@ -123,17 +123,17 @@
 		return false, err
 	}
 	if i := m.GetImmediateResponse(); i != nil {
-		return o.end(i), nil
+		return o.readEnd(i), nil
 	}
-	d, err := decision(m)
+	d, err := parseDecision(m)
 	if err != nil {
 		return false, err
 	}
-	o.Sends = append(o.Sends, d)
-	within, done := context.WithTimeout(ctx, d.Wait)
+	o.Attempts = append(o.Attempts, d)
+	within, done := context.WithTimeout(ctx, d.Timeout)
 	e := send(within, d)
 	done()
-	if err := stream.Send(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_ResponseHeaders{ResponseHeaders: ending(e)}}); err != nil &&
+	if err := stream.Send(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_ResponseHeaders{ResponseHeaders: reportHeaders(e)}}); err != nil &&
 		!errors.Is(err, io.EOF) {
 		return false, err
 	}
@@ -141,45 +141,45 @@
 		return false, err
 	}
 	if i := m.GetImmediateResponse(); i != nil {
-		return o.end(i), nil
+		return o.readEnd(i), nil
 	}
 	if m.GetResponseHeaders() == nil {
 		return false, fmt.Errorf("the door answers a report with %T", m.Response)
 	}
 	stream.CloseSend()
-	o.Result, o.Status, o.Text = Satisfied, 200, ""
+	o.Kind, o.Status, o.Text = Satisfied, 200, ""
 	if e.Word == "valid" {
 		o.Status = 304
 	}
 	return false, nil
 }
 
-// end reads an immediate response; true if it is no end but word to ask again.
-func (o *Outcome) end(i *extprocv3.ImmediateResponse) bool {
+// readEnd reads an immediate response; true if it is no end but word to ask again.
+func (o *Result) readEnd(i *extprocv3.ImmediateResponse) bool {
 	o.Status, o.Text = int(i.GetStatus().GetCode()), strings.TrimSpace(string(i.Body))
 	for _, h := range i.GetHeaders().GetSetHeaders() {
 		switch v := string(h.GetHeader().GetRawValue()); h.GetHeader().GetKey() {
 		case prefix + "again":
-			*o = Outcome{Sends: o.Sends}
+			*o = Result{Attempts: o.Attempts}
 			return true
 		case "x-wait-ms":
 			ms, _ := strconv.ParseInt(v, 10, 64)
-			o.Wait = time.Duration(ms) * time.Millisecond
+			o.RetryAfter = time.Duration(ms) * time.Millisecond
 		}
 	}
 	switch o.Status {
 	case 503:
-		o.Result = Nacked
+		o.Kind = Rejected
 	case 502:
-		o.Result = Failed
+		o.Kind = Failed
 	default:
-		o.Result = Refused
+		o.Kind = Refused
 	}
 	return false
 }
 
-// decision reads a decision.
-func decision(m *extprocv3.ProcessingResponse) (d Decision, err error) {
+// parseDecision reads a decision.
+func parseDecision(m *extprocv3.ProcessingResponse) (d Decision, err error) {
 	mutation := m.GetRequestHeaders().GetResponse().GetHeaderMutation()
 	number := func(v string) float64 {
 		n, bad := strconv.ParseFloat(v, 64)
@@ -197,13 +197,13 @@
 		case "addr":
 			d.Addr = v
 		case "send":
-			d.N = int(number(v))
+			d.Attempt = int(number(v))
 		case "source":
 			d.Source = v
 		case "rank":
 			d.Rank = int(number(v))
 		case "oldest-ms":
-			d.Oldest = ms(v)
+			d.MaxAge = ms(v)
 		case "mode":
 			d.Mode = v
 		case "route":
@@ -211,17 +211,17 @@
 		case "version":
 			d.Version = uint64(number(v))
 		case "wait-ms":
-			d.Wait = ms(v)
+			d.Timeout = ms(v)
 		}
 	}
-	if err == nil && (d.Cache == "" || d.Wait <= 0) {
+	if err == nil && (d.Cache == "" || d.Timeout <= 0) {
 		err = errors.New("the door's answer is neither a decision nor an end")
 	}
 	return d, err
 }
 
-// headers are a request's as the protocol has them.
-func headers(r Request) *extprocv3.HttpHeaders {
+// requestHeaders are a request's as the protocol has them.
+func requestHeaders(r Request) *extprocv3.HttpHeaders {
 	m := &corev3.HeaderMap{}
 	add := func(name, v string) {
 		m.Headers = append(m.Headers, &corev3.HeaderValue{Key: name, RawValue: []byte(v)})
@@ -245,23 +245,23 @@
 	return &extprocv3.HttpHeaders{Headers: m, EndOfStream: true}
 }
 
-// ending is a report.
-func ending(e Ending) *extprocv3.HttpHeaders {
+// reportHeaders is a report.
+func reportHeaders(e AttemptOutcome) *extprocv3.HttpHeaders {
 	word := e.Word
 	if word == "" {
 		word = "fault"
 	}
 	m := &corev3.HeaderMap{}
-	for _, f := range [][2]string{{"end", word}, {"note", e.Note}, {"ver", e.Version}} {
+	for _, f := range [][2]string{{"end", word}, {"note", e.Note}, {"ver", e.ETag}} {
 		if f[1] != "" {
 			m.Headers = append(m.Headers, &corev3.HeaderValue{Key: prefix + f[0], RawValue: []byte(f[1])})
 		}
 	}
-	if e.Waited > 0 {
-		m.Headers = append(m.Headers, &corev3.HeaderValue{Key: prefix + "waited-ms", RawValue: strconv.AppendFloat(nil, float64(e.Waited.Microseconds())/1000, 'f', 3, 64)})
+	if e.SourceWait > 0 {
+		m.Headers = append(m.Headers, &corev3.HeaderValue{Key: prefix + "waited-ms", RawValue: strconv.AppendFloat(nil, float64(e.SourceWait.Microseconds())/1000, 'f', 3, 64)})
 	}
-	if !e.Born.IsZero() {
-		m.Headers = append(m.Headers, &corev3.HeaderValue{Key: prefix + "born", RawValue: strconv.AppendInt(nil, e.Born.UnixMilli(), 10)})
+	if !e.CreatedAt.IsZero() {
+		m.Headers = append(m.Headers, &corev3.HeaderValue{Key: prefix + "born", RawValue: strconv.AppendInt(nil, e.CreatedAt.UnixMilli(), 10)})
 	}
 	return &extprocv3.HttpHeaders{Headers: m, EndOfStream: true}
 }
--- a/client/frozen_test.go
+++ b/client/frozen_test.go
@@ -20,10 +20,10 @@
 func TestFrozenMessages(t *testing.T) {
 	var got strings.Builder
 	for _, m := range []*extprocv3.HttpHeaders{
-		headers(Request{Path: "/call/segment/o/part-0"}),
-		headers(Request{Method: "POST", Path: "/", Header: http.Header{"X-Job-Id": {"a1"}, "A": {"1", "2"}}}),
-		ending(Ending{}),
-		ending(Ending{Word: "valid", Note: "hit", Waited: 12345 * time.Microsecond, Born: time.UnixMilli(1700000000123), Version: `"v1"`}),
+		requestHeaders(Request{Path: "/call/segment/o/part-0"}),
+		requestHeaders(Request{Method: "POST", Path: "/", Header: http.Header{"X-Job-Id": {"a1"}, "A": {"1", "2"}}}),
+		reportHeaders(AttemptOutcome{}),
+		reportHeaders(AttemptOutcome{Word: "valid", Note: "hit", SourceWait: 12345 * time.Microsecond, CreatedAt: time.UnixMilli(1700000000123), ETag: `"v1"`}),
 	} {
 		text, err := protojson.Marshal(m)
 		if err != nil {
@@ -56,9 +56,9 @@
 		set("x-foldslip-cache", "c0", "x-foldslip-wait-ms", "soon"),
 		set(),
 	} {
-		d, err := decision(&extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_RequestHeaders{RequestHeaders: &extprocv3.HeadersResponse{
+		d, err := parseDecision(&extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_RequestHeaders{RequestHeaders: &extprocv3.HeadersResponse{
 			Response: &extprocv3.CommonResponse{HeaderMutation: mutation}}}})
-		fmt.Fprintf(&got, "send %d cache %q addr %q source %q rank %d oldest %v wait %v mode %q route %q version %d: read %v\n", d.N, d.Cache, d.Addr, d.Source, d.Rank, d.Oldest, d.Wait,
+		fmt.Fprintf(&got, "send %d cache %q addr %q source %q rank %d oldest %v wait %v mode %q route %q version %d: read %v\n", d.Attempt, d.Cache, d.Addr, d.Source, d.Rank, d.MaxAge, d.Timeout,
 			d.Mode, d.Route, d.Version, err == nil)
 	}
 	for _, i := range []*extprocv3.ImmediateResponse{
@@ -68,11 +68,11 @@
 		{Status: &typev3.HttpStatus{Code: 409}, Body: []byte("this lookup has been answered\n")},
 		{},
 	} {
-		o := Outcome{Sends: []Decision{{}}}
-		again := o.end(i)
-		fmt.Fprintf(&got, "again %v result %d %v status %d text %q wait %v sends %d\n", again, o.Result, o.Result, o.Status, o.Text, o.Wait, len(o.Sends))
+		o := Result{Attempts: []Decision{{}}}
+		again := o.readEnd(i)
+		fmt.Fprintf(&got, "again %v result %d %v status %d text %q wait %v sends %d\n", again, o.Kind, o.Kind, o.Status, o.Text, o.RetryAfter, len(o.Attempts))
 	}
-	for r := Result(0); r <= Refused; r++ {
+	for r := ResultKind(0); r <= Refused; r++ {
 		fmt.Fprintf(&got, "result %d %v\n", r, r)
 	}
 	compareWithFile(t, "testdata/answers.txt", got.String())
--- a/internal/cli/extproccli/doors.go
+++ b/internal/cli/extproccli/doors.go
@@ -96,7 +96,7 @@
 	if g.Env("ROUTER_CONFIG") == "" {
 		return misuse{errors.New("ROUTER_CONFIG is not set: name the gateway's configuration file in it, see docs/external-processor.md (Start)")}
 	}
-	if err := gateway.Run(g, gateway.Watch{Doors: extprocgrpc.Doors}); err != nil {
+	if err := gateway.Run(g, gateway.Watch{Doors: extprocgrpc.OpenConfigured}); err != nil {
 		g.Log().Error("ended", "text", err.Error())
 		return errTold
 	}
@@ -146,14 +146,14 @@
 	ctx, stop := context.WithTimeout(context.Background(), a.Timeout)
 	defer stop()
 	began := time.Now()
-	o, err := client.New(conn).Lookup(ctx, client.Request{Path: a.Path, Header: header}, func(_ context.Context, d client.Decision) client.Ending {
-		e := client.Ending{Word: a.End[min(d.N, len(a.End)-1)], Born: time.Now().Add(-a.Born)}
+	o, err := client.New(conn).Lookup(ctx, client.Request{Path: a.Path, Header: header}, func(_ context.Context, d client.Decision) client.AttemptOutcome {
+		e := client.AttemptOutcome{Word: a.End[min(d.Attempt, len(a.End)-1)], CreatedAt: time.Now().Add(-a.Born)}
 		if e.Word == "hit" {
 			e.Note = "hit"
 		}
 		if !a.JSON {
-			fmt.Fprintf(out, "send %d to %s at %s, source %s, rank %d, mode %s, wait at most %v; reported as %s\n", d.N, d.Cache, d.Addr, or(d.Source), d.Rank, or(d.Mode),
-				d.Wait.Round(time.Microsecond), e.Word)
+			fmt.Fprintf(out, "send %d to %s at %s, source %s, rank %d, mode %s, wait at most %v; reported as %s\n", d.Attempt, d.Cache, d.Addr, or(d.Source), d.Rank, or(d.Mode),
+				d.Timeout.Round(time.Microsecond), e.Word)
 			if d.Version > 0 {
 				fmt.Fprintf(out, "  by route %q of version %d\n", d.Route, d.Version)
 			}
@@ -164,19 +164,19 @@
 		return fmt.Errorf("the door at %s: %w; see whether it listens there and takes this caller", a.Door, err)
 	}
 	if a.JSON {
-		json.NewEncoder(out).Encode(map[string]any{"result": o.Result.String(), "status": o.Status, "text": o.Text, "wait_ms": o.Wait.Milliseconds(),
-			"sends": o.Sends, "took_us": time.Since(began).Microseconds()})
+		json.NewEncoder(out).Encode(map[string]any{"result": o.Kind.String(), "status": o.Status, "text": o.Text, "wait_ms": o.RetryAfter.Milliseconds(),
+			"sends": o.Attempts, "took_us": time.Since(began).Microseconds()})
 	} else {
-		fmt.Fprintf(out, "%s, status %d", o.Result, o.Status)
+		fmt.Fprintf(out, "%s, status %d", o.Kind, o.Status)
 		if o.Text != "" {
 			fmt.Fprintf(out, " (%s)", o.Text)
 		}
-		if o.Wait > 0 {
-			fmt.Fprintf(out, ", again in %v", o.Wait)
+		if o.RetryAfter > 0 {
+			fmt.Fprintf(out, ", again in %v", o.RetryAfter)
 		}
 		fmt.Fprintf(out, ", after %v\n", time.Since(began).Round(10*time.Microsecond))
 	}
-	if o.Result != client.Satisfied {
+	if o.Kind != client.Satisfied {
 		return errTold
 	}
 	return nil
--- a/internal/extproc/door.go
+++ b/internal/extproc/door.go
@@ -34,268 +34,268 @@
 // Prefix is that of headers that are this program's to set, on the way to caches and back.
 const Prefix = "x-foldslip-"
 
-// Terms are the bounds of a door.
-type Terms struct {
-	Desk     retry.Terms
-	Streams  int           // of one caller
-	Messages float64       // of one caller a second; 0: any number
-	Bytes    float64       // of one caller's messages a second; 0: any number
-	Silent   time.Duration // a stream on which a message is due and that says nothing for so long ends
-	Weight   float64       // of a caller's part of the room, direct clients having 1
+// Limits are the bounds of a door.
+type Limits struct {
+	Lookups           retry.Limits
+	MaxStreams        int           // of one caller
+	MessagesPerSecond float64       // of one caller a second; 0: any number
+	BytesPerSecond    float64       // of one caller's messages a second; 0: any number
+	SilenceTimeout    time.Duration // a stream on which a message is due and that says nothing for so long ends
+	Weight            float64       // of a caller's part of the room, direct clients having 1
 }
 
-// Door is the service behind one listener. It lives as long as the gateway.
-type Door struct {
-	g       env.Ground
-	terms   Terms
-	its     *settings.Terms
-	router  *dispatch.Facade
-	caches  *memory.Caches
-	purges  *memory.Purges
-	room    *memory.Room
-	Routes  *rollout.Steer // nil: a lookup may go anywhere
-	mu      sync.Mutex     // of what follows; held over one call of the facade only, Take, which waits for nothing
-	table   *route.Table
-	desk    *retry.Desk
-	callers map[string]*caller
-	odd     map[string]int // what callers did against the contract, beside what the desk saw
-	group   env.Group
-	trace   Tracer
-	some    env.Bell // rung when lookups have steps, and at the end
-	readyMu sync.Mutex
-	waiting []*retry.Lookup // have steps that nobody is about to look for
+// Server is the service behind one listener. It lives as long as the gateway.
+type Server struct {
+	environment env.Ground
+	limits      Limits
+	settings    *settings.Settings
+	dispatcher  *dispatch.Dispatcher
+	caches      *memory.Caches
+	purges      *memory.Purges
+	admission   *memory.Room
+	Routes      *rollout.Steer // nil: a lookup may go anywhere
+	mu          sync.Mutex     // of what follows; held over one call of the facade only, Take, which waits for nothing
+	table       *route.Table
+	coordinator *retry.Coordinator
+	callers     map[string]*caller
+	anomalies   map[string]int // what callers did against the contract, beside what the desk saw
+	streams     env.Group
+	tracer      Tracer
+	stepsReady  env.Bell // rung when lookups have steps, and at the end
+	readyMu     sync.Mutex
+	ready       []*retry.Lookup // have steps that nobody is about to look for
 }
 
 // caller is one that has streams open, or had lately.
 type caller struct {
-	name     string
-	streams  int
-	messages *rate.Limiter
-	bytes    *rate.Limiter
-	faults   *rate.Limiter // that it may commit
-	barred   time.Time     // until then it opens no streams
-	bars     int           // times in a row
-	drained  bool          // what it saved up while it was barred is gone
-	gone     time.Time     // since when it has no stream
+	name         string
+	streams      int
+	messages     *rate.Limiter
+	bytes        *rate.Limiter
+	faults       *rate.Limiter // that it may commit
+	blockedUntil time.Time     // until then it opens no streams
+	blocksInRow  int           // times in a row
+	burstDropped bool          // what it saved up while it was barred is gone
+	idleSince    time.Time     // since when it has no stream
 }
 
 const (
-	mostCallers = 1024 // remembered at once
-	callerKept  = time.Minute
-	mostReplies = 8
-	pace        = 50 * time.Millisecond
-	faultsASec  = 20                     // messages past their rate or size and phases out of order, of one caller; past it
-	barredFor   = 500 * time.Millisecond // doubled each time in a row, up to
-	barredMost  = 5                      // times
-	barredAgain = 10 * time.Second       // within so long of the last time it is in a row
+	maxCallers        = 1024 // remembered at once
+	callerRetention   = time.Minute
+	maxQueuedReplies  = 8
+	tickInterval      = 50 * time.Millisecond
+	faultsPerSecond   = 20                     // messages past their rate or size and phases out of order, of one caller; past it
+	blockTime         = 500 * time.Millisecond // doubled each time in a row, up to
+	maxBlockDoublings = 5                      // times
+	blockMemory       = 10 * time.Second       // within so long of the last time it is in a row
 )
 
 // New makes a door behind a table. purges may be nil.
-func New(g env.Ground, its *settings.Terms, router *dispatch.Facade, caches *memory.Caches, purges *memory.Purges, room *memory.Room,
-	table *route.Table, terms Terms) *Door {
+func New(g env.Ground, its *settings.Settings, router *dispatch.Dispatcher, caches *memory.Caches, purges *memory.Purges, room *memory.Room,
+	table *route.Table, terms Limits) *Server {
 	if terms.Weight <= 0 {
 		terms.Weight = 1
 	}
-	return &Door{g: g, terms: terms, its: its, router: router, caches: caches, purges: purges, room: room, table: table,
-		desk: retry.New(terms.Desk), callers: map[string]*caller{}, odd: map[string]int{}, group: g.Group(), trace: noTracer{}, some: g.Bell()}
+	return &Server{environment: g, limits: terms, settings: its, dispatcher: router, caches: caches, purges: purges, admission: room, table: table,
+		coordinator: retry.New(terms.Lookups), callers: map[string]*caller{}, anomalies: map[string]int{}, streams: g.Group(), tracer: noTracer{}, stepsReady: g.Bell()}
 }
 
-// Swap puts another table in place for the lookups to come; those open keep what they were read as.
-func (d *Door) Swap(table *route.Table) {
+// SetTable puts another table in place for the lookups to come; those open keep what they were read as.
+func (d *Server) SetTable(table *route.Table) {
 	d.mu.Lock()
 	d.table = table
 	d.mu.Unlock()
 }
 
-// Open is how many lookups are open.
-func (d *Door) Open() int {
+// OpenLookups is how many lookups are open.
+func (d *Server) OpenLookups() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.desk.Open()
+	return d.coordinator.OpenLookups()
 }
 
-// Odd counts what callers did against the contract.
-func (d *Door) Odd() map[string]int {
+// Anomalies counts what callers did against the contract.
+func (d *Server) Anomalies() map[string]int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	odd := maps.Clone(d.odd)
-	for k, n := range d.desk.Odd {
+	odd := maps.Clone(d.anomalies)
+	for k, n := range d.coordinator.Anomalies {
 		odd[k] += n
 	}
 	return odd
 }
 
-// Handed is how many sends are at their callers.
-func (d *Door) Handed() int {
+// AttemptsOut is how many sends are at their callers.
+func (d *Server) AttemptsOut() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.desk.Handed()
+	return d.coordinator.AttemptsOut()
 }
 
 // Run brings the desk its time and lookups their steps until life ends, and then waits for the streams.
-func (d *Door) Run(life *env.Life) error {
-	defer life.OnEnd(d.some.Ring)()
+func (d *Server) Run(life *env.Life) error {
+	defer life.OnEnd(d.stepsReady.Ring)()
 	for wait := time.Duration(0); !life.Over(); {
-		d.some.Wait(wait)
-		d.pumpAll()
+		d.stepsReady.Wait(wait)
+		d.deliverReady()
 		d.mu.Lock()
-		now := d.g.Now()
-		do, next := d.desk.Tick(now)
+		now := d.environment.Now()
+		do, next := d.coordinator.Tick(now)
 		d.mu.Unlock()
 		d.apply(do)
-		wait = min(pace, max(time.Millisecond, next.Sub(now)))
+		wait = min(tickInterval, max(time.Millisecond, next.Sub(now)))
 	}
-	err := d.group.Wait()
-	d.pumpAll()
+	err := d.streams.Wait()
+	d.deliverReady()
 	return err
 }
 
-// ready notes that the router has steps for a lookup; it is called under the facade's lock.
-func (d *Door) ready(lk *retry.Lookup) {
-	if lk.Held() {
+// notifyReady notes that the router has steps for a lookup; it is called under the facade's lock.
+func (d *Server) notifyReady(lk *retry.Lookup) {
+	if lk.IsClaimed() {
 		return
 	}
 	d.readyMu.Lock()
-	d.waiting = append(d.waiting, lk)
+	d.ready = append(d.ready, lk)
 	d.readyMu.Unlock()
-	d.some.Ring()
+	d.stepsReady.Ring()
 }
 
-// pumpAll brings the desk the steps of all lookups that have some.
-func (d *Door) pumpAll() {
+// deliverReady brings the desk the steps of all lookups that have some.
+func (d *Server) deliverReady() {
 	for {
 		d.readyMu.Lock()
-		list := d.waiting
-		d.waiting = nil
+		list := d.ready
+		d.ready = nil
 		d.readyMu.Unlock()
 		if len(list) == 0 {
 			return
 		}
 		for _, lk := range list {
-			d.pump(lk)
+			d.deliverSteps(lk)
 		}
 	}
 }
 
-// pump brings the desk a lookup's steps, one after the other.
-func (d *Door) pump(lk *retry.Lookup) {
+// deliverSteps brings the desk a lookup's steps, one after the other.
+func (d *Server) deliverSteps(lk *retry.Lookup) {
 	for {
 		d.mu.Lock()
-		step, some := d.router.Next(lk.Lk)
+		step, some := d.dispatcher.NextStep(lk.Dispatched)
 		if !some {
 			d.mu.Unlock()
 			return
 		}
-		do := d.desk.Step(d.g.Now(), lk, step)
+		do := d.coordinator.ApplyStep(d.environment.Now(), lk, step)
 		d.mu.Unlock()
-		d.trace.Decided(lk, step)
+		d.tracer.StepDecided(lk, step)
 		d.apply(do)
-		if step.What != dispatch.Send && step.What != dispatch.Cancel {
-			lk.Places.Leave()
-			d.leaveRoute(lk, step.What)
+		if step.Kind != dispatch.StepFetch && step.Kind != dispatch.StepCancel {
+			lk.Quota.Leave()
+			d.endTicket(lk, step.Kind)
 		}
 	}
 }
 
-// leaveRoute ends what the lookup's route let in.
-func (d *Door) leaveRoute(lk *retry.Lookup, how dispatch.What) {
-	if lk.Pass != nil {
-		late := d.g.Now().Sub(lk.Came) > d.its.Budget(lk.Asked.Kind, lk.Asked.KB)
-		lk.Pass.End(how == dispatch.Satisfied && !late, how == dispatch.Nacked, late || how == dispatch.Failed)
+// endTicket ends what the lookup's route let in.
+func (d *Server) endTicket(lk *retry.Lookup, how dispatch.StepKind) {
+	if lk.Ticket != nil {
+		late := d.environment.Now().Sub(lk.ArrivedAt) > d.settings.LatencyBudget(lk.Request.Kind, lk.Request.KB)
+		lk.Ticket.End(how == dispatch.StepSatisfied && !late, how == dispatch.StepRejected, late || how == dispatch.StepFailed)
 	}
 }
 
 // apply carries out what the desk wants, without its lock.
-func (d *Door) apply(do retry.Do) {
-	for _, t := range do.Tell {
-		d.trace.Ended(t.Of, t)
-		t.Of.Hold(1)
-		d.router.Report(t.Of.Lk, t.N, t.How, t.Remark, t.Waited)
-		t.Of.Hold(-1)
+func (d *Server) apply(do retry.Commands) {
+	for _, t := range do.Reports {
+		d.tracer.AttemptEnded(t.Lookup, t)
+		t.Lookup.AddClaim(1)
+		d.dispatcher.AttemptEnded(t.Lookup.Dispatched, t.Attempt, t.Outcome, t.Detail, t.SourceWait)
+		t.Lookup.AddClaim(-1)
 	}
-	for _, lk := range do.Leave {
-		d.router.Leave(lk.Lk)
+	for _, lk := range do.Gone {
+		d.dispatcher.ClientGone(lk.Dispatched)
 	}
-	for _, lk := range do.Late {
-		d.router.Late(lk.Lk)
+	for _, lk := range do.Overdue {
+		d.dispatcher.FailOverdue(lk.Dispatched)
 	}
-	for _, say := range do.Say {
-		say.To.Said.(*stream).hear(say)
+	for _, say := range do.Answers {
+		say.Stream.Owner.(*stream).receiveAnswer(say)
 	}
-	for _, t := range do.Tell {
-		d.pump(t.Of)
+	for _, t := range do.Reports {
+		d.deliverSteps(t.Lookup)
 	}
 }
 
 // caller finds or makes a caller and takes one more stream of it; nil where it has all that it may.
-func (d *Door) enter(name string) *caller {
+func (d *Server) enterCaller(name string) *caller {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	now := d.g.Now()
+	now := d.environment.Now()
 	c := d.callers[name]
 	if c == nil {
-		if len(d.callers) >= mostCallers {
+		if len(d.callers) >= maxCallers {
 			for _, n := range slices.Sorted(maps.Keys(d.callers)) {
-				if o := d.callers[n]; o.streams == 0 && now.Sub(o.gone) > callerKept {
+				if o := d.callers[n]; o.streams == 0 && now.Sub(o.idleSince) > callerRetention {
 					delete(d.callers, n)
 				}
 			}
 		}
-		if len(d.callers) >= mostCallers {
-			d.odd["callers_full"]++
+		if len(d.callers) >= maxCallers {
+			d.anomalies["callers_full"]++
 			return nil
 		}
-		c = &caller{name: name, messages: limiter(d.terms.Messages), bytes: limiter(d.terms.Bytes), faults: limiter(faultsASec)}
+		c = &caller{name: name, messages: newLimiter(d.limits.MessagesPerSecond), bytes: newLimiter(d.limits.BytesPerSecond), faults: newLimiter(faultsPerSecond)}
 		d.callers[name] = c
 	}
-	if d.terms.Streams > 0 && c.streams >= d.terms.Streams {
-		d.odd["streams_full"]++
+	if d.limits.MaxStreams > 0 && c.streams >= d.limits.MaxStreams {
+		d.anomalies["streams_full"]++
 		return nil
 	}
 	c.streams++
 	return c
 }
 
-// Admits tells whether a caller may open a stream now, before anything is made for it.
-func (d *Door) Admits(name string) bool {
+// AdmitsStream tells whether a caller may open a stream now, before anything is made for it.
+func (d *Server) AdmitsStream(name string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	c := d.callers[name]
-	now := d.g.Now()
-	if c == nil || now.After(c.barred) {
-		if c != nil && c.bars > 0 && !c.drained { // it begins with nothing saved up, so that no heap comes after the wait
-			c.drained = true
+	now := d.environment.Now()
+	if c == nil || now.After(c.blockedUntil) {
+		if c != nil && c.blocksInRow > 0 && !c.burstDropped { // it begins with nothing saved up, so that no heap comes after the wait
+			c.burstDropped = true
 			if c.messages != nil {
 				c.messages.AllowN(now, int(c.messages.TokensAt(now)))
 			}
 		}
 		return true
 	}
-	d.odd["refused_while_barred"]++
+	d.anomalies["refused_while_barred"]++
 	return false
 }
 
-// limiter allows a tenth of a second's worth at once, so that what a caller may send does not come in heaps.
-func limiter(a float64) *rate.Limiter {
+// newLimiter allows a tenth of a second's worth at once, so that what a caller may send does not come in heaps.
+func newLimiter(a float64) *rate.Limiter {
 	if a <= 0 {
 		return nil
 	}
 	return rate.NewLimiter(rate.Limit(a), max(10, int(a/10)))
 }
 
-func (d *Door) leave(c *caller) {
+func (d *Server) leaveCaller(c *caller) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if c.streams--; c.streams == 0 {
-		c.gone = d.g.Now()
+		c.idleSince = d.environment.Now()
 	}
 }
 
-// spend takes a message of a caller from what it may send; a reason where it is past that.
-func (d *Door) spend(c *caller, size int) string {
+// chargeMessage takes a message of a caller from what it may send; a reason where it is past that.
+func (d *Server) chargeMessage(c *caller, size int) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	now := d.g.Now()
+	now := d.environment.Now()
 	why := ""
 	switch {
 	case c.messages != nil && !c.messages.AllowN(now, 1):
@@ -305,173 +305,173 @@
 	default:
 		return ""
 	}
-	d.fault(now, c, why)
+	d.countFault(now, c, why)
 	return why
 }
 
-// fault counts what a caller did against the contract, under the lock. One that does so over and over opens no streams for a while.
-func (d *Door) fault(now time.Time, c *caller, why string) {
-	d.odd[why]++
-	if c.faults.AllowN(now, 1) || !now.After(c.barred) {
+// countFault counts what a caller did against the contract, under the lock. One that does so over and over opens no streams for a while.
+func (d *Server) countFault(now time.Time, c *caller, why string) {
+	d.anomalies[why]++
+	if c.faults.AllowN(now, 1) || !now.After(c.blockedUntil) {
 		return
 	}
-	if c.bars++; now.Sub(c.barred) > barredAgain {
-		c.bars = 1
+	if c.blocksInRow++; now.Sub(c.blockedUntil) > blockMemory {
+		c.blocksInRow = 1
 	}
-	c.barred, c.drained = now.Add(barredFor<<min(c.bars-1, barredMost)), false
-	d.odd["barred"]++
+	c.blockedUntil, c.burstDropped = now.Add(blockTime<<min(c.blocksInRow-1, maxBlockDoublings)), false
+	d.anomalies["barred"]++
 }
 
-// ask takes the headers of a request: a reply at once, or none where the module is to be waited for.
-func (d *Door) ask(st *stream, m Message) (Reply, bool) {
-	came := d.g.Now()
+// handleRequest takes the headers of a request: a reply at once, or none where the module is to be waited for.
+func (d *Server) handleRequest(st *stream, m Message) (Reply, bool) {
+	came := d.environment.Now()
 	d.mu.Lock()
 	table := d.table
 	d.mu.Unlock()
 	a, err := table.Lookup(m.Method, m.Path, m.Get)
 	var fault *route.Fault
 	if errors.As(err, &fault) {
-		return final(fault.Status, fault.Text), true
+		return finalReply(fault.Status, fault.Text), true
 	}
-	if most := time.Duration(d.its.Router.Kinds[a.Kind].GiveUp) * time.Microsecond; a.Allow < 0 || a.Allow > most {
+	if most := time.Duration(d.settings.Router.Kinds[a.Kind].Deadline) * time.Microsecond; a.Allow < 0 || a.Allow > most {
 		a.Allow = most
 	}
 	until := came.Add(a.Allow)
 	d.mu.Lock()
-	if a.Allow <= 0 && !d.desk.Knows(&st.on, a.ID) { // one that is known hears of its end, however late it is asked for
+	if a.Allow <= 0 && !d.coordinator.Knows(&st.handle, a.ID) { // one that is known hears of its end, however late it is asked for
 		d.mu.Unlock()
-		return final(503, "no time left"), true
+		return finalReply(503, "no time left"), true
 	}
-	lk, do := d.desk.Ask(came, &st.on, a.ID, until)
+	lk, do := d.coordinator.Request(came, &st.handle, a.ID, until)
 	if lk == nil { // known already, or refused by the desk
 		d.mu.Unlock()
 		d.apply(do)
 		return Reply{}, false
 	}
-	places := d.room.For(st.caller.name, d.terms.Weight)
+	places := d.admission.For(st.caller.name, d.limits.Weight)
 	if !places.Enter() {
-		d.desk.Refused(lk)
+		d.coordinator.Discard(lk)
 		d.mu.Unlock()
-		return d.full(), true
+		return d.fullReply(), true
 	}
-	lk.Object, lk.Group, lk.Tag, lk.Asked, lk.Places = a.Object, a.Group, a.Tag, &a, places
+	lk.Object, lk.Group, lk.ETag, lk.Request, lk.Quota = a.Object, a.Group, a.Tag, &a, places
 	var scope *policy.Scope
 	if d.Routes != nil {
 		pass, why, wait := d.Routes.Admit(a.Kind, a.Group, a.Object, a.KB)
 		if why != limit.Allowed {
-			d.desk.Refused(lk)
+			d.coordinator.Discard(lk)
 			d.mu.Unlock()
 			places.Leave()
-			r := final(503, "past a limit: "+string(why))
-			r.Wait = wait
+			r := finalReply(503, "past a limit: "+string(why))
+			r.RetryAfter = wait
 			return r, true
 		}
-		lk.Pass, scope = pass, pass.Scope()
-	}
-	lk.Came = came
-	lk.Hold(1)
-	lk.Lk = d.router.TakeFor(a.ID, a.Kind, a.Object, a.Part, a.Group, a.KB, until, scope, func() { d.ready(lk) })
-	lk.Hold(-1)
-	if lk.Lk == nil {
-		d.desk.Refused(lk)
+		lk.Ticket, scope = pass, pass.Scope()
+	}
+	lk.ArrivedAt = came
+	lk.AddClaim(1)
+	lk.Dispatched = d.dispatcher.SubmitWithin(a.ID, a.Kind, a.Object, a.Part, a.Group, a.KB, until, scope, func() { d.notifyReady(lk) })
+	lk.AddClaim(-1)
+	if lk.Dispatched == nil {
+		d.coordinator.Discard(lk)
 		d.mu.Unlock()
 		places.Leave()
-		d.leaveRoute(lk, dispatch.Failed)
-		return final(409, "this lookup is open already"), true
+		d.endTicket(lk, dispatch.StepFailed)
+		return finalReply(409, "this lookup is open already"), true
 	}
-	d.trace.Began(lk, m.Get)
+	d.tracer.LookupStarted(lk, m.Get)
 	d.mu.Unlock()
-	d.pump(lk)
+	d.deliverSteps(lk)
 	return Reply{}, false
 }
 
-// full is the answer to a lookup that there is no room for.
-func (d *Door) full() Reply {
-	r := final(503, "too many lookups")
-	if most := d.its.Router.MaxRetryIn; most > 0 {
-		r.Wait = time.Duration(most) * time.Microsecond
+// fullReply is the answer to a lookup that there is no room for.
+func (d *Server) fullReply() Reply {
+	r := finalReply(503, "too many lookups")
+	if most := d.settings.Router.MaxRetryAfter; most > 0 {
+		r.RetryAfter = time.Duration(most) * time.Microsecond
 	}
 	return r
 }
 
-// report takes the headers of a response. What is no use to the lookup counts for the module as at the users' door: an
+// handleReport takes the headers of a response. What is no use to the lookup counts for the module as at the users' door: an
 // answer older than a purge that was told past its grace as none in time, since it has run, word of another copy than the client's as
 // an error. What ran at the origin and tells no birth is no copy: no purge concerns it.
-func (d *Door) report(st *stream, m Message) {
-	r := readReport(m.Get)
+func (d *Server) handleReport(st *stream, m Message) {
+	r := parseReport(m.Get)
 	d.mu.Lock()
-	lk := d.desk.Of(&st.on)
-	if lk != nil && r.how == policy.Satisfied {
-		if r.same && (r.tag != lk.Tag || lk.Tag == "") {
-			d.odd["valid_for_another_copy"]++
-			r.how = policy.Errored
+	lk := d.coordinator.LookupOf(&st.handle)
+	if lk != nil && r.outcome == policy.OutcomeSatisfied {
+		if r.notModified && (r.etag != lk.ETag || lk.ETag == "") {
+			d.anomalies["valid_for_another_copy"]++
+			r.outcome = policy.OutcomeError
 		}
 		if d.purges != nil {
 			issued, told := d.purges.Heeded(lk.Object, lk.Group)
 			switch {
 			case issued.IsZero():
-			case r.born.IsZero() && d.its.Router.Kinds[lk.Asked.Kind].PassThrough:
-			case r.born.IsZero():
-				d.odd["birth_untold"]++ // with a purge about, an answer of no known age is not passed on
-				r.how, r.remark = policy.TimedOut, policy.Untold
-			case r.born.Before(issued):
-				now := d.g.Now()
-				d.g.Log().Warn("outdated_copy", "caller", st.caller.name, "older_ms", issued.Sub(r.born).Milliseconds(), "told_ms_ago",
+			case r.createdAt.IsZero() && d.settings.Router.Kinds[lk.Request.Kind].PassThrough:
+			case r.createdAt.IsZero():
+				d.anomalies["birth_untold"]++ // with a purge about, an answer of no known age is not passed on
+				r.outcome, r.detail = policy.OutcomeTimeout, policy.DetailNone
+			case r.createdAt.Before(issued):
+				now := d.environment.Now()
+				d.environment.Log().Warn("outdated_copy", "caller", st.caller.name, "older_ms", issued.Sub(r.createdAt).Milliseconds(), "told_ms_ago",
 					now.Sub(told).Milliseconds())
-				r.how, r.remark = policy.TimedOut, policy.Untold
+				r.outcome, r.detail = policy.OutcomeTimeout, policy.DetailNone
 			}
 		}
 	}
-	do := d.desk.Report(d.g.Now(), &st.on, r.how, r.remark, r.waited)
+	do := d.coordinator.ReportOutcome(d.environment.Now(), &st.handle, r.outcome, r.detail, r.sourceWait)
 	d.mu.Unlock()
 	d.apply(do)
 }
 
-// reply puts what is said into plain terms.
-func (d *Door) reply(say retry.Say) Reply {
-	switch say.What {
-	case retry.Go:
+// replyFor puts what is said into plain terms.
+func (d *Server) replyFor(say retry.Answer) Reply {
+	switch say.Kind {
+	case retry.AnswerAttempt:
 		version, route := "", "" // of the routes that it was decided under; without, what a client sets there is removed
-		if p := say.Of.Pass; p != nil {
+		if p := say.Lookup.Ticket; p != nil {
 			version, route = strconv.FormatUint(p.Version, 10), p.Decided.Route
 		}
-		r := d.decision(say.Send)
-		r.Send = append(r.Send, Field{Prefix + "version", version}, Field{Prefix + "route", route})
+		r := d.decision(say.Step)
+		r.Decision = append(r.Decision, Header{Prefix + "version", version}, Header{Prefix + "route", route})
 		return r
-	case retry.Accepted:
+	case retry.AnswerAccepted:
 		return Reply{}
-	case retry.Again:
-		r := final(503, "ask again")
-		r.Fields = []Field{{Prefix + "again", "1"}}
+	case retry.AnswerAskAgain:
+		r := finalReply(503, "ask again")
+		r.Headers = []Header{{Prefix + "again", "1"}}
 		return r
-	case retry.Nack:
-		r := final(503, "nacked")
-		r.Wait = say.Wait
+	case retry.AnswerReject:
+		r := finalReply(503, "nacked")
+		r.RetryAfter = say.RetryAfter
 		return r
-	case retry.Fail:
-		return final(502, "failed")
-	case retry.Twice:
-		return final(409, "this lookup is open already")
-	case retry.Known:
-		return final(409, "this lookup has been answered")
-	case retry.Full:
-		return d.full()
-	}
-	return Reply{Ends: Disorder}
+	case retry.AnswerFail:
+		return finalReply(502, "failed")
+	case retry.AnswerOpenElsewhere:
+		return finalReply(409, "this lookup is open already")
+	case retry.AnswerAlreadyGiven:
+		return finalReply(409, "this lookup has been answered")
+	case retry.AnswerFull:
+		return d.fullReply()
+	}
+	return Reply{End: EndedOutOfOrder}
 }
 
 // decision tells the caller what to send where.
-func (d *Door) decision(s dispatch.Step) Reply {
+func (d *Server) decision(s dispatch.Step) Reply {
 	addr := ""
-	if c := d.caches.Find(s.To.Name); c != nil {
+	if c := d.caches.Find(s.Cache.Name); c != nil {
 		addr = c.Addr
 	}
-	return Reply{Send: decision(s, addr)}
+	return Reply{Decision: decisionHeaders(s, addr)}
 }
 
-// LogOdd is one line of what callers did against the contract, in one order.
-func (d *Door) LogOdd() string {
-	odd := d.Odd()
+// AnomalySummary is one line of what callers did against the contract, in one order.
+func (d *Server) AnomalySummary() string {
+	odd := d.Anomalies()
 	var b strings.Builder
 	for _, k := range slices.Sorted(maps.Keys(odd)) {
 		fmt.Fprintf(&b, "%s:%d,", k, odd[k])
--- a/internal/extproc/extprocgrpc/caller_test.go
+++ b/internal/extproc/extprocgrpc/caller_test.go
@@ -110,7 +110,7 @@
 }
 
 // ask has one lookup through the client package; ends are how its sends end.
-func ask(t *testing.T, target string, creds credentials.TransportCredentials, id string, ends ...string) (client.Outcome, error) {
+func ask(t *testing.T, target string, creds credentials.TransportCredentials, id string, ends ...string) (client.Result, error) {
 	t.Helper()
 	conn, err := grpc.NewClient(target, grpc.WithTransportCredentials(creds))
 	if err != nil {
@@ -120,8 +120,8 @@
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 	defer stop()
 	return client.New(conn).Lookup(ctx, client.Request{Path: "/call/segment/o/part-1", Header: http.Header{"X-Job-Id": {id}}},
-		func(_ context.Context, d client.Decision) client.Ending {
-			return client.Ending{Word: ends[min(d.N, len(ends)-1)], Born: time.Now()}
+		func(_ context.Context, d client.Decision) client.AttemptOutcome {
+			return client.AttemptOutcome{Word: ends[min(d.Attempt, len(ends)-1)], CreatedAt: time.Now()}
 		})
 }
 
@@ -132,26 +132,26 @@
 	for i, story := range []struct {
 		name   string
 		ends   []string
-		result client.Result
+		result client.ResultKind
 		sends  int
 	}{{"a hit", []string{"hit"}, client.Satisfied, 1}, {"shed, then a hit elsewhere", []string{"shed", "hit"}, client.Satisfied, 2},
 		{"never connected, an error, a hit", []string{"unconnected", "fault", "hit"}, client.Satisfied, 3},
-		{"errors without end", []string{"fault"}, client.Nacked, 3}} {
+		{"errors without end", []string{"fault"}, client.Rejected, 3}} {
 		t.Run(story.name, func(t *testing.T) {
 			o, err := ask(t, at, insecure.NewCredentials(), fmt.Sprint("a", i), story.ends...)
-			if err != nil || o.Result != story.result || len(o.Sends) != story.sends {
+			if err != nil || o.Kind != story.result || len(o.Attempts) != story.sends {
 				t.Errorf("%+v, %v", o, err)
 			}
 		})
 	}
 	t.Run("one that is answered already is refused", func(t *testing.T) {
-		if o, err := ask(t, at, insecure.NewCredentials(), "a0", "hit"); err != nil || o.Result != client.Refused || o.Status != 409 {
+		if o, err := ask(t, at, insecure.NewCredentials(), "a0", "hit"); err != nil || o.Kind != client.Refused || o.Status != 409 {
 			t.Errorf("%+v, %v", o, err)
 		}
 	})
 	t.Run("another process on the socket is told, a socket left behind is taken over", func(t *testing.T) {
 		path := strings.TrimPrefix(x.Listen, "unix:")
-		if _, err := open(env.NewSystem(io.Discard, slog.LevelInfo), x.Listen); err == nil || !strings.Contains(err.Error(), "another process") {
+		if _, err := openListener(env.NewSystem(io.Discard, slog.LevelInfo), x.Listen); err == nil || !strings.Contains(err.Error(), "another process") {
 			t.Error(err)
 		}
 		if info, err := os.Stat(path); err != nil || info.Mode().Perm() != socketMode {
@@ -163,7 +163,7 @@
 		}
 		left.(*net.UnixListener).SetUnlinkOnClose(false)
 		left.Close()
-		again, err := open(env.NewSystem(io.Discard, slog.LevelInfo), x.Listen+"2")
+		again, err := openListener(env.NewSystem(io.Discard, slog.LevelInfo), x.Listen+"2")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -209,7 +209,7 @@
 		}
 		return credentials.NewTLS(c)
 	}
-	if o, err := ask(t, at, creds(ours, "edge"), "a", "hit"); err != nil || o.Result != client.Satisfied {
+	if o, err := ask(t, at, creds(ours, "edge"), "a", "hit"); err != nil || o.Kind != client.Satisfied {
 		t.Fatalf("%+v, %v", o, err)
 	}
 	for name, c := range map[string]credentials.TransportCredentials{"no certificate": creds(nil, ""), "a stranger's": creds(theirs, "stranger"),
@@ -226,21 +226,21 @@
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		during := func(_ context.Context, d client.Decision) client.Ending {
+		during := func(_ context.Context, d client.Decision) client.AttemptOutcome {
 			ours.make("door", ours) // a new certificate under the same name
 			change, err := l.Prepare(&config.Settings{ExternalProcessor: x})
 			if err != nil {
 				t.Error(err)
-				return client.Ending{}
+				return client.AttemptOutcome{}
 			}
 			change()
-			if o, err := ask(t, at, creds(ours, "edge"), "d", "hit"); err != nil || o.Result != client.Satisfied {
+			if o, err := ask(t, at, creds(ours, "edge"), "d", "hit"); err != nil || o.Kind != client.Satisfied {
 				t.Errorf("%+v, %v", o, err)
 			}
-			return client.Ending{Word: "hit", Born: time.Now()}
+			return client.AttemptOutcome{Word: "hit", CreatedAt: time.Now()}
 		}
 		o, err := client.New(conn).Lookup(context.Background(), client.Request{Path: "/call/segment/o/part-1", Header: http.Header{"X-Job-Id": {"c"}}}, during)
-		if err != nil || o.Result != client.Satisfied {
+		if err != nil || o.Kind != client.Satisfied {
 			t.Errorf("%+v, %v", o, err)
 		}
 	})
@@ -263,28 +263,28 @@
 	defer conn.Close()
 	where := func(id string) string {
 		o, err := ask(t, x.Listen, insecure.NewCredentials(), id, "hit")
-		if err != nil || o.Result != client.Satisfied {
+		if err != nil || o.Kind != client.Satisfied {
 			t.Fatalf("%+v, %v", o, err)
 		}
-		return o.Sends[0].Cache
+		return o.Attempts[0].Cache
 	}
 	before := where("before")
 	for i := range 12 {
 		ctx, leave := context.WithCancel(context.Background())
 		client.New(conn).Lookup(ctx, client.Request{Path: "/call/segment/o/part-1", Header: http.Header{"X-Job-Id": {fmt.Sprint("left", i)}}},
-			func(context.Context, client.Decision) client.Ending {
+			func(context.Context, client.Decision) client.AttemptOutcome {
 				leave()
 				time.Sleep(5 * time.Millisecond)
-				return client.Ending{}
+				return client.AttemptOutcome{}
 			})
 	}
 	for range 2000 {
-		if l.Odd()["stream_ended_with_send"] == 12 {
+		if l.Anomalies()["stream_ended_with_send"] == 12 {
 			break
 		}
 		time.Sleep(time.Millisecond)
 	}
-	if after := where("after"); after != before || l.Odd()["stream_ended_with_send"] != 12 {
-		t.Errorf("%s before, %s after, %v", before, after, l.Odd())
+	if after := where("after"); after != before || l.Anomalies()["stream_ended_with_send"] != 12 {
+		t.Errorf("%s before, %s after, %v", before, after, l.Anomalies())
 	}
 }
--- a/internal/extproc/extprocgrpc/extproc.go
+++ b/internal/extproc/extprocgrpc/extproc.go
@@ -31,42 +31,42 @@
 
 const (
 	// MostMessage is how many bytes one message of a caller may have.
-	MostMessage = 64 << 10
-	space       = "foldslip" // of dynamic metadata
+	MaxMessageBytes   = 64 << 10
+	metadataNamespace = "foldslip" // of dynamic metadata
 )
 
-// Server is the service.
-type Server struct {
+// Service is the service.
+type Service struct {
 	extprocv3.UnimplementedExternalProcessorServer
-	*extproc.Door
+	*extproc.Server
 }
 
 // Process is one stream of a caller.
-func (s *Server) Process(stream extprocv3.ExternalProcessor_ProcessServer) error {
-	err := s.Serve(wire{stream}, callerOf(stream.Context()))
+func (s *Service) Process(stream extprocv3.ExternalProcessor_ProcessServer) error {
+	err := s.Serve(transport{stream}, callerName(stream.Context()))
 	switch err {
 	case nil:
 		return nil
-	case extproc.ErrFull:
+	case extproc.ErrTooManyStreams:
 		return status.Error(codes.ResourceExhausted, err.Error())
-	case extproc.Disorder:
+	case extproc.EndedOutOfOrder:
 		return status.Error(codes.FailedPrecondition, err.Error())
-	case extproc.TooMuch:
+	case extproc.EndedOverLimit:
 		return status.Error(codes.ResourceExhausted, err.Error())
-	case extproc.Silence:
+	case extproc.EndedSilent:
 		return status.Error(codes.DeadlineExceeded, err.Error())
-	case extproc.Closing:
+	case extproc.EndedClosing:
 		return status.Error(codes.Unavailable, err.Error())
 	}
-	if errors.Is(err, extproc.ErrTooLarge) {
+	if errors.Is(err, extproc.ErrMessageTooLarge) {
 		return status.Error(codes.ResourceExhausted, err.Error())
 	}
 	return err
 }
 
-// callerOf names who calls: by its certificate where it has shown one, else by its address without the port. All behind one
+// callerName names who calls: by its certificate where it has shown one, else by its address without the port. All behind one
 // Unix socket are one caller.
-func callerOf(ctx context.Context) string {
+func callerName(ctx context.Context) string {
 	p, ok := peer.FromContext(ctx)
 	if !ok {
 		return "unknown"
@@ -88,27 +88,29 @@
 	return host
 }
 
-// wire is a stream of gRPC as package door has it.
-type wire struct {
+// transport is a stream of gRPC as package door has it.
+type transport struct {
 	extprocv3.ExternalProcessor_ProcessServer
 }
 
-func (w wire) Recv() (extproc.Message, error) {
+func (w transport) Receive() (extproc.Message, error) {
 	m, err := w.ExternalProcessor_ProcessServer.Recv()
 	if status.Code(err) == codes.ResourceExhausted { // the library's word for a message past MostMessage
-		return extproc.Message{}, fmt.Errorf("%w: %w", extproc.ErrTooLarge, err)
+		return extproc.Message{}, fmt.Errorf("%w: %w", extproc.ErrMessageTooLarge, err)
 	}
 	if err != nil {
 		return extproc.Message{}, err
 	}
-	return message(m), nil
+	return parseMessage(m), nil
 }
 
-func (w wire) Send(r extproc.Reply) error { return w.ExternalProcessor_ProcessServer.Send(response(r)) }
+func (w transport) Send(r extproc.Reply) error {
+	return w.ExternalProcessor_ProcessServer.Send(encodeReply(r))
+}
 
-// message reads a message; one without a phase that is known has phase 0, and none comes after it.
-func message(m *extprocv3.ProcessingRequest) extproc.Message {
-	out := extproc.Message{Size: proto.Size(m), Watch: m.ObservabilityMode}
+// parseMessage reads a message; one without a phase that is known has phase 0, and none comes after it.
+func parseMessage(m *extprocv3.ProcessingRequest) extproc.Message {
+	out := extproc.Message{Size: proto.Size(m), ObserveOnly: m.ObservabilityMode}
 	var h *extprocv3.HttpHeaders
 	switch r := m.Request.(type) {
 	case *extprocv3.ProcessingRequest_RequestHeaders:
@@ -124,20 +126,20 @@
 	case *extprocv3.ProcessingRequest_ResponseTrailers:
 		out.Phase = extproc.ResponseTrailers
 	}
-	out.Get = reader(m, h)
+	out.Get = headerReader(m, h)
 	out.Method, _ = out.Get(":method")
 	out.Path, _ = out.Get(":path")
 	return out
 }
 
-// reader reads headers, attributes and dynamic metadata by the table's names.
-func reader(m *extprocv3.ProcessingRequest, h *extprocv3.HttpHeaders) route.Get {
+// headerReader reads headers, attributes and dynamic metadata by the table's names.
+func headerReader(m *extprocv3.ProcessingRequest, h *extprocv3.HttpHeaders) route.Get {
 	return func(name string) (v string, n int) {
 		if at, ok := strings.CutPrefix(name, "attr:"); ok {
 			for _, s := range m.GetAttributes() { // by the extension's name, of which the protocol has one
 				if f := s.GetFields()[at]; f != nil {
 					if n++; n == 1 {
-						v = plain(f)
+						v = scalarText(f)
 					}
 				}
 			}
@@ -146,7 +148,7 @@
 		if at, ok := strings.CutPrefix(name, "meta:"); ok {
 			in, key, _ := strings.Cut(at, "/")
 			if f := m.GetMetadataContext().GetFilterMetadata()[in].GetFields()[key]; f != nil {
-				return plain(f), 1
+				return scalarText(f), 1
 			}
 			return "", 0
 		}
@@ -163,8 +165,8 @@
 	}
 }
 
-// plain is a value as one word; a list or an object is none.
-func plain(v *structpb.Value) string {
+// scalarText is a value as one word; a list or an object is none.
+func scalarText(v *structpb.Value) string {
 	switch k := v.Kind.(type) {
 	case *structpb.Value_StringValue:
 		return k.StringValue
@@ -177,40 +179,40 @@
 }
 
 // mode asks the caller for what the contract needs and no more: the headers of the response, no bodies, no trailers.
-var mode = &filterv3.ProcessingMode{RequestHeaderMode: filterv3.ProcessingMode_SEND, ResponseHeaderMode: filterv3.ProcessingMode_SEND,
+var processingMode = &filterv3.ProcessingMode{RequestHeaderMode: filterv3.ProcessingMode_SEND, ResponseHeaderMode: filterv3.ProcessingMode_SEND,
 	RequestTrailerMode: filterv3.ProcessingMode_SKIP, ResponseTrailerMode: filterv3.ProcessingMode_SKIP}
 
-// response writes a reply in the form of the phase that it answers.
-func response(r extproc.Reply) *extprocv3.ProcessingResponse {
+// encodeReply writes a reply in the form of the phase that it answers.
+func encodeReply(r extproc.Reply) *extprocv3.ProcessingResponse {
 	out := &extprocv3.ProcessingResponse{}
 	switch {
 	case r.Status != 0:
 		set := &extprocv3.HeaderMutation{}
-		for _, f := range r.Fields {
-			set.SetHeaders = append(set.SetHeaders, option(f))
+		for _, f := range r.Headers {
+			set.SetHeaders = append(set.SetHeaders, headerOption(f))
 		}
-		if r.Wait > 0 {
-			set.SetHeaders = append(set.SetHeaders, option(extproc.Field{Name: "x-wait-ms",
-				Value: strconv.FormatInt((r.Wait + time.Millisecond - 1).Milliseconds(), 10)}))
+		if r.RetryAfter > 0 {
+			set.SetHeaders = append(set.SetHeaders, headerOption(extproc.Header{Name: "x-wait-ms",
+				Value: strconv.FormatInt((r.RetryAfter + time.Millisecond - 1).Milliseconds(), 10)}))
 		}
 		out.Response = &extprocv3.ProcessingResponse_ImmediateResponse{ImmediateResponse: &extprocv3.ImmediateResponse{
 			Status: &typev3.HttpStatus{Code: typev3.StatusCode(r.Status)}, Headers: set, Body: []byte(r.Text + "\n"),
 			Details: strings.ReplaceAll(r.Text, " ", "_")}}
 	case r.Phase == extproc.RequestHeaders:
 		set := &extprocv3.HeaderMutation{}
-		meta := make(map[string]*structpb.Value, len(r.Send))
-		for _, f := range r.Send {
+		meta := make(map[string]*structpb.Value, len(r.Decision))
+		for _, f := range r.Decision {
 			if f.Value == "" {
 				set.RemoveHeaders = append(set.RemoveHeaders, f.Name)
 				continue
 			}
-			set.SetHeaders = append(set.SetHeaders, option(f))
+			set.SetHeaders = append(set.SetHeaders, headerOption(f))
 			meta[f.Name[len(extproc.Prefix):]] = structpb.NewStringValue(f.Value)
 		}
 		out.Response = &extprocv3.ProcessingResponse_RequestHeaders{RequestHeaders: &extprocv3.HeadersResponse{
 			Response: &extprocv3.CommonResponse{HeaderMutation: set, ClearRouteCache: true}}}
-		out.DynamicMetadata = &structpb.Struct{Fields: map[string]*structpb.Value{space: structpb.NewStructValue(&structpb.Struct{Fields: meta})}}
-		out.ModeOverride = mode
+		out.DynamicMetadata = &structpb.Struct{Fields: map[string]*structpb.Value{metadataNamespace: structpb.NewStructValue(&structpb.Struct{Fields: meta})}}
+		out.ModeOverride = processingMode
 	case r.Phase == extproc.RequestBody:
 		out.Response = &extprocv3.ProcessingResponse_RequestBody{RequestBody: &extprocv3.BodyResponse{}}
 	case r.Phase == extproc.RequestTrailers:
@@ -225,7 +227,7 @@
 	return out
 }
 
-func option(f extproc.Field) *corev3.HeaderValueOption {
+func headerOption(f extproc.Header) *corev3.HeaderValueOption {
 	return &corev3.HeaderValueOption{Header: &corev3.HeaderValue{Key: f.Name, RawValue: []byte(f.Value)},
 		AppendAction: corev3.HeaderValueOption_OVERWRITE_IF_EXISTS_OR_ADD}
 }
--- a/internal/extproc/extprocgrpc/extproc_test.go
+++ b/internal/extproc/extprocgrpc/extproc_test.go
@@ -35,21 +35,21 @@
 // place is a door on loopback before a router with four caches, two parents and an origin.
 type place struct {
 	t      *testing.T
-	router *dispatch.Facade
-	door   *Server
+	router *dispatch.Dispatcher
+	door   *Service
 	purges *memory.Purges
 	client extprocv3.ExternalProcessorClient
 }
 
-func router(t testing.TB, caches *memory.Caches, empty bool) (*settings.Terms, *dispatch.Facade) {
-	terms, err := settings.Read(testSettings)
+func router(t testing.TB, caches *memory.Caches, empty bool) (*settings.Settings, *dispatch.Dispatcher) {
+	terms, err := settings.Parse(testSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := dispatch.Start(env.NewSystem(io.Discard, slog.LevelInfo), 7, terms.Router, nil)
-	var rows []policy.Row
+	f := dispatch.New(env.NewSystem(io.Discard, slog.LevelInfo), 7, terms.Router, nil)
+	var rows []policy.Endpoint
 	for i, kind := range []int{0, 0, 0, 0, 1, 1, 2} {
-		rows = append(rows, policy.Row{Cache: caches.Note(fmt.Sprint("c", i), fmt.Sprint("10.1.0.1:", 1000+i)).Its, Kind: kind})
+		rows = append(rows, policy.Endpoint{Cache: caches.Note(fmt.Sprint("c", i), fmt.Sprint("10.1.0.1:", 1000+i)).Its, Kind: kind})
 	}
 	if !empty {
 		f.Tick(rows, true, nil)
@@ -69,13 +69,13 @@
 		t.Fatal(err)
 	}
 	p.purges = &memory.Purges{Clock: g, Keep: time.Minute}
-	p.door = &Server{Door: extproc.New(g, terms, f, caches, p.purges, memory.NewRoom(g, 8, 1<<20), table, extproc.Terms{Silent: 2 * time.Second,
-		Desk: retry.Terms{Lookups: 8, Each: 6, AgainIn: 150 * time.Millisecond, Remember: time.Second}})}
+	p.door = &Service{Server: extproc.New(g, terms, f, caches, p.purges, memory.NewRoom(g, 8, 1<<20), table, extproc.Limits{SilenceTimeout: 2 * time.Second,
+		Lookups: retry.Limits{MaxLookups: 8, MaxPerCaller: 6, ReturnTimeout: 150 * time.Millisecond, Retention: time.Second}})}
 	at, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := grpc.NewServer(grpc.MaxRecvMsgSize(MostMessage), grpc.WaitForHandlers(true)) // as Serve makes it
+	server := grpc.NewServer(grpc.MaxRecvMsgSize(MaxMessageBytes), grpc.WaitForHandlers(true)) // as Serve makes it
 	extprocv3.RegisterExternalProcessorServer(server, p.door)
 	go server.Serve(at)
 	life, ended := env.NewLife(nil), make(chan error)
@@ -96,8 +96,8 @@
 		f.Stop()
 		life.End()
 		<-ended
-		if n, _ := f.InFlight(); n != 0 || f.Open() != 0 || p.door.Open() != 0 {
-			t.Errorf("left behind: %d sends, %d lookups, %d at the desk", n, f.Open(), p.door.Open())
+		if n, _ := f.InFlight(); n != 0 || f.OpenLookups() != 0 || p.door.OpenLookups() != 0 {
+			t.Errorf("left behind: %d sends, %d lookups, %d at the desk", n, f.OpenLookups(), p.door.OpenLookups())
 		}
 	})
 	return p
@@ -162,7 +162,7 @@
 func (p *place) settled() {
 	p.t.Helper()
 	for range 2000 {
-		if n, _ := p.router.InFlight(); n == 0 && p.router.Open() == 0 && p.door.Open() == 0 {
+		if n, _ := p.router.InFlight(); n == 0 && p.router.OpenLookups() == 0 && p.door.OpenLookups() == 0 {
 			return
 		}
 		time.Sleep(time.Millisecond)
@@ -222,7 +222,7 @@
 		c.ask("a1", "segment", "o")
 		c.stop()
 		p.settled()
-		if odd := p.door.Odd(); odd["stream_ended_with_send"] != 1 {
+		if odd := p.door.Anomalies(); odd["stream_ended_with_send"] != 1 {
 			t.Error(odd)
 		}
 	})
@@ -232,7 +232,7 @@
 		c.ask("a1", "segment", "o")
 		c.stream.Send(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_ResponseHeaders{ResponseHeaders: headers(":status", "503",
 			"x-foldslip-end", "shed")}}) // a backoff of 30 ms follows
-		for p.door.Handed() > 0 {
+		for p.door.AttemptsOut() > 0 {
 			time.Sleep(time.Millisecond)
 		}
 		c.stop()
@@ -339,7 +339,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.door.Swap(other)
+		p.door.SetTable(other)
 		if end := c.report(":status", "200"); end.err != nil || end.status != 0 {
 			t.Fatalf("%+v", end)
 		}
@@ -363,7 +363,7 @@
 		if got := quiet.read(); status.Code(got.err) != codes.DeadlineExceeded {
 			t.Errorf("%+v", got)
 		}
-		if odd := p.door.Odd(); odd["watched"] != 1 || p.router.Open() != 0 {
+		if odd := p.door.Anomalies(); odd["watched"] != 1 || p.router.OpenLookups() != 0 {
 			t.Error(odd)
 		}
 	})
@@ -375,7 +375,7 @@
 		if got := p.call().ask("a9", "segment", "o"); got.status != 503 {
 			t.Errorf("%+v", got)
 		}
-		if got := p.call().ask("a9", "segment", "o", "x-big", string(make([]byte, MostMessage))); status.Code(got.err) != codes.ResourceExhausted {
+		if got := p.call().ask("a9", "segment", "o", "x-big", string(make([]byte, MaxMessageBytes))); status.Code(got.err) != codes.ResourceExhausted {
 			t.Errorf("%+v", got)
 		}
 		if got := p.call().ask("a 9", "segment", "o"); got.status != 400 {
--- a/internal/extproc/extprocgrpc/frozen_test.go
+++ b/internal/extproc/extprocgrpc/frozen_test.go
@@ -21,13 +21,13 @@
 func TestFrozenResponses(t *testing.T) {
 	var got strings.Builder
 	for _, r := range []extproc.Reply{
-		{Phase: extproc.RequestHeaders, Send: []extproc.Field{{Name: "x-foldslip-cache", Value: "c0"}, {Name: "x-foldslip-source"}, {Name: "x-foldslip-send", Value: "0"}}},
-		{Phase: extproc.RequestHeaders, Status: 503, Text: "too many lookups", Wait: 1500 * time.Microsecond, Fields: []extproc.Field{{Name: "x-foldslip-again", Value: "1"}}},
+		{Phase: extproc.RequestHeaders, Decision: []extproc.Header{{Name: "x-foldslip-cache", Value: "c0"}, {Name: "x-foldslip-source"}, {Name: "x-foldslip-send", Value: "0"}}},
+		{Phase: extproc.RequestHeaders, Status: 503, Text: "too many lookups", RetryAfter: 1500 * time.Microsecond, Headers: []extproc.Header{{Name: "x-foldslip-again", Value: "1"}}},
 		{Phase: extproc.ResponseHeaders, Status: 502, Text: "failed"},
 		{Phase: extproc.RequestBody}, {Phase: extproc.RequestTrailers}, {Phase: extproc.ResponseHeaders}, {Phase: extproc.ResponseBody}, {Phase: extproc.ResponseTrailers},
 		{},
 	} {
-		text, err := protojson.Marshal(response(r))
+		text, err := protojson.Marshal(encodeReply(r))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -56,8 +56,8 @@
 		{Request: &extprocv3.ProcessingRequest_ResponseHeaders{ResponseHeaders: header}}, {Request: &extprocv3.ProcessingRequest_ResponseBody{}}, {Request: &extprocv3.ProcessingRequest_ResponseTrailers{}},
 		{},
 	} {
-		in := message(m)
-		fmt.Fprintf(&got, "phase %d method %q path %q size %d watch %v\n", in.Phase, in.Method, in.Path, in.Size, in.Watch)
+		in := parseMessage(m)
+		fmt.Fprintf(&got, "phase %d method %q path %q size %d watch %v\n", in.Phase, in.Method, in.Path, in.Size, in.ObserveOnly)
 		for _, name := range []string{"x-job-id", "x-none", "attr:word", "attr:number", "attr:flag", "attr:list", "attr:none", "meta:space/word", "meta:space/number", "meta:space/none", "meta:none"} {
 			value, n := in.Get(name)
 			fmt.Fprintf(&got, "  %s=%q %d\n", name, value, n)
--- a/internal/extproc/extprocgrpc/keys.go
+++ b/internal/extproc/extprocgrpc/keys.go
@@ -10,13 +10,13 @@
 	"foldslip/internal/config"
 )
 
-// Keys are the door's certificate and whose callers' certificates it takes. They are read whole and swapped by pointer:
+// Certificates are the door's certificate and whose callers' certificates it takes. They are read whole and swapped by pointer:
 // connections that are up go on under those they came with.
-type Keys struct{ now atomic.Pointer[tls.Config] }
+type Certificates struct{ config atomic.Pointer[tls.Config] }
 
-// ReadKeys reads what the settings name.
-func ReadKeys(t *config.TLS) (*Keys, error) {
-	if err := usable(t.Key); err != nil {
+// LoadCertificates reads what the settings name.
+func LoadCertificates(t *config.TLS) (*Certificates, error) {
+	if err := checkKeyFile(t.Key); err != nil {
 		return nil, fmt.Errorf("external_processor.tls.key: %w", err)
 	}
 	cert, err := tls.LoadX509KeyPair(t.Cert, t.Key)
@@ -34,13 +34,15 @@
 			return nil, fmt.Errorf("external_processor.tls.client_ca: %s: no certificate in it; expected PEM", t.ClientCA)
 		}
 	}
-	k := &Keys{}
-	k.now.Store(c)
+	k := &Certificates{}
+	k.config.Store(c)
 	return k, nil
 }
 
-// For is what a new connection is met with.
-func (k *Keys) For(*tls.ClientHelloInfo) (*tls.Config, error) { return k.now.Load(), nil }
+// ConfigForClient is what a new connection is met with.
+func (k *Certificates) ConfigForClient(*tls.ClientHelloInfo) (*tls.Config, error) {
+	return k.config.Load(), nil
+}
 
-// Take puts others in place.
-func (k *Keys) Take(other *Keys) { k.now.Store(other.now.Load()) }
+// ReplaceWith puts others in place.
+func (k *Certificates) ReplaceWith(other *Certificates) { k.config.Store(other.config.Load()) }
--- a/internal/extproc/extprocgrpc/measure_test.go
+++ b/internal/extproc/extprocgrpc/measure_test.go
@@ -72,9 +72,9 @@
 		panic(err)
 	}
 	guard := &Listener{}
-	opts := []grpc.ServerOption{grpc.MaxRecvMsgSize(MostMessage), grpc.MaxConcurrentStreams(4096)}
+	opts := []grpc.ServerOption{grpc.MaxRecvMsgSize(MaxMessageBytes), grpc.MaxConcurrentStreams(4096)}
 	if which == "guarded" {
-		opts = append(opts, grpc.InTapHandle(guard.tap))
+		opts = append(opts, grpc.InTapHandle(guard.admitStream))
 	}
 	server := grpc.NewServer(opts...)
 	if which == "noop" {
@@ -91,10 +91,10 @@
 		if which == "guarded" { // as the settings have it where nothing is told, but for the rate
 			messages, streams, lookups, each = 3000, 1024, 256, 128
 		}
-		d := &Server{Door: extproc.New(g, terms, f, caches, nil, memory.NewRoom(g, lookups, 1<<30), table, extproc.Terms{Silent: 30 * time.Second,
-			Messages: messages, Streams: streams,
-			Desk: retry.Terms{Lookups: lookups, Each: each, AgainIn: 300 * time.Millisecond, Remember: 5 * time.Second}})}
-		guard.Server = *d
+		d := &Service{Server: extproc.New(g, terms, f, caches, nil, memory.NewRoom(g, lookups, 1<<30), table, extproc.Limits{SilenceTimeout: 30 * time.Second,
+			MessagesPerSecond: messages, MaxStreams: streams,
+			Lookups: retry.Limits{MaxLookups: lookups, MaxPerCaller: each, ReturnTimeout: 300 * time.Millisecond, Retention: 5 * time.Second}})}
+		guard.Service = *d
 		extprocv3.RegisterExternalProcessorServer(server, d)
 		life := env.NewLife(nil)
 		go d.Run(life)
@@ -115,8 +115,8 @@
 	}
 	fmt.Println(at.Addr())
 	defer func() {
-		if guard.Door != nil {
-			fmt.Fprintln(os.Stderr, "odd:", guard.LogOdd())
+		if guard.Server != nil {
+			fmt.Fprintln(os.Stderr, "odd:", guard.AnomalySummary())
 		}
 	}()
 	var line [1]byte
@@ -324,7 +324,7 @@
 			stream.Send(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_ResponseHeaders{ResponseHeaders: headers(":status", "200")}})
 		}},
 		{"messages past their size", func(stream extprocv3.ExternalProcessor_ProcessClient, _, _ int) {
-			stream.Send(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestHeaders{RequestHeaders: headers("x", string(make([]byte, MostMessage)))}})
+			stream.Send(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestHeaders{RequestHeaders: headers("x", string(make([]byte, MaxMessageBytes)))}})
 		}},
 		{"no lookup", func(stream extprocv3.ExternalProcessor_ProcessClient, _, _ int) {
 			stream.Send(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestHeaders{RequestHeaders: headers(":method", "PUT", ":path", "//")}})
--- a/internal/extproc/extprocgrpc/serve.go
+++ b/internal/extproc/extprocgrpc/serve.go
@@ -30,31 +30,31 @@
 )
 
 const (
-	waitAgain   = 10 * time.Millisecond
-	idleCaller  = 5 * time.Minute
-	probeCaller = 20 * time.Second // a caller that says nothing is asked whether it is there
-	handshakeIn = 2 * time.Second
-	refuseIn    = 5 * time.Millisecond
-	mostConns   = 1024  // of all callers
-	socketMode  = 0o660 // of a Unix socket: its owner and group may call
-	oddEvery    = 10 * time.Second
+	drainPollInterval  = 10 * time.Millisecond
+	maxConnectionIdle  = 5 * time.Minute
+	keepaliveInterval  = 20 * time.Second // a caller that says nothing is asked whether it is there
+	handshakeTimeout   = 2 * time.Second
+	refusalDelay       = 5 * time.Millisecond
+	maxConnections     = 1024  // of all callers
+	socketMode         = 0o660 // of a Unix socket: its owner and group may call
+	anomalyLogInterval = 10 * time.Second
 )
 
 // Listener is the service with where it listens.
 type Listener struct {
-	Server
-	g        env.Ground
-	at       string
-	listener net.Listener
-	grpc     *grpc.Server
-	health   *health.Server
-	keys     *Keys
-	kinds    []string
-	tracer   *telemetry.Tracer // nil: off
+	Service
+	environment  env.Ground
+	address      string
+	listener     net.Listener
+	grpc         *grpc.Server
+	health       *health.Server
+	certificates *Certificates
+	kinds        []string
+	tracer       *telemetry.Tracer // nil: off
 }
 
-// Doors opens the door that the operators' settings name, if they name one.
-func Doors(in gateway.Inside) ([]gateway.Door, error) {
+// OpenConfigured opens the door that the operators' settings name, if they name one.
+func OpenConfigured(in gateway.Inside) ([]gateway.Door, error) {
 	x := in.Own.ExternalProcessor
 	if x == nil {
 		return nil, nil
@@ -72,56 +72,56 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &Listener{g: in.Ground, at: x.Listen, health: health.NewServer(), kinds: in.Terms.Kinds}
-	opts := []grpc.ServerOption{grpc.MaxRecvMsgSize(MostMessage), grpc.MaxConcurrentStreams(uint32(x.Streams)),
-		grpc.MaxHeaderListSize(MostMessage), grpc.ConnectionTimeout(handshakeIn), grpc.WaitForHandlers(true),
-		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: idleCaller, Time: probeCaller, Timeout: probeCaller})}
+	l := &Listener{environment: in.Ground, address: x.Listen, health: health.NewServer(), kinds: in.Terms.Kinds}
+	opts := []grpc.ServerOption{grpc.MaxRecvMsgSize(MaxMessageBytes), grpc.MaxConcurrentStreams(uint32(x.Streams)),
+		grpc.MaxHeaderListSize(MaxMessageBytes), grpc.ConnectionTimeout(handshakeTimeout), grpc.WaitForHandlers(true),
+		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: maxConnectionIdle, Time: keepaliveInterval, Timeout: keepaliveInterval})}
 	if x.TLS != nil {
-		if l.keys, err = ReadKeys(x.TLS); err != nil {
+		if l.certificates, err = LoadCertificates(x.TLS); err != nil {
 			return nil, err
 		}
-		opts = append(opts, grpc.Creds(credentials.NewTLS(&tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: l.keys.For})))
+		opts = append(opts, grpc.Creds(credentials.NewTLS(&tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: l.certificates.ConfigForClient})))
 	}
-	if l.listener, err = open(in.Ground, x.Listen); err != nil {
+	if l.listener, err = openListener(in.Ground, x.Listen); err != nil {
 		return nil, err
 	}
-	l.listener = netutil.LimitListener(l.listener, mostConns)
-	l.Server = Server{Door: extproc.New(in.Ground, in.Terms, in.Router, in.Caches, in.Purges, in.Room, table, terms(x))}
+	l.listener = netutil.LimitListener(l.listener, maxConnections)
+	l.Service = Service{Server: extproc.New(in.Ground, in.Terms, in.Router, in.Caches, in.Purges, in.Room, table, limitsFrom(x))}
 	if t := x.Trace; t != nil {
-		if l.tracer, err = telemetry.Open(telemetry.Terms{Endpoint: t.Endpoint, Share: t.Share, Name: in.Name}); err != nil {
+		if l.tracer, err = telemetry.Open(telemetry.Options{Endpoint: t.Endpoint, Share: t.Share, Name: in.Name}); err != nil {
 			l.listener.Close()
 			return nil, err
 		}
-		l.Trace(l.tracer)
+		l.SetTracer(l.tracer)
 	}
 	l.Routes = in.Routes
-	l.grpc = grpc.NewServer(append(opts, grpc.InTapHandle(l.tap))...)
-	extprocv3.RegisterExternalProcessorServer(l.grpc, &l.Server)
+	l.grpc = grpc.NewServer(append(opts, grpc.InTapHandle(l.admitStream))...)
+	extprocv3.RegisterExternalProcessorServer(l.grpc, &l.Service)
 	healthv1.RegisterHealthServer(l.grpc, l.health)
 	in.Ground.Log().Info("door", "kind", "external_processor", "listen", l.listener.Addr().String(), "rules", len(x.Table), "tls", x.TLS != nil)
 	return l, nil
 }
 
-func terms(x *config.ExternalProcessor) extproc.Terms {
+func limitsFrom(x *config.ExternalProcessor) extproc.Limits {
 	ms := func(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
-	return extproc.Terms{Streams: int(x.StreamsEach), Messages: x.Messages, Bytes: x.Bytes, Silent: ms(x.SilentMS), Weight: x.Weight,
-		Desk: retry.Terms{Lookups: int(x.Lookups), Each: int(x.Each), AgainIn: ms(x.AgainMS), Remember: ms(x.RememberMS)}}
+	return extproc.Limits{MaxStreams: int(x.StreamsEach), MessagesPerSecond: x.Messages, BytesPerSecond: x.Bytes, SilenceTimeout: ms(x.SilentMS), Weight: x.Weight,
+		Lookups: retry.Limits{MaxLookups: int(x.Lookups), MaxPerCaller: int(x.Each), ReturnTimeout: ms(x.AgainMS), Retention: ms(x.RememberMS)}}
 }
 
-// open listens at an address, or at a Unix socket that owner and group may use.
-func open(g env.Ground, at string) (net.Listener, error) {
+// openListener listens at an address, or at a Unix socket that owner and group may use.
+func openListener(g env.Ground, at string) (net.Listener, error) {
 	if path, unix := strings.CutPrefix(at, "unix:"); unix {
 		return env.ListenUnix(path, socketMode)
 	}
 	return g.Listen(at)
 }
 
-// tap meets each new stream on its connection's own reading side, before anything is made for it. One of a caller past its rate
+// admitStream meets each new stream on its connection's own reading side, before anything is made for it. One of a caller past its rate
 // waits a little there, which slows that connection alone, and is refused.
-func (l *Listener) tap(ctx context.Context, _ *tap.Info) (context.Context, error) {
-	if !l.Admits(callerOf(ctx)) {
-		time.Sleep(refuseIn)
-		return nil, status.Error(codes.ResourceExhausted, extproc.TooMuch.Error())
+func (l *Listener) admitStream(ctx context.Context, _ *tap.Info) (context.Context, error) {
+	if !l.AdmitsStream(callerName(ctx)) {
+		time.Sleep(refusalDelay)
+		return nil, status.Error(codes.ResourceExhausted, extproc.EndedOverLimit.Error())
 	}
 	return ctx, nil
 }
@@ -134,26 +134,26 @@
 	defer life.OnEnd(func() { go l.grpc.Stop() })()
 	served := make(chan error, 1)
 	go func() { served <- l.grpc.Serve(l.listener) }()
-	go l.tell(life)
-	l.Door.Run(life)
+	go l.logAnomalies(life)
+	l.Server.Run(life)
 	if err := <-served; err != nil && !errors.Is(err, grpc.ErrServerStopped) {
 		return err
 	}
 	if l.tracer != nil {
 		l.tracer.Close()
 	}
-	l.g.Log().Info("door_closed", "kind", "external_processor", "open", l.Open(), "odd", l.LogOdd())
+	l.environment.Log().Info("door_closed", "kind", "external_processor", "open", l.OpenLookups(), "odd", l.AnomalySummary())
 	return nil
 }
 
-// tell logs what callers do against the contract, where that has changed.
-func (l *Listener) tell(life *env.Life) {
-	end := l.g.Bell()
+// logAnomalies logs what callers do against the contract, where that has changed.
+func (l *Listener) logAnomalies(life *env.Life) {
+	end := l.environment.Bell()
 	defer life.OnEnd(end.Ring)()
-	for was := ""; !end.Wait(oddEvery); {
-		if odd := l.LogOdd(); odd != was {
+	for was := ""; !end.Wait(anomalyLogInterval); {
+		if odd := l.AnomalySummary(); odd != was {
 			was = odd
-			l.g.Log().Warn("door_odd", "counts", odd)
+			l.environment.Log().Warn("door_odd", "counts", odd)
 		}
 	}
 }
@@ -162,25 +162,25 @@
 // keys for the connections to come. Streams and lookups that are open go on.
 func (l *Listener) Prepare(own *config.Settings) (func(), error) {
 	x := own.ExternalProcessor
-	if x == nil || x.Listen != l.at || (x.TLS != nil) != (l.keys != nil) {
+	if x == nil || x.Listen != l.address || (x.TLS != nil) != (l.certificates != nil) {
 		return nil, errors.New("external_processor: listen and tls are changed by a restart only")
 	}
 	table, err := route.Compile(x.Table, l.kinds)
 	if err != nil {
 		return nil, err
 	}
-	keys := l.keys
+	keys := l.certificates
 	if x.TLS != nil {
-		if keys, err = ReadKeys(x.TLS); err != nil {
+		if keys, err = LoadCertificates(x.TLS); err != nil {
 			return nil, err
 		}
 	}
 	return func() {
-		l.Swap(table)
-		if l.keys != nil {
-			l.keys.Take(keys)
+		l.SetTable(table)
+		if l.certificates != nil {
+			l.certificates.ReplaceWith(keys)
 		}
-		l.g.Log().Info("door_reread", "kind", "external_processor", "rules", len(x.Table))
+		l.environment.Log().Info("door_reread", "kind", "external_processor", "rules", len(x.Table))
 	}, nil
 }
 
@@ -192,13 +192,13 @@
 
 // Wait waits for the lookups that are open.
 func (l *Listener) Wait() {
-	for l.Open() > 0 {
-		l.g.Bell().Wait(waitAgain)
+	for l.OpenLookups() > 0 {
+		l.environment.Bell().Wait(drainPollInterval)
 	}
 }
 
-// usable is a file of secrets that only its owner may read.
-func usable(path string) error {
+// checkKeyFile is a file of secrets that only its owner may read.
+func checkKeyFile(path string) error {
 	info, err := os.Stat(path)
 	if err != nil {
 		return err
--- a/internal/extproc/frozen_test.go
+++ b/internal/extproc/frozen_test.go
@@ -23,36 +23,36 @@
 func TestFrozenReplies(t *testing.T) {
 	g, caches := env.NewSystem(io.Discard, slog.LevelInfo), &memory.Caches{}
 	edge, origin := caches.Note("c0", "10.1.0.1:1000").Its, caches.Note("c1", "10.1.0.1:1001").Its
-	its, err := settings.Read([]byte(`{"classes":[{"aim":1,"deadline":2,"effect":"idempotent"}],"ceilings":{"retry_after":true,"max_retry_after":2500000}}`))
+	its, err := settings.Parse([]byte(`{"classes":[{"aim":1,"deadline":2,"effect":"idempotent"}],"ceilings":{"retry_after":true,"max_retry_after":2500000}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := New(g, its, nil, caches, nil, nil, nil, Terms{})
-	full := dispatch.Step{What: dispatch.Send, N: 2, To: edge, Source: origin, Rank: 3, How: policy.Join | policy.HeldOnly | policy.SourceSkip | policy.Renew,
-		Patience: 1234567, Hush: 99, Oldest: 2500}
-	bare := dispatch.Step{What: dispatch.Send, To: policy.NewCache("unknown"), Oldest: 1, How: policy.Renew}
-	bare.Source = bare.To
+	d := New(g, its, nil, caches, nil, nil, nil, Limits{})
+	full := dispatch.Step{Kind: dispatch.StepFetch, Attempt: 2, Cache: edge, Source: origin, Rank: 3, Mode: policy.ModeCoalesce | policy.ModeCachedOnly | policy.ModeSourceNoStore | policy.ModeRevalidate,
+		Timeout: 1234567, SilenceTimeout: 99, MaxAge: 2500}
+	bare := dispatch.Step{Kind: dispatch.StepFetch, Cache: policy.NewCache("unknown"), MaxAge: 1, Mode: policy.ModeRevalidate}
+	bare.Source = bare.Cache
 	routed := &rollout.Pass{Version: 7}
 	routed.Decided.Route = "films"
 	var got strings.Builder
 	reply := func(name string, r Reply) {
-		fmt.Fprintf(&got, "%s: status %d %q wait %v ends %d %q\n", name, r.Status, r.Text, r.Wait, r.Ends, r.Ends.Error())
-		for _, f := range r.Fields {
+		fmt.Fprintf(&got, "%s: status %d %q wait %v ends %d %q\n", name, r.Status, r.Text, r.RetryAfter, r.End, r.End.Error())
+		for _, f := range r.Headers {
 			fmt.Fprintf(&got, "  field %s=%q\n", f.Name, f.Value)
 		}
-		for _, f := range r.Send {
+		for _, f := range r.Decision {
 			fmt.Fprintf(&got, "  send %s=%q\n", f.Name, f.Value)
 		}
 	}
-	reply("go", d.reply(retry.Say{What: retry.Go, Send: full, Of: &retry.Lookup{Pass: routed}}))
-	reply("go without routes", d.reply(retry.Say{What: retry.Go, Send: bare, Of: &retry.Lookup{}}))
-	for _, what := range []retry.What{retry.Accepted, retry.Again, retry.Nack, retry.Fail, retry.Twice, retry.Known, retry.Full, retry.Disorder} {
-		reply(what.String(), d.reply(retry.Say{What: what, Wait: 1500 * time.Millisecond}))
+	reply("go", d.replyFor(retry.Answer{Kind: retry.AnswerAttempt, Step: full, Lookup: &retry.Lookup{Ticket: routed}}))
+	reply("go without routes", d.replyFor(retry.Answer{Kind: retry.AnswerAttempt, Step: bare, Lookup: &retry.Lookup{}}))
+	for _, what := range []retry.AnswerKind{retry.AnswerAccepted, retry.AnswerAskAgain, retry.AnswerReject, retry.AnswerFail, retry.AnswerOpenElsewhere, retry.AnswerAlreadyGiven, retry.AnswerFull, retry.AnswerOutOfOrder} {
+		reply(what.String(), d.replyFor(retry.Answer{Kind: what, RetryAfter: 1500 * time.Millisecond}))
 	}
-	for end := GoesOn; end <= Closing; end++ {
+	for end := NotEnded; end <= EndedClosing; end++ {
 		fmt.Fprintf(&got, "end %d %s\n", end, end.Error())
 	}
-	fmt.Fprintln(&got, ErrFull, ErrTooLarge)
+	fmt.Fprintln(&got, ErrTooManyStreams, ErrMessageTooLarge)
 	compareWithFile(t, "testdata/replies.txt", got.String())
 }
 
@@ -73,12 +73,12 @@
 			}
 			return value, n
 		}
-		r := readReport(get)
+		r := parseReport(get)
 		born := int64(0)
-		if !r.born.IsZero() {
-			born = r.born.UnixMilli()
+		if !r.createdAt.IsZero() {
+			born = r.createdAt.UnixMilli()
 		}
-		fmt.Fprintf(&got, "outcome %d remark %d waited %d born %d tag %q same %v\n", r.how, r.remark, r.waited, born, r.tag, r.same)
+		fmt.Fprintf(&got, "outcome %d remark %d waited %d born %d tag %q same %v\n", r.outcome, r.detail, r.sourceWait, born, r.etag, r.notModified)
 	}
 	compareWithFile(t, "testdata/reports.read.txt", got.String())
 }
--- a/internal/extproc/words.go
+++ b/internal/extproc/words.go
@@ -28,138 +28,138 @@
 	Method, Path string
 	Get          route.Get
 	Size         int  // bytes on the wire
-	Watch        bool // the caller tells and waits for no reply
+	ObserveOnly  bool // the caller tells and waits for no reply
 }
 
-// Ends are why a stream ends without a reply.
-type Ends int
+// EndReason are why a stream ends without a reply.
+type EndReason int
 
 const (
-	GoesOn Ends = iota
-	Disorder
-	TooMuch
-	Silence
-	Closing
+	NotEnded EndReason = iota
+	EndedOutOfOrder
+	EndedOverLimit
+	EndedSilent
+	EndedClosing
 )
 
-var endsWords = [...]string{"", "a phase out of order: one request's headers, then its response's", "more than this caller may send",
+var endTexts = [...]string{"", "a phase out of order: one request's headers, then its response's", "more than this caller may send",
 	"a message was due and none came", "this door closes"}
 
-func (e Ends) Error() string { return endsWords[e] }
+func (e EndReason) Error() string { return endTexts[e] }
 
 // Reply is the answer to a message.
 type Reply struct {
-	Phase  Phase // that it answers
-	Status int   // of a final answer to the caller's client; 0: go on
-	Text   string
-	Wait   time.Duration // when to come back; 0: not told
-	Fields []Field       // more to set with a final answer
-	Send   []Field       // a decision's, by All's order; an empty value is to be removed
-	Ends   Ends          // the stream ends without a reply
+	Phase      Phase // that it answers
+	Status     int   // of a final answer to the caller's client; 0: go on
+	Text       string
+	RetryAfter time.Duration // when to come back; 0: not told
+	Headers    []Header      // more to set with a final answer
+	Decision   []Header      // a decision's, by All's order; an empty value is to be removed
+	End        EndReason     // the stream ends without a reply
 }
 
-// Field is a header by its full name.
-type Field struct{ Name, Value string }
+// Header is a header by its full name.
+type Header struct{ Name, Value string }
 
-func final(status int, text string) Reply { return Reply{Status: status, Text: text} }
+func finalReply(status int, text string) Reply { return Reply{Status: status, Text: text} }
 
 // All are the fields of a decision: what is not told is removed, so that no client sets it.
 // Where routes are on, version and route are told too.
-var All = []string{"cache", "addr", "send", "source", "rank", "oldest-ms", "mode", "wait-ms"}
+var DecisionHeaders = []string{"cache", "addr", "send", "source", "rank", "oldest-ms", "mode", "wait-ms"}
 
-var modes = []struct {
-	bit  policy.How
+var modeLetters = []struct {
+	bit  policy.FetchMode
 	word string
-}{{policy.Join, "j"}, {policy.HeldOnly, "h"}, {policy.SourceSkip, "n"}, {policy.Renew, "r"}}
+}{{policy.ModeCoalesce, "j"}, {policy.ModeCachedOnly, "h"}, {policy.ModeSourceNoStore, "n"}, {policy.ModeRevalidate, "r"}}
 
-// decision is a send in words.
-func decision(s dispatch.Step, addr string) []Field {
-	out := make([]Field, len(All))
-	for i, name := range All {
+// decisionHeaders is a send in words.
+func decisionHeaders(s dispatch.Step, addr string) []Header {
+	out := make([]Header, len(DecisionHeaders))
+	for i, name := range DecisionHeaders {
 		out[i].Name = Prefix + name
 	}
-	out[0].Value, out[1].Value, out[2].Value = s.To.Name, addr, strconv.Itoa(s.N)
-	if s.Source != s.To {
+	out[0].Value, out[1].Value, out[2].Value = s.Cache.Name, addr, strconv.Itoa(s.Attempt)
+	if s.Source != s.Cache {
 		out[3].Value = s.Source.Name
 	}
 	out[4].Value = strconv.Itoa(s.Rank)
-	if s.Oldest > 0 {
-		out[5].Value = strconv.FormatInt(max(1, s.Oldest/1000), 10)
+	if s.MaxAge > 0 {
+		out[5].Value = strconv.FormatInt(max(1, s.MaxAge/1000), 10)
 	}
-	for _, m := range modes {
-		if s.How&m.bit != 0 {
+	for _, m := range modeLetters {
+		if s.Mode&m.bit != 0 {
 			if out[6].Value != "" {
 				out[6].Value += "+"
 			}
 			out[6].Value += m.word
 		}
 	}
-	out[7].Value = strconv.FormatFloat(float64(max(1, s.Patience))/1000, 'f', -1, 64)
+	out[7].Value = strconv.FormatFloat(float64(max(1, s.Timeout))/1000, 'f', -1, 64)
 	return out
 }
 
-// report is how a send ended, by its caller's word.
-type report struct {
-	how    policy.Ending
-	remark policy.Remark
-	waited policy.Micros
-	born   time.Time // of the copy; zero: not told
-	tag    string
-	same   bool // the client's own copy holds
+// attemptReport is how a send ended, by its caller's word.
+type attemptReport struct {
+	outcome     policy.AttemptOutcome
+	detail      policy.OutcomeDetail
+	sourceWait  policy.Micros
+	createdAt   time.Time // of the copy; zero: not told
+	etag        string
+	notModified bool // the client's own copy holds
 }
 
-var words = map[string]policy.Ending{"hit": policy.Satisfied, "ok": policy.Satisfied, "valid": policy.Satisfied, "none": policy.Missed,
-	"shed": policy.TurnedAway, "fault": policy.Errored, "late": policy.NeverSent, "timeout": policy.TimedOut,
-	"unconnected": policy.Unconnected, "reset": policy.Reset}
+var outcomesByWord = map[string]policy.AttemptOutcome{"hit": policy.OutcomeSatisfied, "ok": policy.OutcomeSatisfied, "valid": policy.OutcomeSatisfied, "none": policy.OutcomeMiss,
+	"shed": policy.OutcomeRejected, "fault": policy.OutcomeError, "late": policy.OutcomeNotSent, "timeout": policy.OutcomeTimeout,
+	"unconnected": policy.OutcomeConnectFailed, "reset": policy.OutcomeReset}
 
-var notes = map[string]policy.Remark{"hit": policy.Hit, "filled": policy.Filled, "via_origin": policy.FilledFromOrigin, "joined": policy.Joined,
-	"stale": policy.Aged, "src_refused": policy.SourceRefused, "src_broke": policy.SourceLost, "src_lacks": policy.SourceLacks,
-	"no_slot": policy.NoFillPlace, "origin_failed": policy.OriginFailed}
+var detailsByNote = map[string]policy.OutcomeDetail{"hit": policy.DetailHit, "filled": policy.DetailFilled, "via_origin": policy.DetailFilledFromOrigin, "joined": policy.DetailCoalesced,
+	"stale": policy.DetailStale, "src_refused": policy.DetailSourceRefused, "src_broke": policy.DetailSourceBroke, "src_lacks": policy.DetailSourceMiss,
+	"no_slot": policy.DetailNoFillSlot, "origin_failed": policy.DetailOriginFailed}
 
-// readReport reads how a send ended: the cache's own word, else what the status says. A word that is not known may have run.
-func readReport(get route.Get) (r report) {
+// parseReport reads how a send ended: the cache's own word, else what the status says. A word that is not known may have run.
+func parseReport(get route.Get) (r attemptReport) {
 	word, n := get(Prefix + "end")
 	code, _ := get(":status")
-	how, known := words[word]
+	how, known := outcomesByWord[word]
 	switch {
 	case n > 0 && !known:
-		r.how = policy.Errored
+		r.outcome = policy.OutcomeError
 	case n > 0:
-		r.how = how
+		r.outcome = how
 	case code == "200" || code == "304":
-		r.how = policy.Satisfied
+		r.outcome = policy.OutcomeSatisfied
 	case code == "504":
-		r.how = policy.TimedOut
+		r.outcome = policy.OutcomeTimeout
 	default:
-		r.how = policy.Errored
+		r.outcome = policy.OutcomeError
 	}
-	r.same = word == "valid" || code == "304"
+	r.notModified = word == "valid" || code == "304"
 	note, _ := get(Prefix + "note")
-	r.remark = notes[note]
+	r.detail = detailsByNote[note]
 	waited, _ := get(Prefix + "waited-ms")
 	if ms, err := strconv.ParseFloat(waited, 64); err == nil && ms >= 0 && ms < 1e7 {
-		r.waited = policy.Micros(ms * 1000)
+		r.sourceWait = policy.Micros(ms * 1000)
 	}
 	born, _ := get(Prefix + "born")
 	if ms, err := strconv.ParseInt(born, 10, 64); err == nil && ms > 0 {
-		r.born = time.UnixMilli(ms)
+		r.createdAt = time.UnixMilli(ms)
 	}
-	r.tag, _ = get(Prefix + "ver")
+	r.etag, _ = get(Prefix + "ver")
 	return r
 }
 
 // Tracer hears of each lookup's steps; it must not wait. Began is called under the door's lock.
 type Tracer interface {
-	Began(lk *retry.Lookup, get route.Get)
-	Decided(lk *retry.Lookup, s dispatch.Step)
-	Ended(lk *retry.Lookup, t retry.Tell)
+	LookupStarted(lk *retry.Lookup, get route.Get)
+	StepDecided(lk *retry.Lookup, s dispatch.Step)
+	AttemptEnded(lk *retry.Lookup, t retry.Report)
 }
 
 type noTracer struct{}
 
-func (noTracer) Began(*retry.Lookup, route.Get)       {}
-func (noTracer) Decided(*retry.Lookup, dispatch.Step) {}
-func (noTracer) Ended(*retry.Lookup, retry.Tell)      {}
+func (noTracer) LookupStarted(*retry.Lookup, route.Get)   {}
+func (noTracer) StepDecided(*retry.Lookup, dispatch.Step) {}
+func (noTracer) AttemptEnded(*retry.Lookup, retry.Report) {}
 
-// Trace has a tracer hear of the lookups to come; before Run.
-func (d *Door) Trace(t Tracer) { d.trace = t }
+// SetTracer has a tracer hear of the lookups to come; before Run.
+func (d *Server) SetTracer(t Tracer) { d.tracer = t }
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -31,13 +31,13 @@
 	fleet  *membership.Fleet
 	post   *gossip.Post    // nil: no limits to share
 	caster *driver.Carrier // nil: purges are not broadcast
-	router *dispatch.Facade
+	router *dispatch.Dispatcher
 	stop   chan struct{}
 	ended  chan struct{}
 }
 
 // joining makes it; nil where the operators' settings name no fleet, as on the platform.
-func joining(g env.Ground, own *config.Settings, name string, seed uint64, routes *rollout.Steer, router *dispatch.Facade,
+func joining(g env.Ground, own *config.Settings, name string, seed uint64, routes *rollout.Steer, router *dispatch.Dispatcher,
 	bulletin *wire.Bulletin) (*part, error) {
 	if own.Fleet == nil {
 		return nil, nil
@@ -86,7 +86,7 @@
 	// heard brings purges that peers told first to where they count, as those of the own watch.
 	heard := func(purges []dispatch.Purge) {
 		for _, one := range purges {
-			bulletin.Purges.Note(one.Object, one.Group, one.Issued)
+			bulletin.Purges.Note(one.Object, one.Group, one.IssuedAt)
 		}
 		router.Tick(nil, false, purges)
 	}
@@ -95,7 +95,7 @@
 		heed = func(some []purgesync.Purge) {
 			var purges []dispatch.Purge
 			for _, v := range some {
-				purges = append(purges, dispatch.Purge{Object: v.Object, Group: int(v.Group), Issued: time.UnixMilli(v.Issued)})
+				purges = append(purges, dispatch.Purge{Object: v.Object, Group: int(v.Group), IssuedAt: time.UnixMilli(v.Issued)})
 			}
 			heard(purges)
 		}
@@ -123,7 +123,7 @@
 		bulletin.Event = func(no int64, purges []dispatch.Purge) {
 			var told []purgesync.Purge
 			for _, v := range purges {
-				told = append(told, purgesync.Purge{No: no, Object: v.Object, Group: int64(v.Group), Issued: v.Issued.UnixMilli()})
+				told = append(told, purgesync.Purge{No: no, Object: v.Object, Group: int64(v.Group), Issued: v.IssuedAt.UnixMilli()})
 			}
 			p.post.Told(no, told)
 		}
@@ -148,14 +148,14 @@
 	p.caster = driver.New(set.Name, set.Place, func(some []broadcast.Purge) {
 		purges := make([]dispatch.Purge, 0, len(some))
 		for _, v := range some {
-			purges = append(purges, dispatch.Purge{Object: v.Object, Group: int(v.Group), Issued: time.UnixMilli(v.Issued)})
+			purges = append(purges, dispatch.Purge{Object: v.Object, Group: int(v.Group), IssuedAt: time.UnixMilli(v.Issued)})
 		}
 		heard(purges)
 	}, g.Log(), stamp, wall)
 	bulletin.Event = func(_ int64, purges []dispatch.Purge) {
 		told := make([]broadcast.Purge, 0, len(purges))
 		for _, v := range purges {
-			told = append(told, broadcast.Purge{Object: v.Object, Group: int64(v.Group), Issued: v.Issued.UnixMilli()})
+			told = append(told, broadcast.Purge{Object: v.Object, Group: int64(v.Group), Issued: v.IssuedAt.UnixMilli()})
 		}
 		p.caster.Told(told)
 	}
@@ -203,7 +203,7 @@
 	for {
 		select {
 		case <-every.C:
-			p.router.Fleet(p.fleet.State().Fleet)
+			p.router.SetFleetSize(p.fleet.State().Fleet)
 		case <-stop:
 			return
 		}
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -55,7 +55,7 @@
 	Settings json.RawMessage
 }
 
-func readStart(g env.Ground, path, name, listen string, own *config.Settings) (*start, *settings.Terms, uint64, error) {
+func readStart(g env.Ground, path, name, listen string, own *config.Settings) (*start, *settings.Settings, uint64, error) {
 	text, err := g.ReadFile(path)
 	if err != nil {
 		return nil, nil, 0, err
@@ -77,7 +77,7 @@
 	if err != nil {
 		return nil, nil, 0, fmt.Errorf("%s: seed is not hex digits", path)
 	}
-	terms, err := settings.Read(s.Settings)
+	terms, err := settings.Parse(s.Settings)
 	if err != nil {
 		return nil, nil, 0, fmt.Errorf("%s: settings: %w", path, err)
 	}
@@ -85,7 +85,7 @@
 }
 
 // readAll reads what the gateway is told, as its variables say.
-func readAll(g env.Ground) (*start, *settings.Terms, uint64, *config.Settings, error) {
+func readAll(g env.Ground) (*start, *settings.Settings, uint64, *config.Settings, error) {
 	own := &config.Settings{}
 	if path := g.Env("FOLDSLIP_SETTINGS"); path != "" {
 		var err error
@@ -115,7 +115,7 @@
 }
 
 // steering puts the operators' routes in force; nil where they name none.
-func steering(g env.Ground, own *config.Settings, terms *settings.Terms, bulletin *wire.Bulletin) (*rollout.Steer, error) {
+func steering(g env.Ground, own *config.Settings, terms *settings.Settings, bulletin *wire.Bulletin) (*rollout.Steer, error) {
 	if own.Routing == nil {
 		return nil, nil
 	}
@@ -139,7 +139,7 @@
 
 // Gateway is a gateway at work, for whoever looks on.
 type Gateway struct {
-	router *dispatch.Facade
+	router *dispatch.Dispatcher
 	links  *wire.Links
 	front  *wire.Front
 	routes *rollout.Steer
@@ -154,7 +154,7 @@
 
 // Load tells it at one instant, if nothing goes on meanwhile.
 func (w *Gateway) Load() (l Load) {
-	l.Lookups = w.router.Open()
+	l.Lookups = w.router.OpenLookups()
 	l.Sends, l.Queued = w.router.InFlight()
 	l.Flying, l.Links = w.links.Load()
 	l.Clients = w.front.Load()
@@ -164,7 +164,7 @@
 // Watch is what may look on, and what further doors there are; all may be nil.
 type Watch struct {
 	Up      func(*Gateway)
-	Between dispatch.Between
+	Between dispatch.Interceptor
 	Doors   func(Inside) ([]Door, error)
 }
 
@@ -172,8 +172,8 @@
 type Inside struct {
 	Name   string
 	Ground env.Ground
-	Terms  *settings.Terms
-	Router *dispatch.Facade
+	Terms  *settings.Settings
+	Router *dispatch.Dispatcher
 	Caches *memory.Caches
 	Purges *memory.Purges
 	Room   *memory.Room
@@ -213,8 +213,8 @@
 	defer life.End()
 
 	caches := &memory.Caches{}
-	purges := &memory.Purges{Clock: g, Grace: time.Duration(terms.PurgeGrace) * time.Microsecond, Keep: time.Duration(terms.Router.PurgeDone)*time.Microsecond + purgeSlack}
-	router := dispatch.Start(g, seed, terms.Router, watch.Between)
+	purges := &memory.Purges{Clock: g, Grace: time.Duration(terms.PurgeGrace) * time.Microsecond, Keep: time.Duration(terms.Router.PurgeSettleTime)*time.Microsecond + purgeSlack}
+	router := dispatch.New(g, seed, terms.Router, watch.Between)
 	calling := &frugal{Ground: g}
 	bulletin := wire.NewBulletin(calling, s.Bulletin, terms, router, caches, purges)
 	routes, err := steering(g, own, terms, bulletin)
@@ -319,7 +319,7 @@
 	})
 	err = group.Wait()
 	links.Wait()
-	g.Log().Info("stopped", "name", s.Name, "open", router.Open())
+	g.Log().Info("stopped", "name", s.Name, "open", router.OpenLookups())
 	return err
 }
 
@@ -409,11 +409,11 @@
 }
 
 // drain stops the gateway as the platform stops it. What is still open shortly before the kill is given up, so that it has its answer.
-func drain(g env.Ground, terms *settings.Terms, router *dispatch.Facade, front *wire.Front, doors []Door,
+func drain(g env.Ground, terms *settings.Settings, router *dispatch.Dispatcher, front *wire.Front, doors []Door,
 	listener net.Listener) error {
 	kill := time.Duration(0)
 	for _, k := range terms.Router.Kinds {
-		kill = max(kill, time.Duration(k.GiveUp)*time.Microsecond)
+		kill = max(kill, time.Duration(k.Deadline)*time.Microsecond)
 	}
 	cut := g.Now().Add(min(kill, mostKill) + 700*time.Millisecond - stopBefore)
 	g.Log().Info("stopping")
@@ -443,7 +443,7 @@
 }
 
 // tick brings the router its timers.
-func tick(g env.Ground, life *env.Life, router *dispatch.Facade) error {
+func tick(g env.Ground, life *env.Life, router *dispatch.Dispatcher) error {
 	end := g.Bell()
 	defer life.OnEnd(end.Ring)()
 	for !end.Wait(max(router.Tick(nil, false, nil), time.Millisecond)) {
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -29,7 +29,7 @@
 // real TCP, put together as service.Run does. It has no door, no connections to caches, no list on disk, no routes and no part in a
 // fleet. Its goroutines end with Stop.
 type Hollow struct {
-	Router *dispatch.Facade
+	Router *dispatch.Dispatcher
 	Caches *memory.Caches
 	Purges *memory.Purges
 	life   *env.Life
@@ -49,13 +49,13 @@
 
 // StartHollow starts one on a ground.
 func StartHollow(g env.Ground, s HollowSpec) (*Hollow, error) {
-	terms, err := settings.Read(s.Settings)
+	terms, err := settings.Parse(s.Settings)
 	if err != nil {
 		return nil, err
 	}
 	h := &Hollow{Caches: &memory.Caches{}, life: env.NewLife(nil), group: g.Group()}
-	h.Purges = &memory.Purges{Clock: g, Grace: time.Duration(terms.PurgeGrace) * time.Microsecond, Keep: time.Duration(terms.Router.PurgeDone)*time.Microsecond + purgeSlack}
-	h.Router = dispatch.Start(g, s.Seed, terms.Router, nil)
+	h.Purges = &memory.Purges{Clock: g, Grace: time.Duration(terms.PurgeGrace) * time.Microsecond, Keep: time.Duration(terms.Router.PurgeSettleTime)*time.Microsecond + purgeSlack}
+	h.Router = dispatch.New(g, s.Seed, terms.Router, nil)
 	watch := wire.NewBulletin(g, s.Watch, terms, h.Router, h.Caches, h.Purges)
 	if err := watch.Known(s.Known); err != nil {
 		return nil, err
@@ -81,17 +81,17 @@
 }
 
 // trickle has lookups decided: each is picked and told satisfied at once, so that only the decision costs.
-func (h *Hollow) trickle(g env.Ground, terms *settings.Terms, s HollowSpec) error {
+func (h *Hollow) trickle(g env.Ground, terms *settings.Settings, s HollowSpec) error {
 	end := g.Bell()
 	defer h.life.OnEnd(end.Ring)()
 	chance := rand.New(rand.NewPCG(s.Seed, 0x6c6f6f6b))
 	for n := 0; !end.Wait(time.Duration(chance.ExpFloat64() / s.Lookups * float64(time.Second))); n++ {
-		l := h.Router.Take(fmt.Sprintf("%016x", n), 0, fmt.Sprintf("%016x", chance.Uint64N(1000)), 0, 0, 449, g.Now().Add(terms.Budget(0, 449)))
+		l := h.Router.Submit(fmt.Sprintf("%016x", n), 0, fmt.Sprintf("%016x", chance.Uint64N(1000)), 0, 0, 449, g.Now().Add(terms.LatencyBudget(0, 449)))
 		for l != nil {
-			step := h.Router.Pick(l)
-			if step.What == dispatch.Send {
-				h.Router.Report(l, step.N, policy.Satisfied, policy.Hit, 0)
-			} else if step.What != dispatch.Cancel {
+			step := h.Router.WaitStep(l)
+			if step.Kind == dispatch.StepFetch {
+				h.Router.AttemptEnded(l, step.Attempt, policy.OutcomeSatisfied, policy.DetailHit, 0)
+			} else if step.Kind != dispatch.StepCancel {
 				break
 			}
 		}
--- a/internal/lab/scenario/door.go
+++ b/internal/lab/scenario/door.go
@@ -29,12 +29,12 @@
 var doorTable = []route.Rule{{Path: "/call/{kind}/{object}/part-{part}", Kind: "path:kind", Object: "path:object", Part: "path:part",
 	Group: "header:x-group", KB: "header:x-ram-kb", ID: "header:x-job-id", AllowMS: "header:x-allow-ms", Tag: "header:x-tag"}}
 
-var doorTerms = extproc.Terms{Streams: 200, Silent: 8 * time.Second, Messages: 400, Bytes: 200_000,
-	Desk: retry.Terms{Lookups: 256, Each: 200, AgainIn: 300 * time.Millisecond, Remember: 5 * time.Second}}
+var doorTerms = extproc.Limits{MaxStreams: 200, SilenceTimeout: 8 * time.Second, MessagesPerSecond: 400, BytesPerSecond: 200_000,
+	Lookups: retry.Limits{MaxLookups: 256, MaxPerCaller: 200, ReturnTimeout: 300 * time.Millisecond, Retention: 5 * time.Second}}
 
 // plainDoor is a service.Door on the lab's wire.
 type plainDoor struct {
-	*extproc.Door
+	*extproc.Server
 	g     env.Ground
 	l     net.Listener
 	mu    sync.Mutex
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &plainDoor{Door: extproc.New(in.Ground, in.Terms, in.Router, in.Caches, in.Purges, in.Room, table, terms), g: in.Ground, l: l,
+	return &plainDoor{Server: extproc.New(in.Ground, in.Terms, in.Router, in.Caches, in.Purges, in.Room, table, terms), g: in.Ground, l: l,
 		conns: map[net.Conn]int{}, group: in.Ground.Group(), plant: plant, d: d}, nil
 }
 
@@ -97,7 +97,7 @@
 				host, _, _ := net.SplitHostPort(c.RemoteAddr().String())
 				w := &plainWire{c: c, in: bufio.NewReader(c), p: p}
 				err := p.Serve(w, host)
-				var why extproc.Ends
+				var why extproc.EndReason
 				if errors.As(err, &why) {
 					c.SetWriteDeadline(p.g.Now().Add(100 * time.Millisecond))
 					fmt.Fprintf(c, "E%d\n\n", why)
@@ -110,14 +110,14 @@
 			})
 		}
 	})
-	p.Door.Run(life)
+	p.Server.Run(life)
 	return p.group.Wait()
 }
 
 func (p *plainDoor) Prepare(*config.Settings) (func(), error) { return func() {}, nil }
 func (p *plainDoor) Drain()                                   { p.l.Close() }
 func (p *plainDoor) Wait() {
-	for p.Open() > 0 {
+	for p.OpenLookups() > 0 {
 		p.g.Bell().Wait(10 * time.Millisecond)
 	}
 }
@@ -129,7 +129,7 @@
 	p  *plainDoor
 }
 
-func (w *plainWire) Recv() (extproc.Message, error) {
+func (w *plainWire) Receive() (extproc.Message, error) {
 	first, err := w.in.ReadString('\n')
 	if err != nil {
 		return extproc.Message{}, err
@@ -171,13 +171,13 @@
 	var b strings.Builder
 	if r.Status != 0 {
 		fmt.Fprintf(&b, "F%d\n", r.Status)
-		if r.Wait > 0 {
-			fmt.Fprintf(&b, "x-wait-ms: %d\n", (r.Wait+time.Millisecond-1)/time.Millisecond)
+		if r.RetryAfter > 0 {
+			fmt.Fprintf(&b, "x-wait-ms: %d\n", (r.RetryAfter+time.Millisecond-1)/time.Millisecond)
 		}
 	} else {
 		fmt.Fprintf(&b, "C%d\n", r.Phase)
 	}
-	for _, f := range append(r.Fields, r.Send...) {
+	for _, f := range append(r.Headers, r.Decision...) {
 		if f.Value != "" {
 			fmt.Fprintf(&b, "%s: %s\n", f.Name, f.Value)
 		}
@@ -193,7 +193,7 @@
 // doorPlant is a fault of the door, planted at its wire and its terms.
 type doorPlant struct {
 	help  string
-	terms func(in *gateway.Inside, t *extproc.Terms)
+	terms func(in *gateway.Inside, t *extproc.Limits)
 	recv  func(d *Day, m *extproc.Message, fields []string)
 	send  func(d *Day, g env.Ground, r extproc.Reply, text string) string
 }
@@ -212,13 +212,13 @@
 		return text
 	}},
 	"door_end_kept_back": {help: "a final answer is written near the deadline", send: func(d *Day, g env.Ground, r extproc.Reply, text string) string {
-		if r.Status == 503 && r.Wait > 0 {
+		if r.Status == 503 && r.RetryAfter > 0 {
 			g.Bell().Wait(1400 * time.Millisecond)
 		}
 		return text
 	}},
-	"door_purges_unheard": {help: "births of answers are not held against purges", terms: func(in *gateway.Inside, _ *extproc.Terms) { in.Purges = nil }},
-	"door_forgetful":      {help: "an ended lookup is forgotten at once", terms: func(_ *gateway.Inside, t *extproc.Terms) { t.Desk.Remember = 1 }},
+	"door_purges_unheard": {help: "births of answers are not held against purges", terms: func(in *gateway.Inside, _ *extproc.Limits) { in.Purges = nil }},
+	"door_forgetful":      {help: "an ended lookup is forgotten at once", terms: func(_ *gateway.Inside, t *extproc.Limits) { t.Lookups.Retention = 1 }},
 	"door_answer_never_ran": {help: "a send that brought its answer is taken for one that did not run", recv: func(d *Day, m *extproc.Message, fields []string) {
 		for i, f := range fields {
 			if f == "x-foldslip-end: hit" && d.chance(40) == 0 {
--- a/internal/lab/scenario/gateway.go
+++ b/internal/lab/scenario/gateway.go
@@ -124,8 +124,8 @@
 	}
 	var ground func(env.Ground) env.Ground
 	if d.look.decided != nil {
-		watch.Between = func(h policy.Host, start func(policy.Host) dispatch.Module) dispatch.Module {
-			return start(&says{Host: h, fetch: func(h policy.Host, lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.How,
+		watch.Between = func(h policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
+			return start(&says{Executor: h, fetch: func(h policy.Executor, lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.FetchMode,
 				patience, hush, oldest policy.Micros) {
 				h.Fetch(lk, to, source, rank, how, patience, hush, oldest)
 				d.look.decided(d, l, to.Name)
@@ -191,9 +191,9 @@
 }
 
 // noting takes every decision of the module into the digest, before whoever else looks on.
-func (d *Day) noting(process string, between dispatch.Between) dispatch.Between {
-	return func(h policy.Host, start func(policy.Host) dispatch.Module) dispatch.Module {
-		under := func(h policy.Host) dispatch.Module { return start(&noted{Host: h, w: d.w, process: process}) }
+func (d *Day) noting(process string, between dispatch.Interceptor) dispatch.Interceptor {
+	return func(h policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
+		under := func(h policy.Executor) dispatch.Router { return start(&noted{Executor: h, w: d.w, process: process}) }
 		if between == nil {
 			return under(h)
 		}
@@ -203,34 +203,34 @@
 
 // noted notes what the module decides.
 type noted struct {
-	policy.Host
+	policy.Executor
 	w       *simenv.World
 	process string
 }
 
 func (n *noted) note(lk *policy.Lookup, decision string, numbers ...policy.Micros) {
-	n.w.Note(simenv.StepDecision, n.process+" "+lk.Door+" "+decision, "", int64(len(numbers)))
+	n.w.Note(simenv.StepDecision, n.process+" "+lk.ID+" "+decision, "", int64(len(numbers)))
 	for _, m := range numbers {
 		n.w.Note(simenv.StepDecision, "", "", int64(m))
 	}
 }
 
-func (n *noted) Fetch(lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.How, patience, hush, oldest policy.Micros) {
+func (n *noted) Fetch(lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.FetchMode, patience, hush, oldest policy.Micros) {
 	n.note(lk, "fetch "+to.Name+" "+source.Name, policy.Micros(rank), policy.Micros(how), patience, hush, oldest)
-	n.Host.Fetch(lk, to, source, rank, how, patience, hush, oldest)
+	n.Executor.Fetch(lk, to, source, rank, how, patience, hush, oldest)
 }
 
-func (n *noted) Cancel(lk *policy.Lookup, send int) {
+func (n *noted) CancelAttempt(lk *policy.Lookup, send int) {
 	n.note(lk, "cancel", policy.Micros(send))
-	n.Host.Cancel(lk, send)
+	n.Executor.CancelAttempt(lk, send)
 }
 
-func (n *noted) Nack(lk *policy.Lookup, retryIn policy.Micros) {
+func (n *noted) Reject(lk *policy.Lookup, retryIn policy.Micros) {
 	n.note(lk, "reject", retryIn)
-	n.Host.Nack(lk, retryIn)
+	n.Executor.Reject(lk, retryIn)
 }
 
 func (n *noted) Fail(lk *policy.Lookup) {
 	n.note(lk, "fail")
-	n.Host.Fail(lk)
+	n.Executor.Fail(lk)
 }
--- a/internal/lab/scenario/plant.go
+++ b/internal/lab/scenario/plant.go
@@ -17,7 +17,7 @@
 // the referee sees it. Nothing of this is in the gateway's own code.
 type plant struct {
 	help string
-	make func(d *Day, l *life) (dispatch.Between, func(env.Ground) env.Ground)
+	make func(d *Day, l *life) (dispatch.Interceptor, func(env.Ground) env.Ground)
 }
 
 // Plants are the names of the faults that can be planted.
@@ -137,66 +137,66 @@
 
 // told stands before the module: it passes on what it is told, but for what a plant replaces.
 type told struct {
-	dispatch.Module
-	rows   func(rows []policy.Row) []policy.Row
+	dispatch.Router
+	rows   func(rows []policy.Endpoint) []policy.Endpoint
 	purged func() bool // whether a purge is passed on
 	ended  func() bool
 	within func(s *policy.Scope) *policy.Scope
 }
 
-func (t *told) Within(s *policy.Scope) {
+func (t *told) SetNextScope(s *policy.Scope) {
 	if t.within != nil {
 		s = t.within(s)
 	}
-	t.Module.Within(s)
+	t.Router.SetNextScope(s)
 }
 
-func (t *told) Listed(now policy.Micros, what policy.ListKind, rows []policy.Row) {
+func (t *told) UpdateEndpoints(now policy.Micros, what policy.UpdateKind, rows []policy.Endpoint) {
 	if t.rows != nil {
 		rows = t.rows(slices.Clone(rows))
 	}
-	t.Module.Listed(now, what, rows)
+	t.Router.UpdateEndpoints(now, what, rows)
 }
 
-func (t *told) Purged(now policy.Micros, name string, group int, ago policy.Micros) {
+func (t *told) ApplyPurge(now policy.Micros, name string, group int, ago policy.Micros) {
 	if t.purged == nil || t.purged() {
-		t.Module.Purged(now, name, group, ago)
+		t.Router.ApplyPurge(now, name, group, ago)
 	}
 }
 
-func (t *told) Ended(now policy.Micros, lk *policy.Lookup, n int, e policy.Ending, remark policy.Remark, took,
+func (t *told) AttemptEnded(now policy.Micros, lk *policy.Lookup, n int, e policy.AttemptOutcome, remark policy.OutcomeDetail, took,
 	waited policy.Micros, closed bool) {
 	if t.ended == nil || t.ended() {
-		t.Module.Ended(now, lk, n, e, remark, took, waited, closed)
+		t.Router.AttemptEnded(now, lk, n, e, remark, took, waited, closed)
 	}
 }
 
 // says stands before the facade: it does what the module asks for, but for what a plant replaces.
 type says struct {
-	policy.Host
-	fetch func(h policy.Host, lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.How, patience, hush, oldest policy.Micros)
-	nack  func(h policy.Host, lk *policy.Lookup, in policy.Micros)
+	policy.Executor
+	fetch func(h policy.Executor, lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.FetchMode, patience, hush, oldest policy.Micros)
+	nack  func(h policy.Executor, lk *policy.Lookup, in policy.Micros)
 }
 
-func (s *says) Fetch(lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.How, patience, hush, oldest policy.Micros) {
+func (s *says) Fetch(lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.FetchMode, patience, hush, oldest policy.Micros) {
 	if s.fetch != nil {
-		s.fetch(s.Host, lk, to, source, rank, how, patience, hush, oldest)
+		s.fetch(s.Executor, lk, to, source, rank, how, patience, hush, oldest)
 		return
 	}
-	s.Host.Fetch(lk, to, source, rank, how, patience, hush, oldest)
+	s.Executor.Fetch(lk, to, source, rank, how, patience, hush, oldest)
 }
 
-func (s *says) Nack(lk *policy.Lookup, in policy.Micros) {
+func (s *says) Reject(lk *policy.Lookup, in policy.Micros) {
 	if s.nack != nil {
-		s.nack(s.Host, lk, in)
+		s.nack(s.Executor, lk, in)
 		return
 	}
-	s.Host.Nack(lk, in)
+	s.Executor.Reject(lk, in)
 }
 
 // onAnswers plants at the connections of clients, for one answer in so many.
 func onAnswers(one int, do func(d *Day, l *life, g env.Ground, c env.Conn, b []byte) (int, error)) func(*Day, *life) (
-	dispatch.Between, func(env.Ground) env.Ground) {
+	dispatch.Interceptor, func(env.Ground) env.Ground) {
 	return onConns(func(d *Day, l *life, g env.Ground, c env.Conn, dialled bool) env.Conn {
 		if dialled {
 			return c
@@ -211,8 +211,8 @@
 }
 
 func onConns(do func(d *Day, l *life, g env.Ground, c env.Conn, dialled bool) env.Conn) func(*Day, *life) (
-	dispatch.Between, func(env.Ground) env.Ground) {
-	return func(d *Day, l *life) (dispatch.Between, func(env.Ground) env.Ground) {
+	dispatch.Interceptor, func(env.Ground) env.Ground) {
+	return func(d *Day, l *life) (dispatch.Interceptor, func(env.Ground) env.Ground) {
 		return nil, func(under env.Ground) env.Ground {
 			g := &ground{Ground: under}
 			g.conn = func(c env.Conn, dialled bool) env.Conn { return do(d, l, under, c, dialled) }
@@ -222,7 +222,7 @@
 }
 
 // leftLate plants that the end of a client's connection is heard late.
-func leftLate(by time.Duration) func(*Day, *life) (dispatch.Between, func(env.Ground) env.Ground) {
+func leftLate(by time.Duration) func(*Day, *life) (dispatch.Interceptor, func(env.Ground) env.Ground) {
 	return onConns(func(_ *Day, _ *life, g env.Ground, c env.Conn, dialled bool) env.Conn {
 		if dialled {
 			return c
@@ -231,8 +231,8 @@
 	})
 }
 
-func onGround(change func(d *Day, g *ground)) func(*Day, *life) (dispatch.Between, func(env.Ground) env.Ground) {
-	return func(d *Day, _ *life) (dispatch.Between, func(env.Ground) env.Ground) {
+func onGround(change func(d *Day, g *ground)) func(*Day, *life) (dispatch.Interceptor, func(env.Ground) env.Ground) {
+	return func(d *Day, _ *life) (dispatch.Interceptor, func(env.Ground) env.Ground) {
 		return nil, func(under env.Ground) env.Ground {
 			g := &ground{Ground: under}
 			change(d, g)
@@ -241,20 +241,20 @@
 	}
 }
 
-func onTold(change func(d *Day, l *life, t *told)) func(*Day, *life) (dispatch.Between, func(env.Ground) env.Ground) {
-	return func(d *Day, l *life) (dispatch.Between, func(env.Ground) env.Ground) {
-		return func(h policy.Host, start func(policy.Host) dispatch.Module) dispatch.Module {
-			t := &told{Module: start(h)}
+func onTold(change func(d *Day, l *life, t *told)) func(*Day, *life) (dispatch.Interceptor, func(env.Ground) env.Ground) {
+	return func(d *Day, l *life) (dispatch.Interceptor, func(env.Ground) env.Ground) {
+		return func(h policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
+			t := &told{Router: start(h)}
 			change(d, l, t)
 			return t
 		}, nil
 	}
 }
 
-func onSays(change func(d *Day, s *says)) func(*Day, *life) (dispatch.Between, func(env.Ground) env.Ground) {
-	return func(d *Day, _ *life) (dispatch.Between, func(env.Ground) env.Ground) {
-		return func(h policy.Host, start func(policy.Host) dispatch.Module) dispatch.Module {
-			s := &says{Host: h}
+func onSays(change func(d *Day, s *says)) func(*Day, *life) (dispatch.Interceptor, func(env.Ground) env.Ground) {
+	return func(d *Day, _ *life) (dispatch.Interceptor, func(env.Ground) env.Ground) {
+		return func(h policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
+			s := &says{Executor: h}
 			change(d, s)
 			return start(s)
 		}, nil
@@ -298,8 +298,8 @@
 			b[len(b)-1] ^= 1
 			return c.Write(b)
 		})},
-		"answer_mixed": {"an answer brings another's bytes", func() func(*Day, *life) (dispatch.Between, func(env.Ground) env.Ground) {
-			return func(d *Day, l *life) (dispatch.Between, func(env.Ground) env.Ground) {
+		"answer_mixed": {"an answer brings another's bytes", func() func(*Day, *life) (dispatch.Interceptor, func(env.Ground) env.Ground) {
+			return func(d *Day, l *life) (dispatch.Interceptor, func(env.Ground) env.Ground) {
 				var last []byte
 				return onAnswers(1, func(d *Day, _ *life, _ env.Ground, c env.Conn, b []byte) (int, error) {
 					was := last
@@ -325,7 +325,7 @@
 		"leave_unheard": {"that a client left is heard 1.5 s late", leftLate(1500 * time.Millisecond)},
 		"leave_late":    {"that a client left is heard 0.2 s late", leftLate(200 * time.Millisecond)},
 		"drain_unheard": {"a drain does not reach the module", onTold(func(_ *Day, _ *life, t *told) {
-			t.rows = func(rows []policy.Row) []policy.Row {
+			t.rows = func(rows []policy.Endpoint) []policy.Endpoint {
 				for i := range rows {
 					if rows[i].State == policy.Draining {
 						rows[i].State = policy.Ready
@@ -335,8 +335,8 @@
 			}
 		})},
 		"gone_unheard": {"word that a cache has gone does not reach the module", onTold(func(_ *Day, _ *life, t *told) {
-			t.rows = func(rows []policy.Row) []policy.Row {
-				return slices.DeleteFunc(rows, func(r policy.Row) bool { return r.State != policy.Ready })
+			t.rows = func(rows []policy.Endpoint) []policy.Endpoint {
+				return slices.DeleteFunc(rows, func(r policy.Endpoint) bool { return r.State != policy.Ready })
 			}
 		})},
 		"purge_unheard": {"recalls are read as of another object", onConns(func(_ *Day, _ *life, _ env.Ground, c env.Conn, _ bool) env.Conn {
@@ -359,7 +359,7 @@
 			}}
 		})},
 		"doubled_send": {"a side-effecting send goes out twice", onSays(func(_ *Day, s *says) {
-			s.fetch = func(h policy.Host, lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.How, patience, hush, oldest policy.Micros) {
+			s.fetch = func(h policy.Executor, lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.FetchMode, patience, hush, oldest policy.Micros) {
 				h.Fetch(lk, to, source, rank, how, patience, hush, oldest)
 				if oldest == 0 && rank == 0 && how == 0 {
 					h.Fetch(lk, to, source, rank, how, patience, hush, oldest)
@@ -367,7 +367,7 @@
 			}
 		})},
 		"two_at_once": {"an idempotent send goes out twice at once", onSays(func(d *Day, s *says) {
-			s.fetch = func(h policy.Host, lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.How, patience, hush, oldest policy.Micros) {
+			s.fetch = func(h policy.Executor, lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.FetchMode, patience, hush, oldest policy.Micros) {
 				h.Fetch(lk, to, source, rank, how, patience, hush, oldest)
 				if rank > 0 && d.chance(40) == 0 {
 					h.Fetch(lk, to, source, rank, how, patience, hush, oldest)
@@ -383,10 +383,10 @@
 			}}
 		})},
 		"cold_cache": {"the module is not told that a cache is cold", onTold(func(d *Day, l *life, t *told) {
-			t.rows = func(rows []policy.Row) []policy.Row {
+			t.rows = func(rows []policy.Endpoint) []policy.Endpoint {
 				for i := range rows {
 					if rows[i].Kind == 0 {
-						rows[i].Started = 0
+						rows[i].StartedAt = 0
 					}
 				}
 				return rows
@@ -447,7 +447,7 @@
 			}
 		})},
 		"wait_untold": {"a nack does not say when to come back", onSays(func(_ *Day, s *says) {
-			s.nack = func(h policy.Host, lk *policy.Lookup, _ policy.Micros) { h.Nack(lk, 0) }
+			s.nack = func(h policy.Executor, lk *policy.Lookup, _ policy.Micros) { h.Reject(lk, 0) }
 		})},
 	}
 }
--- a/internal/lab/scenario/referee.go
+++ b/internal/lab/scenario/referee.go
@@ -464,7 +464,7 @@
 			load := l.its.Load()
 			handed, streams := 0, 0
 			if l.door != nil {
-				handed, streams = l.door.Handed(), l.door.open()
+				handed, streams = l.door.AttemptsOut(), l.door.open()
 			}
 			if load.Sends != load.Flying+load.Queued+handed {
 				r.broken("in flight", "%s: the module counts %d sends, its connections %d, %d wait to be written, %d are at callers", l.p.Name,
--- a/internal/lab/scenario/twin.go
+++ b/internal/lab/scenario/twin.go
@@ -94,43 +94,43 @@
 }
 
 // between notes every decision of the module.
-func (s *script) between(d *Day) dispatch.Between {
+func (s *script) between(d *Day) dispatch.Interceptor {
 	note := func(format string, a ...any) {
 		s.told = append(s.told, fmt.Sprintf("%d us ", d.w.Now().Microseconds())+fmt.Sprintf(format, a...))
 		s.at = append(s.at, d.w.Now())
 	}
-	return func(h policy.Host, start func(policy.Host) dispatch.Module) dispatch.Module {
-		return start(&decisions{Host: h, s: s, d: d, note: note})
+	return func(h policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
+		return start(&decisions{Executor: h, s: s, d: d, note: note})
 	}
 }
 
 // decisions stands before the facade.
 type decisions struct {
-	policy.Host
+	policy.Executor
 	s    *script
 	d    *Day
 	note func(format string, a ...any)
 }
 
-func (n *decisions) Fetch(lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.How, patience, hush, oldest policy.Micros) {
-	n.note("send %s to %s from %s rank %d how %d for %d oldest %d", lk.Door, to.Name, source.Name, rank, how, patience, oldest)
-	n.Host.Fetch(lk, to, source, rank, how, patience, hush, oldest)
+func (n *decisions) Fetch(lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.FetchMode, patience, hush, oldest policy.Micros) {
+	n.note("send %s to %s from %s rank %d how %d for %d oldest %d", lk.ID, to.Name, source.Name, rank, how, patience, oldest)
+	n.Executor.Fetch(lk, to, source, rank, how, patience, hush, oldest)
 }
 
-func (n *decisions) Nack(lk *policy.Lookup, in policy.Micros) {
-	n.note("nack %s, again in %d", lk.Door, in)
-	n.Host.Nack(lk, in)
+func (n *decisions) Reject(lk *policy.Lookup, in policy.Micros) {
+	n.note("nack %s, again in %d", lk.ID, in)
+	n.Executor.Reject(lk, in)
 }
 
 func (n *decisions) Fail(lk *policy.Lookup) {
-	n.note("fail %s", lk.Door)
-	n.Host.Fail(lk)
+	n.note("fail %s", lk.ID)
+	n.Executor.Fail(lk)
 }
 
-// Cancel gives a send up. A gateway takes it back at its cache, a caller cannot be called back: the contract's term.
-func (n *decisions) Cancel(lk *policy.Lookup, send int) {
+// CancelAttempt gives a send up. A gateway takes it back at its cache, a caller cannot be called back: the contract's term.
+func (n *decisions) CancelAttempt(lk *policy.Lookup, send int) {
 	n.s.differ(n.d.w.Now(), "cancelled")
-	n.Host.Cancel(lk, send)
+	n.Executor.CancelAttempt(lk, send)
 }
 
 func (s *script) differ(at time.Duration, why string) {
--- a/internal/policy/coldfleet_test.go
+++ b/internal/policy/coldfleet_test.go
@@ -94,7 +94,7 @@
 type coldWorld struct {
 	coldFleet
 	chance  *rand.Rand // the run's only one: a seed plays the same each time
-	its     *Charter
+	its     *Settings
 	now     Micros
 	events  coldEvents
 	hosts   []*coldHost
@@ -135,69 +135,69 @@
 
 func (w *coldWorld) after(in Micros, do func()) { heap.Push(&w.events, coldEvent{w.now + in, do}) }
 
-func (h *coldHost) Cancel(lk *Lookup, n int) {
+func (h *coldHost) CancelAttempt(lk *Lookup, n int) {
 	r := h.r
 	h.w.after(0, func() {
-		took := h.w.now - lk.sends[n].at
-		h.ended(r, lk, n, Cancelled, Untold, took, took/4)
+		took := h.w.now - lk.attempts[n].startedAt
+		h.ended(r, lk, n, OutcomeCancelled, DetailNone, took, took/4)
 	})
 }
-func (h *coldHost) Nack(*Lookup, Micros) {}
-func (h *coldHost) Fail(*Lookup)         {}
-func (h *coldHost) Subscribe(bool)       {}
-func (h *coldHost) Log(string)           {}
-func (h *coldHost) Wake(in Micros, token int64) {
+func (h *coldHost) Reject(*Lookup, Micros)  {}
+func (h *coldHost) Fail(*Lookup)            {}
+func (h *coldHost) SubscribeEndpoints(bool) {}
+func (h *coldHost) Log(string)              {}
+func (h *coldHost) SetTimer(in Micros, token int64) {
 	r := h.r
 	h.w.after(in, func() {
 		if r == nil { // called from within Start
 			r = h.r
 		}
 		if h.r == r {
-			h.r.Woken(h.w.now, token)
+			h.r.TimerFired(h.w.now, token)
 		}
 	})
 }
 
-func (h *coldHost) ended(r *Router, lk *Lookup, n int, e Ending, remark Remark, took, waited Micros) {
-	if h.r == r && lk.sends[n].how >= 0 {
-		lk.sends[n].how = -1 // ends once
-		h.r.Ended(h.w.now, lk, n, e, remark, took, waited, e == Satisfied)
+func (h *coldHost) ended(r *Router, lk *Lookup, n int, e AttemptOutcome, remark OutcomeDetail, took, waited Micros) {
+	if h.r == r && lk.attempts[n].mode >= 0 {
+		lk.attempts[n].mode = -1 // ends once
+		h.r.AttemptEnded(h.w.now, lk, n, e, remark, took, waited, e == OutcomeSatisfied)
 	}
 }
 
-func (h *coldHost) Fetch(lk *Lookup, to, source *Cache, _ int, _ How, _, _, _ Micros) {
-	w, r, n := h.w, h.r, len(lk.sends)-1
+func (h *coldHost) Fetch(lk *Lookup, to, source *Cache, _ int, _ FetchMode, _, _, _ Micros) {
+	w, r, n := h.w, h.r, len(lk.attempts)-1
 	if (to == h.cold || source == h.cold) && w.cutOff(h) {
-		end, remark := Unconnected, Untold
+		end, remark := OutcomeConnectFailed, DetailNone
 		if to != h.cold {
-			end, remark = Errored, SourceLost
+			end, remark = OutcomeError, DetailSourceBroke
 		}
-		w.after(300*ms, func() { h.ended(r, lk, n, end, remark, 300*ms, 0) })
+		w.after(300*millisecond, func() { h.ended(r, lk, n, end, remark, 300*millisecond, 0) })
 		return
 	}
 	if to == h.cold {
-		w.sent = append(w.sent, coldSend{w.now, w.sizes[w.kindOf(h, lk)], h.cold.Started != w.started}) // the mean of its kind
+		w.sent = append(w.sent, coldSend{w.now, w.sizes[w.kindOf(h, lk)], h.cold.StartedAt != w.started}) // the mean of its kind
 	}
-	took, remark, end := 5*ms+lk.work, Hit, Satisfied
-	if w.chance.Float64() >= w.hits || to == h.cold && w.chance.Float64() < 0.5 || lk.missed == to {
-		took, remark = 2*took, Filled
+	took, remark, end := 5*millisecond+lk.work, DetailHit, OutcomeSatisfied
+	if w.chance.Float64() >= w.hits || to == h.cold && w.chance.Float64() < 0.5 || lk.missedAt == to {
+		took, remark = 2*took, DetailFilled
 		if source != to {
 			w.askFill(h, lk)
 		}
 		if source == h.cold {
-			w.sent = append(w.sent, coldSend{w.now, float64(lk.work), h.cold.Started != w.started})
+			w.sent = append(w.sent, coldSend{w.now, float64(lk.work), h.cold.StartedAt != w.started})
 		}
 		if source == to {
-			took, remark, end = 2*ms, Untold, Missed
+			took, remark, end = 2*millisecond, DetailNone, OutcomeMiss
 		}
 	}
-	if w.hard > 0 && end == Satisfied {
+	if w.hard > 0 && end == OutcomeSatisfied {
 		w.fleet.transfer(h, lk, n, to, source, remark)
 		return
 	}
-	if end == Satisfied { // nobody carries more than its link, warm ones neither
+	if end == OutcomeSatisfied { // nobody carries more than its link, warm ones neither
 		by := to
-		if remark == Filled && source != to {
+		if remark == DetailFilled && source != to {
 			by = source
 		}
 		if bears := w.links[by.Name]; bears > 0 {
@@ -216,9 +216,9 @@
 }
 
 func (w *coldWorld) share(at Micros) float64 {
-	from, span := w.its.ColdShare, w.its.ColdFor
+	from, span := w.its.SlowStartShare, w.its.SlowStartTime
 	if w.parent {
-		from, span = w.its.ParentColdShare, w.its.ParentColdFor
+		from, span = w.its.ParentSlowStartShare, w.its.ParentSlowStartTime
 	}
 	return min(1, from+(1-from)*float64(at-w.started)/float64(span))
 }
@@ -226,11 +226,11 @@
 // start begins a router anew: it forgets all but the list.
 func (h *coldHost) start() {
 	h.r = nil
-	h.r = Start(h.w.now, h.w.chance.Uint64(), h.w.its, h)
+	h.r = NewRouter(h.w.now, h.w.chance.Uint64(), h.w.its, h)
 	if h.w.view {
-		h.r.Fleet = h.w.routers
+		h.r.FleetSize = h.w.routers
 	}
-	var rows []Row
+	var rows []Endpoint
 	for i, c := range h.all {
 		*c = *NewCache(c.Name)
 		kind := 0
@@ -240,9 +240,9 @@
 			kind = 1
 		}
 		if c != h.cold || h.told {
-			row := Row{Cache: c, Kind: kind, Zone: min(kind, 1), Weight: 1}
+			row := Endpoint{Cache: c, Kind: kind, Zone: min(kind, 1), Weight: 1}
 			if c == h.cold {
-				row.Started = h.w.started
+				row.StartedAt = h.w.started
 			}
 			if h.w.drainAll && h.told && kind == 0 && c != h.cold {
 				continue
@@ -250,7 +250,7 @@
 			rows = append(rows, row)
 		}
 	}
-	h.r.Listed(h.w.now, CachedList, rows)
+	h.r.UpdateEndpoints(h.w.now, UpdateCached, rows)
 }
 
 // tell brings the start of the cold cache, and with drainAll that the others of its location end.
@@ -260,15 +260,15 @@
 	if h.w.parent {
 		kind = 1
 	}
-	rows := []Row{{Cache: h.cold, Kind: kind, Zone: kind, Weight: 1, Started: h.w.started}}
+	rows := []Endpoint{{Cache: h.cold, Kind: kind, Zone: kind, Weight: 1, StartedAt: h.w.started}}
 	for _, c := range h.r.edges {
 		if h.w.drainAll && c != h.cold {
-			row := c.Row
+			row := c.Endpoint
 			row.Cache, row.State = c, Gone
 			rows = append(rows, row)
 		}
 	}
-	h.r.Listed(h.w.now, Changes, rows)
+	h.r.UpdateEndpoints(h.w.now, UpdateDelta, rows)
 }
 
 // run plays one seed: 5 s with warm caches, then the start, told to each router within a second, and up to 6 s of warming.
@@ -283,13 +283,13 @@
 	}
 	fallFor := Micros(within(1, 1.5) * float64(second))
 	w.bears, w.sigma, w.hits = within(2, 10), within(0.6, 1), within(0.67, 0.79)
-	w.sizes = [2]float64{within(330, 520) * float64(ms), within(39, 100) * float64(ms)}
-	w.its = &Charter{Gateways: gateways, Seats: []int{gateways}, ParentKind: 1, OriginKind: 2, Joins: true, FirstByteTold: true, HitsTold: true,
-		FlowKB: 1000, SendLimit: 6, Cancelling: true, MaxRetryIn: second, ColdShare: within(0.16, 0.46), ColdFor: Micros(within(6, 13) * float64(second)),
-		FallMultiple: 2 + w.chance.Float64(), FallFor: fallFor, ParentColdShare: within(0.064, 0.14), ParentColdFor: Micros(within(13, 21) * float64(second)),
-		ParentFall: 2, PurgeDone: 6 * second, Kinds: []ObjectKind{
-			{Budget: 800 * ms, Stretch: 1.6, GiveUp: 5 * second, Utility: 2, LateUtility: 0.15, Memory: 5 * second},
-			{Budget: 400 * ms, Stretch: 2, GiveUp: 2500 * ms, Utility: 1, LateUtility: 0.2, Memory: 5 * second}}}
+	w.sizes = [2]float64{within(330, 520) * float64(millisecond), within(39, 100) * float64(millisecond)}
+	w.its = &Settings{Gateways: gateways, ZoneGateways: []int{gateways}, ParentKind: 1, OriginKind: 2, CoalescesFills: true, ReportsFirstByte: true, ReportsHits: true,
+		TransferKBPerSecond: 1000, MaxAttempts: 6, CanCancel: true, MaxRetryAfter: second, SlowStartShare: within(0.16, 0.46), SlowStartTime: Micros(within(6, 13) * float64(second)),
+		BreakMultiple: 2 + w.chance.Float64(), BreakWindow: fallFor, ParentSlowStartShare: within(0.064, 0.14), ParentSlowStartTime: Micros(within(13, 21) * float64(second)),
+		ParentBreakMultiple: 2, PurgeSettleTime: 6 * second, Kinds: []ObjectKind{
+			{LatencyBudget: 800 * millisecond, BudgetStretch: 1.6, Deadline: 5 * second, Utility: 2, LateUtilityShare: 0.15, DedupWindow: 5 * second},
+			{LatencyBudget: 400 * millisecond, BudgetStretch: 2, Deadline: 2500 * millisecond, Utility: 1, LateUtilityShare: 0.2, DedupWindow: 5 * second}}}
 	w.now, w.pace = 100*second, 1
 	w.drainAll = !c.parent // demand where an edge is cold: it is the last of its location
 	w.caches = caches
@@ -297,9 +297,9 @@
 	if c.hard > 0 {
 		load = w.drawHard(within)
 	}
-	multiple, cold := w.its.FallMultiple, caches-1
+	multiple, cold := w.its.BreakMultiple, caches-1
 	if c.parent { // parents have some room above the fills they get
-		multiple, cold = w.its.ParentFall, caches+parents-1
+		multiple, cold = w.its.ParentBreakMultiple, caches+parents-1
 	}
 	bears := w.bears // of the cold one and its like
 	if c.parent {
@@ -325,7 +325,7 @@
 		}
 		h.cold = h.all[cold]
 		w.hosts = append(w.hosts, h)
-		w.after(Micros(w.chance.Int64N(int64(sweepEvery))), h.start)
+		w.after(Micros(w.chance.Int64N(int64(sweepInterval))), h.start)
 	}
 	weights := 0.0
 	for _, h := range w.hosts {
@@ -339,11 +339,11 @@
 		var arrive func()
 		arrive = func() {
 			k := w.chance.IntN(2)
-			kb := w.sizes[k] / float64(ms) * math.Exp(w.sigma*w.chance.NormFloat64()-w.sigma*w.sigma/2)
-			h.r.Arrive(w.now, "", k, fmt.Sprint("o", zipf.Uint64()), w.chance.IntN(12), 3, kb, w.now+w.its.Kinds[k].GiveUp, false, false)
+			kb := w.sizes[k] / float64(millisecond) * math.Exp(w.sigma*w.chance.NormFloat64()-w.sigma*w.sigma/2)
+			h.r.StartLookup(w.now, "", k, fmt.Sprint("o", zipf.Uint64()), w.chance.IntN(12), 3, kb, w.now+w.its.Kinds[k].Deadline, false, false)
 			w.after(Micros(w.chance.ExpFloat64()*every*weights/h.weight/w.pace), arrive)
 		}
-		w.after(sweepEvery+Micros(w.chance.ExpFloat64()*every*weights/h.weight), arrive)
+		w.after(sweepInterval+Micros(w.chance.ExpFloat64()*every*weights/h.weight), arrive)
 	}
 	w.after(5*second, func() {
 		w.started, w.firstStart = w.now, w.now
@@ -360,7 +360,7 @@
 	}
 	if seed%2 == 0 { // all that is held is purged, and a burst comes: every router has demand at once
 		w.after(8*second, func() { w.hits, w.pace = 0, 3 })
-		w.after(9500*ms, func() { w.pace = 1 })
+		w.after(9500*millisecond, func() { w.pace = 1 })
 	}
 	t := tally{runs: 1}
 	var central, chance []coldSend // of the two ideals
@@ -379,7 +379,7 @@
 				}
 			}
 		}
-		const step = 10 * ms
+		const step = 10 * millisecond
 		if c.hard > 0 {
 			borne = bears // its limiter knows the real link
 		}
@@ -408,7 +408,7 @@
 		if at >= w.started+2*second { // all were told, and all had time for their first
 			t.rate += min(rate, w.fleet.demand(w, at, mean/every)) * float64(step)
 		}
-		if (at-w.started)%(50*ms) == 0 && at > w.started {
+		if (at-w.started)%(50*millisecond) == 0 && at > w.started {
 			n := multiple * w.share(at) * bears * float64(fallFor) / mean
 			most := (n + 2*math.Sqrt(n) + 2) * mean
 			in := func(sends []coldSend) bool {
@@ -435,8 +435,8 @@
 			w.after(step, watch)
 		}
 	}
-	w.after(5*second+ms, func() { w.now = w.started; watch() })
-	for end := w.now + 11*second + 2*ms; w.events.Len() > 0; {
+	w.after(5*second+millisecond, func() { w.now = w.started; watch() })
+	for end := w.now + 11*second + 2*millisecond; w.events.Len() > 0; {
 		e := heap.Pop(&w.events).(coldEvent)
 		if w.now = e.at; e.at > end {
 			break
--- a/internal/policy/cost_test.go
+++ b/internal/policy/cost_test.go
@@ -11,9 +11,9 @@
 
 // members is a list of n caches as one gateway of the large fleet sees it: its own edges, two parents in each of 25 zones, an origin, and
 // edges of other locations.
-func members(n, edges int) (rows []Row) {
+func members(n, edges int) (rows []Endpoint) {
 	for i := range n {
-		row := Row{Cache: NewCache(fmt.Sprintf("s-%08x", uint32(i)*2654435761)), Cell: i, Zone: 1 + i%24, Weight: 1}
+		row := Endpoint{Cache: NewCache(fmt.Sprintf("s-%08x", uint32(i)*2654435761)), Cell: i, Zone: 1 + i%24, Weight: 1}
 		switch {
 		case i == 0:
 			row.Kind = 2
@@ -28,10 +28,10 @@
 }
 
 // large starts a router with such a list.
-func large(t *testing.T, n, edges int) (*fake, []Row) {
+func large(t *testing.T, n, edges int) (*fake, []Endpoint) {
 	f, _ := play(t, nil)
 	rows := members(n, edges)
-	f.r.Listed(f.now, FullList, rows)
+	f.r.UpdateEndpoints(f.now, UpdateFull, rows)
 	if len(f.r.caches) != n || len(f.r.edges) != edges || len(f.r.parents) != 50 || f.r.origin == nil {
 		t.Fatalf("%d caches, %d edges, %d parents", len(f.r.caches), len(f.r.edges), len(f.r.parents))
 	}
@@ -45,8 +45,8 @@
 		f, rows := large(t, n, 6)
 		return costs.Micros(func(i int) {
 			row := rows[60+i%100]
-			row.State = State(i / 100 % 2) // drains, then is ready again
-			f.r.Listed(f.now, Changes, []Row{row})
+			row.State = EndpointState(i / 100 % 2) // drains, then is ready again
+			f.r.UpdateEndpoints(f.now, UpdateDelta, []Endpoint{row})
 		})
 	})
 }
@@ -57,7 +57,7 @@
 		[]int{225, 450, 900, 1800, 3600, 7200}, func(n int) float64 {
 			f, _ := play(t, nil)
 			return cost.Heap(func() any {
-				f.r.Listed(f.now, FullList, members(n, 6))
+				f.r.UpdateEndpoints(f.now, UpdateFull, members(n, 6))
 				return f.r
 			})
 		})
@@ -71,12 +71,12 @@
 			X: "edges of the own location", Y: "us of a core", Budget: 15, Of: "a sweep, 0.15% of a core at 100/s", At: 6}, []int{6, 12, 24, 72, 144, 288}, func(edges int) float64 {
 			f, _ := large(t, 1800, edges)
 			for i := range open {
-				f.r.Arrive(f.now, fmt.Sprint(i), 0, fmt.Sprint("object-", i), 0, 3, 449, f.now+3600*second, false, false)
+				f.r.StartLookup(f.now, fmt.Sprint(i), 0, fmt.Sprint("object-", i), 0, 3, 449, f.now+3600*second, false, false)
 			}
-			if held := max(0, open-int(firstLimit)*edges); len(f.r.open) != open-held || len(f.r.held) != held {
-				t.Fatalf("%d open, %d held of %d: expected %d held", len(f.r.open), len(f.r.held), open, held)
+			if held := max(0, open-int(initialLimit)*edges); len(f.r.openAttempts) != open-held || len(f.r.queued) != held {
+				t.Fatalf("%d open, %d held of %d: expected %d held", len(f.r.openAttempts), len(f.r.queued), open, held)
 			}
-			return costs.Micros(func(int) { f.r.Woken(f.now, sweep) })
+			return costs.Micros(func(int) { f.r.TimerFired(f.now, timerSweep) })
 		})
 	}
 }
@@ -90,19 +90,19 @@
 		names := make([]string, n)
 		for i := range names {
 			names[i] = fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15)
-			f.r.Purged(f.now, names[i], 0, 0)
+			f.r.ApplyPurge(f.now, names[i], 0, 0)
 		}
-		return costs.Micros(func(i int) { f.r.Purged(f.now, names[i%n], 0, 0) })
+		return costs.Micros(func(i int) { f.r.ApplyPurge(f.now, names[i%n], 0, 0) })
 	})
 	costs.Take(t, cost.Figure{Name: "logic-purged-heap", Title: "logic.Router: heap of the purges", X: "purges kept", Y: "bytes", Budget: 2 << 20, Of: "purges, 2 MB of 128", At: 6700},
 		sizes, func(n int) float64 {
 			f, _ := play(t, nil)
 			return cost.Heap(func() any {
 				for i := range n {
-					f.r.Purged(f.now, fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15), 0, 0)
+					f.r.ApplyPurge(f.now, fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15), 0, 0)
 				}
-				if len(f.r.purged) != n {
-					t.Errorf("%d kept of %d", len(f.r.purged), n)
+				if len(f.r.purges) != n {
+					t.Errorf("%d kept of %d", len(f.r.purges), n)
 				}
 				return f.r
 			})
@@ -111,28 +111,28 @@
 
 // The table of counts: its heap, and the halving of all of it, once a minute. It is never larger than tableBound for longer than a sweep.
 func TestCostCounts(t *testing.T) {
-	sizes := []int{7500, 15000, 30000, tableBound}
+	sizes := []int{7500, 15000, 30000, maxCounts}
 	fill := func(f *fake, n int) {
 		for i := range n {
-			f.r.counts[mix(uint64(i), 1)] = 0x1p1000 // none is gone before the thousandth halving
+			f.r.lookupCounts[mixHash(uint64(i), 1)] = 0x1p1000 // none is gone before the thousandth halving
 		}
 	}
-	costs.Take(t, cost.Figure{Name: "logic-counts-heap", Title: "logic.Router: heap of the counts", X: "counts", Y: "bytes", Budget: 4 << 20, Of: "counts, 4 MB of 128", At: tableBound},
+	costs.Take(t, cost.Figure{Name: "logic-counts-heap", Title: "logic.Router: heap of the counts", X: "counts", Y: "bytes", Budget: 4 << 20, Of: "counts, 4 MB of 128", At: maxCounts},
 		sizes, func(n int) float64 {
 			f, _ := play(t, nil)
 			return cost.Heap(func() any { fill(f, n); return f.r })
 		})
 	costs.Take(t, cost.Figure{Name: "logic-halve", Title: "logic.Router: processor time of halving the counts, once a minute", X: "counts", Y: "us of a core", Budget: 60000,
-		Of: "0.1% of a core, once a minute", At: tableBound}, sizes, func(n int) float64 {
+		Of: "0.1% of a core, once a minute", At: maxCounts}, sizes, func(n int) float64 {
 		f, _ := play(t, nil)
 		fill(f, n)
 		us := costs.Micros(func(i int) {
-			if f.r.halve(); i%900 == 899 {
+			if f.r.decayCounts(); i%900 == 899 {
 				fill(f, n)
 			}
 		})
-		if len(f.r.counts) != n {
-			t.Errorf("%d counts of %d are left", len(f.r.counts), n)
+		if len(f.r.lookupCounts) != n {
+			t.Errorf("%d counts of %d are left", len(f.r.lookupCounts), n)
 		}
 		return us
 	})
@@ -143,28 +143,28 @@
 func TestCountsAtTheSize(t *testing.T) {
 	f, _ := play(t, nil)
 	const perSecond = 564
-	was := f.r.halveAt
+	was := f.r.nextDecayAt
 	for s, n := 0, 0; s < 300; s++ {
 		for range perSecond - 2 {
-			f.r.counts[mix(uint64(n), 7)]++
+			f.r.lookupCounts[mixHash(uint64(n), 7)]++
 			n++
 		}
-		f.r.counts[1]++ // each second
+		f.r.lookupCounts[1]++ // each second
 		if s%60 == 30 {
-			f.r.counts[2]++ // once a minute
+			f.r.lookupCounts[2]++ // once a minute
 		}
 		f.pass(second)
-		if len(f.r.counts) > tableBound {
-			t.Fatalf("%d counts", len(f.r.counts))
+		if len(f.r.lookupCounts) > maxCounts {
+			t.Fatalf("%d counts", len(f.r.lookupCounts))
 		}
 	}
-	if f.r.halveAt != was+5*halveEvery {
-		t.Errorf("halved %v later than five times a minute: the table was full before its time", f.r.halveAt-was)
+	if f.r.nextDecayAt != was+5*countDecayInterval {
+		t.Errorf("halved %v later than five times a minute: the table was full before its time", f.r.nextDecayAt-was)
 	}
-	if got := f.r.counts[1]; got < 58 || got > 60.1 { // 120 just before a halving, half of it after
+	if got := f.r.lookupCounts[1]; got < 58 || got > 60.1 { // 120 just before a halving, half of it after
 		t.Errorf("an object of one lookup a second has %.1f after a halving", got)
 	}
-	if got, kept := f.r.counts[2]; kept {
+	if got, kept := f.r.lookupCounts[2]; kept {
 		t.Errorf("an object of one lookup a minute has %.1f after a halving: it would be told apart", got)
 	}
 }
--- a/internal/policy/fake_test.go
+++ b/internal/policy/fake_test.go
@@ -20,47 +20,47 @@
 	n          int
 	to, source *Cache
 	rank       int
-	how        How
+	how        FetchMode
 	oldest     Micros
 }
 
-func (f *fake) Fetch(lk *Lookup, to, source *Cache, rank int, how How, _, _, oldest Micros) {
-	if lk.over {
-		f.t.Fatalf("sent for %s after its final answer", lk.Door)
+func (f *fake) Fetch(lk *Lookup, to, source *Cache, rank int, how FetchMode, _, _, oldest Micros) {
+	if lk.ended {
+		f.t.Fatalf("sent for %s after its final answer", lk.ID)
 	}
-	f.sends = append(f.sends, sent{lk, len(lk.sends) - 1, to, source, rank, how, oldest})
+	f.sends = append(f.sends, sent{lk, len(lk.attempts) - 1, to, source, rank, how, oldest})
 }
-func (f *fake) say(v ...any)             { f.said = append(f.said, fmt.Sprint(v...)) }
-func (f *fake) Cancel(lk *Lookup, n int) { f.say("cancel ", lk.Door, n) }
-func (f *fake) Nack(lk *Lookup, _ Micros) {
-	f.say("nack ", lk.Door)
+func (f *fake) say(v ...any)                    { f.said = append(f.said, fmt.Sprint(v...)) }
+func (f *fake) CancelAttempt(lk *Lookup, n int) { f.say("cancel ", lk.ID, n) }
+func (f *fake) Reject(lk *Lookup, _ Micros) {
+	f.say("nack ", lk.ID)
 }
-func (f *fake) Fail(lk *Lookup)    { f.say("fail ", lk.Door) }
-func (f *fake) Wake(Micros, int64) { f.wakes++ }
-func (f *fake) Subscribe(bool)     { f.say("subscribe") }
-func (f *fake) Log(string)         {}
+func (f *fake) Fail(lk *Lookup)         { f.say("fail ", lk.ID) }
+func (f *fake) SetTimer(Micros, int64)  { f.wakes++ }
+func (f *fake) SubscribeEndpoints(bool) { f.say("subscribe") }
+func (f *fake) Log(string)              {}
 
 // play starts a router with three caches, two parents and an origin; charter changes are made by the story.
-func play(t *testing.T, change func(*Charter)) (*fake, []*Cache) {
-	its := &Charter{Gateways: 2, Seats: []int{2}, ParentKind: 1, OriginKind: 2, Joins: true, FirstByteTold: true, HitsTold: true,
-		FlowKB: 1000, SendLimit: 6, Cancelling: true, MaxRetryIn: second, ColdShare: 0.2,
-		ColdFor: 10 * second, FallMultiple: 2, FallFor: second, ParentColdShare: 0.1, ParentColdFor: 20 * second,
-		ParentFall: 2, PurgeDone: 6 * second, Kinds: []ObjectKind{
-			{Budget: 400 * ms, Stretch: 1.5, GiveUp: 5 * second, Utility: 2, Memory: 5 * second},
-			{Budget: 300 * ms, Stretch: 2, GiveUp: 3 * second, Utility: 1, Fresh: 8 * second, Memory: 5 * second}}}
+func play(t *testing.T, change func(*Settings)) (*fake, []*Cache) {
+	its := &Settings{Gateways: 2, ZoneGateways: []int{2}, ParentKind: 1, OriginKind: 2, CoalescesFills: true, ReportsFirstByte: true, ReportsHits: true,
+		TransferKBPerSecond: 1000, MaxAttempts: 6, CanCancel: true, MaxRetryAfter: second, SlowStartShare: 0.2,
+		SlowStartTime: 10 * second, BreakMultiple: 2, BreakWindow: second, ParentSlowStartShare: 0.1, ParentSlowStartTime: 20 * second,
+		ParentBreakMultiple: 2, PurgeSettleTime: 6 * second, Kinds: []ObjectKind{
+			{LatencyBudget: 400 * millisecond, BudgetStretch: 1.5, Deadline: 5 * second, Utility: 2, DedupWindow: 5 * second},
+			{LatencyBudget: 300 * millisecond, BudgetStretch: 2, Deadline: 3 * second, Utility: 1, MaxAge: 8 * second, DedupWindow: 5 * second}}}
 	if change != nil {
 		change(its)
 	}
 	f := &fake{t: t, now: 100 * second}
-	f.r = Start(f.now, 7, its, f)
+	f.r = NewRouter(f.now, 7, its, f)
 	var all []*Cache
-	var rows []Row
+	var rows []Endpoint
 	for i, kind := range []int{0, 0, 0, 1, 1, 2} {
 		c := NewCache(fmt.Sprint("c", i))
 		all = append(all, c)
-		rows = append(rows, Row{Cache: c, Kind: kind, Cell: i, Zone: min(kind, 1), Weight: 1})
+		rows = append(rows, Endpoint{Cache: c, Kind: kind, Cell: i, Zone: min(kind, 1), Weight: 1})
 	}
-	f.r.Listed(f.now, CachedList, rows)
+	f.r.UpdateEndpoints(f.now, UpdateCached, rows)
 	return f, all
 }
 
@@ -71,25 +71,25 @@
 
 func (f *fake) askSized(kind int, object string, kb float64) *Lookup {
 	name := fmt.Sprint("lk", len(f.sends), "-", object, "-", f.now)
-	return f.r.Arrive(f.now, name, kind, object, 0, 3, kb, f.now+3*second, false, false)
+	return f.r.StartLookup(f.now, name, kind, object, 0, 3, kb, f.now+3*second, false, false)
 }
 
 func (f *fake) last() sent { return f.sends[len(f.sends)-1] }
 
-func (f *fake) end(s sent, e Ending, remark Remark, took Micros) {
-	f.r.Ended(f.now, s.lk, s.n, e, remark, took, took, e == Satisfied)
+func (f *fake) end(s sent, e AttemptOutcome, remark OutcomeDetail, took Micros) {
+	f.r.AttemptEnded(f.now, s.lk, s.n, e, remark, took, took, e == OutcomeSatisfied)
 }
 
 // pass lets time go by in sweeps.
 func (f *fake) pass(span Micros) {
 	for till := f.now + span; f.now < till; {
-		f.now += sweepEvery
-		f.r.Woken(f.now, sweep)
+		f.now += sweepInterval
+		f.r.TimerFired(f.now, timerSweep)
 	}
 }
 
-func (f *fake) relist(c *Cache, state State, started Micros) {
-	row := c.Row
-	row.Cache, row.State, row.Started = c, state, started
-	f.r.Listed(f.now, Changes, []Row{row})
+func (f *fake) relist(c *Cache, state EndpointState, started Micros) {
+	row := c.Endpoint
+	row.Cache, row.State, row.StartedAt = c, state, started
+	f.r.UpdateEndpoints(f.now, UpdateDelta, []Endpoint{row})
 }
--- a/internal/policy/hardfleet_test.go
+++ b/internal/policy/hardfleet_test.go
@@ -50,11 +50,11 @@
 
 // askFill tells the limiter of a fill whose home is the cold parent.
 func (w *coldWorld) askFill(h *coldHost, lk *Lookup) {
-	if w.hard == 0 || !w.parent || w.started == 0 || h.r.order(lk.hash, h.r.parents)[0] != h.cold {
+	if w.hard == 0 || !w.parent || w.started == 0 || h.r.rendezvousOrder(lk.objectHash, h.r.parents)[0] != h.cold {
 		return
 	}
 	rate := limiterRate * w.share(w.now) * w.fleet.bears
-	depth := max(rate*float64(w.its.FallFor)*max(0.2, (w.its.ParentFall-1)*limiterBurst), (w.sizes[0]+w.sizes[1])/2)
+	depth := max(rate*float64(w.its.BreakWindow)*max(0.2, (w.its.ParentBreakMultiple-1)*limiterBurst), (w.sizes[0]+w.sizes[1])/2)
 	judged := w.now >= w.started+2*second && w.now <= w.started+6*second && w.share(w.now) < 1
 	w.fleet.asked.ask(w.now, rate, depth, float64(lk.work), judged)
 }
@@ -86,7 +86,7 @@
 // drawHard draws links and multiple, and returns the load.
 func (w *coldWorld) drawHard(within func(a, b float64) float64) float64 {
 	w.bears = math.Exp(within(math.Log(2), math.Log(40)))
-	w.its.FallMultiple, w.its.ParentFall = w.hard, w.hard
+	w.its.BreakMultiple, w.its.ParentBreakMultiple = w.hard, w.hard
 	w.fleet.shareFactor = within(1, 1.3)
 	if w.chance.Float64() < 0.3 {
 		w.fleet.anewAt = Micros(within(2, 4) * float64(second))
@@ -165,17 +165,17 @@
 }
 
 // transfer carries a satisfied send over the cache's link, a fill over its source's too.
-func (f *hardFleet) transfer(h *coldHost, lk *Lookup, n int, to, source *Cache, remark Remark) {
+func (f *hardFleet) transfer(h *coldHost, lk *Lookup, n int, to, source *Cache, remark OutcomeDetail) {
 	w, r, began := h.w, h.r, h.w.now
 	waited, left := Micros(0), 1
 	ended := func() {
 		if left--; left == 0 {
-			took := w.now - began + 5*ms
-			w.after(5*ms, func() { h.ended(r, lk, n, Satisfied, remark, took, waited) })
+			took := w.now - began + 5*millisecond
+			w.after(5*millisecond, func() { h.ended(r, lk, n, OutcomeSatisfied, remark, took, waited) })
 		}
 	}
-	if upstream := f.links[source.Name]; remark == Filled && upstream != nil {
-		waited, left = 30*ms, 2
+	if upstream := f.links[source.Name]; remark == DetailFilled && upstream != nil {
+		waited, left = 30*millisecond, 2
 		w.after(waited, func() { upstream.start(lk.work, ended) })
 	}
 	f.links[to.Name].start(lk.work, ended)
@@ -229,7 +229,7 @@
 		return
 	}
 	in := Micros(math.Ceil((l.active[0].until - l.done) / l.pace()))
-	l.world.after(min(max(in, 1), 50*ms), func() {
+	l.world.after(min(max(in, 1), 50*millisecond), func() {
 		if l.version != version {
 			return
 		}
--- a/internal/policy/logic_test.go
+++ b/internal/policy/logic_test.go
@@ -11,9 +11,9 @@
 		f, _ := play(t, nil)
 		f.ask(0, "a")
 		first := f.last()
-		f.end(first, Satisfied, Filled, 120*ms)
+		f.end(first, OutcomeSatisfied, DetailFilled, 120*millisecond)
 		f.ask(0, "a")
-		if again := f.last(); again.to != first.to || again.source != first.source || again.how&Join == 0 {
+		if again := f.last(); again.to != first.to || again.source != first.source || again.how&ModeCoalesce == 0 {
 			t.Fatalf("moved from %s to %s", first.to.Name, again.to.Name)
 		}
 		if first.rank != 1 || first.source.Kind != 1 {
@@ -41,7 +41,7 @@
 		for i := range 40 {
 			f.ask(1, fmt.Sprint(i))
 			home[i] = f.last().to
-			f.end(f.last(), Satisfied, Hit, 100*ms)
+			f.end(f.last(), OutcomeSatisfied, DetailHit, 100*millisecond)
 		}
 		f.relist(all[0], Gone, 0)
 		for i := range 40 {
@@ -49,7 +49,7 @@
 			if to := f.last().to; to == all[0] || home[i] != all[0] && to != home[i] {
 				t.Fatalf("object %d went from %s to %s", i, home[i].Name, to.Name)
 			}
-			f.end(f.last(), Satisfied, Hit, 100*ms)
+			f.end(f.last(), OutcomeSatisfied, DetailHit, 100*millisecond)
 		}
 	})
 }
@@ -58,7 +58,7 @@
 // copies of other kinds go on meeting at their home parent.
 func TestPassThroughNamesOrigin(t *testing.T) {
 	start := func(t *testing.T) (*fake, []*Cache) {
-		return play(t, func(c *Charter) { c.Kinds[1].PassThrough = true })
+		return play(t, func(c *Settings) { c.Kinds[1].PassThrough = true })
 	}
 	t.Run("it names the origin, a kind that is kept names a parent", func(t *testing.T) {
 		f, all := start(t)
@@ -73,7 +73,7 @@
 		f, all := start(t)
 		f.relist(all[3], Ready, f.now)
 		f.relist(all[4], Ready, f.now)
-		f.r.limitFills()
+		f.r.cutFillLimit()
 		f.ask(1, "a")
 		if len(f.sends) != 1 || f.last().source != all[5] {
 			t.Fatalf("%d sends", len(f.sends))
@@ -89,7 +89,7 @@
 	})
 	t.Run("by a parent where its scope names sources and the origin is none of them", func(t *testing.T) {
 		f, all := start(t)
-		f.r.Within(&Scope{Sources: map[string]bool{all[3].Name: true}})
+		f.r.SetNextScope(&Scope{Sources: map[string]bool{all[3].Name: true}})
 		f.ask(1, "a")
 		if got := f.last().source; got != all[3] {
 			t.Fatalf("by %s", got.Name)
@@ -111,12 +111,12 @@
 	})
 	t.Run("no copy older than a purge, and never 0", func(t *testing.T) {
 		f, _ := play(t, nil)
-		f.r.Purged(f.now, "", 3, 0)
+		f.r.ApplyPurge(f.now, "", 3, 0)
 		f.ask(1, "a")
-		if got := f.last().oldest; got <= 0 || got > 10*ms {
+		if got := f.last().oldest; got <= 0 || got > 10*millisecond {
 			t.Fatal(got)
 		}
-		f.end(f.last(), Satisfied, Filled, 100*ms)
+		f.end(f.last(), OutcomeSatisfied, DetailFilled, 100*millisecond)
 		f.pass(2 * second)
 		f.ask(1, "a")
 		if got := f.last().oldest; got != 2*second {
@@ -124,31 +124,31 @@
 		}
 	})
 	t.Run("a side-effecting lookup that may have run is failed, not repeated", func(t *testing.T) {
-		f, _ := play(t, func(c *Charter) { c.Kinds[0].Effect = SideEffecting })
+		f, _ := play(t, func(c *Settings) { c.Kinds[0].Effect = SideEffecting })
 		f.ask(0, "a")
-		f.end(f.last(), TurnedAway, Untold, ms)
-		f.pass(100 * ms)
+		f.end(f.last(), OutcomeRejected, DetailNone, millisecond)
+		f.pass(100 * millisecond)
 		if len(f.sends) != 2 {
 			t.Fatalf("%d sends after one that never ran", len(f.sends))
 		}
-		f.end(f.last(), Reset, Untold, ms)
-		f.pass(100 * ms)
+		f.end(f.last(), OutcomeReset, DetailNone, millisecond)
+		f.pass(100 * millisecond)
 		if len(f.sends) != 2 || len(f.said) != 1 || f.said[0][:4] != "fail" {
 			t.Fatal(len(f.sends), f.said)
 		}
 	})
 	t.Run("a deduplicated lookup stays in its circle", func(t *testing.T) {
-		f, _ := play(t, func(c *Charter) { c.Kinds[0].Effect, c.Kinds[0].Circle = Deduplicated, SameCell })
+		f, _ := play(t, func(c *Settings) { c.Kinds[0].Effect, c.Kinds[0].DedupScope = Deduplicated, SameCell })
 		f.ask(0, "a")
 		first := f.last().to
-		f.end(f.last(), Reset, Untold, ms)
-		f.pass(100 * ms)
+		f.end(f.last(), OutcomeReset, DetailNone, millisecond)
+		f.pass(100 * millisecond)
 		if len(f.sends) != 2 || f.last().to != first {
 			t.Fatalf("%d sends, last to %s after %s", len(f.sends), f.last().to.Name, first.Name)
 		}
 		f.relist(first, Gone, 0)
-		f.end(f.last(), Reset, Untold, ms)
-		f.pass(100 * ms)
+		f.end(f.last(), OutcomeReset, DetailNone, millisecond)
+		f.pass(100 * millisecond)
 		if len(f.sends) != 2 || f.said[0][:4] != "fail" {
 			t.Fatal(len(f.sends), f.said)
 		}
@@ -158,13 +158,13 @@
 		f.relist(all[0], Ready, f.now)
 		sent := 0
 		for i := range 100 {
-			f.now += 10 * ms
+			f.now += 10 * millisecond
 			f.ask(0, fmt.Sprint(i))
 			if len(f.sends) > 0 && f.last().to == all[0] {
 				sent++
 			}
 			if len(f.sends) > 0 && f.last().to != all[0] { // a link that small has answered none of them by then
-				f.end(f.last(), Satisfied, Hit, 100*ms)
+				f.end(f.last(), OutcomeSatisfied, DetailHit, 100*millisecond)
 			}
 		}
 		if cap := 3; sent > cap { // 0.3 of one transfer twice over, by two routers, is 3 lookups of 100 ms a second
@@ -173,20 +173,20 @@
 	})
 	t.Run("a cold cache that is slow is sent less, one that answers at full pace up to the multiple of what it carried", func(t *testing.T) {
 		sent := map[Micros]int{}
-		for _, took := range []Micros{100 * ms, 400 * ms} {
+		for _, took := range []Micros{100 * millisecond, 400 * millisecond} {
 			f, all := play(t, nil)
 			f.relist(all[0], Ready, f.now)
 			var due []sentAt
 			carried := 0
 			for i := range 400 {
-				f.now += 10 * ms
+				f.now += 10 * millisecond
 				for len(due) > 0 && due[0].at <= f.now {
-					f.r.Ended(f.now, due[0].lk, due[0].n, Satisfied, Hit, took, 0, true)
+					f.r.AttemptEnded(f.now, due[0].lk, due[0].n, OutcomeSatisfied, DetailHit, took, 0, true)
 					due, carried = due[1:], carried+1
 				}
 				f.ask(0, fmt.Sprint(i))
 				if s := f.last(); s.to != all[0] {
-					f.end(s, Satisfied, Hit, 100*ms)
+					f.end(s, OutcomeSatisfied, DetailHit, 100*millisecond)
 				} else if len(due) == 0 || due[len(due)-1].lk != s.lk {
 					due = append(due, sentAt{s, f.now + took})
 					sent[took]++
@@ -196,7 +196,7 @@
 				}
 			}
 		}
-		if sent[400*ms] > 12 || sent[100*ms] < 2*sent[400*ms] {
+		if sent[400*millisecond] > 12 || sent[100*millisecond] < 2*sent[400*millisecond] {
 			t.Fatalf("%v sends in 4 s, by the time that each takes", sent)
 		}
 	})
@@ -205,41 +205,41 @@
 		f.relist(all[0], Ready, f.now-5*second)
 		first := all[0].warmingSince
 		for range 2 {
-			f.now += 100 * ms
-			s := &Send{lk: f.ask(0, "a"), to: all[0], source: all[0], at: f.now}
-			f.r.edgeBack(s, &ending{end: Unconnected})
+			f.now += 100 * millisecond
+			s := &Attempt{lookup: f.ask(0, "a"), edge: all[0], source: all[0], startedAt: f.now}
+			f.r.noteEdgeOutcome(s, &attemptReport{outcome: OutcomeConnectFailed})
 		}
 		if !all[0].ejected {
 			t.Fatal("two refused connections and not out")
 		}
 		f.now += 2 * second
-		all[0].probe = &Send{lk: f.ask(0, "b"), to: all[0], source: all[0], at: f.now}
-		f.r.noteAnswer(all[0], all[0].probe)
+		all[0].probe = &Attempt{lookup: f.ask(0, "b"), edge: all[0], source: all[0], startedAt: f.now}
+		f.r.noteSuccess(all[0], all[0].probe)
 		if all[0].warmingSince <= first {
 			t.Fatalf("warming since %d, before its death since %d", all[0].warmingSince, first)
 		}
 	})
 	t.Run("a cold cache is sent the whole lookup once, also while fills are pressed", func(t *testing.T) {
-		f, all := play(t, func(c *Charter) { c.ColdShare = 0.9 })
+		f, all := play(t, func(c *Settings) { c.SlowStartShare = 0.9 })
 		f.relist(all[0], Ready, f.now)
-		f.r.limitFills()
+		f.r.cutFillLimit()
 		for i := range 50 {
 			f.ask(0, fmt.Sprint(i))
 			if s := f.last(); s.to == all[0] && s.source == s.to {
 				t.Fatal("a look at a cold cache, which counts as much as the fill that follows")
 			}
-			f.end(f.last(), Satisfied, Filled, 100*ms)
-			f.pass(20 * ms)
+			f.end(f.last(), OutcomeSatisfied, DetailFilled, 100*millisecond)
+			f.pass(20 * millisecond)
 		}
 	})
 	t.Run("one final answer, and nothing after it", func(t *testing.T) {
 		f, _ := play(t, nil)
 		lk := f.ask(0, "a")
 		s := f.last()
-		f.r.Departed(f.now, lk)
-		f.end(s, Cancelled, Untold, ms)
+		f.r.ClientGone(f.now, lk)
+		f.end(s, OutcomeCancelled, DetailNone, millisecond)
 		f.pass(4 * second)
-		if len(f.sends) != 1 || len(f.said) != 1 || !lk.Over() {
+		if len(f.sends) != 1 || len(f.said) != 1 || !lk.Ended() {
 			t.Fatal(len(f.sends), f.said)
 		}
 	})
@@ -247,8 +247,8 @@
 		f, _ := play(t, nil)
 		lk := f.ask(0, "a")
 		f.now += 3 * second
-		f.end(f.last(), TimedOut, Untold, 3*second)
-		if !lk.Over() || len(f.said) != 1 {
+		f.end(f.last(), OutcomeTimeout, DetailNone, 3*second)
+		if !lk.Ended() || len(f.said) != 1 {
 			t.Fatal(f.said)
 		}
 	})
@@ -266,25 +266,25 @@
 		for i := range 20 {
 			lk := f.askSized(0, fmt.Sprint("o", i), 20)
 			s := f.last()
-			f.r.Ended(f.now, lk, s.n, Satisfied, Filled, 120*ms, 100*ms, true)
+			f.r.AttemptEnded(f.now, lk, s.n, OutcomeSatisfied, DetailFilled, 120*millisecond, 100*millisecond, true)
 		}
 		large := f.askSized(0, "large", 200)
-		large.missed = all[0]
-		if took := large.kind.expects(f.now, large); took < 280*ms || took > 320*ms {
+		large.missedAt = all[0]
+		if took := large.kind.expectedLatency(f.now, large); took < 280*millisecond || took > 320*millisecond {
 			t.Errorf("expected to take %d us", took)
 		}
 	})
 	t.Run("what every send of it ends in an error is asked for three times, and a fill that failed goes on", func(t *testing.T) {
-		for remark, sends := range map[Remark]int{Untold: 3, OriginFailed: 4} {
+		for remark, sends := range map[OutcomeDetail]int{DetailNone: 3, DetailOriginFailed: 4} {
 			f, _ := play(t, nil)
 			lk := f.ask(0, "unknown")
 			for range 3 {
-				f.now += 5 * ms
-				f.end(f.last(), Errored, remark, 5*ms)
+				f.now += 5 * millisecond
+				f.end(f.last(), OutcomeError, remark, 5*millisecond)
 			}
-			f.pass(40 * ms)
-			if len(f.sends) != sends || lk.over != (sends == 3) {
-				t.Errorf("remark %d: %d sends, over %v, %v", remark, len(f.sends), lk.over, f.said)
+			f.pass(40 * millisecond)
+			if len(f.sends) != sends || lk.ended != (sends == 3) {
+				t.Errorf("remark %d: %d sends, over %v, %v", remark, len(f.sends), lk.ended, f.said)
 			}
 		}
 	})
@@ -292,14 +292,14 @@
 		f, _ := play(t, nil)
 		f.ask(0, "o")
 		bad := f.last().to
-		for range errorsOut {
+		for range errorsToEject {
 			f.ask(0, "o")
 			if s := f.last(); s.to != bad {
 				t.Fatalf("sent to %s first", s.to.Name)
 			}
-			few := bad.errors < errorsMove-1 // say little: the copy is there
-			if f.end(f.last(), Errored, Untold, ms); (f.last().to == bad) != few {
-				t.Fatalf("sent on to %s after %d in a row", f.last().to.Name, bad.errors)
+			few := bad.errorsInRow < errorsToAvoid-1 // say little: the copy is there
+			if f.end(f.last(), OutcomeError, DetailNone, millisecond); (f.last().to == bad) != few {
+				t.Fatalf("sent on to %s after %d in a row", f.last().to.Name, bad.errorsInRow)
 			}
 		}
 		if f.ask(0, "o"); !bad.ejected || f.last().to == bad {
@@ -307,24 +307,24 @@
 		}
 	})
 	t.Run("errors and resets have accounts of their own, and a good answer closes both", func(t *testing.T) {
-		for _, mixed := range [][]Ending{{Errored, Reset}, {Reset, Errored}, {Errored, Errored, Errored, Errored, Errored}} {
+		for _, mixed := range [][]AttemptOutcome{{OutcomeError, OutcomeReset}, {OutcomeReset, OutcomeError}, {OutcomeError, OutcomeError, OutcomeError, OutcomeError, OutcomeError}} {
 			f, _ := play(t, nil)
 			f.ask(0, "o")
 			home := f.last().to
 			for _, e := range mixed {
-				f.pass(10 * ms) // a reset counts for sends after the last one only
+				f.pass(10 * millisecond) // a reset counts for sends after the last one only
 				f.ask(0, "o")
 				s := f.last()
 				if s.to != home {
 					t.Fatalf("%v: home is left", mixed)
 				}
-				f.r.Ended(f.now, s.lk, s.n, e, Untold, 5*ms, 0, true) // its client leaves: nothing more is asked of home
+				f.r.AttemptEnded(f.now, s.lk, s.n, e, DetailNone, 5*millisecond, 0, true) // its client leaves: nothing more is asked of home
 			}
 			if home.ejected {
 				t.Errorf("%v put home out", mixed)
 			}
 			f.ask(0, "o")
-			if f.end(f.last(), Satisfied, Hit, 5*ms); home.errors+home.strikes > 0 {
+			if f.end(f.last(), OutcomeSatisfied, DetailHit, 5*millisecond); home.errorsInRow+home.failuresInRow > 0 {
 				t.Errorf("%v: a good answer leaves an account open", mixed)
 			}
 		}
@@ -333,25 +333,25 @@
 		f, _ := play(t, nil)
 		f.ask(0, "usual")
 		f.askSized(0, "odd", 1e9)
-		if len(f.sends) != 1 || len(f.said) != 1 || f.r.kinds[0].mean(f.now) > float64(f.r.kinds[0].GiveUp) {
-			t.Errorf("%d sends, %v, mean %.0f", len(f.sends), f.said, f.r.kinds[0].mean(f.now))
+		if len(f.sends) != 1 || len(f.said) != 1 || f.r.kinds[0].meanWork(f.now) > float64(f.r.kinds[0].Deadline) {
+			t.Errorf("%d sends, %v, mean %.0f", len(f.sends), f.said, f.r.kinds[0].meanWork(f.now))
 		}
 	})
 	t.Run("a day of ever new objects keeps a bounded table, and a count lasts as long as a copy is asked for", func(t *testing.T) {
 		f, _ := play(t, nil)
-		for i := range tableBound + 10 {
-			f.r.Arrive(f.now, fmt.Sprint(i), 0, fmt.Sprint("new", i), 0, 3, 1e9, f.now+second, false, false)
+		for i := range maxCounts + 10 {
+			f.r.StartLookup(f.now, fmt.Sprint(i), 0, fmt.Sprint("new", i), 0, 3, 1e9, f.now+second, false, false)
 			if i%20 == 0 {
-				f.r.Arrive(f.now, "u", 0, "usual", 0, 3, 1e9, f.now+second, false, false)
+				f.r.StartLookup(f.now, "u", 0, "usual", 0, 3, 1e9, f.now+second, false, false)
 			}
 		}
-		f.r.Purged(f.now, "usual", 0, 0)
-		f.pass(sweepEvery)
-		if len(f.r.counts) != 1 {
-			t.Errorf("%d counts left", len(f.r.counts))
+		f.r.ApplyPurge(f.now, "usual", 0, 0)
+		f.pass(sweepInterval)
+		if len(f.r.lookupCounts) != 1 {
+			t.Errorf("%d counts left", len(f.r.lookupCounts))
 		}
-		f.pass(2 * halveEvery)
-		if len(f.r.purged) != 0 {
+		f.pass(2 * countDecayInterval)
+		if len(f.r.purges) != 0 {
 			t.Error("a purge is kept though no copy can be older")
 		}
 	})
@@ -362,19 +362,19 @@
 			f.ask(0, fmt.Sprint("o", i))
 			out = append(out, f.last())
 		}
-		f.now += 10 * ms
+		f.now += 10 * millisecond
 		for _, s := range out {
-			f.end(s, Reset, Untold, 10*ms)
-			if again := f.last(); again.lk != s.lk || again.to != s.to || s.to.ejected || s.to.died {
-				t.Fatalf("%s went to %s after %s; out %v", s.lk.Door, again.to.Name, s.to.Name, s.to.ejected)
+			f.end(s, OutcomeReset, DetailNone, 10*millisecond)
+			if again := f.last(); again.lk != s.lk || again.to != s.to || s.to.ejected || s.to.restartsCold {
+				t.Fatalf("%s went to %s after %s; out %v", s.lk.ID, again.to.Name, s.to.Name, s.to.ejected)
 			}
 		}
-		f.now += 10 * ms
+		f.now += 10 * millisecond
 		again := f.last()
-		if f.end(again, Reset, Untold, 10*ms); !again.to.ejected {
+		if f.end(again, OutcomeReset, DetailNone, 10*millisecond); !again.to.ejected {
 			t.Error("in after a second break without an answer between")
 		}
-		if again.to.died {
+		if again.to.restartsCold {
 			t.Error("thought dead though nothing was refused")
 		}
 	})
@@ -383,17 +383,17 @@
 		for i := 0; !all[0].ejected && i < 200; i++ {
 			f.ask(0, fmt.Sprint(i))
 			if s := f.last(); s.to != all[0] {
-				f.end(s, Satisfied, Hit, 100*ms)
+				f.end(s, OutcomeSatisfied, DetailHit, 100*millisecond)
 			}
-			f.pass(120 * ms)
+			f.pass(120 * millisecond)
 		}
 		if !all[0].ejected {
 			t.Fatal("never left")
 		}
 		for i := 0; all[0].ejected && i < 400; i++ {
 			f.ask(1, fmt.Sprint("x", i))
-			f.end(f.last(), Satisfied, Hit, 100*ms)
-			f.pass(120 * ms)
+			f.end(f.last(), OutcomeSatisfied, DetailHit, 100*millisecond)
+			f.pass(120 * millisecond)
 		}
 		if all[0].ejected {
 			t.Fatal("never back")
@@ -405,13 +405,13 @@
 		for i := range 40 {
 			f.ask(0, fmt.Sprint(i))
 			if s := f.last(); s.source == s.to {
-				if s.how&Join != 0 {
+				if s.how&ModeCoalesce != 0 {
 					t.Fatal("a look that may wait for a fill shows nothing")
 				}
 				looks++
-				f.end(s, Missed, Untold, ms) // its fill stays out, as the others
+				f.end(s, OutcomeMiss, DetailNone, millisecond) // its fill stays out, as the others
 			}
-			f.pass(50 * ms)
+			f.pass(50 * millisecond)
 		}
 		for _, c := range all {
 			if c.ejected || looks == 0 {
@@ -423,18 +423,18 @@
 		for _, alone := range []bool{true, false} {
 			f, all := play(t, nil)
 			for i := range 40 { // at first one parent answers; then, not alone, it owes as well
-				f.now += Micros(i/20) * ms
+				f.now += Micros(i/20) * millisecond
 				f.ask(0, fmt.Sprint(i))
 				if s := f.last(); s.source == all[4] && (alone || i < 20) {
-					f.end(s, Satisfied, Filled, 100*ms)
+					f.end(s, OutcomeSatisfied, DetailFilled, 100*millisecond)
 				}
 			}
 			for range 60 { // the caches answer others
-				f.now += 20 * ms
+				f.now += 20 * millisecond
 				for _, c := range all[:3] {
-					c.heard = f.now
+					c.lastSuccessAt = f.now
 				}
-				f.r.Woken(f.now, sweep)
+				f.r.TimerFired(f.now, timerSweep)
 			}
 			if all[3].ejected != alone {
 				t.Fatalf("alone %v: out %v", alone, all[3].ejected)
@@ -443,8 +443,8 @@
 	})
 	t.Run("a crowded home spills to the second in hash order, never to a third", func(t *testing.T) {
 		f, _ := play(t, nil)
-		order := f.r.order(mix(hashOf("a"), 1), f.r.edges)
-		order[0].limit, order[1].limit = 1, 1
+		order := f.r.rendezvousOrder(mixHash(hashString("a"), 1), f.r.edges)
+		order[0].attemptLimit, order[1].attemptLimit = 1, 1
 		for range 4 {
 			f.ask(0, "a")
 		}
@@ -453,88 +453,88 @@
 		}
 	})
 	t.Run("many routers before one slow cache take turns, each under one open send", func(t *testing.T) {
-		f, _ := play(t, func(c *Charter) { c.Seats = []int{20} })
-		home := f.r.order(mix(hashOf("a"), 1), f.r.edges)[0]
+		f, _ := play(t, func(c *Settings) { c.ZoneGateways = []int{20} })
+		home := f.r.rendezvousOrder(mixHash(hashString("a"), 1), f.r.edges)[0]
 		for range 40 {
 			f.ask(0, "a")
 			if s := f.last(); s.to == home {
 				f.now += 2 * second
-				f.end(s, Satisfied, Hit, 2*second)
-				if home.limit < 0.9 && home.pauseTill <= f.now {
-					t.Fatalf("no pause at a limit of %.2f", home.limit)
+				f.end(s, OutcomeSatisfied, DetailHit, 2*second)
+				if home.attemptLimit < 0.9 && home.pausedUntil <= f.now {
+					t.Fatalf("no pause at a limit of %.2f", home.attemptLimit)
 				}
 			}
-			f.pass(100 * ms)
+			f.pass(100 * millisecond)
 		}
-		if home.limit >= 1 || home.limit < leastOpen/20 {
-			t.Fatalf("limit %.2f", home.limit)
+		if home.attemptLimit >= 1 || home.attemptLimit < minOpen/20 {
+			t.Fatalf("limit %.2f", home.attemptLimit)
 		}
 		n := len(f.sends)
-		home.pauseTill = f.now + second
+		home.pausedUntil = f.now + second
 		if f.ask(0, "a"); len(f.sends) > n && f.last().to == home {
 			t.Fatal("sent out of turn")
 		}
 	})
 	t.Run("a held miss is given up once fills of late take longer than it has left", func(t *testing.T) {
-		for _, took := range []Micros{100 * ms, 400 * ms} {
+		for _, took := range []Micros{100 * millisecond, 400 * millisecond} {
 			f, _ := play(t, nil)
 			for i := range 5 {
 				f.ask(0, fmt.Sprint("x", i))
-				f.end(f.last(), Satisfied, Filled, took)
+				f.end(f.last(), OutcomeSatisfied, DetailFilled, took)
 			}
-			f.end(f.sends[0], TurnedAway, NoFillPlace, ms)
-			f.r.fills, f.r.nextFill = 0, 0
+			f.end(f.sends[0], OutcomeRejected, DetailNoFillSlot, millisecond)
+			f.r.fillLimit, f.r.nextFillAt = 0, 0
 			lk := f.ask(0, "b")
-			f.end(f.last(), Missed, Untold, ms)
-			f.pass(250 * ms)
-			if lk.Over() != (took > 100*ms) {
-				t.Fatalf("fills of %d: over %v", took, lk.Over())
+			f.end(f.last(), OutcomeMiss, DetailNone, millisecond)
+			f.pass(250 * millisecond)
+			if lk.Ended() != (took > 100*millisecond) {
+				t.Fatalf("fills of %d: over %v", took, lk.Ended())
 			}
 		}
 	})
 	t.Run("before a miss is given up one look takes a copy within its grace, past no purge", func(t *testing.T) {
 		for _, purged := range []bool{false, true} {
-			f, _ := play(t, func(c *Charter) { c.Kinds[1].Grace = 20 * second })
+			f, _ := play(t, func(c *Settings) { c.Kinds[1].StaleGrace = 20 * second })
 			x := f.ask(1, "x")
-			f.end(f.last(), TurnedAway, NoFillPlace, ms)
-			f.r.Departed(f.now, x)
-			f.r.fills = 0
+			f.end(f.last(), OutcomeRejected, DetailNoFillSlot, millisecond)
+			f.r.ClientGone(f.now, x)
+			f.r.fillLimit = 0
 			if purged {
-				f.r.Purged(f.now, "", 3, 0)
+				f.r.ApplyPurge(f.now, "", 3, 0)
 			}
 			lk := f.ask(1, "a")
-			f.end(f.last(), Missed, Untold, ms)
+			f.end(f.last(), OutcomeMiss, DetailNone, millisecond)
 			n := len(f.sends)
-			f.pass(600 * ms)
+			f.pass(600 * millisecond)
 			s := f.last()
 			if len(f.sends) != n+1 || s.lk != lk || s.source != s.to || purged && s.oldest > second ||
 				!purged && s.oldest != 28*second {
 				t.Fatalf("%d sends, the last for copies of %d", len(f.sends)-n, s.oldest)
 			}
-			if f.end(s, Missed, Untold, ms); !lk.Over() || len(f.sends) != n+1 {
+			if f.end(s, OutcomeMiss, DetailNone, millisecond); !lk.Ended() || len(f.sends) != n+1 {
 				t.Fatal("neither answered nor left alone")
 			}
 		}
 	})
 	t.Run("a client's repeat waits behind a fresh lookup", func(t *testing.T) {
-		f, _ := play(t, func(c *Charter) { c.Kinds[0].LateUtility = 0.2 })
-		old := f.r.Arrive(f.now, "old", 0, "a", 0, 3, 100, f.now+3*second, false, true)
-		fresh := f.r.Arrive(f.now, "new", 0, "b", 0, 3, 100, f.now+3*second, false, false)
-		if old.density() >= fresh.density() {
-			t.Fatal(old.density(), fresh.density())
+		f, _ := play(t, func(c *Settings) { c.Kinds[0].LateUtilityShare = 0.2 })
+		old := f.r.StartLookup(f.now, "old", 0, "a", 0, 3, 100, f.now+3*second, false, true)
+		fresh := f.r.StartLookup(f.now, "new", 0, "b", 0, 3, 100, f.now+3*second, false, false)
+		if old.utilityDensity() >= fresh.utilityDensity() {
+			t.Fatal(old.utilityDensity(), fresh.utilityDensity())
 		}
 	})
 	t.Run("a parent whose fills fail is skipped; with none up the origin serves", func(t *testing.T) {
 		f, all := play(t, nil)
 		for i := range 60 {
 			f.ask(0, fmt.Sprint(i))
-			for s := f.last(); !s.lk.Over(); s = f.last() {
+			for s := f.last(); !s.lk.Ended(); s = f.last() {
 				if s.source.Kind == 2 {
-					f.end(s, Satisfied, FilledFromOrigin, 100*ms)
+					f.end(s, OutcomeSatisfied, DetailFilledFromOrigin, 100*millisecond)
 					continue
 				}
-				f.end(s, TurnedAway, SourceLost, 10*ms)
-				f.pass(50 * ms)
+				f.end(s, OutcomeRejected, DetailSourceBroke, 10*millisecond)
+				f.pass(50 * millisecond)
 			}
 		}
 		if !all[3].ejected || !all[4].ejected {
@@ -547,14 +547,14 @@
 	t.Run("while fills have no places, hits go on and misses are filled a few at a time", func(t *testing.T) {
 		f, _ := play(t, nil)
 		f.ask(0, "a")
-		f.end(f.last(), TurnedAway, NoFillPlace, ms)
-		f.r.fills = 1
+		f.end(f.last(), OutcomeRejected, DetailNoFillSlot, millisecond)
+		f.r.fillLimit = 1
 		f.ask(0, "b")
 		look := f.last()
 		if look.source != look.to {
 			t.Fatalf("no look first but a fill by %s", look.source.Name)
 		}
-		f.end(look, Missed, Untold, ms)
+		f.end(look, OutcomeMiss, DetailNone, millisecond)
 		if fill := f.last(); fill.lk != look.lk || fill.source == fill.to {
 			t.Fatal("the miss was not filled")
 		}
@@ -562,7 +562,7 @@
 		for i := range 20 {
 			f.ask(0, fmt.Sprint("c", i))
 			if s := f.last(); s.source == s.to {
-				f.end(s, Missed, Untold, ms)
+				f.end(s, OutcomeMiss, DetailNone, millisecond)
 			}
 		}
 		if len(f.sends) != n+20 {
@@ -577,14 +577,14 @@
 	t.Run("a lookup that missed looks no more, whatever its home", func(t *testing.T) {
 		f, all := play(t, nil)
 		f.ask(0, "a")
-		f.end(f.last(), TurnedAway, NoFillPlace, ms)
-		f.r.fills = 1
+		f.end(f.last(), OutcomeRejected, DetailNoFillSlot, millisecond)
+		f.r.fillLimit = 1
 		for i := range 4 {
 			f.ask(0, fmt.Sprint("c", i))
-			f.end(f.last(), Missed, Untold, ms)
+			f.end(f.last(), OutcomeMiss, DetailNone, millisecond)
 		}
 		f.relist(all[0], Draining, 0)
-		f.pass(50 * ms)
+		f.pass(50 * millisecond)
 		looks := map[*Lookup]int{}
 		for _, s := range f.sends {
 			if s.source == s.to {
@@ -596,13 +596,13 @@
 		}
 	})
 	t.Run("a bucket too small for any lookup is staked, and keeps its mean", func(t *testing.T) {
-		f, all := play(t, func(c *Charter) { c.Seats, c.Gateways = []int{20}, 20 })
+		f, all := play(t, func(c *Settings) { c.ZoneGateways, c.Gateways = []int{20}, 20 })
 		f.relist(all[0], Ready, f.now)
 		sent := 0
 		for i := range 2000 {
-			f.now += 2 * ms
-			f.r.admitCold(&Send{}, all[0], float64(100*ms))
-			if i > 0 && f.r.admitCold(&Send{}, all[0], float64(100*ms)) {
+			f.now += 2 * millisecond
+			f.r.admitSlowStart(&Attempt{}, all[0], float64(100*millisecond))
+			if i > 0 && f.r.admitSlowStart(&Attempt{}, all[0], float64(100*millisecond)) {
 				sent++
 			}
 		}
@@ -613,9 +613,9 @@
 	})
 	t.Run("where a fleet counts more routers than were told, each takes a part of as many; fewer change nothing", func(t *testing.T) {
 		seats := func(told, fleet int) float64 {
-			f, _ := play(t, func(c *Charter) { c.Seats, c.Gateways, c.Zone = []int{told / 2}, told, 0 })
-			f.r.Fleet = fleet
-			return f.r.zoneRouters()
+			f, _ := play(t, func(c *Settings) { c.ZoneGateways, c.Gateways, c.Zone = []int{told / 2}, told, 0 })
+			f.r.FleetSize = fleet
+			return f.r.zoneRouterCount()
 		}
 		if seats(12, 0) != 6 || seats(12, 12) != 6 || seats(12, 5) != 6 || seats(12, 24) != 12 {
 			t.Fatal(seats(12, 0), seats(12, 12), seats(12, 5), seats(12, 24))
@@ -624,15 +624,15 @@
 	t.Run("routers of one location raise fills by a part each, and cut them when late", func(t *testing.T) {
 		grown := map[int]float64{}
 		for _, seats := range []int{1, 4} {
-			f, _ := play(t, func(c *Charter) { c.Seats = []int{seats} })
+			f, _ := play(t, func(c *Settings) { c.ZoneGateways = []int{seats} })
 			f.ask(0, "a")
-			f.end(f.last(), Satisfied, Filled, 100*ms)
-			grown[seats] = f.r.fills - firstLimit
+			f.end(f.last(), OutcomeSatisfied, DetailFilled, 100*millisecond)
+			grown[seats] = f.r.fillLimit - initialLimit
 			f.ask(0, "b")
 			f.now += 2 * second
-			f.end(f.last(), Satisfied, Filled, 2*second)
-			if f.r.fills >= firstLimit || f.r.pressedTill <= f.now {
-				t.Fatalf("a late fill left the limit at %.1f", f.r.fills)
+			f.end(f.last(), OutcomeSatisfied, DetailFilled, 2*second)
+			if f.r.fillLimit >= initialLimit || f.r.fillPressureUntil <= f.now {
+				t.Fatalf("a late fill left the limit at %.1f", f.r.fillLimit)
 			}
 		}
 		if grown[4] <= 0 || grown[1] < 3.9*grown[4] {
@@ -641,18 +641,18 @@
 	})
 	t.Run("among hundreds of fills a few late ones are late by their way, a tenth is not", func(t *testing.T) {
 		f, _ := play(t, nil)
-		pace := 3 * ms
+		pace := 3 * millisecond
 		fill := func(n, lateEach int) bool {
 			for i := range n {
 				f.ask(0, fmt.Sprint(f.now))
 				f.now += pace
-				took := 100 * ms
+				took := 100 * millisecond
 				if i%lateEach == lateEach-1 {
 					took = 2 * second
 				}
-				f.end(f.last(), Satisfied, Filled, took)
+				f.end(f.last(), OutcomeSatisfied, DetailFilled, took)
 			}
-			return f.r.pressedTill > f.now
+			return f.r.fillPressureUntil > f.now
 		}
 		if fill(400, 1000) || fill(400, 25) {
 			t.Fatal("pressed by a few late fills")
@@ -660,7 +660,7 @@
 		if !fill(400, 5) {
 			t.Fatal("not pressed by a fifth of late fills")
 		}
-		f.now, pace = f.now+pressedFor, 18*ms // some eighty of late
+		f.now, pace = f.now+fillPressureTime, 18*millisecond // some eighty of late
 		if fill(200, 1000) || fill(200, 40) {
 			t.Fatal("pressed by one late fill in forty")
 		}
@@ -672,9 +672,9 @@
 			f.now += away
 			for i := 0; all[3].ejected && i < 20; i++ {
 				f.ask(0, fmt.Sprint(i))
-				f.end(f.last(), Satisfied, Filled, 100*ms)
+				f.end(f.last(), OutcomeSatisfied, DetailFilled, 100*millisecond)
 			}
-			if all[3].ejected || (all[3].warmingSince > 0) != (away > coldAfter) {
+			if all[3].ejected || (all[3].warmingSince > 0) != (away > coldAfterOutage) {
 				t.Fatalf("after %d: out %v, cold from %d", away, all[3].ejected, all[3].warmingSince)
 			}
 		}
@@ -682,13 +682,13 @@
 }
 
 func TestBareSettings(t *testing.T) {
-	for name, change := range map[string]func(*Charter){
-		"no flow, no sizes":  func(c *Charter) { c.FlowKB = 0 },
-		"no seats told":      func(c *Charter) { c.Seats, c.Gateways = nil, 0 },
-		"no parents":         func(c *Charter) { c.ParentKind = -1 },
-		"no rule figures":    func(c *Charter) { c.ColdFor, c.FallFor, c.FallMultiple, c.ColdShare = 0, 0, 0, 0 },
-		"absurd weights":     func(c *Charter) { c.Weighted, c.Sized = true, true },
-		"no joins, no hints": func(c *Charter) { c.Joins, c.FirstByteTold, c.MaxRetryIn = false, false, 0 },
+	for name, change := range map[string]func(*Settings){
+		"no flow, no sizes":  func(c *Settings) { c.TransferKBPerSecond = 0 },
+		"no seats told":      func(c *Settings) { c.ZoneGateways, c.Gateways = nil, 0 },
+		"no parents":         func(c *Settings) { c.ParentKind = -1 },
+		"no rule figures":    func(c *Settings) { c.SlowStartTime, c.BreakWindow, c.BreakMultiple, c.SlowStartShare = 0, 0, 0, 0 },
+		"absurd weights":     func(c *Settings) { c.WeightIsCapacity, c.WeightIsSize = true, true },
+		"no joins, no hints": func(c *Settings) { c.CoalescesFills, c.ReportsFirstByte, c.MaxRetryAfter = false, false, 0 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, all := play(t, change)
@@ -697,20 +697,20 @@
 			for i := range 30 {
 				lk := f.askSized(i%2, fmt.Sprint(i), float64(i*50))
 				if s := f.last(); s.lk == lk {
-					f.end(s, []Ending{Satisfied, TurnedAway, Errored, Missed}[i%4], Untold, 0)
+					f.end(s, []AttemptOutcome{OutcomeSatisfied, OutcomeRejected, OutcomeError, OutcomeMiss}[i%4], DetailNone, 0)
 				}
-				f.pass(120 * ms)
+				f.pass(120 * millisecond)
 			}
 			for range 20 { // whatever is still out runs into its deadline
 				for _, s := range f.sends {
-					if s.lk.sends[s.n] != nil && slices.Contains(f.r.open, s.lk.sends[s.n]) {
-						f.end(s, TimedOut, Untold, second)
+					if s.lk.attempts[s.n] != nil && slices.Contains(f.r.openAttempts, s.lk.attempts[s.n]) {
+						f.end(s, OutcomeTimeout, DetailNone, second)
 					}
 				}
-				f.pass(200 * ms)
+				f.pass(200 * millisecond)
 			}
-			if len(f.sends) < 30 || len(f.r.held) > 0 || len(f.r.open) > 0 {
-				t.Fatalf("%d sends, %d held, %d open", len(f.sends), len(f.r.held), len(f.r.open))
+			if len(f.sends) < 30 || len(f.r.queued) > 0 || len(f.r.openAttempts) > 0 {
+				t.Fatalf("%d sends, %d held, %d open", len(f.sends), len(f.r.queued), len(f.r.openAttempts))
 			}
 		})
 	}
@@ -721,12 +721,12 @@
 	t.Run("none but the caches and parents in it", func(t *testing.T) {
 		f, all := play(t, nil)
 		for i := range 40 {
-			f.r.Within(&Scope{Caches: map[string]bool{"c1": true, "c2": true}, Sources: map[string]bool{"c4": true}})
+			f.r.SetNextScope(&Scope{Caches: map[string]bool{"c1": true, "c2": true}, Sources: map[string]bool{"c4": true}})
 			f.ask(0, fmt.Sprint(i))
 			if s := f.last(); len(f.sends) != i+1 || s.to == all[0] || s.source != all[4] {
 				t.Fatalf("%s from %s", s.to.Name, s.source.Name)
 			}
-			f.end(f.last(), Satisfied, Hit, 100*ms)
+			f.end(f.last(), OutcomeSatisfied, DetailHit, 100*millisecond)
 		}
 	})
 	t.Run("its object's home where that is in it", func(t *testing.T) {
@@ -734,24 +734,24 @@
 		for i := range 40 {
 			f.ask(0, fmt.Sprint(i))
 			home := f.last().to
-			f.end(f.last(), Satisfied, Hit, 100*ms)
-			f.r.Within(&Scope{Caches: map[string]bool{home.Name: true, "c1": true}})
+			f.end(f.last(), OutcomeSatisfied, DetailHit, 100*millisecond)
+			f.r.SetNextScope(&Scope{Caches: map[string]bool{home.Name: true, "c1": true}})
 			f.ask(0, fmt.Sprint(i))
 			if f.last().to != home {
 				t.Fatalf("%s, not %s", f.last().to.Name, home.Name)
 			}
-			f.end(f.last(), Satisfied, Hit, 100*ms)
+			f.end(f.last(), OutcomeSatisfied, DetailHit, 100*millisecond)
 		}
 	})
 	t.Run("it is of one lookup only", func(t *testing.T) {
 		f, _ := play(t, nil)
-		f.r.Within(&Scope{Caches: map[string]bool{"c1": true}})
+		f.r.SetNextScope(&Scope{Caches: map[string]bool{"c1": true}})
 		f.ask(0, "a")
 		seen := map[*Cache]bool{}
 		for i := range 40 {
 			f.ask(0, fmt.Sprint(i))
 			seen[f.last().to] = true
-			f.end(f.last(), Satisfied, Hit, 100*ms)
+			f.end(f.last(), OutcomeSatisfied, DetailHit, 100*millisecond)
 		}
 		if len(seen) < 3 {
 			t.Error(len(seen))
@@ -759,14 +759,14 @@
 	})
 	t.Run("no budget for one more send: given up at once, a side-effecting one that may have run fails", func(t *testing.T) {
 		for _, effect := range []Effect{Idempotent, SideEffecting} {
-			f, _ := play(t, func(its *Charter) { its.Kinds[0].Effect = effect })
+			f, _ := play(t, func(its *Settings) { its.Kinds[0].Effect = effect })
 			asked := 0
-			f.r.Within(&Scope{Again: func() bool { asked++; return asked < 2 }})
+			f.r.SetNextScope(&Scope{AllowRetry: func() bool { asked++; return asked < 2 }})
 			f.ask(0, "a")
 			for range 3 {
 				if len(f.said) == 0 || f.said[len(f.said)-1] == "subscribe" {
-					f.end(f.last(), TurnedAway, Untold, ms)
-					f.pass(120 * ms)
+					f.end(f.last(), OutcomeRejected, DetailNone, millisecond)
+					f.pass(120 * millisecond)
 				}
 			}
 			if len(f.sends) != 2 || asked != 2 || f.said[len(f.said)-1][:4] != "nack" {
@@ -780,7 +780,7 @@
 			kind         int
 			oldest, want Micros
 		}{{0, 0, 0}, {0, second, second}, {1, second, second}, {1, 60 * second, 8 * second}} {
-			f.r.Within(&Scope{Oldest: x.oldest})
+			f.r.SetNextScope(&Scope{MaxAge: x.oldest})
 			f.ask(x.kind, "a")
 			if got := f.last().oldest; got != x.want {
 				t.Errorf("%+v: %d", x, got)
@@ -789,7 +789,7 @@
 	})
 	t.Run("nobody in it: nacked at once", func(t *testing.T) {
 		f, _ := play(t, nil)
-		f.r.Within(&Scope{Caches: map[string]bool{}})
+		f.r.SetNextScope(&Scope{Caches: map[string]bool{}})
 		f.ask(0, "a")
 		if len(f.sends) != 0 || len(f.said) == 0 || f.said[len(f.said)-1][:4] != "nack" {
 			t.Errorf("%v", f.said)
--- a/internal/policy/outlier_test.go
+++ b/internal/policy/outlier_test.go
@@ -11,22 +11,22 @@
 	// hits brings so many hits of 1 KB to each edge, the first of them as slow as told, and tells who that is.
 	hits := func(f *fake, all []*Cache, slow, usual Micros, among func(*Cache) bool) *Cache {
 		lagged := all[0]
-		for i := 0; i < 3000 && (all[0].recents < 2*recentTimes || all[1].recents < 2*recentTimes); i++ {
+		for i := 0; i < 3000 && (all[0].latencySamples < 2*latencyWindow || all[1].latencySamples < 2*latencyWindow); i++ {
 			f.askSized(0, fmt.Sprint("o", i), 1)
 			s, took := f.last(), usual
 			if s.to == lagged {
 				took = slow
 			}
 			f.now += took
-			f.end(s, Satisfied, Hit, took)
+			f.end(s, OutcomeSatisfied, DetailHit, took)
 			if lagged.ejected && among == nil {
 				break
 			}
 		}
 		return lagged
 	}
-	budget := func(b Micros) func(*Charter) {
-		return func(its *Charter) { its.Kinds[0].Budget = b }
+	budget := func(b Micros) func(*Settings) {
+		return func(its *Settings) { its.Kinds[0].LatencyBudget = b }
 	}
 	t.Run("microseconds a KB are no lag, whatever their ratio", func(t *testing.T) {
 		f, all := play(t, nil)
@@ -35,7 +35,7 @@
 		}
 	})
 	t.Run("under a small and a large latency budget the same part of it is a lag", func(t *testing.T) {
-		for _, b := range []Micros{10 * ms, 400 * ms, 4 * second} {
+		for _, b := range []Micros{10 * millisecond, 400 * millisecond, 4 * second} {
 			f, all := play(t, budget(b))
 			if c := hits(f, all, b/20, b/100, nil); c.ejected {
 				t.Errorf("budget %d us: out by 4%% of it", b)
@@ -50,9 +50,9 @@
 		f, all := play(t, nil)
 		f.r.eject(all[1], "unreachable")
 		f.r.eject(all[2], "unreachable")
-		for range 2 * recentTimes {
-			f.r.timeAmong(all[1], f.r.edges, float64(ms), 1, 0)
-			f.r.timeAmong(all[0], f.r.edges, float64(second), 1, 0)
+		for range 2 * latencyWindow {
+			f.r.recordLatency(all[1], f.r.edges, float64(millisecond), 1, 0)
+			f.r.recordLatency(all[0], f.r.edges, float64(second), 1, 0)
 		}
 		if all[0].ejected {
 			t.Error("the last one is put out for its times")
@@ -60,7 +60,7 @@
 	})
 	// lag puts out the first edge for its times.
 	lag := func(f *fake, all []*Cache) *Cache {
-		if c := hits(f, all, 100*ms, 5*ms, nil); !c.ejected || !c.lags {
+		if c := hits(f, all, 100*millisecond, 5*millisecond, nil); !c.ejected || !c.isOnlySlow {
 			t.Fatal("it does not lag")
 		}
 		return all[0]
@@ -69,8 +69,8 @@
 		f, all := play(t, nil)
 		c := lag(f, all)
 		for i := range 3 {
-			f.r.Within(&Scope{Caches: map[string]bool{c.Name: true}})
-			if lk := f.askSized(0, fmt.Sprint("only", i), 1); lk.over || f.last().lk != lk || f.last().to != c {
+			f.r.SetNextScope(&Scope{Caches: map[string]bool{c.Name: true}})
+			if lk := f.askSized(0, fmt.Sprint("only", i), 1); lk.ended || f.last().lk != lk || f.last().to != c {
 				t.Fatalf("lookup %d is refused: %v", i, f.said)
 			}
 		}
@@ -85,7 +85,7 @@
 		}
 	})
 	for what, ail := range map[string]func(f *fake, c *Cache){
-		"is silent":          func(_ *fake, c *Cache) { c.mute = 1 },
+		"is silent":          func(_ *fake, c *Cache) { c.overdueCount = 1 },
 		"fails its trial":    func(f *fake, c *Cache) { f.r.countFailures(c, 1, 1, "trial failed") },
 		"is unreachable too": func(f *fake, c *Cache) { f.r.eject(c, "unreachable") },
 	} {
@@ -93,8 +93,8 @@
 			f, all := play(t, nil)
 			c := lag(f, all)
 			ail(f, c)
-			f.r.Within(&Scope{Caches: map[string]bool{c.Name: true}})
-			if lk := f.askSized(0, "only", 1); !lk.over {
+			f.r.SetNextScope(&Scope{Caches: map[string]bool{c.Name: true}})
+			if lk := f.askSized(0, "only", 1); !lk.ended {
 				t.Error("it goes there")
 			}
 		})
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -9,29 +9,29 @@
 // back what the parent's budget was charged, in the part of the window where it was charged: neither more than that (a staked fill is charged
 // less than its work), nor later, when the charge itself has left the window and the rest would be budget out of nothing.
 func TestHitsGiveBackTheirCharge(t *testing.T) {
-	for _, late := range []Micros{20 * ms, 900 * ms, 3 * second} {
-		t.Run(fmt.Sprintf("hits after %d ms", late/ms), func(t *testing.T) {
-			f, all := play(t, func(c *Charter) { c.Seats, c.Gateways = []int{20}, 20 })
+	for _, late := range []Micros{20 * millisecond, 900 * millisecond, 3 * second} {
+		t.Run(fmt.Sprintf("hits after %d ms", late/millisecond), func(t *testing.T) {
+			f, all := play(t, func(c *Settings) { c.ZoneGateways, c.Gateways = []int{20}, 20 })
 			parents := all[3:5]
 			for _, p := range parents {
 				f.relist(p, Ready, f.now)
 			}
 			staked, ended := 0, 0
 			for i := range 2000 {
-				f.now += 5 * ms
+				f.now += 5 * millisecond
 				f.ask(0, fmt.Sprint("o", i))
-				for ended < len(f.sends) && f.now >= f.sends[ended].lk.sends[f.sends[ended].n].at+late {
+				for ended < len(f.sends) && f.now >= f.sends[ended].lk.attempts[f.sends[ended].n].startedAt+late {
 					s := f.sends[ended]
-					if ended++; s.source.Kind != 1 || s.lk.over {
+					if ended++; s.source.Kind != 1 || s.lk.ended {
 						continue
 					}
-					if charge := s.lk.sends[s.n].charge; charge < float64(s.lk.work) {
+					if charge := s.lk.attempts[s.n].slowStartCharge; charge < float64(s.lk.work) {
 						staked++
 					}
-					f.end(s, Satisfied, Hit, late)
+					f.end(s, OutcomeSatisfied, DetailHit, late)
 				}
 				for _, p := range parents {
-					if charged := p.sent.read(f.now, f.r.fallFor()); charged < -1 {
+					if charged := p.slowStartSent.read(f.now, f.r.breakWindow()); charged < -1 {
 						t.Fatalf("%d us after the start: %.0f us of work charged to %s", f.now-100*second, charged, p.Name)
 					}
 				}
--- a/internal/policy/standing_test.go
+++ b/internal/policy/standing_test.go
@@ -3,32 +3,32 @@
 import "testing"
 
 func TestStanding(t *testing.T) {
-	relist := func(f *fake, all []*Cache, c *Cache, standing Standing, started Micros) {
-		var rows []Row
+	relist := func(f *fake, all []*Cache, c *Cache, standing Confidence, started Micros) {
+		var rows []Endpoint
 		for _, o := range all {
-			row := o.Row
+			row := o.Endpoint
 			row.Cache = o
 			if o == c {
-				row.Standing, row.Started = standing, started
+				row.Confidence, row.StartedAt = standing, started
 			}
 			rows = append(rows, row)
 		}
-		f.r.Listed(f.now, CachedList, rows)
+		f.r.UpdateEndpoints(f.now, UpdateCached, rows)
 	}
 	home := func(f *fake) *Cache {
 		f.ask(0, "a")
 		s := f.last()
-		f.end(s, Satisfied, Hit, 10*ms)
+		f.end(s, OutcomeSatisfied, DetailHit, 10*millisecond)
 		return s.to
 	}
 	t.Run("on trial: cold from the guessed start on, and warm once the guess is taken back", func(t *testing.T) {
 		f, all := play(t, nil)
 		c := home(f)
-		relist(f, all, c, OnTrial, f.now)
+		relist(f, all, c, OnProbation, f.now)
 		if c.warmingSince == 0 {
 			t.Fatal("it counts as warm")
 		}
-		relist(f, all, c, OnTrial, 0)
+		relist(f, all, c, OnProbation, 0)
 		if c.warmingSince != 0 {
 			t.Error("it counts as cold")
 		}
@@ -36,8 +36,8 @@
 	t.Run("what a bulletin tells of the start counts more than the guess", func(t *testing.T) {
 		f, all := play(t, nil)
 		c := home(f)
-		relist(f, all, c, OnTrial, f.now)
-		relist(f, all, c, Told, 0)
+		relist(f, all, c, OnProbation, f.now)
+		relist(f, all, c, Confirmed, 0)
 		if c.warmingSince != 0 {
 			t.Error("it counts as cold")
 		}
@@ -46,7 +46,7 @@
 		f, all := play(t, nil)
 		c := home(f)
 		f.relist(c, Ready, f.now)
-		relist(f, all, c, Told, 0)
+		relist(f, all, c, Confirmed, 0)
 		if c.warmingSince == 0 {
 			t.Error("it counts as warm")
 		}
@@ -54,18 +54,18 @@
 	t.Run("doubted: one trial at a time, until one succeeds", func(t *testing.T) {
 		f, all := play(t, nil)
 		c := home(f)
-		relist(f, all, c, Doubted, 0)
+		relist(f, all, c, Suspect, 0)
 		f.ask(0, "a")
 		trial := f.last()
 		f.ask(0, "a")
 		if trial.to != c || f.last().to == c {
 			t.Fatalf("first to %s, then to %s, in doubt is %s", trial.to.Name, f.last().to.Name, c.Name)
 		}
-		f.end(trial, Satisfied, Hit, 10*ms)
+		f.end(trial, OutcomeSatisfied, DetailHit, 10*millisecond)
 		if c.ejected {
 			t.Error("it is out after a good trial")
 		}
-		relist(f, all, c, Doubted, 0)
+		relist(f, all, c, Suspect, 0)
 		if c.ejected {
 			t.Error("the same doubt told again puts it out again")
 		}
