--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -13,171 +13,171 @@
 
 var (
 	noon  = time.Unix(1764576000, 0)
-	terms = Terms{Lookups: 4, Each: 3, AgainIn: 200 * time.Millisecond, Remember: 2 * time.Second}
+	terms = Limits{MaxLookups: 4, MaxPerCaller: 3, ReturnTimeout: 200 * time.Millisecond, Retention: 2 * time.Second}
 )
 
 func at(ms int) time.Time { return noon.Add(time.Duration(ms) * time.Millisecond) }
 
-func said(do Do) string {
+func said(do Commands) string {
 	text := ""
-	for _, x := range do.Tell {
-		text += fmt.Sprintf("tell %d %d;", x.N, x.How)
+	for _, x := range do.Reports {
+		text += fmt.Sprintf("tell %d %d;", x.Attempt, x.Outcome)
 	}
-	for range do.Leave {
+	for range do.Gone {
 		text += "leave;"
 	}
-	for _, x := range do.Say {
-		text += x.What.String() + ";"
+	for _, x := range do.Answers {
+		text += x.Kind.String() + ";"
 	}
 	return text
 }
 
-func want(t *testing.T, do Do, text string) {
+func want(t *testing.T, do Commands, text string) {
 	t.Helper()
 	if got := said(do); got != text {
 		t.Fatalf("%q, expected %q", got, text)
 	}
 }
 
-func send(n int) dispatch.Step { return dispatch.Step{What: dispatch.Send, N: n} }
+func send(n int) dispatch.Step { return dispatch.Step{Kind: dispatch.StepFetch, Attempt: n} }
 
 // asked opens a lookup whose first send is at its caller.
-func asked(t *testing.T) (*Desk, *Stream, *Lookup) {
+func asked(t *testing.T) (*Coordinator, *Stream, *Lookup) {
 	t.Helper()
 	d, on := New(terms), &Stream{Caller: "edge"}
-	lk, do := d.Ask(at(0), on, "a", at(1000))
+	lk, do := d.Request(at(0), on, "a", at(1000))
 	want(t, do, "")
-	want(t, d.Step(at(1), lk, send(0)), "go;")
+	want(t, d.ApplyStep(at(1), lk, send(0)), "go;")
 	return d, on, lk
 }
 
 func TestDesk(t *testing.T) {
 	t.Run("a send, its report, the answer", func(t *testing.T) {
 		d, on, lk := asked(t)
-		want(t, d.Report(at(10), on, policy.Satisfied, policy.Hit, 0), fmt.Sprintf("tell 0 %d;", policy.Satisfied))
-		want(t, d.Step(at(10), lk, dispatch.Step{What: dispatch.Satisfied}), "accepted;")
-		if d.Open() != 0 {
-			t.Error(d.Open())
+		want(t, d.ReportOutcome(at(10), on, policy.OutcomeSatisfied, policy.DetailHit, 0), fmt.Sprintf("tell 0 %d;", policy.OutcomeSatisfied))
+		want(t, d.ApplyStep(at(10), lk, dispatch.Step{Kind: dispatch.StepSatisfied}), "accepted;")
+		if d.OpenLookups() != 0 {
+			t.Error(d.OpenLookups())
 		}
 	})
 	t.Run("an ask read just before its stream's end and taken just after it: nothing begins", func(t *testing.T) {
 		d, on := New(terms), &Stream{Caller: "edge"}
-		want(t, d.End(at(1), on), "")
-		lk, do := d.Ask(at(1), on, "a", at(1000))
-		if want(t, do, ""); lk != nil || d.Open() != 0 {
+		want(t, d.StreamEnded(at(1), on), "")
+		lk, do := d.Request(at(1), on, "a", at(1000))
+		if want(t, do, ""); lk != nil || d.OpenLookups() != 0 {
 			t.Error("it is open, and its client has gone")
 		}
 	})
 	t.Run("a send that missed: the next one is told to the next ask, on another stream", func(t *testing.T) {
 		d, on, lk := asked(t)
-		want(t, d.Report(at(10), on, policy.Missed, policy.Untold, 0), fmt.Sprintf("tell 0 %d;", policy.Missed))
-		want(t, d.Step(at(10), lk, send(1)), "again;")
+		want(t, d.ReportOutcome(at(10), on, policy.OutcomeMiss, policy.DetailNone, 0), fmt.Sprintf("tell 0 %d;", policy.OutcomeMiss))
+		want(t, d.ApplyStep(at(10), lk, send(1)), "again;")
 		next := &Stream{Caller: "edge"}
-		_, do := d.Ask(at(20), next, "a", at(1000))
+		_, do := d.Request(at(20), next, "a", at(1000))
 		want(t, do, "go;")
-		want(t, d.End(at(21), on), "")
+		want(t, d.StreamEnded(at(21), on), "")
 	})
 	t.Run("a send that failed and an end: told to the stream that waits", func(t *testing.T) {
 		d, on, lk := asked(t)
-		d.Report(at(10), on, policy.Errored, policy.Untold, 0)
-		want(t, d.Step(at(11), lk, dispatch.Step{What: dispatch.Nacked, RetryIn: 5000}), "nack;")
-		_, do := d.Ask(at(20), on, "a", at(1000)) // the same stream may go on, and hears the same end
+		d.ReportOutcome(at(10), on, policy.OutcomeError, policy.DetailNone, 0)
+		want(t, d.ApplyStep(at(11), lk, dispatch.Step{Kind: dispatch.StepRejected, RetryAfter: 5000}), "nack;")
+		_, do := d.Request(at(20), on, "a", at(1000)) // the same stream may go on, and hears the same end
 		want(t, do, "nack;")
-		if do.Say[0].Wait != 5*time.Millisecond {
-			t.Error(do.Say[0].Wait)
+		if do.Answers[0].RetryAfter != 5*time.Millisecond {
+			t.Error(do.Answers[0].RetryAfter)
 		}
 	})
 	t.Run("the caller gives up halfway: its send may have run", func(t *testing.T) {
 		d, on, lk := asked(t)
-		want(t, d.End(at(10), on), fmt.Sprintf("tell 0 %d;", policy.Cancelled))
-		want(t, d.Step(at(11), lk, send(1)), "")
+		want(t, d.StreamEnded(at(10), on), fmt.Sprintf("tell 0 %d;", policy.OutcomeCancelled))
+		want(t, d.ApplyStep(at(11), lk, send(1)), "")
 		do, next := d.Tick(at(100))
 		want(t, do, "")
 		if next != at(211) {
 			t.Error(next.Sub(noon))
 		}
 		do, _ = d.Tick(at(211))
-		want(t, do, fmt.Sprintf("tell 1 %d;leave;", policy.NeverSent))
-		if d.Open() != 0 || d.Odd["stream_ended_with_send"] != 1 || d.Odd["never_asked_again"] != 1 {
-			t.Error(d.Open(), d.Odd)
+		want(t, do, fmt.Sprintf("tell 1 %d;leave;", policy.OutcomeNotSent))
+		if d.OpenLookups() != 0 || d.Anomalies["stream_ended_with_send"] != 1 || d.Anomalies["never_asked_again"] != 1 {
+			t.Error(d.OpenLookups(), d.Anomalies)
 		}
 	})
 	t.Run("it gives up before a word was said: the client has gone", func(t *testing.T) {
 		d, on := New(terms), &Stream{Caller: "edge"}
-		lk, _ := d.Ask(at(0), on, "a", at(1000))
-		want(t, d.End(at(1), on), "leave;")
-		want(t, d.Step(at(2), lk, send(0)), fmt.Sprintf("tell 0 %d;", policy.NeverSent)) // decided before that
-		want(t, d.Step(at(2), lk, dispatch.Step{What: dispatch.Departed}), "")
+		lk, _ := d.Request(at(0), on, "a", at(1000))
+		want(t, d.StreamEnded(at(1), on), "leave;")
+		want(t, d.ApplyStep(at(2), lk, send(0)), fmt.Sprintf("tell 0 %d;", policy.OutcomeNotSent)) // decided before that
+		want(t, d.ApplyStep(at(2), lk, dispatch.Step{Kind: dispatch.StepClientGone}), "")
 	})
 	t.Run("the same lookup twice", func(t *testing.T) {
 		d, on, lk := asked(t)
-		_, do := d.Ask(at(2), on, "a", at(1000))
+		_, do := d.Request(at(2), on, "a", at(1000))
 		want(t, do, "disorder;")
-		_, do = d.Ask(at(2), &Stream{Caller: "edge"}, "a", at(1000))
+		_, do = d.Request(at(2), &Stream{Caller: "edge"}, "a", at(1000))
 		want(t, do, "twice;")
-		other, do := d.Ask(at(2), &Stream{Caller: "kiosk"}, "a", at(1000))
+		other, do := d.Request(at(2), &Stream{Caller: "kiosk"}, "a", at(1000))
 		if want(t, do, ""); other == nil || other == lk {
 			t.Error("another caller's lookup is another lookup")
 		}
-		d.Refused(other) // the router has that id open
-		d.Report(at(3), on, policy.Satisfied, policy.Hit, 0)
-		d.Step(at(3), lk, dispatch.Step{What: dispatch.Satisfied})
-		_, do = d.Ask(at(4), &Stream{Caller: "edge"}, "a", at(1000))
+		d.Discard(other) // the router has that id open
+		d.ReportOutcome(at(3), on, policy.OutcomeSatisfied, policy.DetailHit, 0)
+		d.ApplyStep(at(3), lk, dispatch.Step{Kind: dispatch.StepSatisfied})
+		_, do = d.Request(at(4), &Stream{Caller: "edge"}, "a", at(1000))
 		want(t, do, "known;")
 		d.Tick(at(2004))
-		if again, _ := d.Ask(at(2005), &Stream{Caller: "edge"}, "a", at(3000)); again == nil {
+		if again, _ := d.Request(at(2005), &Stream{Caller: "edge"}, "a", at(3000)); again == nil {
 			t.Error("what ended long ago is not forgotten")
 		}
 	})
 	t.Run("an answer and a cancel crossing", func(t *testing.T) {
 		d, on, lk := asked(t)
-		want(t, d.Step(at(5), lk, dispatch.Step{What: dispatch.Cancel, N: 0}), "") // it is at the caller
-		want(t, d.Report(at(6), on, policy.Satisfied, policy.Hit, 0), fmt.Sprintf("tell 0 %d;", policy.Satisfied))
-		want(t, d.Step(at(6), lk, dispatch.Step{What: dispatch.Satisfied}), "accepted;")
+		want(t, d.ApplyStep(at(5), lk, dispatch.Step{Kind: dispatch.StepCancel, Attempt: 0}), "") // it is at the caller
+		want(t, d.ReportOutcome(at(6), on, policy.OutcomeSatisfied, policy.DetailHit, 0), fmt.Sprintf("tell 0 %d;", policy.OutcomeSatisfied))
+		want(t, d.ApplyStep(at(6), lk, dispatch.Step{Kind: dispatch.StepSatisfied}), "accepted;")
 	})
 	t.Run("a cancel of a send that nobody has asked for takes it back", func(t *testing.T) {
 		d, on, lk := asked(t)
-		d.Report(at(5), on, policy.Missed, policy.Untold, 0)
-		d.Step(at(5), lk, send(1))
-		want(t, d.Step(at(6), lk, dispatch.Step{What: dispatch.Cancel, N: 1}), fmt.Sprintf("tell 1 %d;", policy.NeverSent))
-		_, do := d.Ask(at(7), on, "a", at(1000))
+		d.ReportOutcome(at(5), on, policy.OutcomeMiss, policy.DetailNone, 0)
+		d.ApplyStep(at(5), lk, send(1))
+		want(t, d.ApplyStep(at(6), lk, dispatch.Step{Kind: dispatch.StepCancel, Attempt: 1}), fmt.Sprintf("tell 1 %d;", policy.OutcomeNotSent))
+		_, do := d.Request(at(7), on, "a", at(1000))
 		want(t, do, "")
-		want(t, d.Step(at(8), lk, send(2)), "go;")
+		want(t, d.ApplyStep(at(8), lk, send(2)), "go;")
 	})
 	t.Run("a caller that never reports: timed out with the lookup's time", func(t *testing.T) {
 		d, _, lk := asked(t)
 		do, _ := d.Tick(at(999))
 		want(t, do, "")
 		do, _ = d.Tick(at(1000))
-		want(t, do, fmt.Sprintf("tell 0 %d;", policy.TimedOut))
-		want(t, d.Step(at(1001), lk, dispatch.Step{What: dispatch.Failed}), "fail;")
+		want(t, do, fmt.Sprintf("tell 0 %d;", policy.OutcomeTimeout))
+		want(t, d.ApplyStep(at(1001), lk, dispatch.Step{Kind: dispatch.StepFailed}), "fail;")
 	})
 	t.Run("the gateway stops while a send is out, or decided and not asked for: its end is told, and the end of the lookup", func(t *testing.T) {
 		d, on, lk := asked(t)
-		want(t, d.Step(at(5), lk, dispatch.Step{What: dispatch.Failed}), fmt.Sprintf("tell 0 %d;fail;", policy.Cancelled))
-		want(t, d.Report(at(6), on, policy.Satisfied, policy.Hit, 0), "disorder;")
+		want(t, d.ApplyStep(at(5), lk, dispatch.Step{Kind: dispatch.StepFailed}), fmt.Sprintf("tell 0 %d;fail;", policy.OutcomeCancelled))
+		want(t, d.ReportOutcome(at(6), on, policy.OutcomeSatisfied, policy.DetailHit, 0), "disorder;")
 		d, on, lk = asked(t)
-		d.Report(at(5), on, policy.Missed, policy.Untold, 0)
-		d.Step(at(5), lk, send(1))
-		want(t, d.Step(at(6), lk, dispatch.Step{What: dispatch.Failed}), fmt.Sprintf("tell 1 %d;", policy.NeverSent))
+		d.ReportOutcome(at(5), on, policy.OutcomeMiss, policy.DetailNone, 0)
+		d.ApplyStep(at(5), lk, send(1))
+		want(t, d.ApplyStep(at(6), lk, dispatch.Step{Kind: dispatch.StepFailed}), fmt.Sprintf("tell 1 %d;", policy.OutcomeNotSent))
 	})
 	t.Run("reports of nothing, twice, or of no known kind", func(t *testing.T) {
 		d, on, _ := asked(t)
-		want(t, d.Report(at(1), &Stream{Caller: "edge"}, policy.Satisfied, policy.Hit, 0), "disorder;")
-		want(t, d.Report(at(2), on, 99, 77, -5), fmt.Sprintf("tell 0 %d;", policy.Errored))
-		want(t, d.Report(at(3), on, policy.Satisfied, policy.Hit, 0), "disorder;")
+		want(t, d.ReportOutcome(at(1), &Stream{Caller: "edge"}, policy.OutcomeSatisfied, policy.DetailHit, 0), "disorder;")
+		want(t, d.ReportOutcome(at(2), on, 99, 77, -5), fmt.Sprintf("tell 0 %d;", policy.OutcomeError))
+		want(t, d.ReportOutcome(at(3), on, policy.OutcomeSatisfied, policy.DetailHit, 0), "disorder;")
 	})
 	t.Run("no more than so many open, of one caller and of all", func(t *testing.T) {
 		d := New(terms)
 		for i := range 3 {
-			d.Ask(at(0), &Stream{Caller: "edge"}, fmt.Sprint(i), at(1000))
+			d.Request(at(0), &Stream{Caller: "edge"}, fmt.Sprint(i), at(1000))
 		}
-		_, do := d.Ask(at(0), &Stream{Caller: "edge"}, "x", at(1000))
+		_, do := d.Request(at(0), &Stream{Caller: "edge"}, "x", at(1000))
 		want(t, do, "full;")
-		if lk, _ := d.Ask(at(0), &Stream{Caller: "kiosk"}, "x", at(1000)); lk == nil {
+		if lk, _ := d.Request(at(0), &Stream{Caller: "kiosk"}, "x", at(1000)); lk == nil {
 			t.Error("one caller takes another's place")
 		}
-		_, do = d.Ask(at(0), &Stream{Caller: "third"}, "y", at(1000))
+		_, do = d.Request(at(0), &Stream{Caller: "third"}, "y", at(1000))
 		want(t, do, "full;")
 	})
 }
@@ -198,32 +198,32 @@
 		}
 		of, live := map[*Lookup]*seen{}, []*Lookup{}
 		by := map[*Stream]*Lookup{}
-		var apply func(do Do)
-		apply = func(do Do) {
-			for _, x := range do.Tell {
-				s := of[x.Of]
-				if !s.owed[x.N] {
-					t.Fatalf("send %d ends twice or was never sent", x.N)
+		var apply func(do Commands)
+		apply = func(do Commands) {
+			for _, x := range do.Reports {
+				s := of[x.Lookup]
+				if !s.owed[x.Attempt] {
+					t.Fatalf("send %d ends twice or was never sent", x.Attempt)
 				}
-				delete(s.owed, x.N)
+				delete(s.owed, x.Attempt)
 				s.out = nil
-				if x.How == policy.Satisfied && !s.over {
+				if x.Outcome == policy.OutcomeSatisfied && !s.over {
 					s.over = true
-					apply(d.Step(at(now), x.Of, dispatch.Step{What: dispatch.Satisfied, N: x.N}))
+					apply(d.ApplyStep(at(now), x.Lookup, dispatch.Step{Kind: dispatch.StepSatisfied, Attempt: x.Attempt}))
 				}
 			}
-			for _, lk := range do.Leave {
+			for _, lk := range do.Gone {
 				of[lk].over = true
 			}
-			for _, x := range do.Say {
-				lk := by[x.To]
-				switch s := of[lk]; x.What {
-				case Go:
-					if s.told || s.out != nil || !s.owed[x.Send.N] {
-						t.Fatalf("told to send %d: told %v, out %v", x.Send.N, s.told, s.out != nil)
+			for _, x := range do.Answers {
+				lk := by[x.Stream]
+				switch s := of[lk]; x.Kind {
+				case AnswerAttempt:
+					if s.told || s.out != nil || !s.owed[x.Step.Attempt] {
+						t.Fatalf("told to send %d: told %v, out %v", x.Step.Attempt, s.told, s.out != nil)
 					}
-					s.out = x.To
-				case Accepted, Nack, Fail:
+					s.out = x.Stream
+				case AnswerAccepted, AnswerReject, AnswerFail:
 					if s != nil {
 						s.told = true
 					}
@@ -240,12 +240,12 @@
 					streams = append(streams, on)
 				}
 				id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")
-				if on.its == nil {
-					if known := d.by[on.Caller+" "+id]; known != nil {
+				if on.lookup == nil {
+					if known := d.lookups[on.Caller+" "+id]; known != nil {
 						by[on] = known
 					}
 				}
-				lk, do := d.Ask(at(now), on, id, at(now+500))
+				lk, do := d.Request(at(now), on, id, at(now+500))
 				if lk != nil {
 					of[lk], by[on] = &seen{owed: map[int]bool{}}, lk
 					live = append(live, lk)
@@ -263,25 +263,25 @@
 				}
 				if len(s.owed) > 0 || rapid.IntRange(0, 3).Draw(t, "end") == 0 {
 					s.over = true
-					apply(d.Step(at(now), lk, dispatch.Step{What: dispatch.Nacked}))
+					apply(d.ApplyStep(at(now), lk, dispatch.Step{Kind: dispatch.StepRejected}))
 					return
 				}
 				s.owed[s.next] = true
 				s.next++
-				apply(d.Step(at(now), lk, send(s.next-1)))
+				apply(d.ApplyStep(at(now), lk, send(s.next-1)))
 			},
 			"report": func(t *rapid.T) {
 				if len(streams) == 0 {
 					t.Skip()
 				}
 				on := rapid.SampledFrom(streams).Draw(t, "stream")
-				apply(d.Report(at(now), on, rapid.SampledFrom([]policy.Ending{policy.Satisfied, policy.Missed, policy.Errored, 99}).Draw(t, "how"), policy.Untold, 0))
+				apply(d.ReportOutcome(at(now), on, rapid.SampledFrom([]policy.AttemptOutcome{policy.OutcomeSatisfied, policy.OutcomeMiss, policy.OutcomeError, 99}).Draw(t, "how"), policy.DetailNone, 0))
 			},
 			"end": func(t *rapid.T) {
 				if len(streams) == 0 {
 					t.Skip()
 				}
-				apply(d.End(at(now), rapid.SampledFrom(streams).Draw(t, "stream")))
+				apply(d.StreamEnded(at(now), rapid.SampledFrom(streams).Draw(t, "stream")))
 			},
 			"time": func(t *rapid.T) {
 				now += rapid.IntRange(1, 400).Draw(t, "ms")
@@ -290,18 +290,18 @@
 			},
 			"": func(t *rapid.T) {
 				n := 0
-				for _, lk := range d.by {
-					if lk.at != over {
+				for _, lk := range d.lookups {
+					if lk.phase != phaseEnded {
 						n++
 					}
 				}
-				if n != d.open || len(d.by) > 2*terms.Lookups || d.ended.Len() > terms.Lookups {
-					t.Fatalf("%d open, counted %d, %d known", n, d.open, len(d.by))
+				if n != d.openCount || len(d.lookups) > 2*terms.MaxLookups || d.ended.Len() > terms.MaxLookups {
+					t.Fatalf("%d open, counted %d, %d known", n, d.openCount, len(d.lookups))
 				}
 			},
 		})
 		for _, on := range streams {
-			apply(d.End(at(now), on))
+			apply(d.StreamEnded(at(now), on))
 		}
 		for range 4 {
 			now += 5000
@@ -310,12 +310,12 @@
 			for _, lk := range live {
 				if s := of[lk]; !s.over && len(s.owed) == 0 {
 					s.over = true
-					apply(d.Step(at(now), lk, dispatch.Step{What: dispatch.Failed}))
+					apply(d.ApplyStep(at(now), lk, dispatch.Step{Kind: dispatch.StepFailed}))
 				}
 			}
 		}
-		if d.open != 0 || len(d.by) != 0 || len(d.each) != 0 {
-			t.Fatalf("%d open, %d known, %v", d.open, len(d.by), d.each)
+		if d.openCount != 0 || len(d.lookups) != 0 || len(d.openByCaller) != 0 {
+			t.Fatalf("%d open, %d known, %v", d.openCount, len(d.lookups), d.openByCaller)
 		}
 	})
 }
--- a/internal/route/rollout/steer.go
+++ b/internal/route/rollout/steer.go
@@ -283,9 +283,9 @@
 	if p.Decided.Scope == nil {
 		return nil
 	}
-	sc := &policy.Scope{Caches: p.Decided.Scope.Caches, Sources: p.Decided.Scope.Sources, Oldest: p.OldestMS * 1000}
+	sc := &policy.Scope{Caches: p.Decided.Scope.Caches, Sources: p.Decided.Scope.Sources, MaxAge: p.OldestMS * 1000}
 	if len(p.named) > 0 {
-		sc.Again = p.again
+		sc.AllowRetry = p.again
 	}
 	return sc
 }
--- a/internal/route/rollout/steer_test.go
+++ b/internal/route/rollout/steer_test.go
@@ -213,7 +213,7 @@
 		if _, why, wait := s.Admit(0, 0, "o", 10); why != limit.TooMany || wait <= 0 {
 			t.Fatal(why, wait)
 		}
-		if in[0].Scope().Again() {
+		if in[0].Scope().AllowRetry() {
 			t.Error("a further send, though there is to be none")
 		}
 		c.Routes[0].Oldest = 100
--- a/internal/settings/charter.go
+++ b/internal/settings/charter.go
@@ -12,30 +12,30 @@
 	"foldslip/internal/policy"
 )
 
-// Terms are what the module is told, and what only a door of sockets needs besides.
-type Terms struct {
-	Router                 *policy.Charter
-	Kinds, Zones, Machines []string // names, in the order of their numbers
-	ConnectWithin          policy.Micros
-	IdleFor                policy.Micros // a connection to a cache is closed when idle for so long
-	Streams                int           // open sends that one connection to a cache carries
-	PurgeGrace             policy.Micros // time to heed a purge
-	DrainGrace             policy.Micros // time to heed that a cache drains or is gone
+// Settings are what the module is told, and what only a door of sockets needs besides.
+type Settings struct {
+	Router                     *policy.Settings
+	Kinds, Zones, MachineTypes []string // names, in the order of their numbers
+	ConnectTimeout             policy.Micros
+	IdleTimeout                policy.Micros // a connection to a cache is closed when idle for so long
+	MaxStreams                 int           // open sends that one connection to a cache carries
+	PurgeGrace                 policy.Micros // time to heed a purge
+	DrainGrace                 policy.Micros // time to heed that a cache drains or is gone
 }
 
 // What holds where the settings do not tell it. What else is missing counts as its strictest value: no giving up of sends, no time
 // to heed a purge or a drain.
 const (
-	connectWithin = 1e6
-	idleFor       = 30e6
-	streams       = 100
-	sendLimit     = math.MaxInt32 // sends of one lookup
+	defaultConnectTimeout = 1e6
+	defaultIdleTimeout    = 30e6
+	defaultMaxStreams     = 100
+	defaultMaxAttempts    = math.MaxInt32 // sends of one lookup
 )
 
-// Read turns the settings text into terms; unknown keys are skipped, as the wire asks for. What a rule hangs on and is missing or not
+// Parse turns the settings text into terms; unknown keys are skipped, as the wire asks for. What a rule hangs on and is missing or not
 // understood is an error that says where: guessing it would break the rule without a word. Not read, as the gateway holds to them
 // whatever they say: second copies (it has never two sends of a lookup out), probes and words to peers (it sends none).
-func Read(text []byte) (*Terms, error) {
+func Parse(text []byte) (*Settings, error) {
 	var in struct {
 		Areas     []string
 		Machines  []string `json:"machine_types"`
@@ -125,17 +125,17 @@
 	}
 	us := func(v float64) policy.Micros { return policy.Micros(v) }
 	x := in.Specifics
-	c := &policy.Charter{Gateways: in.Balancers, Zone: in.Zone, Seats: x.Seats, ParentKind: -1, OriginKind: -1,
-		Joins: x.Merges, FirstByteTold: x.Tells == "all", HitsTold: x.Tells != "off" && x.Tells != "none",
-		Weighted: in.Weights == "nominal", Sized: in.Weights == "nominal" || in.Weights == "rough",
-		FlowKB: x.Flow, SendLimit: cmp.Or(in.Ceilings.TryLimit, sendLimit),
-		Cancelling:  in.Ceilings.Cancelling,
-		AsksForList: in.Discovery == "ask",
-		ColdShare:   in.Rules.ColdFrom, ColdFor: us(in.Rules.Cold),
-		FallMultiple: in.Rules.FallMultiple, FallFor: us(in.Rules.Fall), ParentColdShare: x.StartsAt,
-		ParentColdFor: us(x.Ramp), ParentFall: x.BreaksAt, PurgeDone: us(x.Cleared)}
+	c := &policy.Settings{Gateways: in.Balancers, Zone: in.Zone, ZoneGateways: x.Seats, ParentKind: -1, OriginKind: -1,
+		CoalescesFills: x.Merges, ReportsFirstByte: x.Tells == "all", ReportsHits: x.Tells != "off" && x.Tells != "none",
+		WeightIsCapacity: in.Weights == "nominal", WeightIsSize: in.Weights == "nominal" || in.Weights == "rough",
+		TransferKBPerSecond: x.Flow, MaxAttempts: cmp.Or(in.Ceilings.TryLimit, defaultMaxAttempts),
+		CanCancel:             in.Ceilings.Cancelling,
+		SubscribesToEndpoints: in.Discovery == "ask",
+		SlowStartShare:        in.Rules.ColdFrom, SlowStartTime: us(in.Rules.Cold),
+		BreakMultiple: in.Rules.FallMultiple, BreakWindow: us(in.Rules.Fall), ParentSlowStartShare: x.StartsAt,
+		ParentSlowStartTime: us(x.Ramp), ParentBreakMultiple: x.BreaksAt, PurgeSettleTime: us(x.Cleared)}
 	if in.Ceilings.RetryAfter {
-		c.MaxRetryIn = us(in.Ceilings.MaxRetryAfter)
+		c.MaxRetryAfter = us(in.Ceilings.MaxRetryAfter)
 	}
 	if x.Parent != nil {
 		c.ParentKind = *x.Parent
@@ -143,10 +143,10 @@
 	if x.Origin != nil {
 		c.OriginKind = *x.Origin
 	}
-	t := &Terms{Router: c, Zones: in.Areas, Machines: in.Machines, ConnectWithin: us(cmp.Or(in.Ceilings.Connect, connectWithin)),
-		IdleFor: us(cmp.Or(in.Ceilings.KeepAlive, idleFor)), Streams: cmp.Or(in.Ceilings.Streams, streams),
+	t := &Settings{Router: c, Zones: in.Areas, MachineTypes: in.Machines, ConnectTimeout: us(cmp.Or(in.Ceilings.Connect, defaultConnectTimeout)),
+		IdleTimeout: us(cmp.Or(in.Ceilings.KeepAlive, defaultIdleTimeout)), MaxStreams: cmp.Or(in.Ceilings.Streams, defaultMaxStreams),
 		PurgeGrace: us(x.Obey), DrainGrace: us(in.Rules.StopSending)}
-	if t.ConnectWithin < 0 || t.IdleFor < 0 || t.Streams < 0 {
+	if t.ConnectTimeout < 0 || t.IdleTimeout < 0 || t.MaxStreams < 0 {
 		return nil, fmt.Errorf("ceilings: a time or count is negative")
 	}
 	if t.PurgeGrace < 0 || t.DrainGrace < 0 {
@@ -163,9 +163,9 @@
 			return nil, fmt.Errorf("%s: stream is true; answers that stream are not known here", where)
 		}
 		t.Kinds = append(t.Kinds, k.Name)
-		row := policy.ObjectKind{Budget: us(k.Aim), Stretch: k.AimStretch, GiveUp: us(k.Deadline),
-			Utility: k.Points, LateUtility: k.LateWorth, Memory: us(k.Window), Fresh: us(at(x.Fresh, i)),
-			Grace: us(at(x.Grace, i)), AgedUtility: at(x.AgedWorth, i), PassThrough: at(x.PassOn, i)}
+		row := policy.ObjectKind{LatencyBudget: us(k.Aim), BudgetStretch: k.AimStretch, Deadline: us(k.Deadline),
+			Utility: k.Points, LateUtilityShare: k.LateWorth, DedupWindow: us(k.Window), MaxAge: us(elementAt(x.Fresh, i)),
+			StaleGrace: us(elementAt(x.Grace, i)), StaleUtility: elementAt(x.AgedWorth, i), PassThrough: elementAt(x.PassOn, i)}
 		switch k.Effect {
 		case "idempotent":
 		case "deduplicated":
@@ -178,9 +178,9 @@
 		switch k.Group {
 		case "all", "":
 		case "zone":
-			row.Circle = policy.SameZone
+			row.DedupScope = policy.SameZone
 		case "cell":
-			row.Circle = policy.SameCell
+			row.DedupScope = policy.SameCell
 		default:
 			return nil, fmt.Errorf("%s: group %q, expected all, zone or cell", where, k.Group)
 		}
@@ -192,8 +192,8 @@
 	return t, nil
 }
 
-// at gives a list's value, or the zero value where the list is too short.
-func at[T any](list []T, i int) T {
+// elementAt gives a list's value, or the zero value where the list is too short.
+func elementAt[T any](list []T, i int) T {
 	var none T
 	if i < 0 || i >= len(list) {
 		return none
@@ -201,12 +201,12 @@
 	return list[i]
 }
 
-// Budget is the latency budget of a lookup of a kind and size.
-func (t *Terms) Budget(kind int, kb float64) time.Duration {
+// LatencyBudget is the latency budget of a lookup of a kind and size.
+func (t *Settings) LatencyBudget(kind int, kb float64) time.Duration {
 	k := t.Router.Kinds[kind]
 	work := 0.0
-	if t.Router.FlowKB > 0 {
-		work = kb / t.Router.FlowKB * float64(time.Second.Microseconds())
+	if t.Router.TransferKBPerSecond > 0 {
+		work = kb / t.Router.TransferKBPerSecond * float64(time.Second.Microseconds())
 	}
-	return time.Duration(min(float64(k.Budget)+k.Stretch*work, float64(k.GiveUp))) * time.Microsecond
+	return time.Duration(min(float64(k.LatencyBudget)+k.BudgetStretch*work, float64(k.Deadline))) * time.Microsecond
 }
--- a/internal/settings/charter_test.go
+++ b/internal/settings/charter_test.go
@@ -11,22 +11,22 @@
 	text := `{"classes":[{"name":"a","aim":400000,"deadline":900000,"effect":"deduplicated","group":"zone"},{"name":"b","aim":1,"deadline":2,"effect":"idempotent"}],` +
 		`"areas":["x"],"ceilings":{"max_retry_after":2000000,"retry_after":true},` +
 		`"specifics":{"max_age":[8000000],"parent_kind":2}}`
-	got, err := Read([]byte(text))
+	got, err := Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := got.Router
-	if a := c.Kinds[0]; a.Effect != policy.Deduplicated || a.Circle != policy.SameZone || a.Budget != 400000 ||
-		a.Fresh != 8000000 || c.Kinds[1].Fresh != 0 || c.Kinds[1].Effect != policy.Idempotent {
+	if a := c.Kinds[0]; a.Effect != policy.Deduplicated || a.DedupScope != policy.SameZone || a.LatencyBudget != 400000 ||
+		a.MaxAge != 8000000 || c.Kinds[1].MaxAge != 0 || c.Kinds[1].Effect != policy.Idempotent {
 		t.Errorf("%+v", c.Kinds)
 	}
-	if c.SendLimit != sendLimit || got.DrainGrace != 0 {
+	if c.MaxAttempts != defaultMaxAttempts || got.DrainGrace != 0 {
 		t.Errorf("%+v", got)
 	}
-	if c.ParentKind != 2 || c.OriginKind != -1 || c.MaxRetryIn != 2000000 || c.Cancelling {
+	if c.ParentKind != 2 || c.OriginKind != -1 || c.MaxRetryAfter != 2000000 || c.CanCancel {
 		t.Errorf("%+v", c)
 	}
-	if got.Kinds[1] != "b" || got.Zones[0] != "x" || got.ConnectWithin != connectWithin || got.Streams != streams {
+	if got.Kinds[1] != "b" || got.Zones[0] != "x" || got.ConnectTimeout != defaultConnectTimeout || got.MaxStreams != defaultMaxStreams {
 		t.Errorf("%+v", got)
 	}
 	for name, bad := range map[string]string{
@@ -48,13 +48,13 @@
 		if bad == text {
 			t.Fatal(name)
 		}
-		if _, err := Read([]byte(bad)); err == nil {
+		if _, err := Parse([]byte(bad)); err == nil {
 			t.Errorf("%s: read", name)
 		}
 	}
 	for _, bad := range []string{"", "[]", "{}", strings.Replace(text, "deduplicated", "odd", 1),
 		strings.Replace(text, "zone", "odd", 1), strings.Replace(text, `"retry_after"`, `"max_streams":-1,"x"`, 1)} {
-		if _, err := Read([]byte(bad)); err == nil {
+		if _, err := Parse([]byte(bad)); err == nil {
 			t.Errorf("%q is read", bad)
 		}
 	}
@@ -66,12 +66,12 @@
 func TestWeights(t *testing.T) {
 	for weights, want := range map[string][2]bool{"nominal": {true, true}, "rough": {true, false},
 		"none": {false, false}, "live": {false, false}} {
-		got, err := Read([]byte(`{"classes":[` + one + `],"weights":"` + weights + `"}`))
+		got, err := Parse([]byte(`{"classes":[` + one + `],"weights":"` + weights + `"}`))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if c := got.Router; c.Sized != want[0] || c.Weighted != want[1] {
-			t.Errorf("%s: sized %v, weighted %v", weights, c.Sized, c.Weighted)
+		if c := got.Router; c.WeightIsSize != want[0] || c.WeightIsCapacity != want[1] {
+			t.Errorf("%s: sized %v, weighted %v", weights, c.WeightIsSize, c.WeightIsCapacity)
 		}
 	}
 }
@@ -80,12 +80,12 @@
 func TestTells(t *testing.T) {
 	for tells, want := range map[string][2]bool{"all": {true, true}, "hit": {true, false}, "off": {false, false},
 		"": {true, false}} {
-		got, err := Read([]byte(`{"classes":[` + one + `],"specifics":{"tells":"` + tells + `"}}`))
+		got, err := Parse([]byte(`{"classes":[` + one + `],"specifics":{"tells":"` + tells + `"}}`))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if c := got.Router; c.HitsTold != want[0] || c.FirstByteTold != want[1] {
-			t.Errorf("%s: hits %v, first bytes %v", tells, c.HitsTold, c.FirstByteTold)
+		if c := got.Router; c.ReportsHits != want[0] || c.ReportsFirstByte != want[1] {
+			t.Errorf("%s: hits %v, first bytes %v", tells, c.ReportsHits, c.ReportsFirstByte)
 		}
 	}
 }
@@ -93,7 +93,7 @@
 // A word for what caches tell or what weights mean that is not known is an error, not a signal turned off.
 func TestUnknownWords(t *testing.T) {
 	for _, bad := range []string{`"specifics":{"tells":"some"}`, `"weights":"exact"`} {
-		if _, err := Read([]byte(`{"classes":[` + one + `],` + bad + `}`)); err == nil {
+		if _, err := Parse([]byte(`{"classes":[` + one + `],` + bad + `}`)); err == nil {
 			t.Errorf("%s is read", bad)
 		}
 	}
--- a/internal/settings/frozen_test.go
+++ b/internal/settings/frozen_test.go
@@ -15,7 +15,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			got, err := Read(text)
+			got, err := Parse(text)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -32,7 +32,7 @@
 	}
 	var got strings.Builder
 	for text := range strings.Lines(string(texts)) {
-		_, err := Read([]byte(text))
+		_, err := Parse([]byte(text))
 		reason, _, _ := strings.Cut(fmt.Sprint(err), " json: ") // the library's part names Go types
 		fmt.Fprintln(&got, reason)
 	}
@@ -51,45 +51,45 @@
 }
 
 // describe lists every value that was read, under labels that don't follow the names of fields.
-func describe(got *Terms) string {
+func describe(got *Settings) string {
 	var b strings.Builder
 	line := func(label string, value any) { fmt.Fprintf(&b, "%s: %v\n", label, value) }
 	line("class names", got.Kinds)
 	line("areas", got.Zones)
-	line("machine types", got.Machines)
-	line("connect timeout", got.ConnectWithin)
-	line("idle timeout", got.IdleFor)
-	line("streams", got.Streams)
+	line("machine types", got.MachineTypes)
+	line("connect timeout", got.ConnectTimeout)
+	line("idle timeout", got.IdleTimeout)
+	line("streams", got.MaxStreams)
 	line("obey after", got.PurgeGrace)
 	line("stop sending within", got.DrainGrace)
 	r := got.Router
 	line("balancers", r.Gateways)
 	line("az", r.Zone)
-	line("seats by zone", r.Seats)
+	line("seats by zone", r.ZoneGateways)
 	line("parent kind", r.ParentKind)
 	line("source kind", r.OriginKind)
-	line("merges fills", r.Joins)
-	line("first byte told", r.FirstByteTold)
-	line("hits told", r.HitsTold)
-	line("weights are links", r.Weighted)
-	line("weights are sizes", r.Sized)
-	line("flow kb", r.FlowKB)
-	line("send limit", r.SendLimit)
-	line("cancelling", r.Cancelling)
-	line("max retry after", r.MaxRetryIn)
-	line("asks for list", r.AsksForList)
-	line("cold from, cold", fmt.Sprint(r.ColdShare, r.ColdFor))
-	line("fall multiple, fall", fmt.Sprint(r.FallMultiple, r.FallFor))
-	line("parent starts at, ramp, breaks at", fmt.Sprint(r.ParentColdShare, r.ParentColdFor, r.ParentFall))
-	line("cleared within", r.PurgeDone)
+	line("merges fills", r.CoalescesFills)
+	line("first byte told", r.ReportsFirstByte)
+	line("hits told", r.ReportsHits)
+	line("weights are links", r.WeightIsCapacity)
+	line("weights are sizes", r.WeightIsSize)
+	line("flow kb", r.TransferKBPerSecond)
+	line("send limit", r.MaxAttempts)
+	line("cancelling", r.CanCancel)
+	line("max retry after", r.MaxRetryAfter)
+	line("asks for list", r.SubscribesToEndpoints)
+	line("cold from, cold", fmt.Sprint(r.SlowStartShare, r.SlowStartTime))
+	line("fall multiple, fall", fmt.Sprint(r.BreakMultiple, r.BreakWindow))
+	line("parent starts at, ramp, breaks at", fmt.Sprint(r.ParentSlowStartShare, r.ParentSlowStartTime, r.ParentBreakMultiple))
+	line("cleared within", r.PurgeSettleTime)
 	for i, k := range r.Kinds {
 		line(fmt.Sprint("class ", i), "")
-		line("  aim, stretch, deadline", fmt.Sprint(k.Budget, k.Stretch, k.GiveUp))
-		line("  points, late worth", fmt.Sprint(k.Utility, k.LateUtility))
-		line("  effect, group, window", fmt.Sprint(int(k.Effect), int(k.Circle), k.Memory))
-		line("  max age, grace, worth when old", fmt.Sprint(k.Fresh, k.Grace, k.AgedUtility))
+		line("  aim, stretch, deadline", fmt.Sprint(k.LatencyBudget, k.BudgetStretch, k.Deadline))
+		line("  points, late worth", fmt.Sprint(k.Utility, k.LateUtilityShare))
+		line("  effect, group, window", fmt.Sprint(int(k.Effect), int(k.DedupScope), k.DedupWindow))
+		line("  max age, grace, worth when old", fmt.Sprint(k.MaxAge, k.StaleGrace, k.StaleUtility))
 		line("  pass on", k.PassThrough)
-		line("  budget of 0 and 1000 kb", fmt.Sprint(got.Budget(i, 0), got.Budget(i, 1000)))
+		line("  budget of 0 and 1000 kb", fmt.Sprint(got.LatencyBudget(i, 0), got.LatencyBudget(i, 1000)))
 	}
 	return b.String()
 }
--- a/internal/simadapter/fields.go
+++ b/internal/simadapter/fields.go
@@ -11,19 +11,19 @@
 
 // fields are the values of one line, taken in order; the first that cannot be read is the error.
 type fields struct {
-	word, left string
-	more       bool
-	err        error
+	message, remaining string
+	more               bool
+	err                error
 }
 
-func split(line string) *fields {
+func splitLine(line string) *fields {
 	word, left, more := strings.Cut(line, " ")
-	return &fields{word: word, left: left, more: more}
+	return &fields{message: word, remaining: left, more: more}
 }
 
-func (f *fields) fault(field, got, want string) {
+func (f *fields) reject(field, got, want string) {
 	if f.err == nil {
-		f.err = fmt.Errorf("%s: %s is %q, expected %s", f.word, field, got, want)
+		f.err = fmt.Errorf("%s: %s is %q, expected %s", f.message, field, got, want)
 	}
 }
 
@@ -31,17 +31,17 @@
 func (f *fields) optional(field string) string {
 	if !f.more {
 		if f.err == nil {
-			f.err = fmt.Errorf("%s: %s is missing, the line has too few values", f.word, field)
+			f.err = fmt.Errorf("%s: %s is missing, the line has too few values", f.message, field)
 		}
 		return ""
 	}
 	var v string
-	v, f.left, f.more = strings.Cut(f.left, " ")
+	v, f.remaining, f.more = strings.Cut(f.remaining, " ")
 	if v == "-" {
 		return ""
 	}
 	if v == "" {
-		f.fault(field, v, "a value or -")
+		f.reject(field, v, "a value or -")
 	}
 	return v
 }
@@ -49,7 +49,7 @@
 func (f *fields) text(field string) string {
 	v := f.optional(field)
 	if v == "" {
-		f.fault(field, "-", "a value")
+		f.reject(field, "-", "a value")
 	}
 	return v
 }
@@ -57,17 +57,17 @@
 // rest takes all that is left of the line.
 func (f *fields) rest(field string) string {
 	if !f.more {
-		f.fault(field, "", "text to the line's end")
+		f.reject(field, "", "text to the line's end")
 	}
-	v := f.left
-	f.left, f.more = "", false
+	v := f.remaining
+	f.remaining, f.more = "", false
 	return v
 }
 
-// done gives the line's fault, if any.
-func (f *fields) done() error {
+// finish gives the line's fault, if any.
+func (f *fields) finish() error {
 	if f.err == nil && f.more {
-		f.err = fmt.Errorf("%s: %q is left over, expected the line's end", f.word, f.left)
+		f.err = fmt.Errorf("%s: %q is left over, expected the line's end", f.message, f.remaining)
 	}
 	return f.err
 }
@@ -79,7 +79,7 @@
 	}
 	n, err := strconv.ParseInt(v, 10, 64)
 	if err != nil {
-		f.fault(field, v, "a whole number")
+		f.reject(field, v, "a whole number")
 	}
 	return n
 }
@@ -87,7 +87,7 @@
 func (f *fields) int(field string) int {
 	v := f.micros(field)
 	if v < 0 || v > math.MaxInt32 {
-		f.fault(field, strconv.FormatInt(v, 10), "a whole number from 0")
+		f.reject(field, strconv.FormatInt(v, 10), "a whole number from 0")
 	}
 	return int(v)
 }
@@ -96,7 +96,7 @@
 	v := f.text(field)
 	n, err := strconv.ParseUint(v, 10, 64)
 	if err != nil {
-		f.fault(field, v, "a whole number from 0")
+		f.reject(field, v, "a whole number from 0")
 	}
 	return n
 }
@@ -108,7 +108,7 @@
 	}
 	n, err := strconv.ParseFloat(v, 64)
 	if err != nil || math.IsNaN(n) || math.IsInf(n, 0) || n < 0 {
-		f.fault(field, v, "a number from 0")
+		f.reject(field, v, "a number from 0")
 	}
 	return n
 }
@@ -122,7 +122,7 @@
 	for _, one := range strings.Split(v, ",") {
 		n, err := strconv.ParseFloat(one, 64)
 		if err != nil || math.IsNaN(n) || math.IsInf(n, 0) {
-			f.fault(field, v, "numbers set apart by commas")
+			f.reject(field, v, "numbers set apart by commas")
 		}
 		list = append(list, n)
 	}
@@ -132,28 +132,28 @@
 func (f *fields) bool(field string) bool {
 	v := f.optional(field)
 	if v != "" && v != "0" && v != "1" {
-		f.fault(field, v, "0 or 1")
+		f.reject(field, v, "0 or 1")
 	}
 	return v == "1"
 }
 
-func (f *fields) ending(field string) policy.Ending {
+func (f *fields) outcome(field string) policy.AttemptOutcome {
 	n := f.int(field)
 	if f.err == nil && (n < 1 || n > 9) {
-		f.fault(field, strconv.Itoa(n), "an outcome from 1 to 9")
+		f.reject(field, strconv.Itoa(n), "an outcome from 1 to 9")
 	}
-	return policy.Ending(n)
+	return policy.AttemptOutcome(n)
 }
 
-func (f *fields) remark(field string) policy.Remark {
+func (f *fields) detail(field string) policy.OutcomeDetail {
 	n := f.int(field)
 	if n > 10 {
-		f.fault(field, strconv.Itoa(n), "a remark from 0 to 10")
+		f.reject(field, strconv.Itoa(n), "a remark from 0 to 10")
 	}
-	return policy.Remark(n)
+	return policy.OutcomeDetail(n)
 }
 
-func (f *fields) state(field string) policy.State {
+func (f *fields) state(field string) policy.EndpointState {
 	switch v := f.text(field); v {
 	case "ready":
 		return policy.Ready
@@ -162,23 +162,23 @@
 	case "gone":
 		return policy.Gone
 	default:
-		f.fault(field, v, "ready, draining or gone")
+		f.reject(field, v, "ready, draining or gone")
 		return policy.Gone
 	}
 }
 
-func (f *fields) listKind(field string) policy.ListKind {
+func (f *fields) updateKind(field string) policy.UpdateKind {
 	switch v := f.text(field); v {
 	case "delta":
-		return policy.Changes
+		return policy.UpdateDelta
 	case "full":
-		return policy.FullList
+		return policy.UpdateFull
 	case "cached":
-		return policy.CachedList
+		return policy.UpdateCached
 	case "failed":
-		return policy.ListFailed
+		return policy.UpdateFailed
 	default:
-		f.fault(field, v, "delta, full, cached or failed")
-		return policy.ListFailed
+		f.reject(field, v, "delta, full, cached or failed")
+		return policy.UpdateFailed
 	}
 }
--- a/internal/simadapter/frozen_test.go
+++ b/internal/simadapter/frozen_test.go
@@ -26,12 +26,12 @@
 	var got strings.Builder
 	out := bufio.NewWriter(&got)
 	g := &gateway{name: "gateway/3", out: out}
-	g.Subscribe(true)
-	g.Subscribe(false)
-	g.Wake(10000, 1)
+	g.SubscribeEndpoints(true)
+	g.SubscribeEndpoints(false)
+	g.SetTimer(10000, 1)
 	g.Log("two  words\nand a\tline ")
 	g.Log("")
-	g.guard(func() { panic("a fault\nof the module") })
+	g.recoverFault(func() { panic("a fault\nof the module") })
 	out.Flush()
 	compareWithFile(t, "testdata/actions.out", got.String())
 }
--- a/internal/simadapter/host.go
+++ b/internal/simadapter/host.go
@@ -6,8 +6,8 @@
 	"foldslip/internal/policy"
 )
 
-// say writes one action of this gateway; an empty text stands for an absent value.
-func (g *gateway) say(word string, values ...any) {
+// writeAction writes one action of this gateway; an empty text stands for an absent value.
+func (g *gateway) writeAction(word string, values ...any) {
 	fmt.Fprintf(g.out, "%s %s", word, g.name)
 	for _, v := range values {
 		if v == "" {
@@ -19,32 +19,36 @@
 }
 
 // Fetch implements logic.Host.
-func (g *gateway) Fetch(lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.How,
+func (g *gateway) Fetch(lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.FetchMode,
 	patience, _, oldest policy.Micros) {
-	g.lookups[lk.Door].out++
-	g.say("SERVE_OR_FILL", lk.Door, rank, int(how), source.Name, to.Name, patience, oldest)
+	g.lookups[lk.ID].openAttempts++
+	g.writeAction("SERVE_OR_FILL", lk.ID, rank, int(how), source.Name, to.Name, patience, oldest)
 }
 
-// Cancel implements logic.Host.
-func (g *gateway) Cancel(lk *policy.Lookup, send int) { g.say("ABORT_ATTEMPT", lk.Door, send) }
+// CancelAttempt implements logic.Host.
+func (g *gateway) CancelAttempt(lk *policy.Lookup, send int) {
+	g.writeAction("ABORT_ATTEMPT", lk.ID, send)
+}
 
-// Nack implements logic.Host.
-func (g *gateway) Nack(lk *policy.Lookup, retryIn policy.Micros) { g.say("SAY_NO", lk.Door, retryIn) }
+// Reject implements logic.Host.
+func (g *gateway) Reject(lk *policy.Lookup, retryIn policy.Micros) {
+	g.writeAction("SAY_NO", lk.ID, retryIn)
+}
 
 // Fail implements logic.Host.
-func (g *gateway) Fail(lk *policy.Lookup) { g.say("LOSE", lk.Door) }
+func (g *gateway) Fail(lk *policy.Lookup) { g.writeAction("LOSE", lk.ID) }
 
-// Wake implements logic.Host.
-func (g *gateway) Wake(in policy.Micros, token int64) { g.say("WAKE_ME", in, token) }
+// SetTimer implements logic.Host.
+func (g *gateway) SetTimer(in policy.Micros, token int64) { g.writeAction("WAKE_ME", in, token) }
 
-// Subscribe implements logic.Host.
-func (g *gateway) Subscribe(on bool) {
+// SubscribeEndpoints implements logic.Host.
+func (g *gateway) SubscribeEndpoints(on bool) {
 	if on {
-		g.say("WATCH", 1)
+		g.writeAction("WATCH", 1)
 	} else {
-		g.say("WATCH", 0)
+		g.writeAction("WATCH", 0)
 	}
 }
 
 // Log implements logic.Host.
-func (g *gateway) Log(line string) { g.say("WRITE_LOG", oneLine(line)) }
+func (g *gateway) Log(line string) { g.writeAction("WRITE_LOG", oneLine(line)) }
--- a/internal/telemetry/frozen_test.go
+++ b/internal/telemetry/frozen_test.go
@@ -20,22 +20,22 @@
 // TestFrozenSpans compares names, attributes, events and statuses of spans with those that an earlier build made.
 func TestFrozenSpans(t *testing.T) {
 	exporter := tracetest.NewInMemoryExporter()
-	tracer := New(Terms{Share: 1, Name: "n0"}, sdk.WithSyncer(exporter))
+	tracer := New(Options{Share: 1, Name: "n0"}, sdk.WithSyncer(exporter))
 	edge, parent := &policy.Cache{Name: "c0"}, &policy.Cache{Name: "p0"}
 	routed := &rollout.Pass{Version: 7}
 	routed.Decided.Route = "films"
-	for _, end := range []dispatch.Step{{What: dispatch.Satisfied}, {What: dispatch.Nacked, RetryIn: 2500}, {What: dispatch.Failed}, {What: dispatch.Departed}} {
-		lk := &retry.Lookup{Object: "o", Group: 3, Asked: &route.Asked{ID: "a1", Part: 2, KB: 12.5}, Pass: routed}
-		tracer.Began(lk, headers("", 0))
-		tracer.Decided(lk, dispatch.Step{What: dispatch.Send, N: 0, To: edge, Source: parent, Rank: 3, Patience: 99})
-		tracer.Decided(lk, dispatch.Step{What: dispatch.Cancel, N: 0})
-		for how := policy.Satisfied; how <= policy.Missed; how++ {
-			tracer.Decided(lk, dispatch.Step{What: dispatch.Send, N: int(how), To: edge, Source: edge})
-			tracer.Ended(lk, retry.Tell{Of: lk, N: int(how), How: how, Remark: policy.Aged})
+	for _, end := range []dispatch.Step{{Kind: dispatch.StepSatisfied}, {Kind: dispatch.StepRejected, RetryAfter: 2500}, {Kind: dispatch.StepFailed}, {Kind: dispatch.StepClientGone}} {
+		lk := &retry.Lookup{Object: "o", Group: 3, Request: &route.Asked{ID: "a1", Part: 2, KB: 12.5}, Ticket: routed}
+		tracer.LookupStarted(lk, headers("", 0))
+		tracer.StepDecided(lk, dispatch.Step{Kind: dispatch.StepFetch, Attempt: 0, Cache: edge, Source: parent, Rank: 3, Timeout: 99})
+		tracer.StepDecided(lk, dispatch.Step{Kind: dispatch.StepCancel, Attempt: 0})
+		for how := policy.OutcomeSatisfied; how <= policy.OutcomeMiss; how++ {
+			tracer.StepDecided(lk, dispatch.Step{Kind: dispatch.StepFetch, Attempt: int(how), Cache: edge, Source: edge})
+			tracer.AttemptEnded(lk, retry.Report{Lookup: lk, Attempt: int(how), Outcome: how, Detail: policy.DetailStale})
 		}
-		tracer.Decided(lk, end)
+		tracer.StepDecided(lk, end)
 	}
-	tracer.Began(&retry.Lookup{}, headers("", 0))
+	tracer.LookupStarted(&retry.Lookup{}, headers("", 0))
 	var got strings.Builder
 	list := func(indent string, attributes []attribute.KeyValue) {
 		for _, a := range attributes {
--- a/internal/telemetry/trace.go
+++ b/internal/telemetry/trace.go
@@ -25,57 +25,57 @@
 )
 
 const (
-	mostQueued = 2048
-	mostBatch  = 256
-	everySpan  = 2 * time.Second // spans go out at least so often
-	closeIn    = 500 * time.Millisecond
+	maxQueuedSpans = 2048
+	maxSpanBatch   = 256
+	exportInterval = 2 * time.Second // spans go out at least so often
+	closeTimeout   = 500 * time.Millisecond
 )
 
 // Tracer hears of lookups; it is a door.Tracer.
 type Tracer struct {
-	from  *sdk.TracerProvider
-	its   trace.Tracer
-	takes propagation.TextMapPropagator
+	provider   *sdk.TracerProvider
+	tracer     trace.Tracer
+	propagator propagation.TextMapPropagator
 }
 
-// Terms say where spans go and how many.
-type Terms struct {
+// Options say where spans go and how many.
+type Options struct {
 	Endpoint string  // address of an OTLP collector on gRPC
 	Share    float64 // of lookups whose callers bring no trace context
 	Name     string  // of this gateway
 }
 
 // Open traces to an OTLP collector. A collector that is away is tried again by the library, and spans are dropped meanwhile.
-func Open(t Terms) (*Tracer, error) {
+func Open(t Options) (*Tracer, error) {
 	to, err := otlptracegrpc.New(context.Background(), otlptracegrpc.WithEndpoint(t.Endpoint), otlptracegrpc.WithInsecure())
 	if err != nil {
 		return nil, err
 	}
-	return New(t, sdk.WithBatcher(to, sdk.WithMaxQueueSize(mostQueued), sdk.WithMaxExportBatchSize(mostBatch), sdk.WithBatchTimeout(everySpan))), nil
+	return New(t, sdk.WithBatcher(to, sdk.WithMaxQueueSize(maxQueuedSpans), sdk.WithMaxExportBatchSize(maxSpanBatch), sdk.WithBatchTimeout(exportInterval))), nil
 }
 
 // New traces to what the options say.
-func New(t Terms, to ...sdk.TracerProviderOption) *Tracer {
+func New(t Options, to ...sdk.TracerProviderOption) *Tracer {
 	opts := append([]sdk.TracerProviderOption{sdk.WithSampler(sdk.ParentBased(sdk.TraceIDRatioBased(t.Share))),
 		sdk.WithResource(resource.NewSchemaless(attribute.String("service.name", "foldslip"), attribute.String("service.instance.id", t.Name)))}, to...)
 	p := sdk.NewTracerProvider(opts...)
-	return &Tracer{from: p, its: p.Tracer("foldslip/door"), takes: propagation.TraceContext{}}
+	return &Tracer{provider: p, tracer: p.Tracer("foldslip/door"), propagator: propagation.TraceContext{}}
 }
 
 // Close sends what waits, for a short while.
 func (t *Tracer) Close() {
-	ctx, stop := context.WithTimeout(context.Background(), closeIn)
+	ctx, stop := context.WithTimeout(context.Background(), closeTimeout)
 	defer stop()
-	t.from.Shutdown(ctx)
+	t.provider.Shutdown(ctx)
 }
 
 // spans are those of one lookup.
 type spans struct {
-	mu    sync.Mutex
-	ctx   context.Context
-	root  trace.Span
-	sends map[int]trace.Span
-	over  bool
+	mu       sync.Mutex
+	ctx      context.Context
+	root     trace.Span
+	attempts map[int]trace.Span
+	ended    bool
 }
 
 // carrier reads W3C trace context from a caller's headers.
@@ -91,75 +91,75 @@
 func (carrier) Set(string, string) {}
 func (carrier) Keys() []string     { return nil }
 
-// Began is a lookup that the router has taken.
-func (t *Tracer) Began(lk *retry.Lookup, get route.Get) {
-	ctx := t.takes.Extract(context.Background(), carrier{get})
-	ctx, root := t.its.Start(ctx, "lookup", trace.WithSpanKind(trace.SpanKindServer))
+// LookupStarted is a lookup that the router has taken.
+func (t *Tracer) LookupStarted(lk *retry.Lookup, get route.Get) {
+	ctx := t.propagator.Extract(context.Background(), carrier{get})
+	ctx, root := t.tracer.Start(ctx, "lookup", trace.WithSpanKind(trace.SpanKindServer))
 	if !root.IsRecording() {
 		return
 	}
 	root.SetAttributes(attribute.String("foldslip.object", lk.Object), attribute.Int("foldslip.group", lk.Group))
-	if lk.Asked != nil {
-		root.SetAttributes(attribute.String("foldslip.id", lk.Asked.ID), attribute.Int("foldslip.part", lk.Asked.Part), attribute.Float64("foldslip.kb", lk.Asked.KB))
+	if lk.Request != nil {
+		root.SetAttributes(attribute.String("foldslip.id", lk.Request.ID), attribute.Int("foldslip.part", lk.Request.Part), attribute.Float64("foldslip.kb", lk.Request.KB))
 	}
-	if lk.Pass != nil {
-		root.SetAttributes(attribute.Int64("foldslip.routes_version", int64(lk.Pass.Version)), attribute.String("foldslip.route", lk.Pass.Decided.Route))
+	if lk.Ticket != nil {
+		root.SetAttributes(attribute.Int64("foldslip.routes_version", int64(lk.Ticket.Version)), attribute.String("foldslip.route", lk.Ticket.Decided.Route))
 	}
-	lk.Trace = &spans{ctx: ctx, root: root, sends: map[int]trace.Span{}}
+	lk.Trace = &spans{ctx: ctx, root: root, attempts: map[int]trace.Span{}}
 }
 
-// Decided is the module's word on a lookup.
-func (t *Tracer) Decided(lk *retry.Lookup, s dispatch.Step) {
+// StepDecided is the module's word on a lookup.
+func (t *Tracer) StepDecided(lk *retry.Lookup, s dispatch.Step) {
 	its, ok := lk.Trace.(*spans)
 	if !ok {
 		return
 	}
 	its.mu.Lock()
 	defer its.mu.Unlock()
-	switch s.What {
-	case dispatch.Send:
-		_, span := t.its.Start(its.ctx, "send", trace.WithSpanKind(trace.SpanKindClient), trace.WithAttributes(attribute.Int("foldslip.send", s.N),
-			attribute.String("foldslip.cache", s.To.Name), attribute.Int("foldslip.rank", s.Rank), attribute.Int64("foldslip.wait_us", s.Patience)))
-		if s.Source != s.To {
+	switch s.Kind {
+	case dispatch.StepFetch:
+		_, span := t.tracer.Start(its.ctx, "send", trace.WithSpanKind(trace.SpanKindClient), trace.WithAttributes(attribute.Int("foldslip.send", s.Attempt),
+			attribute.String("foldslip.cache", s.Cache.Name), attribute.Int("foldslip.rank", s.Rank), attribute.Int64("foldslip.wait_us", s.Timeout)))
+		if s.Source != s.Cache {
 			span.SetAttributes(attribute.String("foldslip.source", s.Source.Name))
 		}
-		its.sends[s.N] = span
+		its.attempts[s.Attempt] = span
 		return
-	case dispatch.Cancel:
-		its.root.AddEvent("given up", trace.WithAttributes(attribute.Int("foldslip.send", s.N)))
+	case dispatch.StepCancel:
+		its.root.AddEvent("given up", trace.WithAttributes(attribute.Int("foldslip.send", s.Attempt)))
 		return
-	case dispatch.Nacked:
-		its.root.SetAttributes(attribute.Int64("foldslip.again_us", s.RetryIn))
+	case dispatch.StepRejected:
+		its.root.SetAttributes(attribute.Int64("foldslip.again_us", s.RetryAfter))
 	}
-	end := endings[s.What]
+	end := resultNames[s.Kind]
 	its.root.SetAttributes(attribute.String("foldslip.end", end))
-	if s.What != dispatch.Satisfied {
+	if s.Kind != dispatch.StepSatisfied {
 		its.root.SetStatus(codes.Error, end)
 	}
 	its.root.End()
-	its.over = true
+	its.ended = true
 }
 
-var endings = map[dispatch.What]string{dispatch.Satisfied: "satisfied", dispatch.Nacked: "nacked", dispatch.Failed: "failed", dispatch.Departed: "departed"}
+var resultNames = map[dispatch.StepKind]string{dispatch.StepSatisfied: "satisfied", dispatch.StepRejected: "nacked", dispatch.StepFailed: "failed", dispatch.StepClientGone: "departed"}
 
-var words = [...]string{"untold", "satisfied", "error", "turned_away", "timed_out", "unconnected", "reset", "cancelled", "never_sent", "missed"}
+var outcomeNames = [...]string{"untold", "satisfied", "error", "turned_away", "timed_out", "unconnected", "reset", "cancelled", "never_sent", "missed"}
 
-// Ended is a send's end as it is told to the router.
-func (t *Tracer) Ended(lk *retry.Lookup, tell retry.Tell) {
+// AttemptEnded is a send's end as it is told to the router.
+func (t *Tracer) AttemptEnded(lk *retry.Lookup, tell retry.Report) {
 	its, ok := lk.Trace.(*spans)
 	if !ok {
 		return
 	}
 	its.mu.Lock()
 	defer its.mu.Unlock()
-	span := its.sends[tell.N]
+	span := its.attempts[tell.Attempt]
 	if span == nil {
 		return
 	}
-	delete(its.sends, tell.N)
-	span.SetAttributes(attribute.String("foldslip.end", words[tell.How]), attribute.Int("foldslip.remark", int(tell.Remark)))
-	if tell.How != policy.Satisfied {
-		span.SetStatus(codes.Error, words[tell.How])
+	delete(its.attempts, tell.Attempt)
+	span.SetAttributes(attribute.String("foldslip.end", outcomeNames[tell.Outcome]), attribute.Int("foldslip.remark", int(tell.Detail)))
+	if tell.Outcome != policy.OutcomeSatisfied {
+		span.SetStatus(codes.Error, outcomeNames[tell.Outcome])
 	}
 	span.End()
 }
--- a/internal/telemetry/trace_test.go
+++ b/internal/telemetry/trace_test.go
@@ -25,16 +25,16 @@
 // told plays a lookup with two sends and gives its spans.
 func told(share float64, traceparent string, times int) tracetest.SpanStubs {
 	to := tracetest.NewInMemoryExporter()
-	tracer := New(Terms{Share: share, Name: "n0"}, sdk.WithSyncer(to))
+	tracer := New(Options{Share: share, Name: "n0"}, sdk.WithSyncer(to))
 	lk := &retry.Lookup{Object: "o", Group: 3}
-	tracer.Began(lk, headers(traceparent, times))
+	tracer.LookupStarted(lk, headers(traceparent, times))
 	cache, other := &policy.Cache{Name: "c0"}, &policy.Cache{Name: "c1"}
-	tracer.Decided(lk, dispatch.Step{What: dispatch.Send, N: 0, To: cache, Source: other})
-	tracer.Ended(lk, retry.Tell{Of: lk, N: 0, How: policy.TurnedAway})
-	tracer.Decided(lk, dispatch.Step{What: dispatch.Send, N: 1, To: other, Source: other})
-	tracer.Ended(lk, retry.Tell{Of: lk, N: 1, How: policy.Satisfied})
-	tracer.Ended(lk, retry.Tell{Of: lk, N: 1, How: policy.Satisfied}) // nothing to end
-	tracer.Decided(lk, dispatch.Step{What: dispatch.Satisfied, N: 1})
+	tracer.StepDecided(lk, dispatch.Step{Kind: dispatch.StepFetch, Attempt: 0, Cache: cache, Source: other})
+	tracer.AttemptEnded(lk, retry.Report{Lookup: lk, Attempt: 0, Outcome: policy.OutcomeRejected})
+	tracer.StepDecided(lk, dispatch.Step{Kind: dispatch.StepFetch, Attempt: 1, Cache: other, Source: other})
+	tracer.AttemptEnded(lk, retry.Report{Lookup: lk, Attempt: 1, Outcome: policy.OutcomeSatisfied})
+	tracer.AttemptEnded(lk, retry.Report{Lookup: lk, Attempt: 1, Outcome: policy.OutcomeSatisfied}) // nothing to end
+	tracer.StepDecided(lk, dispatch.Step{Kind: dispatch.StepSatisfied, Attempt: 1})
 	return to.GetSpans()
 }
 
--- a/internal/warmstart/member.go
+++ b/internal/warmstart/member.go
@@ -38,17 +38,17 @@
 // Members is the list while it may be in doubt. A nil one takes what it is told and does nothing, as on the platform.
 type Members struct {
 	g      env.Ground
-	terms  *settings.Terms
-	router *dispatch.Facade
+	terms  *settings.Settings
+	router *dispatch.Dispatcher
 	caches *memory.Caches
 	keep   *snapshot.Keeper
 
 	listing sync.Mutex // held while the kept list is told to the router, or laid aside
 
 	mu    sync.Mutex
-	rows  map[string]policy.Row // of the list, while it stands for the bulletin
-	book  *freshness.Book       // nil once the bulletin has spoken
-	began time.Time             // the start
+	rows  map[string]policy.Endpoint // of the list, while it stands for the bulletin
+	book  *freshness.Book            // nil once the bulletin has spoken
+	began time.Time                  // the start
 	bars  map[string]*bar
 	last  int64 // number of the last event in the list
 	lower int
@@ -57,11 +57,11 @@
 // bar is a cache that the list knows to drain or to be gone.
 type bar struct {
 	tomb endpoints.Tomb
-	row  *policy.Row // as the bulletin told it meanwhile
+	row  *policy.Endpoint // as the bulletin told it meanwhile
 }
 
 // New makes members over an open list.
-func New(g env.Ground, terms *settings.Terms, router *dispatch.Facade, caches *memory.Caches, keep *snapshot.Keeper) *Members {
+func New(g env.Ground, terms *settings.Settings, router *dispatch.Dispatcher, caches *memory.Caches, keep *snapshot.Keeper) *Members {
 	m := &Members{g: g, terms: terms, router: router, caches: caches, keep: keep, bars: map[string]*bar{}}
 	s := keep.State()
 	m.last = s.Last
@@ -80,10 +80,10 @@
 	if s.Stood == 0 {
 		age = now.Sub(time.UnixMilli(s.At)) // of an operator's file alone
 	}
-	book, rows := freshness.NewBook(freshness.List{Hours: s.Hours, Departed: s.Departed}, now), map[string]policy.Row{}
+	book, rows := freshness.NewBook(freshness.List{Hours: s.Hours, Departed: s.Departed}, now), map[string]policy.Endpoint{}
 	for _, k := range s.Sorted() {
-		row := policy.Row{Cell: k.Cell, Weight: k.Size, Zone: slices.Index(m.terms.Zones, k.Zone),
-			Kind: slices.Index(m.terms.Machines, k.Machine)}
+		row := policy.Endpoint{Cell: k.Cell, Weight: k.Size, Zone: slices.Index(m.terms.Zones, k.Zone),
+			Kind: slices.Index(m.terms.MachineTypes, k.Machine)}
 		if row.Zone < 0 || row.Kind < 0 {
 			continue // of other settings
 		}
@@ -96,7 +96,7 @@
 		issued := time.UnixMilli(p.Issued)
 		if purges.Keep > now.Sub(issued) {
 			purges.Note(p.Object, p.Group, issued)
-			m.router.Tick(nil, false, []dispatch.Purge{{Object: p.Object, Group: p.Group, Issued: issued}})
+			m.router.Tick(nil, false, []dispatch.Purge{{Object: p.Object, Group: p.Group, IssuedAt: issued}})
 		}
 	}
 	if len(rows) == 0 {
@@ -107,15 +107,15 @@
 	list := m.list(book.Verdicts())
 	by, _, _ := book.Count()
 	m.mu.Unlock()
-	m.router.Relist(list)
-	m.router.See(m.saw)
+	m.router.RestoreEndpoints(list)
+	m.router.ObserveOutcomes(m.saw)
 	m.g.Log().Warn("from_list", "caches", len(rows), "age_ms", age.Milliseconds(), "trusted", by[freshness.Trusted], "on_trial",
 		by[freshness.OnTrial], "doubted", by[freshness.Doubted], "barred", by[freshness.Barred], "bulletin", s.Bulletin, "last", s.Last)
 	return len(rows)
 }
 
 // list is the rows of verdicts, under the lock.
-func (m *Members) list(all []freshness.Verdict) (list []policy.Row) {
+func (m *Members) list(all []freshness.Verdict) (list []policy.Endpoint) {
 	for _, v := range all {
 		row := m.rows[v.ID]
 		switch {
@@ -123,14 +123,14 @@
 			row.State = policy.Gone
 		case row.Kind == m.terms.Router.OriginKind: // there is no other
 		case v.Standing == freshness.Doubted:
-			row.Standing = policy.Doubted
+			row.Confidence = policy.Suspect
 		default:
-			row.Standing = policy.OnTrial
+			row.Confidence = policy.OnProbation
 		}
-		if row.Standing != policy.Told && v.Standing != freshness.Trusted {
-			row.Started = m.began.UnixMicro()
+		if row.Confidence != policy.Confirmed && v.Standing != freshness.Trusted {
+			row.StartedAt = m.began.UnixMicro()
 			if row.Kind == m.terms.Router.ParentKind {
-				row.Started += parentBy.Microseconds()
+				row.StartedAt += parentBy.Microseconds()
 			}
 		}
 		list = append(list, row)
@@ -139,7 +139,7 @@
 }
 
 // saw is told of each send's ending, under the facade's lock.
-func (m *Members) saw(to, source *policy.Cache, how policy.Ending, remark policy.Remark) {
+func (m *Members) saw(to, source *policy.Cache, how policy.AttemptOutcome, remark policy.OutcomeDetail) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.book == nil {
@@ -147,24 +147,24 @@
 	}
 	now := m.g.Now()
 	switch {
-	case how == policy.Unconnected || how == policy.Reset:
+	case how == policy.OutcomeConnectFailed || how == policy.OutcomeReset:
 		m.book.Saw(to.Name, freshness.Broken, now)
-	case how == policy.Satisfied && (remark == policy.Hit || remark == policy.Aged):
+	case how == policy.OutcomeSatisfied && (remark == policy.DetailHit || remark == policy.DetailStale):
 		m.book.Saw(to.Name, freshness.Found, now)
-	case how == policy.Satisfied && remark != policy.Untold || how == policy.Missed:
+	case how == policy.OutcomeSatisfied && remark != policy.DetailNone || how == policy.OutcomeMiss:
 		m.book.Saw(to.Name, freshness.Fetched, now)
-	case how == policy.Satisfied || how == policy.Errored || how == policy.TurnedAway:
+	case how == policy.OutcomeSatisfied || how == policy.OutcomeError || how == policy.OutcomeRejected:
 		m.book.Saw(to.Name, freshness.Word, now)
 	}
 	if source == to {
 		return
 	}
 	switch {
-	case how == policy.Satisfied && remark == policy.Filled:
+	case how == policy.OutcomeSatisfied && remark == policy.DetailFilled:
 		m.book.Saw(source.Name, freshness.Found, now)
-	case how == policy.Satisfied && remark == policy.FilledFromOrigin:
+	case how == policy.OutcomeSatisfied && remark == policy.DetailFilledFromOrigin:
 		m.book.Saw(source.Name, freshness.Fetched, now)
-	case remark == policy.SourceRefused || remark == policy.SourceLost:
+	case remark == policy.DetailSourceRefused || remark == policy.DetailSourceBroke:
 		m.book.Saw(source.Name, freshness.Broken, now)
 	}
 }
@@ -172,7 +172,7 @@
 // Hold changes rows that an event of a bulletin tells as up although the list knows that they drain: a list is newer
 // than a bulletin that is behind it. Events past the list's last number count as told, and so does a later start.
 // A whole list ends the time of the kept one before the router hears of it, so that the kept one is never told after it.
-func (m *Members) Hold(no int64, isWhole bool, ids []string, rows []policy.Row) {
+func (m *Members) Hold(no int64, isWhole bool, ids []string, rows []policy.Endpoint) {
 	if m == nil {
 		return
 	}
@@ -185,7 +185,7 @@
 		b := m.bars[id]
 		switch {
 		case b == nil:
-		case no > m.last || rows[i].State != policy.Ready || rows[i].Started > b.tomb.At*1000 || m.unbarred():
+		case no > m.last || rows[i].State != policy.Ready || rows[i].StartedAt > b.tomb.At*1000 || m.unbarred():
 			delete(m.bars, id)
 		default:
 			row := rows[i]
@@ -208,7 +208,7 @@
 	if book == nil {
 		return
 	}
-	m.router.See(nil)
+	m.router.ObserveOutcomes(nil)
 	both := 0
 	for _, id := range told {
 		if _, ok := rows[id]; ok {
@@ -262,7 +262,7 @@
 	for !end.Wait(m.pause()) {
 		m.relist()
 		m.mu.Lock()
-		var free []policy.Row
+		var free []policy.Endpoint
 		if m.unbarred() {
 			for _, b := range m.bars {
 				if b.row != nil {
@@ -273,7 +273,7 @@
 		}
 		m.mu.Unlock()
 		if len(free) > 0 {
-			slices.SortFunc(free, func(a, b policy.Row) int { return cmp.Compare(a.Cache.Name, b.Cache.Name) })
+			slices.SortFunc(free, func(a, b policy.Endpoint) int { return cmp.Compare(a.Cache.Name, b.Cache.Name) })
 			m.router.Tick(free, false, nil)
 		}
 		if now := m.g.Now(); now.Sub(learnt) >= learnEvery {
@@ -289,7 +289,7 @@
 	m.listing.Lock()
 	defer m.listing.Unlock()
 	m.mu.Lock()
-	var list []policy.Row
+	var list []policy.Endpoint
 	if m.book != nil {
 		list = m.list(m.book.Verdicts())
 	}
--- a/internal/warmstart/member_test.go
+++ b/internal/warmstart/member_test.go
@@ -19,27 +19,27 @@
 
 // module takes what the router would be told of lists.
 type module struct {
-	dispatch.Module
-	kind policy.ListKind
-	rows map[string]policy.Row
+	dispatch.Router
+	kind policy.UpdateKind
+	rows map[string]policy.Endpoint
 }
 
-func (m *module) Listed(now policy.Micros, what policy.ListKind, rows []policy.Row) {
-	if m.kind = what; what != policy.Changes || m.rows == nil {
-		m.rows = map[string]policy.Row{}
+func (m *module) UpdateEndpoints(now policy.Micros, what policy.UpdateKind, rows []policy.Endpoint) {
+	if m.kind = what; what != policy.UpdateDelta || m.rows == nil {
+		m.rows = map[string]policy.Endpoint{}
 	}
 	for _, r := range rows {
 		m.rows[r.Cache.Name] = r
 	}
-	m.Module.Listed(now, what, rows)
+	m.Router.UpdateEndpoints(now, what, rows)
 }
 
 type place struct {
 	g       env.Ground
 	log     bytes.Buffer
 	told    *module
-	terms   *settings.Terms
-	router  *dispatch.Facade
+	terms   *settings.Settings
+	router  *dispatch.Dispatcher
 	caches  *memory.Caches
 	purges  *memory.Purges
 	keep    *snapshot.Keeper
@@ -56,11 +56,11 @@
 	p.g = env.NewSystem(&p.log, slog.LevelInfo)
 	p.purges = &memory.Purges{Clock: p.g, Keep: time.Hour}
 	var err error
-	if p.terms, err = settings.Read(testSettings); err != nil {
+	if p.terms, err = settings.Parse(testSettings); err != nil {
 		t.Fatal(err)
 	}
-	p.router = dispatch.Start(p.g, 1, p.terms.Router, func(h policy.Host, start func(policy.Host) dispatch.Module) dispatch.Module {
-		p.told = &module{Module: start(h)}
+	p.router = dispatch.New(p.g, 1, p.terms.Router, func(h policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
+		p.told = &module{Router: start(h)}
 		return p.told
 	})
 	folder := t.TempDir()
@@ -100,12 +100,12 @@
 	t.Run("what drained is not listed, the rest is on trial", func(t *testing.T) {
 		p := morning(t, whole)
 		p.members.Start(p.purges)
-		if p.told.kind != policy.CachedList || len(p.told.rows) != 3 || p.told.rows["c"].State != policy.Gone {
+		if p.told.kind != policy.UpdateCached || len(p.told.rows) != 3 || p.told.rows["c"].State != policy.Gone {
 			t.Fatalf("%+v", p.told)
 		}
 		delete(p.told.rows, "c")
 		for _, r := range p.told.rows {
-			if r.Standing != policy.OnTrial || r.Started == 0 || r.State != policy.Ready {
+			if r.Confidence != policy.OnProbation || r.StartedAt == 0 || r.State != policy.Ready {
 				t.Errorf("%+v", r)
 			}
 		}
@@ -116,7 +116,7 @@
 	t.Run("what was out when the list was kept gets trials", func(t *testing.T) {
 		p := morning(t, whole, endpoints.Change{Health: true, Ill: []string{"b"}})
 		p.members.Start(p.purges)
-		if p.told.rows["a"].Standing != policy.OnTrial || p.told.rows["b"].Standing != policy.Doubted {
+		if p.told.rows["a"].Confidence != policy.OnProbation || p.told.rows["b"].Confidence != policy.Suspect {
 			t.Errorf("%+v", p.told.rows)
 		}
 	})
@@ -136,17 +136,17 @@
 		p.members.Start(p.purges)
 		a := p.caches.Find("a").Its
 		for range 8 {
-			p.members.saw(a, a, policy.Satisfied, policy.Hit)
+			p.members.saw(a, a, policy.OutcomeSatisfied, policy.DetailHit)
 		}
-		if p.members.relist(); p.told.kind != policy.Changes || p.told.rows["a"].Started != 0 || p.told.rows["b"].Started == 0 {
+		if p.members.relist(); p.told.kind != policy.UpdateDelta || p.told.rows["a"].StartedAt != 0 || p.told.rows["b"].StartedAt == 0 {
 			t.Errorf("%+v", p.told)
 		}
 	})
 }
 
 func TestTheBulletinComesBack(t *testing.T) {
-	ready := func(p *place, no int64, started policy.Micros) policy.State {
-		rows := []policy.Row{{Cache: p.caches.Note("c", "10.0.0.1:9").Its, Started: started}}
+	ready := func(p *place, no int64, started policy.Micros) policy.EndpointState {
+		rows := []policy.Endpoint{{Cache: p.caches.Note("c", "10.0.0.1:9").Its, StartedAt: started}}
 		p.members.Hold(no, false, []string{"c"}, rows)
 		return rows[0].State
 	}
@@ -182,9 +182,9 @@
 	t.Run("the time on the list ends with a whole list, and is told", func(t *testing.T) {
 		p := morning(t, whole)
 		p.members.Start(p.purges)
-		p.members.Hold(1, true, []string{"a", "d"}, make([]policy.Row, 2))
+		p.members.Hold(1, true, []string{"a", "d"}, make([]policy.Endpoint, 2))
 		p.told.rows = nil
-		p.members.saw(p.caches.Find("a").Its, p.caches.Find("a").Its, policy.Satisfied, policy.Hit)
+		p.members.saw(p.caches.Find("a").Its, p.caches.Find("a").Its, policy.OutcomeSatisfied, policy.DetailHit)
 		if p.members.relist(); p.told.rows != nil {
 			t.Error("the kept list is told after the bulletin's")
 		}
--- a/internal/wire/answer.go
+++ b/internal/wire/answer.go
@@ -64,9 +64,9 @@
 }
 
 // leave ends what its route let in.
-func (o *open) leave(how dispatch.What, late bool) {
+func (o *open) leave(how dispatch.StepKind, late bool) {
 	if o.pass != nil {
-		o.pass.End(how == dispatch.Satisfied && !late, how == dispatch.Nacked, late || how == dispatch.Failed)
+		o.pass.End(how == dispatch.StepSatisfied && !late, how == dispatch.StepRejected, late || how == dispatch.StepFailed)
 	}
 }
 
@@ -74,35 +74,35 @@
 func (c *client) answer(o *open) {
 	f := c.f
 	for {
-		s := f.router.Pick(o.lk)
-		switch s.What {
-		case dispatch.Send:
+		s := f.router.WaitStep(o.lk)
+		switch s.Kind {
+		case dispatch.StepFetch:
 			f.links.send(o, s)
 			continue
-		case dispatch.Cancel:
-			f.links.cancel(o, s.N)
+		case dispatch.StepCancel:
+			f.links.cancel(o, s.Attempt)
 			continue
 		}
 		f.links.leave(o)
-		o.leave(s.What, f.g.Now().Sub(o.came) > f.terms.Budget(f.kinds[o.req.Kind], o.req.KB))
+		o.leave(s.Kind, f.g.Now().Sub(o.came) > f.terms.LatencyBudget(f.kinds[o.req.Kind], o.req.KB))
 		end := o.req.Close || c.ends()
-		switch s.What {
-		case dispatch.Satisfied:
+		switch s.Kind {
+		case dispatch.StepSatisfied:
 			c.mu.Lock()
 			c.usual = true
 			c.mu.Unlock()
-			c.pass(o, s.N, end)
-		case dispatch.Nacked:
+			c.pass(o, s.Attempt, end)
+		case dispatch.StepRejected:
 			wait := ""
-			if s.RetryIn > 0 {
-				wait = "X-Wait-Ms: " + strconv.FormatInt((s.RetryIn+999)/1000, 10) + "\r\n"
+			if s.RetryAfter > 0 {
+				wait = "X-Wait-Ms: " + strconv.FormatInt((s.RetryAfter+999)/1000, 10) + "\r\n"
 			}
 			c.say(appendHead(nil, 503, 0, wait, end), o.lk.Deadline)
-		case dispatch.Failed:
+		case dispatch.StepFailed:
 			c.say(appendHead(nil, 502, 0, "", end), o.lk.Deadline)
 		}
 		switch {
-		case end && s.What == dispatch.Satisfied:
+		case end && s.Kind == dispatch.StepSatisfied:
 			c.part()
 		case end: // a head alone is out whole; what is given up before the kill must not linger up to Cut
 			c.shut("asked")
--- a/internal/wire/bulletin.go
+++ b/internal/wire/bulletin.go
@@ -36,8 +36,8 @@
 // Bulletin follows the numbered events: lists of caches and purges.
 type Bulletin struct {
 	Last   int64 // number of the last event held
-	Terms  *settings.Terms
-	Router *dispatch.Facade
+	Terms  *settings.Settings
+	Router *dispatch.Dispatcher
 	Caches *memory.Caches
 	Purges *memory.Purges
 	// Members, if there are any, are told all that counts beside the router.
@@ -61,7 +61,7 @@
 }
 
 // NewBulletin makes the follower of the bulletin at an address.
-func NewBulletin(g env.Ground, addr string, terms *settings.Terms, router *dispatch.Facade, caches *memory.Caches,
+func NewBulletin(g env.Ground, addr string, terms *settings.Settings, router *dispatch.Dispatcher, caches *memory.Caches,
 	purges *memory.Purges) *Bulletin {
 	return &Bulletin{g: g, addr: addr, Terms: terms, Router: router, Caches: caches, Purges: purges, turn: g.Bell()}
 }
@@ -189,11 +189,11 @@
 		if (r.Item == "") == (r.Lot == nil) || !(r.Issued > 0 && r.Issued < 1e14) {
 			return errors.New("a recall that names not one thing and its time")
 		}
-		p := dispatch.Purge{Object: r.Item, Issued: time.UnixMicro(int64(r.Issued * 1000))}
+		p := dispatch.Purge{Object: r.Item, IssuedAt: time.UnixMicro(int64(r.Issued * 1000))}
 		if r.Lot != nil {
 			p.Group = *r.Lot
 		}
-		b.Purges.Note(p.Object, p.Group, p.Issued)
+		b.Purges.Note(p.Object, p.Group, p.IssuedAt)
 		purges = append(purges, p)
 	}
 	whole := e.Roster != nil && e.Roster.Complete
@@ -261,13 +261,13 @@
 }
 
 // rows reads a roster; all of it must be usable before any of it counts.
-func (b *Bulletin) rows(e *event) (rows []policy.Row, gone []string, err error) {
+func (b *Bulletin) rows(e *event) (rows []policy.Endpoint, gone []string, err error) {
 	if e.Roster == nil {
 		return nil, nil, nil
 	}
 	for _, m := range e.Roster.Members {
-		row := policy.Row{Cell: m.Cell, Weight: m.Size, Started: policy.Micros(m.UpSince * 1000),
-			Zone: slices.Index(b.Terms.Zones, m.Locality), Kind: slices.Index(b.Terms.Machines, m.Flavor)}
+		row := policy.Endpoint{Cell: m.Cell, Weight: m.Size, StartedAt: policy.Micros(m.UpSince * 1000),
+			Zone: slices.Index(b.Terms.Zones, m.Locality), Kind: slices.Index(b.Terms.MachineTypes, m.Flavor)}
 		switch m.Phase {
 		case "up":
 			row.State = policy.Ready
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -315,7 +315,7 @@
 	c.close(reason)
 	c.mu.Unlock()
 	if lk != nil {
-		c.f.router.Leave(lk.lk)
+		c.f.router.ClientGone(lk.lk)
 	}
 }
 
@@ -359,7 +359,7 @@
 	}
 	if known {
 		// A client that names no time or an odd one has what its kind has.
-		if most := time.Duration(f.terms.Router.Kinds[kind].GiveUp) * time.Microsecond; req.Allow < 0 || req.Allow > most {
+		if most := time.Duration(f.terms.Router.Kinds[kind].Deadline) * time.Microsecond; req.Allow < 0 || req.Allow > most {
 			req.Allow = most
 		}
 	}
@@ -386,10 +386,10 @@
 			status, text = 503, "past a limit: "+string(why)
 			break
 		}
-		o.lk = f.router.TakeFor(req.ID, kind, req.Object, req.Part, req.Group, req.KB, came.Add(req.Allow), scope, nil)
+		o.lk = f.router.SubmitWithin(req.ID, kind, req.Object, req.Part, req.Group, req.KB, came.Add(req.Allow), scope, nil)
 		if o.lk == nil {
 			f.places.Leave()
-			o.leave(dispatch.Failed, false)
+			o.leave(dispatch.StepFailed, false)
 			status, text = 409, "this lookup is open already"
 		}
 	}
--- a/internal/wire/cost_test.go
+++ b/internal/wire/cost_test.go
@@ -31,13 +31,13 @@
 	for i := range 25 {
 		areas = append(areas, fmt.Sprintf(`"zone-%02d"`, i))
 	}
-	terms, err := settings.Read([]byte(`{"areas":[` + strings.Join(areas, ",") + `],"az":0,"machine_types":["std","parent","origin"],"classes":[{"name":"a","aim":4,"deadline":9,` +
+	terms, err := settings.Parse([]byte(`{"areas":[` + strings.Join(areas, ",") + `],"az":0,"machine_types":["std","parent","origin"],"classes":[{"name":"a","aim":4,"deadline":9,` +
 		`"effect":"idempotent"}],"specifics":{"cleared_within":6000000,"parent_kind":1,"source_kind":2}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	g := &atRest{env.NewSystem(io.Discard, 0), time.Unix(1_764_576_000, 0)}
-	b := NewBulletin(g, "", terms, dispatch.Start(g, 1, terms.Router, nil), &memory.Caches{}, &memory.Purges{Keep: keep, Grace: time.Second, Clock: g})
+	b := NewBulletin(g, "", terms, dispatch.New(g, 1, terms.Router, nil), &memory.Caches{}, &memory.Purges{Keep: keep, Grace: time.Second, Clock: g})
 	var line strings.Builder
 	line.WriteString(`{"no":1,"roster":{"revision":1,"complete":true,"members":[`)
 	for i := range n {
--- a/internal/wire/descriptors_test.go
+++ b/internal/wire/descriptors_test.go
@@ -36,7 +36,7 @@
 func (r *rig) atMost(conns, streams int) {
 	r.links.mu.Lock()
 	defer r.links.mu.Unlock()
-	r.links.most, r.links.terms.Streams = conns, streams
+	r.links.most, r.links.terms.MaxStreams = conns, streams
 }
 
 // With one descriptor for caches, two edges have their sends in turn: the idle connection goes.
--- a/internal/wire/ending_test.go
+++ b/internal/wire/ending_test.go
@@ -148,7 +148,7 @@
 // rig is a front and links before two edges and the origin.
 type rig struct {
 	t        *testing.T
-	router   *dispatch.Facade
+	router   *dispatch.Dispatcher
 	front    *Front
 	links    *Links
 	listener gated
@@ -166,18 +166,18 @@
 "specifics":{"parent_kind":1,"source_kind":2,"flow_kb_per_s":100000,"max_age":[0,0,0],"grace_for":[0,0,0],"pass_on":[false,true,true],"seats_by_zone":[1],"cleared_within":6000000}}`
 
 func stand(t *testing.T, h *held, cancelling bool, most int) *rig {
-	terms, err := settings.Read([]byte(strings.Replace(rigSettings, "CANCEL", fmt.Sprint(cancelling), 1)))
+	terms, err := settings.Parse([]byte(strings.Replace(rigSettings, "CANCEL", fmt.Sprint(cancelling), 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	h.System = env.NewSystem(io.Discard, 0)
 	r := &rig{t: t, caches: &memory.Caches{}, came: make(chan standin.Do, 99), purges: &memory.Purges{Clock: h, Keep: time.Minute}}
-	r.router = dispatch.Start(h, 1, terms.Router, nil)
+	r.router = dispatch.New(h, 1, terms.Router, nil)
 	life := env.NewLife(nil)
 	r.links = NewLinks(h, life, terms, r.router, r.caches, r.purges, 99)
 	r.front = NewFront(h, terms, r.router, r.links, memory.NewRoom(h, 100, 1<<20), most)
 	r.front.Ready()
-	var rows []policy.Row
+	var rows []policy.Endpoint
 	for i := range 2 {
 		c, err := standin.NewCache("127.0.0.1:0", func(d standin.Do) { r.came <- d })
 		if err != nil {
@@ -185,9 +185,9 @@
 		}
 		t.Cleanup(c.Close)
 		r.edges = append(r.edges, c)
-		rows = append(rows, policy.Row{Cache: r.caches.Note(fmt.Sprint("edge", i), c.Addr).Its})
+		rows = append(rows, policy.Endpoint{Cache: r.caches.Note(fmt.Sprint("edge", i), c.Addr).Its})
 	}
-	rows = append(rows, policy.Row{Cache: r.caches.Note("origin", "127.0.0.1:1").Its, Kind: 2})
+	rows = append(rows, policy.Endpoint{Cache: r.caches.Note("origin", "127.0.0.1:1").Its, Kind: 2})
 	r.router.Tick(rows, true, nil)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -231,7 +231,7 @@
 
 func (r *rig) open(n int) {
 	r.t.Helper()
-	r.until(fmt.Sprint(n, " lookups open"), func() bool { return r.router.Open() == n })
+	r.until(fmt.Sprint(n, " lookups open"), func() bool { return r.router.OpenLookups() == n })
 }
 
 // sent waits until the module counts so many sends and none waits to be picked.
@@ -270,12 +270,12 @@
 }
 
 // tell lists a cache in another state.
-func (r *rig) tell(name string, state policy.State) {
-	row := policy.Row{Cache: r.caches.Find(name).Its, State: state}
+func (r *rig) tell(name string, state policy.EndpointState) {
+	row := policy.Endpoint{Cache: r.caches.Find(name).Its, State: state}
 	if name == "origin" {
 		row.Kind = 2
 	}
-	r.router.Tick([]policy.Row{row}, false, nil)
+	r.router.Tick([]policy.Endpoint{row}, false, nil)
 }
 
 // A send waits for its connection to come up while something ends. Nothing of it has gone out, so nothing of it goes out any more,
--- a/internal/wire/front.go
+++ b/internal/wire/front.go
@@ -36,8 +36,8 @@
 // Front is the side of the clients.
 type Front struct {
 	g        env.Ground
-	terms    *settings.Terms
-	router   *dispatch.Facade
+	terms    *settings.Settings
+	router   *dispatch.Dispatcher
 	links    *Links
 	room     *memory.Room
 	places   *memory.Places // in it, of direct clients
@@ -58,7 +58,7 @@
 }
 
 // NewFront makes a front that takes so many connections at most.
-func NewFront(g env.Ground, terms *settings.Terms, router *dispatch.Facade, links *Links, room *memory.Room, most int) *Front {
+func NewFront(g env.Ground, terms *settings.Settings, router *dispatch.Dispatcher, links *Links, room *memory.Room, most int) *Front {
 	f := &Front{g: g, terms: terms, router: router, links: links, room: room, places: room.For("clients", 1), most: most, spare: most / 8, kinds: map[string]int{},
 		clients: map[*client]bool{}, group: g.Group(), accepted: g.Bell(), left: g.Bell()}
 	for i, k := range terms.Kinds {
--- a/internal/wire/frozen_test.go
+++ b/internal/wire/frozen_test.go
@@ -46,13 +46,13 @@
 	b = appendDo(b, id, "segment", "7f3a", 0, 250000, "", 2, 0, 0, "", "", nil)
 	b = appendDo(b, id, "segment", "7f3a", 0, 250000, "", 0, 999, 0, "", "", nil)
 	b = appendDo(b, id, "segment", "7f3a", 0, 250000, "", 0, 2500000, 0, "", "", nil)
-	for mode := policy.How(0); mode < 16; mode++ {
+	for mode := policy.FetchMode(0); mode < 16; mode++ {
 		b = appendDo(b, id, "segment", "7f3a", 0, 250000, "", 0, 0, mode, "", "", nil)
 	}
 	b = appendDo(b, id, "segment", "7f3a", 0, 250000, "", 0, 0, 0, "4be0", "", nil)
 	b = appendDo(b, id, "order", "7f3a", 0, 250000, "", 0, 0, 0, "", "bcedd3", nil)
 	b = appendDo(b, id, "order", "7f3a", 0, 250000, "", 0, 0, 0, "", "", []byte("a\r\nb"))
-	b = appendDo(b, id, "order", "7f3a", 7, 1500000, "parent-2", 1, 60000000, policy.Join|policy.Renew, "4be0", "bcedd3", []byte("all of them"))
+	b = appendDo(b, id, "order", "7f3a", 7, 1500000, "parent-2", 1, 60000000, policy.ModeCoalesce|policy.ModeRevalidate, "4be0", "bcedd3", []byte("all of them"))
 	b = appendUndo(b, id)
 	frozen(t, "lines-to-caches", b)
 }
@@ -87,7 +87,7 @@
 		t.Fatal(err)
 	}
 	b := listen(t)
-	b.Terms.Zones, b.Terms.Machines = []string{"town", "hill"}, []string{"edge", "parent"}
+	b.Terms.Zones, b.Terms.MachineTypes = []string{"town", "hill"}, []string{"edge", "parent"}
 	var read bytes.Buffer
 	b.Heard = func(c endpoints.Change) {
 		fmt.Fprintf(&read, " change last=%d whole=%v", c.Last, c.Whole)
@@ -101,7 +101,7 @@
 	b.Event = func(no int64, purges []dispatch.Purge) {
 		fmt.Fprintf(&read, " event=%d", no)
 		for _, p := range purges {
-			fmt.Fprintf(&read, " purge=[%q %d issued=%d]", p.Object, p.Group, p.Issued.UnixMicro())
+			fmt.Fprintf(&read, " purge=[%q %d issued=%d]", p.Object, p.Group, p.IssuedAt.UnixMicro())
 		}
 	}
 	for _, line := range strings.Split(strings.TrimSuffix(string(text), "\n"), "\n") {
--- a/internal/wire/lines.go
+++ b/internal/wire/lines.go
@@ -21,7 +21,7 @@
 
 // appendDo writes the line of a send, with the bytes that its client sent.
 func appendDo(b []byte, id, kind, object string, part int, patience policy.Micros, source string, rank int,
-	oldest policy.Micros, how policy.How, tag, unique string, body []byte) []byte {
+	oldest policy.Micros, how policy.FetchMode, tag, unique string, body []byte) []byte {
 	b = fmt.Appendf(b, "do %s c=%s,k=%s,p=%d,w=%d", id, kind, object, part, max(1, (patience+999)/1000))
 	if source != "" {
 		b = fmt.Appendf(b, ",from=%s", source)
@@ -34,9 +34,9 @@
 	}
 	sign := ",mode="
 	for _, h := range [...]struct {
-		how  policy.How
+		how  policy.FetchMode
 		word string
-	}{{policy.Join, "j"}, {policy.HeldOnly, "h"}, {policy.SourceSkip, "n"}, {policy.Renew, "r"}} {
+	}{{policy.ModeCoalesce, "j"}, {policy.ModeCachedOnly, "h"}, {policy.ModeSourceNoStore, "n"}, {policy.ModeRevalidate, "r"}} {
 		if how&h.how != 0 {
 			b = append(append(b, sign...), h.word...)
 			sign = "+"
@@ -57,9 +57,9 @@
 // answer is what a cache said of a send.
 type answer struct {
 	id     string
-	end    policy.Ending
+	end    policy.AttemptOutcome
 	same   bool // the client's copy is the one
-	remark policy.Remark
+	remark policy.OutcomeDetail
 	waited policy.Micros
 	tag    string
 	born   time.Time
@@ -67,10 +67,10 @@
 	body   []byte // within the buffer that was parsed
 }
 
-var remarks = map[string]policy.Remark{"hit": policy.Hit, "filled": policy.Filled,
-	"via_origin": policy.FilledFromOrigin, "joined": policy.Joined, "stale": policy.Aged,
-	"src_refused": policy.SourceRefused, "src_broke": policy.SourceLost, "src_lacks": policy.SourceLacks,
-	"no_slot": policy.NoFillPlace, "origin_failed": policy.OriginFailed}
+var remarks = map[string]policy.OutcomeDetail{"hit": policy.DetailHit, "filled": policy.DetailFilled,
+	"via_origin": policy.DetailFilledFromOrigin, "joined": policy.DetailCoalesced, "stale": policy.DetailStale,
+	"src_refused": policy.DetailSourceRefused, "src_broke": policy.DetailSourceBroke, "src_lacks": policy.DetailSourceMiss,
+	"no_slot": policy.DetailNoFillSlot, "origin_failed": policy.DetailOriginFailed}
 
 // parseAnswer reads an answer at the front of b and tells how long it is; errShort asks for more bytes. An answer
 // that ends where it says and makes no sense comes with id and length beside the error, else the length is 0.
@@ -112,22 +112,22 @@
 func (a *answer) content(word, fields string) error {
 	switch word {
 	case "HIT", "VALID":
-		a.end, a.same = policy.Satisfied, word == "VALID"
+		a.end, a.same = policy.OutcomeSatisfied, word == "VALID"
 	case "NONE":
-		a.end = policy.Missed
+		a.end = policy.OutcomeMiss
 	case "SHED":
-		a.end = policy.TurnedAway
+		a.end = policy.OutcomeRejected
 	case "FAULT":
-		a.end = policy.Errored
+		a.end = policy.OutcomeError
 	case "LATE":
-		a.end = policy.NeverSent
+		a.end = policy.OutcomeNotSent
 	default:
 		return errors.New("the word is unknown")
 	}
 	if err := a.fields(fields); err != nil {
 		return err
 	}
-	if a.bare = a.end == policy.Satisfied && (a.tag == "" || a.born.IsZero()); a.same && (a.bare || len(a.body) > 0) {
+	if a.bare = a.end == policy.OutcomeSatisfied && (a.tag == "" || a.born.IsZero()); a.same && (a.bare || len(a.body) > 0) {
 		return errors.New("VALID without ver or born, or with bytes")
 	}
 	return nil
--- a/internal/wire/link.go
+++ b/internal/wire/link.go
@@ -74,7 +74,7 @@
 	l.flights[f.open.req.ID] = f
 	f.no = l.ls.boards.Add(1)
 	f.on = l
-	f.over = l.ls.g.AfterFunc(f.till.Sub(l.ls.g.Now()), func() { l.ls.undo(f, policy.TimedOut) })
+	f.over = l.ls.g.AfterFunc(f.till.Sub(l.ls.g.Now()), func() { l.ls.undo(f, policy.OutcomeTimeout) })
 	if l.conn != nil {
 		l.put(f)
 	}
@@ -137,7 +137,7 @@
 // these numbers.
 type undone struct {
 	f   *flight
-	how policy.Ending
+	how policy.AttemptOutcome
 	no  int64
 }
 
@@ -157,7 +157,7 @@
 // tell reports undone sends.
 func (l *link) tell(out []undone) {
 	for _, u := range out {
-		l.ls.report(u.f, u.how, policy.Untold, 0)
+		l.ls.report(u.f, u.how, policy.DetailNone, 0)
 	}
 }
 
@@ -168,15 +168,15 @@
 		l.instead.close()
 		l.instead = nil
 	}
-	conn, err := ls.g.Dial(ls.life, l.peer.Addr, time.Duration(ls.terms.ConnectWithin)*time.Microsecond)
+	conn, err := ls.g.Dial(ls.life, l.peer.Addr, time.Duration(ls.terms.ConnectTimeout)*time.Microsecond)
 	if err != nil {
 		reason := "refused"
 		if !errors.Is(err, syscall.ECONNREFUSED) {
 			reason = "no_connection"
 		}
-		how := policy.Unconnected
+		how := policy.OutcomeConnectFailed
 		if env.NoDescriptor(err) { // says nothing of the cache
-			how, reason = policy.TurnedAway, "no_descriptor"
+			how, reason = policy.OutcomeRejected, "no_descriptor"
 		}
 		l.end(how, reason, began)
 		return
@@ -193,10 +193,10 @@
 	ls.group.Go("pour", func() error { l.pour(conn); return nil })
 	reason := l.read(conn)
 	conn.Close() // before it no longer counts
-	l.end(policy.Reset, reason, began)
+	l.end(policy.OutcomeReset, reason, began)
 }
 
-func (l *link) end(how policy.Ending, reason string, began time.Time) {
+func (l *link) end(how policy.AttemptOutcome, reason string, began time.Time) {
 	ls := l.ls
 	ls.mu.Lock()
 	ls.drop(l)
@@ -206,7 +206,7 @@
 	lost, unsent := inOrder(l.flights), map[*flight]bool{}
 	l.flights = nil
 	for _, f := range lost {
-		if f.stop(); how == policy.Reset && !f.begun() {
+		if f.stop(); how == policy.OutcomeReset && !f.begun() {
 			unsent[f] = true
 		}
 	}
@@ -218,9 +218,9 @@
 	for _, f := range lost {
 		its := how
 		if unsent[f] {
-			its = policy.NeverSent // the connection broke before the send had gone out whole
+			its = policy.OutcomeNotSent // the connection broke before the send had gone out whole
 		}
-		ls.report(f, its, policy.Untold, 0)
+		ls.report(f, its, policy.DetailNone, 0)
 	}
 	ls.g.Log().Info("cache_closed", "cache", l.peer.ID, "addr", l.peer.Addr, "reason", reason, "open", len(lost), "unsent",
 		len(unsent), "answers", l.served, "strays", l.strays, "age_ms", ls.g.Now().Sub(began).Milliseconds())
@@ -244,7 +244,7 @@
 			}
 		case errors.Is(err, errShort):
 			// This side closes first, and only while nothing is open: no send meets the cache's own idle close.
-			wait, begun := time.Duration(l.ls.terms.IdleFor)*time.Microsecond*8/10, len(l.buf.Bytes()) > 0
+			wait, begun := time.Duration(l.ls.terms.IdleTimeout)*time.Microsecond*8/10, len(l.buf.Bytes()) > 0
 			if begun {
 				wait = stalledAfter // what stops short would hold up all other sends here
 			}
@@ -328,24 +328,24 @@
 		return "" // given up this moment
 	}
 	if a.same && a.tag != f.open.req.Tag {
-		a.end = policy.Errored // word of another copy than the client's is none
+		a.end = policy.OutcomeError // word of another copy than the client's is none
 		l.ls.g.Log().Warn("cache_fault", "cache", l.peer.ID, "text", "VALID for a copy that the client does not hold")
 	}
-	if issued, told := l.ls.purges.Heeded(f.object, f.group); a.end == policy.Satisfied && !a.bare && a.born.Before(issued) {
+	if issued, told := l.ls.purges.Heeded(f.object, f.group); a.end == policy.OutcomeSatisfied && !a.bare && a.born.Before(issued) {
 		// Guards rule 5, past the grace whenever the send went out. To the module it is as if no answer had come: where the
 		// object kind allows it, it sends anew with the purge in mind. The send has run, so it is never as if it had not gone out
 		// (rule 2: a side-effecting lookup would go out a second time).
 		now := l.ls.g.Now()
 		l.ls.g.Log().Warn("outdated_copy", "cache", l.peer.ID, "older_ms", issued.Sub(a.born).Milliseconds(), "told_ms_ago",
 			now.Sub(told).Milliseconds(), "sent_ms_ago", now.Sub(f.sent).Milliseconds())
-		a.end, a.remark = policy.TimedOut, policy.Untold
+		a.end, a.remark = policy.OutcomeTimeout, policy.DetailNone
 	}
-	if a.end == policy.Satisfied {
+	if a.end == policy.OutcomeSatisfied {
 		switch kept, over := f.open.keep(f.n, a); {
 		case over:
-			a.end = policy.TimedOut // its lookup has just ended: no fault of the cache
+			a.end = policy.OutcomeTimeout // its lookup has just ended: no fault of the cache
 		case !kept:
-			a.end = policy.Errored // answers that clients are slow to take fill the room; it may have run
+			a.end = policy.OutcomeError // answers that clients are slow to take fill the room; it may have run
 		}
 	}
 	l.ls.report(f, a.end, a.remark, a.waited)
--- a/internal/wire/link_write.go
+++ b/internal/wire/link_write.go
@@ -18,12 +18,12 @@
 func (l *link) put(f *flight) {
 	f.sent = l.ls.g.Now()
 	source, s, q := "", f.step, f.open.req
-	if s.Source != s.To {
+	if s.Source != s.Cache {
 		source = s.Source.Name
 	}
-	f.at.text = appendDo(nil, q.ID, q.Kind, q.Object, q.Part, f.till.Sub(f.sent).Microseconds(), source, s.Rank, s.Oldest, s.How, q.Tag,
+	f.at.text = appendDo(nil, q.ID, q.Kind, q.Object, q.Part, f.till.Sub(f.sent).Microseconds(), source, s.Rank, s.MaxAge, s.Mode, q.Tag,
 		q.Unique, q.Body)
-	f.hush = l.ls.g.AfterFunc(time.Duration(s.Hush)*time.Microsecond, func() { l.doubt(f) })
+	f.hush = l.ls.g.AfterFunc(time.Duration(s.SilenceTimeout)*time.Microsecond, func() { l.doubt(f) })
 	l.write(&f.at)
 }
 
@@ -55,13 +55,13 @@
 		one := l.out[0]
 		l.out = l.out[1:]
 		l.waiting -= len(one.text)
-		if f := one.f; f != nil && one.text != nil && !l.ls.router.May(f.open.lk, f.step) {
+		if f := one.f; f != nil && one.text != nil && !l.ls.router.MaySend(f.open.lk, f.step) {
 			// Guards rules 2 (a window that has passed) and 3, lookups that are over and clients that left: the send was decided
 			// some time ago. Nothing of it has gone out, so it is as never sent, and the router says what next.
 			delete(l.flights, f.open.req.ID)
 			f.stop()
 			at := slices.IndexFunc(l.undone, func(u undone) bool { return u.no > one.no })
-			l.undone = slices.Insert(l.undone, cmp.Or(at+1, len(l.undone)+1)-1, undone{f, policy.NeverSent, one.no})
+			l.undone = slices.Insert(l.undone, cmp.Or(at+1, len(l.undone)+1)-1, undone{f, policy.OutcomeNotSent, one.no})
 			l.closeEmpty()
 			one.text = nil
 		}
--- a/internal/wire/links.go
+++ b/internal/wire/links.go
@@ -26,8 +26,8 @@
 // Links are the connections to caches. Each carries many sends; their answers come in any order.
 type Links struct {
 	g      env.Ground
-	terms  *settings.Terms
-	router *dispatch.Facade
+	terms  *settings.Settings
+	router *dispatch.Dispatcher
 	caches *memory.Caches
 	purges *memory.Purges
 	mu     sync.Mutex
@@ -41,7 +41,7 @@
 }
 
 // NewLinks makes the links, so many connections at most; they end with life.
-func NewLinks(g env.Ground, life *env.Life, terms *settings.Terms, router *dispatch.Facade, caches *memory.Caches,
+func NewLinks(g env.Ground, life *env.Life, terms *settings.Settings, router *dispatch.Dispatcher, caches *memory.Caches,
 	purges *memory.Purges, most int) *Links {
 	return &Links{g: g, terms: terms, router: router, caches: caches, purges: purges, by: map[string][]*link{},
 		most: most, group: g.Group(), life: life}
@@ -82,13 +82,13 @@
 
 // send writes a send to its cache or reports at once why it cannot.
 func (ls *Links) send(o *open, s dispatch.Step) {
-	to := ls.caches.Find(s.To.Name)
+	to := ls.caches.Find(s.Cache.Name)
 	if to == nil || to.Addr == "" {
-		ls.router.Report(o.lk, s.N, policy.Unconnected, policy.Untold, 0)
+		ls.router.AttemptEnded(o.lk, s.Attempt, policy.OutcomeConnectFailed, policy.DetailNone, 0)
 		return
 	}
-	f := &flight{open: o, n: s.N, step: s, object: o.req.Object, group: o.req.Group,
-		till: ls.g.Now().Add(time.Duration(s.Patience) * time.Microsecond)}
+	f := &flight{open: o, n: s.Attempt, step: s, object: o.req.Object, group: o.req.Group,
+		till: ls.g.Now().Add(time.Duration(s.Timeout) * time.Microsecond)}
 	f.at.f = f
 	o.flights = append(o.flights, f)
 	ls.flying.Add(1)
@@ -97,7 +97,7 @@
 		if l == nil {
 			// As if the cache had turned it away: it never ran, the cache is not held for dead, and after a pause the module looks for
 			// one that is connected. As never sent it would choose the same cache again at once.
-			ls.report(f, policy.TurnedAway, policy.Untold, 0)
+			ls.report(f, policy.OutcomeRejected, policy.DetailNone, 0)
 			return
 		}
 		if l.board(f) {
@@ -116,7 +116,7 @@
 	count, fewest := 0, 0
 	for _, l := range ls.by[key] {
 		if open, late, dead := l.load(id); !dead {
-			if count++; !late && open < ls.terms.Streams {
+			if count++; !late && open < ls.terms.MaxStreams {
 				return l
 			}
 			if least == nil || open < fewest {
@@ -188,21 +188,21 @@
 
 // undo gives a send up, unless it has ended. Where the settings allow no giving up the cache is not told, and only what it has seen
 // nothing of is withdrawn before its time is over.
-func (ls *Links) undo(f *flight, how policy.Ending) {
+func (ls *Links) undo(f *flight, how policy.AttemptOutcome) {
 	l := f.on
 	if l == nil {
 		return
 	}
 	l.mu.Lock()
-	tells := ls.terms.Router.Cancelling
-	if f.begun() && how == policy.Cancelled && !tells || !l.take(f, true) {
+	tells := ls.terms.Router.CanCancel
+	if f.begun() && how == policy.OutcomeCancelled && !tells || !l.take(f, true) {
 		l.mu.Unlock()
 		return
 	}
 	switch {
 	case !f.begun(): // its connection is not up, or it waits behind what the cache does not take
 		l.waiting -= len(f.at.text)
-		f.at.text, how = nil, policy.NeverSent
+		f.at.text, how = nil, policy.OutcomeNotSent
 	case tells && !l.dead:
 		// Behind its own line, which it cannot overtake. It has ended once that is out: the next send of the lookup
 		// must not be on its way before.
@@ -214,12 +214,12 @@
 		return
 	}
 	l.mu.Unlock()
-	ls.report(f, how, policy.Untold, 0)
+	ls.report(f, how, policy.DetailNone, 0)
 }
 
 // report tells the ending of a send, once.
-func (ls *Links) report(f *flight, how policy.Ending, remark policy.Remark, waited policy.Micros) {
-	ls.router.Report(f.open.lk, f.n, how, remark, waited)
+func (ls *Links) report(f *flight, how policy.AttemptOutcome, remark policy.OutcomeDetail, waited policy.Micros) {
+	ls.router.AttemptEnded(f.open.lk, f.n, how, remark, waited)
 	ls.flying.Add(-1)
 }
 
@@ -237,7 +237,7 @@
 func (ls *Links) cancel(o *open, n int) {
 	for _, f := range o.flights {
 		if f.n == n {
-			ls.undo(f, policy.Cancelled)
+			ls.undo(f, policy.OutcomeCancelled)
 		}
 	}
 }
@@ -245,6 +245,6 @@
 // leave gives up all that is still out for a lookup that is over.
 func (ls *Links) leave(o *open) {
 	for _, f := range o.flights {
-		ls.undo(f, policy.Cancelled)
+		ls.undo(f, policy.OutcomeCancelled)
 	}
 }
--- a/internal/wire/silence_test.go
+++ b/internal/wire/silence_test.go
@@ -23,7 +23,7 @@
 	} {
 		caches := &memory.Caches{}
 		caches.Note("a", "127.0.0.1:1")
-		b := &Bulletin{Terms: &settings.Terms{DrainGrace: policy.Micros(c.grace.Microseconds())}, Caches: caches}
+		b := &Bulletin{Terms: &settings.Settings{DrainGrace: policy.Micros(c.grace.Microseconds())}, Caches: caches}
 		if got := b.silent(); got != c.silent {
 			t.Errorf("grace %v: silent after %v, expected %v", c.grace, got, c.silent)
 		}
--- a/internal/wire/size_test.go
+++ b/internal/wire/size_test.go
@@ -44,7 +44,7 @@
 	for i := range 25 {
 		areas = append(areas, fmt.Sprintf(`"zone-%02d"`, i))
 	}
-	terms, err := settings.Read([]byte(`{"areas":[` + strings.Join(areas, ",") + `],"machine_types":["std"],"classes":[{"name":"a","aim":4,"deadline":9,` +
+	terms, err := settings.Parse([]byte(`{"areas":[` + strings.Join(areas, ",") + `],"machine_types":["std"],"classes":[{"name":"a","aim":4,"deadline":9,` +
 		`"effect":"idempotent"}],"specifics":{"cleared_within":6000000}}`))
 	if err != nil {
 		t.Fatal(err)
@@ -54,7 +54,7 @@
 	defer runtime.UnlockOSThread()
 	for run := range *listRuns {
 		g := env.NewSystem(io.Discard, 0)
-		b := NewBulletin(g, "", terms, dispatch.Start(g, uint64(run+1), terms.Router, nil), &memory.Caches{}, &memory.Purges{Keep: time.Minute, Clock: g})
+		b := NewBulletin(g, "", terms, dispatch.New(g, uint64(run+1), terms.Router, nil), &memory.Caches{}, &memory.Purges{Keep: time.Minute, Clock: g})
 		var line strings.Builder
 		line.WriteString(`{"no":1,"roster":{"revision":1,"complete":true,"members":[`)
 		for i := range *listed {
@@ -87,11 +87,11 @@
 			}
 			change += worked() - began
 		}
-		var rows []policy.Row
+		var rows []policy.Endpoint
 		for i := range *listed {
-			rows = append(rows, policy.Row{Cache: policy.NewCache(fmt.Sprintf("s-%08x", uint32(i)*2654435761)), Zone: i % 25, Cell: i % 300, Weight: 4})
+			rows = append(rows, policy.Endpoint{Cache: policy.NewCache(fmt.Sprintf("s-%08x", uint32(i)*2654435761)), Zone: i % 25, Cell: i % 300, Weight: 4})
 		}
-		router := dispatch.Start(g, uint64(run+1), terms.Router, nil)
+		router := dispatch.New(g, uint64(run+1), terms.Router, nil)
 		began = worked()
 		router.Tick(rows, true, nil)
 		alone := micros(worked()-began, 1)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -54,7 +54,7 @@
 func TestAnswers(t *testing.T) {
 	text := "00000000000000aa HIT note=via_origin,waited=3.5,ver=4be0,born=1764576000123,load=x:1;y:2 5\r\na\r\nb\n\r\n"
 	a, n, err := parseAnswer([]byte(text + "next"))
-	if err != nil || n != len(text) || a.id != "00000000000000aa" || a.end != policy.Satisfied || a.remark != policy.FilledFromOrigin ||
+	if err != nil || n != len(text) || a.id != "00000000000000aa" || a.end != policy.OutcomeSatisfied || a.remark != policy.DetailFilledFromOrigin ||
 		a.waited != 3500 || a.tag != "4be0" || a.born.UnixMilli() != 1764576000123 || string(a.body) != "a\r\nb\n" {
 		t.Errorf("%+v, %d, %v", a, n, err)
 	}
@@ -63,10 +63,10 @@
 			t.Fatalf("cut at %d: %v", i, err)
 		}
 	}
-	for word, end := range map[string]policy.Ending{"NONE": policy.Missed, "SHED": policy.TurnedAway,
-		"FAULT": policy.Errored, "LATE": policy.NeverSent} {
+	for word, end := range map[string]policy.AttemptOutcome{"NONE": policy.OutcomeMiss, "SHED": policy.OutcomeRejected,
+		"FAULT": policy.OutcomeError, "LATE": policy.OutcomeNotSent} {
 		if a, _, err := parseAnswer([]byte("00000000000000aa " + word + " note=no_slot 0\r\n\r\n")); err != nil || a.end != end ||
-			a.remark != policy.NoFillPlace {
+			a.remark != policy.DetailNoFillSlot {
 			t.Errorf("%s: %+v, %v", word, a, err)
 		}
 	}
@@ -127,7 +127,7 @@
 }
 
 func TestSendLine(t *testing.T) {
-	got := string(appendDo(nil, "0a", "segment", "k1", 3, 1500500, "p-1", 2, 999, policy.Join|policy.Renew, "v1", "", nil))
+	got := string(appendDo(nil, "0a", "segment", "k1", 3, 1500500, "p-1", 2, 999, policy.ModeCoalesce|policy.ModeRevalidate, "v1", "", nil))
 	if want := "do 0a c=segment,k=k1,p=3,w=1501,from=p-1,rank=2,oldest=1,mode=j+r,seen=v1 0\r\n\r\n"; got != want {
 		t.Errorf("%q", got)
 	}
@@ -143,13 +143,13 @@
 
 // listen is a bulletin's reader with nothing told.
 func listen(t testing.TB) *Bulletin {
-	terms, err := settings.Read([]byte(`{"areas":["east"],"machine_types":["std"],"classes":[{"name":"a","aim":4,"deadline":9,"effect":"idempotent"}],` +
+	terms, err := settings.Parse([]byte(`{"areas":["east"],"machine_types":["std"],"classes":[{"name":"a","aim":4,"deadline":9,"effect":"idempotent"}],` +
 		`"specifics":{"cleared_within":6000000}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	g := env.NewSystem(io.Discard, 0)
-	b := NewBulletin(g, "", terms, dispatch.Start(g, 1, terms.Router, nil), &memory.Caches{}, &memory.Purges{Keep: time.Minute, Clock: g})
+	b := NewBulletin(g, "", terms, dispatch.New(g, 1, terms.Router, nil), &memory.Caches{}, &memory.Purges{Keep: time.Minute, Clock: g})
 	b.Last = 40
 	return b
 }
