--- a/internal/admin/operator.go
+++ b/internal/admin/operator.go
@@ -57,7 +57,7 @@
 	Move      *pools.Move        `json:"move,omitempty"`
 	Faults    []pools.Fault      `json:"faults,omitempty"`
 	Fleet     *membership.Report `json:"fleet,omitempty"`
-	Limits    []limits.Row       `json:"limits,omitempty"`
+	Limits    []limits.Report    `json:"limits,omitempty"`
 	Broadcast *driver.Report     `json:"broadcast,omitempty"`
 	Error     string             `json:"error,omitempty"`
 	Remedy    string             `json:"remedy,omitempty"`
@@ -75,8 +75,8 @@
 type Of struct {
 	Routes    *rollout.Steer
 	Fleet     *membership.Fleet
-	Limits    *gossip.Post
-	Broadcast *driver.Carrier
+	Limits    *gossip.Gossiper
+	Broadcast *driver.Driver
 }
 
 // Open listens on a path, for some parts.
@@ -202,7 +202,7 @@
 		if o.of.Limits == nil {
 			return Answer{Error: "this gateway shares no limits with a fleet", Remedy: "set fleet and routing in its settings, and call at fleet.socket"}
 		}
-		return Answer{Limits: o.of.Limits.Rows()}
+		return Answer{Limits: o.of.Limits.LimitReports()}
 	}
 	if c.Do == "broadcast" {
 		if o.of.Broadcast == nil {
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -54,19 +54,19 @@
 		return json.NewEncoder(to.out).Encode(r)
 	}
 	side := "a majority"
-	if r.Minority {
+	if r.InMinority {
 		side = "a MINORITY"
 	}
 	fmt.Fprintf(to.out, "%s at %s: %s, sees %d of %d (%s), %d live, %d agree, version %d, set %s unchanged for %s\n", r.Name, r.Addr, r.State,
-		r.Seen, r.Fleet, side, r.Live, r.Agree, r.Version, r.Digest, ms(r.ChangedMS))
+		r.Alive, r.FleetSize, side, r.Live, r.Agreeing, r.Version, r.Digest, ms(r.ChangedAgoMS))
 	c := r.Counts
 	fmt.Fprintf(to.out, "joined %d, died %d (%d wrongly), left %d, restarted %d, suspected %d (%d cleared), refused %d, stood still %d, names claimed %d\n",
-		c.Joins, c.Deaths, c.WrongDeaths, c.Lefts, c.Restarts, c.Suspicions, c.Cleared, c.Refused, c.Pauses, c.Conflicts)
+		c.Joins, c.Deaths, c.FalseDeaths, c.Leaves, c.Restarts, c.Suspicions, c.ClearedSuspicions, c.Refused, c.Pauses, c.NameConflicts)
 	up := max(float64(r.UpMS)/1000, 1)
 	fmt.Fprintf(to.out, "datagrams %.1f in, %.1f out a second, %.0f and %.0f bytes; %d streams of %d bytes, %d dropped\n", float64(r.PacketsIn)/up,
-		float64(r.PacketsOut)/up, float64(r.BytesIn)/up, float64(r.BytesOut)/up, r.Streams, r.StreamByte, r.Dropped)
+		float64(r.PacketsOut)/up, float64(r.BytesIn)/up, float64(r.BytesOut)/up, r.Streams, r.StreamBytes, r.Dropped)
 	fmt.Fprintf(to.out, "probe p50 %dus p99 %dus max %dus (%d); settling p50 %dms max %dms (%d)\n", r.RTT.P50, r.RTT.P99, r.RTT.Max, r.RTT.N,
-		r.Settlings.P50, r.Settlings.Max, r.Settlings.N)
+		r.SettleTimes.P50, r.SettleTimes.Max, r.SettleTimes.N)
 	return nil
 }
 
@@ -87,8 +87,8 @@
 	w := tabwriter.NewWriter(to.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tADDRESS\tSTATE\tFOR\tHEARD\tBY\tAGREES\tRESTARTS\tDEATHS\tWRONG")
 	for _, m := range r.Members {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s ago\t%s\t%v\t%d\t%d\t%d\n", m.Name, m.Addr, m.State, ms(m.SinceMS), ms(m.HeardMS), m.By, m.Agrees,
-			m.Restarts, m.Deaths, m.Wrong)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s ago\t%s\t%v\t%d\t%d\t%d\n", m.Name, m.Addr, m.State, ms(m.SinceMS), ms(m.LastSeenAgoMS), m.LastSeenBy, m.Agrees,
+			m.Restarts, m.Deaths, m.FalseDeaths)
 	}
 	return w.Flush()
 }
@@ -107,7 +107,7 @@
 		return err
 	}
 	for _, m := range r.Members {
-		for _, s := range m.Said {
+		for _, s := range m.Evidence {
 			fmt.Fprintf(to.out, "  %s ago, %s: %s\n", ms(s.AgoMS), s.By, s.What)
 		}
 	}
@@ -127,8 +127,8 @@
 	w := tabwriter.NewWriter(to.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "LIMIT\tOF ALL\tPART\tLENT\tBORROWED\tMAY\tWANTED\tUSED\tFLEET USES\tAS OF\tGATEWAYS\tUNSEEN\tOVER AT MOST\tSTATE")
 	for _, r := range a.Limits {
-		fmt.Fprintf(w, "%s\t%.6g\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%s ago\t%d\t%d\t%.1f%%\t%s\n", r.Name, r.All, r.Part, r.Lent, r.Taken,
-			r.Lease, r.Wanted, r.Used, r.Sum, ms(r.SumAge), r.Fleet, r.Missing, 100*r.Over, r.State)
+		fmt.Fprintf(w, "%s\t%.6g\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%s ago\t%d\t%d\t%.1f%%\t%s\n", r.Name, r.Total, r.Quota, r.Lent, r.Borrowed,
+			r.Lease, r.Demand, r.Used, r.FleetUsed, ms(r.FleetUsedAgeMS), r.FleetSize, r.Unreachable, 100*r.MaxExcess, r.State)
 	}
 	return w.Flush()
 }
@@ -154,17 +154,17 @@
 	if r.Node.Parent == "" {
 		parent = "the root"
 	}
-	fmt.Fprintf(to.out, "%s in region %q, zone %q, site %q: %s, %d of %d live below it: %s\n", r.Name, r.Place.Region, r.Place.Zone, r.Place.Site, parent,
+	fmt.Fprintf(to.out, "%s in region %q, zone %q, site %q: %s, %d of %d live below it: %s\n", r.Name, r.Locality.Region, r.Locality.Zone, r.Locality.Site, parent,
 		len(r.Node.Children), r.Live, strings.Join(r.Node.Children, ", "))
 	if b := r.Node.Behind; r.Mode == "behind" {
-		fmt.Fprintf(to.out, "BEHIND: %d batches and %d seconds of purges are known to be missing\n", b.Batches, b.Seconds)
+		fmt.Fprintf(to.out, "BEHIND: %d batches and %d seconds of purges are known to be missing\n", b.MissingBatches, b.DifferingSeconds)
 	} else {
 		fmt.Fprintln(to.out, "whole: nothing is known to be missing for longer than 2 s")
 	}
-	c, up := r.Counts, max(float64(r.UpMS)/1000, 1)
+	c, up := r.Counts, max(float64(r.UptimeMS)/1000, 1)
 	fmt.Fprintf(to.out, "datagrams %.1f in, %.1f out a second, %.0f and %.0f bytes; %d not sent, %d dropped as too many waited, %d of unknown senders, %d unreadable\n",
-		float64(c.TakenIn)/up, float64(c.SentOut)/up, float64(c.BytesIn)/up, float64(c.BytesOut)/up, c.NotSent, c.Full, c.Unknown, c.Unreadable)
-	fmt.Fprintf(to.out, "purges that counted here %d, of them told by peers first %d; own ones without room %d; gaps told %d\n", r.Heeded, c.PeersFirst, c.OwnDropped, c.BehindTimes)
+		float64(c.Received)/up, float64(c.Sent)/up, float64(c.BytesIn)/up, float64(c.BytesOut)/up, c.SendFailures, c.Dropped, c.UnknownSenders, c.Unreadable)
+	fmt.Fprintf(to.out, "purges that counted here %d, of them told by peers first %d; own ones without room %d; gaps told %d\n", r.Applied, c.LearnedFromPeers, c.OwnPurgesDropped, c.BehindPeriods)
 	return nil
 }
 
--- a/internal/cli/frozen_test.go
+++ b/internal/cli/frozen_test.go
@@ -64,7 +64,7 @@
 		"faults-guards.json":   new([]*guardRow),
 		"list.json":            new(listed),
 		"fleet-view.json":      new(membership.Report),
-		"fleet-limits.json":    new([]limits.Row),
+		"fleet-limits.json":    new([]limits.Report),
 		"fleet-broadcast.json": new(driver.Report),
 		"config-show.json":     new(config.Settings),
 		"config-fault.json":    new(config.Fault),
--- a/internal/fleet/broadcast/bench_test.go
+++ b/internal/fleet/broadcast/bench_test.go
@@ -8,11 +8,11 @@
 
 // BenchmarkBatch writes and takes a batch of 20 purges that are new, by a gateway that keeps an hour and a half of 100 a second and has three children.
 func BenchmarkBatch(b *testing.B) {
-	all := places(3900, 300, 25, 12)
+	all := testMembers(3900, 300, 25, 12)
 	SortMembers(all)
 	chance := rand.New(rand.NewPCG(1, 1))
 	n := New(testSettings(), all[1], 1, chance, 0)
-	n.See(all, 0)
+	n.SetMembers(all, 0)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -32,22 +32,22 @@
 			at++
 			some[j] = Purge{Object: hexString(chance.Uint64()), Issued: epoch + at*10}
 		}
-		frame, _ := writeBatch(batchID{7, seq}, root, some)
-		if _, err := n.Take(all[0].Name, frame, now); err != nil {
+		frame, _ := encodeBatch(batchID{7, seq}, root, some)
+		if _, err := n.HandleFrame(all[0].Name, frame, now); err != nil {
 			b.Fatal(err)
 		}
 		n.Step(now)
-		n.Out()
+		n.TakeMessages()
 	}
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/540_000, "bytes/kept")
 }
 
 // BenchmarkSee takes another list of 3,900 members.
 func BenchmarkSee(b *testing.B) {
-	all := places(3900, 300, 25, 12)
+	all := testMembers(3900, 300, 25, 12)
 	SortMembers(all)
 	n := New(testSettings(), all[100], 1, rand.New(rand.NewPCG(1, 1)), 0)
 	for i := 0; b.Loop(); i++ {
-		n.See(all[:3899+i%2], 0)
+		n.SetMembers(all[:3899+i%2], 0)
 	}
 }
--- a/internal/fleet/broadcast/broadcast.go
+++ b/internal/fleet/broadcast/broadcast.go
@@ -26,8 +26,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Place is where a gateway stands.
-type Place struct {
+// Locality is where a gateway stands.
+type Locality struct {
 	Region string `json:"Region"`
 	Zone   string `json:"Zone"`
 	Site   string `json:"Site"`
@@ -35,8 +35,8 @@
 
 // Member is a live gateway of the view.
 type Member struct {
-	Name  string
-	Place Place
+	Name     string
+	Locality Locality
 }
 
 // Purge is one; the whole value is its identity, and no number of any watch is.
@@ -46,8 +46,8 @@
 	Issued int64 // Unix milliseconds, above 0 and below 1e14
 }
 
-// Letter is a frame to send to a member, as a datagram of at most 1,100 bytes. Letters may share a frame: it is not to be written.
-type Letter struct {
+// Message is a frame to send to a member, as a datagram of at most 1,100 bytes. Letters may share a frame: it is not to be written.
+type Message struct {
 	To    string
 	Frame []byte
 }
@@ -56,21 +56,21 @@
 type Settings struct {
 	// Unix is the Unix time in milliseconds when now was 0; 0: not known, and the newest issue heard tells the time. It may be wrong: a clock
 	// that is fast forgets nothing too early as long as purges come, a slow one keeps more (Most bounds it).
-	Unix      int64
-	Keep      int64 // a purge is kept for so long from its issue
-	Most      int   // purges kept; the oldest seconds go first
-	Rate      int64 // in and out together, UDP and IP included: repair keeps within it, and batches are sent on up to three seconds of debt
-	Gather    int64 // purges of the own watch wait so long for others, to go in one batch
-	Have      int64 // between haves
-	Reconcile int64 // between passes, give or take a half
+	StartUnixMillis   int64
+	KeepFor           int64 // a purge is kept for so long from its issue
+	MaxKept           int   // purges kept; the oldest seconds go first
+	RateLimit         int64 // in and out together, UDP and IP included: repair keeps within it, and batches are sent on up to three seconds of debt
+	BatchDelay        int64 // purges of the own watch wait so long for others, to go in one batch
+	LazyPushInterval  int64 // between haves
+	ReconcileInterval int64 // between passes, give or take a half
 	// Recent bounds the age of what is said in batches: of what a gateway's watch tells at a start, all but the last are old news to the
 	// others. An older purge is left to reconciliation.
-	Recent int64
+	MaxBatchAge int64
 }
 
 // Usual are the settings for the whole fleet: 3,900 gateways and 100 purges a second. Keep is an hour's cut and half an hour to make up
 // for it: what is older than that when its turn comes cannot be had of a peer any more.
-var Usual = Settings{Keep: 5_400_000_000, Most: 600_000, Rate: 9_000, Gather: 200_000, Have: 300_000, Reconcile: 3_000_000, Recent: 5_000_000}
+var DefaultSettings = Settings{KeepFor: 5_400_000_000, MaxKept: 600_000, RateLimit: 9_000, BatchDelay: 200_000, LazyPushInterval: 300_000, ReconcileInterval: 3_000_000, MaxBatchAge: 5_000_000}
 
 // Stats are counters since New, and what is at hand.
 type Stats struct {
@@ -80,77 +80,77 @@
 	Waiting  int      `json:"Waiting"`  // purges of the own watch that may be said yet
 	Behind   Behind   `json:"Behind"`
 
-	Heeded     uint64 `json:"Heeded"`     // purges that a peer told first
-	Grafts     int    `json:"Grafts"`     // edges that stand for those of silent neighbours
-	Batches    uint64 `json:"Batches"`    // said by this gateway
-	Said       uint64 `json:"Said"`       // purges in them
-	Copies     uint64 `json:"Copies"`     // batches that came, again or not
-	Again      uint64 `json:"Again"`      // of them those that had come before
-	Wants      uint64 `json:"Wants"`      // frames that asked for batches
-	Repairs    uint64 `json:"Repairs"`    // batches sent again
-	GivenUp    uint64 `json:"GivenUp"`    // batches left to reconciliation
-	Passes     uint64 `json:"Passes"`     // of reconciliation begun
-	Unanswered uint64 `json:"Unanswered"` // of them those that a peer did not answer to the end
-	ItemsIn    uint64 `json:"ItemsIn"`    // purges that reconciliation brought
-	ItemsOut   uint64 `json:"ItemsOut"`   // and gave
-	Unreadable uint64 `json:"Unreadable"` // frames
-	Wrong      uint64 `json:"Wrong"`      // purges of the own watch whose issue cannot be
-	Long       uint64 `json:"Long"`       // purges with names of more than 255 bytes: not told, they wait for the own watch
-	Held       uint64 `json:"Held"`       // times that batches waited for the rate
-	Unsaid     uint64 `json:"Unsaid"`     // purges that found no room to wait or are not recent: left to reconciliation
-	Unkept     uint64 `json:"Unkept"`     // purges that were too old or far ahead of the clock to keep
-	Dropped    uint64 `json:"Dropped"`    // kept ones that went for want of room
-	Shed       uint64 `json:"Shed"`       // copies of batches not sent on: out of the rate
-	Refused    uint64 `json:"Refused"`    // questions of peers not answered: out of the rate
-	FramesIn   uint64 `json:"FramesIn"`
-	FramesOut  uint64 `json:"FramesOut"`
-	BytesIn    uint64 `json:"BytesIn"` // UDP and IP included
-	BytesOut   uint64 `json:"BytesOut"`
+	Learned           uint64 `json:"Heeded"`     // purges that a peer told first
+	Grafts            int    `json:"Grafts"`     // edges that stand for those of silent neighbours
+	BatchesSent       uint64 `json:"Batches"`    // said by this gateway
+	PurgesSent        uint64 `json:"Said"`       // purges in them
+	BatchesReceived   uint64 `json:"Copies"`     // batches that came, again or not
+	DuplicateBatches  uint64 `json:"Again"`      // of them those that had come before
+	RepairRequests    uint64 `json:"Wants"`      // frames that asked for batches
+	Repairs           uint64 `json:"Repairs"`    // batches sent again
+	GivenUp           uint64 `json:"GivenUp"`    // batches left to reconciliation
+	ReconcilePasses   uint64 `json:"Passes"`     // of reconciliation begun
+	UnfinishedPasses  uint64 `json:"Unanswered"` // of them those that a peer did not answer to the end
+	PurgesReceived    uint64 `json:"ItemsIn"`    // purges that reconciliation brought
+	PurgesServed      uint64 `json:"ItemsOut"`   // and gave
+	UnreadableFrames  uint64 `json:"Unreadable"` // frames
+	ImplausiblePurges uint64 `json:"Wrong"`      // purges of the own watch whose issue cannot be
+	LongNames         uint64 `json:"Long"`       // purges with names of more than 255 bytes: not told, they wait for the own watch
+	HeldByRate        uint64 `json:"Held"`       // times that batches waited for the rate
+	NotBatched        uint64 `json:"Unsaid"`     // purges that found no room to wait or are not recent: left to reconciliation
+	NotKept           uint64 `json:"Unkept"`     // purges that were too old or far ahead of the clock to keep
+	Dropped           uint64 `json:"Dropped"`    // kept ones that went for want of room
+	Shed              uint64 `json:"Shed"`       // copies of batches not sent on: out of the rate
+	RefusedRequests   uint64 `json:"Refused"`    // questions of peers not answered: out of the rate
+	FramesIn          uint64 `json:"FramesIn"`
+	FramesOut         uint64 `json:"FramesOut"`
+	BytesIn           uint64 `json:"BytesIn"` // UDP and IP included
+	BytesOut          uint64 `json:"BytesOut"`
 }
 
 // Behind tells what this gateway knows that it lacks; its own watch remains the authority, and nothing is refused for it.
 type Behind struct {
-	Batches int   `json:"Batches"` // heard of and not had
-	Seconds int   `json:"Seconds"` // of issue time that may lack something, by the peer asked last
-	Since   int64 `json:"Since"`   // of now, of the oldest; 0: not behind. A batch given up counts until a pass of reconciliation ends
+	MissingBatches   int   `json:"Batches"` // heard of and not had
+	DifferingSeconds int   `json:"Seconds"` // of issue time that may lack something, by the peer asked last
+	Since            int64 `json:"Since"`   // of now, of the oldest; 0: not behind. A batch given up counts until a pass of reconciliation ends
 }
 
 // Node is one gateway's. No lock: its owner is its carrier.
 type Node struct {
-	set    Settings
-	self   Member
-	chance *rand.Rand
-	me     uint64 // as an origin: of the name and the stamp, so another at each start; and another after a rest
-	seq    uint64 // of the last batch
-	saidAt int64  // its time
-	tree   tree
-	heard  map[string]int64 // when, of those near in the tree
-	met    map[string]bool  // neighbours that said something since they are
-	grafts []string
-	out    []Letter
-	stats  Stats
-
-	kept      kept
-	waiting   map[Purge]int64 // own, not yet said: when to
-	lead      bool            // this gateway said the last ones, and nobody else did
-	meekUntil int64           // until then nobody begins to speak here: there are sayers enough
-	newestAt  int64           // when the newest issue so far was heard
-
-	origins map[uint64]*origin
-	log     map[batchID]*stored
-	logged  []batchID // by time
-	wants   []wanted
-
-	session *session
-	differ  int   // seconds that may lack something
-	doubt   int64 // since when a batch given up may be lacking; 0: none
-
-	rate     bucket
-	injects  bucket
-	turn     uint64
-	injectAt int64
-	haveAt   int64
-	sweepAt  int64
+	settings         Settings
+	self             Member
+	rng              *rand.Rand
+	originID         uint64 // as an origin: of the name and the stamp, so another at each start; and another after a rest
+	lastSeq          uint64 // of the last batch
+	lastBatchAt      int64  // its time
+	tree             tree
+	lastSeen         map[string]int64 // when, of those near in the tree
+	activeNeighbours map[string]bool  // neighbours that said something since they are
+	grafts           []string
+	out              []Message
+	stats            Stats
+
+	kept            keptPurges
+	waiting         map[Purge]int64 // own, not yet said: when to
+	isInjecting     bool            // this gateway said the last ones, and nobody else did
+	suppressedUntil int64           // until then nobody begins to speak here: there are sayers enough
+	newestAt        int64           // when the newest issue so far was heard
+
+	origins     map[uint64]*origin
+	stored      map[batchID]*storedBatch
+	storedOrder []batchID // by time
+	repairs     []pendingRepair
+
+	session          *session
+	differingSeconds int   // seconds that may lack something
+	missingSince     int64 // since when a batch given up may be lacking; 0: none
+
+	rate          tokenBucket
+	injectRate    tokenBucket
+	lazyPushCount uint64
+	injectAt      int64
+	lazyPushAt    int64
+	sweepAt       int64
 
 	reconcileAt int64
 }
@@ -159,75 +159,75 @@
 
 // New makes a node; stamp differs at each start of a process.
 func New(set Settings, self Member, stamp uint64, chance *rand.Rand, now int64) *Node {
-	set.Keep, set.Most, set.Rate = cmp.Or(set.Keep, Usual.Keep), cmp.Or(set.Most, Usual.Most), cmp.Or(set.Rate, Usual.Rate)
-	set.Gather, set.Have = cmp.Or(set.Gather, Usual.Gather), cmp.Or(set.Have, Usual.Have)
-	set.Reconcile, set.Recent = cmp.Or(set.Reconcile, Usual.Reconcile), cmp.Or(set.Recent, Usual.Recent)
+	set.KeepFor, set.MaxKept, set.RateLimit = cmp.Or(set.KeepFor, DefaultSettings.KeepFor), cmp.Or(set.MaxKept, DefaultSettings.MaxKept), cmp.Or(set.RateLimit, DefaultSettings.RateLimit)
+	set.BatchDelay, set.LazyPushInterval = cmp.Or(set.BatchDelay, DefaultSettings.BatchDelay), cmp.Or(set.LazyPushInterval, DefaultSettings.LazyPushInterval)
+	set.ReconcileInterval, set.MaxBatchAge = cmp.Or(set.ReconcileInterval, DefaultSettings.ReconcileInterval), cmp.Or(set.MaxBatchAge, DefaultSettings.MaxBatchAge)
 	b := binary.LittleEndian.AppendUint64([]byte(self.Name), stamp)
-	n := &Node{set: set, self: self, chance: chance, me: xxhash.Sum64(b), kept: newKept(set.Most), waiting: map[Purge]int64{},
-		origins: map[uint64]*origin{}, heard: map[string]int64{}, met: map[string]bool{}, log: map[batchID]*stored{}, injectAt: never, sweepAt: now + sweepTurn,
-		rate: bucket{left: set.Rate * 1_000_000, at: now}, injects: bucket{left: injectBurst * 1_000_000, at: now}}
-	n.haveAt = now + chance.Int64N(max(1, set.Have))
-	n.reconcileAt = now + chance.Int64N(max(1, set.Reconcile))
-	n.tree.me = -1
+	n := &Node{settings: set, self: self, rng: chance, originID: xxhash.Sum64(b), kept: newKeptPurges(set.MaxKept), waiting: map[Purge]int64{},
+		origins: map[uint64]*origin{}, lastSeen: map[string]int64{}, activeNeighbours: map[string]bool{}, stored: map[batchID]*storedBatch{}, injectAt: never, sweepAt: now + sweepInterval,
+		rate: tokenBucket{tokens: set.RateLimit * 1_000_000, filledAt: now}, injectRate: tokenBucket{tokens: injectBurstBytes * 1_000_000, filledAt: now}}
+	n.lazyPushAt = now + chance.Int64N(max(1, set.LazyPushInterval))
+	n.reconcileAt = now + chance.Int64N(max(1, set.ReconcileInterval))
+	n.tree.selfIndex = -1
 	return n
 }
 
-const sweepTurn = 1_000_000
+const sweepInterval = 1_000_000
 
-// bucket is a token bucket in millionths of bytes; it may go into debt.
-type bucket struct{ left, at int64 }
+// tokenBucket is a token bucket in millionths of bytes; it may go into debt.
+type tokenBucket struct{ tokens, filledAt int64 }
 
-func (b *bucket) fill(now, rate, most int64) {
-	if d := now - b.at; d > 0 {
-		b.left = min(most*1_000_000, b.left+min(d, 3600_000_000)*rate)
-		b.at = now
+func (b *tokenBucket) fill(now, rate, most int64) {
+	if d := now - b.filledAt; d > 0 {
+		b.tokens = min(most*1_000_000, b.tokens+min(d, 3600_000_000)*rate)
+		b.filledAt = now
 	}
 }
 
 // credit is what of the rate is left, in bytes; below 0: debt.
 func (n *Node) credit(now int64) int64 {
-	n.rate.fill(now, n.set.Rate, n.set.Rate)
-	return n.rate.left / 1_000_000
+	n.rate.fill(now, n.settings.RateLimit, n.settings.RateLimit)
+	return n.rate.tokens / 1_000_000
 }
 
 func (n *Node) spend(bytes int, now int64) {
 	n.credit(now)
-	n.rate.left = max(-10*n.set.Rate*1_000_000, n.rate.left-int64(bytes)*1_000_000)
+	n.rate.tokens = max(-10*n.settings.RateLimit*1_000_000, n.rate.tokens-int64(bytes)*1_000_000)
 }
 
 func (n *Node) send(to string, frame []byte, now int64) {
-	n.out = append(n.out, Letter{to, frame})
+	n.out = append(n.out, Message{to, frame})
 	n.stats.FramesOut++
-	n.stats.BytesOut += uint64(len(frame) + datagram)
-	n.spend(len(frame)+datagram, now)
+	n.stats.BytesOut += uint64(len(frame) + datagramOverhead)
+	n.spend(len(frame)+datagramOverhead, now)
 }
 
-// See takes the live members by the view, self included, in any order. The slice is the node's to read from then on, until the next
+// SetMembers takes the live members by the view, self included, in any order. The slice is the node's to read from then on, until the next
 // call: a sorted one (SortMembers) is held and not copied.
-func (n *Node) See(members []Member, now int64) {
-	if same(members, n.tree.members) {
+func (n *Node) SetMembers(members []Member, now int64) {
+	if sameMembers(members, n.tree.members) {
 		return
 	}
-	n.tree = plant(sorted(members), n.self)
+	n.tree = buildTree(sortedMembers(members), n.self)
 	n.grafts = n.grafts[:0]
-	n.forgetOthers()
+	n.forgetDistant()
 }
 
-// Own takes what the own discovery watch told.
-func (n *Node) Own(purges []Purge, now int64) {
+// RecordOwn takes what the own discovery watch told.
+func (n *Node) RecordOwn(purges []Purge, now int64) {
 	var news []Purge
 	for _, p := range purges {
 		switch {
 		case !plausible(p):
-			n.stats.Wrong++
-		case len(p.Object) > mostName:
-			n.stats.Long++
+			n.stats.ImplausiblePurges++
+		case len(p.Object) > maxObjectNameBytes:
+			n.stats.LongNames++
 		case n.keep(p, now) != known:
 			news = append(news, p)
 		}
 	}
 	for _, p := range news { // when the newest is known
-		n.wait(p, now)
+		n.queueForBatch(p, now)
 	}
 }
 
@@ -241,8 +241,8 @@
 
 // keep keeps a purge if it can.
 func (n *Node) keep(p Purge, now int64) novelty {
-	if p.Issued/1000 < n.horizon(now) || p.Issued > n.future(now) {
-		n.stats.Unkept++
+	if p.Issued/1000 < n.horizon(now) || p.Issued > n.maxKeptIssue(now) {
+		n.stats.NotKept++
 		return unknown
 	}
 	newest := n.kept.newest
@@ -255,81 +255,81 @@
 	return known
 }
 
-// Take takes a frame of a peer, which is the caller's again after it, and returns what was not known here; an error is an unreadable
+// HandleFrame takes a frame of a peer, which is the caller's again after it, and returns what was not known here; an error is an unreadable
 // frame, counted.
-func (n *Node) Take(from string, frame []byte, now int64) (heed []Purge, err error) {
+func (n *Node) HandleFrame(from string, frame []byte, now int64) (heed []Purge, err error) {
 	n.stats.FramesIn++
-	n.stats.BytesIn += uint64(len(frame) + datagram)
-	n.spend(len(frame)+datagram, now)
-	if _, near := n.heard[from]; near {
-		n.heard[from] = now
+	n.stats.BytesIn += uint64(len(frame) + datagramOverhead)
+	n.spend(len(frame)+datagramOverhead, now)
+	if _, near := n.lastSeen[from]; near {
+		n.lastSeen[from] = now
 	}
-	if n.beside(from) {
-		n.met[from] = true
+	if n.isNeighbour(from) {
+		n.activeNeighbours[from] = true
 	}
-	if heed, err = n.take(from, frame, now); err != nil {
-		n.stats.Unreadable++
+	if heed, err = n.dispatchFrame(from, frame, now); err != nil {
+		n.stats.UnreadableFrames++
 	}
-	n.stats.Heeded += uint64(len(heed))
+	n.stats.Learned += uint64(len(heed))
 	return heed, err
 }
 
-func (n *Node) take(from string, frame []byte, now int64) ([]Purge, error) {
-	if len(frame) < 2 || len(frame) > mostFrame || frame[0] != Kind {
+func (n *Node) dispatchFrame(from string, frame []byte, now int64) ([]Purge, error) {
+	if len(frame) < 2 || len(frame) > maxFrameBytes || frame[0] != Kind {
 		return nil, errFrame
 	}
-	r := reader{b: frame[2:]}
+	r := frameReader{rest: frame[2:]}
 	switch frame[1] {
-	case wordBatch:
-		id, by, purges := r.id(), r.tier(), r.purges()
+	case frameBatch:
+		id, by, purges := r.batchID(), r.tier(), r.purges()
 		if err := r.done(); err != nil {
 			return nil, err
 		}
-		return n.takeBatch(from, id, by, purges, frame, now), nil
-	case wordHave:
-		all := r.haves()
+		return n.handleBatch(from, id, by, purges, frame, now), nil
+	case frameLazyPush:
+		all := r.lazyPush()
 		if err := r.done(); err != nil {
 			return nil, err
 		}
-		n.takeHaves(from, all, now)
-	case wordWant:
-		ids := r.wants()
+		n.handleLazyPush(from, all, now)
+	case frameRepairRequest:
+		ids := r.repairRequest()
 		if err := r.done(); err != nil {
 			return nil, err
 		}
-		n.takeWants(from, ids, now)
-	case wordSum:
-		s := span{int64(r.number(mostSeconds)), int64(r.number(mostSeconds))}
+		n.handleRepairRequest(from, ids, now)
+	case frameSum:
+		s := span{int64(r.uvarint(maxSeconds)), int64(r.uvarint(maxSeconds))}
 		of := r.sum()
 		if err := r.done(); err != nil {
 			return nil, err
 		}
-		n.takeSum(from, s, of, now)
-	case wordSums:
+		n.handleSum(from, s, of, now)
+	case frameSums:
 		s := r.sums()
 		if err := r.done(); err != nil {
 			return nil, err
 		}
-		n.takeSums(from, s, now)
-	case wordAsk:
-		first := int64(r.number(mostSeconds))
+		n.handleSums(from, s, now)
+	case frameSumsRequest:
+		first := int64(r.uvarint(maxSeconds))
 		if err := r.done(); err != nil {
 			return nil, err
 		}
-		n.takeAsk(from, first/minute*minute, now)
-	case wordPull:
-		p := r.pull()
+		n.handleSumsRequest(from, first/minute*minute, now)
+	case framePullRequest:
+		p := r.pullRequest()
 		if err := r.done(); err != nil {
 			return nil, err
 		}
-		n.takePull(from, p, now)
-	case wordItems:
-		of, whole := r.pullHead(), r.number(1) == 1
+		n.handlePullRequest(from, p, now)
+	case framePurges:
+		of, whole := r.pullHead(), r.uvarint(1) == 1
 		purges := r.purges()
 		if err := r.done(); err != nil {
 			return nil, err
 		}
-		return n.takeItems(from, of, whole, purges, now), nil
+		return n.handlePurges(from, of, whole, purges, now), nil
 	default:
 		return nil, errFrame
 	}
@@ -341,22 +341,22 @@
 	if now >= n.injectAt {
 		n.inject(now)
 	}
-	if now >= n.haveAt {
-		n.haveAt = now + n.set.Have*7/8 + n.chance.Int64N(max(1, n.set.Have/4))
-		n.stepHave(now)
+	if now >= n.lazyPushAt {
+		n.lazyPushAt = now + n.settings.LazyPushInterval*7/8 + n.rng.Int64N(max(1, n.settings.LazyPushInterval/4))
+		n.lazyPush(now)
 	}
-	n.stepWants(now)
+	n.requestRepairs(now)
 	n.stepReconcile(now)
 	if now >= n.sweepAt {
-		n.sweepAt = now + sweepTurn
+		n.sweepAt = now + sweepInterval
 		n.sweep(now)
 	}
 }
 
 // Next is when Step is due.
 func (n *Node) Next() int64 {
-	next := min(n.injectAt, n.haveAt, n.sweepAt)
-	for _, w := range n.wants {
+	next := min(n.injectAt, n.lazyPushAt, n.sweepAt)
+	for _, w := range n.repairs {
 		next = min(next, w.due)
 	}
 	if n.session == nil {
@@ -368,8 +368,8 @@
 	return next // a session that waits for its rate goes on with the haves
 }
 
-// Out drains what is to be sent.
-func (n *Node) Out() []Letter {
+// TakeMessages drains what is to be sent.
+func (n *Node) TakeMessages() []Message {
 	out := n.out
 	n.out = nil
 	return out
@@ -381,8 +381,8 @@
 	s.Parent, s.Children = n.tree.parent, n.tree.children
 	s.Grafts = len(n.grafts)
 	s.Kept, s.Waiting, s.Dropped = n.kept.count, len(n.waiting), n.kept.dropped
-	s.Behind = Behind{Batches: len(n.wants), Seconds: n.differ, Since: n.doubt}
-	for _, w := range n.wants {
+	s.Behind = Behind{MissingBatches: len(n.repairs), DifferingSeconds: n.differingSeconds, Since: n.missingSince}
+	for _, w := range n.repairs {
 		if s.Behind.Since == 0 || w.since < s.Behind.Since {
 			s.Behind.Since = w.since
 		}
@@ -390,17 +390,17 @@
 	return s
 }
 
-// anyone is a random member but this one; of the own site if asked and there is another. "": there is none.
-func (n *Node) anyone(ofSite bool) string {
+// randomPeer is a random member but this one; of the own site if asked and there is another. "": there is none.
+func (n *Node) randomPeer(ofSite bool) string {
 	from, to := 0, len(n.tree.members)
-	if ofSite && n.tree.site[1]-n.tree.site[0] > 1 {
-		from, to = n.tree.site[0], n.tree.site[1]
+	if ofSite && n.tree.siteBounds[1]-n.tree.siteBounds[0] > 1 {
+		from, to = n.tree.siteBounds[0], n.tree.siteBounds[1]
 	}
-	if n.tree.me < 0 || to-from < 2 {
+	if n.tree.selfIndex < 0 || to-from < 2 {
 		return ""
 	}
-	i := from + n.chance.IntN(to-from-1)
-	if i >= n.tree.me {
+	i := from + n.rng.IntN(to-from-1)
+	if i >= n.tree.selfIndex {
 		i++
 	}
 	return n.tree.members[i].Name
--- a/internal/fleet/broadcast/driver/carrier.go
+++ b/internal/fleet/broadcast/driver/carrier.go
@@ -23,14 +23,14 @@
 )
 
 const (
-	mostQueued = 1024
-	mostFrame  = 1400
-	mostTold   = 4096
-	headSize   = 1 + 8
-	look       = 200 * time.Millisecond // between looks at the view
-	behindFor  = 2 * time.Second        // before a gap is told in the log: what is repaired at once is no news
-	wholeFor   = 5 * time.Second        // without one so old, before the log says that it is over: at most two lines in wholeFor
-	mostLatest = 1024                   // purges told to who asks
+	maxQueuedFrames    = 1024
+	maxDatagramBytes   = 1400
+	maxQueuedPurges    = 4096
+	headerSize         = 1 + 8
+	viewInterval       = 200 * time.Millisecond // between looks at the view
+	behindThreshold    = 2 * time.Second        // before a gap is told in the log: what is repaired at once is no news
+	recoveredThreshold = 5 * time.Second        // without one so old, before the log says that it is over: at most two lines in wholeFor
+	maxLatest          = 1024                   // purges told to who asks
 )
 
 // Fleet is the part of membership that it needs.
@@ -42,300 +42,302 @@
 
 // Counts are since the process started.
 type Counts struct {
-	TakenIn     uint64 `json:"taken_in"`     // datagrams of peers that were read
-	BytesIn     uint64 `json:"bytes_in"`     // of them, without UDP's and IP's heads
-	SentOut     uint64 `json:"sent_out"`     // datagrams
-	BytesOut    uint64 `json:"bytes_out"`    // of them
-	NotSent     uint64 `json:"not_sent"`     // whose peer was live no more, or that the link did not take
-	Full        uint64 `json:"full"`         // dropped, as too many waited
-	Unknown     uint64 `json:"unknown"`      // of a sender that is not live in this view
-	Unreadable  uint64 `json:"unreadable"`   // frames
-	OwnDropped  uint64 `json:"own_dropped"`  // purges of the own watch that found no room here; heeded all the same
-	PeersFirst  uint64 `json:"peers_first"`  // purges that peers told before the own watch did
-	BehindTimes uint64 `json:"behind_times"` // gaps that lasted long enough to be told
+	Received         uint64 `json:"taken_in"`     // datagrams of peers that were read
+	BytesIn          uint64 `json:"bytes_in"`     // of them, without UDP's and IP's heads
+	Sent             uint64 `json:"sent_out"`     // datagrams
+	BytesOut         uint64 `json:"bytes_out"`    // of them
+	SendFailures     uint64 `json:"not_sent"`     // whose peer was live no more, or that the link did not take
+	Dropped          uint64 `json:"full"`         // dropped, as too many waited
+	UnknownSenders   uint64 `json:"unknown"`      // of a sender that is not live in this view
+	Unreadable       uint64 `json:"unreadable"`   // frames
+	OwnPurgesDropped uint64 `json:"own_dropped"`  // purges of the own watch that found no room here; heeded all the same
+	LearnedFromPeers uint64 `json:"peers_first"`  // purges that peers told before the own watch did
+	BehindPeriods    uint64 `json:"behind_times"` // gaps that lasted long enough to be told
 }
 
-// Carrier is one gateway's.
-type Carrier struct {
-	self  string
-	place broadcast.Place
-	fleet Fleet
-	heed  func([]broadcast.Purge)
-	log   *slog.Logger
-	began time.Time
-	bell  chan struct{}
+// Driver is one gateway's.
+type Driver struct {
+	self      string
+	locality  broadcast.Locality
+	fleet     Fleet
+	onPurges  func([]broadcast.Purge)
+	log       *slog.Logger
+	startedAt time.Time
+	notify    chan struct{}
 
-	version uint64 // of the view that the node was told; Run's goroutine's
-	seen    bool   // one was
+	viewVersion uint64 // of the view that the node was told; Run's goroutine's
+	hasView     bool   // one was
 
-	mu     sync.Mutex
-	node   *broadcast.Node
-	in     [][]byte
-	told   []broadcast.Purge
-	peers  map[uint64]string // live ones, by key
-	counts Counts
-	behind bool  // and the log was told so
-	gapAt  int64 // since when the gap that it was told of lasts
-	oldAt  int64 // when a gap was last older than behindFor
-	latest []Heeded
-	heeded uint64 // purges that were put in latest since New
+	mu           sync.Mutex
+	node         *broadcast.Node
+	queue        [][]byte
+	ownPurges    []broadcast.Purge
+	peerNames    map[uint64]string // live ones, by key
+	counts       Counts
+	isBehind     bool  // and the log was told so
+	behindSince  int64 // since when the gap that it was told of lasts
+	lastBehindAt int64 // when a gap was last older than behindFor
+	latest       []AppliedPurge
+	appliedCount uint64 // purges that were put in latest since New
 
-	differAt int64 // since when reconciliation knows of seconds that may lack something; 0: it knows of none
+	differingSince int64 // since when reconciliation knows of seconds that may lack something; 0: it knows of none
 }
 
-// Heeded is a purge that counted at this gateway: the time that it did by the gateway's own up time, which no wrong clock shifts.
-type Heeded struct {
-	No     uint64 `json:"no"` // from 1 on, without gaps, since the process started
-	Object string `json:"object,omitempty"`
-	Group  int64  `json:"group,omitempty"`
-	Issued int64  `json:"issued_ms"`      // Unix, as whoever told it says
-	AtMS   int64  `json:"at_up_ms"`       // as Report.UpMS
-	Peer   bool   `json:"peer,omitempty"` // a peer told it first; else the own watch did, perhaps after a peer
+// AppliedPurge is a purge that counted at this gateway: the time that it did by the gateway's own up time, which no wrong clock shifts.
+type AppliedPurge struct {
+	Number     uint64 `json:"no"` // from 1 on, without gaps, since the process started
+	Object     string `json:"object,omitempty"`
+	Group      int64  `json:"group,omitempty"`
+	Issued     int64  `json:"issued_ms"`      // Unix, as whoever told it says
+	AtUptimeMS int64  `json:"at_up_ms"`       // as Report.UpMS
+	FromPeer   bool   `json:"peer,omitempty"` // a peer told it first; else the own watch did, perhaps after a peer
 }
 
 // New makes a gateway's: heed takes purges that peers told first, on Run's goroutine. wall is the machine's clock, for the age of purges.
 // stamp differs at each start of a process, and between gateways: peers hold batches by it, and those of a new process under an old
 // stamp would be taken for ones that they had. All chance comes of it too.
-func New(self string, place view.Place, heed func([]broadcast.Purge), log *slog.Logger, stamp uint64, wall func() time.Time) *Carrier {
-	c := &Carrier{self: self, place: broadcast.Place{Region: place.Region, Zone: place.Zone, Site: place.Site}, heed: heed, log: log, began: time.Now(),
-		bell: make(chan struct{}, 1), peers: map[uint64]string{}}
-	set := broadcast.Usual
-	set.Unix = wall().UnixMilli()
-	c.node = broadcast.New(set, broadcast.Member{Name: self, Place: c.place}, stamp, rand.New(rand.NewPCG(stamp, 0x62726f6164636173)), c.now())
+func New(self string, place view.Locality, heed func([]broadcast.Purge), log *slog.Logger, stamp uint64, wall func() time.Time) *Driver {
+	c := &Driver{self: self, locality: broadcast.Locality{Region: place.Region, Zone: place.Zone, Site: place.Site}, onPurges: heed, log: log, startedAt: time.Now(),
+		notify: make(chan struct{}, 1), peerNames: map[uint64]string{}}
+	set := broadcast.DefaultSettings
+	set.StartUnixMillis = wall().UnixMilli()
+	c.node = broadcast.New(set, broadcast.Member{Name: self, Locality: c.locality}, stamp, rand.New(rand.NewPCG(stamp, 0x62726f6164636173)), c.now())
 	return c
 }
 
-// Over sets the fleet that it goes over, before Run.
-func (c *Carrier) Over(f Fleet) { c.fleet = f }
+// SetFleet sets the fleet that it goes over, before Run.
+func (c *Driver) SetFleet(f Fleet) { c.fleet = f }
 
 // now is microseconds since this gateway's part began, from 1 on.
-func (c *Carrier) now() int64 { return time.Since(c.began).Microseconds() + 1 }
+func (c *Driver) now() int64 { return time.Since(c.startedAt).Microseconds() + 1 }
 
-func (c *Carrier) ring() {
+func (c *Driver) signal() {
 	select {
-	case c.bell <- struct{}{}:
+	case c.notify <- struct{}{}:
 	default:
 	}
 }
 
-// Mine tells whether a datagram of the fleet is the broadcast's.
-func Mine(b []byte) bool { return len(b) > 0 && b[0] == broadcast.Kind }
+// IsBroadcast tells whether a datagram of the fleet is the broadcast's.
+func IsBroadcast(b []byte) bool { return len(b) > 0 && b[0] == broadcast.Kind }
 
-// Take takes a datagram of a peer; the bytes are the caller's.
-func (c *Carrier) Take(b []byte) {
+// HandleMessage takes a datagram of a peer; the bytes are the caller's.
+func (c *Driver) HandleMessage(b []byte) {
 	c.mu.Lock()
-	if len(c.in) >= mostQueued || len(b) > mostFrame {
-		c.counts.Full++
+	if len(c.queue) >= maxQueuedFrames || len(b) > maxDatagramBytes {
+		c.counts.Dropped++
 	} else {
-		c.in = append(c.in, slices.Clone(b))
+		c.queue = append(c.queue, slices.Clone(b))
 	}
 	c.mu.Unlock()
-	c.ring()
+	c.signal()
 }
 
-// Told takes purges that the own discovery watch told.
-func (c *Carrier) Told(purges []broadcast.Purge) {
+// RecordPurges takes purges that the own discovery watch told.
+func (c *Driver) RecordPurges(purges []broadcast.Purge) {
 	if len(purges) == 0 {
 		return
 	}
 	c.mu.Lock()
-	room := max(0, mostTold-len(c.told))
-	c.counts.OwnDropped += uint64(max(0, len(purges)-room))
-	c.told = append(c.told, purges[:min(room, len(purges))]...)
-	c.list(purges, false, c.now()) // those that found no room too: they are heeded
+	room := max(0, maxQueuedPurges-len(c.ownPurges))
+	c.counts.OwnPurgesDropped += uint64(max(0, len(purges)-room))
+	c.ownPurges = append(c.ownPurges, purges[:min(room, len(purges))]...)
+	c.recordApplied(purges, false, c.now()) // those that found no room too: they are heeded
 	c.mu.Unlock()
-	c.ring()
+	c.signal()
 }
 
-// list keeps what counted here for who asks; mu is held.
-func (c *Carrier) list(purges []broadcast.Purge, peer bool, now int64) {
+// recordApplied keeps what counted here for who asks; mu is held.
+func (c *Driver) recordApplied(purges []broadcast.Purge, peer bool, now int64) {
 	for _, p := range purges {
-		c.heeded++
-		h := Heeded{c.heeded, p.Object, p.Group, p.Issued, now / 1000, peer}
-		if len(c.latest) < mostLatest {
+		c.appliedCount++
+		h := AppliedPurge{c.appliedCount, p.Object, p.Group, p.Issued, now / 1000, peer}
+		if len(c.latest) < maxLatest {
 			c.latest = append(c.latest, h)
 		} else {
-			c.latest[(c.heeded-1)%mostLatest] = h
+			c.latest[(c.appliedCount-1)%maxLatest] = h
 		}
 	}
 }
 
 // Run goes on until stop is closed.
-func (c *Carrier) Run(stop <-chan struct{}) {
+func (c *Driver) Run(stop <-chan struct{}) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-stop:
 			return
-		case <-c.bell:
+		case <-c.notify:
 		case <-timer.C:
 		}
 		t := c.turn()
-		if len(t.heed) > 0 {
-			c.heed(t.heed)
+		if len(t.learned) > 0 {
+			c.onPurges(t.learned)
 			c.mu.Lock()
-			c.list(t.heed, true, c.now())
+			c.recordApplied(t.learned, true, c.now())
 			c.mu.Unlock()
 		}
-		c.send(t.out)
-		if t.line != nil {
-			t.line()
+		c.send(t.messages)
+		if t.logLine != nil {
+			t.logLine()
 		}
-		timer.Reset(t.next)
+		timer.Reset(t.nextTurn)
 	}
 }
 
-type letter struct {
-	to string
-	b  []byte
+type message struct {
+	to       string
+	datagram []byte
 }
 
-// toDo is what a turn leaves to be done without the lock.
-type toDo struct {
-	heed []broadcast.Purge
-	out  []letter
-	line func() // of the log; nil: none
-	next time.Duration
+// turnResult is what a turn leaves to be done without the lock.
+type turnResult struct {
+	learned  []broadcast.Purge
+	messages []message
+	logLine  func() // of the log; nil: none
+	nextTurn time.Duration
 }
 
 // turn brings in what waits and gives what is to be done, and when to come again.
-func (c *Carrier) turn() (t toDo) {
+func (c *Driver) turn() (t turnResult) {
 	version := c.fleet.Version()
 	var live []view.ID
-	if !c.seen || version != c.version { // Run's goroutine alone touches these two
+	if !c.hasView || version != c.viewVersion { // Run's goroutine alone touches these two
 		live, version = c.fleet.LiveIDs()
 	}
 	c.mu.Lock()
 	if live != nil {
-		c.see(live, version)
+		c.setMembers(live, version)
 	}
 	defer c.mu.Unlock()
 	now := c.now()
-	told, in := c.told, c.in
-	c.told, c.in = nil, nil
+	told, in := c.ownPurges, c.queue
+	c.ownPurges, c.queue = nil, nil
 	if len(told) > 0 {
-		c.node.Own(told, now)
+		c.node.RecordOwn(told, now)
 	}
 	for _, b := range in {
-		t.heed = append(t.heed, c.read(b, now)...)
+		t.learned = append(t.learned, c.handleDatagram(b, now)...)
 	}
 	c.node.Step(now)
-	for _, l := range c.node.Out() {
-		b := binary.LittleEndian.AppendUint64([]byte{broadcast.Kind}, view.Key(c.self))
-		t.out = append(t.out, letter{l.To, append(b, l.Frame...)})
+	for _, l := range c.node.TakeMessages() {
+		b := binary.LittleEndian.AppendUint64([]byte{broadcast.Kind}, view.NameKey(c.self))
+		t.messages = append(t.messages, message{l.To, append(b, l.Frame...)})
 	}
-	c.counts.PeersFirst += uint64(len(t.heed))
-	t.line = c.gap(now)
-	next := min(look.Microseconds(), c.node.Next()-now) // bounded before it is made nanoseconds: never would not fit
-	t.next = max(time.Millisecond, time.Duration(next)*time.Microsecond)
+	c.counts.LearnedFromPeers += uint64(len(t.learned))
+	t.logLine = c.modeChange(now)
+	next := min(viewInterval.Microseconds(), c.node.Next()-now) // bounded before it is made nanoseconds: never would not fit
+	t.nextTurn = max(time.Millisecond, time.Duration(next)*time.Microsecond)
 	return t
 }
 
-// see tells the node who is live; mu is held.
-func (c *Carrier) see(live []view.ID, version uint64) {
-	c.seen, c.version = true, version
-	clear(c.peers)
+// setMembers tells the node who is live; mu is held.
+func (c *Driver) setMembers(live []view.ID, version uint64) {
+	c.hasView, c.viewVersion = true, version
+	clear(c.peerNames)
 	members := make([]broadcast.Member, 0, len(live))
 	for _, id := range live {
-		members = append(members, broadcast.Member{Name: id.Name, Place: broadcast.Place{Region: id.Place.Region, Zone: id.Place.Zone, Site: id.Place.Site}})
+		members = append(members, broadcast.Member{Name: id.Name, Locality: broadcast.Locality{Region: id.Locality.Region, Zone: id.Locality.Zone, Site: id.Locality.Site}})
 		if id.Name != c.self {
-			c.peers[view.Key(id.Name)] = id.Name
+			c.peerNames[view.NameKey(id.Name)] = id.Name
 		}
 	}
-	c.node.See(members, c.now())
+	c.node.SetMembers(members, c.now())
 }
 
-// read takes one datagram; mu is held.
-func (c *Carrier) read(b []byte, now int64) []broadcast.Purge {
-	if len(b) <= headSize || b[0] != broadcast.Kind {
+// handleDatagram takes one datagram; mu is held.
+func (c *Driver) handleDatagram(b []byte, now int64) []broadcast.Purge {
+	if len(b) <= headerSize || b[0] != broadcast.Kind {
 		c.counts.Unreadable++
 		return nil
 	}
-	from := c.peers[binary.LittleEndian.Uint64(b[1:])]
+	from := c.peerNames[binary.LittleEndian.Uint64(b[1:])]
 	if from == "" {
-		c.counts.Unknown++
+		c.counts.UnknownSenders++
 		return nil
 	}
-	c.counts.TakenIn++
+	c.counts.Received++
 	c.counts.BytesIn += uint64(len(b))
-	heed, err := c.node.Take(from, b[headSize:], now)
+	heed, err := c.node.HandleFrame(from, b[headerSize:], now)
 	if err != nil { // counted, not logged: whoever sends such frames would fill the log
 		c.counts.Unreadable++
 	}
 	return heed
 }
 
-// gap gives the line of the log where the mode changes: behind once a gap has lasted behindFor, whole once none so old was there for
+// modeChange gives the line of the log where the mode changes: behind once a gap has lasted behindFor, whole once none so old was there for
 // wholeFor. Under steady loss some gap is always there, each a short one: that is no mode. mu is held.
-func (c *Carrier) gap(now int64) func() {
+func (c *Driver) modeChange(now int64) func() {
 	b := c.node.Stats().Behind
 	since := b.Since // of batches; seconds that a peer has more of are dated here
-	if b.Seconds == 0 {
-		c.differAt = 0
+	if b.DifferingSeconds == 0 {
+		c.differingSince = 0
 	} else {
-		if c.differAt == 0 {
-			c.differAt = now
+		if c.differingSince == 0 {
+			c.differingSince = now
 		}
-		if since == 0 || c.differAt < since {
-			since = c.differAt
+		if since == 0 || c.differingSince < since {
+			since = c.differingSince
 		}
 	}
-	old := since != 0 && now-since > behindFor.Microseconds()
+	old := since != 0 && now-since > behindThreshold.Microseconds()
 	if old {
-		c.oldAt = now
+		c.lastBehindAt = now
 	}
 	switch {
-	case old && !c.behind:
-		c.behind, c.gapAt = true, since
-		c.counts.BehindTimes++
-		return func() { c.log.Warn("fleet_broadcast", "mode", "behind", "batches", b.Batches, "seconds", b.Seconds) }
-	case c.behind && now-c.oldAt > wholeFor.Microseconds():
-		c.behind = false
-		lasted := (c.oldAt - c.gapAt) / 1000
+	case old && !c.isBehind:
+		c.isBehind, c.behindSince = true, since
+		c.counts.BehindPeriods++
+		return func() {
+			c.log.Warn("fleet_broadcast", "mode", "behind", "batches", b.MissingBatches, "seconds", b.DifferingSeconds)
+		}
+	case c.isBehind && now-c.lastBehindAt > recoveredThreshold.Microseconds():
+		c.isBehind = false
+		lasted := (c.lastBehindAt - c.behindSince) / 1000
 		return func() { c.log.Info("fleet_broadcast", "mode", "whole", "behind_ms", lasted) }
 	}
 	return nil
 }
 
-func (c *Carrier) send(out []letter) {
+func (c *Driver) send(out []message) {
 	var sent, bytes, not uint64
 	for _, l := range out {
-		if c.fleet.Send(l.to, l.b) != nil { // repaired as one that was lost on the way
+		if c.fleet.Send(l.to, l.datagram) != nil { // repaired as one that was lost on the way
 			not++
 			continue
 		}
-		sent, bytes = sent+1, bytes+uint64(len(l.b))
+		sent, bytes = sent+1, bytes+uint64(len(l.datagram))
 	}
 	c.mu.Lock()
-	c.counts.SentOut, c.counts.BytesOut, c.counts.NotSent = c.counts.SentOut+sent, c.counts.BytesOut+bytes, c.counts.NotSent+not
+	c.counts.Sent, c.counts.BytesOut, c.counts.SendFailures = c.counts.Sent+sent, c.counts.BytesOut+bytes, c.counts.SendFailures+not
 	c.mu.Unlock()
 }
 
 // Report is what a gateway's broadcast is at, for operators.
 type Report struct {
-	Name   string          `json:"name"`
-	Place  broadcast.Place `json:"place"`
-	Live   int             `json:"live"`
-	Mode   string          `json:"mode"` // behind or whole, as the log was told
-	Counts Counts          `json:"counts"`
-	Node   broadcast.Stats `json:"node"`
-	UpMS   int64           `json:"up_ms"`
-	Heeded uint64          `json:"heeded"` // the last one's number
-	Latest []Heeded        `json:"latest,omitempty"`
+	Name     string             `json:"name"`
+	Locality broadcast.Locality `json:"place"`
+	Live     int                `json:"live"`
+	Mode     string             `json:"mode"` // behind or whole, as the log was told
+	Counts   Counts             `json:"counts"`
+	Node     broadcast.Stats    `json:"node"`
+	UptimeMS int64              `json:"up_ms"`
+	Applied  uint64             `json:"heeded"` // the last one's number
+	Latest   []AppliedPurge     `json:"latest,omitempty"`
 }
 
 // Report tells it, with the latest purges that counted here, those numbered up to after left out: of the last mostLatest.
-func (c *Carrier) Report(after uint64) Report {
+func (c *Driver) Report(after uint64) Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r := Report{Name: c.self, Place: c.place, Live: len(c.peers) + 1, Mode: "whole", Counts: c.counts, Node: c.node.Stats(), UpMS: c.now() / 1000,
-		Heeded: c.heeded}
-	if c.behind {
+	r := Report{Name: c.self, Locality: c.locality, Live: len(c.peerNames) + 1, Mode: "whole", Counts: c.counts, Node: c.node.Stats(), UptimeMS: c.now() / 1000,
+		Applied: c.appliedCount}
+	if c.isBehind {
 		r.Mode = "behind"
 	}
-	for no := max(after, c.heeded-uint64(len(c.latest))) + 1; no <= c.heeded; no++ {
-		r.Latest = append(r.Latest, c.latest[(no-1)%mostLatest])
+	for no := max(after, c.appliedCount-uint64(len(c.latest))) + 1; no <= c.appliedCount; no++ {
+		r.Latest = append(r.Latest, c.latest[(no-1)%maxLatest])
 	}
 	return r
 }
--- a/internal/fleet/broadcast/driver/frozen_test.go
+++ b/internal/fleet/broadcast/driver/frozen_test.go
@@ -27,34 +27,34 @@
 }
 
 func (f *twoGateways) LiveIDs() ([]view.ID, uint64) {
-	return []view.ID{{Name: "n1", Addr: "10.0.0.1:7946", Stamp: 1}, {Name: "n2", Addr: "10.0.0.2:7946", Stamp: 2}}, 1
+	return []view.ID{{Name: "n1", Addr: "10.0.0.1:7946", Incarnation: 1}, {Name: "n2", Addr: "10.0.0.2:7946", Incarnation: 2}}, 1
 }
 
 func (f *twoGateways) Version() uint64 { return 1 }
 
 // A datagram with a batch, as released builds sent it, is read, and sent with the same bytes.
-func TestFrozenDatagramKeepsItsBytes(t *testing.T) {
+func TestFrozenDatagramKeepsTheSameBytes(t *testing.T) {
 	const name = "batch.datagram"
 	synctest.Test(t, func(t *testing.T) {
 		purge := broadcast.Purge{Object: "segment-1", Group: 3, Issued: time.Now().UnixMilli()}
 		fleet := &twoGateways{}
-		sender := New("n1", view.Place{}, func([]broadcast.Purge) {}, slog.New(slog.DiscardHandler), 7, time.Now)
-		sender.Over(fleet)
+		sender := New("n1", view.Locality{}, func([]broadcast.Purge) {}, slog.New(slog.DiscardHandler), 7, time.Now)
+		sender.SetFleet(fleet)
 		stop := make(chan struct{})
 		var wait sync.WaitGroup
 		wait.Go(func() { sender.Run(stop) })
 		time.Sleep(time.Second)
-		sender.Told([]broadcast.Purge{purge})
+		sender.RecordPurges([]broadcast.Purge{purge})
 		time.Sleep(5 * time.Second)
 		close(stop)
 		wait.Wait()
 		frozen.Equal(t, name, firstBatch(t, fleet.sent))
 
-		receiver := New("n2", view.Place{}, nil, slog.New(slog.DiscardHandler), 8, time.Now)
-		receiver.Over(fleet)
+		receiver := New("n2", view.Locality{}, nil, slog.New(slog.DiscardHandler), 8, time.Now)
+		receiver.SetFleet(fleet)
 		receiver.turn()
-		receiver.Take(frozen.Read(t, name))
-		if got := receiver.turn().heed; !slices.Equal(got, []broadcast.Purge{purge}) {
+		receiver.HandleMessage(frozen.Read(t, name))
+		if got := receiver.turn().learned; !slices.Equal(got, []broadcast.Purge{purge}) {
 			t.Errorf("read %+v, not %+v", got, purge)
 		}
 	})
@@ -64,7 +64,7 @@
 func firstBatch(t *testing.T, sent [][]byte) []byte {
 	t.Helper()
 	for _, b := range sent {
-		if len(b) > headSize+1 && b[headSize] == broadcast.Kind && b[headSize+1] == 0 {
+		if len(b) > headerSize+1 && b[headerSize] == broadcast.Kind && b[headerSize+1] == 0 {
 			return b
 		}
 	}
--- a/internal/fleet/broadcast/frame.go
+++ b/internal/fleet/broadcast/frame.go
@@ -14,90 +14,90 @@
 
 // The second byte tells what a frame is. Numbers are varints of encoding/binary where not said otherwise; all of a frame must be readable.
 const (
-	wordBatch = iota // 8 bytes origin, sequence, its tier (a byte), purges
-	wordHave         // number of origins, for each: 8 bytes origin, contiguous, 8 bytes bitmap of the sequences after
-	wordWant         // number of batches, for each: 8 bytes origin, sequence
-	wordSum          // from, up to (seconds), count, 8 bytes sum
-	wordSums         // up to, first, step (seconds), number, for each: count, 8 bytes sum
-	wordAsk          // first second of a minute
-	wordPull         // second, bits and value of the prefix, number of ids, 4 bytes each
-	wordItems        // second, bits and value of the prefix, 1 whole or 0 a part, purges
+	frameBatch         = iota // 8 bytes origin, sequence, its tier (a byte), purges
+	frameLazyPush             // number of origins, for each: 8 bytes origin, contiguous, 8 bytes bitmap of the sequences after
+	frameRepairRequest        // number of batches, for each: 8 bytes origin, sequence
+	frameSum                  // from, up to (seconds), count, 8 bytes sum
+	frameSums                 // up to, first, step (seconds), number, for each: count, 8 bytes sum
+	frameSumsRequest          // first second of a minute
+	framePullRequest          // second, bits and value of the prefix, number of ids, 4 bytes each
+	framePurges               // second, bits and value of the prefix, 1 whole or 0 a part, purges
 )
 
 const (
-	mostFrame   = 1100 // bytes of a frame: one datagram of at most 1,200 with what carries it
-	datagram    = 28   // IPv4 and UDP
-	mostName    = 255  // bytes of an object's name that goes in a frame
-	mostIssued  = 1e14 // Unix milliseconds: the year 5138
-	mostPurges  = 256  // in a frame
-	mostHaves   = 16   // origins in a frame
-	mostWants   = 32   // batches in a frame
-	mostSums    = 100  // of a frame
-	mostIDs     = 200  // of a frame
-	mostPrefix  = 32   // bits
-	mostSeconds = mostIssued / 1000
+	maxFrameBytes      = 1100 // bytes of a frame: one datagram of at most 1,200 with what carries it
+	datagramOverhead   = 28   // IPv4 and UDP
+	maxObjectNameBytes = 255  // bytes of an object's name that goes in a frame
+	maxIssued          = 1e14 // Unix milliseconds: the year 5138
+	maxPurgesPerFrame  = 256  // in a frame
+	maxOriginsPerFrame = 16   // origins in a frame
+	maxRepairsPerFrame = 32   // batches in a frame
+	maxSumsPerFrame    = 100  // of a frame
+	maxIDsPerFrame     = 200  // of a frame
+	maxPrefixBits      = 32   // bits
+	maxSeconds         = maxIssued / 1000
 )
 
 var errFrame = errors.New("a frame of purges that cannot be read")
 
-// reader reads a frame; after the first fault it gives zeros.
-type reader struct {
-	b   []byte
-	bad bool
+// frameReader reads a frame; after the first fault it gives zeros.
+type frameReader struct {
+	rest   []byte
+	failed bool
 }
 
-func (r *reader) number(most uint64) uint64 {
-	v, n := binary.Uvarint(r.b)
-	if n <= 0 || v > most || n > 1 && r.b[n-1] == 0 { // one way to write a number
-		r.bad, r.b = true, nil
+func (r *frameReader) uvarint(most uint64) uint64 {
+	v, n := binary.Uvarint(r.rest)
+	if n <= 0 || v > most || n > 1 && r.rest[n-1] == 0 { // one way to write a number
+		r.failed, r.rest = true, nil
 		return 0
 	}
-	r.b = r.b[n:]
+	r.rest = r.rest[n:]
 	return v
 }
 
-func (r *reader) bytes(n int) []byte {
-	if len(r.b) < n {
-		r.bad, r.b = true, nil
+func (r *frameReader) bytes(n int) []byte {
+	if len(r.rest) < n {
+		r.failed, r.rest = true, nil
 		return nil
 	}
-	b := r.b[:n]
-	r.b = r.b[n:]
+	b := r.rest[:n]
+	r.rest = r.rest[n:]
 	return b
 }
 
-func (r *reader) tier() tier {
+func (r *frameReader) tier() tier {
 	b := r.bytes(1)
 	if b == nil || tier(b[0]) > other {
-		r.bad = true
+		r.failed = true
 		return other
 	}
 	return tier(b[0])
 }
 
-func (r *reader) uint64() uint64 {
+func (r *frameReader) uint64() uint64 {
 	if b := r.bytes(8); b != nil {
 		return binary.LittleEndian.Uint64(b)
 	}
 	return 0
 }
 
-func (r *reader) uint32() uint32 {
+func (r *frameReader) uint32() uint32 {
 	if b := r.bytes(4); b != nil {
 		return binary.LittleEndian.Uint32(b)
 	}
 	return 0
 }
 
-func (r *reader) done() error {
-	if r.bad || len(r.b) > 0 {
+func (r *frameReader) done() error {
+	if r.failed || len(r.rest) > 0 {
 		return errFrame
 	}
 	return nil
 }
 
-func number(b []byte, v uint64) []byte  { return binary.AppendUvarint(b, v) }
-func fixed64(b []byte, v uint64) []byte { return binary.LittleEndian.AppendUint64(b, v) }
+func appendUvarint(b []byte, v uint64) []byte { return binary.AppendUvarint(b, v) }
+func appendUint64(b []byte, v uint64) []byte  { return binary.LittleEndian.AppendUint64(b, v) }
 
 // The shape of a purge, in the two lowest bits of its first number; the rest is the milliseconds since the purge before it.
 const (
@@ -152,31 +152,31 @@
 // appendPurge writes one whose issue is no earlier than before.
 func appendPurge(b []byte, p Purge, before int64) []byte {
 	shape, name := shapeOf(p)
-	b = number(b, uint64(p.Issued-before)<<2|shape)
+	b = appendUvarint(b, uint64(p.Issued-before)<<2|shape)
 	switch shape {
 	case shapeHex:
-		return fixed64(b, name)
+		return appendUint64(b, name)
 	case shapeGroup:
-		return number(b, zigzag(p.Group))
+		return appendUvarint(b, zigzag(p.Group))
 	case shapeBoth:
-		b = number(b, zigzag(p.Group))
+		b = appendUvarint(b, zigzag(p.Group))
 	}
 	return append(append(b, byte(len(p.Object))), p.Object...)
 }
 
-func sizeOf(v uint64) int { return (bits.Len64(v|1) + 6) / 7 }
+func uvarintSize(v uint64) int { return (bits.Len64(v|1) + 6) / 7 }
 
-// sizePurge is what appendPurge adds.
-func sizePurge(p Purge, before int64) int {
+// purgeSize is what appendPurge adds.
+func purgeSize(p Purge, before int64) int {
 	shape, _ := shapeOf(p)
-	size := sizeOf(uint64(p.Issued-before)<<2 | shape)
+	size := uvarintSize(uint64(p.Issued-before)<<2 | shape)
 	switch shape {
 	case shapeHex:
 		return size + 8
 	case shapeGroup:
-		return size + sizeOf(zigzag(p.Group))
+		return size + uvarintSize(zigzag(p.Group))
 	case shapeBoth:
-		size += sizeOf(zigzag(p.Group))
+		size += uvarintSize(zigzag(p.Group))
 	}
 	return size + 1 + len(p.Object)
 }
@@ -185,29 +185,29 @@
 func appendPurges(b []byte, purges []Purge) ([]byte, int) {
 	n, size, before := 0, len(b)+2, int64(0)
 	for _, p := range purges {
-		if size += sizePurge(p, before); size > mostFrame || n == mostPurges {
+		if size += purgeSize(p, before); size > maxFrameBytes || n == maxPurgesPerFrame {
 			break
 		}
 		n, before = n+1, p.Issued
 	}
-	b, before = number(b, uint64(n)), 0
+	b, before = appendUvarint(b, uint64(n)), 0
 	for _, p := range purges[:n] {
 		b, before = appendPurge(b, p, before), p.Issued
 	}
 	return b, n
 }
 
-func (r *reader) purges() []Purge {
-	n := r.number(mostPurges)
-	out := make([]Purge, 0, min(int(n), len(r.b)/2))
+func (r *frameReader) purges() []Purge {
+	n := r.uvarint(maxPurgesPerFrame)
+	out := make([]Purge, 0, min(int(n), len(r.rest)/2))
 	before := int64(0)
 	for range n {
-		v := r.number(mostIssued << 2)
+		v := r.uvarint(maxIssued << 2)
 		p := Purge{Issued: before + int64(v>>2)}
 		before = p.Issued
 		shape := v & 3
 		if shape == shapeGroup || shape == shapeBoth {
-			p.Group = unzigzag(r.number(1<<64 - 1))
+			p.Group = unzigzag(r.uvarint(1<<64 - 1))
 		}
 		switch shape {
 		case shapeHex:
@@ -217,8 +217,8 @@
 				p.Object = string(r.bytes(int(b[0])))
 			}
 		}
-		if want, _ := shapeOf(p); r.bad || want != shape || !plausible(p) { // one way to write a purge
-			r.bad = true
+		if want, _ := shapeOf(p); r.failed || want != shape || !plausible(p) { // one way to write a purge
+			r.failed = true
 			return nil
 		}
 		out = append(out, p)
@@ -226,10 +226,10 @@
 	return out
 }
 
-func plausible(p Purge) bool { return p.Issued > 0 && p.Issued < mostIssued }
+func plausible(p Purge) bool { return p.Issued > 0 && p.Issued < maxIssued }
 
-// byIssue sorts for a frame.
-func byIssue(purges []Purge) { slices.SortFunc(purges, comparePurges) }
+// sortByIssue sorts for a frame.
+func sortByIssue(purges []Purge) { slices.SortFunc(purges, comparePurges) }
 
 func comparePurges(a, b Purge) int {
 	return cmp.Or(cmp.Compare(a.Issued, b.Issued), cmp.Compare(a.Object, b.Object), cmp.Compare(a.Group, b.Group))
@@ -240,49 +240,49 @@
 	seq    uint64
 }
 
-const mostSeq = 1 << 48
+const maxSeq = 1 << 48
 
-func writeBatch(id batchID, by tier, purges []Purge) ([]byte, int) {
-	return appendPurges(append(number(fixed64([]byte{Kind, wordBatch}, id.origin), id.seq), byte(by)), purges)
+func encodeBatch(id batchID, by tier, purges []Purge) ([]byte, int) {
+	return appendPurges(append(appendUvarint(appendUint64([]byte{Kind, frameBatch}, id.origin), id.seq), byte(by)), purges)
 }
 
-func (r *reader) id() (id batchID) {
-	id = batchID{r.uint64(), r.number(mostSeq)}
-	r.bad = r.bad || id.seq == 0
+func (r *frameReader) batchID() (id batchID) {
+	id = batchID{r.uint64(), r.uvarint(maxSeq)}
+	r.failed = r.failed || id.seq == 0
 	return id
 }
 
-type have struct {
+type originProgress struct {
 	origin, top uint64 // all up to top, as far as this gateway goes
 	after       uint64 // bit i: top+1+i
 }
 
-func writeHave(all []have) []byte {
-	b := number([]byte{Kind, wordHave}, uint64(len(all)))
+func encodeLazyPush(all []originProgress) []byte {
+	b := appendUvarint([]byte{Kind, frameLazyPush}, uint64(len(all)))
 	for _, h := range all {
-		b = number(number(fixed64(b, h.origin), h.top), uint64(bits.Reverse64(h.after))) // the first bits are set where few are: short so
+		b = appendUvarint(appendUvarint(appendUint64(b, h.origin), h.top), uint64(bits.Reverse64(h.after))) // the first bits are set where few are: short so
 	}
 	return b
 }
 
-func (r *reader) haves() (out []have) {
-	for range r.number(mostHaves) {
-		out = append(out, have{r.uint64(), r.number(mostSeq), bits.Reverse64(r.number(1<<64 - 1))})
+func (r *frameReader) lazyPush() (out []originProgress) {
+	for range r.uvarint(maxOriginsPerFrame) {
+		out = append(out, originProgress{r.uint64(), r.uvarint(maxSeq), bits.Reverse64(r.uvarint(1<<64 - 1))})
 	}
 	return out
 }
 
-func writeWant(all []batchID) []byte {
-	b := number([]byte{Kind, wordWant}, uint64(len(all)))
+func encodeRepairRequest(all []batchID) []byte {
+	b := appendUvarint([]byte{Kind, frameRepairRequest}, uint64(len(all)))
 	for _, id := range all {
-		b = number(fixed64(b, id.origin), id.seq)
+		b = appendUvarint(appendUint64(b, id.origin), id.seq)
 	}
 	return b
 }
 
-func (r *reader) wants() (out []batchID) {
-	for range r.number(mostWants) {
-		out = append(out, r.id())
+func (r *frameReader) repairRequest() (out []batchID) {
+	for range r.uvarint(maxRepairsPerFrame) {
+		out = append(out, r.batchID())
 	}
 	return out
 }
@@ -290,15 +290,15 @@
 // sum is of a set of purges: their number and the sum of their ids.
 type sum struct{ count, ids uint64 }
 
-func (r *reader) sum() sum { return sum{r.number(1 << 32), r.uint64()} }
+func (r *frameReader) sum() sum { return sum{r.uvarint(1 << 32), r.uint64()} }
 
-func (s sum) append(b []byte) []byte { return fixed64(number(b, s.count), s.ids) }
+func (s sum) append(b []byte) []byte { return appendUint64(appendUvarint(b, s.count), s.ids) }
 
 // span is seconds of issue time.
 type span struct{ from, to int64 }
 
-func writeSum(s span, of sum) []byte {
-	return of.append(number(number([]byte{Kind, wordSum}, uint64(s.from)), uint64(s.to)))
+func encodeSum(s span, of sum) []byte {
+	return of.append(appendUvarint(appendUvarint([]byte{Kind, frameSum}, uint64(s.from)), uint64(s.to)))
 }
 
 type sums struct {
@@ -306,65 +306,67 @@
 	of         []sum
 }
 
-func writeSums(s sums) []byte {
-	b := number(number(number([]byte{Kind, wordSums}, uint64(s.from)), uint64(s.step)), uint64(len(s.of)))
+func encodeSums(s sums) []byte {
+	b := appendUvarint(appendUvarint(appendUvarint([]byte{Kind, frameSums}, uint64(s.from)), uint64(s.step)), uint64(len(s.of)))
 	for _, one := range s.of {
 		b = one.append(b)
 	}
 	return b
 }
 
-func (r *reader) sums() (s sums) {
-	s.from, s.step = int64(r.number(mostSeconds)), int64(r.number(minute))
-	for range r.number(mostSums) {
+func (r *frameReader) sums() (s sums) {
+	s.from, s.step = int64(r.uvarint(maxSeconds)), int64(r.uvarint(minute))
+	for range r.uvarint(maxSumsPerFrame) {
 		s.of = append(s.of, r.sum())
 	}
-	r.bad = r.bad || s.step != 1 && s.step != minute || s.step == minute && s.from%minute != 0
+	r.failed = r.failed || s.step != 1 && s.step != minute || s.step == minute && s.from%minute != 0
 	return s
 }
 
-func writeAsk(from int64) []byte { return number([]byte{Kind, wordAsk}, uint64(from)) }
+func encodeSumsRequest(from int64) []byte {
+	return appendUvarint([]byte{Kind, frameSumsRequest}, uint64(from))
+}
 
-// pull asks for the purges of a second whose ids begin with a prefix, but those whose ids' lower halves are listed.
-type pull struct {
+// pullRequest asks for the purges of a second whose ids begin with a prefix, but those whose ids' lower halves are listed.
+type pullRequest struct {
 	second int64
 	bits   uint8
 	prefix uint32
 	ids    []uint32
 }
 
-func (p pull) head(word byte) []byte {
-	return number(append(number([]byte{Kind, word}, uint64(p.second)), p.bits), uint64(p.prefix))
+func (p pullRequest) appendHeader(word byte) []byte {
+	return appendUvarint(append(appendUvarint([]byte{Kind, word}, uint64(p.second)), p.bits), uint64(p.prefix))
 }
 
-func writePull(p pull) []byte {
-	b := number(p.head(wordPull), uint64(len(p.ids)))
+func encodePullRequest(p pullRequest) []byte {
+	b := appendUvarint(p.appendHeader(framePullRequest), uint64(len(p.ids)))
 	for _, id := range p.ids {
 		b = binary.LittleEndian.AppendUint32(b, id)
 	}
 	return b
 }
 
-func (r *reader) pullHead() (p pull) {
-	p.second = int64(r.number(mostSeconds))
+func (r *frameReader) pullHead() (p pullRequest) {
+	p.second = int64(r.uvarint(maxSeconds))
 	if b := r.bytes(1); b != nil {
 		p.bits = b[0]
 	}
-	p.prefix = uint32(r.number(1<<32 - 1))
-	r.bad = r.bad || p.bits > mostPrefix || uint64(p.prefix)>>p.bits != 0
+	p.prefix = uint32(r.uvarint(1<<32 - 1))
+	r.failed = r.failed || p.bits > maxPrefixBits || uint64(p.prefix)>>p.bits != 0
 	return p
 }
 
-func (r *reader) pull() (p pull) {
+func (r *frameReader) pullRequest() (p pullRequest) {
 	p = r.pullHead()
-	for range r.number(mostIDs) {
+	for range r.uvarint(maxIDsPerFrame) {
 		p.ids = append(p.ids, r.uint32())
 	}
 	return p
 }
 
-func writeItems(of pull, whole bool, purges []Purge) ([]byte, int) {
-	b := of.head(wordItems)
+func encodePurges(of pullRequest, whole bool, purges []Purge) ([]byte, int) {
+	b := of.appendHeader(framePurges)
 	if whole {
 		b = append(b, 1)
 	} else {
--- a/internal/fleet/broadcast/frame_test.go
+++ b/internal/fleet/broadcast/frame_test.go
@@ -11,14 +11,14 @@
 )
 
 func drawPurge(t *rapid.T) Purge {
-	p := Purge{Issued: rapid.Int64Range(1, mostIssued-1).Draw(t, "issued")}
+	p := Purge{Issued: rapid.Int64Range(1, maxIssued-1).Draw(t, "issued")}
 	switch rapid.IntRange(0, 4).Draw(t, "shape") {
 	case 0:
 		p.Object = hexString(rapid.Uint64().Draw(t, "name"))
 	case 1:
 		p.Group = rapid.Int64().Draw(t, "group")
 	case 2:
-		p.Object = string(rapid.SliceOfN(rapid.Byte(), 1, mostName).Draw(t, "bytes"))
+		p.Object = string(rapid.SliceOfN(rapid.Byte(), 1, maxObjectNameBytes).Draw(t, "bytes"))
 	case 3:
 		p.Object, p.Group = hexString(rapid.Uint64().Draw(t, "name")), rapid.Int64().Draw(t, "group")
 	case 4:
@@ -30,22 +30,22 @@
 func TestBatchesReadAsWritten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := rapid.SliceOfN(rapid.Custom(drawPurge), 1, 300).Draw(t, "purges")
-		byIssue(all)
-		id := batchID{rapid.Uint64().Draw(t, "origin"), rapid.Uint64Range(1, mostSeq).Draw(t, "seq")}
+		sortByIssue(all)
+		id := batchID{rapid.Uint64().Draw(t, "origin"), rapid.Uint64Range(1, maxSeq).Draw(t, "seq")}
 		by := tier(rapid.IntRange(0, int(other)).Draw(t, "tier"))
 		for rest := all; len(rest) > 0; {
-			frame, took := writeBatch(id, by, rest)
-			if took == 0 || len(frame) > mostFrame {
+			frame, took := encodeBatch(id, by, rest)
+			if took == 0 || len(frame) > maxFrameBytes {
 				t.Fatalf("%d purges in %d bytes", took, len(frame))
 			}
-			r := reader{b: frame[2:]}
-			if got, tier, purges := r.id(), r.tier(), r.purges(); r.done() != nil || got != id || tier != by || !slices.Equal(purges, rest[:took]) {
+			r := frameReader{rest: frame[2:]}
+			if got, tier, purges := r.batchID(), r.tier(), r.purges(); r.done() != nil || got != id || tier != by || !slices.Equal(purges, rest[:took]) {
 				t.Fatalf("wrote %v %v, read %v %v", id, rest[:took], got, purges)
 			}
-			if cut := rapid.IntRange(2, len(frame)-1).Draw(t, "cut"); readable(frame[:cut]) {
+			if cut := rapid.IntRange(2, len(frame)-1).Draw(t, "cut"); isReadable(frame[:cut]) {
 				t.Fatalf("read %d bytes of %d", cut, len(frame))
 			}
-			if readable(append(slices.Clone(frame), 0)) {
+			if isReadable(append(slices.Clone(frame), 0)) {
 				t.Fatal("read a frame with a byte too many")
 			}
 			rest = rest[took:]
@@ -55,55 +55,55 @@
 
 func TestSumsAndHavesReadAsWritten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		haves := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) have {
-			return have{rapid.Uint64().Draw(t, "origin"), rapid.Uint64Range(0, mostSeq).Draw(t, "top"), rapid.Uint64().Draw(t, "after")}
-		}), 0, mostHaves).Draw(t, "haves")
-		frame := writeHave(haves)
-		if r := (reader{b: frame[2:]}); !slices.Equal(r.haves(), haves) || r.done() != nil || len(frame) > mostFrame {
+		haves := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) originProgress {
+			return originProgress{rapid.Uint64().Draw(t, "origin"), rapid.Uint64Range(0, maxSeq).Draw(t, "top"), rapid.Uint64().Draw(t, "after")}
+		}), 0, maxOriginsPerFrame).Draw(t, "haves")
+		frame := encodeLazyPush(haves)
+		if r := (frameReader{rest: frame[2:]}); !slices.Equal(r.lazyPush(), haves) || r.done() != nil || len(frame) > maxFrameBytes {
 			t.Fatalf("%v not read", haves)
 		}
 		s := sums{from: minute * rapid.Int64Range(0, 1e9).Draw(t, "from"), step: minute}
 		s.of = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) sum {
 			return sum{rapid.Uint64Range(0, 1<<32).Draw(t, "count"), rapid.Uint64().Draw(t, "ids")}
-		}), 0, mostSums).Draw(t, "sums")
+		}), 0, maxSumsPerFrame).Draw(t, "sums")
 		frame = trimSums(s)
-		r := reader{b: frame[2:]}
+		r := frameReader{rest: frame[2:]}
 		got := r.sums()
-		if r.done() != nil || len(frame) > mostFrame || len(got.of) > len(s.of) || !slices.Equal(got.of, s.of[len(s.of)-len(got.of):]) {
+		if r.done() != nil || len(frame) > maxFrameBytes || len(got.of) > len(s.of) || !slices.Equal(got.of, s.of[len(s.of)-len(got.of):]) {
 			t.Fatalf("%v read as %v", s, got)
 		}
-		ids := rapid.SliceOfN(rapid.Uint32(), 0, mostIDs).Draw(t, "ids")
-		p := pull{second: s.from, bits: 3, prefix: 5, ids: ids}
-		if frame = writePull(p); len(frame) > mostFrame {
+		ids := rapid.SliceOfN(rapid.Uint32(), 0, maxIDsPerFrame).Draw(t, "ids")
+		p := pullRequest{second: s.from, bits: 3, prefix: 5, ids: ids}
+		if frame = encodePullRequest(p); len(frame) > maxFrameBytes {
 			t.Fatalf("a pull of %d bytes", len(frame))
 		}
-		r = reader{b: frame[2:]}
-		if back := r.pull(); r.done() != nil || back.second != p.second || back.bits != 3 || back.prefix != 5 || !slices.Equal(back.ids, ids) {
+		r = frameReader{rest: frame[2:]}
+		if back := r.pullRequest(); r.done() != nil || back.second != p.second || back.bits != 3 || back.prefix != 5 || !slices.Equal(back.ids, ids) {
 			t.Fatalf("%v read as %v", p, back)
 		}
 	})
 }
 
-func readable(frame []byte) bool {
-	_, err := lonely().Take("gw-0001", frame, 0)
+func isReadable(frame []byte) bool {
+	_, err := twoNodeSite().HandleFrame("gw-0001", frame, 0)
 	return err == nil
 }
 
-// lonely is a node of a site of two, where nothing runs.
-func lonely() *Node {
-	all := places(2, 1, 1, 1)
+// twoNodeSite is a node of a site of two, where nothing runs.
+func twoNodeSite() *Node {
+	all := testMembers(2, 1, 1, 1)
 	n := New(testSettings(), all[0], 1, rand.New(rand.NewPCG(1, 1)), 0)
-	n.See(all, 0)
+	n.SetMembers(all, 0)
 	return n
 }
 
 // TestLongestWants: a want of as many batches as may be fits a frame.
 func TestLongestWants(t *testing.T) {
-	all := make([]batchID, mostWants)
+	all := make([]batchID, maxRepairsPerFrame)
 	for i := range all {
-		all[i] = batchID{1 << 63, mostSeq - uint64(i)}
+		all[i] = batchID{1 << 63, maxSeq - uint64(i)}
 	}
-	if frame := writeWant(all); len(frame) > mostFrame || !readable(frame) {
+	if frame := encodeRepairRequest(all); len(frame) > maxFrameBytes || !isReadable(frame) {
 		t.Errorf("%d bytes", len(frame))
 	}
 }
@@ -111,30 +111,30 @@
 // FuzzTake: no frame does harm: what is taken is plausible and what is sent fits, and bounds hold.
 func FuzzTake(f *testing.F) {
 	some := []Purge{{Object: "00112233445566ff", Issued: epoch}, {Group: 17, Issued: epoch + 5}, {Object: "a name", Group: -1, Issued: epoch + 9}}
-	batch, _ := writeBatch(batchID{7, 1}, root, some)
-	items, _ := writeItems(pull{second: epoch / 1000}, true, some)
-	for _, b := range [][]byte{batch, items, writeHave([]have{{7, 3, 5}}), writeWant([]batchID{{7, 1}}), writeSum(span{0, 100}, sum{1, 2}),
-		writeSums(sums{0, minute, []sum{{1, 2}}}), writeAsk(epoch / 60000 * 60), writePull(pull{second: epoch / 1000, ids: []uint32{1}})} {
+	batch, _ := encodeBatch(batchID{7, 1}, root, some)
+	items, _ := encodePurges(pullRequest{second: epoch / 1000}, true, some)
+	for _, b := range [][]byte{batch, items, encodeLazyPush([]originProgress{{7, 3, 5}}), encodeRepairRequest([]batchID{{7, 1}}), encodeSum(span{0, 100}, sum{1, 2}),
+		encodeSums(sums{0, minute, []sum{{1, 2}}}), encodeSumsRequest(epoch / 60000 * 60), encodePullRequest(pullRequest{second: epoch / 1000, ids: []uint32{1}})} {
 		f.Add(b, uint8(0))
 		f.Add(b, uint8(3))
 	}
 	f.Fuzz(func(t *testing.T, b []byte, flip uint8) {
-		n := lonely()
-		n.Own(some, 0)
+		n := twoNodeSite()
+		n.RecordOwn(some, 0)
 		for i, frame := range [][]byte{b, bytes.Repeat([]byte{flip}, len(b)%64), b} {
-			heed, err := n.Take("gw-0000", frame, int64(i)*1_000_000)
+			heed, err := n.HandleFrame("gw-0000", frame, int64(i)*1_000_000)
 			if err != nil && len(heed) > 0 {
 				t.Fatal("an unreadable frame told something")
 			}
 			for _, p := range heed {
-				if !plausible(p) || len(p.Object) > mostName {
+				if !plausible(p) || len(p.Object) > maxObjectNameBytes {
 					t.Fatalf("told %v", p)
 				}
 			}
 			n.Step(int64(i) * 1_000_000)
 		}
-		for _, l := range n.Out() {
-			if len(l.Frame) > mostFrame || !readable(l.Frame) {
+		for _, l := range n.TakeMessages() {
+			if len(l.Frame) > maxFrameBytes || !isReadable(l.Frame) {
 				t.Fatalf("sends %x", l.Frame)
 			}
 		}
@@ -147,16 +147,16 @@
 		what    string
 		is, max int
 	}{
-		{"kept", n.kept.count, n.set.Most}, {"minutes", len(n.kept.minutes), mostMinutes}, {"long names", len(n.kept.long), mostLong},
-		{"waiting", len(n.waiting), mostWaiting}, {"origins", len(n.origins), mostOrigins}, {"batches", len(n.log), mostBatches},
-		{"batches by time", len(n.logged), mostBatches}, {"wants", len(n.wants), mostWanted}, {"children", len(n.tree.children), fanOut}, {"grafts", len(n.grafts), 8}, {"heard", len(n.heard), 32},
+		{"kept", n.kept.count, n.settings.MaxKept}, {"minutes", len(n.kept.minutes), maxMinutes}, {"long names", len(n.kept.longNames), maxLongNames},
+		{"waiting", len(n.waiting), maxWaiting}, {"origins", len(n.origins), maxOrigins}, {"batches", len(n.stored), maxStoredBatches},
+		{"batches by time", len(n.storedOrder), maxStoredBatches}, {"wants", len(n.repairs), maxRepairs}, {"children", len(n.tree.children), fanOut}, {"grafts", len(n.grafts), 8}, {"heard", len(n.lastSeen), 32},
 	} {
 		if b.is > b.max {
 			t.Fatalf("%d %s, at most %d", b.is, b.what, b.max)
 		}
 	}
-	if s := n.session; s != nil && (len(s.open) > mostOpen || len(s.todo) > mostTodo) {
-		t.Fatalf("a session of %d and %d requests", len(s.open), len(s.todo))
+	if s := n.session; s != nil && (len(s.open) > maxOpenRequests || len(s.pending) > maxPendingRequests) {
+		t.Fatalf("a session of %d and %d requests", len(s.open), len(s.pending))
 	}
 	items, minutes := 0, map[int64]sum{}
 	for sec, s := range n.kept.seconds {
--- a/internal/fleet/broadcast/frozen_test.go
+++ b/internal/fleet/broadcast/frozen_test.go
@@ -10,19 +10,19 @@
 func TestFrozenFramesKeepTheirBytes(t *testing.T) {
 	purges := []Purge{{Object: "00112233445566ff", Issued: 1_764_576_000_001}, {Group: 17, Issued: 1_764_576_000_005},
 		{Object: "a name", Issued: 1_764_576_000_009}, {Object: "another", Group: -1, Issued: 1_764_576_001_000}}
-	byIssue(purges)
-	batch, _ := writeBatch(batchID{0x0102030405060708, 300}, siteHead, purges)
-	part := pull{second: 1_764_576_000, bits: 3, prefix: 5, ids: []uint32{1, 0xfffffffe}}
-	complete, _ := writeItems(pull{second: 1_764_576_000}, true, purges[:1])
-	some, _ := writeItems(part, false, nil)
+	sortByIssue(purges)
+	batch, _ := encodeBatch(batchID{0x0102030405060708, 300}, siteHead, purges)
+	part := pullRequest{second: 1_764_576_000, bits: 3, prefix: 5, ids: []uint32{1, 0xfffffffe}}
+	complete, _ := encodePurges(pullRequest{second: 1_764_576_000}, true, purges[:1])
+	some, _ := encodePurges(part, false, nil)
 	for name, written := range map[string][]byte{
 		"batch.frame":          batch,
-		"have.frame":           writeHave([]have{{0x0102030405060708, 300, 5}, {7, 0, 1 << 63}}),
-		"want.frame":           writeWant([]batchID{{0x0102030405060708, 300}, {7, 1}}),
-		"sum.frame":            writeSum(span{1_764_570_000, 1_764_576_000}, sum{1 << 20, 0x0102030405060708}),
-		"sums.frame":           writeSums(sums{1_764_576_000, minute, []sum{{1, 2}, {0, 0}, {3, 0x0102030405060708}}}),
-		"ask.frame":            writeAsk(1_764_576_000),
-		"pull.frame":           writePull(part),
+		"have.frame":           encodeLazyPush([]originProgress{{0x0102030405060708, 300, 5}, {7, 0, 1 << 63}}),
+		"want.frame":           encodeRepairRequest([]batchID{{0x0102030405060708, 300}, {7, 1}}),
+		"sum.frame":            encodeSum(span{1_764_570_000, 1_764_576_000}, sum{1 << 20, 0x0102030405060708}),
+		"sums.frame":           encodeSums(sums{1_764_576_000, minute, []sum{{1, 2}, {0, 0}, {3, 0x0102030405060708}}}),
+		"ask.frame":            encodeSumsRequest(1_764_576_000),
+		"pull.frame":           encodePullRequest(part),
 		"items-complete.frame": complete,
 		"items-part.frame":     some,
 	} {
@@ -37,27 +37,27 @@
 	if frame[0] != Kind {
 		t.Fatalf("a frame of kind %d", frame[0])
 	}
-	r := reader{b: frame[2:]}
+	r := frameReader{rest: frame[2:]}
 	switch frame[1] {
-	case wordBatch:
-		id, by, purges := r.id(), r.tier(), r.purges()
-		out, _ = writeBatch(id, by, purges)
-	case wordHave:
-		out = writeHave(r.haves())
-	case wordWant:
-		out = writeWant(r.wants())
-	case wordSum:
-		s := span{int64(r.number(mostSeconds)), int64(r.number(mostSeconds))}
-		out = writeSum(s, r.sum())
-	case wordSums:
-		out = writeSums(r.sums())
-	case wordAsk:
-		out = writeAsk(int64(r.number(mostSeconds)))
-	case wordPull:
-		out = writePull(r.pull())
-	case wordItems:
-		of, complete := r.pullHead(), r.number(1) == 1
-		out, _ = writeItems(of, complete, r.purges())
+	case frameBatch:
+		id, by, purges := r.batchID(), r.tier(), r.purges()
+		out, _ = encodeBatch(id, by, purges)
+	case frameLazyPush:
+		out = encodeLazyPush(r.lazyPush())
+	case frameRepairRequest:
+		out = encodeRepairRequest(r.repairRequest())
+	case frameSum:
+		s := span{int64(r.uvarint(maxSeconds)), int64(r.uvarint(maxSeconds))}
+		out = encodeSum(s, r.sum())
+	case frameSums:
+		out = encodeSums(r.sums())
+	case frameSumsRequest:
+		out = encodeSumsRequest(int64(r.uvarint(maxSeconds)))
+	case framePullRequest:
+		out = encodePullRequest(r.pullRequest())
+	case framePurges:
+		of, complete := r.pullHead(), r.uvarint(1) == 1
+		out, _ = encodePurges(of, complete, r.purges())
 	}
 	if err := r.done(); err != nil {
 		t.Fatal(err)
@@ -67,5 +67,5 @@
 
 func TestFrozenStatsKeepTheirKeys(t *testing.T) {
 	frozen.JSON(t, "stats.json", new(Stats), false)
-	frozen.JSON(t, "place.json", new(Place), false)
+	frozen.JSON(t, "place.json", new(Locality), false)
 }
--- a/internal/fleet/broadcast/graft.go
+++ b/internal/fleet/broadcast/graft.go
@@ -9,14 +9,14 @@
 // those of the dead one know within silence, and stand in a line for it: its parent, then its children in order. Each takes for an edge of the
 // tree the next of the line on either side, and beyond it if that one is silent too. So each gets two edges more at most for a dead
 // neighbour. Plumtree grafts by what is missing; here the order is known to all, so nobody has to ask.
-const silence = 1_500_000 // some five haves
+const silenceTimeout = 1_500_000 // some five haves
 
-func (n *Node) silent(peer string, now int64) bool {
-	at, known := n.heard[peer]
+func (n *Node) isSilent(peer string, now int64) bool {
+	at, known := n.lastSeen[peer]
 	if !known {
-		n.heard[peer] = now
+		n.lastSeen[peer] = now
 	}
-	return known && now-at > silence
+	return known && now-at > silenceTimeout
 }
 
 // graft finds the edges that stand for those of silent neighbours.
@@ -25,15 +25,15 @@
 	n.grafts = n.grafts[:0]
 	add := func(line []string) {
 		for _, peer := range line {
-			if !n.beside(peer) {
+			if !n.isNeighbour(peer) {
 				n.grafts = append(n.grafts, peer)
 			}
-			if !n.silent(peer, now) {
+			if !n.isSilent(peer, now) {
 				return
 			}
 		}
 	}
-	if t.parent != "" && n.silent(t.parent, now) {
+	if t.parent != "" && n.isSilent(t.parent, now) {
 		me := slices.Index(t.siblings, n.self.Name)
 		before := slices.Clone(t.siblings[:me])
 		slices.Reverse(before)
@@ -44,7 +44,7 @@
 		add(t.siblings[me+1:])
 	}
 	for i, child := range t.children {
-		if n.silent(child, now) {
+		if n.isSilent(child, now) {
 			add(t.grandchildren[i])
 		}
 	}
@@ -59,22 +59,22 @@
 	return append(append(all, n.tree.children...), n.grafts...)
 }
 
-// beside tells whether a peer is across an edge.
-func (n *Node) beside(peer string) bool {
+// isNeighbour tells whether a peer is across an edge.
+func (n *Node) isNeighbour(peer string) bool {
 	return peer == n.tree.parent || slices.Contains(n.tree.children, peer) || slices.Contains(n.grafts, peer)
 }
 
-// forgetOthers keeps of those heard only who has to do with the own place.
-func (n *Node) forgetOthers() {
+// forgetDistant keeps of those heard only who has to do with the own place.
+func (n *Node) forgetDistant() {
 	t := &n.tree
-	for peer := range n.heard {
+	for peer := range n.lastSeen {
 		near := peer == t.parent || peer == t.grandparent || slices.Contains(t.siblings, peer) || slices.Contains(t.children, peer)
 		for _, below := range t.grandchildren {
 			near = near || slices.Contains(below, peer)
 		}
 		if !near {
-			delete(n.heard, peer)
+			delete(n.lastSeen, peer)
 		}
 	}
-	maps.DeleteFunc(n.met, func(peer string, _ bool) bool { return !n.beside(peer) })
+	maps.DeleteFunc(n.activeNeighbours, func(peer string, _ bool) bool { return !n.isNeighbour(peer) })
 }
--- a/internal/fleet/broadcast/inject.go
+++ b/internal/fleet/broadcast/inject.go
@@ -12,92 +12,92 @@
 // and all others. Who had to speak, because none before it did, goes on without waiting until another says the same before it does. Where
 // two have said the same, which happens while a dead head parts the tree, the one further up goes on and the other waits again.
 const (
-	mostWaiting  = 4096
-	injectRate   = 2500 // bytes a second of own batches
-	injectBurst  = 8000
-	mostShedDebt = 3 // seconds of the rate
+	maxWaiting            = 4096
+	injectBytesPerSecond  = 2500 // bytes a second of own batches
+	injectBurstBytes      = 8000
+	maxForwardDebtSeconds = 3 // seconds of the rate
 )
 
 // say is how long a purge of the own watch waits; at random up to spread more. Microseconds.
-var say = [...]struct{ wait, spread int64 }{regionHead: {900_000, 50_000}, zoneHead: {1_400_000, 200_000}, siteHead: {1_600_000, 200_000},
+var injectDelay = [...]struct{ wait, spread int64 }{regionHead: {900_000, 50_000}, zoneHead: {1_400_000, 200_000}, siteHead: {1_600_000, 200_000},
 	other: {1_800_000, 400_000}}
 
 const (
-	meekTime   = 1_500_000 // after a batch that others had said already nobody begins to speak
-	regionTurn = 60_000    // between heads of regions
-	mostTurns  = 9
+	suppressionTime   = 1_500_000 // after a batch that others had said already nobody begins to speak
+	regionStagger     = 60_000    // between heads of regions
+	maxRegionStaggers = 9
 )
 
-// wait puts a purge that the own watch told first among those to be said.
-func (n *Node) wait(p Purge, now int64) {
-	if len(n.waiting) >= mostWaiting || p.Issued < n.reference(now)-n.set.Recent/1000 {
-		n.stats.Unsaid++
+// queueForBatch puts a purge that the own watch told first among those to be said.
+func (n *Node) queueForBatch(p Purge, now int64) {
+	if len(n.waiting) >= maxWaiting || p.Issued < n.referenceTime(now)-n.settings.MaxBatchAge/1000 {
+		n.stats.NotBatched++
 		return
 	}
-	due := now + n.turnToSpeak()
+	due := now + n.injectionDelay()
 	n.waiting[p] = due
 	n.injectAt = min(n.injectAt, due)
 }
 
-// turnToSpeak is how long a purge waits here.
-func (n *Node) turnToSpeak() int64 {
+// injectionDelay is how long a purge waits here.
+func (n *Node) injectionDelay() int64 {
 	t := n.tree.tier
-	if t == root || n.lead {
-		return n.set.Gather
+	if t == root || n.isInjecting {
+		return n.settings.BatchDelay
 	}
-	wait := max(n.set.Gather, say[t].wait) + n.chance.Int64N(say[t].spread)
+	wait := max(n.settings.BatchDelay, injectDelay[t].wait) + n.rng.Int64N(injectDelay[t].spread)
 	if t == regionHead {
-		wait += int64(min(n.tree.region-1, mostTurns)) * regionTurn
+		wait += int64(min(n.tree.regionIndex-1, maxRegionStaggers)) * regionStagger
 	}
 	return wait
 }
 
-// yields tells whether another sayer is further up.
-func (n *Node) yields(origin uint64, by tier) bool {
-	return by < n.tree.tier || by == n.tree.tier && origin < n.me
+// defersTo tells whether another sayer is further up.
+func (n *Node) defersTo(origin uint64, by tier) bool {
+	return by < n.tree.tier || by == n.tree.tier && origin < n.originID
 }
 
 // inject says what is due, and what nearly is.
 func (n *Node) inject(now int64) {
-	n.injects.fill(now, injectRate, injectBurst)
+	n.injectRate.fill(now, injectBytesPerSecond, injectBurstBytes)
 	var due []Purge
 	for p, at := range n.waiting {
-		if at <= now+n.set.Gather {
+		if at <= now+n.settings.BatchDelay {
 			due = append(due, p)
 		}
 	}
-	byIssue(due)
-	n.injectAt = now + n.set.Gather
-	if !n.lead && n.tree.tier != root && (now < n.meekUntil || n.credit(now) < -n.set.Rate) {
+	sortByIssue(due)
+	n.injectAt = now + n.settings.BatchDelay
+	if !n.isInjecting && n.tree.tier != root && (now < n.suppressedUntil || n.credit(now) < -n.settings.RateLimit) {
 		// So much is said twice that there are sayers enough. Without this, gateways that miss some of it would speak as well, and more would
 		// miss some. They wait for their turn anew, or all would speak when it ends.
-		n.injectAt = max(now, n.meekUntil) + n.turnToSpeak()
+		n.injectAt = max(now, n.suppressedUntil) + n.injectionDelay()
 		for _, p := range due {
 			n.waiting[p] = n.injectAt
 		}
-		n.stats.Held++
+		n.stats.HeldByRate++
 		return
 	}
-	if len(due) > 0 && n.seq > 0 && now-n.saidAt > originRest {
-		n.me, n.seq = xxhash.Sum64(binary.LittleEndian.AppendUint64(nil, n.me)), 0
+	if len(due) > 0 && n.lastSeq > 0 && now-n.lastBatchAt > originResetAfter {
+		n.originID, n.lastSeq = xxhash.Sum64(binary.LittleEndian.AppendUint64(nil, n.originID)), 0
 	}
-	for len(due) > 0 && n.injects.left > 0 {
-		n.saidAt = now
-		n.seq++
-		id := batchID{n.me, n.seq}
-		frame, took := writeBatch(id, n.tree.tier, due)
+	for len(due) > 0 && n.injectRate.tokens > 0 {
+		n.lastBatchAt = now
+		n.lastSeq++
+		id := batchID{n.originID, n.lastSeq}
+		frame, took := encodeBatch(id, n.tree.tier, due)
 		for _, p := range due[:took] {
 			delete(n.waiting, p)
-			n.kept.tell(p, bySelf)
+			n.kept.setSpread(p, spreadBySelf)
 		}
 		due = due[took:]
-		n.injects.left -= int64(len(frame)+datagram) * 1_000_000
-		n.stats.Batches++
-		n.stats.Said += uint64(took)
-		n.lead = true
-		n.mark(id, "", now)
+		n.injectRate.tokens -= int64(len(frame)+datagramOverhead) * 1_000_000
+		n.stats.BatchesSent++
+		n.stats.PurgesSent += uint64(took)
+		n.isInjecting = true
+		n.recordBatch(id, "", now)
 		n.store(id, frame, "", now)
-		n.forward(frame, "", mostIssued, now)
+		n.forward(frame, "", maxIssued, now)
 	}
 	if len(due) > 0 {
 		return
@@ -110,17 +110,17 @@
 
 // forward sends a batch along the edges but the one it came from.
 func (n *Node) forward(frame []byte, from string, newest int64, now int64) {
-	least := -mostShedDebt * n.set.Rate
-	if newest < n.reference(now)-n.set.Recent/1000 {
+	least := -maxForwardDebtSeconds * n.settings.RateLimit
+	if newest < n.referenceTime(now)-n.settings.MaxBatchAge/1000 {
 		least = 0 // a backlog: what is new goes first, reconciliation has the rest
 	}
 	for _, to := range n.neighbours() {
-		if to == from || n.silent(to, now) { // haves go to a silent one still, and tell it and this one when it is back
+		if to == from || n.isSilent(to, now) { // haves go to a silent one still, and tell it and this one when it is back
 			continue
 		}
 		// Guards who seems a neighbour to many that have just started, whose lists lack each other: until it has said something it may not
 		// know of the edge, and has its batches by its own ones. What it lacks it asks for by the have.
-		if from != "" && !n.met[to] {
+		if from != "" && !n.activeNeighbours[to] {
 			continue
 		}
 		if n.credit(now) < least {
@@ -131,16 +131,16 @@
 	}
 }
 
-// takeBatch merges a batch and sends it on if it, or anything in it, is new here: a false batch under another's id keeps nothing back.
-func (n *Node) takeBatch(from string, id batchID, by tier, purges []Purge, frame []byte, now int64) (heed []Purge) {
-	n.stats.Copies++
+// handleBatch merges a batch and sends it on if it, or anything in it, is new here: a false batch under another's id keeps nothing back.
+func (n *Node) handleBatch(from string, id batchID, by tier, purges []Purge, frame []byte, now int64) (heed []Purge) {
+	n.stats.BatchesReceived++
 	twice, also := 0, false
-	news := id.origin != n.me && n.mark(id, from, now)
+	news := id.origin != n.originID && n.recordBatch(id, from, now)
 	for _, p := range purges {
 		if _, waits := n.waiting[p]; waits {
 			delete(n.waiting, p)
-			if n.yields(id.origin, by) {
-				n.lead = false
+			if n.defersTo(id.origin, by) {
+				n.isInjecting = false
 			}
 		}
 		switch n.keep(p, now) {
@@ -149,18 +149,18 @@
 		case unknown:
 			heed = append(heed, p)
 		}
-		if before := n.kept.tell(p, byBatch); before != byWatch && news {
+		if before := n.kept.setSpread(p, spreadByPeer); before != spreadByNobody && news {
 			twice++
-			if before == bySelf && n.yields(id.origin, by) {
-				n.lead = false
+			if before == spreadBySelf && n.defersTo(id.origin, by) {
+				n.isInjecting = false
 			}
 		}
 	}
 	if twice > len(purges)/2 {
-		n.meekUntil = now + meekTime
+		n.suppressedUntil = now + suppressionTime
 	}
 	if news = news || also; !news {
-		n.stats.Again++
+		n.stats.DuplicateBatches++
 		return heed
 	}
 	frame = slices.Clone(frame)
--- a/internal/fleet/broadcast/keep.go
+++ b/internal/fleet/broadcast/keep.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	minute      = 60             // seconds
-	mostMinutes = 256            // of issue time that are kept, whatever the settings
-	mostLong    = 16_384         // kept whose names are no 16 hex digits, 255 bytes each at most in frames
-	ahead       = 2 * 60 * 60000 // ms after the own clock from which a purge is heeded and not kept
+	minute        = 60             // seconds
+	maxMinutes    = 256            // of issue time that are kept, whatever the settings
+	maxLongNames  = 16_384         // kept whose names are no 16 hex digits, 255 bytes each at most in frames
+	maxClockAhead = 2 * 60 * 60000 // ms after the own clock from which a purge is heeded and not kept
 )
 
 // item is a purge as it is kept, in 24 bytes.
 type item struct {
-	id    uint64 // of the whole value; equal values have equal ids, and values of equal ids are compared
-	name  uint64 // by shape: the name, the group, or the key in long
-	ms    uint16 // of the second
-	shape uint8
-	told  told
+	id       uint64 // of the whole value; equal values have equal ids, and values of equal ids are compared
+	name     uint64 // by shape: the name, the group, or the key in long
+	ms       uint16 // of the second
+	shape    uint8
+	spreadBy spreadBy
 }
 
 type second struct {
@@ -29,40 +29,40 @@
 	ids   uint64 // their sum
 }
 
-// told is how a purge got among gateways, as far as this one knows.
-type told uint8
+// spreadBy is how a purge got among gateways, as far as this one knows.
+type spreadBy uint8
 
 const (
-	byWatch told = iota // or by reconciliation
-	byBatch             // of another
-	bySelf              // in a batch of this gateway
+	spreadByNobody spreadBy = iota // or by reconciliation
+	spreadByPeer                   // of another
+	spreadBySelf                   // in a batch of this gateway
 )
 
-// kept is the set of purges, by second of issue. It is a join: what is in it stays until it is too old, or the oldest of too many.
-type kept struct {
-	seconds map[int64]*second
-	minutes map[int64]sum // by minute
-	long    map[uint64]Purge
-	nextKey uint64
-	count   int
-	most    int
-	newest  int64 // ms of issue; rises only
-	dropped uint64
-	key     []byte
+// keptPurges is the set of purges, by second of issue. It is a join: what is in it stays until it is too old, or the oldest of too many.
+type keptPurges struct {
+	seconds   map[int64]*second
+	minutes   map[int64]sum // by minute
+	longNames map[uint64]Purge
+	nextKey   uint64
+	count     int
+	limit     int
+	newest    int64 // ms of issue; rises only
+	dropped   uint64
+	key       []byte
 }
 
-func newKept(most int) kept {
-	return kept{seconds: map[int64]*second{}, minutes: map[int64]sum{}, long: map[uint64]Purge{}, most: max(1, most)}
+func newKeptPurges(most int) keptPurges {
+	return keptPurges{seconds: map[int64]*second{}, minutes: map[int64]sum{}, longNames: map[uint64]Purge{}, limit: max(1, most)}
 }
 
 // idOf is alike at all gateways.
-func (k *kept) idOf(p Purge) uint64 {
+func (k *keptPurges) idOf(p Purge) uint64 {
 	k.key = binary.LittleEndian.AppendUint64(k.key[:0], uint64(p.Issued))
 	k.key = binary.LittleEndian.AppendUint64(k.key, uint64(p.Group))
 	return xxhash.Sum64(append(k.key, p.Object...))
 }
 
-func (k *kept) purge(sec int64, it *item) Purge {
+func (k *keptPurges) purge(sec int64, it *item) Purge {
 	issued := sec*1000 + int64(it.ms)
 	switch it.shape {
 	case shapeHex:
@@ -70,11 +70,11 @@
 	case shapeGroup:
 		return Purge{Group: int64(it.name), Issued: issued}
 	}
-	return k.long[it.name]
+	return k.longNames[it.name]
 }
 
 // find gives a kept one, or where it belongs in its second.
-func (k *kept) find(p Purge, id uint64) (s *second, at int, found bool) {
+func (k *keptPurges) find(p Purge, id uint64) (s *second, at int, found bool) {
 	sec := p.Issued / 1000
 	if s = k.seconds[sec]; s == nil {
 		return nil, 0, false
@@ -89,17 +89,17 @@
 	return s, at, false
 }
 
-// tell notes how one is told now, and gives how it was before. One that is not kept gives byWatch.
-func (k *kept) tell(p Purge, now told) (before told) {
+// setSpread notes how one is told now, and gives how it was before. One that is not kept gives byWatch.
+func (k *keptPurges) setSpread(p Purge, now spreadBy) (before spreadBy) {
 	if s, at, found := k.find(p, k.idOf(p)); found {
-		before = s.items[at].told
-		s.items[at].told = max(before, now)
+		before = s.items[at].spreadBy
+		s.items[at].spreadBy = max(before, now)
 	}
 	return before
 }
 
 // add keeps one; false if it was kept.
-func (k *kept) add(p Purge) bool {
+func (k *keptPurges) add(p Purge) bool {
 	id := k.idOf(p)
 	s, at, found := k.find(p, id)
 	if found {
@@ -113,14 +113,14 @@
 	case shapeGroup:
 		it.name = uint64(p.Group)
 	case shapeName, shapeBoth:
-		for len(k.long) >= mostLong {
+		for len(k.longNames) >= maxLongNames {
 			k.dropOldest()
 		}
 		k.nextKey++
-		it.name, k.long[k.nextKey] = k.nextKey, p
+		it.name, k.longNames[k.nextKey] = k.nextKey, p
 	}
-	if _, there := k.minutes[sec/minute]; !there && len(k.minutes) >= mostMinutes {
-		k.dropMinute(k.oldest())
+	if _, there := k.minutes[sec/minute]; !there && len(k.minutes) >= maxMinutes {
+		k.dropMinute(k.oldestMinute())
 	}
 	if k.seconds[sec] == nil { // new, or dropped just now
 		s, at = &second{}, 0
@@ -132,23 +132,23 @@
 	k.minutes[sec/minute] = sum{m.count + 1, m.ids + id}
 	k.count++
 	k.newest = max(k.newest, p.Issued)
-	for k.count > k.most {
+	for k.count > k.limit {
 		k.dropOldest()
 	}
 	return true
 }
 
-// oldest is the oldest minute kept.
-func (k *kept) oldest() int64 {
-	least := int64(mostSeconds)
+// oldestMinute is the oldest minute kept.
+func (k *keptPurges) oldestMinute() int64 {
+	least := int64(maxSeconds)
 	for m := range k.minutes {
 		least = min(least, m)
 	}
 	return least
 }
 
-func (k *kept) dropOldest() {
-	m := k.oldest()
+func (k *keptPurges) dropOldest() {
+	m := k.oldestMinute()
 	for sec := m * minute; sec < (m+1)*minute; sec++ {
 		if k.seconds[sec] != nil {
 			k.dropped += uint64(k.dropSecond(sec))
@@ -157,20 +157,20 @@
 	}
 }
 
-func (k *kept) dropMinute(m int64) {
+func (k *keptPurges) dropMinute(m int64) {
 	for sec := m * minute; sec < (m+1)*minute; sec++ {
 		k.dropped += uint64(k.dropSecond(sec))
 	}
 }
 
-func (k *kept) dropSecond(sec int64) int {
+func (k *keptPurges) dropSecond(sec int64) int {
 	s := k.seconds[sec]
 	if s == nil {
 		return 0
 	}
 	for i := range s.items {
 		if it := &s.items[i]; it.shape >= shapeName {
-			delete(k.long, it.name)
+			delete(k.longNames, it.name)
 		}
 	}
 	delete(k.seconds, sec)
@@ -184,7 +184,7 @@
 }
 
 // expire drops seconds before one.
-func (k *kept) expire(horizon int64) {
+func (k *keptPurges) expire(horizon int64) {
 	for m := range k.minutes {
 		for sec := m * minute; sec < min((m+1)*minute, horizon); sec++ {
 			k.dropSecond(sec)
@@ -192,15 +192,15 @@
 	}
 }
 
-// of is the sum of a span; whole minutes are at hand.
-func (k *kept) of(s span) (all sum) {
+// sumOf is the sum of a span; whole minutes are at hand.
+func (k *keptPurges) sumOf(s span) (all sum) {
 	for m, of := range k.minutes {
 		switch from, to := m*minute, (m+1)*minute; {
 		case from >= s.from && to <= s.to:
 			all = sum{all.count + of.count, all.ids + of.ids}
 		case from < s.to && to > s.from:
 			for sec := max(from, s.from); sec < min(to, s.to); sec++ {
-				one := k.ofSecond(sec)
+				one := k.sumOfSecond(sec)
 				all = sum{all.count + one.count, all.ids + one.ids}
 			}
 		}
@@ -208,15 +208,15 @@
 	return all
 }
 
-func (k *kept) ofSecond(sec int64) sum {
+func (k *keptPurges) sumOfSecond(sec int64) sum {
 	if s := k.seconds[sec]; s != nil {
 		return sum{uint64(len(s.items)), s.ids}
 	}
 	return sum{}
 }
 
-// within gives the items of a second whose ids begin so.
-func (k *kept) within(sec int64, bits uint8, prefix uint32) []item {
+// itemsWithPrefix gives the items of a second whose ids begin so.
+func (k *keptPurges) itemsWithPrefix(sec int64, bits uint8, prefix uint32) []item {
 	s := k.seconds[sec]
 	if s == nil {
 		return nil
--- a/internal/fleet/broadcast/property_test.go
+++ b/internal/fleet/broadcast/property_test.go
@@ -14,7 +14,7 @@
 	all := make([]Member, len(names))
 	for i, name := range names {
 		site := rapid.IntRange(0, 11).Draw(t, "site")
-		all[i] = Member{name, Place{string(rune('a' + site/6)), string(rune('a' + site/3)), string(rune('a' + site))}}
+		all[i] = Member{name, Locality{string(rune('a' + site/6)), string(rune('a' + site/3)), string(rune('a' + site))}}
 	}
 	return all
 }
@@ -27,16 +27,16 @@
 		mixed := rapid.Permutation(all).Draw(t, "mixed")
 		trees := map[string]tree{}
 		for _, m := range all {
-			n := New(Usual, m, 1, rand.New(rand.NewPCG(1, 1)), 0)
-			n.See(mixed, 0)
+			n := New(DefaultSettings, m, 1, rand.New(rand.NewPCG(1, 1)), 0)
+			n.SetMembers(mixed, 0)
 			trees[m.Name] = n.tree
-			if again := plant(sorted(all), m); again.parent != n.tree.parent || !slices.Equal(again.children, n.tree.children) {
+			if again := buildTree(sortedMembers(all), m); again.parent != n.tree.parent || !slices.Equal(again.children, n.tree.children) {
 				t.Fatal("the order of the list matters")
 			}
 		}
-		places := map[string]Place{}
+		places := map[string]Locality{}
 		for _, m := range all {
-			places[m.Name] = m.Place
+			places[m.Name] = m.Locality
 		}
 		roots := 0
 		entered := map[string]int{}
@@ -88,7 +88,7 @@
 
 // TestDepth states how far the last of the users' fleet stands from the root.
 func TestDepth(t *testing.T) {
-	all := places(3900, 300, 25, 12)
+	all := testMembers(3900, 300, 25, 12)
 	SortMembers(all)
 	var walk func(list []Member) (depth int)
 	walk = func(list []Member) (depth int) {
@@ -112,18 +112,18 @@
 // peers once, and in the end all have the union.
 func TestJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := places(rapid.IntRange(2, 7).Draw(t, "gateways"), 2, 1, 1)
+		all := testMembers(rapid.IntRange(2, 7).Draw(t, "gateways"), 2, 1, 1)
 		SortMembers(all)
 		nodes := map[string]*Node{}
 		heard := map[string]map[Purge]bool{}
 		for i, m := range all {
 			nodes[m.Name] = New(testSettings(), m, uint64(i), rand.New(rand.NewPCG(1, uint64(i))), 0)
-			nodes[m.Name].See(all, 0)
+			nodes[m.Name].SetMembers(all, 0)
 			heard[m.Name] = map[Purge]bool{}
 		}
 		type flight struct {
 			from string
-			Letter
+			Message
 		}
 		var flying []flight
 		union := map[Purge]bool{}
@@ -131,13 +131,13 @@
 		step := func(m Member) {
 			n := nodes[m.Name]
 			n.Step(now)
-			for _, l := range n.Out() {
+			for _, l := range n.TakeMessages() {
 				flying = append(flying, flight{m.Name, l})
 			}
 			checkBounds(t, n)
 		}
 		deliver := func(l flight) {
-			heed, err := nodes[l.To].Take(l.from, l.Frame, now)
+			heed, err := nodes[l.To].HandleFrame(l.from, l.Frame, now)
 			if err != nil {
 				t.Fatalf("not read: %x", l.Frame)
 			}
@@ -164,7 +164,7 @@
 				p := drawPurge(t)
 				p.Issued = epoch + now/1000 + rapid.Int64Range(-3000, 3000).Draw(t, "skew")
 				union[p], heard[m.Name][p] = true, true
-				nodes[m.Name].Own([]Purge{p}, now)
+				nodes[m.Name].RecordOwn([]Purge{p}, now)
 			case 1, 2:
 				step(m)
 			case 3:
@@ -199,24 +199,24 @@
 	})
 }
 
-// pair is two nodes of a site; the first is the root.
-func pair() (a, b *Node) {
-	all := places(2, 1, 1, 1)
+// nodePair is two nodes of a site; the first is the root.
+func nodePair() (a, b *Node) {
+	all := testMembers(2, 1, 1, 1)
 	SortMembers(all)
 	a, b = New(testSettings(), all[0], 1, rand.New(rand.NewPCG(1, 1)), 0), New(testSettings(), all[1], 2, rand.New(rand.NewPCG(1, 2)), 0)
-	a.See(all, 0)
-	b.See(all, 0)
+	a.SetMembers(all, 0)
+	b.SetMembers(all, 0)
 	return a, b
 }
 
-// pass plays some time between two, all frames delivered at once.
-func pass(t *testing.T, a, b *Node, from, to int64) (heedA, heedB []Purge) {
+// deliverAll plays some time between two, all frames delivered at once.
+func deliverAll(t *testing.T, a, b *Node, from, to int64) (heedA, heedB []Purge) {
 	t.Helper()
 	for now := from; now < to; now += 10_000 {
 		a.Step(now)
 		b.Step(now)
 		for i := range 20 {
-			out := [2][]Letter{a.Out(), b.Out()}
+			out := [2][]Message{a.TakeMessages(), b.TakeMessages()}
 			if len(out[0])+len(out[1]) == 0 {
 				break
 			}
@@ -224,14 +224,14 @@
 				t.Fatal("they do not end")
 			}
 			for _, l := range out[0] {
-				heed, err := b.Take(a.self.Name, l.Frame, now)
+				heed, err := b.HandleFrame(a.self.Name, l.Frame, now)
 				if err != nil {
 					t.Fatal(err)
 				}
 				heedB = append(heedB, heed...)
 			}
 			for _, l := range out[1] {
-				heed, err := a.Take(b.self.Name, l.Frame, now)
+				heed, err := a.HandleFrame(b.self.Name, l.Frame, now)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -245,31 +245,31 @@
 // TestIdentity: the same object purged at two times, in a group and without, are four purges, whatever any watch numbered them; and one
 // told by both watches is one.
 func TestIdentity(t *testing.T) {
-	a, b := pair()
+	a, b := nodePair()
 	four := []Purge{{"00000000000000aa", 0, epoch + 1}, {"00000000000000aa", 0, epoch + 2}, {"00000000000000aa", 7, epoch + 1}, {"", 7, epoch + 1}}
-	a.Own(four, 0)
-	b.Own(four[:1], 0)
-	_, heard := pass(t, a, b, 0, 3_000_000)
-	byIssue(heard)
+	a.RecordOwn(four, 0)
+	b.RecordOwn(four[:1], 0)
+	_, heard := deliverAll(t, a, b, 0, 3_000_000)
+	sortByIssue(heard)
 	if want := []Purge{four[3], four[2], four[1]}; !slices.Equal(heard, want) {
 		t.Errorf("heard %v", heard)
 	}
-	if heard, _ = pass(t, a, b, 3_000_000, 9_000_000); len(heard) > 0 || a.kept.count != 4 || b.kept.count != 4 {
+	if heard, _ = deliverAll(t, a, b, 3_000_000, 9_000_000); len(heard) > 0 || a.kept.count != 4 || b.kept.count != 4 {
 		t.Errorf("heard %v again; kept %d and %d", heard, a.kept.count, b.kept.count)
 	}
 }
 
 // TestRestart: a gateway that starts again with an empty set and a new stamp hears what it missed, and is heard from its first batch on.
 func TestRestart(t *testing.T) {
-	a, b := pair()
-	a.Own([]Purge{{"one", 0, epoch + 1}}, 0)
-	b.Own([]Purge{{"two", 0, epoch + 2}}, 0)
-	pass(t, a, b, 0, 8_000_000)
+	a, b := nodePair()
+	a.RecordOwn([]Purge{{"one", 0, epoch + 1}}, 0)
+	b.RecordOwn([]Purge{{"two", 0, epoch + 2}}, 0)
+	deliverAll(t, a, b, 0, 8_000_000)
 	again := New(testSettings(), a.self, 99, rand.New(rand.NewPCG(9, 9)), 8_000_000)
-	again.See(b.tree.members, 8_000_000)
+	again.SetMembers(b.tree.members, 8_000_000)
 	three := Purge{"three", 0, epoch + 8001}
-	again.Own([]Purge{three}, 8_000_000)
-	heardA, heardB := pass(t, again, b, 8_000_000, 20_000_000)
+	again.RecordOwn([]Purge{three}, 8_000_000)
+	heardA, heardB := deliverAll(t, again, b, 8_000_000, 20_000_000)
 	if len(heardA) != 2 || !slices.Equal(heardB, []Purge{three}) {
 		t.Errorf("heard %v and %v", heardA, heardB)
 	}
@@ -277,28 +277,28 @@
 
 // TestLongNames: up to 255 bytes they go; longer ones are counted and wait for the own watch.
 func TestLongNames(t *testing.T) {
-	a, b := pair()
-	longest := Purge{strings.Repeat("x", mostName), 0, epoch}
-	a.Own([]Purge{longest, {strings.Repeat("y", mostName+1), 0, epoch}, {"", 0, 0}, {"z", 0, mostIssued}}, 0)
-	_, heard := pass(t, a, b, 0, 3_000_000)
-	if s := a.Stats(); !slices.Equal(heard, []Purge{longest}) || s.Long != 1 || s.Wrong != 2 {
-		t.Errorf("heard %d, long %d, wrong %d", len(heard), s.Long, s.Wrong)
+	a, b := nodePair()
+	longest := Purge{strings.Repeat("x", maxObjectNameBytes), 0, epoch}
+	a.RecordOwn([]Purge{longest, {strings.Repeat("y", maxObjectNameBytes+1), 0, epoch}, {"", 0, 0}, {"z", 0, maxIssued}}, 0)
+	_, heard := deliverAll(t, a, b, 0, 3_000_000)
+	if s := a.Stats(); !slices.Equal(heard, []Purge{longest}) || s.LongNames != 1 || s.ImplausiblePurges != 2 {
+		t.Errorf("heard %d, long %d, wrong %d", len(heard), s.LongNames, s.ImplausiblePurges)
 	}
 }
 
 // TestWrongClocks: a clock an hour off keeps no fresh purge back, and nothing that went is learnt again for ever.
 func TestWrongClocks(t *testing.T) {
 	for _, off := range []int64{-3_600_000, 3_600_000, 24 * 3_600_000, -24 * 3_600_000} {
-		a, b := pair()
-		b.set.Unix += off
+		a, b := nodePair()
+		b.settings.StartUnixMillis += off
 		old := []Purge{}
 		for i := range 90 {
 			old = append(old, Purge{Group: int64(i), Issued: epoch - int64(i)*60_000})
 		}
-		a.Own(old, 0)
+		a.RecordOwn(old, 0)
 		fresh := Purge{"fresh", 0, epoch + 1}
-		a.Own([]Purge{fresh}, 0)
-		_, heard := pass(t, a, b, 0, 60_000_000)
+		a.RecordOwn([]Purge{fresh}, 0)
+		_, heard := deliverAll(t, a, b, 0, 60_000_000)
 		if !slices.Contains(heard, fresh) {
 			t.Errorf("off by %d ms: the fresh one was not heard", off)
 		}
@@ -309,8 +309,8 @@
 			}
 		}
 		back := Purge{"back", 0, epoch + 60_001}
-		b.Own([]Purge{back}, 60_000_000)
-		if heard, _ := pass(t, a, b, 60_000_000, 70_000_000); !slices.Contains(heard, back) {
+		b.RecordOwn([]Purge{back}, 60_000_000)
+		if heard, _ := deliverAll(t, a, b, 60_000_000, 70_000_000); !slices.Contains(heard, back) {
 			t.Errorf("off by %d ms: what its own watch told was not passed on", off)
 		}
 	}
@@ -319,17 +319,17 @@
 // TestFull: more than there is room for drops the oldest, counted, and the sums stay right.
 func TestFull(t *testing.T) {
 	set := testSettings()
-	set.Most = 500
-	all := places(2, 1, 1, 1)
+	set.MaxKept = 500
+	all := testMembers(2, 1, 1, 1)
 	n := New(set, all[0], 1, rand.New(rand.NewPCG(1, 1)), 0)
-	n.See(all, 0)
+	n.SetMembers(all, 0)
 	chance := rand.New(rand.NewPCG(1, 2))
 	for range 5_000 {
 		p := Purge{Object: hexString(chance.Uint64()), Issued: epoch - chance.Int64N(100_000)}
 		if chance.IntN(3) == 0 {
 			p.Object += "x"
 		}
-		n.Own([]Purge{p}, 0)
+		n.RecordOwn([]Purge{p}, 0)
 	}
 	checkBounds(t, n)
 	if s := n.Stats(); s.Dropped == 0 || uint64(s.Kept)+s.Dropped != 5_000 {
@@ -339,17 +339,17 @@
 
 // TestLiar: a peer that tells a false batch under another's id, far sequences, and haves of what is not, keeps nothing back.
 func TestLiar(t *testing.T) {
-	a, b := pair()
-	lie, _ := writeBatch(batchID{a.me, 1}, root, []Purge{{"a lie", 0, epoch}})
-	far, _ := writeBatch(batchID{a.me, mostSeq}, root, []Purge{{"another", 0, mostIssued - 1}})
-	for _, frame := range [][]byte{lie, far, writeHave([]have{{a.me, mostSeq, 1<<64 - 1}, {1, 5, 1 << 63}})} {
-		if _, err := b.Take("who", frame, 0); err != nil {
+	a, b := nodePair()
+	lie, _ := encodeBatch(batchID{a.originID, 1}, root, []Purge{{"a lie", 0, epoch}})
+	far, _ := encodeBatch(batchID{a.originID, maxSeq}, root, []Purge{{"another", 0, maxIssued - 1}})
+	for _, frame := range [][]byte{lie, far, encodeLazyPush([]originProgress{{a.originID, maxSeq, 1<<64 - 1}, {1, 5, 1 << 63}})} {
+		if _, err := b.HandleFrame("who", frame, 0); err != nil {
 			t.Fatal(err)
 		}
 	}
 	truth := Purge{"the truth", 0, epoch + 1}
-	a.Own([]Purge{truth}, 0)
-	if _, heard := pass(t, a, b, 0, 3_000_000); !slices.Contains(heard, truth) {
+	a.RecordOwn([]Purge{truth}, 0)
+	if _, heard := deliverAll(t, a, b, 0, 3_000_000); !slices.Contains(heard, truth) {
 		t.Error("the truth was kept back")
 	}
 	checkBounds(t, b)
@@ -357,71 +357,71 @@
 
 // TestBehind: who knows of batches that it lacks says so, since when, and no more when it has them.
 func TestBehind(t *testing.T) {
-	a, b := pair()
+	a, b := nodePair()
 	for i := range 3 {
 		at := int64(i) * 300_000
-		a.Own([]Purge{{Group: int64(i), Issued: epoch + int64(i)}}, at)
+		a.RecordOwn([]Purge{{Group: int64(i), Issued: epoch + int64(i)}}, at)
 		a.Step(at + 200_000)
-		for _, l := range a.Out() {
-			if l.Frame[1] == wordBatch && i != 1 {
-				if _, err := b.Take(a.self.Name, l.Frame, at+200_000); err != nil {
+		for _, l := range a.TakeMessages() {
+			if l.Frame[1] == frameBatch && i != 1 {
+				if _, err := b.HandleFrame(a.self.Name, l.Frame, at+200_000); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
 	}
-	if s := b.Stats().Behind; s != (Behind{Batches: 1, Since: 800_000}) {
+	if s := b.Stats().Behind; s != (Behind{MissingBatches: 1, Since: 800_000}) {
 		t.Errorf("says %+v", s)
 	}
-	if _, heard := pass(t, a, b, 900_000, 1_500_000); len(heard) != 1 || b.Stats().Behind != (Behind{}) {
+	if _, heard := deliverAll(t, a, b, 900_000, 1_500_000); len(heard) != 1 || b.Stats().Behind != (Behind{}) {
 		t.Errorf("heard %v, says %+v", heard, b.Stats().Behind)
 	}
 }
 
 // TestNeverEnough: a peer that answers each pull with a part of it is left after a bounded number.
 func TestNeverEnough(t *testing.T) {
-	all := places(2, 1, 1, 1)
+	all := testMembers(2, 1, 1, 1)
 	n := New(testSettings(), all[0], 1, rand.New(rand.NewPCG(1, 1)), 0)
-	n.set.Rate = 1 << 40
-	n.See(all, 0)
+	n.settings.RateLimit = 1 << 40
+	n.SetMembers(all, 0)
 	sec := int64(epoch / 1000 / 60 * 60)
 	now, asked := int64(0), 0
-	for ; now < 20_000_000 && n.Stats().Passes < 3; now += 100_000 {
+	for ; now < 20_000_000 && n.Stats().ReconcilePasses < 3; now += 100_000 {
 		n.Step(now)
-		for out := n.Out(); len(out) > 0; out = n.Out() {
+		for out := n.TakeMessages(); len(out) > 0; out = n.TakeMessages() {
 			for _, l := range out {
-				r := reader{b: l.Frame[2:]}
+				r := frameReader{rest: l.Frame[2:]}
 				var answer []byte
 				switch l.Frame[1] {
-				case wordSum:
-					answer = writeSums(sums{sec, minute, []sum{{1, 1}}})
-				case wordAsk:
-					answer = writeSums(sums{sec, 1, []sum{{1, 1}}})
-				case wordPull:
+				case frameSum:
+					answer = encodeSums(sums{sec, minute, []sum{{1, 1}}})
+				case frameSumsRequest:
+					answer = encodeSums(sums{sec, 1, []sum{{1, 1}}})
+				case framePullRequest:
 					asked++
-					answer, _ = writeItems(r.pull(), false, nil)
+					answer, _ = encodePurges(r.pullRequest(), false, nil)
 				default:
 					continue
 				}
-				if _, err := n.Take(all[1].Name, answer, now); err != nil {
+				if _, err := n.HandleFrame(all[1].Name, answer, now); err != nil {
 					t.Fatal(err)
 				}
 				checkBounds(t, n)
 			}
-			if asked > 4*mostAsked {
+			if asked > 4*maxSessionRequests {
 				t.Fatal("it asks for ever")
 			}
 		}
 	}
-	if s := n.Stats(); s.Passes < 2 || s.Unanswered == 0 {
-		t.Errorf("%d passes, %d without their end, %d pulls", s.Passes, s.Unanswered, asked)
+	if s := n.Stats(); s.ReconcilePasses < 2 || s.UnfinishedPasses == 0 {
+		t.Errorf("%d passes, %d without their end, %d pulls", s.ReconcilePasses, s.UnfinishedPasses, asked)
 	}
 }
 
 // TestNext: Step is never due at once for ever.
 func TestNext(t *testing.T) {
-	for _, n := range []*Node{lonely(), New(Usual, Member{Name: "not in the list"}, 1, rand.New(rand.NewPCG(1, 1)), 0)} {
-		n.Own([]Purge{{"x", 0, epoch}}, 0)
+	for _, n := range []*Node{twoNodeSite(), New(DefaultSettings, Member{Name: "not in the list"}, 1, rand.New(rand.NewPCG(1, 1)), 0)} {
+		n.RecordOwn([]Purge{{"x", 0, epoch}}, 0)
 		now := int64(0)
 		for steps := 0; now < 60_000_000; steps++ {
 			if steps > 2_000 {
@@ -429,7 +429,7 @@
 			}
 			now = max(now, n.Next())
 			n.Step(now)
-			n.Out()
+			n.TakeMessages()
 		}
 	}
 }
--- a/internal/fleet/broadcast/repair.go
+++ b/internal/fleet/broadcast/repair.go
@@ -8,99 +8,99 @@
 // Repair of batches. A gap in an origin's sequence is asked of the one it was seen from; haves tell of batches to those that no gap tells
 // (the last before a rest, a subtree whose parent died). What was repaired goes along the tree as new.
 const (
-	window      = 24 // sequences after the contiguous ones, some 5 s of them; more are left to reconciliation
-	jump        = 1024
-	history     = 24         // batches before the first that is heard of are asked for: some 5 s
-	mostOrigins = 4096       // followed; the idlest goes
-	mostWanted  = 256        // batches asked for
-	mostBatches = 512        // kept for repair, 1,100 bytes each at most
-	mostTries   = 6          // then reconciliation has it
-	mostPush    = 4          // batches pushed on one have
-	batchLife   = 30_000_000 // a batch is kept for repair
-	originLife  = 30_000_000 // an origin is followed after its last batch
-	originRest  = 15_000_000 // after it an origin begins anew: nobody is to ask for batches that nobody keeps
-	originTold  = 5_000_000  // and told in haves
-	gapWait     = 60_000     // before a gap is asked: what was sent later may come earlier
-	gapSpread   = 40_000
-	crossing    = 200_000 // a want that comes so soon after the batch was sent crossed it
-	pushWait    = 400_000 // what a child lacks so long after it was sent it is sent again
-	repairDebt  = 2       // seconds of the rate: after reconciliation has stopped, and before batches are sent on no more
+	receiveWindow        = 24 // sequences after the contiguous ones, some 5 s of them; more are left to reconciliation
+	maxSeqJump           = 1024
+	repairHistory        = 24         // batches before the first that is heard of are asked for: some 5 s
+	maxOrigins           = 4096       // followed; the idlest goes
+	maxRepairs           = 256        // batches asked for
+	maxStoredBatches     = 512        // kept for repair, 1,100 bytes each at most
+	maxRepairAttempts    = 6          // then reconciliation has it
+	maxPushedBatches     = 4          // batches pushed on one have
+	batchLifetime        = 30_000_000 // a batch is kept for repair
+	originLifetime       = 30_000_000 // an origin is followed after its last batch
+	originResetAfter     = 15_000_000 // after it an origin begins anew: nobody is to ask for batches that nobody keeps
+	originAnnounceTime   = 5_000_000  // and told in haves
+	gapDelay             = 60_000     // before a gap is asked: what was sent later may come earlier
+	gapSpread            = 40_000
+	crossingTime         = 200_000 // a want that comes so soon after the batch was sent crossed it
+	pushDelay            = 400_000 // what a child lacks so long after it was sent it is sent again
+	maxRepairDebtSeconds = 2       // seconds of the rate: after reconciliation has stopped, and before batches are sent on no more
 )
 
 // againWait is how long a want waits for its batch: at first twice the longest way there and back, then more. With 5% lost one try in ten
 // fails.
-var againWait = [mostTries]int64{400_000, 400_000, 600_000, 800_000, 1_200_000, 2_000_000}
+var repairTimeout = [maxRepairAttempts]int64{400_000, 400_000, 600_000, 800_000, 1_200_000, 2_000_000}
 
-const againSpread = 100_000
+const repairJitter = 100_000
 
 // newsWait is before what a have told is asked for: heads of a subtree first, so that the others get it along the tree.
-var newsWait = [...]struct{ wait, spread int64 }{root: {150_000, 50_000}, regionHead: {200_000, 100_000}, zoneHead: {250_000, 100_000},
+var newsDelay = [...]struct{ wait, spread int64 }{root: {150_000, 50_000}, regionHead: {200_000, 100_000}, zoneHead: {250_000, 100_000},
 	siteHead: {350_000, 150_000}, other: {500_000, 300_000}}
 
 // origin is what is had of one gateway's batches.
 type origin struct {
-	top   uint64 // all up to it were had, or given up
-	after uint64 // bit i: top+1+i was had
-	known uint64 // the highest heard of
-	news  int64  // time of the last
+	top        uint64 // all up to it were had, or given up
+	received   uint64 // bit i: top+1+i was had
+	highest    uint64 // the highest heard of
+	lastNewsAt int64  // time of the last
 }
 
-func (o *origin) had(seq uint64) bool {
-	return seq <= o.top || seq <= o.top+window && o.after>>(seq-o.top-1)&1 == 1
+func (o *origin) has(seq uint64) bool {
+	return seq <= o.top || seq <= o.top+receiveWindow && o.received>>(seq-o.top-1)&1 == 1
 }
 
 // slide moves over what was had; gone are those passed over.
 func (o *origin) slide(least uint64) (gone int) {
-	for o.top < least || o.after&1 == 1 {
-		if o.after&1 == 0 {
+	for o.top < least || o.received&1 == 1 {
+		if o.received&1 == 0 {
 			gone++
 		}
-		o.top, o.after = o.top+1, o.after>>1
+		o.top, o.received = o.top+1, o.received>>1
 	}
 	return gone
 }
 
-// mark notes one as had; gone are older ones that fell out of the window.
-func (o *origin) mark(seq uint64) (gone int) {
-	o.known = max(o.known, seq)
-	if o.had(seq) {
+// add notes one as had; gone are older ones that fell out of the window.
+func (o *origin) add(seq uint64) (gone int) {
+	o.highest = max(o.highest, seq)
+	if o.has(seq) {
 		return 0
 	}
-	if seq > o.top+window {
-		gone = o.slide(seq - window)
+	if seq > o.top+receiveWindow {
+		gone = o.slide(seq - receiveWindow)
 	}
 	if seq > o.top {
-		o.after |= 1 << (seq - o.top - 1)
+		o.received |= 1 << (seq - o.top - 1)
 	}
 	return gone + o.slide(0)
 }
 
 // newsBeside is for news of a neighbour in the tree: longer than a batch that is on its way may take.
-var newsBeside = struct{ wait, spread int64 }{150_000, 100_000}
+var neighbourNewsDelay = struct{ wait, spread int64 }{150_000, 100_000}
 
-type stored struct {
+type storedBatch struct {
 	frame []byte
 	from  string // "": of this gateway
 	at    int64  // had, and sent on
 }
 
-type wanted struct {
-	id    batchID
-	peer  string
-	since int64
-	due   int64
-	tries int
+type pendingRepair struct {
+	id       batchID
+	peer     string
+	since    int64
+	due      int64
+	attempts int
 }
 
 // follow gives the state of an origin; a new one is followed from before a sequence on.
 func (n *Node) follow(id uint64, seq uint64, now int64) *origin {
 	o := n.origins[id]
 	if o == nil {
-		o = &origin{top: seq - min(seq, history)}
-		if len(n.origins) >= mostOrigins {
+		o = &origin{top: seq - min(seq, repairHistory)}
+		if len(n.origins) >= maxOrigins {
 			n.dropOrigin(n.idlest())
 		}
-		o.news = now
+		o.lastNewsAt = now
 		n.origins[id] = o
 	}
 	return o
@@ -109,8 +109,8 @@
 func (n *Node) idlest() (id uint64) {
 	least := int64(1<<63 - 1)
 	for other, o := range n.origins {
-		if o.news < least || o.news == least && other < id {
-			least, id = o.news, other
+		if o.lastNewsAt < least || o.lastNewsAt == least && other < id {
+			least, id = o.lastNewsAt, other
 		}
 	}
 	return id
@@ -118,165 +118,165 @@
 
 func (n *Node) dropOrigin(id uint64) {
 	delete(n.origins, id)
-	n.wants = slices.DeleteFunc(n.wants, func(w wanted) bool { return w.id.origin == id })
+	n.repairs = slices.DeleteFunc(n.repairs, func(w pendingRepair) bool { return w.id.origin == id })
 }
 
-// mark notes a batch as had and asks for gaps before it.
-func (n *Node) mark(id batchID, from string, now int64) (fresh bool) {
+// recordBatch notes a batch as had and asks for gaps before it.
+func (n *Node) recordBatch(id batchID, from string, now int64) (fresh bool) {
 	o := n.follow(id.origin, id.seq, now)
-	if o.had(id.seq) || id.seq > o.known+jump && o.known > 0 {
+	if o.has(id.seq) || id.seq > o.highest+maxSeqJump && o.highest > 0 {
 		return false
 	}
-	o.news = now
-	n.lost(o.mark(id.seq), now)
-	n.wants = slices.DeleteFunc(n.wants, func(w wanted) bool {
+	o.lastNewsAt = now
+	n.giveUpBatches(o.add(id.seq), now)
+	n.repairs = slices.DeleteFunc(n.repairs, func(w pendingRepair) bool {
 		return w.id == id || w.id.origin == id.origin && w.id.seq <= o.top
 	})
-	due := now + gapWait + n.chance.Int64N(gapSpread) // all in one frame
+	due := now + gapDelay + n.rng.Int64N(gapSpread) // all in one frame
 	for seq := o.top + 1; seq < id.seq; seq++ {
-		if !o.had(seq) {
-			n.want(batchID{id.origin, seq}, from, false, due, now)
+		if !o.has(seq) {
+			n.scheduleRepair(batchID{id.origin, seq}, from, false, due, now)
 		}
 	}
 	return true
 }
 
-// lost counts batches that reconciliation must bring.
-func (n *Node) lost(batches int, now int64) {
+// giveUpBatches counts batches that reconciliation must bring.
+func (n *Node) giveUpBatches(batches int, now int64) {
 	if batches > 0 {
 		n.stats.GivenUp += uint64(batches)
-		if n.doubt == 0 {
-			n.doubt = now
+		if n.missingSince == 0 {
+			n.missingSince = now
 		}
 	}
 }
 
-// want asks for a batch later; a peer that says it has one wanted already is the next to be asked.
-func (n *Node) want(id batchID, peer string, says bool, due, now int64) {
-	i := slices.IndexFunc(n.wants, func(w wanted) bool { return w.id == id })
-	if i < 0 && len(n.wants) < mostWanted {
-		n.wants = append(n.wants, wanted{id: id, peer: peer, since: now, due: due})
-	} else if i >= 0 && says && n.wants[i].tries > 0 {
-		n.wants[i].peer = peer
+// scheduleRepair asks for a batch later; a peer that says it has one wanted already is the next to be asked.
+func (n *Node) scheduleRepair(id batchID, peer string, says bool, due, now int64) {
+	i := slices.IndexFunc(n.repairs, func(w pendingRepair) bool { return w.id == id })
+	if i < 0 && len(n.repairs) < maxRepairs {
+		n.repairs = append(n.repairs, pendingRepair{id: id, peer: peer, since: now, due: due})
+	} else if i >= 0 && says && n.repairs[i].attempts > 0 {
+		n.repairs[i].peer = peer
 	}
 }
 
-func (n *Node) stepWants(now int64) {
+func (n *Node) requestRepairs(now int64) {
 	ask := map[string][]batchID{}
 	var order []string
-	n.wants = slices.DeleteFunc(n.wants, func(w wanted) bool {
-		if w.due > now || w.tries < mostTries {
+	n.repairs = slices.DeleteFunc(n.repairs, func(w pendingRepair) bool {
+		if w.due > now || w.attempts < maxRepairAttempts {
 			return false
 		}
 		if o := n.origins[w.id.origin]; o != nil { // the older ones of the origin are as hopeless
-			n.lost(o.slide(w.id.seq), now)
+			n.giveUpBatches(o.slide(w.id.seq), now)
 		}
 		return true
 	})
-	n.wants = slices.DeleteFunc(n.wants, func(w wanted) bool {
+	n.repairs = slices.DeleteFunc(n.repairs, func(w pendingRepair) bool {
 		o := n.origins[w.id.origin]
-		return o == nil || o.had(w.id.seq)
+		return o == nil || o.has(w.id.seq)
 	})
-	others := [2]string{n.anyone(false), n.anyone(true)} // all that is asked again goes to one, in one frame
-	spread := n.chance.Int64N(againSpread)
-	for i := range n.wants {
-		w := &n.wants[i]
+	others := [2]string{n.randomPeer(false), n.randomPeer(true)} // all that is asked again goes to one, in one frame
+	spread := n.rng.Int64N(repairJitter)
+	for i := range n.repairs {
+		w := &n.repairs[i]
 		if w.due > now {
 			continue
 		}
 		if w.peer == "" {
-			w.peer = others[w.tries%2]
+			w.peer = others[w.attempts%2]
 		}
-		if ids := ask[w.peer]; len(ids) < mostWants && w.peer != "" {
+		if ids := ask[w.peer]; len(ids) < maxRepairsPerFrame && w.peer != "" {
 			if ids == nil {
 				order = append(order, w.peer)
 			}
 			ask[w.peer] = append(ids, w.id)
 		}
-		w.due = now + againWait[w.tries] + spread
-		w.tries++
+		w.due = now + repairTimeout[w.attempts] + spread
+		w.attempts++
 		w.peer = ""
 	}
 	for _, peer := range order {
-		n.stats.Wants++
-		n.send(peer, writeWant(ask[peer]), now)
+		n.stats.RepairRequests++
+		n.send(peer, encodeRepairRequest(ask[peer]), now)
 	}
 }
 
-func (n *Node) takeWants(from string, ids []batchID, now int64) {
+func (n *Node) handleRepairRequest(from string, ids []batchID, now int64) {
 	for _, id := range ids {
-		if s := n.log[id]; s != nil {
-			if from != s.from && n.beside(from) && now-s.at < crossing {
+		if s := n.stored[id]; s != nil {
+			if from != s.from && n.isNeighbour(from) && now-s.at < crossingTime {
 				continue
 			}
-			n.repair(from, s, now)
+			n.resendBatch(from, s, now)
 		}
 	}
 }
 
-// repair sends a batch again, if the debt is not too deep.
-func (n *Node) repair(to string, s *stored, now int64) {
-	if n.credit(now) < -repairDebt*n.set.Rate {
-		n.stats.Refused++
+// resendBatch sends a batch again, if the debt is not too deep.
+func (n *Node) resendBatch(to string, s *storedBatch, now int64) {
+	if n.credit(now) < -maxRepairDebtSeconds*n.settings.RateLimit {
+		n.stats.RefusedRequests++
 		return
 	}
 	n.stats.Repairs++
 	n.send(to, s.frame, now)
 }
 
-// stepHave tells the neighbours in the tree, and in turn one of the site and any one, what is had.
-func (n *Node) stepHave(now int64) {
-	all := make([]have, 0, mostHaves)
+// lazyPush tells the neighbours in the tree, and in turn one of the site and any one, what is had.
+func (n *Node) lazyPush(now int64) {
+	all := make([]originProgress, 0, maxOriginsPerFrame)
 	for _, id := range sortedKeys(n.origins) {
-		if o := n.origins[id]; now-o.news <= originTold && len(all) < mostHaves {
-			all = append(all, have{id, o.top, o.after})
+		if o := n.origins[id]; now-o.lastNewsAt <= originAnnounceTime && len(all) < maxOriginsPerFrame {
+			all = append(all, originProgress{id, o.top, o.received})
 		}
 	}
-	n.turn++
-	frame := writeHave(all)
+	n.lazyPushCount++
+	frame := encodeLazyPush(all)
 	n.graft(now)
 	for _, to := range n.neighbours() { // also with nothing to tell: it is a sign of life
-		if to == n.tree.parent || n.turn%2 == 0 { // the others have more of them, and batches are signs too
+		if to == n.tree.parent || n.lazyPushCount%2 == 0 { // the others have more of them, and batches are signs too
 			n.send(to, frame, now)
 		}
 	}
-	if other := n.anyone(n.turn%4 < 2); other != "" && !n.beside(other) && len(all) > 0 {
+	if other := n.randomPeer(n.lazyPushCount%4 < 2); other != "" && !n.isNeighbour(other) && len(all) > 0 {
 		n.send(other, frame, now)
 	}
 }
 
-func (n *Node) takeHaves(from string, all []have, now int64) {
-	beside := n.beside(from)
-	wait := newsWait[n.tree.tier]
+func (n *Node) handleLazyPush(from string, all []originProgress, now int64) {
+	beside := n.isNeighbour(from)
+	wait := newsDelay[n.tree.tier]
 	if beside {
-		wait = newsBeside
+		wait = neighbourNewsDelay
 	}
-	due := now + wait.wait + n.chance.Int64N(wait.spread)
+	due := now + wait.wait + n.rng.Int64N(wait.spread)
 	for _, h := range all {
-		its := origin{top: h.top, after: h.after}
+		its := origin{top: h.top, received: h.after}
 		top := h.top
-		for i := range uint64(window) {
+		for i := range uint64(receiveWindow) {
 			if h.after>>i&1 == 1 {
 				top = h.top + 1 + i
 			}
 		}
-		if top == 0 || top > mostSeq {
+		if top == 0 || top > maxSeq {
 			continue
 		}
-		if h.origin == n.me && n.origins[n.me] == nil {
+		if h.origin == n.originID && n.origins[n.originID] == nil {
 			continue
 		}
 		o := n.follow(h.origin, top, now)
-		if h.origin != n.me && (o.known == 0 || top <= o.known+jump) {
-			if top > o.known {
-				o.known, o.news = top, now
+		if h.origin != n.originID && (o.highest == 0 || top <= o.highest+maxSeqJump) {
+			if top > o.highest {
+				o.highest, o.lastNewsAt = top, now
 			}
-			if top > o.top+window { // so far behind: the newest of them
-				n.lost(o.slide(top-window), now)
+			if top > o.top+receiveWindow { // so far behind: the newest of them
+				n.giveUpBatches(o.slide(top-receiveWindow), now)
 			}
 			for seq := o.top + 1; seq <= top; seq++ {
-				if !o.had(seq) && its.had(seq) {
-					n.want(batchID{h.origin, seq}, from, true, due, now)
+				if !o.has(seq) && its.has(seq) {
+					n.scheduleRepair(batchID{h.origin, seq}, from, true, due, now)
 				}
 			}
 		}
@@ -284,9 +284,9 @@
 			continue
 		}
 		pushed := 0
-		for seq := max(h.top+1, o.known-min(o.known, window)); seq <= min(o.known, h.top+window) && pushed < mostPush; seq++ {
-			if s := n.log[batchID{h.origin, seq}]; s != nil && !its.had(seq) && now-s.at >= pushWait {
-				n.repair(from, s, now)
+		for seq := max(h.top+1, o.highest-min(o.highest, receiveWindow)); seq <= min(o.highest, h.top+receiveWindow) && pushed < maxPushedBatches; seq++ {
+			if s := n.stored[batchID{h.origin, seq}]; s != nil && !its.has(seq) && now-s.at >= pushDelay {
+				n.resendBatch(from, s, now)
 				pushed++
 			}
 		}
@@ -295,29 +295,29 @@
 
 // store keeps a batch for repair.
 func (n *Node) store(id batchID, frame []byte, from string, now int64) {
-	if n.log[id] != nil {
+	if n.stored[id] != nil {
 		return
 	}
-	n.log[id] = &stored{frame, from, now}
-	n.logged = append(n.logged, id)
-	if len(n.logged) > mostBatches {
-		n.unstore()
+	n.stored[id] = &storedBatch{frame, from, now}
+	n.storedOrder = append(n.storedOrder, id)
+	if len(n.storedOrder) > maxStoredBatches {
+		n.dropOldestStored()
 	}
 }
 
-func (n *Node) unstore() {
-	delete(n.log, n.logged[0])
-	n.logged[0] = batchID{}
-	n.logged = n.logged[1:]
+func (n *Node) dropOldestStored() {
+	delete(n.stored, n.storedOrder[0])
+	n.storedOrder[0] = batchID{}
+	n.storedOrder = n.storedOrder[1:]
 }
 
 // sweep ends what is over.
 func (n *Node) sweep(now int64) {
-	for len(n.logged) > 0 && now-n.log[n.logged[0]].at > batchLife {
-		n.unstore()
+	for len(n.storedOrder) > 0 && now-n.stored[n.storedOrder[0]].at > batchLifetime {
+		n.dropOldestStored()
 	}
 	for _, id := range sortedKeys(n.origins) {
-		if o := n.origins[id]; now-o.news > originLife && id != n.me {
+		if o := n.origins[id]; now-o.lastNewsAt > originLifetime && id != n.originID {
 			n.dropOrigin(id)
 		}
 	}
--- a/internal/fleet/broadcast/tree.go
+++ b/internal/fleet/broadcast/tree.go
@@ -17,21 +17,21 @@
 func rank(name string) uint64 { return xxhash.Sum64String(name) }
 
 func compareMembers(a, b Member) int {
-	if c := comparePlaces(a.Place, b.Place); c != 0 {
+	if c := compareLocalities(a.Locality, b.Locality); c != 0 {
 		return c
 	}
 	return cmp.Or(cmp.Compare(rank(a.Name), rank(b.Name)), cmp.Compare(a.Name, b.Name))
 }
 
-func comparePlaces(a, b Place) int {
+func compareLocalities(a, b Locality) int {
 	return cmp.Or(cmp.Compare(a.Region, b.Region), cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Site, b.Site))
 }
 
 // SortMembers sorts as See needs them, so that one list can be held by many nodes of a process.
 func SortMembers(members []Member) { slices.SortFunc(members, compareMembers) }
 
-// apart is how far two places are from each other: 0 one site, 1 one zone, 2 one region, 3 further.
-func apart(a, b Place) int {
+// distance is how far two places are from each other: 0 one site, 1 one zone, 2 one region, 3 further.
+func distance(a, b Locality) int {
 	switch {
 	case a.Region != b.Region:
 		return 3
@@ -52,7 +52,7 @@
 		return bounds
 	}
 	// First and last differ most in a sorted list. Where all of rest is elsewhere than the head it is entered as one.
-	level := max(apart(rest[0].Place, rest[n-1].Place), apart(list[0].Place, rest[0].Place))
+	level := max(distance(rest[0].Locality, rest[n-1].Locality), distance(list[0].Locality, rest[0].Locality))
 	if level == 0 {
 		for part := 1; part < fanOut; part++ {
 			if cut := part * n / fanOut; cut > bounds[len(bounds)-1] {
@@ -73,7 +73,7 @@
 // nearestCut is the place next to want where one of the level ends and another begins; the earlier of two as near.
 func nearestCut(rest []Member, level, want int) int {
 	is := func(i int) bool {
-		return i > 0 && i < len(rest) && apart(rest[i-1].Place, rest[i].Place) >= level
+		return i > 0 && i < len(rest) && distance(rest[i-1].Locality, rest[i].Locality) >= level
 	}
 	for d := 0; d <= len(rest); d++ {
 		if is(want - d) {
@@ -88,19 +88,19 @@
 
 // tree is what one member has of it.
 type tree struct {
-	members  []Member // sorted; not written
-	me       int      // -1: not among them
-	site     [2]int   // of the own site, as part of members
-	parent   string
-	children []string
+	members    []Member // sorted; not written
+	selfIndex  int      // -1: not among them
+	siteBounds [2]int   // of the own site, as part of members
+	parent     string
+	children   []string
 
 	// For those that are silent (graft.go): the parent's parent and children, and the children's children.
 	grandparent   string
 	siblings      []string // self among them
 	grandchildren [][]string
 
-	tier   tier
-	region int // regions before the own one
+	tier        tier
+	regionIndex int // regions before the own one
 }
 
 type tier int
@@ -113,9 +113,9 @@
 	other
 )
 
-// plant computes it. The members must be sorted.
-func plant(members []Member, self Member) tree {
-	t := tree{members: members, me: -1, tier: other}
+// buildTree computes it. The members must be sorted.
+func buildTree(members []Member, self Member) tree {
+	t := tree{members: members, selfIndex: -1, tier: other}
 	me, found := slices.BinarySearchFunc(members, self, compareMembers)
 	if !found { // the view may have another place of it
 		if me = slices.IndexFunc(members, func(m Member) bool { return m.Name == self.Name }); me < 0 {
@@ -123,24 +123,24 @@
 		}
 		self = members[me]
 	}
-	t.me = me
-	t.site[0], t.site[1] = me, me+1
-	for t.site[0] > 0 && members[t.site[0]-1].Place == self.Place {
-		t.site[0]--
+	t.selfIndex = me
+	t.siteBounds[0], t.siteBounds[1] = me, me+1
+	for t.siteBounds[0] > 0 && members[t.siteBounds[0]-1].Locality == self.Locality {
+		t.siteBounds[0]--
 	}
-	for t.site[1] < len(members) && members[t.site[1]].Place == self.Place {
-		t.site[1]++
+	for t.siteBounds[1] < len(members) && members[t.siteBounds[1]].Locality == self.Locality {
+		t.siteBounds[1]++
 	}
 	for i := 1; i <= me; i++ {
-		if members[i].Place.Region != members[i-1].Place.Region {
-			t.region++
+		if members[i].Locality.Region != members[i-1].Locality.Region {
+			t.regionIndex++
 		}
 	}
 	switch {
 	case me == 0:
 		t.tier = root
 	default:
-		t.tier = [...]tier{other, siteHead, zoneHead, regionHead}[apart(members[me-1].Place, self.Place)]
+		t.tier = [...]tier{other, siteHead, zoneHead, regionHead}[distance(members[me-1].Locality, self.Locality)]
 	}
 	from, to := 0, len(members)
 	for from != me {
@@ -171,8 +171,8 @@
 	return all
 }
 
-// sorted gives the members in order, a copy if they are not.
-func sorted(members []Member) []Member {
+// sortedMembers gives the members in order, a copy if they are not.
+func sortedMembers(members []Member) []Member {
 	for i := 1; i < len(members); i++ {
 		if compareMembers(members[i-1], members[i]) >= 0 {
 			members = slices.Clone(members)
@@ -183,6 +183,6 @@
 	return members
 }
 
-func same(a, b []Member) bool {
+func sameMembers(a, b []Member) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0] || slices.Equal(a, b))
 }
--- a/internal/fleet/gossip/post.go
+++ b/internal/fleet/gossip/post.go
@@ -22,313 +22,313 @@
 )
 
 const (
-	mostQueued = 1024
-	turn       = 250 * time.Millisecond
-	memory     = time.Second // of what was wanted: the mean's time constant
+	maxQueuedMessages  = 1024
+	stepInterval       = 250 * time.Millisecond
+	demandTimeConstant = time.Second // of what was wanted: the mean's time constant
 )
 
 // Usual are the settings of all gateways.
-var Usual = limits.Settings{Loan: 4_000_000, Lend: 0.8, Turn: 250_000, Wait: 15_000_000}
+var LimitSettings = limits.Settings{LoanDuration: 4_000_000, MaxLentFraction: 0.8, RequestInterval: 250_000, MaxSettleWait: 15_000_000}
 
 // Purges are the settings of the purges' book.
-var Purges = purgesync.Settings{Turn: 500_000, Keep: 60_000_000}
+var PurgeSettings = purgesync.Settings{DigestInterval: 500_000, KeepFor: 60_000_000}
 
 // Fleet is the part of membership that it needs.
 type Fleet interface {
 	Send(to string, b []byte) error
 	State() membership.State
-	Live() []string
+	LiveNames() []string
 }
 
-// Doors are where lookups are let in.
-type Doors interface {
+// Admission are where lookups are let in.
+type Admission interface {
 	// Shared calls f for each limit of the fleet.
-	Shared(f func(name string, t limit.Terms, u limit.Use))
+	FleetLimits(f func(name string, t limit.Terms, u limit.Use))
 	// Lease puts leases in force, by limit.
-	Lease(leases map[string]limit.Lease)
+	ApplyLeases(leases map[string]limit.Lease)
 }
 
-// Post is one gateway's.
-type Post struct {
-	self  string
-	fleet Fleet
-	doors Doors
-	log   *slog.Logger
-	began time.Time
-	bell  chan struct{}
+// Gossiper is one gateway's.
+type Gossiper struct {
+	self      string
+	fleet     Fleet
+	admission Admission
+	log       *slog.Logger
+	startedAt time.Time
+	notify    chan struct{}
 
-	mu    sync.Mutex
-	in    [][]byte
-	lost  uint64
-	book  *limits.Book
-	seen  map[string]*seen
-	names map[uint64]string // of limits, by key
-	peers map[uint64]string // of gateways
-	ripe  bool
+	mu              sync.Mutex
+	queue           [][]byte
+	droppedMessages uint64
+	ledger          *limits.Ledger
+	demands         map[string]*demand
+	limitNames      map[uint64]string // of limits, by key
+	peerNames       map[uint64]string // of gateways
+	hasFullQuota    bool
 
-	purges *purgesync.Book
-	heed   func([]purgesync.Purge) // nil: purges are not shared
-	due    []purgesync.Purge       // to be heeded
+	purges        *purgesync.Replica
+	onPurges      func([]purgesync.Purge) // nil: purges are not shared
+	learnedPurges []purgesync.Purge       // to be heeded
 }
 
-// seen is what was counted of a limit at the turn before.
-type seen struct {
-	use            limit.Use
-	at             time.Duration
-	wanted, in     float64 // lookups a second, of late
-	bytes, inBytes float64
-	open           float64
+// demand is what was counted of a limit at the turn before.
+type demand struct {
+	lastUse                        limit.Use
+	measuredAt                     time.Duration
+	lookupsWanted, lookupsAdmitted float64 // lookups a second, of late
+	bytesWanted, bytesAdmitted     float64
+	openWanted                     float64
 }
 
 // New makes a gateway's. doors is nil where no limit can be shared, heed where purges of peers are not to be heeded.
-func New(self string, doors Doors, heed func([]purgesync.Purge), log *slog.Logger, seed uint64) *Post {
-	p := &Post{self: self, doors: doors, log: log, began: time.Now(), bell: make(chan struct{}, 1), seen: map[string]*seen{},
-		names: map[uint64]string{}, peers: map[uint64]string{}}
-	p.heed, p.purges = heed, purgesync.New(Purges, rand.New(rand.NewPCG(seed, 0x707572676573)), p.now())
-	p.book = limits.New(Usual, rand.New(rand.NewPCG(seed, 0x6c696d697473)), p.now())
+func New(self string, doors Admission, heed func([]purgesync.Purge), log *slog.Logger, seed uint64) *Gossiper {
+	p := &Gossiper{self: self, admission: doors, log: log, startedAt: time.Now(), notify: make(chan struct{}, 1), demands: map[string]*demand{},
+		limitNames: map[uint64]string{}, peerNames: map[uint64]string{}}
+	p.onPurges, p.purges = heed, purgesync.New(PurgeSettings, rand.New(rand.NewPCG(seed, 0x707572676573)), p.now())
+	p.ledger = limits.New(LimitSettings, rand.New(rand.NewPCG(seed, 0x6c696d697473)), p.now())
 	return p
 }
 
-// Told takes an event of the own bulletin: its number, and its purges.
-func (p *Post) Told(last int64, purges []purgesync.Purge) {
+// RecordPurges takes an event of the own bulletin: its number, and its purges.
+func (p *Gossiper) RecordPurges(last int64, purges []purgesync.Purge) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.purges.Own(last, purges, p.now())
+	p.purges.RecordOwn(last, purges, p.now())
 }
 
-// Over sets the fleet that it goes over, before Run.
-func (p *Post) Over(f Fleet) { p.fleet = f }
+// SetFleet sets the fleet that it goes over, before Run.
+func (p *Gossiper) SetFleet(f Fleet) { p.fleet = f }
 
-func (p *Post) now() int64 { return time.Since(p.began).Microseconds() + 1 }
+func (p *Gossiper) now() int64 { return time.Since(p.startedAt).Microseconds() + 1 }
 
-// Take takes a datagram of a peer; the bytes are the caller's.
-func (p *Post) Take(b []byte) {
+// HandleMessage takes a datagram of a peer; the bytes are the caller's.
+func (p *Gossiper) HandleMessage(b []byte) {
 	p.mu.Lock()
-	if len(p.in) >= mostQueued || len(b) == 0 {
-		p.lost++
+	if len(p.queue) >= maxQueuedMessages || len(b) == 0 {
+		p.droppedMessages++
 	} else {
-		p.in = append(p.in, slices.Clone(b))
+		p.queue = append(p.queue, slices.Clone(b))
 	}
 	p.mu.Unlock()
 	select {
-	case p.bell <- struct{}{}:
+	case p.notify <- struct{}{}:
 	default:
 	}
 }
 
 // Run goes on until stop is closed.
-func (p *Post) Run(stop <-chan struct{}) {
-	every := time.NewTicker(turn)
+func (p *Gossiper) Run(stop <-chan struct{}) {
+	every := time.NewTicker(stepInterval)
 	defer every.Stop()
 	for {
 		select {
 		case <-stop:
 			return
-		case <-p.bell:
-			p.send(p.read())
+		case <-p.notify:
+			p.send(p.handleQueued())
 		case <-every.C:
 			p.send(p.step())
 		}
-		if p.doors != nil {
-			p.lease()
+		if p.admission != nil {
+			p.applyLeases()
 		}
-		p.heeds()
+		p.applyLearnedPurges()
 	}
 }
 
-type letter struct {
-	to string
-	b  []byte
+type message struct {
+	to    string
+	frame []byte
 }
 
-func (p *Post) send(out []letter) {
+func (p *Gossiper) send(out []message) {
 	for _, l := range out {
-		p.fleet.Send(l.to, l.b) // lost, if it cannot be sent: the loan is asked for again
+		p.fleet.Send(l.to, l.frame) // lost, if it cannot be sent: the loan is asked for again
 	}
 }
 
-// read takes the frames that came, and answers asks.
-func (p *Post) read() (out []letter) {
+// handleQueued takes the frames that came, and answers asks.
+func (p *Gossiper) handleQueued() (out []message) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	in := p.in
-	p.in = nil
+	in := p.queue
+	p.queue = nil
 	now := p.now()
 	for _, b := range in {
 		if b[0] == purgesync.Kind {
-			out = append(out, p.purge(b, now)...)
+			out = append(out, p.handlePurgeFrame(b, now)...)
 			continue
 		}
-		f, err := limits.ReadFrame(b)
-		from := p.peers[f.From]
+		f, err := limits.ParseFrame(b)
+		from := p.peerNames[f.SenderKey]
 		if err != nil || from == "" {
-			p.lost++
+			p.droppedMessages++
 			continue
 		}
-		back := limits.Frame{From: limits.Key(p.self), Grants: true}
+		back := limits.Frame{SenderKey: limits.NameKey(p.self), IsGrant: true}
 		for _, e := range f.Entries {
-			name := p.names[e.Limit]
-			if f.Grants {
-				p.book.Took(from, limits.Grant{Name: name, ID: e.ID, Amount: e.Amount, Wanted: e.Wanted, Used: e.Used}, now)
-			} else if g, ok := p.book.Lend(from, limits.Ask{Name: name, ID: e.ID, Renews: e.Renews, Amount: e.Amount, Wanted: e.Wanted, Used: e.Used}, now); ok {
-				back.Entries = append(back.Entries, limits.Entry{Limit: e.Limit, ID: g.ID, Amount: g.Amount, Wanted: g.Wanted, Used: g.Used})
+			name := p.limitNames[e.LimitKey]
+			if f.IsGrant {
+				p.ledger.HandleGrant(from, limits.Grant{Limit: name, ID: e.ID, Amount: e.Amount, Demand: e.Demand, Used: e.Used}, now)
+			} else if g, ok := p.ledger.HandleRequest(from, limits.Request{Limit: name, ID: e.ID, Renews: e.Renews, Amount: e.Amount, Demand: e.Demand, Used: e.Used}, now); ok {
+				back.Entries = append(back.Entries, limits.Entry{LimitKey: e.LimitKey, ID: g.ID, Amount: g.Amount, Demand: g.Demand, Used: g.Used})
 			}
 		}
 		if len(back.Entries) > 0 {
-			out = append(out, letter{from, back.Append(nil)})
+			out = append(out, message{from, back.Append(nil)})
 		}
 	}
 	return out
 }
 
-// purge takes a frame of purges, and answers a hello.
-func (p *Post) purge(b []byte, now int64) []letter {
-	f, err := purgesync.ReadFrame(b)
-	from := p.peers[f.From]
-	if err != nil || from == "" || p.heed == nil {
-		p.lost++
+// handlePurgeFrame takes a frame of purges, and answers a hello.
+func (p *Gossiper) handlePurgeFrame(b []byte, now int64) []message {
+	f, err := purgesync.ParseFrame(b)
+	from := p.peerNames[f.SenderKey]
+	if err != nil || from == "" || p.onPurges == nil {
+		p.droppedMessages++
 		return nil
 	}
-	p.due = append(p.due, p.purges.Take(f.Purges, now)...)
-	if f.Answer {
+	p.learnedPurges = append(p.learnedPurges, p.purges.Merge(f.Purges, now)...)
+	if f.IsDelta {
 		return nil
 	}
-	if more := p.purges.Answer(f.Seen); len(more) > 0 {
-		return []letter{{from, purgesync.Frame{From: limits.Key(p.self), Answer: true, Seen: p.purges.Hello(), Purges: more}.Append(nil)}}
+	if more := p.purges.Delta(f.Digest); len(more) > 0 {
+		return []message{{from, purgesync.Frame{SenderKey: limits.NameKey(p.self), IsDelta: true, Digest: p.purges.Digest(), Purges: more}.Append(nil)}}
 	}
 	return nil
 }
 
-// heeds brings what peers heard first to where it counts.
-func (p *Post) heeds() {
+// applyLearnedPurges brings what peers heard first to where it counts.
+func (p *Gossiper) applyLearnedPurges() {
 	p.mu.Lock()
-	due := p.due
-	p.due = nil
+	due := p.learnedPurges
+	p.learnedPurges = nil
 	p.mu.Unlock()
 	for _, one := range due {
-		p.log.Info("fleet_purge", "no", one.No, "object", one.Object, "group", one.Group, "issued_ms", one.Issued)
+		p.log.Info("fleet_purge", "no", one.Event, "object", one.Object, "group", one.Group, "issued_ms", one.Issued)
 	}
 	if len(due) > 0 {
-		p.heed(due)
+		p.onPurges(due)
 	}
 }
 
 // step is one turn: what was wanted, what the view says, what to ask for.
-func (p *Post) step() (out []letter) {
-	state, live := p.fleet.State(), p.fleet.Live()
+func (p *Gossiper) step() (out []message) {
+	state, live := p.fleet.State(), p.fleet.LiveNames()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
-	clear(p.peers)
+	clear(p.peerNames)
 	peers := slices.DeleteFunc(live, func(name string) bool { return name == p.self })
 	for _, name := range peers {
-		p.peers[limits.Key(name)] = name
+		p.peerNames[limits.NameKey(name)] = name
 	}
-	if p.heed != nil {
-		for _, to := range p.purges.Hellos(peers, now) {
-			out = append(out, letter{to, purgesync.Frame{From: limits.Key(p.self), Seen: p.purges.Hello()}.Append(nil)})
+	if p.onPurges != nil {
+		for _, to := range p.purges.DigestTargets(peers, now) {
+			out = append(out, message{to, purgesync.Frame{SenderKey: limits.NameKey(p.self), Digest: p.purges.Digest()}.Append(nil)})
 		}
 	}
-	if p.doors == nil {
+	if p.admission == nil {
 		return out
 	}
-	p.book.See(limits.Standing{Fleet: state.Fleet, Dead: state.Fleet - state.Live, Rank: state.Rank, Settled: state.Settled}, now)
+	p.ledger.UpdateFleet(limits.FleetState{Size: state.FleetSize, NotLive: state.FleetSize - state.Live, Rank: state.Rank, Settled: state.Settled}, now)
 	all := map[string]limits.Limit{}
-	clear(p.names)
-	p.doors.Shared(func(name string, t limit.Terms, u limit.Use) {
-		s := p.seen[name]
+	clear(p.limitNames)
+	p.admission.FleetLimits(func(name string, t limit.Terms, u limit.Use) {
+		s := p.demands[name]
 		if s == nil {
-			s = &seen{use: u, at: time.Since(p.began)}
-			p.seen[name] = s
+			s = &demand{lastUse: u, measuredAt: time.Since(p.startedAt)}
+			p.demands[name] = s
 		}
-		s.count(u, time.Since(p.began))
+		s.update(u, time.Since(p.startedAt))
 		for _, d := range dimensions(name, t, s) {
 			all[d.Name] = d.Limit
-			p.names[limits.Key(d.Name)] = d.Name
+			p.limitNames[limits.NameKey(d.Name)] = d.Name
 		}
 	})
-	p.book.Set(all)
-	for name, s := range p.seen {
+	p.ledger.SetLimits(all)
+	for name, s := range p.demands {
 		kept := false
 		for _, d := range dimensions(name, limit.Terms{Lookups: 1, Bytes: 1, Open: 1}, s) {
 			if _, is := all[d.Name]; is {
 				kept = true
-				p.book.Used(d.Name, d.wanted, d.used)
+				p.ledger.RecordUsage(d.Name, d.demand, d.used)
 			}
 		}
 		if !kept {
-			delete(p.seen, name)
+			delete(p.demands, name)
 		}
 	}
-	if ripe := p.book.Ripe(now); ripe != p.ripe {
-		p.ripe = ripe
-		p.log.Info("fleet_limits", "whole", ripe, "limits", len(all), "fleet", state.Fleet)
+	if ripe := p.ledger.HasFullQuota(now); ripe != p.hasFullQuota {
+		p.hasFullQuota = ripe
+		p.log.Info("fleet_limits", "whole", ripe, "limits", len(all), "fleet", state.FleetSize)
 	}
 	asks := map[string][]limits.Entry{}
-	for _, a := range p.book.Asks(peers, now) {
-		asks[a.To] = append(asks[a.To], limits.Entry{Limit: limits.Key(a.Name), ID: a.ID, Renews: a.Renews, Amount: a.Amount, Wanted: a.Wanted, Used: a.Used})
+	for _, a := range p.ledger.Requests(peers, now) {
+		asks[a.To] = append(asks[a.To], limits.Entry{LimitKey: limits.NameKey(a.Limit), ID: a.ID, Renews: a.Renews, Amount: a.Amount, Demand: a.Demand, Used: a.Used})
 	}
 	for to, entries := range asks {
-		for some := range slices.Chunk(entries, limits.MostEntries) {
-			out = append(out, letter{to, limits.Frame{From: limits.Key(p.self), Entries: some}.Append(nil)})
+		for some := range slices.Chunk(entries, limits.MaxEntries) {
+			out = append(out, message{to, limits.Frame{SenderKey: limits.NameKey(p.self), Entries: some}.Append(nil)})
 		}
 	}
-	slices.SortFunc(out, func(a, b letter) int { return cmp.Compare(a.to, b.to) })
+	slices.SortFunc(out, func(a, b message) int { return cmp.Compare(a.to, b.to) })
 	return out
 }
 
-// count takes what was counted until now; means fade with the time constant.
-func (s *seen) count(u limit.Use, at time.Duration) {
-	d := (at - s.at).Seconds()
+// update takes what was counted until now; means fade with the time constant.
+func (s *demand) update(u limit.Use, at time.Duration) {
+	d := (at - s.measuredAt).Seconds()
 	if d <= 0 {
 		return
 	}
-	w := 1 - math.Exp(-d/memory.Seconds())
+	w := 1 - math.Exp(-d/demandTimeConstant.Seconds())
 	mean := func(m *float64, n uint64) { *m += w * (float64(n)/d - *m) }
-	mean(&s.wanted, u.Wanted-s.use.Wanted)
-	mean(&s.in, u.In-s.use.In)
-	mean(&s.bytes, u.WantedBytes-s.use.WantedBytes)
-	mean(&s.inBytes, u.InBytes-s.use.InBytes)
-	s.open += w * (float64(u.WantedOpen) - s.open)
-	s.use, s.at = u, at
+	mean(&s.lookupsWanted, u.Wanted-s.lastUse.Wanted)
+	mean(&s.lookupsAdmitted, u.In-s.lastUse.In)
+	mean(&s.bytesWanted, u.WantedBytes-s.lastUse.WantedBytes)
+	mean(&s.bytesAdmitted, u.InBytes-s.lastUse.InBytes)
+	s.openWanted += w * (float64(u.WantedOpen) - s.openWanted)
+	s.lastUse, s.measuredAt = u, at
 }
 
 type dimension struct {
 	limits.Limit
-	wanted, used float64
+	demand, used float64
 }
 
 const (
-	lookups = "/lookups"
-	bytes   = "/bytes"
-	open    = "/open"
+	lookupsSuffix = "/lookups"
+	bytesSuffix   = "/bytes"
+	openSuffix    = "/open"
 )
 
 // dimensions are the limits of one thing.
-func dimensions(name string, t limit.Terms, s *seen) (out []dimension) {
+func dimensions(name string, t limit.Terms, s *demand) (out []dimension) {
 	add := func(what string, all float64, whole bool, wanted, used float64) {
 		if all > 0 {
-			out = append(out, dimension{limits.Limit{Name: name + what, All: all, Whole: whole}, wanted, used})
+			out = append(out, dimension{limits.Limit{Name: name + what, Total: all, Integral: whole}, wanted, used})
 		}
 	}
-	add(lookups, t.Lookups, false, s.wanted, s.in)
-	add(bytes, t.Bytes, false, s.bytes, s.inBytes)
-	add(open, float64(t.Open), true, s.open, float64(s.use.Open))
+	add(lookupsSuffix, t.Lookups, false, s.lookupsWanted, s.lookupsAdmitted)
+	add(bytesSuffix, t.Bytes, false, s.bytesWanted, s.bytesAdmitted)
+	add(openSuffix, float64(t.Open), true, s.openWanted, float64(s.lastUse.Open))
 	return out
 }
 
-// lease puts in force what may be let in now.
-func (p *Post) lease() {
+// applyLeases puts in force what may be let in now.
+func (p *Gossiper) applyLeases() {
 	p.mu.Lock()
 	now, at := p.now(), time.Now()
 	leases := map[string]limit.Lease{}
-	for name := range p.seen {
+	for name := range p.demands {
 		l := limit.Lease{Until: at.Add(time.Hour)}
 		get := func(what string) (a, then float64) {
-			if _, is := p.names[limits.Key(name+what)]; !is {
+			if _, is := p.limitNames[limits.NameKey(name+what)]; !is {
 				return 0, 0
 			}
-			x := p.book.Lease(name+what, now)
+			x := p.ledger.Lease(name+what, now)
 			if x.Until < math.MaxInt64 {
 				if until := at.Add(time.Duration(x.Until-now) * time.Microsecond); until.Before(l.Until) {
 					l.Until = until
@@ -337,19 +337,19 @@
 			return x.Now, x.Then
 		}
 		var o, oThen float64
-		l.Now.Lookups, l.Then.Lookups = get(lookups)
-		l.Now.Bytes, l.Then.Bytes = get(bytes)
-		o, oThen = get(open)
+		l.Now.Lookups, l.Then.Lookups = get(lookupsSuffix)
+		l.Now.Bytes, l.Then.Bytes = get(bytesSuffix)
+		o, oThen = get(openSuffix)
 		l.Now.Open, l.Then.Open = int(o), int(oThen)
 		leases[name] = l
 	}
 	p.mu.Unlock()
-	p.doors.Lease(leases)
+	p.admission.ApplyLeases(leases)
 }
 
-// Rows tells the limits as this gateway sees them.
-func (p *Post) Rows() []limits.Row {
+// LimitReports tells the limits as this gateway sees them.
+func (p *Gossiper) LimitReports() []limits.Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.book.Rows(p.now())
+	return p.ledger.Reports(p.now())
 }
--- a/internal/fleet/limits/frozen_test.go
+++ b/internal/fleet/limits/frozen_test.go
@@ -9,18 +9,18 @@
 // Frames that released builds sent are read, and written to the same bytes.
 func TestFrozenFramesKeepTheirBytes(t *testing.T) {
 	for name, want := range map[string]Frame{
-		"requests.frame": {From: Key("n1"), Entries: []Entry{
-			{Limit: Key("tenant x/lookups"), ID: 0x0102030405060708, Renews: 0x1112131415161718, Amount: 12.5, Wanted: 100, Used: 62.25},
-			{Limit: Key("tenant x/open"), ID: 3, Amount: 7, Wanted: 9, Used: 2}}},
-		"grants.frame": {From: Key("n2"), Grants: true, Entries: []Entry{
-			{Limit: Key("tenant x/lookups"), ID: 0x0102030405060708, Amount: 12.5, Wanted: 10, Used: 9.75}}},
-		"empty.frame": {From: Key("n1")},
+		"requests.frame": {SenderKey: NameKey("n1"), Entries: []Entry{
+			{LimitKey: NameKey("tenant x/lookups"), ID: 0x0102030405060708, Renews: 0x1112131415161718, Amount: 12.5, Demand: 100, Used: 62.25},
+			{LimitKey: NameKey("tenant x/open"), ID: 3, Amount: 7, Demand: 9, Used: 2}}},
+		"grants.frame": {SenderKey: NameKey("n2"), IsGrant: true, Entries: []Entry{
+			{LimitKey: NameKey("tenant x/lookups"), ID: 0x0102030405060708, Amount: 12.5, Demand: 10, Used: 9.75}}},
+		"empty.frame": {SenderKey: NameKey("n1")},
 	} {
-		got, err := ReadFrame(frozen.Read(t, name))
+		got, err := ParseFrame(frozen.Read(t, name))
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		if got.From != want.From || got.Grants != want.Grants || len(got.Entries) != len(want.Entries) {
+		if got.SenderKey != want.SenderKey || got.IsGrant != want.IsGrant || len(got.Entries) != len(want.Entries) {
 			t.Errorf("%s: read %+v, not %+v", name, got, want)
 		}
 		for i := range got.Entries {
@@ -34,5 +34,5 @@
 }
 
 func TestFrozenRowsKeepTheirKeys(t *testing.T) {
-	frozen.JSON(t, "rows.json", new([]Row), false)
+	frozen.JSON(t, "rows.json", new([]Report), false)
 }
--- a/internal/fleet/membership/delegate.go
+++ b/internal/fleet/membership/delegate.go
@@ -19,50 +19,50 @@
 func (f *Fleet) NodeMeta(limit int) []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return meta{f.id.Stamp, f.leaving, f.id.Place}.append(nil)
+	return metadata{f.self.Incarnation, f.leaving, f.self.Locality}.append(nil)
 }
 
 // NotifyMsg takes words that rode on gossip, and what another part of a peer sent to this one's; memberlist's Delegate.
 func (f *Fleet) NotifyMsg(b []byte) {
-	if len(b) == 1 && b[0] == speakUp {
+	if len(b) == 1 && b[0] == refuteRequestKind {
 		f.mu.Lock()
-		f.wanted = true
+		f.refuteRequested = true
 		f.mu.Unlock()
 		return
 	}
-	if len(b) > 0 && b[0] != view.Form {
-		if f.parts.Take != nil {
-			f.parts.Take(b)
+	if len(b) > 0 && b[0] != view.Kind {
+		if f.deps.OnMessage != nil {
+			f.deps.OnMessage(b)
 		}
 		return
 	}
-	f.words(b)
+	f.mergeHeartbeat(b)
 }
 
 // Send brings a datagram to another part of a live member; it may be lost, late or come twice. Its first byte is not that of words.
 func (f *Fleet) Send(to string, b []byte) error {
 	f.mu.Lock()
 	m, ok := f.view.Get(to)
-	list := f.sends
+	list := f.sender
 	f.mu.Unlock()
-	if !ok || !m.State.Live() || list == nil {
+	if !ok || !m.State.IsLive() || list == nil {
 		return fmt.Errorf("%s is not live here", to)
 	}
 	return list.SendToAddress(memberlist.Address{Addr: m.Addr, Name: to}, b)
 }
 
-func (f *Fleet) words(b []byte) {
+func (f *Fleet) mergeHeartbeat(b []byte) {
 	if len(b) == 0 {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	changes, err := f.view.Take(b, f.now())
+	changes, err := f.view.MergeHeartbeat(b, f.now())
 	if err != nil {
-		f.counts.BadWords++
+		f.counts.UnreadableHeartbeats++
 		return
 	}
-	f.took(changes)
+	f.recordChanges(changes)
 }
 
 // GetBroadcasts puts words on gossip while the view is restless; memberlist's Delegate. At rest they ride on acks alone.
@@ -70,11 +70,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	if !f.view.Restless(now, us(restless), us(mostRestless)) || now-f.spoke < us(wordsEvery)/3 || limit <= overhead {
+	if !f.view.ShouldGossip(now, micros(minGossipAfterChange), micros(maxGossipAfterChange)) || now-f.heartbeatAt < micros(heartbeatInterval)/3 || limit <= overhead {
 		return nil
 	}
-	f.spoke = now
-	if b := f.view.Words(limit-overhead, now); b != nil {
+	f.heartbeatAt = now
+	if b := f.view.HeartbeatFrame(limit-overhead, now); b != nil {
 		return [][]byte{b}
 	}
 	return nil
@@ -84,13 +84,13 @@
 func (f *Fleet) LocalState(bool) []byte { return f.AckPayload() }
 
 // MergeRemoteState takes it; memberlist's Delegate.
-func (f *Fleet) MergeRemoteState(b []byte, _ bool) { f.words(b) }
+func (f *Fleet) MergeRemoteState(b []byte, _ bool) { f.mergeHeartbeat(b) }
 
 // AckPayload is what rides on the answer to a probe; memberlist's PingDelegate.
 func (f *Fleet) AckPayload() []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.view.Words(view.MostWords, f.now())
+	return f.view.HeartbeatFrame(view.MaxFrameBytes, f.now())
 }
 
 // NotifyPingComplete is memberlist's PingDelegate: a probe was answered.
@@ -98,84 +98,84 @@
 	f.mu.Lock()
 	f.rtt.RecordValue(min(max(1, rtt.Microseconds()), 60_000_000))
 	now := f.now()
-	f.took(f.view.Heard(other.Name, f.id.Name, now, now))
+	f.recordChanges(f.view.RecordSeen(other.Name, f.self.Name, now, now))
 	f.mu.Unlock()
-	f.words(payload)
+	f.mergeHeartbeat(payload)
 }
 
 // NotifyAlive refuses gateways that cannot be members; memberlist's AliveDelegate.
 func (f *Fleet) NotifyAlive(peer *memberlist.Node) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if peer.Name == f.id.Name {
+	if peer.Name == f.self.Name {
 		return nil
 	}
 	why := ""
-	if _, err := readMeta(peer.Meta); err != nil || peer.DCur != Speaks {
+	if _, err := parseMetadata(peer.Meta); err != nil || peer.DCur != ProtocolVersion {
 		why = "version"
-	} else if len(peer.Name) == 0 || len(peer.Name) > mostName {
+	} else if len(peer.Name) == 0 || len(peer.Name) > maxNameBytes {
 		why = "name"
 	} else {
-		why = string(f.view.Admits(peer.Name))
+		why = string(f.view.RefusalOf(peer.Name))
 	}
 	if why == "" {
 		return nil
 	}
 	f.counts.Refused++
 	now := f.now()
-	if last, told := f.refused[peer.Name]; !told || now-last > 60_000_000 {
-		if len(f.refused) >= 256 {
-			clear(f.refused)
+	if last, told := f.conflictLoggedAt[peer.Name]; !told || now-last > 60_000_000 {
+		if len(f.conflictLoggedAt) >= 256 {
+			clear(f.conflictLoggedAt)
 		}
-		f.refused[peer.Name] = now
-		f.say(slog.LevelWarn, "fleet_refused", "name", peer.Name, "addr", peer.Address(), "why", why, "speaks", peer.DCur)
+		f.conflictLoggedAt[peer.Name] = now
+		f.queueLog(slog.LevelWarn, "fleet_refused", "name", peer.Name, "addr", peer.Address(), "why", why, "speaks", peer.DCur)
 	}
 	return errors.New("refused: " + why)
 }
 
-func idOf(n *memberlist.Node) view.ID {
-	m, _ := readMeta(n.Meta)                                                                             // NotifyAlive let no other in
-	return view.ID{Name: n.Name, Addr: n.Address(), Stamp: m.stamp, Place: unique.Make(m.place).Value()} // hundreds share a place's strings
+func processOf(n *memberlist.Node) view.ID {
+	m, _ := parseMetadata(n.Meta)                                                                                          // NotifyAlive let no other in
+	return view.ID{Name: n.Name, Addr: n.Address(), Incarnation: m.incarnation, Locality: unique.Make(m.locality).Value()} // hundreds share a place's strings
 }
 
 // NotifyJoin is memberlist's EventDelegate.
 func (f *Fleet) NotifyJoin(n *memberlist.Node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.took(f.view.Join(idOf(n), n.Name, f.now()))
+	f.recordChanges(f.view.Join(processOf(n), n.Name, f.now()))
 }
 
 // NotifyUpdate is memberlist's EventDelegate.
 func (f *Fleet) NotifyUpdate(n *memberlist.Node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.took(f.view.Update(idOf(n), f.now()))
+	f.recordChanges(f.view.Update(processOf(n), f.now()))
 }
 
 // NotifyLeave is memberlist's EventDelegate: a gateway is dead or has left.
 func (f *Fleet) NotifyLeave(n *memberlist.Node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m, _ := readMeta(n.Meta) // the last that it told of itself
-	f.took(f.view.Gone(n.Name, m.leaving, f.now()))
+	m, _ := parseMetadata(n.Meta) // the last that it told of itself
+	f.recordChanges(f.view.MarkGone(n.Name, m.leaving, f.now()))
 }
 
 // NotifyConflict is memberlist's ConflictDelegate: a name is claimed from another address while its holder lives.
 func (f *Fleet) NotifyConflict(existing, other *memberlist.Node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.counts.Conflicts++
-	m, err := readMeta(other.Meta)
+	f.counts.NameConflicts++
+	m, err := parseMetadata(other.Meta)
 	if err != nil {
 		return
 	}
 	now := f.now()
-	if existing.Name == f.id.Name {
-		f.claimant, f.claimBy = net.JoinHostPort(other.Addr.String(), fmt.Sprint(other.Port)), m.stamp
+	if existing.Name == f.self.Name {
+		f.claimantAddr, f.claimantIncarnation = net.JoinHostPort(other.Addr.String(), fmt.Sprint(other.Port)), m.incarnation
 	}
-	f.view.Claimed(existing.Name, other.Address(), now)
-	if last, told := f.refused[existing.Name]; !told || now-last > 60_000_000 {
-		f.refused[existing.Name] = now
-		f.say(slog.LevelWarn, "fleet_name_claimed", "name", existing.Name, "held_by", existing.Address(), "claimed_by", other.Address())
+	f.view.RecordNameConflict(existing.Name, other.Address(), now)
+	if last, told := f.conflictLoggedAt[existing.Name]; !told || now-last > 60_000_000 {
+		f.conflictLoggedAt[existing.Name] = now
+		f.queueLog(slog.LevelWarn, "fleet_name_claimed", "name", existing.Name, "held_by", existing.Address(), "claimed_by", other.Address())
 	}
 }
--- a/internal/fleet/membership/meta.go
+++ b/internal/fleet/membership/meta.go
@@ -13,52 +13,52 @@
 // place: region, zone and site, each a length and that many bytes. A build that knows no places refuses a gateway that tells one, so
 // places are set once all gateways run a build that knows them (docs/fleet-broadcast-operators.md).
 const (
-	metaSize = 1 + 8 + 1
+	metadataSize = 1 + 8 + 1
 	// MostPlace bounds each part of a place, in bytes.
-	MostPlace = 48
+	MaxLocalityNameBytes = 48
 )
 
-var errMeta = errors.New("meta of another form")
+var errMetadata = errors.New("meta of another form")
 
-type meta struct {
-	stamp   uint64
-	leaving bool
-	place   view.Place
+type metadata struct {
+	incarnation uint64
+	leaving     bool
+	locality    view.Locality
 }
 
-func (m meta) append(b []byte) []byte {
-	b = binary.LittleEndian.AppendUint64(append(b, Speaks), m.stamp)
+func (m metadata) append(b []byte) []byte {
+	b = binary.LittleEndian.AppendUint64(append(b, ProtocolVersion), m.incarnation)
 	going := byte(0)
 	if m.leaving {
 		going = 1
 	}
 	b = append(b, going)
-	if m.place == (view.Place{}) {
+	if m.locality == (view.Locality{}) {
 		return b
 	}
-	for _, part := range []string{m.place.Region, m.place.Zone, m.place.Site} {
+	for _, part := range []string{m.locality.Region, m.locality.Zone, m.locality.Site} {
 		b = append(append(b, byte(len(part))), part...)
 	}
 	return b
 }
 
-func readMeta(b []byte) (m meta, err error) {
-	if len(b) < metaSize || b[0] != Speaks || b[metaSize-1] > 1 {
-		return meta{}, errMeta
+func parseMetadata(b []byte) (m metadata, err error) {
+	if len(b) < metadataSize || b[0] != ProtocolVersion || b[metadataSize-1] > 1 {
+		return metadata{}, errMetadata
 	}
-	m.stamp, m.leaving = binary.LittleEndian.Uint64(b[1:]), b[metaSize-1] == 1
-	rest := b[metaSize:]
+	m.incarnation, m.leaving = binary.LittleEndian.Uint64(b[1:]), b[metadataSize-1] == 1
+	rest := b[metadataSize:]
 	if len(rest) == 0 {
 		return m, nil
 	}
-	for _, part := range []*string{&m.place.Region, &m.place.Zone, &m.place.Site} {
-		if len(rest) == 0 || rest[0] > MostPlace || len(rest) < 1+int(rest[0]) {
-			return meta{}, errMeta
+	for _, part := range []*string{&m.locality.Region, &m.locality.Zone, &m.locality.Site} {
+		if len(rest) == 0 || rest[0] > MaxLocalityNameBytes || len(rest) < 1+int(rest[0]) {
+			return metadata{}, errMetadata
 		}
 		*part, rest = string(rest[1:1+rest[0]]), rest[1+rest[0]:]
 	}
-	if len(rest) > 0 || m.place == (view.Place{}) {
-		return meta{}, errMeta
+	if len(rest) > 0 || m.locality == (view.Locality{}) {
+		return metadata{}, errMetadata
 	}
 	return m, nil
 }
--- a/internal/fleet/purgesync/verdict.go
+++ b/internal/fleet/purgesync/verdict.go
@@ -20,7 +20,7 @@
 
 // Purge is one, as the bulletin numbered it.
 type Purge struct {
-	No     int64  // of the event
+	Event  int64  // of the event
 	Object string // "": of a group
 	Group  int64
 	Issued int64 // Unix milliseconds
@@ -28,109 +28,109 @@
 
 // Settings are times in whole microseconds.
 type Settings struct {
-	Turn int64 // between hellos
-	Keep int64 // a purge is passed on for so long
+	DigestInterval int64 // between hellos
+	KeepFor        int64 // a purge is passed on for so long
 }
 
 const (
-	mostKept  = 2048
-	mostTold  = 12
-	mostBytes = 1100 // of an answer: one datagram
-	mostName  = 255
-	peers     = 2 // that get a hello each turn
+	maxKept            = 2048
+	maxPurgesPerFrame  = 12
+	maxDeltaBytes      = 1100 // of an answer: one datagram
+	maxObjectNameBytes = 255
+	digestFanOut       = 2 // that get a hello each turn
 )
 
-type kept struct {
+type keptPurge struct {
 	Purge
-	at int64
+	keptAt int64
 }
 
-// Book is one gateway's.
-type Book struct {
-	set    Settings
-	chance *rand.Rand
-	last   int64  // of the own bulletin
-	seen   int64  // the highest number whose purges are known here
-	log    []kept // rising numbers
-	next   int64
-	Taken  uint64 // purges that peers told before the own bulletin did
+// Replica is one gateway's.
+type Replica struct {
+	settings         Settings
+	rng              *rand.Rand
+	ownEvent         int64       // of the own bulletin
+	highestEvent     int64       // the highest number whose purges are known here
+	kept             []keptPurge // rising numbers
+	nextDigestAt     int64
+	LearnedFromPeers uint64 // purges that peers told before the own bulletin did
 }
 
 // New makes a book.
-func New(set Settings, chance *rand.Rand, now int64) *Book {
-	return &Book{set: set, chance: chance, next: now}
+func New(set Settings, chance *rand.Rand, now int64) *Replica {
+	return &Replica{settings: set, rng: chance, nextDigestAt: now}
 }
 
-// Own takes what the own bulletin told: its last number, and purges. A bulletin that counts from below anew makes the book anew.
-func (b *Book) Own(last int64, purges []Purge, now int64) {
-	if last < b.last {
-		b.log, b.seen = nil, 0
+// RecordOwn takes what the own bulletin told: its last number, and purges. A bulletin that counts from below anew makes the book anew.
+func (b *Replica) RecordOwn(last int64, purges []Purge, now int64) {
+	if last < b.ownEvent {
+		b.kept, b.highestEvent = nil, 0
 	}
-	b.last = last
-	b.seen = max(b.seen, last)
+	b.ownEvent = last
+	b.highestEvent = max(b.highestEvent, last)
 	for _, p := range purges {
-		b.keep(p, now)
+		b.insert(p, now)
 	}
 }
 
-// keep puts a purge in its place; false if it was there.
-func (b *Book) keep(p Purge, now int64) bool {
-	i, found := slices.BinarySearchFunc(b.log, p.No, func(k kept, no int64) int { return int(min(1, max(-1, k.No-no))) })
+// insert puts a purge in its place; false if it was there.
+func (b *Replica) insert(p Purge, now int64) bool {
+	i, found := slices.BinarySearchFunc(b.kept, p.Event, func(k keptPurge, no int64) int { return int(min(1, max(-1, k.Event-no))) })
 	if found {
 		return false
 	}
-	b.log = slices.Insert(b.log, i, kept{p, now})
-	b.log = slices.DeleteFunc(b.log, func(k kept) bool { return now-k.at > b.set.Keep })
-	if len(b.log) > mostKept {
-		b.log = slices.Delete(b.log, 0, len(b.log)-mostKept)
+	b.kept = slices.Insert(b.kept, i, keptPurge{p, now})
+	b.kept = slices.DeleteFunc(b.kept, func(k keptPurge) bool { return now-k.keptAt > b.settings.KeepFor })
+	if len(b.kept) > maxKept {
+		b.kept = slices.Delete(b.kept, 0, len(b.kept)-maxKept)
 	}
 	return true
 }
 
-// Hellos tells whom to greet now.
-func (b *Book) Hellos(live []string, now int64) []string {
-	if now < b.next || len(live) == 0 {
+// DigestTargets tells whom to greet now.
+func (b *Replica) DigestTargets(live []string, now int64) []string {
+	if now < b.nextDigestAt || len(live) == 0 {
 		return nil
 	}
-	b.next = now + b.set.Turn
+	b.nextDigestAt = now + b.settings.DigestInterval
 	to := slices.Clone(live)
-	b.chance.Shuffle(len(to), func(i, j int) { to[i], to[j] = to[j], to[i] })
-	return to[:min(peers, len(to))]
+	b.rng.Shuffle(len(to), func(i, j int) { to[i], to[j] = to[j], to[i] })
+	return to[:min(digestFanOut, len(to))]
 }
 
-// Hello is what a greeting says.
-func (b *Book) Hello() int64 { return b.seen }
+// Digest is what a greeting says.
+func (b *Replica) Digest() int64 { return b.highestEvent }
 
-// Answer are the purges that who greeted so does not have: the first of them, in order.
-func (b *Book) Answer(seen int64) (out []Purge) {
+// Delta are the purges that who greeted so does not have: the first of them, in order.
+func (b *Replica) Delta(seen int64) (out []Purge) {
 	size := 0
-	for _, k := range b.log {
-		if size += 25 + len(k.Object); k.No > seen && len(out) < mostTold && size <= mostBytes {
+	for _, k := range b.kept {
+		if size += 25 + len(k.Object); k.Event > seen && len(out) < maxPurgesPerFrame && size <= maxDeltaBytes {
 			out = append(out, k.Purge)
-		} else if k.No <= seen {
+		} else if k.Event <= seen {
 			size = 0
 		}
 	}
 	return out
 }
 
-// Take takes an answer and returns what is to be heeded: purges that were not known here.
-func (b *Book) Take(purges []Purge, now int64) (heed []Purge) {
+// Merge takes an answer and returns what is to be heeded: purges that were not known here.
+func (b *Replica) Merge(purges []Purge, now int64) (heed []Purge) {
 	for _, p := range purges {
-		if p.No <= 0 || p.Issued <= 0 || p.Issued >= 1e14 {
+		if p.Event <= 0 || p.Issued <= 0 || p.Issued >= 1e14 {
 			continue
 		}
-		if p.No > b.last && b.keep(p, now) {
+		if p.Event > b.ownEvent && b.insert(p, now) {
 			heed = append(heed, p)
-			b.Taken++
+			b.LearnedFromPeers++
 		}
-		b.seen = max(b.seen, p.No)
+		b.highestEvent = max(b.highestEvent, p.Event)
 	}
 	return heed
 }
 
-// Kept is how many purges are kept.
-func (b *Book) Kept() int { return len(b.log) }
+// KeptCount is how many purges are kept.
+func (b *Replica) KeptCount() int { return len(b.kept) }
 
 // A frame, little-endian, no padding:
 //
@@ -140,47 +140,47 @@
 //	n times  8 number, 8 issued, 8 group, 1 length of the object's name, the name
 const (
 	// Kind is the first byte of frames, beside other things that gateways say.
-	Kind     = 3
-	headSize = 1 + 8 + 1 + 8 + 1
+	Kind       = 3
+	headerSize = 1 + 8 + 1 + 8 + 1
 )
 
 var errFrame = errors.New("a frame of purges that cannot be read")
 
 // Frame is what one gateway says to another.
 type Frame struct {
-	From   uint64
-	Answer bool
-	Seen   int64
-	Purges []Purge
+	SenderKey uint64
+	IsDelta   bool
+	Digest    int64
+	Purges    []Purge
 }
 
 // Append writes a frame. Names of more than 255 bytes are left out: they wait for the bulletin.
 func (f Frame) Append(b []byte) []byte {
 	le := binary.LittleEndian
-	b = le.AppendUint64(append(b, Kind), f.From)
+	b = le.AppendUint64(append(b, Kind), f.SenderKey)
 	kind := byte(0)
-	if f.Answer {
+	if f.IsDelta {
 		kind = 1
 	}
-	b = le.AppendUint64(append(b, kind), uint64(f.Seen))
-	purges := slices.DeleteFunc(slices.Clone(f.Purges), func(p Purge) bool { return len(p.Object) > mostName })
+	b = le.AppendUint64(append(b, kind), uint64(f.Digest))
+	purges := slices.DeleteFunc(slices.Clone(f.Purges), func(p Purge) bool { return len(p.Object) > maxObjectNameBytes })
 	b = append(b, byte(len(purges)))
 	for _, p := range purges {
-		b = le.AppendUint64(le.AppendUint64(le.AppendUint64(b, uint64(p.No)), uint64(p.Issued)), uint64(p.Group))
+		b = le.AppendUint64(le.AppendUint64(le.AppendUint64(b, uint64(p.Event)), uint64(p.Issued)), uint64(p.Group))
 		b = append(append(b, byte(len(p.Object))), p.Object...)
 	}
 	return b
 }
 
-// ReadFrame reads one; all of it must be readable.
-func ReadFrame(b []byte) (f Frame, err error) {
-	if len(b) < headSize || b[0] != Kind || b[9] > 1 || int(b[headSize-1]) > mostTold {
+// ParseFrame reads one; all of it must be readable.
+func ParseFrame(b []byte) (f Frame, err error) {
+	if len(b) < headerSize || b[0] != Kind || b[9] > 1 || int(b[headerSize-1]) > maxPurgesPerFrame {
 		return f, errFrame
 	}
 	le := binary.LittleEndian
-	f.From, f.Answer, f.Seen = le.Uint64(b[1:]), b[9] == 1, int64(le.Uint64(b[10:]))
-	rest := b[headSize:]
-	for range b[headSize-1] {
+	f.SenderKey, f.IsDelta, f.Digest = le.Uint64(b[1:]), b[9] == 1, int64(le.Uint64(b[10:]))
+	rest := b[headerSize:]
+	for range b[headerSize-1] {
 		if len(rest) < 25 || len(rest) < 25+int(rest[24]) {
 			return Frame{}, errFrame
 		}
@@ -188,7 +188,7 @@
 		f.Purges = append(f.Purges, Purge{int64(le.Uint64(rest)), string(rest[25:n]), int64(le.Uint64(rest[16:])), int64(le.Uint64(rest[8:]))})
 		rest = rest[n:]
 	}
-	if len(rest) > 0 || f.Seen < 0 {
+	if len(rest) > 0 || f.Digest < 0 {
 		return Frame{}, errFrame
 	}
 	return f, nil
--- a/internal/fleet/rejoin/recover.go
+++ b/internal/fleet/rejoin/recover.go
@@ -28,136 +28,136 @@
 	"slices"
 )
 
-const crowd = 4
+const contactsPerInterval = 4
 
 // Settings are times in whole microseconds.
 type Settings struct {
-	First, Most        int64 // between calls while alone
-	Rejoin, RejoinMost int64 // between calls for the lost
-	Differ             int64 // between calls of those who see others
-	Claim, ClaimMost   int64 // between tries of one whose name is taken
+	InitialBackoff, MaxBackoff         int64 // between calls while alone
+	RejoinInterval, MaxRejoinInterval  int64 // between calls for the lost
+	DifferInterval                     int64 // between calls of those who see others
+	InitialNameBackoff, MaxNameBackoff int64 // between tries of one whose name is taken
 }
 
 // Lost is a gateway that is not here and did not say that it goes.
 type Lost struct {
-	Addr  string
-	Since int64 // when it was lost
-	Heard int64 // newest proof of life, by whomever
+	Addr     string
+	LostAt   int64 // when it was lost
+	LastSeen int64 // newest proof of life, by whomever
 }
 
-// Sight is what the view holds, as far as it matters here.
-type Sight struct {
+// Peers is what the view holds, as far as it matters here.
+type Peers struct {
 	Live  []string // addresses of live members but this gateway
 	Lost  []Lost
 	Seeds []string // addresses; those of live members and of this gateway itself count as found
 	Self  string
 }
 
-// Call is an address to call, and why.
-type Call struct{ Addr, Why string }
+// Contact is an address to call, and why.
+type Contact struct{ Addr, Reason string }
 
 // Why a call is made.
 const (
-	Start  = "start"  // alone
-	Rejoin = "rejoin" // lost ones, seeds nobody here has
-	Heard  = "heard"  // a lost one that somebody heard
-	Differ = "differ" // one who sees others
-	Awake  = "awake"  // after standing still
+	ReasonStart   = "start"  // alone
+	ReasonRejoin  = "rejoin" // lost ones, seeds nobody here has
+	ReasonSeen    = "heard"  // a lost one that somebody heard
+	ReasonDiffer  = "differ" // one who sees others
+	ReasonResumed = "awake"  // after standing still
 )
 
-// Desk decides. Use New.
-type Desk struct {
-	set     Settings
-	chance  *rand.Rand
-	next    int64 // the next turn
-	wait    int64 // while alone
-	company int64 // since when it has been in company; 0: alone
-	order   []string
-	called  map[string]int64
-	awake   bool
-	repair  int64 // the next turn for those who differ
-	claimed int64 // when to try again under a name that was taken; 0: it is ours
-	claims  int64 // what was waited last
+// Scheduler decides. Use New.
+type Scheduler struct {
+	settings     Settings
+	rng          *rand.Rand
+	nextAt       int64 // the next turn
+	backoff      int64 // while alone
+	companySince int64 // since when it has been in company; 0: alone
+	queue        []string
+	contactedAt  map[string]int64
+	resumed      bool
+	differAt     int64 // the next turn for those who differ
+	nameRetryAt  int64 // when to try again under a name that was taken; 0: it is ours
+	nameBackoff  int64 // what was waited last
 }
 
 // New makes a desk.
-func New(set Settings, chance *rand.Rand, now int64) *Desk {
-	return &Desk{set: set, chance: chance, next: now, called: map[string]int64{}}
+func New(set Settings, chance *rand.Rand, now int64) *Scheduler {
+	return &Scheduler{settings: set, rng: chance, nextAt: now, contactedAt: map[string]int64{}}
 }
 
-// spread is a time give or take a quarter.
-func (d *Desk) spread(t int64) int64 { return t*3/4 + d.chance.Int64N(t/2+1) }
+// jitter is a time give or take a quarter.
+func (d *Scheduler) jitter(t int64) int64 { return t*3/4 + d.rng.Int64N(t/2+1) }
 
-// Woke takes note that this process stood still.
-func (d *Desk) Woke() { d.awake = true }
+// MarkResumed takes note that this process stood still.
+func (d *Scheduler) MarkResumed() { d.resumed = true }
 
 // Next tells whom to call now, if anybody. differ gives the addresses of live members that see others; it is asked when its turn has
 // come.
-func (d *Desk) Next(now int64, s Sight, differ func() []string) (Call, bool) {
-	if d.claimed > 0 {
-		return Call{}, false
+func (d *Scheduler) Next(now int64, s Peers, differ func() []string) (Contact, bool) {
+	if d.nameRetryAt > 0 {
+		return Contact{}, false
 	}
-	d.tidy(s)
+	d.forgetFound(s)
 	if len(s.Live) == 0 {
-		d.awake, d.company = false, 0
-		return d.alone(now, s)
+		d.resumed, d.companySince = false, 0
+		return d.nextAlone(now, s)
 	}
-	if d.company == 0 {
+	if d.companySince == 0 {
 		// Gateways that start at once find each other in islands: one that is called stops being alone before it made its own
 		// calls, and calls that failed while the others were not up yet say nothing. All that are still missing are due anew.
-		d.company, d.wait, d.order = now, 0, nil
-		clear(d.called)
-		d.next = now + d.chance.Int64N(d.set.First*5+1)
+		d.companySince, d.backoff, d.queue = now, 0, nil
+		clear(d.contactedAt)
+		d.nextAt = now + d.rng.Int64N(d.settings.InitialBackoff*5+1)
 	}
-	if d.awake {
-		d.awake = false
-		return d.call(s.Live[d.chance.IntN(len(s.Live))], Awake, now), true
+	if d.resumed {
+		d.resumed = false
+		return d.contact(s.Live[d.rng.IntN(len(s.Live))], ReasonResumed, now), true
 	}
 	for _, l := range s.Lost {
-		if last, was := d.called[l.Addr]; l.Heard > l.Since && (!was || now-last >= d.set.Rejoin && last < l.Heard) {
-			return d.call(l.Addr, Heard, now), true
+		if last, was := d.contactedAt[l.Addr]; l.LastSeen > l.LostAt && (!was || now-last >= d.settings.RejoinInterval && last < l.LastSeen) {
+			return d.contact(l.Addr, ReasonSeen, now), true
 		}
 	}
-	if now >= d.repair {
-		d.repair = now + d.spread(d.set.Differ)
-		if call, ok := d.one(differ(), Differ, now, s); ok {
+	if now >= d.differAt {
+		d.differAt = now + d.jitter(d.settings.DifferInterval)
+		if call, ok := d.drawOne(differ(), ReasonDiffer, now, s); ok {
 			return call, true
 		}
 	}
-	if now < d.next {
-		return Call{}, false
+	if now < d.nextAt {
+		return Contact{}, false
 	}
-	d.next = now + d.spread(d.set.Rejoin)
-	return d.one(d.due(now, s), Rejoin, now, s)
+	d.nextAt = now + d.jitter(d.settings.RejoinInterval)
+	return d.drawOne(d.due(now, s), ReasonRejoin, now, s)
 }
 
-// one draws whether this gateway calls one of some, so that the fleet as a whole does so crowd times for each of them.
-func (d *Desk) one(of []string, why string, now int64, s Sight) (Call, bool) {
-	if len(of) == 0 || d.chance.Float64()*float64(len(s.Live)+1) >= float64(crowd*len(of)) {
-		return Call{}, false
+// drawOne draws whether this gateway calls one of some, so that the fleet as a whole does so crowd times for each of them.
+func (d *Scheduler) drawOne(of []string, why string, now int64, s Peers) (Contact, bool) {
+	if len(of) == 0 || d.rng.Float64()*float64(len(s.Live)+1) >= float64(contactsPerInterval*len(of)) {
+		return Contact{}, false
 	}
-	return d.call(of[d.chance.IntN(len(of))], why, now), true
+	return d.contact(of[d.rng.IntN(len(of))], why, now), true
 }
 
 // due are the lost ones and missing seeds whose time has come.
-func (d *Desk) due(now int64, s Sight) (due []string) {
+func (d *Scheduler) due(now int64, s Peers) (due []string) {
 	for _, l := range s.Lost {
-		gap := min(max((now-l.Since)/8, d.set.Rejoin), d.set.RejoinMost)
-		if last, was := d.called[l.Addr]; !was || now-last >= gap {
+		gap := min(max((now-l.LostAt)/8, d.settings.RejoinInterval), d.settings.MaxRejoinInterval)
+		if last, was := d.contactedAt[l.Addr]; !was || now-last >= gap {
 			due = append(due, l.Addr)
 		}
 	}
-	for _, addr := range missing(s) {
-		gap := min(max((now-d.company)/8, d.set.Rejoin), d.set.RejoinMost)
-		if last, was := d.called[addr]; !was || now-last >= gap {
+	for _, addr := range missingSeeds(s) {
+		gap := min(max((now-d.companySince)/8, d.settings.RejoinInterval), d.settings.MaxRejoinInterval)
+		if last, was := d.contactedAt[addr]; !was || now-last >= gap {
 			due = append(due, addr)
 		}
 	}
 	return due
 }
 
-// missing are the seeds that no live or lost member has.
-func missing(s Sight) (out []string) {
+// missingSeeds are the seeds that no live or lost member has.
+func missingSeeds(s Peers) (out []string) {
 	for _, addr := range s.Seeds {
 		if addr != s.Self && !slices.Contains(s.Live, addr) && !slices.ContainsFunc(s.Lost, func(l Lost) bool { return l.Addr == addr }) {
 			out = append(out, addr)
@@ -166,74 +166,74 @@
 	return out
 }
 
-// alone goes round all addresses there are.
-func (d *Desk) alone(now int64, s Sight) (Call, bool) {
-	if now < d.next {
-		return Call{}, false
+// nextAlone goes round all addresses there are.
+func (d *Scheduler) nextAlone(now int64, s Peers) (Contact, bool) {
+	if now < d.nextAt {
+		return Contact{}, false
 	}
-	if len(d.order) == 0 {
+	if len(d.queue) == 0 {
 		for _, l := range s.Lost {
-			d.order = append(d.order, l.Addr)
+			d.queue = append(d.queue, l.Addr)
 		}
-		d.order = append(d.order, missing(s)...)
-		d.chance.Shuffle(len(d.order), func(i, j int) { d.order[i], d.order[j] = d.order[j], d.order[i] })
-		if d.wait == 0 {
-			d.wait = d.set.First
+		d.queue = append(d.queue, missingSeeds(s)...)
+		d.rng.Shuffle(len(d.queue), func(i, j int) { d.queue[i], d.queue[j] = d.queue[j], d.queue[i] })
+		if d.backoff == 0 {
+			d.backoff = d.settings.InitialBackoff
 		} else {
-			d.wait = min(2*d.wait, d.set.Most)
+			d.backoff = min(2*d.backoff, d.settings.MaxBackoff)
 		}
 	}
-	d.next = now + d.chance.Int64N(d.wait+1)
-	if len(d.order) == 0 {
-		return Call{}, false
+	d.nextAt = now + d.rng.Int64N(d.backoff+1)
+	if len(d.queue) == 0 {
+		return Contact{}, false
 	}
-	addr := d.order[0]
-	d.order = d.order[1:]
-	return d.call(addr, Start, now), true
+	addr := d.queue[0]
+	d.queue = d.queue[1:]
+	return d.contact(addr, ReasonStart, now), true
 }
 
-func (d *Desk) call(addr, why string, now int64) Call {
-	d.called[addr] = now
-	return Call{addr, why}
+func (d *Scheduler) contact(addr, why string, now int64) Contact {
+	d.contactedAt[addr] = now
+	return Contact{addr, why}
 }
 
-// tidy drops what was called and is found or forgotten since.
-func (d *Desk) tidy(s Sight) {
-	for addr := range d.called {
+// forgetFound drops what was called and is found or forgotten since.
+func (d *Scheduler) forgetFound(s Peers) {
+	for addr := range d.contactedAt {
 		if slices.Contains(s.Live, addr) || !slices.Contains(s.Seeds, addr) &&
 			!slices.ContainsFunc(s.Lost, func(l Lost) bool { return l.Addr == addr }) {
-			delete(d.called, addr)
+			delete(d.contactedAt, addr)
 		}
 	}
 }
 
-// Yields tells whether, of two processes that claim one name, the one with this stamp gives way: the one that started later. Both
+// ShouldDefer tells whether, of two processes that claim one name, the one with this stamp gives way: the one that started later. Both
 // decide alike, whatever their clocks say, since both compare the same two stamps.
-func Yields(own, other uint64) bool { return own > other }
+func ShouldDefer(own, other uint64) bool { return own > other }
 
-// Claimed takes note that another process has this gateway's name, and tells how long to stay away.
-func (d *Desk) Claimed(now int64) (wait int64) {
-	if d.claims == 0 {
-		d.claims = d.set.Claim
+// DeferName takes note that another process has this gateway's name, and tells how long to stay away.
+func (d *Scheduler) DeferName(now int64) (wait int64) {
+	if d.nameBackoff == 0 {
+		d.nameBackoff = d.settings.InitialNameBackoff
 	} else {
-		d.claims = min(2*d.claims, d.set.ClaimMost)
+		d.nameBackoff = min(2*d.nameBackoff, d.settings.MaxNameBackoff)
 	}
-	wait = d.spread(d.claims)
-	d.claimed = now + wait
+	wait = d.jitter(d.nameBackoff)
+	d.nameRetryAt = now + wait
 	return wait
 }
 
-// Reclaim tells whether it is time to try again under the name.
-func (d *Desk) Reclaim(now int64) bool {
-	if d.claimed == 0 || now < d.claimed {
+// ReclaimName tells whether it is time to try again under the name.
+func (d *Scheduler) ReclaimName(now int64) bool {
+	if d.nameRetryAt == 0 || now < d.nameRetryAt {
 		return false
 	}
-	d.claimed, d.next, d.order = 0, now, nil
+	d.nameRetryAt, d.nextAt, d.queue = 0, now, nil
 	return true
 }
 
-// Away tells whether this gateway gave way to another process of its name and waits.
-func (d *Desk) Away() bool { return d.claimed > 0 }
+// HasDeferred tells whether this gateway gave way to another process of its name and waits.
+func (d *Scheduler) HasDeferred() bool { return d.nameRetryAt > 0 }
 
-// Called is how many addresses the desk keeps in mind.
-func (d *Desk) Called() int { return len(d.called) }
+// ContactedCount is how many addresses the desk keeps in mind.
+func (d *Scheduler) ContactedCount() int { return len(d.contactedAt) }
--- a/internal/fleet/transport/link.go
+++ b/internal/fleet/transport/link.go
@@ -22,36 +22,36 @@
 )
 
 const (
-	mostPackets  = 512
-	mostStreams  = 32
-	largest      = 65536
-	socketBuffer = 1 << 20 // of datagrams, so that a burst while the process stands still is not lost for nothing
-	pause        = 50 * time.Millisecond
+	maxQueuedPackets = 512
+	maxOpenStreams   = 32
+	maxPacketBytes   = 65536
+	readBufferBytes  = 1 << 20 // of datagrams, so that a burst while the process stands still is not lost for nothing
+	errorPause       = 50 * time.Millisecond
 )
 
 // Counts are what went by since the process started. One may serve several Links, one after the other.
 type Counts struct {
-	PacketsIn, PacketsOut, BytesIn, BytesOut       atomic.Uint64 // datagrams, and their bytes without heads
-	StreamsIn, StreamsOut, StreamBytes, StreamFail atomic.Uint64 // streams; bytes of both directions
-	Dropped                                        atomic.Uint64 // by a bound
+	PacketsIn, PacketsOut, BytesIn, BytesOut          atomic.Uint64 // datagrams, and their bytes without heads
+	StreamsIn, StreamsOut, StreamBytes, StreamsFailed atomic.Uint64 // streams; bytes of both directions
+	Dropped                                           atomic.Uint64 // by a bound
 }
 
-// Link is one open address.
-type Link struct {
-	log       *slog.Logger
-	udp       *net.UDPConn
-	tcp       *net.TCPListener
-	advertise netip.AddrPort
-	counts    *Counts
-	packets   chan *memberlist.Packet
-	streams   chan net.Conn
-	open      chan struct{} // has room for streams let in
-	over      atomic.Bool
-	wait      sync.WaitGroup
+// Transport is one open address.
+type Transport struct {
+	log         *slog.Logger
+	udp         *net.UDPConn
+	tcp         *net.TCPListener
+	advertise   netip.AddrPort
+	counts      *Counts
+	packets     chan *memberlist.Packet
+	streams     chan net.Conn
+	streamSlots chan struct{} // has room for streams let in
+	closed      atomic.Bool
+	goroutines  sync.WaitGroup
 }
 
-// Open listens for datagrams and streams at an address, an IP and a port above 0; others are told advertise.
-func Open(listen, advertise netip.AddrPort, counts *Counts, log *slog.Logger) (*Link, error) {
+// Listen listens for datagrams and streams at an address, an IP and a port above 0; others are told advertise.
+func Listen(listen, advertise netip.AddrPort, counts *Counts, log *slog.Logger) (*Transport, error) {
 	udp, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(listen))
 	if err != nil {
 		return nil, fmt.Errorf("fleet.listen: %w; name a free address and port of this machine", err)
@@ -61,27 +61,27 @@
 		udp.Close()
 		return nil, fmt.Errorf("fleet.listen: %w; name a free address and port of this machine", err)
 	}
-	udp.SetReadBuffer(socketBuffer) // best effort: the kernel may allow less
-	l := &Link{log: log, udp: udp, tcp: tcp, advertise: advertise, counts: counts,
-		packets: make(chan *memberlist.Packet, mostPackets), streams: make(chan net.Conn), open: make(chan struct{}, mostStreams)}
-	l.wait.Add(2)
-	go l.read()
-	go l.accept()
+	udp.SetReadBuffer(readBufferBytes) // best effort: the kernel may allow less
+	l := &Transport{log: log, udp: udp, tcp: tcp, advertise: advertise, counts: counts,
+		packets: make(chan *memberlist.Packet, maxQueuedPackets), streams: make(chan net.Conn), streamSlots: make(chan struct{}, maxOpenStreams)}
+	l.goroutines.Add(2)
+	go l.readPackets()
+	go l.acceptStreams()
 	return l, nil
 }
 
-func (l *Link) read() {
-	defer l.wait.Done()
-	buf := make([]byte, largest)
+func (l *Transport) readPackets() {
+	defer l.goroutines.Done()
+	buf := make([]byte, maxPacketBytes)
 	for {
 		n, from, err := l.udp.ReadFromUDP(buf)
 		at := time.Now()
 		if err != nil {
-			if l.over.Load() || errors.Is(err, net.ErrClosed) {
+			if l.closed.Load() || errors.Is(err, net.ErrClosed) {
 				return
 			}
 			l.log.Warn("fleet_read_failed", "text", err.Error())
-			time.Sleep(pause)
+			time.Sleep(errorPause)
 			continue
 		}
 		if n == 0 {
@@ -97,27 +97,27 @@
 	}
 }
 
-func (l *Link) accept() {
-	defer l.wait.Done()
+func (l *Transport) acceptStreams() {
+	defer l.goroutines.Done()
 	for {
 		conn, err := l.tcp.AcceptTCP()
 		if err != nil {
-			if l.over.Load() || errors.Is(err, net.ErrClosed) {
+			if l.closed.Load() || errors.Is(err, net.ErrClosed) {
 				return
 			}
 			l.log.Warn("fleet_accept_failed", "text", err.Error())
-			time.Sleep(pause)
+			time.Sleep(errorPause)
 			continue
 		}
 		select {
-		case l.open <- struct{}{}:
+		case l.streamSlots <- struct{}{}:
 		default:
 			l.counts.Dropped.Add(1)
 			conn.Close()
 			continue
 		}
 		l.counts.StreamsIn.Add(1)
-		s := &stream{Conn: conn, counts: l.counts, done: func() { <-l.open }}
+		s := &stream{Conn: conn, counts: l.counts, release: func() { <-l.streamSlots }}
 		select {
 		case l.streams <- s:
 		case <-time.After(time.Second): // the detector takes no more: it is being stopped
@@ -129,9 +129,9 @@
 // stream counts bytes, and gives its place back at its first Close.
 type stream struct {
 	net.Conn
-	counts *Counts
-	once   sync.Once
-	done   func()
+	counts      *Counts
+	releaseOnce sync.Once
+	release     func()
 }
 
 func (s *stream) Read(b []byte) (int, error) {
@@ -148,17 +148,17 @@
 
 func (s *stream) Close() error {
 	err := s.Conn.Close()
-	s.once.Do(s.done)
+	s.releaseOnce.Do(s.release)
 	return err
 }
 
 // FinalAdvertiseAddr is the address that others are told, whatever the detector was given.
-func (l *Link) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
+func (l *Transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	return net.IP(l.advertise.Addr().AsSlice()), int(l.advertise.Port()), nil
 }
 
 // WriteTo sends a datagram.
-func (l *Link) WriteTo(b []byte, addr string) (time.Time, error) {
+func (l *Transport) WriteTo(b []byte, addr string) (time.Time, error) {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return time.Time{}, err
@@ -170,38 +170,38 @@
 }
 
 // WriteToAddress sends a datagram to a named gateway; the address alone counts.
-func (l *Link) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
+func (l *Transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	return l.WriteTo(b, a.Addr)
 }
 
 // PacketCh gives datagrams as they come.
-func (l *Link) PacketCh() <-chan *memberlist.Packet { return l.packets }
+func (l *Transport) PacketCh() <-chan *memberlist.Packet { return l.packets }
 
 // DialTimeout opens a stream from this gateway's own address.
-func (l *Link) DialTimeout(addr string, within time.Duration) (net.Conn, error) {
+func (l *Transport) DialTimeout(addr string, within time.Duration) (net.Conn, error) {
 	own := l.udp.LocalAddr().(*net.UDPAddr)
 	d := net.Dialer{Timeout: within, LocalAddr: &net.TCPAddr{IP: own.IP}}
 	conn, err := d.DialContext(context.Background(), "tcp", addr)
 	l.counts.StreamsOut.Add(1)
 	if err != nil {
-		l.counts.StreamFail.Add(1)
+		l.counts.StreamsFailed.Add(1)
 		return nil, err
 	}
-	return &stream{Conn: conn, counts: l.counts, done: func() {}}, nil
+	return &stream{Conn: conn, counts: l.counts, release: func() {}}, nil
 }
 
 // DialAddressTimeout opens a stream to a named gateway; the address alone counts.
-func (l *Link) DialAddressTimeout(a memberlist.Address, within time.Duration) (net.Conn, error) {
+func (l *Transport) DialAddressTimeout(a memberlist.Address, within time.Duration) (net.Conn, error) {
 	return l.DialTimeout(a.Addr, within)
 }
 
 // StreamCh gives streams as they come.
-func (l *Link) StreamCh() <-chan net.Conn { return l.streams }
+func (l *Transport) StreamCh() <-chan net.Conn { return l.streams }
 
 // Shutdown closes the address and waits for its goroutines.
-func (l *Link) Shutdown() error {
-	l.over.Store(true)
+func (l *Transport) Shutdown() error {
+	l.closed.Store(true)
 	err := errors.Join(l.udp.Close(), l.tcp.Close())
-	l.wait.Wait()
+	l.goroutines.Wait()
 	return err
 }
