--- a/internal/fleet/transport/link_test.go
+++ b/internal/fleet/transport/link_test.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-func open(t *testing.T, host int, counts *Counts) (*Link, string) {
+func listen(t *testing.T, host int, counts *Counts) (*Transport, string) {
 	t.Helper()
 	at := netip.MustParseAddrPort(fmt.Sprintf("127.%d.%d.%d:7946", 200+os.Getpid()>>8%40, os.Getpid()%250, host))
-	l, err := Open(at, at, counts, slog.New(slog.DiscardHandler))
+	l, err := Listen(at, at, counts, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,10 +23,10 @@
 	return l, at.String()
 }
 
-func TestDatagramsAndStreamsComeFromTheGatewaysOwnAddress(t *testing.T) {
+func TestPacketsAndStreamsComeFromTheListenAddress(t *testing.T) {
 	var ca, cb Counts
-	a, atA := open(t, 1, &ca)
-	b, atB := open(t, 2, &cb)
+	a, atA := listen(t, 1, &ca)
+	b, atB := listen(t, 2, &cb)
 	if _, err := a.WriteTo([]byte("hello"), atB); err != nil {
 		t.Fatal(err)
 	}
@@ -54,11 +54,11 @@
 	}
 }
 
-func TestWhatNobodyTakesIsDroppedAndCounted(t *testing.T) {
+func TestUnreadPacketsAreDroppedAndCounted(t *testing.T) {
 	var ca, cb Counts
-	a, _ := open(t, 3, &ca)
-	_, atB := open(t, 4, &cb)
-	for range mostPackets + 200 {
+	a, _ := listen(t, 3, &ca)
+	_, atB := listen(t, 4, &cb)
+	for range maxQueuedPackets + 200 {
 		a.WriteTo([]byte("x"), atB)
 		time.Sleep(20 * time.Microsecond)
 	}
@@ -69,10 +69,10 @@
 	}
 }
 
-func TestAnAddressInUseIsToldWithItsSetting(t *testing.T) {
+func TestAddressInUseNamesTheSetting(t *testing.T) {
 	var c Counts
-	_, at := open(t, 5, &c)
-	_, err := Open(netip.MustParseAddrPort(at), netip.MustParseAddrPort(at), &c, slog.Default())
+	_, at := listen(t, 5, &c)
+	_, err := Listen(netip.MustParseAddrPort(at), netip.MustParseAddrPort(at), &c, slog.Default())
 	if err == nil || !bytes.Contains([]byte(err.Error()), []byte("fleet.listen")) {
 		t.Error(err)
 	}
--- a/internal/fleet/view/cost_test.go
+++ b/internal/fleet/view/cost_test.go
@@ -12,40 +12,40 @@
 var sizes = []int{12, 50, 200, 500, 1000, 2000, 3900}
 
 func gateway(i int) ID {
-	return ID{Name: fmt.Sprintf("r%02d-z%02d-s%03d-g%02d", i/325, i/156, i/13, i%13), Addr: fmt.Sprintf("10.%d.%d.%d:7946", i>>16, i>>8&255, i&255), Stamp: uint64(i) + 1}
+	return ID{Name: fmt.Sprintf("r%02d-z%02d-s%03d-g%02d", i/325, i/156, i/13, i%13), Addr: fmt.Sprintf("10.%d.%d.%d:7946", i>>16, i>>8&255, i&255), Incarnation: uint64(i) + 1}
 }
 
-// full is a view of n gateways, self among them.
-func full(t testing.TB, n int) *View {
-	v := New(gateway(0), Settings{Most: 4096, Reap: 3600 * second, Settle: second, Evident: 30 * second}, 1)
+// viewOfSize is a view of n gateways, self among them.
+func viewOfSize(t testing.TB, n int) *View {
+	v := New(gateway(0), Settings{MaxMembers: 4096, ReapAfter: 3600 * second, SettleAfter: second, EvidenceMaxAge: 30 * second}, 1)
 	for i := 1; i < n; i++ {
 		v.Join(gateway(i), gateway(i).Name, 1)
 	}
-	if v.Count() != n {
-		t.Fatalf("%d members of %d", v.Count(), n)
+	if v.LiveCount() != n {
+		t.Fatalf("%d members of %d", v.LiveCount(), n)
 	}
 	return v
 }
 
 func TestCostMembers(t *testing.T) {
 	costs.Take(t, cost.Figure{Name: "view-heap", Title: "fleet/view: heap of the view alone", X: "gateways", Y: "bytes", Budget: 8 << 20, Of: "the view, 8 MB of 128", At: 3900}, sizes,
-		func(n int) float64 { return cost.Heap(func() any { return full(t, n) }) })
+		func(n int) float64 { return cost.Heap(func() any { return viewOfSize(t, n) }) })
 }
 
 // The join of all, as a gateway hears it at its start.
 func TestCostJoins(t *testing.T) {
 	costs.Take(t, cost.Figure{Name: "view-joins", Title: "fleet/view: processor time of the join of all", X: "gateways", Y: "us of a core", Budget: 210000,
-		Of: "2.1% of a core for 10 s", At: 3900}, sizes, func(n int) float64 { return costs.Micros(func(int) { full(t, n) }) })
+		Of: "2.1% of a core for 10 s", At: 3900}, sizes, func(n int) float64 { return costs.Micros(func(int) { viewOfSize(t, n) }) })
 }
 
 // A member dies or comes back, and the digest after it.
 func TestCostChange(t *testing.T) {
 	costs.Take(t, cost.Figure{Name: "view-change", Title: "fleet/view: processor time of a member's change with the digest after it", X: "gateways", Y: "us of a core",
 		Budget: 4000, Of: "a change, 0.4% of a core at one a second", At: 3900}, sizes, func(n int) float64 {
-		v := full(t, n)
+		v := viewOfSize(t, n)
 		return costs.Micros(func(i int) {
 			if m := gateway(1 + i/2%(n-1)); i%2 == 0 {
-				v.Gone(m.Name, false, int64(i+2))
+				v.MarkGone(m.Name, false, int64(i+2))
 			} else {
 				v.Join(m, m.Name, int64(i+2))
 			}
@@ -55,20 +55,20 @@
 }
 
 // A frame of words made, and one taken, in a fleet at rest.
-func TestCostWords(t *testing.T) {
+func TestCostHeartbeatFrames(t *testing.T) {
 	costs.Take(t, cost.Figure{Name: "view-words", Title: "fleet/view: processor time of a frame of words made", X: "gateways", Y: "us of a core", Budget: 800,
 		Of: "a frame, 0.4% of a core at 5/s", At: 3900}, sizes, func(n int) float64 {
-		v := full(t, n)
+		v := viewOfSize(t, n)
 		return costs.Micros(func(int) {
-			if len(v.Words(1400, 2)) < wordsHead+n/8 {
+			if len(v.HeartbeatFrame(1400, 2)) < headerSize+n/8 {
 				t.Fatal("no words")
 			}
 		})
 	})
 	costs.Take(t, cost.Figure{Name: "view-take", Title: "fleet/view: processor time of a frame of words taken", X: "gateways", Y: "us of a core", Budget: 800,
 		Of: "a frame, 0.4% of a core at 5/s", At: 3900}, sizes, func(n int) float64 {
-		v := full(t, n)
-		other := New(gateway(1), v.set, 1)
+		v := viewOfSize(t, n)
+		other := New(gateway(1), v.settings, 1)
 		for i := range n {
 			if i != 1 {
 				other.Join(gateway(i), gateway(i).Name, 1)
@@ -76,10 +76,10 @@
 		}
 		var frames [64][]byte
 		for i := range frames {
-			frames[i] = other.Words(1400, 2)
+			frames[i] = other.HeartbeatFrame(1400, 2)
 		}
 		return costs.Micros(func(i int) {
-			if _, err := v.Take(frames[i%len(frames)], int64(i+3)); err != nil {
+			if _, err := v.MergeHeartbeat(frames[i%len(frames)], int64(i+3)); err != nil {
 				t.Fatal(err)
 			}
 		})
@@ -90,9 +90,9 @@
 func TestCostLook(t *testing.T) {
 	costs.Take(t, cost.Figure{Name: "view-look", Title: "fleet/view: processor time of a look at the live members, their number and the own rank", X: "gateways",
 		Y: "us of a core", Budget: 500, Of: "a look, 0.2% of a core at 4/s", At: 3900}, sizes, func(n int) float64 {
-		v := full(t, n)
+		v := viewOfSize(t, n)
 		return costs.Micros(func(int) {
-			if seen, _ := v.Size(); len(v.Live()) != n || seen != n || v.Rank() >= n {
+			if seen, _ := v.Size(); len(v.LiveNames()) != n || seen != n || v.Rank() >= n {
 				t.Fatal("not all are seen")
 			}
 		})
--- a/internal/fleet/view/frozen_test.go
+++ b/internal/fleet/view/frozen_test.go
@@ -9,30 +9,30 @@
 // frozenFleet is a settled fleet of four in which d is suspected by a.
 func frozenFleet(t *testing.T) []*View {
 	t.Helper()
-	all := fleetOf("a", "b", "c", "d")
-	tell(t, 2*second, all...)
-	all[0].Accuse("d", "a", 5*second, 5*second)
+	all := viewsOf("a", "b", "c", "d")
+	exchangeHeartbeats(t, 2*second, all...)
+	all[0].RecordFailedProbe("d", "a", 5*second, 5*second)
 	return all
 }
 
 // Heartbeat records that released builds sent are read, and written to the same bytes.
 func TestFrozenFramesKeepTheirBytes(t *testing.T) {
 	all := frozenFleet(t)
-	frozen.Equal(t, "heartbeat.frame", all[0].Words(MostWords, 6*second))
-	frozen.Equal(t, "heartbeat-short.frame", all[1].Words(wordsHead+1+wordSize, 6*second))
-	alone := New(id("a"), Settings{Most: 4, Settle: second, Evident: 30 * second, Reap: 3600 * second}, 1)
-	frozen.Equal(t, "heartbeat-alone.frame", alone.Words(MostWords, 6*second))
+	frozen.Equal(t, "heartbeat.frame", all[0].HeartbeatFrame(MaxFrameBytes, 6*second))
+	frozen.Equal(t, "heartbeat-short.frame", all[1].HeartbeatFrame(headerSize+1+recordSize, 6*second))
+	alone := New(testID("a"), Settings{MaxMembers: 4, SettleAfter: second, EvidenceMaxAge: 30 * second, ReapAfter: 3600 * second}, 1)
+	frozen.Equal(t, "heartbeat-alone.frame", alone.HeartbeatFrame(MaxFrameBytes, 6*second))
 
 	for _, name := range []string{"heartbeat.frame", "heartbeat-short.frame", "heartbeat-alone.frame"} {
-		if _, err := all[2].Take(frozen.Read(t, name), 7*second); err != nil {
+		if _, err := all[2].MergeHeartbeat(frozen.Read(t, name), 7*second); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	d, _ := all[2].Get("d")
-	if d.State != Suspect || d.Accuser != "a" || d.Accused != 6*second {
-		t.Errorf("d is held %v, accused by %q at %d", d.State, d.Accuser, d.Accused)
+	if d.State != Suspect || d.ProbeFailedBy != "a" || d.ProbeFailedAt != 6*second {
+		t.Errorf("d is held %v, accused by %q at %d", d.State, d.ProbeFailedBy, d.ProbeFailedAt)
 	}
-	if b, _ := all[2].Get("b"); b.Heard != 7*second || b.Digest != all[2].Digest() {
-		t.Errorf("b was heard at %d with digest %08x, here it is %08x", b.Heard, b.Digest, all[2].Digest())
+	if b, _ := all[2].Get("b"); b.LastSeen != 7*second || b.Digest != all[2].Digest() {
+		t.Errorf("b was heard at %d with digest %08x, here it is %08x", b.LastSeen, b.Digest, all[2].Digest())
 	}
 }
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -30,50 +30,50 @@
 type State int
 
 const (
-	Unheard State = iota // known from disk or a seed, never seen by this process
+	NeverSeen State = iota // known from disk or a seed, never seen by this process
 	Alive
 	Suspect // held alive by the detector, but a probe of it failed after it was last heard
 	Dead    // the detector gave it up
 	Left    // it said that it goes
 )
 
-var names = [...]string{"unheard", "alive", "suspect", "dead", "left"}
+var stateNames = [...]string{"unheard", "alive", "suspect", "dead", "left"}
 
-func (s State) String() string { return names[s] }
+func (s State) String() string { return stateNames[s] }
 
 // MarshalText writes the state as a word.
-func (s State) MarshalText() ([]byte, error) { return []byte(names[s]), nil }
+func (s State) MarshalText() ([]byte, error) { return []byte(stateNames[s]), nil }
 
 // UnmarshalText reads the word.
 func (s *State) UnmarshalText(text []byte) error {
-	*s = State(max(0, slices.Index(names[:], string(text))))
+	*s = State(max(0, slices.Index(stateNames[:], string(text))))
 	return nil
 }
 
-// Live tells whether the member counts as there: the next decisions act on it.
-func (s State) Live() bool { return s == Alive || s == Suspect }
+// IsLive tells whether the member counts as there: the next decisions act on it.
+func (s State) IsLive() bool { return s == Alive || s == Suspect }
 
 // ID is one process under a name. Stamp is unlike that of any process before it under the name; the lesser one started first.
 type ID struct {
-	Name  string `json:"name"`
-	Addr  string `json:"addr"`
-	Stamp uint64 `json:"stamp"`
-	Place Place  `json:"place,omitzero"`
+	Name        string   `json:"name"`
+	Addr        string   `json:"addr"`
+	Incarnation uint64   `json:"stamp"`
+	Locality    Locality `json:"place,omitzero"`
 }
 
-// Place is where a gateway stands, as its operators name it; all empty: not told. Nothing is decided by the names, only by which
+// Locality is where a gateway stands, as its operators name it; all empty: not told. Nothing is decided by the names, only by which
 // gateways share them.
-type Place struct {
+type Locality struct {
 	Region string `json:"region,omitempty"`
 	Zone   string `json:"zone,omitempty"`
 	Site   string `json:"site,omitempty"`
 }
 
-// Key stands for a name in words: a 64-bit hash. Two names of one fleet that share a key are refused (Join).
-func Key(name string) uint64 { return xxhash.Sum64String(name) }
+// NameKey stands for a name in words: a 64-bit hash. Two names of one fleet that share a key are refused (Join).
+func NameKey(name string) uint64 { return xxhash.Sum64String(name) }
 
-// Said is one thing somebody said of a member, for explaining.
-type Said struct {
+// Evidence is one thing somebody said of a member, for explaining.
+type Evidence struct {
 	At   int64  `json:"at_us"` // whole microseconds of this process's clock
 	By   string `json:"by"`
 	What string `json:"what"`
@@ -82,128 +82,128 @@
 // Member is what the view holds of one gateway. Times are whole microseconds of this process's clock.
 type Member struct {
 	ID
-	State    State  `json:"state"`
-	Since    int64  `json:"since_us"` // when the state was taken
-	Heard    int64  `json:"heard_us"` // newest proof of life
-	By       string `json:"by"`       // whose proof that was
-	Accused  int64  `json:"-"`        // newest failed probe that was told
-	Accuser  string `json:"-"`
-	Digest   uint32 `json:"digest"`    // its last word to this gateway itself on whom it sees
-	DigestAt int64  `json:"digest_us"` // when that came
-	Restarts int    `json:"restarts"`  // new stamps seen under the name
-	Deaths   int    `json:"deaths"`
-	Wrong    int    `json:"wrong"` // deaths after which the same process came back
-	doubt    int64  // when words cleared a suspicion that the detector may still hold; 0: none
-	asked    int    // times it was asked to speak up since
-	said     []Said
-}
-
-// Said is what was said of the member, oldest first.
-func (m Member) Said() []Said { return m.said }
+	State          State  `json:"state"`
+	Since          int64  `json:"since_us"` // when the state was taken
+	LastSeen       int64  `json:"heard_us"` // newest proof of life
+	LastSeenBy     string `json:"by"`       // whose proof that was
+	ProbeFailedAt  int64  `json:"-"`        // newest failed probe that was told
+	ProbeFailedBy  string `json:"-"`
+	Digest         uint32 `json:"digest"`    // its last word to this gateway itself on whom it sees
+	DigestAt       int64  `json:"digest_us"` // when that came
+	Restarts       int    `json:"restarts"`  // new stamps seen under the name
+	Deaths         int    `json:"deaths"`
+	FalseDeaths    int    `json:"wrong"` // deaths after which the same process came back
+	clearedAt      int64  // when words cleared a suspicion that the detector may still hold; 0: none
+	refuteRequests int    // times it was asked to speak up since
+	evidence       []Evidence
+}
+
+// Evidence is what was said of the member, oldest first.
+func (m Member) Evidence() []Evidence { return m.evidence }
 
 // Change is one change of a member's state.
 type Change struct {
-	Name     string
-	Was, Now State
-	New      bool // the member was not held before
-	By, Why  string
-	Held     int64 // for how long the state before was held
-	Silence  int64 // since the newest proof of life
+	Name       string
+	From, To   State
+	IsNew      bool // the member was not held before
+	By, Reason string
+	HeldFor    int64 // for how long the state before was held
+	SilentFor  int64 // since the newest proof of life
 }
 
 // Settings bound the view; times in whole microseconds.
 type Settings struct {
-	Most    int   // members held, self included
-	Expect  int   // gateways that the operators say there are; 0: not said
-	Reap    int64 // the dead and the left are forgotten so long after
-	Settle  int64 // no change for so long before the view can have settled
-	Evident int64 // words older than this are not passed on
+	MaxMembers      int   // members held, self included
+	ExpectedMembers int   // gateways that the operators say there are; 0: not said
+	ReapAfter       int64 // the dead and the left are forgotten so long after
+	SettleAfter     int64 // no change for so long before the view can have settled
+	EvidenceMaxAge  int64 // words older than this are not passed on
 }
 
 const (
-	lastSaid = 16 // words kept a member
-	mostAsks = 3
+	maxEvidence       = 16 // words kept a member
+	maxRefuteRequests = 3
 )
 
 // View is one gateway's view. Use New.
 type View struct {
-	self    string
-	set     Settings
-	members map[string]*Member
-	keys    map[uint64]string
-	version uint64
-	changed int64  // when the set of live members last changed
-	stirred int64  // when that, or a suspicion, was last news
-	live    int    // how many are in it
-	digest  uint32 // of that set, if it is known
-	known   bool
+	self          string
+	settings      Settings
+	members       map[string]*Member
+	nameByKey     map[uint64]string
+	version       uint64
+	liveChangedAt int64  // when the set of live members last changed
+	unsettledAt   int64  // when that, or a suspicion, was last news
+	liveCount     int    // how many are in it
+	digest        uint32 // of that set, if it is known
+	digestKnown   bool
 	agreement
-	settled bool
-	from    int64 // what the settling under way began with
-	turn    uint64
+	settled       bool
+	settlingSince int64 // what the settling under way began with
+	rotation      uint64
 }
 
 // New starts a view that holds only self.
 func New(self ID, set Settings, now int64) *View {
-	set.Most = max(1, set.Most)
-	v := &View{self: self.Name, set: set, members: map[string]*Member{}, keys: map[uint64]string{Key(self.Name): self.Name}}
-	v.members[self.Name] = &Member{ID: self, State: Alive, Since: now, Heard: now, By: self.Name}
-	v.mark(now)
+	set.MaxMembers = max(1, set.MaxMembers)
+	v := &View{self: self.Name, settings: set, members: map[string]*Member{}, nameByKey: map[uint64]string{NameKey(self.Name): self.Name}}
+	v.members[self.Name] = &Member{ID: self, State: Alive, Since: now, LastSeen: now, LastSeenBy: self.Name}
+	v.liveSetChanged(now)
 	return v
 }
 
 // Self is this gateway's name.
 func (v *View) Self() string { return v.self }
 
-func (m *Member) say(now int64, by, what string) {
-	if len(m.said) > 0 && m.said[len(m.said)-1].By == by && m.said[len(m.said)-1].What == what {
-		m.said[len(m.said)-1].At = now
+func (m *Member) addEvidence(now int64, by, what string) {
+	if len(m.evidence) > 0 && m.evidence[len(m.evidence)-1].By == by && m.evidence[len(m.evidence)-1].What == what {
+		m.evidence[len(m.evidence)-1].At = now
 		return
 	}
-	if len(m.said) == lastSaid {
-		m.said = slices.Delete(m.said, 0, 1)
+	if len(m.evidence) == maxEvidence {
+		m.evidence = slices.Delete(m.evidence, 0, 1)
 	}
-	m.said = append(m.said, Said{now, by, what})
+	m.evidence = append(m.evidence, Evidence{now, by, what})
 }
 
-// turnTo moves a member to a state.
-func (v *View) turnTo(m *Member, to State, by, why string, now int64) Change {
-	c := Change{Name: m.Name, Was: m.State, Now: to, By: by, Why: why, Held: now - m.Since, Silence: now - m.Heard}
+// transition moves a member to a state.
+func (v *View) transition(m *Member, to State, by, why string, now int64) Change {
+	c := Change{Name: m.Name, From: m.State, To: to, By: by, Reason: why, HeldFor: now - m.Since, SilentFor: now - m.LastSeen}
 	was := m.State
 	m.State, m.Since = to, now
-	m.say(now, by, to.String()+": "+why)
+	m.addEvidence(now, by, to.String()+": "+why)
 	v.version++
-	v.stirred = now
-	if was.Live() != to.Live() {
-		v.mark(now)
+	v.unsettledAt = now
+	if was.IsLive() != to.IsLive() {
+		v.liveSetChanged(now)
 	}
 	return c
 }
 
-// mark takes note that the live set is another one.
-func (v *View) mark(now int64) {
+// liveSetChanged takes note that the live set is another one.
+func (v *View) liveSetChanged(now int64) {
 	v.version++
-	v.changed, v.stirred = now, now
-	if v.settled || v.from == 0 {
-		v.from = now
+	v.liveChangedAt, v.unsettledAt = now, now
+	if v.settled || v.settlingSince == 0 {
+		v.settlingSince = now
 	}
-	v.settled, v.known = false, false
-	v.anew()
-	v.live = 0
+	v.settled, v.digestKnown = false, false
+	v.startGeneration()
+	v.liveCount = 0
 	for _, m := range v.members {
-		if m.State.Live() {
-			v.live++
+		if m.State.IsLive() {
+			v.liveCount++
 		}
 	}
 }
 
-// sum is a digest of the live set: names with stamps, sorted.
-func (v *View) sum() uint32 {
+// computeDigest is a digest of the live set: names with stamps, sorted.
+func (v *View) computeDigest() uint32 {
 	h := xxhash.New()
 	var b [8]byte
-	for _, name := range v.Live() {
+	for _, name := range v.LiveNames() {
 		h.WriteString(name)
-		binary.LittleEndian.PutUint64(b[:], v.members[name].Stamp)
+		binary.LittleEndian.PutUint64(b[:], v.members[name].Incarnation)
 		h.Write(b[:])
 	}
 	return uint32(h.Sum64())
@@ -217,24 +217,24 @@
 	KeyTaken Refusal = "key_taken" // its name has the key of another's
 )
 
-// Admits tells whether a gateway could be taken; "" if so. Dead and left members give way to a live one.
-func (v *View) Admits(name string) Refusal {
+// RefusalOf tells whether a gateway could be taken; "" if so. Dead and left members give way to a live one.
+func (v *View) RefusalOf(name string) Refusal {
 	if v.members[name] != nil {
 		return ""
 	}
-	if other, taken := v.keys[Key(name)]; taken && other != name {
+	if other, taken := v.nameByKey[NameKey(name)]; taken && other != name {
 		return KeyTaken
 	}
-	if len(v.members) >= v.set.Most && v.oldest() == nil {
+	if len(v.members) >= v.settings.MaxMembers && v.longestGone() == nil {
 		return Full
 	}
 	return ""
 }
 
-// oldest is the member that is not live and has been so the longest.
-func (v *View) oldest() (least *Member) {
+// longestGone is the member that is not live and has been so the longest.
+func (v *View) longestGone() (least *Member) {
 	for _, m := range v.members {
-		if m.State.Live() || m.Name == v.self {
+		if m.State.IsLive() || m.Name == v.self {
 			continue
 		}
 		if least == nil || cmp.Or(cmp.Compare(m.Since, least.Since), cmp.Compare(m.Name, least.Name)) < 0 {
@@ -245,28 +245,28 @@
 }
 
 func (v *View) add(id ID, state State, now int64) *Member {
-	if len(v.members) >= v.set.Most { // a join storm right after many deaths must find room: the longest dead goes
-		v.forget(v.oldest())
+	if len(v.members) >= v.settings.MaxMembers { // a join storm right after many deaths must find room: the longest dead goes
+		v.forget(v.longestGone())
 	}
-	m := &Member{ID: id, State: state, Since: now, Heard: now}
+	m := &Member{ID: id, State: state, Since: now, LastSeen: now}
 	v.members[id.Name] = m
-	v.keys[Key(id.Name)] = id.Name
+	v.nameByKey[NameKey(id.Name)] = id.Name
 	return m
 }
 
 func (v *View) forget(m *Member) {
 	delete(v.members, m.Name)
-	delete(v.keys, Key(m.Name))
+	delete(v.nameByKey, NameKey(m.Name))
 	v.version++
 }
 
-// Know takes a member from disk: it is unheard until the detector finds it. Its place is the first to be given up.
-func (v *View) Know(id ID, now int64) bool {
-	if v.members[id.Name] != nil || v.Admits(id.Name) != "" || len(v.members) >= v.set.Most {
+// AddKnown takes a member from disk: it is unheard until the detector finds it. Its place is the first to be given up.
+func (v *View) AddKnown(id ID, now int64) bool {
+	if v.members[id.Name] != nil || v.RefusalOf(id.Name) != "" || len(v.members) >= v.settings.MaxMembers {
 		return false
 	}
-	m := v.add(id, Unheard, now)
-	m.say(now, v.self, "known from disk")
+	m := v.add(id, NeverSeen, now)
+	m.addEvidence(now, v.self, "known from disk")
 	v.version++
 	return true
 }
@@ -278,39 +278,39 @@
 	}
 	m := v.members[id.Name]
 	if m == nil {
-		if v.Admits(id.Name) != "" {
+		if v.RefusalOf(id.Name) != "" {
 			return nil
 		}
 		m = v.add(id, Alive, now)
-		m.By = by
-		m.say(now, by, "alive: joined")
-		v.mark(now)
-		return []Change{{Name: id.Name, Was: Unheard, Now: Alive, New: true, By: by, Why: "joined"}}
+		m.LastSeenBy = by
+		m.addEvidence(now, by, "alive: joined")
+		v.liveSetChanged(now)
+		return []Change{{Name: id.Name, From: NeverSeen, To: Alive, IsNew: true, By: by, Reason: "joined"}}
 	}
 	why := "joined"
 	switch {
-	case m.Stamp != id.Stamp && m.State != Unheard:
+	case m.Incarnation != id.Incarnation && m.State != NeverSeen:
 		why = "restarted"
 		m.Restarts++
 	case m.State == Dead:
 		why = "came_back" // the same process: its death was a wrong one, or the way to it had been cut
-		m.Wrong++
+		m.FalseDeaths++
 	}
 	was := m.State
-	newer := m.Stamp != id.Stamp
+	newer := m.Incarnation != id.Incarnation
 	m.ID = id
-	m.Heard, m.By, m.Accused, m.doubt = max(m.Heard, now), by, 0, 0
-	if was.Live() && newer { // the live set has another process in it, though the name was in it before
-		v.mark(now)
+	m.LastSeen, m.LastSeenBy, m.ProbeFailedAt, m.clearedAt = max(m.LastSeen, now), by, 0, 0
+	if was.IsLive() && newer { // the live set has another process in it, though the name was in it before
+		v.liveSetChanged(now)
 	}
 	if was == Alive {
 		if !newer {
 			return nil
 		}
-		m.say(now, by, "alive: "+why)
-		return []Change{{Name: id.Name, Was: was, Now: Alive, By: by, Why: why, Held: now - m.Since}}
+		m.addEvidence(now, by, "alive: "+why)
+		return []Change{{Name: id.Name, From: was, To: Alive, By: by, Reason: why, HeldFor: now - m.Since}}
 	}
-	return []Change{v.turnTo(m, Alive, by, why, now)}
+	return []Change{v.transition(m, Alive, by, why, now)}
 }
 
 // Update takes the detector's word that a live gateway told other things of itself.
@@ -322,53 +322,53 @@
 	return v.Join(id, id.Name, now)
 }
 
-// Gone takes the detector's word that a gateway is dead, or has left.
-func (v *View) Gone(name string, left bool, now int64) []Change {
+// MarkGone takes the detector's word that a gateway is dead, or has left.
+func (v *View) MarkGone(name string, left bool, now int64) []Change {
 	m := v.members[name]
-	if m == nil || name == v.self || !m.State.Live() && !(left && m.State == Dead) {
+	if m == nil || name == v.self || !m.State.IsLive() && !(left && m.State == Dead) {
 		return nil
 	}
 	if left {
-		return []Change{v.turnTo(m, Left, name, "left", now)}
+		return []Change{v.transition(m, Left, name, "left", now)}
 	}
 	m.Deaths++
 	by, why := v.self, "no_proof_of_life"
-	if m.Accuser != "" {
-		by = m.Accuser
+	if m.ProbeFailedBy != "" {
+		by = m.ProbeFailedBy
 	}
-	return []Change{v.turnTo(m, Dead, by, why, now)}
+	return []Change{v.transition(m, Dead, by, why, now)}
 }
 
-// Heard takes a proof of life: by heard the member at a time.
-func (v *View) Heard(name, by string, at, now int64) []Change {
+// RecordSeen takes a proof of life: by heard the member at a time.
+func (v *View) RecordSeen(name, by string, at, now int64) []Change {
 	m := v.members[name]
-	if m == nil || name == v.self || at <= m.Heard {
+	if m == nil || name == v.self || at <= m.LastSeen {
 		return nil
 	}
-	m.Heard, m.By = min(at, now), by
-	if m.State == Suspect && at > m.Accused {
-		m.doubt, m.asked = now, 0
-		return []Change{v.turnTo(m, Alive, by, "heard", now)}
+	m.LastSeen, m.LastSeenBy = min(at, now), by
+	if m.State == Suspect && at > m.ProbeFailedAt {
+		m.clearedAt, m.refuteRequests = now, 0
+		return []Change{v.transition(m, Alive, by, "heard", now)}
 	}
-	if !m.State.Live() && by != v.self {
-		m.say(now, by, "heard while not live here")
+	if !m.State.IsLive() && by != v.self {
+		m.addEvidence(now, by, "heard while not live here")
 		v.version++ // who looks for the lost wants to know
 	}
 	return nil
 }
 
-// Doubts are live members that are to be asked to speak up now: words cleared a suspicion of them here, and the detector, which heeds
+// DueRefuteRequests are live members that are to be asked to speak up now: words cleared a suspicion of them here, and the detector, which heeds
 // no words, may still hold it (it missed their refutation) and take them for dead when it runs out, up to half a minute later. Each is
 // asked mostAsks times, each time after twice as long.
-func (v *View) Doubts(now int64) (names []string) {
+func (v *View) DueRefuteRequests(now int64) (names []string) {
 	for name, m := range v.members {
-		if m.doubt == 0 || now-m.doubt < v.set.Settle<<m.asked {
+		if m.clearedAt == 0 || now-m.clearedAt < v.settings.SettleAfter<<m.refuteRequests {
 			continue
 		}
-		if m.asked++; m.asked == mostAsks || !m.State.Live() {
-			m.doubt = 0
+		if m.refuteRequests++; m.refuteRequests == maxRefuteRequests || !m.State.IsLive() {
+			m.clearedAt = 0
 		}
-		if m.State.Live() {
+		if m.State.IsLive() {
 			names = append(names, name)
 		}
 	}
@@ -376,58 +376,58 @@
 	return names
 }
 
-// Accuse takes the word that a probe by somebody of a member failed at a time.
-func (v *View) Accuse(name, by string, at, now int64) []Change {
+// RecordFailedProbe takes the word that a probe by somebody of a member failed at a time.
+func (v *View) RecordFailedProbe(name, by string, at, now int64) []Change {
 	m := v.members[name]
-	if m == nil || at <= m.Accused || at > now {
+	if m == nil || at <= m.ProbeFailedAt || at > now {
 		return nil
 	}
-	m.Accused, m.Accuser = at, by
+	m.ProbeFailedAt, m.ProbeFailedBy = at, by
 	if name == v.self {
-		m.say(now, by, "probe failed: this gateway is here")
+		m.addEvidence(now, by, "probe failed: this gateway is here")
 		return nil
 	}
-	m.say(now, by, "probe failed")
-	if m.State == Alive && at > m.Heard {
-		return []Change{v.turnTo(m, Suspect, by, "probe_failed", now)}
+	m.addEvidence(now, by, "probe failed")
+	if m.State == Alive && at > m.LastSeen {
+		return []Change{v.transition(m, Suspect, by, "probe_failed", now)}
 	}
 	return nil
 }
 
-// Paused takes note that this process stood still: what it held of others is old, so the view has not settled.
-func (v *View) Paused(now int64) {
-	v.members[v.self].say(now, v.self, "stood still")
-	v.mark(now)
+// MarkPaused takes note that this process stood still: what it held of others is old, so the view has not settled.
+func (v *View) MarkPaused(now int64) {
+	v.members[v.self].addEvidence(now, v.self, "stood still")
+	v.liveSetChanged(now)
 }
 
 // Tick moves time on to now: who is forgotten, and whether the view has settled since (told once a settling, with how long it
 // took).
 func (v *View) Tick(now int64) (forgotten []string, settled bool, took int64) {
-	if len(v.members) > v.live {
+	if len(v.members) > v.liveCount {
 		for name, m := range v.members {
-			if !m.State.Live() && now-m.Since >= v.set.Reap {
+			if !m.State.IsLive() && now-m.Since >= v.settings.ReapAfter {
 				v.forget(m)
 				forgotten = append(forgotten, name)
 			}
 		}
 		slices.Sort(forgotten)
 	}
-	v.members[v.self].Heard = now
-	if v.settled || now-v.changed < v.set.Settle || !v.all() {
+	v.members[v.self].LastSeen = now
+	if v.settled || now-v.liveChangedAt < v.settings.SettleAfter || !v.allAgree() {
 		return forgotten, false, 0
 	}
 	v.settled = true
-	return forgotten, true, now - v.from
+	return forgotten, true, now - v.settlingSince
 }
 
-// Differ are the addresses of live members that told this gateway, since its view rested for the settle time, that they see others;
+// DifferingAddrs are the addresses of live members that told this gateway, since its view rested for the settle time, that they see others;
 // sorted.
-func (v *View) Differ(now int64) (addrs []string) {
-	if v.settled || now-v.changed < v.set.Settle {
+func (v *View) DifferingAddrs(now int64) (addrs []string) {
+	if v.settled || now-v.liveChangedAt < v.settings.SettleAfter {
 		return nil
 	}
 	for name, m := range v.members {
-		if m.State.Live() && name != v.self && m.Digest != v.Digest() && m.DigestAt >= v.changed+v.set.Settle {
+		if m.State.IsLive() && name != v.self && m.Digest != v.Digest() && m.DigestAt >= v.liveChangedAt+v.settings.SettleAfter {
 			addrs = append(addrs, m.Addr)
 		}
 	}
@@ -440,23 +440,23 @@
 
 // Digest stands for the set of live members. It is made when it is asked for: many changes come at once.
 func (v *View) Digest() uint32 {
-	if !v.known {
-		v.digest, v.known = v.sum(), true
+	if !v.digestKnown {
+		v.digest, v.digestKnown = v.computeDigest(), true
 	}
 	return v.digest
 }
 
-// Count is how many live members there are, self included.
-func (v *View) Count() int { return v.live }
+// LiveCount is how many live members there are, self included.
+func (v *View) LiveCount() int { return v.liveCount }
 
 // Settled tells whether the view has settled and nothing changed since.
 func (v *View) Settled() bool { return v.settled }
 
-// Live returns the names of alive and suspect members, self included, sorted.
-func (v *View) Live() []string {
+// LiveNames returns the names of alive and suspect members, self included, sorted.
+func (v *View) LiveNames() []string {
 	var out []string
 	for name, m := range v.members {
-		if m.State.Live() {
+		if m.State.IsLive() {
 			out = append(out, name)
 		}
 	}
@@ -466,9 +466,9 @@
 
 // LiveIDs returns the processes of alive and suspect members, self included, by name.
 func (v *View) LiveIDs() []ID {
-	out := make([]ID, 0, v.live)
+	out := make([]ID, 0, v.liveCount)
 	for _, m := range v.members {
-		if m.State.Live() {
+		if m.State.IsLive() {
 			out = append(out, m.ID)
 		}
 	}
@@ -488,7 +488,7 @@
 			fleet++
 		}
 	}
-	return seen, max(fleet, v.set.Expect)
+	return seen, max(fleet, v.settings.ExpectedMembers)
 }
 
 // Rank is this gateway's place, by name, among all who are known and did not leave.
@@ -501,9 +501,9 @@
 	return n
 }
 
-// Minority tells whether this gateway sees no more than half of the fleet: it must not act as if it were the fleet. Of an even
+// InMinority tells whether this gateway sees no more than half of the fleet: it must not act as if it were the fleet. Of an even
 // split both halves are minorities.
-func (v *View) Minority() bool {
+func (v *View) InMinority() bool {
 	seen, fleet := v.Size()
 	return fleet > 1 && 2*seen <= fleet
 }
@@ -515,12 +515,12 @@
 		return Member{}, false
 	}
 	out := *m
-	out.said = slices.Clone(m.said)
+	out.evidence = slices.Clone(m.evidence)
 	return out, true
 }
 
-// All returns all members, sorted by name.
-func (v *View) All() []Member {
+// Members returns all members, sorted by name.
+func (v *View) Members() []Member {
 	out := make([]Member, 0, len(v.members))
 	for _, name := range slices.Sorted(maps.Keys(v.members)) {
 		m, _ := v.Get(name)
@@ -529,19 +529,19 @@
 	return out
 }
 
-// Claimed takes note that somebody at another address says that it has a member's name.
-func (v *View) Claimed(name, addr string, now int64) {
+// RecordNameConflict takes note that somebody at another address says that it has a member's name.
+func (v *View) RecordNameConflict(name, addr string, now int64) {
 	if m := v.members[name]; m != nil {
-		m.say(now, addr, "claims the name")
+		m.addEvidence(now, addr, "claims the name")
 	}
 }
 
-// Restless tells whether words should ride on gossip: something was news within the least time, or the view has not settled since
+// ShouldGossip tells whether words should ride on gossip: something was news within the least time, or the view has not settled since
 // it changed, up to the most (a fleet that cannot agree, as across a half-open cut, must not talk for ever). Suspicions count, so
 // that the smaller side of a split learns from all its members' probes together that it is one.
-func (v *View) Restless(now, least, most int64) bool {
-	return now-v.stirred < least || !v.settled && now-v.changed < most
+func (v *View) ShouldGossip(now, least, most int64) bool {
+	return now-v.unsettledAt < least || !v.settled && now-v.liveChangedAt < most
 }
 
-// Changed is when the set of live members last changed.
-func (v *View) Changed() int64 { return v.changed }
+// LiveChangedAt is when the set of live members last changed.
+func (v *View) LiveChangedAt() int64 { return v.liveChangedAt }
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -29,8 +29,8 @@
 // and no decision asks it.
 type part struct {
 	fleet  *membership.Fleet
-	post   *gossip.Post    // nil: no limits to share
-	caster *driver.Carrier // nil: purges are not broadcast
+	post   *gossip.Gossiper // nil: no limits to share
+	caster *driver.Driver   // nil: purges are not broadcast
 	router *dispatch.Dispatcher
 	stop   chan struct{}
 	ended  chan struct{}
@@ -47,9 +47,9 @@
 		return nil, fmt.Errorf("fleet: this gateway has no name; set ROUTER_NAME, unlike that of any other")
 	}
 	set := membership.Settings{Name: name, Listen: c.Listen, Advertise: c.Advertise, Label: c.Label, Seeds: c.Seeds, SeedFile: c.SeedFile,
-		Most: int(c.Members), Expect: int(c.Expect), Probe: config.Ms(c.Probe), ProbeTimeout: config.Ms(c.Timeout), Gossip: config.Ms(c.Gossip),
-		Reap: config.Ms(c.Reap), Settle: config.Ms(c.Settle), Rejoin: config.Ms(c.Rejoin),
-		Place: view.Place{Region: c.Region, Zone: c.Zone, Site: c.Site}}
+		MaxMembers: int(c.Members), ExpectedMembers: int(c.Expect), ProbeInterval: config.Ms(c.Probe), ProbeTimeout: config.Ms(c.Timeout), GossipInterval: config.Ms(c.Gossip),
+		ReapAfter: config.Ms(c.Reap), SettleAfter: config.Ms(c.Settle), RejoinInterval: config.Ms(c.Rejoin),
+		Locality: view.Locality{Region: c.Region, Zone: c.Zone, Site: c.Site}}
 	if c.KeyFile != "" {
 		key, err := g.ReadFile(c.KeyFile)
 		if err != nil {
@@ -60,26 +60,28 @@
 		}
 		set.Key = key
 	}
-	parts := membership.Ground(g)
-	parts.Count = &transport.Counts{}
+	parts := membership.FromEnvironment(g)
+	parts.TransportCounts = &transport.Counts{}
 	listen, advertise := netip.MustParseAddrPort(c.Listen), netip.MustParseAddrPort(c.Advertise) // checked with the settings
-	parts.Open = func() (memberlist.Transport, error) { return transport.Open(listen, advertise, parts.Count, g.Log()) }
+	parts.OpenTransport = func() (memberlist.Transport, error) {
+		return transport.Listen(listen, advertise, parts.TransportCounts, g.Log())
+	}
 	if c.Folder != "" {
 		disk, err := g.Folder(c.Folder)
 		if err != nil {
 			return nil, fmt.Errorf("fleet.folder: %w", err)
 		}
-		shelf, why, err := membership.OpenShelf(disk, name, set.Most)
+		shelf, why, err := membership.OpenMemberStore(disk, name, set.MaxMembers)
 		if err != nil {
 			return nil, fmt.Errorf("fleet.folder: %w", err)
 		}
 		if why != nil {
 			g.Log().Warn("fleet_torn", "folder", c.Folder, "text", why.Error())
 		}
-		parts.Shelf = shelf
+		parts.Store = shelf
 	}
 	p := &part{router: router, stop: make(chan struct{}), ended: make(chan struct{})}
-	var doors gossip.Doors
+	var doors gossip.Admission
 	if routes != nil {
 		doors = routes
 	}
@@ -102,7 +104,7 @@
 	}
 	if doors != nil || heed != nil {
 		p.post = gossip.New(name, doors, heed, g.Log(), seed)
-		parts.Take = p.post.Take
+		parts.OnMessage = p.post.HandleMessage
 	}
 	if c.Broadcast {
 		var stamp [8]byte // not of the seed, which a configuration may give alike at each start and to each gateway
@@ -110,10 +112,10 @@
 			return nil, err
 		}
 		p.broadcast(set, parts.Now, binary.LittleEndian.Uint64(stamp[:]), g, bulletin, heard)
-		others := parts.Take
-		parts.Take = func(b []byte) {
-			if driver.Mine(b) {
-				p.caster.Take(b)
+		others := parts.OnMessage
+		parts.OnMessage = func(b []byte) {
+			if driver.IsBroadcast(b) {
+				p.caster.HandleMessage(b)
 			} else if others != nil {
 				others(b)
 			}
@@ -123,21 +125,21 @@
 		bulletin.Event = func(no int64, purges []dispatch.Purge) {
 			var told []purgesync.Purge
 			for _, v := range purges {
-				told = append(told, purgesync.Purge{No: no, Object: v.Object, Group: int64(v.Group), Issued: v.IssuedAt.UnixMilli()})
+				told = append(told, purgesync.Purge{Event: no, Object: v.Object, Group: int64(v.Group), Issued: v.IssuedAt.UnixMilli()})
 			}
-			p.post.Told(no, told)
+			p.post.RecordPurges(no, told)
 		}
-		p.post.Told(bulletin.Last, nil)
+		p.post.RecordPurges(bulletin.Last, nil)
 	}
 	var err error
 	if p.fleet, err = membership.New(set, parts); err != nil {
 		return nil, err
 	}
 	if p.post != nil {
-		p.post.Over(p.fleet)
+		p.post.SetFleet(p.fleet)
 	}
 	if p.caster != nil {
-		p.caster.Over(p.fleet)
+		p.caster.SetFleet(p.fleet)
 	}
 	return p, nil
 }
@@ -145,7 +147,7 @@
 // broadcast makes the carrier of purges between gateways, told what the own discovery watch tells.
 func (p *part) broadcast(set membership.Settings, wall func() time.Time, stamp uint64, g env.Ground, bulletin *wire.Bulletin,
 	heard func([]dispatch.Purge)) {
-	p.caster = driver.New(set.Name, set.Place, func(some []broadcast.Purge) {
+	p.caster = driver.New(set.Name, set.Locality, func(some []broadcast.Purge) {
 		purges := make([]dispatch.Purge, 0, len(some))
 		for _, v := range some {
 			purges = append(purges, dispatch.Purge{Object: v.Object, Group: int(v.Group), IssuedAt: time.UnixMilli(v.Issued)})
@@ -157,7 +159,7 @@
 		for _, v := range purges {
 			told = append(told, broadcast.Purge{Object: v.Object, Group: int64(v.Group), Issued: v.IssuedAt.UnixMilli()})
 		}
-		p.caster.Told(told)
+		p.caster.RecordPurges(told)
 	}
 }
 
@@ -203,7 +205,7 @@
 	for {
 		select {
 		case <-every.C:
-			p.router.SetFleetSize(p.fleet.State().Fleet)
+			p.router.SetFleetSize(p.fleet.State().FleetSize)
 		case <-stop:
 			return
 		}
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -84,10 +84,10 @@
 	log, counts := slog.New(slog.DiscardHandler), &transport.Counts{}
 	own := netip.MustParseAddrPort(at)
 	var err error
-	p.fleet, err = membership.New(membership.Settings{Name: name, Listen: at, Advertise: at, Seeds: []string{seed}, Most: 64, Probe: 200 * time.Millisecond,
-		ProbeTimeout: 100 * time.Millisecond, Gossip: 40 * time.Millisecond, Reap: time.Hour, Settle: 300 * time.Millisecond, Rejoin: time.Second},
-		membership.Parts{Log: log, Now: time.Now, Read: os.ReadFile, Count: counts, Take: p.take,
-			Open: func() (memberlist.Transport, error) { return transport.Open(own, own, counts, log) }})
+	p.fleet, err = membership.New(membership.Settings{Name: name, Listen: at, Advertise: at, Seeds: []string{seed}, MaxMembers: 64, ProbeInterval: 200 * time.Millisecond,
+		ProbeTimeout: 100 * time.Millisecond, GossipInterval: 40 * time.Millisecond, ReapAfter: time.Hour, SettleAfter: 300 * time.Millisecond, RejoinInterval: time.Second},
+		membership.Dependencies{Log: log, Now: time.Now, ReadFile: os.ReadFile, TransportCounts: counts, OnMessage: p.take,
+			OpenTransport: func() (memberlist.Transport, error) { return transport.Listen(own, own, counts, log) }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -148,8 +148,8 @@
 			}
 			until("the peer is told", func() bool { return other.had(broadcast.Kind) > 0 })
 			var r driver.Report
-			until("all ten count", func() bool { return json.Unmarshal([]byte(ask("--json")), &r) == nil && r.Heeded == 10 })
-			if h := r.Latest; len(h) != 10 || h[9].No != 10 || h[9].Object != "000000000000000a" || h[9].Peer || h[9].AtMS > r.UpMS {
+			until("all ten count", func() bool { return json.Unmarshal([]byte(ask("--json")), &r) == nil && r.Applied == 10 })
+			if h := r.Latest; len(h) != 10 || h[9].Number != 10 || h[9].Object != "000000000000000a" || h[9].FromPeer || h[9].AtUptimeMS > r.UptimeMS {
 				t.Errorf("%+v", h)
 			}
 			if err := json.Unmarshal([]byte(ask("--json", "--after", "9")), &r); err != nil || len(r.Latest) != 1 {
--- a/internal/lab/fleet/mixed_test.go
+++ b/internal/lab/fleet/mixed_test.go
@@ -48,7 +48,7 @@
 }
 
 // waitForRow asks a gateway for its view until its row of another one holds.
-func waitForRow(t *testing.T, asked *process, other, what string, holds func(membership.Report, membership.Row) bool) {
+func waitForRow(t *testing.T, asked *process, other, what string, holds func(membership.Report, membership.MemberReport) bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 15*time.Second)
 	defer cancel()
@@ -100,9 +100,9 @@
 		}
 	}
 
-	places := map[string]view.Place{"n1": {Region: "north", Zone: "a", Site: "a1"}, "n2": {Region: "south", Zone: "b", Site: "b1"}}
-	settled := func(report membership.Report, row membership.Row) bool {
-		return report.State == "settled" && row.State == view.Alive && row.Agrees && row.Place == places[row.Name]
+	places := map[string]view.Locality{"n1": {Region: "north", Zone: "a", Site: "a1"}, "n2": {Region: "south", Zone: "b", Site: "b1"}}
+	settled := func(report membership.Report, row membership.MemberReport) bool {
+		return report.State == "settled" && row.State == view.Alive && row.Agrees && row.Locality == places[row.Name]
 	}
 	for _, pair := range []struct{ asked, other *process }{{before, current}, {current, before}} {
 		waitForRow(t, pair.asked, pair.other.name, "is alive, where it stands, and agrees", settled)
@@ -111,11 +111,11 @@
 		if err := pair.leaves.end(syscall.SIGTERM, stopIn); err != nil {
 			t.Fatal(err)
 		}
-		waitForRow(t, pair.stays, pair.leaves.name, "left", func(_ membership.Report, row membership.Row) bool { return row.State == view.Left })
+		waitForRow(t, pair.stays, pair.leaves.name, "left", func(_ membership.Report, row membership.MemberReport) bool { return row.State == view.Left })
 		if err := pair.leaves.start(); err != nil {
 			t.Fatal(err)
 		}
-		waitForRow(t, pair.stays, pair.leaves.name, "is back as another process", func(report membership.Report, row membership.Row) bool {
+		waitForRow(t, pair.stays, pair.leaves.name, "is back as another process", func(report membership.Report, row membership.MemberReport) bool {
 			return settled(report, row) && row.Restarts == 1 && row.Deaths == 0
 		})
 	}
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -479,7 +479,7 @@
 			key := fmt.Sprintf("%s/%d", p.name, p.starts)
 			p.mu.Unlock()
 			mu.Lock()
-			m.bytes[key] = traffic{rep.PacketsOut, rep.BytesOut + rep.StreamByte/2, rep.Streams}
+			m.bytes[key] = traffic{rep.PacketsOut, rep.BytesOut + rep.StreamBytes/2, rep.Streams}
 			mu.Unlock()
 		}()
 	}
--- a/internal/lab/fleet/scale_test.go
+++ b/internal/lab/fleet/scale_test.go
@@ -85,7 +85,7 @@
 		v.Kill(v.all[n-1])
 		at := time.Now()
 		for ; time.Since(at) < time.Minute; time.Sleep(20 * time.Millisecond) {
-			if s := v.Of(v.all[0]).State(); s.Seen < n {
+			if s := v.Of(v.all[0]).State(); s.Alive < n {
 				break
 			}
 		}
@@ -106,7 +106,7 @@
 		for knows := false; !knows && time.Since(at) < 2*time.Minute; time.Sleep(20 * time.Millisecond) {
 			knows = true
 			for _, name := range small {
-				knows = knows && v.Of(name).State().Minority
+				knows = knows && v.Of(name).State().InMinority
 			}
 		}
 		out.Minority = time.Since(at).Seconds()
--- a/internal/lab/fleet/spread.go
+++ b/internal/lab/fleet/spread.go
@@ -182,10 +182,10 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h.after, h.asked = r.Heeded, true
-	h.rate = float64(r.Node.BytesIn+r.Node.BytesOut) / max(1, float64(r.UpMS)/1000)
+	h.after, h.asked = r.Applied, true
+	h.rate = float64(r.Node.BytesIn+r.Node.BytesOut) / max(1, float64(r.UptimeMS)/1000)
 	for _, one := range r.Latest {
-		when := at - time.Duration(r.UpMS-one.AtMS)*time.Millisecond // no earlier than it was: the answer took its time
+		when := at - time.Duration(r.UptimeMS-one.AtUptimeMS)*time.Millisecond // no earlier than it was: the answer took its time
 		h.now[one.Object] = true
 		if was, ok := h.first[one.Object]; !ok || when < was {
 			h.first[one.Object] = when
@@ -366,14 +366,14 @@
 	var all []broadcast.Member
 	for _, name := range s.names() {
 		p := s.place(name)
-		all = append(all, broadcast.Member{Name: name, Place: broadcast.Place{Region: p.Region, Zone: p.Zone, Site: p.Site}})
+		all = append(all, broadcast.Member{Name: name, Locality: broadcast.Locality{Region: p.Region, Zone: p.Zone, Site: p.Site}})
 	}
 	broadcast.SortMembers(all)
 	for i, m := range all {
 		if i == 0 {
 			out["root"] = []string{m.Name}
 		}
-		if key := "first-" + m.Place.Site; m.Place.Site != "" && out[key] == nil {
+		if key := "first-" + m.Locality.Site; m.Locality.Site != "" && out[key] == nil {
 			out[key] = []string{m.Name}
 		}
 	}
--- a/internal/lab/fleet/virtual.go
+++ b/internal/lab/fleet/virtual.go
@@ -127,12 +127,12 @@
 	to := p.net.at(addr)
 	if to != nil && !p.net.links.Open(p.name, to.name) {
 		time.Sleep(within)
-		p.counts.StreamFail.Add(1)
+		p.counts.StreamsFailed.Add(1)
 		return nil, fmt.Errorf("%s: i/o timeout", addr)
 	}
 	time.Sleep(2 * wire)
 	if to == nil || to.closed() {
-		p.counts.StreamFail.Add(1)
+		p.counts.StreamsFailed.Add(1)
 		return nil, errRefused
 	}
 	here, there := net.Pipe()
@@ -222,8 +222,8 @@
 
 // Usual are the usual settings (config.Fleet) for the rig's virtual fleets.
 func Usual() membership.Settings {
-	return membership.Settings{Most: 1024, Probe: time.Second, ProbeTimeout: 500 * time.Millisecond, Gossip: 200 * time.Millisecond,
-		Reap: time.Hour, Settle: time.Second, Rejoin: 5 * time.Second}
+	return membership.Settings{MaxMembers: 1024, ProbeInterval: time.Second, ProbeTimeout: 500 * time.Millisecond, GossipInterval: 200 * time.Millisecond,
+		ReapAfter: time.Hour, SettleAfter: time.Second, RejoinInterval: 5 * time.Second}
 }
 
 // Start starts gateways.
@@ -242,10 +242,10 @@
 			set.Seeds = append(set.Seeds, v.by[seed].addr)
 		}
 		g.counts = &transport.Counts{}
-		parts := membership.Parts{Log: v.Log.With("on", name), Now: time.Now, Count: g.counts,
-			Open: func() (memberlist.Transport, error) { return v.Net.Open(name, g.addr, g.counts) },
-			Tell: func(c view.Change, _ time.Time) {
-				if c.Now == view.Dead && v.Links.Open(name, c.Name) {
+		parts := membership.Dependencies{Log: v.Log.With("on", name), Now: time.Now, TransportCounts: g.counts,
+			OpenTransport: func() (memberlist.Transport, error) { return v.Net.Open(name, g.addr, g.counts) },
+			OnChange: func(c view.Change, _ time.Time) {
+				if c.To == view.Dead && v.Links.Open(name, c.Name) {
 					v.mu.Lock()
 					if v.by[c.Name].fleet != nil {
 						v.False++
@@ -255,7 +255,7 @@
 			}}
 		if g.disk != nil {
 			var err error
-			if parts.Shelf, _, err = membership.OpenShelf(g.disk, name, set.Most); err != nil {
+			if parts.Store, _, err = membership.OpenMemberStore(g.disk, name, set.MaxMembers); err != nil {
 				return err
 			}
 		}
@@ -335,7 +335,7 @@
 			s := v.by[name].fleet.State()
 			if i == 0 {
 				digest = s.Digest
-				if agree = agree && maps.Equal(asSet(v.by[name].fleet.Live()), asSet(side)); !agree {
+				if agree = agree && maps.Equal(asSet(v.by[name].fleet.LiveNames()), asSet(side)); !agree {
 					return false, false
 				}
 			}
--- a/internal/lab/fleet/virtual_test.go
+++ b/internal/lab/fleet/virtual_test.go
@@ -75,7 +75,7 @@
 				bad += " " + m.Name + "=" + m.State.String()
 			}
 		}
-		t.Logf("%s live %d digest %s %s changed %d counts %+v: %s", name, r.Live, r.Digest, r.State, r.ChangedMS, r.Counts, bad)
+		t.Logf("%s live %d digest %s %s changed %d counts %+v: %s", name, r.Live, r.Digest, r.State, r.ChangedAgoMS, r.Counts, bad)
 	}
 }
 
@@ -90,7 +90,7 @@
 	}
 }
 
-func row(t *testing.T, v *Virtual, on, name string) membership.Row {
+func row(t *testing.T, v *Virtual, on, name string) membership.MemberReport {
 	t.Helper()
 	r, err := v.Of(on).Report(true, name)
 	if err != nil {
@@ -110,8 +110,8 @@
 		if v.False > 0 {
 			t.Errorf("%d false deaths", v.False)
 		}
-		said := row(t, v, "n1", "n5").Said
-		if !slices.ContainsFunc(said, func(w membership.Word) bool { return w.What == "probe failed" && w.By != "" }) {
+		said := row(t, v, "n1", "n5").Evidence
+		if !slices.ContainsFunc(said, func(w membership.Evidence) bool { return w.What == "probe failed" && w.By != "" }) {
 			t.Errorf("who probed it is not told: %+v", said)
 		}
 	})
@@ -126,8 +126,8 @@
 				t.Errorf("%s holds it %v", name, got)
 			}
 		}
-		if s := v.Of("n1").State(); s.Fleet != 11 {
-			t.Errorf("it still counts: a fleet of %d", s.Fleet)
+		if s := v.Of("n1").State(); s.FleetSize != 11 {
+			t.Errorf("it still counts: a fleet of %d", s.FleetSize)
 		}
 	})
 }
@@ -138,13 +138,13 @@
 		v.Links.Split([][]string{small, large})
 		time.Sleep(15 * time.Second) // twice as long as a crash takes to be known: by then the smaller side must know what it is
 		for _, name := range small {
-			if !v.Of(name).State().Minority {
+			if !v.Of(name).State().InMinority {
 				t.Errorf("%s does not know after 15 s that it is in a minority: %+v", name, v.Of(name).State())
 			}
 		}
 		settles(t, v, "split", 45*time.Second)
 		for _, name := range large {
-			if s := v.Of(name).State(); s.Minority || s.Seen != 7 || s.Fleet != 12 {
+			if s := v.Of(name).State(); s.InMinority || s.Alive != 7 || s.FleetSize != 12 {
 				t.Errorf("%s of the larger side: %+v", name, s)
 			}
 		}
@@ -163,7 +163,7 @@
 		}
 		v.Links.Heal()
 		settles(t, v, "heal", 90*time.Second)
-	}, func(s *membership.Settings) { s.Reap = 30 * time.Second })
+	}, func(s *membership.Settings) { s.ReapAfter = 30 * time.Second })
 }
 
 func TestAOneWayCutKillsNobody(t *testing.T) {
@@ -190,14 +190,14 @@
 
 func TestARestartUnderTheSameNameIsToldToAll(t *testing.T) {
 	on(t, 12, func(t *testing.T, v *Virtual, log *logged) {
-		was := row(t, v, "n1", "n5").Stamp
+		was := row(t, v, "n1", "n5").Incarnation
 		v.Kill("n5")
 		if err := v.Start("n5"); err != nil { // before anybody missed it, at incarnation 1, with nothing kept
 			t.Fatal(err)
 		}
 		settles(t, v, "restart", 15*time.Second)
 		for _, name := range v.Running() {
-			if m := row(t, v, name, "n5"); m.Stamp == was || m.Deaths > 0 || name != "n5" && m.Restarts != 1 {
+			if m := row(t, v, name, "n5"); m.Incarnation == was || m.Deaths > 0 || name != "n5" && m.Restarts != 1 {
 				t.Errorf("on %s: %+v", name, m)
 			}
 		}
@@ -225,21 +225,21 @@
 			t.Fatal(err)
 		}
 		time.Sleep(10 * time.Second)
-		if r, _ := v.Of("twin").Report(false, ""); r.State != "yielded" || r.Counts.Yields != 1 {
+		if r, _ := v.Of("twin").Report(false, ""); r.State != "yielded" || r.Counts.NameDeferrals != 1 {
 			t.Errorf("the twin does not yield: %s, %+v", r.State, r.Counts)
 		}
 		if !log.has("level=ERROR", "event=fleet_yielded", "name=n3") || !log.has("event=fleet_name_claimed") {
 			t.Error("the log does not tell of it")
 		}
 		for _, name := range v.all {
-			if m := row(t, v, name, "n3"); m.Addr != v.by["n3"].addr || !m.State.Live() {
+			if m := row(t, v, name, "n3"); m.Addr != v.by["n3"].addr || !m.State.IsLive() {
 				t.Errorf("%s does not hold the first one: %+v", name, m)
 			}
 		}
 		v.Kill("n3") // now the name is free
 		time.Sleep(90 * time.Second)
 		for _, name := range []string{"n1", "n2", "n4", "n5"} {
-			if m := row(t, v, name, "n3"); m.Addr != v.by["twin"].addr || !m.State.Live() {
+			if m := row(t, v, name, "n3"); m.Addr != v.by["twin"].addr || !m.State.IsLive() {
 				t.Errorf("%s does not hold the twin: %+v", name, m)
 			}
 		}
@@ -261,7 +261,7 @@
 		v.Links.Heal()
 		time.Sleep(40 * time.Second)
 		for _, name := range v.all {
-			if m := row(t, v, name, "n3"); m.Addr != v.by["n3"].addr || !m.State.Live() {
+			if m := row(t, v, name, "n3"); m.Addr != v.by["n3"].addr || !m.State.IsLive() {
 				t.Errorf("%s holds %+v", name, m)
 			}
 		}
@@ -280,7 +280,7 @@
 		}
 		c.Name, c.Transport, c.Logger = "old", transport, nil
 		c.LogOutput = &logged{}
-		c.DelegateProtocolMin, c.DelegateProtocolMax, c.DelegateProtocolVersion = 0, membership.Speaks+1, membership.Speaks+1
+		c.DelegateProtocolMin, c.DelegateProtocolMax, c.DelegateProtocolVersion = 0, membership.ProtocolVersion+1, membership.ProtocolVersion+1
 		m, err := memberlist.Create(c)
 		if err != nil {
 			t.Fatal(err)
@@ -329,7 +329,7 @@
 		if err := v.Start("n5"); err != nil {
 			t.Fatal(err)
 		}
-		if s := v.Of("n5").State(); !s.Minority || s.Fleet != 5 {
+		if s := v.Of("n5").State(); !s.InMinority || s.FleetSize != 5 {
 			t.Errorf("alone at its start it does not know of the others: %+v", s)
 		}
 		settles(t, v, "from disk", 15*time.Second)
@@ -344,7 +344,7 @@
 		if agree, _ := v.Agree(); !agree || !log.has("event=fleet_refused", "name=m1", "why=full") {
 			t.Error("a fifth is in a view of four, or was refused in silence")
 		}
-	}, func(s *membership.Settings) { s.Most = 4 })
+	}, func(s *membership.Settings) { s.MaxMembers = 4 })
 }
 
 var hours = flag.Int("fleet.hours", 2, "length of the long day in hours; 24 take some 80 s")
@@ -369,9 +369,9 @@
 			}
 		}
 		for _, name := range v.all {
-			if n := v.Of(name).Held(); n.Members > 6 || n.Lines > 64 || n.Called > 8 || n.Refused > 8 {
+			if n := v.Of(name).Usage(); n.Members > 6 || n.PendingLogLines > 64 || n.Contacted > 8 || n.LoggedConflicts > 8 {
 				t.Errorf("%s holds %+v", name, n)
 			}
 		}
-	}, func(s *membership.Settings) { s.Reap = 5 * time.Minute })
+	}, func(s *membership.Settings) { s.ReapAfter = 5 * time.Minute })
 }
--- a/internal/lab/scale/roles.go
+++ b/internal/lab/scale/roles.go
@@ -14,7 +14,7 @@
 
 func (r *broadcastRun) member(i int) broadcast.Member {
 	p := r.places[i]
-	return broadcast.Member{Name: r.names[i], Place: broadcast.Place{Region: fmt.Sprintf("r%02d", p.Region), Zone: fmt.Sprintf("z%02d", p.Zone), Site: fmt.Sprintf("s%03d", p.Site)}}
+	return broadcast.Member{Name: r.names[i], Locality: broadcast.Locality{Region: fmt.Sprintf("r%02d", p.Region), Zone: fmt.Sprintf("z%02d", p.Zone), Site: fmt.Sprintf("s%03d", p.Site)}}
 }
 
 // members gives a list of the live; gateways that see the same share one, as no process of theirs would, so that 3,900 fit.
@@ -54,11 +54,11 @@
 		l := 4
 		if k == 0 {
 			l = 0
-		} else if before := list[k-1].Place; before.Region != m.Place.Region {
+		} else if before := list[k-1].Locality; before.Region != m.Locality.Region {
 			l = 1
-		} else if before.Zone != m.Place.Zone {
+		} else if before.Zone != m.Locality.Zone {
 			l = 2
-		} else if before.Site != m.Place.Site {
+		} else if before.Site != m.Locality.Site {
 			l = 3
 		}
 		who, level = append(who, r.at[m.Name]), append(level, l)
--- a/internal/lab/scale/spread.go
+++ b/internal/lab/scale/spread.go
@@ -77,39 +77,39 @@
 // oldSpread is fleet/verdict as fleet/post carries it: a turn each 0.25 s, hellos to two gateways each 0.5 s, answers at once.
 type oldSpread struct {
 	g    *gateway
-	book *purgesync.Book
+	book *purgesync.Replica
 	due  int64
 	came uint64
 }
 
 func newOldSpread(g *gateway, now int64) spreader {
 	chance := rand.New(rand.NewPCG(g.run.o.Seed, uint64(g.i)<<32|uint64(g.life)))
-	return &oldSpread{g: g, book: purgesync.New(purgesync.Settings{Turn: oldHello, Keep: oldKeep}, chance, now), due: now + chance.Int64N(oldTurn)}
+	return &oldSpread{g: g, book: purgesync.New(purgesync.Settings{DigestInterval: oldHello, KeepFor: oldKeep}, chance, now), due: now + chance.Int64N(oldTurn)}
 }
 
 func (s *oldSpread) own(last int64, numbers []int64, purges []told, now int64) {
 	for k, p := range purges {
-		s.book.Own(numbers[k], []purgesync.Purge{{No: numbers[k], Object: p.Object, Group: p.Group, Issued: p.Issued}}, now)
+		s.book.RecordOwn(numbers[k], []purgesync.Purge{{Event: numbers[k], Object: p.Object, Group: p.Group, Issued: p.Issued}}, now)
 	}
-	s.book.Own(last, nil, now)
+	s.book.RecordOwn(last, nil, now)
 }
 
 func (s *oldSpread) see(int64) {}
 
 func (s *oldSpread) take(from int, b []byte, now int64) (heed []told) {
-	f, err := purgesync.ReadFrame(b)
+	f, err := purgesync.ParseFrame(b)
 	if err != nil || !s.g.view.has(from) {
 		return nil
 	}
 	s.came += uint64(len(f.Purges))
-	for _, p := range s.book.Take(f.Purges, now) {
+	for _, p := range s.book.Merge(f.Purges, now) {
 		heed = append(heed, told{p.Object, p.Group, p.Issued})
 	}
-	if f.Answer {
+	if f.IsDelta {
 		return heed
 	}
-	if more := s.book.Answer(f.Seen); len(more) > 0 {
-		s.g.send(from, purgesync.Frame{From: uint64(s.g.i), Answer: true, Seen: s.book.Hello(), Purges: more}.Append(nil))
+	if more := s.book.Delta(f.Digest); len(more) > 0 {
+		s.g.send(from, purgesync.Frame{SenderKey: uint64(s.g.i), IsDelta: true, Digest: s.book.Digest(), Purges: more}.Append(nil))
 	}
 	return heed
 }
@@ -127,8 +127,8 @@
 		}
 	}
 	r.scratch = live
-	for _, to := range s.book.Hellos(live, now) {
-		s.g.send(r.at[to], purgesync.Frame{From: uint64(s.g.i), Seen: s.book.Hello()}.Append(nil))
+	for _, to := range s.book.DigestTargets(live, now) {
+		s.g.send(r.at[to], purgesync.Frame{SenderKey: uint64(s.g.i), Digest: s.book.Digest()}.Append(nil))
 	}
 }
 
--- a/internal/route/rollout/steer.go
+++ b/internal/route/rollout/steer.go
@@ -257,15 +257,15 @@
 	return p, limit.Allowed, 0
 }
 
-// Shared calls f for each limit of the fleet in force; f must not wait.
-func (s *Steer) Shared(f func(name string, t limit.Terms, u limit.Use)) {
+// FleetLimits calls f for each limit of the fleet in force; f must not wait.
+func (s *Steer) FleetLimits(f func(name string, t limit.Terms, u limit.Use)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits.Fleet(func(name string, l *limit.Limit) { f(name, l.Terms(), l.Use()) })
 }
 
-// Lease puts in force what this gateway may let in of the fleet's limits, by their names.
-func (s *Steer) Lease(leases map[string]limit.Lease) {
+// ApplyLeases puts in force what this gateway may let in of the fleet's limits, by their names.
+func (s *Steer) ApplyLeases(leases map[string]limit.Lease) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.g.Now()
