--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -29,9 +29,9 @@
 }
 
 // read reads the settings; what is wrong with them is told on the output where JSON was asked for.
-func (f configFile) read(to *streams) (*config.Settings, error) {
+func (f configFile) read(to *streams) (*config.Config, error) {
 	s, err := config.Read(f.File, os.ReadFile)
-	var fault config.Fault
+	var fault config.Error
 	if errors.As(err, &fault) {
 		if f.JSON {
 			json.NewEncoder(to.out).Encode(map[string]any{"ok": false, "fault": fault})
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -28,7 +28,7 @@
 }
 
 func (f fleetSocket) ask(name string) (*membership.Report, error) {
-	a, err := socket(f).call(admin.Call{Do: "fleet", Name: name})
+	a, err := socket(f).call(admin.Request{Command: "fleet", Name: name})
 	if err != nil {
 		return nil, err
 	}
@@ -117,7 +117,7 @@
 type fleetLimits struct{ fleetSocket }
 
 func (f *fleetLimits) Run(to *streams) error {
-	a, err := socket{f.Socket, f.JSON, f.Wait}.call(admin.Call{Do: "limits"})
+	a, err := socket{f.Socket, f.JSON, f.Wait}.call(admin.Request{Command: "limits"})
 	if err != nil {
 		return err
 	}
@@ -139,7 +139,7 @@
 }
 
 func (f *fleetBroadcast) Run(to *streams) error {
-	a, err := socket{f.Socket, f.JSON, f.Wait}.call(admin.Call{Do: "broadcast", No: f.After})
+	a, err := socket{f.Socket, f.JSON, f.Wait}.call(admin.Request{Command: "broadcast", Version: f.After})
 	if err != nil {
 		return err
 	}
--- a/internal/cli/frozen_test.go
+++ b/internal/cli/frozen_test.go
@@ -66,11 +66,11 @@
 		"fleet-view.json":      new(membership.Report),
 		"fleet-limits.json":    new([]limits.Report),
 		"fleet-broadcast.json": new(driver.Report),
-		"config-show.json":     new(config.Settings),
-		"config-fault.json":    new(config.Fault),
+		"config-show.json":     new(config.Config),
+		"config-fault.json":    new(config.Error),
 		"config-step.json":     new(change.Step),
-		"config-answer.json":   new(admin.Answer),
-		"call.json":            new(admin.Call),
+		"config-answer.json":   new(admin.Response),
+		"call.json":            new(admin.Request),
 	} {
 		t.Run(name, func(t *testing.T) { frozenJSON(t, name, value) })
 	}
--- a/internal/cli/list.go
+++ b/internal/cli/list.go
@@ -31,20 +31,20 @@
 }
 
 // open is the folder, which must be there.
-func (f listFolder) open() (wal.Folder, error) {
+func (f listFolder) open() (wal.OSDirectory, error) {
 	if at, err := os.Stat(f.Folder); err != nil {
-		return wal.Folder{}, usage("%v: name the folder that holds the list", err)
+		return wal.OSDirectory{}, usage("%v: name the folder that holds the list", err)
 	} else if !at.IsDir() {
-		return wal.Folder{}, usage("%s is no folder", f.Folder)
+		return wal.OSDirectory{}, usage("%s is no folder", f.Folder)
 	}
-	return wal.Folder{Path: f.Folder}, nil
+	return wal.OSDirectory{Path: f.Folder}, nil
 }
 
 // read reads what a folder holds, without its lock: the files of a running gateway can be looked at.
-func (f listFolder) read() (*endpoints.State, wal.Kept, error) {
+func (f listFolder) read() (*endpoints.State, wal.Contents, error) {
 	disk, err := f.open()
 	if err != nil {
-		return nil, wal.Kept{}, err
+		return nil, wal.Contents{}, err
 	}
 	kept, err := wal.Read(disk, listName)
 	if err != nil {
@@ -99,16 +99,16 @@
 }
 
 func view(s *endpoints.State, now time.Time) listed {
-	v := listed{Bulletin: s.Bulletin, Last: s.Last, Stood: when(s.Stood), Caches: []listedRow{}, Left: []listedOld{}, Purges: len(s.Purges)}
-	all := freshness.List{Hours: s.Hours, Departed: s.Departed}
+	v := listed{Bulletin: s.DiscoveryAddr, Last: s.LastEvent, Stood: when(s.CurrentAsOf), Caches: []listedRow{}, Left: []listedOld{}, Purges: len(s.Purges)}
+	all := freshness.History{CacheHours: s.CacheHours, Departures: s.Departures}
 	for _, k := range s.Sorted() {
-		standing, budget := freshness.Weigh(all, freshness.Entry{Age: now.Sub(time.UnixMilli(s.Stood)), Imported: k.Source == endpoints.Imported,
-			Ill: k.Ill > 0, Left: k.Phase != endpoints.Up || s.Tombs[k.ID].ID != ""})
-		v.Caches = append(v.Caches, listedRow{k.ID, k.Addr, k.Zone, k.Machine, k.Cell, k.Size, k.UpSince,
-			[...]string{"up", "draining", "removed"}[k.Phase], k.Source == endpoints.Imported, k.Ill > 0, standing.String(), budget})
+		standing, budget := freshness.Assess(all, freshness.Evidence{Age: now.Sub(time.UnixMilli(s.CurrentAsOf)), Imported: k.Source == endpoints.Imported,
+			Ejected: k.EjectedAt > 0, Withdrawn: k.Phase != endpoints.Up || s.Tombstones[k.ID].ID != ""})
+		v.Caches = append(v.Caches, listedRow{k.ID, k.Addr, k.Zone, k.MachineType, k.Cell, k.Size, k.StartedAt,
+			[...]string{"up", "draining", "removed"}[k.Phase], k.Source == endpoints.Imported, k.EjectedAt > 0, standing.String(), budget})
 	}
-	for _, t := range s.SortedTombs() {
-		v.Left = append(v.Left, listedOld{t.ID, when(t.At), t.Gone})
+	for _, t := range s.SortedTombstones() {
+		v.Left = append(v.Left, listedOld{t.ID, when(t.At), t.Removed})
 	}
 	return v
 }
@@ -150,14 +150,14 @@
 	}
 	if f.JSON {
 		return json.NewEncoder(to.out).Encode(map[string]any{"generation": kept.Generation, "changes": len(kept.Changes),
-			"lost_bytes": kept.Lost, "skipped": kept.Skipped, "caches": len(s.Caches)})
+			"lost_bytes": kept.LostBytes, "skipped": kept.Skipped, "caches": len(s.Endpoints)})
 	}
 	for _, x := range kept.Skipped {
 		fmt.Fprintf(to.out, "not whole, passed over: %s\n", x)
 	}
 	fmt.Fprintf(to.out, "generation %d, %d changes since its snapshot, %d bytes behind the last whole one, %d caches\n", kept.Generation,
-		len(kept.Changes), kept.Lost, len(s.Caches))
-	if len(kept.Skipped) > 0 || kept.Lost > 0 {
+		len(kept.Changes), kept.LostBytes, len(s.Endpoints))
+	if len(kept.Skipped) > 0 || kept.LostBytes > 0 {
 		return errors.New("a part was torn; the newest whole state above is what a gateway starts from")
 	}
 	return nil
@@ -195,22 +195,22 @@
 		in = file
 	}
 	var v listed
-	d := json.NewDecoder(io.LimitReader(in, wal.MostEntry))
+	d := json.NewDecoder(io.LimitReader(in, wal.MaxEntrySize))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&v); err != nil {
 		return usage("%s: not a list as export writes it: %v", f.File, err)
 	}
-	c := endpoints.Change{At: time.Now().UnixMilli()}
+	c := endpoints.Update{At: time.Now().UnixMilli()}
 	for i, k := range v.Caches {
 		if _, err := netip.ParseAddrPort(k.Addr); err != nil || k.ID == "" || k.Zone == "" || k.Machine == "" {
 			return usage("%s: caches[%d] %q: id, host_port (an address and a port), locality and flavor must be told", f.File, i, k.ID)
 		}
 		if k.Phase == "up" {
-			c.Rows = append(c.Rows, endpoints.Cache{ID: k.ID, Addr: k.Addr, Zone: k.Zone, Machine: k.Machine, Cell: k.Cell, Size: k.Size,
-				UpSince: k.UpSince, Source: endpoints.Imported})
+			c.Endpoints = append(c.Endpoints, endpoints.Endpoint{ID: k.ID, Addr: k.Addr, Zone: k.Zone, MachineType: k.Machine, Cell: k.Cell, Size: k.Size,
+				StartedAt: k.UpSince, Source: endpoints.Imported})
 		}
 	}
-	disk, err := wal.OpenFolder(f.Folder)
+	disk, err := wal.OpenOSDirectory(f.Folder)
 	if err != nil {
 		return usage("%v", err)
 	}
@@ -226,16 +226,16 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", f.Folder, err)
 	}
-	before := len(s.Caches)
+	before := len(s.Endpoints)
 	s.Import(c)
 	snap, err := s.Snapshot()
 	if err != nil {
 		return err
 	}
-	if err := r.Begin(snap); err != nil {
+	if err := r.WriteSnapshot(snap); err != nil {
 		return fmt.Errorf("%s: %w", f.Folder, err)
 	}
-	fmt.Fprintf(to.out, "%d caches taken of %d, %d in all\n", len(s.Caches)-before, len(v.Caches), len(s.Caches))
+	fmt.Fprintf(to.out, "%d caches taken of %d, %d in all\n", len(s.Endpoints)-before, len(v.Caches), len(s.Endpoints))
 	return nil
 }
 
@@ -246,7 +246,7 @@
 	if err != nil {
 		return err
 	}
-	n, err := wal.Forget(disk, listName)
+	n, err := wal.RemoveAll(disk, listName)
 	if errors.Is(err, wal.ErrLocked) {
 		return usage("%v: stop the gateway that uses it first", err)
 	}
--- a/internal/cli/routes.go
+++ b/internal/cli/routes.go
@@ -26,10 +26,10 @@
 }
 
 // call makes a call and tells what is wrong with it.
-func (s socket) call(c admin.Call) (admin.Answer, error) {
+func (s socket) call(c admin.Request) (admin.Response, error) {
 	ctx, stop := context.WithTimeout(context.Background(), s.Wait)
 	defer stop()
-	a, err := admin.Ask(ctx, s.Socket, c)
+	a, err := admin.Send(ctx, s.Socket, c)
 	if err != nil {
 		return a, fmt.Errorf("%s: %w; see whether the gateway runs and routing.socket names it", s.Socket, err)
 	}
@@ -40,7 +40,7 @@
 }
 
 // step makes a call that is a step of a change, and prints it.
-func (s socket) step(to *streams, c admin.Call) error {
+func (s socket) step(to *streams, c admin.Request) error {
 	a, err := s.call(c)
 	if err != nil {
 		return err
@@ -48,27 +48,27 @@
 	if s.JSON {
 		json.NewEncoder(to.out).Encode(a.Step)
 	} else {
-		fmt.Fprintf(to.out, "version %d: %s", a.Step.No, a.Step.Stage)
+		fmt.Fprintf(to.out, "version %d: %s", a.Step.Version, a.Step.Stage)
 		if a.Step.Share > 0 {
 			fmt.Fprintf(to.out, " for %.3g of the objects", a.Step.Share)
 		}
-		if a.Step.Within > 0 {
-			fmt.Fprintf(to.out, ", to go on within %v", time.Duration(a.Step.Within)*time.Millisecond)
+		if a.Step.TimeoutMS > 0 {
+			fmt.Fprintf(to.out, ", to go on within %v", time.Duration(a.Step.TimeoutMS)*time.Millisecond)
 		}
 		if a.Step.Reason != "" {
 			fmt.Fprintf(to.out, " (%s)", a.Step.Reason)
 		}
 		fmt.Fprintln(to.out)
-		for _, f := range a.Step.Finding {
+		for _, f := range a.Step.Findings {
 			word := "remark"
-			if f.Error {
+			if f.IsError {
 				word = "error"
 			}
 			fmt.Fprintf(to.out, "  %s: %s: %s; %s\n", word, f.Path, f.Text, f.Remedy)
 		}
 	}
-	if a.Step.Stage == change.Undone && c.Do != "undo" {
-		return fmt.Errorf("version %d is undone: %s", a.Step.No, a.Step.Reason)
+	if a.Step.Stage == change.RolledBack && c.Command != "undo" {
+		return fmt.Errorf("version %d is undone: %s", a.Step.Version, a.Step.Reason)
 	}
 	return nil
 }
@@ -98,7 +98,7 @@
 	if err != nil {
 		return err
 	}
-	call := admin.Call{Do: "plan", Config: c}
+	call := admin.Request{Command: "plan", Config: c}
 	if p.Load != "" {
 		text, err := os.ReadFile(p.Load)
 		if err != nil {
@@ -106,7 +106,7 @@
 		}
 		in := bufio.NewScanner(bytes.NewReader(text))
 		for n := 1; in.Scan(); n++ {
-			var l pools.Load
+			var l pools.LoadSample
 			if err := json.Unmarshal(in.Bytes(), &l); err != nil {
 				return usage("--load %s:%d: %v", p.Load, n, err)
 			}
@@ -123,15 +123,15 @@
 		return json.NewEncoder(to.out).Encode(a)
 	}
 	bad := 0
-	for _, f := range a.Faults {
+	for _, f := range a.Problems {
 		word := "remark"
-		if f.Error {
+		if f.IsError {
 			word, bad = "error", bad+1
 		}
 		fmt.Fprintf(to.out, "%s: %s: %s; %s\n", word, f.Path, f.Text, f.Remedy)
 	}
-	m := a.Move
-	fmt.Fprintf(to.out, "of %d lookups for %d objects, %d objects move, %d of them to caches that have none of them; %.0f of %.0f bytes\n", m.Lookups, m.Objects, m.Moved, m.Cold,
+	m := a.Impact
+	fmt.Fprintf(to.out, "of %d lookups for %d objects, %d objects move, %d of them to caches that have none of them; %.0f of %.0f bytes\n", m.Lookups, m.Objects, m.MovedObjects, m.ColdObjects,
 		m.MovedBytes, m.Bytes)
 	if bad > 0 {
 		return fmt.Errorf("%d errors: it cannot be applied", bad)
@@ -152,7 +152,7 @@
 	if err != nil {
 		return err
 	}
-	return p.step(to, admin.Call{Do: "propose", Parent: p.Parent, Author: p.Author, Reason: p.Reason, Config: c})
+	return p.step(to, admin.Request{Command: "propose", Parent: p.Parent, Author: p.Author, Reason: p.Reason, Config: c})
 }
 
 type configStage struct {
@@ -163,7 +163,7 @@
 }
 
 func (p *configStage) Run(to *streams) error {
-	return p.step(to, admin.Call{Do: "stage", No: p.No, Share: p.Share, WithinMS: p.Within.Milliseconds()})
+	return p.step(to, admin.Request{Command: "stage", Version: p.No, Share: p.Share, WithinMS: p.Within.Milliseconds()})
 }
 
 type configApply struct {
@@ -173,7 +173,7 @@
 }
 
 func (p *configApply) Run(to *streams) error {
-	return p.step(to, admin.Call{Do: "apply", No: p.No, WithinMS: p.Within.Milliseconds()})
+	return p.step(to, admin.Request{Command: "apply", Version: p.No, WithinMS: p.Within.Milliseconds()})
 }
 
 type configConfirm struct {
@@ -182,7 +182,7 @@
 }
 
 func (p *configConfirm) Run(to *streams) error {
-	return p.step(to, admin.Call{Do: "confirm", No: p.No})
+	return p.step(to, admin.Request{Command: "confirm", Version: p.No})
 }
 
 type configUndo struct {
@@ -192,7 +192,7 @@
 }
 
 func (p *configUndo) Run(to *streams) error {
-	return p.step(to, admin.Call{Do: "undo", No: p.No, Reason: p.Why})
+	return p.step(to, admin.Request{Command: "undo", Version: p.No, Reason: p.Why})
 }
 
 type configBack struct {
@@ -203,13 +203,13 @@
 }
 
 func (p *configBack) Run(to *streams) error {
-	return p.step(to, admin.Call{Do: "back", No: p.No, Author: p.Author, Reason: p.Reason})
+	return p.step(to, admin.Request{Command: "back", Version: p.No, Author: p.Author, Reason: p.Reason})
 }
 
 type configHistory struct{ socket }
 
 func (p *configHistory) Run(to *streams) error {
-	a, err := p.call(admin.Call{Do: "history"})
+	a, err := p.call(admin.Request{Command: "history"})
 	if err != nil {
 		return err
 	}
@@ -220,16 +220,16 @@
 	fmt.Fprintln(t, "version\tof\tstage\tauthor\treason\t")
 	for _, e := range a.History {
 		reason := e.Reason
-		if e.Why != "" {
-			reason += " (undone: " + e.Why + ")"
+		if e.RollbackReason != "" {
+			reason += " (undone: " + e.RollbackReason + ")"
 		}
-		fmt.Fprintf(t, "%d\t%d\t%s\t%s\t%s\t\n", e.No, e.Parent, e.Stage, e.Author, reason)
+		fmt.Fprintf(t, "%d\t%d\t%s\t%s\t%s\t\n", e.Version, e.Parent, e.Stage, e.Author, reason)
 	}
 	t.Flush()
-	if a.Force.Next != 0 {
-		fmt.Fprintf(to.out, "in force: %d, and %d for %.3g of the objects\n", a.Force.Base, a.Force.Next, a.Force.Share)
+	if a.Active.Next != 0 {
+		fmt.Fprintf(to.out, "in force: %d, and %d for %.3g of the objects\n", a.Active.Base, a.Active.Next, a.Active.Share)
 	} else {
-		fmt.Fprintf(to.out, "in force: %d\n", a.Force.Base)
+		fmt.Fprintf(to.out, "in force: %d\n", a.Active.Base)
 	}
 	return nil
 }
@@ -243,7 +243,7 @@
 func (p *configDiff) Run(to *streams) error {
 	var lines [2][]string
 	for i, no := range []uint64{p.From, p.To} {
-		a, err := p.call(admin.Call{Do: "text", No: no})
+		a, err := p.call(admin.Request{Command: "text", Version: no})
 		if err != nil {
 			return err
 		}
--- a/internal/cli/routes_test.go
+++ b/internal/cli/routes_test.go
@@ -23,13 +23,13 @@
 	dir := t.TempDir()
 	g := env.NewSystem(io.Discard, slog.LevelInfo)
 	s, err := rollout.Open(g, nil, pools.Config{Pools: map[string]pools.Pool{"town": {Locations: []string{"town"}}},
-		Routes: []pools.Route{{Name: "all", To: []pools.To{{Pool: "town"}}}}}, []string{"segment"})
+		Routes: []pools.Route{{Name: "all", Targets: []pools.Target{{Pool: "town"}}}}}, []string{"segment"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.List(endpoints.Change{Whole: true, Rows: []endpoints.Cache{{ID: "c1", Zone: "town", Machine: "edge"}, {ID: "c2", Zone: "hill", Machine: "edge"}}})
+	s.UpdateEndpoints(endpoints.Update{Complete: true, Endpoints: []endpoints.Endpoint{{ID: "c1", Zone: "town", MachineType: "edge"}, {ID: "c2", Zone: "hill", MachineType: "edge"}}})
 	path := filepath.Join(dir, "operator")
-	o, err := admin.Open(g, path, admin.Of{Routes: s})
+	o, err := admin.Open(g, path, admin.Services{Routes: s})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,7 +100,7 @@
 			}
 			conn.Close()
 		}
-		if _, err := admin.Open(g, path, admin.Of{Routes: s}); err == nil {
+		if _, err := admin.Open(g, path, admin.Services{Routes: s}); err == nil {
 			t.Error("a socket in use is taken over")
 		}
 	})
--- a/internal/config/change/frozen_test.go
+++ b/internal/config/change/frozen_test.go
@@ -22,7 +22,7 @@
 }
 
 // The files under testdata were written by the build before the names of Go changed.
-func TestStepsKeepTheirForm(t *testing.T) {
+func TestStepFormsAreUnchanged(t *testing.T) {
 	var step Step
 	keepsForm(t, "step.cbor", &step)
 	frozen.Complete(t, "step.cbor", step)
@@ -30,10 +30,10 @@
 	frozen.JSON(t, "step.json", &Step{}, true)
 }
 
-func TestStagesKeepTheirWords(t *testing.T) {
+func TestStoredStageNamesAreUnchanged(t *testing.T) {
 	var steps []Step
 	keepsForm(t, "stages.cbor", &steps)
-	want := []Stage{Proposed, Checked, Staged, Applied, Confirmed, Undone, Kept}
+	want := []Stage{Proposed, Checked, Staged, Applied, Confirmed, RolledBack, Archived}
 	if len(steps) != len(want) {
 		t.Fatal(steps)
 	}
@@ -44,8 +44,8 @@
 	}
 }
 
-func TestReportsOfChangesKeepTheirForm(t *testing.T) {
-	frozen.JSON(t, "entry.json", &Entry{}, true)
-	frozen.JSON(t, "force.json", &Force{}, true)
-	frozen.JSON(t, "guards.json", &Guards{}, true)
+func TestReportFormsAreUnchanged(t *testing.T) {
+	frozen.JSON(t, "entry.json", &VersionInfo{}, true)
+	frozen.JSON(t, "force.json", &Active{}, true)
+	frozen.JSON(t, "guards.json", &GuardLimits{}, true)
 }
--- a/internal/config/change/size_test.go
+++ b/internal/config/change/size_test.go
@@ -9,10 +9,10 @@
 // A probe of configuration at size (docs/CAPACITY.md). Changes are one gateway's, and nothing carries a step to another: of n gateways a
 // change that one of them applies is in force at that one, within 3 s and at any time after. It prints, and fails only where that is no
 // longer so, for then the table must be made anew.
-func TestSizeChangesAreOneGatewaysOwn(t *testing.T) {
+func TestSizeVersionsPerGateway(t *testing.T) {
 	began := time.Unix(1_764_576_000, 0)
 	for _, n := range []int{2, 12, 100} {
-		var all []*Changes
+		var all []*Versions
 		for range n {
 			c, _ := New([]byte("one"), "ada")
 			all = append(all, c)
@@ -30,7 +30,7 @@
 		inForce := 0
 		for _, c := range all {
 			c.Tick(began.Add(3 * time.Second))
-			if c.Force() == (Force{Base: 2}) {
+			if c.Active() == (Active{Base: 2}) {
 				inForce++
 			}
 		}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -21,7 +21,7 @@
 	t.Run("a template with an import, and defaults", func(t *testing.T) {
 		s, err := Read("/etc/f.jsonnet", reader(map[string]string{"/etc/f.jsonnet": `local c = import 'lib/common.libsonnet'; { list: c.list + { folder: '/a' } }`,
 			"/etc/lib/common.libsonnet": `{ list: { bytes: 65536 * 2 } }`}))
-		if err != nil || s.List.Folder != "/a" || s.List.Bytes != 131072 || s.List.Writes != 2 {
+		if err != nil || s.List.Folder != "/a" || s.List.MaxBytes != 131072 || s.List.WritesPerSecond != 2 {
 			t.Errorf("%+v, %v", s.List, err)
 		}
 	})
@@ -47,7 +47,7 @@
 	} {
 		t.Run(story.name, func(t *testing.T) {
 			s, err := Read("f", reader(map[string]string{"f": story.text}))
-			var fault Fault
+			var fault Error
 			if !errors.As(err, &fault) || fault.Path != story.path || fault.File != "f" || !strings.Contains(err.Error(), story.want) ||
 				strings.Contains(err.Error(), "\n") {
 				t.Errorf("%+v, %v", s, err)
@@ -55,14 +55,14 @@
 		})
 	}
 	t.Run("a file that is not there", func(t *testing.T) {
-		var fault Fault
+		var fault Error
 		if _, err := Read("gone", reader(nil)); !errors.As(err, &fault) || fault.Remedy == "" {
 			t.Error(err)
 		}
 	})
 }
 
-func TestTheFileUnderDeploy(t *testing.T) {
+func TestTheDeployFileIsValid(t *testing.T) {
 	if s, err := Read("../../deploy/foldslip.jsonnet", os.ReadFile); err != nil || s.List == nil {
 		t.Errorf("%+v, %v", s, err)
 	}
@@ -86,7 +86,7 @@
 		{"a count past its bound", "listen:", "lookups: 1e7, listen:", "external_processor.lookups"},
 	} {
 		t.Run(story.name, func(t *testing.T) {
-			var fault Fault
+			var fault Error
 			if _, err := Read("f", reader(map[string]string{"f": strings.Replace(good, story.from, story.to, 1)})); !errors.As(err, &fault) || fault.Path != story.path {
 				t.Error(err)
 			}
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestFleetSettingsAreCheckedWithTheirPlace(t *testing.T) {
+func TestFleetErrorsNameTheSetting(t *testing.T) {
 	for text, want := range map[string]string{
 		`{ fleet: { listen: '127.0.0.1:7946' } }`: "",
 		`{ fleet: {} }`:                                                                                 "fleet.listen",
@@ -118,8 +118,8 @@
 }
 
 // What cannot be of the broadcast of purges is refused with what is wrong, where, and what to do; what can be is taken as it stands.
-func TestSettingsOfTheBroadcastAreChecked(t *testing.T) {
-	long := strings.Repeat("x", mostPlace)
+func TestBroadcastIsValidated(t *testing.T) {
+	long := strings.Repeat("x", maxLocalityBytes)
 	for text, want := range map[string]string{
 		`broadcast: true`: "",
 		`broadcast: true, region: 'north', zone: 'n-1', site: 'n-1-a'`:  "",
@@ -139,12 +139,12 @@
 		s, err := Read("f.jsonnet", func(string) ([]byte, error) { return []byte(all), nil })
 		if want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
 			t.Errorf("%s: %v", text, err)
-		} else if err == nil && s.Fleet.Broadcast != strings.Contains(text, "broadcast") {
+		} else if err == nil && s.Fleet.BroadcastsPurges != strings.Contains(text, "broadcast") {
 			t.Errorf("%s: %+v", text, s.Fleet)
 		}
 	}
 	if s, err := Read("f.jsonnet", func(string) ([]byte, error) { return []byte(`{ fleet: { listen: '127.0.0.1:7946' } }`), nil }); err != nil ||
-		s.Fleet.Broadcast || s.Fleet.Region+s.Fleet.Zone+s.Fleet.Site != "" {
+		s.Fleet.BroadcastsPurges || s.Fleet.Region+s.Fleet.Zone+s.Fleet.Site != "" {
 		t.Errorf("off where nothing is set: %+v %v", s, err)
 	}
 }
--- a/internal/config/frozen_test.go
+++ b/internal/config/frozen_test.go
@@ -10,9 +10,9 @@
 
 // The files under testdata were written by the build before the names of Go changed.
 func TestSettingsKeepTheirForm(t *testing.T) {
-	frozen.JSON(t, "settings.json", &Settings{}, true)
-	frozen.JSON(t, "empty.json", &Settings{}, false)
-	frozen.JSON(t, "fault.json", &Fault{}, true)
+	frozen.JSON(t, "settings.json", &Config{}, true)
+	frozen.JSON(t, "empty.json", &Config{}, false)
+	frozen.JSON(t, "fault.json", &Error{}, true)
 }
 
 func TestDeployFileGivesTheSameSettings(t *testing.T) {
--- a/internal/extproc/door.go
+++ b/internal/extproc/door.go
@@ -50,11 +50,11 @@
 	limits      Limits
 	settings    *settings.Settings
 	dispatcher  *dispatch.Dispatcher
-	caches      *memory.Caches
-	purges      *memory.Purges
-	admission   *memory.Room
-	Routes      *rollout.Steer // nil: a lookup may go anywhere
-	mu          sync.Mutex     // of what follows; held over one call of the facade only, Take, which waits for nothing
+	caches      *memory.Registry
+	purges      *memory.Log
+	admission   *memory.Controller
+	Routes      *rollout.Controller // nil: a lookup may go anywhere
+	mu          sync.Mutex          // of what follows; held over one call of the facade only, Take, which waits for nothing
 	table       *route.Table
 	coordinator *retry.Coordinator
 	callers     map[string]*caller
@@ -91,7 +91,7 @@
 )
 
 // New makes a door behind a table. purges may be nil.
-func New(g env.Ground, its *settings.Settings, router *dispatch.Dispatcher, caches *memory.Caches, purges *memory.Purges, room *memory.Room,
+func New(g env.Ground, its *settings.Settings, router *dispatch.Dispatcher, caches *memory.Registry, purges *memory.Log, room *memory.Controller,
 	table *route.Table, terms Limits) *Server {
 	if terms.Weight <= 0 {
 		terms.Weight = 1
@@ -191,7 +191,7 @@
 		d.tracer.StepDecided(lk, step)
 		d.apply(do)
 		if step.Kind != dispatch.StepFetch && step.Kind != dispatch.StepCancel {
-			lk.Quota.Leave()
+			lk.Quota.Release()
 			d.endTicket(lk, step.Kind)
 		}
 	}
@@ -328,17 +328,17 @@
 	d.mu.Lock()
 	table := d.table
 	d.mu.Unlock()
-	a, err := table.Lookup(m.Method, m.Path, m.Get)
-	var fault *route.Fault
+	a, err := table.Match(m.Method, m.Path, m.Get)
+	var fault *route.RequestError
 	if errors.As(err, &fault) {
 		return finalReply(fault.Status, fault.Text), true
 	}
-	if most := time.Duration(d.settings.Router.Kinds[a.Kind].Deadline) * time.Microsecond; a.Allow < 0 || a.Allow > most {
-		a.Allow = most
+	if most := time.Duration(d.settings.Router.Kinds[a.Kind].Deadline) * time.Microsecond; a.TimeAllowed < 0 || a.TimeAllowed > most {
+		a.TimeAllowed = most
 	}
-	until := came.Add(a.Allow)
+	until := came.Add(a.TimeAllowed)
 	d.mu.Lock()
-	if a.Allow <= 0 && !d.coordinator.Knows(&st.handle, a.ID) { // one that is known hears of its end, however late it is asked for
+	if a.TimeAllowed <= 0 && !d.coordinator.Knows(&st.handle, a.ID) { // one that is known hears of its end, however late it is asked for
 		d.mu.Unlock()
 		return finalReply(503, "no time left"), true
 	}
@@ -348,8 +348,8 @@
 		d.apply(do)
 		return Reply{}, false
 	}
-	places := d.admission.For(st.caller.name, d.limits.Weight)
-	if !places.Enter() {
+	places := d.admission.Gate(st.caller.name, d.limits.Weight)
+	if !places.TryAdmit() {
 		d.coordinator.Discard(lk)
 		d.mu.Unlock()
 		return d.fullReply(), true
@@ -361,7 +361,7 @@
 		if why != limit.Allowed {
 			d.coordinator.Discard(lk)
 			d.mu.Unlock()
-			places.Leave()
+			places.Release()
 			r := finalReply(503, "past a limit: "+string(why))
 			r.RetryAfter = wait
 			return r, true
@@ -375,7 +375,7 @@
 	if lk.Dispatched == nil {
 		d.coordinator.Discard(lk)
 		d.mu.Unlock()
-		places.Leave()
+		places.Release()
 		d.endTicket(lk, dispatch.StepFailed)
 		return finalReply(409, "this lookup is open already"), true
 	}
@@ -407,7 +407,7 @@
 			r.outcome = policy.OutcomeError
 		}
 		if d.purges != nil {
-			issued, told := d.purges.Heeded(lk.Object, lk.Group)
+			issued, told := d.purges.InForce(lk.Object, lk.Group)
 			switch {
 			case issued.IsZero():
 			case r.createdAt.IsZero() && d.settings.Router.Kinds[lk.Request.Kind].PassThrough:
@@ -433,7 +433,7 @@
 	case retry.AnswerAttempt:
 		version, route := "", "" // of the routes that it was decided under; without, what a client sets there is removed
 		if p := say.Lookup.Ticket; p != nil {
-			version, route = strconv.FormatUint(p.Version, 10), p.Decided.Route
+			version, route = strconv.FormatUint(p.Version, 10), p.Decision.Route
 		}
 		r := d.decision(say.Step)
 		r.Decision = append(r.Decision, Header{Prefix + "version", version}, Header{Prefix + "route", route})
--- a/internal/extproc/extprocgrpc/caller_test.go
+++ b/internal/extproc/extprocgrpc/caller_test.go
@@ -83,12 +83,12 @@
 // listening is a door of the operators' settings on loopback.
 func listening(t *testing.T, x *config.ExternalProcessor) *Listener {
 	t.Helper()
-	g, caches := env.NewSystem(io.Discard, slog.LevelInfo), &memory.Caches{}
+	g, caches := env.NewSystem(io.Discard, slog.LevelInfo), &memory.Registry{}
 	terms, f := router(t, caches, false)
-	x.Streams, x.StreamsEach, x.Lookups, x.Each, x.AgainMS, x.RememberMS, x.SilentMS, x.Weight = 100, 100, 100, 100, 300, 2000, 5000, 1
+	x.StreamsPerConnection, x.StreamsPerCaller, x.Lookups, x.LookupsPerCaller, x.MaxRetryAfterMS, x.RememberMS, x.SilenceTimeoutMS, x.Weight = 100, 100, 100, 100, 300, 2000, 5000, 1
 	x.Table = []route.Rule{{Path: "/call/{kind}/{object}/part-{part}", Kind: "path:kind", Object: "path:object", Part: "path:part", ID: "header:x-job-id"}}
-	l, err := Listen(gateway.Inside{Name: "n0", Ground: g, Terms: terms, Router: f, Caches: caches, Purges: &memory.Purges{Clock: g, Keep: time.Minute},
-		Room: memory.NewRoom(g, 100, 1<<20), Own: &config.Settings{ExternalProcessor: x}}, x)
+	l, err := Listen(gateway.Inside{Name: "n0", Ground: g, Terms: terms, Router: f, Caches: caches, Purges: &memory.Log{Clock: g, Retention: time.Minute},
+		Room: memory.NewController(g, 100, 1<<20), Own: &config.Config{ExternalProcessor: x}}, x)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -172,12 +172,12 @@
 	t.Run("settings that move the door are refused, a table is taken", func(t *testing.T) {
 		other := *x
 		other.Listen = "127.0.0.1:1"
-		if _, err := l.Prepare(&config.Settings{ExternalProcessor: &other}); err == nil {
+		if _, err := l.Prepare(&config.Config{ExternalProcessor: &other}); err == nil {
 			t.Error("moved")
 		}
 		other = *x
 		other.Table = []route.Rule{{Path: "/other", Kind: "segment", Object: "o", ID: "header:x-job-id"}}
-		change, err := l.Prepare(&config.Settings{ExternalProcessor: &other})
+		change, err := l.Prepare(&config.Config{ExternalProcessor: &other})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -228,7 +228,7 @@
 		defer conn.Close()
 		during := func(_ context.Context, d client.Decision) client.AttemptOutcome {
 			ours.make("door", ours) // a new certificate under the same name
-			change, err := l.Prepare(&config.Settings{ExternalProcessor: x})
+			change, err := l.Prepare(&config.Config{ExternalProcessor: x})
 			if err != nil {
 				t.Error(err)
 				return client.AttemptOutcome{}
@@ -246,7 +246,7 @@
 	})
 	t.Run("a key that others may read is refused", func(t *testing.T) {
 		os.Chmod(dir+"/door.key", 0o644)
-		if _, err := l.Prepare(&config.Settings{ExternalProcessor: x}); err == nil || !strings.Contains(err.Error(), "chmod 600") {
+		if _, err := l.Prepare(&config.Config{ExternalProcessor: x}); err == nil || !strings.Contains(err.Error(), "chmod 600") {
 			t.Error(err)
 		}
 	})
--- a/internal/extproc/extprocgrpc/extproc.go
+++ b/internal/extproc/extprocgrpc/extproc.go
@@ -133,7 +133,7 @@
 }
 
 // headerReader reads headers, attributes and dynamic metadata by the table's names.
-func headerReader(m *extprocv3.ProcessingRequest, h *extprocv3.HttpHeaders) route.Get {
+func headerReader(m *extprocv3.ProcessingRequest, h *extprocv3.HttpHeaders) route.Attributes {
 	return func(name string) (v string, n int) {
 		if at, ok := strings.CutPrefix(name, "attr:"); ok {
 			for _, s := range m.GetAttributes() { // by the extension's name, of which the protocol has one
--- a/internal/extproc/extprocgrpc/extproc_test.go
+++ b/internal/extproc/extprocgrpc/extproc_test.go
@@ -37,11 +37,11 @@
 	t      *testing.T
 	router *dispatch.Dispatcher
 	door   *Service
-	purges *memory.Purges
+	purges *memory.Log
 	client extprocv3.ExternalProcessorClient
 }
 
-func router(t testing.TB, caches *memory.Caches, empty bool) (*settings.Settings, *dispatch.Dispatcher) {
+func router(t testing.TB, caches *memory.Registry, empty bool) (*settings.Settings, *dispatch.Dispatcher) {
 	terms, err := settings.Parse(testSettings)
 	if err != nil {
 		t.Fatal(err)
@@ -49,7 +49,7 @@
 	f := dispatch.New(env.NewSystem(io.Discard, slog.LevelInfo), 7, terms.Router, nil)
 	var rows []policy.Endpoint
 	for i, kind := range []int{0, 0, 0, 0, 1, 1, 2} {
-		rows = append(rows, policy.Endpoint{Cache: caches.Note(fmt.Sprint("c", i), fmt.Sprint("10.1.0.1:", 1000+i)).Its, Kind: kind})
+		rows = append(rows, policy.Endpoint{Cache: caches.Register(fmt.Sprint("c", i), fmt.Sprint("10.1.0.1:", 1000+i)).Policy, Kind: kind})
 	}
 	if !empty {
 		f.Tick(rows, true, nil)
@@ -59,7 +59,7 @@
 
 func begin(t *testing.T, empty bool) *place {
 	t.Helper()
-	g, caches := env.NewSystem(io.Discard, slog.LevelInfo), &memory.Caches{}
+	g, caches := env.NewSystem(io.Discard, slog.LevelInfo), &memory.Registry{}
 	p := &place{t: t}
 	terms, f := router(t, caches, empty)
 	p.router = f
@@ -68,8 +68,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.purges = &memory.Purges{Clock: g, Keep: time.Minute}
-	p.door = &Service{Server: extproc.New(g, terms, f, caches, p.purges, memory.NewRoom(g, 8, 1<<20), table, extproc.Limits{SilenceTimeout: 2 * time.Second,
+	p.purges = &memory.Log{Clock: g, Retention: time.Minute}
+	p.door = &Service{Server: extproc.New(g, terms, f, caches, p.purges, memory.NewController(g, 8, 1<<20), table, extproc.Limits{SilenceTimeout: 2 * time.Second,
 		Lookups: retry.Limits{MaxLookups: 8, MaxPerCaller: 6, ReturnTimeout: 150 * time.Millisecond, Retention: time.Second}})}
 	at, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -298,7 +298,7 @@
 	})
 	t.Run("an answer older than a purge is not passed on, nor one of no known age", func(t *testing.T) {
 		p := begin(t, false)
-		p.purges.Note("o", 0, time.Now())
+		p.purges.Record("o", 0, time.Now())
 		time.Sleep(time.Millisecond)
 		for i, born := range []string{"", fmt.Sprint(time.Now().Add(-time.Hour).UnixMilli())} {
 			c := p.call()
@@ -318,7 +318,7 @@
 	})
 	t.Run("an answer older than a purge has run: a side-effecting lookup is not sent again for it", func(t *testing.T) {
 		p := begin(t, false)
-		p.purges.Note("o", 0, time.Now())
+		p.purges.Record("o", 0, time.Now())
 		time.Sleep(time.Millisecond)
 		c := p.call()
 		c.ask("a1", "order", "o")
--- a/internal/extproc/extprocgrpc/serve.go
+++ b/internal/extproc/extprocgrpc/serve.go
@@ -73,7 +73,7 @@
 		return nil, err
 	}
 	l := &Listener{environment: in.Ground, address: x.Listen, health: health.NewServer(), kinds: in.Terms.Kinds}
-	opts := []grpc.ServerOption{grpc.MaxRecvMsgSize(MaxMessageBytes), grpc.MaxConcurrentStreams(uint32(x.Streams)),
+	opts := []grpc.ServerOption{grpc.MaxRecvMsgSize(MaxMessageBytes), grpc.MaxConcurrentStreams(uint32(x.StreamsPerConnection)),
 		grpc.MaxHeaderListSize(MaxMessageBytes), grpc.ConnectionTimeout(handshakeTimeout), grpc.WaitForHandlers(true),
 		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: maxConnectionIdle, Time: keepaliveInterval, Timeout: keepaliveInterval})}
 	if x.TLS != nil {
@@ -88,7 +88,7 @@
 	l.listener = netutil.LimitListener(l.listener, maxConnections)
 	l.Service = Service{Server: extproc.New(in.Ground, in.Terms, in.Router, in.Caches, in.Purges, in.Room, table, limitsFrom(x))}
 	if t := x.Trace; t != nil {
-		if l.tracer, err = telemetry.Open(telemetry.Options{Endpoint: t.Endpoint, Share: t.Share, Name: in.Name}); err != nil {
+		if l.tracer, err = telemetry.Open(telemetry.Options{Endpoint: t.Endpoint, Share: t.SampleRatio, Name: in.Name}); err != nil {
 			l.listener.Close()
 			return nil, err
 		}
@@ -104,8 +104,8 @@
 
 func limitsFrom(x *config.ExternalProcessor) extproc.Limits {
 	ms := func(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
-	return extproc.Limits{MaxStreams: int(x.StreamsEach), MessagesPerSecond: x.Messages, BytesPerSecond: x.Bytes, SilenceTimeout: ms(x.SilentMS), Weight: x.Weight,
-		Lookups: retry.Limits{MaxLookups: int(x.Lookups), MaxPerCaller: int(x.Each), ReturnTimeout: ms(x.AgainMS), Retention: ms(x.RememberMS)}}
+	return extproc.Limits{MaxStreams: int(x.StreamsPerCaller), MessagesPerSecond: x.MessagesPerSecond, BytesPerSecond: x.BytesPerSecond, SilenceTimeout: ms(x.SilenceTimeoutMS), Weight: x.Weight,
+		Lookups: retry.Limits{MaxLookups: int(x.Lookups), MaxPerCaller: int(x.LookupsPerCaller), ReturnTimeout: ms(x.MaxRetryAfterMS), Retention: ms(x.RememberMS)}}
 }
 
 // openListener listens at an address, or at a Unix socket that owner and group may use.
@@ -160,7 +160,7 @@
 
 // Prepare reads new settings for this door. What it returns puts them in place: the table for the lookups to come, the
 // keys for the connections to come. Streams and lookups that are open go on.
-func (l *Listener) Prepare(own *config.Settings) (func(), error) {
+func (l *Listener) Prepare(own *config.Config) (func(), error) {
 	x := own.ExternalProcessor
 	if x == nil || x.Listen != l.address || (x.TLS != nil) != (l.certificates != nil) {
 		return nil, errors.New("external_processor: listen and tls are changed by a restart only")
--- a/internal/extproc/frozen_test.go
+++ b/internal/extproc/frozen_test.go
@@ -21,8 +21,8 @@
 
 // TestFrozenReplies compares the fields, statuses and texts that callers get with those that an earlier build sent.
 func TestFrozenReplies(t *testing.T) {
-	g, caches := env.NewSystem(io.Discard, slog.LevelInfo), &memory.Caches{}
-	edge, origin := caches.Note("c0", "10.1.0.1:1000").Its, caches.Note("c1", "10.1.0.1:1001").Its
+	g, caches := env.NewSystem(io.Discard, slog.LevelInfo), &memory.Registry{}
+	edge, origin := caches.Register("c0", "10.1.0.1:1000").Policy, caches.Register("c1", "10.1.0.1:1001").Policy
 	its, err := settings.Parse([]byte(`{"classes":[{"aim":1,"deadline":2,"effect":"idempotent"}],"ceilings":{"retry_after":true,"max_retry_after":2500000}}`))
 	if err != nil {
 		t.Fatal(err)
@@ -32,8 +32,8 @@
 		Timeout: 1234567, SilenceTimeout: 99, MaxAge: 2500}
 	bare := dispatch.Step{Kind: dispatch.StepFetch, Cache: policy.NewCache("unknown"), MaxAge: 1, Mode: policy.ModeRevalidate}
 	bare.Source = bare.Cache
-	routed := &rollout.Pass{Version: 7}
-	routed.Decided.Route = "films"
+	routed := &rollout.Ticket{Version: 7}
+	routed.Decision.Route = "films"
 	var got strings.Builder
 	reply := func(name string, r Reply) {
 		fmt.Fprintf(&got, "%s: status %d %q wait %v ends %d %q\n", name, r.Status, r.Text, r.RetryAfter, r.End, r.End.Error())
@@ -64,7 +64,7 @@
 	}
 	var got strings.Builder
 	for text := range strings.Lines(string(texts)) {
-		var get route.Get = func(name string) (value string, n int) {
+		var get route.Attributes = func(name string) (value string, n int) {
 			for _, f := range strings.Fields(text) {
 				if v, ok := strings.CutPrefix(f, name+"="); ok {
 					value = v
--- a/internal/extproc/words.go
+++ b/internal/extproc/words.go
@@ -26,7 +26,7 @@
 type Message struct {
 	Phase        Phase
 	Method, Path string
-	Get          route.Get
+	Get          route.Attributes
 	Size         int  // bytes on the wire
 	ObserveOnly  bool // the caller tells and waits for no reply
 }
@@ -117,7 +117,7 @@
 	"no_slot": policy.DetailNoFillSlot, "origin_failed": policy.DetailOriginFailed}
 
 // parseReport reads how a send ended: the cache's own word, else what the status says. A word that is not known may have run.
-func parseReport(get route.Get) (r attemptReport) {
+func parseReport(get route.Attributes) (r attemptReport) {
 	word, n := get(Prefix + "end")
 	code, _ := get(":status")
 	how, known := outcomesByWord[word]
@@ -150,16 +150,16 @@
 
 // Tracer hears of each lookup's steps; it must not wait. Began is called under the door's lock.
 type Tracer interface {
-	LookupStarted(lk *retry.Lookup, get route.Get)
+	LookupStarted(lk *retry.Lookup, get route.Attributes)
 	StepDecided(lk *retry.Lookup, s dispatch.Step)
 	AttemptEnded(lk *retry.Lookup, t retry.Report)
 }
 
 type noTracer struct{}
 
-func (noTracer) LookupStarted(*retry.Lookup, route.Get)   {}
-func (noTracer) StepDecided(*retry.Lookup, dispatch.Step) {}
-func (noTracer) AttemptEnded(*retry.Lookup, retry.Report) {}
+func (noTracer) LookupStarted(*retry.Lookup, route.Attributes) {}
+func (noTracer) StepDecided(*retry.Lookup, dispatch.Step)      {}
+func (noTracer) AttemptEnded(*retry.Lookup, retry.Report)      {}
 
 // SetTracer has a tracer hear of the lookups to come; before Run.
 func (d *Server) SetTracer(t Tracer) { d.tracer = t }
--- a/internal/fleet/gossip/post.go
+++ b/internal/fleet/gossip/post.go
@@ -43,7 +43,7 @@
 // Admission are where lookups are let in.
 type Admission interface {
 	// Shared calls f for each limit of the fleet.
-	FleetLimits(f func(name string, t limit.Terms, u limit.Use))
+	FleetLimits(f func(name string, t limit.Spec, u limit.Usage))
 	// Lease puts leases in force, by limit.
 	ApplyLeases(leases map[string]limit.Lease)
 }
@@ -73,7 +73,7 @@
 
 // demand is what was counted of a limit at the turn before.
 type demand struct {
-	lastUse                        limit.Use
+	lastUse                        limit.Usage
 	measuredAt                     time.Duration
 	lookupsWanted, lookupsAdmitted float64 // lookups a second, of late
 	bytesWanted, bytesAdmitted     float64
@@ -235,7 +235,7 @@
 	p.ledger.UpdateFleet(limits.FleetState{Size: state.FleetSize, NotLive: state.FleetSize - state.Live, Rank: state.Rank, Settled: state.Settled}, now)
 	all := map[string]limits.Limit{}
 	clear(p.limitNames)
-	p.admission.FleetLimits(func(name string, t limit.Terms, u limit.Use) {
+	p.admission.FleetLimits(func(name string, t limit.Spec, u limit.Usage) {
 		s := p.demands[name]
 		if s == nil {
 			s = &demand{lastUse: u, measuredAt: time.Since(p.startedAt)}
@@ -250,7 +250,7 @@
 	p.ledger.SetLimits(all)
 	for name, s := range p.demands {
 		kept := false
-		for _, d := range dimensions(name, limit.Terms{Lookups: 1, Bytes: 1, Open: 1}, s) {
+		for _, d := range dimensions(name, limit.Spec{LookupsPerSecond: 1, BytesPerSecond: 1, MaxOpen: 1}, s) {
 			if _, is := all[d.Name]; is {
 				kept = true
 				p.ledger.RecordUsage(d.Name, d.demand, d.used)
@@ -278,18 +278,18 @@
 }
 
 // update takes what was counted until now; means fade with the time constant.
-func (s *demand) update(u limit.Use, at time.Duration) {
+func (s *demand) update(u limit.Usage, at time.Duration) {
 	d := (at - s.measuredAt).Seconds()
 	if d <= 0 {
 		return
 	}
 	w := 1 - math.Exp(-d/demandTimeConstant.Seconds())
 	mean := func(m *float64, n uint64) { *m += w * (float64(n)/d - *m) }
-	mean(&s.lookupsWanted, u.Wanted-s.lastUse.Wanted)
-	mean(&s.lookupsAdmitted, u.In-s.lastUse.In)
-	mean(&s.bytesWanted, u.WantedBytes-s.lastUse.WantedBytes)
-	mean(&s.bytesAdmitted, u.InBytes-s.lastUse.InBytes)
-	s.openWanted += w * (float64(u.WantedOpen) - s.openWanted)
+	mean(&s.lookupsWanted, u.RequestedLookups-s.lastUse.RequestedLookups)
+	mean(&s.lookupsAdmitted, u.AdmittedLookups-s.lastUse.AdmittedLookups)
+	mean(&s.bytesWanted, u.RequestedBytes-s.lastUse.RequestedBytes)
+	mean(&s.bytesAdmitted, u.AdmittedBytes-s.lastUse.AdmittedBytes)
+	s.openWanted += w * (float64(u.RequestedOpen) - s.openWanted)
 	s.lastUse, s.measuredAt = u, at
 }
 
@@ -305,15 +305,15 @@
 )
 
 // dimensions are the limits of one thing.
-func dimensions(name string, t limit.Terms, s *demand) (out []dimension) {
+func dimensions(name string, t limit.Spec, s *demand) (out []dimension) {
 	add := func(what string, all float64, whole bool, wanted, used float64) {
 		if all > 0 {
 			out = append(out, dimension{limits.Limit{Name: name + what, Total: all, Integral: whole}, wanted, used})
 		}
 	}
-	add(lookupsSuffix, t.Lookups, false, s.lookupsWanted, s.lookupsAdmitted)
-	add(bytesSuffix, t.Bytes, false, s.bytesWanted, s.bytesAdmitted)
-	add(openSuffix, float64(t.Open), true, s.openWanted, float64(s.lastUse.Open))
+	add(lookupsSuffix, t.LookupsPerSecond, false, s.lookupsWanted, s.lookupsAdmitted)
+	add(bytesSuffix, t.BytesPerSecond, false, s.bytesWanted, s.bytesAdmitted)
+	add(openSuffix, float64(t.MaxOpen), true, s.openWanted, float64(s.lastUse.Open))
 	return out
 }
 
@@ -323,24 +323,24 @@
 	now, at := p.now(), time.Now()
 	leases := map[string]limit.Lease{}
 	for name := range p.demands {
-		l := limit.Lease{Until: at.Add(time.Hour)}
+		l := limit.Lease{ExpiresAt: at.Add(time.Hour)}
 		get := func(what string) (a, then float64) {
 			if _, is := p.limitNames[limits.NameKey(name+what)]; !is {
 				return 0, 0
 			}
 			x := p.ledger.Lease(name+what, now)
 			if x.Until < math.MaxInt64 {
-				if until := at.Add(time.Duration(x.Until-now) * time.Microsecond); until.Before(l.Until) {
-					l.Until = until
+				if until := at.Add(time.Duration(x.Until-now) * time.Microsecond); until.Before(l.ExpiresAt) {
+					l.ExpiresAt = until
 				}
 			}
 			return x.Now, x.Then
 		}
 		var o, oThen float64
-		l.Now.Lookups, l.Then.Lookups = get(lookupsSuffix)
-		l.Now.Bytes, l.Then.Bytes = get(bytesSuffix)
+		l.Granted.LookupsPerSecond, l.Fallback.LookupsPerSecond = get(lookupsSuffix)
+		l.Granted.BytesPerSecond, l.Fallback.BytesPerSecond = get(bytesSuffix)
 		o, oThen = get(openSuffix)
-		l.Now.Open, l.Then.Open = int(o), int(oThen)
+		l.Granted.MaxOpen, l.Fallback.MaxOpen = int(o), int(oThen)
 		leases[name] = l
 	}
 	p.mu.Unlock()
--- a/internal/fleet/gossip/post_test.go
+++ b/internal/fleet/gossip/post_test.go
@@ -58,18 +58,18 @@
 	limits *limit.Set
 }
 
-func (d *fakeAdmission) FleetLimits(f func(string, limit.Terms, limit.Use)) {
+func (d *fakeAdmission) FleetLimits(f func(string, limit.Spec, limit.Usage)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.limits.Fleet(func(name string, l *limit.Limit) { f(name, l.Terms(), l.Use()) })
+	d.limits.EachFleetWide(func(name string, l *limit.Limit) { f(name, l.Spec(), l.Usage()) })
 }
 
 func (d *fakeAdmission) ApplyLeases(leases map[string]limit.Lease) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for name, l := range leases {
-		if its := d.limits.Of(name); its != nil {
-			its.Lease(time.Now(), l)
+		if its := d.limits.Find(name); its != nil {
+			its.SetLease(time.Now(), l)
 		}
 	}
 }
@@ -78,7 +78,7 @@
 func (d *fakeAdmission) sendLookups(rate int, long time.Duration) (in int) {
 	for end := time.Now().Add(long); time.Now().Before(end); time.Sleep(time.Second / time.Duration(rate)) {
 		d.mu.Lock()
-		if _, why, _ := d.limits.Of("tenant x").Enter(time.Now(), "x", 1, 0); why == limit.Allowed {
+		if _, why, _ := d.limits.Find("tenant x").Admit(time.Now(), "x", 1, 0); why == limit.Allowed {
 			in++
 		}
 		d.mu.Unlock()
@@ -86,7 +86,7 @@
 	return in
 }
 
-func withFleet(t *testing.T, n int, terms limit.Terms, story func(t *testing.T, w *network, doors []*fakeAdmission)) {
+func withFleet(t *testing.T, n int, terms limit.Spec, story func(t *testing.T, w *network, doors []*fakeAdmission)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &network{gossipers: map[string]*Gossiper{}, isolated: map[string]bool{}}
 		stop := make(chan struct{})
@@ -94,7 +94,7 @@
 		var wait sync.WaitGroup
 		for i := range n {
 			name := fmt.Sprintf("n%d", i)
-			d := &fakeAdmission{limits: limit.NewSet(time.Now(), map[string]limit.Terms{"tenant x": terms})}
+			d := &fakeAdmission{limits: limit.NewSet(time.Now(), map[string]limit.Spec{"tenant x": terms})}
 			p := New(name, d, nil, slog.New(slog.DiscardHandler), uint64(i))
 			p.SetFleet(endpoint{w, name})
 			doors, w.gossipers[name] = append(doors, d), p
@@ -111,7 +111,7 @@
 }
 
 func TestFloodThroughOneGatewayBorrowsFromTheOthers(t *testing.T) {
-	withFleet(t, 4, limit.Terms{Lookups: 100, Fleet: true}, func(t *testing.T, w *network, doors []*fakeAdmission) {
+	withFleet(t, 4, limit.Spec{LookupsPerSecond: 100, FleetWide: true}, func(t *testing.T, w *network, doors []*fakeAdmission) {
 		doors[0].sendLookups(500, 5*time.Second)
 		if in := doors[0].sendLookups(500, 10*time.Second); in < 750 || in > 1000 {
 			t.Errorf("%d in 10 s: its own quarter and four fifths of the rest are 850", in)
@@ -124,7 +124,7 @@
 }
 
 func TestIsolatedGatewayFallsBackToOwnQuota(t *testing.T) {
-	withFleet(t, 4, limit.Terms{Lookups: 100, Fleet: true}, func(t *testing.T, w *network, doors []*fakeAdmission) {
+	withFleet(t, 4, limit.Spec{LookupsPerSecond: 100, FleetWide: true}, func(t *testing.T, w *network, doors []*fakeAdmission) {
 		doors[0].sendLookups(500, 5*time.Second)
 		w.mu.Lock()
 		w.isolated["n0"] = true
@@ -137,7 +137,7 @@
 }
 
 func TestFloodOnAllGatewaysIsAdmittedUpToTheLimit(t *testing.T) {
-	withFleet(t, 4, limit.Terms{Lookups: 100, Fleet: true}, func(t *testing.T, w *network, doors []*fakeAdmission) {
+	withFleet(t, 4, limit.Spec{LookupsPerSecond: 100, FleetWide: true}, func(t *testing.T, w *network, doors []*fakeAdmission) {
 		var mu sync.Mutex
 		var wait sync.WaitGroup
 		sum := 0
@@ -159,7 +159,7 @@
 }
 
 func TestFramesOfUnknownSendersAreIgnored(t *testing.T) {
-	withFleet(t, 2, limit.Terms{Lookups: 100, Fleet: true}, func(t *testing.T, w *network, doors []*fakeAdmission) {
+	withFleet(t, 2, limit.Spec{LookupsPerSecond: 100, FleetWide: true}, func(t *testing.T, w *network, doors []*fakeAdmission) {
 		p := w.gossipers["n0"]
 		name := limits.NameKey("tenant x/lookups")
 		p.HandleMessage(limits.Frame{SenderKey: limits.NameKey("stranger"), Entries: []limits.Entry{{LimitKey: name, ID: 1, Amount: 50}}}.Append(nil))
--- a/internal/fleet/membership/shelf.go
+++ b/internal/fleet/membership/shelf.go
@@ -15,7 +15,7 @@
 // MemberStore keeps on disk who was known (store/record), so that a gateway that restarts finds the fleet again where no seed answers,
 // and knows how large the fleet was. It keeps no state: what another gateway is, only it and the detector say.
 type MemberStore struct {
-	log   *wal.Record
+	log   *wal.Log
 	self  string
 	known []view.ID
 }
@@ -76,7 +76,7 @@
 	if err != nil {
 		return err
 	}
-	return s.log.Begin(text)
+	return s.log.WriteSnapshot(text)
 }
 
 // Close gives the folder back.
--- a/internal/gateway/descriptors.go
+++ b/internal/gateway/descriptors.go
@@ -28,7 +28,7 @@
 // share divides what the process may hold: told is the platform's number and held the kernel's, 0: not known; the lower counts.
 // Clients have a half, at most mostClients (the platform's hold up to a third), the process, its watch and its operators what they can
 // take at most, connections to caches the rest.
-func share(told int, held uint64, own *config.Settings, doors bool) (p parts) {
+func share(told int, held uint64, own *config.Config, doors bool) (p parts) {
 	all := uint64(max(told, 0))
 	if held > 0 && (all == 0 || held < all) {
 		all = held // fewer than told: clients must not take what the caches need
--- a/internal/gateway/descriptors_test.go
+++ b/internal/gateway/descriptors_test.go
@@ -20,23 +20,23 @@
 )
 
 func TestPartsOfTheDescriptors(t *testing.T) {
-	all := &config.Settings{List: &config.List{}, Routing: &config.Routing{Socket: "s", Folder: "f"}, Fleet: &config.Fleet{Socket: "s"}}
+	all := &config.Config{List: &config.EndpointStore{}, Routing: &config.Routing{Socket: "s", Folder: "f"}, Fleet: &config.Fleet{Socket: "s"}}
 	for _, c := range []struct {
 		told  int
 		held  uint64
-		own   *config.Settings
+		own   *config.Config
 		doors bool
 		want  parts
 	}{
-		{1024, 1024, &config.Settings{}, false, parts{12, 0, 512, 500}}, // the platform's scored days
-		{4096, 1024, &config.Settings{}, false, parts{12, 0, 512, 500}},
-		{1024, 100, &config.Settings{}, false, parts{12, 0, 50, 38}},
-		{0, 1024, &config.Settings{}, true, parts{12, 128, 512, 372}},
+		{1024, 1024, &config.Config{}, false, parts{12, 0, 512, 500}}, // the platform's scored days
+		{4096, 1024, &config.Config{}, false, parts{12, 0, 512, 500}},
+		{1024, 100, &config.Config{}, false, parts{12, 0, 50, 38}},
+		{0, 1024, &config.Config{}, true, parts{12, 128, 512, 372}},
 		{1024, 0, all, false, parts{78, 0, 512, 434}},
-		{20000, 20000, &config.Settings{}, false, parts{12, 0, 4096, 15892}},
-		{0, 1 << 63, &config.Settings{}, false, parts{12, 0, 4096, 16384}},
-		{0, 0, &config.Settings{}, false, parts{0, 0, 1, 16384}},
-		{2, 100, &config.Settings{}, false, parts{12, 0, 1, 4}}, // too few for all: what must be had all the same
+		{20000, 20000, &config.Config{}, false, parts{12, 0, 4096, 15892}},
+		{0, 1 << 63, &config.Config{}, false, parts{12, 0, 4096, 16384}},
+		{0, 0, &config.Config{}, false, parts{0, 0, 1, 16384}},
+		{2, 100, &config.Config{}, false, parts{12, 0, 1, 4}}, // too few for all: what must be had all the same
 	} {
 		got := share(c.told, c.held, c.own, c.doors)
 		if got != c.want {
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -37,7 +37,7 @@
 }
 
 // joining makes it; nil where the operators' settings name no fleet, as on the platform.
-func joining(g env.Ground, own *config.Settings, name string, seed uint64, routes *rollout.Steer, router *dispatch.Dispatcher,
+func joining(g env.Ground, own *config.Config, name string, seed uint64, routes *rollout.Controller, router *dispatch.Dispatcher,
 	bulletin *wire.Bulletin) (*part, error) {
 	if own.Fleet == nil {
 		return nil, nil
@@ -47,8 +47,8 @@
 		return nil, fmt.Errorf("fleet: this gateway has no name; set ROUTER_NAME, unlike that of any other")
 	}
 	set := membership.Settings{Name: name, Listen: c.Listen, Advertise: c.Advertise, Label: c.Label, Seeds: c.Seeds, SeedFile: c.SeedFile,
-		MaxMembers: int(c.Members), ExpectedMembers: int(c.Expect), ProbeInterval: config.Ms(c.Probe), ProbeTimeout: config.Ms(c.Timeout), GossipInterval: config.Ms(c.Gossip),
-		ReapAfter: config.Ms(c.Reap), SettleAfter: config.Ms(c.Settle), RejoinInterval: config.Ms(c.Rejoin),
+		MaxMembers: int(c.MaxMembers), ExpectedMembers: int(c.ExpectedMembers), ProbeInterval: config.Milliseconds(c.ProbeMS), ProbeTimeout: config.Milliseconds(c.ProbeTimeoutMS), GossipInterval: config.Milliseconds(c.GossipMS),
+		ReapAfter: config.Milliseconds(c.ReapMS), SettleAfter: config.Milliseconds(c.SettleMS), RejoinInterval: config.Milliseconds(c.RejoinMS),
 		Locality: view.Locality{Region: c.Region, Zone: c.Zone, Site: c.Site}}
 	if c.KeyFile != "" {
 		key, err := g.ReadFile(c.KeyFile)
@@ -88,12 +88,12 @@
 	// heard brings purges that peers told first to where they count, as those of the own watch.
 	heard := func(purges []dispatch.Purge) {
 		for _, one := range purges {
-			bulletin.Purges.Note(one.Object, one.Group, one.IssuedAt)
+			bulletin.Purges.Record(one.Object, one.Group, one.IssuedAt)
 		}
 		router.Tick(nil, false, purges)
 	}
 	var heed func([]purgesync.Purge)
-	if c.Purges {
+	if c.SharesPurges {
 		heed = func(some []purgesync.Purge) {
 			var purges []dispatch.Purge
 			for _, v := range some {
@@ -106,7 +106,7 @@
 		p.post = gossip.New(name, doors, heed, g.Log(), seed)
 		parts.OnMessage = p.post.HandleMessage
 	}
-	if c.Broadcast {
+	if c.BroadcastsPurges {
 		var stamp [8]byte // not of the seed, which a configuration may give alike at each start and to each gateway
 		if _, err := crand.Read(stamp[:]); err != nil {
 			return nil, err
@@ -213,7 +213,7 @@
 }
 
 // Prepare has nothing that changes at SIGHUP: the seeds' file is read anew by itself, the rest counts from the next start.
-func (p *part) Prepare(*config.Settings) (func(), error) { return func() {}, nil }
+func (p *part) Prepare(*config.Config) (func(), error) { return func() {}, nil }
 
 // Drain leaves the fleet.
 func (p *part) Drain() { close(p.stop) }
@@ -222,20 +222,20 @@
 func (p *part) Wait() { <-p.ended }
 
 // operators opens the sockets that the settings name, one where both are the same.
-func operators(g env.Ground, own *config.Settings, routes *rollout.Steer, p *part) (doors []Door, err error) {
+func operators(g env.Ground, own *config.Config, routes *rollout.Controller, p *part) (doors []Door, err error) {
 	routing, fleet := "", ""
 	if routes != nil {
 		routing = own.Routing.Socket
 	}
-	of := admin.Of{Routes: routes}
+	of := admin.Services{Routes: routes}
 	if p != nil {
 		of.Fleet, of.Limits, of.Broadcast, fleet = p.fleet, p.post, p.caster, own.Fleet.Socket
 	}
-	open := func(what, path string, of admin.Of) {
+	open := func(what, path string, of admin.Services) {
 		if path == "" || err != nil {
 			return
 		}
-		var o *admin.Operator
+		var o *admin.Server
 		if o, err = admin.Open(g, path, of); err != nil {
 			err = fmt.Errorf("%s.socket: %w", what, err)
 			return
@@ -246,7 +246,7 @@
 		open("routing", routing, of)
 		return doors, err
 	}
-	open("routing", routing, admin.Of{Routes: routes})
-	open("fleet", fleet, admin.Of{Fleet: of.Fleet, Limits: of.Limits, Broadcast: of.Broadcast})
+	open("routing", routing, admin.Services{Routes: routes})
+	open("fleet", fleet, admin.Services{Fleet: of.Fleet, Limits: of.Limits, Broadcast: of.Broadcast})
 	return doors, err
 }
--- a/internal/gateway/frozen_test.go
+++ b/internal/gateway/frozen_test.go
@@ -33,7 +33,7 @@
 	for _, name := range []string{"all.json", "names-in-capitals.json", "no-listen.json", "no-bulletin.json", "no-known.json", "bad-seed.json", "bad-settings.json", "no-json.json"} {
 		path := filepath.Join("testdata", "frozen", name)
 		for _, given := range [][2]string{{}, {"name-given", "127.0.0.1:9"}} {
-			s, terms, seed, err := readStart(g, path, given[0], given[1], &config.Settings{})
+			s, terms, seed, err := readStart(g, path, given[0], given[1], &config.Config{})
 			if err != nil {
 				fmt.Fprintf(&read, "%s: %v\n", name, err)
 				continue
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -55,7 +55,7 @@
 	Settings json.RawMessage
 }
 
-func readStart(g env.Ground, path, name, listen string, own *config.Settings) (*start, *settings.Settings, uint64, error) {
+func readStart(g env.Ground, path, name, listen string, own *config.Config) (*start, *settings.Settings, uint64, error) {
 	text, err := g.ReadFile(path)
 	if err != nil {
 		return nil, nil, 0, err
@@ -85,8 +85,8 @@
 }
 
 // readAll reads what the gateway is told, as its variables say.
-func readAll(g env.Ground) (*start, *settings.Settings, uint64, *config.Settings, error) {
-	own := &config.Settings{}
+func readAll(g env.Ground) (*start, *settings.Settings, uint64, *config.Config, error) {
+	own := &config.Config{}
 	if path := g.Env("FOLDSLIP_SETTINGS"); path != "" {
 		var err error
 		if own, err = config.Read(path, g.ReadFile); err != nil {
@@ -99,11 +99,11 @@
 }
 
 // keep opens the list kept on disk. What is wrong with it is told, and the gateway serves without it.
-func keep(g env.Ground, own *config.Settings) *snapshot.Keeper {
+func keep(g env.Ground, own *config.Config) *snapshot.Snapshotter {
 	if own.List == nil {
 		return nil
 	}
-	list, why, err := snapshot.Open(g, own.List.Folder, snapshot.Terms{Bytes: own.List.Bytes, Writes: own.List.Writes})
+	list, why, err := snapshot.Open(g, own.List.Folder, snapshot.Limits{MaxBytes: own.List.MaxBytes, WritesPerSecond: own.List.WritesPerSecond})
 	if err != nil {
 		g.Log().Warn("list_not_kept", "folder", own.List.Folder, "text", err.Error())
 		return nil
@@ -115,7 +115,7 @@
 }
 
 // steering puts the operators' routes in force; nil where they name none.
-func steering(g env.Ground, own *config.Settings, terms *settings.Settings, bulletin *wire.Bulletin) (*rollout.Steer, error) {
+func steering(g env.Ground, own *config.Config, terms *settings.Settings, bulletin *wire.Bulletin) (*rollout.Controller, error) {
 	if own.Routing == nil {
 		return nil, nil
 	}
@@ -130,10 +130,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if own.Routing.Guards != nil {
-		s.Guards(*own.Routing.Guards)
+	if own.Routing.GuardLimits != nil {
+		s.SetGuardLimits(*own.Routing.GuardLimits)
 	}
-	bulletin.Heard = s.List
+	bulletin.Heard = s.UpdateEndpoints
 	return s, nil
 }
 
@@ -142,11 +142,11 @@
 	router *dispatch.Dispatcher
 	links  *wire.Links
 	front  *wire.Front
-	routes *rollout.Steer
+	routes *rollout.Controller
 }
 
 // Routes are the routes in force; nil: none.
-func (w *Gateway) Routes() *rollout.Steer { return w.routes }
+func (w *Gateway) Routes() *rollout.Controller { return w.routes }
 
 // Load is what a gateway holds: lookups without a final answer or with sends out, sends as the module counts them,
 // those not picked yet, sends as the connections count them, and connections to caches and of clients.
@@ -174,11 +174,11 @@
 	Ground env.Ground
 	Terms  *settings.Settings
 	Router *dispatch.Dispatcher
-	Caches *memory.Caches
-	Purges *memory.Purges
-	Room   *memory.Room
-	Own    *config.Settings
-	Routes *rollout.Steer // nil: a lookup may go anywhere
+	Caches *memory.Registry
+	Purges *memory.Log
+	Room   *memory.Controller
+	Own    *config.Config
+	Routes *rollout.Controller // nil: a lookup may go anywhere
 }
 
 // Door takes lookups beside the users' door.
@@ -186,7 +186,7 @@
 	// Run serves until life ends.
 	Run(life *env.Life) error
 	// Prepare reads the operators' settings anew; what it returns puts them in place. It changes nothing by itself.
-	Prepare(own *config.Settings) (func(), error)
+	Prepare(own *config.Config) (func(), error)
 	// Drain takes no more callers; what is open goes on. It does not wait.
 	Drain()
 	// Wait waits for what is open to end.
@@ -212,8 +212,8 @@
 	life := env.NewLife(nil)
 	defer life.End()
 
-	caches := &memory.Caches{}
-	purges := &memory.Purges{Clock: g, Grace: time.Duration(terms.PurgeGrace) * time.Microsecond, Keep: time.Duration(terms.Router.PurgeSettleTime)*time.Microsecond + purgeSlack}
+	caches := &memory.Registry{}
+	purges := &memory.Log{Clock: g, Grace: time.Duration(terms.PurgeGrace) * time.Microsecond, Retention: time.Duration(terms.Router.PurgeSettleTime)*time.Microsecond + purgeSlack}
 	router := dispatch.New(g, seed, terms.Router, watch.Between)
 	calling := &frugal{Ground: g}
 	bulletin := wire.NewBulletin(calling, s.Bulletin, terms, router, caches, purges)
@@ -222,7 +222,7 @@
 		return err
 	}
 	list := keep(g, own)
-	var members *warmstart.Members
+	var members *warmstart.Reconciler
 	if list != nil {
 		members = warmstart.New(g, terms, router, caches, list)
 		bulletin.Members = members
@@ -252,7 +252,7 @@
 		bytes = int64(s.Limits.MemoryMB * bodiesPart * (1 << 20))
 	}
 	links := wire.NewLinks(calling, life, terms, router, caches, purges, held.Caches)
-	room := memory.NewRoom(g, lookups, bytes)
+	room := memory.NewController(g, lookups, bytes)
 	front := wire.NewFront(g, terms, router, links, room, held.Clients)
 	calling.yield = func() bool { return front.Yield() || links.Yield() } // who waits for nothing goes first
 	front.Routes = routes
@@ -366,7 +366,7 @@
 
 // reread reads the configuration anew at each SIGHUP. The bulletin moves at once and nothing else is touched; what
 // is told of the rest counts from the next start. A file that cannot be used leaves all as it is.
-func reread(g env.Ground, life *env.Life, told *orders, was *start, bulletin *wire.Bulletin, routes *rollout.Steer,
+func reread(g env.Ground, life *env.Life, told *orders, was *start, bulletin *wire.Bulletin, routes *rollout.Controller,
 	doors []Door) error {
 	defer life.OnEnd(told.rereading.Ring)()
 	for {
@@ -400,10 +400,10 @@
 }
 
 // rerouted brings the routes of the file in; an error if they cannot be used.
-func rerouted(routes *rollout.Steer, r *config.Routing) error {
-	step, err := routes.File(r.Config, confirmIn)
-	if err == nil && step.Stage == change.Undone && len(step.Finding) > 0 {
-		err = fmt.Errorf("routing: version %d is undone: %s", step.No, step.Reason)
+func rerouted(routes *rollout.Controller, r *config.Routing) error {
+	step, err := routes.ApplyFile(r.Config, confirmIn)
+	if err == nil && step.Stage == change.RolledBack && len(step.Findings) > 0 {
+		err = fmt.Errorf("routing: version %d is undone: %s", step.Version, step.Reason)
 	}
 	return err
 }
--- a/internal/lab/fleet/forms_test.go
+++ b/internal/lab/fleet/forms_test.go
@@ -33,7 +33,7 @@
 
 // TestGatewayFilesKeepTheirForm compares the two files that a gateway of the rig is started with.
 func TestGatewayFilesKeepTheirForm(t *testing.T) {
-	s := &Scenario{Name: "x", Gateways: 2, Disk: true, Fleet: config.Fleet{Broadcast: true, Members: 8}, Offsets: []Offset{{"n2", 250}},
+	s := &Scenario{Name: "x", Gateways: 2, Disk: true, Fleet: config.Fleet{BroadcastsPurges: true, MaxMembers: 8}, Offsets: []Offset{{"n2", 250}},
 		Limit:  &Limit{Lookups: 20, Fleet: true},
 		Places: []Place{{Who: []string{"n2"}, Region: "r", Zone: "z", Site: "s"}}}
 	r := &Rig{s: s, o: Options{Seed: 7}}
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -206,7 +206,7 @@
 
 // report asks the gateway at its socket.
 func (p *process) report(ctx context.Context) (*membership.Report, error) {
-	a, err := admin.Ask(ctx, p.socket(), admin.Call{Do: "fleet"})
+	a, err := admin.Send(ctx, p.socket(), admin.Request{Command: "fleet"})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/fleet/rig_test.go
+++ b/internal/lab/fleet/rig_test.go
@@ -38,7 +38,7 @@
 	os.Exit(code)
 }
 
-var brief = config.Fleet{Probe: 200, Timeout: 100, Gossip: 40, Settle: 300, Rejoin: 1000}
+var brief = config.Fleet{ProbeMS: 200, ProbeTimeoutMS: 100, GossipMS: 40, SettleMS: 300, RejoinMS: 1000}
 
 func TestRealGatewaysSettleAfter(t *testing.T) {
 	cases := []Scenario{
@@ -160,7 +160,7 @@
 			{AtMS: 100, Do: "link", From: []string{Bulletin}, Cut: true, Settle: "none"},
 			{AtMS: 3000, Do: "kill", Who: []string{"@root"}, Settle: "none"},
 		}}
-	s.Fleet.Broadcast = true
+	s.Fleet.BroadcastsPurges = true
 	root := s.heads()["root"][0]
 	deaf := slices.DeleteFunc(s.names(), func(name string) bool { return name == "n2" })
 	s.Steps[0].From, s.Steps[1].To = deaf, deaf
--- a/internal/lab/fleet/scenario.go
+++ b/internal/lab/fleet/scenario.go
@@ -120,7 +120,7 @@
 		read = hard.ReadFile
 	}
 	s := &Scenario{}
-	if err := config.Take(name, read, s); err != nil {
+	if err := config.Evaluate(name, read, s); err != nil {
 		return nil, err
 	}
 	if s.Name == "" {
@@ -131,7 +131,7 @@
 
 func (s *Scenario) check(file string) error {
 	bad := func(at, text, remedy string) error {
-		return config.Fault{File: file, Path: at, Text: text, Remedy: remedy}
+		return config.Error{File: file, Path: at, Text: text, Remedy: remedy}
 	}
 	if s.Gateways < 1 || s.Gateways > mostGateways || s.Late < 0 || s.Late >= s.Gateways {
 		return bad("gateways", fmt.Sprintf("%d, %d of them late", s.Gateways, s.Late), fmt.Sprintf("expected 1 to %d, some of them not late", mostGateways))
@@ -145,7 +145,7 @@
 	if l := s.Limit; l != nil && (l.Lookups < 1 || l.Over < 0 || s.Load.PerSecond == 0) {
 		return bad("limit", fmt.Sprintf("%+v", *l), "a limit of at least 1 lookup a second, and a load")
 	}
-	if p := s.Purges; p != nil && (p.PerSecond <= 0 || p.FromMS < 0 || p.PerSecond*float64(p.ForMS)/1000 > mostTold || p.Share < 0 || p.Share > 1 || !s.Fleet.Broadcast) {
+	if p := s.Purges; p != nil && (p.PerSecond <= 0 || p.FromMS < 0 || p.PerSecond*float64(p.ForMS)/1000 > mostTold || p.Share < 0 || p.Share > 1 || !s.Fleet.BroadcastsPurges) {
 		return bad("purges", fmt.Sprintf("%+v", *p), fmt.Sprintf("expected per_second above 0, at most %d in all, and fleet.broadcast", mostTold))
 	}
 	for i, p := range s.Places {
@@ -298,5 +298,5 @@
 
 // Fault is a link step's fault.
 func (st Step) Fault() Fault {
-	return Fault{Cut: st.Cut, Loss: st.Loss, Delay: config.Ms(st.DelayMS), Jitter: config.Ms(st.Jitter), Reorder: st.Reorder, Rate: st.RateKB << 10}
+	return Fault{Cut: st.Cut, Loss: st.Loss, Delay: config.Milliseconds(st.DelayMS), Jitter: config.Milliseconds(st.Jitter), Reorder: st.Reorder, Rate: st.RateKB << 10}
 }
--- a/internal/lab/fleet/spread.go
+++ b/internal/lab/fleet/spread.go
@@ -194,7 +194,7 @@
 }
 
 func askBroadcast(ctx context.Context, p *process, after uint64) (*driver.Report, error) {
-	a, err := admin.Ask(ctx, p.socket(), admin.Call{Do: "broadcast", No: after})
+	a, err := admin.Send(ctx, p.socket(), admin.Request{Command: "broadcast", Version: after})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -30,8 +30,8 @@
 // fleet. Its goroutines end with Stop.
 type Hollow struct {
 	Router *dispatch.Dispatcher
-	Caches *memory.Caches
-	Purges *memory.Purges
+	Caches *memory.Registry
+	Purges *memory.Log
 	life   *env.Life
 	group  env.Group
 }
@@ -53,8 +53,8 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &Hollow{Caches: &memory.Caches{}, life: env.NewLife(nil), group: g.Group()}
-	h.Purges = &memory.Purges{Clock: g, Grace: time.Duration(terms.PurgeGrace) * time.Microsecond, Keep: time.Duration(terms.Router.PurgeSettleTime)*time.Microsecond + purgeSlack}
+	h := &Hollow{Caches: &memory.Registry{}, life: env.NewLife(nil), group: g.Group()}
+	h.Purges = &memory.Log{Clock: g, Grace: time.Duration(terms.PurgeGrace) * time.Microsecond, Retention: time.Duration(terms.Router.PurgeSettleTime)*time.Microsecond + purgeSlack}
 	h.Router = dispatch.New(g, s.Seed, terms.Router, nil)
 	watch := wire.NewBulletin(g, s.Watch, terms, h.Router, h.Caches, h.Purges)
 	if err := watch.Known(s.Known); err != nil {
--- a/internal/lab/scale/hollow_test.go
+++ b/internal/lab/scale/hollow_test.go
@@ -92,7 +92,7 @@
 		t.Errorf("%d caches after one has gone", n)
 	}
 	time.Sleep(h.Purges.Grace + 10*time.Millisecond)
-	if issued, _ := h.Purges.Heeded("00000000000000aa", 0); issued.UnixMilli() != at.UnixMilli() {
+	if issued, _ := h.Purges.InForce("00000000000000aa", 0); issued.UnixMilli() != at.UnixMilli() {
 		t.Errorf("heeds a purge of %v, was told one of %v", issued, at)
 	}
 	if err := h.Stop(); err != nil {
--- a/internal/lab/scenario/day.go
+++ b/internal/lab/scenario/day.go
@@ -68,7 +68,7 @@
 	reasons    map[string]int
 	spoil      spoil
 	look       Look
-	yesterday  []kept.Cache
+	yesterday  []kept.Endpoint
 	early      Early
 	proxies    map[*gatewayActor]*proxy
 	firstEdges []string // ids of the edges at the day's start
--- a/internal/lab/scenario/door.go
+++ b/internal/lab/scenario/door.go
@@ -114,8 +114,8 @@
 	return p.group.Wait()
 }
 
-func (p *plainDoor) Prepare(*config.Settings) (func(), error) { return func() {}, nil }
-func (p *plainDoor) Drain()                                   { p.l.Close() }
+func (p *plainDoor) Prepare(*config.Config) (func(), error) { return func() {}, nil }
+func (p *plainDoor) Drain()                                 { p.l.Close() }
 func (p *plainDoor) Wait() {
 	for p.OpenLookups() > 0 {
 		p.g.Bell().Wait(10 * time.Millisecond)
--- a/internal/lab/scenario/morning.go
+++ b/internal/lab/scenario/morning.go
@@ -57,10 +57,10 @@
 // dawn makes what is true and what the list says.
 func (d *Day) dawn() {
 	m := d.Plan.Morning
-	var rows []kept.Cache
-	var left []kept.Cache
-	row := func(c *cache) kept.Cache {
-		return kept.Cache{ID: c.id, Addr: c.addr(), Zone: c.zone, Machine: c.flavor, Cell: c.cell, Size: c.size}
+	var rows []kept.Endpoint
+	var left []kept.Endpoint
+	row := func(c *cache) kept.Endpoint {
+		return kept.Endpoint{ID: c.id, Addr: c.addr(), Zone: c.zone, MachineType: c.flavor, Cell: c.cell, Size: c.size}
 	}
 	for i := range len(d.caches) + len(d.parents) {
 		place := d.place(i)
@@ -157,7 +157,7 @@
 }
 
 // keep puts the list on each gateway's disk, as a gateway wrote it.
-func (d *Day) keep(rows, left []kept.Cache) {
+func (d *Day) keep(rows, left []kept.Endpoint) {
 	m := d.Plan.Morning
 	if m.From != "list" {
 		return
@@ -169,19 +169,19 @@
 	}
 	for _, g := range d.gateways {
 		s := kept.New()
-		s.Apply(kept.Change{At: at, Bulletin: d.bulletins[0].addr(), Last: last, Whole: true, Rows: rows})
-		s.Apply(kept.Change{At: at, Rows: left, Last: last})
-		s.Hours, s.Departed = 2000, 4
+		s.Apply(kept.Update{At: at, DiscoveryAddr: d.bulletins[0].addr(), LastEvent: last, Complete: true, Endpoints: rows})
+		s.Apply(kept.Update{At: at, Endpoints: left, LastEvent: last})
+		s.CacheHours, s.Departures = 2000, 4
 		snap, err := s.Snapshot()
 		if err != nil {
 			panic(err) // of our own plain types
 		}
-		rec, _, err := wal.Open(g.disk, snapshot.Name)
+		rec, _, err := wal.Open(g.disk, snapshot.LogName)
 		if err != nil {
 			panic(err)
 		}
-		text, _ := kept.Change{At: at, Standing: true}.Encode()
-		if err := errors.Join(rec.Begin(snap), rec.Append(text), rec.Close()); err != nil {
+		text, _ := kept.Update{At: at, StillCurrent: true}.Encode()
+		if err := errors.Join(rec.WriteSnapshot(snap), rec.Append(text), rec.Close()); err != nil {
 			panic(err)
 		}
 		if m.Torn {
@@ -202,7 +202,7 @@
 	switch m.From {
 	case "trust":
 		for _, r := range d.yesterday {
-			members = append(members, member{ID: r.ID, HostPort: r.Addr, Locality: r.Zone, Flavor: r.Machine, Cell: r.Cell, Phase: "up",
+			members = append(members, member{ID: r.ID, HostPort: r.Addr, Locality: r.Zone, Flavor: r.MachineType, Cell: r.Cell, Phase: "up",
 				Size: r.Size})
 		}
 	case "true":
--- a/internal/lab/scenario/routes.go
+++ b/internal/lab/scenario/routes.go
@@ -38,23 +38,23 @@
 	p := pools.Pool{Locations: []string{"town", "hill"}}
 	for _, id := range d.firstEdges {
 		if d.barred(s, id) {
-			p.Without = append(p.Without, id)
+			p.ExcludedNames = append(p.ExcludedNames, id)
 		}
 	}
-	return pools.Config{Pools: map[string]pools.Pool{"some": p}, Routes: []pools.Route{{Name: []string{"left", "right"}[s], To: []pools.To{{Pool: "some"}}}}}
+	return pools.Config{Pools: map[string]pools.Pool{"some": p}, Routes: []pools.Route{{Name: []string{"left", "right"}[s], Targets: []pools.Target{{Pool: "some"}}}}}
 }
 
 // routes sets a gateway's process up: its changes are kept on its disk.
 func (g *gatewayActor) routes(p *simenv.Proc) {
 	own := struct {
-		Folder string         `json:"folder"`
-		Guards *change.Guards `json:"guards,omitempty"`
+		Folder string              `json:"folder"`
+		Guards *change.GuardLimits `json:"guards,omitempty"`
 		pools.Config
 	}{routesAt, nil, g.d.routesOf(0)}
 	if t := g.d.look.trial; t != nil {
 		own.Config = t.before()
 		if !t.Guarded {
-			own.Guards = &change.Guards{Least: 1, Deviations: 1}
+			own.Guards = &change.GuardLimits{MinLookups: 1, Deviations: 1}
 		}
 	}
 	p.Files[settingsAt] = must(map[string]any{"routing": own})
@@ -118,16 +118,16 @@
 		if l.over {
 			return false
 		}
-		if step.No != 0 && step.Stage == change.Checked {
-			g.sides[step.No] = to
+		if step.Version != 0 && step.Stage == change.Checked {
+			g.sides[step.Version] = to
 		}
 		l.note()
-		d.tell("%s routes %d %s %v", l.p.Name, step.No, step.Stage, err)
-		return err == nil && step.Stage != change.Undone
+		d.tell("%s routes %d %s %v", l.p.Name, step.Version, step.Stage, err)
+		return err == nil && step.Stage != change.RolledBack
 	}
 	step, err := s.Propose(now.Base, d.routesOf(to), "operator", "a day")
-	if step.No != 0 {
-		g.sides[step.No] = to
+	if step.Version != 0 {
+		g.sides[step.Version] = to
 	}
 	if !took(step, err) {
 		return
@@ -144,21 +144,21 @@
 		rest(time.Duration(f.For)*time.Millisecond, func() bool {
 			switch f.More % 3 {
 			case 0:
-				return took(s.Confirm(step.No))
+				return took(s.Confirm(step.Version))
 			case 1:
-				return took(s.Undo(step.No, "a day"))
+				return took(s.RollBack(step.Version, "a day"))
 			}
 			return false // forgotten: undone by itself
 		}, nil)
 	}
 	apply := func() {
-		rest(time.Duration(100+f.More%700)*time.Millisecond, func() bool { return took(s.Apply(step.No, within)) }, end)
+		rest(time.Duration(100+f.More%700)*time.Millisecond, func() bool { return took(s.Apply(step.Version, within)) }, end)
 	}
 	if f.More%2 == 0 {
 		apply()
 		return
 	}
-	rest(10*time.Millisecond, func() bool { return took(s.Stage(step.No, 0.1+float64(f.More%7)/10, within)) }, apply)
+	rest(10*time.Millisecond, func() bool { return took(s.Stage(step.Version, 0.1+float64(f.More%7)/10, within)) }, apply)
 }
 
 // look notes what a gateway has put in force by itself since it was looked at.
--- a/internal/lab/scenario/trials.go
+++ b/internal/lab/scenario/trials.go
@@ -26,8 +26,8 @@
 	"renamed": "", "wide": "", "one_less": ""}
 
 func (t *Trial) before() pools.Config {
-	return pools.Config{Pools: map[string]pools.Pool{"all": {Locations: []string{"town", "hill"}, Limits: &pools.Limits{Open: 60}}},
-		Routes: []pools.Route{{Name: "all", To: []pools.To{{Pool: "all"}}}}}
+	return pools.Config{Pools: map[string]pools.Pool{"all": {Locations: []string{"town", "hill"}, Limits: &pools.Limits{MaxOpen: 60}}},
+		Routes: []pools.Route{{Name: "all", Targets: []pools.Target{{Pool: "all"}}}}}
 }
 
 func (t *Trial) after() pools.Config {
@@ -35,19 +35,19 @@
 	all := c.Pools["all"]
 	switch t.Kind {
 	case "half":
-		all.Without = t.first[:len(t.first)/2]
+		all.ExcludedNames = t.first[:len(t.first)/2]
 	case "one":
-		all.Without = t.first[1:]
+		all.ExcludedNames = t.first[1:]
 	case "tight":
-		all.Limits = &pools.Limits{Open: 2}
+		all.Limits = &pools.Limits{MaxOpen: 2}
 	case "renamed":
 		delete(c.Pools, "all")
-		c.Pools["every"], c.Routes[0].To[0].Pool = all, "every"
+		c.Pools["every"], c.Routes[0].Targets[0].Pool = all, "every"
 		return c
 	case "wide":
-		all.Limits = &pools.Limits{Open: 600}
+		all.Limits = &pools.Limits{MaxOpen: 600}
 	case "one_less":
-		all.Without = t.first[:1]
+		all.ExcludedNames = t.first[:1]
 	}
 	c.Pools["all"] = all
 	return c
@@ -84,11 +84,11 @@
 					return
 				}
 				if !t.Staged {
-					s.Apply(step.No, time.Hour)
+					s.Apply(step.Version, time.Hour)
 					continue
 				}
-				s.Stage(step.No, 0.3, time.Hour)
-				d.after(10*time.Second, func() { s.Apply(step.No, time.Hour) })
+				s.Stage(step.Version, 0.3, time.Hour)
+				d.after(10*time.Second, func() { s.Apply(step.Version, time.Hour) })
 			}
 		})
 		d.after(warmup+50*time.Second, func() {
--- a/internal/limit/budget.go
+++ b/internal/limit/budget.go
@@ -5,58 +5,60 @@
 	"time"
 )
 
-// Budget bounds further sends as a part of first ones: each first send adds its part, each further one takes 1, and what is saved
+// RetryBudget bounds further sends as a part of first ones: each first send adds its part, each further one takes 1, and what is saved
 // fades by half each budgetHalf. So a parent's outage cannot multiply what is sent, nor does its recovery meet a second peak made of
 // what was saved up meanwhile. A few a second are allowed always, so that thin traffic may try again.
-type Budget struct {
-	share float64
-	saved float64
-	at    time.Time
-	spare float64 // of the few a second
-	thin  time.Time
+type RetryBudget struct {
+	ratio   float64
+	saved   float64
+	savedAt time.Time
+	floor   float64 // of the few a second
+	floorAt time.Time
 }
 
 const (
-	budgetHalf = 2 * time.Second
-	always     = 2.0  // further sends a second
-	mostSaved  = 1000 // however much traffic
+	budgetHalfLife      = 2 * time.Second
+	minRetriesPerSecond = 2.0  // further sends a second
+	maxSaved            = 1000 // however much traffic
 )
 
-// NewBudget allows so many further sends for each first one.
-func NewBudget(share float64) *Budget { return &Budget{share: share, spare: always} }
+// NewRetryBudget allows so many further sends for each first one.
+func NewRetryBudget(share float64) *RetryBudget {
+	return &RetryBudget{ratio: share, floor: minRetriesPerSecond}
+}
 
-// Share sets another part; what is saved stays.
-func (b *Budget) Share(share float64) { b.share = share }
+// SetRatio sets another part; what is saved stays.
+func (b *RetryBudget) SetRatio(share float64) { b.ratio = share }
 
-func (b *Budget) fade(now time.Time) {
-	if d := now.Sub(b.at); d > 0 && !b.at.IsZero() {
-		b.saved *= math.Exp2(-d.Seconds() / budgetHalf.Seconds())
+func (b *RetryBudget) decay(now time.Time) {
+	if d := now.Sub(b.savedAt); d > 0 && !b.savedAt.IsZero() {
+		b.saved *= math.Exp2(-d.Seconds() / budgetHalfLife.Seconds())
 	}
-	if b.at.IsZero() || now.After(b.at) {
-		b.at = now
+	if b.savedAt.IsZero() || now.After(b.savedAt) {
+		b.savedAt = now
 	}
-	if d := now.Sub(b.thin); d > 0 {
-		if !b.thin.IsZero() {
-			b.spare = min(always, b.spare+always*d.Seconds())
+	if d := now.Sub(b.floorAt); d > 0 {
+		if !b.floorAt.IsZero() {
+			b.floor = min(minRetriesPerSecond, b.floor+minRetriesPerSecond*d.Seconds())
 		}
-		b.thin = now
+		b.floorAt = now
 	}
 }
 
-// First is a first send.
-func (b *Budget) First(now time.Time) {
-	b.fade(now)
-	b.saved = min(mostSaved, b.saved+b.share)
+// RecordFirstAttempt is a first send.
+func (b *RetryBudget) RecordFirstAttempt(now time.Time) {
+	b.decay(now)
+	b.saved = min(maxSaved, b.saved+b.ratio)
 }
 
-// Take takes a further send; false where there is none left.
-func (b *Budget) Take(now time.Time) bool {
-	b.fade(now)
+// TryTake takes a further send; false where there is none left.
+func (b *RetryBudget) TryTake(now time.Time) bool {
+	b.decay(now)
 	switch {
 	case b.saved >= 1:
 		b.saved--
-	case b.share > 0 && b.spare >= 1:
-		b.spare--
+	case b.ratio > 0 && b.floor >= 1:
+		b.floor--
 	default:
 		return false
 	}
--- a/internal/memory/cost_test.go
+++ b/internal/memory/cost_test.go
@@ -11,14 +11,14 @@
 var costs = cost.Flags("./memory")
 
 // Heap of the purges kept, by number kept (docs/CAPACITY.md).
-func TestCostKept(t *testing.T) {
+func TestCostRetainedPurges(t *testing.T) {
 	costs.Take(t, cost.Figure{Name: "memory-purges-heap", Title: "memory.Purges: heap of the purges kept", X: "purges kept", Y: "bytes", Budget: 2 << 20,
 		Of: "purges kept, 2 MB of 128", At: 1100}, []int{600, 1100, 6000, 60000, 360000}, func(kept int) float64 {
 		return cost.Heap(func() any {
-			s := &still{now: time.Unix(1_764_576_000, 0)}
-			p := &Purges{Keep: time.Hour, Grace: time.Second, Clock: s}
+			s := &fixedClock{now: time.Unix(1_764_576_000, 0)}
+			p := &Log{Retention: time.Hour, Grace: time.Second, Clock: s}
 			for i := range kept {
-				p.Note(fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15), 0, s.now)
+				p.Record(fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15), 0, s.now)
 			}
 			if len(p.objects) != kept {
 				t.Errorf("%d kept of %d", len(p.objects), kept)
@@ -29,13 +29,13 @@
 }
 
 // One Note where so many are kept, purges coming 10 ms apart.
-func TestCostNote(t *testing.T) {
+func TestCostRecord(t *testing.T) {
 	costs.Take(t, cost.Figure{Name: "memory-note", Title: "memory.Purges.Note: processor time of one purge", X: "purges kept", Y: "us of a core", Budget: 40,
 		Of: "a purge, 0.4% of a core at 100/s", At: 1100}, []int{600, 1100, 2200, 6000, 20000, 60000, 360000}, func(kept int) float64 {
-		s := &still{now: time.Unix(1_764_576_000, 0)}
-		p := &Purges{Keep: time.Duration(kept) * 10 * time.Millisecond, Grace: time.Second, Clock: s}
+		s := &fixedClock{now: time.Unix(1_764_576_000, 0)}
+		p := &Log{Retention: time.Duration(kept) * 10 * time.Millisecond, Grace: time.Second, Clock: s}
 		note := func(i int) {
-			p.Note(fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15), 0, s.now)
+			p.Record(fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15), 0, s.now)
 			s.now = s.now.Add(10 * time.Millisecond)
 		}
 		for i := range kept {
--- a/internal/memory/shares_test.go
+++ b/internal/memory/shares_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// asker comes by chance and holds each place for a while.
-type asker struct {
+// loadSource comes by chance and holds each place for a while.
+type loadSource struct {
 	rate float64 // a second
 	got  int
 	held int
 }
 
-// play has askers at 100 places for a minute of virtual time, places held for 0.4 s; give is who gets one.
-func play(askers []*asker, enter func(now time.Time, i int) bool, leave func(now time.Time, i int)) {
+// simulateLoad has askers at 100 places for a minute of virtual time, places held for 0.4 s; give is who gets one.
+func simulateLoad(askers []*loadSource, enter func(now time.Time, i int) bool, leave func(now time.Time, i int)) {
 	r := rand.New(rand.NewPCG(1, 2))
 	type end struct {
 		at time.Duration
@@ -41,8 +41,8 @@
 	}
 }
 
-// jain is Jain's index of what each got of what it was due: 1 is fair, 1/n is all to one.
-func jain(got []float64) float64 {
+// jainIndex is Jain's index of what each got of what it was due: 1 is fair, 1/n is all to one.
+func jainIndex(got []float64) float64 {
 	sum, squares := 0.0, 0.0
 	for _, g := range got {
 		sum, squares = sum+g, squares+g*g
@@ -51,17 +51,17 @@
 }
 
 // A flood of one caller at a hundred places against usual ones: max-min shares against plain first come, first served.
-func TestFloodOfOne(t *testing.T) {
+func TestOneFloodingClaimantTakesOnlyIdleCapacity(t *testing.T) {
 	measure := func(fair bool) (index, used float64) {
-		askers := []*asker{{rate: 60}, {rate: 20}, {rate: 60}, {rate: 4000}} // due: 24, 8, 24 places and the rest
-		s, open := NewShares(100), 0
-		var holders []*Holder
+		askers := []*loadSource{{rate: 60}, {rate: 20}, {rate: 60}, {rate: 4000}} // due: 24, 8, 24 places and the rest
+		s, open := NewQuotas(100), 0
+		var holders []*Claimant
 		for i := range askers {
-			holders = append(holders, s.Holder(time.Unix(0, 0), fmt.Sprint(i), 1))
+			holders = append(holders, s.Claimant(time.Unix(0, 0), fmt.Sprint(i), 1))
 		}
-		play(askers, func(now time.Time, i int) bool {
+		simulateLoad(askers, func(now time.Time, i int) bool {
 			if fair {
-				return s.Enter(now, holders[i])
+				return s.TryAcquire(now, holders[i])
 			}
 			if open < 100 {
 				open++
@@ -70,7 +70,7 @@
 			return false
 		}, func(now time.Time, i int) {
 			if open--; fair {
-				s.Leave(now, holders[i])
+				s.Release(now, holders[i])
 			}
 		})
 		var got []float64
@@ -80,7 +80,7 @@
 			due := []float64{3600, 1200, 3600, 60 * 44 / 0.4}[i]
 			got = append(got, min(1, float64(a.got)/due))
 		}
-		return jain(got), float64(total) / (60 * 100 / 0.4)
+		return jainIndex(got), float64(total) / (60 * 100 / 0.4)
 	}
 	plain, plainUsed := measure(false)
 	fair, used := measure(true)
@@ -90,29 +90,29 @@
 	}
 }
 
-func TestShares(t *testing.T) {
+func TestQuotas(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(0, 0).Add(time.Duration(ms) * time.Millisecond) }
-	fill := func(s *Shares, h *Holder, ms int) (n int) {
-		for s.Enter(at(ms), h) {
+	fill := func(s *Quotas, h *Claimant, ms int) (n int) {
+		for s.TryAcquire(at(ms), h) {
 			n++
 		}
 		return n
 	}
 	t.Run("one alone has all places", func(t *testing.T) {
-		s := NewShares(10)
-		if n := fill(s, s.Holder(at(0), "clients", 1), 0); n != 10 {
+		s := NewQuotas(10)
+		if n := fill(s, s.Claimant(at(0), "clients", 1), 0); n != 10 {
 			t.Errorf("%d of 10", n)
 		}
 	})
 	t.Run("a newcomer to a full room gets what is given back until it has its half", func(t *testing.T) {
-		s := NewShares(10)
-		first, second := s.Holder(at(0), "clients", 1), s.Holder(at(0), "edge", 1)
+		s := NewQuotas(10)
+		first, second := s.Claimant(at(0), "clients", 1), s.Claimant(at(0), "edge", 1)
 		fill(s, first, 0)
 		for ms := range 40 {
-			s.Enter(at(ms), second)
-			s.Enter(at(ms), first)
+			s.TryAcquire(at(ms), second)
+			s.TryAcquire(at(ms), first)
 			if ms%2 == 0 && first.Open() > 0 {
-				s.Leave(at(ms), first)
+				s.Release(at(ms), first)
 			}
 		}
 		if first.Open() != 5 || second.Open() != 5 {
@@ -120,68 +120,68 @@
 		}
 	})
 	t.Run("parts go by weight", func(t *testing.T) {
-		s := NewShares(12)
-		first, second := s.Holder(at(0), "clients", 3), s.Holder(at(0), "edge", 1)
+		s := NewQuotas(12)
+		first, second := s.Claimant(at(0), "clients", 3), s.Claimant(at(0), "edge", 1)
 		for ms := range 200 {
-			s.Enter(at(ms), first)
-			s.Enter(at(ms), second)
-			for _, h := range []*Holder{first, second} { // each gives one back in turn
+			s.TryAcquire(at(ms), first)
+			s.TryAcquire(at(ms), second)
+			for _, h := range []*Claimant{first, second} { // each gives one back in turn
 				if h.Open() > 0 && ms%2 == 0 {
-					s.Leave(at(ms), h)
+					s.Release(at(ms), h)
 				}
 			}
-			s.Enter(at(ms), second)
-			s.Enter(at(ms), first)
+			s.TryAcquire(at(ms), second)
+			s.TryAcquire(at(ms), first)
 		}
 		if first.Open() != 9 || second.Open() != 3 {
 			t.Errorf("%d and %d", first.Open(), second.Open())
 		}
 	})
 	t.Run("what one wanted long ago is nobody's claim", func(t *testing.T) {
-		s := NewShares(10)
-		first, second := s.Holder(at(0), "clients", 1), s.Holder(at(0), "edge", 1)
+		s := NewQuotas(10)
+		first, second := s.Claimant(at(0), "clients", 1), s.Claimant(at(0), "edge", 1)
 		for range fill(s, second, 0) {
-			s.Leave(at(1), second)
+			s.Release(at(1), second)
 		}
 		if n := fill(s, first, 20_000); n != 10 {
 			t.Errorf("%d of 10", n)
 		}
 	})
 	t.Run("a thousand callers are told apart", func(t *testing.T) {
-		s := NewShares(10)
+		s := NewQuotas(10)
 		for i := range 1000 {
-			if h := s.Holder(at(0), fmt.Sprint("c", i), 1); h.Name != fmt.Sprint("c", i) {
+			if h := s.Claimant(at(0), fmt.Sprint("c", i), 1); h.Name != fmt.Sprint("c", i) {
 				t.Fatalf("caller %d is taken for %s", i, h.Name)
 			}
 		}
 	})
 	t.Run("however many names, so many holders, and the gateway's own clients stay", func(t *testing.T) {
-		s := NewShares(10)
-		s.Holder(at(0), "clients", 1)
-		for i := range 3 * MostHolders {
-			s.Enter(at(i), s.Holder(at(i), fmt.Sprint("c", i), 1))
+		s := NewQuotas(10)
+		s.Claimant(at(0), "clients", 1)
+		for i := range 3 * MaxClaimants {
+			s.TryAcquire(at(i), s.Claimant(at(i), fmt.Sprint("c", i), 1))
 		}
 		n, known := 0, false
-		s.Each(func(h *Holder) { n, known = n+1, known || h.Name == "clients" })
-		if n > MostHolders+1 || !known || s.Open() != 10 {
+		s.Each(func(h *Claimant) { n, known = n+1, known || h.Name == "clients" })
+		if n > MaxClaimants+1 || !known || s.Open() != 10 {
 			t.Errorf("%d holders, %d open", n, s.Open())
 		}
 	})
 }
 
-func BenchmarkEnter(b *testing.B) {
+func BenchmarkTryAcquire(b *testing.B) {
 	for _, n := range []int{1, 4, 64} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s, now := NewShares(100), time.Unix(0, 0)
-			var holders []*Holder
+			s, now := NewQuotas(100), time.Unix(0, 0)
+			var holders []*Claimant
 			for i := range n {
-				holders = append(holders, s.Holder(now, fmt.Sprint(i), 1))
-				s.Enter(now, holders[i])
+				holders = append(holders, s.Claimant(now, fmt.Sprint(i), 1))
+				s.TryAcquire(now, holders[i])
 			}
 			b.ReportAllocs()
 			for i := range b.N {
-				if h := holders[i%n]; s.Enter(now, h) {
-					s.Leave(now, h)
+				if h := holders[i%n]; s.TryAcquire(now, h) {
+					s.Release(now, h)
 				}
 			}
 		})
--- a/internal/memory/size_test.go
+++ b/internal/memory/size_test.go
@@ -19,24 +19,24 @@
 	runs  = flag.Int("memory.runs", 1, "runs of each")
 )
 
-// still is a ground whose time is set.
-type still struct {
+// fixedClock is a ground whose time is set.
+type fixedClock struct {
 	env.Ground
 	now time.Time
 }
 
-func (s *still) Now() time.Time { return s.now }
+func (s *fixedClock) Now() time.Time { return s.now }
 
-// worked is the time that this thread had a core, so that what else the machine does counts for little.
-func worked() time.Duration {
+// cpuTime is the time that this thread had a core, so that what else the machine does counts for little.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_THREAD, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// notes keeps so many purges of different objects and then notes 100 or more, 10 ms of the clock apart, as 100 a second come. Told:
+// measureRecord keeps so many purges of different objects and then notes 100 or more, 10 ms of the clock apart, as 100 a second come. Told:
 // microseconds of a core for one, and bytes of heap of one that is kept.
-func notes(kept int) (each, size float64, n int) {
+func measureRecord(kept int) (each, size float64, n int) {
 	heap := func() float64 {
 		runtime.GC()
 		var m runtime.MemStats
@@ -44,38 +44,38 @@
 		return float64(m.HeapAlloc)
 	}
 	before := heap()
-	s := &still{now: time.Unix(1_764_576_000, 0)}
-	p := &Purges{Keep: time.Duration(kept) * 10 * time.Millisecond, Grace: time.Second, Clock: s}
-	p.objects, p.groups = map[string][]purge{}, map[int][]purge{}
+	s := &fixedClock{now: time.Unix(1_764_576_000, 0)}
+	p := &Log{Retention: time.Duration(kept) * 10 * time.Millisecond, Grace: time.Second, Clock: s}
+	p.objects, p.groups = map[string][]entry{}, map[int][]entry{}
 	name := func(i int) string { return fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15) }
 	for i := range kept { // as Note would
-		p.objects[name(i)] = []purge{{s.now, s.now}}
-		p.queue = append(p.queue, queued{name(i), s.now})
+		p.objects[name(i)] = []entry{{s.now, s.now}}
+		p.queue = append(p.queue, queuedObject{name(i), s.now})
 		s.now = s.now.Add(10 * time.Millisecond)
 	}
 	size = (heap() - before) / float64(kept)
 	more := max(100, 1_200_000/kept) // the thread's time is counted in steps of some milliseconds
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	began := worked()
+	began := cpuTime()
 	for i := range more {
-		p.Note(name(kept+i), 0, s.now)
+		p.Record(name(kept+i), 0, s.now)
 		s.now = s.now.Add(10 * time.Millisecond)
 	}
-	return float64((worked() - began).Microseconds()) / float64(more), size, len(p.objects)
+	return float64((cpuTime() - began).Microseconds()) / float64(more), size, len(p.objects)
 }
 
 // What does one purge cost where others are kept? The short form is 600 and 6,000 kept; the whole
 //
 //	go test ./memory -run SizeNote -v -memory.sizes 600,1100,6000,60000,360000 -memory.runs 3
-func TestSizeNote(t *testing.T) {
+func TestSizeRecord(t *testing.T) {
 	for _, word := range strings.Split(*sizes, ",") {
 		kept, err := strconv.Atoi(word)
 		if err != nil || kept < 1 {
 			t.Fatalf("%q: %v", word, err)
 		}
 		for run := range *runs {
-			each, size, left := notes(kept)
+			each, size, left := measureRecord(kept)
 			t.Logf("kept %d run %d: %.1f us of a core a purge, %.2f%% of a core at 100/s, %.0f bytes one kept", kept, run+1, each, each*100/1e6*100, size)
 			if left < kept || left > kept+100 {
 				t.Errorf("%d kept of %d: the probe measures another number", left, kept)
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -117,10 +117,10 @@
 	Object          string // as the door read it, for what it checks of answers
 	Group           int
 	ETag            string
-	Request         *route.Asked
+	Request         *route.Lookup
 	Trace           any // the door's own
-	Quota           *memory.Places
-	Ticket          *rollout.Pass // nil: it came by no route
+	Quota           *memory.Gate
+	Ticket          *rollout.Ticket // nil: it came by no route
 	ArrivedAt       time.Time
 	claims          atomic.Int32
 	caller          string
--- a/internal/route/pools/pools_test.go
+++ b/internal/route/pools/pools_test.go
@@ -12,36 +12,36 @@
 
 var kinds = []string{"segment", "page"}
 
-func group(n int64) *int64 { return &n }
+func groupNumber(n int64) *int64 { return &n }
 
-func all(pools ...string) (to []To) {
+func targets(pools ...string) (to []Target) {
 	for _, p := range pools {
-		to = append(to, To{Pool: p})
+		to = append(to, Target{Pool: p})
 	}
 	return to
 }
 
-var town = map[string]Pool{"a": {Locations: []string{"town"}}, "b": {Names: []string{"c9"}}, "old": {Locations: []string{"town"}, Labels: []string{"big"}, Without: []string{"c1"}}}
+var testPools = map[string]Pool{"a": {Locations: []string{"town"}}, "b": {Names: []string{"c9"}}, "old": {Locations: []string{"town"}, Labels: []string{"big"}, ExcludedNames: []string{"c1"}}}
 
-var list = []Cache{{Name: "c1", Location: "town", Labels: []string{"big"}}, {Name: "c2", Location: "town", Labels: []string{"big", "new"}}, {Name: "c3", Location: "town"},
-	{Name: "c9", Location: "hill"}, {Name: "p1", Location: "hub", Source: true}}
+var testCaches = []Cache{{Name: "c1", Location: "town", Labels: []string{"big"}}, {Name: "c2", Location: "town", Labels: []string{"big", "new"}}, {Name: "c3", Location: "town"},
+	{Name: "c9", Location: "hill"}, {Name: "p1", Location: "hub", IsSource: true}}
 
-func view(t testing.TB, c Config) *View {
+func compileView(t testing.TB, c Config) *View {
 	t.Helper()
 	table, faults := Compile(c, kinds)
 	if table == nil {
 		t.Fatal(faults)
 	}
-	return table.See(7, list)
+	return table.View(7, testCaches)
 }
 
 func TestRoutes(t *testing.T) {
-	v := view(t, Config{Pools: town, Tenants: map[string]Limits{"kiosks": {Open: 5}}, Routes: []Route{
-		{Name: "rest", To: all("a"), Tenant: "kiosks"},
-		{Name: "videos", Object: "video-*", To: all("old"), Oldest: 500},
-		{Name: "pages-of-videos", Kind: "page", Object: "video-*", To: all("b")},
-		{Name: "one-video", Object: "video-7", To: all("a")},
-		{Name: "a-group", Group: group(4), To: all("b")},
+	v := compileView(t, Config{Pools: testPools, Tenants: map[string]Limits{"kiosks": {MaxOpen: 5}}, Routes: []Route{
+		{Name: "rest", Targets: targets("a"), Tenant: "kiosks"},
+		{Name: "videos", Object: "video-*", Targets: targets("old"), MaxAgeMS: 500},
+		{Name: "pages-of-videos", Kind: "page", Object: "video-*", Targets: targets("b")},
+		{Name: "one-video", Object: "video-7", Targets: targets("a")},
+		{Name: "a-group", Group: groupNumber(4), Targets: targets("b")},
 	}})
 	for _, story := range []struct {
 		kind, group   int
@@ -50,37 +50,37 @@
 	}{{0, 0, "x", "rest", "c1 c2 c3"}, {0, 0, "video-1", "videos", "c2"}, {1, 0, "video-1", "pages-of-videos", "c9"}, {1, 0, "video-7", "one-video", "c1 c2 c3"},
 		{0, 0, "video-77", "videos", "c2"}, {0, 4, "x", "a-group", "c9"}, {0, 4, "video-1", "videos", "c2"}, {0, 0, "video", "rest", "c1 c2 c3"}} {
 		d := v.Route(story.kind, story.group, story.object)
-		if d.Route != story.route || strings.Join(sorted(d.Scope.Caches), " ") != story.caches {
+		if d.Route != story.route || strings.Join(sortedKeys(d.Scope.Caches), " ") != story.caches {
 			t.Errorf("%+v: %s, %v", story, d.Route, d.Scope.Caches)
 		}
 	}
-	if d := v.Route(0, 0, "video-1"); d.OldestMS != 500 || d.Tenant != "" {
+	if d := v.Route(0, 0, "video-1"); d.MaxAgeMS != 500 || d.Tenant != "" {
 		t.Errorf("%+v", d)
 	}
-	if d := view(t, Config{Pools: town, Routes: []Route{{Name: "v", Object: "v*", To: all("a")}}}).Route(0, 0, "x"); d.Scope != nil || d.Route != "" {
+	if d := compileView(t, Config{Pools: testPools, Routes: []Route{{Name: "v", Object: "v*", Targets: targets("a")}}}).Route(0, 0, "x"); d.Scope != nil || d.Route != "" {
 		t.Errorf("no route leads there, but %+v", d)
 	}
 }
 
-func TestFaults(t *testing.T) {
+func TestCompileReportsProblems(t *testing.T) {
 	good := func() Config {
-		return Config{Pools: map[string]Pool{"a": {Locations: []string{"town"}}}, Routes: []Route{{Name: "r", To: all("a")}}}
+		return Config{Pools: map[string]Pool{"a": {Locations: []string{"town"}}}, Routes: []Route{{Name: "r", Targets: targets("a")}}}
 	}
 	for _, story := range []struct {
 		name, path, text string
 		change           func(c *Config)
 	}{
-		{"a pool that nobody knows", "routes[0].to[0]", "no pool", func(c *Config) { c.Routes[0].To = all("x") }},
-		{"a route without a pool", "routes[0].to", "nowhere", func(c *Config) { c.Routes[0].To = nil }},
+		{"a pool that nobody knows", "routes[0].to[0]", "no pool", func(c *Config) { c.Routes[0].Targets = targets("x") }},
+		{"a route without a pool", "routes[0].to", "nowhere", func(c *Config) { c.Routes[0].Targets = nil }},
 		{"a kind that is none", "routes[0].kind", "no object kind", func(c *Config) { c.Routes[0].Kind = "film" }},
 		{"a star amid a pattern", "routes[0].object", "a*b", func(c *Config) { c.Routes[0].Object = "a*b" }},
 		{"two routes of one name", "routes[1].name", "routes[0]", func(c *Config) { c.Routes = append(c.Routes, c.Routes[0]) }},
 		{"shares past all", "routes[1].share", "1.2", func(c *Config) {
 			c.Routes[0].Share = 0.6
-			c.Routes = append(c.Routes, Route{Name: "s", Share: 0.6, To: all("a")})
+			c.Routes = append(c.Routes, Route{Name: "s", Share: 0.6, Targets: targets("a")})
 		}},
 		{"a pool that is nothing", "pools.z", "of no cache", func(c *Config) { c.Pools["z"] = Pool{} }},
-		{"a cache in and out", "pools.z.without", "names too", func(c *Config) { c.Pools["z"] = Pool{Names: []string{"c"}, Without: []string{"c"}} }},
+		{"a cache in and out", "pools.z.without", "names too", func(c *Config) { c.Pools["z"] = Pool{Names: []string{"c"}, ExcludedNames: []string{"c"}} }},
 		{"a tenant that is none", "routes[0].tenant", "no tenant", func(c *Config) { c.Routes[0].Tenant = "x" }},
 		{"an adaptive limit without a ceiling", "pools.a.limits.adaptive", "open", func(c *Config) {
 			c.Pools["a"] = Pool{Locations: []string{"town"}, Limits: &Limits{Adaptive: true}}
@@ -97,22 +97,22 @@
 	}
 	t.Run("a route that is never reached is a remark", func(t *testing.T) {
 		c := good()
-		c.Routes = append(c.Routes, Route{Name: "s", To: all("a")})
-		if table, faults := Compile(c, kinds); table == nil || len(faults) != 1 || faults[0].Error || !strings.Contains(faults[0].Text, "never reached") {
+		c.Routes = append(c.Routes, Route{Name: "s", Targets: targets("a")})
+		if table, faults := Compile(c, kinds); table == nil || len(faults) != 1 || faults[0].IsError || !strings.Contains(faults[0].Text, "never reached") {
 			t.Errorf("%+v", faults)
 		}
 	})
 }
 
-func TestCheck(t *testing.T) {
-	check := func(p Pool, caches []Cache) []Fault {
-		table, faults := Compile(Config{Pools: map[string]Pool{"a": p}, Routes: []Route{{Name: "r", To: all("a")}}}, kinds)
+func TestCheckAgainstTheList(t *testing.T) {
+	check := func(p Pool, caches []Cache) []Problem {
+		table, faults := Compile(Config{Pools: map[string]Pool{"a": p}, Routes: []Route{{Name: "r", Targets: targets("a")}}}, kinds)
 		if table == nil {
 			t.Fatal(faults)
 		}
 		return table.Check(caches)
 	}
-	draining := []Cache{{Name: "c1", Location: "town", Draining: true}, {Name: "c2", Location: "town"}, {Name: "p1", Source: true}}
+	draining := []Cache{{Name: "c1", Location: "town", IsDraining: true}, {Name: "c2", Location: "town"}, {Name: "p1", IsSource: true}}
 	for _, story := range []struct {
 		name, text string
 		error      bool
@@ -128,7 +128,7 @@
 	} {
 		t.Run(story.name, func(t *testing.T) {
 			faults := check(story.p, story.caches)
-			if len(faults) == 0 || !strings.Contains(faults[0].Text, story.text) || faults[0].Error != story.error {
+			if len(faults) == 0 || !strings.Contains(faults[0].Text, story.text) || faults[0].IsError != story.error {
 				t.Errorf("%+v", faults)
 			}
 		})
@@ -138,8 +138,8 @@
 	}
 }
 
-// linear finds a route by trying each: what the tree is held against.
-func (t *Table) linear(kind, group int, object string, hash uint64) (best *route) {
+// scanRoutes finds a route by trying each: what the tree is held against.
+func (t *Table) scanRoutes(kind, group int, object string, hash uint64) (best *route) {
 	rank := func(r *route) [4]int {
 		pattern, star := strings.CutSuffix(r.Object, "*")
 		depth, told, share := 2*len(pattern), 0, 0
@@ -155,13 +155,13 @@
 		if r.Share > 0 && r.Share < 1 {
 			share = 1
 		}
-		return [4]int{depth, told, share, -r.no}
+		return [4]int{depth, told, share, -r.index}
 	}
 	for _, r := range t.routes {
 		pattern, star := strings.CutSuffix(r.Object, "*")
 		fits := r.Object == "" || star && strings.HasPrefix(object, pattern) || object == r.Object
-		p := part(hash)
-		if !fits || r.kind >= 0 && r.kind != kind || r.group >= 0 && r.group != group || p < r.from || p >= r.till {
+		p := fraction(hash)
+		if !fits || r.kind >= 0 && r.kind != kind || r.group >= 0 && r.group != group || p < r.hashFrom || p >= r.hashTo {
 			continue
 		}
 		if best == nil {
@@ -181,15 +181,15 @@
 	return best
 }
 
-func TestTreeAgainstScan(t *testing.T) {
+func TestTheTreeFindsWhatAScanFinds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		word := rapid.StringMatching(`[ab]{0,4}`)
 		var c Config
-		c.Pools = town
+		c.Pools = testPools
 		for i := range rapid.IntRange(1, 30).Draw(t, "routes") {
-			r := Route{Name: fmt.Sprint(i), Kind: rapid.SampledFrom([]string{"", "segment", "page"}).Draw(t, "kind"), To: all("a")}
+			r := Route{Name: fmt.Sprint(i), Kind: rapid.SampledFrom([]string{"", "segment", "page"}).Draw(t, "kind"), Targets: targets("a")}
 			if rapid.Bool().Draw(t, "grouped") {
-				r.Group = group(rapid.Int64Range(0, 2).Draw(t, "group"))
+				r.Group = groupNumber(rapid.Int64Range(0, 2).Draw(t, "group"))
 			}
 			if r.Object = word.Draw(t, "pattern"); rapid.Bool().Draw(t, "star") {
 				r.Object += "*"
@@ -206,7 +206,7 @@
 		for range 30 {
 			kind, g, object := rapid.IntRange(0, 1).Draw(t, "kind"), rapid.IntRange(0, 3).Draw(t, "group"), rapid.StringMatching(`[abc]{0,6}`).Draw(t, "object")
 			hash := rapid.Uint64().Draw(t, "hash")
-			if a, b := table.find(kind, g, object, hash), table.linear(kind, g, object, hash); a != b {
+			if a, b := table.find(kind, g, object, hash), table.scanRoutes(kind, g, object, hash); a != b {
 				t.Fatalf("%d %d %q: %v in the tree, %v by trying each", kind, g, object, a, b)
 			}
 		}
@@ -214,7 +214,7 @@
 }
 
 // A pool of n that comes or goes moves 1/n of the objects; a pool whose weight changes moves what it gains or loses.
-func TestFewMove(t *testing.T) {
+func TestAChangeOfPoolsMovesFewObjects(t *testing.T) {
 	for _, n := range []int{3, 10, 50} {
 		build := func(n int, heavy float64) *View {
 			c := Config{Pools: map[string]Pool{}, Routes: []Route{{Name: "r"}}}
@@ -225,9 +225,9 @@
 				if i == 0 {
 					w = heavy
 				}
-				c.Routes[0].To = append(c.Routes[0].To, To{name, w})
+				c.Routes[0].Targets = append(c.Routes[0].Targets, Target{name, w})
 			}
-			return view(t, c)
+			return compileView(t, c)
 		}
 		full, fewer, heavy := build(n, 1), build(n-1, 1), build(n, 2)
 		moved, strangers, gained, others := 0, 0, 0, 0
@@ -256,25 +256,25 @@
 }
 
 func TestPlan(t *testing.T) {
-	before := view(t, Config{Pools: town, Routes: []Route{{Name: "rest", To: all("a")}}})
-	after := view(t, Config{Pools: town, Routes: []Route{{Name: "rest", To: all("a")}, {Name: "videos", Object: "v*", To: all("b")}}})
-	m := before.Plan(after, []Load{{0, 0, "v1", 100}, {0, 0, "v1", 100}, {0, 0, "x", 50}, {0, 0, "v2", 10}})
-	if m.Lookups != 4 || m.Objects != 3 || m.Moved != 2 || m.Bytes != 160 || m.MovedBytes != 110 || m.Cold != 2 || m.To["b"] != 2 {
+	before := compileView(t, Config{Pools: testPools, Routes: []Route{{Name: "rest", Targets: targets("a")}}})
+	after := compileView(t, Config{Pools: testPools, Routes: []Route{{Name: "rest", Targets: targets("a")}, {Name: "videos", Object: "v*", Targets: targets("b")}}})
+	m := before.Plan(after, []LoadSample{{0, 0, "v1", 100}, {0, 0, "v1", 100}, {0, 0, "x", 50}, {0, 0, "v2", 10}})
+	if m.Lookups != 4 || m.Objects != 3 || m.MovedObjects != 2 || m.Bytes != 160 || m.MovedBytes != 110 || m.ColdObjects != 2 || m.MovedByPool["b"] != 2 {
 		t.Errorf("%+v", m)
 	}
 }
 
-func routesOf(n int) Config {
-	c := Config{Pools: town}
+func manyRoutes(n int) Config {
+	c := Config{Pools: testPools}
 	for i := range n {
-		c.Routes = append(c.Routes, Route{Name: fmt.Sprint(i), Object: fmt.Sprintf("aisle-%04d/%d*", i, i%7), To: all("a")})
+		c.Routes = append(c.Routes, Route{Name: fmt.Sprint(i), Object: fmt.Sprintf("aisle-%04d/%d*", i, i%7), Targets: targets("a")})
 	}
 	return c
 }
 
 func BenchmarkRoute(b *testing.B) {
 	for _, n := range []int{10, 1000, 5000} {
-		v := view(b, routesOf(n))
+		v := compileView(b, manyRoutes(n))
 		r := rand.New(rand.NewPCG(1, 2))
 		var objects []string
 		for range 1024 {
@@ -292,7 +292,7 @@
 		b.Run(fmt.Sprint("scan/", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := range b.N {
-				if v.table.linear(0, 0, objects[i&1023], Hash(objects[i&1023])) == nil {
+				if v.table.scanRoutes(0, 0, objects[i&1023], Hash(objects[i&1023])) == nil {
 					b.Fatal("no route")
 				}
 			}
@@ -300,14 +300,14 @@
 	}
 }
 
-func BenchmarkSee(b *testing.B) { // 5,000 routes, 1,000 pools and 2,000 caches: what a change of the list costs
-	c, caches := routesOf(5000), []Cache(nil)
+func BenchmarkView(b *testing.B) { // 5,000 routes, 1,000 pools and 2,000 caches: what a change of the list costs
+	c, caches := manyRoutes(5000), []Cache(nil)
 	c.Pools = map[string]Pool{}
 	for i := range 1000 {
 		c.Pools[fmt.Sprint("p", i)] = Pool{Locations: []string{fmt.Sprint("l", i%50)}, Labels: []string{fmt.Sprint("x", i%3)}}
 	}
 	for i := range c.Routes {
-		c.Routes[i].To = all(fmt.Sprint("p", i%1000))
+		c.Routes[i].Targets = targets(fmt.Sprint("p", i%1000))
 	}
 	for i := range 2000 {
 		caches = append(caches, Cache{Name: fmt.Sprint("c", i), Location: fmt.Sprint("l", i%50), Labels: []string{fmt.Sprint("x", i%3)}})
@@ -317,6 +317,6 @@
 		b.Fatal(faults)
 	}
 	for b.Loop() {
-		table.See(1, caches)
+		table.View(1, caches)
 	}
 }
--- a/internal/route/pools/view.go
+++ b/internal/route/pools/view.go
@@ -9,8 +9,8 @@
 type Cache struct {
 	Name, Location string
 	Labels         []string
-	Source         bool // a parent or the origin: no lookup is sent to it
-	Draining       bool
+	IsSource       bool // a parent or the origin: no lookup is sent to it
+	IsDraining     bool
 }
 
 // Scope is what a lookup may be sent to, and filled from. Nil maps allow all.
@@ -20,10 +20,10 @@
 	Sources map[string]bool
 }
 
-// Decided is the route of a lookup, and what it brings.
-type Decided struct {
+// Decision is the route of a lookup, and what it brings.
+type Decision struct {
 	Route, Tenant string
-	OldestMS      int64
+	MaxAgeMS      int64
 	Scope         *Scope // nil: all caches
 }
 
@@ -34,12 +34,12 @@
 	scopes  []*Scope // by pool
 }
 
-// See makes a view. A cache that drains is in its pools still: what it is sent is the module's to say.
-func (t *Table) See(version uint64, caches []Cache) *View {
+// View makes a view. A cache that drains is in its pools still: what it is sent is the module's to say.
+func (t *Table) View(version uint64, caches []Cache) *View {
 	v := &View{Version: version, table: t}
 	at, by := map[string][]Cache{}, make(map[string]Cache, len(caches)) // by location, by name: a pool looks at few of them
 	for _, c := range caches {
-		if !c.Source {
+		if !c.IsSource {
 			at[c.Location], by[c.Name] = append(at[c.Location], c), c
 		}
 	}
@@ -47,7 +47,7 @@
 		s := &Scope{Pool: p.name, Caches: map[string]bool{}}
 		among := func(caches []Cache) {
 			for _, c := range caches {
-				if p.holds(c) {
+				if p.contains(c) {
 					s.Caches[c.Name] = true
 				}
 			}
@@ -59,21 +59,21 @@
 			among(caches)
 		}
 		for _, n := range p.Names {
-			if c, there := by[n]; there && !p.not[n] {
+			if c, there := by[n]; there && !p.excluded[n] {
 				s.Caches[c.Name] = true
 			}
 		}
 		if len(p.Sources) > 0 {
-			s.Sources = set(p.Sources)
+			s.Sources = toSet(p.Sources)
 		}
 		v.scopes = append(v.scopes, s)
 	}
 	return v
 }
 
-func (p *pool) holds(c Cache) bool {
+func (p *pool) contains(c Cache) bool {
 	switch {
-	case c.Source || p.not[c.Name]:
+	case c.IsSource || p.excluded[c.Name]:
 		return false
 	case p.names[c.Name]:
 		return true
@@ -86,24 +86,24 @@
 }
 
 // Route decides where a lookup may go.
-func (v *View) Route(kind, group int, object string) Decided {
+func (v *View) Route(kind, group int, object string) Decision {
 	hash := Hash(object)
 	r := v.table.find(kind, group, object, hash)
 	if r == nil {
-		return Decided{}
+		return Decision{}
 	}
-	return Decided{Route: r.Name, Tenant: r.Tenant, OldestMS: r.Oldest, Scope: v.scopes[r.choose(hash).no]}
+	return Decision{Route: r.Name, Tenant: r.Tenant, MaxAgeMS: r.MaxAgeMS, Scope: v.scopes[r.choosePool(hash).index]}
 }
 
 // Check holds a table against the caches of the moment: pools that are empty or whose caches all drain, names that nobody has.
-func (t *Table) Check(caches []Cache) (faults []Fault) {
+func (t *Table) Check(caches []Cache) (faults []Problem) {
 	known := map[string]Cache{}
 	for _, c := range caches {
 		known[c.Name] = c
 	}
 	used := map[*pool]bool{}
 	for _, r := range t.routes {
-		for _, p := range r.to {
+		for _, p := range r.pools {
 			used[p] = true
 		}
 	}
@@ -112,58 +112,58 @@
 		for _, n := range slices.Concat(p.Names, p.Sources) {
 			switch c, there := known[n]; {
 			case !there:
-				faults = append(faults, Fault{true, path, n + " is not in the list", "leave it out, or wait until it is listed"})
-			case c.Draining:
-				faults = append(faults, Fault{true, path, n + " drains", "leave it out: it will get no lookups"})
-			case c.Source != slices.Contains(p.Sources, n):
-				faults = append(faults, Fault{true, path, n + " is of another kind than it is named for", "names are caches, sources are parents or the origin"})
+				faults = append(faults, Problem{true, path, n + " is not in the list", "leave it out, or wait until it is listed"})
+			case c.IsDraining:
+				faults = append(faults, Problem{true, path, n + " drains", "leave it out: it will get no lookups"})
+			case c.IsSource != slices.Contains(p.Sources, n):
+				faults = append(faults, Problem{true, path, n + " is of another kind than it is named for", "names are caches, sources are parents or the origin"})
 			}
 		}
 		all, draining := 0, 0
 		for _, c := range caches {
-			if !c.Source && p.holds(c) {
+			if !c.IsSource && p.contains(c) {
 				all++
-				if c.Draining {
+				if c.IsDraining {
 					draining++
 				}
 			}
 		}
 		switch {
 		case !used[p]:
-			faults = append(faults, Fault{false, path, "no route leads there", "leave it out"})
+			faults = append(faults, Problem{false, path, "no route leads there", "leave it out"})
 		case all == 0:
-			faults = append(faults, Fault{true, path, "no cache is in it", "look at its locations and labels"})
+			faults = append(faults, Problem{true, path, "no cache is in it", "look at its locations and labels"})
 		case all == draining:
-			faults = append(faults, Fault{true, path, "all its caches drain", "wait for others, or name them"})
+			faults = append(faults, Problem{true, path, "all its caches drain", "wait for others, or name them"})
 		case draining > 0:
-			faults = append(faults, Fault{false, path, fmt.Sprintf("%d of its %d caches drain", draining, all), "see that the others bear it"})
+			faults = append(faults, Problem{false, path, fmt.Sprintf("%d of its %d caches drain", draining, all), "see that the others bear it"})
 		}
 	}
 	return faults
 }
 
-// Load is a lookup of a captured load.
-type Load struct {
+// LoadSample is a lookup of a captured load.
+type LoadSample struct {
 	Kind   int     `json:"Kind"`
 	Group  int     `json:"Group"`
 	Object string  `json:"Object"`
 	Bytes  float64 `json:"Bytes"`
 }
 
-// Move is what a change does to a load.
-type Move struct {
-	Lookups    int            `json:"Lookups"`
-	Objects    int            `json:"Objects"`
-	Moved      int            `json:"Moved"`
-	Bytes      float64        `json:"Bytes"`
-	MovedBytes float64        `json:"MovedBytes"`
-	Cold       int            `json:"Cold"` // objects that moved to caches none of which had them
-	To         map[string]int `json:"To"`   // objects moved, by new pool
+// Impact is what a change does to a load.
+type Impact struct {
+	Lookups      int            `json:"Lookups"`
+	Objects      int            `json:"Objects"`
+	MovedObjects int            `json:"Moved"`
+	Bytes        float64        `json:"Bytes"`
+	MovedBytes   float64        `json:"MovedBytes"`
+	ColdObjects  int            `json:"Cold"` // objects that moved to caches none of which had them
+	MovedByPool  map[string]int `json:"To"`   // objects moved, by new pool
 }
 
 // Plan tells what a change from this view to another moves of a load, before it is applied.
-func (v *View) Plan(next *View, load []Load) (m Move) {
-	m.To = map[string]int{}
+func (v *View) Plan(next *View, load []LoadSample) (m Impact) {
+	m.MovedByPool = map[string]int{}
 	type seen struct {
 		moved bool
 		bytes float64
@@ -175,17 +175,17 @@
 		o := objects[key]
 		if o == nil {
 			a, b := v.Route(l.Kind, l.Group, l.Object).Scope, next.Route(l.Kind, l.Group, l.Object).Scope
-			o = &seen{moved: !same(a, b)}
+			o = &seen{moved: !sameScope(a, b)}
 			objects[key] = o
 			if m.Objects++; o.moved {
-				m.Moved++
+				m.MovedObjects++
 				name := "all"
 				if b != nil {
 					name = b.Pool
 				}
-				m.To[name]++
-				if apart(a, b) {
-					m.Cold++
+				m.MovedByPool[name]++
+				if disjointScopes(a, b) {
+					m.ColdObjects++
 				}
 			}
 		}
@@ -199,7 +199,7 @@
 	return m
 }
 
-func same(a, b *Scope) bool {
+func sameScope(a, b *Scope) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
@@ -214,7 +214,7 @@
 	return true
 }
 
-func apart(a, b *Scope) bool {
+func disjointScopes(a, b *Scope) bool {
 	if a == nil || b == nil {
 		return false
 	}
--- a/internal/route/rollout/frozen_test.go
+++ b/internal/route/rollout/frozen_test.go
@@ -11,28 +11,28 @@
 	"foldslip/internal/lab/frozen"
 )
 
-// recorded takes every step of changes in an empty folder, so that the file of its first generation holds each kind of step.
-func recorded(t *testing.T) env.Folder {
+// recordedDirectory takes every step of changes in an empty folder, so that the file of its first generation holds each kind of step.
+func recordedDirectory(t *testing.T) env.Folder {
 	t.Helper()
 	disk, err := env.OpenFolder(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := begin(t, newGround(), disk, routes("town"))
-	must(t)(s.Propose(1, routes("hill"), "ada", "sale"))
-	must(t)(s.Stage(2, 0.25, time.Minute))
-	must(t)(s.Apply(2, time.Minute))
-	must(t)(s.Confirm(2))
-	must(t)(s.Propose(2, routes("nowhere"), "ada", "a mistake"))
-	must(t)(s.Propose(2, routes("town"), "bob", "end of sale"))
-	must(t)(s.Undo(4, "not yet"))
-	must(t)(s.Back(1, "bob", "end of sale"))
-	must(t)(s.Apply(5, time.Minute))
+	s := openController(t, newTestEnv(), disk, routesTo("town"))
+	requireStep(t)(s.Propose(1, routesTo("hill"), "ada", "sale"))
+	requireStep(t)(s.Stage(2, 0.25, time.Minute))
+	requireStep(t)(s.Apply(2, time.Minute))
+	requireStep(t)(s.Confirm(2))
+	requireStep(t)(s.Propose(2, routesTo("nowhere"), "ada", "a mistake"))
+	requireStep(t)(s.Propose(2, routesTo("town"), "bob", "end of sale"))
+	requireStep(t)(s.RollBack(4, "not yet"))
+	requireStep(t)(s.ProposeEarlier(1, "bob", "end of sale"))
+	requireStep(t)(s.Apply(5, time.Minute))
 	s.Close()
 	return disk
 }
 
-func history(t *testing.T, s *Steer) []byte {
+func historyJSON(t *testing.T, s *Controller) []byte {
 	t.Helper()
 	entries, _ := s.History()
 	text, err := json.Marshal(entries)
@@ -42,7 +42,7 @@
 	return append(text, '\n')
 }
 
-func content(t *testing.T, disk env.Folder, name string) []byte {
+func readFile(t *testing.T, disk env.Folder, name string) []byte {
 	t.Helper()
 	text, err := disk.Read(name)
 	if err != nil {
@@ -53,10 +53,10 @@
 
 // The files under testdata were written by the build before the names of Go changed.
 func TestStepsOnDiskKeepTheirForm(t *testing.T) {
-	frozen.Equal(t, "routes-1.rec", content(t, recorded(t), "routes-1.rec"))
+	frozen.Equal(t, "routes-1.rec", readFile(t, recordedDirectory(t), "routes-1.rec"))
 }
 
-func TestARecordOfBeforeIsTakenOn(t *testing.T) {
+func TestALogOfAnEarlierBuildIsContinued(t *testing.T) {
 	disk, err := env.OpenFolder(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
@@ -64,8 +64,8 @@
 	if err := os.WriteFile(filepath.Join(disk.Path, "routes-1.rec"), frozen.Read(t, "routes-1.rec"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s := begin(t, newGround(), disk, routes("nowhere"))
+	s := openController(t, newTestEnv(), disk, routesTo("nowhere"))
 	defer s.Close()
-	frozen.Equal(t, "history.json", history(t, s))
-	frozen.Equal(t, "routes-2.rec", content(t, disk, "routes-2.rec"))
+	frozen.Equal(t, "history.json", historyJSON(t, s))
+	frozen.Equal(t, "routes-2.rec", readFile(t, disk, "routes-2.rec"))
 }
--- a/internal/route/rollout/steer.go
+++ b/internal/route/rollout/steer.go
@@ -29,66 +29,66 @@
 )
 
 const (
-	file       = "routes" // of the record's files
-	mostRecord = 8 << 20  // bytes of a generation, past which a snapshot is made
-	pace       = 100 * time.Millisecond
-	bytesAKB   = 1000
+	logName      = "routes" // of the record's files
+	maxLogBytes  = 8 << 20  // bytes of a generation, past which a snapshot is made
+	tickInterval = 100 * time.Millisecond
+	bytesPerKB   = 1000
 )
 
-// Steer is the routes in force.
-type Steer struct {
-	g       env.Ground
-	kinds   []string
-	step    sync.Mutex // held over a whole step, its write included: steps come one after the other
-	mu      sync.Mutex // of what follows; never held over a write
-	list    map[string]pools.Cache
-	changes *change.Changes
-	tables  map[uint64]*pools.Table // of the versions in force or under way
-	limits  *limit.Set
-	guard   *change.Guard
-	rec     *wal.Record // nil: nothing is kept
-	now     atomic.Pointer[force]
+// Controller is the routes in force.
+type Controller struct {
+	env       env.Ground
+	kinds     []string
+	stepMu    sync.Mutex // held over a whole step, its write included: steps come one after the other
+	mu        sync.Mutex // of what follows; never held over a write
+	endpoints map[string]pools.Cache
+	versions  *change.Versions
+	tables    map[uint64]*pools.Table // of the versions in force or under way
+	limits    *limit.Set
+	guard     *change.Guard
+	log       *wal.Log // nil: nothing is kept
+	active    atomic.Pointer[activeViews]
 }
 
-// force is what lookups are decided under at one time; it never changes.
-type force struct {
-	change.Force
+// activeViews is what lookups are decided under at one time; it never changes.
+type activeViews struct {
+	change.Active
 	base, next *pools.View
 }
 
 // Open begins with the routes that the record holds, or without one with the first configuration. disk may be nil: nothing is kept.
-func Open(g env.Ground, disk env.Disk, first pools.Config, kinds []string) (*Steer, error) {
-	s := &Steer{g: g, kinds: kinds, guard: change.NewGuard(g.Now(), change.Usual), list: map[string]pools.Cache{}, tables: map[uint64]*pools.Table{}}
+func Open(g env.Ground, disk env.Disk, first pools.Config, kinds []string) (*Controller, error) {
+	s := &Controller{env: g, kinds: kinds, guard: change.NewGuard(g.Now(), change.DefaultGuardLimits), endpoints: map[string]pools.Cache{}, tables: map[uint64]*pools.Table{}}
 	text, err := json.Marshal(first)
 	if err != nil {
 		return nil, err
 	}
 	begin := func() change.Step {
 		var step change.Step
-		s.changes, step = change.New(text, "settings")
+		s.versions, step = change.New(text, "settings")
 		return step
 	}
 	if disk == nil {
 		begin()
 	} else {
-		var kept wal.Kept
-		if s.rec, kept, err = wal.Open(disk, file); err != nil {
+		var kept wal.Contents
+		if s.log, kept, err = wal.Open(disk, logName); err != nil {
 			return nil, fmt.Errorf("the record of routes: %w", err)
 		}
-		if err := s.recover(kept, begin); err != nil {
-			s.rec.Close()
+		if err := s.restore(kept, begin); err != nil {
+			s.log.Close()
 			return nil, err
 		}
 	}
-	if err := s.put(); err != nil {
+	if err := s.activate(); err != nil {
 		s.Close()
 		return nil, err
 	}
 	return s, nil
 }
 
-// recover reads the record; what was under way is undone, and a generation of its own begins.
-func (s *Steer) recover(kept wal.Kept, begin func() change.Step) error {
+// restore reads the record; what was under way is undone, and a generation of its own begins.
+func (s *Controller) restore(kept wal.Contents, begin func() change.Step) error {
 	var steps []change.Step
 	if kept.Snapshot != nil {
 		if err := cbor.Unmarshal(kept.Snapshot, &steps); err != nil {
@@ -107,81 +107,81 @@
 	} else {
 		var more []change.Step
 		var err error
-		if s.changes, more, err = change.Recover(steps); err != nil {
+		if s.versions, more, err = change.Recover(steps); err != nil {
 			return err
 		}
 		for _, m := range more {
-			s.g.Log().Warn("routes_undone", "version", m.No, "reason", m.Reason)
+			s.env.Log().Warn("routes_undone", "version", m.Version, "reason", m.Reason)
 		}
 	}
-	return s.snapshot()
+	return s.writeSnapshot()
 }
 
-func (s *Steer) snapshot() error {
-	text, err := cbor.Marshal(s.changes.Snapshot())
+func (s *Controller) writeSnapshot() error {
+	text, err := cbor.Marshal(s.versions.Snapshot())
 	if err != nil {
 		return err
 	}
-	return s.rec.Begin(text)
+	return s.log.WriteSnapshot(text)
 }
 
 // Close ends the record.
-func (s *Steer) Close() {
-	if s.rec != nil {
-		s.rec.Close()
+func (s *Controller) Close() {
+	if s.log != nil {
+		s.log.Close()
 	}
 }
 
-// Guards sets what undoes a change by itself; before Run.
-func (s *Steer) Guards(g change.Guards) { s.guard = change.NewGuard(s.g.Now(), g) }
+// SetGuardLimits sets what undoes a change by itself; before Run.
+func (s *Controller) SetGuardLimits(g change.GuardLimits) { s.guard = change.NewGuard(s.env.Now(), g) }
 
-// List is word of the bulletin, before the router has it.
-func (s *Steer) List(c endpoints.Change) {
+// UpdateEndpoints is word of the bulletin, before the router has it.
+func (s *Controller) UpdateEndpoints(c endpoints.Update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c.Whole {
-		clear(s.list)
+	if c.Complete {
+		clear(s.endpoints)
 	}
-	for _, r := range c.Rows {
-		if r.Phase == endpoints.Gone {
-			delete(s.list, r.ID)
+	for _, r := range c.Endpoints {
+		if r.Phase == endpoints.Removed {
+			delete(s.endpoints, r.ID)
 			continue
 		}
-		s.list[r.ID] = pools.Cache{Name: r.ID, Location: r.Zone, Labels: []string{r.Machine, fmt.Sprint("cell-", r.Cell)}, Source: r.Machine != "edge",
-			Draining: r.Phase == endpoints.Draining}
+		s.endpoints[r.ID] = pools.Cache{Name: r.ID, Location: r.Zone, Labels: []string{r.MachineType, fmt.Sprint("cell-", r.Cell)}, IsSource: r.MachineType != "edge",
+			IsDraining: r.Phase == endpoints.Draining}
 	}
-	if len(c.Rows) > 0 || c.Whole {
-		s.view()
+	if len(c.Endpoints) > 0 || c.Complete {
+		s.rebuildViews()
 	}
 }
 
-func (s *Steer) caches() []pools.Cache {
-	all := make([]pools.Cache, 0, len(s.list))
-	for _, id := range slices.Sorted(maps.Keys(s.list)) {
-		all = append(all, s.list[id])
+func (s *Controller) sortedCaches() []pools.Cache {
+	all := make([]pools.Cache, 0, len(s.endpoints))
+	for _, id := range slices.Sorted(maps.Keys(s.endpoints)) {
+		all = append(all, s.endpoints[id])
 	}
 	return all
 }
 
-// view makes what lookups are decided under anew, under the lock.
-func (s *Steer) view() {
-	f := &force{Force: s.changes.Force()}
-	all := s.caches()
-	f.base = s.tables[f.Base].See(f.Base, all)
+// rebuildViews makes what lookups are decided under anew, under the lock.
+func (s *Controller) rebuildViews() {
+	f := &activeViews{Active: s.versions.Active()}
+	all := s.sortedCaches()
+	f.base = s.tables[f.Base].View(f.Base, all)
 	if f.Next != 0 {
-		f.next = s.tables[f.Next].See(f.Next, all)
+		f.next = s.tables[f.Next].View(f.Next, all)
 	}
-	s.now.Store(f)
+	s.active.Store(f)
 }
 
-// put puts in force what the changes say, under the lock or before anyone else has s.
-func (s *Steer) put() error {
-	f := s.changes.Force()
+// activate puts in force what the changes say, under the lock or before anyone else has s.
+func (s *Controller) activate() error {
+	f := s.versions.Active()
 	for _, no := range []uint64{f.Base, f.Next} {
 		if no == 0 || s.tables[no] != nil {
 			continue
 		}
-		t, faults, err := s.compile(s.changes.Text(no))
+		t, faults, err := s.compile(s.versions.Text(no))
 		if err != nil {
 			return err
 		}
@@ -191,112 +191,112 @@
 		s.tables[no] = t
 	}
 	maps.DeleteFunc(s.tables, func(no uint64, _ *pools.Table) bool { return no != f.Base && no != f.Next })
-	if was := s.now.Load(); s.limits == nil || was == nil || was.Base != f.Base { // a share is staged under the limits of before
+	if was := s.active.Load(); s.limits == nil || was == nil || was.Base != f.Base { // a share is staged under the limits of before
 		terms := s.tables[f.Base].Limits()
 		if s.limits == nil {
-			s.limits = limit.NewSet(s.g.Now(), terms)
+			s.limits = limit.NewSet(s.env.Now(), terms)
 		} else {
-			s.limits = s.limits.Carry(s.g.Now(), terms)
+			s.limits = s.limits.Carry(s.env.Now(), terms)
 		}
 	}
-	s.view()
+	s.rebuildViews()
 	return nil
 }
 
-func (s *Steer) compile(text []byte) (*pools.Table, []pools.Fault, error) {
+func (s *Controller) compile(text []byte) (*pools.Table, []pools.Problem, error) {
 	var c pools.Config
 	d := json.NewDecoder(strings.NewReader(string(text)))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&c); err != nil {
-		return nil, nil, change.Fault{Text: "the configuration cannot be read: " + err.Error(), Remedy: "see docs/configuration.md"}
+		return nil, nil, change.Error{Text: "the configuration cannot be read: " + err.Error(), Remedy: "see docs/configuration.md"}
 	}
 	t, faults := pools.Compile(c, s.kinds)
 	return t, faults, nil
 }
 
-// Pass is a lookup that was let in, with what it was decided under.
-type Pass struct {
+// Ticket is a lookup that was let in, with what it was decided under.
+type Ticket struct {
 	Version uint64
-	pools.Decided
-	s       *Steer
-	tickets []*limit.Ticket
-	named   []*limit.Limit
-	under   bool // of the side under the change that is watched
+	pools.Decision
+	controller    *Controller
+	permits       []*limit.Permit
+	limits        []*limit.Limit
+	isUnderChange bool // of the side under the change that is watched
 }
 
 // Admit decides a lookup's route and lets it in, or says why not and when to come back.
-func (s *Steer) Admit(kind, group int, object string, kb float64) (*Pass, limit.Reason, time.Duration) {
-	f := s.now.Load()
+func (s *Controller) Admit(kind, group int, object string, kb float64) (*Ticket, limit.Reason, time.Duration) {
+	f := s.active.Load()
 	v := f.base
-	if f.Side(pools.Hash(object)) != f.Base {
+	if f.VersionFor(pools.Hash(object)) != f.Base {
 		v = f.next
 	}
-	p := &Pass{Version: v.Version, Decided: v.Route(kind, group, object), s: s, under: v != f.base}
-	if p.Decided.Route == "" {
+	p := &Ticket{Version: v.Version, Decision: v.Route(kind, group, object), controller: s, isUnderChange: v != f.base}
+	if p.Decision.Route == "" {
 		return p, limit.Allowed, 0
 	}
-	now := s.g.Now()
+	now := s.env.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	tenant := p.Tenant
-	for _, name := range []string{"tenant " + p.Tenant, "route " + p.Decided.Route, "pool " + p.Decided.Scope.Pool} {
-		l := s.limits.Of(name)
+	for _, name := range []string{"tenant " + p.Tenant, "route " + p.Decision.Route, "pool " + p.Decision.Scope.Pool} {
+		l := s.limits.Find(name)
 		if l == nil {
 			continue
 		}
-		ticket, why, wait := l.Enter(now, tenant, 1, int(min(kb, 1e6)*bytesAKB))
+		ticket, why, wait := l.Admit(now, tenant, 1, int(min(kb, 1e6)*bytesPerKB))
 		if why != limit.Allowed {
-			for _, t := range p.tickets {
-				t.Leave(now, false, false)
+			for _, t := range p.permits {
+				t.Release(now, false, false)
 			}
-			s.guard.Saw(now, p.under || s.applied(p.Version), change.Seen{Nacked: true}) // a limit too small is a bad change too
+			s.guard.Observe(now, p.isUnderChange || s.isUnconfirmed(p.Version), change.Outcome{Rejected: true}) // a limit too small is a bad change too
 			return nil, why, wait
 		}
-		p.tickets, p.named = append(p.tickets, ticket), append(p.named, l)
+		p.permits, p.limits = append(p.permits, ticket), append(p.limits, l)
 	}
 	return p, limit.Allowed, 0
 }
 
 // FleetLimits calls f for each limit of the fleet in force; f must not wait.
-func (s *Steer) FleetLimits(f func(name string, t limit.Terms, u limit.Use)) {
+func (s *Controller) FleetLimits(f func(name string, t limit.Spec, u limit.Usage)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.limits.Fleet(func(name string, l *limit.Limit) { f(name, l.Terms(), l.Use()) })
+	s.limits.EachFleetWide(func(name string, l *limit.Limit) { f(name, l.Spec(), l.Usage()) })
 }
 
 // ApplyLeases puts in force what this gateway may let in of the fleet's limits, by their names.
-func (s *Steer) ApplyLeases(leases map[string]limit.Lease) {
+func (s *Controller) ApplyLeases(leases map[string]limit.Lease) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := s.g.Now()
+	now := s.env.Now()
 	shift := time.Until(now) // the ground's clock may be off; leases are told in the machine's
 	for name, lease := range leases {
-		if l := s.limits.Of(name); l != nil {
-			lease.Until = lease.Until.Add(shift)
-			l.Lease(now, lease)
+		if l := s.limits.Find(name); l != nil {
+			lease.ExpiresAt = lease.ExpiresAt.Add(shift)
+			l.SetLease(now, lease)
 		}
 	}
 }
 
 // Scope is what the module may choose from.
-func (p *Pass) Scope() *policy.Scope {
-	if p.Decided.Scope == nil {
+func (p *Ticket) Scope() *policy.Scope {
+	if p.Decision.Scope == nil {
 		return nil
 	}
-	sc := &policy.Scope{Caches: p.Decided.Scope.Caches, Sources: p.Decided.Scope.Sources, MaxAge: p.OldestMS * 1000}
-	if len(p.named) > 0 {
-		sc.AllowRetry = p.again
+	sc := &policy.Scope{Caches: p.Decision.Scope.Caches, Sources: p.Decision.Scope.Sources, MaxAge: p.MaxAgeMS * 1000}
+	if len(p.limits) > 0 {
+		sc.AllowRetry = p.allowRetry
 	}
 	return sc
 }
 
-// again asks each budget for one more send; it comes under the facade's lock.
-func (p *Pass) again() bool {
-	p.s.mu.Lock()
-	defer p.s.mu.Unlock()
-	now := p.s.g.Now()
-	for _, l := range p.named {
-		if l.Further(now) != limit.Allowed {
+// allowRetry asks each budget for one more send; it comes under the facade's lock.
+func (p *Ticket) allowRetry() bool {
+	p.controller.mu.Lock()
+	defer p.controller.mu.Unlock()
+	now := p.controller.env.Now()
+	for _, l := range p.limits {
+		if l.AllowRetry(now) != limit.Allowed {
 			return false
 		}
 	}
@@ -304,18 +304,18 @@
 }
 
 // End ends the lookup: satisfied in time, nacked, or late or failed.
-func (p *Pass) End(satisfied, nacked, late bool) {
-	p.s.mu.Lock()
-	defer p.s.mu.Unlock()
-	now := p.s.g.Now()
-	for _, t := range p.tickets {
-		t.Leave(now, satisfied, nacked || late)
+func (p *Ticket) End(satisfied, nacked, late bool) {
+	p.controller.mu.Lock()
+	defer p.controller.mu.Unlock()
+	now := p.controller.env.Now()
+	for _, t := range p.permits {
+		t.Release(now, satisfied, nacked || late)
 	}
-	p.s.guard.Saw(now, p.under || p.s.applied(p.Version), change.Seen{Satisfied: satisfied, Nacked: nacked, Late: late})
+	p.controller.guard.Observe(now, p.isUnderChange || p.controller.isUnconfirmed(p.Version), change.Outcome{Satisfied: satisfied, Rejected: nacked, Late: late})
 }
 
-// applied tells whether a version is the one that is in force for all and not confirmed.
-func (s *Steer) applied(no uint64) bool {
-	f := s.now.Load()
-	return f.Base == no && s.changes.Head() != no
+// isUnconfirmed tells whether a version is the one that is in force for all and not confirmed.
+func (s *Controller) isUnconfirmed(no uint64) bool {
+	f := s.active.Load()
+	return f.Base == no && s.versions.Confirmed() != no
 }
--- a/internal/route/rollout/steps.go
+++ b/internal/route/rollout/steps.go
@@ -12,142 +12,142 @@
 	"foldslip/internal/route/pools"
 )
 
-// do takes a step: it is decided, written and synced, and then put in force. A step that cannot be written is none.
-func (s *Steer) do(take func(now time.Time) (change.Step, error)) (change.Step, error) {
-	s.step.Lock()
-	defer s.step.Unlock()
+// takeStep takes a step: it is decided, written and synced, and then put in force. A step that cannot be written is none.
+func (s *Controller) takeStep(take func(now time.Time) (change.Step, error)) (change.Step, error) {
+	s.stepMu.Lock()
+	defer s.stepMu.Unlock()
 	s.mu.Lock()
-	was := s.changes.Snapshot()
-	step, err := take(s.g.Now())
+	was := s.versions.Snapshot()
+	step, err := take(s.env.Now())
 	s.mu.Unlock()
 	if err != nil {
 		return step, err
 	}
-	step.At = s.g.Now()
-	return step, s.keep(step, was)
+	step.At = s.env.Now()
+	return step, s.commit(step, was)
 }
 
-// keep writes a step that the changes have taken, and puts it in force; without a write the changes go back.
-func (s *Steer) keep(step change.Step, was []change.Step) error {
-	err := s.write(step)
+// commit writes a step that the changes have taken, and puts it in force; without a write the changes go back.
+func (s *Controller) commit(step change.Step, was []change.Step) error {
+	err := s.persist(step)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
-		s.g.Log().Warn("routes_not_kept", "version", step.No, "stage", string(step.Stage), "text", err.Error())
-		if step.Stage != change.Undone { // what is undone stays undone: the record then holds less than is in force, never more
+		s.env.Log().Warn("routes_not_kept", "version", step.Version, "stage", string(step.Stage), "text", err.Error())
+		if step.Stage != change.RolledBack { // what is undone stays undone: the record then holds less than is in force, never more
 			if back, _, bad := change.Recover(was); bad == nil {
-				s.changes = back
+				s.versions = back
 			}
-			s.put()
+			s.activate()
 			return err
 		}
 	}
-	if bad := s.put(); bad != nil {
+	if bad := s.activate(); bad != nil {
 		return bad
 	}
-	s.watch(step)
-	s.g.Log().Info("routes", "version", step.No, "stage", string(step.Stage), "share", step.Share, "author", step.Author, "reason", step.Reason)
+	s.notifyGuard(step)
+	s.env.Log().Info("routes", "version", step.Version, "stage", string(step.Stage), "share", step.Share, "author", step.Author, "reason", step.Reason)
 	return err
 }
 
-func (s *Steer) write(step change.Step) error {
-	if s.rec == nil {
+func (s *Controller) persist(step change.Step) error {
+	if s.log == nil {
 		return nil
 	}
 	text, err := cbor.Marshal(step)
 	if err != nil {
 		return err
 	}
-	if err := s.rec.Append(text); err != nil {
+	if err := s.log.Append(text); err != nil {
 		return err
 	}
-	if s.rec.Size() > mostRecord {
+	if s.log.Size() > maxLogBytes {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.snapshot()
+		return s.writeSnapshot()
 	}
 	return nil
 }
 
-// watch tells the guard of a step, under the lock. It watches always, so that it knows how things were before a change is applied to all;
+// notifyGuard tells the guard of a step, under the lock. It watches always, so that it knows how things were before a change is applied to all;
 // a change that was staged first has its own side watched from there on.
-func (s *Steer) watch(step change.Step) {
+func (s *Controller) notifyGuard(step change.Step) {
 	switch step.Stage {
-	case change.Proposed, change.Undone:
-		s.guard.Begin()
+	case change.Proposed, change.RolledBack:
+		s.guard.BeginChange()
 	case change.Confirmed:
-		s.guard.Accept()
+		s.guard.AcceptChange()
 	}
 }
 
 // Propose begins a change of the version that its author has seen, and checks it: what is found comes with the step. With an error
 // among it the change is over.
-func (s *Steer) Propose(parent uint64, c pools.Config, author, reason string) (change.Step, error) {
+func (s *Controller) Propose(parent uint64, c pools.Config, author, reason string) (change.Step, error) {
 	text, err := json.Marshal(c)
 	if err != nil {
 		return change.Step{}, err
 	}
-	step, err := s.do(func(time.Time) (change.Step, error) { return s.changes.Propose(parent, text, author, reason) })
+	step, err := s.takeStep(func(time.Time) (change.Step, error) { return s.versions.Propose(parent, text, author, reason) })
 	if err != nil {
 		return step, err
 	}
-	return s.Check(step.No)
+	return s.Check(step.Version)
 }
 
-// Back proposes an earlier version's configuration, and checks it.
-func (s *Steer) Back(to uint64, author, reason string) (change.Step, error) {
-	step, err := s.do(func(time.Time) (change.Step, error) { return s.changes.Back(to, author, reason) })
+// ProposeEarlier proposes an earlier version's configuration, and checks it.
+func (s *Controller) ProposeEarlier(to uint64, author, reason string) (change.Step, error) {
+	step, err := s.takeStep(func(time.Time) (change.Step, error) { return s.versions.ProposeEarlier(to, author, reason) })
 	if err != nil {
 		return step, err
 	}
-	return s.Check(step.No)
+	return s.Check(step.Version)
 }
 
 // Check checks the change under way against the list as it is now.
-func (s *Steer) Check(no uint64) (change.Step, error) {
-	return s.do(func(time.Time) (change.Step, error) { return s.changes.Check(no, s.findings(no)) })
+func (s *Controller) Check(no uint64) (change.Step, error) {
+	return s.takeStep(func(time.Time) (change.Step, error) { return s.versions.Check(no, s.findings(no)) })
 }
 
-func (s *Steer) findings(no uint64) (all []change.Finding) {
-	t, faults, err := s.compile(s.changes.Text(no))
+func (s *Controller) findings(no uint64) (all []change.Finding) {
+	t, faults, err := s.compile(s.versions.Text(no))
 	if err != nil {
-		return []change.Finding{{Error: true, Text: err.Error(), Remedy: "mend it there"}}
+		return []change.Finding{{IsError: true, Text: err.Error(), Remedy: "mend it there"}}
 	}
 	if t != nil {
-		faults = append(faults, t.Check(s.caches())...)
+		faults = append(faults, t.Check(s.sortedCaches())...)
 	}
 	for _, f := range faults {
-		all = append(all, change.Finding{Error: f.Error, Path: f.Path, Text: f.Text, Remedy: f.Remedy})
+		all = append(all, change.Finding{IsError: f.IsError, Path: f.Path, Text: f.Text, Remedy: f.Remedy})
 	}
 	return all
 }
 
 // Stage puts the change in place for a share of the objects; it is checked once more before, as the list may have changed.
-func (s *Steer) Stage(no uint64, share float64, within time.Duration) (change.Step, error) {
-	return s.do(func(now time.Time) (change.Step, error) {
-		if step, bad := s.again(no); bad {
+func (s *Controller) Stage(no uint64, share float64, within time.Duration) (change.Step, error) {
+	return s.takeStep(func(now time.Time) (change.Step, error) {
+		if step, bad := s.recheck(no); bad {
 			return step, nil
 		}
-		return s.changes.Stage(now, no, share, within)
+		return s.versions.Stage(now, no, share, within)
 	})
 }
 
 // Apply puts the change in place for all, checked once more.
-func (s *Steer) Apply(no uint64, within time.Duration) (change.Step, error) {
-	return s.do(func(now time.Time) (change.Step, error) {
-		if step, bad := s.again(no); bad {
+func (s *Controller) Apply(no uint64, within time.Duration) (change.Step, error) {
+	return s.takeStep(func(now time.Time) (change.Step, error) {
+		if step, bad := s.recheck(no); bad {
 			return step, nil
 		}
-		return s.changes.Apply(now, no, within)
+		return s.versions.Apply(now, no, within)
 	})
 }
 
-// again checks a change that is about to go on; one that fails is undone.
-func (s *Steer) again(no uint64) (change.Step, bool) {
+// recheck checks a change that is about to go on; one that fails is undone.
+func (s *Controller) recheck(no uint64) (change.Step, bool) {
 	for _, f := range s.findings(no) {
-		if f.Error {
-			if step, err := s.changes.Undo(no, f.Path+": "+f.Text); err == nil {
-				step.Finding = []change.Finding{f}
+		if f.IsError {
+			if step, err := s.versions.RollBack(no, f.Path+": "+f.Text); err == nil {
+				step.Findings = []change.Finding{f}
 				return step, true
 			}
 		}
@@ -156,91 +156,91 @@
 }
 
 // Confirm makes an applied change the one in force for good.
-func (s *Steer) Confirm(no uint64) (change.Step, error) {
-	return s.do(func(now time.Time) (change.Step, error) { return s.changes.Confirm(now, no) })
+func (s *Controller) Confirm(no uint64) (change.Step, error) {
+	return s.takeStep(func(now time.Time) (change.Step, error) { return s.versions.Confirm(now, no) })
 }
 
-// Undo ends the change under way.
-func (s *Steer) Undo(no uint64, why string) (change.Step, error) {
-	return s.do(func(time.Time) (change.Step, error) { return s.changes.Undo(no, why) })
+// RollBack ends the change under way.
+func (s *Controller) RollBack(no uint64, why string) (change.Step, error) {
+	return s.takeStep(func(time.Time) (change.Step, error) { return s.versions.RollBack(no, why) })
 }
 
-// File is word of the operators' file, read anew: other routes than those in force are proposed, checked and applied, and wait for their
+// ApplyFile is word of the operators' file, read anew: other routes than those in force are proposed, checked and applied, and wait for their
 // confirmation: by hand, or by the same file once more. The routes in force, while a change of the file waits, undo that change.
-func (s *Steer) File(c pools.Config, within time.Duration) (change.Step, error) {
+func (s *Controller) ApplyFile(c pools.Config, within time.Duration) (change.Step, error) {
 	text, err := json.Marshal(c)
 	if err != nil {
 		return change.Step{}, err
 	}
 	s.mu.Lock()
-	head, under := s.changes.Head(), s.changes.Under()
-	waits := under != nil && under.Author == byFile
-	same := func(no uint64) bool { return bytes.Equal(s.changes.Text(no), text) }
-	again, back := waits && same(under.No), same(head)
+	head, under := s.versions.Confirmed(), s.versions.InProgress()
+	waits := under != nil && under.Author == fileAuthor
+	same := func(no uint64) bool { return bytes.Equal(s.versions.Text(no), text) }
+	again, back := waits && same(under.Version), same(head)
 	s.mu.Unlock()
 	switch {
 	case again:
-		return s.Confirm(under.No)
+		return s.Confirm(under.Version)
 	case back && waits:
-		return s.Undo(under.No, "the file has the routes of before again")
+		return s.RollBack(under.Version, "the file has the routes of before again")
 	case back:
-		return change.Step{No: head, Stage: change.Confirmed}, nil
+		return change.Step{Version: head, Stage: change.Confirmed}, nil
 	case waits: // the file has changed once more; one that cannot be used leaves the change that waits as it is
 		t, faults := pools.Compile(c, s.kinds)
 		if t != nil {
 			s.mu.Lock()
-			faults = append(faults, t.Check(s.caches())...)
+			faults = append(faults, t.Check(s.sortedCaches())...)
 			s.mu.Unlock()
 		}
 		for _, f := range faults {
-			if f.Error {
-				return change.Step{}, change.Fault{Text: f.Path + ": " + f.Text, Remedy: f.Remedy}
+			if f.IsError {
+				return change.Step{}, change.Error{Text: f.Path + ": " + f.Text, Remedy: f.Remedy}
 			}
 		}
-		if step, err := s.Undo(under.No, "the file has changed"); err != nil {
+		if step, err := s.RollBack(under.Version, "the file has changed"); err != nil {
 			return step, err
 		}
 	}
-	step, err := s.Propose(head, c, byFile, "the file was read anew")
+	step, err := s.Propose(head, c, fileAuthor, "the file was read anew")
 	if err != nil || step.Stage != change.Checked {
 		return step, err
 	}
-	return s.Apply(step.No, within)
+	return s.Apply(step.Version, within)
 }
 
-const byFile = "file"
+const fileAuthor = "file"
 
 // History is the versions that are kept, and what is in force.
-func (s *Steer) History() ([]change.Entry, change.Force) {
+func (s *Controller) History() ([]change.VersionInfo, change.Active) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.changes.History(), s.changes.Force()
+	return s.versions.History(), s.versions.Active()
 }
 
 // Text is a version's configuration; nil where it is not kept.
-func (s *Steer) Text(no uint64) []byte {
+func (s *Controller) Text(no uint64) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.changes.Text(no)
+	return s.versions.Text(no)
 }
 
 // Plan tells what a configuration would move of a load.
-func (s *Steer) Plan(c pools.Config, load []pools.Load) (pools.Move, []pools.Fault) {
+func (s *Controller) Plan(c pools.Config, load []pools.LoadSample) (pools.Impact, []pools.Problem) {
 	t, faults := pools.Compile(c, s.kinds)
 	if t == nil {
-		return pools.Move{}, faults
+		return pools.Impact{}, faults
 	}
 	s.mu.Lock()
-	all := s.caches()
+	all := s.sortedCaches()
 	s.mu.Unlock()
-	return s.now.Load().base.Plan(t.See(0, all), load), append(faults, t.Check(all)...)
+	return s.active.Load().base.Plan(t.View(0, all), load), append(faults, t.Check(all)...)
 }
 
 // Run undoes what is not confirmed in time, and what its guard finds worse, until life ends.
-func (s *Steer) Run(life *env.Life) error {
-	end := s.g.Bell()
+func (s *Controller) Run(life *env.Life) error {
+	end := s.env.Bell()
 	defer life.OnEnd(end.Ring)()
-	for !end.Wait(pace) {
+	for !end.Wait(tickInterval) {
 		s.Tick()
 	}
 	s.Close()
@@ -248,15 +248,15 @@
 }
 
 // Tick brings the time.
-func (s *Steer) Tick() {
-	s.step.Lock()
-	defer s.step.Unlock()
+func (s *Controller) Tick() {
+	s.stepMu.Lock()
+	defer s.stepMu.Unlock()
 	s.mu.Lock()
-	now := s.g.Now()
-	steps, _ := s.changes.Tick(now)
-	if f := s.changes.Force(); len(steps) == 0 && (f.Next != 0 || f.Base != s.changes.Head()) {
+	now := s.env.Now()
+	steps, _ := s.versions.Tick(now)
+	if f := s.versions.Active(); len(steps) == 0 && (f.Next != 0 || f.Base != s.versions.Confirmed()) {
 		if why := s.guard.Tripped(); why != "" {
-			if step, err := s.changes.Undo(s.under(), why); err == nil {
+			if step, err := s.versions.RollBack(s.versionInProgress(), why); err == nil {
 				steps = append(steps, step)
 			}
 		}
@@ -264,13 +264,13 @@
 	s.mu.Unlock()
 	for _, step := range steps {
 		step.At = now
-		s.keep(step, nil)
+		s.commit(step, nil)
 	}
 }
 
-// under is the version under way that is staged or applied.
-func (s *Steer) under() uint64 {
-	f := s.changes.Force()
+// versionInProgress is the version under way that is staged or applied.
+func (s *Controller) versionInProgress() uint64 {
+	f := s.versions.Active()
 	if f.Next != 0 {
 		return f.Next
 	}
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	mostSegments = 16
-	mostPath     = 4096
-	mostRules    = 5000
-	mostWord     = 200 // of an id, object or tag
-	mostKB       = 1e9
-	mostAllow    = time.Hour
+	maxSegments    = 16
+	maxPathBytes   = 4096
+	maxRules       = 5000
+	maxWordBytes   = 200 // of an id, object or tag
+	maxKB          = 1e9
+	maxTimeAllowed = time.Hour
 )
 
 // Rule is one line of the operator's table. A source is "header:NAME", "path:NAME" for a {NAME} of the template,
@@ -39,36 +39,36 @@
 	Tag     string `json:"tag,omitempty"`
 }
 
-// Asked is a lookup as a proxy asks for it.
-type Asked struct {
+// Lookup is a lookup as a proxy asks for it.
+type Lookup struct {
 	ID, Object, Tag string
 	Kind            int // of the settings
 	Part, Group     int
 	KB              float64
-	Allow           time.Duration // -1: not told
+	TimeAllowed     time.Duration // -1: not told
 }
 
-// Fault is a request that is no lookup, with the HTTP status that says so.
-type Fault struct {
+// RequestError is a request that is no lookup, with the HTTP status that says so.
+type RequestError struct {
 	Status int
 	Text   string
 }
 
-func (f *Fault) Error() string { return f.Text }
+func (f *RequestError) Error() string { return f.Text }
 
-// Get reads what a proxy tells: a header by its name in lower case, an attribute as "attr:NAME", metadata as "meta:SPACE/NAME". It
+// Attributes reads what a proxy tells: a header by its name in lower case, an attribute as "attr:NAME", metadata as "meta:SPACE/NAME". It
 // gives the value and how often it stands there.
-type Get func(name string) (value string, times int)
+type Attributes func(name string) (value string, times int)
 
-// RuleFault is a rule that cannot be used.
-type RuleFault struct {
+// RuleError is a rule that cannot be used.
+type RuleError struct {
 	Rule   int
 	Field  string
 	Text   string
 	Remedy string
 }
 
-func (f RuleFault) Error() string {
+func (f RuleError) Error() string {
 	return fmt.Sprintf("lookups[%d].%s: %s; %s", f.Rule, f.Field, f.Text, f.Remedy)
 }
 
@@ -78,38 +78,38 @@
 	unset sourceKind = iota
 	fixed
 	header
-	inPath
+	pathVariable
 )
 
 type source struct {
-	kind sourceKind
-	text string // the fixed value, or the header's name in lower case
-	at   int    // of the path's variables
+	kind     sourceKind
+	text     string // the fixed value, or the header's name in lower case
+	variable int    // of the path's variables
 }
 
 type rule struct {
-	no                                            int
+	index                                         int
 	kind, object, part, group, kb, id, allow, tag source
-	kindNo                                        int // where kind is fixed
+	fixedKind                                     int // where kind is fixed
 }
 
 // node is a place in the tree of templates.
 type node struct {
-	fixed map[string]*node
-	open  []*branch // with a variable; the most fixed text first
-	rule  *rule
+	fixed    map[string]*node
+	branches []*branch // with a variable; the most fixed text first
+	rule     *rule
 }
 
 type branch struct {
 	before, after string
-	to            *node
+	next          *node
 }
 
 // Table is a compiled table.
 type Table struct {
-	root  *node
-	kinds map[string]int
-	reads []string // headers that it reads, in lower case
+	root       *node
+	kinds      map[string]int
+	attributes []string // headers that it reads, in lower case
 }
 
 // Compile checks and compiles rules; kinds are the settings' object kinds in their order.
@@ -119,30 +119,30 @@
 		t.kinds[k] = i
 	}
 	if len(rules) == 0 {
-		return nil, RuleFault{0, "path", "there is no rule", "tell at least one"}
+		return nil, RuleError{0, "path", "there is no rule", "tell at least one"}
 	}
-	if len(rules) > mostRules {
-		return nil, RuleFault{mostRules, "path", fmt.Sprintf("%d rules", len(rules)), fmt.Sprintf("at most %d", mostRules)}
+	if len(rules) > maxRules {
+		return nil, RuleError{maxRules, "path", fmt.Sprintf("%d rules", len(rules)), fmt.Sprintf("at most %d", maxRules)}
 	}
 	for i, r := range rules {
-		if err := t.add(i, r); err != nil {
+		if err := t.addRule(i, r); err != nil {
 			return nil, err
 		}
 	}
 	t.root.sort()
-	slices.Sort(t.reads)
-	t.reads = slices.Compact(t.reads)
+	slices.Sort(t.attributes)
+	t.attributes = slices.Compact(t.attributes)
 	return t, nil
 }
 
-// Reads are the headers that the table reads: a caller must tell them.
-func (t *Table) Reads() []string { return t.reads }
+// Attributes are the headers that the table reads: a caller must tell them.
+func (t *Table) Attributes() []string { return t.attributes }
 
-func (t *Table) add(no int, r Rule) error {
-	bad := func(field, text, remedy string) error { return RuleFault{no, field, text, remedy} }
-	segments, ok := split(r.Path)
+func (t *Table) addRule(no int, r Rule) error {
+	bad := func(field, text, remedy string) error { return RuleError{no, field, text, remedy} }
+	segments, ok := splitPath(r.Path)
 	if !ok {
-		return bad("path", fmt.Sprintf("%q", r.Path), fmt.Sprintf("expected /a/{b}/c, at most %d segments and %d bytes", mostSegments, mostPath))
+		return bad("path", fmt.Sprintf("%q", r.Path), fmt.Sprintf("expected /a/{b}/c, at most %d segments and %d bytes", maxSegments, maxPathBytes))
 	}
 	at, vars := t.root, []string{}
 	for _, s := range segments {
@@ -165,17 +165,17 @@
 			return bad("path", fmt.Sprintf("%q", s), "one {name} a segment, each name once")
 		}
 		vars = append(vars, name)
-		i := slices.IndexFunc(at.open, func(b *branch) bool { return b.before == before && b.after == after })
+		i := slices.IndexFunc(at.branches, func(b *branch) bool { return b.before == before && b.after == after })
 		if i < 0 {
-			at.open = append(at.open, &branch{before, after, &node{}})
-			i = len(at.open) - 1
+			at.branches = append(at.branches, &branch{before, after, &node{}})
+			i = len(at.branches) - 1
 		}
-		at = at.open[i].to
+		at = at.branches[i].next
 	}
 	if at.rule != nil {
-		return bad("path", fmt.Sprintf("%q matches the same as lookups[%d]", r.Path, at.rule.no), "remove one")
+		return bad("path", fmt.Sprintf("%q matches the same as lookups[%d]", r.Path, at.rule.index), "remove one")
 	}
-	c := &rule{no: no, kindNo: -1}
+	c := &rule{index: no, fixedKind: -1}
 	for _, f := range []struct {
 		name, text string
 		to         *source
@@ -188,10 +188,10 @@
 		case f.text == "":
 		case where == "header" && name != "":
 			*f.to = source{kind: header, text: strings.ToLower(name)}
-			t.reads = append(t.reads, strings.ToLower(name))
+			t.attributes = append(t.attributes, strings.ToLower(name))
 		case where == "attr" && name != "", where == "meta" && strings.Contains(name, "/"):
 			*f.to = source{kind: header, text: f.text}
-			t.reads = append(t.reads, f.text)
+			t.attributes = append(t.attributes, f.text)
 		case where == "meta":
 			return bad(f.name, fmt.Sprintf("%q has no space", f.text), "write meta:SPACE/NAME")
 		case where == "path":
@@ -199,7 +199,7 @@
 			if i < 0 {
 				return bad(f.name, fmt.Sprintf("the path has no {%s}", name), "name one of "+strings.Join(vars, ", "))
 			}
-			*f.to = source{kind: inPath, at: i}
+			*f.to = source{kind: pathVariable, variable: i}
 		default:
 			*f.to = source{kind: fixed, text: f.text}
 		}
@@ -212,11 +212,11 @@
 		if !known {
 			return bad("kind", fmt.Sprintf("%q is no object kind", c.kind.text), "see the settings' classes")
 		}
-		c.kindNo = i
+		c.fixedKind = i
 	}
 	for _, n := range []source{c.part, c.group} {
 		if n.kind == fixed {
-			if _, err := count(n.text, math.MaxInt32); err != nil {
+			if _, err := parseCount(n.text, math.MaxInt32); err != nil {
 				return bad("part", fmt.Sprintf("%q is no whole number", n.text), "from 0")
 			}
 		}
@@ -230,22 +230,22 @@
 	for _, to := range n.fixed {
 		to.sort()
 	}
-	slices.SortFunc(n.open, func(a, b *branch) int {
+	slices.SortFunc(n.branches, func(a, b *branch) int {
 		return cmp.Or(cmp.Compare(len(b.before)+len(b.after), len(a.before)+len(a.after)), cmp.Compare(a.before, b.before),
 			cmp.Compare(a.after, b.after))
 	})
-	for _, b := range n.open {
-		b.to.sort()
+	for _, b := range n.branches {
+		b.next.sort()
 	}
 }
 
-// split cuts a path into its segments. What two programs could read in two ways is refused: empty and dot segments, escapes.
-func split(path string) ([]string, bool) {
-	if len(path) > mostPath || !strings.HasPrefix(path, "/") {
+// splitPath cuts a path into its segments. What two programs could read in two ways is refused: empty and dot segments, escapes.
+func splitPath(path string) ([]string, bool) {
+	if len(path) > maxPathBytes || !strings.HasPrefix(path, "/") {
 		return nil, false
 	}
 	segments := strings.Split(path[1:], "/")
-	if len(segments) > mostSegments {
+	if len(segments) > maxSegments {
 		return nil, false
 	}
 	for _, s := range segments {
@@ -272,9 +272,9 @@
 			return r, v
 		}
 	}
-	for _, b := range n.open {
+	for _, b := range n.branches {
 		if len(s) > len(b.before)+len(b.after) && strings.HasPrefix(s, b.before) && strings.HasSuffix(s, b.after) {
-			if r, v := b.to.find(segments[1:], append(vars, s[len(b.before):len(s)-len(b.after)])); r != nil {
+			if r, v := b.next.find(segments[1:], append(vars, s[len(b.before):len(s)-len(b.after)])); r != nil {
 				return r, v
 			}
 		}
@@ -282,33 +282,33 @@
 	return nil, nil
 }
 
-// Lookup reads a request. headers gives a header's value by its name in lower case, and how often it stands there. The query
+// Match reads a request. headers gives a header's value by its name in lower case, and how often it stands there. The query
 // is no part of a lookup; a proxy that sends one on does so on its own account.
-func (t *Table) Lookup(method, path string, headers Get) (Asked, error) {
-	a := Asked{Allow: -1}
+func (t *Table) Match(method, path string, headers Attributes) (Lookup, error) {
+	a := Lookup{TimeAllowed: -1}
 	if method != "GET" {
-		return a, &Fault{405, "only GET is known"}
+		return a, &RequestError{405, "only GET is known"}
 	}
 	path, _, _ = strings.Cut(path, "?")
-	segments, ok := split(path)
+	segments, ok := splitPath(path)
 	if !ok {
-		return a, &Fault{400, "the path cannot be read in one way only"}
+		return a, &RequestError{400, "the path cannot be read in one way only"}
 	}
 	r, vars := t.root.find(segments, make([]string, 0, 4))
 	if r == nil {
-		return a, &Fault{404, "no rule for this path"}
+		return a, &RequestError{404, "no rule for this path"}
 	}
-	var fault *Fault
+	var fault *RequestError
 	get := func(s source) string {
 		switch s.kind {
 		case fixed:
 			return s.text
-		case inPath:
-			return vars[s.at]
+		case pathVariable:
+			return vars[s.variable]
 		case header:
 			v, n := headers(s.text)
 			if n > 1 && fault == nil {
-				fault = &Fault{400, s.text + " stands there more than once"}
+				fault = &RequestError{400, s.text + " stands there more than once"}
 			}
 			return v
 		}
@@ -317,7 +317,7 @@
 	word := func(s source, what string) string {
 		v := get(s)
 		if fault == nil && !isWord(v) {
-			fault = &Fault{400, what + " is missing or cannot be used"}
+			fault = &RequestError{400, what + " is missing or cannot be used"}
 		}
 		return v
 	}
@@ -326,34 +326,34 @@
 		if v == "" {
 			return 0
 		}
-		n, err := count(v, most)
+		n, err := parseCount(v, most)
 		if err != nil && fault == nil {
-			fault = &Fault{400, what + " is not a whole number from 0 to " + strconv.Itoa(most)}
+			fault = &RequestError{400, what + " is not a whole number from 0 to " + strconv.Itoa(most)}
 		}
 		return n
 	}
 	a.ID, a.Object = word(r.id, "the id"), word(r.object, "the object")
-	if a.Kind = r.kindNo; a.Kind < 0 {
+	if a.Kind = r.fixedKind; a.Kind < 0 {
 		kind, known := t.kinds[get(r.kind)]
 		if !known && fault == nil {
-			fault = &Fault{404, "no such object kind"}
+			fault = &RequestError{404, "no such object kind"}
 		}
 		a.Kind = kind
 	}
 	a.Part, a.Group = number(r.part, "the part", math.MaxInt32), number(r.group, "the group", 255)
 	if v := get(r.kb); v != "" {
 		kb, err := strconv.ParseFloat(v, 64)
-		if (err != nil || !(kb >= 0 && kb <= mostKB)) && fault == nil {
-			fault = &Fault{400, "the size is not a number of KB"}
+		if (err != nil || !(kb >= 0 && kb <= maxKB)) && fault == nil {
+			fault = &RequestError{400, "the size is not a number of KB"}
 		}
 		a.KB = kb
 	}
 	if v := get(r.allow); v != "" {
 		ms, err := strconv.ParseFloat(v, 64)
 		if (err != nil || !(ms >= 0 && ms < 1e12)) && fault == nil {
-			fault = &Fault{400, "the time allowed is not a number of milliseconds"}
+			fault = &RequestError{400, "the time allowed is not a number of milliseconds"}
 		}
-		a.Allow = min(time.Duration(ms*float64(time.Millisecond)), mostAllow)
+		a.TimeAllowed = min(time.Duration(ms*float64(time.Millisecond)), maxTimeAllowed)
 	}
 	if v := get(r.tag); v != "" && v != "*" {
 		if bare := strings.Trim(v, `"`); len(v) == len(bare)+2 && isWord(bare) { // one strong tag; others cost the copy's bytes, no more
@@ -361,14 +361,14 @@
 		}
 	}
 	if fault != nil {
-		return Asked{Allow: -1}, fault
+		return Lookup{TimeAllowed: -1}, fault
 	}
 	return a, nil
 }
 
 // isWord tells whether text can stand as one word in a line to a cache.
 func isWord(s string) bool {
-	if s == "" || len(s) > mostWord {
+	if s == "" || len(s) > maxWordBytes {
 		return false
 	}
 	for i := 0; i < len(s); i++ {
@@ -379,7 +379,7 @@
 	return true
 }
 
-func count(s string, most int) (int, error) {
+func parseCount(s string, most int) (int, error) {
 	n, err := strconv.ParseUint(s, 10, 31)
 	if err == nil && int(n) > most {
 		err = strconv.ErrRange
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-var usual = Rule{Path: "/call/{kind}/{object}/part-{part}", Kind: "path:kind", Object: "path:object", Part: "path:part", Group: "header:X-Group",
+var testRule = Rule{Path: "/call/{kind}/{object}/part-{part}", Kind: "path:kind", Object: "path:object", Part: "path:part", Group: "header:X-Group",
 	KB: "header:X-Ram-Kb", ID: "header:X-Job-Id", AllowMS: "header:X-Allow-Ms", Tag: "header:If-None-Match"}
 
 func compile(t testing.TB, rules ...Rule) *Table {
@@ -20,7 +20,7 @@
 	return table
 }
 
-func headers(all ...string) func(string) (string, int) {
+func attributesOf(all ...string) func(string) (string, int) {
 	return func(name string) (v string, n int) {
 		for i := 0; i < len(all); i += 2 {
 			if strings.ToLower(all[i]) == name {
@@ -32,18 +32,18 @@
 	}
 }
 
-func TestLookup(t *testing.T) {
-	table := compile(t, usual)
+func TestMatch(t *testing.T) {
+	table := compile(t, testRule)
 	t.Run("all fields", func(t *testing.T) {
-		a, err := table.Lookup("GET", "/call/page/7f3a/part-3?x=1", headers("X-Job-Id", "9b1f", "X-Group", "17", "X-Ram-Kb", "412.5", "X-Allow-Ms",
+		a, err := table.Match("GET", "/call/page/7f3a/part-3?x=1", attributesOf("X-Job-Id", "9b1f", "X-Group", "17", "X-Ram-Kb", "412.5", "X-Allow-Ms",
 			"1500", "If-None-Match", `"4be0"`))
-		if want := (Asked{"9b1f", "7f3a", "4be0", 1, 3, 17, 412.5, 1500 * time.Millisecond}); err != nil || a != want {
+		if want := (Lookup{"9b1f", "7f3a", "4be0", 1, 3, 17, 412.5, 1500 * time.Millisecond}); err != nil || a != want {
 			t.Errorf("%+v, %v", a, err)
 		}
 	})
 	t.Run("what may be missing", func(t *testing.T) {
-		a, err := table.Lookup("GET", "/call/segment/o/part-0", headers("x-job-id", "i"))
-		if want := (Asked{ID: "i", Object: "o", Allow: -1}); err != nil || a != want {
+		a, err := table.Match("GET", "/call/segment/o/part-0", attributesOf("x-job-id", "i"))
+		if want := (Lookup{ID: "i", Object: "o", TimeAllowed: -1}); err != nil || a != want {
 			t.Errorf("%+v, %v", a, err)
 		}
 	})
@@ -73,8 +73,8 @@
 		{"a negative time", "GET", "/call/page/o/part-0", append(id, "x-allow-ms", "-1"), 400},
 	} {
 		t.Run(story.name, func(t *testing.T) {
-			a, err := table.Lookup(story.method, story.path, headers(story.headers...))
-			var fault *Fault
+			a, err := table.Match(story.method, story.path, attributesOf(story.headers...))
+			var fault *RequestError
 			if !errors.As(err, &fault) || fault.Status != story.status {
 				t.Errorf("%+v, %v", a, err)
 			}
@@ -84,7 +84,7 @@
 		rule := func(path, object string) Rule { return Rule{Path: path, Kind: "page", Object: object, ID: "header:i"} }
 		table := compile(t, rule("/{a}/x", "any"), rule("/s/{b}", "fixed"), rule("/{a}/y", "back"), rule("/p-{a}/x", "before"), rule("/p-{a}.js/x", "both"))
 		for path, want := range map[string]string{"/s/x": "fixed", "/q/x": "any", "/q/y": "back", "/p-1/x": "before", "/p-1.js/x": "both", "/p-1.js/y": "back"} {
-			if a, err := table.Lookup("GET", path, headers("i", "1")); err != nil || a.Object != want {
+			if a, err := table.Match("GET", path, attributesOf("i", "1")); err != nil || a.Object != want {
 				t.Errorf("%s: %+v, %v", path, a, err)
 			}
 		}
@@ -92,10 +92,10 @@
 }
 
 func TestCompile(t *testing.T) {
-	if got := compile(t, usual).Reads(); fmt.Sprint(got) != "[if-none-match x-allow-ms x-group x-job-id x-ram-kb]" {
+	if got := compile(t, testRule).Attributes(); fmt.Sprint(got) != "[if-none-match x-allow-ms x-group x-job-id x-ram-kb]" {
 		t.Error(got)
 	}
-	change := func(f func(r *Rule)) []Rule { r := usual; f(&r); return []Rule{r} }
+	change := func(f func(r *Rule)) []Rule { r := testRule; f(&r); return []Rule{r} }
 	for _, story := range []struct {
 		name, field string
 		rules       []Rule
@@ -107,10 +107,10 @@
 		{"a brace left open", "path", change(func(r *Rule) { r.Path = "/{kind" })},
 		{"a brace closed only", "path", change(func(r *Rule) { r.Path = "/kind}" })},
 		{"a name twice", "path", change(func(r *Rule) { r.Path = "/{kind}/{kind}" })},
-		{"the same twice", "path", []Rule{usual, usual}},
+		{"the same twice", "path", []Rule{testRule, testRule}},
 		{"the same under other names", "path", append(change(func(r *Rule) {
 			r.Path, r.Kind, r.Object, r.Part = "/call/{a}/{b}/part-{c}", "path:a", "path:b", "path:c"
-		}), usual)},
+		}), testRule)},
 		{"a variable that is not there", "object", change(func(r *Rule) { r.Object = "path:thing" })},
 		{"no id", "id", change(func(r *Rule) { r.ID = "" })},
 		{"an id for all", "id", change(func(r *Rule) { r.ID = "7" })},
@@ -119,7 +119,7 @@
 	} {
 		t.Run(story.name, func(t *testing.T) {
 			_, err := Compile(story.rules, []string{"segment", "page"})
-			var fault RuleFault
+			var fault RuleError
 			if !errors.As(err, &fault) || fault.Field != story.field || fault.Remedy == "" {
 				t.Error(err)
 			}
@@ -128,35 +128,35 @@
 }
 
 // What is read as a lookup goes into a line to a cache: it must be words and numbers in bounds, whatever is sent.
-func FuzzLookup(f *testing.F) {
-	table := compile(f, usual, Rule{Path: "/m/{o}", Kind: "segment", Object: "path:o", ID: "header:x-job-id"})
+func FuzzMatch(f *testing.F) {
+	table := compile(f, testRule, Rule{Path: "/m/{o}", Kind: "segment", Object: "path:o", ID: "header:x-job-id"})
 	f.Add("/call/page/o/part-1", "id", "17", "1.5", "100", `"t"`)
 	f.Add("/m/..", "a b", "-1", "1e400", "NaN", `W/"t"`)
 	f.Fuzz(func(t *testing.T, path, id, group, kb, allow, tag string) {
-		a, err := table.Lookup("GET", path, headers("x-job-id", id, "x-group", group, "x-ram-kb", kb, "x-allow-ms", allow, "if-none-match", tag))
+		a, err := table.Match("GET", path, attributesOf("x-job-id", id, "x-group", group, "x-ram-kb", kb, "x-allow-ms", allow, "if-none-match", tag))
 		if err != nil {
 			return
 		}
 		if !isWord(a.ID) || !isWord(a.Object) || a.Tag != "" && !isWord(a.Tag) || a.Kind < 0 || a.Kind > 1 || a.Part < 0 || a.Group < 0 || a.Group > 255 ||
-			!(a.KB >= 0 && a.KB <= mostKB) || a.Allow < -1 || a.Allow > mostAllow {
+			!(a.KB >= 0 && a.KB <= maxKB) || a.TimeAllowed < -1 || a.TimeAllowed > maxTimeAllowed {
 			t.Errorf("%+v", a)
 		}
 	})
 }
 
-// BenchmarkLookup is one path among 5,000 rules against the plain way, trying each in turn.
-func BenchmarkLookup(b *testing.B) {
+// BenchmarkMatch is one path among 5,000 rules against the plain way, trying each in turn.
+func BenchmarkMatch(b *testing.B) {
 	var rules []Rule
 	for i := range 5000 {
 		rules = append(rules, Rule{Path: fmt.Sprintf("/shop-%d/{object}/part-{part}", i), Kind: "page", Object: "path:object", Part: "path:part",
 			ID: "header:x-job-id"})
 	}
 	table := compile(b, rules...)
-	h := headers("x-job-id", "9b1f")
+	h := attributesOf("x-job-id", "9b1f")
 	b.Run("tree", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			if _, err := table.Lookup("GET", "/shop-4711/7f3a/part-3", h); err != nil {
+			if _, err := table.Match("GET", "/shop-4711/7f3a/part-3", h); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -168,7 +168,7 @@
 	b.Run("in turn", func(b *testing.B) {
 		for b.Loop() {
 			for _, t := range each {
-				if _, err := t.Lookup("GET", "/shop-4711/7f3a/part-3", h); err == nil {
+				if _, err := t.Match("GET", "/shop-4711/7f3a/part-3", h); err == nil {
 					break
 				}
 			}
--- a/internal/store/endpoints/frozen_test.go
+++ b/internal/store/endpoints/frozen_test.go
@@ -29,13 +29,13 @@
 	frozen.Equal(t, "snapshot.bin", rewrite(t, "snapshot.bin"))
 	frozen.Equal(t, "empty-snapshot.bin", rewrite(t, "empty-snapshot.bin"))
 	frozen.Equal(t, "after-changes.bin", rewrite(t, "snapshot.bin", "change.bin", "small-change.bin"))
-	var first snapshot
+	var first encodedState
 	if err := decode(frozen.Read(t, "snapshot.bin"), &first); err != nil {
 		t.Fatal(err)
 	}
 	frozen.Complete(t, "snapshot.bin", first.State)
-	frozen.Complete(t, "snapshot.bin", first.Caches[0])
-	frozen.Complete(t, "snapshot.bin", first.Tombs[1])
+	frozen.Complete(t, "snapshot.bin", first.Endpoints[0])
+	frozen.Complete(t, "snapshot.bin", first.Tombstones[1])
 	frozen.Complete(t, "snapshot.bin", first.Purges[0])
 }
 
@@ -45,7 +45,7 @@
 
 func TestChangesKeepTheirForm(t *testing.T) {
 	for _, name := range []string{"change.bin", "small-change.bin"} {
-		var change Change
+		var change Update
 		if err := decode(frozen.Read(t, name), &change); err != nil {
 			t.Fatal(name, err)
 		}
@@ -55,7 +55,7 @@
 		}
 		frozen.Equal(t, name, written)
 		if name == "change.bin" {
-			change.Rows = change.Rows[1:] // the row of all fields
+			change.Endpoints = change.Endpoints[1:] // the row of all fields
 			frozen.Complete(t, name, change)
 		}
 	}
--- a/internal/store/snapshot/keeper.go
+++ b/internal/store/snapshot/keeper.go
@@ -20,51 +20,51 @@
 )
 
 // Name is the record's name in its folder.
-const Name = "list"
+const LogName = "list"
 
 const (
-	mostPending = 256 << 10
-	leastFile   = 64 << 10 // a record smaller than this is not compacted
-	standsEvery = 15 * time.Second
-	againAfter  = time.Second // after a failed write; doubled up to againMost
-	againMost   = time.Minute
-	burst       = 4 // writes that may follow each other at once
+	maxPendingBytes     = 256 << 10
+	minCompactionSize   = 64 << 10 // a record smaller than this is not compacted
+	markCurrentInterval = 15 * time.Second
+	minRetryDelay       = time.Second // after a failed write; doubled up to againMost
+	maxRetryDelay       = time.Minute
+	maxWriteBurst       = 4 // writes that may follow each other at once
 )
 
-// Terms are what the operator sets.
-type Terms struct {
-	Bytes  int64   // of a generation on disk; a snapshot past it is not written
-	Writes float64 // appends and snapshots a second, each with its sync
+// Limits are what the operator sets.
+type Limits struct {
+	MaxBytes        int64   // of a generation on disk; a snapshot past it is not written
+	WritesPerSecond float64 // appends and snapshots a second, each with its sync
 }
 
-// Keeper is an open list.
-type Keeper struct {
-	g     env.Ground
-	terms Terms
-	rec   *wal.Record
-	turn  env.Bell
-
-	mu      sync.Mutex
-	state   *endpoints.State
-	pending [][]byte
-	bytes   int             // of pending
-	whole   bool            // the next write is a snapshot
-	ill     map[string]bool // as last told
-	kept    int64           // number of the last event on disk
+// Snapshotter is an open list.
+type Snapshotter struct {
+	env    env.Ground
+	limits Limits
+	log    *wal.Log
+	wakeup env.Bell
+
+	mu           sync.Mutex
+	state        *endpoints.State
+	pending      [][]byte
+	pendingBytes int             // of pending
+	snapshotDue  bool            // the next write is a snapshot
+	ejected      map[string]bool // as last told
+	durableEvent int64           // number of the last event on disk
 }
 
 // Open reads the list in a folder and begins a generation of its own. A folder that another process has is an error; a
 // list that cannot be read is told in why and begun anew, and the generation before stays on disk.
-func Open(g env.Ground, path string, terms Terms) (k *Keeper, why error, err error) {
+func Open(g env.Ground, path string, terms Limits) (k *Snapshotter, why error, err error) {
 	disk, err := g.Folder(path)
 	if err != nil {
 		return nil, nil, err
 	}
-	rec, kept, err := wal.Open(disk, Name)
+	rec, kept, err := wal.Open(disk, LogName)
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
-	k = &Keeper{g: g, terms: terms, rec: rec, turn: g.Bell(), state: endpoints.New(), whole: true}
+	k = &Snapshotter{env: g, limits: terms, log: rec, wakeup: g.Bell(), state: endpoints.New(), snapshotDue: true}
 	if kept.Generation > 0 {
 		s, fault := endpoints.Restore(kept.Snapshot, kept.Changes)
 		k.state = s
@@ -73,42 +73,42 @@
 	for _, s := range kept.Skipped {
 		why = errors.New(s)
 	}
-	k.turn.Ring() // a generation of its own
+	k.wakeup.Ring() // a generation of its own
 	return k, why, nil
 }
 
 // State is a copy of what is kept.
-func (k *Keeper) State() *endpoints.State {
+func (k *Snapshotter) State() *endpoints.State {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.state.Clone()
 }
 
-// Told takes a change. It waits for no disk.
-func (k *Keeper) Told(c endpoints.Change) {
+// Apply takes a change. It waits for no disk.
+func (k *Snapshotter) Apply(c endpoints.Update) {
 	if k == nil {
 		return
 	}
-	c.At = k.g.Now().UnixMilli()
+	c.At = k.env.Now().UnixMilli()
 	text, err := c.Encode()
 	k.mu.Lock()
 	k.state.Apply(c)
 	switch {
-	case err != nil || k.bytes+len(text) > mostPending:
-		k.whole = true
-	case !k.whole:
+	case err != nil || k.pendingBytes+len(text) > maxPendingBytes:
+		k.snapshotDue = true
+	case !k.snapshotDue:
 		k.pending = append(k.pending, text)
-		k.bytes += len(text)
+		k.pendingBytes += len(text)
 	}
-	if k.whole {
-		k.pending, k.bytes = nil, 0
+	if k.snapshotDue {
+		k.pending, k.pendingBytes = nil, 0
 	}
 	k.mu.Unlock()
-	k.turn.Ring()
+	k.wakeup.Ring()
 }
 
-// Learnt takes which caches are out now and which gave good answers since; it is kept when the former changed.
-func (k *Keeper) Learnt(heard, ill []string) {
+// UpdateHealth takes which caches are out now and which gave good answers since; it is kept when the former changed.
+func (k *Snapshotter) UpdateHealth(heard, ill []string) {
 	if k == nil {
 		return
 	}
@@ -117,76 +117,76 @@
 		now[id] = true
 	}
 	k.mu.Lock()
-	same := len(now) == len(k.ill)
+	same := len(now) == len(k.ejected)
 	for id := range now {
-		same = same && k.ill[id]
+		same = same && k.ejected[id]
 	}
-	k.ill = now
+	k.ejected = now
 	k.mu.Unlock()
 	if !same {
-		k.Told(endpoints.Change{Health: true, Heard: heard, Ill: ill})
+		k.Apply(endpoints.Update{HasHealth: true, Responded: heard, Ejected: ill})
 	}
 }
 
-// Stands tells that the bulletin was heard and had nothing new.
-func (k *Keeper) Stands() {
+// MarkCurrent tells that the bulletin was heard and had nothing new.
+func (k *Snapshotter) MarkCurrent() {
 	if k == nil {
 		return
 	}
 	k.mu.Lock()
-	due := k.g.Now().Sub(time.UnixMilli(k.state.Stood)) >= standsEvery && k.state.Stood > 0
+	due := k.env.Now().Sub(time.UnixMilli(k.state.CurrentAsOf)) >= markCurrentInterval && k.state.CurrentAsOf > 0
 	k.mu.Unlock()
 	if due {
-		k.Told(endpoints.Change{Standing: true})
+		k.Apply(endpoints.Update{StillCurrent: true})
 	}
 }
 
 // Run writes until life ends, and once more then.
-func (k *Keeper) Run(life *env.Life) error {
-	defer life.OnEnd(k.turn.Ring)()
-	defer k.rec.Close()
-	pace := &bucket{rate: k.terms.Writes, left: burst, at: k.g.Now()}
-	failing, pause := "", againAfter
+func (k *Snapshotter) Run(life *env.Life) error {
+	defer life.OnEnd(k.wakeup.Ring)()
+	defer k.log.Close()
+	pace := &tokenBucket{rate: k.limits.WritesPerSecond, tokens: maxWriteBurst, updatedAt: k.env.Now()}
+	failing, pause := "", minRetryDelay
 	for {
 		if !life.Over() {
-			k.turn.Wait(-1)
+			k.wakeup.Wait(-1)
 		}
-		if wait := pace.take(k.g.Now()); wait > 0 && !life.Over() {
-			k.hold(life, wait)
+		if wait := pace.reserve(k.env.Now()); wait > 0 && !life.Over() {
+			k.pause(life, wait)
 		}
 		last := life.Over()
-		err := k.write()
+		err := k.flush()
 		switch {
 		case err == nil && failing != "":
-			k.g.Log().Info("list_kept", "after", failing)
-			failing, pause = "", againAfter
+			k.env.Log().Info("list_kept", "after", failing)
+			failing, pause = "", minRetryDelay
 		case err != nil && failing != err.Error():
 			failing = err.Error()
-			k.g.Log().Warn("list_not_kept", "text", failing, "again_ms", pause.Milliseconds())
+			k.env.Log().Warn("list_not_kept", "text", failing, "again_ms", pause.Milliseconds())
 		}
 		if last {
 			return nil
 		}
 		if err != nil {
-			k.hold(life, pause)
-			pause = min(2*pause, againMost)
-			k.turn.Ring()
+			k.pause(life, pause)
+			pause = min(2*pause, maxRetryDelay)
+			k.wakeup.Ring()
 		}
 	}
 }
 
-// hold waits for a time, or until life ends.
-func (k *Keeper) hold(life *env.Life, span time.Duration) {
-	over := k.g.Bell()
+// pause waits for a time, or until life ends.
+func (k *Snapshotter) pause(life *env.Life, span time.Duration) {
+	over := k.env.Bell()
 	defer life.OnEnd(over.Ring)()
 	over.Wait(span)
 }
 
-// write brings to disk what has been told. After an error the whole state goes next.
-func (k *Keeper) write() error {
+// flush brings to disk what has been told. After an error the whole state goes next.
+func (k *Snapshotter) flush() error {
 	k.mu.Lock()
-	out, whole := k.pending, k.whole
-	if !whole && k.rec.Size()+int64(k.bytes) > max(leastFile, k.terms.Bytes/2) {
+	out, whole := k.pending, k.snapshotDue
+	if !whole && k.log.Size()+int64(k.pendingBytes) > max(minCompactionSize, k.limits.MaxBytes/2) {
 		whole = true
 	}
 	if !whole && len(out) == 0 {
@@ -198,52 +198,52 @@
 	if whole {
 		state = k.state.Clone()
 	}
-	upTo := k.state.Last
-	k.pending, k.bytes, k.whole = nil, 0, false
+	upTo := k.state.LastEvent
+	k.pending, k.pendingBytes, k.snapshotDue = nil, 0, false
 	k.mu.Unlock()
 	var err error
 	if whole {
-		if snap, err = state.Snapshot(); err == nil && int64(len(snap)) > k.terms.Bytes {
-			err = fmt.Errorf("the list takes %d bytes, list.bytes allows %d", len(snap), k.terms.Bytes)
+		if snap, err = state.Snapshot(); err == nil && int64(len(snap)) > k.limits.MaxBytes {
+			err = fmt.Errorf("the list takes %d bytes, list.bytes allows %d", len(snap), k.limits.MaxBytes)
 		}
 		if err == nil {
-			err = k.rec.Begin(snap)
+			err = k.log.WriteSnapshot(snap)
 		}
 	} else {
-		err = k.rec.Append(out...)
+		err = k.log.Append(out...)
 	}
 	if err != nil {
 		k.mu.Lock()
-		k.whole, k.pending, k.bytes = true, nil, 0
+		k.snapshotDue, k.pending, k.pendingBytes = true, nil, 0
 		k.mu.Unlock()
 		return err
 	}
 	k.mu.Lock()
-	k.kept = upTo
+	k.durableEvent = upTo
 	k.mu.Unlock()
 	return nil
 }
 
-// Kept is the number of the last event that a loss of power cannot take any more.
-func (k *Keeper) Kept() int64 {
+// DurableEvent is the number of the last event that a loss of power cannot take any more.
+func (k *Snapshotter) DurableEvent() int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.kept
+	return k.durableEvent
 }
 
-// bucket allows so many writes a second.
-type bucket struct {
-	rate, left float64
-	at         time.Time
+// tokenBucket allows so many writes a second.
+type tokenBucket struct {
+	rate, tokens float64
+	updatedAt    time.Time
 }
 
-// take takes one and tells how long to wait before it.
-func (b *bucket) take(now time.Time) time.Duration {
-	b.left = min(burst, b.left+b.rate*now.Sub(b.at).Seconds())
-	b.at = now
-	b.left--
-	if b.left >= 0 || b.rate <= 0 {
+// reserve takes one and tells how long to wait before it.
+func (b *tokenBucket) reserve(now time.Time) time.Duration {
+	b.tokens = min(maxWriteBurst, b.tokens+b.rate*now.Sub(b.updatedAt).Seconds())
+	b.updatedAt = now
+	b.tokens--
+	if b.tokens >= 0 || b.rate <= 0 {
 		return 0
 	}
-	return time.Duration(-b.left / b.rate * float64(time.Second))
+	return time.Duration(-b.tokens / b.rate * float64(time.Second))
 }
--- a/internal/store/wal/folder.go
+++ b/internal/store/wal/folder.go
@@ -2,8 +2,8 @@
 
 import "foldslip/internal/env"
 
-// Folder is a Disk on the file system.
-type Folder = env.Folder
+// OSDirectory is a Disk on the file system.
+type OSDirectory = env.Folder
 
-// OpenFolder makes the folder if it is not there.
-func OpenFolder(path string) (Folder, error) { return env.OpenFolder(path) }
+// OpenOSDirectory makes the folder if it is not there.
+func OpenOSDirectory(path string) (OSDirectory, error) { return env.OpenFolder(path) }
--- a/internal/store/wal/frozen_test.go
+++ b/internal/store/wal/frozen_test.go
@@ -11,12 +11,12 @@
 )
 
 // The files under testdata were written by the build before the names of Go changed.
-func TestGenerationsKeepTheirFormAndNames(t *testing.T) {
-	old, err := wal.OpenFolder(t.TempDir())
+func TestGenerationFormsAndNamesAreUnchanged(t *testing.T) {
+	old, err := wal.OpenOSDirectory(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	fresh, err := wal.OpenFolder(t.TempDir())
+	fresh, err := wal.OpenOSDirectory(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,10 +30,10 @@
 			t.Fatal(err)
 		}
 		held, err := wal.Read(old, "list")
-		if err != nil || held.Generation != uint64(i+1) || held.Lost != 0 || len(held.Skipped) != 0 {
+		if err != nil || held.Generation != uint64(i+1) || held.LostBytes != 0 || len(held.Skipped) != 0 {
 			t.Fatal(held, err)
 		}
-		if err := log.Begin(held.Snapshot); err != nil {
+		if err := log.WriteSnapshot(held.Snapshot); err != nil {
 			t.Fatal(err)
 		}
 		if err := log.Append(held.Changes...); err != nil {
@@ -50,6 +50,6 @@
 	}
 }
 
-func TestHeadKeepsItsForm(t *testing.T) {
-	frozen.Equal(t, "head.bin", wal.Head(1, 0x0102030405060708))
+func TestHeaderFormIsUnchanged(t *testing.T) {
+	frozen.Equal(t, "head.bin", wal.Header(1, 0x0102030405060708))
 }
--- a/internal/store/wal/kill_test.go
+++ b/internal/store/wal/kill_test.go
@@ -20,19 +20,19 @@
 	if path == "" {
 		os.Exit(m.Run())
 	}
-	r, kept, err := wal.Open(wal.Folder{Path: path}, "count")
+	r, kept, err := wal.Open(wal.OSDirectory{Path: path}, "count")
 	if err != nil {
 		panic(err)
 	}
-	n := counted(kept)
-	if err := r.Begin(binary.LittleEndian.AppendUint64(nil, n)); err != nil {
+	n := countEntries(kept)
+	if err := r.WriteSnapshot(binary.LittleEndian.AppendUint64(nil, n)); err != nil {
 		panic(err)
 	}
 	for {
 		n++
 		text := binary.LittleEndian.AppendUint64(nil, n)
 		if n%7 == 0 {
-			err = r.Begin(text)
+			err = r.WriteSnapshot(text)
 		} else {
 			err = r.Append(text)
 		}
@@ -43,7 +43,7 @@
 	}
 }
 
-func counted(k wal.Kept) uint64 {
+func countEntries(k wal.Contents) uint64 {
 	if k.Generation == 0 {
 		return 0
 	}
@@ -56,7 +56,7 @@
 
 // A process that is killed at random points, again and again on one folder: what it said was synced is there, and at most
 // the one change that was under way beside it. FOLDSLIP_KILLS sets how often, for a long measurement.
-func TestKilled(t *testing.T) {
+func TestAProcessKilledWhileItWrites(t *testing.T) {
 	kills, _ := strconv.Atoi(os.Getenv("FOLDSLIP_KILLS"))
 	if kills == 0 {
 		kills = 40
@@ -89,14 +89,14 @@
 		if said > before {
 			moved++
 		}
-		kept, err := wal.Read(wal.Folder{Path: path}, "count")
+		kept, err := wal.Read(wal.OSDirectory{Path: path}, "count")
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := counted(kept); got != said && got != said+1 {
+		if got := countEntries(kept); got != said && got != said+1 {
 			t.Fatalf("kill %d: %d on disk, %d were said to be synced", i, got, said)
 		}
-		said = counted(kept)
+		said = countEntries(kept)
 	}
 	if moved < kills/2 {
 		t.Errorf("only %d of %d lives wrote anything", moved, kills)
--- a/internal/store/wal/record.go
+++ b/internal/store/wal/record.go
@@ -27,49 +27,49 @@
 const (
 	magic = "foldslip"
 	// Form is the form of files: an older one is read, a newer one refused.
-	Form     = 1
-	headSize = len(magic) + 4 + 8 + 8 // magic, form, generation, checksum
-	lineSize = 4 + 8                  // length, checksum
+	FormatVersion   = 1
+	headerSize      = len(magic) + 4 + 8 + 8 // magic, form, generation, checksum
+	entryHeaderSize = 4 + 8                  // length, checksum
 	// MostEntry is how many bytes one snapshot or change may have.
-	MostEntry = 16 << 20
+	MaxEntrySize = 16 << 20
 )
 
-// Disk is the folder of a record, and File a file in it.
+// Directory is the folder of a record, and File a file in it.
 type (
-	Disk = env.Disk
-	File = env.File
+	Directory = env.Disk
+	File      = env.File
 )
 
 // ErrLocked tells that another process has the folder.
 var ErrLocked = env.ErrLocked
 
 // ErrNewer tells that the files are of a newer form than this program reads.
-var ErrNewer = errors.New("the files are of a newer form than this program reads")
+var ErrNewerFormat = errors.New("the files are of a newer form than this program reads")
 
-// Kept is what a record held when it was read.
-type Kept struct {
+// Contents is what a record held when it was read.
+type Contents struct {
 	Generation uint64   // 0: there was none
 	Snapshot   []byte   // nil: none
 	Changes    [][]byte // since, oldest first
-	Lost       int      // bytes behind the last whole entry of that generation
+	LostBytes  int      // bytes behind the last whole entry of that generation
 	Skipped    []string // files that were newer and not whole, with the reason
 }
 
-// Record is an open record.
-type Record struct {
-	disk   Disk
-	name   string
-	unlock func()
-	gen    uint64
-	file   File
-	count  uint64 // entries in the file
-	size   int64
-	failed error // the last write did not come through: the next must be a snapshot
+// Log is an open record.
+type Log struct {
+	directory  Directory
+	name       string
+	unlock     func()
+	generation uint64
+	file       File
+	entryCount uint64 // entries in the file
+	size       int64
+	writeErr   error // the last write did not come through: the next must be a snapshot
 }
 
 // Read reads a record and changes nothing.
-func Read(disk Disk, name string) (Kept, error) {
-	var kept Kept
+func Read(disk Directory, name string) (Contents, error) {
+	var kept Contents
 	names, err := disk.Names()
 	if err != nil {
 		return kept, err
@@ -81,25 +81,25 @@
 		if err != nil {
 			return kept, err
 		}
-		entries, lost, err := parse(text, gens[i])
-		if errors.Is(err, ErrNewer) {
+		entries, lost, err := parseGeneration(text, gens[i])
+		if errors.Is(err, ErrNewerFormat) {
 			return kept, fmt.Errorf("%s: %w", file, err)
 		}
 		if err != nil {
 			kept.Skipped = append(kept.Skipped, fmt.Sprintf("%s: %v", file, err))
 			continue
 		}
-		kept.Generation, kept.Snapshot, kept.Changes, kept.Lost = gens[i], entries[0], entries[1:], lost
+		kept.Generation, kept.Snapshot, kept.Changes, kept.LostBytes = gens[i], entries[0], entries[1:], lost
 		return kept, nil
 	}
 	return kept, nil
 }
 
 // Open takes the folder and reads what it holds. Begin must follow before Append.
-func Open(disk Disk, name string) (*Record, Kept, error) {
+func Open(disk Directory, name string) (*Log, Contents, error) {
 	unlock, err := disk.Lock()
 	if err != nil {
-		return nil, Kept{}, err
+		return nil, Contents{}, err
 	}
 	kept, err := Read(disk, name)
 	if err != nil {
@@ -112,85 +112,85 @@
 			gen = max(gen, all[len(all)-1])
 		}
 	}
-	return &Record{disk: disk, name: name, unlock: unlock, gen: gen}, kept, nil
+	return &Log{directory: disk, name: name, unlock: unlock, generation: gen}, kept, nil
 }
 
-// Begin writes a snapshot as a new generation. Until it has returned well the generation before counts.
-func (r *Record) Begin(snapshot []byte) error {
-	if len(snapshot) > MostEntry {
-		return fmt.Errorf("a snapshot of %d bytes, at most %d can be kept", len(snapshot), MostEntry)
+// WriteSnapshot writes a snapshot as a new generation. Until it has returned well the generation before counts.
+func (r *Log) WriteSnapshot(snapshot []byte) error {
+	if len(snapshot) > MaxEntrySize {
+		return fmt.Errorf("a snapshot of %d bytes, at most %d can be kept", len(snapshot), MaxEntrySize)
 	}
-	gen := r.gen + 1
+	gen := r.generation + 1
 	aside := r.name + ".new"
-	file, err := r.disk.Create(aside)
+	file, err := r.directory.Create(aside)
 	if err != nil {
-		return r.fail(err)
+		return r.recordFailure(err)
 	}
-	text := appendEntry(appendHead(nil, gen), gen, 0, snapshot)
+	text := appendEntry(appendHeader(nil, gen), gen, 0, snapshot)
 	for _, step := range []func() error{
 		func() error { return writeAll(file, text) },
 		file.Sync,
-		func() error { return r.disk.Rename(aside, fileName(r.name, gen)) },
-		r.disk.Sync,
+		func() error { return r.directory.Rename(aside, fileName(r.name, gen)) },
+		r.directory.Sync,
 	} {
 		if err := step(); err != nil {
 			file.Close()
-			return r.fail(err)
+			return r.recordFailure(err)
 		}
 	}
 	if r.file != nil {
 		r.file.Close()
 	}
-	before := r.gen
-	r.file, r.gen, r.count, r.size, r.failed = file, gen, 1, int64(len(text)), nil
-	names, err := r.disk.Names()
+	before := r.generation
+	r.file, r.generation, r.entryCount, r.size, r.writeErr = file, gen, 1, int64(len(text)), nil
+	names, err := r.directory.Names()
 	if err != nil {
 		return nil // what is too old goes another time
 	}
 	for _, g := range generations(names, r.name) {
 		if g < before {
-			r.disk.Remove(fileName(r.name, g))
+			r.directory.Remove(fileName(r.name, g))
 		}
 	}
 	return nil
 }
 
 // Append adds changes and syncs them together. After an error they may be lost, and a Begin must follow.
-func (r *Record) Append(changes ...[]byte) error {
-	if r.file == nil || r.failed != nil {
-		return fmt.Errorf("a snapshot must be written first: %w", r.failed)
+func (r *Log) Append(changes ...[]byte) error {
+	if r.file == nil || r.writeErr != nil {
+		return fmt.Errorf("a snapshot must be written first: %w", r.writeErr)
 	}
 	var text []byte
 	for i, c := range changes {
-		if len(c) > MostEntry {
-			return fmt.Errorf("a change of %d bytes, at most %d can be kept", len(c), MostEntry)
+		if len(c) > MaxEntrySize {
+			return fmt.Errorf("a change of %d bytes, at most %d can be kept", len(c), MaxEntrySize)
 		}
-		text = appendEntry(text, r.gen, r.count+uint64(i), c)
+		text = appendEntry(text, r.generation, r.entryCount+uint64(i), c)
 	}
 	if err := writeAll(r.file, text); err != nil {
-		return r.fail(err)
+		return r.recordFailure(err)
 	}
 	if err := r.file.Sync(); err != nil {
-		return r.fail(err)
+		return r.recordFailure(err)
 	}
-	r.count += uint64(len(changes))
+	r.entryCount += uint64(len(changes))
 	r.size += int64(len(text))
 	return nil
 }
 
-func (r *Record) fail(err error) error {
-	r.failed = err
+func (r *Log) recordFailure(err error) error {
+	r.writeErr = err
 	return err
 }
 
 // Size is how many bytes the generation under way has.
-func (r *Record) Size() int64 { return r.size }
+func (r *Log) Size() int64 { return r.size }
 
 // Generation is the number of the generation under way.
-func (r *Record) Generation() uint64 { return r.gen }
+func (r *Log) Generation() uint64 { return r.generation }
 
 // Close gives the folder back.
-func (r *Record) Close() error {
+func (r *Log) Close() error {
 	var err error
 	if r.file != nil {
 		err = r.file.Close()
@@ -199,8 +199,8 @@
 	return err
 }
 
-// Forget removes all generations.
-func Forget(disk Disk, name string) (files int, err error) {
+// RemoveAll removes all generations.
+func RemoveAll(disk Directory, name string) (files int, err error) {
 	unlock, err := disk.Lock()
 	if err != nil {
 		return 0, err
@@ -245,18 +245,18 @@
 	return err
 }
 
-func appendHead(b []byte, gen uint64) []byte { return append(b, Head(Form, gen)...) }
+func appendHeader(b []byte, gen uint64) []byte { return append(b, Header(FormatVersion, gen)...) }
 
-// Head is the head of a generation's file.
-func Head(form uint32, gen uint64) (b []byte) {
+// Header is the head of a generation's file.
+func Header(form uint32, gen uint64) (b []byte) {
 	b = append(b, magic...)
 	b = binary.LittleEndian.AppendUint32(b, form)
 	b = binary.LittleEndian.AppendUint64(b, gen)
 	return binary.LittleEndian.AppendUint64(b, xxhash.Sum64(b))
 }
 
-// sum is over the entry and its place, so that bytes of an older file at the same place do not pass for it.
-func sum(gen, no uint64, entry []byte) uint64 {
+// entryChecksum is over the entry and its place, so that bytes of an older file at the same place do not pass for it.
+func entryChecksum(gen, no uint64, entry []byte) uint64 {
 	var place [20]byte
 	binary.LittleEndian.PutUint64(place[:], gen)
 	binary.LittleEndian.PutUint64(place[8:], no)
@@ -269,38 +269,38 @@
 
 func appendEntry(b []byte, gen, no uint64, entry []byte) []byte {
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(entry)))
-	b = binary.LittleEndian.AppendUint64(b, sum(gen, no, entry))
+	b = binary.LittleEndian.AppendUint64(b, entryChecksum(gen, no, entry))
 	return append(b, entry...)
 }
 
-// parse gives the entries of a file up to the first that is not whole; the first must be.
-func parse(text []byte, gen uint64) (entries [][]byte, lost int, err error) {
-	if len(text) < headSize || string(text[:len(magic)]) != magic {
+// parseGeneration gives the entries of a file up to the first that is not whole; the first must be.
+func parseGeneration(text []byte, gen uint64) (entries [][]byte, lost int, err error) {
+	if len(text) < headerSize || string(text[:len(magic)]) != magic {
 		return nil, 0, errors.New("no head of a record")
 	}
-	head := text[:headSize]
+	head := text[:headerSize]
 	form := binary.LittleEndian.Uint32(head[len(magic):])
-	if xxhash.Sum64(head[:headSize-8]) != binary.LittleEndian.Uint64(head[headSize-8:]) {
+	if xxhash.Sum64(head[:headerSize-8]) != binary.LittleEndian.Uint64(head[headerSize-8:]) {
 		return nil, 0, errors.New("the head's checksum does not hold")
 	}
-	if form > Form {
-		return nil, 0, ErrNewer
+	if form > FormatVersion {
+		return nil, 0, ErrNewerFormat
 	}
 	if got := binary.LittleEndian.Uint64(head[len(magic)+4:]); got != gen {
 		return nil, 0, fmt.Errorf("the head is of generation %d", got)
 	}
-	rest := text[headSize:]
-	for len(rest) >= lineSize {
+	rest := text[headerSize:]
+	for len(rest) >= entryHeaderSize {
 		n := int(binary.LittleEndian.Uint32(rest))
-		if n > MostEntry || len(rest) < lineSize+n {
+		if n > MaxEntrySize || len(rest) < entryHeaderSize+n {
 			break
 		}
-		entry := rest[lineSize : lineSize+n]
-		if sum(gen, uint64(len(entries)), entry) != binary.LittleEndian.Uint64(rest[4:]) {
+		entry := rest[entryHeaderSize : entryHeaderSize+n]
+		if entryChecksum(gen, uint64(len(entries)), entry) != binary.LittleEndian.Uint64(rest[4:]) {
 			break
 		}
 		entries = append(entries, slices.Clip(entry))
-		rest = rest[lineSize+n:]
+		rest = rest[entryHeaderSize+n:]
 	}
 	if len(entries) == 0 {
 		return nil, 0, errors.New("the snapshot is not whole")
@@ -308,5 +308,5 @@
 	return entries, len(rest), nil
 }
 
-// IsMissing tells whether an error says that a file or folder is not there.
-func IsMissing(err error) bool { return errors.Is(err, fs.ErrNotExist) }
+// IsNotExist tells whether an error says that a file or folder is not there.
+func IsNotExist(err error) bool { return errors.Is(err, fs.ErrNotExist) }
