--- a/internal/store/wal/record_test.go
+++ b/internal/store/wal/record_test.go
@@ -12,23 +12,23 @@
 	"foldslip/internal/store/wal"
 )
 
-// state is what was last synced well, as text: a snapshot and the changes since.
-func state(k wal.Kept) string {
+// describe is what was last synced well, as text: a snapshot and the changes since.
+func describe(k wal.Contents) string {
 	return fmt.Sprintf("%s+%s", k.Snapshot, bytes.Join(k.Changes, []byte(",")))
 }
 
-// write opens, begins and appends by a fixed script; done is told each state that is synced, before is told it is tried.
-func write(d wal.Disk, done func(string)) error {
+// writeEntries opens, begins and appends by a fixed script; done is told each state that is synced, before is told it is tried.
+func writeEntries(d wal.Directory, done func(string)) error {
 	r, kept, err := wal.Open(d, "list")
 	if err != nil {
 		return err
 	}
 	defer r.Close()
-	if err := r.Begin([]byte("s" + state(kept)[:1])); err != nil {
+	if err := r.WriteSnapshot([]byte("s" + describe(kept)[:1])); err != nil {
 		return err
 	}
-	done("s" + state(kept)[:1] + "+")
-	now := "s" + state(kept)[:1] + "+"
+	done("s" + describe(kept)[:1] + "+")
+	now := "s" + describe(kept)[:1] + "+"
 	for i := range 6 {
 		change := fmt.Sprintf("c%d", i)
 		if err := r.Append([]byte(change)); err != nil {
@@ -40,7 +40,7 @@
 		now += change
 		done(now)
 		if i == 3 {
-			if err := r.Begin([]byte("t")); err != nil {
+			if err := r.WriteSnapshot([]byte("t")); err != nil {
 				return err
 			}
 			now = "t+"
@@ -50,26 +50,26 @@
 	return nil
 }
 
-func TestRecords(t *testing.T) {
+func TestLogs(t *testing.T) {
 	t.Run("what was appended is read again, in a generation of its own", func(t *testing.T) {
 		d := simenv.NewDisk()
 		if k, err := wal.Read(d, "list"); err != nil || k.Generation != 0 || k.Snapshot != nil {
 			t.Fatalf("%+v, %v", k, err)
 		}
 		last := ""
-		if err := write(d, func(s string) { last = s }); err != nil {
+		if err := writeEntries(d, func(s string) { last = s }); err != nil {
 			t.Fatal(err)
 		}
 		k, err := wal.Read(d, "list")
-		if err != nil || state(k) != last || k.Generation != 2 || k.Lost != 0 {
-			t.Errorf("%s, expected %s, %+v, %v", state(k), last, k, err)
+		if err != nil || describe(k) != last || k.Generation != 2 || k.LostBytes != 0 {
+			t.Errorf("%s, expected %s, %+v, %v", describe(k), last, k, err)
 		}
 		if names, _ := d.Names(); len(names) != 2 {
 			t.Errorf("kept: %v", names)
 		}
 	})
 	t.Run("a second process is told that the first has the folder", func(t *testing.T) {
-		f, err := wal.OpenFolder(t.TempDir())
+		f, err := wal.OpenOSDirectory(t.TempDir())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -89,7 +89,7 @@
 	t.Run("cut or flipped at any byte: the newest whole state, or the generation before", func(t *testing.T) {
 		whole := simenv.NewDisk()
 		seen := map[string]bool{}
-		if err := write(whole, func(s string) { seen[s] = true }); err != nil {
+		if err := writeEntries(whole, func(s string) { seen[s] = true }); err != nil {
 			t.Fatal(err)
 		}
 		for at := range whole.Size("list-2.rec") {
@@ -97,13 +97,13 @@
 				d := whole.Copy()
 				d.Spoil("list-2.rec", at, cut)
 				k, err := wal.Read(d, "list")
-				if err != nil || !seen[state(k)] {
-					t.Fatalf("byte %d, cut %v: %s, %v", at, cut, state(k), err)
+				if err != nil || !seen[describe(k)] {
+					t.Fatalf("byte %d, cut %v: %s, %v", at, cut, describe(k), err)
 				}
-				if k.Generation == 1 && state(k) != "s++c0,c1,c2,c3" {
-					t.Fatalf("byte %d, cut %v: %s of the generation before", at, cut, state(k))
+				if k.Generation == 1 && describe(k) != "s++c0,c1,c2,c3" {
+					t.Fatalf("byte %d, cut %v: %s of the generation before", at, cut, describe(k))
 				}
-				if r, _, err := wal.Open(d, "list"); err != nil || r.Begin([]byte("n")) != nil || r.Generation() != 3 {
+				if r, _, err := wal.Open(d, "list"); err != nil || r.WriteSnapshot([]byte("n")) != nil || r.Generation() != 3 {
 					t.Fatalf("byte %d: cannot go on: %v", at, err)
 				}
 			}
@@ -111,7 +111,7 @@
 	})
 	t.Run("power lost at any operation, by many chances: nothing synced is lost", func(t *testing.T) {
 		all := simenv.NewDisk()
-		if err := write(all, func(string) {}); err != nil {
+		if err := writeEntries(all, func(string) {}); err != nil {
 			t.Fatal(err)
 		}
 		for left := range all.Ops {
@@ -119,7 +119,7 @@
 				d := simenv.NewDisk()
 				d.Left = left
 				synced, tried := "+", []string{"+"}
-				err := write(d, func(s string) { synced = s; tried = append(tried, s) })
+				err := writeEntries(d, func(s string) { synced = s; tried = append(tried, s) })
 				if err == nil {
 					t.Fatal("the power held")
 				}
@@ -131,7 +131,7 @@
 				// The state synced last, or the one under way.
 				next := simenv.NewDisk()
 				after, passed := "", false
-				write(next, func(s string) {
+				writeEntries(next, func(s string) {
 					if passed && after == "" {
 						after = s
 					}
@@ -140,22 +140,22 @@
 				if synced == "+" {
 					after = "s++"
 				}
-				if got := state(k); got != synced && got != after {
+				if got := describe(k); got != synced && got != after {
 					t.Fatalf("at operation %d, chance %d: %s, synced %s, under way %s", left, seed, got, synced, after)
 				}
 			}
 		}
 	})
 	t.Run("a newer form is refused and left alone", func(t *testing.T) {
-		f, err := wal.OpenFolder(t.TempDir())
+		f, err := wal.OpenOSDirectory(t.TempDir())
 		if err != nil {
 			t.Fatal(err)
 		}
-		head := wal.Head(wal.Form+1, 7)
+		head := wal.Header(wal.FormatVersion+1, 7)
 		if err := os.WriteFile(f.Path+"/list-7.rec", head, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := wal.Open(f, "list"); !errors.Is(err, wal.ErrNewer) {
+		if _, _, err := wal.Open(f, "list"); !errors.Is(err, wal.ErrNewerFormat) {
 			t.Errorf("%v", err)
 		}
 		if got, _ := os.ReadFile(f.Path + "/list-7.rec"); !bytes.Equal(got, head) {
@@ -165,7 +165,7 @@
 	t.Run("after a failed append only a snapshot goes on", func(t *testing.T) {
 		d := simenv.NewDisk()
 		r, _, err := wal.Open(d, "list")
-		if err != nil || r.Begin([]byte("a")) != nil {
+		if err != nil || r.WriteSnapshot([]byte("a")) != nil {
 			t.Fatal(err)
 		}
 		d.Left = 0
@@ -176,21 +176,21 @@
 		if r.Append([]byte("c")) == nil {
 			t.Error("appended behind what may be torn")
 		}
-		if err := r.Begin([]byte("d")); err != nil || r.Append([]byte("e")) != nil {
+		if err := r.WriteSnapshot([]byte("d")); err != nil || r.Append([]byte("e")) != nil {
 			t.Error(err)
 		}
-		if k, _ := wal.Read(d, "list"); state(k) != "d+e" {
-			t.Error(state(k))
+		if k, _ := wal.Read(d, "list"); describe(k) != "d+e" {
+			t.Error(describe(k))
 		}
 	})
 }
 
 func FuzzRead(f *testing.F) {
 	d := simenv.NewDisk()
-	write(d, func(string) {})
+	writeEntries(d, func(string) {})
 	text, _ := d.Read("list-2.rec")
 	f.Add(text)
-	f.Add(wal.Head(1, 2))
+	f.Add(wal.Header(1, 2))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		d := simenv.NewDisk()
 		file, _ := d.Create("list-2.rec")
--- a/internal/telemetry/frozen_test.go
+++ b/internal/telemetry/frozen_test.go
@@ -22,10 +22,10 @@
 	exporter := tracetest.NewInMemoryExporter()
 	tracer := New(Options{Share: 1, Name: "n0"}, sdk.WithSyncer(exporter))
 	edge, parent := &policy.Cache{Name: "c0"}, &policy.Cache{Name: "p0"}
-	routed := &rollout.Pass{Version: 7}
-	routed.Decided.Route = "films"
+	routed := &rollout.Ticket{Version: 7}
+	routed.Decision.Route = "films"
 	for _, end := range []dispatch.Step{{Kind: dispatch.StepSatisfied}, {Kind: dispatch.StepRejected, RetryAfter: 2500}, {Kind: dispatch.StepFailed}, {Kind: dispatch.StepClientGone}} {
-		lk := &retry.Lookup{Object: "o", Group: 3, Request: &route.Asked{ID: "a1", Part: 2, KB: 12.5}, Ticket: routed}
+		lk := &retry.Lookup{Object: "o", Group: 3, Request: &route.Lookup{ID: "a1", Part: 2, KB: 12.5}, Ticket: routed}
 		tracer.LookupStarted(lk, headers("", 0))
 		tracer.StepDecided(lk, dispatch.Step{Kind: dispatch.StepFetch, Attempt: 0, Cache: edge, Source: parent, Rank: 3, Timeout: 99})
 		tracer.StepDecided(lk, dispatch.Step{Kind: dispatch.StepCancel, Attempt: 0})
--- a/internal/telemetry/trace.go
+++ b/internal/telemetry/trace.go
@@ -79,7 +79,7 @@
 }
 
 // carrier reads W3C trace context from a caller's headers.
-type carrier struct{ get route.Get }
+type carrier struct{ get route.Attributes }
 
 func (c carrier) Get(name string) string {
 	v, n := c.get(name)
@@ -92,7 +92,7 @@
 func (carrier) Keys() []string     { return nil }
 
 // LookupStarted is a lookup that the router has taken.
-func (t *Tracer) LookupStarted(lk *retry.Lookup, get route.Get) {
+func (t *Tracer) LookupStarted(lk *retry.Lookup, get route.Attributes) {
 	ctx := t.propagator.Extract(context.Background(), carrier{get})
 	ctx, root := t.tracer.Start(ctx, "lookup", trace.WithSpanKind(trace.SpanKindServer))
 	if !root.IsRecording() {
@@ -103,7 +103,7 @@
 		root.SetAttributes(attribute.String("foldslip.id", lk.Request.ID), attribute.Int("foldslip.part", lk.Request.Part), attribute.Float64("foldslip.kb", lk.Request.KB))
 	}
 	if lk.Ticket != nil {
-		root.SetAttributes(attribute.Int64("foldslip.routes_version", int64(lk.Ticket.Version)), attribute.String("foldslip.route", lk.Ticket.Decided.Route))
+		root.SetAttributes(attribute.Int64("foldslip.routes_version", int64(lk.Ticket.Version)), attribute.String("foldslip.route", lk.Ticket.Decision.Route))
 	}
 	lk.Trace = &spans{ctx: ctx, root: root, attempts: map[int]trace.Span{}}
 }
--- a/internal/wire/answer.go
+++ b/internal/wire/answer.go
@@ -20,9 +20,9 @@
 	req     Request
 	lk      *dispatch.Lookup
 	flights []*flight
-	room    *memory.Room
-	runs    bool          // at the origin: what it brings is no copy
-	pass    *rollout.Pass // nil: it came by no route
+	room    *memory.Controller
+	runs    bool            // at the origin: what it brings is no copy
+	pass    *rollout.Ticket // nil: it came by no route
 	came    time.Time
 	mu      sync.Mutex
 	got     map[int]*copied
@@ -42,7 +42,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	size := headRoom + len(a.body)
-	if o.closed || !o.room.Hold(size) {
+	if o.closed || !o.room.ReserveBytes(size) {
 		return false, o.closed
 	}
 	o.held += size
@@ -59,7 +59,7 @@
 func (o *open) close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.room.Free(o.held)
+	o.room.ReleaseBytes(o.held)
 	o.held, o.got, o.closed = 0, nil, true
 }
 
--- a/internal/wire/bulletin.go
+++ b/internal/wire/bulletin.go
@@ -38,12 +38,12 @@
 	Last   int64 // number of the last event held
 	Terms  *settings.Settings
 	Router *dispatch.Dispatcher
-	Caches *memory.Caches
-	Purges *memory.Purges
+	Caches *memory.Registry
+	Purges *memory.Log
 	// Members, if there are any, are told all that counts beside the router.
-	Members *warmstart.Members
+	Members *warmstart.Reconciler
 	// Heard, if set, is told of each event before the router is; it must not wait.
-	Heard func(c endpoints.Change)
+	Heard func(c endpoints.Update)
 	// Event, if set, is told the number of each event and its purges once they count; it must not wait.
 	Event func(no int64, purges []dispatch.Purge)
 	// Listed, if set, is called once a whole list has been told.
@@ -61,8 +61,8 @@
 }
 
 // NewBulletin makes the follower of the bulletin at an address.
-func NewBulletin(g env.Ground, addr string, terms *settings.Settings, router *dispatch.Dispatcher, caches *memory.Caches,
-	purges *memory.Purges) *Bulletin {
+func NewBulletin(g env.Ground, addr string, terms *settings.Settings, router *dispatch.Dispatcher, caches *memory.Registry,
+	purges *memory.Log) *Bulletin {
 	return &Bulletin{g: g, addr: addr, Terms: terms, Router: router, Caches: caches, Purges: purges, turn: g.Bell()}
 }
 
@@ -153,7 +153,7 @@
 		if n > b.Last {
 			return fmt.Errorf("%w: %d told, %d held", errGap, n, b.Last)
 		}
-		if b.Members.Stands(n, b.Last) {
+		if b.Members.ObserveEventNumber(n, b.Last) {
 			was := b.Last
 			b.Last = 0
 			return fmt.Errorf("%w: %d told, %d held", errAnew, n, was)
@@ -193,7 +193,7 @@
 		if r.Lot != nil {
 			p.Group = *r.Lot
 		}
-		b.Purges.Note(p.Object, p.Group, p.IssuedAt)
+		b.Purges.Record(p.Object, p.Group, p.IssuedAt)
 		purges = append(purges, p)
 	}
 	whole := e.Roster != nil && e.Roster.Complete
@@ -205,7 +205,7 @@
 		for i, m := range e.Roster.Members {
 			ids[i] = m.ID
 		}
-		b.Members.Hold(*e.No, whole, ids, rows)
+		b.Members.KeepDraining(*e.No, whole, ids, rows)
 	}
 	b.Router.Tick(rows, whole, purges)
 	if e.Roster != nil && e.Roster.Complete {
@@ -213,17 +213,17 @@
 		for _, m := range e.Roster.Members {
 			named[m.ID] = true
 		}
-		b.Caches.Keep(named)
+		b.Caches.Retain(named)
 	}
 	for _, id := range gone {
-		b.Caches.Forget(id)
+		b.Caches.Remove(id)
 	}
 	b.Last = *e.No
 	if b.Event != nil {
 		b.Event(b.Last, purges)
 	}
 	if b.Members != nil {
-		b.Members.Told(b.change(&e))
+		b.Members.Apply(b.change(&e))
 	}
 	if whole && b.Listed != nil && !known {
 		b.Listed()
@@ -233,10 +233,10 @@
 }
 
 // change is an event as the list keeps it.
-func (b *Bulletin) change(e *event) endpoints.Change {
-	c := endpoints.Change{Last: b.Last, Bulletin: b.at()}
+func (b *Bulletin) change(e *event) endpoints.Update {
+	c := endpoints.Update{LastEvent: b.Last, DiscoveryAddr: b.at()}
 	if r := e.Recall; r != nil {
-		p := endpoints.Purge{Object: r.Item, Issued: int64(r.Issued), Told: b.g.Now().UnixMilli()}
+		p := endpoints.Purge{Object: r.Item, IssuedAt: int64(r.Issued), ReceivedAt: b.g.Now().UnixMilli()}
 		if r.Lot != nil {
 			p.Group = *r.Lot
 		}
@@ -245,11 +245,11 @@
 	if e.Roster == nil {
 		return c
 	}
-	c.Whole = e.Roster.Complete
+	c.Complete = e.Roster.Complete
 	for _, m := range e.Roster.Members {
-		phase := map[string]endpoints.Phase{"draining": endpoints.Draining, "removed": endpoints.Gone}[m.Phase]
-		c.Rows = append(c.Rows, endpoints.Cache{ID: m.ID, Addr: m.HostPort, Zone: m.Locality, Machine: m.Flavor, Cell: m.Cell, Size: m.Size,
-			UpSince: int64(m.UpSince), Phase: phase})
+		phase := map[string]endpoints.Phase{"draining": endpoints.Draining, "removed": endpoints.Removed}[m.Phase]
+		c.Endpoints = append(c.Endpoints, endpoints.Endpoint{ID: m.ID, Addr: m.HostPort, Zone: m.Locality, MachineType: m.Flavor, Cell: m.Cell, Size: m.Size,
+			StartedAt: int64(m.UpSince), Phase: phase})
 	}
 	return c
 }
@@ -290,7 +290,7 @@
 		rows = append(rows, row)
 	}
 	for i, m := range e.Roster.Members {
-		rows[i].Cache = b.Caches.Note(m.ID, m.HostPort).Its
+		rows[i].Cache = b.Caches.Register(m.ID, m.HostPort).Policy
 	}
 	return rows, gone, nil
 }
@@ -376,7 +376,7 @@
 				}
 				b.Last++ // it came twice and cannot be used: the events after it count more than it
 			}
-			buf.Skip(len(line) + 1)
+			buf.Discard(len(line) + 1)
 			if b.quiet > 0 {
 				b.quiet = 0
 				silent = b.silent()
@@ -387,7 +387,7 @@
 			switch {
 			case life.Over():
 				return "stopping"
-			case errors.Is(err, memory.ErrFull):
+			case errors.Is(err, memory.ErrTooLong):
 				return "bad_line"
 			}
 			var late net.Error
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -144,16 +144,16 @@
 			c.shut("bad_request")
 			return
 		}
-		if buf.Skip(size); req.Length > 0 && !c.body(&req, &buf) {
+		if buf.Discard(size); req.Length > 0 && !c.body(&req, &buf) {
 			return
 		}
 		came := c.f.g.Now()
 		if !c.await(&buf) {
-			c.f.room.Free(len(req.Body))
+			c.f.room.ReleaseBytes(len(req.Body))
 			return
 		}
 		if !c.begin() {
-			c.f.room.Free(len(req.Body))
+			c.f.room.ReleaseBytes(len(req.Body))
 			c.done.Ring()
 			return
 		}
@@ -168,7 +168,7 @@
 // bytes until the lookup is over. false if the connection ends.
 func (c *client) body(req *Request, buf *memory.Buffer) bool {
 	c.hurry()
-	if !c.f.room.Hold(req.Length) {
+	if !c.f.room.ReserveBytes(req.Length) {
 		if c.await(buf) {
 			c.plain(503, "no room for the body", 0, true)
 			c.linger(lingerFor)
@@ -179,11 +179,11 @@
 	}
 	req.Body = make([]byte, req.Length)
 	n := copy(req.Body, buf.Bytes())
-	buf.Skip(n)
+	buf.Discard(n)
 	for n < req.Length {
 		m, err := c.conn.Read(req.Body[n:])
 		if n += m; err != nil && n < req.Length {
-			c.f.room.Free(req.Length)
+			c.f.room.ReleaseBytes(req.Length)
 			c.left(err)
 			return false
 		}
@@ -205,7 +205,7 @@
 			break
 		}
 		err := buf.Fill(c.conn, mostAhead)
-		if errors.Is(err, memory.ErrFull) {
+		if errors.Is(err, memory.ErrTooLong) {
 			c.mu.Lock()
 			lk := c.lk
 			c.mu.Unlock()
@@ -245,11 +245,11 @@
 			empty = 0
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			empty++
-		case !errors.Is(err, memory.ErrFull):
+		case !errors.Is(err, memory.ErrTooLong):
 			c.left(err)
 			return false
 		}
-		if errors.Is(err, memory.ErrFull) || c.f.g.Now().Sub(began) > slowRequest {
+		if errors.Is(err, memory.ErrTooLong) || c.f.g.Now().Sub(began) > slowRequest {
 			return true
 		}
 	}
@@ -302,7 +302,7 @@
 	switch {
 	case errors.Is(err, io.EOF):
 		reason = "closed_by_client"
-	case errors.Is(err, memory.ErrFull):
+	case errors.Is(err, memory.ErrTooLong):
 		reason = "bad_request"
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		reason = "idle"
@@ -371,7 +371,7 @@
 		status, text = 503, "too much sent ahead of its answer"
 	case req.Allow <= 0:
 		status, text = 503, "no time left"
-	case !f.places.Enter():
+	case !f.places.TryAdmit():
 		status, text = 503, "too many lookups"
 	default:
 		var why limit.Reason
@@ -382,13 +382,13 @@
 			}
 		}
 		if why != limit.Allowed {
-			f.places.Leave()
+			f.places.Release()
 			status, text = 503, "past a limit: "+string(why)
 			break
 		}
 		o.lk = f.router.SubmitWithin(req.ID, kind, req.Object, req.Part, req.Group, req.KB, came.Add(req.Allow), scope, nil)
 		if o.lk == nil {
-			f.places.Leave()
+			f.places.Release()
 			o.leave(dispatch.StepFailed, false)
 			status, text = 409, "this lookup is open already"
 		}
@@ -409,7 +409,7 @@
 	f.group.Go("lookup", func() error {
 		c.answer(o)
 		o.close()
-		f.places.Leave()
+		f.places.Release()
 		c.done.Ring()
 		return nil
 	})
--- a/internal/wire/cost_test.go
+++ b/internal/wire/cost_test.go
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	g := &atRest{env.NewSystem(io.Discard, 0), time.Unix(1_764_576_000, 0)}
-	b := NewBulletin(g, "", terms, dispatch.New(g, 1, terms.Router, nil), &memory.Caches{}, &memory.Purges{Keep: keep, Grace: time.Second, Clock: g})
+	b := NewBulletin(g, "", terms, dispatch.New(g, 1, terms.Router, nil), &memory.Registry{}, &memory.Log{Retention: keep, Grace: time.Second, Clock: g})
 	var line strings.Builder
 	line.WriteString(`{"no":1,"roster":{"revision":1,"complete":true,"members":[`)
 	for i := range n {
--- a/internal/wire/ending_test.go
+++ b/internal/wire/ending_test.go
@@ -152,8 +152,8 @@
 	front    *Front
 	links    *Links
 	listener gated
-	caches   *memory.Caches
-	purges   *memory.Purges
+	caches   *memory.Registry
+	purges   *memory.Log
 	edges    []*standin.Cache
 	came     chan standin.Do
 	ids      int
@@ -171,11 +171,11 @@
 		t.Fatal(err)
 	}
 	h.System = env.NewSystem(io.Discard, 0)
-	r := &rig{t: t, caches: &memory.Caches{}, came: make(chan standin.Do, 99), purges: &memory.Purges{Clock: h, Keep: time.Minute}}
+	r := &rig{t: t, caches: &memory.Registry{}, came: make(chan standin.Do, 99), purges: &memory.Log{Clock: h, Retention: time.Minute}}
 	r.router = dispatch.New(h, 1, terms.Router, nil)
 	life := env.NewLife(nil)
 	r.links = NewLinks(h, life, terms, r.router, r.caches, r.purges, 99)
-	r.front = NewFront(h, terms, r.router, r.links, memory.NewRoom(h, 100, 1<<20), most)
+	r.front = NewFront(h, terms, r.router, r.links, memory.NewController(h, 100, 1<<20), most)
 	r.front.Ready()
 	var rows []policy.Endpoint
 	for i := range 2 {
@@ -185,9 +185,9 @@
 		}
 		t.Cleanup(c.Close)
 		r.edges = append(r.edges, c)
-		rows = append(rows, policy.Endpoint{Cache: r.caches.Note(fmt.Sprint("edge", i), c.Addr).Its})
+		rows = append(rows, policy.Endpoint{Cache: r.caches.Register(fmt.Sprint("edge", i), c.Addr).Policy})
 	}
-	rows = append(rows, policy.Endpoint{Cache: r.caches.Note("origin", "127.0.0.1:1").Its, Kind: 2})
+	rows = append(rows, policy.Endpoint{Cache: r.caches.Register("origin", "127.0.0.1:1").Policy, Kind: 2})
 	r.router.Tick(rows, true, nil)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -271,7 +271,7 @@
 
 // tell lists a cache in another state.
 func (r *rig) tell(name string, state policy.EndpointState) {
-	row := policy.Endpoint{Cache: r.caches.Find(name).Its, State: state}
+	row := policy.Endpoint{Cache: r.caches.Find(name).Policy, State: state}
 	if name == "origin" {
 		row.Kind = 2
 	}
@@ -581,7 +581,7 @@
 	r := stand(t, &held{}, true, 50)
 	c := r.ask("order")
 	d := r.take()
-	r.purges.Note("o", 0, time.Now())
+	r.purges.Record("o", 0, time.Now())
 	time.Sleep(2 * time.Millisecond) // the purge's grace is none
 	d.Hit(time.Now().Add(-time.Minute), "hit", "old")
 	r.status(c, 502)
@@ -613,10 +613,10 @@
 		t.Errorf("status %d, %q, tag %q", got.StatusCode, body, got.Header.Get("ETag"))
 	}
 	r.until("room given back", func() bool {
-		if !r.front.room.Hold(1 << 20) {
+		if !r.front.room.ReserveBytes(1 << 20) {
 			return false
 		}
-		r.front.room.Free(1 << 20)
+		r.front.room.ReleaseBytes(1 << 20)
 		return true
 	})
 	t.Run("not for an object kind that is kept", func(t *testing.T) {
@@ -626,8 +626,8 @@
 	})
 	t.Run("past the room for bytes it is nacked", func(t *testing.T) {
 		c := r.connect()
-		r.front.room.Hold(1 << 20)
-		defer r.front.room.Free(1 << 20)
+		r.front.room.ReserveBytes(1 << 20)
+		defer r.front.room.ReleaseBytes(1 << 20)
 		io.WriteString(c, strings.Replace(r.text("order", "Content-Length: 200000\r\n"), "GET", "PUT", 1))
 		r.status(c, 503)
 	})
@@ -636,10 +636,10 @@
 		io.WriteString(c, strings.Replace(r.text("order", "Content-Length: 200000\r\n"), "GET", "PUT", 1)+"half")
 		c.Close()
 		r.until("room given back", func() bool {
-			if !r.front.room.Hold(1 << 20) {
+			if !r.front.room.ReserveBytes(1 << 20) {
 				return false
 			}
-			r.front.room.Free(1 << 20)
+			r.front.room.ReleaseBytes(1 << 20)
 			return true
 		})
 		r.nothingCame()
--- a/internal/wire/front.go
+++ b/internal/wire/front.go
@@ -39,11 +39,11 @@
 	terms    *settings.Settings
 	router   *dispatch.Dispatcher
 	links    *Links
-	room     *memory.Room
-	places   *memory.Places // in it, of direct clients
-	most     int            // connections
-	spare    int            // of these, for those that make room, while they are looked at once more
-	Routes   *rollout.Steer // nil: a lookup may go anywhere
+	room     *memory.Controller
+	places   *memory.Gate        // in it, of direct clients
+	most     int                 // connections
+	spare    int                 // of these, for those that make room, while they are looked at once more
+	Routes   *rollout.Controller // nil: a lookup may go anywhere
 	kinds    map[string]int
 	mu       sync.Mutex
 	clients  map[*client]bool
@@ -58,8 +58,8 @@
 }
 
 // NewFront makes a front that takes so many connections at most.
-func NewFront(g env.Ground, terms *settings.Settings, router *dispatch.Dispatcher, links *Links, room *memory.Room, most int) *Front {
-	f := &Front{g: g, terms: terms, router: router, links: links, room: room, places: room.For("clients", 1), most: most, spare: most / 8, kinds: map[string]int{},
+func NewFront(g env.Ground, terms *settings.Settings, router *dispatch.Dispatcher, links *Links, room *memory.Controller, most int) *Front {
+	f := &Front{g: g, terms: terms, router: router, links: links, room: room, places: room.Gate("clients", 1), most: most, spare: most / 8, kinds: map[string]int{},
 		clients: map[*client]bool{}, group: g.Group(), accepted: g.Bell(), left: g.Bell()}
 	for i, k := range terms.Kinds {
 		f.kinds[k] = i
--- a/internal/wire/frozen_test.go
+++ b/internal/wire/frozen_test.go
@@ -89,13 +89,13 @@
 	b := listen(t)
 	b.Terms.Zones, b.Terms.MachineTypes = []string{"town", "hill"}, []string{"edge", "parent"}
 	var read bytes.Buffer
-	b.Heard = func(c endpoints.Change) {
-		fmt.Fprintf(&read, " change last=%d whole=%v", c.Last, c.Whole)
-		for _, r := range c.Rows {
-			fmt.Fprintf(&read, " row=[%s %s %s %s cell=%d size=%v up=%d phase=%d]", r.ID, r.Addr, r.Zone, r.Machine, r.Cell, r.Size, r.UpSince, r.Phase)
+	b.Heard = func(c endpoints.Update) {
+		fmt.Fprintf(&read, " change last=%d whole=%v", c.LastEvent, c.Complete)
+		for _, r := range c.Endpoints {
+			fmt.Fprintf(&read, " row=[%s %s %s %s cell=%d size=%v up=%d phase=%d]", r.ID, r.Addr, r.Zone, r.MachineType, r.Cell, r.Size, r.StartedAt, r.Phase)
 		}
 		for _, p := range c.Purges {
-			fmt.Fprintf(&read, " purge=[%q %d issued=%d]", p.Object, p.Group, p.Issued)
+			fmt.Fprintf(&read, " purge=[%q %d issued=%d]", p.Object, p.Group, p.IssuedAt)
 		}
 	}
 	b.Event = func(no int64, purges []dispatch.Purge) {
@@ -204,9 +204,9 @@
 func TestFrozenRefusals(t *testing.T) {
 	var all bytes.Buffer
 	r := stand(t, &held{}, true, 9)
-	r.front.room = memory.NewRoom(r.links.g, 1, 1)
-	r.front.places = r.front.room.For("clients", 1)
-	r.front.places.Enter()
+	r.front.room = memory.NewController(r.links.g, 1, 1)
+	r.front.places = r.front.room.Gate("clients", 1)
+	r.front.places.TryAdmit()
 	for _, request := range []string{r.text("segment", "Connection: close\r\n"),
 		strings.Replace(r.text("order", "Content-Length: 9\r\n"), "GET", "PUT", 1)} {
 		c := r.connect()
--- a/internal/wire/link.go
+++ b/internal/wire/link.go
@@ -238,7 +238,7 @@
 		switch {
 		case size > 0:
 			reason := l.answered(a, err)
-			l.buf.Skip(size)
+			l.buf.Discard(size)
 			if reason != "" {
 				return reason
 			}
@@ -331,7 +331,7 @@
 		a.end = policy.OutcomeError // word of another copy than the client's is none
 		l.ls.g.Log().Warn("cache_fault", "cache", l.peer.ID, "text", "VALID for a copy that the client does not hold")
 	}
-	if issued, told := l.ls.purges.Heeded(f.object, f.group); a.end == policy.OutcomeSatisfied && !a.bare && a.born.Before(issued) {
+	if issued, told := l.ls.purges.InForce(f.object, f.group); a.end == policy.OutcomeSatisfied && !a.bare && a.born.Before(issued) {
 		// Guards rule 5, past the grace whenever the send went out. To the module it is as if no answer had come: where the
 		// object kind allows it, it sends anew with the purge in mind. The send has run, so it is never as if it had not gone out
 		// (rule 2: a side-effecting lookup would go out a second time).
--- a/internal/wire/links.go
+++ b/internal/wire/links.go
@@ -28,8 +28,8 @@
 	g      env.Ground
 	terms  *settings.Settings
 	router *dispatch.Dispatcher
-	caches *memory.Caches
-	purges *memory.Purges
+	caches *memory.Registry
+	purges *memory.Log
 	mu     sync.Mutex
 	by     map[string][]*link // by cache id and address
 	most   int                // connections to all caches together, those being dialled included
@@ -41,8 +41,8 @@
 }
 
 // NewLinks makes the links, so many connections at most; they end with life.
-func NewLinks(g env.Ground, life *env.Life, terms *settings.Settings, router *dispatch.Dispatcher, caches *memory.Caches,
-	purges *memory.Purges, most int) *Links {
+func NewLinks(g env.Ground, life *env.Life, terms *settings.Settings, router *dispatch.Dispatcher, caches *memory.Registry,
+	purges *memory.Log, most int) *Links {
 	return &Links{g: g, terms: terms, router: router, caches: caches, purges: purges, by: map[string][]*link{},
 		most: most, group: g.Group(), life: life}
 }
--- a/internal/wire/silence_test.go
+++ b/internal/wire/silence_test.go
@@ -21,8 +21,8 @@
 		{3 * time.Second, 2500 * time.Millisecond, 0},
 		{time.Minute, 2500 * time.Millisecond, 0},
 	} {
-		caches := &memory.Caches{}
-		caches.Note("a", "127.0.0.1:1")
+		caches := &memory.Registry{}
+		caches.Register("a", "127.0.0.1:1")
 		b := &Bulletin{Terms: &settings.Settings{DrainGrace: policy.Micros(c.grace.Microseconds())}, Caches: caches}
 		if got := b.silent(); got != c.silent {
 			t.Errorf("grace %v: silent after %v, expected %v", c.grace, got, c.silent)
@@ -30,7 +30,7 @@
 		if late := max(0, b.silent()+again-c.grace); late != c.late {
 			t.Errorf("grace %v: %v late, expected %v", c.grace, late, c.late)
 		}
-		caches.Forget("a")
+		caches.Remove("a")
 		if got := b.silent(); caches.Len() == 0 && got != silentMost {
 			t.Errorf("no cache known: silent after %v", got)
 		}
--- a/internal/wire/size_test.go
+++ b/internal/wire/size_test.go
@@ -54,7 +54,7 @@
 	defer runtime.UnlockOSThread()
 	for run := range *listRuns {
 		g := env.NewSystem(io.Discard, 0)
-		b := NewBulletin(g, "", terms, dispatch.New(g, uint64(run+1), terms.Router, nil), &memory.Caches{}, &memory.Purges{Keep: time.Minute, Clock: g})
+		b := NewBulletin(g, "", terms, dispatch.New(g, uint64(run+1), terms.Router, nil), &memory.Registry{}, &memory.Log{Retention: time.Minute, Clock: g})
 		var line strings.Builder
 		line.WriteString(`{"no":1,"roster":{"revision":1,"complete":true,"members":[`)
 		for i := range *listed {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -149,7 +149,7 @@
 		t.Fatal(err)
 	}
 	g := env.NewSystem(io.Discard, 0)
-	b := NewBulletin(g, "", terms, dispatch.New(g, 1, terms.Router, nil), &memory.Caches{}, &memory.Purges{Keep: time.Minute, Clock: g})
+	b := NewBulletin(g, "", terms, dispatch.New(g, 1, terms.Router, nil), &memory.Registry{}, &memory.Log{Retention: time.Minute, Clock: g})
 	b.Last = 40
 	return b
 }
