--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -29,15 +29,15 @@
 // and no decision asks it.
 type part struct {
 	fleet  *membership.Fleet
-	post   *gossip.Post    // nil: no limits to share
-	caster *driver.Carrier // nil: purges are not broadcast
+	post   *gossip.Gossiper // nil: no limits to share
+	caster *driver.Driver   // nil: purges are not broadcast
 	router *dispatch.Dispatcher
 	stop   chan struct{}
 	ended  chan struct{}
 }
 
 // joining makes it; nil where the operators' settings name no fleet, as on the platform.
-func joining(g env.Ground, own *config.Settings, name string, seed uint64, routes *rollout.Steer, router *dispatch.Dispatcher,
+func joining(g env.Ground, own *config.Config, name string, seed uint64, routes *rollout.Controller, router *dispatch.Dispatcher,
 	bulletin *wire.Bulletin) (*part, error) {
 	if own.Fleet == nil {
 		return nil, nil
@@ -47,9 +47,9 @@
 		return nil, fmt.Errorf("fleet: this gateway has no name; set ROUTER_NAME, unlike that of any other")
 	}
 	set := membership.Settings{Name: name, Listen: c.Listen, Advertise: c.Advertise, Label: c.Label, Seeds: c.Seeds, SeedFile: c.SeedFile,
-		Most: int(c.Members), Expect: int(c.Expect), Probe: config.Ms(c.Probe), ProbeTimeout: config.Ms(c.Timeout), Gossip: config.Ms(c.Gossip),
-		Reap: config.Ms(c.Reap), Settle: config.Ms(c.Settle), Rejoin: config.Ms(c.Rejoin),
-		Place: view.Place{Region: c.Region, Zone: c.Zone, Site: c.Site}}
+		MaxMembers: int(c.MaxMembers), ExpectedMembers: int(c.ExpectedMembers), ProbeInterval: config.Milliseconds(c.ProbeMS), ProbeTimeout: config.Milliseconds(c.ProbeTimeoutMS), GossipInterval: config.Milliseconds(c.GossipMS),
+		ReapAfter: config.Milliseconds(c.ReapMS), SettleAfter: config.Milliseconds(c.SettleMS), RejoinInterval: config.Milliseconds(c.RejoinMS),
+		Locality: view.Locality{Region: c.Region, Zone: c.Zone, Site: c.Site}}
 	if c.KeyFile != "" {
 		key, err := g.ReadFile(c.KeyFile)
 		if err != nil {
@@ -60,38 +60,40 @@
 		}
 		set.Key = key
 	}
-	parts := membership.Ground(g)
-	parts.Count = &transport.Counts{}
+	parts := membership.FromEnvironment(g)
+	parts.TransportCounts = &transport.Counts{}
 	listen, advertise := netip.MustParseAddrPort(c.Listen), netip.MustParseAddrPort(c.Advertise) // checked with the settings
-	parts.Open = func() (memberlist.Transport, error) { return transport.Open(listen, advertise, parts.Count, g.Log()) }
+	parts.OpenTransport = func() (memberlist.Transport, error) {
+		return transport.Listen(listen, advertise, parts.TransportCounts, g.Log())
+	}
 	if c.Folder != "" {
 		disk, err := g.Folder(c.Folder)
 		if err != nil {
 			return nil, fmt.Errorf("fleet.folder: %w", err)
 		}
-		shelf, why, err := membership.OpenShelf(disk, name, set.Most)
+		shelf, why, err := membership.OpenMemberStore(disk, name, set.MaxMembers)
 		if err != nil {
 			return nil, fmt.Errorf("fleet.folder: %w", err)
 		}
 		if why != nil {
 			g.Log().Warn("fleet_torn", "folder", c.Folder, "text", why.Error())
 		}
-		parts.Shelf = shelf
+		parts.Store = shelf
 	}
 	p := &part{router: router, stop: make(chan struct{}), ended: make(chan struct{})}
-	var doors gossip.Doors
+	var doors gossip.Admission
 	if routes != nil {
 		doors = routes
 	}
 	// heard brings purges that peers told first to where they count, as those of the own watch.
 	heard := func(purges []dispatch.Purge) {
 		for _, one := range purges {
-			bulletin.Purges.Note(one.Object, one.Group, one.IssuedAt)
+			bulletin.Purges.Record(one.Object, one.Group, one.IssuedAt)
 		}
 		router.Tick(nil, false, purges)
 	}
 	var heed func([]purgesync.Purge)
-	if c.Purges {
+	if c.SharesPurges {
 		heed = func(some []purgesync.Purge) {
 			var purges []dispatch.Purge
 			for _, v := range some {
@@ -102,18 +104,18 @@
 	}
 	if doors != nil || heed != nil {
 		p.post = gossip.New(name, doors, heed, g.Log(), seed)
-		parts.Take = p.post.Take
+		parts.OnMessage = p.post.HandleMessage
 	}
-	if c.Broadcast {
+	if c.BroadcastsPurges {
 		var stamp [8]byte // not of the seed, which a configuration may give alike at each start and to each gateway
 		if _, err := crand.Read(stamp[:]); err != nil {
 			return nil, err
 		}
 		p.broadcast(set, parts.Now, binary.LittleEndian.Uint64(stamp[:]), g, bulletin, heard)
-		others := parts.Take
-		parts.Take = func(b []byte) {
-			if driver.Mine(b) {
-				p.caster.Take(b)
+		others := parts.OnMessage
+		parts.OnMessage = func(b []byte) {
+			if driver.IsBroadcast(b) {
+				p.caster.HandleMessage(b)
 			} else if others != nil {
 				others(b)
 			}
@@ -123,21 +125,21 @@
 		bulletin.Event = func(no int64, purges []dispatch.Purge) {
 			var told []purgesync.Purge
 			for _, v := range purges {
-				told = append(told, purgesync.Purge{No: no, Object: v.Object, Group: int64(v.Group), Issued: v.IssuedAt.UnixMilli()})
+				told = append(told, purgesync.Purge{Event: no, Object: v.Object, Group: int64(v.Group), Issued: v.IssuedAt.UnixMilli()})
 			}
-			p.post.Told(no, told)
+			p.post.RecordPurges(no, told)
 		}
-		p.post.Told(bulletin.Last, nil)
+		p.post.RecordPurges(bulletin.Last, nil)
 	}
 	var err error
 	if p.fleet, err = membership.New(set, parts); err != nil {
 		return nil, err
 	}
 	if p.post != nil {
-		p.post.Over(p.fleet)
+		p.post.SetFleet(p.fleet)
 	}
 	if p.caster != nil {
-		p.caster.Over(p.fleet)
+		p.caster.SetFleet(p.fleet)
 	}
 	return p, nil
 }
@@ -145,7 +147,7 @@
 // broadcast makes the carrier of purges between gateways, told what the own discovery watch tells.
 func (p *part) broadcast(set membership.Settings, wall func() time.Time, stamp uint64, g env.Ground, bulletin *wire.Bulletin,
 	heard func([]dispatch.Purge)) {
-	p.caster = driver.New(set.Name, set.Place, func(some []broadcast.Purge) {
+	p.caster = driver.New(set.Name, set.Locality, func(some []broadcast.Purge) {
 		purges := make([]dispatch.Purge, 0, len(some))
 		for _, v := range some {
 			purges = append(purges, dispatch.Purge{Object: v.Object, Group: int(v.Group), IssuedAt: time.UnixMilli(v.Issued)})
@@ -157,7 +159,7 @@
 		for _, v := range purges {
 			told = append(told, broadcast.Purge{Object: v.Object, Group: int64(v.Group), Issued: v.IssuedAt.UnixMilli()})
 		}
-		p.caster.Told(told)
+		p.caster.RecordPurges(told)
 	}
 }
 
@@ -203,7 +205,7 @@
 	for {
 		select {
 		case <-every.C:
-			p.router.SetFleetSize(p.fleet.State().Fleet)
+			p.router.SetFleetSize(p.fleet.State().FleetSize)
 		case <-stop:
 			return
 		}
@@ -211,7 +213,7 @@
 }
 
 // Prepare has nothing that changes at SIGHUP: the seeds' file is read anew by itself, the rest counts from the next start.
-func (p *part) Prepare(*config.Settings) (func(), error) { return func() {}, nil }
+func (p *part) Prepare(*config.Config) (func(), error) { return func() {}, nil }
 
 // Drain leaves the fleet.
 func (p *part) Drain() { close(p.stop) }
@@ -220,20 +222,20 @@
 func (p *part) Wait() { <-p.ended }
 
 // operators opens the sockets that the settings name, one where both are the same.
-func operators(g env.Ground, own *config.Settings, routes *rollout.Steer, p *part) (doors []Door, err error) {
+func operators(g env.Ground, own *config.Config, routes *rollout.Controller, p *part) (doors []Door, err error) {
 	routing, fleet := "", ""
 	if routes != nil {
 		routing = own.Routing.Socket
 	}
-	of := admin.Of{Routes: routes}
+	of := admin.Services{Routes: routes}
 	if p != nil {
 		of.Fleet, of.Limits, of.Broadcast, fleet = p.fleet, p.post, p.caster, own.Fleet.Socket
 	}
-	open := func(what, path string, of admin.Of) {
+	open := func(what, path string, of admin.Services) {
 		if path == "" || err != nil {
 			return
 		}
-		var o *admin.Operator
+		var o *admin.Server
 		if o, err = admin.Open(g, path, of); err != nil {
 			err = fmt.Errorf("%s.socket: %w", what, err)
 			return
@@ -244,7 +246,7 @@
 		open("routing", routing, of)
 		return doors, err
 	}
-	open("routing", routing, admin.Of{Routes: routes})
-	open("fleet", fleet, admin.Of{Fleet: of.Fleet, Limits: of.Limits, Broadcast: of.Broadcast})
+	open("routing", routing, admin.Services{Routes: routes})
+	open("fleet", fleet, admin.Services{Fleet: of.Fleet, Limits: of.Limits, Broadcast: of.Broadcast})
 	return doors, err
 }
