--- a/example/main.go
+++ b/example/main.go
@@ -32,13 +32,16 @@
 		return err
 	}
 	var config struct {
-		Listen, Bulletin string
-		Known            struct {
-			No    int
+		Listen   string `json:"listen"`
+		Bulletin string `json:"bulletin"`
+		Known    struct {
+			No    int `json:"no"`
 			Items []struct {
-				Roster struct{ Members []standin.Member }
-			}
-		}
+				Roster struct {
+					Members []standin.Member `json:"members"`
+				} `json:"roster"`
+			} `json:"items"`
+		} `json:"known"`
 	}
 	if err := json.Unmarshal(text, &config); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -25,7 +25,7 @@
 func usage(format string, a ...any) error { return Usage{fmt.Sprintf(format, a...)} }
 
 type commands struct {
-	Ask    beside  `cmd:"" passthrough:"" help:"Ask a door for one lookup and print its decisions (runs foldslip-extproc, which stands beside this program)."`
+	Ask    beside  `name:"ask" cmd:"" passthrough:"" help:"Ask a door for one lookup and print its decisions (runs foldslip-extproc, which stands beside this program)."`
 	List   list    `cmd:"" help:"Read and mend the list of caches that a gateway keeps on disk."`
 	Config configs `cmd:"" help:"Check the operators' own settings, a Jsonnet template."`
 	Faults faults  `cmd:"" help:"Play days of trouble on a virtual clock against this very gateway."`
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -16,8 +16,8 @@
 	Stage   configStage   `cmd:"" help:"Put a change in place for a part of the objects."`
 	Apply   configApply   `cmd:"" help:"Put a change in place for all, until it is confirmed."`
 	Confirm configConfirm `cmd:"" help:"Make an applied change the one in force for good."`
-	Undo    configUndo    `cmd:"" help:"End the change under way: the routes of before are in force."`
-	Back    configBack    `cmd:"" help:"Begin a change back to an earlier version."`
+	Undo    configUndo    `name:"undo" cmd:"" help:"End the change under way: the routes of before are in force."`
+	Back    configBack    `name:"back" cmd:"" help:"Begin a change back to an earlier version."`
 	History configHistory `cmd:"" help:"List the versions, and what is in force."`
 	Diff    configDiff    `cmd:"" help:"Show what differs between two versions."`
 	Show    configShow    `cmd:"" help:"Print what a file of the operators' settings comes to, as JSON, with all defaults."`
--- a/internal/cli/extproccli/doors.go
+++ b/internal/cli/extproccli/doors.go
@@ -105,10 +105,10 @@
 
 type ask struct {
 	Path    string        `arg:"" help:"Path of the request, as /call/segment/7f3a/part-3."`
-	Door    string        `default:"127.0.0.1:18200" help:"Where the door listens: an address and port, or unix:/path."`
+	Door    string        `name:"door" default:"127.0.0.1:18200" help:"Where the door listens: an address and port, or unix:/path."`
 	Header  []string      `short:"H" help:"A header as 'name: value'; X-Job-Id is drawn if it is not given."`
-	End     []string      `default:"hit" help:"How the sends end, one after the other; the last for all that follow: hit, valid, none, shed, fault, late, timeout, unconnected, reset."`
-	Born    time.Duration `default:"0s" help:"Age of the copy that is reported."`
+	End     []string      `name:"end" default:"hit" help:"How the sends end, one after the other; the last for all that follow: hit, valid, none, shed, fault, late, timeout, unconnected, reset."`
+	Born    time.Duration `name:"born" default:"0s" help:"Age of the copy that is reported."`
 	CA      string        `help:"The door's certificate authority, PEM; none: no TLS."`
 	Cert    string        `help:"Own certificate, PEM."`
 	Key     string        `help:"Its key."`
--- a/internal/cli/faults.go
+++ b/internal/cli/faults.go
@@ -27,14 +27,14 @@
 	Replay   faultsReplay   `cmd:"" help:"Play one day again, from its seed or from a file."`
 	Shrink   faultsShrink   `cmd:"" help:"Make the smallest day that still breaks the rule that a seed or file breaks, and write it to a file."`
 	Kinds    faultsKinds    `cmd:"" help:"List the kinds of days, of faults, and of faults that can be planted in the gateway."`
-	Mornings faultsMornings `cmd:"" help:"Compare starts without the bulletin: from the list kept on disk, waiting, trusting it wholly, and from the true list."`
-	Twins    faultsTwins    `cmd:"" help:"Compare each decision of the module at a gateway and at its door for other proxies, over the same lookups."`
-	Guards   faultsGuards   `cmd:"" help:"Try good and bad changes of routes on calm days: which the guards undo, how soon, and what that saves."`
+	Mornings faultsMornings `name:"mornings" cmd:"" help:"Compare starts without the bulletin: from the list kept on disk, waiting, trusting it wholly, and from the true list."`
+	Twins    faultsTwins    `name:"twins" cmd:"" help:"Compare each decision of the module at a gateway and at its door for other proxies, over the same lookups."`
+	Guards   faultsGuards   `name:"guards" cmd:"" help:"Try good and bad changes of routes on calm days: which the guards undo, how soon, and what that saves."`
 }
 
 type dayFlags struct {
-	Days  string `default:"mixed" help:"Kind of days; foldslip faults kinds lists them."`
-	Plant string `help:"Plant a fault in the gateway, to see the referee find it."`
+	Days  string `name:"days" default:"mixed" help:"Kind of days; foldslip faults kinds lists them."`
+	Plant string `name:"plant" help:"Plant a fault in the gateway, to see the referee find it."`
 	JSON  bool   `help:"Print JSON."`
 }
 
@@ -73,7 +73,7 @@
 	dayFlags
 	Seeds    string `required:"" help:"Seeds, as 1-3000 or 7."`
 	Jobs     int    `default:"0" help:"Days played at once; 0: as many as there are processors."`
-	Pairs    bool   `help:"Print how often each pair of kinds met in a day."`
+	Pairs    bool   `name:"pairs" help:"Print how often each pair of kinds met in a day."`
 	Thorough bool   `help:"Go on after the first seed that breaks a rule ten times over; otherwise the run stops at ten."`
 }
 
@@ -265,7 +265,7 @@
 
 type faultsReplay struct {
 	dayFlags
-	Day   string  `arg:"" help:"Seed, or a file that shrink wrote."`
+	Day   string  `name:"day" arg:"" help:"Seed, or a file that shrink wrote."`
 	Trace bool    `help:"Print every step."`
 	From  float64 `help:"Print steps from that virtual second on."`
 }
@@ -312,8 +312,8 @@
 
 type faultsShrink struct {
 	dayFlags
-	Day string `arg:"" help:"Seed, or a file."`
-	Out string `help:"File to write; by default fault-SEED.json in the current folder."`
+	Day string `name:"day" arg:"" help:"Seed, or a file."`
+	Out string `name:"out" help:"File to write; by default fault-SEED.json in the current folder."`
 }
 
 func (f *faultsShrink) Run(to *streams) error {
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -24,7 +24,7 @@
 type fleetSocket struct {
 	Socket string        `env:"FOLDSLIP_FLEET" default:"/run/foldslip/fleet" help:"The gateway's socket, fleet.socket of its settings."`
 	JSON   bool          `help:"Print JSON."`
-	Wait   time.Duration `default:"10s" help:"For the answer."`
+	Wait   time.Duration `name:"wait" default:"10s" help:"For the answer."`
 }
 
 func (f fleetSocket) ask(name string) (*membership.Report, error) {
@@ -134,7 +134,7 @@
 }
 
 type fleetBroadcast struct {
-	After uint64 `help:"Leave out the heeded purges numbered up to this one (with --json)."`
+	After uint64 `name:"after" help:"Leave out the heeded purges numbered up to this one (with --json)."`
 	fleetSocket
 }
 
--- a/internal/cli/rigcli/broadcast.go
+++ b/internal/cli/rigcli/broadcast.go
@@ -24,21 +24,21 @@
 	Seeds     string        `default:"1-3" help:"Seeds of the runs of each size, case and mechanism, as 1-20."`
 	Case      []string      `default:"none" help:"Scenarios, or all for all; see below."`
 	Mechanism []string      `default:"old,new" help:"What spreads the purges: old (fleet/verdict as fleet/post carries it), new (fleet/broadcast)."`
-	Told      string        `default:"" help:"Who is told of purges: one gateway, two (on either side of a cut, turn by turn), all (each by its own watch); the case's own if not told."`
-	Rate      float64       `default:"100" help:"Purges a second, up to 1000."`
-	Seconds   float64       `default:"60" help:"How long purges are told."`
-	Warm      float64       `default:"5" help:"Seconds before."`
-	Settle    float64       `default:"60" help:"Seconds that the last purges may take; what is not heard then is lost."`
-	Fault     time.Duration `default:"0s" help:"How long a cut, a rack's or zone's loss, or deafness lasts; 0: the case's own."`
+	Told      string        `name:"told" default:"" help:"Who is told of purges: one gateway, two (on either side of a cut, turn by turn), all (each by its own watch); the case's own if not told."`
+	Rate      float64       `name:"rate" default:"100" help:"Purges a second, up to 1000."`
+	Seconds   float64       `name:"seconds" default:"60" help:"How long purges are told."`
+	Warm      float64       `name:"warm" default:"5" help:"Seconds before."`
+	Settle    float64       `name:"settle" default:"60" help:"Seconds that the last purges may take; what is not heard then is lost."`
+	Fault     time.Duration `name:"fault" default:"0s" help:"How long a cut, a rack's or zone's loss, or deafness lasts; 0: the case's own."`
 	Restarts  int           `default:"0" help:"Of a release; 0: 1,900 of 3,900, or as many of the size."`
-	Detect    time.Duration `default:"0s" help:"A crash is seen by all within this, by the first in half of it; 0: 4 log10(size) s, SWIM's bound."`
-	Seen      time.Duration `default:"1s" help:"A start is seen about so late."`
-	Keep      time.Duration `default:"0s" help:"How long the new mechanism keeps purges; 0: its usual 65 minutes."`
-	Skew      time.Duration `default:"50ms" help:"Gateways' clocks are off by up to so much either way."`
-	Within    time.Duration `default:"4.5s" help:"A purge is to be everywhere by then."`
-	Bytes     float64       `default:"15360" help:"Bytes a second, in and out together, that a gateway may spend in the mean of a run."`
-	Hold      []string      `default:"new" help:"Mechanisms whose lost purges and broken bounds make the exit status 1."`
-	Jobs      int           `default:"1" help:"Runs at once, 1 to 16. Processor and heap are measured only with 1."`
+	Detect    time.Duration `name:"detect" default:"0s" help:"A crash is seen by all within this, by the first in half of it; 0: 4 log10(size) s, SWIM's bound."`
+	Seen      time.Duration `name:"seen" default:"1s" help:"A start is seen about so late."`
+	Keep      time.Duration `name:"keep" default:"0s" help:"How long the new mechanism keeps purges; 0: its usual 65 minutes."`
+	Skew      time.Duration `name:"skew" default:"50ms" help:"Gateways' clocks are off by up to so much either way."`
+	Within    time.Duration `name:"within" default:"4.5s" help:"A purge is to be everywhere by then."`
+	Bytes     float64       `name:"bytes" default:"15360" help:"Bytes a second, in and out together, that a gateway may spend in the mean of a run."`
+	Hold      []string      `name:"hold" default:"new" help:"Mechanisms whose lost purges and broken bounds make the exit status 1."`
+	Jobs      int           `name:"jobs" default:"1" help:"Runs at once, 1 to 16. Processor and heap are measured only with 1."`
 	JSON      string        `help:"Write a line of JSON for each run."`
 	From      []string      `help:"Files of JSON lines written before: tell and draw their runs in place of playing any."`
 	Plot      string        `help:"Folder for SVG plots of time and bytes against size, on log axes."`
--- a/internal/cli/rigcli/rigs.go
+++ b/internal/cli/rigcli/rigs.go
@@ -32,7 +32,7 @@
 	Seeds    string   `default:"1" help:"Seeds of the runs, as 1-20."`
 	Program  string   `help:"The gateway's program; foldslip beside this one if not told."`
 	Parallel int      `default:"1" help:"Runs at once, 1 to 16."`
-	Net      int      `default:"0" help:"The first loopback network that runs take, 127.60 and so on: 0 to 100. Rigs at once need different ones."`
+	Net      int      `name:"net" default:"0" help:"The first loopback network that runs take, 127.60 and so on: 0 to 100. Rigs at once need different ones."`
 	JSON     string   `help:"Write all reports there, a line of JSON each."`
 	Plot     string   `help:"Folder for a plot of each run's views over time."`
 	Logs     string   `help:"Folder for settings and logs of each run; a new one under the temporary folder, removed after a good run, if not told."`
--- a/internal/cli/rigcli/scale.go
+++ b/internal/cli/rigcli/scale.go
@@ -23,7 +23,7 @@
 	Watch     scaleWatch     `cmd:"" help:"Hollow gateways, and some real ones, that each hear the discovery watch over loopback."`
 	Broadcast scaleBroadcast `cmd:"" help:"Purges spread among thousands of hollow gateways on a virtual network with faults."`
 	Plot      scalePlot      `cmd:"" help:"Draw the figures of docs/CAPACITY.md: cost against size with the budget."`
-	Crowd     scaleCrowd     `cmd:"" hidden:"" help:"A process of hollow gateways, told what to do on standard input."`
+	Crowd     scaleCrowd     `name:"crowd" cmd:"" hidden:"" help:"A process of hollow gateways, told what to do on standard input."`
 }
 
 type scaleCrowd struct{}
@@ -34,18 +34,18 @@
 type scaleWatch struct {
 	Sizes    []int         `default:"12,50,200" help:"Gateways, a run each, as 12,50,200."`
 	Runs     int           `default:"3" help:"Runs of each size, 1 to 20."`
-	Seconds  float64       `default:"20" help:"How long the figures count."`
-	Warm     float64       `default:"12" help:"Seconds before: purges are kept for 11."`
-	Purges   float64       `default:"100" help:"Purges a second."`
-	Changes  time.Duration `default:"6.2s" help:"A change of the list so often (14,000 a day); 0: none."`
-	Restarts float64       `default:"0" help:"Hollow gateways started anew, a second (1,900 a day are 0.022)."`
-	Lookups  float64       `default:"0" help:"Lookups decided in each hollow gateway, a second."`
+	Seconds  float64       `name:"seconds" default:"20" help:"How long the figures count."`
+	Warm     float64       `name:"warm" default:"12" help:"Seconds before: purges are kept for 11."`
+	Purges   float64       `name:"purges" default:"100" help:"Purges a second."`
+	Changes  time.Duration `name:"changes" default:"6.2s" help:"A change of the list so often (14,000 a day); 0: none."`
+	Restarts float64       `name:"restarts" default:"0" help:"Hollow gateways started anew, a second (1,900 a day are 0.022)."`
+	Lookups  float64       `name:"lookups" default:"0" help:"Lookups decided in each hollow gateway, a second."`
 	Caches   int           `default:"1800" help:"Caches in the list."`
-	Real     int           `default:"12" help:"Real gateways among them, 0 to 200, at most all."`
-	List     string        `default:"told" enum:"told,watch" help:"Where the whole list of a start stands: told in the configuration, or on the watch."`
-	Stretch  float64       `default:"1" help:"Run the clock of stand-in and hollow gateways so many times slower, so that more of them fit on the machine; without real ones then."`
-	Each     int           `default:"500" help:"Hollow gateways in one process."`
-	Bound    time.Duration `default:"4.5s" help:"A purge is to be everywhere by then."`
+	Real     int           `name:"real" default:"12" help:"Real gateways among them, 0 to 200, at most all."`
+	List     string        `name:"list" default:"told" enum:"told,watch" help:"Where the whole list of a start stands: told in the configuration, or on the watch."`
+	Stretch  float64       `name:"stretch" default:"1" help:"Run the clock of stand-in and hollow gateways so many times slower, so that more of them fit on the machine; without real ones then."`
+	Each     int           `name:"each" default:"500" help:"Hollow gateways in one process."`
+	Bound    time.Duration `name:"bound" default:"4.5s" help:"A purge is to be everywhere by then."`
 	Budget   bool          `help:"Hold each gateway to 2.1% of a core, 128 MB and 15 KB/s: exit status 1 if one kind is over."`
 	Program  string        `help:"The gateway's program; foldslip beside this one if not told."`
 	Profile  string        `help:"Write the processor profile of the first process of hollow gateways there, of the last run; its hottest functions are told if the go command is there."`
--- a/internal/cli/routes.go
+++ b/internal/cli/routes.go
@@ -22,7 +22,7 @@
 type socket struct {
 	Socket string        `env:"FOLDSLIP_OPERATOR" default:"/run/foldslip/operator" help:"The gateway's socket, routing.socket of its settings."`
 	JSON   bool          `help:"Print JSON."`
-	Wait   time.Duration `default:"10s" help:"For the answer."`
+	Wait   time.Duration `name:"wait" default:"10s" help:"For the answer."`
 }
 
 // call makes a call and tells what is wrong with it.
@@ -157,9 +157,9 @@
 
 type configStage struct {
 	socket
-	No     uint64        `arg:"" help:"Version."`
+	No     uint64        `name:"no" arg:"" help:"Version."`
 	Share  float64       `required:"" help:"Part of the objects, above 0 and below 1."`
-	Within time.Duration `default:"10m" help:"It is undone if it has not gone on by then."`
+	Within time.Duration `name:"within" default:"10m" help:"It is undone if it has not gone on by then."`
 }
 
 func (p *configStage) Run(to *streams) error {
@@ -168,8 +168,8 @@
 
 type configApply struct {
 	socket
-	No     uint64        `arg:"" help:"Version."`
-	Within time.Duration `default:"10m" help:"It is undone if it has not been confirmed by then."`
+	No     uint64        `name:"no" arg:"" help:"Version."`
+	Within time.Duration `name:"within" default:"10m" help:"It is undone if it has not been confirmed by then."`
 }
 
 func (p *configApply) Run(to *streams) error {
@@ -178,7 +178,7 @@
 
 type configConfirm struct {
 	socket
-	No uint64 `arg:"" help:"Version."`
+	No uint64 `name:"no" arg:"" help:"Version."`
 }
 
 func (p *configConfirm) Run(to *streams) error {
@@ -187,8 +187,8 @@
 
 type configUndo struct {
 	socket
-	No  uint64 `arg:"" help:"Version."`
-	Why string `default:"by hand" help:"Why."`
+	No  uint64 `name:"no" arg:"" help:"Version."`
+	Why string `name:"why" default:"by hand" help:"Why."`
 }
 
 func (p *configUndo) Run(to *streams) error {
@@ -197,7 +197,7 @@
 
 type configBack struct {
 	socket
-	No     uint64 `arg:"" help:"Version whose routes are proposed again."`
+	No     uint64 `name:"no" arg:"" help:"Version whose routes are proposed again."`
 	Author string `required:"" help:"Who."`
 	Reason string `required:"" help:"Why."`
 }
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -13,7 +13,7 @@
 
 type serve struct {
 	Settings    string        `env:"FOLDSLIP_SETTINGS" help:"The operators' own settings, a Jsonnet template such as deploy/foldslip.jsonnet; none: all that they switch on is off."`
-	Doors       bool          `help:"Open the doors that the settings name, too (runs foldslip-extproc, which stands beside this program)."`
+	Doors       bool          `name:"doors" help:"Open the doors that the settings name, too (runs foldslip-extproc, which stands beside this program)."`
 	ClockOffset time.Duration `hidden:"" help:"Tell other machines a time that is off by so much, as a machine with a wrong clock does; for tests of a fleet."`
 	LogLevel    string        `enum:"debug,info,warn,error" default:"info" help:"The least level that is logged: ${enum}."`
 }
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -44,15 +44,17 @@
 
 // start is what the gateway is told.
 type start struct {
-	Name, Listen, Seed string
-	Limits             struct {
-		Cores    float64
+	Name   string `json:"name"`
+	Listen string `json:"listen"`
+	Seed   string `json:"seed"`
+	Limits struct {
+		Cores    float64 `json:"cores"`
 		MemoryMB float64 `json:"memory_mb"`
-		Sockets  int
-	}
-	Bulletin string
-	Known    json.RawMessage
-	Settings json.RawMessage
+		Sockets  int     `json:"sockets"`
+	} `json:"limits"`
+	Bulletin string          `json:"bulletin"`
+	Known    json.RawMessage `json:"known"`
+	Settings json.RawMessage `json:"settings"`
 }
 
 func readStart(g env.Ground, path, name, listen string, own *config.Settings) (*start, *settings.Terms, uint64, error) {
--- a/internal/wire/bulletin.go
+++ b/internal/wire/bulletin.go
@@ -107,33 +107,33 @@
 var errGap = errors.New("events are missing")
 
 type event struct {
-	No     *int64
+	No     *int64 `json:"no"`
 	Roster *struct {
-		Revision int64
-		Complete bool
+		Revision int64 `json:"revision"`
+		Complete bool  `json:"complete"`
 		Members  []struct {
-			ID       string
-			HostPort string `json:"host_port"`
-			Locality string
-			Flavor   string
-			Cell     int
-			Phase    string
-			Size     float64
+			ID       string  `json:"id"`
+			HostPort string  `json:"host_port"`
+			Locality string  `json:"locality"`
+			Flavor   string  `json:"flavor"`
+			Cell     int     `json:"cell"`
+			Phase    string  `json:"phase"`
+			Size     float64 `json:"size"`
 			UpSince  float64 `json:"up_since_ms"`
-		}
-	}
+		} `json:"members"`
+	} `json:"roster"`
 	Recall *struct {
-		Item   string
-		Lot    *int
-		Issued float64
-	}
+		Item   string  `json:"item"`
+		Lot    *int    `json:"lot"`
+		Issued float64 `json:"issued"`
+	} `json:"recall"`
 }
 
 // Known takes the events of the start.
 func (b *Bulletin) Known(text json.RawMessage) error {
 	var known struct {
-		No    int64
-		Items []json.RawMessage
+		No    int64             `json:"no"`
+		Items []json.RawMessage `json:"items"`
 	}
 	if err := json.Unmarshal(text, &known); err != nil {
 		return fmt.Errorf("known: %w", err)
