--- a/internal/cli/extproccli/doors.go
+++ b/internal/cli/extproccli/doors.go
@@ -36,7 +36,7 @@
 const programName = "foldslip-extproc"
 
 type commands struct {
-	Ask   ask   `cmd:"" help:"Ask a door for one lookup and print its decisions and the end. The sends are not made: --end says how each is to be reported."`
+	Ask   ask   `name:"ask" cmd:"" help:"Ask a door for one lookup and print its decisions and the end. The sends are not made: --end says how each is to be reported."`
 	Serve serve `cmd:"" default:"withargs" help:"Be the gateway with the doors that the operators' settings name."`
 }
 
--- a/internal/wire/gone_test.go
+++ b/internal/wire/gone_test.go
@@ -9,6 +9,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"foldslip/example/standin"
 )
 
 // Every path on which an attempt of a lookup can begin, with its client gone by then: none begins (docs/ending.md).
@@ -59,11 +61,11 @@
 // An attempt ends after its client left, in a way that would have another one follow at once. Where the settings allow no giving up
 // the cache goes on, with a fill too: its end is taken and nothing follows.
 func TestAnAttemptThatEndsAfterItsClientLeft(t *testing.T) {
-	for name, end := range map[string]func(d interface{ End(word, fields string) }, reset func()){
-		"a miss":            func(d interface{ End(word, fields string) }, _ func()) { d.End("NONE", "-") },
-		"an error":          func(d interface{ End(word, fields string) }, _ func()) { d.End("FAULT", "-") },
-		"a fill that broke": func(d interface{ End(word, fields string) }, _ func()) { d.End("FAULT", "note=src_broke") },
-		"a reset":           func(_ interface{ End(word, fields string) }, reset func()) { reset() },
+	for name, end := range map[string]func(d standin.Do, reset func()){
+		"a miss":            func(d standin.Do, _ func()) { d.End("NONE", "-") },
+		"an error":          func(d standin.Do, _ func()) { d.End("FAULT", "-") },
+		"a fill that broke": func(d standin.Do, _ func()) { d.End("FAULT", "note=src_broke") },
+		"a reset":           func(_ standin.Do, reset func()) { reset() },
 	} {
 		for _, leaves := range []bool{false, true} {
 			t.Run(fmt.Sprint(name, ", leaves ", leaves), func(t *testing.T) {
