--- a/example/main.go
+++ b/example/main.go
@@ -38,7 +38,7 @@
 			No    int `json:"no"`
 			Items []struct {
 				Roster struct {
-					Members []standin.Member `json:"members"`
+					Members []standin.Endpoint `json:"members"`
 				} `json:"roster"`
 			} `json:"items"`
 		} `json:"known"`
@@ -46,12 +46,12 @@
 	if err := json.Unmarshal(text, &config); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	if _, err := standin.NewBulletin(config.Bulletin, config.Known.No); err != nil {
+	if _, err := standin.NewDiscovery(config.Bulletin, config.Known.No); err != nil {
 		return err
 	}
 	for _, item := range config.Known.Items {
 		for _, m := range item.Roster.Members {
-			toy := &toy{name: m.ID, held: map[string]time.Time{}}
+			toy := &exampleCache{name: m.ID, cached: map[string]time.Time{}}
 			if _, err := standin.NewCache(m.HostPort, toy.answer); err != nil {
 				return err
 			}
@@ -77,31 +77,31 @@
 	return cmd.Wait()
 }
 
-// toy is a cache that makes up its objects: filled the first time they are asked for, then held.
-type toy struct {
-	name string
-	mu   sync.Mutex
-	held map[string]time.Time
+// exampleCache is a cache that makes up its objects: filled the first time they are asked for, then held.
+type exampleCache struct {
+	name   string
+	mu     sync.Mutex
+	cached map[string]time.Time
 }
 
-func (t *toy) answer(d standin.Do) {
+func (t *exampleCache) answer(d standin.Request) {
 	key := d.Fields["k"] + "/" + d.Fields["p"]
 	t.mu.Lock()
-	born, held := t.held[key]
+	born, held := t.cached[key]
 	if !held && d.Fields["from"] != "" {
 		born = time.Now()
-		t.held[key] = born
+		t.cached[key] = born
 	}
 	t.mu.Unlock()
 	body := fmt.Sprintf("part %s of %s, by %s\n", d.Fields["p"], d.Fields["k"], t.name)
 	switch {
 	case held && d.Fields["seen"] == "v1":
-		d.End("VALID", fmt.Sprintf("note=hit,ver=v1,born=%d", born.UnixMilli()))
+		d.Respond("VALID", fmt.Sprintf("note=hit,ver=v1,born=%d", born.UnixMilli()))
 	case held:
 		d.Hit(born, "hit", body)
 	case d.Fields["from"] != "":
 		d.Hit(born, "filled", body)
 	default:
-		d.End("NONE", "-")
+		d.Respond("NONE", "-")
 	}
 }
--- a/example/standin/standin.go
+++ b/example/standin/standin.go
@@ -14,12 +14,12 @@
 	"time"
 )
 
-// Do is a request that reached a cache.
-type Do struct {
+// Request is a request that reached a cache.
+type Request struct {
 	ID     string
 	Fields map[string]string
 	Body   []byte
-	On     *Conn
+	Conn   *Conn
 }
 
 // Conn is one connection that a gateway opened to a cache.
@@ -28,45 +28,47 @@
 	mu sync.Mutex
 }
 
-// Say writes text as it stands.
-func (c *Conn) Say(text string) {
+// Send writes text as it stands.
+func (c *Conn) Send(text string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	io.WriteString(c.Conn, text)
 }
 
 // Hit answers a request with bytes of a copy that the origin gave out at born.
-func (d Do) Hit(born time.Time, note, body string) {
-	d.On.Say(fmt.Sprintf("%s HIT note=%s,ver=v1,born=%d %d\r\n%s\r\n", d.ID, note, born.UnixMilli(), len(body), body))
+func (d Request) Hit(born time.Time, note, body string) {
+	d.Conn.Send(fmt.Sprintf("%s HIT note=%s,ver=v1,born=%d %d\r\n%s\r\n", d.ID, note, born.UnixMilli(), len(body), body))
 }
 
-// End answers a request with a word that brings no bytes, such as NONE or SHED.
-func (d Do) End(word, fields string) { d.On.Say(fmt.Sprintf("%s %s %s 0\r\n\r\n", d.ID, word, fields)) }
+// Respond answers a request with a word that brings no bytes, such as NONE or SHED.
+func (d Request) Respond(word, fields string) {
+	d.Conn.Send(fmt.Sprintf("%s %s %s 0\r\n\r\n", d.ID, word, fields))
+}
 
 // Reset drops the connection that the request came on.
-func (d Do) Reset() {
-	if t, ok := d.On.Conn.(*net.TCPConn); ok {
+func (d Request) Reset() {
+	if t, ok := d.Conn.Conn.(*net.TCPConn); ok {
 		t.SetLinger(0)
 	}
-	d.On.Close()
+	d.Conn.Close()
 }
 
 // Cache is a server of lines.
 type Cache struct {
-	Addr   string
-	Undone chan string // ids of requests given up
-	listen net.Listener
-	mu     sync.Mutex
-	conns  []*Conn
+	Addr      string
+	Cancelled chan string // ids of requests given up
+	listen    net.Listener
+	mu        sync.Mutex
+	conns     []*Conn
 }
 
 // NewCache serves at an address; handle is called for each request, in a goroutine of its own.
-func NewCache(addr string, handle func(Do)) (*Cache, error) {
+func NewCache(addr string, handle func(Request)) (*Cache, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	c := &Cache{Addr: l.Addr().String(), Undone: make(chan string, 100), listen: l}
+	c := &Cache{Addr: l.Addr().String(), Cancelled: make(chan string, 100), listen: l}
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -89,11 +91,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, conn := range c.conns {
-		Do{On: conn}.Reset()
+		Request{Conn: conn}.Reset()
 	}
 }
 
-func (c *Cache) serve(on *Conn, handle func(Do)) {
+func (c *Cache) serve(on *Conn, handle func(Request)) {
 	defer on.Close()
 	in := bufio.NewReader(on)
 	for {
@@ -104,7 +106,7 @@
 		words := strings.Fields(line)
 		switch {
 		case len(words) == 2 && words[0] == "undo":
-			c.Undone <- words[1]
+			c.Cancelled <- words[1]
 		case len(words) == 4 && words[0] == "do":
 			n, err := strconv.Atoi(words[3])
 			if err != nil || n < 0 || n > 1<<20 {
@@ -114,7 +116,7 @@
 			if _, err := io.ReadFull(in, body); err != nil {
 				return
 			}
-			d := Do{ID: words[1], Fields: map[string]string{}, Body: body[:n], On: on}
+			d := Request{ID: words[1], Fields: map[string]string{}, Body: body[:n], Conn: on}
 			for _, f := range strings.Split(words[2], ",") {
 				name, v, _ := strings.Cut(f, "=")
 				d.Fields[name] = v
@@ -126,25 +128,25 @@
 	}
 }
 
-// Bulletin tells gateways of numbered events.
-type Bulletin struct {
-	Addr   string
-	After  chan int // what gateways asked for when they connected
-	listen net.Listener
-	mu     sync.Mutex
-	first  int // number of the event before lines[0]
-	lines  []string
-	conns  map[net.Conn]bool
-	mute   bool
+// Discovery tells gateways of numbered events.
+type Discovery struct {
+	Addr       string
+	Subscribed chan int // what gateways asked for when they connected
+	listen     net.Listener
+	mu         sync.Mutex
+	known      int // number of the event before lines[0]
+	lines      []string
+	conns      map[net.Conn]bool
+	isSilent   bool
 }
 
-// NewBulletin serves at an address; its first event is the one after the last known.
-func NewBulletin(addr string, known int) (*Bulletin, error) {
+// NewDiscovery serves at an address; its first event is the one after the last known.
+func NewDiscovery(addr string, known int) (*Discovery, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	b := &Bulletin{Addr: l.Addr().String(), After: make(chan int, 100), listen: l, first: known,
+	b := &Discovery{Addr: l.Addr().String(), Subscribed: make(chan int, 100), listen: l, known: known,
 		conns: map[net.Conn]bool{}}
 	go func() {
 		for {
@@ -158,7 +160,7 @@
 	return b, nil
 }
 
-func (b *Bulletin) serve(conn net.Conn) {
+func (b *Discovery) serve(conn net.Conn) {
 	var after int
 	if _, err := fmt.Fscanf(conn, "after %d\n", &after); err != nil {
 		conn.Close()
@@ -166,18 +168,18 @@
 	}
 	b.mu.Lock()
 	for i, line := range b.lines {
-		if b.first+i+1 > after {
+		if b.known+i+1 > after {
 			io.WriteString(conn, line)
 		}
 	}
 	b.conns[conn] = true
 	b.mu.Unlock()
-	b.After <- after // now what is told, cut or muted reaches this connection
+	b.Subscribed <- after // now what is told, cut or muted reaches this connection
 	for range time.Tick(time.Second) {
 		b.mu.Lock()
 		gone := !b.conns[conn]
-		if !gone && !b.mute {
-			fmt.Fprintf(conn, "%d\n", b.first+len(b.lines))
+		if !gone && !b.isSilent {
+			fmt.Fprintf(conn, "%d\n", b.known+len(b.lines))
 		}
 		b.mu.Unlock()
 		if gone {
@@ -186,21 +188,21 @@
 	}
 }
 
-// Tell adds an event, given as JSON without its number, such as {"recall":{...}}.
-func (b *Bulletin) Tell(event string) {
+// Announce adds an event, given as JSON without its number, such as {"recall":{...}}.
+func (b *Discovery) Announce(event string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	line := fmt.Sprintf("{\"no\":%d,%s\n", b.first+len(b.lines)+1, strings.TrimPrefix(event, "{"))
+	line := fmt.Sprintf("{\"no\":%d,%s\n", b.known+len(b.lines)+1, strings.TrimPrefix(event, "{"))
 	b.lines = append(b.lines, line)
 	for conn := range b.conns {
-		if !b.mute {
+		if !b.isSilent {
 			io.WriteString(conn, line)
 		}
 	}
 }
 
-// Half writes bytes that are no whole line on the open connections.
-func (b *Bulletin) Half(text string) {
+// WriteRaw writes bytes that are no whole line on the open connections.
+func (b *Discovery) WriteRaw(text string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for conn := range b.conns {
@@ -209,17 +211,17 @@
 }
 
 // Trickle writes bytes on the open connections, one at a time, ten a second.
-func (b *Bulletin) Trickle(text string) {
+func (b *Discovery) Trickle(text string) {
 	go func() {
 		for i := range text {
-			b.Half(text[i : i+1])
+			b.WriteRaw(text[i : i+1])
 			time.Sleep(100 * time.Millisecond)
 		}
 	}()
 }
 
-// Cut ends all connections, after some last bytes.
-func (b *Bulletin) Cut(last string) {
+// Disconnect ends all connections, after some last bytes.
+func (b *Discovery) Disconnect(last string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for conn := range b.conns {
@@ -230,16 +232,16 @@
 }
 
 // Close ends the bulletin and its connections.
-func (b *Bulletin) Close() {
+func (b *Discovery) Close() {
 	b.listen.Close()
-	b.Cut("")
+	b.Disconnect("")
 }
 
-// Mute leaves connections open and says nothing on them.
-func (b *Bulletin) Mute(on bool) {
+// SetSilent leaves connections open and says nothing on them.
+func (b *Discovery) SetSilent(on bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.mute = on
+	b.isSilent = on
 	if !on {
 		for conn := range b.conns {
 			conn.Close()
@@ -248,8 +250,8 @@
 	}
 }
 
-// Member is a line of a roster.
-type Member struct {
+// Endpoint is a line of a roster.
+type Endpoint struct {
 	ID       string `json:"id"`
 	HostPort string `json:"host_port"`
 	Locality string `json:"locality"`
@@ -260,8 +262,8 @@
 	UpSince  int64  `json:"up_since_ms"`
 }
 
-// Roster is an event with members.
-func Roster(complete bool, members ...Member) string {
+// EndpointList is an event with members.
+func EndpointList(complete bool, members ...Endpoint) string {
 	list, _ := json.Marshal(members) // of strings and numbers: cannot fail
 	return fmt.Sprintf("{\"roster\":{\"revision\":1,\"complete\":%v,\"members\":%s}}", complete, list)
 }
--- a/internal/admin/operator.go
+++ b/internal/admin/operator.go
@@ -65,7 +65,7 @@
 
 // Server is the socket.
 type Server struct {
-	env      env.Ground
+	env      env.Environment
 	services Services
 	listener net.Listener
 	slots    chan struct{} // has room for those at once
@@ -80,7 +80,7 @@
 }
 
 // Open listens on a path, for some parts.
-func Open(g env.Ground, path string, of Services) (*Server, error) {
+func Open(g env.Environment, path string, of Services) (*Server, error) {
 	l, err := env.ListenUnix(path, socketMode)
 	if err != nil {
 		return nil, err
@@ -89,12 +89,12 @@
 }
 
 // Run serves until life ends.
-func (o *Server) Run(life *env.Life) error {
+func (o *Server) Run(life *env.Lifetime) error {
 	defer life.OnEnd(func() { o.listener.Close() })()
 	for {
 		conn, err := o.listener.Accept()
 		if err != nil {
-			if life.Over() || errors.Is(err, net.ErrClosed) {
+			if life.Ended() || errors.Is(err, net.ErrClosed) {
 				return nil
 			}
 			o.env.Log().Warn("operator_accept_failed", "text", err.Error())
@@ -113,8 +113,8 @@
 	}
 }
 
-// Prepare has nothing that changes at SIGHUP.
-func (o *Server) Prepare(*config.Config) (func(), error) { return func() {}, nil }
+// PrepareReload has nothing that changes at SIGHUP.
+func (o *Server) PrepareReload(*config.Config) (func(), error) { return func() {}, nil }
 
 // Drain takes no more calls.
 func (o *Server) Drain() { o.listener.Close() }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -18,7 +18,7 @@
 	return status, out.String(), errs.String()
 }
 
-func TestMisuse(t *testing.T) {
+func TestUsageErrors(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
 		path := filepath.Join(dir, name)
@@ -81,8 +81,8 @@
 		digests := map[string]bool{}
 		for _, jobs := range []string{"1", "4"} {
 			status, out, errs := run("faults", "run", "--seeds", "1-6", "--jobs", jobs, "--json")
-			var got tally
-			if err := json.Unmarshal([]byte(out), &got); err != nil || status != 0 || got.Days != 6 {
+			var got runSummary
+			if err := json.Unmarshal([]byte(out), &got); err != nil || status != 0 || got.Scenarios != 6 {
 				t.Fatalf("%d, %v, %s", status, err, errs)
 			}
 			digests[got.Digest] = true
@@ -138,9 +138,9 @@
 			t.Fatalf("%d, %s, %s", status, out, errs)
 		}
 		_, out, _ := run("list", "show", folder, "--json")
-		var got listed
+		var got listView
 		if err := json.Unmarshal([]byte(out), &got); err != nil || len(got.Caches) != 1 || got.Caches[0].ID != "a" || !got.Caches[0].Imported ||
-			got.Caches[0].Standing == "trusted" {
+			got.Caches[0].Confidence == "trusted" {
 			t.Errorf("%v, %s", err, out)
 		}
 	})
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -9,18 +9,18 @@
 	"foldslip/internal/config"
 )
 
-type configs struct {
-	Check   configCheck   `cmd:"" help:"Tell whether a file of the operators' settings can be used; the gateway is not touched."`
-	Plan    configPlan    `cmd:"" help:"Tell what the routes of a file would change and move, against the gateway's list; nothing is changed."`
-	Propose configPropose `cmd:"" help:"Begin a change of the routes in force, and check it."`
-	Stage   configStage   `cmd:"" help:"Put a change in place for a part of the objects."`
-	Apply   configApply   `cmd:"" help:"Put a change in place for all, until it is confirmed."`
-	Confirm configConfirm `cmd:"" help:"Make an applied change the one in force for good."`
-	Undo    configUndo    `name:"undo" cmd:"" help:"End the change under way: the routes of before are in force."`
-	Back    configBack    `name:"back" cmd:"" help:"Begin a change back to an earlier version."`
-	History configHistory `cmd:"" help:"List the versions, and what is in force."`
-	Diff    configDiff    `cmd:"" help:"Show what differs between two versions."`
-	Show    configShow    `cmd:"" help:"Print what a file of the operators' settings comes to, as JSON, with all defaults."`
+type configCommands struct {
+	Check          configCheck          `cmd:"" help:"Tell whether a file of the operators' settings can be used; the gateway is not touched."`
+	Plan           configPlan           `cmd:"" help:"Tell what the routes of a file would change and move, against the gateway's list; nothing is changed."`
+	Propose        configPropose        `cmd:"" help:"Begin a change of the routes in force, and check it."`
+	Stage          configStage          `cmd:"" help:"Put a change in place for a part of the objects."`
+	Apply          configApply          `cmd:"" help:"Put a change in place for all, until it is confirmed."`
+	Confirm        configConfirm        `cmd:"" help:"Make an applied change the one in force for good."`
+	RollBack       configRollBack       `name:"undo" cmd:"" help:"End the change under way: the routes of before are in force."`
+	ProposeEarlier configProposeEarlier `name:"back" cmd:"" help:"Begin a change back to an earlier version."`
+	History        configHistory        `cmd:"" help:"List the versions, and what is in force."`
+	Diff           configDiff           `cmd:"" help:"Show what differs between two versions."`
+	Show           configShow           `cmd:"" help:"Print what a file of the operators' settings comes to, as JSON, with all defaults."`
 }
 
 type configFile struct {
@@ -36,7 +36,7 @@
 		if f.JSON {
 			json.NewEncoder(to.out).Encode(map[string]any{"ok": false, "fault": fault})
 		}
-		return nil, usage("%v", fault)
+		return nil, usageErrorf("%v", fault)
 	}
 	return s, err
 }
--- a/internal/cli/extproccli/doors.go
+++ b/internal/cli/extproccli/doors.go
@@ -36,8 +36,8 @@
 const programName = "foldslip-extproc"
 
 type commands struct {
-	Ask   ask   `name:"ask" cmd:"" help:"Ask a door for one lookup and print its decisions and the end. The sends are not made: --end says how each is to be reported."`
-	Serve serve `cmd:"" default:"withargs" help:"Be the gateway with the doors that the operators' settings name."`
+	Lookup lookupCommand `name:"ask" cmd:"" help:"Ask a door for one lookup and print its decisions and the end. The sends are not made: --end says how each is to be reported."`
+	Serve  serve         `cmd:"" default:"withargs" help:"Be the gateway with the doors that the operators' settings name."`
 }
 
 // Main runs the command that args name and gives the exit status.
@@ -45,14 +45,14 @@
 	var all commands
 	parser, err := kong.New(&all, kong.Name(programName), kong.Writers(out, errs), kong.BindTo(out, (*io.Writer)(nil)),
 		kong.Description("foldslip with the door for other proxies (external processing)."), kong.UsageOnError(),
-		kong.ConfigureHelp(kong.HelpOptions{Compact: true}), kong.Exit(func(code int) { panic(exit(code)) }))
+		kong.ConfigureHelp(kong.HelpOptions{Compact: true}), kong.Exit(func(code int) { panic(exitCode(code)) }))
 	if err != nil {
 		fmt.Fprintln(errs, programName+":", err)
 		return 2
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			code, ok := p.(exit)
+			code, ok := p.(exitCode)
 			if !ok {
 				panic(p)
 			}
@@ -65,23 +65,23 @@
 			return 0
 		}
 	} else {
-		err = misuse{err}
+		err = usageError{err}
 	}
-	if err != errTold {
+	if err != errReported {
 		fmt.Fprintln(errs, programName+":", strings.ReplaceAll(err.Error(), "\n", " "))
 	}
-	if errors.As(err, new(misuse)) {
+	if errors.As(err, new(usageError)) {
 		return 2
 	}
 	return 1
 }
 
-type exit int
+type exitCode int
 
-// misuse is an error of whoever asks.
-type misuse struct{ error }
+// usageError is an error of whoever asks.
+type usageError struct{ error }
 
-var errTold = errors.New("told already")
+var errReported = errors.New("told already")
 
 type serve struct {
 	Settings string `env:"FOLDSLIP_SETTINGS" required:"" help:"The operators' settings, a Jsonnet template with external_processor."`
@@ -93,35 +93,35 @@
 	least.UnmarshalText([]byte(s.LogLevel)) // kong has checked it
 	os.Setenv("FOLDSLIP_SETTINGS", s.Settings)
 	g := env.NewSystem(os.Stderr, least)
-	if g.Env("ROUTER_CONFIG") == "" {
-		return misuse{errors.New("ROUTER_CONFIG is not set: name the gateway's configuration file in it, see docs/external-processor.md (Start)")}
+	if g.Getenv("ROUTER_CONFIG") == "" {
+		return usageError{errors.New("ROUTER_CONFIG is not set: name the gateway's configuration file in it, see docs/external-processor.md (Start)")}
 	}
-	if err := gateway.Run(g, gateway.Watch{Doors: extprocgrpc.OpenConfigured}); err != nil {
+	if err := gateway.Run(g, gateway.Hooks{NewServices: extprocgrpc.OpenConfigured}); err != nil {
 		g.Log().Error("ended", "text", err.Error())
-		return errTold
+		return errReported
 	}
 	return nil
 }
 
-type ask struct {
-	Path    string        `arg:"" help:"Path of the request, as /call/segment/7f3a/part-3."`
-	Door    string        `name:"door" default:"127.0.0.1:18200" help:"Where the door listens: an address and port, or unix:/path."`
-	Header  []string      `short:"H" help:"A header as 'name: value'; X-Job-Id is drawn if it is not given."`
-	End     []string      `name:"end" default:"hit" help:"How the sends end, one after the other; the last for all that follow: hit, valid, none, shed, fault, late, timeout, unconnected, reset."`
-	Born    time.Duration `name:"born" default:"0s" help:"Age of the copy that is reported."`
-	CA      string        `help:"The door's certificate authority, PEM; none: no TLS."`
-	Cert    string        `help:"Own certificate, PEM."`
-	Key     string        `help:"Its key."`
-	Timeout time.Duration `default:"10s" help:"For all of it."`
-	JSON    bool          `help:"Print JSON."`
+type lookupCommand struct {
+	Path     string        `arg:"" help:"Path of the request, as /call/segment/7f3a/part-3."`
+	Address  string        `name:"door" default:"127.0.0.1:18200" help:"Where the door listens: an address and port, or unix:/path."`
+	Header   []string      `short:"H" help:"A header as 'name: value'; X-Job-Id is drawn if it is not given."`
+	Outcomes []string      `name:"end" default:"hit" help:"How the sends end, one after the other; the last for all that follow: hit, valid, none, shed, fault, late, timeout, unconnected, reset."`
+	Age      time.Duration `name:"born" default:"0s" help:"Age of the copy that is reported."`
+	CA       string        `help:"The door's certificate authority, PEM; none: no TLS."`
+	Cert     string        `help:"Own certificate, PEM."`
+	Key      string        `help:"Its key."`
+	Timeout  time.Duration `default:"10s" help:"For all of it."`
+	JSON     bool          `help:"Print JSON."`
 }
 
-func (a *ask) Run(out io.Writer) error {
+func (a *lookupCommand) Run(out io.Writer) error {
 	creds := insecure.NewCredentials()
 	if a.CA != "" {
-		c, err := a.tls()
+		c, err := a.tlsConfig()
 		if err != nil {
-			return misuse{err}
+			return usageError{err}
 		}
 		creds = credentials.NewTLS(c)
 	}
@@ -129,7 +129,7 @@
 	for _, h := range a.Header {
 		name, v, ok := strings.Cut(h, ":")
 		if !ok {
-			return misuse{fmt.Errorf("--header %q: expected 'name: value'", h)}
+			return usageError{fmt.Errorf("--header %q: expected 'name: value'", h)}
 		}
 		header.Add(strings.TrimSpace(name), strings.TrimSpace(v))
 	}
@@ -138,21 +138,21 @@
 		rand.Read(id[:])
 		header.Set("X-Job-Id", hex.EncodeToString(id[:]))
 	}
-	conn, err := grpc.NewClient(target(a.Door), grpc.WithTransportCredentials(creds))
+	conn, err := grpc.NewClient(grpcTarget(a.Address), grpc.WithTransportCredentials(creds))
 	if err != nil {
-		return misuse{fmt.Errorf("--door %q: %w", a.Door, err)}
+		return usageError{fmt.Errorf("--door %q: %w", a.Address, err)}
 	}
 	defer conn.Close()
 	ctx, stop := context.WithTimeout(context.Background(), a.Timeout)
 	defer stop()
 	began := time.Now()
 	o, err := client.New(conn).Lookup(ctx, client.Request{Path: a.Path, Header: header}, func(_ context.Context, d client.Decision) client.AttemptOutcome {
-		e := client.AttemptOutcome{Word: a.End[min(d.Attempt, len(a.End)-1)], CreatedAt: time.Now().Add(-a.Born)}
+		e := client.AttemptOutcome{Word: a.Outcomes[min(d.Attempt, len(a.Outcomes)-1)], CreatedAt: time.Now().Add(-a.Age)}
 		if e.Word == "hit" {
 			e.Note = "hit"
 		}
 		if !a.JSON {
-			fmt.Fprintf(out, "send %d to %s at %s, source %s, rank %d, mode %s, wait at most %v; reported as %s\n", d.Attempt, d.Cache, d.Addr, or(d.Source), d.Rank, or(d.Mode),
+			fmt.Fprintf(out, "send %d to %s at %s, source %s, rank %d, mode %s, wait at most %v; reported as %s\n", d.Attempt, d.Cache, d.Addr, orNone(d.Source), d.Rank, orNone(d.Mode),
 				d.Timeout.Round(time.Microsecond), e.Word)
 			if d.Version > 0 {
 				fmt.Fprintf(out, "  by route %q of version %d\n", d.Route, d.Version)
@@ -161,7 +161,7 @@
 		return e
 	})
 	if err != nil {
-		return fmt.Errorf("the door at %s: %w; see whether it listens there and takes this caller", a.Door, err)
+		return fmt.Errorf("the door at %s: %w; see whether it listens there and takes this caller", a.Address, err)
 	}
 	if a.JSON {
 		json.NewEncoder(out).Encode(map[string]any{"result": o.Kind.String(), "status": o.Status, "text": o.Text, "wait_ms": o.RetryAfter.Milliseconds(),
@@ -177,32 +177,32 @@
 		fmt.Fprintf(out, ", after %v\n", time.Since(began).Round(10*time.Microsecond))
 	}
 	if o.Kind != client.Satisfied {
-		return errTold
+		return errReported
 	}
 	return nil
 }
 
-func or(v string) string {
+func orNone(v string) string {
 	if v == "" {
 		return "none"
 	}
 	return v
 }
 
-// target is a door's address as gRPC has it; what it resolves is an address as it stands, never a name.
-func target(at string) string {
+// grpcTarget is a door's address as gRPC has it; what it resolves is an address as it stands, never a name.
+func grpcTarget(at string) string {
 	if strings.HasPrefix(at, "unix:") {
 		return at
 	}
 	return "passthrough:///" + at
 }
 
-func (a *ask) tls() (*tls.Config, error) {
+func (a *lookupCommand) tlsConfig() (*tls.Config, error) {
 	text, err := os.ReadFile(a.CA)
 	if err != nil {
 		return nil, fmt.Errorf("--ca: %w", err)
 	}
-	host, _, _ := net.SplitHostPort(a.Door)
+	host, _, _ := net.SplitHostPort(a.Address)
 	if host == "" {
 		host = "localhost"
 	}
--- a/internal/cli/faults.go
+++ b/internal/cli/faults.go
@@ -23,81 +23,81 @@
 )
 
 type faults struct {
-	Run      faultsRun      `cmd:"" help:"Play the days of many seeds and check every rule after each step."`
-	Replay   faultsReplay   `cmd:"" help:"Play one day again, from its seed or from a file."`
-	Shrink   faultsShrink   `cmd:"" help:"Make the smallest day that still breaks the rule that a seed or file breaks, and write it to a file."`
-	Kinds    faultsKinds    `cmd:"" help:"List the kinds of days, of faults, and of faults that can be planted in the gateway."`
-	Mornings faultsMornings `name:"mornings" cmd:"" help:"Compare starts without the bulletin: from the list kept on disk, waiting, trusting it wholly, and from the true list."`
-	Twins    faultsTwins    `name:"twins" cmd:"" help:"Compare each decision of the module at a gateway and at its door for other proxies, over the same lookups."`
-	Guards   faultsGuards   `name:"guards" cmd:"" help:"Try good and bad changes of routes on calm days: which the guards undo, how soon, and what that saves."`
+	Run          faultsRun          `cmd:"" help:"Play the days of many seeds and check every rule after each step."`
+	Replay       faultsReplay       `cmd:"" help:"Play one day again, from its seed or from a file."`
+	Shrink       faultsShrink       `cmd:"" help:"Make the smallest day that still breaks the rule that a seed or file breaks, and write it to a file."`
+	Kinds        faultsKinds        `cmd:"" help:"List the kinds of days, of faults, and of faults that can be planted in the gateway."`
+	ColdStarts   faultsColdStarts   `name:"mornings" cmd:"" help:"Compare starts without the bulletin: from the list kept on disk, waiting, trusting it wholly, and from the true list."`
+	Differential faultsDifferential `name:"twins" cmd:"" help:"Compare each decision of the module at a gateway and at its door for other proxies, over the same lookups."`
+	Guards       faultsGuards       `name:"guards" cmd:"" help:"Try good and bad changes of routes on calm days: which the guards undo, how soon, and what that saves."`
 }
 
-type dayFlags struct {
-	Days  string `name:"days" default:"mixed" help:"Kind of days; foldslip faults kinds lists them."`
-	Plant string `name:"plant" help:"Plant a fault in the gateway, to see the referee find it."`
-	JSON  bool   `help:"Print JSON."`
+type scenarioFlags struct {
+	Kind          string `name:"days" default:"mixed" help:"Kind of days; foldslip faults kinds lists them."`
+	InjectedFault string `name:"plant" help:"Plant a fault in the gateway, to see the referee find it."`
+	JSON          bool   `help:"Print JSON."`
 }
 
-func (f dayFlags) draw(seed uint64) (scenario.Plan, error) {
-	p := scenario.Draw(seed, f.Days)
-	p.Plant = f.Plant
+func (f scenarioFlags) drawPlan(seed uint64) (scenario.Plan, error) {
+	p := scenario.Draw(seed, f.Kind)
+	p.Plant = f.InjectedFault
 	if err := p.Check(); err != nil {
-		return p, usage("%v", err)
+		return p, usageErrorf("%v", err)
 	}
 	return p, nil
 }
 
-// load gives the plan that a seed or a file names.
-func (f dayFlags) load(what string) (scenario.Plan, error) {
+// loadPlan gives the plan that a seed or a file names.
+func (f scenarioFlags) loadPlan(what string) (scenario.Plan, error) {
 	if seed, err := strconv.ParseUint(what, 10, 64); err == nil {
-		return f.draw(seed)
+		return f.drawPlan(seed)
 	}
 	text, err := os.ReadFile(what)
 	if err != nil {
-		return scenario.Plan{}, usage("%s is no seed, and as a file: %v", what, err)
+		return scenario.Plan{}, usageErrorf("%s is no seed, and as a file: %v", what, err)
 	}
 	p, err := scenario.Read(text)
 	if err != nil {
-		return p, usage("%s: %v", what, err)
+		return p, usageErrorf("%s: %v", what, err)
 	}
-	if f.Plant != "" {
-		p.Plant = f.Plant
+	if f.InjectedFault != "" {
+		p.Plant = f.InjectedFault
 		if err := p.Check(); err != nil {
-			return p, usage("%v", err)
+			return p, usageErrorf("%v", err)
 		}
 	}
 	return p, nil
 }
 
 type faultsRun struct {
-	dayFlags
+	scenarioFlags
 	Seeds    string `required:"" help:"Seeds, as 1-3000 or 7."`
 	Jobs     int    `default:"0" help:"Days played at once; 0: as many as there are processors."`
 	Pairs    bool   `name:"pairs" help:"Print how often each pair of kinds met in a day."`
 	Thorough bool   `help:"Go on after the first seed that breaks a rule ten times over; otherwise the run stops at ten."`
 }
 
-// tally is what many days were.
-type tally struct {
-	Days     int            `json:"days"`
-	Broken   []brokenDay    `json:"broken"`
-	Kinds    map[string]int `json:"kinds"`
-	Pairs    map[string]int `json:"pairs"`
-	Reasons  map[string]int `json:"reasons"`
-	Ends     map[string]int `json:"ends"`
-	Lookups  int            `json:"lookups"`
-	Steps    uint64         `json:"steps"`
-	Virtual  time.Duration  `json:"virtual_ns"`
-	Real     time.Duration  `json:"real_ns"`
-	MemoryMB float64        `json:"memory_mb"` // taken from the system
-	Digest   string         `json:"digest"`    // over the days' digests, in the order of their seeds
+// runSummary is what many days were.
+type runSummary struct {
+	Scenarios  int              `json:"days"`
+	Broken     []brokenScenario `json:"broken"`
+	FaultKinds map[string]int   `json:"kinds"`
+	FaultPairs map[string]int   `json:"pairs"`
+	Reasons    map[string]int   `json:"reasons"`
+	Ends       map[string]int   `json:"ends"`
+	Lookups    int              `json:"lookups"`
+	Steps      uint64           `json:"steps"`
+	Virtual    time.Duration    `json:"virtual_ns"`
+	Real       time.Duration    `json:"real_ns"`
+	MemoryMB   float64          `json:"memory_mb"` // taken from the system
+	Digest     string           `json:"digest"`    // over the days' digests, in the order of their seeds
 }
 
-type brokenDay struct {
+type brokenScenario struct {
 	Seed   uint64            `json:"seed"`
 	Digest string            `json:"digest"`
 	Broken []scenario.Broken `json:"broken"`
-	Story  []string          `json:"story"`
+	Trace  []string          `json:"story"`
 }
 
 func readSeeds(text string) (from, to uint64, err error) {
@@ -108,7 +108,7 @@
 	from, err1 := strconv.ParseUint(a, 10, 64)
 	to, err2 := strconv.ParseUint(b, 10, 64)
 	if err1 != nil || err2 != nil || from > to || to-from >= 10_000_000 {
-		return 0, 0, usage("--seeds %q: expected A-B with A not above B and at most ten million seeds, or one seed", text)
+		return 0, 0, usageErrorf("--seeds %q: expected A-B with A not above B and at most ten million seeds, or one seed", text)
 	}
 	return from, to, nil
 }
@@ -118,11 +118,11 @@
 	if err != nil {
 		return err
 	}
-	if _, err := f.draw(first); err != nil {
+	if _, err := f.drawPlan(first); err != nil {
 		return err
 	}
 	if f.Jobs < 0 || f.Jobs > 1024 {
-		return usage("--jobs %d: expected 0 to 1024", f.Jobs)
+		return usageErrorf("--jobs %d: expected 0 to 1024", f.Jobs)
 	}
 	t, err := f.play(first, last, progress(to.errs, int64(last-first+1), f.JSON))
 	if err != nil {
@@ -134,7 +134,7 @@
 		f.print(to.out, t)
 	}
 	if err == nil && len(t.Broken) > 0 {
-		err = fmt.Errorf("%d of %d seeds broke a rule", len(t.Broken), t.Days)
+		err = fmt.Errorf("%d of %d seeds broke a rule", len(t.Broken), t.Scenarios)
 	}
 	return err
 }
@@ -148,8 +148,8 @@
 		progressbar.OptionOnCompletion(func() { fmt.Fprintln(errs) }))
 }
 
-func (f *faultsRun) play(first, last uint64, bar *progressbar.ProgressBar) (*tally, error) {
-	t := &tally{Kinds: map[string]int{}, Pairs: map[string]int{}, Reasons: map[string]int{}, Ends: map[string]int{}}
+func (f *faultsRun) play(first, last uint64, bar *progressbar.ProgressBar) (*runSummary, error) {
+	t := &runSummary{FaultKinds: map[string]int{}, FaultPairs: map[string]int{}, Reasons: map[string]int{}, Ends: map[string]int{}}
 	defer debug.SetGCPercent(debug.SetGCPercent(400)) // days make much that is short-lived
 	began := time.Now()
 	var mu sync.Mutex
@@ -164,7 +164,7 @@
 				if seed > last {
 					return nil
 				}
-				p, err := f.draw(seed)
+				p, err := f.drawPlan(seed)
 				if err != nil {
 					return err
 				}
@@ -187,21 +187,21 @@
 	err := group.Wait()
 	t.Real = time.Since(began)
 	t.Digest = scenario.Sum(digests)
-	slices.SortFunc(t.Broken, func(a, b brokenDay) int { return cmp.Compare(a.Seed, b.Seed) })
+	slices.SortFunc(t.Broken, func(a, b brokenScenario) int { return cmp.Compare(a.Seed, b.Seed) })
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	t.MemoryMB = float64(m.Sys) / (1 << 20)
 	return t, err
 }
 
-func (t *tally) add(r scenario.Result) {
-	t.Days++
+func (t *runSummary) add(r scenario.Result) {
+	t.Scenarios++
 	t.Steps += r.Steps
 	t.Virtual += r.Virtual
 	t.Lookups += r.Lookups
 	var kinds []string
 	for _, f := range r.Plan.Faults {
-		t.Kinds[f.Kind]++
+		t.FaultKinds[f.Kind]++
 		if !slices.Contains(kinds, f.Kind) {
 			kinds = append(kinds, f.Kind)
 		}
@@ -209,7 +209,7 @@
 	slices.Sort(kinds)
 	for i, a := range kinds {
 		for _, b := range kinds[i+1:] {
-			t.Pairs[a+" "+b]++
+			t.FaultPairs[a+" "+b]++
 		}
 	}
 	for k, n := range r.Reasons {
@@ -219,11 +219,11 @@
 		t.Ends[k] += n
 	}
 	if len(r.Broken) > 0 {
-		t.Broken = append(t.Broken, brokenDay{r.Plan.Seed, r.Digest, r.Broken, r.Story})
+		t.Broken = append(t.Broken, brokenScenario{r.Plan.Seed, r.Digest, r.Broken, r.Story})
 	}
 }
 
-func (f *faultsRun) print(out io.Writer, t *tally) {
+func (f *faultsRun) print(out io.Writer, t *runSummary) {
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	defer w.Flush()
 	table := func(title string, m map[string]int) {
@@ -239,18 +239,18 @@
 	}
 	all := map[string]int{}
 	for _, k := range scenario.Kinds {
-		if scenario.Belongs(f.Days, k.Name) {
-			all[k.Name] = t.Kinds[k.Name]
+		if scenario.Belongs(f.Kind, k.Name) {
+			all[k.Name] = t.FaultKinds[k.Name]
 		}
 	}
 	table("fault", all)
 	if f.Pairs {
-		table("pair", t.Pairs)
+		table("pair", t.FaultPairs)
 	}
 	table("reason or mode in the logs", t.Reasons)
 	table("what became of lookups", t.Ends)
 	w.Flush()
-	none, least, pairs := scenario.Unmet(f.Days, t.Pairs)
+	none, least, pairs := scenario.Unmet(f.Kind, t.FaultPairs)
 	fmt.Fprintf(out, "pairs of kinds: %d, never met %d, the rarest met %d times\n", pairs, len(none), least)
 	for _, b := range t.Broken {
 		fmt.Fprintf(out, "seed %d broke:\n", b.Seed)
@@ -258,20 +258,20 @@
 			fmt.Fprintf(out, "  %s\n", x)
 		}
 	}
-	fmt.Fprintf(out, "%d days, %d lookups, %d steps, digest %s\n", t.Days, t.Lookups, t.Steps, t.Digest)
+	fmt.Fprintf(out, "%d days, %d lookups, %d steps, digest %s\n", t.Scenarios, t.Lookups, t.Steps, t.Digest)
 	fmt.Fprintf(out, "%.0f s virtual in %.1f s real: %.0f times; %.0f steps a second; %.0f MB\n", t.Virtual.Seconds(),
 		t.Real.Seconds(), t.Virtual.Seconds()/t.Real.Seconds(), float64(t.Steps)/t.Real.Seconds(), t.MemoryMB)
 }
 
 type faultsReplay struct {
-	dayFlags
-	Day   string  `name:"day" arg:"" help:"Seed, or a file that shrink wrote."`
-	Trace bool    `help:"Print every step."`
-	From  float64 `help:"Print steps from that virtual second on."`
+	scenarioFlags
+	Source string  `name:"day" arg:"" help:"Seed, or a file that shrink wrote."`
+	Trace  bool    `help:"Print every step."`
+	From   float64 `help:"Print steps from that virtual second on."`
 }
 
 func (f *faultsReplay) Run(to *streams) error {
-	p, err := f.load(f.Day)
+	p, err := f.loadPlan(f.Source)
 	if err != nil {
 		return err
 	}
@@ -287,10 +287,10 @@
 	if err != nil {
 		return err
 	}
-	return tellDay(to.out, r, f.JSON)
+	return printResult(to.out, r, f.JSON)
 }
 
-func tellDay(out io.Writer, r scenario.Result, asJSON bool) error {
+func printResult(out io.Writer, r scenario.Result, asJSON bool) error {
 	if asJSON {
 		if err := json.NewEncoder(out).Encode(r); err != nil {
 			return err
@@ -311,31 +311,31 @@
 }
 
 type faultsShrink struct {
-	dayFlags
-	Day string `name:"day" arg:"" help:"Seed, or a file."`
-	Out string `name:"out" help:"File to write; by default fault-SEED.json in the current folder."`
+	scenarioFlags
+	Source string `name:"day" arg:"" help:"Seed, or a file."`
+	Output string `name:"out" help:"File to write; by default fault-SEED.json in the current folder."`
 }
 
 func (f *faultsShrink) Run(to *streams) error {
-	p, err := f.load(f.Day)
+	p, err := f.loadPlan(f.Source)
 	if err != nil {
 		return err
 	}
 	small, r, tried, err := scenario.Shrink(p, func(text string) { fmt.Fprintln(to.errs, text) })
 	if err != nil {
-		return usage("%v", err)
+		return usageErrorf("%v", err)
 	}
-	name := cmp.Or(f.Out, fmt.Sprintf("fault-%d.json", p.Seed))
+	name := cmp.Or(f.Output, fmt.Sprintf("fault-%d.json", p.Seed))
 	text, err := json.MarshalIndent(small, "", " ")
 	if err != nil {
 		return err
 	}
 	if err := os.WriteFile(name, append(text, '\n'), 0o644); err != nil {
-		return usage("the file cannot be written: %v", err)
+		return usageErrorf("the file cannot be written: %v", err)
 	}
 	fmt.Fprintf(to.out, "%d days tried; %d of %d faults, %d s and %d gateways are left, in %s\n", tried, len(small.Faults),
 		len(p.Faults), small.Seconds, small.Gateways, name)
-	if err := tellDay(to.out, r, f.JSON); err == nil {
+	if err := printResult(to.out, r, f.JSON); err == nil {
 		return fmt.Errorf("the smallest day breaks nothing") // cannot be: Shrink gives a day that does
 	}
 	return nil
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -27,8 +27,8 @@
 	Wait   time.Duration `name:"wait" default:"10s" help:"For the answer."`
 }
 
-func (f fleetSocket) ask(name string) (*membership.Report, error) {
-	a, err := socket(f).call(admin.Request{Command: "fleet", Name: name})
+func (f fleetSocket) fleetReport(name string) (*membership.Report, error) {
+	a, err := adminSocket(f).call(admin.Request{Command: "fleet", Name: name})
 	if err != nil {
 		return nil, err
 	}
@@ -38,14 +38,14 @@
 	return a.Fleet, nil
 }
 
-func ms(n int64) string {
+func formatDuration(n int64) string {
 	return (time.Duration(n) * time.Millisecond).Round(100 * time.Millisecond).String()
 }
 
 type fleetView struct{ fleetSocket }
 
 func (f *fleetView) Run(to *streams) error {
-	r, err := f.ask("")
+	r, err := f.fleetReport("")
 	if err != nil {
 		return err
 	}
@@ -58,7 +58,7 @@
 		side = "a MINORITY"
 	}
 	fmt.Fprintf(to.out, "%s at %s: %s, sees %d of %d (%s), %d live, %d agree, version %d, set %s unchanged for %s\n", r.Name, r.Addr, r.State,
-		r.Alive, r.FleetSize, side, r.Live, r.Agreeing, r.Version, r.Digest, ms(r.ChangedAgoMS))
+		r.Alive, r.FleetSize, side, r.Live, r.Agreeing, r.Version, r.Digest, formatDuration(r.ChangedAgoMS))
 	c := r.Counts
 	fmt.Fprintf(to.out, "joined %d, died %d (%d wrongly), left %d, restarted %d, suspected %d (%d cleared), refused %d, stood still %d, names claimed %d\n",
 		c.Joins, c.Deaths, c.FalseDeaths, c.Leaves, c.Restarts, c.Suspicions, c.ClearedSuspicions, c.Refused, c.Pauses, c.NameConflicts)
@@ -73,7 +73,7 @@
 type fleetMembers struct{ fleetSocket }
 
 func (f *fleetMembers) Run(to *streams) error {
-	r, err := f.ask("")
+	r, err := f.fleetReport("")
 	if err != nil {
 		return err
 	}
@@ -87,7 +87,7 @@
 	w := tabwriter.NewWriter(to.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tADDRESS\tSTATE\tFOR\tHEARD\tBY\tAGREES\tRESTARTS\tDEATHS\tWRONG")
 	for _, m := range r.Members {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s ago\t%s\t%v\t%d\t%d\t%d\n", m.Name, m.Addr, m.State, ms(m.SinceMS), ms(m.LastSeenAgoMS), m.LastSeenBy, m.Agrees,
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s ago\t%s\t%v\t%d\t%d\t%d\n", m.Name, m.Addr, m.State, formatDuration(m.SinceMS), formatDuration(m.LastSeenAgoMS), m.LastSeenBy, m.Agrees,
 			m.Restarts, m.Deaths, m.FalseDeaths)
 	}
 	return w.Flush()
@@ -99,7 +99,7 @@
 }
 
 func (f *fleetExplain) Run(to *streams) error {
-	r, err := f.ask(f.Name)
+	r, err := f.fleetReport(f.Name)
 	if err != nil {
 		return err
 	}
@@ -108,7 +108,7 @@
 	}
 	for _, m := range r.Members {
 		for _, s := range m.Evidence {
-			fmt.Fprintf(to.out, "  %s ago, %s: %s\n", ms(s.AgoMS), s.By, s.What)
+			fmt.Fprintf(to.out, "  %s ago, %s: %s\n", formatDuration(s.AgoMS), s.By, s.What)
 		}
 	}
 	return nil
@@ -117,7 +117,7 @@
 type fleetLimits struct{ fleetSocket }
 
 func (f *fleetLimits) Run(to *streams) error {
-	a, err := socket{f.Socket, f.JSON, f.Wait}.call(admin.Request{Command: "limits"})
+	a, err := adminSocket{f.Socket, f.JSON, f.Wait}.call(admin.Request{Command: "limits"})
 	if err != nil {
 		return err
 	}
@@ -128,7 +128,7 @@
 	fmt.Fprintln(w, "LIMIT\tOF ALL\tPART\tLENT\tBORROWED\tMAY\tWANTED\tUSED\tFLEET USES\tAS OF\tGATEWAYS\tUNSEEN\tOVER AT MOST\tSTATE")
 	for _, r := range a.Limits {
 		fmt.Fprintf(w, "%s\t%.6g\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%s ago\t%d\t%d\t%.1f%%\t%s\n", r.Name, r.Total, r.Quota, r.Lent, r.Borrowed,
-			r.Lease, r.Demand, r.Used, r.FleetUsed, ms(r.FleetUsedAgeMS), r.FleetSize, r.Unreachable, 100*r.MaxExcess, r.State)
+			r.Lease, r.Demand, r.Used, r.FleetUsed, formatDuration(r.FleetUsedAgeMS), r.FleetSize, r.Unreachable, 100*r.MaxExcess, r.State)
 	}
 	return w.Flush()
 }
@@ -139,7 +139,7 @@
 }
 
 func (f *fleetBroadcast) Run(to *streams) error {
-	a, err := socket{f.Socket, f.JSON, f.Wait}.call(admin.Request{Command: "broadcast", Version: f.After})
+	a, err := adminSocket{f.Socket, f.JSON, f.Wait}.call(admin.Request{Command: "broadcast", Version: f.After})
 	if err != nil {
 		return err
 	}
@@ -178,5 +178,5 @@
 	if len(args) > 0 && strings.HasPrefix(args[0], "--help") {
 		args = args[:1]
 	}
-	return become("foldslip-rig", args...)
+	return execSibling("foldslip-rig", args...)
 }
--- a/internal/cli/frozen_test.go
+++ b/internal/cli/frozen_test.go
@@ -56,13 +56,13 @@
 
 func TestFrozenJSON(t *testing.T) {
 	for name, value := range map[string]any{
-		"faults-run.json":      new(tally),
+		"faults-run.json":      new(runSummary),
 		"faults-replay.json":   new(scenario.Result),
 		"faults-plan.json":     new(scenario.Plan),
 		"faults-mornings.json": new([]scenario.Cell),
-		"faults-twins.json":    new(twins),
-		"faults-guards.json":   new([]*guardRow),
-		"list.json":            new(listed),
+		"faults-twins.json":    new(differentialSummary),
+		"faults-guards.json":   new([]*guardSummary),
+		"list.json":            new(listView),
 		"fleet-view.json":      new(membership.Report),
 		"fleet-limits.json":    new([]limits.Report),
 		"fleet-broadcast.json": new(driver.Report),
--- a/internal/cli/list.go
+++ b/internal/cli/list.go
@@ -16,7 +16,7 @@
 )
 
 // listName is the record's name in its folder.
-const listName = "list"
+const logName = "list"
 
 type list struct {
 	Show   listShow   `cmd:"" help:"Print the caches, drains and purges that a folder holds, with the standing each cache would have now."`
@@ -33,9 +33,9 @@
 // open is the folder, which must be there.
 func (f listFolder) open() (wal.OSDirectory, error) {
 	if at, err := os.Stat(f.Folder); err != nil {
-		return wal.OSDirectory{}, usage("%v: name the folder that holds the list", err)
+		return wal.OSDirectory{}, usageErrorf("%v: name the folder that holds the list", err)
 	} else if !at.IsDir() {
-		return wal.OSDirectory{}, usage("%s is no folder", f.Folder)
+		return wal.OSDirectory{}, usageErrorf("%s is no folder", f.Folder)
 	}
 	return wal.OSDirectory{Path: f.Folder}, nil
 }
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, wal.Contents{}, err
 	}
-	kept, err := wal.Read(disk, listName)
+	kept, err := wal.Read(disk, logName)
 	if err != nil {
 		return nil, kept, fmt.Errorf("%s: %w", f.Folder, err)
 	}
@@ -60,55 +60,55 @@
 	return s, kept, err
 }
 
-// listed is a list for people and machines.
-type listed struct {
-	Bulletin string      `json:"bulletin,omitempty"`
-	Last     int64       `json:"last"`
-	Stood    string      `json:"stood,omitempty"` // until when its bulletin stood with it
-	Caches   []listedRow `json:"caches"`
-	Left     []listedOld `json:"left"`
-	Purges   int         `json:"purges"`
+// listView is a list for people and machines.
+type listView struct {
+	DiscoveryAddr string          `json:"bulletin,omitempty"`
+	LastEvent     int64           `json:"last"`
+	CurrentAsOf   string          `json:"stood,omitempty"` // until when its bulletin stood with it
+	Caches        []endpointView  `json:"caches"`
+	Tombstones    []tombstoneView `json:"left"`
+	Purges        int             `json:"purges"`
 }
 
-type listedRow struct {
-	ID       string  `json:"id"`
-	Addr     string  `json:"host_port"`
-	Zone     string  `json:"locality"`
-	Machine  string  `json:"flavor"`
-	Cell     int     `json:"cell"`
-	Size     float64 `json:"size"`
-	UpSince  int64   `json:"up_since_ms"`
-	Phase    string  `json:"phase"`
-	Imported bool    `json:"imported,omitempty"`
-	Ill      bool    `json:"ill,omitempty"`
-	Standing string  `json:"standing,omitempty"`
-	Budget   float64 `json:"budget,omitempty"`
+type endpointView struct {
+	ID         string  `json:"id"`
+	Addr       string  `json:"host_port"`
+	Zone       string  `json:"locality"`
+	Machine    string  `json:"flavor"`
+	Cell       int     `json:"cell"`
+	Size       float64 `json:"size"`
+	UpSince    int64   `json:"up_since_ms"`
+	Phase      string  `json:"phase"`
+	Imported   bool    `json:"imported,omitempty"`
+	Ejected    bool    `json:"ill,omitempty"`
+	Confidence string  `json:"standing,omitempty"`
+	Budget     float64 `json:"budget,omitempty"`
 }
 
-type listedOld struct {
-	ID   string `json:"id"`
-	At   string `json:"at"`
-	Gone bool   `json:"gone"`
+type tombstoneView struct {
+	ID      string `json:"id"`
+	At      string `json:"at"`
+	Removed bool   `json:"gone"`
 }
 
-func when(ms int64) string {
+func formatMillis(ms int64) string {
 	if ms == 0 {
 		return ""
 	}
 	return time.UnixMilli(ms).UTC().Format(time.RFC3339)
 }
 
-func view(s *endpoints.State, now time.Time) listed {
-	v := listed{Bulletin: s.DiscoveryAddr, Last: s.LastEvent, Stood: when(s.CurrentAsOf), Caches: []listedRow{}, Left: []listedOld{}, Purges: len(s.Purges)}
+func newListView(s *endpoints.State, now time.Time) listView {
+	v := listView{DiscoveryAddr: s.DiscoveryAddr, LastEvent: s.LastEvent, CurrentAsOf: formatMillis(s.CurrentAsOf), Caches: []endpointView{}, Tombstones: []tombstoneView{}, Purges: len(s.Purges)}
 	all := freshness.History{CacheHours: s.CacheHours, Departures: s.Departures}
 	for _, k := range s.Sorted() {
 		standing, budget := freshness.Assess(all, freshness.Evidence{Age: now.Sub(time.UnixMilli(s.CurrentAsOf)), Imported: k.Source == endpoints.Imported,
 			Ejected: k.EjectedAt > 0, Withdrawn: k.Phase != endpoints.Up || s.Tombstones[k.ID].ID != ""})
-		v.Caches = append(v.Caches, listedRow{k.ID, k.Addr, k.Zone, k.MachineType, k.Cell, k.Size, k.StartedAt,
+		v.Caches = append(v.Caches, endpointView{k.ID, k.Addr, k.Zone, k.MachineType, k.Cell, k.Size, k.StartedAt,
 			[...]string{"up", "draining", "removed"}[k.Phase], k.Source == endpoints.Imported, k.EjectedAt > 0, standing.String(), budget})
 	}
 	for _, t := range s.SortedTombstones() {
-		v.Left = append(v.Left, listedOld{t.ID, when(t.At), t.Removed})
+		v.Tombstones = append(v.Tombstones, tombstoneView{t.ID, formatMillis(t.At), t.Removed})
 	}
 	return v
 }
@@ -123,18 +123,18 @@
 	if err != nil {
 		return err
 	}
-	v := view(s, time.Now())
+	v := newListView(s, time.Now())
 	if f.JSON {
 		return json.NewEncoder(to.out).Encode(v)
 	}
 	w := tabwriter.NewWriter(to.out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "cache\taddress\tlocality\tmachine\tphase\tstanding\tbudget")
 	for _, k := range v.Caches {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%.2f\n", k.ID, k.Addr, k.Zone, k.Machine, k.Phase, k.Standing, k.Budget)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%.2f\n", k.ID, k.Addr, k.Zone, k.Machine, k.Phase, k.Confidence, k.Budget)
 	}
 	w.Flush()
-	fmt.Fprintf(to.out, "%d caches, %d left, %d purges; last event %d of %s, stood until %s\n", len(v.Caches), len(v.Left), v.Purges,
-		v.Last, v.Bulletin, v.Stood)
+	fmt.Fprintf(to.out, "%d caches, %d left, %d purges; last event %d of %s, stood until %s\n", len(v.Caches), len(v.Tombstones), v.Purges,
+		v.LastEvent, v.DiscoveryAddr, v.CurrentAsOf)
 	return nil
 }
 
@@ -170,9 +170,9 @@
 	if err != nil {
 		return err
 	}
-	v := view(s, time.Now())
+	v := newListView(s, time.Now())
 	for i := range v.Caches {
-		v.Caches[i].Standing, v.Caches[i].Budget = "", 0
+		v.Caches[i].Confidence, v.Caches[i].Budget = "", 0
 	}
 	e := json.NewEncoder(to.out)
 	e.SetIndent("", " ")
@@ -189,21 +189,21 @@
 	if f.File != "-" {
 		file, err := os.Open(f.File)
 		if err != nil {
-			return usage("%v", err)
+			return usageErrorf("%v", err)
 		}
 		defer file.Close()
 		in = file
 	}
-	var v listed
+	var v listView
 	d := json.NewDecoder(io.LimitReader(in, wal.MaxEntrySize))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&v); err != nil {
-		return usage("%s: not a list as export writes it: %v", f.File, err)
+		return usageErrorf("%s: not a list as export writes it: %v", f.File, err)
 	}
 	c := endpoints.Update{At: time.Now().UnixMilli()}
 	for i, k := range v.Caches {
 		if _, err := netip.ParseAddrPort(k.Addr); err != nil || k.ID == "" || k.Zone == "" || k.Machine == "" {
-			return usage("%s: caches[%d] %q: id, host_port (an address and a port), locality and flavor must be told", f.File, i, k.ID)
+			return usageErrorf("%s: caches[%d] %q: id, host_port (an address and a port), locality and flavor must be told", f.File, i, k.ID)
 		}
 		if k.Phase == "up" {
 			c.Endpoints = append(c.Endpoints, endpoints.Endpoint{ID: k.ID, Addr: k.Addr, Zone: k.Zone, MachineType: k.Machine, Cell: k.Cell, Size: k.Size,
@@ -212,11 +212,11 @@
 	}
 	disk, err := wal.OpenOSDirectory(f.Folder)
 	if err != nil {
-		return usage("%v", err)
+		return usageErrorf("%v", err)
 	}
-	r, kept, err := wal.Open(disk, listName)
+	r, kept, err := wal.Open(disk, logName)
 	if errors.Is(err, wal.ErrLocked) {
-		return usage("%v: stop the gateway that uses it first", err)
+		return usageErrorf("%v: stop the gateway that uses it first", err)
 	}
 	if err != nil {
 		return err
@@ -246,9 +246,9 @@
 	if err != nil {
 		return err
 	}
-	n, err := wal.RemoveAll(disk, listName)
+	n, err := wal.RemoveAll(disk, logName)
 	if errors.Is(err, wal.ErrLocked) {
-		return usage("%v: stop the gateway that uses it first", err)
+		return usageErrorf("%v: stop the gateway that uses it first", err)
 	}
 	if err != nil {
 		return err
--- a/internal/cli/mornings.go
+++ b/internal/cli/mornings.go
@@ -12,19 +12,19 @@
 	"foldslip/internal/lab/scenario"
 )
 
-type faultsMornings struct {
+type faultsColdStarts struct {
 	Seeds string `default:"1-20" help:"Seeds of each cell, as 1-20."`
 	Jobs  int    `default:"0" help:"Days played at once; 0: as many as there are processors."`
 	JSON  bool   `help:"Print JSON."`
 }
 
-func (f *faultsMornings) Run(to *streams) error {
+func (f *faultsColdStarts) Run(to *streams) error {
 	first, last, err := readSeeds(f.Seeds)
 	if err != nil {
 		return err
 	}
 	if f.Jobs < 0 || f.Jobs > 1024 || last-first >= 10000 {
-		return usage("--jobs 0 to 1024, and at most 10000 seeds")
+		return usageErrorf("--jobs 0 to 1024, and at most 10000 seeds")
 	}
 	defer debug.SetGCPercent(debug.SetGCPercent(400))
 	cells := scenario.Cells()
--- a/internal/cli/rigcli/broadcast.go
+++ b/internal/cli/rigcli/broadcast.go
@@ -20,28 +20,28 @@
 )
 
 type scaleBroadcast struct {
-	Sizes     []int         `default:"60" help:"Gateways, as 12,50,200,500."`
-	Seeds     string        `default:"1-3" help:"Seeds of the runs of each size, case and mechanism, as 1-20."`
-	Case      []string      `default:"none" help:"Scenarios, or all for all; see below."`
-	Mechanism []string      `default:"old,new" help:"What spreads the purges: old (fleet/verdict as fleet/post carries it), new (fleet/broadcast)."`
-	Told      string        `name:"told" default:"" help:"Who is told of purges: one gateway, two (on either side of a cut, turn by turn), all (each by its own watch); the case's own if not told."`
-	Rate      float64       `name:"rate" default:"100" help:"Purges a second, up to 1000."`
-	Seconds   float64       `name:"seconds" default:"60" help:"How long purges are told."`
-	Warm      float64       `name:"warm" default:"5" help:"Seconds before."`
-	Settle    float64       `name:"settle" default:"60" help:"Seconds that the last purges may take; what is not heard then is lost."`
-	Fault     time.Duration `name:"fault" default:"0s" help:"How long a cut, a rack's or zone's loss, or deafness lasts; 0: the case's own."`
-	Restarts  int           `default:"0" help:"Of a release; 0: 1,900 of 3,900, or as many of the size."`
-	Detect    time.Duration `name:"detect" default:"0s" help:"A crash is seen by all within this, by the first in half of it; 0: 4 log10(size) s, SWIM's bound."`
-	Seen      time.Duration `name:"seen" default:"1s" help:"A start is seen about so late."`
-	Keep      time.Duration `name:"keep" default:"0s" help:"How long the new mechanism keeps purges; 0: its usual 65 minutes."`
-	Skew      time.Duration `name:"skew" default:"50ms" help:"Gateways' clocks are off by up to so much either way."`
-	Within    time.Duration `name:"within" default:"4.5s" help:"A purge is to be everywhere by then."`
-	Bytes     float64       `name:"bytes" default:"15360" help:"Bytes a second, in and out together, that a gateway may spend in the mean of a run."`
-	Hold      []string      `name:"hold" default:"new" help:"Mechanisms whose lost purges and broken bounds make the exit status 1."`
-	Jobs      int           `name:"jobs" default:"1" help:"Runs at once, 1 to 16. Processor and heap are measured only with 1."`
-	JSON      string        `help:"Write a line of JSON for each run."`
-	From      []string      `help:"Files of JSON lines written before: tell and draw their runs in place of playing any."`
-	Plot      string        `help:"Folder for SVG plots of time and bytes against size, on log axes."`
+	Sizes      []int         `default:"60" help:"Gateways, as 12,50,200,500."`
+	Seeds      string        `default:"1-3" help:"Seeds of the runs of each size, case and mechanism, as 1-20."`
+	Case       []string      `default:"none" help:"Scenarios, or all for all; see below."`
+	Mechanism  []string      `default:"old,new" help:"What spreads the purges: old (fleet/verdict as fleet/post carries it), new (fleet/broadcast)."`
+	Receivers  string        `name:"told" default:"" help:"Who is told of purges: one gateway, two (on either side of a cut, turn by turn), all (each by its own watch); the case's own if not told."`
+	Rate       float64       `name:"rate" default:"100" help:"Purges a second, up to 1000."`
+	Seconds    float64       `name:"seconds" default:"60" help:"How long purges are told."`
+	WarmUp     float64       `name:"warm" default:"5" help:"Seconds before."`
+	Settle     float64       `name:"settle" default:"60" help:"Seconds that the last purges may take; what is not heard then is lost."`
+	Fault      time.Duration `name:"fault" default:"0s" help:"How long a cut, a rack's or zone's loss, or deafness lasts; 0: the case's own."`
+	Restarts   int           `default:"0" help:"Of a release; 0: 1,900 of 3,900, or as many of the size."`
+	Detect     time.Duration `name:"detect" default:"0s" help:"A crash is seen by all within this, by the first in half of it; 0: 4 log10(size) s, SWIM's bound."`
+	StartSeen  time.Duration `name:"seen" default:"1s" help:"A start is seen about so late."`
+	Retention  time.Duration `name:"keep" default:"0s" help:"How long the new mechanism keeps purges; 0: its usual 65 minutes."`
+	Skew       time.Duration `name:"skew" default:"50ms" help:"Gateways' clocks are off by up to so much either way."`
+	Bound      time.Duration `name:"within" default:"4.5s" help:"A purge is to be everywhere by then."`
+	ByteBudget float64       `name:"bytes" default:"15360" help:"Bytes a second, in and out together, that a gateway may spend in the mean of a run."`
+	Enforced   []string      `name:"hold" default:"new" help:"Mechanisms whose lost purges and broken bounds make the exit status 1."`
+	Jobs       int           `name:"jobs" default:"1" help:"Runs at once, 1 to 16. Processor and heap are measured only with 1."`
+	JSON       string        `help:"Write a line of JSON for each run."`
+	From       []string      `help:"Files of JSON lines written before: tell and draw their runs in place of playing any."`
+	Plot       string        `help:"Folder for SVG plots of time and bytes against size, on log axes."`
 }
 
 // Help stands under the command's help.
@@ -68,7 +68,7 @@
 }
 
 func (c *scaleBroadcast) check() (first, last uint64, err error) {
-	if first, last, err = seedRange(c.Seeds); err != nil {
+	if first, last, err = parseSeeds(c.Seeds); err != nil {
 		return 0, 0, err
 	}
 	if len(c.Case) == 1 && c.Case[0] == "all" {
@@ -77,21 +77,21 @@
 	known := func(what string, asked, all []string) error {
 		for _, a := range asked {
 			if !slices.Contains(all, a) {
-				return misuse{fmt.Errorf("%s %q: expected some of %s", what, a, strings.Join(all, ", "))}
+				return usageError{fmt.Errorf("%s %q: expected some of %s", what, a, strings.Join(all, ", "))}
 			}
 		}
 		return nil
 	}
 	if c.Jobs < 1 || c.Jobs > 16 || len(c.Sizes) == 0 || len(c.Sizes) > 32 {
-		return 0, 0, misuse{errors.New("--jobs: expected 1 to 16; --sizes: one to 32")}
+		return 0, 0, usageError{errors.New("--jobs: expected 1 to 16; --sizes: one to 32")}
 	}
-	for _, s := range []float64{c.Seconds, c.Warm, c.Settle} {
+	for _, s := range []float64{c.Seconds, c.WarmUp, c.Settle} {
 		if !(s > 0) || s > 10_000 {
-			return 0, 0, misuse{errors.New("--seconds, --warm, --settle: expected more than 0, up to 10000")}
+			return 0, 0, usageError{errors.New("--seconds, --warm, --settle: expected more than 0, up to 10000")}
 		}
 	}
 	return first, last, errors.Join(known("--case", c.Case, scale.Cases()), known("--mechanism", c.Mechanism, scale.Mechanisms()),
-		known("--hold", c.Hold, scale.Mechanisms()))
+		known("--hold", c.Enforced, scale.Mechanisms()))
 }
 
 // Run plays them.
@@ -105,19 +105,19 @@
 		for _, name := range c.Case {
 			for _, mechanism := range c.Mechanism {
 				for seed := first; seed <= last; seed++ {
-					jobs = append(jobs, scale.BroadcastOptions{Gateways: n, Mechanism: mechanism, Case: name, Told: c.Told, Rate: c.Rate, Seed: seed, Warm: secondsOf(c.Warm),
-						For: secondsOf(c.Seconds), Settle: secondsOf(c.Settle), Fault: c.Fault, Restarts: c.Restarts, Detect: c.Detect, Seen: c.Seen, Keep: c.Keep, Skew: c.Skew, Within: c.Within,
-						Bytes: c.Bytes, Measure: c.Jobs == 1})
+					jobs = append(jobs, scale.BroadcastOptions{Gateways: n, Mechanism: mechanism, Case: name, Told: c.Receivers, Rate: c.Rate, Seed: seed, Warm: toDuration(c.WarmUp),
+						For: toDuration(c.Seconds), Settle: toDuration(c.Settle), Fault: c.Fault, Restarts: c.Restarts, Detect: c.Detect, Seen: c.StartSeen, Keep: c.Retention, Skew: c.Skew, Within: c.Bound,
+						Bytes: c.ByteBudget, Measure: c.Jobs == 1})
 				}
 			}
 		}
 	}
 	for _, o := range jobs {
 		if err := o.Check(); err != nil {
-			return misuse{err}
+			return usageError{err}
 		}
 	}
-	lines, done, err := outputs(c.JSON, c.Plot)
+	lines, done, err := openOutputs(c.JSON, c.Plot)
 	if err != nil {
 		return err
 	}
@@ -134,13 +134,13 @@
 	c.table(to.out, all)
 	bad := 0
 	for _, r := range all {
-		if len(r.Wrong) > 0 && slices.Contains(c.Hold, r.Mechanism) {
+		if len(r.Wrong) > 0 && slices.Contains(c.Enforced, r.Mechanism) {
 			bad++
 			fmt.Fprintf(to.out, "%s, %s, %d gateways, seed %d: %s\n", r.Mechanism, r.Case, r.Gateways, r.Seed, strings.Join(r.Wrong, "; "))
 		}
 	}
 	if c.Plot != "" {
-		if err := scale.PlotBroadcast(c.Plot, all, c.Within, c.Bytes); err != nil {
+		if err := scale.PlotBroadcast(c.Plot, all, c.Bound, c.ByteBudget); err != nil {
 			return err
 		}
 	}
@@ -155,7 +155,7 @@
 	for _, path := range paths {
 		file, err := os.Open(path)
 		if err != nil {
-			return nil, misuse{err}
+			return nil, usageError{err}
 		}
 		defer file.Close()
 		for d := json.NewDecoder(file); ; {
@@ -163,7 +163,7 @@
 			if err := d.Decode(r); errors.Is(err, io.EOF) {
 				break
 			} else if err != nil {
-				return nil, misuse{fmt.Errorf("--from %s: %w", path, err)}
+				return nil, usageError{fmt.Errorf("--from %s: %w", path, err)}
 			}
 			all = append(all, r)
 		}
@@ -236,8 +236,8 @@
 		least, share, _ := of(func(r *scale.BroadcastReport) float64 { return r.Share })
 		fmt.Fprintf(w, "%s\t%d\t%s\t%d\t%.4f (%.4f)\t%s\t%s\t%s\t%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%.2f\t%.2f\t%.0f\t%.3f%%\t%.1f\n", these[0].Case, these[0].Gateways,
 			these[0].Mechanism, len(these), share, least,
-			took(mid(func(r *scale.BroadcastReport) float64 { return r.P50 })), took(mid(func(r *scale.BroadcastReport) float64 { return r.P99 })),
-			took(mid(func(r *scale.BroadcastReport) float64 { return r.P999 })), took(top(func(r *scale.BroadcastReport) float64 { return r.Most })),
+			formatElapsed(mid(func(r *scale.BroadcastReport) float64 { return r.P50 })), formatElapsed(mid(func(r *scale.BroadcastReport) float64 { return r.P99 })),
+			formatElapsed(mid(func(r *scale.BroadcastReport) float64 { return r.P999 })), formatElapsed(top(func(r *scale.BroadcastReport) float64 { return r.Most })),
 			top(func(r *scale.BroadcastReport) float64 { return float64(r.LostPairs + r.LostFar + r.LostFresh) }),
 			mid(func(r *scale.BroadcastReport) float64 { return r.In.Median }), mid(func(r *scale.BroadcastReport) float64 { return r.Out.Median }),
 			mid(func(r *scale.BroadcastReport) float64 { return r.Both.P99 }), top(func(r *scale.BroadcastReport) float64 { return r.Both.Most }),
@@ -248,7 +248,7 @@
 	w.Flush()
 }
 
-func took(s float64) string {
+func formatElapsed(s float64) string {
 	if math.IsInf(s, 1) {
 		return "never"
 	}
--- a/internal/cli/rigcli/capacity.go
+++ b/internal/cli/rigcli/capacity.go
@@ -26,10 +26,10 @@
 func (c *scalePlot) Run(to *streams) error {
 	all, err := scale.CapacityOf(c.From)
 	if err != nil {
-		return misuse{err}
+		return usageError{err}
 	}
 	if err := os.MkdirAll(c.To, 0o755); err != nil {
-		return misuse{err}
+		return usageError{err}
 	}
 	fmt.Fprintln(to.out, scale.CapacityHead)
 	for _, f := range all {
--- a/internal/cli/rigcli/rigs.go
+++ b/internal/cli/rigcli/rigs.go
@@ -22,12 +22,12 @@
 )
 
 type commands struct {
-	Run   scenarios `cmd:"" default:"withargs" help:"Play scenarios (what the bare program does with their names)."`
-	Scale scales    `cmd:"" help:"Measure what gateways' control costs against the number of gateways."`
+	Run   runCommand    `cmd:"" default:"withargs" help:"Play scenarios (what the bare program does with their names)."`
+	Scale scaleCommands `cmd:"" help:"Measure what gateways' control costs against the number of gateways."`
 }
 
-// scenarios are played on fleets of real gateways.
-type scenarios struct {
+// runCommand are played on fleets of real gateways.
+type runCommand struct {
 	Scenario []string `arg:"" help:"Scenarios: files, names of the hard cases that come with the rig, or all for all of these."`
 	Seeds    string   `default:"1" help:"Seeds of the runs, as 1-20."`
 	Program  string   `help:"The gateway's program; foldslip beside this one if not told."`
@@ -47,14 +47,14 @@
 	var c commands
 	parser, err := kong.New(&c, kong.Name("foldslip-rig"), kong.Writers(out, errs), kong.UsageOnError(),
 		kong.Description("Plays scenarios on fleets of real gateways on loopback with faults between them, and measures what control costs at size. Hard cases: "+strings.Join(fleet.HardCases(), ", ")+"."),
-		kong.Exit(func(code int) { panic(exit(code)) }))
+		kong.Exit(func(code int) { panic(exitCode(code)) }))
 	if err != nil {
 		fmt.Fprintln(errs, "foldslip-rig:", err)
 		return 2
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			code, ok := p.(exit)
+			code, ok := p.(exitCode)
 			if !ok {
 				panic(p)
 			}
@@ -71,22 +71,22 @@
 		return 0
 	}
 	fmt.Fprintln(errs, "foldslip-rig:", err)
-	if errors.As(err, new(misuse)) {
+	if errors.As(err, new(usageError)) {
 		return 2
 	}
 	return 1
 }
 
-type exit int
+type exitCode int
 
 // streams are what a command writes to.
 type streams struct{ out, errs io.Writer }
 
-type misuse struct{ error }
+type usageError struct{ error }
 
-func (c *scenarios) seeds() (first, last uint64, err error) { return seedRange(c.Seeds) }
+func (c *runCommand) seedRange() (first, last uint64, err error) { return parseSeeds(c.Seeds) }
 
-func seedRange(text string) (first, last uint64, err error) {
+func parseSeeds(text string) (first, last uint64, err error) {
 	a, b, span := strings.Cut(text, "-")
 	if !span {
 		b = a
@@ -96,13 +96,13 @@
 		last, err = strconv.ParseUint(b, 10, 32)
 	}
 	if err != nil || last < first || last-first >= 1000 {
-		return 0, 0, misuse{fmt.Errorf("--seeds %q: expected one, or first and last of at most 1000, as 1-20", text)}
+		return 0, 0, usageError{fmt.Errorf("--seeds %q: expected one, or first and last of at most 1000, as 1-20", text)}
 	}
 	return first, last, nil
 }
 
-// beside is the path of the gateway's program; the one beside this program if none is told.
-func beside(program string) (string, error) {
+// siblingProgram is the path of the gateway's program; the one beside this program if none is told.
+func siblingProgram(program string) (string, error) {
 	if program == "" {
 		own, err := os.Executable()
 		if err != nil {
@@ -111,7 +111,7 @@
 		program = filepath.Join(filepath.Dir(own), "foldslip")
 	}
 	if _, err := os.Stat(program); err != nil {
-		return "", misuse{fmt.Errorf("--program: %w; go build -o bin/ ./cmd/... makes it", err)}
+		return "", usageError{fmt.Errorf("--program: %w; go build -o bin/ ./cmd/... makes it", err)}
 	}
 	return filepath.Abs(program)
 }
@@ -122,19 +122,19 @@
 }
 
 // Run plays them.
-func (c *scenarios) Run(to *streams) error {
+func (c *runCommand) Run(to *streams) error {
 	out, errs := to.out, to.errs
-	first, last, err := c.seeds()
+	first, last, err := c.seedRange()
 	if err != nil {
 		return err
 	}
 	if c.Parallel < 1 || c.Parallel > 16 {
-		return misuse{fmt.Errorf("--parallel %d: expected 1 to 16", c.Parallel)}
+		return usageError{fmt.Errorf("--parallel %d: expected 1 to 16", c.Parallel)}
 	}
 	if c.Net < 0 || c.Net > 100 {
-		return misuse{fmt.Errorf("--net %d: expected 0 to 100", c.Net)}
+		return usageError{fmt.Errorf("--net %d: expected 0 to 100", c.Net)}
 	}
-	if c.Program, err = beside(c.Program); err != nil {
+	if c.Program, err = siblingProgram(c.Program); err != nil {
 		return err
 	}
 	names := c.Scenario
@@ -145,7 +145,7 @@
 	for _, name := range names {
 		s, err := fleet.ReadScenario(name)
 		if err != nil {
-			return misuse{err}
+			return usageError{err}
 		}
 		for seed := first; seed <= last; seed++ {
 			jobs = append(jobs, job{s, seed})
@@ -163,8 +163,8 @@
 		}
 	}
 	c.table(out, reports)
-	limits(out, reports)
-	spreads(out, reports)
+	printLimits(out, reports)
+	printSpreads(out, reports)
 	if bad > 0 {
 		return fmt.Errorf("%d of %d runs did what must not be", bad, len(reports))
 	}
@@ -172,7 +172,7 @@
 }
 
 // play plays jobs, some at once, and keeps their order.
-func (c *scenarios) play(jobs []job, errs io.Writer) ([]*fleet.Report, error) {
+func (c *runCommand) play(jobs []job, errs io.Writer) ([]*fleet.Report, error) {
 	base, own := c.Logs, false
 	if base == "" {
 		var err error
@@ -185,7 +185,7 @@
 	if c.JSON != "" {
 		file, err := os.Create(c.JSON)
 		if err != nil {
-			return nil, misuse{err}
+			return nil, usageError{err}
 		}
 		defer file.Close()
 		lines = json.NewEncoder(file)
@@ -238,7 +238,7 @@
 	return reports, errors.Join(failures...)
 }
 
-func (c *scenarios) table(out io.Writer, reports []*fleet.Report) {
+func (c *runCommand) table(out io.Writer, reports []*fleet.Report) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "SCENARIO\tRUNS\tSTEP\tAGREED MEDIAN\tMAX\tTOLD MEDIAN\tMAX\tFALSE DEATHS\tREST B/S\tMSG/S\tCHURN B/S\tMSG/S")
 	for at := 0; at < len(reports); {
@@ -271,7 +271,7 @@
 			}
 			am, ax := fleet.Of(agreed)
 			tm, tx := fleet.Of(said)
-			fmt.Fprintf(w, "%s\t%d\t%d %s\t%s\t%s\t%s\t%s\t", these[0].Scenario, len(these), i, st.Do, secs(am), secs(ax), secs(tm), secs(tx))
+			fmt.Fprintf(w, "%s\t%d\t%d %s\t%s\t%s\t%s\t%s\t", these[0].Scenario, len(these), i, st.Do, formatSeconds(am), formatSeconds(ax), formatSeconds(tm), formatSeconds(tx))
 			if told {
 				fmt.Fprintln(w, "\t\t\t\t")
 				continue
@@ -287,8 +287,8 @@
 	w.Flush()
 }
 
-// limits prints what was let in against limits, where scenarios have one.
-func limits(out io.Writer, reports []*fleet.Report) {
+// printLimits prints what was let in against limits, where scenarios have one.
+func printLimits(out io.Writer, reports []*fleet.Report) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	by := map[string][]*fleet.Report{}
 	var names []string
@@ -318,8 +318,8 @@
 	w.Flush()
 }
 
-// spreads prints how purges came to gateways that could not hear the bulletin, a line a run.
-func spreads(out io.Writer, reports []*fleet.Report) {
+// printSpreads prints how purges came to gateways that could not hear the bulletin, a line a run.
+func printSpreads(out io.Writer, reports []*fleet.Report) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	first := true
 	for _, r := range reports {
@@ -337,7 +337,7 @@
 	w.Flush()
 }
 
-func secs(s float64) string {
+func formatSeconds(s float64) string {
 	if math.IsNaN(s) {
 		return "never"
 	}
--- a/internal/cli/rigcli/rigs_test.go
+++ b/internal/cli/rigcli/rigs_test.go
@@ -7,7 +7,7 @@
 )
 
 // Scenarios stay the bare program's arguments, beside the commands.
-func TestWhatCannotBeAskedForIsTold(t *testing.T) {
+func TestUsageErrors(t *testing.T) {
 	for _, c := range []struct {
 		args   string
 		status int
--- a/internal/cli/rigcli/scale.go
+++ b/internal/cli/rigcli/scale.go
@@ -18,41 +18,41 @@
 	"foldslip/internal/lab/scale"
 )
 
-// scales are the measurements against the size of the fleet.
-type scales struct {
+// scaleCommands are the measurements against the size of the fleet.
+type scaleCommands struct {
 	Watch     scaleWatch     `cmd:"" help:"Hollow gateways, and some real ones, that each hear the discovery watch over loopback."`
 	Broadcast scaleBroadcast `cmd:"" help:"Purges spread among thousands of hollow gateways on a virtual network with faults."`
 	Plot      scalePlot      `cmd:"" help:"Draw the figures of docs/CAPACITY.md: cost against size with the budget."`
-	Crowd     scaleCrowd     `name:"crowd" cmd:"" hidden:"" help:"A process of hollow gateways, told what to do on standard input."`
+	Worker    scaleWorker    `name:"crowd" cmd:"" hidden:"" help:"A process of hollow gateways, told what to do on standard input."`
 }
 
-type scaleCrowd struct{}
+type scaleWorker struct{}
 
 // Run serves the orders of the process that started this one.
-func (*scaleCrowd) Run(to *streams) error { return scale.Crowd(os.Stdin, to.out) }
+func (*scaleWorker) Run(to *streams) error { return scale.Crowd(os.Stdin, to.out) }
 
 type scaleWatch struct {
-	Sizes    []int         `default:"12,50,200" help:"Gateways, a run each, as 12,50,200."`
-	Runs     int           `default:"3" help:"Runs of each size, 1 to 20."`
-	Seconds  float64       `name:"seconds" default:"20" help:"How long the figures count."`
-	Warm     float64       `name:"warm" default:"12" help:"Seconds before: purges are kept for 11."`
-	Purges   float64       `name:"purges" default:"100" help:"Purges a second."`
-	Changes  time.Duration `name:"changes" default:"6.2s" help:"A change of the list so often (14,000 a day); 0: none."`
-	Restarts float64       `name:"restarts" default:"0" help:"Hollow gateways started anew, a second (1,900 a day are 0.022)."`
-	Lookups  float64       `name:"lookups" default:"0" help:"Lookups decided in each hollow gateway, a second."`
-	Caches   int           `default:"1800" help:"Caches in the list."`
-	Real     int           `name:"real" default:"12" help:"Real gateways among them, 0 to 200, at most all."`
-	List     string        `name:"list" default:"told" enum:"told,watch" help:"Where the whole list of a start stands: told in the configuration, or on the watch."`
-	Stretch  float64       `name:"stretch" default:"1" help:"Run the clock of stand-in and hollow gateways so many times slower, so that more of them fit on the machine; without real ones then."`
-	Each     int           `name:"each" default:"500" help:"Hollow gateways in one process."`
-	Bound    time.Duration `name:"bound" default:"4.5s" help:"A purge is to be everywhere by then."`
-	Budget   bool          `help:"Hold each gateway to 2.1% of a core, 128 MB and 15 KB/s: exit status 1 if one kind is over."`
-	Program  string        `help:"The gateway's program; foldslip beside this one if not told."`
-	Profile  string        `help:"Write the processor profile of the first process of hollow gateways there, of the last run; its hottest functions are told if the go command is there."`
-	JSON     string        `help:"Write a line of JSON for each run and each line fitted."`
-	Plot     string        `help:"Folder for SVG plots of each figure against size, on log axes."`
-	Logs     string        `help:"Folder for settings and logs of real gateways; a new one under the temporary folder, removed after a good run, if not told."`
-	Seed     uint64        `default:"1" help:"Of the first run; each run after takes the next."`
+	Sizes      []int         `default:"12,50,200" help:"Gateways, a run each, as 12,50,200."`
+	Runs       int           `default:"3" help:"Runs of each size, 1 to 20."`
+	Seconds    float64       `name:"seconds" default:"20" help:"How long the figures count."`
+	WarmUp     float64       `name:"warm" default:"12" help:"Seconds before: purges are kept for 11."`
+	Purges     float64       `name:"purges" default:"100" help:"Purges a second."`
+	Changes    time.Duration `name:"changes" default:"6.2s" help:"A change of the list so often (14,000 a day); 0: none."`
+	Restarts   float64       `name:"restarts" default:"0" help:"Hollow gateways started anew, a second (1,900 a day are 0.022)."`
+	Lookups    float64       `name:"lookups" default:"0" help:"Lookups decided in each hollow gateway, a second."`
+	Caches     int           `default:"1800" help:"Caches in the list."`
+	Real       int           `name:"real" default:"12" help:"Real gateways among them, 0 to 200, at most all."`
+	List       string        `name:"list" default:"told" enum:"told,watch" help:"Where the whole list of a start stands: told in the configuration, or on the watch."`
+	Stretch    float64       `name:"stretch" default:"1" help:"Run the clock of stand-in and hollow gateways so many times slower, so that more of them fit on the machine; without real ones then."`
+	PerProcess int           `name:"each" default:"500" help:"Hollow gateways in one process."`
+	Bound      time.Duration `name:"bound" default:"4.5s" help:"A purge is to be everywhere by then."`
+	Budget     bool          `help:"Hold each gateway to 2.1% of a core, 128 MB and 15 KB/s: exit status 1 if one kind is over."`
+	Program    string        `help:"The gateway's program; foldslip beside this one if not told."`
+	Profile    string        `help:"Write the processor profile of the first process of hollow gateways there, of the last run; its hottest functions are told if the go command is there."`
+	JSON       string        `help:"Write a line of JSON for each run and each line fitted."`
+	Plot       string        `help:"Folder for SVG plots of each figure against size, on log axes."`
+	Logs       string        `help:"Folder for settings and logs of real gateways; a new one under the temporary folder, removed after a good run, if not told."`
+	Seed       uint64        `default:"1" help:"Of the first run; each run after takes the next."`
 }
 
 // Help stands under the command's help.
@@ -76,15 +76,15 @@
 func (c *scaleWatch) check() error {
 	switch {
 	case len(c.Sizes) == 0 || len(c.Sizes) > 32:
-		return misuse{errors.New("--sizes: expected one to 32, as 12,50,200")}
+		return usageError{errors.New("--sizes: expected one to 32, as 12,50,200")}
 	case c.Runs < 1 || c.Runs > 20:
-		return misuse{fmt.Errorf("--runs %d: expected 1 to 20", c.Runs)}
-	case c.Seconds <= 0 || c.Seconds > 7200 || c.Warm < 0 || c.Warm > 600:
-		return misuse{errors.New("--seconds: up to 7200; --warm: up to 600")}
+		return usageError{fmt.Errorf("--runs %d: expected 1 to 20", c.Runs)}
+	case c.Seconds <= 0 || c.Seconds > 7200 || c.WarmUp < 0 || c.WarmUp > 600:
+		return usageError{errors.New("--seconds: up to 7200; --warm: up to 600")}
 	}
 	for _, n := range c.Sizes {
 		if n < 1 {
-			return misuse{fmt.Errorf("--sizes: %d gateways", n)}
+			return usageError{fmt.Errorf("--sizes: %d gateways", n)}
 		}
 	}
 	return nil
@@ -100,7 +100,7 @@
 	}
 	program, err := "", error(nil)
 	if c.Real > 0 {
-		if program, err = beside(c.Program); err != nil {
+		if program, err = siblingProgram(c.Program); err != nil {
 			return err
 		}
 	}
@@ -114,7 +114,7 @@
 			return err
 		}
 	}
-	lines, done, err := outputs(c.JSON, c.Plot)
+	lines, done, err := openOutputs(c.JSON, c.Plot)
 	if err != nil {
 		return err
 	}
@@ -129,8 +129,8 @@
 	bad := 0
 	for i, n := range c.Sizes {
 		for run := range c.Runs {
-			o := scale.WatchOptions{Gateways: n, Real: min(c.Real, n), PerCrowd: c.Each, Purges: c.Purges, Changes: c.Changes, Restarts: c.Restarts, Lookups: c.Lookups, Stretch: c.Stretch,
-				Caches: c.Caches, ListTold: c.List == "told", Warm: secondsOf(c.Warm), For: secondsOf(c.Seconds), Bound: c.Bound,
+			o := scale.WatchOptions{Gateways: n, Real: min(c.Real, n), PerCrowd: c.PerProcess, Purges: c.Purges, Changes: c.Changes, Restarts: c.Restarts, Lookups: c.Lookups, Stretch: c.Stretch,
+				Caches: c.Caches, ListTold: c.List == "told", Warm: toDuration(c.WarmUp), For: toDuration(c.Seconds), Bound: c.Bound,
 				Seed: c.Seed + uint64(i*c.Runs+run), Dir: filepath.Join(base, fmt.Sprintf("%d-%d", n, run+1)), Program: program, Allowance: budget,
 				Crowd: func() *exec.Cmd { return exec.Command(own, "scale", "crowd") },
 				Tell: func(format string, a ...any) {
@@ -167,7 +167,7 @@
 		return err
 	}
 	if c.Profile != "" {
-		hottest(to.out, c.Profile)
+		printHottest(to.out, c.Profile)
 	}
 	if bad > 0 {
 		return fmt.Errorf("%d of %d runs did what must not be; logs in %s", bad, len(all), base)
@@ -178,7 +178,7 @@
 	return nil
 }
 
-func secondsOf(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func toDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 func (c *scaleWatch) table(out io.Writer, all []*scale.WatchReport) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
@@ -239,8 +239,8 @@
 	return w.Flush()
 }
 
-// hottest prints what the profile has most of, where the go command is there to read it.
-func hottest(out io.Writer, profile string) {
+// printHottest prints what the profile has most of, where the go command is there to read it.
+func printHottest(out io.Writer, profile string) {
 	text, err := exec.Command("go", "tool", "pprof", "-top", "-nodecount=12", profile).Output()
 	if err != nil {
 		fmt.Fprintf(out, "\nprofile in %s; go tool pprof -top %s reads it\n", profile, profile)
@@ -249,20 +249,20 @@
 	fmt.Fprintf(out, "\n%s", text)
 }
 
-// outputs opens what a run is written to: JSON lines (nil: none) and a folder of plots; done closes it.
-func outputs(path, plots string) (lines *json.Encoder, done func(), err error) {
+// openOutputs opens what a run is written to: JSON lines (nil: none) and a folder of plots; done closes it.
+func openOutputs(path, plots string) (lines *json.Encoder, done func(), err error) {
 	done = func() {}
 	if path != "" {
 		file, err := os.Create(path)
 		if err != nil {
-			return nil, done, misuse{err}
+			return nil, done, usageError{err}
 		}
 		lines, done = json.NewEncoder(file), func() { file.Close() }
 	}
 	if plots != "" {
 		if err := os.MkdirAll(plots, 0o755); err != nil {
 			done()
-			return nil, func() {}, misuse{err}
+			return nil, func() {}, usageError{err}
 		}
 	}
 	return lines, done, nil
--- a/internal/cli/routes.go
+++ b/internal/cli/routes.go
@@ -18,15 +18,15 @@
 	"foldslip/internal/route/pools"
 )
 
-// socket is a gateway's socket for operators.
-type socket struct {
+// adminSocket is a gateway's socket for operators.
+type adminSocket struct {
 	Socket string        `env:"FOLDSLIP_OPERATOR" default:"/run/foldslip/operator" help:"The gateway's socket, routing.socket of its settings."`
 	JSON   bool          `help:"Print JSON."`
 	Wait   time.Duration `name:"wait" default:"10s" help:"For the answer."`
 }
 
 // call makes a call and tells what is wrong with it.
-func (s socket) call(c admin.Request) (admin.Response, error) {
+func (s adminSocket) call(c admin.Request) (admin.Response, error) {
 	ctx, stop := context.WithTimeout(context.Background(), s.Wait)
 	defer stop()
 	a, err := admin.Send(ctx, s.Socket, c)
@@ -39,8 +39,8 @@
 	return a, nil
 }
 
-// step makes a call that is a step of a change, and prints it.
-func (s socket) step(to *streams, c admin.Request) error {
+// printStep makes a call that is a step of a change, and prints it.
+func (s adminSocket) printStep(to *streams, c admin.Request) error {
 	a, err := s.call(c)
 	if err != nil {
 		return err
@@ -80,18 +80,18 @@
 		return nil, err
 	}
 	if s.Routing == nil {
-		return nil, usage("%s: routing is not there; see docs/configuration.md", f.File)
+		return nil, usageErrorf("%s: routing is not there; see docs/configuration.md", f.File)
 	}
 	return &s.Routing.Config, nil
 }
 
 type configPlan struct {
-	socket
+	adminSocket
 	File string `arg:"" help:"Jsonnet template of the settings with the routing to come."`
 	Load string `help:"A captured load: a line of JSON a lookup, {\"kind\":0,\"group\":3,\"object\":\"7f3a\",\"bytes\":42000}."`
 }
 
-const mostLoad = 20_000 // lookups of a load that one call takes
+const maxLoadLookups = 20_000 // lookups of a load that one call takes
 
 func (p *configPlan) Run(to *streams) error {
 	c, err := configFile{File: p.File}.routes(to)
@@ -102,16 +102,16 @@
 	if p.Load != "" {
 		text, err := os.ReadFile(p.Load)
 		if err != nil {
-			return usage("--load: %v", err)
+			return usageErrorf("--load: %v", err)
 		}
 		in := bufio.NewScanner(bytes.NewReader(text))
 		for n := 1; in.Scan(); n++ {
 			var l pools.LoadSample
 			if err := json.Unmarshal(in.Bytes(), &l); err != nil {
-				return usage("--load %s:%d: %v", p.Load, n, err)
+				return usageErrorf("--load %s:%d: %v", p.Load, n, err)
 			}
-			if call.Load = append(call.Load, l); len(call.Load) > mostLoad {
-				return usage("--load %s: more than %d lookups; give a sample", p.Load, mostLoad)
+			if call.Load = append(call.Load, l); len(call.Load) > maxLoadLookups {
+				return usageErrorf("--load %s: more than %d lookups; give a sample", p.Load, maxLoadLookups)
 			}
 		}
 	}
@@ -140,7 +140,7 @@
 }
 
 type configPropose struct {
-	socket
+	adminSocket
 	File   string `arg:"" help:"Jsonnet template of the settings with the routing to come."`
 	Parent uint64 `help:"Version that it is a change of; 0: the one in force."`
 	Author string `required:"" help:"Who."`
@@ -152,61 +152,61 @@
 	if err != nil {
 		return err
 	}
-	return p.step(to, admin.Request{Command: "propose", Parent: p.Parent, Author: p.Author, Reason: p.Reason, Config: c})
+	return p.printStep(to, admin.Request{Command: "propose", Parent: p.Parent, Author: p.Author, Reason: p.Reason, Config: c})
 }
 
 type configStage struct {
-	socket
-	No     uint64        `name:"no" arg:"" help:"Version."`
-	Share  float64       `required:"" help:"Part of the objects, above 0 and below 1."`
-	Within time.Duration `name:"within" default:"10m" help:"It is undone if it has not gone on by then."`
+	adminSocket
+	Version uint64        `name:"no" arg:"" help:"Version."`
+	Share   float64       `required:"" help:"Part of the objects, above 0 and below 1."`
+	Timeout time.Duration `name:"within" default:"10m" help:"It is undone if it has not gone on by then."`
 }
 
 func (p *configStage) Run(to *streams) error {
-	return p.step(to, admin.Request{Command: "stage", Version: p.No, Share: p.Share, WithinMS: p.Within.Milliseconds()})
+	return p.printStep(to, admin.Request{Command: "stage", Version: p.Version, Share: p.Share, WithinMS: p.Timeout.Milliseconds()})
 }
 
 type configApply struct {
-	socket
-	No     uint64        `name:"no" arg:"" help:"Version."`
-	Within time.Duration `name:"within" default:"10m" help:"It is undone if it has not been confirmed by then."`
+	adminSocket
+	Version uint64        `name:"no" arg:"" help:"Version."`
+	Timeout time.Duration `name:"within" default:"10m" help:"It is undone if it has not been confirmed by then."`
 }
 
 func (p *configApply) Run(to *streams) error {
-	return p.step(to, admin.Request{Command: "apply", Version: p.No, WithinMS: p.Within.Milliseconds()})
+	return p.printStep(to, admin.Request{Command: "apply", Version: p.Version, WithinMS: p.Timeout.Milliseconds()})
 }
 
 type configConfirm struct {
-	socket
-	No uint64 `name:"no" arg:"" help:"Version."`
+	adminSocket
+	Version uint64 `name:"no" arg:"" help:"Version."`
 }
 
 func (p *configConfirm) Run(to *streams) error {
-	return p.step(to, admin.Request{Command: "confirm", Version: p.No})
+	return p.printStep(to, admin.Request{Command: "confirm", Version: p.Version})
 }
 
-type configUndo struct {
-	socket
-	No  uint64 `name:"no" arg:"" help:"Version."`
-	Why string `name:"why" default:"by hand" help:"Why."`
+type configRollBack struct {
+	adminSocket
+	Version uint64 `name:"no" arg:"" help:"Version."`
+	Reason  string `name:"why" default:"by hand" help:"Why."`
 }
 
-func (p *configUndo) Run(to *streams) error {
-	return p.step(to, admin.Request{Command: "undo", Version: p.No, Reason: p.Why})
+func (p *configRollBack) Run(to *streams) error {
+	return p.printStep(to, admin.Request{Command: "undo", Version: p.Version, Reason: p.Reason})
 }
 
-type configBack struct {
-	socket
-	No     uint64 `name:"no" arg:"" help:"Version whose routes are proposed again."`
-	Author string `required:"" help:"Who."`
-	Reason string `required:"" help:"Why."`
+type configProposeEarlier struct {
+	adminSocket
+	Version uint64 `name:"no" arg:"" help:"Version whose routes are proposed again."`
+	Author  string `required:"" help:"Who."`
+	Reason  string `required:"" help:"Why."`
 }
 
-func (p *configBack) Run(to *streams) error {
-	return p.step(to, admin.Request{Command: "back", Version: p.No, Author: p.Author, Reason: p.Reason})
+func (p *configProposeEarlier) Run(to *streams) error {
+	return p.printStep(to, admin.Request{Command: "back", Version: p.Version, Author: p.Author, Reason: p.Reason})
 }
 
-type configHistory struct{ socket }
+type configHistory struct{ adminSocket }
 
 func (p *configHistory) Run(to *streams) error {
 	a, err := p.call(admin.Request{Command: "history"})
@@ -235,7 +235,7 @@
 }
 
 type configDiff struct {
-	socket
+	adminSocket
 	From uint64 `arg:"" help:"Version."`
 	To   uint64 `arg:"" help:"Version."`
 }
--- a/internal/cli/routes_test.go
+++ b/internal/cli/routes_test.go
@@ -19,7 +19,7 @@
 )
 
 // A change before a sale, from the plan to its undoing, as an operator makes it.
-func TestRoutesByHand(t *testing.T) {
+func TestRouteChangeByAnOperator(t *testing.T) {
 	dir := t.TempDir()
 	g := env.NewSystem(io.Discard, slog.LevelInfo)
 	s, err := rollout.Open(g, nil, pools.Config{Pools: map[string]pools.Pool{"town": {Locations: []string{"town"}}},
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	life := env.NewLife(nil)
+	life := env.NewLifetime(nil)
 	ended := make(chan error)
 	go func() { ended <- o.Run(life) }()
 	t.Cleanup(func() { life.End(); <-ended })
@@ -57,23 +57,23 @@
 		want   string
 	}{
 		{"config plan " + sale + " --load " + load, 0, "2 lookups for 2 objects, 1 objects move, 1 of them"},
-		{"config plan " + gone, failed, "c9 is not in the list"},
-		{"config propose " + bad + " --author a --reason b", misuse, "routing.pools.x.nams: no such setting"},
-		{"config propose " + gone + " --author ada --reason sale", failed, "version 2 is undone"},
+		{"config plan " + gone, exitFailed, "c9 is not in the list"},
+		{"config propose " + bad + " --author a --reason b", exitUsage, "routing.pools.x.nams: no such setting"},
+		{"config propose " + gone + " --author ada --reason sale", exitFailed, "version 2 is undone"},
 		{"config propose " + sale + " --author ada --reason sale", 0, "version 3: checked"},
-		{"config propose " + sale + " --author bo --reason sale", failed, "version 3 of ada is under way"},
-		{"config stage 3 --share 2", failed, "above 0 and below 1"},
+		{"config propose " + sale + " --author bo --reason sale", exitFailed, "version 3 of ada is under way"},
+		{"config stage 3 --share 2", exitFailed, "above 0 and below 1"},
 		{"config stage 3 --share 0.1 --within 1m", 0, "staged for 0.1 of the objects, to go on within 1m"},
 		{"config history", 0, "in force: 1, and 3 for 0.1"},
-		{"config confirm 3", failed, "expected one of [applied]"},
+		{"config confirm 3", exitFailed, "expected one of [applied]"},
 		{"config apply 3", 0, "applied"},
 		{"config confirm 3", 0, "confirmed"},
 		{"config diff 1 3", 0, "+      \"name\": \"videos\""},
 		{"config back 1 --author bo --reason over", 0, "version 4: checked"},
 		{"config undo 4 --why no", 0, "undone (no)"},
-		{"config undo 4", failed, "none is"},
+		{"config undo 4", exitFailed, "none is"},
 		{"config history --json", 0, `"reason":"over","why":"no"`},
-		{"config history --socket " + dir + "/none", failed, "see whether the gateway runs"},
+		{"config history --socket " + dir + "/none", exitFailed, "see whether the gateway runs"},
 	} {
 		var out, errs bytes.Buffer
 		args := strings.Fields(step.args)
--- a/internal/cli/twins.go
+++ b/internal/cli/twins.go
@@ -15,32 +15,32 @@
 	"foldslip/internal/lab/scenario"
 )
 
-type faultsTwins struct {
+type faultsDifferential struct {
 	Seeds string `required:"" help:"Seeds, as 1-500 or 7."`
 	Jobs  int    `default:"0" help:"Pairs played at once; 0: as many as there are processors."`
 	JSON  bool   `help:"Print JSON."`
 }
 
-// twins is what many pairs were.
-type twins struct {
+// differentialSummary is what many pairs were.
+type differentialSummary struct {
 	Pairs     int             `json:"pairs"`
-	Whole     int             `json:"whole"` // compared to their end
+	Complete  int             `json:"whole"` // compared to their end
 	Lookups   int             `json:"lookups"`
 	Decisions int             `json:"decisions"` // compared one by one, and the same
 	Terms     map[string]int  `json:"terms"`     // of the contract, from which on a pair may differ
 	Different []scenario.Pair `json:"different"`
 }
 
-func (f *faultsTwins) Run(to *streams) error {
+func (f *faultsDifferential) Run(to *streams) error {
 	first, last, err := readSeeds(f.Seeds)
 	if err != nil {
 		return err
 	}
 	if f.Jobs < 0 || f.Jobs > 1024 {
-		return usage("--jobs %d: expected 0 to 1024", f.Jobs)
+		return usageErrorf("--jobs %d: expected 0 to 1024", f.Jobs)
 	}
 	bar := progress(to.errs, int64(last-first+1), f.JSON)
-	t, next, mu := &twins{Terms: map[string]int{}}, atomic.Uint64{}, sync.Mutex{}
+	t, next, mu := &differentialSummary{Terms: map[string]int{}}, atomic.Uint64{}, sync.Mutex{}
 	var group errgroup.Group
 	for range cmp.Or(f.Jobs, runtime.GOMAXPROCS(0)) {
 		group.Go(func() error {
@@ -64,7 +64,7 @@
 		err = json.NewEncoder(to.out).Encode(t)
 	} else {
 		fmt.Fprintf(to.out, "%d pairs, %d lookups at each; %d decisions compared one by one and the same, %d pairs to their end\n", t.Pairs,
-			t.Lookups, t.Decisions, t.Whole)
+			t.Lookups, t.Decisions, t.Complete)
 		for _, term := range slices.Sorted(maps.Keys(t.Terms)) {
 			fmt.Fprintf(to.out, "%d pairs up to the first that the contract's term %q allows to differ\n", t.Terms[term], term)
 		}
@@ -78,7 +78,7 @@
 	return err
 }
 
-func (t *twins) add(p scenario.Pair) {
+func (t *differentialSummary) add(p scenario.Pair) {
 	t.Pairs++
 	t.Lookups += p.Lookups
 	t.Decisions += p.Compared
@@ -88,6 +88,6 @@
 	case p.Term != "":
 		t.Terms[p.Term]++
 	default:
-		t.Whole++
+		t.Complete++
 	}
 }
--- a/internal/dispatch/facade.go
+++ b/internal/dispatch/facade.go
@@ -48,8 +48,8 @@
 	Deadline     time.Time
 	routed       *policy.Lookup
 	steps        []Step
-	stepsReady   env.Bell // rung when there are steps
-	onReady      func()   // called in its place, under the lock: it must not wait
+	stepsReady   env.Notifier // rung when there are steps
+	onReady      func()       // called in its place, under the lock: it must not wait
 	startedAt    []policy.Micros
 	targets      []target // of sends, while someone looks on
 	openAttempts int      // sends without an ending
@@ -66,7 +66,7 @@
 
 // Dispatcher is the router behind one lock, which is never held over a wait.
 type Dispatcher struct {
-	environment  env.Ground
+	environment  env.Environment
 	mu           sync.Mutex
 	router       Router
 	policyRouter *policy.Router // the same, whoever stands between
@@ -100,7 +100,7 @@
 type Interceptor func(h policy.Executor, start func(h policy.Executor) Router) Router
 
 // New makes the router; between may be nil.
-func New(g env.Ground, seed uint64, its *policy.Settings, between Interceptor) *Dispatcher {
+func New(g env.Environment, seed uint64, its *policy.Settings, between Interceptor) *Dispatcher {
 	f := &Dispatcher{environment: g, startedAt: g.Now(), lookups: map[string]*Lookup{}}
 	f.startMicros = f.startedAt.UnixMicro()
 	start := func(h policy.Executor) Router {
@@ -141,7 +141,7 @@
 		return nil
 	}
 	if l = (&Lookup{Deadline: deadline, onReady: ready}); ready == nil {
-		l.stepsReady = f.environment.Bell()
+		l.stepsReady = f.environment.NewNotifier()
 	}
 	f.lookups[id] = l
 	defer func() {
@@ -381,7 +381,7 @@
 		l.onReady()
 		return
 	}
-	l.stepsReady.Ring()
+	l.stepsReady.Notify()
 }
 
 func (l *Lookup) finish(s Step) {
--- a/internal/env/clock.go
+++ b/internal/env/clock.go
@@ -16,36 +16,36 @@
 	"time"
 )
 
-// Ground is what a gateway's process stands on. Its owner is the process; it lives as long.
-type Ground interface {
+// Environment is what a gateway's process stands on. Its owner is the process; it lives as long.
+type Environment interface {
 	// Now is the time; differences between two of its values never run backwards.
 	Now() time.Time
 	// AfterFunc calls f in a goroutine of its own once d has passed.
 	AfterFunc(d time.Duration, f func()) Timer
 	// Bell makes a bell that has not been rung.
-	Bell() Bell
+	NewNotifier() Notifier
 	// Group makes a group of goroutines.
-	Group() Group
+	NewGroup() Group
 	// Dial connects over TCP within a time, or until life ends. Its errors are those of the net package.
-	Dial(life *Life, addr string, within time.Duration) (net.Conn, error)
+	Dial(life *Lifetime, addr string, within time.Duration) (net.Conn, error)
 	// Direct is how to write to a connection without ever waiting; nil where it cannot be.
-	Direct(conn net.Conn) Direct
+	NonBlockingWriter(conn net.Conn) NonBlockingWrite
 	// Listen takes TCP connections at an address.
 	Listen(addr string) (net.Listener, error)
 	// Env is a variable of the environment, or "".
-	Env(name string) string
+	Getenv(name string) string
 	// Folder is a folder to keep files in; it is made if it is not there.
-	Folder(path string) (Disk, error)
+	OpenDirectory(path string) (Directory, error)
 	// ReadFile is os.ReadFile.
 	ReadFile(path string) ([]byte, error)
 	// Signals calls hear for each signal from now on, one at a time and never waiting; stop ends that.
-	Signals(hear func(Signal)) (stop func())
+	OnSignal(hear func(Signal)) (stop func())
 	// Limit tells the runtime what the process may use: cores and bytes, 0 for what there is.
-	Limit(cores int, memory int64)
+	SetResourceLimits(cores int, memory int64)
 	// Tidy gives memory that is no longer needed back to the machine.
-	Tidy()
+	ReleaseMemory()
 	// Descriptors is how many the process may hold; 0: not known.
-	Descriptors() uint64
+	DescriptorLimit() uint64
 	// Log takes the log's lines.
 	Log() *slog.Logger
 }
@@ -54,16 +54,16 @@
 type Signal int
 
 const (
-	Stop   Signal = 1 + iota // SIGTERM, SIGINT
-	Reread                   // SIGHUP
+	Terminate Signal = 1 + iota // SIGTERM, SIGINT
+	Reload                      // SIGHUP
 )
 
 // Timer is one call of AfterFunc; Stop tells whether it came before the call.
 type Timer interface{ Stop() bool }
 
-// Bell has room for one ring that nobody has waited for yet.
-type Bell interface {
-	Ring()
+// Notifier has room for one ring that nobody has waited for yet.
+type Notifier interface {
+	Notify()
 	// Wait waits for a ring and takes it; false once that time has passed without one. A time under 0 has no end.
 	Wait(within time.Duration) bool
 }
@@ -74,9 +74,9 @@
 	Wait() error
 }
 
-// Direct writes what a connection takes at once and tells how many bytes that were, 0 also where it is broken: a Write
+// NonBlockingWrite writes what a connection takes at once and tells how many bytes that were, 0 also where it is broken: a Write
 // tells why. One goroutine at a time.
-type Direct func(b []byte) int
+type NonBlockingWrite func(b []byte) int
 
 // Conn is what connections of a Ground can do beside net.Conn, as *net.TCPConn does.
 type Conn interface {
@@ -84,8 +84,8 @@
 	CloseWrite() error
 }
 
-// Disk is a folder. Its errors are those of the os package.
-type Disk interface {
+// Directory is a folder. Its errors are those of the os package.
+type Directory interface {
 	// Names are the files in the folder.
 	Names() ([]string, error)
 	Read(name string) ([]byte, error)
@@ -109,35 +109,35 @@
 // ErrLocked tells that another process has the folder.
 var ErrLocked = errors.New("another process has this folder open")
 
-// Life is the time something lives: it ends once, by itself or with its parent. What is hung on it runs at the end, in
+// Lifetime is the time something lives: it ends once, by itself or with its parent. What is hung on it runs at the end, in
 // order, in the goroutine that ends it, and must not wait.
-type Life struct {
-	mu    sync.Mutex
-	over  bool
-	hooks list.List
-	leave func()
+type Lifetime struct {
+	mu     sync.Mutex
+	ended  bool
+	hooks  list.List
+	detach func()
 }
 
-// NewLife makes a life that ends with its parent, which may be nil.
-func NewLife(parent *Life) *Life {
-	l := &Life{}
+// NewLifetime makes a life that ends with its parent, which may be nil.
+func NewLifetime(parent *Lifetime) *Lifetime {
+	l := &Lifetime{}
 	if parent != nil {
-		l.leave = parent.OnEnd(l.End)
+		l.detach = parent.OnEnd(l.End)
 	}
 	return l
 }
 
-// Over tells whether it has ended.
-func (l *Life) Over() bool {
+// Ended tells whether it has ended.
+func (l *Lifetime) Ended() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.over
+	return l.ended
 }
 
 // OnEnd hangs f on the life; at once where it is over. drop takes f off again.
-func (l *Life) OnEnd(f func()) (drop func()) {
+func (l *Lifetime) OnEnd(f func()) (drop func()) {
 	l.mu.Lock()
-	if l.over {
+	if l.ended {
 		l.mu.Unlock()
 		f()
 		return func() {}
@@ -152,21 +152,21 @@
 }
 
 // End ends the life; a second time does nothing.
-func (l *Life) End() {
+func (l *Lifetime) End() {
 	l.mu.Lock()
-	if l.over {
+	if l.ended {
 		l.mu.Unlock()
 		return
 	}
-	l.over = true
+	l.ended = true
 	var hooks []func()
 	for e := l.hooks.Front(); e != nil; e = e.Next() {
 		hooks = append(hooks, e.Value.(func()))
 	}
 	l.hooks.Init()
 	l.mu.Unlock()
-	if l.leave != nil {
-		l.leave()
+	if l.detach != nil {
+		l.detach()
 	}
 	for _, f := range hooks {
 		f()
--- a/internal/env/clock_test.go
+++ b/internal/env/clock_test.go
@@ -14,20 +14,20 @@
 	"time"
 )
 
-func TestLives(t *testing.T) {
+func TestLifetime(t *testing.T) {
 	t.Run("ends once, with what hangs on it in order, and its children", func(t *testing.T) {
 		said := ""
 		say := func(s string) func() { return func() { said += s } }
-		parent := NewLife(nil)
+		parent := NewLifetime(nil)
 		parent.OnEnd(say("a"))
 		drop := parent.OnEnd(say("b"))
-		child := NewLife(parent)
+		child := NewLifetime(parent)
 		child.OnEnd(say("c"))
 		parent.OnEnd(say("d"))
 		drop()
 		parent.End()
 		parent.End()
-		if said != "acd" || !child.Over() || !parent.Over() {
+		if said != "acd" || !child.Ended() || !parent.Ended() {
 			t.Error(said)
 		}
 		if parent.OnEnd(say("e")); said != "acde" {
@@ -35,11 +35,11 @@
 		}
 	})
 	t.Run("a child that ends lets go of its parent", func(t *testing.T) {
-		parent := NewLife(nil)
+		parent := NewLifetime(nil)
 		for range 100 {
-			NewLife(parent).End()
+			NewLifetime(parent).End()
 		}
-		if parent.Over() || parent.hooks.Len() != 0 {
+		if parent.Ended() || parent.hooks.Len() != 0 {
 			t.Errorf("%d hang on it", parent.hooks.Len())
 		}
 	})
@@ -49,19 +49,19 @@
 	var log bytes.Buffer
 	g := NewSystem(&log, slog.LevelWarn)
 	t.Run("a bell keeps one ring, and gives up in time", func(t *testing.T) {
-		b := g.Bell()
-		b.Ring()
-		b.Ring()
+		b := g.NewNotifier()
+		b.Notify()
+		b.Notify()
 		if !b.Wait(-1) || b.Wait(0) || b.Wait(time.Millisecond) {
 			t.Error("rings are lost or made up")
 		}
-		go b.Ring()
+		go b.Notify()
 		if !b.Wait(-1) {
 			t.Error("not rung")
 		}
 	})
 	t.Run("a group gives the first error", func(t *testing.T) {
-		all := g.Group()
+		all := g.NewGroup()
 		var n atomic.Int32
 		for range 3 {
 			all.Go("part", func() error { n.Add(1); return io.ErrUnexpectedEOF })
@@ -76,7 +76,7 @@
 			t.Fatal(err)
 		}
 		addr := l.Addr().String()
-		life := NewLife(nil)
+		life := NewLifetime(nil)
 		c, err := g.Dial(life, addr, time.Second)
 		if err != nil {
 			t.Fatal(err)
@@ -97,13 +97,13 @@
 	})
 	t.Run("signals are heard until stopped", func(t *testing.T) {
 		heard := make(chan Signal, 4)
-		stop := g.Signals(func(s Signal) { heard <- s })
+		stop := g.OnSignal(func(s Signal) { heard <- s })
 		syscall.Kill(os.Getpid(), syscall.SIGHUP)
-		if s := <-heard; s != Reread {
+		if s := <-heard; s != Reload {
 			t.Error(s)
 		}
 		syscall.Kill(os.Getpid(), syscall.SIGTERM)
-		if s := <-heard; s != Stop {
+		if s := <-heard; s != Terminate {
 			t.Error(s)
 		}
 		stop()
--- a/internal/env/folder.go
+++ b/internal/env/folder.go
@@ -8,21 +8,21 @@
 	"syscall"
 )
 
-// Folder is a Disk on the file system.
-type Folder struct{ Path string }
+// OSDirectory is a Disk on the file system.
+type OSDirectory struct{ Path string }
 
-// OpenFolder makes the folder if it is not there.
-func OpenFolder(path string) (Folder, error) {
+// OpenOSDirectory makes the folder if it is not there.
+func OpenOSDirectory(path string) (OSDirectory, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
-		return Folder{}, err
+		return OSDirectory{}, err
 	}
-	return Folder{path}, nil
+	return OSDirectory{path}, nil
 }
 
-func (f Folder) at(name string) string { return filepath.Join(f.Path, name) }
+func (f OSDirectory) filePath(name string) string { return filepath.Join(f.Path, name) }
 
 // Names are the files in the folder.
-func (f Folder) Names() ([]string, error) {
+func (f OSDirectory) Names() ([]string, error) {
 	list, err := os.ReadDir(f.Path)
 	if err != nil {
 		return nil, err
@@ -35,21 +35,23 @@
 }
 
 // Read reads a file.
-func (f Folder) Read(name string) ([]byte, error) { return os.ReadFile(f.at(name)) }
+func (f OSDirectory) Read(name string) ([]byte, error) { return os.ReadFile(f.filePath(name)) }
 
 // Create makes a file, or empties it.
-func (f Folder) Create(name string) (File, error) {
-	return os.OpenFile(f.at(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
+func (f OSDirectory) Create(name string) (File, error) {
+	return os.OpenFile(f.filePath(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 }
 
 // Rename renames a file.
-func (f Folder) Rename(from, to string) error { return os.Rename(f.at(from), f.at(to)) }
+func (f OSDirectory) Rename(from, to string) error {
+	return os.Rename(f.filePath(from), f.filePath(to))
+}
 
 // Remove removes a file.
-func (f Folder) Remove(name string) error { return os.Remove(f.at(name)) }
+func (f OSDirectory) Remove(name string) error { return os.Remove(f.filePath(name)) }
 
 // Sync makes renames and removals last.
-func (f Folder) Sync() error {
+func (f OSDirectory) Sync() error {
 	d, err := os.Open(f.Path)
 	if err != nil {
 		return err
@@ -59,8 +61,8 @@
 }
 
 // Lock takes the folder for this process, as long as the process lives.
-func (f Folder) Lock() (func(), error) {
-	file, err := os.OpenFile(f.at("lock"), os.O_CREATE|os.O_RDWR, 0o600)
+func (f OSDirectory) Lock() (func(), error) {
+	file, err := os.OpenFile(f.filePath("lock"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/env/nodelay_test.go
+++ b/internal/env/nodelay_test.go
@@ -11,14 +11,14 @@
 
 // Answers and sends are small writes: on a socket that waits to fill a segment (Nagle) each may wait for an acknowledgement of the one before.
 // The ground leaves Go's default, TCP_NODELAY, on what it dials and what its listener accepts.
-func TestNoSocketDelays(t *testing.T) {
+func TestTCPNoDelayIsOn(t *testing.T) {
 	g := NewSystem(io.Discard, slog.LevelWarn)
 	l, err := g.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	dialled, err := g.Dial(NewLife(nil), l.Addr().String(), time.Second)
+	dialled, err := g.Dial(NewLifetime(nil), l.Addr().String(), time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/env/system.go
+++ b/internal/env/system.go
@@ -18,17 +18,17 @@
 
 // System is the ground of a real process.
 type System struct {
-	log    *slog.Logger
-	Offset time.Duration // Wall is off by so much; for tests
+	log        *slog.Logger
+	WallOffset time.Duration // Wall is off by so much; for tests
 }
 
 // NewSystem makes the system's ground, with the log on w from a level on.
 func NewSystem(w io.Writer, least slog.Level) *System {
-	return &System{log: slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: least, ReplaceAttr: Plain}))}
+	return &System{log: slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: least, ReplaceAttr: ReplaceLogAttr}))}
 }
 
-// Plain makes a line of the log event=NAME key=value: the message is the event's name.
-func Plain(groups []string, a slog.Attr) slog.Attr {
+// ReplaceLogAttr makes a line of the log event=NAME key=value: the message is the event's name.
+func ReplaceLogAttr(groups []string, a slog.Attr) slog.Attr {
 	if len(groups) == 0 && a.Key == slog.MessageKey {
 		a.Key = "event"
 	}
@@ -37,24 +37,24 @@
 
 func (*System) Now() time.Time { return time.Now() }
 
-// Wall is the machine's time as it is told to other machines, where that clock is off by Offset. Now stays, since the kernel's deadlines
+// WallTime is the machine's time as it is told to other machines, where that clock is off by Offset. Now stays, since the kernel's deadlines
 // are on the same clock as it.
-func (s *System) Wall() time.Time { return time.Now().Add(s.Offset) }
+func (s *System) WallTime() time.Time { return time.Now().Add(s.WallOffset) }
 
 func (*System) AfterFunc(d time.Duration, f func()) Timer { return time.AfterFunc(d, f) }
 
-func (*System) Bell() Bell { return bell(make(chan struct{}, 1)) }
+func (*System) NewNotifier() Notifier { return notifier(make(chan struct{}, 1)) }
 
-type bell chan struct{}
+type notifier chan struct{}
 
-func (b bell) Ring() {
+func (b notifier) Notify() {
 	select {
 	case b <- struct{}{}:
 	default:
 	}
 }
 
-func (b bell) Wait(within time.Duration) bool {
+func (b notifier) Wait(within time.Duration) bool {
 	if within < 0 {
 		<-b
 		return true
@@ -74,13 +74,13 @@
 	}
 }
 
-func (*System) Group() Group { return &group{} }
+func (*System) NewGroup() Group { return &group{} }
 
 type group struct{ errgroup.Group }
 
 func (g *group) Go(_ string, f func() error) { g.Group.Go(f) }
 
-func (*System) Dial(life *Life, addr string, within time.Duration) (net.Conn, error) {
+func (*System) Dial(life *Lifetime, addr string, within time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	defer life.OnEnd(cancel)()
@@ -88,7 +88,7 @@
 	return dial.DialContext(ctx, "tcp", addr)
 }
 
-func (*System) Direct(conn net.Conn) Direct {
+func (*System) NonBlockingWriter(conn net.Conn) NonBlockingWrite {
 	its, ok := conn.(syscall.Conn)
 	if !ok {
 		return nil
@@ -114,13 +114,13 @@
 
 func (*System) Listen(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
 
-func (*System) Env(name string) string { return os.Getenv(name) }
+func (*System) Getenv(name string) string { return os.Getenv(name) }
 
-func (*System) Folder(path string) (Disk, error) { return OpenFolder(path) }
+func (*System) OpenDirectory(path string) (Directory, error) { return OpenOSDirectory(path) }
 
 func (*System) ReadFile(path string) ([]byte, error) { return os.ReadFile(path) }
 
-func (*System) Signals(hear func(Signal)) (stop func()) {
+func (*System) OnSignal(hear func(Signal)) (stop func()) {
 	hup, term := make(chan os.Signal, 1), make(chan os.Signal, 1) // one that waits stands for all of its kind
 	over := make(chan struct{})
 	signal.Notify(hup, syscall.SIGHUP)
@@ -129,9 +129,9 @@
 		for {
 			select {
 			case <-hup:
-				hear(Reread)
+				hear(Reload)
 			case <-term:
-				hear(Stop)
+				hear(Terminate)
 			case <-over:
 				return
 			}
@@ -144,7 +144,7 @@
 	}
 }
 
-func (*System) Limit(cores int, memory int64) {
+func (*System) SetResourceLimits(cores int, memory int64) {
 	if cores > 0 {
 		runtime.GOMAXPROCS(cores)
 	}
@@ -153,9 +153,9 @@
 	}
 }
 
-func (*System) Tidy() { debug.FreeOSMemory() }
+func (*System) ReleaseMemory() { debug.FreeOSMemory() }
 
-func (*System) Descriptors() uint64 {
+func (*System) DescriptorLimit() uint64 {
 	var own syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &own) != nil {
 		return 0
@@ -163,8 +163,8 @@
 	return own.Cur
 }
 
-// NoDescriptor tells whether a dial or an accept failed because the process, or the machine, has no descriptor left.
-func NoDescriptor(err error) bool {
+// IsDescriptorExhausted tells whether a dial or an accept failed because the process, or the machine, has no descriptor left.
+func IsDescriptorExhausted(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
--- a/internal/extproc/door.go
+++ b/internal/extproc/door.go
@@ -46,7 +46,7 @@
 
 // Server is the service behind one listener. It lives as long as the gateway.
 type Server struct {
-	environment env.Ground
+	environment env.Environment
 	limits      Limits
 	settings    *settings.Settings
 	dispatcher  *dispatch.Dispatcher
@@ -61,7 +61,7 @@
 	anomalies   map[string]int // what callers did against the contract, beside what the desk saw
 	streams     env.Group
 	tracer      Tracer
-	stepsReady  env.Bell // rung when lookups have steps, and at the end
+	stepsReady  env.Notifier // rung when lookups have steps, and at the end
 	readyMu     sync.Mutex
 	ready       []*retry.Lookup // have steps that nobody is about to look for
 }
@@ -91,13 +91,13 @@
 )
 
 // New makes a door behind a table. purges may be nil.
-func New(g env.Ground, its *settings.Settings, router *dispatch.Dispatcher, caches *memory.Registry, purges *memory.Log, room *memory.Controller,
+func New(g env.Environment, its *settings.Settings, router *dispatch.Dispatcher, caches *memory.Registry, purges *memory.Log, room *memory.Controller,
 	table *route.Table, terms Limits) *Server {
 	if terms.Weight <= 0 {
 		terms.Weight = 1
 	}
 	return &Server{environment: g, limits: terms, settings: its, dispatcher: router, caches: caches, purges: purges, admission: room, table: table,
-		coordinator: retry.New(terms.Lookups), callers: map[string]*caller{}, anomalies: map[string]int{}, streams: g.Group(), tracer: noTracer{}, stepsReady: g.Bell()}
+		coordinator: retry.New(terms.Lookups), callers: map[string]*caller{}, anomalies: map[string]int{}, streams: g.NewGroup(), tracer: noTracer{}, stepsReady: g.NewNotifier()}
 }
 
 // SetTable puts another table in place for the lookups to come; those open keep what they were read as.
@@ -133,9 +133,9 @@
 }
 
 // Run brings the desk its time and lookups their steps until life ends, and then waits for the streams.
-func (d *Server) Run(life *env.Life) error {
-	defer life.OnEnd(d.stepsReady.Ring)()
-	for wait := time.Duration(0); !life.Over(); {
+func (d *Server) Run(life *env.Lifetime) error {
+	defer life.OnEnd(d.stepsReady.Notify)()
+	for wait := time.Duration(0); !life.Ended(); {
 		d.stepsReady.Wait(wait)
 		d.deliverReady()
 		d.mu.Lock()
@@ -158,7 +158,7 @@
 	d.readyMu.Lock()
 	d.ready = append(d.ready, lk)
 	d.readyMu.Unlock()
-	d.stepsReady.Ring()
+	d.stepsReady.Notify()
 }
 
 // deliverReady brings the desk the steps of all lookups that have some.
--- a/internal/extproc/extprocgrpc/caller_test.go
+++ b/internal/extproc/extprocgrpc/caller_test.go
@@ -87,15 +87,15 @@
 	terms, f := router(t, caches, false)
 	x.StreamsPerConnection, x.StreamsPerCaller, x.Lookups, x.LookupsPerCaller, x.MaxRetryAfterMS, x.RememberMS, x.SilenceTimeoutMS, x.Weight = 100, 100, 100, 100, 300, 2000, 5000, 1
 	x.Table = []route.Rule{{Path: "/call/{kind}/{object}/part-{part}", Kind: "path:kind", Object: "path:object", Part: "path:part", ID: "header:x-job-id"}}
-	l, err := Listen(gateway.Inside{Name: "n0", Ground: g, Terms: terms, Router: f, Caches: caches, Purges: &memory.Log{Clock: g, Retention: time.Minute},
-		Room: memory.NewController(g, 100, 1<<20), Own: &config.Config{ExternalProcessor: x}}, x)
+	l, err := Listen(gateway.Dependencies{Name: "n0", Environment: g, Settings: terms, Dispatcher: f, Registry: caches, Purges: &memory.Log{Clock: g, Retention: time.Minute},
+		Admission: memory.NewController(g, 100, 1<<20), Config: &config.Config{ExternalProcessor: x}}, x)
 	if err != nil {
 		t.Fatal(err)
 	}
-	life, ended := env.NewLife(nil), make(chan error)
+	life, ended := env.NewLifetime(nil), make(chan error)
 	go func() { ended <- l.Run(life) }()
 	go func() { // as service does
-		for !life.Over() {
+		for !life.Ended() {
 			time.Sleep(f.Tick(nil, false, nil))
 		}
 	}()
@@ -172,12 +172,12 @@
 	t.Run("settings that move the door are refused, a table is taken", func(t *testing.T) {
 		other := *x
 		other.Listen = "127.0.0.1:1"
-		if _, err := l.Prepare(&config.Config{ExternalProcessor: &other}); err == nil {
+		if _, err := l.PrepareReload(&config.Config{ExternalProcessor: &other}); err == nil {
 			t.Error("moved")
 		}
 		other = *x
 		other.Table = []route.Rule{{Path: "/other", Kind: "segment", Object: "o", ID: "header:x-job-id"}}
-		change, err := l.Prepare(&config.Config{ExternalProcessor: &other})
+		change, err := l.PrepareReload(&config.Config{ExternalProcessor: &other})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -228,7 +228,7 @@
 		defer conn.Close()
 		during := func(_ context.Context, d client.Decision) client.AttemptOutcome {
 			ours.make("door", ours) // a new certificate under the same name
-			change, err := l.Prepare(&config.Config{ExternalProcessor: x})
+			change, err := l.PrepareReload(&config.Config{ExternalProcessor: x})
 			if err != nil {
 				t.Error(err)
 				return client.AttemptOutcome{}
@@ -246,7 +246,7 @@
 	})
 	t.Run("a key that others may read is refused", func(t *testing.T) {
 		os.Chmod(dir+"/door.key", 0o644)
-		if _, err := l.Prepare(&config.Config{ExternalProcessor: x}); err == nil || !strings.Contains(err.Error(), "chmod 600") {
+		if _, err := l.PrepareReload(&config.Config{ExternalProcessor: x}); err == nil || !strings.Contains(err.Error(), "chmod 600") {
 			t.Error(err)
 		}
 	})
--- a/internal/extproc/extprocgrpc/extproc_test.go
+++ b/internal/extproc/extprocgrpc/extproc_test.go
@@ -78,10 +78,10 @@
 	server := grpc.NewServer(grpc.MaxRecvMsgSize(MaxMessageBytes), grpc.WaitForHandlers(true)) // as Serve makes it
 	extprocv3.RegisterExternalProcessorServer(server, p.door)
 	go server.Serve(at)
-	life, ended := env.NewLife(nil), make(chan error)
+	life, ended := env.NewLifetime(nil), make(chan error)
 	go func() { ended <- p.door.Run(life) }()
 	go func() { // as service does
-		for !life.Over() {
+		for !life.Ended() {
 			time.Sleep(f.Tick(nil, false, nil))
 		}
 	}()
--- a/internal/extproc/extprocgrpc/measure_test.go
+++ b/internal/extproc/extprocgrpc/measure_test.go
@@ -96,7 +96,7 @@
 			Lookups: retry.Limits{MaxLookups: lookups, MaxPerCaller: each, ReturnTimeout: 300 * time.Millisecond, Retention: 5 * time.Second}})}
 		guard.Service = *d
 		extprocv3.RegisterExternalProcessorServer(server, d)
-		life := env.NewLife(nil)
+		life := env.NewLifetime(nil)
 		go d.Run(life)
 		go func() {
 			for {
--- a/internal/extproc/extprocgrpc/serve.go
+++ b/internal/extproc/extprocgrpc/serve.go
@@ -43,7 +43,7 @@
 // Listener is the service with where it listens.
 type Listener struct {
 	Service
-	environment  env.Ground
+	environment  env.Environment
 	address      string
 	listener     net.Listener
 	grpc         *grpc.Server
@@ -54,8 +54,8 @@
 }
 
 // OpenConfigured opens the door that the operators' settings name, if they name one.
-func OpenConfigured(in gateway.Inside) ([]gateway.Door, error) {
-	x := in.Own.ExternalProcessor
+func OpenConfigured(in gateway.Dependencies) ([]gateway.Service, error) {
+	x := in.Config.ExternalProcessor
 	if x == nil {
 		return nil, nil
 	}
@@ -63,16 +63,16 @@
 	if err != nil {
 		return nil, err
 	}
-	return []gateway.Door{l}, nil
+	return []gateway.Service{l}, nil
 }
 
 // Listen opens the door as told.
-func Listen(in gateway.Inside, x *config.ExternalProcessor) (*Listener, error) {
-	table, err := route.Compile(x.Table, in.Terms.Kinds)
+func Listen(in gateway.Dependencies, x *config.ExternalProcessor) (*Listener, error) {
+	table, err := route.Compile(x.Table, in.Settings.Kinds)
 	if err != nil {
 		return nil, err
 	}
-	l := &Listener{environment: in.Ground, address: x.Listen, health: health.NewServer(), kinds: in.Terms.Kinds}
+	l := &Listener{environment: in.Environment, address: x.Listen, health: health.NewServer(), kinds: in.Settings.Kinds}
 	opts := []grpc.ServerOption{grpc.MaxRecvMsgSize(MaxMessageBytes), grpc.MaxConcurrentStreams(uint32(x.StreamsPerConnection)),
 		grpc.MaxHeaderListSize(MaxMessageBytes), grpc.ConnectionTimeout(handshakeTimeout), grpc.WaitForHandlers(true),
 		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: maxConnectionIdle, Time: keepaliveInterval, Timeout: keepaliveInterval})}
@@ -82,11 +82,11 @@
 		}
 		opts = append(opts, grpc.Creds(credentials.NewTLS(&tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: l.certificates.ConfigForClient})))
 	}
-	if l.listener, err = openListener(in.Ground, x.Listen); err != nil {
+	if l.listener, err = openListener(in.Environment, x.Listen); err != nil {
 		return nil, err
 	}
 	l.listener = netutil.LimitListener(l.listener, maxConnections)
-	l.Service = Service{Server: extproc.New(in.Ground, in.Terms, in.Router, in.Caches, in.Purges, in.Room, table, limitsFrom(x))}
+	l.Service = Service{Server: extproc.New(in.Environment, in.Settings, in.Dispatcher, in.Registry, in.Purges, in.Admission, table, limitsFrom(x))}
 	if t := x.Trace; t != nil {
 		if l.tracer, err = telemetry.Open(telemetry.Options{Endpoint: t.Endpoint, Share: t.SampleRatio, Name: in.Name}); err != nil {
 			l.listener.Close()
@@ -98,7 +98,7 @@
 	l.grpc = grpc.NewServer(append(opts, grpc.InTapHandle(l.admitStream))...)
 	extprocv3.RegisterExternalProcessorServer(l.grpc, &l.Service)
 	healthv1.RegisterHealthServer(l.grpc, l.health)
-	in.Ground.Log().Info("door", "kind", "external_processor", "listen", l.listener.Addr().String(), "rules", len(x.Table), "tls", x.TLS != nil)
+	in.Environment.Log().Info("door", "kind", "external_processor", "listen", l.listener.Addr().String(), "rules", len(x.Table), "tls", x.TLS != nil)
 	return l, nil
 }
 
@@ -109,7 +109,7 @@
 }
 
 // openListener listens at an address, or at a Unix socket that owner and group may use.
-func openListener(g env.Ground, at string) (net.Listener, error) {
+func openListener(g env.Environment, at string) (net.Listener, error) {
 	if path, unix := strings.CutPrefix(at, "unix:"); unix {
 		return env.ListenUnix(path, socketMode)
 	}
@@ -130,7 +130,7 @@
 func (l *Listener) Addr() net.Addr { return l.listener.Addr() }
 
 // Run serves until life ends.
-func (l *Listener) Run(life *env.Life) error {
+func (l *Listener) Run(life *env.Lifetime) error {
 	defer life.OnEnd(func() { go l.grpc.Stop() })()
 	served := make(chan error, 1)
 	go func() { served <- l.grpc.Serve(l.listener) }()
@@ -147,9 +147,9 @@
 }
 
 // logAnomalies logs what callers do against the contract, where that has changed.
-func (l *Listener) logAnomalies(life *env.Life) {
-	end := l.environment.Bell()
-	defer life.OnEnd(end.Ring)()
+func (l *Listener) logAnomalies(life *env.Lifetime) {
+	end := l.environment.NewNotifier()
+	defer life.OnEnd(end.Notify)()
 	for was := ""; !end.Wait(anomalyLogInterval); {
 		if odd := l.AnomalySummary(); odd != was {
 			was = odd
@@ -158,9 +158,9 @@
 	}
 }
 
-// Prepare reads new settings for this door. What it returns puts them in place: the table for the lookups to come, the
+// PrepareReload reads new settings for this door. What it returns puts them in place: the table for the lookups to come, the
 // keys for the connections to come. Streams and lookups that are open go on.
-func (l *Listener) Prepare(own *config.Config) (func(), error) {
+func (l *Listener) PrepareReload(own *config.Config) (func(), error) {
 	x := own.ExternalProcessor
 	if x == nil || x.Listen != l.address || (x.TLS != nil) != (l.certificates != nil) {
 		return nil, errors.New("external_processor: listen and tls are changed by a restart only")
@@ -193,7 +193,7 @@
 // Wait waits for the lookups that are open.
 func (l *Listener) Wait() {
 	for l.OpenLookups() > 0 {
-		l.environment.Bell().Wait(drainPollInterval)
+		l.environment.NewNotifier().Wait(drainPollInterval)
 	}
 }
 
--- a/internal/extproc/extprocgrpc/serve_test.go
+++ b/internal/extproc/extprocgrpc/serve_test.go
@@ -68,7 +68,9 @@
   { path: '/call/{kind}/{object}/part-{part}', kind: 'path:kind', object: 'path:object', part: 'path:part', id: 'header:x-job-id' }] } }`, at)))
 	log := &safe{}
 	ended := make(chan error, 1)
-	go func() { ended <- gateway.Run(env.NewSystem(log, slog.LevelInfo), gateway.Watch{Doors: OpenConfigured}) }()
+	go func() {
+		ended <- gateway.Run(env.NewSystem(log, slog.LevelInfo), gateway.Hooks{NewServices: OpenConfigured})
+	}()
 	conn, err := grpc.NewClient(at, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/extproc/stream.go
+++ b/internal/extproc/stream.go
@@ -24,8 +24,8 @@
 	caller       *caller
 	handle       retry.Stream
 	mu           sync.Mutex
-	repliesReady env.Bell // rung for the replying side
-	queueSpace   env.Bell // rung for the receiving side when replies have gone out
+	repliesReady env.Notifier // rung for the replying side
+	queueSpace   env.Notifier // rung for the receiving side when replies have gone out
 	replies      []Reply
 	awaitedPhase Phase // that waits for the desk's word; 0: none
 	earlyAnswer  *retry.Answer
@@ -46,7 +46,7 @@
 	if c == nil {
 		return ErrTooManyStreams
 	}
-	st := &stream{server: d, caller: c, repliesReady: d.environment.Bell(), queueSpace: d.environment.Bell(), lastActivity: d.environment.Now()}
+	st := &stream{server: d, caller: c, repliesReady: d.environment.NewNotifier(), queueSpace: d.environment.NewNotifier(), lastActivity: d.environment.Now()}
 	st.handle = retry.Stream{Caller: name, Owner: st}
 	defer d.leaveCaller(c)
 	d.streams.Go("stream", func() error { // it ends with the wire, after Serve has returned
@@ -57,7 +57,7 @@
 	st.mu.Lock()
 	st.ended = true
 	st.mu.Unlock()
-	st.queueSpace.Ring()
+	st.queueSpace.Notify()
 	d.mu.Lock()
 	do := d.coordinator.StreamEnded(d.environment.Now(), &st.handle)
 	d.mu.Unlock()
@@ -73,7 +73,7 @@
 			r := st.replies[0]
 			st.replies = st.replies[1:]
 			st.mu.Unlock()
-			st.queueSpace.Ring()
+			st.queueSpace.Notify()
 			if r.End != NotEnded {
 				return r.End
 			}
@@ -112,7 +112,7 @@
 			st.mu.Lock()
 			st.receiveErr = err
 			st.mu.Unlock()
-			st.repliesReady.Ring()
+			st.repliesReady.Notify()
 			return
 		}
 		if why := st.server.chargeMessage(st.caller, m.Size); why != "" {
@@ -215,7 +215,7 @@
 	st.replies = append(st.replies, r)
 	st.lastActivity = st.server.environment.Now()
 	st.mu.Unlock()
-	st.repliesReady.Ring()
+	st.repliesReady.Notify()
 }
 
 func (st *stream) countFault(why string) {
--- a/internal/fleet/membership/frozen_test.go
+++ b/internal/fleet/membership/frozen_test.go
@@ -22,7 +22,7 @@
 	if err := os.WriteFile(filepath.Join(read, storedFile), frozen.Read(t, storedFile), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	shelf, why, err := OpenMemberStore(env.Folder{Path: read}, "n1", 100)
+	shelf, why, err := OpenMemberStore(env.OSDirectory{Path: read}, "n1", 100)
 	if err != nil || why != nil {
 		t.Fatal(err, why)
 	}
@@ -35,7 +35,7 @@
 	}
 
 	written := t.TempDir()
-	if shelf, why, err = OpenMemberStore(env.Folder{Path: written}, "n1", 100); err != nil || why != nil {
+	if shelf, why, err = OpenMemberStore(env.OSDirectory{Path: written}, "n1", 100); err != nil || why != nil {
 		t.Fatal(err, why)
 	}
 	if err := shelf.Save(known); err != nil {
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -534,7 +534,7 @@
 }
 
 // FromEnvironment is where the parts of a real process come from.
-func FromEnvironment(g env.Ground) Dependencies {
+func FromEnvironment(g env.Environment) Dependencies {
 	p := Dependencies{Log: g.Log(), Now: g.Now, ReadFile: g.ReadFile}
 	if w, ok := g.(interface{ Wall() time.Time }); ok {
 		p.Now = w.Wall
--- a/internal/fleet/membership/shelf.go
+++ b/internal/fleet/membership/shelf.go
@@ -38,7 +38,7 @@
 }
 
 // OpenMemberStore opens what is kept in a folder for a gateway's name. What cannot be read is told in why, and none is known.
-func OpenMemberStore(disk env.Disk, self string, most int) (s *MemberStore, why, err error) {
+func OpenMemberStore(disk env.Directory, self string, most int) (s *MemberStore, why, err error) {
 	r, kept, err := wal.Open(disk, storeName)
 	if err != nil {
 		return nil, nil, err
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -20,23 +20,23 @@
 )
 
 // runHere starts a gateway in this process.
-var runHere = func() error { return Run(env.NewSystem(io.Discard, slog.LevelInfo), Watch{}) }
+var runHere = func() error { return Run(env.NewSystem(io.Discard, slog.LevelInfo), Hooks{}) }
 
 // BenchmarkLookup is a lookup through a gateway on loopback, client and cache in the same process. It holds CPU time and
 // allocations of a lookup: both count the stand-ins too, which stay the same.
 func BenchmarkLookup(b *testing.B) { lookups(b, false) }
 
-// BenchmarkLookupListKept is the same while a list of 10,000 caches is kept on disk, with 100 changes a second, two synced
+// BenchmarkLookupWithSnapshots is the same while a list of 10,000 caches is kept on disk, with 100 changes a second, two synced
 // writes a second.
-func BenchmarkLookupListKept(b *testing.B) { lookups(b, true) }
+func BenchmarkLookupWithSnapshots(b *testing.B) { lookups(b, true) }
 
 // BenchmarkLookupChanges has the changes and keeps no list: what they cost without it.
 func BenchmarkLookupChanges(b *testing.B) { lookups(b, false, true) }
 
 func lookups(b *testing.B, kept bool, changes ...bool) {
 	born := time.Now()
-	cache := must(standin.NewCache("127.0.0.1:0", func(d standin.Do) { d.Hit(born, "hit", "bytes") }))
-	bulletin := must(standin.NewBulletin("127.0.0.1:0", 1))
+	cache := must(standin.NewCache("127.0.0.1:0", func(d standin.Request) { d.Hit(born, "hit", "bytes") }))
+	bulletin := must(standin.NewDiscovery("127.0.0.1:0", 1))
 	addr := freeAddr()
 	settings := `{"areas":["town","far"],"balancers":1,"machine_types":["edge","parent","origin"],"ceilings":{"cancelling":true,"try_limit":6},
 "classes":[{"name":"segment","aim":400000,"deadline":5000000,"effect":"idempotent","points":1}],
@@ -58,15 +58,15 @@
 		b.Setenv("FOLDSLIP_SETTINGS", own)
 	}
 	if kept || len(changes) > 0 {
-		other := func(i int, phase string) standin.Member { // of another location: the module has little to do with it
-			return standin.Member{ID: fmt.Sprintf("o%d", i), HostPort: "127.0.0.1:1", Locality: "far", Flavor: "edge", Phase: phase}
+		other := func(i int, phase string) standin.Endpoint { // of another location: the module has little to do with it
+			return standin.Endpoint{ID: fmt.Sprintf("o%d", i), HostPort: "127.0.0.1:1", Locality: "far", Flavor: "edge", Phase: phase}
 		}
-		many := []standin.Member{{ID: "c0", HostPort: cache.Addr, Locality: "town", Flavor: "edge", Phase: "up"},
+		many := []standin.Endpoint{{ID: "c0", HostPort: cache.Addr, Locality: "town", Flavor: "edge", Phase: "up"},
 			{ID: "c1", HostPort: "127.0.0.1:1", Locality: "town", Flavor: "origin", Phase: "up"}}
 		for i := range 10000 {
 			many = append(many, other(i, "up"))
 		}
-		bulletin.Tell(standin.Roster(true, many...))
+		bulletin.Announce(standin.EndpointList(true, many...))
 		stop := make(chan bool)
 		defer close(stop)
 		go func() {
@@ -77,7 +77,7 @@
 				case <-stop:
 					return
 				case <-every.C:
-					bulletin.Tell(standin.Roster(false, other(n%10000, []string{"draining", "up"}[n%2])))
+					bulletin.Announce(standin.EndpointList(false, other(n%10000, []string{"draining", "up"}[n%2])))
 				}
 			}
 		}()
--- a/internal/gateway/descriptors_test.go
+++ b/internal/gateway/descriptors_test.go
@@ -19,37 +19,37 @@
 	"foldslip/internal/config"
 )
 
-func TestPartsOfTheDescriptors(t *testing.T) {
+func TestDescriptorShares(t *testing.T) {
 	all := &config.Config{List: &config.EndpointStore{}, Routing: &config.Routing{Socket: "s", Folder: "f"}, Fleet: &config.Fleet{Socket: "s"}}
 	for _, c := range []struct {
 		told  int
 		held  uint64
 		own   *config.Config
 		doors bool
-		want  parts
+		want  descriptorShares
 	}{
-		{1024, 1024, &config.Config{}, false, parts{12, 0, 512, 500}}, // the platform's scored days
-		{4096, 1024, &config.Config{}, false, parts{12, 0, 512, 500}},
-		{1024, 100, &config.Config{}, false, parts{12, 0, 50, 38}},
-		{0, 1024, &config.Config{}, true, parts{12, 128, 512, 372}},
-		{1024, 0, all, false, parts{78, 0, 512, 434}},
-		{20000, 20000, &config.Config{}, false, parts{12, 0, 4096, 15892}},
-		{0, 1 << 63, &config.Config{}, false, parts{12, 0, 4096, 16384}},
-		{0, 0, &config.Config{}, false, parts{0, 0, 1, 16384}},
-		{2, 100, &config.Config{}, false, parts{12, 0, 1, 4}}, // too few for all: what must be had all the same
+		{1024, 1024, &config.Config{}, false, descriptorShares{12, 0, 512, 500}}, // the platform's scored days
+		{4096, 1024, &config.Config{}, false, descriptorShares{12, 0, 512, 500}},
+		{1024, 100, &config.Config{}, false, descriptorShares{12, 0, 50, 38}},
+		{0, 1024, &config.Config{}, true, descriptorShares{12, 128, 512, 372}},
+		{1024, 0, all, false, descriptorShares{78, 0, 512, 434}},
+		{20000, 20000, &config.Config{}, false, descriptorShares{12, 0, 4096, 15892}},
+		{0, 1 << 63, &config.Config{}, false, descriptorShares{12, 0, 4096, 16384}},
+		{0, 0, &config.Config{}, false, descriptorShares{0, 0, 1, 16384}},
+		{2, 100, &config.Config{}, false, descriptorShares{12, 0, 1, 4}}, // too few for all: what must be had all the same
 	} {
-		got := share(c.told, c.held, c.own, c.doors)
+		got := shareDescriptors(c.told, c.held, c.own, c.doors)
 		if got != c.want {
 			t.Errorf("%d told, %d held: %+v, expected %+v", c.told, c.held, got, c.want)
 		}
-		if n := got.Own + got.Doors + got.Clients + got.Caches; c.told >= 64 && n > c.told {
+		if n := got.Process + got.Extproc + got.Clients + got.Caches; c.told >= 64 && n > c.told {
 			t.Errorf("%d told, %d given out", c.told, n)
 		}
 	}
 }
 
-// fds is how many descriptors the program holds.
-func (s *stage) fds() int {
+// openDescriptors is how many descriptors the program holds.
+func (s *testGateway) openDescriptors() int {
 	s.t.Helper()
 	return len(must(os.ReadDir(fmt.Sprintf("/proc/%d/fd", s.cmd.Process.Pid))))
 }
@@ -57,7 +57,7 @@
 // Clients and connections to 24 caches fill the descriptors while discovery is down. It comes back and tells that all of them drain and
 // that a new one has started: within 2 s the watch has a descriptor, the new cache a connection and a client its answer from it. The
 // second story's program is started with 14 files open that it does not know of, so that its count of them is wrong.
-func TestDiscoveryComesBackToFullDescriptors(t *testing.T) {
+func TestDiscoveryReturnsWhileDescriptorsAreExhausted(t *testing.T) {
 	for name, more := range map[string]int{"counted": 0, "inherited": 14} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -67,17 +67,17 @@
 				t.Cleanup(func() { f.Close() })
 				files = append(files, f)
 			}
-			s := beginWith(t, 40, files, hit, settingsOf(func(map[string]any) {}))
-			soon(t, s.bulletin.After)
-			var old []standin.Member
+			s := startGatewayWith(t, 40, files, answerHit, changedSettings(func(map[string]any) {}))
+			receiveSoon(t, s.bulletin.Subscribed)
+			var old []standin.Endpoint
 			for i := range 24 {
-				c := must(standin.NewCache("127.0.0.1:0", func(d standin.Do) { hit(0, d) }))
+				c := must(standin.NewCache("127.0.0.1:0", func(d standin.Request) { answerHit(0, d) }))
 				t.Cleanup(c.Close)
 				m := s.members[0]
 				m.ID, m.HostPort = fmt.Sprint("old", i), c.Addr
 				old = append(old, m)
 			}
-			s.bulletin.Tell(standin.Roster(false, old...))
+			s.bulletin.Announce(standin.EndpointList(false, old...))
 			at := s.bulletin.Addr
 			s.bulletin.Close()
 			once := func(n int) (int, string) { // a client that never closes
@@ -111,10 +111,10 @@
 			if refused > 0 {
 				t.Errorf("%d of 120 lookups not answered with 200 while discovery was down", refused)
 			}
-			t.Logf("%d descriptors of 40 as discovery comes back", s.fds())
-			fresh := must(standin.NewCache("127.0.0.1:0", func(d standin.Do) { d.Hit(time.Now(), "hit", "fresh") }))
+			t.Logf("%d descriptors of 40 as discovery comes back", s.openDescriptors())
+			fresh := must(standin.NewCache("127.0.0.1:0", func(d standin.Request) { d.Hit(time.Now(), "hit", "fresh") }))
 			t.Cleanup(fresh.Close)
-			again := must(standin.NewBulletin(at, 1))
+			again := must(standin.NewDiscovery(at, 1))
 			t.Cleanup(again.Close)
 			back := time.Now()
 			for i := range old {
@@ -124,8 +124,8 @@
 			two[0].Phase, two[1].Phase = "draining", "draining"
 			m := s.members[0]
 			m.ID, m.HostPort, m.Phase = "fresh", fresh.Addr, "up"
-			again.Tell(standin.Roster(false, old...)) // the event it holds, once more
-			again.Tell(standin.Roster(false, append(append(old, two...), m)...))
+			again.Announce(standin.EndpointList(false, old...)) // the event it holds, once more
+			again.Announce(standin.EndpointList(false, append(append(old, two...), m)...))
 			for n := 200; ; n++ {
 				status, body := ask(n)
 				if status == 200 && body == "fresh" {
@@ -144,13 +144,13 @@
 	}
 }
 
-// dry is a ground that has no descriptor for a dial until so many are given up.
-type dry struct {
-	env.Ground
+// exhaustedEnv is a ground that has no descriptor for a dial until so many are given up.
+type exhaustedEnv struct {
+	env.Environment
 	wants int
 }
 
-func (d *dry) Dial(*env.Life, string, time.Duration) (net.Conn, error) {
+func (d *exhaustedEnv) Dial(*env.Lifetime, string, time.Duration) (net.Conn, error) {
 	if d.wants > 0 {
 		return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.EMFILE)}
 	}
@@ -160,12 +160,12 @@
 }
 
 // A dial without a descriptor has others give theirs up, four times at most, and says so once.
-func TestADialWithoutADescriptor(t *testing.T) {
+func TestDialWithoutDescriptors(t *testing.T) {
 	for _, c := range []struct{ wants, idle, asked int }{{0, 9, 0}, {1, 9, 1}, {4, 9, 4}, {5, 9, 4}, {2, 1, 2}} {
 		var log bytes.Buffer
-		d := &dry{Ground: env.NewSystem(&log, slog.LevelWarn), wants: c.wants}
+		d := &exhaustedEnv{Environment: env.NewSystem(&log, slog.LevelWarn), wants: c.wants}
 		idle, asked := c.idle, 0
-		f := &frugal{Ground: d, yield: func() bool {
+		f := &evictingEnv{Environment: d, evictIdle: func() bool {
 			if asked++; idle == 0 {
 				return false
 			}
@@ -174,7 +174,7 @@
 			return true
 		}}
 		conn, err := f.Dial(nil, "", 0)
-		if asked != c.asked || (err == nil) != (c.wants <= min(c.idle, yieldsADial)) {
+		if asked != c.asked || (err == nil) != (c.wants <= min(c.idle, maxEvictionsPerDial)) {
 			t.Errorf("%+v: asked %d times, %v", c, asked, err)
 		}
 		if n := strings.Count(log.String(), "event=descriptors_short"); n != min(1, c.wants) {
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -25,20 +25,20 @@
 	"foldslip/internal/wire"
 )
 
-// part is this gateway's part in its fleet. Like a door it runs for the gateway's life and ends with the drain; it takes no lookups,
+// fleetService is this gateway's part in its fleet. Like a door it runs for the gateway's life and ends with the drain; it takes no lookups,
 // and no decision asks it.
-type part struct {
-	fleet  *membership.Fleet
-	post   *gossip.Gossiper // nil: no limits to share
-	caster *driver.Driver   // nil: purges are not broadcast
-	router *dispatch.Dispatcher
-	stop   chan struct{}
-	ended  chan struct{}
+type fleetService struct {
+	fleet       *membership.Fleet
+	gossip      *gossip.Gossiper // nil: no limits to share
+	broadcaster *driver.Driver   // nil: purges are not broadcast
+	dispatcher  *dispatch.Dispatcher
+	stop        chan struct{}
+	ended       chan struct{}
 }
 
-// joining makes it; nil where the operators' settings name no fleet, as on the platform.
-func joining(g env.Ground, own *config.Config, name string, seed uint64, routes *rollout.Controller, router *dispatch.Dispatcher,
-	bulletin *wire.Bulletin) (*part, error) {
+// joinFleet makes it; nil where the operators' settings name no fleet, as on the platform.
+func joinFleet(g env.Environment, own *config.Config, name string, seed uint64, routes *rollout.Controller, router *dispatch.Dispatcher,
+	bulletin *wire.Watch) (*fleetService, error) {
 	if own.Fleet == nil {
 		return nil, nil
 	}
@@ -67,7 +67,7 @@
 		return transport.Listen(listen, advertise, parts.TransportCounts, g.Log())
 	}
 	if c.Folder != "" {
-		disk, err := g.Folder(c.Folder)
+		disk, err := g.OpenDirectory(c.Folder)
 		if err != nil {
 			return nil, fmt.Errorf("fleet.folder: %w", err)
 		}
@@ -80,7 +80,7 @@
 		}
 		parts.Store = shelf
 	}
-	p := &part{router: router, stop: make(chan struct{}), ended: make(chan struct{})}
+	p := &fleetService{dispatcher: router, stop: make(chan struct{}), ended: make(chan struct{})}
 	var doors gossip.Admission
 	if routes != nil {
 		doors = routes
@@ -103,68 +103,68 @@
 		}
 	}
 	if doors != nil || heed != nil {
-		p.post = gossip.New(name, doors, heed, g.Log(), seed)
-		parts.OnMessage = p.post.HandleMessage
+		p.gossip = gossip.New(name, doors, heed, g.Log(), seed)
+		parts.OnMessage = p.gossip.HandleMessage
 	}
 	if c.BroadcastsPurges {
 		var stamp [8]byte // not of the seed, which a configuration may give alike at each start and to each gateway
 		if _, err := crand.Read(stamp[:]); err != nil {
 			return nil, err
 		}
-		p.broadcast(set, parts.Now, binary.LittleEndian.Uint64(stamp[:]), g, bulletin, heard)
+		p.newBroadcaster(set, parts.Now, binary.LittleEndian.Uint64(stamp[:]), g, bulletin, heard)
 		others := parts.OnMessage
 		parts.OnMessage = func(b []byte) {
 			if driver.IsBroadcast(b) {
-				p.caster.HandleMessage(b)
+				p.broadcaster.HandleMessage(b)
 			} else if others != nil {
 				others(b)
 			}
 		}
 	}
 	if heed != nil {
-		bulletin.Event = func(no int64, purges []dispatch.Purge) {
+		bulletin.OnEvent = func(no int64, purges []dispatch.Purge) {
 			var told []purgesync.Purge
 			for _, v := range purges {
 				told = append(told, purgesync.Purge{Event: no, Object: v.Object, Group: int64(v.Group), Issued: v.IssuedAt.UnixMilli()})
 			}
-			p.post.RecordPurges(no, told)
+			p.gossip.RecordPurges(no, told)
 		}
-		p.post.RecordPurges(bulletin.Last, nil)
+		p.gossip.RecordPurges(bulletin.LastEvent, nil)
 	}
 	var err error
 	if p.fleet, err = membership.New(set, parts); err != nil {
 		return nil, err
 	}
-	if p.post != nil {
-		p.post.SetFleet(p.fleet)
+	if p.gossip != nil {
+		p.gossip.SetFleet(p.fleet)
 	}
-	if p.caster != nil {
-		p.caster.SetFleet(p.fleet)
+	if p.broadcaster != nil {
+		p.broadcaster.SetFleet(p.fleet)
 	}
 	return p, nil
 }
 
-// broadcast makes the carrier of purges between gateways, told what the own discovery watch tells.
-func (p *part) broadcast(set membership.Settings, wall func() time.Time, stamp uint64, g env.Ground, bulletin *wire.Bulletin,
+// newBroadcaster makes the carrier of purges between gateways, told what the own discovery watch tells.
+func (p *fleetService) newBroadcaster(set membership.Settings, wall func() time.Time, stamp uint64, g env.Environment, bulletin *wire.Watch,
 	heard func([]dispatch.Purge)) {
-	p.caster = driver.New(set.Name, set.Locality, func(some []broadcast.Purge) {
+	p.broadcaster = driver.New(set.Name, set.Locality, func(some []broadcast.Purge) {
 		purges := make([]dispatch.Purge, 0, len(some))
 		for _, v := range some {
 			purges = append(purges, dispatch.Purge{Object: v.Object, Group: int(v.Group), IssuedAt: time.UnixMilli(v.Issued)})
 		}
 		heard(purges)
 	}, g.Log(), stamp, wall)
-	bulletin.Event = func(_ int64, purges []dispatch.Purge) {
+	bulletin.OnEvent = func(_ int64, purges []dispatch.Purge) {
 		told := make([]broadcast.Purge, 0, len(purges))
 		for _, v := range purges {
 			told = append(told, broadcast.Purge{Object: v.Object, Group: int64(v.Group), Issued: v.IssuedAt.UnixMilli()})
 		}
-		p.caster.RecordPurges(told)
+		p.broadcaster.RecordPurges(told)
 	}
 }
 
 // Run takes part until the gateway drains or its life ends.
-func (p *part) Run(life *env.Life) error {
+func (p *fleetService) Run(life *env.Lifetime) error {
 	defer close(p.ended)
 	stop := make(chan struct{})
 	end := sync.OnceFunc(func() { close(stop) })
@@ -178,19 +178,19 @@
 	}()
 	done := make(chan struct{})
 	go func() {
-		if p.post != nil {
-			p.post.Run(stop)
+		if p.gossip != nil {
+			p.gossip.Run(stop)
 		}
 		close(done)
 	}()
 	cast := make(chan struct{})
 	go func() {
-		if p.caster != nil {
-			p.caster.Run(stop)
+		if p.broadcaster != nil {
+			p.broadcaster.Run(stop)
 		}
 		close(cast)
 	}()
-	go p.count(stop)
+	go p.reportFleetSize(stop)
 	err := p.fleet.Run(stop)
 	end()
 	<-done
@@ -198,38 +198,38 @@
 	return err
 }
 
-// count tells the router how many gateways share the caches, where the fleet counts more than it was told.
-func (p *part) count(stop chan struct{}) {
+// reportFleetSize tells the router how many gateways share the caches, where the fleet counts more than it was told.
+func (p *fleetService) reportFleetSize(stop chan struct{}) {
 	every := time.NewTicker(time.Second)
 	defer every.Stop()
 	for {
 		select {
 		case <-every.C:
-			p.router.SetFleetSize(p.fleet.State().FleetSize)
+			p.dispatcher.SetFleetSize(p.fleet.State().FleetSize)
 		case <-stop:
 			return
 		}
 	}
 }
 
-// Prepare has nothing that changes at SIGHUP: the seeds' file is read anew by itself, the rest counts from the next start.
-func (p *part) Prepare(*config.Config) (func(), error) { return func() {}, nil }
+// PrepareReload has nothing that changes at SIGHUP: the seeds' file is read anew by itself, the rest counts from the next start.
+func (p *fleetService) PrepareReload(*config.Config) (func(), error) { return func() {}, nil }
 
 // Drain leaves the fleet.
-func (p *part) Drain() { close(p.stop) }
+func (p *fleetService) Drain() { close(p.stop) }
 
 // Wait waits until it has.
-func (p *part) Wait() { <-p.ended }
+func (p *fleetService) Wait() { <-p.ended }
 
-// operators opens the sockets that the settings name, one where both are the same.
-func operators(g env.Ground, own *config.Config, routes *rollout.Controller, p *part) (doors []Door, err error) {
+// openAdmin opens the sockets that the settings name, one where both are the same.
+func openAdmin(g env.Environment, own *config.Config, routes *rollout.Controller, p *fleetService) (doors []Service, err error) {
 	routing, fleet := "", ""
 	if routes != nil {
 		routing = own.Routing.Socket
 	}
 	of := admin.Services{Routes: routes}
 	if p != nil {
-		of.Fleet, of.Limits, of.Broadcast, fleet = p.fleet, p.post, p.caster, own.Fleet.Socket
+		of.Fleet, of.Limits, of.Broadcast, fleet = p.fleet, p.gossip, p.broadcaster, own.Fleet.Socket
 	}
 	open := func(what, path string, of admin.Services) {
 		if path == "" || err != nil {
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -22,7 +22,7 @@
 )
 
 // Operators ask a gateway of a fleet at its socket; one that knows no fleet says so.
-func TestOperatorsAskAboutTheFleet(t *testing.T) {
+func TestAdminSocketReportsTheFleet(t *testing.T) {
 	dir := t.TempDir()
 	socket, settings := filepath.Join(dir, "s"), filepath.Join(dir, "own.jsonnet")
 	at := strings.Replace(freeAddr(), ":10080", ":7946", 1)
@@ -32,7 +32,7 @@
 	}
 	t.Setenv("FOLDSLIP_SETTINGS", settings)
 	t.Setenv("ROUTER_NAME", "n7")
-	s := begin(t, nil)
+	s := startGateway(t, nil)
 	ask := func(args ...string) string {
 		out, _ := exec.Command(program, append([]string{"fleet"}, args...)...).CombinedOutput()
 		return string(out)
@@ -56,14 +56,14 @@
 	}
 }
 
-// peer is a member of the fleet that takes down what other parts of gateways send it, by its first byte.
-type peer struct {
+// fleetPeer is a member of the fleet that takes down what other parts of gateways send it, by its first byte.
+type fleetPeer struct {
 	mu    sync.Mutex
 	kinds map[byte]int
 	fleet *membership.Fleet
 }
 
-func (p *peer) take(b []byte) {
+func (p *fleetPeer) onMessage(b []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(b) > 0 {
@@ -71,22 +71,22 @@
 	}
 }
 
-func (p *peer) had(kind byte) int {
+func (p *fleetPeer) messagesOf(kind byte) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.kinds[kind]
 }
 
-// joinAs is a member of this process beside the gateway that listens at a seed, until the test ends.
-func joinAs(t *testing.T, name, seed string) *peer {
-	p := &peer{kinds: map[byte]int{}}
+// joinFleetAs is a member of this process beside the gateway that listens at a seed, until the test ends.
+func joinFleetAs(t *testing.T, name, seed string) *fleetPeer {
+	p := &fleetPeer{kinds: map[byte]int{}}
 	at := strings.Replace(freeAddr(), ":10080", ":7946", 1)
 	log, counts := slog.New(slog.DiscardHandler), &transport.Counts{}
 	own := netip.MustParseAddrPort(at)
 	var err error
 	p.fleet, err = membership.New(membership.Settings{Name: name, Listen: at, Advertise: at, Seeds: []string{seed}, MaxMembers: 64, ProbeInterval: 200 * time.Millisecond,
 		ProbeTimeout: 100 * time.Millisecond, GossipInterval: 40 * time.Millisecond, ReapAfter: time.Hour, SettleAfter: 300 * time.Millisecond, RejoinInterval: time.Second},
-		membership.Dependencies{Log: log, Now: time.Now, ReadFile: os.ReadFile, TransportCounts: counts, OnMessage: p.take,
+		membership.Dependencies{Log: log, Now: time.Now, ReadFile: os.ReadFile, TransportCounts: counts, OnMessage: p.onMessage,
 			OpenTransport: func() (memberlist.Transport, error) { return transport.Listen(own, own, counts, log) }})
 	if err != nil {
 		t.Fatal(err)
@@ -104,7 +104,7 @@
 
 // Purges of the discovery watch go to peers where fleet.broadcast is set, and where it is not nothing of the broadcast runs: no datagram
 // of its kind goes out, and operators are told that it is off.
-func TestTheBroadcastGoesOutOnlyWhereItIsSet(t *testing.T) {
+func TestBroadcastOnlyWhereConfigured(t *testing.T) {
 	for _, c := range []struct{ name, more string }{{"unset", ""}, {"with places", ", region: 'r', zone: 'z', site: 's'"},
 		{"with purges by verdict", ", purges: true"}, {"set", ", broadcast: true, region: 'r', zone: 'z', site: 's'"}} {
 		t.Run(c.name, func(t *testing.T) {
@@ -117,8 +117,8 @@
 			}
 			t.Setenv("FOLDSLIP_SETTINGS", settings)
 			t.Setenv("ROUTER_NAME", "n7")
-			s := begin(t, nil)
-			other := joinAs(t, "n8", at)
+			s := startGateway(t, nil)
+			other := joinFleetAs(t, "n8", at)
 			until := func(what string, true func() bool) {
 				for end := time.Now().Add(20 * time.Second); !true(); time.Sleep(20 * time.Millisecond) {
 					if time.Now().After(end) {
@@ -134,11 +134,11 @@
 				return string(out)
 			}
 			for i := range 10 {
-				s.bulletin.Tell(fmt.Sprintf(`{"recall":{"item":"%016x","issued":%d}}`, i+1, time.Now().UnixMilli()))
+				s.bulletin.Announce(fmt.Sprintf(`{"recall":{"item":"%016x","issued":%d}}`, i+1, time.Now().UnixMilli()))
 			}
 			if c.name != "set" {
 				time.Sleep(3 * time.Second)
-				if n := other.had(broadcast.Kind); n > 0 {
+				if n := other.messagesOf(broadcast.Kind); n > 0 {
 					t.Errorf("%d datagrams of the broadcast", n)
 				}
 				if got := ask(); !strings.Contains(got, "this gateway spreads no purges by broadcast") || !strings.Contains(got, "set fleet.broadcast") {
@@ -146,7 +146,7 @@
 				}
 				return
 			}
-			until("the peer is told", func() bool { return other.had(broadcast.Kind) > 0 })
+			until("the peer is told", func() bool { return other.messagesOf(broadcast.Kind) > 0 })
 			var r driver.Report
 			until("all ten count", func() bool { return json.Unmarshal([]byte(ask("--json")), &r) == nil && r.Applied == 10 })
 			if h := r.Latest; len(h) != 10 || h[9].Number != 10 || h[9].Object != "000000000000000a" || h[9].FromPeer || h[9].AtUptimeMS > r.UptimeMS {
--- a/internal/gateway/frozen_test.go
+++ b/internal/gateway/frozen_test.go
@@ -33,13 +33,13 @@
 	for _, name := range []string{"all.json", "names-in-capitals.json", "no-listen.json", "no-bulletin.json", "no-known.json", "bad-seed.json", "bad-settings.json", "no-json.json"} {
 		path := filepath.Join("testdata", "frozen", name)
 		for _, given := range [][2]string{{}, {"name-given", "127.0.0.1:9"}} {
-			s, terms, seed, err := readStart(g, path, given[0], given[1], &config.Config{})
+			s, terms, seed, err := readPlatformConfig(g, path, given[0], given[1], &config.Config{})
 			if err != nil {
 				fmt.Fprintf(&read, "%s: %v\n", name, err)
 				continue
 			}
 			fmt.Fprintf(&read, "%s: name=%q listen=%q seed=%q/%d cores=%v memory=%v sockets=%d bulletin=%q known=%s settings=%d bytes, zones=%v kinds=%v\n", name,
-				s.Name, s.Listen, s.Seed, seed, s.Limits.Cores, s.Limits.MemoryMB, s.Limits.Sockets, s.Bulletin, s.Known, len(s.Settings), terms.Zones, terms.Kinds)
+				s.Name, s.Listen, s.Seed, seed, s.Limits.Cores, s.Limits.MemoryMB, s.Limits.Sockets, s.DiscoveryAddr, s.KnownEvents, len(s.Settings), terms.Zones, terms.Kinds)
 		}
 	}
 	frozen(t, "configurations-as-read", read.Bytes())
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -43,12 +43,12 @@
 	os.Exit(code)
 }
 
-// stage is a gateway among stand-ins: two edges, a parent and the origin, which nothing asks directly.
-type stage struct {
+// testGateway is a gateway among stand-ins: two edges, a parent and the origin, which nothing asks directly.
+type testGateway struct {
 	t        *testing.T
 	edges    []*standin.Cache
-	members  []standin.Member
-	bulletin *standin.Bulletin
+	members  []standin.Endpoint
+	bulletin *standin.Discovery
 	addr     string
 	cmd      *exec.Cmd
 	path     string // of its configuration
@@ -90,24 +90,24 @@
 	}
 })
 
-// begin starts a stage; handle answers for both edges, change is laid over the configuration.
-func begin(t *testing.T, handle func(edge int, d standin.Do), change ...map[string]any) *stage {
+// startGateway starts a stage; handle answers for both edges, change is laid over the configuration.
+func startGateway(t *testing.T, handle func(edge int, d standin.Request), change ...map[string]any) *testGateway {
 	t.Helper()
-	return beginWith(t, 100, nil, handle, change...)
+	return startGatewayWith(t, 100, nil, handle, change...)
 }
 
-// beginWith starts a stage whose program may hold so many descriptors; files are open in it from its start on.
-func beginWith(t *testing.T, fds int, files []*os.File, handle func(edge int, d standin.Do), change ...map[string]any) *stage {
+// startGatewayWith starts a stage whose program may hold so many descriptors; files are open in it from its start on.
+func startGatewayWith(t *testing.T, fds int, files []*os.File, handle func(edge int, d standin.Request), change ...map[string]any) *testGateway {
 	t.Helper()
 	sources()
-	s := &stage{t: t, ended: make(chan error, 1)}
+	s := &testGateway{t: t, ended: make(chan error, 1)}
 	for i := range 2 {
-		s.edges = append(s.edges, must(standin.NewCache("127.0.0.1:0", func(d standin.Do) { handle(i, d) })))
+		s.edges = append(s.edges, must(standin.NewCache("127.0.0.1:0", func(d standin.Request) { handle(i, d) })))
 	}
-	other := must(standin.NewCache("127.0.0.1:0", func(d standin.Do) { d.Reset() }))
-	s.bulletin = must(standin.NewBulletin("127.0.0.1:0", 1))
+	other := must(standin.NewCache("127.0.0.1:0", func(d standin.Request) { d.Reset() }))
+	s.bulletin = must(standin.NewDiscovery("127.0.0.1:0", 1))
 	for i, flavor := range []string{"edge", "edge", "parent", "origin"} {
-		m := standin.Member{ID: fmt.Sprintf("c%d", i), HostPort: other.Addr, Locality: "hub", Flavor: flavor,
+		m := standin.Endpoint{ID: fmt.Sprintf("c%d", i), HostPort: other.Addr, Locality: "hub", Flavor: flavor,
 			Phase: "up", Size: 1}
 		if i < 2 {
 			m.HostPort, m.Locality = s.edges[i].Addr, "town"
@@ -135,7 +135,7 @@
 			t.Log(s.out.String())
 		}
 	})
-	s.until("a ping answered", func() bool {
+	s.waitFor("a ping answered", func() bool {
 		conn, err := net.Dial("tcp", s.addr)
 		if err != nil {
 			return false
@@ -165,14 +165,14 @@
 }
 
 // config writes the example's configuration with the stage's parties, and changes to its top level.
-func (s *stage) config(change ...map[string]any) string {
+func (s *testGateway) config(change ...map[string]any) string {
 	var c map[string]any
 	if err := json.Unmarshal(must(os.ReadFile("../../example/config.json")), &c); err != nil {
 		s.t.Fatal(err)
 	}
 	c["bulletin"] = s.bulletin.Addr
 	c["known"] = map[string]any{"no": 1, "items": []any{
-		json.RawMessage(`{"no":1,` + standin.Roster(true, s.members...)[1:])}}
+		json.RawMessage(`{"no":1,` + standin.EndpointList(true, s.members...)[1:])}}
 	c["settings"].(map[string]any)["classes"].([]any)[1].(map[string]any)["effect"] = "at_most_once"
 	for _, some := range change {
 		maps.Copy(c, some)
@@ -184,8 +184,8 @@
 	return path
 }
 
-// graceOf is the example's settings with another time to heed a purge, in microseconds.
-func graceOf(grace int) map[string]any {
+// settingsWithGrace is the example's settings with another time to heed a purge, in microseconds.
+func settingsWithGrace(grace int) map[string]any {
 	var c struct{ Settings map[string]any }
 	if err := json.Unmarshal(must(os.ReadFile("../../example/config.json")), &c); err != nil {
 		panic(err)
@@ -194,8 +194,8 @@
 	return map[string]any{"settings": c.Settings}
 }
 
-// until waits for a thing to come true, for long enough on a busy machine.
-func (s *stage) until(what string, true func() bool) {
+// waitFor waits for a thing to come true, for long enough on a busy machine.
+func (s *testGateway) waitFor(what string, true func() bool) {
 	s.t.Helper()
 	for end := time.Now().Add(10 * time.Second); !true(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -209,7 +209,7 @@
 	in *bufio.Reader
 }
 
-func (s *stage) dial() *client {
+func (s *testGateway) dial() *client {
 	s.t.Helper()
 	conn, err := net.Dial("tcp", s.addr)
 	if err != nil {
@@ -221,7 +221,7 @@
 }
 
 // lookup is the text of a request.
-func (s *stage) lookup(kind, object string, more ...string) string {
+func (s *testGateway) lookup(kind, object string, more ...string) string {
 	s.ids++
 	return fmt.Sprintf("GET /call/%s/%s/part-3 HTTP/1.1\r\nHost: x\r\nX-Job-Id: %016x\r\nX-Group: 17\r\nX-Ram-Kb: 40.5\r\n%s\r\n",
 		kind, object, s.ids, strings.Join(more, ""))
@@ -240,7 +240,7 @@
 	return got, string(body)
 }
 
-func (s *stage) ask(kind, object string, more ...string) (*http.Response, string) {
+func (s *testGateway) sendLookup(kind, object string, more ...string) (*http.Response, string) {
 	s.t.Helper()
 	c := s.dial()
 	defer c.Close()
@@ -248,19 +248,19 @@
 	return c.answer(s.t)
 }
 
-func (s *stage) expect(status int, got *http.Response) {
+func (s *testGateway) expect(status int, got *http.Response) {
 	s.t.Helper()
 	if got.StatusCode != status {
 		s.t.Fatalf("status %d, expected %d", got.StatusCode, status)
 	}
 }
 
-func hit(_ int, d standin.Do) { d.Hit(time.Now(), "hit", "of "+d.Fields["k"]) }
+func answerHit(_ int, d standin.Request) { d.Hit(time.Now(), "hit", "of "+d.Fields["k"]) }
 
 func TestClients(t *testing.T) {
 	t.Run("bytes whole and unchanged, requests in pieces and on one connection", func(t *testing.T) {
 		big := strings.Repeat("\r\n\x00 0a HIT - 3\r\n", 16000)[:240000]
-		s := begin(t, func(_ int, d standin.Do) { d.Hit(time.Now(), "filled", big) })
+		s := startGateway(t, func(_ int, d standin.Request) { d.Hit(time.Now(), "filled", big) })
 		c := s.dial()
 		for range 3 {
 			text := s.lookup("segment", "%6fbject")
@@ -281,21 +281,21 @@
 		}
 	})
 	t.Run("the client's copy is the one", func(t *testing.T) {
-		s := begin(t, func(_ int, d standin.Do) {
+		s := startGateway(t, func(_ int, d standin.Request) {
 			if d.Fields["seen"] != "v1" || d.Fields["c"] != "segment" || d.Fields["k"] != "o" || d.Fields["p"] != "3" {
-				d.End("NONE", "-")
+				d.Respond("NONE", "-")
 				return
 			}
-			d.End("VALID", fmt.Sprintf("note=hit,ver=v1,born=%d", time.Now().UnixMilli()))
+			d.Respond("VALID", fmt.Sprintf("note=hit,ver=v1,born=%d", time.Now().UnixMilli()))
 		})
-		got, body := s.ask("segment", "o", "If-None-Match: \"v1\"\r\n")
+		got, body := s.sendLookup("segment", "o", "If-None-Match: \"v1\"\r\n")
 		if s.expect(304, got); body != "" || got.Header.Get("ETag") != `"v1"` {
 			t.Errorf("%q with tag %q", body, got.Header.Get("ETag"))
 		}
 	})
 	t.Run("nacked, with a time to come back", func(t *testing.T) {
-		s := begin(t, func(_ int, d standin.Do) { d.End("SHED", "-") })
-		got, _ := s.ask("segment", "o")
+		s := startGateway(t, func(_ int, d standin.Request) { d.Respond("SHED", "-") })
+		got, _ := s.sendLookup("segment", "o")
 		if s.expect(503, got); got.Header.Get("X-Wait-Ms") != "2000" {
 			t.Errorf("X-Wait-Ms is %q", got.Header.Get("X-Wait-Ms"))
 		}
@@ -303,13 +303,13 @@
 	t.Run("failed, and not sent again, where it may have run", func(t *testing.T) {
 		var mu sync.Mutex
 		sends := 0
-		s := begin(t, func(_ int, d standin.Do) {
+		s := startGateway(t, func(_ int, d standin.Request) {
 			mu.Lock()
 			sends++
 			mu.Unlock()
-			d.End("FAULT", "-")
+			d.Respond("FAULT", "-")
 		})
-		got, _ := s.ask("page", "o")
+		got, _ := s.sendLookup("page", "o")
 		s.expect(502, got)
 		if mu.Lock(); sends != 1 {
 			t.Errorf("sent %d times", sends)
@@ -317,26 +317,26 @@
 		mu.Unlock()
 	})
 	t.Run("a client that leaves is owed nothing, its send is undone", func(t *testing.T) {
-		came := make(chan standin.Do, 9)
-		s := begin(t, func(_ int, d standin.Do) { came <- d })
+		came := make(chan standin.Request, 9)
+		s := startGateway(t, func(_ int, d standin.Request) { came <- d })
 		c := s.dial()
 		io.WriteString(c, s.lookup("segment", "o"))
-		d := soon(t, came)
+		d := receiveSoon(t, came)
 		c.Close()
 		select {
-		case id := <-s.edges[0].Undone:
+		case id := <-s.edges[0].Cancelled:
 			c.check(t, id, d.ID)
-		case id := <-s.edges[1].Undone:
+		case id := <-s.edges[1].Cancelled:
 			c.check(t, id, d.ID)
 		case <-time.After(5 * time.Second):
 			t.Fatal("not undone")
 		}
 		d.Hit(time.Now(), "hit", "late") // dropped by its id: the connection stays
-		io.WriteString(d.On, "")
+		io.WriteString(d.Conn, "")
 		c = s.dial()
 		io.WriteString(c, s.lookup("segment", "o"))
-		next := soon(t, came)
-		if next.Hit(time.Now(), "hit", "ok"); next.On != d.On {
+		next := receiveSoon(t, came)
+		if next.Hit(time.Now(), "hit", "ok"); next.Conn != d.Conn {
 			t.Error("the late answer ended the connection")
 		}
 		if _, body := c.answer(t); body != "ok" {
@@ -344,22 +344,22 @@
 		}
 	})
 	t.Run("caches that say nothing: an answer by the deadline", func(t *testing.T) {
-		s := begin(t, func(int, standin.Do) {})
+		s := startGateway(t, func(int, standin.Request) {})
 		for allow, most := range map[int]time.Duration{400: 2 * time.Second, 3600000: 6 * time.Second} {
 			began := time.Now()
-			got, _ := s.ask("segment", "o", fmt.Sprintf("X-Allow-Ms: %d\r\n", allow))
+			got, _ := s.sendLookup("segment", "o", fmt.Sprintf("X-Allow-Ms: %d\r\n", allow))
 			if s.expect(503, got); time.Since(began) > most {
 				t.Errorf("after %v of %d ms", time.Since(began), allow)
 			}
 		}
 	})
 	t.Run("at its bounds it nacks, and goes on when there is room", func(t *testing.T) {
-		came := make(chan standin.Do, 9)
-		s := begin(t, func(_ int, d standin.Do) { came <- d },
+		came := make(chan standin.Request, 9)
+		s := startGateway(t, func(_ int, d standin.Request) { came <- d },
 			map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 0.125, "sockets": 6}}) // one lookup
 		first := s.dial()
 		io.WriteString(first, s.lookup("segment", "o"))
-		d := soon(t, came)
+		d := receiveSoon(t, came)
 		second := s.dial()
 		for range 2 {
 			io.WriteString(second, s.lookup("segment", "o"))
@@ -371,19 +371,19 @@
 			t.Errorf("got %q", body)
 		}
 		io.WriteString(second, s.lookup("segment", "o"))
-		soon(t, came).Hit(time.Now(), "hit", "second")
+		receiveSoon(t, came).Hit(time.Now(), "hit", "second")
 		if _, body := second.answer(t); body != "second" {
 			t.Errorf("got %q", body)
 		}
 	})
 	t.Run("a connection past the bound is turned away while all have a lookup", func(t *testing.T) {
-		came := make(chan standin.Do, 9)
-		s := begin(t, func(_ int, d standin.Do) { came <- d }, map[string]any{"limits": map[string]any{"sockets": 2}})
-		s.until("end of the ping's connection", func() bool { return strings.Contains(s.out.String(), "reason=closed_by_client") })
+		came := make(chan standin.Request, 9)
+		s := startGateway(t, func(_ int, d standin.Request) { came <- d }, map[string]any{"limits": map[string]any{"sockets": 2}})
+		s.waitFor("end of the ping's connection", func() bool { return strings.Contains(s.out.String(), "reason=closed_by_client") })
 		c := s.dial()
 		io.WriteString(c, s.lookup("segment", "o"))
-		d := soon(t, came)
-		got, _ := s.ask("segment", "o")
+		d := receiveSoon(t, came)
+		got, _ := s.sendLookup("segment", "o")
 		if s.expect(503, got); !got.Close {
 			t.Error("left open")
 		}
@@ -392,7 +392,7 @@
 		s.expect(200, got)
 	})
 	t.Run("silent connections by the hundreds go before usual ones", func(t *testing.T) {
-		s := begin(t, hit) // the stage leaves it 100 descriptors, of which clients get half
+		s := startGateway(t, answerHit) // the stage leaves it 100 descriptors, of which clients get half
 		first := s.dial()
 		usual := func() {
 			t.Helper()
@@ -404,13 +404,13 @@
 		for range 120 {
 			s.dial()
 		}
-		got, _ := s.ask("segment", "o")
+		got, _ := s.sendLookup("segment", "o")
 		s.expect(200, got)
 		usual()
-		s.until("60 of them closed", func() bool { return strings.Count(s.out.String(), "reason=displaced") > 60 })
+		s.waitFor("60 of them closed", func() bool { return strings.Count(s.out.String(), "reason=displaced") > 60 })
 	})
 	t.Run("who says nothing, or half a request, is closed within 3 s of connecting", func(t *testing.T) {
-		s := begin(t, hit)
+		s := startGateway(t, answerHit)
 		began, silent, half := time.Now(), s.dial(), s.dial()
 		for range 4 {
 			io.WriteString(half, "GET /call/segment/o HTTP/1.1\r\n"[:7])
@@ -426,8 +426,8 @@
 		}
 	})
 	t.Run("nothing behind a head with lengths in doubt is read as a lookup", func(t *testing.T) {
-		came := make(chan standin.Do, 99)
-		s := begin(t, func(_ int, d standin.Do) { came <- d })
+		came := make(chan standin.Request, 99)
+		s := startGateway(t, func(_ int, d standin.Request) { came <- d })
 		for _, both := range [][]string{
 			{"Content-Length: 4\r\n", "Transfer-Encoding: chunked\r\n"}, {"transfer-encoding:chunked\r\n", "CONTENT-LENGTH: 0\r\n"},
 			{"Transfer-Encoding: identity\r\n"}, {"Content-Length: 0\r\n", "Content-Length: 4\r\n"},
@@ -449,7 +449,7 @@
 		}
 	})
 	t.Run("what cannot be a lookup", func(t *testing.T) {
-		s := begin(t, hit)
+		s := startGateway(t, answerHit)
 		open := s.lookup("segment", "o")
 		for _, story := range []struct {
 			text string
@@ -490,42 +490,42 @@
 }
 
 func TestCaches(t *testing.T) {
-	for name, broken := range map[string]func(d standin.Do){
-		"reset amid the bytes":       func(d standin.Do) { d.On.Say(d.ID + " HIT ver=v,born=9 900\r\nhalf"); d.Reset() },
-		"an unknown word":            func(d standin.Do) { d.On.Say(d.ID + " MAYBE - 0\r\n\r\n") },
-		"an answer that stops short": func(d standin.Do) { d.On.Say(d.ID + " HIT ver=v,born=9 900\r\nhalf") },
-		"a length too long":          func(d standin.Do) { d.On.Say(d.ID + " HIT ver=v,born=9 240001\r\n") },
-		"an endless line":            func(d standin.Do) { d.On.Say(strings.Repeat("x", 9000)) },
-		"no tag":                     func(d standin.Do) { d.On.Say(d.ID + " HIT - 2\r\nno\r\n") },
-		"word of a copy the client lacks": func(d standin.Do) {
-			d.End("VALID", "ver=v1,born=9")
+	for name, broken := range map[string]func(d standin.Request){
+		"reset amid the bytes":       func(d standin.Request) { d.Conn.Send(d.ID + " HIT ver=v,born=9 900\r\nhalf"); d.Reset() },
+		"an unknown word":            func(d standin.Request) { d.Conn.Send(d.ID + " MAYBE - 0\r\n\r\n") },
+		"an answer that stops short": func(d standin.Request) { d.Conn.Send(d.ID + " HIT ver=v,born=9 900\r\nhalf") },
+		"a length too long":          func(d standin.Request) { d.Conn.Send(d.ID + " HIT ver=v,born=9 240001\r\n") },
+		"an endless line":            func(d standin.Request) { d.Conn.Send(strings.Repeat("x", 9000)) },
+		"no tag":                     func(d standin.Request) { d.Conn.Send(d.ID + " HIT - 2\r\nno\r\n") },
+		"word of a copy the client lacks": func(d standin.Request) {
+			d.Respond("VALID", "ver=v1,born=9")
 		},
 	} {
 		t.Run(name+" is sent anew, and no byte of it reaches the client", func(t *testing.T) {
 			var first sync.Once
-			s := begin(t, func(_ int, d standin.Do) {
+			s := startGateway(t, func(_ int, d standin.Request) {
 				bad := false
 				if first.Do(func() { bad = true }); bad {
 					broken(d)
 				} else {
-					hit(0, d)
+					answerHit(0, d)
 				}
 			})
-			got, body := s.ask("segment", "o")
+			got, body := s.sendLookup("segment", "o")
 			if s.expect(200, got); body != "of o" {
 				t.Errorf("got %q", body)
 			}
 		})
 	}
 	t.Run("an answer to no send and a second copy are passed over, the sends around them go on", func(t *testing.T) {
-		came := make(chan standin.Do, 9)
-		s := begin(t, func(_ int, d standin.Do) { came <- d })
+		came := make(chan standin.Request, 9)
+		s := startGateway(t, func(_ int, d standin.Request) { came <- d })
 		a, b := s.dial(), s.dial()
 		io.WriteString(a, s.lookup("segment", "o"))
 		io.WriteString(b, s.lookup("segment", "o"))
-		first, second := soon(t, came), soon(t, came)
+		first, second := receiveSoon(t, came), receiveSoon(t, came)
 		for range 2 { // whichever of the two it is
-			first.On.Say("0123456789abcdef HIT - 2\r\nno\r\n")
+			first.Conn.Send("0123456789abcdef HIT - 2\r\nno\r\n")
 			first.Hit(time.Now(), "hit", "ok")
 		}
 		second.Hit(time.Now(), "hit", "ok")
@@ -535,25 +535,25 @@
 			}
 		}
 		io.WriteString(a, s.lookup("segment", "o"))
-		if next := soon(t, came); next.On != first.On || second.On != first.On {
+		if next := receiveSoon(t, came); next.Conn != first.Conn || second.Conn != first.Conn {
 			t.Error("the connection was given up")
 		}
 	})
 	t.Run("a connection that falls silent: what waits on it goes to the same cache on a new one", func(t *testing.T) {
 		var mu sync.Mutex
 		var mute *standin.Conn
-		s := begin(t, func(_ int, d standin.Do) {
+		s := startGateway(t, func(_ int, d standin.Request) {
 			mu.Lock()
-			silent := d.On == mute
+			silent := d.Conn == mute
 			if mute == nil {
-				mute = d.On
+				mute = d.Conn
 			}
 			mu.Unlock()
 			if !silent {
-				hit(0, d)
+				answerHit(0, d)
 			}
 		})
-		s.ask("segment", "o")
+		s.sendLookup("segment", "o")
 		began, a, b := time.Now(), s.dial(), s.dial()
 		for _, c := range []*client{a, b} {
 			io.WriteString(c, s.lookup("segment", "o"))
@@ -570,47 +570,47 @@
 		}
 	})
 	t.Run("a connection that left one send without an answer takes no more", func(t *testing.T) {
-		came := make(chan standin.Do, 9)
-		s := begin(t, func(_ int, d standin.Do) { came <- d })
-		got, _ := s.ask("segment", "o", "X-Allow-Ms: 500\r\n")
+		came := make(chan standin.Request, 9)
+		s := startGateway(t, func(_ int, d standin.Request) { came <- d })
+		got, _ := s.sendLookup("segment", "o", "X-Allow-Ms: 500\r\n")
 		s.expect(503, got)
-		first, c := soon(t, came), s.dial()
+		first, c := receiveSoon(t, came), s.dial()
 		io.WriteString(c, s.lookup("segment", "o"))
-		next := soon(t, came)
-		if next.Hit(time.Now(), "hit", "ok"); next.On == first.On || next.On.LocalAddr().String() != first.On.LocalAddr().String() {
+		next := receiveSoon(t, came)
+		if next.Hit(time.Now(), "hit", "ok"); next.Conn == first.Conn || next.Conn.LocalAddr().String() != first.Conn.LocalAddr().String() {
 			t.Error("sent on the silent connection, or to another cache")
 		}
 		got, _ = c.answer(t)
 		s.expect(200, got)
 	})
 	t.Run("a refused connection never ran, so a side-effecting lookup goes on elsewhere", func(t *testing.T) {
-		s := begin(t, hit)
+		s := startGateway(t, answerHit)
 		s.edges[0].Close()
 		for i := range 8 {
-			got, _ := s.ask("page", fmt.Sprint("o", i))
+			got, _ := s.sendLookup("page", fmt.Sprint("o", i))
 			s.expect(200, got)
 		}
 	})
 	t.Run("a new cache at an old address", func(t *testing.T) {
-		s := begin(t, hit)
-		s.ask("segment", "o")
+		s := startGateway(t, answerHit)
+		s.sendLookup("segment", "o")
 		s.edges[0].Close()
 		s.edges[1].Close()
 		var mu sync.Mutex
 		conns := map[*standin.Conn]bool{}
-		again := must(standin.NewCache(s.edges[0].Addr, func(d standin.Do) {
+		again := must(standin.NewCache(s.edges[0].Addr, func(d standin.Request) {
 			mu.Lock()
-			conns[d.On] = true
+			conns[d.Conn] = true
 			mu.Unlock()
-			hit(0, d)
+			answerHit(0, d)
 		}))
 		defer again.Close()
 		gone, fresh := s.members[1], s.members[0]
 		old := s.members[0]
 		old.Phase, gone.Phase, fresh.ID = "removed", "removed", "c9"
-		s.bulletin.Tell(standin.Roster(false, old, gone, fresh))
-		s.until("lookup satisfied by the new cache", func() bool {
-			got, _ := s.ask("segment", "o")
+		s.bulletin.Announce(standin.EndpointList(false, old, gone, fresh))
+		s.waitFor("lookup satisfied by the new cache", func() bool {
+			got, _ := s.sendLookup("segment", "o")
 			return got.StatusCode == 200
 		})
 		if mu.Lock(); len(conns) != 1 {
@@ -620,7 +620,7 @@
 	})
 }
 
-func TestBulletin(t *testing.T) {
+func TestDiscoveryWatch(t *testing.T) {
 	for name, story := range map[string]struct {
 		grace int
 		want  string
@@ -630,7 +630,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			old, asked, hold := time.Now().Add(-time.Minute), make(chan string, 9), make(chan bool)
-			s := begin(t, func(_ int, d standin.Do) {
+			s := startGateway(t, func(_ int, d standin.Request) {
 				asked <- d.Fields["oldest"]
 				if d.Fields["oldest"] == "" { // as caches do: the old copy, unless bid otherwise
 					<-hold
@@ -638,17 +638,17 @@
 				} else {
 					d.Hit(time.Now(), "filled", "new")
 				}
-			}, graceOf(story.grace))
+			}, settingsWithGrace(story.grace))
 			c := s.dial()
 			io.WriteString(c, s.lookup("segment", "o"))
 			<-asked
-			s.bulletin.Tell(fmt.Sprintf(`{"recall":{"lot":17,"issued":%d}}`, time.Now().UnixMilli()))
+			s.bulletin.Announce(fmt.Sprintf(`{"recall":{"lot":17,"issued":%d}}`, time.Now().UnixMilli()))
 			time.Sleep(300 * time.Millisecond) // for the event to arrive
 			close(hold)
 			if got, body := c.answer(t); got.StatusCode != 200 || body != story.want {
 				t.Errorf("status %d, %q", got.StatusCode, body)
 			}
-			if got, body := s.ask("segment", "o"); got.StatusCode != 200 || body != "new" {
+			if got, body := s.sendLookup("segment", "o"); got.StatusCode != 200 || body != "new" {
 				t.Errorf("status %d, %q after the purge", got.StatusCode, body)
 			}
 		})
@@ -656,18 +656,18 @@
 	t.Run("a draining cache gets nothing new", func(t *testing.T) {
 		var mu sync.Mutex
 		seen := map[int]int{}
-		s := begin(t, func(edge int, d standin.Do) {
+		s := startGateway(t, func(edge int, d standin.Request) {
 			mu.Lock()
 			seen[edge]++
 			mu.Unlock()
-			hit(0, d)
+			answerHit(0, d)
 		})
 		m := s.members[0]
 		m.Phase = "draining"
-		s.bulletin.Tell(standin.Roster(false, m))
+		s.bulletin.Announce(standin.EndpointList(false, m))
 		time.Sleep(200 * time.Millisecond)
 		for i := range 20 {
-			s.ask("segment", fmt.Sprint("o", i))
+			s.sendLookup("segment", fmt.Sprint("o", i))
 		}
 		mu.Lock()
 		defer mu.Unlock()
@@ -676,11 +676,11 @@
 		}
 	})
 	t.Run("cut and mute: taken up again after the last whole event, none twice", func(t *testing.T) {
-		s := begin(t, hit)
+		s := startGateway(t, answerHit)
 		after := func(want int) {
 			t.Helper()
 			select {
-			case got := <-s.bulletin.After:
+			case got := <-s.bulletin.Subscribed:
 				if got != want {
 					t.Fatalf("after %d, expected %d", got, want)
 				}
@@ -689,34 +689,34 @@
 			}
 		}
 		after(1)
-		s.bulletin.Tell(`{"recall":{"item":"o","issued":1764576000123}}`)
-		s.bulletin.Cut(`{"no":3,"recall":{"item":"half`)
+		s.bulletin.Announce(`{"recall":{"item":"o","issued":1764576000123}}`)
+		s.bulletin.Disconnect(`{"no":3,"recall":{"item":"half`)
 		after(2)
-		s.bulletin.Tell(`{"recall":{"lot":"no number"}}`) // unusable: taken up again, and passed over when it comes again
+		s.bulletin.Announce(`{"recall":{"lot":"no number"}}`) // unusable: taken up again, and passed over when it comes again
 		after(2)
-		s.bulletin.Tell(`{"recall":{"item":"p","issued":1764576000123}}`)
-		s.bulletin.Mute(true)
+		s.bulletin.Announce(`{"recall":{"item":"p","issued":1764576000123}}`)
+		s.bulletin.SetSilent(true)
 		after(4)
 	})
 }
 
-func TestReread(t *testing.T) {
+func TestReload(t *testing.T) {
 	t.Run("SIGHUP: the new bulletin is asked at once for what follows, nothing is dropped", func(t *testing.T) {
-		came := make(chan standin.Do, 9)
-		s := begin(t, func(_ int, d standin.Do) { came <- d })
+		came := make(chan standin.Request, 9)
+		s := startGateway(t, func(_ int, d standin.Request) { came <- d })
 		c := s.dial()
 		io.WriteString(c, s.lookup("segment", "before"))
-		d := soon(t, came)
-		s.bulletin.Tell(`{"recall":{"item":"x","issued":1764576000123}}`)
-		next := must(standin.NewBulletin("127.0.0.1:0", 1))
-		next.Tell(`{"recall":{"item":"x","issued":1764576000123}}`)
+		d := receiveSoon(t, came)
+		s.bulletin.Announce(`{"recall":{"item":"x","issued":1764576000123}}`)
+		next := must(standin.NewDiscovery("127.0.0.1:0", 1))
+		next.Announce(`{"recall":{"item":"x","issued":1764576000123}}`)
 		m := s.members[0]
 		m.Phase = "draining"
-		next.Tell(standin.Roster(false, m))
+		next.Announce(standin.EndpointList(false, m))
 		time.Sleep(100 * time.Millisecond) // for the first event to arrive
 		must(0, os.WriteFile(s.path, []byte(`{"bulletin":`), 0o600))
 		s.cmd.Process.Signal(syscall.SIGHUP)
-		s.until("word that the file cannot be used", func() bool { return strings.Contains(s.out.String(), "event=reread_failed") })
+		s.waitFor("word that the file cannot be used", func() bool { return strings.Contains(s.out.String(), "event=reread_failed") })
 		old := s.bulletin
 		s.bulletin = next
 		must(0, os.Rename(s.config(), s.path))
@@ -724,14 +724,14 @@
 			s.cmd.Process.Signal(syscall.SIGHUP)
 		}
 		select {
-		case after := <-next.After:
+		case after := <-next.Subscribed:
 			if after != 2 {
 				t.Errorf("asked after %d", after)
 			}
 		case <-time.After(2 * time.Second):
 			t.Fatal("not asked")
 		}
-		if old.Cut(""); len(old.After) > 1 {
+		if old.Disconnect(""); len(old.Subscribed) > 1 {
 			t.Error("the old bulletin was asked again")
 		}
 		time.Sleep(100 * time.Millisecond) // for the second event to arrive
@@ -741,8 +741,8 @@
 		}
 		for i := range 8 {
 			io.WriteString(c, s.lookup("segment", fmt.Sprint("o", i)))
-			d := soon(t, came)
-			if d.Hit(time.Now(), "hit", ""); d.On.LocalAddr().String() == s.edges[0].Addr {
+			d := receiveSoon(t, came)
+			if d.Hit(time.Now(), "hit", ""); d.Conn.LocalAddr().String() == s.edges[0].Addr {
 				t.Error("a send to a cache that the new bulletin told draining")
 			}
 			c.answer(t)
@@ -750,18 +750,18 @@
 	})
 }
 
-func TestStopAndStart(t *testing.T) {
+func TestTerminateAndStart(t *testing.T) {
 	t.Run("SIGTERM: takes what still comes, answers all, ends well", func(t *testing.T) {
-		came := make(chan standin.Do, 9)
-		s := begin(t, func(_ int, d standin.Do) { came <- d })
+		came := make(chan standin.Request, 9)
+		s := startGateway(t, func(_ int, d standin.Request) { came <- d })
 		early, idle := s.dial(), s.dial()
 		io.WriteString(early, s.lookup("segment", "early"))
-		first := soon(t, came)
+		first := receiveSoon(t, came)
 		s.cmd.Process.Signal(syscall.SIGTERM)
-		s.until("word of stopping", func() bool { return strings.Contains(s.out.String(), "event=stopping") })
+		s.waitFor("word of stopping", func() bool { return strings.Contains(s.out.String(), "event=stopping") })
 		late := s.dial()
 		io.WriteString(late, s.lookup("segment", "late"))
-		second := soon(t, came)
+		second := receiveSoon(t, came)
 		time.Sleep(time.Second)
 		second.Hit(time.Now(), "hit", "late")
 		first.Hit(time.Now(), "hit", "early")
@@ -783,14 +783,14 @@
 		}
 	})
 	t.Run("what cannot be started says so in one line", func(t *testing.T) {
-		s := begin(t, hit)
+		s := startGateway(t, answerHit)
 		for name, path := range map[string]string{
 			"no file":           filepath.Join(t.TempDir(), "none"),
 			"address in use":    s.config(),
 			"unusable settings": s.config(map[string]any{"settings": map[string]any{"classes": 3}}),
 			"a bad seed":        s.config(map[string]any{"seed": "?"}),
 			"an unknown flavor": s.config(map[string]any{"known": json.RawMessage(`{"no":1,"items":[{"no":1,` +
-				standin.Roster(true, standin.Member{ID: "c", HostPort: "127.0.0.1:1", Flavor: "odd", Phase: "up"})[1:] + `]}`)}),
+				standin.EndpointList(true, standin.Endpoint{ID: "c", HostPort: "127.0.0.1:1", Flavor: "odd", Phase: "up"})[1:] + `]}`)}),
 		} {
 			cmd := exec.Command(program)
 			cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+path, "ROUTER_LISTEN="+s.addr)
@@ -802,8 +802,8 @@
 	})
 }
 
-// soon takes what must come; a story that waits in vain says so and does not hang the whole run.
-func soon[T any](t *testing.T, from chan T) (got T) {
+// receiveSoon takes what must come; a story that waits in vain says so and does not hang the whole run.
+func receiveSoon[T any](t *testing.T, from chan T) (got T) {
 	t.Helper()
 	select {
 	case got = <-from:
--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -20,11 +20,11 @@
 
 // One gateway that is told 1,100 caches and 1,100 gateways starts, serves from caches all over the list, and drains at SIGTERM.
 func TestLargeLists(t *testing.T) {
-	var members []standin.Member
+	var members []standin.Endpoint
 	came := make(chan string, largeList)
 	for i := range largeList {
 		id := fmt.Sprintf("large-%d", i)
-		cache := must(standin.NewCache("127.0.0.1:0", func(d standin.Do) {
+		cache := must(standin.NewCache("127.0.0.1:0", func(d standin.Request) {
 			select {
 			case came <- id:
 			default:
@@ -32,7 +32,7 @@
 			d.Hit(time.Now(), "hit", "body")
 		}))
 		t.Cleanup(cache.Close)
-		members = append(members, standin.Member{ID: id, HostPort: cache.Addr, Locality: "town", Flavor: "edge", Phase: "up", Size: 1})
+		members = append(members, standin.Endpoint{ID: id, HostPort: cache.Addr, Locality: "town", Flavor: "edge", Phase: "up", Size: 1})
 	}
 	var seeds []string
 	for i := range largeList {
@@ -48,8 +48,8 @@
 	t.Setenv("FOLDSLIP_SETTINGS", settings)
 	t.Setenv("ROUTER_NAME", "n7")
 
-	known := map[string]any{"known": map[string]any{"no": 1, "items": []any{json.RawMessage(`{"no":1,` + standin.Roster(true, members...)[1:])}}}
-	s := beginWith(t, 4096, nil, nil, known)
+	known := map[string]any{"known": map[string]any{"no": 1, "items": []any{json.RawMessage(`{"no":1,` + standin.EndpointList(true, members...)[1:])}}}
+	s := startGatewayWith(t, 4096, nil, nil, known)
 	asked := map[string]bool{}
 	for i := range 200 {
 		c := s.dial()
@@ -65,7 +65,7 @@
 	}
 	last := s.dial()
 	s.cmd.Process.Signal(syscall.SIGTERM)
-	s.until("word of stopping", func() bool { return strings.Contains(s.out.String(), "event=stopping") })
+	s.waitFor("word of stopping", func() bool { return strings.Contains(s.out.String(), "event=stopping") })
 	io.WriteString(last, s.lookup("segment", "last"))
 	if got, _ := last.answer(t); got.StatusCode != 200 {
 		t.Errorf("a lookup as it drains: status %d", got.StatusCode)
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -29,8 +29,8 @@
 	backAfter = 3 * time.Second  // an absent one comes back so long after the restart
 )
 
-// relay stands before a discovery: each session's first byte comes late.
-func relay(t *testing.T, to string, late time.Duration) string {
+// startRelay stands before a discovery: each session's first byte comes late.
+func startRelay(t *testing.T, to string, late time.Duration) string {
 	l := must(net.Listen("tcp", "127.0.0.1:0"))
 	t.Cleanup(func() { l.Close() })
 	go func() {
@@ -55,8 +55,8 @@
 	return l.Addr().String()
 }
 
-// pinged tells whether a gateway answers a ping with 200.
-func pinged(addr string) bool {
+// isReady tells whether a gateway answers a ping with 200.
+func isReady(addr string) bool {
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return false
@@ -70,29 +70,29 @@
 
 // All processes are restarted at once, by SIGTERM, while discovery is slow, absent, or absent and then back. Those that are told the list
 // (`known`, as on the platform) and those that kept it on disk do not wait for discovery; those with neither are ready once it is there.
-func TestARestartOfAll(t *testing.T) {
+func TestRestartOfAllGateways(t *testing.T) {
 	n := min(max(1, *restarted), 60)
 	for _, c := range []struct {
 		discovery, list string
 	}{{"slow", "known"}, {"absent", "known"}, {"back", "known"}, {"absent", "kept"}, {"slow", "none"}, {"back", "none"}} {
 		t.Run(c.discovery+", list "+c.list, func(t *testing.T) {
-			cache := must(standin.NewCache("127.0.0.1:0", func(d standin.Do) { hit(0, d) }))
+			cache := must(standin.NewCache("127.0.0.1:0", func(d standin.Request) { answerHit(0, d) }))
 			t.Cleanup(cache.Close)
-			members := []standin.Member{{ID: "c0", HostPort: cache.Addr, Locality: "town", Flavor: "edge", Phase: "up", Size: 1},
+			members := []standin.Endpoint{{ID: "c0", HostPort: cache.Addr, Locality: "town", Flavor: "edge", Phase: "up", Size: 1},
 				{ID: "c1", HostPort: cache.Addr, Locality: "hub", Flavor: "origin", Phase: "up", Size: 1}}
-			roster := standin.Roster(true, members...)
-			discovery := func(at string) *standin.Bulletin {
-				b := must(standin.NewBulletin(at, 0))
-				b.Tell(roster)
+			roster := standin.EndpointList(true, members...)
+			discovery := func(at string) *standin.Discovery {
+				b := must(standin.NewDiscovery(at, 0))
+				b.Announce(roster)
 				go func() {
-					for range b.After {
+					for range b.Subscribed {
 					}
 				}()
 				t.Cleanup(b.Close)
 				return b
 			}
 			first := discovery("127.0.0.1:0")
-			slow := relay(t, first.Addr, slowBy)
+			slow := startRelay(t, first.Addr, slowBy)
 			var config map[string]any
 			if err := json.Unmarshal(must(os.ReadFile("../../example/config.json")), &config); err != nil {
 				t.Fatal(err)
@@ -142,7 +142,7 @@
 				for _, g := range all {
 					group.Go(func() {
 						for g.took = -1; time.Since(began) < 2*readyIn; time.Sleep(20 * time.Millisecond) {
-							if pinged(g.addr) {
+							if isReady(g.addr) {
 								g.took = time.Since(began)
 								return
 							}
--- a/internal/gateway/routes_test.go
+++ b/internal/gateway/routes_test.go
@@ -26,7 +26,7 @@
 	}
 	var mu sync.Mutex
 	var at [2]int
-	handle := func(edge int, d standin.Do) {
+	handle := func(edge int, d standin.Request) {
 		mu.Lock()
 		at[edge]++
 		mu.Unlock()
@@ -34,14 +34,14 @@
 	}
 	write("c0")
 	t.Setenv("FOLDSLIP_SETTINGS", own)
-	s := begin(t, handle)
-	asked := func(s *stage, want int) {
+	s := startGateway(t, handle)
+	asked := func(s *testGateway, want int) {
 		t.Helper()
 		mu.Lock()
 		at = [2]int{}
 		mu.Unlock()
 		for i := range 20 {
-			got, _ := s.ask("segment", fmt.Sprint("object", i))
+			got, _ := s.sendLookup("segment", fmt.Sprint("object", i))
 			s.expect(200, got)
 		}
 		mu.Lock()
@@ -50,9 +50,9 @@
 			t.Errorf("%v, expected all at %d\n%s", at, want, s.out.String())
 		}
 	}
-	logged := func(s *stage, what string) {
+	logged := func(s *testGateway, what string) {
 		t.Helper()
-		s.until(what, func() bool { return strings.Contains(s.out.String(), what) })
+		s.waitFor(what, func() bool { return strings.Contains(s.out.String(), what) })
 	}
 	asked(s, 0)
 	write("c1")
@@ -69,6 +69,6 @@
 	s.cmd.Process.Kill()
 	<-s.ended
 	write("c0") // the record goes before the file: what was confirmed is in force
-	again := begin(t, handle)
+	again := startGateway(t, handle)
 	asked(again, 1)
 }
