--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -27,23 +27,23 @@
 const (
 	// At a planned restart connections keep coming for 0.4 s, requests on open ones for a further 0.2 s; what comes in the 0.1 s
 	// after them is owed an answer all the same.
-	acceptOn   = 700 * time.Millisecond
-	stopBefore = 250 * time.Millisecond // before the kill, which comes after the longest deadline and 0.7 s
-	mostKill   = 3 * time.Second        // a longer deadline counts as this
-	purgeSlack = 5 * time.Second
-	confirmIn  = 10 * time.Minute // for routes of a file that was read anew
+	drainDelay          = 700 * time.Millisecond
+	killMargin          = 250 * time.Millisecond // before the kill, which comes after the longest deadline and 0.7 s
+	maxKillDelay        = 3 * time.Second        // a longer deadline counts as this
+	purgeRetentionSlack = 5 * time.Second
+	confirmTimeout      = 10 * time.Minute // for routes of a file that was read anew
 
-	mostLookups = 640 // open at once, and fewer on little memory:
-	lookupsAMB  = 8   // each takes some 20 KB with its connection, stacks and send, the answer's bytes not counted
-	bodiesPart  = 0.4 // of the memory limit, for the answers' bytes
-	memoryPart  = 0.7 // of the limit, for the runtime's own
-	mostClients = 4096
-	mostLinks   = 16384 // connections to caches
-	clientsPart = 2     // the front takes one over this of the descriptors; clients hold up to a third
+	maxLookups              = 640 // open at once, and fewer on little memory:
+	lookupsPerMB            = 8   // each takes some 20 KB with its connection, stacks and send, the answer's bytes not counted
+	bodyMemoryShare         = 0.4 // of the memory limit, for the answers' bytes
+	runtimeMemoryShare      = 0.7 // of the limit, for the runtime's own
+	maxClientConns          = 4096
+	maxCacheConns           = 16384 // connections to caches
+	clientDescriptorDivisor = 2     // the front takes one over this of the descriptors; clients hold up to a third
 )
 
-// start is what the gateway is told.
-type start struct {
+// platformConfig is what the gateway is told.
+type platformConfig struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
 	Seed   string `json:"seed"`
@@ -52,17 +52,17 @@
 		MemoryMB float64 `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Bulletin string          `json:"bulletin"`
-	Known    json.RawMessage `json:"known"`
-	Settings json.RawMessage `json:"settings"`
+	DiscoveryAddr string          `json:"bulletin"`
+	KnownEvents   json.RawMessage `json:"known"`
+	Settings      json.RawMessage `json:"settings"`
 }
 
-func readStart(g env.Ground, path, name, listen string, own *config.Config) (*start, *settings.Settings, uint64, error) {
+func readPlatformConfig(g env.Environment, path, name, listen string, own *config.Config) (*platformConfig, *settings.Settings, uint64, error) {
 	text, err := g.ReadFile(path)
 	if err != nil {
 		return nil, nil, 0, err
 	}
-	var s start
+	var s platformConfig
 	if err := json.Unmarshal(text, &s); err != nil {
 		return nil, nil, 0, fmt.Errorf("%s: %w", path, err)
 	}
@@ -72,7 +72,7 @@
 	if listen != "" {
 		s.Listen = listen
 	}
-	if s.Listen == "" || s.Bulletin == "" || len(s.Known) == 0 && own.List == nil {
+	if s.Listen == "" || s.DiscoveryAddr == "" || len(s.KnownEvents) == 0 && own.List == nil {
 		return nil, nil, 0, fmt.Errorf("%s: listen, bulletin or known is missing", path)
 	}
 	seed, err := strconv.ParseUint(s.Seed, 16, 64)
@@ -86,22 +86,22 @@
 	return &s, terms, seed, nil
 }
 
-// readAll reads what the gateway is told, as its variables say.
-func readAll(g env.Ground) (*start, *settings.Settings, uint64, *config.Config, error) {
+// loadConfig reads what the gateway is told, as its variables say.
+func loadConfig(g env.Environment) (*platformConfig, *settings.Settings, uint64, *config.Config, error) {
 	own := &config.Config{}
-	if path := g.Env("FOLDSLIP_SETTINGS"); path != "" {
+	if path := g.Getenv("FOLDSLIP_SETTINGS"); path != "" {
 		var err error
 		if own, err = config.Read(path, g.ReadFile); err != nil {
 			return nil, nil, 0, nil, err
 		}
-		g.Tidy() // the evaluator takes some 2 MB that nothing needs any more
+		g.ReleaseMemory() // the evaluator takes some 2 MB that nothing needs any more
 	}
-	s, terms, seed, err := readStart(g, g.Env("ROUTER_CONFIG"), g.Env("ROUTER_NAME"), g.Env("ROUTER_LISTEN"), own)
+	s, terms, seed, err := readPlatformConfig(g, g.Getenv("ROUTER_CONFIG"), g.Getenv("ROUTER_NAME"), g.Getenv("ROUTER_LISTEN"), own)
 	return s, terms, seed, own, err
 }
 
-// keep opens the list kept on disk. What is wrong with it is told, and the gateway serves without it.
-func keep(g env.Ground, own *config.Config) *snapshot.Snapshotter {
+// openSnapshotter opens the list kept on disk. What is wrong with it is told, and the gateway serves without it.
+func openSnapshotter(g env.Environment, own *config.Config) *snapshot.Snapshotter {
 	if own.List == nil {
 		return nil
 	}
@@ -116,15 +116,15 @@
 	return list
 }
 
-// steering puts the operators' routes in force; nil where they name none.
-func steering(g env.Ground, own *config.Config, terms *settings.Settings, bulletin *wire.Bulletin) (*rollout.Controller, error) {
+// openRoutes puts the operators' routes in force; nil where they name none.
+func openRoutes(g env.Environment, own *config.Config, terms *settings.Settings, bulletin *wire.Watch) (*rollout.Controller, error) {
 	if own.Routing == nil {
 		return nil, nil
 	}
-	var disk env.Disk
+	var disk env.Directory
 	if own.Routing.Folder != "" {
 		var err error
-		if disk, err = g.Folder(own.Routing.Folder); err != nil {
+		if disk, err = g.OpenDirectory(own.Routing.Folder); err != nil {
 			return nil, fmt.Errorf("routing.folder: %w", err)
 		}
 	}
@@ -135,16 +135,16 @@
 	if own.Routing.GuardLimits != nil {
 		s.SetGuardLimits(*own.Routing.GuardLimits)
 	}
-	bulletin.Heard = s.UpdateEndpoints
+	bulletin.OnUpdate = s.UpdateEndpoints
 	return s, nil
 }
 
 // Gateway is a gateway at work, for whoever looks on.
 type Gateway struct {
-	router *dispatch.Dispatcher
-	links  *wire.Links
-	front  *wire.Front
-	routes *rollout.Controller
+	dispatcher *dispatch.Dispatcher
+	pool       *wire.Pool
+	server     *wire.Server
+	routes     *rollout.Controller
 }
 
 // Routes are the routes in force; nil: none.
@@ -152,43 +152,43 @@
 
 // Load is what a gateway holds: lookups without a final answer or with sends out, sends as the module counts them,
 // those not picked yet, sends as the connections count them, and connections to caches and of clients.
-type Load struct{ Lookups, Sends, Queued, Flying, Links, Clients int }
+type Load struct{ Lookups, OpenAttempts, QueuedAttempts, ConnAttempts, CacheConns, ClientConns int }
 
 // Load tells it at one instant, if nothing goes on meanwhile.
 func (w *Gateway) Load() (l Load) {
-	l.Lookups = w.router.OpenLookups()
-	l.Sends, l.Queued = w.router.InFlight()
-	l.Flying, l.Links = w.links.Load()
-	l.Clients = w.front.Load()
+	l.Lookups = w.dispatcher.OpenLookups()
+	l.OpenAttempts, l.QueuedAttempts = w.dispatcher.InFlight()
+	l.ConnAttempts, l.CacheConns = w.pool.Load()
+	l.ClientConns = w.server.ConnCount()
 	return l
 }
 
-// Watch is what may look on, and what further doors there are; all may be nil.
-type Watch struct {
-	Up      func(*Gateway)
-	Between dispatch.Interceptor
-	Doors   func(Inside) ([]Door, error)
+// Hooks is what may look on, and what further doors there are; all may be nil.
+type Hooks struct {
+	OnStarted   func(*Gateway)
+	Interceptor dispatch.Interceptor
+	NewServices func(Dependencies) ([]Service, error)
 }
 
-// Inside is what a door stands before.
-type Inside struct {
-	Name   string
-	Ground env.Ground
-	Terms  *settings.Settings
-	Router *dispatch.Dispatcher
-	Caches *memory.Registry
-	Purges *memory.Log
-	Room   *memory.Controller
-	Own    *config.Config
-	Routes *rollout.Controller // nil: a lookup may go anywhere
+// Dependencies is what a door stands before.
+type Dependencies struct {
+	Name        string
+	Environment env.Environment
+	Settings    *settings.Settings
+	Dispatcher  *dispatch.Dispatcher
+	Registry    *memory.Registry
+	Purges      *memory.Log
+	Admission   *memory.Controller
+	Config      *config.Config
+	Routes      *rollout.Controller // nil: a lookup may go anywhere
 }
 
-// Door takes lookups beside the users' door.
-type Door interface {
+// Service takes lookups beside the users' door.
+type Service interface {
 	// Run serves until life ends.
-	Run(life *env.Life) error
+	Run(life *env.Lifetime) error
 	// Prepare reads the operators' settings anew; what it returns puts them in place. It changes nothing by itself.
-	Prepare(own *config.Config) (func(), error)
+	PrepareReload(own *config.Config) (func(), error)
 	// Drain takes no more callers; what is open goes on. It does not wait.
 	Drain()
 	// Wait waits for what is open to end.
@@ -196,10 +196,10 @@
 }
 
 // Run runs a gateway on its ground until it is told to stop; every lookup taken by then is answered.
-func Run(g env.Ground, watch Watch) error {
-	told := newOrders(g)
-	defer g.Signals(told.hear)()
-	s, terms, seed, own, err := readAll(g)
+func Run(g env.Environment, watch Hooks) error {
+	told := newPendingSignals(g)
+	defer g.OnSignal(told.handle)()
+	s, terms, seed, own, err := loadConfig(g)
 	if err != nil {
 		return err
 	}
@@ -208,30 +208,30 @@
 		cores = max(1, int(s.Limits.Cores+0.5))
 	}
 	if s.Limits.MemoryMB > 0 {
-		memoryLimit = int64(s.Limits.MemoryMB * memoryPart * (1 << 20))
+		memoryLimit = int64(s.Limits.MemoryMB * runtimeMemoryShare * (1 << 20))
 	}
-	g.Limit(cores, memoryLimit)
-	life := env.NewLife(nil)
+	g.SetResourceLimits(cores, memoryLimit)
+	life := env.NewLifetime(nil)
 	defer life.End()
 
 	caches := &memory.Registry{}
-	purges := &memory.Log{Clock: g, Grace: time.Duration(terms.PurgeGrace) * time.Microsecond, Retention: time.Duration(terms.Router.PurgeSettleTime)*time.Microsecond + purgeSlack}
-	router := dispatch.New(g, seed, terms.Router, watch.Between)
-	calling := &frugal{Ground: g}
-	bulletin := wire.NewBulletin(calling, s.Bulletin, terms, router, caches, purges)
-	routes, err := steering(g, own, terms, bulletin)
+	purges := &memory.Log{Clock: g, Grace: time.Duration(terms.PurgeGrace) * time.Microsecond, Retention: time.Duration(terms.Router.PurgeSettleTime)*time.Microsecond + purgeRetentionSlack}
+	router := dispatch.New(g, seed, terms.Router, watch.Interceptor)
+	calling := &evictingEnv{Environment: g}
+	bulletin := wire.NewWatch(calling, s.DiscoveryAddr, terms, router, caches, purges)
+	routes, err := openRoutes(g, own, terms, bulletin)
 	if err != nil {
 		return err
 	}
-	list := keep(g, own)
+	list := openSnapshotter(g, own)
 	var members *warmstart.Reconciler
 	if list != nil {
 		members = warmstart.New(g, terms, router, caches, list)
-		bulletin.Members = members
+		bulletin.Reconciler = members
 	}
 	listed := 0
-	if len(s.Known) > 0 {
-		if err := bulletin.Known(s.Known); err != nil {
+	if len(s.KnownEvents) > 0 {
+		if err := bulletin.LoadKnown(s.KnownEvents); err != nil {
 			return err
 		}
 		listed = caches.Len()
@@ -239,7 +239,7 @@
 	if listed == 0 && members != nil {
 		listed = members.Start(purges)
 		chance := rand.New(rand.NewPCG(seed, 0x62756c6c6574696e))
-		bulletin.Spread = func(most time.Duration) time.Duration { // full jitter: all gateways wait for one bulletin
+		bulletin.Jitter = func(most time.Duration) time.Duration { // full jitter: all gateways wait for one bulletin
 			return time.Duration(chance.Int64N(int64(most) + 1))
 		}
 	}
@@ -247,39 +247,39 @@
 	if err != nil {
 		return err
 	}
-	held := share(s.Limits.Sockets, g.Descriptors(), own, watch.Doors != nil)
-	lookups, bytes := mostLookups, int64(mostLookups*wire.MostObject)
+	held := shareDescriptors(s.Limits.Sockets, g.DescriptorLimit(), own, watch.NewServices != nil)
+	lookups, bytes := maxLookups, int64(maxLookups*wire.MaxObjectBytes)
 	if s.Limits.MemoryMB > 0 {
-		lookups = min(lookups, max(1, int(s.Limits.MemoryMB*lookupsAMB)))
-		bytes = int64(s.Limits.MemoryMB * bodiesPart * (1 << 20))
+		lookups = min(lookups, max(1, int(s.Limits.MemoryMB*lookupsPerMB)))
+		bytes = int64(s.Limits.MemoryMB * bodyMemoryShare * (1 << 20))
 	}
-	links := wire.NewLinks(calling, life, terms, router, caches, purges, held.Caches)
+	links := wire.NewPool(calling, life, terms, router, caches, purges, held.Caches)
 	room := memory.NewController(g, lookups, bytes)
-	front := wire.NewFront(g, terms, router, links, room, held.Clients)
-	calling.yield = func() bool { return front.Yield() || links.Yield() } // who waits for nothing goes first
+	front := wire.NewServer(g, terms, router, links, room, held.Clients)
+	calling.evictIdle = func() bool { return front.EvictIdle() || links.EvictIdle() } // who waits for nothing goes first
 	front.Routes = routes
-	var doors []Door
-	if watch.Doors != nil {
-		if doors, err = watch.Doors(Inside{s.Name, g, terms, router, caches, purges, room, own, routes}); err != nil {
+	var doors []Service
+	if watch.NewServices != nil {
+		if doors, err = watch.NewServices(Dependencies{s.Name, g, terms, router, caches, purges, room, own, routes}); err != nil {
 			return err
 		}
 	}
-	fleet, err := joining(g, own, s.Name, seed, routes, router, bulletin)
+	fleet, err := joinFleet(g, own, s.Name, seed, routes, router, bulletin)
 	if err != nil {
 		return err
 	}
 	if fleet != nil {
 		doors = append(doors, fleet)
 	}
-	calls, err := operators(g, own, routes, fleet)
+	calls, err := openAdmin(g, own, routes, fleet)
 	if err != nil {
 		return err
 	}
 	doors = append(doors, calls...)
-	g.Log().Info("started", "name", s.Name, "listen", s.Listen, "bulletin", s.Bulletin, "last", bulletin.Last,
-		"descriptors_own", held.Own, "descriptors_doors", held.Doors, "descriptors_clients", held.Clients, "descriptors_caches", held.Caches)
+	g.Log().Info("started", "name", s.Name, "listen", s.Listen, "bulletin", s.DiscoveryAddr, "last", bulletin.LastEvent,
+		"descriptors_own", held.Process, "descriptors_doors", held.Extproc, "descriptors_clients", held.Clients, "descriptors_caches", held.Caches)
 
-	group := g.Group()
+	group := g.NewGroup()
 	start := func(name string, part func() error) {
 		group.Go(name, func() error {
 			err := part()
@@ -289,10 +289,10 @@
 			return err
 		})
 	}
-	start("bulletin", func() error { return bulletin.Follow(life) })
-	start("tick", func() error { return tick(g, life, router) })
-	start("reread", func() error { return reread(g, life, told, s, bulletin, routes, doors) })
-	start("accept", func() error { return front.Accept(life, listener) })
+	start("bulletin", func() error { return bulletin.Run(life) })
+	start("tick", func() error { return runTimers(g, life, router) })
+	start("reread", func() error { return reloadOnSignal(g, life, told, s, bulletin, routes, doors) })
+	start("accept", func() error { return front.Serve(life, listener) })
 	for _, d := range doors {
 		start("door", func() error { return d.Run(life) })
 	}
@@ -304,17 +304,17 @@
 		start("members", func() error { return members.Run(life) })
 	}
 	if listed > 0 {
-		front.Ready()
+		front.SetReady()
 	} else { // the truth is told: until there is a list each lookup is nacked
-		g.Log().Warn("no_list", "bulletin", s.Bulletin)
-		bulletin.Listed = front.Ready
+		g.Log().Warn("no_list", "bulletin", s.DiscoveryAddr)
+		bulletin.OnFirstList = front.SetReady
 	}
-	if watch.Up != nil {
-		watch.Up(&Gateway{router, links, front, routes})
+	if watch.OnStarted != nil {
+		watch.OnStarted(&Gateway{router, links, front, routes})
 	}
 	start("drain", func() error {
 		defer life.End()
-		if !told.stop(life) {
+		if !told.waitTerminate(life) {
 			return errors.New("a part of the gateway ended")
 		}
 		return drain(g, terms, router, front, doors, listener)
@@ -325,85 +325,87 @@
 	return err
 }
 
-// orders are the platform's signals until they are heeded: one that waits stands for all of its kind since.
-type orders struct {
-	mu           sync.Mutex
-	stopped, hup bool
-	stopping     env.Bell
-	rereading    env.Bell
+// pendingSignals are the platform's signals until they are heeded: one that waits stands for all of its kind since.
+type pendingSignals struct {
+	mu                                sync.Mutex
+	terminateReceived, reloadReceived bool
+	terminate                         env.Notifier
+	reload                            env.Notifier
 }
 
-func newOrders(g env.Ground) *orders { return &orders{stopping: g.Bell(), rereading: g.Bell()} }
+func newPendingSignals(g env.Environment) *pendingSignals {
+	return &pendingSignals{terminate: g.NewNotifier(), reload: g.NewNotifier()}
+}
 
-func (o *orders) hear(s env.Signal) {
+func (o *pendingSignals) handle(s env.Signal) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if s == env.Reread {
-		o.hup = true
-		o.rereading.Ring()
+	if s == env.Reload {
+		o.reloadReceived = true
+		o.reload.Notify()
 		return
 	}
-	o.stopped = true
-	o.stopping.Ring()
+	o.terminateReceived = true
+	o.terminate.Notify()
 }
 
-// stop waits for the word to stop; false if the life ends first.
-func (o *orders) stop(life *env.Life) bool {
-	defer life.OnEnd(o.stopping.Ring)()
-	o.stopping.Wait(-1)
+// waitTerminate waits for the word to stop; false if the life ends first.
+func (o *pendingSignals) waitTerminate(life *env.Lifetime) bool {
+	defer life.OnEnd(o.terminate.Notify)()
+	o.terminate.Wait(-1)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.stopped
+	return o.terminateReceived
 }
 
-// reread waits for the word to read anew; false if the life ends first.
-func (o *orders) reread() bool {
-	o.rereading.Wait(-1)
+// waitReload waits for the word to read anew; false if the life ends first.
+func (o *pendingSignals) waitReload() bool {
+	o.reload.Wait(-1)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	was := o.hup
-	o.hup = false
+	was := o.reloadReceived
+	o.reloadReceived = false
 	return was
 }
 
-// reread reads the configuration anew at each SIGHUP. The bulletin moves at once and nothing else is touched; what
+// reloadOnSignal reads the configuration anew at each SIGHUP. The bulletin moves at once and nothing else is touched; what
 // is told of the rest counts from the next start. A file that cannot be used leaves all as it is.
-func reread(g env.Ground, life *env.Life, told *orders, was *start, bulletin *wire.Bulletin, routes *rollout.Controller,
-	doors []Door) error {
-	defer life.OnEnd(told.rereading.Ring)()
+func reloadOnSignal(g env.Environment, life *env.Lifetime, told *pendingSignals, was *platformConfig, bulletin *wire.Watch, routes *rollout.Controller,
+	doors []Service) error {
+	defer life.OnEnd(told.reload.Notify)()
 	for {
-		if !told.reread() {
-			if life.Over() {
+		if !told.waitReload() {
+			if life.Ended() {
 				return nil
 			}
 			continue
 		}
-		now, _, _, own, err := readAll(g)
+		now, _, _, own, err := loadConfig(g)
 		var changes []func()
 		for i := 0; i < len(doors) && err == nil; i++ { // all or none
 			var change func()
-			change, err = doors[i].Prepare(own)
+			change, err = doors[i].PrepareReload(own)
 			changes = append(changes, change)
 		}
 		if err == nil && routes != nil && own.Routing != nil {
-			err = rerouted(routes, own.Routing)
+			err = applyRoutes(routes, own.Routing)
 		}
 		if err != nil {
 			g.Log().Warn("reread_failed", "text", err.Error())
 			continue
 		}
 		rest := now.Limits != was.Limits || now.Listen != was.Listen || !bytes.Equal(now.Settings, was.Settings)
-		g.Log().Info("reread", "bulletin", now.Bulletin, "restart_wanted", rest)
-		bulletin.Move(now.Bulletin)
+		g.Log().Info("reread", "bulletin", now.DiscoveryAddr, "restart_wanted", rest)
+		bulletin.SetAddr(now.DiscoveryAddr)
 		for _, change := range changes {
 			change()
 		}
 	}
 }
 
-// rerouted brings the routes of the file in; an error if they cannot be used.
-func rerouted(routes *rollout.Controller, r *config.Routing) error {
-	step, err := routes.ApplyFile(r.Config, confirmIn)
+// applyRoutes brings the routes of the file in; an error if they cannot be used.
+func applyRoutes(routes *rollout.Controller, r *config.Routing) error {
+	step, err := routes.ApplyFile(r.Config, confirmTimeout)
 	if err == nil && step.Stage == change.RolledBack && len(step.Findings) > 0 {
 		err = fmt.Errorf("routing: version %d is undone: %s", step.Version, step.Reason)
 	}
@@ -411,43 +413,43 @@
 }
 
 // drain stops the gateway as the platform stops it. What is still open shortly before the kill is given up, so that it has its answer.
-func drain(g env.Ground, terms *settings.Settings, router *dispatch.Dispatcher, front *wire.Front, doors []Door,
+func drain(g env.Environment, terms *settings.Settings, router *dispatch.Dispatcher, front *wire.Server, doors []Service,
 	listener net.Listener) error {
 	kill := time.Duration(0)
 	for _, k := range terms.Router.Kinds {
 		kill = max(kill, time.Duration(k.Deadline)*time.Microsecond)
 	}
-	cut := g.Now().Add(min(kill, mostKill) + 700*time.Millisecond - stopBefore)
+	cut := g.Now().Add(min(kill, maxKillDelay) + 700*time.Millisecond - killMargin)
 	g.Log().Info("stopping")
-	front.Unready()
-	g.Bell().Wait(acceptOn)
+	front.SetNotReady()
+	g.NewNotifier().Wait(drainDelay)
 	front.Drain()
-	front.Shut(listener)
+	front.StopAccepting(listener)
 	for _, d := range doors {
 		d.Drain()
 	}
-	done, waiting := g.Bell(), g.Group()
+	done, waiting := g.NewNotifier(), g.NewGroup()
 	waiting.Go("drained", func() error {
 		front.Wait()
 		for _, d := range doors {
 			d.Wait()
 		}
-		done.Ring()
+		done.Notify()
 		return nil
 	})
 	if !done.Wait(max(0, cut.Sub(g.Now()))) {
 		router.Stop()
-		if !done.Wait(stopBefore / 2) {
-			front.Cut()
+		if !done.Wait(killMargin / 2) {
+			front.Close()
 		}
 	}
 	return waiting.Wait()
 }
 
-// tick brings the router its timers.
-func tick(g env.Ground, life *env.Life, router *dispatch.Dispatcher) error {
-	end := g.Bell()
-	defer life.OnEnd(end.Ring)()
+// runTimers brings the router its timers.
+func runTimers(g env.Environment, life *env.Lifetime, router *dispatch.Dispatcher) error {
+	end := g.NewNotifier()
+	defer life.OnEnd(end.Notify)()
 	for !end.Wait(max(router.Tick(nil, false, nil), time.Millisecond)) {
 	}
 	return nil
--- a/internal/lab/fleet/load.go
+++ b/internal/lab/fleet/load.go
@@ -216,7 +216,7 @@
 	held map[string]time.Time
 }
 
-func (t *toy) answer(d standin.Do) {
+func (t *toy) answer(d standin.Request) {
 	key := d.Fields["k"] + "/" + d.Fields["p"]
 	t.mu.Lock()
 	born, held := t.held[key]
@@ -228,12 +228,12 @@
 	body := "part " + d.Fields["p"] + " of " + d.Fields["k"] + "\n"
 	switch {
 	case held && d.Fields["seen"] == "v1":
-		d.End("VALID", fmt.Sprintf("note=hit,ver=v1,born=%d", born.UnixMilli()))
+		d.Respond("VALID", fmt.Sprintf("note=hit,ver=v1,born=%d", born.UnixMilli()))
 	case held:
 		d.Hit(born, "hit", body)
 	case d.Fields["from"] != "":
 		d.Hit(born, "filled", body)
 	default:
-		d.End("NONE", "-")
+		d.Respond("NONE", "-")
 	}
 }
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -54,7 +54,7 @@
 	falsely  int
 	marks    []mark
 	caches   []*standin.Cache
-	bulletin *standin.Bulletin
+	bulletin *standin.Discovery
 	poke     chan struct{}
 	over     chan struct{}
 }
@@ -135,11 +135,11 @@
 		return err
 	}
 	var err error
-	if r.bulletin, err = standin.NewBulletin(r.addr(bulletinBlock, 0, 8500).String(), 1); err != nil {
+	if r.bulletin, err = standin.NewDiscovery(r.addr(bulletinBlock, 0, 8500).String(), 1); err != nil {
 		return err
 	}
-	go drop(r.bulletin.After, r.over) // nobody here asks what gateways asked for
-	var members []standin.Member
+	go drop(r.bulletin.Subscribed, r.over) // nobody here asks what gateways asked for
+	var members []standin.Endpoint
 	for i := range int(r.s.Caches) + 2 {
 		flavor, zone := "edge", "town"
 		if i >= int(r.s.Caches) {
@@ -151,8 +151,8 @@
 			return err
 		}
 		r.caches = append(r.caches, c)
-		go drop(c.Undone, r.over)
-		members = append(members, standin.Member{ID: fmt.Sprintf("c%d", i+1), HostPort: c.Addr, Locality: zone, Flavor: flavor, Phase: "up", Size: 1})
+		go drop(c.Cancelled, r.over)
+		members = append(members, standin.Endpoint{ID: fmt.Sprintf("c%d", i+1), HostPort: c.Addr, Locality: zone, Flavor: flavor, Phase: "up", Size: 1})
 	}
 	var seeds []string
 	for i := range int(r.s.Seeds) {
@@ -193,7 +193,7 @@
 }
 
 // settings writes what a gateway is told.
-func (r *Rig) settings(p *process, i int, caches []standin.Member, seeds []string, own, door netip.AddrPort) error {
+func (r *Rig) settings(p *process, i int, caches []standin.Endpoint, seeds []string, own, door netip.AddrPort) error {
 	f := r.s.Fleet
 	f.Listen, f.Advertise, f.Seeds, f.Socket = own.String(), door.String(), seeds, p.socket()
 	at := r.s.place(p.name)
@@ -216,7 +216,7 @@
 	}
 	config := map[string]any{"name": p.name, "listen": p.clients, "seed": fmt.Sprintf("%x", r.o.Seed*1000+uint64(i)+1),
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "bulletin": p.bulletin,
-		"known":    map[string]any{"no": 1, "items": []any{json.RawMessage(`{"no":1,` + standin.Roster(true, caches...)[1:])}},
+		"known":    map[string]any{"no": 1, "items": []any{json.RawMessage(`{"no":1,` + standin.EndpointList(true, caches...)[1:])}},
 		"settings": json.RawMessage(gatewaySettings)}
 	if text, err = json.Marshal(config); err != nil {
 		return err
@@ -309,7 +309,7 @@
 	case "heal":
 		r.links.Heal()
 	case "purge":
-		r.bulletin.Tell(fmt.Sprintf(`{"recall":{"item":"%016x","issued":%d}}`, r.now().Milliseconds(), time.Now().UnixMilli()))
+		r.bulletin.Announce(fmt.Sprintf(`{"recall":{"item":"%016x","issued":%d}}`, r.now().Milliseconds(), time.Now().UnixMilli()))
 	case "link":
 		r.links.Set(r.cast.names(st.From), r.cast.names(st.To), st.Fault())
 	}
--- a/internal/lab/fleet/spread.go
+++ b/internal/lab/fleet/spread.go
@@ -142,7 +142,7 @@
 		s.mu.Lock()
 		s.told = append(s.told, toldPurge{object, s.rig.now()})
 		s.mu.Unlock()
-		s.rig.bulletin.Tell(fmt.Sprintf(`{"recall":{"item":"%s","issued":%d}}`, object, time.Now().UnixMilli()))
+		s.rig.bulletin.Announce(fmt.Sprintf(`{"recall":{"item":"%s","issued":%d}}`, object, time.Now().UnixMilli()))
 	}
 }
 
--- a/internal/lab/fleet/virtual.go
+++ b/internal/lab/fleet/virtual.go
@@ -205,7 +205,7 @@
 	stop       chan struct{}
 	ended      chan struct{}
 	counts     *transport.Counts
-	disk       env.Disk // nil: keeps nothing
+	disk       env.Directory // nil: keeps nothing
 }
 
 // NewVirtual makes a fleet of so many gateways, none of which runs.
@@ -308,7 +308,7 @@
 }
 
 // Keep gives a gateway a disk for whom it knew.
-func (v *Virtual) Keep(name string, disk env.Disk) { v.by[name].disk = disk }
+func (v *Virtual) Keep(name string, disk env.Directory) { v.by[name].disk = disk }
 
 // Running are the names of gateways that run.
 func (v *Virtual) Running() (names []string) {
--- a/internal/lab/fleet/virtual_test.go
+++ b/internal/lab/fleet/virtual_test.go
@@ -52,7 +52,7 @@
 		}
 		v := NewVirtual(n, 1, set)
 		log := &logged{}
-		v.Log = slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug, ReplaceAttr: env.Plain}))
+		v.Log = slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug, ReplaceAttr: env.ReplaceLogAttr}))
 		defer v.End()
 		if err := v.Start(v.all...); err != nil {
 			t.Fatal(err)
@@ -313,7 +313,7 @@
 
 func TestWithoutSeedsTheFleetIsFoundFromDisk(t *testing.T) {
 	on(t, 5, func(t *testing.T, v *Virtual, log *logged) {
-		disk, err := env.OpenFolder(t.TempDir())
+		disk, err := env.OpenOSDirectory(t.TempDir())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/scale/discovery.go
+++ b/internal/lab/scale/discovery.go
@@ -42,7 +42,7 @@
 
 	mu      sync.Mutex
 	keep    int
-	members []standin.Member
+	members []standin.Endpoint
 	at      map[string]int // place in members by id
 	whole   []byte         // the list as an event without its number; nil: to be made anew
 	first   int64          // position of events[0]; positions go on over all starts, numbers are a gateway's own
@@ -73,7 +73,7 @@
 type DiscoveryOptions struct {
 	Gateways int // 1 to 8192
 	Keep     int // events kept for watchers that come back; 65,536 if 0 (ten minutes of 100 a second)
-	Members  []standin.Member
+	Members  []standin.Endpoint
 	Pulse    time.Duration // between lines with the last number alone; a second if 0
 }
 
@@ -172,7 +172,7 @@
 // list is the whole list as an event, under the lock: shared by all that join before it changes.
 func (d *Discovery) list() []byte {
 	if d.whole == nil {
-		d.whole = []byte(standin.Roster(true, d.members...)[1:])
+		d.whole = []byte(standin.EndpointList(true, d.members...)[1:])
 	}
 	return d.whole
 }
@@ -201,8 +201,8 @@
 }
 
 // Change tells of changed, new or removed members of the list, and returns its position.
-func (d *Discovery) Change(members ...standin.Member) int64 {
-	b := []byte(standin.Roster(false, members...)[1:])
+func (d *Discovery) Change(members ...standin.Endpoint) int64 {
+	b := []byte(standin.EndpointList(false, members...)[1:])
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.whole = nil
@@ -229,7 +229,7 @@
 }
 
 // member is one of the list as it is, by any number.
-func (d *Discovery) member(i int) standin.Member {
+func (d *Discovery) member(i int) standin.Endpoint {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.members[i%len(d.members)]
--- a/internal/lab/scale/discovery_test.go
+++ b/internal/lab/scale/discovery_test.go
@@ -178,7 +178,7 @@
 	d.Change(gone)
 	drains := members[2]
 	drains.Phase = "draining"
-	d.Change(drains, standin.Member{ID: "new", HostPort: "127.0.0.1:1", Locality: "z00", Flavor: "edge", Phase: "up", Size: 1})
+	d.Change(drains, standin.Endpoint{ID: "new", HostPort: "127.0.0.1:1", Locality: "z00", Flavor: "edge", Phase: "up", Size: 1})
 	known, base := d.Join(0, true)
 	for word, want := range map[string]bool{members[0].ID: true, members[1].ID: false, members[2].ID: true, `"draining"`: true, `"new"`: true} {
 		if strings.Contains(string(known), word) != want {
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -32,7 +32,7 @@
 	Router *dispatch.Dispatcher
 	Caches *memory.Registry
 	Purges *memory.Log
-	life   *env.Life
+	life   *env.Lifetime
 	group  env.Group
 }
 
@@ -48,22 +48,22 @@
 }
 
 // StartHollow starts one on a ground.
-func StartHollow(g env.Ground, s HollowSpec) (*Hollow, error) {
+func StartHollow(g env.Environment, s HollowSpec) (*Hollow, error) {
 	terms, err := settings.Parse(s.Settings)
 	if err != nil {
 		return nil, err
 	}
-	h := &Hollow{Caches: &memory.Registry{}, life: env.NewLife(nil), group: g.Group()}
+	h := &Hollow{Caches: &memory.Registry{}, life: env.NewLifetime(nil), group: g.NewGroup()}
 	h.Purges = &memory.Log{Clock: g, Grace: time.Duration(terms.PurgeGrace) * time.Microsecond, Retention: time.Duration(terms.Router.PurgeSettleTime)*time.Microsecond + purgeSlack}
 	h.Router = dispatch.New(g, s.Seed, terms.Router, nil)
-	watch := wire.NewBulletin(g, s.Watch, terms, h.Router, h.Caches, h.Purges)
-	if err := watch.Known(s.Known); err != nil {
+	watch := wire.NewWatch(g, s.Watch, terms, h.Router, h.Caches, h.Purges)
+	if err := watch.LoadKnown(s.Known); err != nil {
 		return nil, err
 	}
 	if s.Event != nil {
-		watch.Event = func(no int64, _ []dispatch.Purge) { s.Event(no) }
+		watch.OnEvent = func(no int64, _ []dispatch.Purge) { s.Event(no) }
 	}
-	h.group.Go("bulletin", func() error { return watch.Follow(h.life) })
+	h.group.Go("bulletin", func() error { return watch.Run(h.life) })
 	h.group.Go("tick", func() error { return h.tick(g) })
 	if s.Lookups > 0 {
 		h.group.Go("lookups", func() error { return h.trickle(g, terms, s) })
@@ -72,18 +72,18 @@
 }
 
 // tick brings the router its timers, as service does.
-func (h *Hollow) tick(g env.Ground) error {
-	end := g.Bell()
-	defer h.life.OnEnd(end.Ring)()
+func (h *Hollow) tick(g env.Environment) error {
+	end := g.NewNotifier()
+	defer h.life.OnEnd(end.Notify)()
 	for !end.Wait(max(h.Router.Tick(nil, false, nil), time.Millisecond)) {
 	}
 	return nil
 }
 
 // trickle has lookups decided: each is picked and told satisfied at once, so that only the decision costs.
-func (h *Hollow) trickle(g env.Ground, terms *settings.Settings, s HollowSpec) error {
-	end := g.Bell()
-	defer h.life.OnEnd(end.Ring)()
+func (h *Hollow) trickle(g env.Environment, terms *settings.Settings, s HollowSpec) error {
+	end := g.NewNotifier()
+	defer h.life.OnEnd(end.Notify)()
 	chance := rand.New(rand.NewPCG(s.Seed, 0x6c6f6f6b))
 	for n := 0; !end.Wait(time.Duration(chance.ExpFloat64() / s.Lookups * float64(time.Second))); n++ {
 		l := h.Router.Submit(fmt.Sprintf("%016x", n), 0, fmt.Sprintf("%016x", chance.Uint64N(1000)), 0, 0, 449, g.Now().Add(terms.LatencyBudget(0, 449)))
@@ -144,16 +144,16 @@
 	return g.System.AfterFunc(g.pace.span(d), f)
 }
 
-// Bell waits at the ground's pace.
-func (g *Ground) Bell() env.Bell {
+// NewNotifier waits at the ground's pace.
+func (g *Ground) NewNotifier() env.Notifier {
 	if g.pace.k == 1 {
-		return g.System.Bell()
+		return g.System.NewNotifier()
 	}
-	return slowBell{g.System.Bell(), g.pace}
+	return slowNotifier{g.System.NewNotifier(), g.pace}
 }
 
 // Dial connects as the system does.
-func (g *Ground) Dial(life *env.Life, addr string, within time.Duration) (net.Conn, error) {
+func (g *Ground) Dial(life *env.Lifetime, addr string, within time.Duration) (net.Conn, error) {
 	conn, err := g.System.Dial(life, addr, g.pace.span(within))
 	if err != nil {
 		return nil, err
--- a/internal/lab/scale/pace.go
+++ b/internal/lab/scale/pace.go
@@ -45,12 +45,12 @@
 	return p.base.Add(time.Duration(float64(t.Sub(p.base)) * p.k))
 }
 
-type slowBell struct {
-	env.Bell
+type slowNotifier struct {
+	env.Notifier
 	pace Pace
 }
 
-func (b slowBell) Wait(within time.Duration) bool { return b.Bell.Wait(b.pace.span(within)) }
+func (b slowNotifier) Wait(within time.Duration) bool { return b.Notifier.Wait(b.pace.span(within)) }
 
 // slowConn is a connection whose deadlines are the slow clock's.
 type slowConn struct {
--- a/internal/lab/scale/settings.go
+++ b/internal/lab/scale/settings.go
@@ -9,8 +9,8 @@
 
 // Members is a list of caches of the users' shape: edges evenly over zones z00, z01, ..., two parents in each zone where it has more
 // than three, and one origin, the last. Their addresses are on loopback, and nobody listens there.
-func Members(caches, zones int) []standin.Member {
-	all := make([]standin.Member, caches)
+func Members(caches, zones int) []standin.Endpoint {
+	all := make([]standin.Endpoint, caches)
 	for i := range all {
 		zone := i * zones / caches
 		flavor := "edge"
@@ -20,7 +20,7 @@
 		if i == caches-1 && caches > 1 {
 			flavor = "origin"
 		}
-		all[i] = standin.Member{ID: fmt.Sprintf("c%04d", i), HostPort: fmt.Sprintf("127.65.%d.%d:20000", i>>8, i&255), Locality: zoneName(zone), Flavor: flavor,
+		all[i] = standin.Endpoint{ID: fmt.Sprintf("c%04d", i), HostPort: fmt.Sprintf("127.65.%d.%d:20000", i>>8, i&255), Locality: zoneName(zone), Flavor: flavor,
 			Cell: i, Phase: "up", Size: 1}
 	}
 	return all
--- a/internal/lab/scenario/door.go
+++ b/internal/lab/scenario/door.go
@@ -35,7 +35,7 @@
 // plainDoor is a service.Door on the lab's wire.
 type plainDoor struct {
 	*extproc.Server
-	g     env.Ground
+	g     env.Environment
 	l     net.Listener
 	mu    sync.Mutex
 	conns map[net.Conn]int
@@ -45,21 +45,21 @@
 	d     *Day
 }
 
-func doorOf(in gateway.Inside, at string, d *Day) (*plainDoor, error) {
+func doorOf(in gateway.Dependencies, at string, d *Day) (*plainDoor, error) {
 	terms, plant := doorTerms, doorPlants[d.Plan.Plant]
 	if plant.terms != nil {
 		plant.terms(&in, &terms)
 	}
-	table, err := route.Compile(doorTable, in.Terms.Kinds)
+	table, err := route.Compile(doorTable, in.Settings.Kinds)
 	if err != nil {
 		return nil, err
 	}
-	l, err := in.Ground.Listen(at)
+	l, err := in.Environment.Listen(at)
 	if err != nil {
 		return nil, err
 	}
-	return &plainDoor{Server: extproc.New(in.Ground, in.Terms, in.Router, in.Caches, in.Purges, in.Room, table, terms), g: in.Ground, l: l,
-		conns: map[net.Conn]int{}, group: in.Ground.Group(), plant: plant, d: d}, nil
+	return &plainDoor{Server: extproc.New(in.Environment, in.Settings, in.Dispatcher, in.Registry, in.Purges, in.Admission, table, terms), g: in.Environment, l: l,
+		conns: map[net.Conn]int{}, group: in.Environment.NewGroup(), plant: plant, d: d}, nil
 }
 
 // open is how many streams there are.
@@ -69,7 +69,7 @@
 	return len(p.conns)
 }
 
-func (p *plainDoor) Run(life *env.Life) error {
+func (p *plainDoor) Run(life *env.Lifetime) error {
 	defer life.OnEnd(func() {
 		p.l.Close()
 		p.mu.Lock()
@@ -114,11 +114,11 @@
 	return p.group.Wait()
 }
 
-func (p *plainDoor) Prepare(*config.Config) (func(), error) { return func() {}, nil }
-func (p *plainDoor) Drain()                                 { p.l.Close() }
+func (p *plainDoor) PrepareReload(*config.Config) (func(), error) { return func() {}, nil }
+func (p *plainDoor) Drain()                                       { p.l.Close() }
 func (p *plainDoor) Wait() {
 	for p.OpenLookups() > 0 {
-		p.g.Bell().Wait(10 * time.Millisecond)
+		p.g.NewNotifier().Wait(10 * time.Millisecond)
 	}
 }
 
@@ -193,32 +193,32 @@
 // doorPlant is a fault of the door, planted at its wire and its terms.
 type doorPlant struct {
 	help  string
-	terms func(in *gateway.Inside, t *extproc.Limits)
+	terms func(in *gateway.Dependencies, t *extproc.Limits)
 	recv  func(d *Day, m *extproc.Message, fields []string)
-	send  func(d *Day, g env.Ground, r extproc.Reply, text string) string
+	send  func(d *Day, g env.Environment, r extproc.Reply, text string) string
 }
 
 var doorPlants = map[string]doorPlant{
-	"door_reply_lost": {help: "a reply is not written", send: func(d *Day, _ env.Ground, _ extproc.Reply, text string) string {
+	"door_reply_lost": {help: "a reply is not written", send: func(d *Day, _ env.Environment, _ extproc.Reply, text string) string {
 		if d.chance(60) == 0 {
 			return ""
 		}
 		return text
 	}},
-	"door_reply_twice": {help: "a reply is written twice", send: func(d *Day, _ env.Ground, _ extproc.Reply, text string) string {
+	"door_reply_twice": {help: "a reply is written twice", send: func(d *Day, _ env.Environment, _ extproc.Reply, text string) string {
 		if d.chance(60) == 0 {
 			return text + text
 		}
 		return text
 	}},
-	"door_end_kept_back": {help: "a final answer is written near the deadline", send: func(d *Day, g env.Ground, r extproc.Reply, text string) string {
+	"door_end_kept_back": {help: "a final answer is written near the deadline", send: func(d *Day, g env.Environment, r extproc.Reply, text string) string {
 		if r.Status == 503 && r.RetryAfter > 0 {
-			g.Bell().Wait(1400 * time.Millisecond)
+			g.NewNotifier().Wait(1400 * time.Millisecond)
 		}
 		return text
 	}},
-	"door_purges_unheard": {help: "births of answers are not held against purges", terms: func(in *gateway.Inside, _ *extproc.Limits) { in.Purges = nil }},
-	"door_forgetful":      {help: "an ended lookup is forgotten at once", terms: func(_ *gateway.Inside, t *extproc.Limits) { t.Lookups.Retention = 1 }},
+	"door_purges_unheard": {help: "births of answers are not held against purges", terms: func(in *gateway.Dependencies, _ *extproc.Limits) { in.Purges = nil }},
+	"door_forgetful":      {help: "an ended lookup is forgotten at once", terms: func(_ *gateway.Dependencies, t *extproc.Limits) { t.Lookups.Retention = 1 }},
 	"door_answer_never_ran": {help: "a send that brought its answer is taken for one that did not run", recv: func(d *Day, m *extproc.Message, fields []string) {
 		for i, f := range fields {
 			if f == "x-foldslip-end: hit" && d.chance(40) == 0 {
@@ -226,10 +226,10 @@
 			}
 		}
 	}},
-	"door_wait_untold": {help: "a nack does not say when to come back", send: func(_ *Day, _ env.Ground, r extproc.Reply, text string) string {
+	"door_wait_untold": {help: "a nack does not say when to come back", send: func(_ *Day, _ env.Environment, r extproc.Reply, text string) string {
 		return strings.ReplaceAll(text, "x-wait-ms", "x-wait")
 	}},
-	"door_other_cache": {help: "a decision names another cache than the module's", send: func(d *Day, _ env.Ground, _ extproc.Reply, text string) string {
+	"door_other_cache": {help: "a decision names another cache than the module's", send: func(d *Day, _ env.Environment, _ extproc.Reply, text string) string {
 		if d.chance(40) > 0 {
 			return text
 		}
--- a/internal/lab/scenario/gateway.go
+++ b/internal/lab/scenario/gateway.go
@@ -98,7 +98,7 @@
 	if d.Plan.Morning != nil {
 		g.morning(l.p)
 	}
-	watch := gateway.Watch{Up: func(its *gateway.Gateway) {
+	watch := gateway.Hooks{OnStarted: func(its *gateway.Gateway) {
 		if l.its, l.ready = its, true; its.Routes() != nil {
 			l.note()
 			l.forced[0].at = 0
@@ -114,17 +114,17 @@
 		g.routes(l.p)
 	}
 	if d.proxies != nil {
-		watch.Doors = func(in gateway.Inside) ([]gateway.Door, error) {
+		watch.NewServices = func(in gateway.Dependencies) ([]gateway.Service, error) {
 			var err error
 			if l.door, err = doorOf(in, g.ip+":"+doorPort, d); err != nil {
 				return nil, err
 			}
-			return []gateway.Door{l.door}, nil
+			return []gateway.Service{l.door}, nil
 		}
 	}
-	var ground func(env.Ground) env.Ground
+	var ground func(env.Environment) env.Environment
 	if d.look.decided != nil {
-		watch.Between = func(h policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
+		watch.Interceptor = func(h policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
 			return start(&says{Executor: h, fetch: func(h policy.Executor, lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.FetchMode,
 				patience, hush, oldest policy.Micros) {
 				h.Fetch(lk, to, source, rank, how, patience, hush, oldest)
@@ -133,13 +133,13 @@
 		}
 	}
 	if d.look.script != nil {
-		watch.Between = d.look.script.between(d)
+		watch.Interceptor = d.look.script.between(d)
 	}
 	if p := plants[d.Plan.Plant]; p.make != nil {
-		watch.Between, ground = p.make(d, l)
+		watch.Interceptor, ground = p.make(d, l)
 	}
-	watch.Between = d.noting(l.p.Name, watch.Between)
-	d.w.Start(g.host, l.p, func(under env.Ground) error {
+	watch.Interceptor = d.noting(l.p.Name, watch.Interceptor)
+	d.w.Start(g.host, l.p, func(under env.Environment) error {
 		if ground != nil {
 			under = ground(under)
 		}
@@ -164,7 +164,7 @@
 	}
 	d := g.d
 	l.term = d.w.Now()
-	l.p.Signal(env.Stop)
+	l.p.Signal(env.Terminate)
 	longest := 3 * time.Second
 	for _, k := range kinds {
 		longest = max(longest, k.deadline)
@@ -186,7 +186,7 @@
 func (g *gatewayActor) reread(text []byte) {
 	if l := g.its; l != nil && !l.over && l.ready && l.term == 0 {
 		l.p.Files["/config.json"] = text
-		l.p.Signal(env.Reread)
+		l.p.Signal(env.Reload)
 	}
 }
 
--- a/internal/lab/scenario/plant.go
+++ b/internal/lab/scenario/plant.go
@@ -17,7 +17,7 @@
 // the referee sees it. Nothing of this is in the gateway's own code.
 type plant struct {
 	help string
-	make func(d *Day, l *life) (dispatch.Interceptor, func(env.Ground) env.Ground)
+	make func(d *Day, l *life) (dispatch.Interceptor, func(env.Environment) env.Environment)
 }
 
 // Plants are the names of the faults that can be planted.
@@ -25,7 +25,7 @@
 
 // ground is a process's ground with some of it replaced.
 type ground struct {
-	env.Ground
+	env.Environment
 	conn    func(c env.Conn, dialled bool) env.Conn
 	timer   func(t env.Timer) env.Timer
 	group   func(g env.Group) env.Group
@@ -34,8 +34,8 @@
 	file    func(text []byte) []byte
 }
 
-func (g *ground) Dial(life *env.Life, addr string, within time.Duration) (net.Conn, error) {
-	c, err := g.Ground.Dial(life, addr, within)
+func (g *ground) Dial(life *env.Lifetime, addr string, within time.Duration) (net.Conn, error) {
+	c, err := g.Environment.Dial(life, addr, within)
 	if err == nil && g.conn != nil {
 		return g.conn(c.(env.Conn), true), nil
 	}
@@ -60,45 +60,45 @@
 }
 
 func (g *ground) Listen(addr string) (net.Listener, error) {
-	l, err := g.Ground.Listen(addr)
+	l, err := g.Environment.Listen(addr)
 	return tampered{l, g}, err
 }
 
 func (g *ground) AfterFunc(d time.Duration, f func()) env.Timer {
-	t := g.Ground.AfterFunc(d, f)
+	t := g.Environment.AfterFunc(d, f)
 	if g.timer != nil {
 		return g.timer(t)
 	}
 	return t
 }
 
-func (g *ground) Group() env.Group {
+func (g *ground) NewGroup() env.Group {
 	if g.group != nil {
-		return g.group(g.Ground.Group())
+		return g.group(g.Environment.NewGroup())
 	}
-	return g.Ground.Group()
+	return g.Environment.NewGroup()
 }
 
-func (g *ground) Signals(hear func(env.Signal)) func() {
+func (g *ground) OnSignal(hear func(env.Signal)) func() {
 	if g.signals != nil {
 		hear = g.signals(hear)
 	}
-	return g.Ground.Signals(hear)
+	return g.Environment.OnSignal(hear)
 }
 
 func (g *ground) ReadFile(path string) ([]byte, error) {
-	text, err := g.Ground.ReadFile(path)
+	text, err := g.Environment.ReadFile(path)
 	if g.file != nil {
 		text = g.file(text)
 	}
 	return text, err
 }
 
-func (g *ground) Descriptors() uint64 {
+func (g *ground) DescriptorLimit() uint64 {
 	if g.fds != nil {
-		return g.fds(g.Ground.Descriptors())
+		return g.fds(g.Environment.DescriptorLimit())
 	}
-	return g.Ground.Descriptors()
+	return g.Environment.DescriptorLimit()
 }
 
 // wired is a connection whose bytes or end are tampered with.
@@ -195,9 +195,9 @@
 }
 
 // onAnswers plants at the connections of clients, for one answer in so many.
-func onAnswers(one int, do func(d *Day, l *life, g env.Ground, c env.Conn, b []byte) (int, error)) func(*Day, *life) (
-	dispatch.Interceptor, func(env.Ground) env.Ground) {
-	return onConns(func(d *Day, l *life, g env.Ground, c env.Conn, dialled bool) env.Conn {
+func onAnswers(one int, do func(d *Day, l *life, g env.Environment, c env.Conn, b []byte) (int, error)) func(*Day, *life) (
+	dispatch.Interceptor, func(env.Environment) env.Environment) {
+	return onConns(func(d *Day, l *life, g env.Environment, c env.Conn, dialled bool) env.Conn {
 		if dialled {
 			return c
 		}
@@ -210,11 +210,11 @@
 	})
 }
 
-func onConns(do func(d *Day, l *life, g env.Ground, c env.Conn, dialled bool) env.Conn) func(*Day, *life) (
-	dispatch.Interceptor, func(env.Ground) env.Ground) {
-	return func(d *Day, l *life) (dispatch.Interceptor, func(env.Ground) env.Ground) {
-		return nil, func(under env.Ground) env.Ground {
-			g := &ground{Ground: under}
+func onConns(do func(d *Day, l *life, g env.Environment, c env.Conn, dialled bool) env.Conn) func(*Day, *life) (
+	dispatch.Interceptor, func(env.Environment) env.Environment) {
+	return func(d *Day, l *life) (dispatch.Interceptor, func(env.Environment) env.Environment) {
+		return nil, func(under env.Environment) env.Environment {
+			g := &ground{Environment: under}
 			g.conn = func(c env.Conn, dialled bool) env.Conn { return do(d, l, under, c, dialled) }
 			return g
 		}
@@ -222,27 +222,27 @@
 }
 
 // leftLate plants that the end of a client's connection is heard late.
-func leftLate(by time.Duration) func(*Day, *life) (dispatch.Interceptor, func(env.Ground) env.Ground) {
-	return onConns(func(_ *Day, _ *life, g env.Ground, c env.Conn, dialled bool) env.Conn {
+func leftLate(by time.Duration) func(*Day, *life) (dispatch.Interceptor, func(env.Environment) env.Environment) {
+	return onConns(func(_ *Day, _ *life, g env.Environment, c env.Conn, dialled bool) env.Conn {
 		if dialled {
 			return c
 		}
-		return &wired{Conn: c, ended: func() { g.Bell().Wait(by) }}
+		return &wired{Conn: c, ended: func() { g.NewNotifier().Wait(by) }}
 	})
 }
 
-func onGround(change func(d *Day, g *ground)) func(*Day, *life) (dispatch.Interceptor, func(env.Ground) env.Ground) {
-	return func(d *Day, _ *life) (dispatch.Interceptor, func(env.Ground) env.Ground) {
-		return nil, func(under env.Ground) env.Ground {
-			g := &ground{Ground: under}
+func onGround(change func(d *Day, g *ground)) func(*Day, *life) (dispatch.Interceptor, func(env.Environment) env.Environment) {
+	return func(d *Day, _ *life) (dispatch.Interceptor, func(env.Environment) env.Environment) {
+		return nil, func(under env.Environment) env.Environment {
+			g := &ground{Environment: under}
 			change(d, g)
 			return g
 		}
 	}
 }
 
-func onTold(change func(d *Day, l *life, t *told)) func(*Day, *life) (dispatch.Interceptor, func(env.Ground) env.Ground) {
-	return func(d *Day, l *life) (dispatch.Interceptor, func(env.Ground) env.Ground) {
+func onTold(change func(d *Day, l *life, t *told)) func(*Day, *life) (dispatch.Interceptor, func(env.Environment) env.Environment) {
+	return func(d *Day, l *life) (dispatch.Interceptor, func(env.Environment) env.Environment) {
 		return func(h policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
 			t := &told{Router: start(h)}
 			change(d, l, t)
@@ -251,8 +251,8 @@
 	}
 }
 
-func onSays(change func(d *Day, s *says)) func(*Day, *life) (dispatch.Interceptor, func(env.Ground) env.Ground) {
-	return func(d *Day, _ *life) (dispatch.Interceptor, func(env.Ground) env.Ground) {
+func onSays(change func(d *Day, s *says)) func(*Day, *life) (dispatch.Interceptor, func(env.Environment) env.Environment) {
+	return func(d *Day, _ *life) (dispatch.Interceptor, func(env.Environment) env.Environment) {
 		return func(h policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
 			s := &says{Executor: h}
 			change(d, s)
@@ -268,12 +268,12 @@
 type leakyGroup struct {
 	env.Group
 	d *Day
-	g env.Ground
+	g env.Environment
 }
 
 func (l leakyGroup) Go(name string, f func() error) {
 	if name == "lookup" && l.d.chance(50) == 0 {
-		l.g.AfterFunc(0, func() { l.g.Bell().Wait(time.Hour) })
+		l.g.AfterFunc(0, func() { l.g.NewNotifier().Wait(time.Hour) })
 	}
 	l.Group.Go(name, f)
 }
@@ -282,26 +282,26 @@
 
 func init() {
 	plants = map[string]plant{
-		"answer_lost": {"an answer is not written", onAnswers(60, func(_ *Day, _ *life, _ env.Ground, _ env.Conn, b []byte) (int, error) {
+		"answer_lost": {"an answer is not written", onAnswers(60, func(_ *Day, _ *life, _ env.Environment, _ env.Conn, b []byte) (int, error) {
 			return len(b), nil
 		})},
-		"answer_twice": {"an answer is written twice", onAnswers(60, func(_ *Day, _ *life, _ env.Ground, c env.Conn, b []byte) (int, error) {
+		"answer_twice": {"an answer is written twice", onAnswers(60, func(_ *Day, _ *life, _ env.Environment, c env.Conn, b []byte) (int, error) {
 			c.Write(b)
 			return c.Write(b)
 		})},
-		"answer_late": {"an answer is held up past its time", onAnswers(60, func(_ *Day, _ *life, g env.Ground, c env.Conn, b []byte) (int, error) {
-			g.Bell().Wait(5100 * time.Millisecond)
+		"answer_late": {"an answer is held up past its time", onAnswers(60, func(_ *Day, _ *life, g env.Environment, c env.Conn, b []byte) (int, error) {
+			g.NewNotifier().Wait(5100 * time.Millisecond)
 			return c.Write(b)
 		})},
-		"answer_spoilt": {"a byte of an answer is changed", onAnswers(60, func(_ *Day, _ *life, _ env.Ground, c env.Conn, b []byte) (int, error) {
+		"answer_spoilt": {"a byte of an answer is changed", onAnswers(60, func(_ *Day, _ *life, _ env.Environment, c env.Conn, b []byte) (int, error) {
 			b = slices.Clone(b)
 			b[len(b)-1] ^= 1
 			return c.Write(b)
 		})},
-		"answer_mixed": {"an answer brings another's bytes", func() func(*Day, *life) (dispatch.Interceptor, func(env.Ground) env.Ground) {
-			return func(d *Day, l *life) (dispatch.Interceptor, func(env.Ground) env.Ground) {
+		"answer_mixed": {"an answer brings another's bytes", func() func(*Day, *life) (dispatch.Interceptor, func(env.Environment) env.Environment) {
+			return func(d *Day, l *life) (dispatch.Interceptor, func(env.Environment) env.Environment) {
 				var last []byte
-				return onAnswers(1, func(d *Day, _ *life, _ env.Ground, c env.Conn, b []byte) (int, error) {
+				return onAnswers(1, func(d *Day, _ *life, _ env.Environment, c env.Conn, b []byte) (int, error) {
 					was := last
 					if last = slices.Clone(b); was != nil && bytes.HasPrefix(b, []byte("HTTP/1.1 200")) && d.chance(80) == 0 {
 						c.Write(was)
@@ -311,13 +311,13 @@
 				})(d, l)
 			}
 		}()},
-		"nack_kept_back": {"a nack is written near the deadline", onConns(func(d *Day, _ *life, g env.Ground, c env.Conn, dialled bool) env.Conn {
+		"nack_kept_back": {"a nack is written near the deadline", onConns(func(d *Day, _ *life, g env.Environment, c env.Conn, dialled bool) env.Conn {
 			if dialled {
 				return c
 			}
 			return &wired{Conn: c, write: func(c env.Conn, b []byte) (int, error) {
 				if bytes.HasPrefix(b, []byte("HTTP/1.1 503 ")) && bytes.Contains(b, []byte("X-Wait-Ms")) {
-					g.Bell().Wait(1200 * time.Millisecond)
+					g.NewNotifier().Wait(1200 * time.Millisecond)
 				}
 				return c.Write(b)
 			}}
@@ -339,7 +339,7 @@
 				return slices.DeleteFunc(rows, func(r policy.Endpoint) bool { return r.State != policy.Ready })
 			}
 		})},
-		"purge_unheard": {"recalls are read as of another object", onConns(func(_ *Day, _ *life, _ env.Ground, c env.Conn, _ bool) env.Conn {
+		"purge_unheard": {"recalls are read as of another object", onConns(func(_ *Day, _ *life, _ env.Environment, c env.Conn, _ bool) env.Conn {
 			return &wired{Conn: c, read: func(b []byte) []byte {
 				for _, old := range []string{`"item":"s`, `"item":"p`} {
 					b = bytes.ReplaceAll(b, []byte(old), []byte(old[:len(old)-1]+"z"))
@@ -347,13 +347,13 @@
 				return b
 			}}
 		})},
-		"purge_late": {"the bulletin is read three seconds late", onConns(func(_ *Day, _ *life, g env.Ground, c env.Conn, dialled bool) env.Conn {
+		"purge_late": {"the bulletin is read three seconds late", onConns(func(_ *Day, _ *life, g env.Environment, c env.Conn, dialled bool) env.Conn {
 			if !dialled || c.RemoteAddr().String()[:5] != "10.7." {
 				return c
 			}
 			return &wired{Conn: c, read: func(b []byte) []byte {
 				if bytes.Contains(b, []byte("recall")) {
-					g.Bell().Wait(3 * time.Second)
+					g.NewNotifier().Wait(3 * time.Second)
 				}
 				return b
 			}}
@@ -374,7 +374,7 @@
 				}
 			}
 		})},
-		"undo_unsaid": {"a send that is given up is not undone", onConns(func(_ *Day, _ *life, _ env.Ground, c env.Conn, dialled bool) env.Conn {
+		"undo_unsaid": {"a send that is given up is not undone", onConns(func(_ *Day, _ *life, _ env.Environment, c env.Conn, dialled bool) env.Conn {
 			return &wired{Conn: c, write: func(c env.Conn, b []byte) (int, error) {
 				if bytes.HasPrefix(b, []byte("undo ")) {
 					return len(b), nil
@@ -397,7 +397,7 @@
 				return bytes.Replace(text, []byte(`"parent_ramp":21000000`), []byte(`"parent_ramp":1`), 1)
 			}
 		})},
-		"conn_leaked": {"a connection is not closed", onConns(func(d *Day, _ *life, _ env.Ground, c env.Conn, _ bool) env.Conn {
+		"conn_leaked": {"a connection is not closed", onConns(func(d *Day, _ *life, _ env.Environment, c env.Conn, _ bool) env.Conn {
 			return &wired{Conn: c, close: func(c env.Conn) error {
 				if d.chance(20) == 0 {
 					return nil
@@ -409,7 +409,7 @@
 			g.timer = func(t env.Timer) env.Timer { return stuckTimer{t} }
 		})},
 		"goroutine_leaked": {"a goroutine stays", onGround(func(d *Day, g *ground) {
-			g.group = func(of env.Group) env.Group { return leakyGroup{of, d, g.Ground} }
+			g.group = func(of env.Group) env.Group { return leakyGroup{of, d, g.Environment} }
 		})},
 		"ending_untold": {"the module is not told how a send ended", onTold(func(d *Day, _ *life, t *told) {
 			t.ended = func() bool { return d.chance(100) > 0 }
@@ -417,7 +417,7 @@
 		"stop_unheard": {"SIGTERM is not heard", onGround(func(_ *Day, g *ground) {
 			g.signals = func(hear func(env.Signal)) func(env.Signal) {
 				return func(s env.Signal) {
-					if s != env.Stop {
+					if s != env.Terminate {
 						hear(s)
 					}
 				}
@@ -425,7 +425,7 @@
 		})},
 		"reread_ends": {"SIGHUP ends the gateway", onGround(func(_ *Day, g *ground) {
 			g.signals = func(hear func(env.Signal)) func(env.Signal) {
-				return func(s env.Signal) { hear(env.Stop) }
+				return func(s env.Signal) { hear(env.Terminate) }
 			}
 		})},
 		"scope_lost": {"a lookup's scope does not reach the module", onTold(func(d *Day, _ *life, t *told) {
--- a/internal/lab/scenario/referee.go
+++ b/internal/lab/scenario/referee.go
@@ -466,25 +466,25 @@
 			if l.door != nil {
 				handed, streams = l.door.AttemptsOut(), l.door.open()
 			}
-			if load.Sends != load.Flying+load.Queued+handed {
+			if load.OpenAttempts != load.ConnAttempts+load.QueuedAttempts+handed {
 				r.broken("in flight", "%s: the module counts %d sends, its connections %d, %d wait to be written, %d are at callers", l.p.Name,
-					load.Sends, load.Flying, load.Queued, handed)
+					load.OpenAttempts, load.ConnAttempts, load.QueuedAttempts, handed)
 			}
-			if room := int(g.memory * 8); load.Lookups > 4*room || load.Clients > g.fds/2+1 {
+			if room := int(g.memory * 8); load.Lookups > 4*room || load.ClientConns > g.fds/2+1 {
 				r.broken("bounds", "%s holds %d lookups (room %d), %d clients of %d descriptors", l.p.Name, load.Lookups, room,
-					load.Clients, g.fds)
+					load.ClientConns, g.fds)
 			}
 			out := 0
 			for k := range l.conns { // a sum: the order does not matter
 				out += len(k.out)
 			}
-			if out > load.Flying {
-				r.broken("in flight", "%s: %d sends are out on its wires, it counts %d", l.p.Name, out, load.Flying)
+			if out > load.ConnAttempts {
+				r.broken("in flight", "%s: %d sends are out on its wires, it counts %d", l.p.Name, out, load.ConnAttempts)
 			}
 			// The listener, the bulletin and what is being accepted or closed are all that may be beside them.
-			if _, _, fds := l.p.Held(); fds > load.Clients+load.Links+streams+3+min(1, streams) && l.term == 0 {
-				r.broken("leak", "%s holds %d descriptors for %d clients and %d connections to caches", l.p.Name, fds, load.Clients,
-					load.Links)
+			if _, _, fds := l.p.Held(); fds > load.ClientConns+load.CacheConns+streams+3+min(1, streams) && l.term == 0 {
+				r.broken("leak", "%s holds %d descriptors for %d clients and %d connections to caches", l.p.Name, fds, load.ClientConns,
+					load.CacheConns)
 			}
 		}
 	}
--- a/internal/lab/simenv/net.go
+++ b/internal/lab/simenv/net.go
@@ -252,7 +252,7 @@
 	return n
 }
 
-func (p *Proc) Direct(conn net.Conn) env.Direct {
+func (p *Proc) NonBlockingWriter(conn net.Conn) env.NonBlockingWrite {
 	c, ok := conn.(*Conn)
 	if !ok { // someone stands between
 		return nil
@@ -478,7 +478,7 @@
 	return taken
 }
 
-func (p *Proc) Dial(life *env.Life, to string, within time.Duration) (net.Conn, error) {
+func (p *Proc) Dial(life *env.Lifetime, to string, within time.Duration) (net.Conn, error) {
 	w := p.w
 	w.lapse()
 	ip, port, _ := strings.Cut(to, ":")
@@ -490,7 +490,7 @@
 		p.held--
 		return nil, opError("dial", err)
 	}
-	if life.Over() {
+	if life.Ended() {
 		return fail(errCanceled)
 	}
 	t := w.cur
--- a/internal/lab/simenv/proc.go
+++ b/internal/lab/simenv/proc.go
@@ -116,7 +116,7 @@
 }
 
 // Start makes a process and calls main in a goroutine of it.
-func (w *World) Start(h *Host, p *Proc, main func(g env.Ground) error) *Proc {
+func (w *World) Start(h *Host, p *Proc, main func(g env.Environment) error) *Proc {
 	p.w, p.host, p.began = w, h, w.now
 	p.logger = slog.New(&handler{p: p})
 	w.procs = append(w.procs, p)
@@ -244,44 +244,44 @@
 	})}
 }
 
-type bell struct {
-	p    *Proc
-	rung bool
-	wait []*task
+type notifier struct {
+	p       *Proc
+	pending bool
+	waiters []*task
 }
 
-func (p *Proc) Bell() env.Bell { return &bell{p: p} }
+func (p *Proc) NewNotifier() env.Notifier { return &notifier{p: p} }
 
-func (b *bell) Ring() {
-	for len(b.wait) > 0 {
-		t := b.wait[0]
-		b.wait = b.wait[1:]
+func (b *notifier) Notify() {
+	for len(b.waiters) > 0 {
+		t := b.waiters[0]
+		b.waiters = b.waiters[1:]
 		if t.waits {
 			b.p.w.wake(t, true)
 			return
 		}
 	}
-	b.rung = true
+	b.pending = true
 }
 
-func (b *bell) Wait(within time.Duration) bool {
+func (b *notifier) Wait(within time.Duration) bool {
 	w := b.p.w
 	w.lapse()
-	if b.rung {
-		b.rung = false
+	if b.pending {
+		b.pending = false
 		return true
 	}
 	if within == 0 {
 		return false
 	}
 	t := w.cur
-	b.wait = append(b.wait, t)
+	b.waiters = append(b.waiters, t)
 	if w.park(within) {
 		return true
 	}
-	for i, o := range b.wait {
+	for i, o := range b.waiters {
 		if o == t {
-			b.wait = append(b.wait[:i:i], b.wait[i+1:]...)
+			b.waiters = append(b.waiters[:i:i], b.waiters[i+1:]...)
 			break
 		}
 	}
@@ -295,7 +295,7 @@
 	wait []*task
 }
 
-func (p *Proc) Group() env.Group { return &group{p: p} }
+func (p *Proc) NewGroup() env.Group { return &group{p: p} }
 
 func (g *group) Go(name string, f func() error) {
 	g.open++
@@ -322,10 +322,10 @@
 	return g.err
 }
 
-func (p *Proc) Env(name string) string { return p.Env_[name] }
+func (p *Proc) Getenv(name string) string { return p.Env_[name] }
 
-// Folder is the disk that the process's machine has at a path.
-func (p *Proc) Folder(path string) (env.Disk, error) {
+// OpenDirectory is the disk that the process's machine has at a path.
+func (p *Proc) OpenDirectory(path string) (env.Directory, error) {
 	d := p.Disks[path]
 	if d == nil {
 		return nil, &fs.PathError{Op: "mkdir", Path: path, Err: fs.ErrPermission}
@@ -341,16 +341,16 @@
 	return b, nil
 }
 
-func (p *Proc) Signals(hear func(env.Signal)) (stop func()) {
+func (p *Proc) OnSignal(hear func(env.Signal)) (stop func()) {
 	p.hear = hear
 	return func() { p.hear = nil }
 }
 
-func (p *Proc) Limit(int, int64) {}
+func (p *Proc) SetResourceLimits(int, int64) {}
 
-func (p *Proc) Tidy() {}
+func (p *Proc) ReleaseMemory() {}
 
-func (p *Proc) Descriptors() uint64 { return uint64(p.FDs) }
+func (p *Proc) DescriptorLimit() uint64 { return uint64(p.FDs) }
 
 func (p *Proc) Log() *slog.Logger { return p.logger }
 
--- a/internal/lab/simenv/world_test.go
+++ b/internal/lab/simenv/world_test.go
@@ -33,15 +33,15 @@
 func (x echoed) Written(int, []byte) {}
 
 // room is a world with a process on one host and an echo on another.
-func room(t *testing.T, seed uint64, main func(g env.Ground, dial func() (net.Conn, error))) (*World, *echo, *Proc) {
+func room(t *testing.T, seed uint64, main func(g env.Environment, dial func() (net.Conn, error))) (*World, *echo, *Proc) {
 	t.Helper()
 	w := New(seed)
 	t.Cleanup(w.Close)
 	w.Crashed = func(p *Proc, text string) { t.Error(text) }
 	x := &echo{}
 	w.Host("10.0.0.2", "far").Serve("80", func(e *End) Handler { x.e = e; return echoed{x, e} })
-	p := w.Start(w.Host("10.0.0.1", "near"), &Proc{Name: "p", FDs: 3}, func(g env.Ground) error {
-		life := env.NewLife(nil)
+	p := w.Start(w.Host("10.0.0.1", "near"), &Proc{Name: "p", FDs: 3}, func(g env.Environment) error {
+		life := env.NewLifetime(nil)
 		defer life.End()
 		main(g, func() (net.Conn, error) { return g.Dial(life, "10.0.0.2:80", time.Second) })
 		return nil
@@ -53,13 +53,13 @@
 	t.Run("what is written comes back whole, past any window, and the end is an EOF", func(t *testing.T) {
 		done := false
 		text := strings.Repeat("0123456789", 30000)
-		w, x, p := room(t, 1, func(g env.Ground, dial func() (net.Conn, error)) {
+		w, x, p := room(t, 1, func(g env.Environment, dial func() (net.Conn, error)) {
 			c, err := dial()
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			all := g.Group()
+			all := g.NewGroup()
 			all.Go("write", func() error { _, err := io.WriteString(c, text); return err })
 			got := make([]byte, len(text))
 			if _, err := io.ReadFull(c, got); err != nil || string(got) != text {
@@ -83,14 +83,14 @@
 	})
 	t.Run("errors are those of the net package", func(t *testing.T) {
 		met := 0
-		w, x, _ := room(t, 2, func(g env.Ground, dial func() (net.Conn, error)) {
+		w, x, _ := room(t, 2, func(g env.Environment, dial func() (net.Conn, error)) {
 			is := func(what string, err, want error) {
 				met++
 				if !errors.Is(err, want) {
 					t.Errorf("%s: %v", what, err)
 				}
 			}
-			life := env.NewLife(nil)
+			life := env.NewLifetime(nil)
 			_, err := g.Dial(life, "10.0.0.2:81", time.Second)
 			is("nobody listens", err, syscall.ECONNREFUSED)
 			_, err = g.Dial(life, "10.0.0.9:80", time.Second)
@@ -124,9 +124,9 @@
 	t.Run("a split holds bytes back, a heal brings them", func(t *testing.T) {
 		var at time.Duration
 		var w *World
-		w, _, _ = room(t, 3, func(g env.Ground, dial func() (net.Conn, error)) {
+		w, _, _ = room(t, 3, func(g env.Environment, dial func() (net.Conn, error)) {
 			c, _ := dial()
-			g.Bell().Wait(2 * time.Second)
+			g.NewNotifier().Wait(2 * time.Second)
 			io.WriteString(c, "x")
 			c.Read(make([]byte, 1))
 			at = w.Now()
@@ -141,7 +141,7 @@
 	})
 	t.Run("a reset at a byte lets the bytes before it through", func(t *testing.T) {
 		n, failed := 0, error(nil)
-		w, x, _ := room(t, 4, func(g env.Ground, dial func() (net.Conn, error)) {
+		w, x, _ := room(t, 4, func(g env.Environment, dial func() (net.Conn, error)) {
 			c, _ := dial()
 			io.WriteString(c, "0123456789")
 			b := make([]byte, 10)
@@ -165,13 +165,13 @@
 	})
 	t.Run("a killed process says nothing more, and its peers see a reset", func(t *testing.T) {
 		ran := 0
-		w, x, p := room(t, 5, func(g env.Ground, dial func() (net.Conn, error)) {
+		w, x, p := room(t, 5, func(g env.Environment, dial func() (net.Conn, error)) {
 			c, _ := dial()
 			defer func() { ran = 100 }() // a killed process runs nothing that shows
 			for {
 				io.WriteString(c, "x")
 				ran++
-				g.Bell().Wait(time.Second)
+				g.NewNotifier().Wait(time.Second)
 			}
 		})
 		w.After(3500*time.Millisecond, p.Kill)
@@ -185,10 +185,10 @@
 	})
 	t.Run("a deaf peer blocks a write until its deadline", func(t *testing.T) {
 		n, failed := 0, error(nil)
-		w, x, _ := room(t, 6, func(g env.Ground, dial func() (net.Conn, error)) {
+		w, x, _ := room(t, 6, func(g env.Environment, dial func() (net.Conn, error)) {
 			c, _ := dial()
 			io.WriteString(c, "x")
-			g.Bell().Wait(time.Second)
+			g.NewNotifier().Wait(time.Second)
 			c.SetWriteDeadline(g.Now().Add(time.Second))
 			n, failed = c.Write(make([]byte, 1000))
 			c.Close()
@@ -204,8 +204,8 @@
 func TestBells(t *testing.T) {
 	t.Run("one ring wakes one, and a ring without waiters is kept", func(t *testing.T) {
 		woken, timely := 0, false
-		w, _, _ := room(t, 7, func(g env.Ground, _ func() (net.Conn, error)) {
-			b, all := g.Bell(), g.Group()
+		w, _, _ := room(t, 7, func(g env.Environment, _ func() (net.Conn, error)) {
+			b, all := g.NewNotifier(), g.NewGroup()
 			for range 3 {
 				all.Go("waiter", func() error {
 					if b.Wait(10 * time.Second) {
@@ -214,12 +214,12 @@
 					return nil
 				})
 			}
-			g.Bell().Wait(time.Second)
-			b.Ring()
-			g.Bell().Wait(time.Second)
-			b.Ring()
+			g.NewNotifier().Wait(time.Second)
+			b.Notify()
+			g.NewNotifier().Wait(time.Second)
+			b.Notify()
 			all.Wait()
-			b.Ring()
+			b.Notify()
 			timely = b.Wait(0) && !b.Wait(0)
 		})
 		w.Run(time.Minute)
@@ -229,13 +229,13 @@
 	})
 	t.Run("a stopped timer does not come, and says so once", func(t *testing.T) {
 		came := 0
-		w, _, p := room(t, 8, func(g env.Ground, _ func() (net.Conn, error)) {
+		w, _, p := room(t, 8, func(g env.Environment, _ func() (net.Conn, error)) {
 			a := g.AfterFunc(time.Second, func() { came += 10 })
 			g.AfterFunc(2*time.Second, func() { came++ })
 			if !a.Stop() || a.Stop() {
 				t.Error("Stop")
 			}
-			g.Bell().Wait(3 * time.Second)
+			g.NewNotifier().Wait(3 * time.Second)
 		})
 		w.Run(time.Minute)
 		if _, timers, _ := p.Held(); came != 1 || timers != 0 {
@@ -243,14 +243,14 @@
 		}
 	})
 	t.Run("a wait outside the world's goroutines is a fault of the rig", func(t *testing.T) {
-		w, _, p := room(t, 9, func(env.Ground, func() (net.Conn, error)) {})
+		w, _, p := room(t, 9, func(env.Environment, func() (net.Conn, error)) {})
 		w.Run(time.Second)
 		defer func() {
 			if recover() == nil {
 				t.Error("waited")
 			}
 		}()
-		p.Bell().Wait(time.Second)
+		p.NewNotifier().Wait(time.Second)
 	})
 }
 
@@ -258,11 +258,11 @@
 func TestSeeds(t *testing.T) {
 	run := func(seed uint64) (string, uint64) {
 		order := ""
-		w, _, _ := room(t, seed, func(g env.Ground, _ func() (net.Conn, error)) {
+		w, _, _ := room(t, seed, func(g env.Environment, _ func() (net.Conn, error)) {
 			for _, name := range []string{"a", "b", "c", "d"} {
 				g.AfterFunc(time.Second, func() { order += name })
 			}
-			g.Bell().Wait(2 * time.Second)
+			g.NewNotifier().Wait(2 * time.Second)
 		})
 		w.Run(time.Minute)
 		return order, w.Digest()
@@ -284,17 +284,17 @@
 // The digest tells apart what a process does, not what it calls things.
 func TestDigestHoldsActionsAndNoText(t *testing.T) {
 	run := func(data, logLine, goroutine string, after time.Duration) uint64 {
-		w, _, _ := room(t, 1, func(g env.Ground, dial func() (net.Conn, error)) {
+		w, _, _ := room(t, 1, func(g env.Environment, dial func() (net.Conn, error)) {
 			c, err := dial()
 			if err != nil {
 				t.Error(err)
 				return
 			}
 			defer c.Close()
-			group := g.Group()
+			group := g.NewGroup()
 			group.Go(goroutine, func() error {
 				g.Log().Info(logLine)
-				g.Bell().Wait(after)
+				g.NewNotifier().Wait(after)
 				_, err := c.Write([]byte(data))
 				return err
 			})
--- a/internal/memory/memory.go
+++ b/internal/memory/memory.go
@@ -119,7 +119,7 @@
 type Log struct {
 	Retention time.Duration
 	Grace     time.Duration // to heed a purge
-	Clock     env.Ground
+	Clock     env.Environment
 	mu        sync.Mutex
 	objects   map[string][]entry
 	groups    map[int][]entry
@@ -210,7 +210,7 @@
 
 // Controller bounds the lookups open at once, shared out among those who hold them, and the bytes of answers held for them.
 type Controller struct {
-	Clock         env.Ground
+	Clock         env.Environment
 	mu            sync.Mutex // of shares
 	quotas        *Quotas
 	maxBytes      int64
@@ -224,7 +224,7 @@
 }
 
 // NewController makes room for so many lookups and so many bytes.
-func NewController(g env.Ground, lookups int, bytes int64) *Controller {
+func NewController(g env.Environment, lookups int, bytes int64) *Controller {
 	return &Controller{Clock: g, quotas: NewQuotas(lookups), maxBytes: bytes}
 }
 
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -70,7 +70,7 @@
 
 // adjustableClock is a clock that the story moves.
 type adjustableClock struct {
-	env.Ground
+	env.Environment
 	now time.Time
 }
 
--- a/internal/memory/size_test.go
+++ b/internal/memory/size_test.go
@@ -21,7 +21,7 @@
 
 // fixedClock is a ground whose time is set.
 type fixedClock struct {
-	env.Ground
+	env.Environment
 	now time.Time
 }
 
--- a/internal/route/rollout/frozen_test.go
+++ b/internal/route/rollout/frozen_test.go
@@ -12,9 +12,9 @@
 )
 
 // recordedDirectory takes every step of changes in an empty folder, so that the file of its first generation holds each kind of step.
-func recordedDirectory(t *testing.T) env.Folder {
+func recordedDirectory(t *testing.T) env.OSDirectory {
 	t.Helper()
-	disk, err := env.OpenFolder(t.TempDir())
+	disk, err := env.OpenOSDirectory(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +42,7 @@
 	return append(text, '\n')
 }
 
-func readFile(t *testing.T, disk env.Folder, name string) []byte {
+func readFile(t *testing.T, disk env.OSDirectory, name string) []byte {
 	t.Helper()
 	text, err := disk.Read(name)
 	if err != nil {
@@ -57,7 +57,7 @@
 }
 
 func TestALogOfAnEarlierBuildIsContinued(t *testing.T) {
-	disk, err := env.OpenFolder(t.TempDir())
+	disk, err := env.OpenOSDirectory(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/route/rollout/steer.go
+++ b/internal/route/rollout/steer.go
@@ -37,7 +37,7 @@
 
 // Controller is the routes in force.
 type Controller struct {
-	env       env.Ground
+	env       env.Environment
 	kinds     []string
 	stepMu    sync.Mutex // held over a whole step, its write included: steps come one after the other
 	mu        sync.Mutex // of what follows; never held over a write
@@ -57,7 +57,7 @@
 }
 
 // Open begins with the routes that the record holds, or without one with the first configuration. disk may be nil: nothing is kept.
-func Open(g env.Ground, disk env.Disk, first pools.Config, kinds []string) (*Controller, error) {
+func Open(g env.Environment, disk env.Directory, first pools.Config, kinds []string) (*Controller, error) {
 	s := &Controller{env: g, kinds: kinds, guard: change.NewGuard(g.Now(), change.DefaultGuardLimits), endpoints: map[string]pools.Cache{}, tables: map[uint64]*pools.Table{}}
 	text, err := json.Marshal(first)
 	if err != nil {
--- a/internal/route/rollout/steer_test.go
+++ b/internal/route/rollout/steer_test.go
@@ -22,7 +22,7 @@
 
 // testEnv is the system's, with a clock that the test moves.
 type testEnv struct {
-	env.Ground
+	env.Environment
 	now time.Time
 }
 
@@ -39,7 +39,7 @@
 	return pools.Config{Pools: map[string]pools.Pool{"main": {Locations: []string{location}}}, Routes: []pools.Route{{Name: "all", Targets: []pools.Target{{Pool: "main"}}}}}
 }
 
-func openController(t *testing.T, g *testEnv, disk env.Disk, first pools.Config) *Controller {
+func openController(t *testing.T, g *testEnv, disk env.Directory, first pools.Config) *Controller {
 	t.Helper()
 	s, err := Open(g, disk, first, kinds)
 	if err != nil {
--- a/internal/route/rollout/steps.go
+++ b/internal/route/rollout/steps.go
@@ -237,9 +237,9 @@
 }
 
 // Run undoes what is not confirmed in time, and what its guard finds worse, until life ends.
-func (s *Controller) Run(life *env.Life) error {
-	end := s.env.Bell()
-	defer life.OnEnd(end.Ring)()
+func (s *Controller) Run(life *env.Lifetime) error {
+	end := s.env.NewNotifier()
+	defer life.OnEnd(end.Notify)()
 	for !end.Wait(tickInterval) {
 		s.Tick()
 	}
--- a/internal/store/snapshot/frozen_test.go
+++ b/internal/store/snapshot/frozen_test.go
@@ -16,7 +16,7 @@
 
 // adjustableClock is the system's ground with a clock that the test moves.
 type adjustableClock struct {
-	env.Ground
+	env.Environment
 	milliseconds atomic.Int64
 }
 
@@ -26,13 +26,13 @@
 func recordedGeneration(t *testing.T) []byte {
 	t.Helper()
 	folder := t.TempDir()
-	clock := &adjustableClock{Ground: env.NewSystem(io.Discard, slog.LevelInfo)}
+	clock := &adjustableClock{Environment: env.NewSystem(io.Discard, slog.LevelInfo)}
 	clock.milliseconds.Store(1_700_000_000_000)
 	k, why, err := Open(clock, folder, Limits{1 << 20, 1000})
 	if err != nil || why != nil {
 		t.Fatal(why, err)
 	}
-	life, ended := env.NewLife(nil), make(chan error)
+	life, ended := env.NewLifetime(nil), make(chan error)
 	go func() { ended <- k.Run(life) }()
 	defer func() {
 		life.End()
--- a/internal/store/snapshot/keeper.go
+++ b/internal/store/snapshot/keeper.go
@@ -39,10 +39,10 @@
 
 // Snapshotter is an open list.
 type Snapshotter struct {
-	env    env.Ground
+	env    env.Environment
 	limits Limits
 	log    *wal.Log
-	wakeup env.Bell
+	wakeup env.Notifier
 
 	mu           sync.Mutex
 	state        *endpoints.State
@@ -55,8 +55,8 @@
 
 // Open reads the list in a folder and begins a generation of its own. A folder that another process has is an error; a
 // list that cannot be read is told in why and begun anew, and the generation before stays on disk.
-func Open(g env.Ground, path string, terms Limits) (k *Snapshotter, why error, err error) {
-	disk, err := g.Folder(path)
+func Open(g env.Environment, path string, terms Limits) (k *Snapshotter, why error, err error) {
+	disk, err := g.OpenDirectory(path)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -64,7 +64,7 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
-	k = &Snapshotter{env: g, limits: terms, log: rec, wakeup: g.Bell(), state: endpoints.New(), snapshotDue: true}
+	k = &Snapshotter{env: g, limits: terms, log: rec, wakeup: g.NewNotifier(), state: endpoints.New(), snapshotDue: true}
 	if kept.Generation > 0 {
 		s, fault := endpoints.Restore(kept.Snapshot, kept.Changes)
 		k.state = s
@@ -73,7 +73,7 @@
 	for _, s := range kept.Skipped {
 		why = errors.New(s)
 	}
-	k.wakeup.Ring() // a generation of its own
+	k.wakeup.Notify() // a generation of its own
 	return k, why, nil
 }
 
@@ -104,7 +104,7 @@
 		k.pending, k.pendingBytes = nil, 0
 	}
 	k.mu.Unlock()
-	k.wakeup.Ring()
+	k.wakeup.Notify()
 }
 
 // UpdateHealth takes which caches are out now and which gave good answers since; it is kept when the former changed.
@@ -142,19 +142,19 @@
 }
 
 // Run writes until life ends, and once more then.
-func (k *Snapshotter) Run(life *env.Life) error {
-	defer life.OnEnd(k.wakeup.Ring)()
+func (k *Snapshotter) Run(life *env.Lifetime) error {
+	defer life.OnEnd(k.wakeup.Notify)()
 	defer k.log.Close()
 	pace := &tokenBucket{rate: k.limits.WritesPerSecond, tokens: maxWriteBurst, updatedAt: k.env.Now()}
 	failing, pause := "", minRetryDelay
 	for {
-		if !life.Over() {
+		if !life.Ended() {
 			k.wakeup.Wait(-1)
 		}
-		if wait := pace.reserve(k.env.Now()); wait > 0 && !life.Over() {
+		if wait := pace.reserve(k.env.Now()); wait > 0 && !life.Ended() {
 			k.pause(life, wait)
 		}
-		last := life.Over()
+		last := life.Ended()
 		err := k.flush()
 		switch {
 		case err == nil && failing != "":
@@ -170,15 +170,15 @@
 		if err != nil {
 			k.pause(life, pause)
 			pause = min(2*pause, maxRetryDelay)
-			k.wakeup.Ring()
+			k.wakeup.Notify()
 		}
 	}
 }
 
 // pause waits for a time, or until life ends.
-func (k *Snapshotter) pause(life *env.Life, span time.Duration) {
-	over := k.env.Bell()
-	defer life.OnEnd(over.Ring)()
+func (k *Snapshotter) pause(life *env.Lifetime, span time.Duration) {
+	over := k.env.NewNotifier()
+	defer life.OnEnd(over.Notify)()
 	over.Wait(span)
 }
 
--- a/internal/store/snapshot/keeper_test.go
+++ b/internal/store/snapshot/keeper_test.go
@@ -25,11 +25,11 @@
 
 // testEnv is the system's with another disk and a log that can be read.
 type testEnv struct {
-	env.Ground
-	directory env.Disk
+	env.Environment
+	directory env.Directory
 }
 
-func (g testEnv) Folder(string) (env.Disk, error) { return g.directory, nil }
+func (g testEnv) OpenDirectory(string) (env.Directory, error) { return g.directory, nil }
 
 // failingDirectory is a disk that can be told to fail, and counts its syncs.
 type failingDirectory struct {
@@ -104,13 +104,13 @@
 	return text
 }
 
-func startSnapshotter(t *testing.T, g env.Ground, terms Limits) (*Snapshotter, func()) {
+func startSnapshotter(t *testing.T, g env.Environment, terms Limits) (*Snapshotter, func()) {
 	t.Helper()
 	k, why, err := Open(g, "/list", terms)
 	if err != nil || why != nil {
 		t.Fatal(why, err)
 	}
-	life, ended := env.NewLife(nil), make(chan error)
+	life, ended := env.NewLifetime(nil), make(chan error)
 	go func() { ended <- k.Run(life) }()
 	return k, func() { life.End(); <-ended }
 }
@@ -264,7 +264,7 @@
 	if err != nil {
 		panic(err)
 	}
-	go k.Run(env.NewLife(nil))
+	go k.Run(env.NewLifetime(nil))
 	for n := k.State().LastEvent + 1; ; n++ {
 		k.Apply(numberedUpdate(n))
 		if n%3 == 0 {
--- a/internal/store/wal/record.go
+++ b/internal/store/wal/record.go
@@ -36,7 +36,7 @@
 
 // Directory is the folder of a record, and File a file in it.
 type (
-	Directory = env.Disk
+	Directory = env.Directory
 	File      = env.File
 )
 
--- a/internal/warmstart/member.go
+++ b/internal/warmstart/member.go
@@ -37,7 +37,7 @@
 
 // Reconciler is the list while it may be in doubt. A nil one takes what it is told and does nothing, as on the platform.
 type Reconciler struct {
-	env         env.Ground
+	env         env.Environment
 	settings    *settings.Settings
 	dispatcher  *dispatch.Dispatcher
 	caches      *memory.Registry
@@ -61,7 +61,7 @@
 }
 
 // New makes members over an open list.
-func New(g env.Ground, terms *settings.Settings, router *dispatch.Dispatcher, caches *memory.Registry, keep *snapshot.Snapshotter) *Reconciler {
+func New(g env.Environment, terms *settings.Settings, router *dispatch.Dispatcher, caches *memory.Registry, keep *snapshot.Snapshotter) *Reconciler {
 	m := &Reconciler{env: g, settings: terms, dispatcher: router, caches: caches, snapshotter: keep, knownDrains: map[string]*knownDrain{}}
 	s := keep.State()
 	m.lastEvent = s.LastEvent
@@ -255,9 +255,9 @@
 }
 
 // Run follows what entries prove to be, lets bars go when their time is over, and learns which caches are out.
-func (m *Reconciler) Run(life *env.Life) error {
-	end := m.env.Bell()
-	defer life.OnEnd(end.Ring)()
+func (m *Reconciler) Run(life *env.Lifetime) error {
+	end := m.env.NewNotifier()
+	defer life.OnEnd(end.Notify)()
 	learnt := m.env.Now()
 	for !end.Wait(m.reviewDelay()) {
 		m.publishChanges()
--- a/internal/warmstart/member_test.go
+++ b/internal/warmstart/member_test.go
@@ -35,7 +35,7 @@
 }
 
 type fixture struct {
-	env         env.Ground
+	env         env.Environment
 	log         bytes.Buffer
 	module      *recordingModule
 	settings    *settings.Settings
@@ -75,7 +75,7 @@
 	for _, c := range before {
 		k.Apply(c)
 	}
-	life := env.NewLife(nil)
+	life := env.NewLifetime(nil)
 	life.End()
 	k.Run(life)
 	p.snapshotter = open()
--- a/internal/wire/answer.go
+++ b/internal/wire/answer.go
@@ -15,130 +15,130 @@
 	"foldslip/internal/route/rollout"
 )
 
-// open is a lookup between its request and its answer, as the network sees it.
-type open struct {
-	req     Request
-	lk      *dispatch.Lookup
-	flights []*flight
-	room    *memory.Controller
-	runs    bool            // at the origin: what it brings is no copy
-	pass    *rollout.Ticket // nil: it came by no route
-	came    time.Time
-	mu      sync.Mutex
-	got     map[int]*copied
-	held    int // bytes of room that the request's body and got take
-	closed  bool
+// lookup is a lookup between its request and its answer, as the network sees it.
+type lookup struct {
+	request       Request
+	dispatched    *dispatch.Lookup
+	attempts      []*attempt
+	admission     *memory.Controller
+	passThrough   bool            // at the origin: what it brings is no copy
+	ticket        *rollout.Ticket // nil: it came by no route
+	arrivedAt     time.Time
+	mu            sync.Mutex
+	objects       map[int]*object
+	reservedBytes int // bytes of room that the request's body and got take
+	closed        bool
 }
 
-// copied is an answer to pass on: room for a head, then the bytes.
-type copied struct {
-	block []byte
-	tag   string
-	same  bool
+// object is an answer to pass on: room for a head, then the bytes.
+type object struct {
+	buffer      []byte
+	tag         string
+	notModified bool
 }
 
-// keep holds an answer of a cache for its lookup, with room for the head before it; not if the lookup is over or there is no room.
-func (o *open) keep(n int, a answer) (kept, over bool) {
+// storeObject holds an answer of a cache for its lookup, with room for the head before it; not if the lookup is over or there is no room.
+func (o *lookup) storeObject(n int, a response) (kept, over bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	size := headRoom + len(a.body)
-	if o.closed || !o.room.ReserveBytes(size) {
+	size := headReserve + len(a.body)
+	if o.closed || !o.admission.ReserveBytes(size) {
 		return false, o.closed
 	}
-	o.held += size
-	c := &copied{tag: a.tag, same: a.same, block: make([]byte, size)}
-	copy(c.block[headRoom:], a.body)
-	if o.got == nil {
-		o.got = map[int]*copied{}
+	o.reservedBytes += size
+	c := &object{tag: a.etag, notModified: a.notModified, buffer: make([]byte, size)}
+	copy(c.buffer[headReserve:], a.body)
+	if o.objects == nil {
+		o.objects = map[int]*object{}
 	}
-	o.got[n] = c
+	o.objects[n] = c
 	return true, false
 }
 
-// close gives back what is held; nothing is kept from now on.
-func (o *open) close() {
+// release gives back what is held; nothing is kept from now on.
+func (o *lookup) release() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.room.ReleaseBytes(o.held)
-	o.held, o.got, o.closed = 0, nil, true
+	o.admission.ReleaseBytes(o.reservedBytes)
+	o.reservedBytes, o.objects, o.closed = 0, nil, true
 }
 
-// leave ends what its route let in.
-func (o *open) leave(how dispatch.StepKind, late bool) {
-	if o.pass != nil {
-		o.pass.End(how == dispatch.StepSatisfied && !late, how == dispatch.StepRejected, late || how == dispatch.StepFailed)
+// endTicket ends what its route let in.
+func (o *lookup) endTicket(how dispatch.StepKind, late bool) {
+	if o.ticket != nil {
+		o.ticket.End(how == dispatch.StepSatisfied && !late, how == dispatch.StepRejected, late || how == dispatch.StepFailed)
 	}
 }
 
-// answer carries out a lookup's steps up to its end, and says the end.
-func (c *client) answer(o *open) {
-	f := c.f
+// respond carries out a lookup's steps up to its end, and says the end.
+func (c *clientConn) respond(o *lookup) {
+	f := c.server
 	for {
-		s := f.router.WaitStep(o.lk)
+		s := f.dispatcher.WaitStep(o.dispatched)
 		switch s.Kind {
 		case dispatch.StepFetch:
-			f.links.send(o, s)
+			f.pool.startAttempt(o, s)
 			continue
 		case dispatch.StepCancel:
-			f.links.cancel(o, s.Attempt)
+			f.pool.cancelAttempt(o, s.Attempt)
 			continue
 		}
-		f.links.leave(o)
-		o.leave(s.Kind, f.g.Now().Sub(o.came) > f.terms.LatencyBudget(f.kinds[o.req.Kind], o.req.KB))
-		end := o.req.Close || c.ends()
+		f.pool.cancelAll(o)
+		o.endTicket(s.Kind, f.env.Now().Sub(o.arrivedAt) > f.settings.LatencyBudget(f.kindByName[o.request.Kind], o.request.SizeKB))
+		end := o.request.ClosesConn || c.isEnding()
 		switch s.Kind {
 		case dispatch.StepSatisfied:
 			c.mu.Lock()
-			c.usual = true
+			c.wasSatisfied = true
 			c.mu.Unlock()
-			c.pass(o, s.Attempt, end)
+			c.writeObject(o, s.Attempt, end)
 		case dispatch.StepRejected:
 			wait := ""
 			if s.RetryAfter > 0 {
 				wait = "X-Wait-Ms: " + strconv.FormatInt((s.RetryAfter+999)/1000, 10) + "\r\n"
 			}
-			c.say(appendHead(nil, 503, 0, wait, end), o.lk.Deadline)
+			c.write(appendHead(nil, 503, 0, wait, end), o.dispatched.Deadline)
 		case dispatch.StepFailed:
-			c.say(appendHead(nil, 502, 0, "", end), o.lk.Deadline)
+			c.write(appendHead(nil, 502, 0, "", end), o.dispatched.Deadline)
 		}
 		switch {
 		case end && s.Kind == dispatch.StepSatisfied:
-			c.part()
+			c.closeInput()
 		case end: // a head alone is out whole; what is given up before the kill must not linger up to Cut
-			c.shut("asked")
+			c.close("asked")
 		}
-		c.rest()
+		c.awaitNextRequest()
 		return
 	}
 }
 
-// pass hands on what a send brought: the bytes whole and unchanged, or word that the client's copy holds.
-func (c *client) pass(o *open, n int, end bool) {
+// writeObject hands on what a send brought: the bytes whole and unchanged, or word that the client's copy holds.
+func (c *clientConn) writeObject(o *lookup, n int, end bool) {
 	o.mu.Lock()
-	got := o.got[n]
-	o.got = nil
+	got := o.objects[n]
+	o.objects = nil
 	o.mu.Unlock()
 	status := 200
-	if got.same {
+	if got.notModified {
 		status = 304
 	}
-	var room [headRoom]byte
+	var room [headReserve]byte
 	tag := ""
 	if got.tag != "" { // of a copy; what ran at the origin is none
 		tag = "ETag: \"" + got.tag + "\"\r\n"
 	}
-	head := appendHead(room[:0], status, len(got.block)-headRoom, tag, end)
-	if len(head) > headRoom { // only with an unusually long tag
-		c.say(append(head, got.block[headRoom:]...), o.lk.Deadline)
+	head := appendHead(room[:0], status, len(got.buffer)-headReserve, tag, end)
+	if len(head) > headReserve { // only with an unusually long tag
+		c.write(append(head, got.buffer[headReserve:]...), o.dispatched.Deadline)
 		return
 	}
-	from := headRoom - len(head)
-	copy(got.block[from:], head)
-	c.say(got.block[from:], o.lk.Deadline)
+	from := headReserve - len(head)
+	copy(got.buffer[from:], head)
+	c.write(got.buffer[from:], o.dispatched.Deadline)
 }
 
-// plain answers what never reached the module.
-func (c *client) plain(status int, text string, wait time.Duration, end bool) {
+// writeText answers what never reached the module.
+func (c *clientConn) writeText(status int, text string, wait time.Duration, end bool) {
 	more := "Content-Type: text/plain\r\n"
 	if wait > 0 {
 		more += "X-Wait-Ms: " + strconv.FormatInt((wait+time.Millisecond-1).Milliseconds(), 10) + "\r\n"
@@ -147,21 +147,21 @@
 		more += "Allow: GET\r\n"
 	}
 	b := appendHead(nil, status, len(text)+1, more, end)
-	c.say(append(append(b, text...), '\n'), c.f.g.Now())
+	c.write(append(append(b, text...), '\n'), c.server.env.Now())
 }
 
-// say writes an answer; a client too slow to take it loses the connection, and sees that it is not whole.
-func (c *client) say(b []byte, deadline time.Time) {
-	c.conn.SetWriteDeadline(deadline.Add(slowAnswer))
+// write writes an answer; a client too slow to take it loses the connection, and sees that it is not whole.
+func (c *clientConn) write(b []byte, deadline time.Time) {
+	c.conn.SetWriteDeadline(deadline.Add(responseWriteSlack))
 	if _, err := c.conn.Write(b); err != nil {
 		reason := "reset"
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			reason = "answer_not_taken"
 		}
-		c.shut(reason)
+		c.close(reason)
 		return
 	}
-	c.served++
+	c.responses++
 }
 
 var statusText = map[int]string{200: "OK", 304: "Not Modified", 400: "Bad Request", 404: "Not Found",
--- a/internal/wire/bulletin.go
+++ b/internal/wire/bulletin.go
@@ -22,78 +22,78 @@
 )
 
 const (
-	mostEvent     = 1 << 20
-	dueEvery      = time.Second             // a line of the bulletin
-	silentAfter   = 2500 * time.Millisecond // without one it is asked anew, or sooner:
-	silentLeast   = dueEvery + 250*time.Millisecond
-	silentMost    = 5 * time.Second        // doubled up to it while sessions end without a line
-	askWithin     = 500 * time.Millisecond // the time to ask anew, in which what was missed comes
-	dialBulletin  = 500 * time.Millisecond
-	retryBulletin = 50 * time.Millisecond // doubled up to retryMost
-	retryMost     = 800 * time.Millisecond
+	maxEventBytes         = 1 << 20
+	lineInterval          = time.Second             // a line of the bulletin
+	defaultSilenceTimeout = 2500 * time.Millisecond // without one it is asked anew, or sooner:
+	minSilenceTimeout     = lineInterval + 250*time.Millisecond
+	maxSilenceTimeout     = 5 * time.Second        // doubled up to it while sessions end without a line
+	resyncTime            = 500 * time.Millisecond // the time to ask anew, in which what was missed comes
+	dialTimeout           = 500 * time.Millisecond
+	minRetryDelay         = 50 * time.Millisecond // doubled up to retryMost
+	maxRetryDelay         = 800 * time.Millisecond
 )
 
-// Bulletin follows the numbered events: lists of caches and purges.
-type Bulletin struct {
-	Last   int64 // number of the last event held
-	Terms  *settings.Settings
-	Router *dispatch.Dispatcher
-	Caches *memory.Registry
-	Purges *memory.Log
+// Watch follows the numbered events: lists of caches and purges.
+type Watch struct {
+	LastEvent  int64 // number of the last event held
+	Settings   *settings.Settings
+	Dispatcher *dispatch.Dispatcher
+	Registry   *memory.Registry
+	Purges     *memory.Log
 	// Members, if there are any, are told all that counts beside the router.
-	Members *warmstart.Reconciler
+	Reconciler *warmstart.Reconciler
 	// Heard, if set, is told of each event before the router is; it must not wait.
-	Heard func(c endpoints.Update)
+	OnUpdate func(c endpoints.Update)
 	// Event, if set, is told the number of each event and its purges once they count; it must not wait.
-	Event func(no int64, purges []dispatch.Purge)
+	OnEvent func(no int64, purges []dispatch.Purge)
 	// Listed, if set, is called once a whole list has been told.
-	Listed func()
+	OnFirstList func()
 	// Spread, if set, draws a pause by chance up to the one given.
-	Spread func(time.Duration) time.Duration
-	g      env.Ground
-	failed int64 // number of the event that could not be used when it came last
-	mu     sync.Mutex
-	addr   string
-	quiet  int       // sessions in a row that fell silent without a line
-	its    *env.Life // of the session under way
-	moved  bool      // it is to be asked at once
-	turn   env.Bell  // rung when moved is set, and at the end
+	Jitter         func(time.Duration) time.Duration
+	env            env.Environment
+	rejectedEvent  int64 // number of the event that could not be used when it came last
+	mu             sync.Mutex
+	addr           string
+	silentSessions int           // sessions in a row that fell silent without a line
+	session        *env.Lifetime // of the session under way
+	moved          bool          // it is to be asked at once
+	wakeup         env.Notifier  // rung when moved is set, and at the end
 }
 
-// NewBulletin makes the follower of the bulletin at an address.
-func NewBulletin(g env.Ground, addr string, terms *settings.Settings, router *dispatch.Dispatcher, caches *memory.Registry,
-	purges *memory.Log) *Bulletin {
-	return &Bulletin{g: g, addr: addr, Terms: terms, Router: router, Caches: caches, Purges: purges, turn: g.Bell()}
+// NewWatch makes the follower of the bulletin at an address.
+func NewWatch(g env.Environment, addr string, terms *settings.Settings, router *dispatch.Dispatcher, caches *memory.Registry,
+	purges *memory.Log) *Watch {
+	return &Watch{env: g, addr: addr, Settings: terms, Dispatcher: router, Registry: caches, Purges: purges, wakeup: g.NewNotifier()}
 }
 
-// Move follows the bulletin at a new address from now on, after the last event held. At the old address it asks
+// SetAddr follows the bulletin at a new address from now on, after the last event held. At the old address it asks
 // anew: what was told meanwhile comes at once.
-func (b *Bulletin) Move(addr string) {
+func (b *Watch) SetAddr(addr string) {
 	b.mu.Lock()
-	its := b.its
+	its := b.session
 	b.addr, b.moved = addr, true
 	b.mu.Unlock()
-	b.turn.Ring()
+	b.wakeup.Notify()
 	if its != nil {
 		its.End()
 	}
 }
 
-// next is the address to ask now, with the life of a session there, which Move ends.
-func (b *Bulletin) next(life *env.Life) (string, *env.Life) {
+// beginSession is the address to ask now, with the life of a session there, which Move ends.
+func (b *Watch) beginSession(life *env.Lifetime) (string, *env.Lifetime) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.moved, b.its = false, env.NewLife(life) // this session is at the new address
-	return b.addr, b.its
+	b.moved, b.session = false, env.NewLifetime(life) // this session is at the new address
+	return b.addr, b.session
 }
 
-// pause waits before the bulletin is asked again; true if it has moved meanwhile.
-func (b *Bulletin) pause(life *env.Life, span time.Duration) bool {
-	for till := b.g.Now().Add(span); !life.Over(); {
+// waitRetry waits before the bulletin is asked again; true if it has moved meanwhile.
+func (b *Watch) waitRetry(life *env.Lifetime, span time.Duration) bool {
+	for till := b.env.Now().Add(span); !life.Ended(); {
 		b.mu.Lock()
 		moved := b.moved
 		b.mu.Unlock()
-		if moved || !b.turn.Wait(max(0, till.Sub(b.g.Now()))) {
+		if moved || !b.wakeup.Wait(max(0, till.Sub(b.env.Now()))) {
 			return moved
 		}
 	}
@@ -101,14 +101,14 @@
 }
 
 // errAnew tells that the bulletin counts from the start again.
-var errAnew = errors.New("the bulletin's numbers began anew")
+var errRenumbered = errors.New("the bulletin's numbers began anew")
 
 // errGap tells that events are missing; a new connection brings them.
 var errGap = errors.New("events are missing")
 
 type event struct {
-	No     *int64 `json:"no"`
-	Roster *struct {
+	Number    *int64 `json:"no"`
+	Endpoints *struct {
 		Revision int64 `json:"revision"`
 		Complete bool  `json:"complete"`
 		Members  []struct {
@@ -122,15 +122,15 @@
 			UpSince  float64 `json:"up_since_ms"`
 		} `json:"members"`
 	} `json:"roster"`
-	Recall *struct {
+	Purge *struct {
 		Item   string  `json:"item"`
 		Lot    *int    `json:"lot"`
 		Issued float64 `json:"issued"`
 	} `json:"recall"`
 }
 
-// Known takes the events of the start.
-func (b *Bulletin) Known(text json.RawMessage) error {
+// LoadKnown takes the events of the start.
+func (b *Watch) LoadKnown(text json.RawMessage) error {
 	var known struct {
 		No    int64             `json:"no"`
 		Items []json.RawMessage `json:"items"`
@@ -139,24 +139,24 @@
 		return fmt.Errorf("known: %w", err)
 	}
 	for _, item := range known.Items {
-		if err := b.take(item, true); err != nil {
+		if err := b.handleLine(item, true); err != nil {
 			return fmt.Errorf("known: %w", err)
 		}
 	}
-	b.Last = known.No
+	b.LastEvent = known.No
 	return nil
 }
 
-// take takes one line: an event, or only the last number. Nothing of a line that cannot be used is kept.
-func (b *Bulletin) take(line []byte, known bool) error {
+// handleLine takes one line: an event, or only the last number. Nothing of a line that cannot be used is kept.
+func (b *Watch) handleLine(line []byte, known bool) error {
 	if n, err := strconv.ParseInt(string(line), 10, 64); err == nil {
-		if n > b.Last {
-			return fmt.Errorf("%w: %d told, %d held", errGap, n, b.Last)
+		if n > b.LastEvent {
+			return fmt.Errorf("%w: %d told, %d held", errGap, n, b.LastEvent)
 		}
-		if b.Members.ObserveEventNumber(n, b.Last) {
-			was := b.Last
-			b.Last = 0
-			return fmt.Errorf("%w: %d told, %d held", errAnew, n, was)
+		if b.Reconciler.ObserveEventNumber(n, b.LastEvent) {
+			was := b.LastEvent
+			b.LastEvent = 0
+			return fmt.Errorf("%w: %d told, %d held", errRenumbered, n, was)
 		}
 		return nil
 	}
@@ -164,28 +164,28 @@
 	if err := json.Unmarshal(line, &e); err != nil {
 		return err
 	}
-	if e.No == nil {
+	if e.Number == nil {
 		return errors.New("an event without a number")
 	}
-	if e.Roster == nil && e.Recall == nil {
-		if *e.No > b.Last && !known {
-			return fmt.Errorf("%w: %d told, %d held", errGap, *e.No, b.Last)
+	if e.Endpoints == nil && e.Purge == nil {
+		if *e.Number > b.LastEvent && !known {
+			return fmt.Errorf("%w: %d told, %d held", errGap, *e.Number, b.LastEvent)
 		}
 		return nil
 	}
 	switch {
 	case known:
-	case *e.No <= b.Last:
+	case *e.Number <= b.LastEvent:
 		return nil // held already
-	case *e.No != b.Last+1:
-		return fmt.Errorf("%w: %d follows %d", errGap, *e.No, b.Last)
+	case *e.Number != b.LastEvent+1:
+		return fmt.Errorf("%w: %d follows %d", errGap, *e.Number, b.LastEvent)
 	}
-	rows, gone, err := b.rows(&e)
+	rows, gone, err := b.parseEndpoints(&e)
 	if err != nil {
 		return err
 	}
 	var purges []dispatch.Purge
-	if r := e.Recall; r != nil {
+	if r := e.Purge; r != nil {
 		if (r.Item == "") == (r.Lot == nil) || !(r.Issued > 0 && r.Issued < 1e14) {
 			return errors.New("a recall that names not one thing and its time")
 		}
@@ -196,57 +196,57 @@
 		b.Purges.Record(p.Object, p.Group, p.IssuedAt)
 		purges = append(purges, p)
 	}
-	whole := e.Roster != nil && e.Roster.Complete
-	if b.Heard != nil {
-		b.Heard(b.change(&e))
+	whole := e.Endpoints != nil && e.Endpoints.Complete
+	if b.OnUpdate != nil {
+		b.OnUpdate(b.endpointUpdate(&e))
 	}
-	if e.Roster != nil {
+	if e.Endpoints != nil {
 		ids := make([]string, len(rows))
-		for i, m := range e.Roster.Members {
+		for i, m := range e.Endpoints.Members {
 			ids[i] = m.ID
 		}
-		b.Members.KeepDraining(*e.No, whole, ids, rows)
+		b.Reconciler.KeepDraining(*e.Number, whole, ids, rows)
 	}
-	b.Router.Tick(rows, whole, purges)
-	if e.Roster != nil && e.Roster.Complete {
+	b.Dispatcher.Tick(rows, whole, purges)
+	if e.Endpoints != nil && e.Endpoints.Complete {
 		named := map[string]bool{}
-		for _, m := range e.Roster.Members {
+		for _, m := range e.Endpoints.Members {
 			named[m.ID] = true
 		}
-		b.Caches.Retain(named)
+		b.Registry.Retain(named)
 	}
 	for _, id := range gone {
-		b.Caches.Remove(id)
+		b.Registry.Remove(id)
 	}
-	b.Last = *e.No
-	if b.Event != nil {
-		b.Event(b.Last, purges)
+	b.LastEvent = *e.Number
+	if b.OnEvent != nil {
+		b.OnEvent(b.LastEvent, purges)
 	}
-	if b.Members != nil {
-		b.Members.Apply(b.change(&e))
+	if b.Reconciler != nil {
+		b.Reconciler.Apply(b.endpointUpdate(&e))
 	}
-	if whole && b.Listed != nil && !known {
-		b.Listed()
-		b.Listed = nil
+	if whole && b.OnFirstList != nil && !known {
+		b.OnFirstList()
+		b.OnFirstList = nil
 	}
 	return nil
 }
 
-// change is an event as the list keeps it.
-func (b *Bulletin) change(e *event) endpoints.Update {
-	c := endpoints.Update{LastEvent: b.Last, DiscoveryAddr: b.at()}
-	if r := e.Recall; r != nil {
-		p := endpoints.Purge{Object: r.Item, IssuedAt: int64(r.Issued), ReceivedAt: b.g.Now().UnixMilli()}
+// endpointUpdate is an event as the list keeps it.
+func (b *Watch) endpointUpdate(e *event) endpoints.Update {
+	c := endpoints.Update{LastEvent: b.LastEvent, DiscoveryAddr: b.currentAddr()}
+	if r := e.Purge; r != nil {
+		p := endpoints.Purge{Object: r.Item, IssuedAt: int64(r.Issued), ReceivedAt: b.env.Now().UnixMilli()}
 		if r.Lot != nil {
 			p.Group = *r.Lot
 		}
 		c.Purges = append(c.Purges, p)
 	}
-	if e.Roster == nil {
+	if e.Endpoints == nil {
 		return c
 	}
-	c.Complete = e.Roster.Complete
-	for _, m := range e.Roster.Members {
+	c.Complete = e.Endpoints.Complete
+	for _, m := range e.Endpoints.Members {
 		phase := map[string]endpoints.Phase{"draining": endpoints.Draining, "removed": endpoints.Removed}[m.Phase]
 		c.Endpoints = append(c.Endpoints, endpoints.Endpoint{ID: m.ID, Addr: m.HostPort, Zone: m.Locality, MachineType: m.Flavor, Cell: m.Cell, Size: m.Size,
 			StartedAt: int64(m.UpSince), Phase: phase})
@@ -254,20 +254,20 @@
 	return c
 }
 
-func (b *Bulletin) at() string {
+func (b *Watch) currentAddr() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.addr
 }
 
-// rows reads a roster; all of it must be usable before any of it counts.
-func (b *Bulletin) rows(e *event) (rows []policy.Endpoint, gone []string, err error) {
-	if e.Roster == nil {
+// parseEndpoints reads a roster; all of it must be usable before any of it counts.
+func (b *Watch) parseEndpoints(e *event) (rows []policy.Endpoint, gone []string, err error) {
+	if e.Endpoints == nil {
 		return nil, nil, nil
 	}
-	for _, m := range e.Roster.Members {
+	for _, m := range e.Endpoints.Members {
 		row := policy.Endpoint{Cell: m.Cell, Weight: m.Size, StartedAt: policy.Micros(m.UpSince * 1000),
-			Zone: slices.Index(b.Terms.Zones, m.Locality), Kind: slices.Index(b.Terms.MachineTypes, m.Flavor)}
+			Zone: slices.Index(b.Settings.Zones, m.Locality), Kind: slices.Index(b.Settings.MachineTypes, m.Flavor)}
 		switch m.Phase {
 		case "up":
 			row.State = policy.Ready
@@ -279,7 +279,7 @@
 		default:
 			return nil, nil, fmt.Errorf("member %q: phase %q is unknown", m.ID, m.Phase)
 		}
-		if !isWord(m.ID) {
+		if !isName(m.ID) {
 			return nil, nil, fmt.Errorf("member %q: the id cannot be used", m.ID)
 		}
 		if row.State != policy.Gone {
@@ -289,70 +289,70 @@
 		}
 		rows = append(rows, row)
 	}
-	for i, m := range e.Roster.Members {
-		rows[i].Cache = b.Caches.Register(m.ID, m.HostPort).Policy
+	for i, m := range e.Endpoints.Members {
+		rows[i].Cache = b.Registry.Register(m.ID, m.HostPort).Policy
 	}
 	return rows, gone, nil
 }
 
-// Follow keeps a connection to the bulletin until life ends.
-func (b *Bulletin) Follow(life *env.Life) error {
-	defer life.OnEnd(b.turn.Ring)()
-	for pause := retryBulletin; ; {
-		began, last := b.g.Now(), b.Last
-		addr, its := b.next(life)
-		reason := b.session(its, addr)
-		if its.Over() && !life.Over() {
+// Run keeps a connection to the bulletin until life ends.
+func (b *Watch) Run(life *env.Lifetime) error {
+	defer life.OnEnd(b.wakeup.Notify)()
+	for pause := minRetryDelay; ; {
+		began, last := b.env.Now(), b.LastEvent
+		addr, its := b.beginSession(life)
+		reason := b.runSession(its, addr)
+		if its.Ended() && !life.Ended() {
 			reason = "moved"
 		}
 		its.End()
-		age := b.g.Now().Sub(began)
-		b.g.Log().Info("bulletin_closed", "addr", addr, "reason", reason, "last", b.Last, "age_ms", age.Milliseconds())
-		if b.Last > last || age > silentAfter {
-			pause = retryBulletin
+		age := b.env.Now().Sub(began)
+		b.env.Log().Info("bulletin_closed", "addr", addr, "reason", reason, "last", b.LastEvent, "age_ms", age.Milliseconds())
+		if b.LastEvent > last || age > defaultSilenceTimeout {
+			pause = minRetryDelay
 		}
 		span := pause
-		if b.Spread != nil {
-			span = b.Spread(pause)
+		if b.Jitter != nil {
+			span = b.Jitter(pause)
 		}
-		moved := b.pause(life, span)
-		if life.Over() {
+		moved := b.waitRetry(life, span)
+		if life.Ended() {
 			return nil
 		}
-		if pause = min(2*pause, retryMost); moved {
-			pause = retryBulletin
+		if pause = min(2*pause, maxRetryDelay); moved {
+			pause = minRetryDelay
 		}
 	}
 }
 
-// silent is how long a session may bring no whole line. An event counts as told while the watch is dead, and the time to heed it runs:
+// silenceTimeout is how long a session may bring no whole line. An event counts as told while the watch is dead, and the time to heed it runs:
 // where it is short the silence is noticed so soon that asking anew still fits into it, as far as lines that come every second allow
 // that. Sessions that brought no line at all wait longer each time, so that a bulletin that is late is not asked without end.
-func (b *Bulletin) silent() time.Duration {
-	if b.Caches.Len() == 0 {
+func (b *Watch) silenceTimeout() time.Duration {
+	if b.Registry.Len() == 0 {
 		// Guards a start without a list against a discovery that is late with its first byte: nothing can drain yet, and a session ended
 		// at silentAfter begins the same wait anew (2.5 s, 2.5 s, then 5 s).
-		return silentMost
+		return maxSilenceTimeout
 	}
-	heed := time.Duration(b.Terms.DrainGrace) * time.Microsecond
-	first := min(silentAfter, max(silentLeast, heed-askWithin))
-	for range min(max(0, b.quiet-1), 8) {
-		first = min(2*first, silentMost)
+	heed := time.Duration(b.Settings.DrainGrace) * time.Microsecond
+	first := min(defaultSilenceTimeout, max(minSilenceTimeout, heed-resyncTime))
+	for range min(max(0, b.silentSessions-1), 8) {
+		first = min(2*first, maxSilenceTimeout)
 	}
 	return first
 }
 
-// session is one connection, from after the last event held up to its end.
-func (b *Bulletin) session(life *env.Life, addr string) (reason string) {
-	conn, err := b.g.Dial(life, addr, dialBulletin)
+// runSession is one connection, from after the last event held up to its end.
+func (b *Watch) runSession(life *env.Lifetime, addr string) (reason string) {
+	conn, err := b.env.Dial(life, addr, dialTimeout)
 	if err != nil {
 		return "no_connection"
 	}
 	defer conn.Close()
 	defer life.OnEnd(func() { conn.Close() })()
-	silent := b.silent()
-	conn.SetDeadline(b.g.Now().Add(silent))
-	if _, err := fmt.Fprintf(conn, "after %d\n", b.Last); err != nil {
+	silent := b.silenceTimeout()
+	conn.SetDeadline(b.env.Now().Add(silent))
+	if _, err := fmt.Fprintf(conn, "after %d\n", b.LastEvent); err != nil {
 		return "write_failed"
 	}
 	var buf memory.Buffer
@@ -362,37 +362,37 @@
 			if !whole {
 				break
 			}
-			if err := b.take(bytes.TrimSpace(line), false); err != nil {
-				b.g.Log().Warn("bulletin_fault", "text", err.Error(), "last", b.Last)
+			if err := b.handleLine(bytes.TrimSpace(line), false); err != nil {
+				b.env.Log().Warn("bulletin_fault", "text", err.Error(), "last", b.LastEvent)
 				if errors.Is(err, errGap) {
 					return "gap"
 				}
-				if errors.Is(err, errAnew) {
+				if errors.Is(err, errRenumbered) {
 					return "anew"
 				}
-				if b.failed != b.Last+1 {
-					b.failed = b.Last + 1
+				if b.rejectedEvent != b.LastEvent+1 {
+					b.rejectedEvent = b.LastEvent + 1
 					return "bad_line"
 				}
-				b.Last++ // it came twice and cannot be used: the events after it count more than it
+				b.LastEvent++ // it came twice and cannot be used: the events after it count more than it
 			}
 			buf.Discard(len(line) + 1)
-			if b.quiet > 0 {
-				b.quiet = 0
-				silent = b.silent()
+			if b.silentSessions > 0 {
+				b.silentSessions = 0
+				silent = b.silenceTimeout()
 			}
-			conn.SetReadDeadline(b.g.Now().Add(silent))
+			conn.SetReadDeadline(b.env.Now().Add(silent))
 		}
-		if err := buf.Fill(conn, mostEvent); err != nil {
+		if err := buf.Fill(conn, maxEventBytes); err != nil {
 			switch {
-			case life.Over():
+			case life.Ended():
 				return "stopping"
 			case errors.Is(err, memory.ErrTooLong):
 				return "bad_line"
 			}
 			var late net.Error
 			if errors.As(err, &late) && late.Timeout() {
-				b.quiet++
+				b.silentSessions++
 				return "silent"
 			}
 			return "closed_by_bulletin"
--- a/internal/wire/cost_test.go
+++ b/internal/wire/cost_test.go
@@ -16,17 +16,17 @@
 
 var costs = cost.Flags("./wire")
 
-// atRest is a ground whose time is set.
-type atRest struct {
-	env.Ground
+// fixedClock is a ground whose time is set.
+type fixedClock struct {
+	env.Environment
 	now time.Time
 }
 
-func (a *atRest) Now() time.Time { return a.now }
+func (a *fixedClock) Now() time.Time { return a.now }
 
-// watched is a reader of the watch, with all behind it, that holds a list of n caches: those of its own location, two parents in each other
+// newLoadedWatch is a reader of the watch, with all behind it, that holds a list of n caches: those of its own location, two parents in each other
 // one, an origin, and other edges.
-func watched(t testing.TB, n, edges int, keep time.Duration) (*Bulletin, *atRest) {
+func newLoadedWatch(t testing.TB, n, edges int, keep time.Duration) (*Watch, *fixedClock) {
 	var areas []string
 	for i := range 25 {
 		areas = append(areas, fmt.Sprintf(`"zone-%02d"`, i))
@@ -36,28 +36,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &atRest{env.NewSystem(io.Discard, 0), time.Unix(1_764_576_000, 0)}
-	b := NewBulletin(g, "", terms, dispatch.New(g, 1, terms.Router, nil), &memory.Registry{}, &memory.Log{Retention: keep, Grace: time.Second, Clock: g})
+	g := &fixedClock{env.NewSystem(io.Discard, 0), time.Unix(1_764_576_000, 0)}
+	b := NewWatch(g, "", terms, dispatch.New(g, 1, terms.Router, nil), &memory.Registry{}, &memory.Log{Retention: keep, Grace: time.Second, Clock: g})
 	var line strings.Builder
 	line.WriteString(`{"no":1,"roster":{"revision":1,"complete":true,"members":[`)
 	for i := range n {
 		if i > 0 {
 			line.WriteByte(',')
 		}
-		line.WriteString(memberLine(i, edges, "up"))
+		line.WriteString(endpointJSON(i, edges, "up"))
 	}
 	line.WriteString(`]}}`)
-	if err := b.take([]byte(line.String()), false); err != nil {
+	if err := b.handleLine([]byte(line.String()), false); err != nil {
 		t.Fatal(err)
 	}
-	if b.Caches.Len() != n {
-		t.Fatalf("%d caches taken of %d", b.Caches.Len(), n)
+	if b.Registry.Len() != n {
+		t.Fatalf("%d caches taken of %d", b.Registry.Len(), n)
 	}
 	return b, g
 }
 
-// memberLine is the i-th cache of the list as the watch tells it.
-func memberLine(i, edges int, phase string) string {
+// endpointJSON is the i-th cache of the list as the watch tells it.
+func endpointJSON(i, edges int, phase string) string {
 	flavor, zone := "std", 1+i%24
 	switch {
 	case i == 0:
@@ -71,14 +71,14 @@
 		uint32(i)*2654435761, 1+i/65536, i/256%256, i%256, zone, flavor, i%300, phase)
 }
 
-func purgeLine(no int64, at time.Time) []byte {
+func purgeEvent(no int64, at time.Time) []byte {
 	return fmt.Appendf(nil, `{"no":%d,"recall":{"item":"%016x","issued":%d}}`, no, uint64(no)*0x9e3779b97f4a7c15, at.UnixMilli())
 }
 
-// steady takes a purge, 10 ms after the last.
-func (a *atRest) steady(t testing.TB, b *Bulletin) {
+// advancePastRetention takes a purge, 10 ms after the last.
+func (a *fixedClock) advancePastRetention(t testing.TB, b *Watch) {
 	a.now = a.now.Add(10 * time.Millisecond)
-	if err := b.take(purgeLine(b.Last+1, a.now), false); err != nil {
+	if err := b.handleLine(purgeEvent(b.LastEvent+1, a.now), false); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -87,11 +87,11 @@
 func TestCostPurgeLine(t *testing.T) {
 	costs.Take(t, cost.Figure{Name: "wire-purge", Title: "watch: processor time of a purge, from the line to the router", X: "purges kept", Y: "us of a core", Budget: 80,
 		Of: "a purge, 0.8% of a core at 100/s", At: 1100}, []int{100, 600, 1100, 2200, 4400, 20000}, func(kept int) float64 {
-		b, g := watched(t, 1800, 6, time.Duration(kept)*10*time.Millisecond)
+		b, g := newLoadedWatch(t, 1800, 6, time.Duration(kept)*10*time.Millisecond)
 		for range kept {
-			g.steady(t, b)
+			g.advancePastRetention(t, b)
 		}
-		return costs.Micros(func(int) { g.steady(t, b) })
+		return costs.Micros(func(int) { g.advancePastRetention(t, b) })
 	})
 }
 
@@ -99,11 +99,11 @@
 func TestCostChangeLine(t *testing.T) {
 	costs.Take(t, cost.Figure{Name: "wire-change", Title: "watch: processor time of a change of one cache, from the line to the router", X: "caches in the list", Y: "us of a core",
 		Budget: 1000, Of: "a change, 0.1% of a core at one a second", At: 1800}, []int{225, 450, 900, 1800, 3600, 7200, 14400}, func(n int) float64 {
-		b, _ := watched(t, n, 6, 11*time.Second)
+		b, _ := newLoadedWatch(t, n, 6, 11*time.Second)
 		return costs.Micros(func(i int) {
-			line := fmt.Appendf(nil, `{"no":%d,"roster":{"revision":%d,"complete":false,"members":[%s]}}`, b.Last+1, b.Last+1,
-				memberLine(60+i/2%100, 6, []string{"draining", "up"}[i%2]))
-			if err := b.take(line, false); err != nil {
+			line := fmt.Appendf(nil, `{"no":%d,"roster":{"revision":%d,"complete":false,"members":[%s]}}`, b.LastEvent+1, b.LastEvent+1,
+				endpointJSON(60+i/2%100, 6, []string{"draining", "up"}[i%2]))
+			if err := b.handleLine(line, false); err != nil {
 				t.Fatal(err)
 			}
 		})
@@ -111,17 +111,17 @@
 }
 
 // The whole list, as a start or a resync takes it.
-func TestCostWholeList(t *testing.T) {
+func TestCostCompleteList(t *testing.T) {
 	costs.Take(t, cost.Figure{Name: "wire-list", Title: "watch: processor time of a whole list", X: "caches in the list", Y: "us of a core", Budget: 210000,
 		Of: "2.1% of a core for 10 s", At: 1800}, []int{225, 450, 900, 1800, 3600, 7200, 14400}, func(n int) float64 {
-		b, _ := watched(t, n, 6, 11*time.Second)
+		b, _ := newLoadedWatch(t, n, 6, 11*time.Second)
 		var members []string
 		for i := range n {
-			members = append(members, memberLine(i, 6, "up"))
+			members = append(members, endpointJSON(i, 6, "up"))
 		}
 		rest := strings.Join(members, ",")
 		return costs.Micros(func(int) {
-			if err := b.take(fmt.Appendf(nil, `{"no":%d,"roster":{"revision":%d,"complete":true,"members":[%s]}}`, b.Last+1, b.Last+1, rest), false); err != nil {
+			if err := b.handleLine(fmt.Appendf(nil, `{"no":%d,"roster":{"revision":%d,"complete":true,"members":[%s]}}`, b.LastEvent+1, b.LastEvent+1, rest), false); err != nil {
 				t.Fatal(err)
 			}
 		})
@@ -132,9 +132,9 @@
 func TestCostNumberLine(t *testing.T) {
 	costs.Take(t, cost.Figure{Name: "wire-number", Title: "watch: processor time of a line with a number only", X: "caches in the list", Y: "us of a core", Budget: 100,
 		Of: "a line, 0.01% of a core at 1/s", At: 1800}, []int{225, 1800, 7200}, func(n int) float64 {
-		b, _ := watched(t, n, 6, 11*time.Second)
+		b, _ := newLoadedWatch(t, n, 6, 11*time.Second)
 		return costs.Micros(func(int) {
-			if err := b.take([]byte("1"), false); err != nil {
+			if err := b.handleLine([]byte("1"), false); err != nil {
 				t.Fatal(err)
 			}
 		})
@@ -145,7 +145,7 @@
 func TestCostListHeap(t *testing.T) {
 	costs.Take(t, cost.Figure{Name: "wire-list-heap", Title: "watch, caches and router: heap of the list", X: "caches in the list", Y: "bytes", Budget: 4 << 20, Of: "the list, 4 MB of 128", At: 1800},
 		[]int{225, 450, 900, 1800, 3600, 7200}, func(n int) float64 {
-			return cost.Heap(func() any { b, _ := watched(t, n, 6, 11*time.Second); return b })
+			return cost.Heap(func() any { b, _ := newLoadedWatch(t, n, 6, 11*time.Second); return b })
 		})
 }
 
@@ -156,7 +156,7 @@
 		no    int64
 		bytes int
 	}{{1, 69}, {100_000, 74}, {8_640_000, 75}} {
-		if n := len(purgeLine(of.no, at)) + 1; n != of.bytes { // with its line feed
+		if n := len(purgeEvent(of.no, at)) + 1; n != of.bytes { // with its line feed
 			t.Errorf("purge %d: a line of %d bytes", of.no, n)
 		}
 	}
--- a/internal/wire/frozen_test.go
+++ b/internal/wire/frozen_test.go
@@ -39,21 +39,21 @@
 // Each field of a request line alone, all of them together, and the line that gives a request up.
 func TestFrozenLinesToCaches(t *testing.T) {
 	const id = "00000000000000aa"
-	b := appendDo(nil, id, "segment", "7f3a", 0, 0, "", 0, 0, 0, "", "", nil)
-	b = appendDo(b, id, "segment", "7f3a", 3, 1, "", 0, 0, 0, "", "", nil)
-	b = appendDo(b, id, "segment", "7f3a", 3, 1000001, "", 0, 0, 0, "", "", nil)
-	b = appendDo(b, id, "segment", "7f3a", 0, 250000, "origin-1", 0, 0, 0, "", "", nil)
-	b = appendDo(b, id, "segment", "7f3a", 0, 250000, "", 2, 0, 0, "", "", nil)
-	b = appendDo(b, id, "segment", "7f3a", 0, 250000, "", 0, 999, 0, "", "", nil)
-	b = appendDo(b, id, "segment", "7f3a", 0, 250000, "", 0, 2500000, 0, "", "", nil)
+	b := appendRequestLine(nil, id, "segment", "7f3a", 0, 0, "", 0, 0, 0, "", "", nil)
+	b = appendRequestLine(b, id, "segment", "7f3a", 3, 1, "", 0, 0, 0, "", "", nil)
+	b = appendRequestLine(b, id, "segment", "7f3a", 3, 1000001, "", 0, 0, 0, "", "", nil)
+	b = appendRequestLine(b, id, "segment", "7f3a", 0, 250000, "origin-1", 0, 0, 0, "", "", nil)
+	b = appendRequestLine(b, id, "segment", "7f3a", 0, 250000, "", 2, 0, 0, "", "", nil)
+	b = appendRequestLine(b, id, "segment", "7f3a", 0, 250000, "", 0, 999, 0, "", "", nil)
+	b = appendRequestLine(b, id, "segment", "7f3a", 0, 250000, "", 0, 2500000, 0, "", "", nil)
 	for mode := policy.FetchMode(0); mode < 16; mode++ {
-		b = appendDo(b, id, "segment", "7f3a", 0, 250000, "", 0, 0, mode, "", "", nil)
+		b = appendRequestLine(b, id, "segment", "7f3a", 0, 250000, "", 0, 0, mode, "", "", nil)
 	}
-	b = appendDo(b, id, "segment", "7f3a", 0, 250000, "", 0, 0, 0, "4be0", "", nil)
-	b = appendDo(b, id, "order", "7f3a", 0, 250000, "", 0, 0, 0, "", "bcedd3", nil)
-	b = appendDo(b, id, "order", "7f3a", 0, 250000, "", 0, 0, 0, "", "", []byte("a\r\nb"))
-	b = appendDo(b, id, "order", "7f3a", 7, 1500000, "parent-2", 1, 60000000, policy.ModeCoalesce|policy.ModeRevalidate, "4be0", "bcedd3", []byte("all of them"))
-	b = appendUndo(b, id)
+	b = appendRequestLine(b, id, "segment", "7f3a", 0, 250000, "", 0, 0, 0, "4be0", "", nil)
+	b = appendRequestLine(b, id, "order", "7f3a", 0, 250000, "", 0, 0, 0, "", "bcedd3", nil)
+	b = appendRequestLine(b, id, "order", "7f3a", 0, 250000, "", 0, 0, 0, "", "", []byte("a\r\nb"))
+	b = appendRequestLine(b, id, "order", "7f3a", 7, 1500000, "parent-2", 1, 60000000, policy.ModeCoalesce|policy.ModeRevalidate, "4be0", "bcedd3", []byte("all of them"))
+	b = appendCancelLine(b, id)
 	frozen(t, "lines-to-caches", b)
 }
 
@@ -65,16 +65,16 @@
 	}
 	var read bytes.Buffer
 	for len(text) > 0 {
-		a, size, err := parseAnswer(text)
-		if errors.Is(err, errShort) || size == 0 {
+		a, size, err := parseResponse(text)
+		if errors.Is(err, errIncomplete) || size == 0 {
 			t.Fatalf("cannot be read on from %q: %v", text, err)
 		}
 		born := int64(0)
-		if !a.born.IsZero() {
-			born = a.born.UnixMicro()
+		if !a.createdAt.IsZero() {
+			born = a.createdAt.UnixMicro()
 		}
-		fmt.Fprintf(&read, "%s ending=%d remark=%d waited=%d tag=%q born=%d same=%v bare=%v body=%q usable=%v\n", a.id, a.end, a.remark, a.waited, a.tag,
-			born, a.same, a.bare, a.body, err == nil)
+		fmt.Fprintf(&read, "%s ending=%d remark=%d waited=%d tag=%q born=%d same=%v bare=%v body=%q usable=%v\n", a.id, a.outcome, a.detail, a.sourceWait, a.etag,
+			born, a.notModified, a.hasNoVersion, a.body, err == nil)
 		text = text[size:]
 	}
 	frozen(t, "answers-as-read", read.Bytes())
@@ -86,10 +86,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := listen(t)
-	b.Terms.Zones, b.Terms.MachineTypes = []string{"town", "hill"}, []string{"edge", "parent"}
+	b := newTestWatch(t)
+	b.Settings.Zones, b.Settings.MachineTypes = []string{"town", "hill"}, []string{"edge", "parent"}
 	var read bytes.Buffer
-	b.Heard = func(c endpoints.Update) {
+	b.OnUpdate = func(c endpoints.Update) {
 		fmt.Fprintf(&read, " change last=%d whole=%v", c.LastEvent, c.Complete)
 		for _, r := range c.Endpoints {
 			fmt.Fprintf(&read, " row=[%s %s %s %s cell=%d size=%v up=%d phase=%d]", r.ID, r.Addr, r.Zone, r.MachineType, r.Cell, r.Size, r.StartedAt, r.Phase)
@@ -98,7 +98,7 @@
 			fmt.Fprintf(&read, " purge=[%q %d issued=%d]", p.Object, p.Group, p.IssuedAt)
 		}
 	}
-	b.Event = func(no int64, purges []dispatch.Purge) {
+	b.OnEvent = func(no int64, purges []dispatch.Purge) {
 		fmt.Fprintf(&read, " event=%d", no)
 		for _, p := range purges {
 			fmt.Fprintf(&read, " purge=[%q %d issued=%d]", p.Object, p.Group, p.IssuedAt.UnixMicro())
@@ -106,8 +106,8 @@
 	}
 	for _, line := range strings.Split(strings.TrimSuffix(string(text), "\n"), "\n") {
 		read.WriteString(">")
-		err := b.take([]byte(line), false)
-		fmt.Fprintf(&read, " caches=%d held=%d usable=%v gap=%v anew=%v\n", b.Caches.Len(), b.Last, err == nil, errors.Is(err, errGap), errors.Is(err, errAnew))
+		err := b.handleLine([]byte(line), false)
+		fmt.Fprintf(&read, " caches=%d held=%d usable=%v gap=%v anew=%v\n", b.Registry.Len(), b.LastEvent, err == nil, errors.Is(err, errGap), errors.Is(err, errRenumbered))
 	}
 	frozen(t, "events-as-read", read.Bytes())
 }
@@ -131,9 +131,9 @@
 			conn.Close()
 			came <- line
 		}()
-		b := listen(t)
-		b.Last = last
-		b.session(env.NewLife(nil), l.Addr().String())
+		b := newTestWatch(t)
+		b.LastEvent = last
+		b.runSession(env.NewLifetime(nil), l.Addr().String())
 		all.Write(<-came)
 	}
 	frozen(t, "request-to-the-watch", all.Bytes())
@@ -152,14 +152,14 @@
 // Answers to clients, to the byte, over loopback: what a cache brought, what never reached the module, and how lookups end badly.
 func TestFrozenAnswersToClients(t *testing.T) {
 	var all bytes.Buffer
-	r := stand(t, &held{}, true, 50)
+	r := newTestbed(t, &gatedEnv{}, true, 50)
 	// exchange sends a request and keeps what comes back until the gateway closes the connection.
-	exchange := func(name, request string, serve func(d standin.Do)) {
+	exchange := func(name, request string, serve func(d standin.Request)) {
 		t.Helper()
 		c := r.connect()
 		io.WriteString(c, request)
 		if serve != nil {
-			serve(r.take())
+			serve(r.nextReceived())
 		}
 		got, err := io.ReadAll(c)
 		if err != nil {
@@ -167,24 +167,24 @@
 		}
 		fmt.Fprintf(&all, "== %s\n%s\n", name, got)
 	}
-	get := func(more ...string) string { return r.text("segment", append(more, "Connection: close\r\n")...) }
+	get := func(more ...string) string { return r.requestText("segment", append(more, "Connection: close\r\n")...) }
 	born := time.Now()
-	exchange("a copy", get(), func(d standin.Do) { d.Hit(born, "hit", "some bytes") })
-	exchange("no bytes", get(), func(d standin.Do) { d.Hit(born, "hit", "") })
-	exchange("the client's own copy holds", get("If-None-Match: \"v1\"\r\n"), func(d standin.Do) {
-		d.End("VALID", fmt.Sprintf("note=hit,ver=v1,born=%d", born.UnixMilli()))
+	exchange("a copy", get(), func(d standin.Request) { d.Hit(born, "hit", "some bytes") })
+	exchange("no bytes", get(), func(d standin.Request) { d.Hit(born, "hit", "") })
+	exchange("the client's own copy holds", get("If-None-Match: \"v1\"\r\n"), func(d standin.Request) {
+		d.Respond("VALID", fmt.Sprintf("note=hit,ver=v1,born=%d", born.UnixMilli()))
 	})
-	exchange("ran at the origin and broke", r.text("order", "Connection: close\r\n"), func(d standin.Do) { d.End("FAULT", "-") })
+	exchange("ran at the origin and broke", r.requestText("order", "Connection: close\r\n"), func(d standin.Request) { d.Respond("FAULT", "-") })
 	exchange("ping", "GET /ping HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", nil)
 	exchange("ping of an old client", "GET /ping HTTP/1.0\r\n\r\n", nil)
-	r.front.Unready()
+	r.server.SetNotReady()
 	exchange("ping, not ready", "GET /ping HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", nil)
-	r.front.Ready()
+	r.server.SetReady()
 	exchange("no such kind", "GET /call/none/o HTTP/1.1\r\nHost: x\r\nX-Job-Id: 00000000000000ff\r\nConnection: close\r\n\r\n", nil)
 	exchange("no such target", "GET /other HTTP/1.1\r\nHost: x\r\nX-Job-Id: 00000000000000ff\r\n\r\n", nil)
 	exchange("no id", "GET /call/segment/o HTTP/1.1\r\nHost: x\r\n\r\n", nil)
 	exchange("a verb that is none", "DELETE /call/segment/o HTTP/1.1\r\nHost: x\r\nX-Job-Id: 00000000000000ff\r\n\r\n", nil)
-	exchange("no time left", r.text("segment", "X-Allow-Ms: 0\r\n", "Connection: close\r\n"), nil)
+	exchange("no time left", r.requestText("segment", "X-Allow-Ms: 0\r\n", "Connection: close\r\n"), nil)
 	exchange("a version that is none", "GET /call/segment/o HTTP/2.0\r\nHost: x\r\n\r\n", nil)
 	exchange("no host", "GET /call/segment/o HTTP/1.1\r\nX-Job-Id: 00000000000000ff\r\n\r\n", nil)
 	exchange("too many fields", "GET /call/segment/o HTTP/1.1\r\nHost: x\r\n"+strings.Repeat("A: b\r\n", 70)+"\r\n", nil)
@@ -192,23 +192,23 @@
 		"Content-Length: 240001", "Content-Length: 3", "Transfer-Encoding: chunked", "Host: y", "no colon", "A: \x01"} {
 		exchange("field "+field, "GET /call/segment/o HTTP/1.1\r\nHost: x\r\n"+field+"\r\n\r\n", nil)
 	}
-	first := r.ask("segment")
-	d := r.take()
+	first := r.sendRequest("segment")
+	d := r.nextReceived()
 	exchange("an id that is open already", fmt.Sprintf("GET /call/segment/o HTTP/1.1\r\nHost: x\r\nX-Job-Id: %s\r\nConnection: close\r\n\r\n", d.ID), nil)
 	d.Hit(born, "hit", "first")
-	r.status(first, 200)
+	r.expectStatus(first, 200)
 	frozen(t, "answers-to-clients", all.Bytes())
 }
 
 // Too many connections, and a lookup that cannot wait for a place among those open.
 func TestFrozenRefusals(t *testing.T) {
 	var all bytes.Buffer
-	r := stand(t, &held{}, true, 9)
-	r.front.room = memory.NewController(r.links.g, 1, 1)
-	r.front.places = r.front.room.Gate("clients", 1)
-	r.front.places.TryAdmit()
-	for _, request := range []string{r.text("segment", "Connection: close\r\n"),
-		strings.Replace(r.text("order", "Content-Length: 9\r\n"), "GET", "PUT", 1)} {
+	r := newTestbed(t, &gatedEnv{}, true, 9)
+	r.server.admission = memory.NewController(r.pool.env, 1, 1)
+	r.server.gate = r.server.admission.Gate("clients", 1)
+	r.server.gate.TryAdmit()
+	for _, request := range []string{r.requestText("segment", "Connection: close\r\n"),
+		strings.Replace(r.requestText("order", "Content-Length: 9\r\n"), "GET", "PUT", 1)} {
 		c := r.connect()
 		io.WriteString(c, request)
 		got, err := io.ReadAll(c)
--- a/internal/wire/gone_test.go
+++ b/internal/wire/gone_test.go
@@ -15,101 +15,101 @@
 
 // Every path on which an attempt of a lookup can begin, with its client gone by then: none begins (docs/ending.md).
 
-// gone waits until the front has no connection of a client any more: whoever left has been seen to.
-func (r *rig) gone() {
+// waitNoConns waits until the front has no connection of a client any more: whoever left has been seen to.
+func (r *testbed) waitNoConns() {
 	r.t.Helper()
-	r.until("front without clients", func() bool { return r.front.Load() == 0 })
+	r.waitFor("front without clients", func() bool { return r.server.ConnCount() == 0 })
 }
 
-// held waits until the module has that many lookups without a send.
-func (r *rig) held(n int) {
+// waitQueued waits until the module has that many lookups without a send.
+func (r *testbed) waitQueued(n int) {
 	r.t.Helper()
-	r.sent(0)
-	r.open(n)
+	r.waitOpenAttempts(0)
+	r.waitOpenLookups(n)
 }
 
-// tick brings the module its timers, which nobody else does in these stories, until it has nothing held.
-func (r *rig) tick(n int) {
+// tickTimes brings the module its timers, which nobody else does in these stories, until it has nothing held.
+func (r *testbed) tickTimes(n int) {
 	for range n {
-		r.router.Tick(nil, false, nil)
+		r.dispatcher.Tick(nil, false, nil)
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
 // A lookup that the module holds, here after its cache turned it away (a backoff of 30 ms): sent on while its client waits, never after.
-func TestAHeldLookupWhoseClientLeaves(t *testing.T) {
+func TestQueuedLookupWhoseClientLeaves(t *testing.T) {
 	for _, leaves := range []bool{false, true} {
 		t.Run(fmt.Sprint("leaves ", leaves), func(t *testing.T) {
-			r := stand(t, &held{}, true, 50)
-			c := r.ask("segment")
-			r.take().End("SHED", "-")
-			r.held(1)
+			r := newTestbed(t, &gatedEnv{}, true, 50)
+			c := r.sendRequest("segment")
+			r.nextReceived().Respond("SHED", "-")
+			r.waitQueued(1)
 			if leaves {
 				c.Close()
-				r.open(0)
-				r.tick(8)
-				r.nothingCame()
+				r.waitOpenLookups(0)
+				r.tickTimes(8)
+				r.expectNothingReceived()
 				return
 			}
-			go r.tick(8)
-			r.take().Hit(time.Now(), "hit", "ok")
-			r.status(c, 200)
+			go r.tickTimes(8)
+			r.nextReceived().Hit(time.Now(), "hit", "ok")
+			r.expectStatus(c, 200)
 		})
 	}
 }
 
 // An attempt ends after its client left, in a way that would have another one follow at once. Where the settings allow no giving up
 // the cache goes on, with a fill too: its end is taken and nothing follows.
-func TestAnAttemptThatEndsAfterItsClientLeft(t *testing.T) {
-	for name, end := range map[string]func(d standin.Do, reset func()){
-		"a miss":            func(d standin.Do, _ func()) { d.End("NONE", "-") },
-		"an error":          func(d standin.Do, _ func()) { d.End("FAULT", "-") },
-		"a fill that broke": func(d standin.Do, _ func()) { d.End("FAULT", "note=src_broke") },
-		"a reset":           func(_ standin.Do, reset func()) { reset() },
+func TestAttemptEndingAfterItsClientLeft(t *testing.T) {
+	for name, end := range map[string]func(d standin.Request, reset func()){
+		"a miss":            func(d standin.Request, _ func()) { d.Respond("NONE", "-") },
+		"an error":          func(d standin.Request, _ func()) { d.Respond("FAULT", "-") },
+		"a fill that broke": func(d standin.Request, _ func()) { d.Respond("FAULT", "note=src_broke") },
+		"a reset":           func(_ standin.Request, reset func()) { reset() },
 	} {
 		for _, leaves := range []bool{false, true} {
 			t.Run(fmt.Sprint(name, ", leaves ", leaves), func(t *testing.T) {
-				r := stand(t, &held{}, false, 50)
-				c := r.ask("segment")
-				d := r.take()
+				r := newTestbed(t, &gatedEnv{}, false, 50)
+				c := r.sendRequest("segment")
+				d := r.nextReceived()
 				if leaves {
 					c.Close()
-					r.gone()
+					r.waitNoConns()
 				}
 				end(d, d.Reset)
 				if leaves {
-					r.open(0)
-					r.tick(4)
-					r.nothingCame()
+					r.waitOpenLookups(0)
+					r.tickTimes(4)
+					r.expectNothingReceived()
 					return
 				}
-				go r.tick(8)
-				r.take().Hit(time.Now(), "hit", "ok")
-				r.status(c, 200)
+				go r.tickTimes(8)
+				r.nextReceived().Hit(time.Now(), "hit", "ok")
+				r.expectStatus(c, 200)
 			})
 		}
 	}
 }
 
 // Two clients want one object, which the cache fills once for both: the first leaves, the second has its answer.
-func TestALookupBehindAnothersWhoseClientLeaves(t *testing.T) {
+func TestLookupQueuedBehindOneWhoseClientLeaves(t *testing.T) {
 	for _, cancelling := range []bool{true, false} {
 		t.Run(fmt.Sprint("cancelling ", cancelling), func(t *testing.T) {
-			r := stand(t, &held{}, cancelling, 50)
-			first := r.ask("segment")
-			one := r.take()
-			second := r.ask("segment")
-			two := r.take()
+			r := newTestbed(t, &gatedEnv{}, cancelling, 50)
+			first := r.sendRequest("segment")
+			one := r.nextReceived()
+			second := r.sendRequest("segment")
+			two := r.nextReceived()
 			first.Close()
-			r.until("one client", func() bool { return r.front.Load() == 1 })
+			r.waitFor("one client", func() bool { return r.server.ConnCount() == 1 })
 			if !cancelling {
 				one.Hit(time.Now(), "filled", "ok")
 			}
 			two.Hit(time.Now(), "joined", "ok")
-			if body := r.status(second, 200); body != "ok" {
+			if body := r.expectStatus(second, 200); body != "ok" {
 				t.Errorf("got %q", body)
 			}
-			if len(r.came) > 0 {
+			if len(r.received) > 0 {
 				t.Error("sent again")
 			}
 		})
@@ -118,65 +118,65 @@
 
 // A line of which the connection has taken no byte has not begun: its client leaves, and it does not go out when the peer reads on.
 // The one before it has nothing to do with that.
-func TestASendOfWhichThePeerHasTakenNothing(t *testing.T) {
+func TestAttemptOfWhichNothingWasWritten(t *testing.T) {
 	for _, cancelling := range []bool{true, false} {
 		t.Run(fmt.Sprint("cancelling ", cancelling), func(t *testing.T) {
-			h := &held{deaf: make(chan bool)}
-			r := stand(t, h, cancelling, 50)
-			goes := r.ask("segment")
-			r.sent(1)
+			h := &gatedEnv{blocked: make(chan bool)}
+			r := newTestbed(t, h, cancelling, 50)
+			goes := r.sendRequest("segment")
+			r.waitOpenAttempts(1)
 			time.Sleep(20 * time.Millisecond) // for the connection to be up and its writers to have tried
-			stays := r.ask("segment")         // behind it
-			r.sent(2)
+			stays := r.sendRequest("segment") // behind it
+			r.waitOpenAttempts(2)
 			goes.Close()
-			r.open(1)
-			close(h.deaf)
-			d := r.take()
-			if d.ID != fmt.Sprintf("%016x", r.ids) {
+			r.waitOpenLookups(1)
+			close(h.blocked)
+			d := r.nextReceived()
+			if d.ID != fmt.Sprintf("%016x", r.lastID) {
 				t.Fatalf("%s was sent, its client has gone", d.ID)
 			}
 			d.Hit(time.Now(), "hit", "ok")
-			r.status(stays, 200)
-			r.nothingCame()
+			r.expectStatus(stays, 200)
+			r.expectNothingReceived()
 		})
 	}
 }
 
 // A peer that goes on taking nothing has its connection ended, as one that stops within a line.
-func TestAPeerThatGoesOnTakingNothing(t *testing.T) {
-	h := &held{deaf: make(chan bool)}
-	r := stand(t, h, true, 50)
-	c := r.ask("segment")
-	r.sent(1)
-	ls, began := r.front.links, time.Now()
+func TestCacheThatStaysBlocked(t *testing.T) {
+	h := &gatedEnv{blocked: make(chan bool)}
+	r := newTestbed(t, h, true, 50)
+	c := r.sendRequest("segment")
+	r.waitOpenAttempts(1)
+	ls, began := r.server.pool, time.Now()
 	ls.mu.Lock()
-	var its *link
-	for _, of := range ls.by {
+	var its *cacheConn
+	for _, of := range ls.conns {
 		its = of[0]
 	}
 	ls.mu.Unlock()
-	r.until("end of the connection", func() bool {
+	r.waitFor("end of the connection", func() bool {
 		its.mu.Lock()
 		defer its.mu.Unlock()
-		return its.dead
+		return its.closed
 	})
-	if took := time.Since(began); took < writeWithin/2 || took > 3*writeWithin {
+	if took := time.Since(began); took < writeTimeout/2 || took > 3*writeTimeout {
 		t.Errorf("ended after %v", took)
 	}
-	close(h.deaf)
+	close(h.blocked)
 	c.Close()
 }
 
 // A client sends more ahead than this side reads, and goes: its end is behind what nobody has read. None of its lookups begins.
-func TestAClientThatSendsFarAheadAndGoes(t *testing.T) {
-	h := &held{idle: make(chan bool)}
-	r := stand(t, h, true, 50)
+func TestClientPipeliningPastTheLimitThatLeaves(t *testing.T) {
+	h := &gatedEnv{idle: make(chan bool)}
+	r := newTestbed(t, h, true, 50)
 	c := r.connect()
-	io.WriteString(c, r.text("segment"))
-	d := r.take()
+	io.WriteString(c, r.requestText("segment"))
+	d := r.nextReceived()
 	far := strings.Builder{}
-	for far.Len() < mostAhead*3/2 {
-		far.WriteString(r.text("segment"))
+	for far.Len() < maxPipelinedBytes*3/2 {
+		far.WriteString(r.requestText("segment"))
 	}
 	written := make(chan bool)
 	go func() {
@@ -202,26 +202,26 @@
 			}
 		}
 	}()
-	r.gone()
+	r.waitNoConns()
 	close(over)
 	<-ended
 	close(h.idle)
-	r.open(0)
-	if len(r.came) > 0 {
-		t.Errorf("%d were sent after %s", len(r.came), d.ID)
+	r.waitOpenLookups(0)
+	if len(r.received) > 0 {
+		t.Errorf("%d were sent after %s", len(r.received), d.ID)
 	}
-	r.nothingCame()
+	r.expectNothingReceived()
 }
 
 // The same client stays: what is past the bound is refused, each request has its answer, and once it has caught up it is served again.
-func TestAClientThatSendsFarAheadAndStays(t *testing.T) {
-	r := stand(t, &held{}, true, 50)
+func TestClientPipeliningPastTheLimitThatStays(t *testing.T) {
+	r := newTestbed(t, &gatedEnv{}, true, 50)
 	c := r.connect()
-	io.WriteString(c, r.text("segment"))
-	r.take()
+	io.WriteString(c, r.requestText("segment"))
+	r.nextReceived()
 	far, n := strings.Builder{}, 1
-	for ; far.Len() < 3*mostAhead; n++ {
-		far.WriteString(r.text("segment"))
+	for ; far.Len() < 3*maxPipelinedBytes; n++ {
+		far.WriteString(r.requestText("segment"))
 	}
 	go io.WriteString(c, far.String())
 	in := bufio.NewReader(c)
@@ -230,7 +230,7 @@
 	go func() {
 		for {
 			select {
-			case d := <-r.came:
+			case d := <-r.received:
 				d.Hit(time.Now(), "hit", "ok")
 			case <-done:
 				return
@@ -253,40 +253,40 @@
 		t.Errorf("%d requests, answers %v", n, by)
 	}
 	time.Sleep(20 * time.Millisecond)
-	io.WriteString(c, r.text("segment"))
+	io.WriteString(c, r.requestText("segment"))
 	if got := status(); got != 200 {
 		t.Errorf("once it has caught up: %d", got)
 	}
 }
 
 // Clients wait to be accepted while there is no descriptor for them, send their request and go: none of it begins.
-func TestClientsThatGoBeforeTheyAreAccepted(t *testing.T) {
-	h := &held{accept: make(chan bool), idle: make(chan bool)}
+func TestClientsGoneBeforeTheyAreAccepted(t *testing.T) {
+	h := &gatedEnv{accept: make(chan bool), idle: make(chan bool)}
 	defer close(h.idle)
-	r := stand(t, h, true, 50)
-	warm := r.ask("segment") // its cache's connection is up, so that a send would go out at once
+	r := newTestbed(t, h, true, 50)
+	warm := r.sendRequest("segment") // its cache's connection is up, so that a send would go out at once
 	h.accept <- true
-	r.take().Hit(time.Now(), "hit", "ok")
-	r.status(warm, 200)
+	r.nextReceived().Hit(time.Now(), "hit", "ok")
+	r.expectStatus(warm, 200)
 	h.idle <- true
 	var asked []net.Conn
 	for range 20 {
-		asked = append(asked, r.ask("segment"))
+		asked = append(asked, r.sendRequest("segment"))
 	}
 	for _, c := range asked {
 		c.Close()
 	}
-	h.failed.Store(1)
+	h.acceptFailures.Store(1)
 	close(h.accept)
 	warm.Close()
-	r.until("clients accepted", func() bool {
-		r.front.mu.Lock()
-		defer r.front.mu.Unlock()
-		return r.front.count == 21
+	r.waitFor("clients accepted", func() bool {
+		r.server.mu.Lock()
+		defer r.server.mu.Unlock()
+		return r.server.acceptedCount == 21
 	})
-	r.gone()
-	r.open(0)
-	if len(r.came) > 0 {
-		t.Errorf("%d were sent", len(r.came))
+	r.waitNoConns()
+	r.waitOpenLookups(0)
+	if len(r.received) > 0 {
+		t.Errorf("%d were sent", len(r.received))
 	}
 }
--- a/internal/wire/lines.go
+++ b/internal/wire/lines.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	mostLine = 4 << 10
+	maxLineBytes = 4 << 10
 	// MostObject is how many bytes an answer may bring.
-	MostObject = 240000
-	mostAnswer = mostLine + MostObject + 4
+	MaxObjectBytes   = 240000
+	maxResponseBytes = maxLineBytes + MaxObjectBytes + 4
 )
 
-// appendDo writes the line of a send, with the bytes that its client sent.
-func appendDo(b []byte, id, kind, object string, part int, patience policy.Micros, source string, rank int,
+// appendRequestLine writes the line of a send, with the bytes that its client sent.
+func appendRequestLine(b []byte, id, kind, object string, part int, patience policy.Micros, source string, rank int,
 	oldest policy.Micros, how policy.FetchMode, tag, unique string, body []byte) []byte {
 	b = fmt.Appendf(b, "do %s c=%s,k=%s,p=%d,w=%d", id, kind, object, part, max(1, (patience+999)/1000))
 	if source != "" {
@@ -52,38 +52,38 @@
 	return append(append(b, body...), "\r\n"...)
 }
 
-func appendUndo(b []byte, id string) []byte { return fmt.Appendf(b, "undo %s\r\n", id) }
+func appendCancelLine(b []byte, id string) []byte { return fmt.Appendf(b, "undo %s\r\n", id) }
 
-// answer is what a cache said of a send.
-type answer struct {
-	id     string
-	end    policy.AttemptOutcome
-	same   bool // the client's copy is the one
-	remark policy.OutcomeDetail
-	waited policy.Micros
-	tag    string
-	born   time.Time
-	bare   bool   // without ver or born: no copy, only what a lookup that ran at the origin brought
-	body   []byte // within the buffer that was parsed
+// response is what a cache said of a send.
+type response struct {
+	id           string
+	outcome      policy.AttemptOutcome
+	notModified  bool // the client's copy is the one
+	detail       policy.OutcomeDetail
+	sourceWait   policy.Micros
+	etag         string
+	createdAt    time.Time
+	hasNoVersion bool   // without ver or born: no copy, only what a lookup that ran at the origin brought
+	body         []byte // within the buffer that was parsed
 }
 
-var remarks = map[string]policy.OutcomeDetail{"hit": policy.DetailHit, "filled": policy.DetailFilled,
+var detailByWord = map[string]policy.OutcomeDetail{"hit": policy.DetailHit, "filled": policy.DetailFilled,
 	"via_origin": policy.DetailFilledFromOrigin, "joined": policy.DetailCoalesced, "stale": policy.DetailStale,
 	"src_refused": policy.DetailSourceRefused, "src_broke": policy.DetailSourceBroke, "src_lacks": policy.DetailSourceMiss,
 	"no_slot": policy.DetailNoFillSlot, "origin_failed": policy.DetailOriginFailed}
 
-// parseAnswer reads an answer at the front of b and tells how long it is; errShort asks for more bytes. An answer
+// parseResponse reads an answer at the front of b and tells how long it is; errShort asks for more bytes. An answer
 // that ends where it says and makes no sense comes with id and length beside the error, else the length is 0.
-func parseAnswer(b []byte) (answer, int, error) {
-	var a answer
+func parseResponse(b []byte) (response, int, error) {
+	var a response
 	i := bytes.IndexByte(b, '\n')
 	if i < 0 {
-		if len(b) > mostLine {
+		if len(b) > maxLineBytes {
 			return a, 0, errors.New("the line is too long")
 		}
-		return a, 0, errShort
+		return a, 0, errIncomplete
 	}
-	if i > mostLine || i == 0 || b[i-1] != '\r' {
+	if i > maxLineBytes || i == 0 || b[i-1] != '\r' {
 		return a, 0, errors.New("the line is too long or does not end in CR LF")
 	}
 	words := strings.Split(string(b[:i-1]), " ")
@@ -94,47 +94,47 @@
 		return a, 0, errors.New("the id is not 16 hex digits")
 	}
 	n, err := strconv.ParseUint(words[3], 10, 31)
-	if err != nil || n > MostObject {
+	if err != nil || n > MaxObjectBytes {
 		return a, 0, errors.New("the length cannot be read")
 	}
 	from, end := i+1, i+1+int(n)
 	if len(b) < end+2 {
-		return a, 0, errShort
+		return a, 0, errIncomplete
 	}
 	if b[end] != '\r' || b[end+1] != '\n' {
 		return a, 0, errors.New("the bytes do not end in CR LF")
 	}
 	a.id, a.body = words[0], b[from:end]
-	return a, end + 2, a.content(words[1], words[2])
+	return a, end + 2, a.parseContent(words[1], words[2])
 }
 
-// content reads what an answer says, its bytes being there.
-func (a *answer) content(word, fields string) error {
+// parseContent reads what an answer says, its bytes being there.
+func (a *response) parseContent(word, fields string) error {
 	switch word {
 	case "HIT", "VALID":
-		a.end, a.same = policy.OutcomeSatisfied, word == "VALID"
+		a.outcome, a.notModified = policy.OutcomeSatisfied, word == "VALID"
 	case "NONE":
-		a.end = policy.OutcomeMiss
+		a.outcome = policy.OutcomeMiss
 	case "SHED":
-		a.end = policy.OutcomeRejected
+		a.outcome = policy.OutcomeRejected
 	case "FAULT":
-		a.end = policy.OutcomeError
+		a.outcome = policy.OutcomeError
 	case "LATE":
-		a.end = policy.OutcomeNotSent
+		a.outcome = policy.OutcomeNotSent
 	default:
 		return errors.New("the word is unknown")
 	}
-	if err := a.fields(fields); err != nil {
+	if err := a.parseFields(fields); err != nil {
 		return err
 	}
-	if a.bare = a.end == policy.OutcomeSatisfied && (a.tag == "" || a.born.IsZero()); a.same && (a.bare || len(a.body) > 0) {
+	if a.hasNoVersion = a.outcome == policy.OutcomeSatisfied && (a.etag == "" || a.createdAt.IsZero()); a.notModified && (a.hasNoVersion || len(a.body) > 0) {
 		return errors.New("VALID without ver or born, or with bytes")
 	}
 	return nil
 }
 
-// fields reads the fields that a door needs; others are skipped.
-func (a *answer) fields(list string) error {
+// parseFields reads the fields that a door needs; others are skipped.
+func (a *response) parseFields(list string) error {
 	if list == "-" {
 		return nil
 	}
@@ -145,24 +145,24 @@
 		}
 		switch name {
 		case "note":
-			a.remark = remarks[v]
+			a.detail = detailByWord[v]
 		case "waited":
 			n, err := strconv.ParseFloat(v, 64)
 			if err != nil || !(n >= 0 && n < 1e9) {
 				return errors.New("waited cannot be read")
 			}
-			a.waited = policy.Micros(math.Round(n * 1000))
+			a.sourceWait = policy.Micros(math.Round(n * 1000))
 		case "ver":
-			if !isWord(v) {
+			if !isName(v) {
 				return errors.New("ver cannot be read")
 			}
-			a.tag = v
+			a.etag = v
 		case "born":
 			n, err := strconv.ParseFloat(v, 64)
 			if err != nil || !(n > 0 && n < 1e14) {
 				return errors.New("born cannot be read")
 			}
-			a.born = time.UnixMicro(int64(n * 1000))
+			a.createdAt = time.UnixMicro(int64(n * 1000))
 		}
 	}
 	return nil
--- a/internal/wire/request.go
+++ b/internal/wire/request.go
@@ -12,94 +12,94 @@
 )
 
 const (
-	mostHead   = 16 << 10 // bytes of a request's head
-	mostFields = 64
-	mostAllow  = time.Hour
-	mostUnique = 128 // bytes of the word by which caches know a lookup again
+	maxHeadBytes           = 16 << 10 // bytes of a request's head
+	maxHeaderFields        = 64
+	maxTimeAllowed         = time.Hour
+	maxIdempotencyKeyBytes = 128 // bytes of the word by which caches know a lookup again
 )
 
 // Request is one request of a client, or what is wrong with it.
 type Request struct {
 	Method, Kind, Object string
 	Part, Group          int
-	ID, Tag              string // Tag: of the copy that the client holds
-	Unique               string // by which caches know a lookup again, also when its client repeats it under another id
-	KB                   float64
-	Allow                time.Duration // -1: not told
-	Ping, Close          bool
-	Length               int    // of the bytes that follow the head; only with PUT
+	ID, ETag             string // Tag: of the copy that the client holds
+	IdempotencyKey       string // by which caches know a lookup again, also when its client repeats it under another id
+	SizeKB               float64
+	TimeAllowed          time.Duration // -1: not told
+	IsPing, ClosesConn   bool
+	BodyLength           int    // of the bytes that follow the head; only with PUT
 	Body                 []byte // these, once they have been read
 }
 
-// Fault is a request that gets a plain answer and never reaches the module.
-type Fault struct {
+// RequestError is a request that gets a plain answer and never reaches the module.
+type RequestError struct {
 	Status int
 	Text   string
 }
 
-func (f *Fault) Error() string { return f.Text }
+func (f *RequestError) Error() string { return f.Text }
 
-func bad(text string) *Fault { return &Fault{400, text} }
+func badRequest(text string) *RequestError { return &RequestError{400, text} }
 
-var errShort = errors.New("not whole yet")
+var errIncomplete = errors.New("not whole yet")
 
 // parseRequest reads a request's head at the front of b and tells how long it is; errShort asks for more bytes. Length bytes follow it.
 func parseRequest(b []byte) (Request, int, error) {
-	r := Request{Allow: -1}
-	end := headEnd(b)
+	r := Request{TimeAllowed: -1}
+	end := headLength(b)
 	if end < 0 {
-		if len(b) >= mostHead {
-			return r, 0, &Fault{431, "the head is too long"}
+		if len(b) >= maxHeadBytes {
+			return r, 0, &RequestError{431, "the head is too long"}
 		}
 		if i := bytes.IndexByte(b, '\n'); i >= 0 {
-			if _, _, err := requestLine(&r, trimCR(b[:i])); err != nil {
+			if _, _, err := parseRequestLine(&r, trimCR(b[:i])); err != nil {
 				return r, 0, err
 			}
 		}
-		return r, 0, errShort
+		return r, 0, errIncomplete
 	}
 	head := b[:end]
 	line, rest, _ := bytes.Cut(head, []byte("\n"))
-	target, old, err := requestLine(&r, trimCR(line))
+	target, old, err := parseRequestLine(&r, trimCR(line))
 	if err != nil {
 		return r, 0, err
 	}
-	r.Close = old
+	r.ClosesConn = old
 	host, seen := false, map[string]bool{}
 	for n := 0; ; n++ {
 		line, rest, _ = bytes.Cut(rest, []byte("\n"))
 		if line = trimCR(line); len(line) == 0 {
 			break
 		}
-		if n >= mostFields {
-			return r, 0, &Fault{431, "too many header fields"}
+		if n >= maxHeaderFields {
+			return r, 0, &RequestError{431, "too many header fields"}
 		}
 		name, value, ok := bytes.Cut(line, []byte(":"))
 		if !ok || !isToken(name) {
-			return r, 0, bad("a header field cannot be read")
+			return r, 0, badRequest("a header field cannot be read")
 		}
 		v := string(bytes.Trim(value, " \t"))
 		if strings.ContainsFunc(v, func(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f }) {
-			return r, 0, bad("a header value has control bytes")
+			return r, 0, badRequest("a header value has control bytes")
 		}
-		if err := r.field(strings.ToLower(string(name)), v, seen, &host); err != nil {
+		if err := r.parseField(strings.ToLower(string(name)), v, seen, &host); err != nil {
 			return r, 0, err
 		}
 	}
 	if !host && !old {
-		return r, 0, bad("Host is missing")
+		return r, 0, badRequest("Host is missing")
 	}
-	if err := r.target(target); err != nil {
+	if err := r.parseTarget(target); err != nil {
 		return r, 0, err
 	}
-	if r.Length > 0 && r.Method != "PUT" {
-		return r, 0, bad("a lookup has no body")
+	if r.BodyLength > 0 && r.Method != "PUT" {
+		return r, 0, badRequest("a lookup has no body")
 	}
 	return r, end, nil
 }
 
-// headEnd is the length of a head with its empty line, or -1.
-func headEnd(b []byte) int {
+// headLength is the length of a head with its empty line, or -1.
+func headLength(b []byte) int {
 	for at := 0; ; {
 		i := bytes.IndexByte(b[at:], '\n')
 		if i < 0 {
@@ -114,28 +114,28 @@
 
 func trimCR(b []byte) []byte { return bytes.TrimSuffix(b, []byte("\r")) }
 
-func requestLine(r *Request, line []byte) (target string, old bool, err error) {
+func parseRequestLine(r *Request, line []byte) (target string, old bool, err error) {
 	words := strings.Split(string(line), " ")
 	if len(words) != 3 || !isToken([]byte(words[0])) || words[1] == "" {
-		return "", false, bad("the request line cannot be read")
+		return "", false, badRequest("the request line cannot be read")
 	}
 	switch words[2] {
 	case "HTTP/1.1":
 	case "HTTP/1.0":
 		old = true
 	default:
-		return "", false, &Fault{505, "the version is not HTTP/1.1"}
+		return "", false, &RequestError{505, "the version is not HTTP/1.1"}
 	}
 	r.Method = words[0]
 	return words[1], old, nil
 }
 
-// field takes one header field; those that a lookup is made of may come once only.
-func (r *Request) field(name, v string, seen map[string]bool, host *bool) error {
+// parseField takes one header field; those that a lookup is made of may come once only.
+func (r *Request) parseField(name, v string, seen map[string]bool, host *bool) error {
 	switch name {
 	case "x-job-id", "x-allow-ms", "x-group", "x-ram-kb", "x-unique", "if-none-match", "host", "content-length":
 		if seen[name] {
-			return bad(name + " comes twice")
+			return badRequest(name + " comes twice")
 		}
 		seen[name] = true
 	}
@@ -144,64 +144,64 @@
 		*host = true
 	case "x-job-id":
 		if !isID(v) {
-			return bad("X-Job-Id is not 16 hex digits")
+			return badRequest("X-Job-Id is not 16 hex digits")
 		}
 		r.ID = v
 	case "x-allow-ms":
 		n, err := strconv.ParseFloat(v, 64)
-		if err != nil || math.IsNaN(n) || n > float64(mostAllow.Milliseconds()) || n < -1e12 {
-			return bad("X-Allow-Ms is not a time in milliseconds")
+		if err != nil || math.IsNaN(n) || n > float64(maxTimeAllowed.Milliseconds()) || n < -1e12 {
+			return badRequest("X-Allow-Ms is not a time in milliseconds")
 		}
-		r.Allow = max(0, time.Duration(n*float64(time.Millisecond)))
+		r.TimeAllowed = max(0, time.Duration(n*float64(time.Millisecond)))
 	case "x-group":
 		n, err := strconv.ParseUint(v, 10, 8)
 		if err != nil {
-			return bad("X-Group is not a number from 0 to 255")
+			return badRequest("X-Group is not a number from 0 to 255")
 		}
 		r.Group = int(n)
 	case "x-ram-kb":
 		n, err := strconv.ParseFloat(v, 64)
 		if err != nil || !(n >= 0 && n <= 1e9) {
-			return bad("X-Ram-Kb is not a size")
+			return badRequest("X-Ram-Kb is not a size")
 		}
-		r.KB = n
+		r.SizeKB = n
 	case "x-unique":
-		if !isWord(v) || len(v) > mostUnique {
-			return bad("X-Unique is not a word that can be passed on")
+		if !isName(v) || len(v) > maxIdempotencyKeyBytes {
+			return badRequest("X-Unique is not a word that can be passed on")
 		}
-		r.Unique = v
+		r.IdempotencyKey = v
 	case "if-none-match":
 		// One strong or weak tag that a cache's line can carry is passed on; anything else is as none.
 		tag := strings.TrimPrefix(v, "W/")
-		if len(tag) > 2 && tag[0] == '"' && tag[len(tag)-1] == '"' && isWord(tag[1:len(tag)-1]) {
-			r.Tag = tag[1 : len(tag)-1]
+		if len(tag) > 2 && tag[0] == '"' && tag[len(tag)-1] == '"' && isName(tag[1:len(tag)-1]) {
+			r.ETag = tag[1 : len(tag)-1]
 		}
 	case "content-length":
 		n, err := strconv.ParseUint(v, 10, 63)
 		if err != nil {
-			return bad("Content-Length is not a length")
+			return badRequest("Content-Length is not a length")
 		}
-		if n > MostObject {
-			return bad("the body is too long")
+		if n > MaxObjectBytes {
+			return badRequest("the body is too long")
 		}
-		r.Length = int(n)
+		r.BodyLength = int(n)
 	case "transfer-encoding":
-		return bad("the length of a body is told by Content-Length alone")
+		return badRequest("the length of a body is told by Content-Length alone")
 	case "connection":
 		for _, o := range strings.Split(strings.ToLower(v), ",") {
 			switch strings.TrimSpace(o) {
 			case "close":
-				r.Close = true
+				r.ClosesConn = true
 			case "keep-alive":
-				r.Close = seen["close"]
+				r.ClosesConn = seen["close"]
 			}
 		}
 	}
 	return nil
 }
 
-// target reads /ping or /call/KIND/OBJECT/part-N; a target without a part means part 0.
-func (r *Request) target(t string) error {
+// parseTarget reads /ping or /call/KIND/OBJECT/part-N; a target without a part means part 0.
+func (r *Request) parseTarget(t string) error {
 	if i := strings.Index(t, "://"); i > 0 && !strings.HasPrefix(t, "/") {
 		if j := strings.IndexByte(t[i+3:], '/'); j >= 0 {
 			t = t[i+3+j:]
@@ -209,25 +209,25 @@
 	}
 	t, _, _ = strings.Cut(t, "?")
 	if t == "/ping" {
-		r.Ping = true
+		r.IsPing = true
 		return nil
 	}
 	parts := strings.Split(t, "/")
 	if len(parts) < 4 || len(parts) > 5 || parts[0] != "" || parts[1] != "call" {
-		return &Fault{404, "no such target"}
+		return &RequestError{404, "no such target"}
 	}
 	var ok1, ok2 bool
 	r.Kind, ok1 = unescape(parts[2])
 	r.Object, ok2 = unescape(parts[3])
-	if !ok1 || !ok2 || !isWord(r.Kind) || !isWord(r.Object) || len(r.Object) > 256 {
-		return bad("the target cannot be read")
+	if !ok1 || !ok2 || !isName(r.Kind) || !isName(r.Object) || len(r.Object) > 256 {
+		return badRequest("the target cannot be read")
 	}
 	if len(parts) == 5 {
 		last, ok := unescape(parts[4])
 		digits, found := strings.CutPrefix(last, "part-")
 		n, err := strconv.ParseUint(digits, 10, 31)
 		if !ok || !found || err != nil {
-			return bad("the part cannot be read")
+			return badRequest("the part cannot be read")
 		}
 		r.Part = int(n)
 	}
@@ -257,8 +257,8 @@
 	return string(out), true
 }
 
-// isWord tells whether a name can stand in a cache's line: printable, none of the signs that divide one.
-func isWord(s string) bool {
+// isName tells whether a name can stand in a cache's line: printable, none of the signs that divide one.
+func isName(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; c <= ' ' || c >= 0x7f || c == ',' || c == '=' {
 			return false
