--- a/client/frozen_test.go
+++ b/client/frozen_test.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"fmt"
 	"net/http"
-	"os"
 	"strings"
 	"testing"
 	"time"
@@ -14,6 +13,8 @@
 	extprocv3 "github.com/envoyproxy/go-control-plane/envoy/service/ext_proc/v3"
 	typev3 "github.com/envoyproxy/go-control-plane/envoy/type/v3"
 	"google.golang.org/protobuf/encoding/protojson"
+
+	"foldslip/internal/lab/frozen"
 )
 
 // TestFrozenMessages compares the messages that the client sends with those that an earlier build sent.
@@ -35,7 +36,7 @@
 		}
 		fmt.Fprintln(&got, lines.String())
 	}
-	compareWithFile(t, "testdata/messages.txt", got.String())
+	frozen.Equal(t, "messages.txt", []byte(got.String()))
 }
 
 // TestFrozenAnswers reads the answers of a gateway as an earlier build read them.
@@ -75,16 +76,5 @@
 	for r := ResultKind(0); r <= Refused; r++ {
 		fmt.Fprintf(&got, "result %d %v\n", r, r)
 	}
-	compareWithFile(t, "testdata/answers.txt", got.String())
-}
-
-func compareWithFile(t *testing.T, path, got string) {
-	t.Helper()
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs; got:\n%s\nwant:\n%s", path, got, want)
-	}
+	frozen.Equal(t, "answers.txt", []byte(got.String()))
 }
--- a/internal/dispatch/facade_test.go
+++ b/internal/dispatch/facade_test.go
@@ -21,7 +21,7 @@
 }
 
 func take(f *Dispatcher, id string) *Lookup {
-	return f.Submit(id, 0, "object", 0, 0, 10, time.Now().Add(time.Second))
+	return f.Submit(Request{ID: id, Object: "object", SizeKB: 10, Deadline: time.Now().Add(time.Second)})
 }
 
 func TestLookups(t *testing.T) {
@@ -43,7 +43,7 @@
 	})
 	t.Run("a lookup that may not run any more is nacked at once", func(t *testing.T) {
 		f := open()
-		l := f.Submit("0a", 0, "object", 0, 0, 10, time.Now().Add(-time.Second))
+		l := f.Submit(Request{ID: "0a", Object: "object", SizeKB: 10, Deadline: time.Now().Add(-time.Second)})
 		if s := f.WaitStep(l); s.Kind != StepRejected || f.OpenLookups() != 0 {
 			t.Errorf("%+v", s)
 		}
@@ -138,7 +138,7 @@
 	})
 	t.Run("a send whose ending nobody tells: failed shortly after the deadline", func(t *testing.T) {
 		f := open()
-		l := f.Submit("0a", 0, "object", 0, 0, 10, time.Now().Add(30*time.Millisecond))
+		l := f.Submit(Request{ID: "0a", Object: "object", SizeKB: 10, Deadline: time.Now().Add(30 * time.Millisecond)})
 		f.WaitStep(l)
 		if s := f.WaitStep(l); s.Kind != StepFailed || time.Now().Before(l.Deadline) {
 			t.Errorf("%+v", s)
--- a/internal/extproc/door.go
+++ b/internal/extproc/door.go
@@ -370,7 +370,8 @@
 	}
 	lk.ArrivedAt = came
 	lk.AddClaim(1)
-	lk.Dispatched = d.dispatcher.SubmitWithin(a.ID, a.Kind, a.Object, a.Part, a.Group, a.KB, until, scope, func() { d.notifyReady(lk) })
+	lk.Dispatched = d.dispatcher.Submit(dispatch.Request{ID: a.ID, Kind: a.Kind, Object: a.Object, Part: a.Part, Group: a.Group, SizeKB: a.KB,
+		Deadline: until, Scope: scope, OnReady: func() { d.notifyReady(lk) }})
 	lk.AddClaim(-1)
 	if lk.Dispatched == nil {
 		d.coordinator.Discard(lk)
--- a/internal/extproc/extprocgrpc/frozen_test.go
+++ b/internal/extproc/extprocgrpc/frozen_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
-	"os"
 	"strings"
 	"testing"
 	"time"
@@ -15,6 +14,7 @@
 	"google.golang.org/protobuf/types/known/structpb"
 
 	"foldslip/internal/extproc"
+	"foldslip/internal/lab/frozen"
 )
 
 // TestFrozenResponses compares the messages that callers get with those that an earlier build sent.
@@ -37,7 +37,7 @@
 		}
 		fmt.Fprintln(&got, lines.String())
 	}
-	compareWithFile(t, "testdata/responses.txt", got.String())
+	frozen.Equal(t, "responses.txt", []byte(got.String()))
 }
 
 // TestFrozenMessages reads messages of a caller as an earlier build read them.
@@ -63,16 +63,5 @@
 			fmt.Fprintf(&got, "  %s=%q %d\n", name, value, n)
 		}
 	}
-	compareWithFile(t, "testdata/messages.txt", got.String())
-}
-
-func compareWithFile(t *testing.T, path, got string) {
-	t.Helper()
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs; got:\n%s\nwant:\n%s", path, got, want)
-	}
+	frozen.Equal(t, "messages.txt", []byte(got.String()))
 }
--- a/internal/extproc/frozen_test.go
+++ b/internal/extproc/frozen_test.go
@@ -4,13 +4,13 @@
 	"fmt"
 	"io"
 	"log/slog"
-	"os"
 	"strings"
 	"testing"
 	"time"
 
 	"foldslip/internal/dispatch"
 	"foldslip/internal/env"
+	"foldslip/internal/lab/frozen"
 	"foldslip/internal/memory"
 	"foldslip/internal/policy"
 	"foldslip/internal/retry"
@@ -28,9 +28,9 @@
 		t.Fatal(err)
 	}
 	d := New(g, its, nil, caches, nil, nil, nil, Limits{})
-	full := dispatch.Step{Kind: dispatch.StepFetch, Attempt: 2, Cache: edge, Source: origin, Rank: 3, Mode: policy.ModeCoalesce | policy.ModeCachedOnly | policy.ModeSourceNoStore | policy.ModeRevalidate,
-		Timeout: 1234567, SilenceTimeout: 99, MaxAge: 2500}
-	bare := dispatch.Step{Kind: dispatch.StepFetch, Cache: policy.NewCache("unknown"), MaxAge: 1, Mode: policy.ModeRevalidate}
+	full := dispatch.Step{Kind: dispatch.StepFetch, Attempt: 2, FetchRequest: policy.FetchRequest{Cache: edge, Source: origin, Rank: 3,
+		Mode: policy.ModeCoalesce | policy.ModeCachedOnly | policy.ModeSourceNoStore | policy.ModeRevalidate, Timeout: 1234567, SilenceTimeout: 99, MaxAge: 2500}}
+	bare := dispatch.Step{Kind: dispatch.StepFetch, FetchRequest: policy.FetchRequest{Cache: policy.NewCache("unknown"), MaxAge: 1, Mode: policy.ModeRevalidate}}
 	bare.Source = bare.Cache
 	routed := &rollout.Ticket{Version: 7}
 	routed.Decision.Route = "films"
@@ -53,15 +53,12 @@
 		fmt.Fprintf(&got, "end %d %s\n", end, end.Error())
 	}
 	fmt.Fprintln(&got, ErrTooManyStreams, ErrMessageTooLarge)
-	compareWithFile(t, "testdata/replies.txt", got.String())
+	frozen.Equal(t, "replies.txt", []byte(got.String()))
 }
 
 // TestFrozenReports reads reports of callers, one a line of testdata/reports.txt, as an earlier build read them.
 func TestFrozenReports(t *testing.T) {
-	texts, err := os.ReadFile("testdata/reports.txt")
-	if err != nil {
-		t.Fatal(err)
-	}
+	texts := frozen.Read(t, "reports.txt")
 	var got strings.Builder
 	for text := range strings.Lines(string(texts)) {
 		var get route.Attributes = func(name string) (value string, n int) {
@@ -80,16 +77,5 @@
 		}
 		fmt.Fprintf(&got, "outcome %d remark %d waited %d born %d tag %q same %v\n", r.outcome, r.detail, r.sourceWait, born, r.etag, r.notModified)
 	}
-	compareWithFile(t, "testdata/reports.read.txt", got.String())
-}
-
-func compareWithFile(t *testing.T, path, got string) {
-	t.Helper()
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs; got:\n%s\nwant:\n%s", path, got, want)
-	}
+	frozen.Equal(t, "reports.read.txt", []byte(got.String()))
 }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -86,7 +86,8 @@
 	defer h.life.OnEnd(end.Notify)()
 	chance := rand.New(rand.NewPCG(s.Seed, 0x6c6f6f6b))
 	for n := 0; !end.Wait(time.Duration(chance.ExpFloat64() / s.Lookups * float64(time.Second))); n++ {
-		l := h.Router.Submit(fmt.Sprintf("%016x", n), 0, fmt.Sprintf("%016x", chance.Uint64N(1000)), 0, 0, 449, g.Now().Add(terms.LatencyBudget(0, 449)))
+		l := h.Router.Submit(dispatch.Request{ID: fmt.Sprintf("%016x", n), Object: fmt.Sprintf("%016x", chance.Uint64N(1000)), SizeKB: 449,
+			Deadline: g.Now().Add(terms.LatencyBudget(0, 449))})
 		for l != nil {
 			step := h.Router.WaitStep(l)
 			if step.Kind == dispatch.StepFetch {
--- a/internal/lab/scenario/day.go
+++ b/internal/lab/scenario/day.go
@@ -206,8 +206,8 @@
 // mode is a module's note without its names and figures.
 func mode(note string) string {
 	note = strings.TrimPrefix(note, "note=")
-	for _, m := range []string{"out: unreachable", "out: errors", "out: silent", "out: fills fail", "out: lags",
-		"back after", "fills pressed", "overload true", "overload false"} {
+	for _, m := range []string{"ejected: unreachable", "ejected: errors", "ejected: silent", "ejected: fills fail", "ejected: slow",
+		"readmitted after", "fills pressed", "overload true", "overload false"} {
 		if strings.Contains(note, m) {
 			return m
 		}
--- a/internal/lab/scenario/gateway.go
+++ b/internal/lab/scenario/gateway.go
@@ -125,10 +125,9 @@
 	var ground func(env.Environment) env.Environment
 	if d.look.decided != nil {
 		watch.Interceptor = func(h policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
-			return start(&says{Executor: h, fetch: func(h policy.Executor, lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.FetchMode,
-				patience, hush, oldest policy.Micros) {
-				h.Fetch(lk, to, source, rank, how, patience, hush, oldest)
-				d.look.decided(d, l, to.Name)
+			return start(&says{Executor: h, fetch: func(h policy.Executor, lk *policy.Lookup, request policy.FetchRequest) {
+				h.Fetch(lk, request)
+				d.look.decided(d, l, request.Cache.Name)
 			}})
 		}
 	}
@@ -215,9 +214,10 @@
 	}
 }
 
-func (n *noted) Fetch(lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.FetchMode, patience, hush, oldest policy.Micros) {
-	n.note(lk, "fetch "+to.Name+" "+source.Name, policy.Micros(rank), policy.Micros(how), patience, hush, oldest)
-	n.Executor.Fetch(lk, to, source, rank, how, patience, hush, oldest)
+func (n *noted) Fetch(lk *policy.Lookup, request policy.FetchRequest) {
+	n.note(lk, "fetch "+request.Cache.Name+" "+request.Source.Name, policy.Micros(request.Rank), policy.Micros(request.Mode), request.Timeout,
+		request.SilenceTimeout, request.MaxAge)
+	n.Executor.Fetch(lk, request)
 }
 
 func (n *noted) CancelAttempt(lk *policy.Lookup, send int) {
--- a/internal/lab/scenario/plant.go
+++ b/internal/lab/scenario/plant.go
@@ -144,11 +144,11 @@
 	within func(s *policy.Scope) *policy.Scope
 }
 
-func (t *told) SetNextScope(s *policy.Scope) {
-	if t.within != nil {
-		s = t.within(s)
+func (t *told) StartLookup(now policy.Micros, arrival policy.Arrival) *policy.Lookup {
+	if t.within != nil && arrival.Scope != nil {
+		arrival.Scope = t.within(arrival.Scope)
 	}
-	t.Router.SetNextScope(s)
+	return t.Router.StartLookup(now, arrival)
 }
 
 func (t *told) UpdateEndpoints(now policy.Micros, what policy.UpdateKind, rows []policy.Endpoint) {
@@ -164,26 +164,25 @@
 	}
 }
 
-func (t *told) AttemptEnded(now policy.Micros, lk *policy.Lookup, n int, e policy.AttemptOutcome, remark policy.OutcomeDetail, took,
-	waited policy.Micros, closed bool) {
+func (t *told) AttemptEnded(now policy.Micros, lk *policy.Lookup, report policy.AttemptReport) {
 	if t.ended == nil || t.ended() {
-		t.Router.AttemptEnded(now, lk, n, e, remark, took, waited, closed)
+		t.Router.AttemptEnded(now, lk, report)
 	}
 }
 
 // says stands before the facade: it does what the module asks for, but for what a plant replaces.
 type says struct {
 	policy.Executor
-	fetch func(h policy.Executor, lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.FetchMode, patience, hush, oldest policy.Micros)
+	fetch func(h policy.Executor, lk *policy.Lookup, request policy.FetchRequest)
 	nack  func(h policy.Executor, lk *policy.Lookup, in policy.Micros)
 }
 
-func (s *says) Fetch(lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.FetchMode, patience, hush, oldest policy.Micros) {
+func (s *says) Fetch(lk *policy.Lookup, request policy.FetchRequest) {
 	if s.fetch != nil {
-		s.fetch(s.Executor, lk, to, source, rank, how, patience, hush, oldest)
+		s.fetch(s.Executor, lk, request)
 		return
 	}
-	s.Executor.Fetch(lk, to, source, rank, how, patience, hush, oldest)
+	s.Executor.Fetch(lk, request)
 }
 
 func (s *says) Reject(lk *policy.Lookup, in policy.Micros) {
@@ -359,18 +358,18 @@
 			}}
 		})},
 		"doubled_send": {"a side-effecting send goes out twice", onSays(func(_ *Day, s *says) {
-			s.fetch = func(h policy.Executor, lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.FetchMode, patience, hush, oldest policy.Micros) {
-				h.Fetch(lk, to, source, rank, how, patience, hush, oldest)
-				if oldest == 0 && rank == 0 && how == 0 {
-					h.Fetch(lk, to, source, rank, how, patience, hush, oldest)
+			s.fetch = func(h policy.Executor, lk *policy.Lookup, request policy.FetchRequest) {
+				h.Fetch(lk, request)
+				if request.MaxAge == 0 && request.Rank == 0 && request.Mode == 0 {
+					h.Fetch(lk, request)
 				}
 			}
 		})},
 		"two_at_once": {"an idempotent send goes out twice at once", onSays(func(d *Day, s *says) {
-			s.fetch = func(h policy.Executor, lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.FetchMode, patience, hush, oldest policy.Micros) {
-				h.Fetch(lk, to, source, rank, how, patience, hush, oldest)
-				if rank > 0 && d.chance(40) == 0 {
-					h.Fetch(lk, to, source, rank, how, patience, hush, oldest)
+			s.fetch = func(h policy.Executor, lk *policy.Lookup, request policy.FetchRequest) {
+				h.Fetch(lk, request)
+				if request.Rank > 0 && d.chance(40) == 0 {
+					h.Fetch(lk, request)
 				}
 			}
 		})},
--- a/internal/lab/scenario/twin.go
+++ b/internal/lab/scenario/twin.go
@@ -112,9 +112,10 @@
 	note func(format string, a ...any)
 }
 
-func (n *decisions) Fetch(lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.FetchMode, patience, hush, oldest policy.Micros) {
-	n.note("send %s to %s from %s rank %d how %d for %d oldest %d", lk.ID, to.Name, source.Name, rank, how, patience, oldest)
-	n.Executor.Fetch(lk, to, source, rank, how, patience, hush, oldest)
+func (n *decisions) Fetch(lk *policy.Lookup, request policy.FetchRequest) {
+	n.note("send %s to %s from %s rank %d how %d for %d oldest %d", lk.ID, request.Cache.Name, request.Source.Name, request.Rank, request.Mode,
+		request.Timeout, request.MaxAge)
+	n.Executor.Fetch(lk, request)
 }
 
 func (n *decisions) Reject(lk *policy.Lookup, in policy.Micros) {
--- a/internal/policy/coldfleet_test.go
+++ b/internal/policy/coldfleet_test.go
@@ -161,11 +161,12 @@
 func (h *coldHost) ended(r *Router, lk *Lookup, n int, e AttemptOutcome, remark OutcomeDetail, took, waited Micros) {
 	if h.r == r && lk.attempts[n].mode >= 0 {
 		lk.attempts[n].mode = -1 // ends once
-		h.r.AttemptEnded(h.w.now, lk, n, e, remark, took, waited, e == OutcomeSatisfied)
+		h.r.AttemptEnded(h.w.now, lk, AttemptReport{Attempt: n, Outcome: e, Detail: remark, Latency: took, SourceWait: waited, LookupEnded: e == OutcomeSatisfied})
 	}
 }
 
-func (h *coldHost) Fetch(lk *Lookup, to, source *Cache, _ int, _ FetchMode, _, _, _ Micros) {
+func (h *coldHost) Fetch(lk *Lookup, request FetchRequest) {
+	to, source := request.Cache, request.Source
 	w, r, n := h.w, h.r, len(lk.attempts)-1
 	if (to == h.cold || source == h.cold) && w.cutOff(h) {
 		end, remark := OutcomeConnectFailed, DetailNone
@@ -340,7 +341,7 @@
 		arrive = func() {
 			k := w.chance.IntN(2)
 			kb := w.sizes[k] / float64(millisecond) * math.Exp(w.sigma*w.chance.NormFloat64()-w.sigma*w.sigma/2)
-			h.r.StartLookup(w.now, "", k, fmt.Sprint("o", zipf.Uint64()), w.chance.IntN(12), 3, kb, w.now+w.its.Kinds[k].Deadline, false, false)
+			h.r.StartLookup(w.now, Arrival{Kind: k, Object: fmt.Sprint("o", zipf.Uint64()), Part: w.chance.IntN(12), Group: 3, SizeKB: kb, Deadline: w.now + w.its.Kinds[k].Deadline})
 			w.after(Micros(w.chance.ExpFloat64()*every*weights/h.weight/w.pace), arrive)
 		}
 		w.after(sweepInterval+Micros(w.chance.ExpFloat64()*every*weights/h.weight), arrive)
--- a/internal/policy/cost_test.go
+++ b/internal/policy/cost_test.go
@@ -28,12 +28,12 @@
 }
 
 // large starts a router with such a list.
-func large(t *testing.T, n, edges int) (*fake, []Endpoint) {
-	f, _ := play(t, nil)
+func large(t *testing.T, n, edges int) (*fixture, []Endpoint) {
+	f, _ := newFixture(t, nil)
 	rows := members(n, edges)
-	f.r.UpdateEndpoints(f.now, UpdateFull, rows)
-	if len(f.r.caches) != n || len(f.r.edges) != edges || len(f.r.parents) != 50 || f.r.origin == nil {
-		t.Fatalf("%d caches, %d edges, %d parents", len(f.r.caches), len(f.r.edges), len(f.r.parents))
+	f.router.UpdateEndpoints(f.now, UpdateFull, rows)
+	if len(f.router.caches) != n || len(f.router.edges) != edges || len(f.router.parents) != 50 || f.router.origin == nil {
+		t.Fatalf("%d caches, %d edges, %d parents", len(f.router.caches), len(f.router.edges), len(f.router.parents))
 	}
 	return f, rows
 }
@@ -46,7 +46,7 @@
 		return costs.Micros(func(i int) {
 			row := rows[60+i%100]
 			row.State = EndpointState(i / 100 % 2) // drains, then is ready again
-			f.r.UpdateEndpoints(f.now, UpdateDelta, []Endpoint{row})
+			f.router.UpdateEndpoints(f.now, UpdateDelta, []Endpoint{row})
 		})
 	})
 }
@@ -55,10 +55,10 @@
 func TestCostListHeld(t *testing.T) {
 	costs.Take(t, cost.Figure{Name: "logic-list-heap", Title: "logic.Router: heap of the list", X: "caches in the list", Y: "bytes", Budget: 4 << 20, Of: "the list, 4 MB of 128", At: 1800},
 		[]int{225, 450, 900, 1800, 3600, 7200}, func(n int) float64 {
-			f, _ := play(t, nil)
+			f, _ := newFixture(t, nil)
 			return cost.Heap(func() any {
-				f.r.UpdateEndpoints(f.now, UpdateFull, members(n, 6))
-				return f.r
+				f.router.UpdateEndpoints(f.now, UpdateFull, members(n, 6))
+				return f.router
 			})
 		})
 }
@@ -71,12 +71,12 @@
 			X: "edges of the own location", Y: "us of a core", Budget: 15, Of: "a sweep, 0.15% of a core at 100/s", At: 6}, []int{6, 12, 24, 72, 144, 288}, func(edges int) float64 {
 			f, _ := large(t, 1800, edges)
 			for i := range open {
-				f.r.StartLookup(f.now, fmt.Sprint(i), 0, fmt.Sprint("object-", i), 0, 3, 449, f.now+3600*second, false, false)
+				f.router.StartLookup(f.now, Arrival{ID: fmt.Sprint(i), Object: fmt.Sprint("object-", i), Group: 3, SizeKB: 449, Deadline: f.now + 3600*second})
 			}
-			if held := max(0, open-int(initialLimit)*edges); len(f.r.openAttempts) != open-held || len(f.r.queued) != held {
-				t.Fatalf("%d open, %d held of %d: expected %d held", len(f.r.openAttempts), len(f.r.queued), open, held)
+			if held := max(0, open-int(initialLimit)*edges); len(f.router.openAttempts) != open-held || len(f.router.queued) != held {
+				t.Fatalf("%d open, %d held of %d: expected %d held", len(f.router.openAttempts), len(f.router.queued), open, held)
 			}
-			return costs.Micros(func(int) { f.r.TimerFired(f.now, timerSweep) })
+			return costs.Micros(func(int) { f.router.TimerFired(f.now, timerSweep) })
 		})
 	}
 }
@@ -86,25 +86,25 @@
 	sizes := []int{1100, 6700, 60000, 360000}
 	costs.Take(t, cost.Figure{Name: "logic-purged", Title: "logic.Router.Purged: processor time of one purge", X: "purges kept", Y: "us of a core", Budget: 40,
 		Of: "a purge, 0.4% of a core at 100/s", At: 6700}, sizes, func(n int) float64 {
-		f, _ := play(t, nil)
+		f, _ := newFixture(t, nil)
 		names := make([]string, n)
 		for i := range names {
 			names[i] = fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15)
-			f.r.ApplyPurge(f.now, names[i], 0, 0)
+			f.router.ApplyPurge(f.now, names[i], 0, 0)
 		}
-		return costs.Micros(func(i int) { f.r.ApplyPurge(f.now, names[i%n], 0, 0) })
+		return costs.Micros(func(i int) { f.router.ApplyPurge(f.now, names[i%n], 0, 0) })
 	})
 	costs.Take(t, cost.Figure{Name: "logic-purged-heap", Title: "logic.Router: heap of the purges", X: "purges kept", Y: "bytes", Budget: 2 << 20, Of: "purges, 2 MB of 128", At: 6700},
 		sizes, func(n int) float64 {
-			f, _ := play(t, nil)
+			f, _ := newFixture(t, nil)
 			return cost.Heap(func() any {
 				for i := range n {
-					f.r.ApplyPurge(f.now, fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15), 0, 0)
+					f.router.ApplyPurge(f.now, fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15), 0, 0)
 				}
-				if len(f.r.purges) != n {
-					t.Errorf("%d kept of %d", len(f.r.purges), n)
+				if len(f.router.purges) != n {
+					t.Errorf("%d kept of %d", len(f.router.purges), n)
 				}
-				return f.r
+				return f.router
 			})
 		})
 }
@@ -112,27 +112,27 @@
 // The table of counts: its heap, and the halving of all of it, once a minute. It is never larger than tableBound for longer than a sweep.
 func TestCostCounts(t *testing.T) {
 	sizes := []int{7500, 15000, 30000, maxCounts}
-	fill := func(f *fake, n int) {
+	fill := func(f *fixture, n int) {
 		for i := range n {
-			f.r.lookupCounts[mixHash(uint64(i), 1)] = 0x1p1000 // none is gone before the thousandth halving
+			f.router.lookupCounts[mixHash(uint64(i), 1)] = 0x1p1000 // none is gone before the thousandth halving
 		}
 	}
 	costs.Take(t, cost.Figure{Name: "logic-counts-heap", Title: "logic.Router: heap of the counts", X: "counts", Y: "bytes", Budget: 4 << 20, Of: "counts, 4 MB of 128", At: maxCounts},
 		sizes, func(n int) float64 {
-			f, _ := play(t, nil)
-			return cost.Heap(func() any { fill(f, n); return f.r })
+			f, _ := newFixture(t, nil)
+			return cost.Heap(func() any { fill(f, n); return f.router })
 		})
 	costs.Take(t, cost.Figure{Name: "logic-halve", Title: "logic.Router: processor time of halving the counts, once a minute", X: "counts", Y: "us of a core", Budget: 60000,
 		Of: "0.1% of a core, once a minute", At: maxCounts}, sizes, func(n int) float64 {
-		f, _ := play(t, nil)
+		f, _ := newFixture(t, nil)
 		fill(f, n)
 		us := costs.Micros(func(i int) {
-			if f.r.decayCounts(); i%900 == 899 {
+			if f.router.decayCounts(); i%900 == 899 {
 				fill(f, n)
 			}
 		})
-		if len(f.r.lookupCounts) != n {
-			t.Errorf("%d counts of %d are left", len(f.r.lookupCounts), n)
+		if len(f.router.lookupCounts) != n {
+			t.Errorf("%d counts of %d are left", len(f.router.lookupCounts), n)
 		}
 		return us
 	})
@@ -141,30 +141,30 @@
 // What the counts tell of objects: an object asked for k times a minute at one gateway, evenly, among 564 lookups a second of which each
 // other names an object of its own. Told: the count just before a halving, over what endless memory at the same halving would give.
 func TestCountsAtTheSize(t *testing.T) {
-	f, _ := play(t, nil)
+	f, _ := newFixture(t, nil)
 	const perSecond = 564
-	was := f.r.nextDecayAt
+	was := f.router.nextDecayAt
 	for s, n := 0, 0; s < 300; s++ {
 		for range perSecond - 2 {
-			f.r.lookupCounts[mixHash(uint64(n), 7)]++
+			f.router.lookupCounts[mixHash(uint64(n), 7)]++
 			n++
 		}
-		f.r.lookupCounts[1]++ // each second
+		f.router.lookupCounts[1]++ // each second
 		if s%60 == 30 {
-			f.r.lookupCounts[2]++ // once a minute
+			f.router.lookupCounts[2]++ // once a minute
 		}
-		f.pass(second)
-		if len(f.r.lookupCounts) > maxCounts {
-			t.Fatalf("%d counts", len(f.r.lookupCounts))
+		f.advance(second)
+		if len(f.router.lookupCounts) > maxCounts {
+			t.Fatalf("%d counts", len(f.router.lookupCounts))
 		}
 	}
-	if f.r.nextDecayAt != was+5*countDecayInterval {
-		t.Errorf("halved %v later than five times a minute: the table was full before its time", f.r.nextDecayAt-was)
+	if f.router.nextDecayAt != was+5*countDecayInterval {
+		t.Errorf("halved %v later than five times a minute: the table was full before its time", f.router.nextDecayAt-was)
 	}
-	if got := f.r.lookupCounts[1]; got < 58 || got > 60.1 { // 120 just before a halving, half of it after
+	if got := f.router.lookupCounts[1]; got < 58 || got > 60.1 { // 120 just before a halving, half of it after
 		t.Errorf("an object of one lookup a second has %.1f after a halving", got)
 	}
-	if got, kept := f.r.lookupCounts[2]; kept {
+	if got, kept := f.router.lookupCounts[2]; kept {
 		t.Errorf("an object of one lookup a minute has %.1f after a halving: it would be told apart", got)
 	}
 }
--- a/internal/policy/edge.go
+++ b/internal/policy/edge.go
@@ -1,5 +1,3 @@
-// The choice of the edge cache: rendezvous order, limits of open sends, what an ending tells of the cache.
-
 package policy
 
 import (
@@ -9,115 +7,172 @@
 )
 
 const (
-	crowdedShare = 0.4  // hits take this part of their latency budget: the cache is crowded
-	initialLimit = 16.0 // open sends at a cache before anything is known of it
-	minOpen      = 2.0  // open sends, and fills, at one cache by all routers are not cut under this
-	spillShare   = 0.7  // another cache takes a crowded one's lookup while under this part of its limit
-	rejectedCut  = 0.75 // of a cache's limit of open sends, when it turns one away as full
+	crowdedShare  = 0.4  // of their latency budgets that hits take at a crowded cache
+	initialLimit  = 16.0 // open attempts at a cache, and open fills, before anything is known
+	minOpen       = 2.0  // attempts or fills, by all routers together, below which a limit is not cut
+	spillShare    = 0.7  // of its limit, below which another cache takes a crowded one's lookups
+	rejectedCut   = 0.75 // of a cache's limit that is left when it rejects an attempt
+	limitGrowth   = 1.1  // of a limit that is nearly reached
+	limitInterval = 200 * millisecond
+
+	// A usual hit, which is added to those measured: one slow hit says little.
+	usualHitLatency = 40 * millisecond
+	usualHitBudget  = 160 * millisecond
+
+	maxFailures   = 2 // connections in a row that fail before a cache is ejected
+	resetAttempts = 2 // attempts of a lookup up to which a reset does not move it: what its cache holds is worth a second one
 )
 
-// chooseEdge picks the first cache in the object's hash order that is up and has room for it.
-func (r *Router) chooseEdge(s *Attempt) stageResult {
-	lk, wait, part := s.lookup, false, 1.0
-	for _, c := range r.rendezvousOrder(lk.partHash, r.edges) {
+// chooseEdge picks the first cache in the rendezvous order of the lookup's part that may have it and has capacity.
+func (r *Router) chooseEdge(attempt *Attempt) stageResult {
+	lookup := attempt.lookup
+	mustWait := false
+	limitShare := 1.0
+	for _, cache := range r.rendezvousOrder(lookup.partHash, r.edges) {
 		switch {
-		case c.State != Ready || c == lk.failedEdge || !r.mayRunOn(lk, c, 0) || !lk.scope.allowsEdge(c):
-		case !r.mayReceive(c, lk):
-		case !r.isWarmFor(c, lk.partHash):
-			wait = true
-		case float64(c.openCount)-r.countOpenFills(c.attempts) >= part*c.attemptLimit || r.now < c.pausedUntil:
-			if part < 1 {
-				return holdLookup // two homes are enough: a third would fill what they hold
+		case !r.isCandidate(cache, lookup):
+		case !r.isWarmFor(cache, lookup.partHash):
+			mustWait = true
+		case r.isFull(cache, limitShare):
+			if limitShare < 1 {
+				return holdLookup // a third cache would only fill what these two hold
 			}
-			wait, part = true, spillShare
-		case !r.admitSlowStart(s, c, max(float64(lk.work), lk.kind.meanWork(r.now))):
-			wait = true
+			mustWait = true
+			limitShare = spillShare
+		case !r.admitSlowStart(attempt, cache, max(float64(lookup.work), lookup.kind.meanWork(r.now))):
+			mustWait = true
 		default:
-			s.edge = c
+			attempt.edge = cache
 			return proceed
 		}
 	}
-	if wait || lk.failedEdge != nil {
-		lk.failedEdge = nil // it may have room again
+	if mustWait || lookup.failedEdge != nil {
+		lookup.failedEdge = nil // it may have capacity again
 		return holdLookup
 	}
-	r.giveUp(lk)
+	r.giveUp(lookup)
 	return endLookup
 }
 
-func (r *Router) noteEdgeOutcome(s *Attempt, got *attemptReport) {
-	c, lk := s.edge, s.lookup
-	c.openCount--
-	// Guards against a cache that slows: its lookups move to the others of its location. Its hits are timed
-	// where they are told (a fill's time is its source's), else all its sends.
-	if r.measuresLatency(s, got) && (got.detail == DetailHit || got.detail == DetailStale || !r.settings.ReportsHits) {
-		r.recordLatency(c, r.edges, float64(got.latency), max(lk.sizeKB, 1), slowBudgetShare*float64(lk.latencyBudget()))
+// isCandidate tells whether an edge cache may have the lookup at all.
+func (r *Router) isCandidate(cache *Cache, lookup *Lookup) bool {
+	return cache.State == Ready &&
+		cache != lookup.failedEdge &&
+		r.mayRunOn(lookup, cache, 0) &&
+		lookup.scope.allowsEdge(cache) &&
+		r.mayReceive(cache, lookup)
+}
+
+// isFull tells whether a cache has reached a share of its limit of open attempts, not counting fills, or waits for its turn.
+func (r *Router) isFull(cache *Cache, limitShare float64) bool {
+	return float64(cache.openCount)-r.countOpenFills(cache.attempts) >= limitShare*cache.attemptLimit || r.now < cache.pausedUntil
+}
+
+// noteEdgeOutcome learns about the edge cache from the end of an attempt.
+func (r *Router) noteEdgeOutcome(attempt *Attempt, report *AttemptReport) {
+	cache, lookup := attempt.edge, attempt.lookup
+	cache.openCount--
+	// A fill's latency is its source's. Where hits are not reported as such, all attempts count.
+	if r.measuresLatency(attempt, report) && (report.isHit() || !r.settings.ReportsHits) {
+		r.recordLatency(cache, r.edges, latencySample{
+			latency: float64(report.Latency),
+			size:    max(lookup.sizeKB, 1),
+			floor:   slowBudgetShare * float64(lookup.latencyBudget()),
+		})
 	}
 	switch {
-	case got.outcome == OutcomeSatisfied || got.outcome == OutcomeMiss || got.detail >= DetailSourceRefused:
-		r.noteSuccess(c, s)
-		if got.outcome == OutcomeSatisfied {
-			r.observePace(c, got.latency-got.sourceWait, lk.work)
-		}
-		if got.detail == DetailHit || got.detail == DetailStale {
-			c.hitLatency.add(r.now, float64(got.latency))
-			c.hitBudget.add(r.now, float64(lk.latencyBudget()))
-		}
-		r.adjustLimit(c)
-		c.pausedUntil = r.nextTurn(c.attemptLimit, got.latency)
-	case got.outcome == OutcomeRejected:
-		if c.lastSuccessAt = r.now; lk.missedAt != c { // where it took the look, only the fill was turned away
-			// Guards against a storm of sends where no hit times come: a cache that is full takes fewer.
-			lk.failedEdge, c.attemptLimit = c, max(minOpen/r.zoneRouterCount(), rejectedCut*min(c.attemptLimit, float64(c.openCount+1)))
-		}
-	case got.outcome == OutcomeConnectFailed || got.outcome == OutcomeReset:
-		// A reset alone is no death, and what is held there is worth a second send.
-		if c.restartsCold = c.restartsCold || got.outcome == OutcomeConnectFailed; got.outcome == OutcomeConnectFailed || len(lk.attempts) > 2 {
-			lk.failedEdge = c
-		}
-		if s.startedAt >= c.lastFailureAt { // a connection breaks under many sends at once: one strike
-			c.lastFailureAt = r.now
-			c.failuresInRow++
-			r.countFailures(c, c.failuresInRow, 2, "unreachable")
-		}
-	case got.outcome == OutcomeError && got.detail == DetailNone:
-		// Guards against a cache that fails all it gets, which is quick and would draw more. Errors have an account
-		// of their own: one beside a reset says nothing of the way. Where all caches fail some, or lookups are at
-		// fault, a move or an outage costs the copies held and helps nobody: hence so many in a row.
-		if c.errorsInRow++; c.errorsInRow >= errorsToAvoid {
-			lk.failedEdge = c
-		}
-		r.countFailures(c, c.errorsInRow, errorsToEject, "errors")
-	case got.outcome == OutcomeCancelled && c.probe == s:
-		r.countFailures(c, 1, 1, "trial failed")
+	case report.Outcome == OutcomeSatisfied || report.Outcome == OutcomeMiss || report.Detail.isFillFailure():
+		r.noteEdgeAnswer(attempt, report)
+	case report.Outcome == OutcomeRejected:
+		r.noteEdgeRejection(cache, lookup)
+	case report.Outcome == OutcomeConnectFailed || report.Outcome == OutcomeReset:
+		r.noteEdgeDisconnection(attempt, report)
+	case report.isUnexplained(OutcomeError):
+		r.noteEdgeError(cache, lookup)
+	case report.Outcome == OutcomeCancelled && cache.probe == attempt:
+		r.countFailures(cache, 1, 1, "probe failed")
+	}
+}
+
+// noteEdgeAnswer learns from an answer that shows a working cache.
+func (r *Router) noteEdgeAnswer(attempt *Attempt, report *AttemptReport) {
+	cache, lookup := attempt.edge, attempt.lookup
+	r.noteSuccess(cache, attempt)
+	if report.Outcome == OutcomeSatisfied {
+		r.observePace(cache, report.Latency-report.SourceWait, lookup.work)
+	}
+	if report.isHit() {
+		cache.hitLatency.add(r.now, float64(report.Latency))
+		cache.hitBudget.add(r.now, float64(lookup.latencyBudget()))
 	}
+	r.adjustLimit(cache)
+	cache.pausedUntil = r.nextTurn(cache.attemptLimit, report.Latency)
 }
 
-// adjustLimit moves a cache's limit of open sends: down while its hits are slow, up while it is full.
-func (r *Router) adjustLimit(c *Cache) {
-	if r.now < c.limitUpdatedAt+200*millisecond {
+// noteEdgeRejection lowers the limit of a cache that is full, so that attempts do not storm it where hits are not reported.
+func (r *Router) noteEdgeRejection(cache *Cache, lookup *Lookup) {
+	cache.lastSuccessAt = r.now
+	if lookup.missedAt == cache { // it answered that it has no copy: only the fill was rejected
 		return
 	}
-	c.limitUpdatedAt = r.now
-	// One slow hit says little: a usual one, at a quarter of its budget, is added.
-	part := (c.hitLatency.read(r.now) + float64(40*millisecond)) / (c.hitBudget.read(r.now) + float64(160*millisecond))
+	lookup.failedEdge = cache
+	cache.attemptLimit = max(minOpen/r.zoneRouterCount(), rejectedCut*min(cache.attemptLimit, float64(cache.openCount+1)))
+}
+
+// noteEdgeDisconnection counts a connection that was refused or broke. A reset alone does not mean that the cache died.
+func (r *Router) noteEdgeDisconnection(attempt *Attempt, report *AttemptReport) {
+	cache, lookup := attempt.edge, attempt.lookup
+	isRefused := report.Outcome == OutcomeConnectFailed
+	cache.restartsCold = cache.restartsCold || isRefused
+	if isRefused || len(lookup.attempts) > resetAttempts {
+		lookup.failedEdge = cache
+	}
+	if attempt.startedAt >= cache.lastFailureAt { // a connection that breaks under many attempts is one failure
+		cache.lastFailureAt = r.now
+		cache.failuresInRow++
+		r.countFailures(cache, cache.failuresInRow, maxFailures, "unreachable")
+	}
+}
+
+// noteEdgeError counts an unexplained error. Errors are quick and would attract more lookups to a cache that fails them all. They are
+// counted apart from failed connections, and many in a row are needed: where every cache fails some, moving or ejecting helps nobody.
+func (r *Router) noteEdgeError(cache *Cache, lookup *Lookup) {
+	cache.errorsInRow++
+	if cache.errorsInRow >= errorsToAvoid {
+		lookup.failedEdge = cache
+	}
+	r.countFailures(cache, cache.errorsInRow, errorsToEject, "errors")
+}
+
+// adjustLimit moves a cache's limit of open attempts: down while its hits are slow, up while it is nearly reached.
+func (r *Router) adjustLimit(cache *Cache) {
+	if r.now < cache.limitUpdatedAt+limitInterval {
+		return
+	}
+	cache.limitUpdatedAt = r.now
+	usedShare := (cache.hitLatency.read(r.now) + float64(usualHitLatency)) / (cache.hitBudget.read(r.now) + float64(usualHitBudget))
 	switch {
-	case part > crowdedShare:
-		c.attemptLimit = max(minOpen/r.zoneRouterCount(), min(c.attemptLimit, float64(c.openCount+1)*crowdedShare/part))
-	case float64(c.openCount+1) >= c.attemptLimit*spillShare:
-		c.attemptLimit *= 1.1
+	case usedShare > crowdedShare:
+		cache.attemptLimit = max(minOpen/r.zoneRouterCount(), min(cache.attemptLimit, float64(cache.openCount+1)*crowdedShare/usedShare))
+	case float64(cache.openCount+1) >= cache.attemptLimit*spillShare:
+		cache.attemptLimit *= limitGrowth
 	}
 }
 
-// rendezvousOrder is the rendezvous order of caches for a hash: it moves only what a change of the list must move.
+// nextTurn is when the next attempt may start where the limit of each of many routers is below one.
+func (r *Router) nextTurn(limit float64, latency Micros) Micros {
+	return r.now + Micros(float64(latency)*max(0, 1/limit-1))
+}
+
+// rendezvousOrder is the order of caches for a hash (highest random weight): a change of the list moves only what it must.
 func (r *Router) rendezvousOrder(hash uint64, caches []*Cache) []*Cache {
-	far := func(c *Cache) float64 {
-		u := (float64(mixHash(hash, c.nameHash)>>11) + 0.5) / (1 << 53)
+	distance := func(c *Cache) float64 {
+		uniform := (float64(mixHash(hash, c.nameHash)>>11) + 0.5) / (1 << 53)
 		if r.settings.WeightIsSize && c.Weight > 0 {
-			return -math.Log(u) / c.Weight
+			return -math.Log(uniform) / c.Weight
 		}
-		return -math.Log(u)
+		return -math.Log(uniform)
 	}
-	nearer := func(a, b *Cache) int { return cmp.Compare(far(a), far(b)) }
-	return slices.SortedStableFunc(slices.Values(caches), nearer)
+	byDistance := func(a, b *Cache) int { return cmp.Compare(distance(a), distance(b)) }
+	return slices.SortedStableFunc(slices.Values(caches), byDistance)
 }
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -1,5 +1,3 @@
-// Outlier ejection: which cache is out of use, its probes, and when it is readmitted.
-
 package policy
 
 import (
@@ -8,114 +6,137 @@
 )
 
 const (
-	errorsToAvoid = 3  // so many plain errors of a cache in a row move lookups on, so many put it out:
-	errorsToEject = 10 // chance alone does not make them where one in four ends so everywhere
+	errorsToAvoid = 3  // in a row, after which lookups move on to another cache
+	errorsToEject = 10 // in a row: chance makes as many nowhere that fails one attempt in four
+
+	latencySamples = 10 // of a cache, over which its mean latency is taken
+	probeInterval  = 1 * second
+	probeMaxWork   = 1.5 // of the kind's mean transfer time, for a lookup that may be a probe
 
-	latencyWindow                                     = 10                         // of a cache or parent, over which its mean is taken
-	probeInterval                                     = 1 * second                 // between trials of a cache or parent that is out
-	slowMultiple, slowFirstByteFloor, slowBudgetShare = 3.0, 250 * millisecond, .1 // of others' mean; past it, of first bytes; of a budget
+	// A cache is ejected as slow when its mean latency is past slowMultiple of the mean of the others of its group, and past that
+	// mean by slowFirstByteFloor (latency to the first byte) or by slowBudgetShare of a latency budget (else).
+	slowMultiple       = 3.0
+	slowFirstByteFloor = 250 * millisecond
+	slowBudgetShare    = 0.1
 )
 
-// noteSuccess notes a good answer; a good probe readmits a cache; one that died warms up as if started then.
-func (r *Router) noteSuccess(c *Cache, s *Attempt) {
-	c.lastSuccessAt, c.failuresInRow, c.errorsInRow = r.now, 0, 0
-	if c.ejected && c.probe == s {
-		if c.restartsCold || c.warmingSince == 0 && c.Kind == r.settings.ParentKind && r.now-c.ejectedAt > coldAfterOutage {
-			c.beginSlowStart(r.now, r.now)
+// noteSuccess notes a good answer. A good probe readmits an ejected cache; one that died begins its slow start then.
+func (r *Router) noteSuccess(cache *Cache, attempt *Attempt) {
+	cache.lastSuccessAt = r.now
+	cache.failuresInRow = 0
+	cache.errorsInRow = 0
+	if cache.ejected && cache.probe == attempt {
+		longOut := r.now-cache.ejectedAt > coldAfterOutage
+		if cache.restartsCold || cache.warmingSince == 0 && cache.Kind == r.settings.ParentKind && longOut {
+			cache.beginSlowStart(r.now, r.now)
 		}
-		c.ejected, c.latencySamples = false, 0
-		r.logf("%s back after %d us", c.Name, r.now-c.ejectedAt)
+		cache.ejected = false
+		cache.latency.count = 0
+		r.logf("%s readmitted after %d us", cache.Name, r.now-cache.ejectedAt)
 	}
-	c.restartsCold = c.restartsCold && c.ejected
+	cache.restartsCold = cache.restartsCold && cache.ejected
 }
 
-// countFailures weighs one account: so many in a row eject the cache, a failed probe puts the next one off.
-func (r *Router) countFailures(c *Cache, n, most int, why string) {
-	if c.ejected {
-		c.nextProbeAt, c.isOnlySlow = r.now+probeInterval, false
-	} else if n >= most {
-		r.eject(c, fmt.Sprintf("%s, %d in a row", why, n))
+// countFailures takes the number of failures of one sort in a row. Enough of them eject the cache; a failed probe puts off the next one.
+func (r *Router) countFailures(cache *Cache, inRow, limit int, reason string) {
+	if cache.ejected {
+		cache.nextProbeAt = r.now + probeInterval
+		cache.isOnlySlow = false
+	} else if inRow >= limit {
+		r.eject(cache, fmt.Sprintf("%s, %d in a row", reason, inRow))
 	}
 }
 
-func (r *Router) eject(c *Cache, why string) {
-	c.ejected, c.ejectedAt, c.isOnlySlow = true, r.now, false
-	c.nextProbeAt = r.now + probeInterval/2 + Micros(r.random.next()%uint32(probeInterval/2))
-	r.logf("%s out: %s", c.Name, why)
+// eject puts a cache out of use but for probes, the first of them at a random time so that routers do not probe together.
+func (r *Router) eject(cache *Cache, reason string) {
+	cache.ejected = true
+	cache.ejectedAt = r.now
+	cache.isOnlySlow = false
+	cache.nextProbeAt = r.now + probeInterval/2 + Micros(r.random.next()%uint32(probeInterval/2))
+	r.logf("%s ejected: %s", cache.Name, reason)
 }
 
-// mayReceive tells whether a cache may have the lookup: one that is out gets one at a time, of no unusual size,
-// or any, where it only lags and routes leave no other edge that is in (a panic threshold).
-func (r *Router) mayReceive(c *Cache, lk *Lookup) bool {
-	in := func(o *Cache) bool { return !o.ejected && o.State == Ready && lk.scope.allowsEdge(o) }
-	return !c.ejected || c.isOnlySlow && c.overdueCount == 0 && !slices.ContainsFunc(r.edges, in) ||
-		c.probe == nil && r.now >= c.nextProbeAt && float64(lk.work) <= 1.5*lk.kind.meanWork(r.now)
+// mayReceive tells whether ejection lets a cache have the lookup. An ejected cache gets one probe at a time, of no unusual size.
+// One that is only slow gets any lookup that has no other edge cache to go to: better slow than none.
+func (r *Router) mayReceive(cache *Cache, lookup *Lookup) bool {
+	if !cache.ejected {
+		return true
+	}
+	if cache.isOnlySlow && cache.overdueCount == 0 && !r.hasUsableEdge(lookup) {
+		return true
+	}
+	return cache.probe == nil && r.now >= cache.nextProbeAt && float64(lookup.work) <= probeMaxWork*lookup.kind.meanWork(r.now)
 }
 
-// measuresLatency tells whether a send's time tells of where it went: it was answered, or ended overdue unanswered
-// (a slow cache's sends end so, and would else not count against it).
-func (r *Router) measuresLatency(s *Attempt, got *attemptReport) bool {
-	return got.outcome == OutcomeSatisfied || r.now >= s.overdueAt && (got.outcome == OutcomeTimeout || got.outcome == OutcomeCancelled)
+// hasUsableEdge tells whether some edge cache is in use that the lookup's scope allows.
+func (r *Router) hasUsableEdge(lookup *Lookup) bool {
+	return slices.ContainsFunc(r.edges, func(c *Cache) bool {
+		return !c.ejected && c.State == Ready && lookup.scope.allowsEdge(c)
+	})
 }
 
-// recordLatency keeps recent times and puts out one that lags behind its group's others, while half are in.
-func (r *Router) recordLatency(p *Cache, group []*Cache, took, n, floor float64) {
-	i := p.latencySamples % latencyWindow
-	p.recentLatency[i], p.recentSize[i] = took, n
-	if p.latencySamples++; p.latencySamples < latencyWindow || p.ejected {
-		return
+// measuresLatency tells whether an attempt's latency says something about its cache: it was answered, or it ended overdue without an answer,
+// as the attempts of a slow cache do.
+func (r *Router) measuresLatency(attempt *Attempt, report *AttemptReport) bool {
+	if report.Outcome == OutcomeSatisfied {
+		return true
 	}
-	mine, others, heard, out := p.meanLatency(), 0.0, 0.0, 1 // the unheard count as average
-	for _, o := range group {
-		if o.ejected {
-			out++
-		}
-		if o != p && o.latencySamples > 0 {
-			others, heard = others+o.meanLatency(), heard+1
-		}
-	}
-	others /= max(heard, 1)
-	if heard > 0 && 2*out <= len(group) && mine > max(slowMultiple*others, others+floor/n) {
-		r.eject(p, fmt.Sprintf("lags, mean %.0f against %.0f", mine, others))
-		p.isOnlySlow = p.Kind != r.settings.ParentKind
+	return r.now >= attempt.overdueAt && (report.Outcome == OutcomeTimeout || report.Outcome == OutcomeCancelled)
+}
+
+// latencySample is one measured latency, in microseconds.
+type latencySample struct {
+	latency float64
+	size    float64 // what it is counted over: KB, or 1 for a first byte
+	floor   float64 // a mean must exceed the others' by this, over size, to be slow
+}
+
+// latencyWindow holds the latest samples of a cache.
+type latencyWindow struct {
+	count   int // samples since it was emptied
+	latency [latencySamples]float64
+	size    [latencySamples]float64
+}
+
+func (w *latencyWindow) add(sample latencySample) {
+	i := w.count % latencySamples
+	w.latency[i] = sample.latency
+	w.size[i] = sample.size
+	w.count++
+}
+
+// mean is the latency for each unit of size.
+func (w *latencyWindow) mean() float64 {
+	latency, size := 0.0, 0.0
+	for i := range w.size {
+		latency += w.latency[i]
+		size += w.size[i]
 	}
+	return latency / max(size, 1)
 }
 
-// ejectSilent tells silent from slow. A full link makes fills late: while a cache owes one lookups look first,
-// and two looks unanswered put it out; a parent three fills, while others are heard and owe few.
-func (r *Router) ejectSilent() {
-	newest, mute := Micros(0), 0 // mute: fills that all parents owe
-	for _, c := range r.caches {
-		if c.overdueCount, c.overdueNoFill = 0, 0; c.Kind == r.settings.ParentKind {
-			newest = max(newest, c.lastSuccessAt)
-		}
+// recordLatency adds a sample of a cache, and ejects the cache if it is slow beside the others of its group, while half of them are in use.
+func (r *Router) recordLatency(cache *Cache, group []*Cache, sample latencySample) {
+	cache.latency.add(sample)
+	if cache.latency.count < latencySamples || cache.ejected {
+		return
 	}
-	for _, s := range r.openAttempts {
-		p := s.source
-		switch {
-		case r.now < s.overdueAt:
-		case s.edge.lastSuccessAt < s.startedAt:
-			s.edge.overdueCount++
-			if p == s.edge || s.lookup.passThrough {
-				s.edge.overdueNoFill++
-			}
-		case p.Kind == r.settings.ParentKind && p.lastSuccessAt < s.startedAt && r.now > s.overdueAt+200*millisecond:
-			if mute++; newest >= s.startedAt {
-				p.overdueCount++
-			}
+	others, measured := 0.0, 0.0 // the others' mean; those without a sample count as average
+	ejected := 1                 // with this one
+	for _, other := range group {
+		if other.ejected {
+			ejected++
 		}
-	}
-	for _, c := range r.caches {
-		if !c.ejected && (c.overdueNoFill >= 2 || c.Kind == r.settings.ParentKind && c.overdueCount >= 3 && 3*c.overdueCount > 2*mute) {
-			r.eject(c, fmt.Sprintf("silent, %d overdue", c.overdueCount))
+		if other != cache && other.latency.count > 0 {
+			others += other.latency.mean()
+			measured++
 		}
 	}
-	for _, s := range r.openAttempts {
-		lk := s.lookup
-		stuck := s.edge.ejected && s.edge.lastSuccessAt < s.startedAt || s.source.ejected && s.source.lastSuccessAt < s.startedAt
-		if stuck && r.now >= s.overdueAt && lk.deadline-r.now > lk.work && len(lk.attempts) < r.settings.MaxAttempts &&
-			lk.kind.Effect == Idempotent {
-			r.cancelAttempt(s)
-		}
+	others /= max(measured, 1)
+	mean := cache.latency.mean()
+	isSlow := mean > max(slowMultiple*others, others+sample.floor/sample.size)
+	if measured > 0 && 2*ejected <= len(group) && isSlow {
+		r.eject(cache, fmt.Sprintf("slow, mean %.0f against %.0f", mean, others))
+		cache.isOnlySlow = cache.Kind != r.settings.ParentKind
 	}
 }
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -1,115 +1,138 @@
-// Slow start: what a cache that started lately may be sent (rule 4).
-
 package policy
 
+// Slow start enforces rule 4: what a cache that has just started may be sent. Work is transfer time at full pace, in microseconds.
+
 const (
-	coldAfterOutage     = 3 * second // a parent out for longer may have started anew
-	stakeMaxShare       = 0.35       // of what a parent bears by the rule, for one fill that the budget is staked on
-	stakeMinWorkShare   = 0.25       // of a lookup's work has to be left to be staked on it,
-	stakeMinBudgetShare = 0.9        // or this part of a budget that is smaller
-
-	allowedShare = 0.98 // of what the rule allows a cache of full scale in its span
-	maxAtOnce    = 2.0  // of what a cold cache bears at least, in the rule's span: more would only come late
-
-	sureShare            = 0.5   // of what warm ones of its group bear a cold cache surely bears this part
-	listedShare          = 0.8   // of a link that the list tells
-	slowTransferMultiple = 2.0   // while its transfers take more than this multiple of their sending time it is sent less,
-	minSlowStartScale    = 0.125 // down to this part
+	coldAfterOutage = 3 * second // a parent ejected for longer may have restarted
+
+	allowedShare   = 0.98 // of the rule's line
+	maxAtOnce      = 2.0  // of what a cache likely bears within a window: more would only come late
+	minBreakWindow = 100 * millisecond
+
+	// What a warm cache of the group carries shows what a cold one bears: surely sureShare of it. A weight that is a capacity counts with
+	// listedShare.
+	sureShare   = 0.5
+	listedShare = 0.8
+
+	// A budget too small for a lookup is staked on it: the lookup is admitted with the probability that keeps the mean.
+	stakeMaxShare       = 0.35 // of what a parent bears, for the work of a lookup that a budget is staked on
+	stakeMinWorkShare   = 0.25 // of the lookup's work, that must be left,
+	stakeMinBudgetShare = 0.9  // or of the whole budget, if that is less
+
+	// A cache whose transfers take more than slowTransferMultiple of their time at full pace is sent less, down to minSlowStartScale.
+	slowTransferMultiple = 2.0
+	minSlowStartScale    = 0.125
+	paceFloor            = 10 * millisecond // work that every transfer costs beside its own
+	maxScaleStep         = 0.5
+
+	capacityTime = 2 * second // over which capacities are averaged
 )
 
-// slowStartShare is how much of its link a cold cache surely has by now; 1 once warm.
-func (r *Router) slowStartShare(c *Cache) float64 {
-	from, span := r.settings.SlowStartShare, r.settings.SlowStartTime
-	if c.Kind == r.settings.ParentKind {
-		from, span = r.settings.ParentSlowStartShare, r.settings.ParentSlowStartTime
+// beginSlowStart starts the slow start of a cache that started at an instant.
+func (c *Cache) beginSlowStart(startedAt, now Micros) {
+	c.warmingSince = startedAt
+	c.slowStartScale = 1
+	c.scaleUpdatedAt = now
+	c.carriedWork = decayingSum{}
+}
+
+// slowStartShare is the share of its capacity that a cache surely has by now; 1 once it is warm.
+func (r *Router) slowStartShare(cache *Cache) float64 {
+	initial, duration := r.settings.SlowStartShare, r.settings.SlowStartTime
+	if cache.Kind == r.settings.ParentKind {
+		initial, duration = r.settings.ParentSlowStartShare, r.settings.ParentSlowStartTime
 	}
-	if c.warmingSince == 0 || r.now >= c.warmingSince+span {
-		c.warmingSince = 0
+	if cache.warmingSince == 0 || r.now >= cache.warmingSince+duration {
+		cache.warmingSince = 0
 		return 1
 	}
-	return from + (1-from)*float64(max(0, r.now-c.warmingSince))/float64(span)
+	return initial + (1-initial)*float64(max(0, r.now-cache.warmingSince))/float64(duration)
 }
 
-// isWarmFor lets a warming cache's objects come home bit by bit, always the same ones first.
-func (r *Router) isWarmFor(c *Cache, hash uint64) bool {
-	return c.warmingSince == 0 || float64(mixHash(hash, c.nameHash+1)>>40)/(1<<24) < r.slowStartShare(c)
+// isWarmFor tells whether a cache has its part of the objects back by now. Objects return one by one, always the same ones first.
+func (r *Router) isWarmFor(cache *Cache, partHash uint64) bool {
+	return cache.warmingSince == 0 || float64(mixHash(partHash, cache.nameHash+1)>>40)/(1<<24) < r.slowStartShare(cache)
 }
 
-// admitSlowStart guards rule 4: this router's part of what a cold cache may be sent in any span of the rule.
-// A link likely bears what is listed, else what warm ones of its group carry times the routers; it surely
-// bears a part of that, what it was seen to carry itself, or one transfer. The send notes what it was charged.
-func (r *Router) admitSlowStart(s *Attempt, c *Cache, work float64) bool {
-	share := r.slowStartShare(c)
-	if s.slowStartCharge = 0; c.warmingSince == 0 {
+// admitSlowStart enforces rule 4 for this router's part of what a cache may be sent in any window. It tells whether the cache, if it is
+// in its slow start, may be sent so much work, and charges its budget; the attempt notes the charge.
+func (r *Router) admitSlowStart(attempt *Attempt, cache *Cache, work float64) bool {
+	share := r.slowStartShare(cache)
+	attempt.slowStartCharge = 0
+	if cache.warmingSince == 0 {
 		return true
 	}
-	carried, multiple, part := r.edgeCapacity, r.settings.BreakMultiple, 1/r.zoneRouterCount()
-	if c.Kind == r.settings.ParentKind {
-		carried, multiple, part = r.parentCapacity, r.settings.ParentBreakMultiple, 1/r.routerCount()
-	}
-	likely, sure := carried/part, sureShare*carried/part
-	if r.settings.WeightIsCapacity {
-		likely, sure = listedShare*c.Weight, listedShare*c.Weight
-	}
-	span, own := r.breakWindow(), c.carriedWork.rate(r.now)/part
-	bears := max(share*max(1, sure), own) * float64(span)
-	most := min(allowedShare*multiple*bears, maxAtOnce*max(share*likely*float64(span), bears)) * c.slowStartScale
-	left := most*part - c.slowStartSent.read(r.now, span)
-	if s.slowStartCharge = min(left, work); left >= work {
-		c.slowStartSent.add(r.now, span, work)
+	budget := r.slowStartBudget(cache, share)
+	window := r.breakWindow()
+	left := budget.total*budget.routerShare - cache.slowStartSent.read(r.now, window)
+	attempt.slowStartCharge = min(left, work)
+	if left >= work {
+		cache.slowStartSent.add(r.now, window, work)
 		return true
 	}
-	// What is left, where too small for this lookup, is staked on it, so that many routers together keep the
-	// mean, but not in crumbs, which would make all of it chance; at a parent not on a fill that a few routers
-	// with luck at once would push it over with. An edge has no other in its place for what it holds.
-	if left < min(stakeMinWorkShare*work, stakeMinBudgetShare*most*part) ||
-		c.Kind == r.settings.ParentKind && work > stakeMaxShare*multiple*bears {
+	// Staking keeps the mean where the budget of each of many routers is small. Not with crumbs, which would leave all to chance; and at a
+	// parent not for a fill that a few routers with luck at once would break it with. An edge cache has no substitute for what it holds.
+	isCrumb := left < min(stakeMinWorkShare*work, stakeMinBudgetShare*budget.total*budget.routerShare)
+	couldBreakParent := cache.Kind == r.settings.ParentKind && work > stakeMaxShare*budget.breakMultiple*budget.bears
+	if isCrumb || couldBreakParent {
 		return false
 	}
-	c.slowStartSent.add(r.now, span, left)
+	cache.slowStartSent.add(r.now, window, left)
 	return float64(r.random.next())/(1<<32) < left/work
 }
 
-// breakWindow is the span that the rule counts over.
-func (r *Router) breakWindow() Micros { return max(r.settings.BreakWindow, 100*millisecond) }
+// slowStartBudget is the work that a cache in its slow start may be sent within a window.
+type slowStartBudget struct {
+	total         float64 // by all routers
+	routerShare   float64 // of the total, for this router
+	bears         float64 // work that the cache bears
+	breakMultiple float64 // of that, at which it breaks
+}
 
-// beginSlowStart begins a slow start.
-func (c *Cache) beginSlowStart(from, now Micros) {
-	c.warmingSince, c.slowStartScale, c.scaleUpdatedAt, c.carriedWork = from, 1, now, decayingSum{}
+// slowStartBudget works out the budget of a cache that has a share of its capacity. The capacity is likely what the list says, else what warm
+// caches of its group carry for this router, times the routers. It is surely a part of that, what the cache was seen to carry, or one transfer.
+func (r *Router) slowStartBudget(cache *Cache, share float64) slowStartBudget {
+	carried, multiple, routerShare := r.edgeCapacity, r.settings.BreakMultiple, 1/r.zoneRouterCount()
+	if cache.Kind == r.settings.ParentKind {
+		carried, multiple, routerShare = r.parentCapacity, r.settings.ParentBreakMultiple, 1/r.routerCount()
+	}
+	likely, sure := carried/routerShare, sureShare*carried/routerShare
+	if r.settings.WeightIsCapacity {
+		likely, sure = listedShare*cache.Weight, listedShare*cache.Weight
+	}
+	window := float64(r.breakWindow())
+	seen := cache.carriedWork.rate(r.now) / routerShare
+	bears := max(share*max(1, sure), seen) * window
+	total := min(allowedShare*multiple*bears, maxAtOnce*max(share*likely*window, bears)) * cache.slowStartScale
+	return slowStartBudget{total: total, routerShare: routerShare, bears: bears, breakMultiple: multiple}
 }
 
-// observePace learns from a transfer of a cold cache. A slow one shows a link shared by more than it carries,
-// to every router alike; hence by time, so that a router that sees few learns as fast as the others.
-func (r *Router) observePace(c *Cache, took, work Micros) {
-	if c.warmingSince == 0 {
+// breakWindow is the window over which rule 4 counts.
+func (r *Router) breakWindow() Micros { return max(r.settings.BreakWindow, minBreakWindow) }
+
+// observePace learns from a transfer of a cache in its slow start. A slow one shows a link that is shared by more than it carries, to all
+// routers alike: the scale moves with time, so that a router that sees few transfers learns as fast as the others.
+func (r *Router) observePace(cache *Cache, latency, work Micros) {
+	if cache.warmingSince == 0 {
 		return
 	}
-	since := min(1, 2*float64(r.now-c.scaleUpdatedAt)/float64(r.breakWindow()))
-	pace := float64(took) / float64(work+10*millisecond)
-	c.slowStartScale *= 1 + since*min(0.5, max(-0.5, slowTransferMultiple-pace))
-	c.slowStartScale, c.scaleUpdatedAt = min(1, max(minSlowStartScale, c.slowStartScale)), r.now
+	step := min(1, 2*float64(r.now-cache.scaleUpdatedAt)/float64(r.breakWindow()))
+	pace := float64(latency) / float64(work+paceFloor)
+	scale := cache.slowStartScale * (1 + step*min(maxScaleStep, max(-maxScaleStep, slowTransferMultiple-pace)))
+	cache.slowStartScale = min(1, max(minSlowStartScale, scale))
+	cache.scaleUpdatedAt = r.now
 }
 
-// observeCapacity follows what a warm cache of a group bears for this router.
+// observeCapacity follows the mean of what the warm caches of a group carry for this router.
 func (r *Router) observeCapacity(group []*Cache, mean *float64) {
-	carried, n := 0.0, 0.0
+	carried, count := 0.0, 0.0
 	for _, c := range group {
 		if c.warmingSince == 0 && !c.ejected {
-			carried, n = carried+c.carriedWork.rate(r.now), n+1
+			carried += c.carriedWork.rate(r.now)
+			count++
 		}
 	}
-	if n > 0 {
-		*mean += (carried/n - *mean) * float64(sweepInterval) / float64(2*second)
-	}
-}
-
-// routerCount is how many there are: as told at the start, or more where a fleet that knows itself counts more.
-func (r *Router) routerCount() float64 { return float64(max(r.settings.Gateways, r.FleetSize, 1)) }
-
-// zoneRouterCount is how many routers share the location.
-func (r *Router) zoneRouterCount() float64 {
-	if r.settings.Zone < len(r.settings.ZoneGateways) {
-		return float64(max(r.settings.ZoneGateways[r.settings.Zone], 1)) * (r.routerCount() / float64(max(r.settings.Gateways, 1)))
+	if count > 0 {
+		*mean += (carried/count - *mean) * float64(sweepInterval) / float64(capacityTime)
 	}
-	return r.routerCount()
 }
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -11,27 +11,27 @@
 func TestHitsGiveBackTheirCharge(t *testing.T) {
 	for _, late := range []Micros{20 * millisecond, 900 * millisecond, 3 * second} {
 		t.Run(fmt.Sprintf("hits after %d ms", late/millisecond), func(t *testing.T) {
-			f, all := play(t, func(c *Settings) { c.ZoneGateways, c.Gateways = []int{20}, 20 })
+			f, all := newFixture(t, func(c *Settings) { c.ZoneGateways, c.Gateways = []int{20}, 20 })
 			parents := all[3:5]
 			for _, p := range parents {
-				f.relist(p, Ready, f.now)
+				f.updateEndpoint(p, Ready, f.now)
 			}
 			staked, ended := 0, 0
 			for i := range 2000 {
 				f.now += 5 * millisecond
-				f.ask(0, fmt.Sprint("o", i))
-				for ended < len(f.sends) && f.now >= f.sends[ended].lk.attempts[f.sends[ended].n].startedAt+late {
-					s := f.sends[ended]
-					if ended++; s.source.Kind != 1 || s.lk.ended {
+				f.lookUp(0, fmt.Sprint("o", i))
+				for ended < len(f.attempts) && f.now >= f.attempts[ended].lookup.attempts[f.attempts[ended].number].startedAt+late {
+					s := f.attempts[ended]
+					if ended++; s.Source.Kind != 1 || s.lookup.ended {
 						continue
 					}
-					if charge := s.lk.attempts[s.n].slowStartCharge; charge < float64(s.lk.work) {
+					if charge := s.lookup.attempts[s.number].slowStartCharge; charge < float64(s.lookup.work) {
 						staked++
 					}
-					f.end(s, OutcomeSatisfied, DetailHit, late)
+					f.endAttempt(s, OutcomeSatisfied, DetailHit, late)
 				}
 				for _, p := range parents {
-					if charged := p.slowStartSent.read(f.now, f.r.breakWindow()); charged < -1 {
+					if charged := p.slowStartSent.read(f.now, f.router.breakWindow()); charged < -1 {
 						t.Fatalf("%d us after the start: %.0f us of work charged to %s", f.now-100*second, charged, p.Name)
 					}
 				}
--- a/internal/settings/frozen_test.go
+++ b/internal/settings/frozen_test.go
@@ -2,52 +2,35 @@
 
 import (
 	"fmt"
-	"os"
 	"strings"
 	"testing"
+
+	"foldslip/internal/lab/frozen"
 )
 
 // TestFrozenSettings reads settings texts as the platform sends them: testdata/NAME.txt holds what an earlier build understood.
 func TestFrozenSettings(t *testing.T) {
 	for _, name := range []string{"full", "bare", "words", "silent"} {
 		t.Run(name, func(t *testing.T) {
-			text, err := os.ReadFile("testdata/" + name + ".json")
+			got, err := Parse(frozen.Read(t, name+".json"))
 			if err != nil {
 				t.Fatal(err)
 			}
-			got, err := Parse(text)
-			if err != nil {
-				t.Fatal(err)
-			}
-			compareWithFile(t, "testdata/"+name+".txt", describe(got))
+			frozen.Equal(t, name+".txt", []byte(describe(got)))
 		})
 	}
 }
 
 // TestFrozenRefusals compares the errors for settings that are refused, one a line of testdata/refused.txt: they reach the platform.
 func TestFrozenRefusals(t *testing.T) {
-	texts, err := os.ReadFile("testdata/refused.txt")
-	if err != nil {
-		t.Fatal(err)
-	}
+	texts := frozen.Read(t, "refused.txt")
 	var got strings.Builder
 	for text := range strings.Lines(string(texts)) {
 		_, err := Parse([]byte(text))
 		reason, _, _ := strings.Cut(fmt.Sprint(err), " json: ") // the library's part names Go types
 		fmt.Fprintln(&got, reason)
 	}
-	compareWithFile(t, "testdata/refused.errors.txt", got.String())
-}
-
-func compareWithFile(t *testing.T, path, got string) {
-	t.Helper()
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs; got:\n%s\nwant:\n%s", path, got, want)
-	}
+	frozen.Equal(t, "refused.errors.txt", []byte(got.String()))
 }
 
 // describe lists every value that was read, under labels that don't follow the names of fields.
--- a/internal/simadapter/fields.go
+++ b/internal/simadapter/fields.go
@@ -9,176 +9,160 @@
 	"foldslip/internal/policy"
 )
 
-// fields are the values of one line, taken in order; the first that cannot be read is the error.
+// FieldError says that a line could not be read, and what was expected.
+type FieldError struct {
+	Message string // of the protocol
+	Problem string
+}
+
+func (e *FieldError) Error() string { return e.Message + ": " + e.Problem }
+
+// UnexpectedMessageError says that a line of another message was expected.
+type UnexpectedMessageError struct {
+	Message  string
+	Expected string
+}
+
+func (e *UnexpectedMessageError) Error() string {
+	return fmt.Sprintf("message %q, expected %s", e.Message, e.Expected)
+}
+
+// fields are the values of one line, read in order. The first one that cannot be read sets err; the methods return zero values from then on.
 type fields struct {
-	message, remaining string
-	more               bool
-	err                error
+	message   string
+	remaining string
+	more      bool // remaining holds a value, which may be empty
+	err       error
 }
 
+// splitLine splits a line into its message and values.
 func splitLine(line string) *fields {
-	word, left, more := strings.Cut(line, " ")
-	return &fields{message: word, remaining: left, more: more}
+	message, remaining, more := strings.Cut(line, " ")
+	return &fields{message: message, remaining: remaining, more: more}
 }
 
+// reject notes that a field could not be read.
 func (f *fields) reject(field, got, want string) {
+	f.fail(fmt.Sprintf("%s is %q, expected %s", field, got, want))
+}
+
+// fail notes the line's first problem.
+func (f *fields) fail(problem string) {
 	if f.err == nil {
-		f.err = fmt.Errorf("%s: %s is %q, expected %s", f.message, field, got, want)
+		f.err = &FieldError{Message: f.message, Problem: problem}
+	}
+}
+
+// finish returns the line's error, which may be that values are left over.
+func (f *fields) finish() error {
+	if f.more {
+		f.fail(fmt.Sprintf("%q is left over, expected the line's end", f.remaining))
 	}
+	return f.err
 }
 
-// optional takes the next value; one that is absent is empty.
+// optional reads a value that may be absent, which is empty then.
 func (f *fields) optional(field string) string {
 	if !f.more {
-		if f.err == nil {
-			f.err = fmt.Errorf("%s: %s is missing, the line has too few values", f.message, field)
-		}
+		f.fail(field + " is missing, the line has too few values")
 		return ""
 	}
-	var v string
-	v, f.remaining, f.more = strings.Cut(f.remaining, " ")
-	if v == "-" {
+	var value string
+	value, f.remaining, f.more = strings.Cut(f.remaining, " ")
+	switch value {
+	case "-":
 		return ""
+	case "":
+		f.reject(field, value, "a value or -")
 	}
-	if v == "" {
-		f.reject(field, v, "a value or -")
-	}
-	return v
+	return value
 }
 
+// text reads a value that must be there.
 func (f *fields) text(field string) string {
-	v := f.optional(field)
-	if v == "" {
+	value := f.optional(field)
+	if value == "" {
 		f.reject(field, "-", "a value")
 	}
-	return v
+	return value
 }
 
-// rest takes all that is left of the line.
+// rest reads everything up to the line's end.
 func (f *fields) rest(field string) string {
 	if !f.more {
 		f.reject(field, "", "text to the line's end")
 	}
-	v := f.remaining
+	value := f.remaining
 	f.remaining, f.more = "", false
-	return v
-}
-
-// finish gives the line's fault, if any.
-func (f *fields) finish() error {
-	if f.err == nil && f.more {
-		f.err = fmt.Errorf("%s: %q is left over, expected the line's end", f.message, f.remaining)
-	}
-	return f.err
+	return value
 }
 
+// micros reads a whole number; 0 if it is absent.
 func (f *fields) micros(field string) policy.Micros {
-	v := f.optional(field)
-	if v == "" {
+	value := f.optional(field)
+	if value == "" {
 		return 0
 	}
-	n, err := strconv.ParseInt(v, 10, 64)
+	n, err := strconv.ParseInt(value, 10, 64)
 	if err != nil {
-		f.reject(field, v, "a whole number")
+		f.reject(field, value, "a whole number")
 	}
 	return n
 }
 
+// int reads a whole number of 32 bits from 0; 0 if it is absent.
 func (f *fields) int(field string) int {
-	v := f.micros(field)
-	if v < 0 || v > math.MaxInt32 {
-		f.reject(field, strconv.FormatInt(v, 10), "a whole number from 0")
+	n := f.micros(field)
+	if n < 0 || n > math.MaxInt32 {
+		f.reject(field, strconv.FormatInt(n, 10), "a whole number from 0")
 	}
-	return int(v)
+	return int(n)
 }
 
 func (f *fields) seed(field string) uint64 {
-	v := f.text(field)
-	n, err := strconv.ParseUint(v, 10, 64)
+	value := f.text(field)
+	n, err := strconv.ParseUint(value, 10, 64)
 	if err != nil {
-		f.reject(field, v, "a whole number from 0")
+		f.reject(field, value, "a whole number from 0")
 	}
 	return n
 }
 
+// float reads a number from 0; 0 if it is absent.
 func (f *fields) float(field string) float64 {
-	v := f.optional(field)
-	if v == "" {
+	value := f.optional(field)
+	if value == "" {
 		return 0
 	}
-	n, err := strconv.ParseFloat(v, 64)
+	n, err := strconv.ParseFloat(value, 64)
 	if err != nil || math.IsNaN(n) || math.IsInf(n, 0) || n < 0 {
-		f.reject(field, v, "a number from 0")
+		f.reject(field, value, "a number from 0")
 	}
 	return n
 }
 
+// floats reads numbers set apart by commas; nil if they are absent.
 func (f *fields) floats(field string) []float64 {
-	v := f.optional(field)
-	if v == "" {
+	value := f.optional(field)
+	if value == "" {
 		return nil
 	}
-	var list []float64
-	for _, one := range strings.Split(v, ",") {
-		n, err := strconv.ParseFloat(one, 64)
+	var numbers []float64
+	for _, text := range strings.Split(value, ",") {
+		n, err := strconv.ParseFloat(text, 64)
 		if err != nil || math.IsNaN(n) || math.IsInf(n, 0) {
-			f.reject(field, v, "numbers set apart by commas")
+			f.reject(field, value, "numbers set apart by commas")
 		}
-		list = append(list, n)
+		numbers = append(numbers, n)
 	}
-	return list
+	return numbers
 }
 
+// bool reads 0 or 1; false if it is absent.
 func (f *fields) bool(field string) bool {
-	v := f.optional(field)
-	if v != "" && v != "0" && v != "1" {
-		f.reject(field, v, "0 or 1")
-	}
-	return v == "1"
-}
-
-func (f *fields) outcome(field string) policy.AttemptOutcome {
-	n := f.int(field)
-	if f.err == nil && (n < 1 || n > 9) {
-		f.reject(field, strconv.Itoa(n), "an outcome from 1 to 9")
-	}
-	return policy.AttemptOutcome(n)
-}
-
-func (f *fields) detail(field string) policy.OutcomeDetail {
-	n := f.int(field)
-	if n > 10 {
-		f.reject(field, strconv.Itoa(n), "a remark from 0 to 10")
-	}
-	return policy.OutcomeDetail(n)
-}
-
-func (f *fields) state(field string) policy.EndpointState {
-	switch v := f.text(field); v {
-	case "ready":
-		return policy.Ready
-	case "draining":
-		return policy.Draining
-	case "gone":
-		return policy.Gone
-	default:
-		f.reject(field, v, "ready, draining or gone")
-		return policy.Gone
-	}
-}
-
-func (f *fields) updateKind(field string) policy.UpdateKind {
-	switch v := f.text(field); v {
-	case "delta":
-		return policy.UpdateDelta
-	case "full":
-		return policy.UpdateFull
-	case "cached":
-		return policy.UpdateCached
-	case "failed":
-		return policy.UpdateFailed
-	default:
-		f.reject(field, v, "delta, full, cached or failed")
-		return policy.UpdateFailed
+	value := f.optional(field)
+	if value != "" && value != "0" && value != "1" {
+		f.reject(field, value, "0 or 1")
 	}
+	return value == "1"
 }
--- /dev/null
+++ b/internal/simadapter/server.go
@@ -0,0 +1,185 @@
+// Package simadapter connects routers with the bench's simulator: it reads the simulator's events line by line, reports each to the router of
+// the gateway concerned, and writes what that decides. It makes no decision of its own.
+//
+// It serves one simulator from one goroutine. protocol.go holds all words of the simulator's protocol.
+package simadapter
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+
+	"foldslip/internal/policy"
+)
+
+// ioBufferSize is that of the buffers for input and output, in bytes.
+const ioBufferSize = 1 << 20
+
+// Errors of input that ends too early.
+var (
+	ErrLineCut  = errors.New("the line is cut short, expected a line end")
+	ErrBatchCut = errors.New("input ends within a batch, expected " + messageBatchEnd)
+)
+
+// server answers the batches of one simulator.
+type server struct {
+	in       *bufio.Reader
+	out      *bufio.Writer
+	line     int // number of the last line read
+	now      policy.Micros
+	gateways map[string]*gateway
+}
+
+// Serve answers batches until the input ends. Its error names the line and the field that could not be read.
+func Serve(in io.Reader, out io.Writer) error {
+	s := &server{
+		in:       bufio.NewReaderSize(in, ioBufferSize),
+		out:      bufio.NewWriterSize(out, ioBufferSize),
+		gateways: map[string]*gateway{},
+	}
+	for {
+		if err := s.serveBatch(); err != nil {
+			if errors.Is(err, io.EOF) {
+				return nil
+			}
+			return fmt.Errorf("line %d: %w", s.line, err)
+		}
+		s.out.WriteString(messageBatchDone + "\n")
+		if err := s.out.Flush(); err != nil {
+			return err
+		}
+	}
+}
+
+// readLine reads a line. It returns io.EOF only where no line has begun.
+func (s *server) readLine() (string, error) {
+	text, err := s.in.ReadString('\n')
+	if err == io.EOF && text == "" {
+		return "", io.EOF
+	}
+	s.line++
+	if err == io.EOF {
+		return "", ErrLineCut
+	}
+	return strings.TrimSuffix(strings.TrimSuffix(text, "\n"), "\r"), err
+}
+
+// readBatchLine reads a line within a batch.
+func (s *server) readBatchLine() (string, error) {
+	text, err := s.readLine()
+	if err == io.EOF {
+		return "", ErrBatchCut
+	}
+	return text, err
+}
+
+// serveBatch reads a batch and handles its events. It returns io.EOF at the end of the input.
+func (s *server) serveBatch() error {
+	text, err := s.readLine()
+	if err != nil {
+		return err
+	}
+	f := splitLine(text)
+	if f.message != messageBatchStart {
+		return &UnexpectedMessageError{Message: f.message, Expected: messageBatchStart}
+	}
+	s.now = readBatchStart(f)
+	if err := f.finish(); err != nil {
+		return err
+	}
+	for {
+		text, err := s.readBatchLine()
+		if err != nil {
+			return err
+		}
+		if text == messageBatchEnd {
+			return nil
+		}
+		if err := s.handleEvent(splitLine(text)); err != nil {
+			return err
+		}
+	}
+}
+
+// handleEvent reports one event to its gateway.
+func (s *server) handleEvent(f *fields) error {
+	name := f.text("gateway")
+	switch f.message {
+	case messageStart:
+		return s.startGateway(name, f)
+	case messageStop:
+		delete(s.gateways, name)
+		return f.finish()
+	}
+	g := s.gateways[name]
+	if g == nil {
+		f.rejectGateway(name)
+	}
+	if f.err != nil {
+		return f.err
+	}
+	switch f.message {
+	case messageEndpoints:
+		return s.updateEndpoints(g, f)
+	case messageLookup:
+		return g.startLookup(s.now, f)
+	case messageAttemptEnded:
+		return g.endAttempt(s.now, f)
+	case messageClientGone:
+		return g.clientGone(s.now, f)
+	case messagePurge:
+		return g.applyPurge(s.now, f)
+	case messageTimer:
+		return g.fireTimer(s.now, f)
+	case messageProbeEnded:
+		skipProbe(f)
+		return f.finish()
+	case messageGossip, messageStreamStarted:
+		return nil
+	}
+	return &UnexpectedMessageError{Message: f.message, Expected: "an event"}
+}
+
+// updateEndpoints reads an endpoint update with its rows.
+func (s *server) updateEndpoints(g *gateway, f *fields) error {
+	kind, rows := readEndpointsHeader(f)
+	if err := f.finish(); err != nil {
+		return err
+	}
+	var endpoints []policy.Endpoint
+	for range rows {
+		text, err := s.readBatchLine()
+		if err != nil {
+			return err
+		}
+		f := splitLine(text)
+		if f.message != messageEndpoint {
+			return &UnexpectedMessageError{Message: f.message, Expected: messageEndpoint}
+		}
+		name, endpoint := readEndpoint(f)
+		if err := f.finish(); err != nil {
+			return err
+		}
+		endpoint.Cache = g.cacheNamed(name)
+		endpoints = append(endpoints, endpoint)
+	}
+	g.run(func() { g.router.UpdateEndpoints(s.now, kind, endpoints) })
+	return nil
+}
+
+// startGateway starts a gateway, in place of an earlier one of its name.
+func (s *server) startGateway(name string, f *fields) error {
+	seed, text := readStart(f)
+	if f.err != nil {
+		return f.err
+	}
+	g, err := newGateway(name, text, s.out)
+	if err != nil {
+		return f.settingsError(err)
+	}
+	s.gateways[name] = g
+	g.run(func() { g.router = policy.NewRouter(s.now, seed, g.settings, g) })
+	return nil
+}
--- a/internal/telemetry/frozen_test.go
+++ b/internal/telemetry/frozen_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"os"
 	"strings"
 	"testing"
 
@@ -11,6 +10,7 @@
 	"go.opentelemetry.io/otel/sdk/trace/tracetest"
 
 	"foldslip/internal/dispatch"
+	"foldslip/internal/lab/frozen"
 	"foldslip/internal/policy"
 	"foldslip/internal/retry"
 	"foldslip/internal/route"
@@ -27,10 +27,10 @@
 	for _, end := range []dispatch.Step{{Kind: dispatch.StepSatisfied}, {Kind: dispatch.StepRejected, RetryAfter: 2500}, {Kind: dispatch.StepFailed}, {Kind: dispatch.StepClientGone}} {
 		lk := &retry.Lookup{Object: "o", Group: 3, Request: &route.Lookup{ID: "a1", Part: 2, KB: 12.5}, Ticket: routed}
 		tracer.LookupStarted(lk, headers("", 0))
-		tracer.StepDecided(lk, dispatch.Step{Kind: dispatch.StepFetch, Attempt: 0, Cache: edge, Source: parent, Rank: 3, Timeout: 99})
+		tracer.StepDecided(lk, dispatch.Step{Kind: dispatch.StepFetch, Attempt: 0, FetchRequest: policy.FetchRequest{Cache: edge, Source: parent, Rank: 3, Timeout: 99}})
 		tracer.StepDecided(lk, dispatch.Step{Kind: dispatch.StepCancel, Attempt: 0})
 		for how := policy.OutcomeSatisfied; how <= policy.OutcomeMiss; how++ {
-			tracer.StepDecided(lk, dispatch.Step{Kind: dispatch.StepFetch, Attempt: int(how), Cache: edge, Source: edge})
+			tracer.StepDecided(lk, dispatch.Step{Kind: dispatch.StepFetch, Attempt: int(how), FetchRequest: policy.FetchRequest{Cache: edge, Source: edge}})
 			tracer.AttemptEnded(lk, retry.Report{Lookup: lk, Attempt: int(how), Outcome: how, Detail: policy.DetailStale})
 		}
 		tracer.StepDecided(lk, end)
@@ -51,16 +51,5 @@
 			list("    ", e.Attributes)
 		}
 	}
-	compareWithFile(t, "testdata/spans.txt", got.String())
-}
-
-func compareWithFile(t *testing.T, path, got string) {
-	t.Helper()
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs; got:\n%s\nwant:\n%s", path, got, want)
-	}
+	frozen.Equal(t, "spans.txt", []byte(got.String()))
 }
--- a/internal/telemetry/trace_test.go
+++ b/internal/telemetry/trace_test.go
@@ -29,9 +29,9 @@
 	lk := &retry.Lookup{Object: "o", Group: 3}
 	tracer.LookupStarted(lk, headers(traceparent, times))
 	cache, other := &policy.Cache{Name: "c0"}, &policy.Cache{Name: "c1"}
-	tracer.StepDecided(lk, dispatch.Step{Kind: dispatch.StepFetch, Attempt: 0, Cache: cache, Source: other})
+	tracer.StepDecided(lk, dispatch.Step{Kind: dispatch.StepFetch, Attempt: 0, FetchRequest: policy.FetchRequest{Cache: cache, Source: other}})
 	tracer.AttemptEnded(lk, retry.Report{Lookup: lk, Attempt: 0, Outcome: policy.OutcomeRejected})
-	tracer.StepDecided(lk, dispatch.Step{Kind: dispatch.StepFetch, Attempt: 1, Cache: other, Source: other})
+	tracer.StepDecided(lk, dispatch.Step{Kind: dispatch.StepFetch, Attempt: 1, FetchRequest: policy.FetchRequest{Cache: other, Source: other}})
 	tracer.AttemptEnded(lk, retry.Report{Lookup: lk, Attempt: 1, Outcome: policy.OutcomeSatisfied})
 	tracer.AttemptEnded(lk, retry.Report{Lookup: lk, Attempt: 1, Outcome: policy.OutcomeSatisfied}) // nothing to end
 	tracer.StepDecided(lk, dispatch.Step{Kind: dispatch.StepSatisfied, Attempt: 1})
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -386,7 +386,8 @@
 			status, text = 503, "past a limit: "+string(why)
 			break
 		}
-		o.dispatched = f.dispatcher.SubmitWithin(req.ID, kind, req.Object, req.Part, req.Group, req.SizeKB, came.Add(req.TimeAllowed), scope, nil)
+		o.dispatched = f.dispatcher.Submit(dispatch.Request{ID: req.ID, Kind: kind, Object: req.Object, Part: req.Part, Group: req.Group, SizeKB: req.SizeKB,
+			Deadline: came.Add(req.TimeAllowed), Scope: scope})
 		if o.dispatched == nil {
 			f.gate.Release()
 			o.endTicket(dispatch.StepFailed, false)
