--- a/internal/dispatch/lookup.go
+++ b/internal/dispatch/lookup.go
@@ -10,7 +10,7 @@
 )
 
 // DeadlineSlack is the time past its deadline after which a lookup that nothing has ended is failed, within the slack that its answer has:
-// by WaitStep, or with FailOverdue by whoever uses NextStep.
+// by WaitStep, or by a caller of NextStep with FailOverdue.
 const DeadlineSlack = 20 * time.Millisecond
 
 // StepKind is what is to be done for a lookup.
@@ -152,8 +152,8 @@
 		d.router.MayStartAttempt(d.now(), lookup.routed, step.Attempt)
 }
 
-// AttemptEnded reports the end of an attempt. sourceWait is how long the cache waited for its source's first byte. It returns false for an answer that came too late to be
-// used.
+// AttemptEnded reports the end of an attempt; sourceWait is how long the cache waited for the first byte of its source. It returns true if the
+// attempt's answer is the lookup's, and false if there is none or it came too late.
 func (d *Dispatcher) AttemptEnded(lookup *Lookup, attempt int, outcome policy.AttemptOutcome, detail policy.OutcomeDetail,
 	sourceWait policy.Micros) (used bool) {
 	d.mu.Lock()
--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -67,7 +67,7 @@
 }
 
 // closeAttempt removes an attempt that has ended from those that are open.
-func (r *Router) closeAttempt(attempt *Attempt, report *AttemptReport) {
+func (r *Router) closeAttempt(attempt *Attempt, report AttemptReport) {
 	attempt.lookup.openAttempts--
 	isEnded := func(other *Attempt) bool { return other == attempt }
 	r.openAttempts = slices.DeleteFunc(r.openAttempts, isEnded)
--- a/internal/policy/cache.go
+++ b/internal/policy/cache.go
@@ -24,7 +24,7 @@
 
 	// Slow start (slowstart.go).
 	warmingSince   Micros        // 0: it is warm
-	slowStartSent  slidingWindow // work sent to it or staked on it while it warms
+	slowStartSent  slidingWindow // work charged to it while it warms
 	slowStartScale float64       // of what it is sent while it warms, 0 to 1
 	scaleUpdatedAt Micros
 	carriedWork    decayingSum // transfer time carried for this router
--- a/internal/policy/edge.go
+++ b/internal/policy/edge.go
@@ -69,7 +69,7 @@
 }
 
 // noteEdgeOutcome learns about the edge cache from the end of an attempt.
-func (r *Router) noteEdgeOutcome(attempt *Attempt, report *AttemptReport) {
+func (r *Router) noteEdgeOutcome(attempt *Attempt, report AttemptReport) {
 	cache, lookup := attempt.edge, attempt.lookup
 	cache.openCount--
 	// A fill's latency is its source's. Where hits are not reported as such, all attempts count.
@@ -95,7 +95,7 @@
 }
 
 // noteEdgeAnswer learns from an answer that shows a working cache.
-func (r *Router) noteEdgeAnswer(attempt *Attempt, report *AttemptReport) {
+func (r *Router) noteEdgeAnswer(attempt *Attempt, report AttemptReport) {
 	cache, lookup := attempt.edge, attempt.lookup
 	r.noteSuccess(cache, attempt)
 	if report.Outcome == OutcomeSatisfied {
@@ -120,7 +120,7 @@
 }
 
 // noteEdgeDisconnection counts a connection that was refused or broke. A reset alone does not mean that the cache died.
-func (r *Router) noteEdgeDisconnection(attempt *Attempt, report *AttemptReport) {
+func (r *Router) noteEdgeDisconnection(attempt *Attempt, report AttemptReport) {
 	cache, lookup := attempt.edge, attempt.lookup
 	isRefused := report.Outcome == OutcomeConnectFailed
 	cache.restartsCold = cache.restartsCold || isRefused
--- a/internal/policy/fills.go
+++ b/internal/policy/fills.go
@@ -15,12 +15,12 @@
 	hitWorkMultiple = 2
 )
 
-// fillLimit bounds the fills of this router that are open at once. It applies while fills are under pressure: some were late or found no slot.
+// fillLimit bounds the fills of this router that are open at once. It applies for some time after fills were late or found no slot.
 type fillLimit struct {
 	limit        float64
 	cutAt        Micros
-	nextAt       Micros // earliest start of the next fill, where the limit is below one
-	pressedUntil Micros
+	nextAt       Micros      // earliest start of the next fill, where the limit is below one
+	limitedUntil Micros      // the limit applies until then
 	recent       decayingSum // fills
 	recentLate   decayingSum
 }
@@ -31,7 +31,7 @@
 }
 
 // noteFill learns from an attempt that named a source whether there are too many fills for what is behind them.
-func (r *Router) noteFill(attempt *Attempt, report *AttemptReport) {
+func (r *Router) noteFill(attempt *Attempt, report AttemptReport) {
 	lookup := attempt.lookup
 	budget := lookup.latencyBudget()
 	r.fills.nextAt = r.nextTurn(r.fills.limit, min(report.Latency, budget))
@@ -53,7 +53,7 @@
 }
 
 // adjustFillLimit raises the limit after a fill in time, and cuts it once too many were late.
-func (r *Router) adjustFillLimit(report *AttemptReport, budget Micros) {
+func (r *Router) adjustFillLimit(report AttemptReport, budget Micros) {
 	isAnswered := report.Outcome == OutcomeSatisfied
 	switch {
 	case isAnswered && report.Latency <= budget: // all routers of the zone together raise it as one alone would
@@ -75,10 +75,10 @@
 		floor += math.Sqrt(floor) * (1 - 1/r.zoneRouterCount()) // not all routers are busy at once
 		r.fills.limit = max(floor, fillLimitCut*min(r.fills.limit, r.countOpenFills(r.openAttempts)+1))
 	}
-	if r.fills.pressedUntil < r.now {
+	if r.fills.limitedUntil < r.now {
 		r.logf("fills pressed, limit %.1f", r.fills.limit)
 	}
-	r.fills.pressedUntil = r.now + fillPressureTime
+	r.fills.limitedUntil = r.now + fillPressureTime
 }
 
 // countOpenFills counts those attempts that are fills or open for too long to be hits.
--- a/internal/policy/logic_test.go
+++ b/internal/policy/logic_test.go
@@ -207,7 +207,7 @@
 		for range 2 {
 			f.now += 100 * millisecond
 			s := &Attempt{lookup: f.lookUp(0, "a"), edge: all[0], source: all[0], startedAt: f.now}
-			f.router.noteEdgeOutcome(s, &AttemptReport{Outcome: OutcomeConnectFailed})
+			f.router.noteEdgeOutcome(s, AttemptReport{Outcome: OutcomeConnectFailed})
 		}
 		if !all[0].ejected {
 			t.Fatal("two refused connections and not out")
@@ -631,7 +631,7 @@
 			f.lookUp(0, "b")
 			f.now += 2 * second
 			f.endAttempt(f.lastAttempt(), OutcomeSatisfied, DetailFilled, 2*second)
-			if f.router.fills.limit >= initialLimit || f.router.fills.pressedUntil <= f.now {
+			if f.router.fills.limit >= initialLimit || f.router.fills.limitedUntil <= f.now {
 				t.Fatalf("a late fill left the limit at %.1f", f.router.fills.limit)
 			}
 		}
@@ -652,7 +652,7 @@
 				}
 				f.endAttempt(f.lastAttempt(), OutcomeSatisfied, DetailFilled, took)
 			}
-			return f.router.fills.pressedUntil > f.now
+			return f.router.fills.limitedUntil > f.now
 		}
 		if fill(400, 1000) || fill(400, 25) {
 			t.Fatal("pressed by a few late fills")
--- a/internal/policy/move_test.go
+++ b/internal/policy/move_test.go
@@ -78,7 +78,7 @@
 			f.endAttempt(f.lastAttempt(), OutcomeSatisfied, DetailNone, 2*second) // a slow transfer of a hit, maybe
 			f.advance(10 * millisecond)
 		}
-		if f.router.fills.pressedUntil > f.now {
+		if f.router.fills.limitedUntil > f.now {
 			t.Fatal("fills are pressed by late answers")
 		}
 		n := len(f.attempts)
@@ -89,7 +89,7 @@
 		for _, s := range f.attempts[n:] {
 			f.endAttempt(s, OutcomeTimeout, DetailNone, 2*second)
 		}
-		if f.router.fills.pressedUntil <= f.now {
+		if f.router.fills.limitedUntil <= f.now {
 			t.Fatal("fills are not pressed")
 		}
 	})
--- a/internal/policy/outcome.go
+++ b/internal/policy/outcome.go
@@ -11,15 +11,15 @@
 }
 
 // isHit tells whether the cache answered from what it had cached.
-func (r *AttemptReport) isHit() bool { return r.Detail == DetailHit || r.Detail == DetailStale }
+func (r AttemptReport) isHit() bool { return r.Detail == DetailHit || r.Detail == DetailStale }
 
 // isFill tells whether the cache answered after it had fetched the object from its source.
-func (r *AttemptReport) isFill() bool {
+func (r AttemptReport) isFill() bool {
 	return r.Detail == DetailFilled || r.Detail == DetailFilledFromOrigin
 }
 
 // isUnexplained tells whether an attempt ended with an error of which the cache says nothing more.
-func (r *AttemptReport) isUnexplained(outcome AttemptOutcome) bool {
+func (r AttemptReport) isUnexplained(outcome AttemptOutcome) bool {
 	return r.Outcome == outcome && r.Detail == DetailNone
 }
 
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -77,7 +77,7 @@
 
 // measuresLatency tells whether an attempt's latency says something about its cache: it was answered, or it ended overdue without an answer,
 // as the attempts of a slow cache do.
-func (r *Router) measuresLatency(attempt *Attempt, report *AttemptReport) bool {
+func (r *Router) measuresLatency(attempt *Attempt, report AttemptReport) bool {
 	if report.Outcome == OutcomeSatisfied {
 		return true
 	}
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -10,7 +10,7 @@
 )
 
 // decideNext decides what follows the end of an attempt: nothing, a retry or the lookup's end.
-func (r *Router) decideNext(attempt *Attempt, report *AttemptReport) {
+func (r *Router) decideNext(attempt *Attempt, report AttemptReport) {
 	lookup := attempt.lookup
 	for _, c := range []*Cache{attempt.edge, attempt.source} {
 		if c.probe == attempt {
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -69,7 +69,7 @@
 // stage is a step of a lookup's way to an attempt and of a report's way back.
 type stage struct {
 	decide  func(*Router, *Attempt) stageResult
-	observe func(*Router, *Attempt, *AttemptReport) // nil: the stage learns nothing from reports
+	observe func(*Router, *Attempt, AttemptReport) // nil: the stage learns nothing from reports
 }
 
 // NewRouter makes a router that has no caches yet; UpdateEndpoints brings them. Its random draws follow from the seed.
@@ -178,7 +178,7 @@
 	lookup.ended = lookup.ended || report.LookupEnded
 	for i := len(r.stages) - 1; i >= 0; i-- {
 		if r.stages[i].observe != nil {
-			r.stages[i].observe(r, attempt, &report)
+			r.stages[i].observe(r, attempt, report)
 		}
 	}
 	r.sendQueued()
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -1,6 +1,6 @@
 package policy
 
-// Settings are what a router is told of its deployment when it starts. They must not change while a Router uses them.
+// Settings describe the deployment to a router when it starts. They must not change while a Router uses them.
 type Settings struct {
 	Gateways     int   // routers in the whole deployment
 	Zone         int   // this router's own
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -14,10 +14,10 @@
 	sureShare   = 0.5
 	listedShare = 0.8
 
-	// A budget too small for a lookup is staked on it: the lookup is admitted with the probability that keeps the mean.
-	stakeMaxShare       = 0.35 // of what a parent bears, for the work of a lookup that a budget is staked on
-	stakeMinWorkShare   = 0.25 // of the lookup's work, that must be left,
-	stakeMinBudgetShare = 0.9  // or of the whole budget, if that is less
+	// Where what is left of a budget is too small for a lookup, the lookup is admitted at random, with the probability that keeps the mean.
+	randomAdmitMaxShare       = 0.35 // of what a parent bears, for the work of a lookup admitted so
+	randomAdmitMinWorkShare   = 0.25 // of the lookup's work, that must be left,
+	randomAdmitMinBudgetShare = 0.9  // or of the whole budget, if that is less
 
 	// A cache whose transfers take more than slowTransferMultiple of their time at full pace is sent less, down to minSlowStartScale.
 	slowTransferMultiple = 2.0
@@ -70,10 +70,10 @@
 		cache.slowStartSent.add(r.now, window, work)
 		return true
 	}
-	// Staking keeps the mean where the budget of each of many routers is small. Not with crumbs, which would leave all to chance; and at a
+	// Admission at random keeps the mean where the budget of each of many routers is small. Not with crumbs, which would leave all to chance; and at a
 	// parent not for a fill that a few routers with luck at once would break it with. An edge cache has no substitute for what it holds.
-	isCrumb := left < min(stakeMinWorkShare*work, stakeMinBudgetShare*budget.total*budget.routerShare)
-	couldBreakParent := cache.Kind == r.settings.ParentKind && work > stakeMaxShare*budget.breakMultiple*budget.bears
+	isCrumb := left < min(randomAdmitMinWorkShare*work, randomAdmitMinBudgetShare*budget.total*budget.routerShare)
+	couldBreakParent := cache.Kind == r.settings.ParentKind && work > randomAdmitMaxShare*budget.breakMultiple*budget.bears
 	if isCrumb || couldBreakParent {
 		return false
 	}
--- a/internal/policy/source.go
+++ b/internal/policy/source.go
@@ -11,16 +11,16 @@
 // What runs at the origin names the origin, as parents hold nothing of it and would cost it time.
 func (r *Router) chooseSource(attempt *Attempt) stageResult {
 	lookup := attempt.lookup
-	isPressed := r.fills.pressedUntil > r.now
-	if r.mustLookFirst(attempt, isPressed) {
+	fillsLimited := r.fills.limitedUntil > r.now
+	if r.mustLookFirst(attempt, fillsLimited) {
 		if lookup.missedAt == nil || lookup.acceptsStale {
 			attempt.source = attempt.edge
-			if !isPressed {
+			if !fillsLimited {
 				attempt.mode &^= ModeCoalesce // a quick miss shows that a cache with overdue fills is alive
 			}
 			return proceed
 		}
-		if isPressed && !r.fills.allow(r.now, r.countOpenFills(r.openAttempts)) {
+		if fillsLimited && !r.fills.allow(r.now, r.countOpenFills(r.openAttempts)) {
 			return holdLookup
 		}
 	}
@@ -28,15 +28,15 @@
 	return proceed
 }
 
-// mustLookFirst tells whether an edge cache is to be asked for its copy alone before a fill is started: while fills are under pressure, so that
-// hits go on, or while the cache owes overdue answers. Not at a cache in its slow start, where such an attempt counts as much as the
+// mustLookFirst tells whether an edge cache is to be asked for its copy alone before a fill is started: while fills are limited, so that hits
+// go on, or while the cache owes overdue answers. Not at a cache in its slow start, where such an attempt counts as much as the
 // fill that follows it (rule 4), and most of them miss.
-func (r *Router) mustLookFirst(attempt *Attempt, isPressed bool) bool {
+func (r *Router) mustLookFirst(attempt *Attempt, fillsLimited bool) bool {
 	lookup, edge := attempt.lookup, attempt.edge
 	if lookup.passThrough {
 		return false
 	}
-	return isPressed && edge.warmingSince == 0 || edge.overdueCount > 0 || lookup.acceptsStale
+	return fillsLimited && edge.warmingSince == 0 || edge.overdueCount > 0 || lookup.acceptsStale
 }
 
 // fillSource is the source of an attempt's fill. Where neither a parent nor the origin is usable it is the edge cache: no fill.
@@ -61,7 +61,7 @@
 }
 
 // noteSourceOutcome learns about the source of a fill, and about fills as a whole, from the end of an attempt.
-func (r *Router) noteSourceOutcome(attempt *Attempt, report *AttemptReport) {
+func (r *Router) noteSourceOutcome(attempt *Attempt, report AttemptReport) {
 	lookup, source := attempt.lookup, attempt.source
 	if source == attempt.edge {
 		if report.Outcome == OutcomeMiss {
@@ -79,7 +79,7 @@
 }
 
 // noteParentOutcome learns about a parent that an attempt named as its source.
-func (r *Router) noteParentOutcome(attempt *Attempt, report *AttemptReport) {
+func (r *Router) noteParentOutcome(attempt *Attempt, report AttemptReport) {
 	lookup, parent := attempt.lookup, attempt.source
 	isFilled := report.Outcome == OutcomeSatisfied && report.isFill()
 	if report.isHit() { // no fill reached it
@@ -108,7 +108,7 @@
 }
 
 // mayBeParentFault tells whether the cache or the parent may be at fault, so that the next attempt changes both.
-func mayBeParentFault(parent *Cache, report *AttemptReport) bool {
+func mayBeParentFault(parent *Cache, report AttemptReport) bool {
 	return report.isUnexplained(OutcomeRejected) ||
 		report.isUnexplained(OutcomeError) ||
 		report.Outcome == OutcomeMiss ||
@@ -116,7 +116,7 @@
 }
 
 // fillSample is a parent's latency: to its first byte where that is reported, else for each KB.
-func (r *Router) fillSample(lookup *Lookup, report *AttemptReport) latencySample {
+func (r *Router) fillSample(lookup *Lookup, report AttemptReport) latencySample {
 	if r.settings.ReportsFirstByte {
 		return latencySample{latency: float64(report.SourceWait), size: 1, floor: float64(slowFirstByteFloor)}
 	}
--- a/internal/simadapter/fields.go
+++ b/internal/simadapter/fields.go
@@ -15,6 +15,7 @@
 	Problem string
 }
 
+// Error says which message, which field and what was expected.
 func (e *FieldError) Error() string { return e.Message + ": " + e.Problem }
 
 // UnexpectedMessageError says that a line of another message was expected.
@@ -23,6 +24,7 @@
 	Expected string
 }
 
+// Error says what came and what was expected.
 func (e *UnexpectedMessageError) Error() string {
 	return fmt.Sprintf("message %q, expected %s", e.Message, e.Expected)
 }
--- a/internal/simadapter/server.go
+++ b/internal/simadapter/server.go
@@ -1,7 +1,7 @@
 // Package simadapter connects routers with the bench's simulator: it reads the simulator's events line by line, reports each to the router of
 // the gateway concerned, and writes what that decides. It makes no decision of its own.
 //
-// It serves one simulator from one goroutine. protocol.go holds all words of the simulator's protocol.
+// It serves one simulator from one goroutine. protocol.go alone knows its protocol.
 package simadapter
 
 import (
