--- a/internal/policy/cost_test.go
+++ b/internal/policy/cost_test.go
@@ -7,84 +7,85 @@
 	"foldslip/internal/lab/cost"
 )
 
-var costs = cost.Flags("./logic")
+var costs = cost.Flags("./internal/policy")
 
-// members is a list of n caches as one gateway of the large fleet sees it: its own edges, two parents in each of 25 zones, an origin, and
-// edges of other locations.
-func members(n, edges int) (rows []Endpoint) {
+// endpointList is a list of n caches as one gateway of the large fleet sees it: edge caches of its zone, two parents in each of 25 zones, an
+// origin, and edge caches of other zones.
+func endpointList(n, edges int) (endpoints []Endpoint) {
 	for i := range n {
-		row := Endpoint{Cache: NewCache(fmt.Sprintf("s-%08x", uint32(i)*2654435761)), Cell: i, Zone: 1 + i%24, Weight: 1}
+		endpoint := Endpoint{Cache: NewCache(fmt.Sprintf("s-%08x", uint32(i)*2654435761)), Cell: i, Zone: 1 + i%24, Weight: 1}
 		switch {
 		case i == 0:
-			row.Kind = 2
+			endpoint.Kind = 2
 		case i <= 50:
-			row.Kind = 1
+			endpoint.Kind = 1
 		case i <= 50+edges:
-			row.Zone = 0
+			endpoint.Zone = 0
 		}
-		rows = append(rows, row)
+		endpoints = append(endpoints, endpoint)
 	}
-	return rows
+	return endpoints
 }
 
-// large starts a router with such a list.
-func large(t *testing.T, n, edges int) (*fixture, []Endpoint) {
+// newLargeFixture starts a router with such a list.
+func newLargeFixture(t *testing.T, n, edges int) (*fixture, []Endpoint) {
+	t.Helper()
 	f, _ := newFixture(t, nil)
-	rows := members(n, edges)
-	f.router.UpdateEndpoints(f.now, UpdateFull, rows)
+	endpoints := endpointList(n, edges)
+	f.router.UpdateEndpoints(f.now, UpdateFull, endpoints)
 	if len(f.router.caches) != n || len(f.router.edges) != edges || len(f.router.parents) != 50 || f.router.origin == nil {
 		t.Fatalf("%d caches, %d edges, %d parents", len(f.router.caches), len(f.router.edges), len(f.router.parents))
 	}
-	return f, rows
+	return f, endpoints
 }
 
 // A change of one cache, by the length of the list.
 func TestCostListed(t *testing.T) {
-	costs.Take(t, cost.Figure{Name: "logic-change", Title: "logic.Router.Listed: processor time of a change of one cache", X: "caches in the list", Y: "us of a core",
+	costs.Take(t, cost.Figure{Name: "logic-change", Title: "policy.Router.UpdateEndpoints: processor time of a change of one cache", X: "caches in the list", Y: "us of a core",
 		Budget: 1000, Of: "a change, 0.1% of a core at one a second", At: 1800}, []int{225, 450, 900, 1800, 3600, 7200, 14400}, func(n int) float64 {
-		f, rows := large(t, n, 6)
+		f, endpoints := newLargeFixture(t, n, 6)
 		return costs.Micros(func(i int) {
-			row := rows[60+i%100]
-			row.State = EndpointState(i / 100 % 2) // drains, then is ready again
-			f.router.UpdateEndpoints(f.now, UpdateDelta, []Endpoint{row})
+			endpoint := endpoints[60+i%100]
+			endpoint.State = EndpointState(i / 100 % 2) // drains, then is ready again
+			f.router.UpdateEndpoints(f.now, UpdateDelta, []Endpoint{endpoint})
 		})
 	})
 }
 
-// A list held: heap, caches and rows with it.
-func TestCostListHeld(t *testing.T) {
-	costs.Take(t, cost.Figure{Name: "logic-list-heap", Title: "logic.Router: heap of the list", X: "caches in the list", Y: "bytes", Budget: 4 << 20, Of: "the list, 4 MB of 128", At: 1800},
+// A list: its heap, with caches and endpoints.
+func TestCostListHeap(t *testing.T) {
+	costs.Take(t, cost.Figure{Name: "logic-list-heap", Title: "policy.Router: heap of the list", X: "caches in the list", Y: "bytes", Budget: 4 << 20, Of: "the list, 4 MB of 128", At: 1800},
 		[]int{225, 450, 900, 1800, 3600, 7200}, func(n int) float64 {
 			f, _ := newFixture(t, nil)
 			return cost.Heap(func() any {
-				f.router.UpdateEndpoints(f.now, UpdateFull, members(n, 6))
+				f.router.UpdateEndpoints(f.now, UpdateFull, endpointList(n, 6))
 				return f.router
 			})
 		})
 }
 
-// The sweep, each 10 ms, by the edges of the own location: with nothing open, and with what 564 lookups a second of 200 ms hold open. Six
-// edges of which nothing is known yet bear 96 at once: 17 are held and looked at anew in each sweep.
+// The sweep, each 10 ms, by the edge caches of the own zone: with nothing open, and with what 564 lookups a second of 200 ms hold open. Six
+// edge caches of which nothing is known yet take 96 at once: 17 are queued and tried again in each sweep.
 func TestCostSweep(t *testing.T) {
 	for _, open := range []int{0, 113} {
-		costs.Take(t, cost.Figure{Name: fmt.Sprint("logic-sweep-", open), Title: fmt.Sprintf("logic.Router.Woken: processor time of a sweep, %d lookups open", open),
-			X: "edges of the own location", Y: "us of a core", Budget: 15, Of: "a sweep, 0.15% of a core at 100/s", At: 6}, []int{6, 12, 24, 72, 144, 288}, func(edges int) float64 {
-			f, _ := large(t, 1800, edges)
+		costs.Take(t, cost.Figure{Name: fmt.Sprint("logic-sweep-", open), Title: fmt.Sprintf("policy.Router.TimerFired: processor time of a sweep, %d lookups open", open),
+			X: "edge caches of the own zone", Y: "us of a core", Budget: 15, Of: "a sweep, 0.15% of a core at 100/s", At: 6}, []int{6, 12, 24, 72, 144, 288}, func(edges int) float64 {
+			f, _ := newLargeFixture(t, 1800, edges)
 			for i := range open {
 				f.router.StartLookup(f.now, Arrival{ID: fmt.Sprint(i), Object: fmt.Sprint("object-", i), Group: 3, SizeKB: 449, Deadline: f.now + 3600*second})
 			}
-			if held := max(0, open-int(initialLimit)*edges); len(f.router.openAttempts) != open-held || len(f.router.queued) != held {
-				t.Fatalf("%d open, %d held of %d: expected %d held", len(f.router.openAttempts), len(f.router.queued), open, held)
+			if queued := max(0, open-int(initialLimit)*edges); len(f.router.openAttempts) != open-queued || len(f.router.queued) != queued {
+				t.Fatalf("%d open, %d queued of %d: expected %d queued", len(f.router.openAttempts), len(f.router.queued), open, queued)
 			}
 			return costs.Micros(func(int) { f.router.TimerFired(f.now, timerSweep) })
 		})
 	}
 }
 
-// Purges noted in the module: one more where so many are kept, and their heap.
+// Purges: one more beside so many, and their heap.
 func TestCostPurged(t *testing.T) {
 	sizes := []int{1100, 6700, 60000, 360000}
-	costs.Take(t, cost.Figure{Name: "logic-purged", Title: "logic.Router.Purged: processor time of one purge", X: "purges kept", Y: "us of a core", Budget: 40,
+	costs.Take(t, cost.Figure{Name: "logic-purged", Title: "policy.Router.ApplyPurge: processor time of one purge", X: "purges", Y: "us of a core", Budget: 40,
 		Of: "a purge, 0.4% of a core at 100/s", At: 6700}, sizes, func(n int) float64 {
 		f, _ := newFixture(t, nil)
 		names := make([]string, n)
@@ -94,7 +95,7 @@
 		}
 		return costs.Micros(func(i int) { f.router.ApplyPurge(f.now, names[i%n], 0, 0) })
 	})
-	costs.Take(t, cost.Figure{Name: "logic-purged-heap", Title: "logic.Router: heap of the purges", X: "purges kept", Y: "bytes", Budget: 2 << 20, Of: "purges, 2 MB of 128", At: 6700},
+	costs.Take(t, cost.Figure{Name: "logic-purged-heap", Title: "policy.Router: heap of the purges", X: "purges", Y: "bytes", Budget: 2 << 20, Of: "purges, 2 MB of 128", At: 6700},
 		sizes, func(n int) float64 {
 			f, _ := newFixture(t, nil)
 			return cost.Heap(func() any {
@@ -102,14 +103,14 @@
 					f.router.ApplyPurge(f.now, fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15), 0, 0)
 				}
 				if len(f.router.purges) != n {
-					t.Errorf("%d kept of %d", len(f.router.purges), n)
+					t.Errorf("%d purges of %d", len(f.router.purges), n)
 				}
 				return f.router
 			})
 		})
 }
 
-// The table of counts: its heap, and the halving of all of it, once a minute. It is never larger than tableBound for longer than a sweep.
+// The table of counts: its heap, and the halving of all of it, once a minute. It is never larger than maxCounts for longer than a sweep.
 func TestCostCounts(t *testing.T) {
 	sizes := []int{7500, 15000, 30000, maxCounts}
 	fill := func(f *fixture, n int) {
@@ -117,12 +118,12 @@
 			f.router.lookupCounts[mixHash(uint64(i), 1)] = 0x1p1000 // none is gone before the thousandth halving
 		}
 	}
-	costs.Take(t, cost.Figure{Name: "logic-counts-heap", Title: "logic.Router: heap of the counts", X: "counts", Y: "bytes", Budget: 4 << 20, Of: "counts, 4 MB of 128", At: maxCounts},
+	costs.Take(t, cost.Figure{Name: "logic-counts-heap", Title: "policy.Router: heap of the counts", X: "counts", Y: "bytes", Budget: 4 << 20, Of: "counts, 4 MB of 128", At: maxCounts},
 		sizes, func(n int) float64 {
 			f, _ := newFixture(t, nil)
 			return cost.Heap(func() any { fill(f, n); return f.router })
 		})
-	costs.Take(t, cost.Figure{Name: "logic-halve", Title: "logic.Router: processor time of halving the counts, once a minute", X: "counts", Y: "us of a core", Budget: 60000,
+	costs.Take(t, cost.Figure{Name: "logic-halve", Title: "policy.Router: processor time of halving the counts, once a minute", X: "counts", Y: "us of a core", Budget: 60000,
 		Of: "0.1% of a core, once a minute", At: maxCounts}, sizes, func(n int) float64 {
 		f, _ := newFixture(t, nil)
 		fill(f, n)
@@ -138,8 +139,8 @@
 	})
 }
 
-// What the counts tell of objects: an object asked for k times a minute at one gateway, evenly, among 564 lookups a second of which each
-// other names an object of its own. Told: the count just before a halving, over what endless memory at the same halving would give.
+// The counts at the size of the large fleet: objects looked up once a second and once a minute at one gateway, among 564 lookups a second of
+// which each other one names an object of its own.
 func TestCountsAtTheSize(t *testing.T) {
 	f, _ := newFixture(t, nil)
 	const perSecond = 564
@@ -165,6 +166,6 @@
 		t.Errorf("an object of one lookup a second has %.1f after a halving", got)
 	}
 	if got, kept := f.router.lookupCounts[2]; kept {
-		t.Errorf("an object of one lookup a minute has %.1f after a halving: it would be told apart", got)
+		t.Errorf("an object of one lookup a minute has %.1f after a halving: it stands out", got)
 	}
 }
--- a/internal/policy/fixture_test.go
+++ b/internal/policy/fixture_test.go
@@ -115,3 +115,9 @@
 func (f *fixture) lastCallIs(name string) bool {
 	return len(f.calls) > 0 && strings.HasPrefix(f.calls[len(f.calls)-1], name)
 }
+
+// withoutReports changes settings to those of caches that report neither hits nor first bytes.
+func withoutReports(settings *Settings) {
+	settings.ReportsFirstByte = false
+	settings.ReportsHits = false
+}
--- a/internal/policy/hardfleet_test.go
+++ b/internal/policy/hardfleet_test.go
@@ -1,42 +1,37 @@
 package policy
 
-import (
-	"container/heap"
-	"math"
-)
-
-// The hard cases of TestColdFleet: caches from 0.3 to 2.5 of the mean, the cold one among them at any place, links of 1 to 40
-// transfers that all transfers on them share, a load of 0.4 to 1.3 of what the location bears, and each in three of ten runs: a cold
-// cache that starts anew while it warms, routers whose lists are silent for seconds over the start, and a part of the routers (a zone) that is
-// cut off from the cold cache, and in half of these runs starts anew at the end. What a cold cache can do is its share of its link, at least the share that the settings name.
-
-// hardFleet is what a hard case adds to a coldWorld.
-type hardFleet struct {
-	links       map[string]*sharedLink
-	bears       float64 // transfers at once of the cold cache, warm
-	shareFactor float64 // the cold cache's real share over the one that the settings name
-	anewAt      Micros  // it starts anew this long after its first start; 0: it does not
-	silence     Micros  // for so long more a third of the routers hear nothing of a start
-	cut         cutZone
-	asked       askedLimiter
-}
-
-// cutZone is a part of the routers, the first ones, that reaches the cold cache no more between two instants after its start.
+import "math"
+
+// hardCase is what a hard case of TestColdFleet adds to a run: caches from 0.3 to 2.5 of the mean, the cold one among them at any place; links
+// of 1 to 40 transfers that all transfers on them share; a load of 0.4 to 1.3 of the zone's capacity; and each in three of ten runs a cold
+// cache that restarts while it warms up, routers whose lists are silent for seconds over the start, and routers (a zone) that are cut off
+// from the cold cache, and in half of these runs restart at the end. A cold cache has its share of its link, at least that of the settings.
+type hardCase struct {
+	links        map[string]*sharedLink
+	coldCapacity float64 // of the cold cache once it is warm, in transfers at once
+	shareFactor  float64 // the cold cache's real share over the one that the settings name
+	restartAfter Micros  // of the cold cache, after its first start; 0: it does not restart
+	silence      Micros  // by which a third of the routers learn later of a start
+	cut          cutZone
+	requested    requestLimiter
+}
+
+// cutZone is the first routers, which do not reach the cold cache between two instants after its start.
 type cutZone struct {
-	routers    int
-	from, till Micros
-	lost       bool // its routers start anew at the end, knowing nothing
+	routers     int
+	from, until Micros
+	lost        bool // its routers restart at the end, knowing nothing
 }
 
-// askedLimiter is the central limiter that knows the link of a cold parent, before the fills that the fleet really asks for: those of
-// objects whose home is this parent. It is told beside the verdict, which takes demand by its formula.
-type askedLimiter struct {
+// requestLimiter is the central limiter that knows the link of a cold parent, before the fills that the fleet really asks for: those of
+// objects whose home is this parent. Its figure is logged and judges nothing: demand is taken by its formula.
+type requestLimiter struct {
 	tokens float64
 	at     Micros
-	sent   float64 // work, in us, that it lets through while a run is judged
+	sent   float64 // work that it admits while a run is judged, in microseconds
 }
 
-func (l *askedLimiter) ask(now Micros, rate, depth, work float64, judged bool) {
+func (l *requestLimiter) admit(now Micros, rate, depth, work float64, judged bool) {
 	l.tokens = min(depth, l.tokens+rate*float64(now-l.at))
 	l.at = now
 	if l.tokens < min(work, depth) {
@@ -48,199 +43,140 @@
 	}
 }
 
-// askFill tells the limiter of a fill whose home is the cold parent.
-func (w *coldWorld) askFill(h *coldHost, lk *Lookup) {
-	if w.hard == 0 || !w.parent || w.started == 0 || h.r.rendezvousOrder(lk.objectHash, h.r.parents)[0] != h.cold {
+// recordRequestedFill brings the limiter a fill whose home is the cold parent.
+func (w *coldFleetRun) recordRequestedFill(h *fleetRouter, lookup *Lookup) {
+	if w.hardMultiple == 0 || !w.coldParent || w.lastStart == 0 {
 		return
 	}
-	rate := limiterRate * w.share(w.now) * w.fleet.bears
-	depth := max(rate*float64(w.its.BreakWindow)*max(0.2, (w.its.ParentBreakMultiple-1)*limiterBurst), (w.sizes[0]+w.sizes[1])/2)
-	judged := w.now >= w.started+2*second && w.now <= w.started+6*second && w.share(w.now) < 1
-	w.fleet.asked.ask(w.now, rate, depth, float64(lk.work), judged)
+	if home := h.router.rendezvousOrder(lookup.objectHash, h.router.parents)[0]; home != h.cold {
+		return
+	}
+	rate := limiterRate * w.coldShare(w.now) * w.hard.coldCapacity
+	depth := max(rate*float64(w.settings.BreakWindow)*max(0.2, (w.settings.ParentBreakMultiple-1)*limiterBurst), w.meanOfKinds())
+	judged := w.now >= w.lastStart+2*second && w.now <= w.lastStart+6*second && w.coldShare(w.now) < 1
+	w.hard.requested.admit(w.now, rate, depth, float64(lookup.work), judged)
 }
 
-// cutOff tells whether a router does not reach the cold cache now.
-func (w *coldWorld) cutOff(h *coldHost) bool {
-	cut, since := &w.fleet.cut, w.now-w.firstStart
-	return w.hard > 0 && w.firstStart > 0 && h.index < cut.routers && since >= cut.from && since < cut.till
+// isCutOff tells whether a router does not reach the cold cache now.
+func (w *coldFleetRun) isCutOff(h *fleetRouter) bool {
+	cut, since := &w.hard.cut, w.now-w.firstStart
+	return w.hardMultiple > 0 && w.firstStart > 0 && h.index < cut.routers && since >= cut.from && since < cut.until
 }
 
-// tellIn is how long after a start a router hears of it.
-func (w *coldWorld) tellIn(h *coldHost) Micros {
-	in := Micros(w.chance.Int64N(int64(second)))
-	if w.hard > 0 && h.index%3 == 2 {
-		in += w.fleet.silence
+// learnDelay is how long after a start a router learns of it.
+func (w *coldFleetRun) learnDelay(h *fleetRouter) Micros {
+	delay := Micros(w.random.Int64N(int64(second)))
+	if w.hardMultiple > 0 && h.index%3 == 2 {
+		delay += w.hard.silence
 	}
-	return in
+	return delay
 }
 
-// loseZone starts the routers of a lost zone anew at the end of its cut.
-func (w *coldWorld) loseZone() {
-	for _, h := range w.hosts {
-		if w.fleet.cut.lost && h.index < w.fleet.cut.routers {
-			w.after(w.fleet.cut.till, h.start)
+// loseZone restarts the routers of a lost zone at the end of its cut.
+func (w *coldFleetRun) loseZone() {
+	for _, h := range w.routers {
+		if w.hard.cut.lost && h.index < w.hard.cut.routers {
+			w.after(w.hard.cut.until, h.start)
 		}
 	}
 }
 
-// drawHard draws links and multiple, and returns the load.
-func (w *coldWorld) drawHard(within func(a, b float64) float64) float64 {
-	w.bears = math.Exp(within(math.Log(2), math.Log(40)))
-	w.its.BreakMultiple, w.its.ParentBreakMultiple = w.hard, w.hard
-	w.fleet.shareFactor = within(1, 1.3)
-	if w.chance.Float64() < 0.3 {
-		w.fleet.anewAt = Micros(within(2, 4) * float64(second))
-	}
-	if w.chance.Float64() < 0.3 {
-		w.fleet.silence = Micros(within(1, 3) * float64(second))
-	}
-	if w.chance.Float64() < 0.3 {
-		from, lasts := within(1, 3), within(1, 3)
-		w.fleet.cut = cutZone{routers: int(within(0.2, 0.5) * float64(w.routers)), lost: w.chance.IntN(2) == 0,
-			from: Micros(from * float64(second)), till: Micros((from + lasts) * float64(second))}
-	}
-	if w.chance.IntN(2) == 0 {
-		return within(0.9, 1.3)
-	}
-	return within(0.4, 1.3)
+// drawHard draws what a hard case adds but for its links, and returns the load.
+func (w *coldFleetRun) drawHard() float64 {
+	w.edgeCapacity = math.Exp(w.between(math.Log(2), math.Log(40)))
+	w.settings.BreakMultiple, w.settings.ParentBreakMultiple = w.hardMultiple, w.hardMultiple
+	w.hard.shareFactor = w.between(1, 1.3)
+	if w.random.Float64() < 0.3 {
+		w.hard.restartAfter = Micros(w.between(2, 4) * float64(second))
+	}
+	if w.random.Float64() < 0.3 {
+		w.hard.silence = Micros(w.between(1, 3) * float64(second))
+	}
+	if w.random.Float64() < 0.3 {
+		from, lasts := w.between(1, 3), w.between(1, 3)
+		w.hard.cut = cutZone{routers: int(w.between(0.2, 0.5) * float64(w.routerCount)), lost: w.random.IntN(2) == 0,
+			from: Micros(from * float64(second)), until: Micros((from + lasts) * float64(second))}
+	}
+	if w.random.IntN(2) == 0 {
+		return w.between(0.9, 1.3)
+	}
+	return w.between(0.4, 1.3)
 }
 
-// unequal gives each cache its own link, from 0.3 to 2.5 of its group's mean, and returns the cold one's.
-func (f *hardFleet) unequal(w *coldWorld, cold int, within func(a, b float64) float64) (bears float64) {
+// drawLinks gives each cache a link of its own, from 0.3 to 2.5 of its group's mean, and returns the capacity of the cold one's.
+func (f *hardCase) drawLinks(w *coldFleetRun) float64 {
 	f.links = map[string]*sharedLink{}
 	for _, c := range w.sortedLinks() {
 		most := 2.5
-		if c == coldName(cold) && w.chance.IntN(2) == 0 {
+		if c == cacheName(w.coldIndex) && w.random.IntN(2) == 0 {
 			most = 0.6 // in half of the runs the cold one is a small one
 		}
-		capacity := w.links[c] * math.Exp(within(math.Log(0.3), math.Log(most)))
+		capacity := w.links[c] * math.Exp(w.between(math.Log(0.3), math.Log(most)))
 		capacity = max(1, capacity)
-		l := &sharedLink{world: w, at: w.now, capacity: func() float64 { return capacity }}
-		if c == coldName(cold) {
-			bears = capacity
+		l := &sharedLink{run: w, at: w.now, capacity: func() float64 { return capacity }}
+		if c == cacheName(w.coldIndex) {
+			f.coldCapacity = capacity
 			l.capacity = func() float64 {
-				if w.started == 0 {
+				if w.lastStart == 0 {
 					return capacity
 				}
-				return capacity * min(1, f.shareFactor*w.share(w.now))
+				return capacity * min(1, f.shareFactor*w.coldShare(w.now))
 			}
 		}
 		f.links[c] = l
 	}
-	f.bears = bears
-	return bears
+	return f.coldCapacity
 }
 
 // sortedLinks names the caches in their order: edges, then parents.
-func (w *coldWorld) sortedLinks() (names []string) {
+func (w *coldFleetRun) sortedLinks() (names []string) {
 	for i := range len(w.links) {
-		names = append(names, coldName(i))
+		names = append(names, cacheName(i))
 	}
 	return names
 }
 
-// startAnew has the cold cache start anew while it warms, told to each router within a second.
-func (f *hardFleet) startAnew(w *coldWorld) {
-	if f.anewAt == 0 {
+// scheduleRestart has the cold cache restart while it warms up, of which each router learns within a second.
+func (f *hardCase) scheduleRestart(w *coldFleetRun) {
+	if f.restartAfter == 0 {
 		return
 	}
-	w.after(5*second+f.anewAt, func() {
-		w.started = w.now
-		for _, h := range w.hosts {
-			w.after(w.tellIn(h), h.tell)
+	w.after(5*second+f.restartAfter, func() {
+		w.lastStart = w.now
+		for _, h := range w.routers {
+			w.after(w.learnDelay(h), h.learnStart)
 		}
 	})
 }
 
-// demand is what the fleet asks of the cold cache, in transfers, where arrivals bring that much work: a location's last edge
-// gets its share of the objects, a parent its part of the misses. In the other cases it is without bound.
-func (f *hardFleet) demand(w *coldWorld, at Micros, arriving float64) float64 {
+// demand is what the fleet asks of the cold cache, in transfers, where arrivals bring that much work: the last edge cache of a zone gets its
+// share of the objects, a parent its part of the misses. It is unbounded in the other cases.
+func (f *hardCase) demand(w *coldFleetRun, at Micros, arriving float64) float64 {
 	switch {
-	case w.hard == 0:
+	case w.hardMultiple == 0:
 		return math.Inf(1)
-	case w.parent:
-		return (1 - w.hits) * arriving * w.pace / float64(len(w.links)-w.caches)
+	case w.coldParent:
+		return (1 - w.hitShare) * arriving * w.arrivalPace / float64(len(w.links)-w.edgeCount)
 	}
-	return w.share(at) * arriving * w.pace
+	return w.coldShare(at) * arriving * w.arrivalPace
 }
 
-// transfer carries a satisfied send over the cache's link, a fill over its source's too.
-func (f *hardFleet) transfer(h *coldHost, lk *Lookup, n int, to, source *Cache, remark OutcomeDetail) {
-	w, r, began := h.w, h.r, h.w.now
-	waited, left := Micros(0), 1
-	ended := func() {
-		if left--; left == 0 {
-			took := w.now - began + 5*millisecond
-			w.after(5*millisecond, func() { h.ended(r, lk, n, OutcomeSatisfied, remark, took, waited) })
+// transfer carries the answer of a satisfied attempt over its cache's link, and a fill over the source's too.
+func (f *hardCase) transfer(h *fleetRouter, attempt *runningAttempt, request FetchRequest, detail OutcomeDetail) {
+	w := h.run
+	startedAt := w.now
+	sourceWait, remaining := Micros(0), 1
+	onTransferEnd := func() {
+		remaining--
+		if remaining > 0 {
+			return
 		}
+		report := AttemptReport{Outcome: OutcomeSatisfied, Detail: detail, Latency: w.now - startedAt + 5*millisecond, SourceWait: sourceWait}
+		w.after(5*millisecond, func() { h.endAttempt(attempt, report) })
 	}
-	if upstream := f.links[source.Name]; remark == DetailFilled && upstream != nil {
-		waited, left = 30*millisecond, 2
-		w.after(waited, func() { upstream.start(lk.work, ended) })
+	if upstream := f.links[request.Source.Name]; detail == DetailFilled && upstream != nil {
+		sourceWait, remaining = 30*millisecond, 2
+		w.after(sourceWait, func() { upstream.start(attempt.lookup.work, onTransferEnd) })
 	}
-	f.links[to.Name].start(lk.work, ended)
-}
-
-// sharedLink divides its capacity, in transfers at full pace, evenly among the transfers on it.
-type sharedLink struct {
-	world    *coldWorld
-	capacity func() float64
-	done     float64 // work that each transfer on it from the first on would have got by now, in us
-	at       Micros
-	active   sharedTransfers
-	version  int // of the awaited completion
-}
-
-type sharedTransfer struct {
-	until float64 // it is complete once this much is done
-	ended func()
-}
-type sharedTransfers []sharedTransfer
-
-func (s sharedTransfers) Len() int           { return len(s) }
-func (s sharedTransfers) Less(i, j int) bool { return s[i].until < s[j].until }
-func (s sharedTransfers) Swap(i, j int)      { s[i], s[j] = s[j], s[i] }
-func (s *sharedTransfers) Push(x any)        { *s = append(*s, x.(sharedTransfer)) }
-func (s *sharedTransfers) Pop() any {
-	last := (*s)[len(*s)-1]
-	*s = (*s)[:len(*s)-1]
-	return last
-}
-
-func (l *sharedLink) pace() float64 { return min(1, l.capacity()/float64(max(len(l.active), 1))) }
-
-// advance brings what is done up to now, at the pace that held since.
-func (l *sharedLink) advance() {
-	l.done += float64(l.world.now-l.at) * l.pace()
-	l.at = l.world.now
-}
-
-func (l *sharedLink) start(work Micros, ended func()) {
-	l.advance()
-	heap.Push(&l.active, sharedTransfer{l.done + float64(max(work, 1)), ended})
-	l.await()
-}
-
-// await wakes at the next completion, or in 50 ms, as the capacity of a cold cache grows.
-func (l *sharedLink) await() {
-	l.version++
-	version := l.version
-	if len(l.active) == 0 {
-		return
-	}
-	in := Micros(math.Ceil((l.active[0].until - l.done) / l.pace()))
-	l.world.after(min(max(in, 1), 50*millisecond), func() {
-		if l.version != version {
-			return
-		}
-		l.advance()
-		var complete []func()
-		for len(l.active) > 0 && l.active[0].until <= l.done+0.5 {
-			complete = append(complete, heap.Pop(&l.active).(sharedTransfer).ended)
-		}
-		l.await()
-		for _, ended := range complete {
-			ended()
-		}
-	})
+	f.links[request.Cache.Name].start(attempt.lookup.work, onTransferEnd)
 }
--- a/internal/policy/outlier_test.go
+++ b/internal/policy/outlier_test.go
@@ -5,98 +5,171 @@
 	"testing"
 )
 
-// Outlier ejection by time: a ratio alone says nothing where the times are next to nothing, and whoever is ejected is used again
-// where no other is left.
-func TestOutliers(t *testing.T) {
-	// hits brings so many hits of 1 KB to each edge, the first of them as slow as told, and tells who that is.
-	hits := func(f *fixture, all []*Cache, slow, usual Micros, among func(*Cache) bool) *Cache {
-		lagged := all[0]
-		for i := 0; i < 3000 && (all[0].latency.count < 2*latencySamples || all[1].latency.count < 2*latencySamples); i++ {
-			f.lookUpSized(0, fmt.Sprint("o", i), 1)
-			s, took := f.lastAttempt(), usual
-			if s.Cache == lagged {
-				took = slow
-			}
-			f.now += took
-			f.endAttempt(s, OutcomeSatisfied, DetailHit, took)
-			if lagged.ejected && among == nil {
-				break
-			}
+// withBudget sets the latency budget of kind 0.
+func withBudget(budget Micros) func(*Settings) {
+	return func(settings *Settings) { settings.Kinds[0].LatencyBudget = budget }
+}
+
+// bringHits brings hits of 1 KB until every edge cache has enough samples or the first one is ejected. The first takes the latency slow, the
+// others usual. It returns the first.
+func (f *fixture) bringHits(caches []*Cache, slow, usual Micros) *Cache {
+	slowCache := caches[0]
+	isMeasured := func() bool {
+		return caches[0].latency.count >= 2*latencySamples && caches[1].latency.count >= 2*latencySamples
+	}
+	for i := 0; i < 3000 && !isMeasured(); i++ {
+		f.lookUpSized(0, fmt.Sprint("o", i), 1)
+		attempt, latency := f.lastAttempt(), usual
+		if attempt.Cache == slowCache {
+			latency = slow
+		}
+		f.now += latency
+		f.endAttempt(attempt, OutcomeSatisfied, DetailHit, latency)
+		if slowCache.ejected {
+			break
 		}
-		return lagged
 	}
-	budget := func(b Micros) func(*Settings) {
-		return func(its *Settings) { its.Kinds[0].LatencyBudget = b }
+	return slowCache
+}
+
+// newFixtureWithSlowCache starts a router that has ejected its first edge cache for its latency alone.
+func newFixtureWithSlowCache(t *testing.T) (*fixture, *Cache) {
+	t.Helper()
+	f, caches := newFixture(t, nil)
+	slow := f.bringHits(caches, 100*millisecond, 5*millisecond)
+	if !slow.ejected || !slow.isOnlySlow {
+		t.Fatal("not ejected as slow")
 	}
-	t.Run("microseconds a KB are no lag, whatever their ratio", func(t *testing.T) {
-		f, all := newFixture(t, nil)
-		if c := hits(f, all, 50, 2, nil); c.ejected {
-			t.Error("out by 48 us a KB of a budget of 400 ms")
+	return f, slow
+}
+
+// A ratio alone says nothing where latencies are next to nothing.
+func TestLatencyThresholds(t *testing.T) {
+	t.Run("microseconds a KB are not slow, whatever their ratio", func(t *testing.T) {
+		f, caches := newFixture(t, nil)
+		if c := f.bringHits(caches, 50, 2); c.ejected {
+			t.Error("ejected for 48 us a KB of a budget of 400 ms")
 		}
 	})
-	t.Run("under a small and a large latency budget the same part of it is a lag", func(t *testing.T) {
+	t.Run("under a small and a large latency budget the same share of it is slow", func(t *testing.T) {
 		for _, b := range []Micros{10 * millisecond, 400 * millisecond, 4 * second} {
-			f, all := newFixture(t, budget(b))
-			if c := hits(f, all, b/20, b/100, nil); c.ejected {
-				t.Errorf("budget %d us: out by 4%% of it", b)
+			f, caches := newFixture(t, withBudget(b))
+			if c := f.bringHits(caches, b/20, b/100); c.ejected {
+				t.Errorf("budget %d us: ejected for 4%% of it", b)
 			}
-			f, all = newFixture(t, budget(b))
-			if c := hits(f, all, b/5, b/100, nil); !c.ejected {
-				t.Errorf("budget %d us: in, though it lags by 19%% of it", b)
+			f, caches = newFixture(t, withBudget(b))
+			if c := f.bringHits(caches, b/5, b/100); !c.ejected {
+				t.Errorf("budget %d us: not ejected for 19%% of it", b)
 			}
 		}
 	})
-	t.Run("no more than half of a location's caches are out when one more lags", func(t *testing.T) {
-		f, all := newFixture(t, nil)
-		f.router.eject(all[1], "unreachable")
-		f.router.eject(all[2], "unreachable")
+	t.Run("no more than half of a zone's caches are ejected when one more is slow", func(t *testing.T) {
+		f, caches := newFixture(t, nil)
+		f.router.eject(caches[1], "unreachable")
+		f.router.eject(caches[2], "unreachable")
 		for range 2 * latencySamples {
-			f.router.recordLatency(all[1], f.router.edges, latencySample{latency: float64(millisecond), size: 1})
-			f.router.recordLatency(all[0], f.router.edges, latencySample{latency: float64(second), size: 1})
+			f.router.recordLatency(caches[1], f.router.edges, latencySample{latency: float64(millisecond), size: 1})
+			f.router.recordLatency(caches[0], f.router.edges, latencySample{latency: float64(second), size: 1})
 		}
-		if all[0].ejected {
-			t.Error("the last one is put out for its times")
+		if caches[0].ejected {
+			t.Error("the last one is ejected for its latency")
 		}
 	})
-	// lag puts out the first edge for its times.
-	lag := func(f *fixture, all []*Cache) *Cache {
-		if c := hits(f, all, 100*millisecond, 5*millisecond, nil); !c.ejected || !c.isOnlySlow {
-			t.Fatal("it does not lag")
-		}
-		return all[0]
-	}
-	t.Run("where routes leave none but one that lags, lookups go to it, several at a time", func(t *testing.T) {
-		f, all := newFixture(t, nil)
-		c := lag(f, all)
+}
+
+// A cache that is only slow is used where no other is left.
+func TestLastUsableCache(t *testing.T) {
+	t.Run("where a scope leaves only one that is slow, lookups go to it, several at a time", func(t *testing.T) {
+		f, slow := newFixtureWithSlowCache(t)
 		for i := range 3 {
-			f.scope = &Scope{Caches: map[string]bool{c.Name: true}}
-			if lk := f.lookUpSized(0, fmt.Sprint("only", i), 1); lk.ended || f.lastAttempt().lookup != lk || f.lastAttempt().Cache != c {
-				t.Fatalf("lookup %d is refused: %v", i, f.calls)
+			f.scope = &Scope{Caches: map[string]bool{slow.Name: true}}
+			if lookup := f.lookUpSized(0, fmt.Sprint("only", i), 1); lookup.ended || f.lastAttempt().lookup != lookup || f.lastAttempt().Cache != slow {
+				t.Fatalf("lookup %d is rejected: %v", i, f.calls)
 			}
 		}
 	})
-	t.Run("while others are left it gets trials alone", func(t *testing.T) {
-		f, all := newFixture(t, nil)
-		c := lag(f, all)
+	t.Run("while others are left it gets probes alone", func(t *testing.T) {
+		f, slow := newFixtureWithSlowCache(t)
 		for i := range 30 {
-			if f.lookUpSized(0, fmt.Sprint("any", i), 1); f.lastAttempt().Cache == c {
-				t.Fatal("it gets a lookup before its trial is due")
+			if f.lookUpSized(0, fmt.Sprint("any", i), 1); f.lastAttempt().Cache == slow {
+				t.Fatal("it gets a lookup before its probe is due")
 			}
 		}
 	})
-	for what, ail := range map[string]func(f *fixture, c *Cache){
+	for name, fail := range map[string]func(f *fixture, c *Cache){
 		"is silent":          func(_ *fixture, c *Cache) { c.overdueCount = 1 },
-		"fails its trial":    func(f *fixture, c *Cache) { f.router.countFailures(c, 1, 1, "trial failed") },
+		"fails its probe":    func(f *fixture, c *Cache) { f.router.countFailures(c, 1, 1, "probe failed") },
 		"is unreachable too": func(f *fixture, c *Cache) { f.router.eject(c, "unreachable") },
 	} {
-		t.Run("one that lags and "+what+" is not used, though no other is left", func(t *testing.T) {
-			f, all := newFixture(t, nil)
-			c := lag(f, all)
-			ail(f, c)
-			f.scope = &Scope{Caches: map[string]bool{c.Name: true}}
-			if lk := f.lookUpSized(0, "only", 1); !lk.ended {
+		t.Run("one that is slow and "+name+" is not used, though no other is left", func(t *testing.T) {
+			f, slow := newFixtureWithSlowCache(t)
+			fail(f, slow)
+			f.scope = &Scope{Caches: map[string]bool{slow.Name: true}}
+			if lookup := f.lookUpSized(0, "only", 1); !lookup.ended {
 				t.Error("it goes there")
 			}
 		})
 	}
 }
+
+// A cache far slower than its like is ejected.
+func TestSlowCaches(t *testing.T) {
+	t.Run("a cache far slower than the others of its zone is ejected", func(t *testing.T) {
+		f, caches := newFixture(t, withoutReports)
+		slow := caches[0]
+		for i := range 200 {
+			f.lookUp(0, fmt.Sprint("o", i))
+			s := f.lastAttempt()
+			latency := 100 * millisecond
+			if s.Cache == slow {
+				latency = second
+			}
+			f.endAttempt(s, OutcomeSatisfied, DetailNone, latency)
+			f.advance(10 * millisecond)
+		}
+		if !slow.ejected {
+			t.Fatal("the slow cache is in use")
+		}
+		for _, c := range caches[1:3] {
+			if c.ejected {
+				t.Fatalf("%s is ejected", c.Name)
+			}
+		}
+	})
+	t.Run("where hits are reported, slow fills do not eject the cache that takes them", func(t *testing.T) {
+		f, caches := newFixture(t, nil)
+		for i := range 200 {
+			f.lookUp(0, fmt.Sprint("o", i))
+			s, latency, detail := f.lastAttempt(), 100*millisecond, DetailHit
+			if s.Cache == caches[0] {
+				latency, detail = second, DetailFilled
+			}
+			f.endAttempt(s, OutcomeSatisfied, detail, latency)
+			f.advance(10 * millisecond)
+		}
+		if caches[0].ejected {
+			t.Fatal("a cache is ejected for the time of its fills")
+		}
+	})
+}
+
+// The same for parents.
+func TestSlowParents(t *testing.T) {
+	t.Run("where fills are not reported, a parent four times slower than the other is ejected", func(t *testing.T) {
+		f, caches := newFixture(t, withoutReports)
+		slow := caches[3]
+		for i := range 200 {
+			f.lookUp(0, fmt.Sprint("o", i))
+			s := f.lastAttempt()
+			latency := 100 * millisecond
+			if s.Source == slow {
+				latency = 400 * millisecond
+			}
+			f.endAttempt(s, OutcomeSatisfied, DetailNone, latency)
+			f.advance(10 * millisecond)
+		}
+		if !slow.ejected || caches[4].ejected {
+			t.Fatalf("slow parent ejected %v, the other %v", slow.ejected, caches[4].ejected)
+		}
+	})
+}
