--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -71,7 +71,7 @@
 	})
 	t.Run("kinds lists every kind", func(t *testing.T) {
 		_, out, _ := run("faults", "kinds")
-		for _, k := range scenario.Kinds {
+		for _, k := range scenario.FaultKinds {
 			if !strings.Contains(out, k.Name) {
 				t.Error("no", k.Name)
 			}
@@ -101,7 +101,7 @@
 			t.Fatalf("%d, %s, %s", status, out, errs)
 		}
 		text, _ := os.ReadFile(path)
-		p, err := scenario.Read(text)
+		p, err := scenario.ReadPlan(text)
 		// Smaller than seed 1's own day (60 s, 3 gateways, 8 caches). How far it gets depends on where the plant strikes by
 		// chance, which moves with the module's decisions: the bound is what any build's shrink must reach, not one build's.
 		if err != nil || len(p.Faults) != 0 || p.Gateways > 3 || p.Seconds > 10 || p.Caches > 4 {
--- a/internal/cli/faults.go
+++ b/internal/cli/faults.go
@@ -39,9 +39,9 @@
 }
 
 func (f scenarioFlags) drawPlan(seed uint64) (scenario.Plan, error) {
-	p := scenario.Draw(seed, f.Kind)
-	p.Plant = f.InjectedFault
-	if err := p.Check(); err != nil {
+	p := scenario.DrawPlan(seed, f.Kind)
+	p.InjectedFault = f.InjectedFault
+	if err := p.Validate(); err != nil {
 		return p, usageErrorf("%v", err)
 	}
 	return p, nil
@@ -56,13 +56,13 @@
 	if err != nil {
 		return scenario.Plan{}, usageErrorf("%s is no seed, and as a file: %v", what, err)
 	}
-	p, err := scenario.Read(text)
+	p, err := scenario.ReadPlan(text)
 	if err != nil {
 		return p, usageErrorf("%s: %v", what, err)
 	}
 	if f.InjectedFault != "" {
-		p.Plant = f.InjectedFault
-		if err := p.Check(); err != nil {
+		p.InjectedFault = f.InjectedFault
+		if err := p.Validate(); err != nil {
 			return p, usageErrorf("%v", err)
 		}
 	}
@@ -94,10 +94,10 @@
 }
 
 type brokenScenario struct {
-	Seed   uint64            `json:"seed"`
-	Digest string            `json:"digest"`
-	Broken []scenario.Broken `json:"broken"`
-	Trace  []string          `json:"story"`
+	Seed   uint64               `json:"seed"`
+	Digest string               `json:"digest"`
+	Broken []scenario.Violation `json:"broken"`
+	Trace  []string             `json:"story"`
 }
 
 func readSeeds(text string) (from, to uint64, err error) {
@@ -168,7 +168,7 @@
 				if err != nil {
 					return err
 				}
-				r, err := scenario.Play(p, scenario.Look{})
+				r, err := scenario.Run(p, scenario.Hooks{})
 				if err != nil {
 					return err
 				}
@@ -186,7 +186,7 @@
 	}
 	err := group.Wait()
 	t.Real = time.Since(began)
-	t.Digest = scenario.Sum(digests)
+	t.Digest = scenario.CombineDigests(digests)
 	slices.SortFunc(t.Broken, func(a, b brokenScenario) int { return cmp.Compare(a.Seed, b.Seed) })
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -197,7 +197,7 @@
 func (t *runSummary) add(r scenario.Result) {
 	t.Scenarios++
 	t.Steps += r.Steps
-	t.Virtual += r.Virtual
+	t.Virtual += r.VirtualTime
 	t.Lookups += r.Lookups
 	var kinds []string
 	for _, f := range r.Plan.Faults {
@@ -215,11 +215,11 @@
 	for k, n := range r.Reasons {
 		t.Reasons[k] += n
 	}
-	for k, n := range r.Ends {
+	for k, n := range r.Outcomes {
 		t.Ends[k] += n
 	}
-	if len(r.Broken) > 0 {
-		t.Broken = append(t.Broken, brokenScenario{r.Plan.Seed, r.Digest, r.Broken, r.Story})
+	if len(r.Violations) > 0 {
+		t.Broken = append(t.Broken, brokenScenario{r.Plan.Seed, r.Digest, r.Violations, r.RecentEvents})
 	}
 }
 
@@ -238,8 +238,8 @@
 		}
 	}
 	all := map[string]int{}
-	for _, k := range scenario.Kinds {
-		if scenario.Belongs(f.Kind, k.Name) {
+	for _, k := range scenario.FaultKinds {
+		if scenario.ProfileDraws(f.Kind, k.Name) {
 			all[k.Name] = t.FaultKinds[k.Name]
 		}
 	}
@@ -250,7 +250,7 @@
 	table("reason or mode in the logs", t.Reasons)
 	table("what became of lookups", t.Ends)
 	w.Flush()
-	none, least, pairs := scenario.Unmet(f.Kind, t.FaultPairs)
+	none, least, pairs := scenario.UnmetPairs(f.Kind, t.FaultPairs)
 	fmt.Fprintf(out, "pairs of kinds: %d, never met %d, the rarest met %d times\n", pairs, len(none), least)
 	for _, b := range t.Broken {
 		fmt.Fprintf(out, "seed %d broke:\n", b.Seed)
@@ -275,7 +275,7 @@
 	if err != nil {
 		return err
 	}
-	var look scenario.Look
+	var look scenario.Hooks
 	if f.Trace {
 		look.Trace = func(at time.Duration, line string) {
 			if at.Seconds() >= f.From {
@@ -283,7 +283,7 @@
 			}
 		}
 	}
-	r, err := scenario.Play(p, look)
+	r, err := scenario.Run(p, look)
 	if err != nil {
 		return err
 	}
@@ -299,13 +299,13 @@
 		for _, f := range r.Plan.Faults {
 			fmt.Fprintf(out, "fault %s\n", f)
 		}
-		for _, l := range r.Story {
+		for _, l := range r.RecentEvents {
 			fmt.Fprintln(out, l)
 		}
-		fmt.Fprintf(out, "seed %d: %d lookups, %d steps, digest %s, ends %v\n", r.Plan.Seed, r.Lookups, r.Steps, r.Digest, r.Ends)
+		fmt.Fprintf(out, "seed %d: %d lookups, %d steps, digest %s, ends %v\n", r.Plan.Seed, r.Lookups, r.Steps, r.Digest, r.Outcomes)
 	}
-	if len(r.Broken) > 0 {
-		return fmt.Errorf("broke %s", r.Broken[0])
+	if len(r.Violations) > 0 {
+		return fmt.Errorf("broke %s", r.Violations[0])
 	}
 	return nil
 }
@@ -346,20 +346,20 @@
 }
 
 func (f *faultsKinds) Run(to *streams) error {
-	faults, planted := map[string]string{}, scenario.PlantHelp()
-	for _, k := range scenario.Kinds {
+	faults, planted := map[string]string{}, scenario.InjectedFaultHelp()
+	for _, k := range scenario.FaultKinds {
 		faults[k.Name] = k.Help
 	}
 	if f.JSON {
-		return json.NewEncoder(to.out).Encode(map[string]any{"days": scenario.Days, "faults": faults, "plants": planted})
+		return json.NewEncoder(to.out).Encode(map[string]any{"days": scenario.Profiles, "faults": faults, "plants": planted})
 	}
 	w := tabwriter.NewWriter(to.out, 0, 8, 2, ' ', 0)
 	for _, part := range []struct {
 		title string
 		of    map[string]string
-	}{{"days (--days)", scenario.Days}, {"faults", faults}, {"faults of the gateway (--plant)", planted}} {
+	}{{"days (--days)", scenario.Profiles}, {"faults", faults}, {"faults of the gateway (--plant)", planted}} {
 		fmt.Fprintln(w, part.title)
-		for _, name := range scenario.Names(part.of) {
+		for _, name := range scenario.SortedNames(part.of) {
 			fmt.Fprintf(w, "  %s\t%s\n", name, part.of[name])
 		}
 	}
--- a/internal/cli/frozen_test.go
+++ b/internal/cli/frozen_test.go
@@ -59,7 +59,7 @@
 		"faults-run.json":      new(runSummary),
 		"faults-replay.json":   new(scenario.Result),
 		"faults-plan.json":     new(scenario.Plan),
-		"faults-mornings.json": new([]scenario.Cell),
+		"faults-mornings.json": new([]scenario.ColdStartCell),
 		"faults-twins.json":    new(differentialSummary),
 		"faults-guards.json":   new([]*guardSummary),
 		"list.json":            new(listView),
--- a/internal/cli/guards.go
+++ b/internal/cli/guards.go
@@ -44,16 +44,16 @@
 	group.SetLimit(runtime.GOMAXPROCS(0))
 	for seed := first; seed <= last; seed++ {
 		group.Go(func() error {
-			oracle, err := scenario.Try(seed, "none", true)
+			oracle, err := scenario.RunRouteTrial(seed, "none", true)
 			if err != nil {
 				return err
 			}
-			for kind, bad := range scenario.Trials {
-				with, err := scenario.Try(seed, kind, true)
+			for kind, bad := range scenario.RouteTrialKinds {
+				with, err := scenario.RunRouteTrial(seed, kind, true)
 				if err != nil {
 					return err
 				}
-				without, err := scenario.Try(seed, kind, false)
+				without, err := scenario.RunRouteTrial(seed, kind, false)
 				if err != nil {
 					return err
 				}
@@ -64,9 +64,9 @@
 					rows[kind] = r
 				}
 				r.Trials++
-				if with.Undone > 0 {
+				if with.RolledBackAfter > 0 {
 					r.RolledBack++
-					r.delays = append(r.delays, with.Undone)
+					r.delays = append(r.delays, with.RolledBackAfter)
 				}
 				r.Guarded, r.Without, r.Oracle = r.Guarded+with.Served, r.Without+without.Served, r.Oracle+oracle.Served
 				mu.Unlock()
--- a/internal/cli/mornings.go
+++ b/internal/cli/mornings.go
@@ -27,9 +27,9 @@
 		return usageErrorf("--jobs 0 to 1024, and at most 10000 seeds")
 	}
 	defer debug.SetGCPercent(debug.SetGCPercent(400))
-	cells := scenario.Cells()
-	bar := progress(to.errs, int64(len(cells)*len(scenario.Ways))*int64(last-first+1), f.JSON)
-	if err := scenario.Mornings(cells, first, last, cmp.Or(f.Jobs, runtime.GOMAXPROCS(0)), func() { bar.Add(1) }); err != nil {
+	cells := scenario.ColdStartCells()
+	bar := progress(to.errs, int64(len(cells)*len(scenario.StartSources))*int64(last-first+1), f.JSON)
+	if err := scenario.CompareColdStarts(cells, first, last, cmp.Or(f.Jobs, runtime.GOMAXPROCS(0)), func() { bar.Add(1) }); err != nil {
 		return err
 	}
 	if f.JSON {
@@ -37,18 +37,18 @@
 	}
 	w := tabwriter.NewWriter(to.out, 0, 8, 2, ' ', 0)
 	fmt.Fprint(w, "age of the list\twrong")
-	for _, way := range scenario.Ways {
+	for _, way := range scenario.StartSources {
 		fmt.Fprintf(w, "\t%s\tpushed", way)
 	}
 	fmt.Fprintln(w)
 	broken := 0
 	for _, c := range cells {
-		fmt.Fprintf(w, "%v\t%.0f%%", time.Duration(c.Age)*time.Second, 100*c.Wrong)
-		for way := range scenario.Ways {
-			fmt.Fprintf(w, "\t%.3f\t%d", c.Satisfied[way], c.Pushed[way])
+		fmt.Fprintf(w, "%v\t%.0f%%", time.Duration(c.AgeSeconds)*time.Second, 100*c.WrongShare)
+		for way := range scenario.StartSources {
+			fmt.Fprintf(w, "\t%.3f\t%d", c.Satisfied[way], c.Overloads[way])
 		}
 		fmt.Fprintln(w)
-		broken += c.Broken
+		broken += c.BrokenRuns
 	}
 	w.Flush()
 	if broken > 0 {
--- a/internal/cli/rigcli/broadcast.go
+++ b/internal/cli/rigcli/broadcast.go
@@ -105,15 +105,15 @@
 		for _, name := range c.Case {
 			for _, mechanism := range c.Mechanism {
 				for seed := first; seed <= last; seed++ {
-					jobs = append(jobs, scale.BroadcastOptions{Gateways: n, Mechanism: mechanism, Case: name, Told: c.Receivers, Rate: c.Rate, Seed: seed, Warm: toDuration(c.WarmUp),
-						For: toDuration(c.Seconds), Settle: toDuration(c.Settle), Fault: c.Fault, Restarts: c.Restarts, Detect: c.Detect, Seen: c.StartSeen, Keep: c.Retention, Skew: c.Skew, Within: c.Bound,
-						Bytes: c.ByteBudget, Measure: c.Jobs == 1})
+					jobs = append(jobs, scale.BroadcastOptions{Gateways: n, Mechanism: mechanism, Case: name, Source: c.Receivers, Rate: c.Rate, Seed: seed, Warmup: toDuration(c.WarmUp),
+						Duration: toDuration(c.Seconds), Settle: toDuration(c.Settle), FaultDuration: c.Fault, Restarts: c.Restarts, CrashSeenWithin: c.Detect, StartSeenWithin: c.StartSeen, KeepPurges: c.Retention, ClockSkew: c.Skew, Deadline: c.Bound,
+						BytesPerSecond: c.ByteBudget, Measure: c.Jobs == 1})
 				}
 			}
 		}
 	}
 	for _, o := range jobs {
-		if err := o.Check(); err != nil {
+		if err := o.Validate(); err != nil {
 			return usageError{err}
 		}
 	}
@@ -134,9 +134,9 @@
 	c.table(to.out, all)
 	bad := 0
 	for _, r := range all {
-		if len(r.Wrong) > 0 && slices.Contains(c.Enforced, r.Mechanism) {
+		if len(r.Violations) > 0 && slices.Contains(c.Enforced, r.Mechanism) {
 			bad++
-			fmt.Fprintf(to.out, "%s, %s, %d gateways, seed %d: %s\n", r.Mechanism, r.Case, r.Gateways, r.Seed, strings.Join(r.Wrong, "; "))
+			fmt.Fprintf(to.out, "%s, %s, %d gateways, seed %d: %s\n", r.Mechanism, r.Case, r.Gateways, r.Seed, strings.Join(r.Violations, "; "))
 		}
 	}
 	if c.Plot != "" {
@@ -233,17 +233,17 @@
 		}
 		mid := func(get func(r *scale.BroadcastReport) float64) float64 { _, m, _ := of(get); return m }
 		top := func(get func(r *scale.BroadcastReport) float64) float64 { _, _, m := of(get); return m }
-		least, share, _ := of(func(r *scale.BroadcastReport) float64 { return r.Share })
+		least, share, _ := of(func(r *scale.BroadcastReport) float64 { return r.InTimeShare })
 		fmt.Fprintf(w, "%s\t%d\t%s\t%d\t%.4f (%.4f)\t%s\t%s\t%s\t%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%.2f\t%.2f\t%.0f\t%.3f%%\t%.1f\n", these[0].Case, these[0].Gateways,
 			these[0].Mechanism, len(these), share, least,
 			formatElapsed(mid(func(r *scale.BroadcastReport) float64 { return r.P50 })), formatElapsed(mid(func(r *scale.BroadcastReport) float64 { return r.P99 })),
-			formatElapsed(mid(func(r *scale.BroadcastReport) float64 { return r.P999 })), formatElapsed(top(func(r *scale.BroadcastReport) float64 { return r.Most })),
-			top(func(r *scale.BroadcastReport) float64 { return float64(r.LostPairs + r.LostFar + r.LostFresh) }),
+			formatElapsed(mid(func(r *scale.BroadcastReport) float64 { return r.P999 })), formatElapsed(top(func(r *scale.BroadcastReport) float64 { return r.Max })),
+			top(func(r *scale.BroadcastReport) float64 { return float64(r.LostPairs + r.LostAcrossCut + r.LostFresh) }),
 			mid(func(r *scale.BroadcastReport) float64 { return r.In.Median }), mid(func(r *scale.BroadcastReport) float64 { return r.Out.Median }),
-			mid(func(r *scale.BroadcastReport) float64 { return r.Both.P99 }), top(func(r *scale.BroadcastReport) float64 { return r.Both.Most }),
-			top(func(r *scale.BroadcastReport) float64 { return r.Worst }), mid(func(r *scale.BroadcastReport) float64 { return r.Datagrams.Median }),
-			mid(func(r *scale.BroadcastReport) float64 { return r.Said }), mid(func(r *scale.BroadcastReport) float64 { return r.Copies }), top(func(r *scale.BroadcastReport) float64 { return float64(r.BehindMost) }),
-			100*mid(func(r *scale.BroadcastReport) float64 { return r.Core }), mid(func(r *scale.BroadcastReport) float64 { return r.Heap })/1024)
+			mid(func(r *scale.BroadcastReport) float64 { return r.Both.P99 }), top(func(r *scale.BroadcastReport) float64 { return r.Both.Max }),
+			top(func(r *scale.BroadcastReport) float64 { return r.WorstSecond }), mid(func(r *scale.BroadcastReport) float64 { return r.Datagrams.Median }),
+			mid(func(r *scale.BroadcastReport) float64 { return r.BatchesPerPurge }), mid(func(r *scale.BroadcastReport) float64 { return r.CopiesPerBatch }), top(func(r *scale.BroadcastReport) float64 { return float64(r.MaxBehind) }),
+			100*mid(func(r *scale.BroadcastReport) float64 { return r.CoreShare }), mid(func(r *scale.BroadcastReport) float64 { return r.Heap })/1024)
 	}
 	w.Flush()
 }
--- a/internal/cli/rigcli/broadcast_test.go
+++ b/internal/cli/rigcli/broadcast_test.go
@@ -38,7 +38,7 @@
 		if err := json.Unmarshal(s.Bytes(), &r); err != nil {
 			t.Fatal(err)
 		}
-		if r.Mechanism == "old" && len(r.Wrong) > 0 {
+		if r.Mechanism == "old" && len(r.Violations) > 0 {
 			lost++
 		}
 	}
--- a/internal/cli/rigcli/capacity.go
+++ b/internal/cli/rigcli/capacity.go
@@ -24,19 +24,19 @@
 
 // Run draws.
 func (c *scalePlot) Run(to *streams) error {
-	all, err := scale.CapacityOf(c.From)
+	all, err := scale.ReadCapacityFigures(c.From)
 	if err != nil {
 		return usageError{err}
 	}
 	if err := os.MkdirAll(c.To, 0o755); err != nil {
 		return usageError{err}
 	}
-	fmt.Fprintln(to.out, scale.CapacityHead)
+	fmt.Fprintln(to.out, scale.CapacityTableHead)
 	for _, f := range all {
 		if err := f.Draw(c.To); err != nil {
 			return err
 		}
-		fmt.Fprintln(to.out, f.Row())
+		fmt.Fprintln(to.out, f.MarkdownRow())
 	}
 	return nil
 }
--- a/internal/cli/rigcli/rigs.go
+++ b/internal/cli/rigcli/rigs.go
@@ -157,9 +157,9 @@
 	}
 	bad := 0
 	for _, r := range reports {
-		if len(r.Wrong) > 0 {
+		if len(r.Violations) > 0 {
 			bad++
-			fmt.Fprintf(out, "%s seed %d: %s\n", r.Scenario, r.Seed, strings.Join(r.Wrong, "; "))
+			fmt.Fprintf(out, "%s seed %d: %s\n", r.Scenario, r.Seed, strings.Join(r.Violations, "; "))
 		}
 	}
 	c.table(out, reports)
@@ -207,9 +207,9 @@
 					return
 				}
 				j := jobs[i]
-				o := fleet.Options{Program: c.Program, Seed: j.seed, Net: c.Net + lane, Dir: filepath.Join(base, fmt.Sprintf("%s-%d", j.s.Name, j.seed))}
+				o := fleet.Options{Program: c.Program, Seed: j.seed, Network: c.Net + lane, Dir: filepath.Join(base, fmt.Sprintf("%s-%d", j.s.Name, j.seed))}
 				if c.Verbose {
-					o.Tell = func(format string, a ...any) {
+					o.Progress = func(format string, a ...any) {
 						mu.Lock()
 						defer mu.Unlock()
 						fmt.Fprintf(errs, "%s seed %d: "+format+"\n", append([]any{j.s.Name, j.seed}, a...)...)
@@ -217,7 +217,7 @@
 				}
 				r, err := fleet.Run(j.s, o)
 				reports[i], failures[i] = r, err
-				if err == nil && len(r.Wrong) == 0 && own {
+				if err == nil && len(r.Violations) == 0 && own {
 					os.RemoveAll(o.Dir)
 				}
 				if err == nil && c.Plot != "" {
@@ -251,13 +251,13 @@
 		var rest, restN, churn, churnN []float64
 		falsely := 0
 		for _, r := range these {
-			rest, restN = append(rest, r.Rest.Bytes), append(restN, r.Rest.Packets)
-			churn, churnN = append(churn, r.Churn.Bytes), append(churnN, r.Churn.Packets)
-			falsely += r.False
+			rest, restN = append(rest, r.AtRest.BytesPerSecond), append(restN, r.AtRest.PacketsPerSecond)
+			churn, churnN = append(churn, r.InChurn.BytesPerSecond), append(churnN, r.InChurn.PacketsPerSecond)
+			falsely += r.FalseDeaths
 		}
 		told := false
 		for i, st := range these[0].Steps {
-			if !st.Awaited || st.Do == "mark" && st.BoundMS == 0 {
+			if !st.Awaited || st.Action == "mark" && st.BoundMS == 0 {
 				continue
 			}
 			var agreed, said []float64
@@ -265,22 +265,22 @@
 				if r.Steps[i].Agreed {
 					agreed = append(agreed, float64(r.Steps[i].AgreedMS)/1000)
 				}
-				if r.Steps[i].Told {
-					said = append(said, float64(r.Steps[i].ToldMS)/1000)
+				if r.Steps[i].Settled {
+					said = append(said, float64(r.Steps[i].SettledMS)/1000)
 				}
 			}
-			am, ax := fleet.Of(agreed)
-			tm, tx := fleet.Of(said)
-			fmt.Fprintf(w, "%s\t%d\t%d %s\t%s\t%s\t%s\t%s\t", these[0].Scenario, len(these), i, st.Do, formatSeconds(am), formatSeconds(ax), formatSeconds(tm), formatSeconds(tx))
+			am, ax := fleet.MedianAndMax(agreed)
+			tm, tx := fleet.MedianAndMax(said)
+			fmt.Fprintf(w, "%s\t%d\t%d %s\t%s\t%s\t%s\t%s\t", these[0].Scenario, len(these), i, st.Action, formatSeconds(am), formatSeconds(ax), formatSeconds(tm), formatSeconds(tx))
 			if told {
 				fmt.Fprintln(w, "\t\t\t\t")
 				continue
 			}
 			told = true
-			a, _ := fleet.Of(rest)
-			b, _ := fleet.Of(restN)
-			d, _ := fleet.Of(churn)
-			e, _ := fleet.Of(churnN)
+			a, _ := fleet.MedianAndMax(rest)
+			b, _ := fleet.MedianAndMax(restN)
+			d, _ := fleet.MedianAndMax(churn)
+			e, _ := fleet.MedianAndMax(churnN)
 			fmt.Fprintf(w, "%d\t%.0f\t%.1f\t%.0f\t%.1f\n", falsely, a, b, d, e)
 		}
 	}
@@ -307,13 +307,13 @@
 	for _, name := range names {
 		var mean, most1, most10 []float64
 		for _, r := range by[name] {
-			mean, most1, most10 = append(mean, r.Limit.Mean), append(most1, r.Limit.Most1), append(most10, r.Limit.Most10)
+			mean, most1, most10 = append(mean, r.Limit.Mean), append(most1, r.Limit.MaxIn1s), append(most10, r.Limit.MaxIn10s)
 		}
 		l := by[name][0].Limit
-		m, _ := fleet.Of(mean)
-		_, a := fleet.Of(most1)
-		_, b := fleet.Of(most10)
-		fmt.Fprintf(w, "%s\t%.0f/s\t%v\t%.1f/s\t%.2f\t%.2f\t%.2f\t%.2f\n", name, l.Limit, l.Fleet, m, a, l.Bound1, b, l.Bound)
+		m, _ := fleet.MedianAndMax(mean)
+		_, a := fleet.MedianAndMax(most1)
+		_, b := fleet.MedianAndMax(most10)
+		fmt.Fprintf(w, "%s\t%.0f/s\t%v\t%.1f/s\t%.2f\t%.2f\t%.2f\t%.2f\n", name, l.Limit, l.FleetWide, m, a, l.Bound1s, b, l.Bound10s)
 	}
 	w.Flush()
 }
@@ -323,7 +323,7 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	first := true
 	for _, r := range reports {
-		s := r.Spread
+		s := r.Broadcast
 		if s == nil {
 			continue
 		}
@@ -331,8 +331,8 @@
 			fmt.Fprintln(w, "SCENARIO\tSEED\tTOLD\tOF PEERS\tIN 4.5S\tSHARE\tP50\tP99\tMOST\tOWN\tAT THE END\tLOST\tBUSIEST B/S")
 		}
 		first = false
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%.4f\t%dms\t%dms\t%dms\t%d\t%d\t%d\t%.0f\n", r.Scenario, r.Seed, s.Told, s.Pairs, s.Within, s.Share, s.P50, s.P99,
-			s.Most, s.Own, s.Final, s.Lost, s.Busiest)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%.4f\t%dms\t%dms\t%dms\t%d\t%d\t%d\t%.0f\n", r.Scenario, r.Seed, s.Purges, s.Pairs, s.InTime, s.Share, s.P50, s.P99,
+			s.Max, s.ByWatch, s.FinalPairs, s.MissingPairs, s.BusiestBytesPerSecond)
 	}
 	w.Flush()
 }
--- a/internal/cli/rigcli/scale.go
+++ b/internal/cli/rigcli/scale.go
@@ -29,7 +29,7 @@
 type scaleWorker struct{}
 
 // Run serves the orders of the process that started this one.
-func (*scaleWorker) Run(to *streams) error { return scale.Crowd(os.Stdin, to.out) }
+func (*scaleWorker) Run(to *streams) error { return scale.RunHollowProcess(os.Stdin, to.out) }
 
 type scaleWatch struct {
 	Sizes      []int         `default:"12,50,200" help:"Gateways, a run each, as 12,50,200."`
@@ -129,11 +129,11 @@
 	bad := 0
 	for i, n := range c.Sizes {
 		for run := range c.Runs {
-			o := scale.WatchOptions{Gateways: n, Real: min(c.Real, n), PerCrowd: c.PerProcess, Purges: c.Purges, Changes: c.Changes, Restarts: c.Restarts, Lookups: c.Lookups, Stretch: c.Stretch,
-				Caches: c.Caches, ListTold: c.List == "told", Warm: toDuration(c.WarmUp), For: toDuration(c.Seconds), Bound: c.Bound,
-				Seed: c.Seed + uint64(i*c.Runs+run), Dir: filepath.Join(base, fmt.Sprintf("%d-%d", n, run+1)), Program: program, Allowance: budget,
-				Crowd: func() *exec.Cmd { return exec.Command(own, "scale", "crowd") },
-				Tell: func(format string, a ...any) {
+			o := scale.WatchOptions{Gateways: n, Real: min(c.Real, n), PerProcess: c.PerProcess, PurgesPerSecond: c.Purges, ChangeInterval: c.Changes, RestartsPerSecond: c.Restarts, LookupsPerSecond: c.Lookups, Stretch: c.Stretch,
+				Caches: c.Caches, ListInConfig: c.List == "told", Warmup: toDuration(c.WarmUp), Duration: toDuration(c.Seconds), Deadline: c.Bound,
+				Seed: c.Seed + uint64(i*c.Runs+run), Dir: filepath.Join(base, fmt.Sprintf("%d-%d", n, run+1)), Program: program, Budget: budget,
+				HollowCommand: func() *exec.Cmd { return exec.Command(own, "scale", "crowd") },
+				Progress: func(format string, a ...any) {
 					bar.Clear()
 					fmt.Fprintf(to.errs, "%d gateways, run %d: "+format+"\n", append([]any{n, run + 1}, a...)...)
 				}}
@@ -149,10 +149,10 @@
 			}
 			r.Run = run + 1
 			all = append(all, r)
-			if bar.Add(1); len(r.Wrong) > 0 {
+			if bar.Add(1); len(r.Violations) > 0 {
 				bad++
 				bar.Clear()
-				fmt.Fprintf(to.out, "%d gateways, run %d: %s\n", n, r.Run, strings.Join(r.Wrong, "; "))
+				fmt.Fprintf(to.out, "%d gateways, run %d: %s\n", n, r.Run, strings.Join(r.Violations, "; "))
 			}
 			if lines != nil {
 				if err := lines.Encode(r); err != nil {
@@ -189,12 +189,12 @@
 				continue
 			}
 			fmt.Fprintf(w, "%d\t%d\t%s\t%d\t%.2f%%\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%.1f\t%.0f", r.Gateways, r.Run, [2]string{"hollow", "real"}[i], k.Gateways, 100*k.Core,
-				k.Event, k.In, k.WireIn, k.WireOut, k.Resident/(1<<20), k.Heap/(1<<20), k.Alloc/1024)
+				k.EventMicros, k.In, k.WireIn, k.WireOut, k.Resident/(1<<20), k.Heap/(1<<20), k.Alloc/1024)
 			if i == 1 && r.Hollow.Gateways > 0 {
 				fmt.Fprintln(w, "\t\t\t\t\t\t\t\t\t")
 				continue
 			}
-			fmt.Fprintf(w, "\t%d\t%.0fms\t%.0fms\t%.0fms\t%.1fs\t%.1f of %d\t%.1f\t%.0f%%\t%.0fms\n", r.Lost, r.Median, r.P99, r.Most, r.Ready, r.Machine.Busy, r.Machine.Cores,
+			fmt.Fprintf(w, "\t%d\t%.0fms\t%.0fms\t%.0fms\t%.1fs\t%.1f of %d\t%.1f\t%.0f%%\t%.0fms\n", r.LostEvents, r.Median, r.P99, r.Max, r.Ready, r.Machine.Busy, r.Machine.Cores,
 				r.Machine.Ours, 100*r.Machine.Starved, r.Machine.Late)
 		}
 	}
@@ -205,8 +205,8 @@
 func (c *scaleWatch) fits(out io.Writer, all []*scale.WatchReport, lines *json.Encoder) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	said := false
-	for _, g := range scale.Figures(all, scale.FullBudget) {
-		fit, err := scale.Line(g.Name, g.By)
+	for _, g := range scale.WatchPlots(all, scale.FullBudget) {
+		fit, err := scale.FitLine(g.Name, g.BySize)
 		if err != nil {
 			fit = nil // a line needs two sizes
 		}
@@ -220,8 +220,8 @@
 				shape = fmt.Sprintf("%v (p %.2g)", fit.Curved, *fit.P)
 			}
 			var off []string
-			for _, at := range fit.At {
-				off = append(off, strconv.Itoa(at.Size)+": "+strconv.FormatFloat(at.Off, 'f', 2, 64))
+			for _, at := range fit.Points {
+				off = append(off, strconv.Itoa(at.Size)+": "+strconv.FormatFloat(at.Deviation, 'f', 2, 64))
 			}
 			fmt.Fprintf(w, "%s\t%.3g n^%.2f\t%.2f\t%s\t%.3g\t%s\n", g.Title, fit.Factor, fit.Slope, fit.R2, shape, fit.Value(scale.FullGateways), strings.Join(off, ", "))
 			if lines != nil {
--- a/internal/cli/twins.go
+++ b/internal/cli/twins.go
@@ -23,12 +23,12 @@
 
 // differentialSummary is what many pairs were.
 type differentialSummary struct {
-	Pairs     int             `json:"pairs"`
-	Complete  int             `json:"whole"` // compared to their end
-	Lookups   int             `json:"lookups"`
-	Decisions int             `json:"decisions"` // compared one by one, and the same
-	Terms     map[string]int  `json:"terms"`     // of the contract, from which on a pair may differ
-	Different []scenario.Pair `json:"different"`
+	Pairs     int                           `json:"pairs"`
+	Complete  int                           `json:"whole"` // compared to their end
+	Lookups   int                           `json:"lookups"`
+	Decisions int                           `json:"decisions"` // compared one by one, and the same
+	Terms     map[string]int                `json:"terms"`     // of the contract, from which on a pair may differ
+	Different []scenario.DifferentialResult `json:"different"`
 }
 
 func (f *faultsDifferential) Run(to *streams) error {
@@ -45,7 +45,7 @@
 	for range cmp.Or(f.Jobs, runtime.GOMAXPROCS(0)) {
 		group.Go(func() error {
 			for seed := first + next.Add(1) - 1; seed <= last; seed = first + next.Add(1) - 1 {
-				p, err := scenario.Twins(seed)
+				p, err := scenario.RunDifferential(seed)
 				if err != nil {
 					return err
 				}
@@ -78,15 +78,15 @@
 	return err
 }
 
-func (t *differentialSummary) add(p scenario.Pair) {
+func (t *differentialSummary) add(p scenario.DifferentialResult) {
 	t.Pairs++
 	t.Lookups += p.Lookups
 	t.Decisions += p.Compared
 	switch {
-	case p.Broken != "" || p.Different != "" && p.Term == "":
+	case p.Broken != "" || p.Different != "" && p.Divergence == "":
 		t.Different = append(t.Different, p)
-	case p.Term != "":
-		t.Terms[p.Term]++
+	case p.Divergence != "":
+		t.Terms[p.Divergence]++
 	default:
 		t.Complete++
 	}
--- a/internal/fleet/limits/cost_test.go
+++ b/internal/fleet/limits/cost_test.go
@@ -8,7 +8,7 @@
 	"foldslip/internal/lab/cost"
 )
 
-var costs = cost.Flags("./fleet/limits")
+var costs = cost.NewProbes("./fleet/limits")
 
 var fleetSizes = []int{12, 100, 500, 1500, 3900}
 
@@ -32,18 +32,18 @@
 
 // What a limit holds where each peer has asked this gateway: the most that it comes to.
 func TestCostLedger(t *testing.T) {
-	costs.Take(t, cost.Figure{Name: "limits-heap", Title: "fleet/limits: heap of one limit that all peers asked for", X: "gateways", Y: "bytes", Budget: 1 << 20, Of: "a limit, 1 MB", At: 3900}, fleetSizes,
-		func(n int) float64 { return cost.Heap(func() any { b, _ := ledgerWithRequests(t, n); return b }) })
+	costs.Measure(t, cost.Figure{Name: "limits-heap", Title: "fleet/limits: heap of one limit that all peers asked for", XLabel: "gateways", YLabel: "bytes", Budget: 1 << 20, BudgetOf: "a limit, 1 MB", PlanSize: 3900}, fleetSizes,
+		func(n int) float64 { return cost.HeapBytes(func() any { b, _ := ledgerWithRequests(t, n); return b }) })
 }
 
 // A turn of a gateway that wants more than it has, four a second.
 func TestCostRequests(t *testing.T) {
-	costs.Take(t, cost.Figure{Name: "limits-asks", Title: "fleet/limits: processor time of a turn that asks", X: "gateways", Y: "us of a core", Budget: 500,
-		Of: "a turn, 0.2% of a core at 4/s", At: 3900}, fleetSizes, func(n int) float64 {
+	costs.Measure(t, cost.Figure{Name: "limits-asks", Title: "fleet/limits: processor time of a turn that asks", XLabel: "gateways", YLabel: "us of a core", Budget: 500,
+		BudgetOf: "a turn, 0.2% of a core at 4/s", PlanSize: 3900}, fleetSizes, func(n int) float64 {
 		b, peers := ledgerWithRequests(t, n)
 		b.RecordUsage("l", 1e6, 1)
 		now := 10 * second
-		return costs.Micros(func(int) {
+		return costs.MicrosPerCall(func(int) {
 			now += second / 4
 			if len(b.Requests(peers, now)) == 0 {
 				t.Fatal("nothing asked")
--- a/internal/fleet/view/cost_test.go
+++ b/internal/fleet/view/cost_test.go
@@ -7,7 +7,7 @@
 	"foldslip/internal/lab/cost"
 )
 
-var costs = cost.Flags("./fleet/view")
+var costs = cost.NewProbes("./fleet/view")
 
 var sizes = []int{12, 50, 200, 500, 1000, 2000, 3900}
 
@@ -28,22 +28,22 @@
 }
 
 func TestCostMembers(t *testing.T) {
-	costs.Take(t, cost.Figure{Name: "view-heap", Title: "fleet/view: heap of the view alone", X: "gateways", Y: "bytes", Budget: 8 << 20, Of: "the view, 8 MB of 128", At: 3900}, sizes,
-		func(n int) float64 { return cost.Heap(func() any { return viewOfSize(t, n) }) })
+	costs.Measure(t, cost.Figure{Name: "view-heap", Title: "fleet/view: heap of the view alone", XLabel: "gateways", YLabel: "bytes", Budget: 8 << 20, BudgetOf: "the view, 8 MB of 128", PlanSize: 3900}, sizes,
+		func(n int) float64 { return cost.HeapBytes(func() any { return viewOfSize(t, n) }) })
 }
 
 // The join of all, as a gateway hears it at its start.
 func TestCostJoins(t *testing.T) {
-	costs.Take(t, cost.Figure{Name: "view-joins", Title: "fleet/view: processor time of the join of all", X: "gateways", Y: "us of a core", Budget: 210000,
-		Of: "2.1% of a core for 10 s", At: 3900}, sizes, func(n int) float64 { return costs.Micros(func(int) { viewOfSize(t, n) }) })
+	costs.Measure(t, cost.Figure{Name: "view-joins", Title: "fleet/view: processor time of the join of all", XLabel: "gateways", YLabel: "us of a core", Budget: 210000,
+		BudgetOf: "2.1% of a core for 10 s", PlanSize: 3900}, sizes, func(n int) float64 { return costs.MicrosPerCall(func(int) { viewOfSize(t, n) }) })
 }
 
 // A member dies or comes back, and the digest after it.
 func TestCostChange(t *testing.T) {
-	costs.Take(t, cost.Figure{Name: "view-change", Title: "fleet/view: processor time of a member's change with the digest after it", X: "gateways", Y: "us of a core",
-		Budget: 4000, Of: "a change, 0.4% of a core at one a second", At: 3900}, sizes, func(n int) float64 {
+	costs.Measure(t, cost.Figure{Name: "view-change", Title: "fleet/view: processor time of a member's change with the digest after it", XLabel: "gateways", YLabel: "us of a core",
+		Budget: 4000, BudgetOf: "a change, 0.4% of a core at one a second", PlanSize: 3900}, sizes, func(n int) float64 {
 		v := viewOfSize(t, n)
-		return costs.Micros(func(i int) {
+		return costs.MicrosPerCall(func(i int) {
 			if m := gateway(1 + i/2%(n-1)); i%2 == 0 {
 				v.MarkGone(m.Name, false, int64(i+2))
 			} else {
@@ -56,17 +56,17 @@
 
 // A frame of words made, and one taken, in a fleet at rest.
 func TestCostHeartbeatFrames(t *testing.T) {
-	costs.Take(t, cost.Figure{Name: "view-words", Title: "fleet/view: processor time of a frame of words made", X: "gateways", Y: "us of a core", Budget: 800,
-		Of: "a frame, 0.4% of a core at 5/s", At: 3900}, sizes, func(n int) float64 {
+	costs.Measure(t, cost.Figure{Name: "view-words", Title: "fleet/view: processor time of a frame of words made", XLabel: "gateways", YLabel: "us of a core", Budget: 800,
+		BudgetOf: "a frame, 0.4% of a core at 5/s", PlanSize: 3900}, sizes, func(n int) float64 {
 		v := viewOfSize(t, n)
-		return costs.Micros(func(int) {
+		return costs.MicrosPerCall(func(int) {
 			if len(v.HeartbeatFrame(1400, 2)) < headerSize+n/8 {
 				t.Fatal("no words")
 			}
 		})
 	})
-	costs.Take(t, cost.Figure{Name: "view-take", Title: "fleet/view: processor time of a frame of words taken", X: "gateways", Y: "us of a core", Budget: 800,
-		Of: "a frame, 0.4% of a core at 5/s", At: 3900}, sizes, func(n int) float64 {
+	costs.Measure(t, cost.Figure{Name: "view-take", Title: "fleet/view: processor time of a frame of words taken", XLabel: "gateways", YLabel: "us of a core", Budget: 800,
+		BudgetOf: "a frame, 0.4% of a core at 5/s", PlanSize: 3900}, sizes, func(n int) float64 {
 		v := viewOfSize(t, n)
 		other := New(gateway(1), v.settings, 1)
 		for i := range n {
@@ -78,7 +78,7 @@
 		for i := range frames {
 			frames[i] = other.HeartbeatFrame(1400, 2)
 		}
-		return costs.Micros(func(i int) {
+		return costs.MicrosPerCall(func(i int) {
 			if _, err := v.MergeHeartbeat(frames[i%len(frames)], int64(i+3)); err != nil {
 				t.Fatal(err)
 			}
@@ -88,10 +88,10 @@
 
 // What package post reads of the view in each turn, four a second: who is live, in order, how many of how many, and the own rank.
 func TestCostLook(t *testing.T) {
-	costs.Take(t, cost.Figure{Name: "view-look", Title: "fleet/view: processor time of a look at the live members, their number and the own rank", X: "gateways",
-		Y: "us of a core", Budget: 500, Of: "a look, 0.2% of a core at 4/s", At: 3900}, sizes, func(n int) float64 {
+	costs.Measure(t, cost.Figure{Name: "view-look", Title: "fleet/view: processor time of a look at the live members, their number and the own rank", XLabel: "gateways",
+		YLabel: "us of a core", Budget: 500, BudgetOf: "a look, 0.2% of a core at 4/s", PlanSize: 3900}, sizes, func(n int) float64 {
 		v := viewOfSize(t, n)
-		return costs.Micros(func(int) {
+		return costs.MicrosPerCall(func(int) {
 			if seen, _ := v.Size(); len(v.LiveNames()) != n || seen != n || v.Rank() >= n {
 				t.Fatal("not all are seen")
 			}
--- a/internal/lab/ci/known_red_test.go
+++ b/internal/lab/ci/known_red_test.go
@@ -11,7 +11,7 @@
 )
 
 // Each made-up test leaves a mark in its package's folder, so that what ran can be told from what was passed over.
-const made = `package PACKAGE
+const markSource = `package PACKAGE
 
 import (
 	"os"
@@ -25,44 +25,44 @@
 }
 `
 
-const red = `
+const redTest = `
 func TestRed(t *testing.T) { mark(t); t.Error("red") }
 `
 
-const green = `
+const greenTest = `
 func TestRed(t *testing.T) { mark(t) }
 `
 
-const besides = `
+const otherTests = `
 func TestRedder(t *testing.T) { mark(t) }
 
 func TestOuter(t *testing.T) { t.Run("TestRed", func(t *testing.T) { os.WriteFile("ran-inner", nil, 0o644) }) }
 `
 
-const alsoRed = `
+const secondRedTest = `
 func TestAlsoRed(t *testing.T) { mark(t); t.Error("red too") }
 `
 
-const line = "made/one.TestRed | go test ./one -run TestRed, seed 4 | its answer comes late | issue 7\n"
+const knownRedLine = "made/one.TestRed | go test ./one -run TestRed, seed 4 | its answer comes late | issue 7\n"
 
-// module is a small module that has the script, and packages by name with the source of their tests.
-func module(t *testing.T, packages map[string]string) string {
+// newModule is a small module that has the script, and packages by name with the source of their tests.
+func newModule(t *testing.T, packages map[string]string) string {
 	t.Helper()
 	root := t.TempDir()
 	script, err := os.ReadFile("../../../.ci/known-red")
 	if err != nil {
 		t.Fatal(err)
 	}
-	write(t, filepath.Join(root, ".ci", "known-red"), string(script))
-	write(t, filepath.Join(root, "go.mod"), "module made\n\ngo 1.26\n")
+	writeFile(t, filepath.Join(root, ".ci", "known-red"), string(script))
+	writeFile(t, filepath.Join(root, "go.mod"), "module made\n\ngo 1.26\n")
 	for name, tests := range packages {
-		source := strings.Replace(made, "PACKAGE", name, 1) + tests
-		write(t, filepath.Join(root, name, name+"_test.go"), source)
+		source := strings.Replace(markSource, "PACKAGE", name, 1) + tests
+		writeFile(t, filepath.Join(root, name, name+"_test.go"), source)
 	}
 	return root
 }
 
-func write(t *testing.T, path, content string) {
+func writeFile(t *testing.T, path, content string) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		t.Fatal(err)
@@ -72,14 +72,14 @@
 	}
 }
 
-// check runs the script with what KNOWN-RED.txt holds: whether it passed, what it printed, and the marks of the tests that ran.
-func check(t *testing.T, root, known string) (passed bool, printed string, ran []string) {
+// runWithKnownRed runs the script with what KNOWN-RED.txt holds: whether it passed, what it printed, and the marks of the tests that ran.
+func runWithKnownRed(t *testing.T, root, known string) (passed bool, printed string, ran []string) {
 	t.Helper()
-	write(t, filepath.Join(root, "KNOWN-RED.txt"), known)
-	return run(t, root)
+	writeFile(t, filepath.Join(root, "KNOWN-RED.txt"), known)
+	return runScript(t, root)
 }
 
-func run(t *testing.T, root string) (passed bool, printed string, ran []string) {
+func runScript(t *testing.T, root string) (passed bool, printed string, ran []string) {
 	t.Helper()
 	command := exec.Command("bash", filepath.Join(root, ".ci", "known-red"))
 	command.Env = append(os.Environ(), "GOPROXY=off", "GOFLAGS=-count=1", "GOWORK=off", "GOTOOLCHAIN=local")
@@ -99,51 +99,51 @@
 	return err == nil, string(out), ran
 }
 
-func TestNothingKnownRed(t *testing.T) {
-	root := module(t, map[string]string{"one": green + besides, "two": green})
+func TestWithoutKnownRedAllTestsRun(t *testing.T) {
+	root := newModule(t, map[string]string{"one": greenTest + otherTests, "two": greenTest})
 	all := []string{"one.TestRed", "one.TestRedder", "one.inner", "two.TestRed"}
-	passed, printed, ran := run(t, root)
+	passed, printed, ran := runScript(t, root)
 	if !passed || strings.Contains(printed, "known red") || !slices.Equal(ran, all) {
 		t.Errorf("no file: passed %v, ran %v, printed\n%s", passed, ran, printed)
 	}
 	for _, known := range []string{"", "\n \n"} {
-		passed, printed, ran := check(t, root, known)
+		passed, printed, ran := runWithKnownRed(t, root, known)
 		if !passed || strings.Contains(printed, "known red") || !slices.Equal(ran, all) {
 			t.Errorf("%q: passed %v, ran %v, printed\n%s", known, passed, ran, printed)
 		}
 	}
-	root = module(t, map[string]string{"one": red})
-	if passed, printed, _ := run(t, root); passed {
+	root = newModule(t, map[string]string{"one": redTest})
+	if passed, printed, _ := runScript(t, root); passed {
 		t.Errorf("a red test with no file passed:\n%s", printed)
 	}
-	if passed, printed, _ := check(t, root, ""); passed {
+	if passed, printed, _ := runWithKnownRed(t, root, ""); passed {
 		t.Errorf("a red test with an empty file passed:\n%s", printed)
 	}
 }
 
-func TestOneKnownRed(t *testing.T) {
-	root := module(t, map[string]string{"one": red + besides, "two": green})
+func TestKnownRedTestIsPassedOverAndPrinted(t *testing.T) {
+	root := newModule(t, map[string]string{"one": redTest + otherTests, "two": greenTest})
 	for range 2 {
-		passed, printed, ran := check(t, root, line)
-		if !passed || !strings.Contains(printed, "known red, passed over: "+line) {
+		passed, printed, ran := runWithKnownRed(t, root, knownRedLine)
+		if !passed || !strings.Contains(printed, "known red, passed over: "+knownRedLine) {
 			t.Errorf("passed %v, printed\n%s", passed, printed)
 		}
 		if want := []string{"one.TestRedder", "one.inner", "two.TestRed"}; !slices.Equal(ran, want) {
 			t.Errorf("ran %v, want %v", ran, want)
 		}
 	}
-	if passed, printed, _ := check(t, root, strings.TrimSpace(line)); !passed {
+	if passed, printed, _ := runWithKnownRed(t, root, strings.TrimSpace(knownRedLine)); !passed {
 		t.Errorf("with no newline at the end:\n%s", printed)
 	}
 }
 
-func TestAnotherRedStillFails(t *testing.T) {
+func TestOtherRedTestsStillFail(t *testing.T) {
 	for where, packages := range map[string]map[string]string{
-		"same package":               {"one": red + alsoRed, "two": green},
-		"another package":            {"one": red, "two": alsoRed},
-		"same name, another package": {"one": red, "two": red},
+		"same package":               {"one": redTest + secondRedTest, "two": greenTest},
+		"another package":            {"one": redTest, "two": secondRedTest},
+		"same name, another package": {"one": redTest, "two": redTest},
 	} {
-		passed, printed, ran := check(t, module(t, packages), line)
+		passed, printed, ran := runWithKnownRed(t, newModule(t, packages), knownRedLine)
 		if passed || !strings.Contains(printed, "--- FAIL: ") {
 			t.Errorf("%s: passed %v, printed\n%s", where, passed, printed)
 		}
@@ -153,11 +153,11 @@
 	}
 }
 
-func TestThreeKnownRed(t *testing.T) {
-	root := module(t, map[string]string{"one": red + alsoRed + besides, "two": red})
-	known := line + "made/one.TestAlsoRed | go test ./one, no seed | not found yet | issue 7\n" +
+func TestThreeKnownRedTestsArePassedOver(t *testing.T) {
+	root := newModule(t, map[string]string{"one": redTest + secondRedTest + otherTests, "two": redTest})
+	known := knownRedLine + "made/one.TestAlsoRed | go test ./one, no seed | not found yet | issue 7\n" +
 		"made/two.TestRed | bin/foldslip faults run --seeds 3-4 | one more | issue 12\n"
-	passed, printed, ran := check(t, root, known)
+	passed, printed, ran := runWithKnownRed(t, root, known)
 	if !passed || strings.Count(printed, "known red, passed over: ") != 3 {
 		t.Errorf("passed %v, printed\n%s", passed, printed)
 	}
@@ -166,11 +166,11 @@
 	}
 }
 
-func TestTheFileIsWrong(t *testing.T) {
-	root := module(t, map[string]string{"one": red + alsoRed + besides, "two": red + alsoRed})
+func TestMalformedKnownRedFileIsRefused(t *testing.T) {
+	root := newModule(t, map[string]string{"one": redTest + secondRedTest + otherTests, "two": redTest + secondRedTest})
 	const command = "go test ./one, seed 1"
 	entry := func(fields ...string) string { return strings.Join(fields, " | ") + "\n" }
-	four := line + entry("made/one.TestAlsoRed", command, "a", "issue 1") + entry("made/two.TestRed", command, "b", "issue 2") +
+	four := knownRedLine + entry("made/one.TestAlsoRed", command, "a", "issue 1") + entry("made/two.TestRed", command, "b", "issue 2") +
 		entry("made/two.TestAlsoRed", command, "c", "issue 3")
 	const malformed = "not 'PACKAGE.TestName | command and seed | what was seen | issue N'"
 	for _, wrong := range []struct{ known, says string }{
@@ -188,8 +188,8 @@
 		{entry("made/one.TestRed", command, "its answer comes late", "issue"), "no issue"},
 		{entry("made/one.TestRed", command, "its answer comes late", "issue 7 and more"), "no issue"},
 		{"made/one.TestRed\n", malformed},
-		{line + line, "named twice"},
-		{line + entry("made/one.TestRed", command, "another cause", "issue 8"), "named twice"},
+		{knownRedLine + knownRedLine, "named twice"},
+		{knownRedLine + entry("made/one.TestRed", command, "another cause", "issue 8"), "named twice"},
 		{entry("TestRed", command, "its answer comes late", "issue 7"), "no full name"},
 		{entry("made/one.TestR.*", command, "a pattern", "issue 7"), "no full name"},
 		{entry("made/one.TestOuter/TestRed", command, "a subtest", "issue 7"), "no full name"},
@@ -198,9 +198,9 @@
 		{entry("made/three.TestRed", command, "its answer comes late", "issue 7"), "no such package"},
 		{entry("made/... .TestRed", command, "all packages", "issue 7"), "no full name"},
 		{entry("made/....TestRed", command, "all packages", "issue 7"), "no such package"},
-		{line + entry("made/two.TestGone", command, "one good line before it", "issue 7"), "matches 0 tests"},
+		{knownRedLine + entry("made/two.TestGone", command, "one good line before it", "issue 7"), "matches 0 tests"},
 	} {
-		passed, printed, ran := check(t, root, wrong.known)
+		passed, printed, ran := runWithKnownRed(t, root, wrong.known)
 		if passed || !strings.Contains(printed, wrong.says) || len(ran) > 0 {
 			t.Errorf("%q: passed %v, ran %v, printed\n%s", wrong.known, passed, ran, printed)
 		}
@@ -208,10 +208,10 @@
 }
 
 // A package and its outside tests may each have a test of one name: the line would pass over both.
-func TestANameOfTwoTests(t *testing.T) {
-	root := module(t, map[string]string{"one": red})
-	write(t, filepath.Join(root, "one", "outside_test.go"), "package one_test\n\nimport \"testing\"\n\nfunc TestRed(t *testing.T) {}\n")
-	if passed, printed, ran := check(t, root, line); passed || !strings.Contains(printed, "matches 2 tests") || len(ran) > 0 {
+func TestAmbiguousNameIsRefused(t *testing.T) {
+	root := newModule(t, map[string]string{"one": redTest})
+	writeFile(t, filepath.Join(root, "one", "outside_test.go"), "package one_test\n\nimport \"testing\"\n\nfunc TestRed(t *testing.T) {}\n")
+	if passed, printed, ran := runWithKnownRed(t, root, knownRedLine); passed || !strings.Contains(printed, "matches 2 tests") || len(ran) > 0 {
 		t.Errorf("passed %v, ran %v, printed\n%s", passed, ran, printed)
 	}
 }
--- a/internal/lab/cost/cost.go
+++ b/internal/lab/cost/cost.go
@@ -19,20 +19,20 @@
 )
 
 // most bounds the points of a figure, and the values of a point.
-const most = 64
+const maxPoints = 64
 
 // Figure is one cost against one size.
 type Figure struct {
-	Name    string  `json:"name"`             // of the file
-	Title   string  `json:"title"`            // what is measured
-	X       string  `json:"x"`                // the unit of the size
-	Y       string  `json:"y"`                // the unit of the values
-	Budget  float64 `json:"budget,omitempty"` // in Y; 0: none
-	Of      string  `json:"of,omitempty"`     // what the budget is
-	At      float64 `json:"at"`               // the size at which the fleet runs it
-	Command string  `json:"command,omitempty"`
-	Commit  string  `json:"commit,omitempty"`
-	Points  []Point `json:"points"`
+	Name     string  `json:"name"`             // of the file
+	Title    string  `json:"title"`            // what is measured
+	XLabel   string  `json:"x"`                // the unit of the size
+	YLabel   string  `json:"y"`                // the unit of the values
+	Budget   float64 `json:"budget,omitempty"` // in Y; 0: none
+	BudgetOf string  `json:"of,omitempty"`     // what the budget is
+	PlanSize float64 `json:"at"`               // the size at which the fleet runs it
+	Command  string  `json:"command,omitempty"`
+	Commit   string  `json:"commit,omitempty"`
+	Points   []Point `json:"points"`
 }
 
 // Point is all runs at one size.
@@ -60,56 +60,56 @@
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if f.Name == "" || filepath.Base(f.Name) != f.Name || len(f.Points) == 0 || len(f.Points) > most {
-		return nil, fmt.Errorf("%s: expected a name of a file and 1 to %d points", path, most)
+	if f.Name == "" || filepath.Base(f.Name) != f.Name || len(f.Points) == 0 || len(f.Points) > maxPoints {
+		return nil, fmt.Errorf("%s: expected a name of a file and 1 to %d points", path, maxPoints)
 	}
 	for _, p := range f.Points {
-		if !(p.Size > 0) || len(p.Values) == 0 || len(p.Values) > most {
-			return nil, fmt.Errorf("%s: a point needs a size above 0 and 1 to %d values", path, most)
+		if !(p.Size > 0) || len(p.Values) == 0 || len(p.Values) > maxPoints {
+			return nil, fmt.Errorf("%s: a point needs a size above 0 and 1 to %d values", path, maxPoints)
 		}
 	}
 	return &f, nil
 }
 
-// Set is how long and how often a test measures.
-type Set struct {
+// Probes is how long and how often a test measures.
+type Probes struct {
 	Package     string // whose tests these are, put down with the figures
 	out, commit *string
 	runs        *int
-	least       *time.Duration
+	minTime     *time.Duration
 }
 
-// Flags are those of the probes of a package's tests; the package as the go command is told it. Without -cost.out the first two sizes of each figure are measured once.
-func Flags(pkg string) *Set {
-	return &Set{Package: pkg, out: flag.String("cost.out", "", "folder for the figures of the cost probes; all sizes are measured then"),
-		commit: flag.String("cost.commit", "", "commit that is measured, put down with the figures"),
-		runs:   flag.Int("cost.runs", 1, "runs of each size of the cost probes"),
-		least:  flag.Duration("cost.least", 2*time.Millisecond, "processor time of each figure of the cost probes, at least")}
+// NewProbes are those of the probes of a package's tests; the package as the go command is told it. Without -cost.out the first two sizes of each figure are measured once.
+func NewProbes(pkg string) *Probes {
+	return &Probes{Package: pkg, out: flag.String("cost.out", "", "folder for the figures of the cost probes; all sizes are measured then"),
+		commit:  flag.String("cost.commit", "", "commit that is measured, put down with the figures"),
+		runs:    flag.Int("cost.runs", 1, "runs of each size of the cost probes"),
+		minTime: flag.Duration("cost.least", 2*time.Millisecond, "processor time of each figure of the cost probes, at least")}
 }
 
-// Whole tells whether all sizes are asked for.
-func (s *Set) Whole() bool { return *s.out != "" }
+// AllSizes tells whether all sizes are asked for.
+func (s *Probes) AllSizes() bool { return *s.out != "" }
 
-// Take measures a figure: one gives the value at a size.
-func (s *Set) Take(t testing.TB, f Figure, sizes []int, one func(size int) float64) Figure {
+// Measure measures a figure: one gives the value at a size.
+func (s *Probes) Measure(t testing.TB, f Figure, sizes []int, one func(size int) float64) Figure {
 	t.Helper()
-	if !s.Whole() {
+	if !s.AllSizes() {
 		sizes = sizes[:min(2, len(sizes))]
 	}
 	for _, size := range sizes {
 		p := Point{Size: float64(size)}
-		for range min(max(1, *s.runs), most) {
+		for range min(max(1, *s.runs), maxPoints) {
 			p.Values = append(p.Values, one(size))
 		}
 		median, least, greatest := p.Median()
-		t.Logf("%s at %d %s: %.4g %s (%.4g to %.4g)", f.Name, size, f.X, median, f.Y, least, greatest)
+		t.Logf("%s at %d %s: %.4g %s (%.4g to %.4g)", f.Name, size, f.XLabel, median, f.YLabel, least, greatest)
 		f.Points = append(f.Points, p)
 	}
-	if !s.Whole() {
+	if !s.AllSizes() {
 		return f
 	}
 	f.Commit = *s.commit
-	f.Command = fmt.Sprintf("go test %s -run '^%s$' -cost.runs %d -cost.least %v -cost.out DIR", s.Package, t.Name(), *s.runs, *s.least)
+	f.Command = fmt.Sprintf("go test %s -run '^%s$' -cost.runs %d -cost.least %v -cost.out DIR", s.Package, t.Name(), *s.runs, *s.minTime)
 	text, err := json.MarshalIndent(&f, "", " ")
 	if err == nil {
 		err = os.WriteFile(filepath.Join(*s.out, f.Name+".json"), append(text, '\n'), 0o644)
@@ -120,30 +120,30 @@
 	return f
 }
 
-// Used is the processor time that this process has had.
-func Used() time.Duration {
+// ProcessorTime is the processor time that this process has had.
+func ProcessorTime() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// Micros is the processor time of one call in microseconds: f is called with 0, 1, 2 and on until the flag's least time is used.
-func (s *Set) Micros(f func(i int)) float64 {
+// MicrosPerCall is the processor time of one call in microseconds: f is called with 0, 1, 2 and on until the flag's least time is used.
+func (s *Probes) MicrosPerCall(f func(i int)) float64 {
 	runtime.GC() // what was left by whoever came before is not this one's
-	began := Used()
+	began := ProcessorTime()
 	for n, step := 0, 1; ; step = min(2*step, 1024) {
 		for range step {
 			f(n)
 			n++
 		}
-		if d := Used() - began; d >= *s.least {
+		if d := ProcessorTime() - began; d >= *s.minTime {
 			return float64(d.Nanoseconds()) / 1000 / float64(n)
 		}
 	}
 }
 
-// Heap is what is made leaves on the heap, in bytes.
-func Heap(makes func() any) float64 {
+// HeapBytes is what is made leaves on the heap, in bytes.
+func HeapBytes(makes func() any) float64 {
 	held := func() uint64 {
 		runtime.GC()
 		runtime.GC()
--- a/internal/lab/cost/cost_test.go
+++ b/internal/lab/cost/cost_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-var set = Flags("./lab/cost")
+var probes = NewProbes("./lab/cost")
 
-func TestHeapCountsWhatIsHeld(t *testing.T) {
-	if n := Heap(func() any { return make([]byte, 1<<20) }); n < 1<<20 || n > 1<<20+1<<16 {
+func TestHeapBytesCountsReachableMemory(t *testing.T) {
+	if n := HeapBytes(func() any { return make([]byte, 1<<20) }); n < 1<<20 || n > 1<<20+1<<16 {
 		t.Errorf("a megabyte is counted as %.0f bytes", n)
 	}
 }
 
-func TestMicrosOfMoreWorkAreMore(t *testing.T) {
+func TestMicrosPerCallGrowsWithWork(t *testing.T) {
 	work := func(n int) func(int) {
 		return func(int) {
 			x := uint64(1)
@@ -24,14 +24,14 @@
 			sink = x
 		}
 	}
-	if one, many := set.Micros(work(1_000)), set.Micros(work(1_000_000)); many < 20*one {
+	if one, many := probes.MicrosPerCall(work(1_000)), probes.MicrosPerCall(work(1_000_000)); many < 20*one {
 		t.Errorf("1,000 rounds %.2f us, a thousand times as many %.2f us", one, many)
 	}
 }
 
 var sink uint64
 
-func TestWhatIsNoFigureIsRefused(t *testing.T) {
+func TestReadRefusesInvalidFigures(t *testing.T) {
 	for name, text := range map[string]string{"empty": "", "no points": `{"name":"a"}`, "a path": `{"name":"../a","points":[{"size":1,"values":[1]}]}`,
 		"no size": `{"name":"a","points":[{"size":0,"values":[1]}]}`, "no value": `{"name":"a","points":[{"size":1,"values":[]}]}`} {
 		path := filepath.Join(t.TempDir(), "f.json")
--- a/internal/lab/fleet/cost_test.go
+++ b/internal/lab/fleet/cost_test.go
@@ -8,24 +8,24 @@
 	"foldslip/internal/lab/cost"
 )
 
-var costs = cost.Flags("./lab/fleet")
+var costs = cost.NewProbes("./lab/fleet")
 
-// atRest is what one gateway of a settled fleet sends and gets a second over five virtual minutes (one in the short form), without heads of UDP, TCP and IP: in
+// trafficAtRest is what one gateway of a settled fleet sends and gets a second over five virtual minutes (one in the short form), without heads of UDP, TCP and IP: in
 // datagrams, and on streams (whole exchanges of the detector). The detector's own chance isn't seeded.
-func atRest(t *testing.T, n int) (datagrams, streams float64) {
+func trafficAtRest(t *testing.T, n int) (datagrams, streams float64) {
 	synctest.Test(t, func(t *testing.T) {
-		v := NewVirtual(n, 1, Usual())
-		defer v.End()
-		if err := v.Start(v.all...); err != nil {
+		v := NewVirtualFleet(n, 1, DefaultSettings())
+		defer v.Close()
+		if err := v.Start(v.names...); err != nil {
 			t.Fatal(err)
 		}
-		if took, ok := v.Until(true, 2*time.Minute); !ok {
+		if took, ok := v.WaitForAgreement(true, 2*time.Minute); !ok {
 			t.Fatalf("%d gateways have not settled after %v", n, took)
 		}
 		time.Sleep(40 * time.Second) // what follows a change is over
 		count := func() (packets, bytes uint64) {
-			for _, name := range v.all {
-				c := v.by[name].counts
+			for _, name := range v.names {
+				c := v.byName[name].counts
 				packets += c.BytesOut.Load() + c.BytesIn.Load()
 				bytes += c.StreamBytes.Load()
 			}
@@ -33,7 +33,7 @@
 		}
 		p, s := count()
 		span := time.Minute
-		if costs.Whole() {
+		if costs.AllSizes() {
 			span = 5 * time.Minute // whole exchanges are 30 s to 90 s apart at these sizes
 		}
 		time.Sleep(span)
@@ -45,14 +45,14 @@
 
 func TestCostAtRest(t *testing.T) {
 	by := map[int][]float64{}
-	costs.Take(t, cost.Figure{Name: "membership-datagrams", Title: "fleet/membership at rest: bytes of datagrams, in and out, heads left out", X: "gateways", Y: "bytes a second", Budget: 2000,
-		Of: "the view, 2 KB a second", At: 100}, []int{12, 25, 50, 100}, func(n int) float64 {
-		datagrams, streams := atRest(t, n)
+	costs.Measure(t, cost.Figure{Name: "membership-datagrams", Title: "fleet/membership at rest: bytes of datagrams, in and out, heads left out", XLabel: "gateways", YLabel: "bytes a second", Budget: 2000,
+		BudgetOf: "the view, 2 KB a second", PlanSize: 100}, []int{12, 25, 50, 100}, func(n int) float64 {
+		datagrams, streams := trafficAtRest(t, n)
 		by[n] = append(by[n], streams)
 		return datagrams
 	})
-	costs.Take(t, cost.Figure{Name: "membership-streams", Title: "fleet/membership at rest: bytes of whole exchanges, in and out, heads left out", X: "gateways", Y: "bytes a second", Budget: 2000,
-		Of: "the view, 2 KB a second", At: 100}, []int{12, 25, 50, 100}, func(n int) float64 {
+	costs.Measure(t, cost.Figure{Name: "membership-streams", Title: "fleet/membership at rest: bytes of whole exchanges, in and out, heads left out", XLabel: "gateways", YLabel: "bytes a second", Budget: 2000,
+		BudgetOf: "the view, 2 KB a second", PlanSize: 100}, []int{12, 25, 50, 100}, func(n int) float64 {
 		bytes := by[n][0]
 		by[n] = append(by[n][1:], bytes)
 		if bytes <= 0 {
--- a/internal/lab/fleet/forms_test.go
+++ b/internal/lab/fleet/forms_test.go
@@ -33,13 +33,13 @@
 
 // TestGatewayFilesKeepTheirForm compares the two files that a gateway of the rig is started with.
 func TestGatewayFilesKeepTheirForm(t *testing.T) {
-	s := &Scenario{Name: "x", Gateways: 2, Disk: true, Fleet: config.Fleet{BroadcastsPurges: true, MaxMembers: 8}, Offsets: []Offset{{"n2", 250}},
-		Limit:  &Limit{Lookups: 20, Fleet: true},
-		Places: []Place{{Who: []string{"n2"}, Region: "r", Zone: "z", Site: "s"}}}
-	r := &Rig{s: s, o: Options{Seed: 7}}
-	p := &process{name: "n2", dir: t.TempDir(), clients: "127.1.0.2:80", bulletin: "127.1.0.9:81", rig: r}
+	s := &Scenario{Name: "x", Gateways: 2, KeepMembers: true, Fleet: config.Fleet{BroadcastsPurges: true, MaxMembers: 8}, ClockOffsets: []ClockOffset{{"n2", 250}},
+		Limit:  &Limit{LookupsPerSecond: 20, FleetWide: true},
+		Places: []Place{{Gateways: []string{"n2"}, Region: "r", Zone: "z", Site: "s"}}}
+	r := &Rig{scenario: s, options: Options{Seed: 7}}
+	p := &process{name: "n2", dir: t.TempDir(), clients: "127.1.0.2:80", discovery: "127.1.0.9:81", rig: r}
 	listen, advertise := netip.MustParseAddrPort("127.1.0.2:82"), netip.MustParseAddrPort("127.1.1.2:82")
-	if err := r.settings(p, 1, nil, []string{"127.1.0.1:82"}, listen, advertise); err != nil {
+	if err := r.writeGatewayFiles(p, 1, nil, []string{"127.1.0.1:82"}, listen, advertise); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{"settings.jsonnet", "config.json"} {
--- a/internal/lab/fleet/load.go
+++ b/internal/lab/fleet/load.go
@@ -19,33 +19,33 @@
 // load is lookups at a steady rate, to running gateways in turn, each on a connection of its own; at most mostAsked are out. Time
 // counts from when a lookup was due, not from when it could be sent (coordinated omission).
 type load struct {
-	cancel context.CancelFunc
-	wait   sync.WaitGroup
-	mu     sync.Mutex
-	r      LoadReport
-	in     []int // satisfied lookups by when they were asked for, in parts of a second
-	began  time.Time
-	took   *hdrhistogram.Histogram // microseconds
+	cancel    context.CancelFunc
+	wait      sync.WaitGroup
+	mu        sync.Mutex
+	counts    LoadReport
+	admitted  []int // satisfied lookups by when they were asked for, in parts of a second
+	startedAt time.Time
+	latencies *hdrhistogram.Histogram // microseconds
 }
 
 // LoadReport is what became of lookups.
 type LoadReport struct {
-	Asked     int64 `json:"asked"`
-	Satisfied int64 `json:"satisfied"`
-	Nacked    int64 `json:"nacked"`
-	Failed    int64 `json:"failed"`  // told so
-	Broken    int64 `json:"broken"`  // no answer, and its gateway was killed, paused or stopped meanwhile
-	Lost      int64 `json:"lost"`    // no answer of a gateway that ran all the time: rule 1
-	Skipped   int64 `json:"skipped"` // not asked: too many were out, or nobody ran
-	P50       int64 `json:"p50_us"`
-	P99       int64 `json:"p99_us"`
-	Max       int64 `json:"max_us"`
+	Sent        int64 `json:"asked"`
+	Satisfied   int64 `json:"satisfied"`
+	Rejected    int64 `json:"nacked"`
+	Failed      int64 `json:"failed"`  // told so
+	Interrupted int64 `json:"broken"`  // no answer, and its gateway was killed, paused or stopped meanwhile
+	Lost        int64 `json:"lost"`    // no answer of a gateway that ran all the time: rule 1
+	Skipped     int64 `json:"skipped"` // not asked: too many were out, or nobody ran
+	P50         int64 `json:"p50_us"`
+	P99         int64 `json:"p99_us"`
+	Max         int64 `json:"max_us"`
 }
 
 const (
-	parts     = 10 // of a second
-	mostAsked = 256
-	askIn     = 6 * time.Second // the longest latency budget and a little
+	slotsPerSecond = 10 // of a second
+	maxOpenLookups = 256
+	lookupTimeout  = 6 * time.Second // the longest latency budget and a little
 )
 
 func startLoad(l Load, r *Rig) (*load, error) {
@@ -54,20 +54,20 @@
 		through[name] = true
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	out := &load{cancel: cancel, began: time.Now(), took: hdrhistogram.New(1, 60_000_000, 2)}
+	out := &load{cancel: cancel, startedAt: time.Now(), latencies: hdrhistogram.New(1, 60_000_000, 2)}
 	objects := max(1, l.Objects)
 	if l.Objects == 0 {
 		objects = 200
 	}
 	turns := rate.NewLimiter(rate.Limit(l.PerSecond), 1)
-	places := make(chan struct{}, mostAsked)
+	places := make(chan struct{}, maxOpenLookups)
 	out.wait.Add(1)
 	go func() {
 		defer out.wait.Done()
 		for n := 0; turns.Wait(ctx) == nil; n++ {
 			var running []*process
-			for _, p := range r.all {
-				if p.serves() && (len(through) == 0 || through[p.name]) {
+			for _, p := range r.processes {
+				if p.isServing() && (len(through) == 0 || through[p.name]) {
 					running = append(running, p)
 				}
 			}
@@ -86,7 +86,7 @@
 			go func() {
 				defer out.wait.Done()
 				defer func() { <-places }()
-				out.ask(p, n, int64(n)%objects)
+				out.sendLookup(p, n, int64(n)%objects)
 			}()
 		}
 	}()
@@ -96,47 +96,47 @@
 func (l *load) count(f func(*LoadReport)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	f(&l.r)
+	f(&l.counts)
 }
 
-func (l *load) ask(p *process, n int, object int64) {
+func (l *load) sendLookup(p *process, n int, object int64) {
 	p.mu.Lock()
 	starts := p.starts
 	p.mu.Unlock()
 	due := time.Now()
-	status, err := lookup(p.clients, n, object)
+	status, err := doLookup(p.clients, n, object)
 	p.mu.Lock()
-	same := p.starts == starts && p.up
+	same := p.starts == starts && p.unpaused
 	p.mu.Unlock()
 	l.count(func(c *LoadReport) {
-		c.Asked++
+		c.Sent++
 		switch {
 		case err != nil && same:
 			c.Lost++
 		case err != nil:
-			c.Broken++
+			c.Interrupted++
 		case status == http.StatusOK:
 			c.Satisfied++
-			for at := int(due.Sub(l.began) * parts / time.Second); at >= len(l.in); {
-				l.in = append(l.in, make([]int, at-len(l.in)+1)...)
+			for at := int(due.Sub(l.startedAt) * slotsPerSecond / time.Second); at >= len(l.admitted); {
+				l.admitted = append(l.admitted, make([]int, at-len(l.admitted)+1)...)
 			}
-			l.in[int(due.Sub(l.began)*parts/time.Second)]++
-			l.took.RecordValue(min(time.Since(due).Microseconds(), 60_000_000))
+			l.admitted[int(due.Sub(l.startedAt)*slotsPerSecond/time.Second)]++
+			l.latencies.RecordValue(min(time.Since(due).Microseconds(), 60_000_000))
 		case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
-			c.Nacked++
+			c.Rejected++
 		default:
 			c.Failed++
 		}
 	})
 }
 
-func lookup(addr string, n int, object int64) (status int, err error) {
+func doLookup(addr string, n int, object int64) (status int, err error) {
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return 0, err
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(askIn))
+	conn.SetDeadline(time.Now().Add(lookupTimeout))
 	fmt.Fprintf(conn, "GET /call/segment/%016x/part-0 HTTP/1.1\r\nHost: x\r\nX-Job-Id: %016x\r\nX-Allow-Ms: 4000\r\nX-Ram-Kb: 1\r\nConnection: close\r\n\r\n",
 		object, n+1)
 	got, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -148,8 +148,8 @@
 	return got.StatusCode, err
 }
 
-// most is how many lookups were let in, at most, within so many parts in a row.
-func most(in []int, parts int) (most int) {
+// maxInWindow is how many lookups were let in, at most, within so many parts in a row.
+func maxInWindow(in []int, parts int) (most int) {
 	sum := 0
 	for i, n := range in {
 		sum += n
@@ -164,36 +164,36 @@
 // LimitReport is what was let in against a limit of the whole fleet. A bucket lets a burst of half a second's worth through after a
 // quiet time, and each gateway's holds at least one lookup (package limit); the bound of a window is what the limit gives in it and that.
 type LimitReport struct {
-	Limit  float64 `json:"limit"`
-	Fleet  bool    `json:"fleet"`
-	Mean   float64 `json:"mean"`     // let in a second, after the first 10 s
-	Most1  float64 `json:"most_1s"`  // in any second, of the limit
-	Most10 float64 `json:"most_10s"` // in any ten seconds, a second, of the limit
-	Bound1 float64 `json:"bound_1s"`
-	Bound  float64 `json:"bound_10s"`
-	PerSec []int   `json:"per_second"`
+	Limit     float64 `json:"limit"`
+	FleetWide bool    `json:"fleet"`
+	Mean      float64 `json:"mean"`     // let in a second, after the first 10 s
+	MaxIn1s   float64 `json:"most_1s"`  // in any second, of the limit
+	MaxIn10s  float64 `json:"most_10s"` // in any ten seconds, a second, of the limit
+	Bound1s   float64 `json:"bound_1s"`
+	Bound10s  float64 `json:"bound_10s"`
+	PerSecond []int   `json:"per_second"`
 }
 
-func (l *load) limits(lim *Limit, gateways int) *LimitReport {
+func (l *load) limitReport(lim *Limit, gateways int) *LimitReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := &LimitReport{Limit: lim.Lookups, Fleet: lim.Fleet}
-	for i, n := range l.in {
-		if i%parts == 0 {
-			r.PerSec = append(r.PerSec, 0)
+	r := &LimitReport{Limit: lim.LookupsPerSecond, FleetWide: lim.FleetWide}
+	for i, n := range l.admitted {
+		if i%slotsPerSecond == 0 {
+			r.PerSecond = append(r.PerSecond, 0)
 		}
-		r.PerSec[i/parts] += n
+		r.PerSecond[i/slotsPerSecond] += n
 	}
 	sum := 0
-	for _, n := range r.PerSec[min(10, len(r.PerSec)):] {
+	for _, n := range r.PerSecond[min(10, len(r.PerSecond)):] {
 		sum += n
 	}
-	r.Mean = float64(sum) / float64(max(1, len(r.PerSec)-10))
-	r.Most1 = float64(most(l.in, parts)) / lim.Lookups
-	r.Most10 = float64(most(l.in, 10*parts)) / 10 / lim.Lookups
-	burst := 0.5 + float64(gateways)/lim.Lookups
-	r.Bound1 = 1 + lim.Over + burst + 1.0/parts // windows are of whole parts
-	r.Bound = 1 + lim.Over + (burst+1.0/parts)/10
+	r.Mean = float64(sum) / float64(max(1, len(r.PerSecond)-10))
+	r.MaxIn1s = float64(maxInWindow(l.admitted, slotsPerSecond)) / lim.LookupsPerSecond
+	r.MaxIn10s = float64(maxInWindow(l.admitted, 10*slotsPerSecond)) / 10 / lim.LookupsPerSecond
+	burst := 0.5 + float64(gateways)/lim.LookupsPerSecond
+	r.Bound1s = 1 + lim.MaxOverrun + burst + 1.0/slotsPerSecond // windows are of whole parts
+	r.Bound10s = 1 + lim.MaxOverrun + (burst+1.0/slotsPerSecond)/10
 	return r
 }
 
@@ -205,24 +205,24 @@
 func (l *load) report() *LoadReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c := l.r
-	c.P50, c.P99, c.Max = l.took.ValueAtQuantile(50), l.took.ValueAtQuantile(99), l.took.Max()
+	c := l.counts
+	c.P50, c.P99, c.Max = l.latencies.ValueAtQuantile(50), l.latencies.ValueAtQuantile(99), l.latencies.Max()
 	return &c
 }
 
-// toy is a stand-in cache that makes its objects up: filled the first time they are asked for with a source, then held.
-type toy struct {
-	mu   sync.Mutex
-	held map[string]time.Time
+// memoryCache is a stand-in cache that makes its objects up: filled the first time they are asked for with a source, then held.
+type memoryCache struct {
+	mu     sync.Mutex
+	stored map[string]time.Time
 }
 
-func (t *toy) answer(d standin.Request) {
+func (t *memoryCache) answer(d standin.Request) {
 	key := d.Fields["k"] + "/" + d.Fields["p"]
 	t.mu.Lock()
-	born, held := t.held[key]
-	if !held && d.Fields["from"] != "" && len(t.held) < 100_000 {
+	born, held := t.stored[key]
+	if !held && d.Fields["from"] != "" && len(t.stored) < 100_000 {
 		born = time.Now()
-		t.held[key] = born
+		t.stored[key] = born
 	}
 	t.mu.Unlock()
 	body := "part " + d.Fields["p"] + " of " + d.Fields["k"] + "\n"
--- a/internal/lab/fleet/mixed_test.go
+++ b/internal/lab/fleet/mixed_test.go
@@ -71,7 +71,7 @@
 		case <-ctx.Done():
 			log, _ := os.ReadFile(asked.log.Name())
 			t.Fatalf("%s does not see that %s %s: %s\n%s", asked.name, other, what, seen, log)
-		case <-time.After(look):
+		case <-time.After(viewInterval):
 		}
 	}
 }
@@ -79,20 +79,20 @@
 // A gateway of the build before and one of this tree see each other come, agree and leave, in both directions.
 func TestAGatewayOfTheBuildBeforeAndOneOfThisTreeSeeEachOther(t *testing.T) {
 	t.Parallel()
-	scenario := Scenario{Name: "mixed", Gateways: 2, Disk: true, Fleet: brief, Places: []Place{
-		{Who: []string{"n1"}, Region: "north", Zone: "a", Site: "a1"}, {Who: []string{"n2"}, Region: "south", Zone: "b", Site: "b1"}}}
+	scenario := Scenario{Name: "mixed", Gateways: 2, KeepMembers: true, Fleet: fastDetector, Places: []Place{
+		{Gateways: []string{"n1"}, Region: "north", Zone: "a", Site: "a1"}, {Gateways: []string{"n2"}, Region: "south", Zone: "b", Site: "b1"}}}
 	if err := scenario.check("mixed"); err != nil {
 		t.Fatal(err)
 	}
 	links := NewLinks(1)
-	rig := &Rig{s: &scenario, o: Options{Program: program, Dir: t.TempDir(), Seed: 1, Net: testNet + 23}, cast: scenario.NewCast(1), links: links,
-		relay: NewRelay(links, scenario.streams()), by: map[string]*process{}, poke: make(chan struct{}, 1), over: make(chan struct{})}
-	rig.began = time.Now()
+	rig := &Rig{scenario: &scenario, options: Options{Program: program, Dir: t.TempDir(), Seed: 1, Network: testNet + 23}, selector: scenario.NewSelector(1), links: links,
+		relay: NewRelay(links, scenario.maxStreams()), byName: map[string]*process{}, viewsChanged: make(chan struct{}, 1), done: make(chan struct{})}
+	rig.startedAt = time.Now()
 	t.Cleanup(rig.close)
-	if err := rig.open(); err != nil {
+	if err := rig.setUp(); err != nil {
 		t.Fatal(err)
 	}
-	before, current := rig.by["n1"], rig.by["n2"]
+	before, current := rig.byName["n1"], rig.byName["n2"]
 	before.program = programBefore(t)
 	for _, p := range []*process{before, current} {
 		if err := p.start(); err != nil {
@@ -108,7 +108,7 @@
 		waitForRow(t, pair.asked, pair.other.name, "is alive, where it stands, and agrees", settled)
 	}
 	for _, pair := range []struct{ stays, leaves *process }{{before, current}, {current, before}} {
-		if err := pair.leaves.end(syscall.SIGTERM, stopIn); err != nil {
+		if err := pair.leaves.signalAndWait(syscall.SIGTERM, stopTimeout); err != nil {
 			t.Fatal(err)
 		}
 		waitForRow(t, pair.stays, pair.leaves.name, "left", func(_ membership.Report, row membership.MemberReport) bool { return row.State == view.Left })
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -20,8 +20,8 @@
 	"foldslip/internal/fleet/membership"
 )
 
-// sighting is what a gateway's own log says of the fleet.
-type sighting struct {
+// loggedView is what a gateway's own log says of the fleet.
+type loggedView struct {
 	live    map[string]bool
 	settled bool
 	digest  string
@@ -34,24 +34,24 @@
 	env       []string
 	args      []string
 	clients   string // where clients connect
-	bulletin  string // where it hears the bulletin
+	discovery string // where it hears the bulletin
 	rig       *Rig
 
-	mu      sync.Mutex // guards what follows; the rig reads it while the log is read
-	cmd     *exec.Cmd
-	up      bool // runs and is not paused
-	ready   bool // and said that it started: clients may come
-	paused  bool
-	wanted  bool // its end would be a crash
-	stopped bool // it was asked to end, and is to do so in good order
-	crashed string
-	starts  int
-	sees    sighting
-	ended   chan struct{}
-	log     *os.File
+	mu         sync.Mutex // guards what follows; the rig reads it while the log is read
+	cmd        *exec.Cmd
+	unpaused   bool // runs and is not paused
+	ready      bool // and said that it started: clients may come
+	paused     bool
+	expectedUp bool // its end would be a crash
+	stopped    bool // it was asked to end, and is to do so in good order
+	crashed    string
+	starts     int
+	view       loggedView
+	ended      chan struct{}
+	log        *os.File
 }
 
-const lineMost = 64 << 10
+const maxLine = 64 << 10
 
 func (p *process) start() error {
 	p.mu.Lock()
@@ -69,17 +69,17 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	p.cmd, p.up, p.ready, p.paused, p.wanted = cmd, true, false, false, true
+	p.cmd, p.unpaused, p.ready, p.paused, p.expectedUp = cmd, true, false, false, true
 	p.starts++
-	p.sees = sighting{live: map[string]bool{p.name: true}}
+	p.view = loggedView{live: map[string]bool{p.name: true}}
 	p.ended = make(chan struct{})
-	go p.read(out, cmd, p.ended)
+	go p.readLog(out, cmd, p.ended)
 	return nil
 }
 
-// read follows the log until the process ends.
-func (p *process) read(out io.Reader, cmd *exec.Cmd, ended chan struct{}) {
-	in := bufio.NewReaderSize(out, lineMost)
+// readLog follows the log until the process ends.
+func (p *process) readLog(out io.Reader, cmd *exec.Cmd, ended chan struct{}) {
+	in := bufio.NewReaderSize(out, maxLine)
 	for {
 		line, long, err := in.ReadLine()
 		if err != nil {
@@ -88,23 +88,23 @@
 		at := time.Now()
 		p.log.Write(append(append([]byte(nil), line...), '\n'))
 		if !long {
-			p.line(string(line), at)
+			p.handleLine(string(line), at)
 		}
 	}
 	err := cmd.Wait()
 	p.mu.Lock()
 	if p.cmd == cmd {
-		p.cmd, p.up, p.ready = nil, false, false
-		if p.wanted || p.stopped && err != nil {
+		p.cmd, p.unpaused, p.ready = nil, false, false
+		if p.expectedUp || p.stopped && err != nil {
 			p.crashed = fmt.Sprintf("%s ended by itself: %v", p.name, err)
 		}
 	}
 	p.mu.Unlock()
-	p.rig.looked()
+	p.rig.requestObservation()
 	close(ended)
 }
 
-func (p *process) line(text string, at time.Time) {
+func (p *process) handleLine(text string, at time.Time) {
 	if strings.Contains(text, "DATA RACE") || strings.HasPrefix(text, "panic:") {
 		p.mu.Lock()
 		p.crashed = p.name + ": " + text
@@ -130,32 +130,32 @@
 	case "module_fault":
 		p.crashed = p.name + ": module_fault"
 	case "fleet_member":
-		was := p.sees.live[f["name"]]
+		was := p.view.live[f["name"]]
 		switch f["state"] {
 		case "alive", "suspect":
-			p.sees.live[f["name"]] = true
+			p.view.live[f["name"]] = true
 		default:
-			delete(p.sees.live, f["name"])
+			delete(p.view.live, f["name"])
 		}
-		if was != p.sees.live[f["name"]] || f["why"] == "restarted" {
-			p.sees.settled = false
+		if was != p.view.live[f["name"]] || f["why"] == "restarted" {
+			p.view.settled = false
 		}
 	case "fleet_stood_still":
-		p.sees.settled = false
+		p.view.settled = false
 	case "fleet_yielded":
-		p.sees = sighting{live: map[string]bool{p.name: true}}
+		p.view = loggedView{live: map[string]bool{p.name: true}}
 	case "fleet_settled":
-		p.sees.settled, p.sees.digest = true, f["digest"]
+		p.view.settled, p.view.digest = true, f["digest"]
 	}
 	p.mu.Unlock()
-	p.rig.heard(p.name, f, at)
+	p.rig.handleLogEvent(p.name, f, at)
 }
 
-// end ends the process by a signal and waits for it.
-func (p *process) end(sig syscall.Signal, within time.Duration) error {
+// signalAndWait ends the process by a signal and waits for it.
+func (p *process) signalAndWait(sig syscall.Signal, within time.Duration) error {
 	p.mu.Lock()
 	cmd, ended := p.cmd, p.ended
-	p.wanted, p.up, p.stopped = false, false, sig == syscall.SIGTERM
+	p.expectedUp, p.unpaused, p.stopped = false, false, sig == syscall.SIGTERM
 	if cmd != nil && p.paused && sig != syscall.SIGKILL {
 		cmd.Process.Signal(syscall.SIGCONT)
 	}
@@ -177,8 +177,8 @@
 	}
 }
 
-// pause stops the process, or lets it go on.
-func (p *process) pause(on bool) error {
+// setPaused stops the process, or lets it go on.
+func (p *process) setPaused(on bool) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
@@ -188,20 +188,20 @@
 	if on {
 		sig = syscall.SIGSTOP
 	}
-	p.paused, p.up = on, !on
+	p.paused, p.unpaused = on, !on
 	return p.cmd.Process.Signal(sig)
 }
 
-func (p *process) running() bool {
+func (p *process) isRunning() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.up
+	return p.unpaused
 }
 
-func (p *process) serves() bool {
+func (p *process) isServing() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.up && p.ready
+	return p.unpaused && p.ready
 }
 
 // report asks the gateway at its socket.
--- a/internal/lab/fleet/relay.go
+++ b/internal/lab/fleet/relay.go
@@ -15,36 +15,36 @@
 //
 // Bounds: mostFlying datagrams under way, and as many streams as it is made for; past them the oldest habit of networks: dropped.
 type Relay struct {
-	links  *Links
-	mu     sync.Mutex
-	doors  map[string]*relayDoor
-	byOwn  map[netip.Addr]string // party by its own address
-	flying atomic.Int64
-	pipes  atomic.Int64
-	most   int64 // streams at once
-	over   chan struct{}
-	wait   sync.WaitGroup
-	Lost   atomic.Int64 // datagrams lost by a fault
-	Moved  atomic.Int64
+	links       *Links
+	mu          sync.Mutex
+	ports       map[string]*relayPort
+	byTarget    map[netip.Addr]string // party by its own address
+	inFlight    atomic.Int64
+	openStreams atomic.Int64
+	maxStreams  int64 // streams at once
+	done        chan struct{}
+	wait        sync.WaitGroup
+	Lost        atomic.Int64 // datagrams lost by a fault
+	Forwarded   atomic.Int64
 }
 
 const (
-	mostFlying = 20_000
-	stall      = 10 * time.Second // a stream into a cut is held so long, as nobody answers its bytes
-	chunk      = 16 << 10
+	maxDatagramsInFlight = 20_000
+	cutTimeout           = 10 * time.Second // a stream into a cut is held so long, as nobody answers its bytes
+	copyBuffer           = 16 << 10
 )
 
-type relayDoor struct {
-	name string
-	own  netip.AddrPort // where the party listens
-	door netip.AddrPort
-	udp  *net.UDPConn
-	tcp  *net.TCPListener
+type relayPort struct {
+	name   string
+	target netip.AddrPort // where the party listens
+	public netip.AddrPort
+	udp    *net.UDPConn
+	tcp    *net.TCPListener
 }
 
 // NewRelay makes a relay over links, for at most so many streams at once.
 func NewRelay(links *Links, mostStreams int) *Relay {
-	return &Relay{links: links, most: int64(mostStreams), doors: map[string]*relayDoor{}, byOwn: map[netip.Addr]string{}, over: make(chan struct{})}
+	return &Relay{links: links, maxStreams: int64(mostStreams), ports: map[string]*relayPort{}, byTarget: map[netip.Addr]string{}, done: make(chan struct{})}
 }
 
 // Add opens a party's door; what comes there goes on to the party's own address, which no other party shares.
@@ -59,25 +59,25 @@
 		return err
 	}
 	udp.SetReadBuffer(4 << 20)
-	d := &relayDoor{name, own, door, udp, tcp}
+	d := &relayPort{name, own, door, udp, tcp}
 	r.mu.Lock()
-	r.doors[name] = d
-	r.byOwn[own.Addr()] = name
+	r.ports[name] = d
+	r.byTarget[own.Addr()] = name
 	r.mu.Unlock()
 	r.wait.Add(2)
-	go r.datagrams(d)
-	go r.streams(d)
+	go r.relayDatagrams(d)
+	go r.relayStreams(d)
 	return nil
 }
 
-// from is the party whose own address that is.
-func (r *Relay) from(at netip.Addr) *relayDoor {
+// sender is the party whose own address that is.
+func (r *Relay) sender(at netip.Addr) *relayPort {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.doors[r.byOwn[at.Unmap()]]
+	return r.ports[r.byTarget[at.Unmap()]]
 }
 
-func (r *Relay) datagrams(to *relayDoor) {
+func (r *Relay) relayDatagrams(to *relayPort) {
 	defer r.wait.Done()
 	buf := make([]byte, 65536)
 	for {
@@ -88,32 +88,32 @@
 			}
 			continue
 		}
-		from := r.from(at.Addr())
+		from := r.sender(at.Addr())
 		if from == nil {
 			continue
 		}
-		lost, takes := r.links.Fate(from.name, to.name, n, false)
-		if lost || r.flying.Load() >= mostFlying {
+		lost, takes := r.links.Transfer(from.name, to.name, n, false)
+		if lost || r.inFlight.Load() >= maxDatagramsInFlight {
 			r.Lost.Add(1)
 			continue
 		}
-		r.Moved.Add(1)
+		r.Forwarded.Add(1)
 		if takes == 0 {
-			from.udp.WriteToUDPAddrPort(buf[:n], to.own)
+			from.udp.WriteToUDPAddrPort(buf[:n], to.target)
 			continue
 		}
 		text := append([]byte(nil), buf[:n]...)
-		r.flying.Add(1)
+		r.inFlight.Add(1)
 		time.AfterFunc(takes, func() {
-			defer r.flying.Add(-1)
-			if !r.links.Cut(from.name, to.name) {
-				from.udp.WriteToUDPAddrPort(text, to.own)
+			defer r.inFlight.Add(-1)
+			if !r.links.IsCut(from.name, to.name) {
+				from.udp.WriteToUDPAddrPort(text, to.target)
 			}
 		})
 	}
 }
 
-func (r *Relay) streams(to *relayDoor) {
+func (r *Relay) relayStreams(to *relayPort) {
 	defer r.wait.Done()
 	for {
 		conn, err := to.tcp.AcceptTCP()
@@ -124,29 +124,29 @@
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		from := r.from(conn.RemoteAddr().(*net.TCPAddr).AddrPort().Addr())
-		if from == nil || r.pipes.Load() >= r.most {
+		from := r.sender(conn.RemoteAddr().(*net.TCPAddr).AddrPort().Addr())
+		if from == nil || r.openStreams.Load() >= r.maxStreams {
 			conn.Close()
 			continue
 		}
-		r.pipes.Add(1)
+		r.openStreams.Add(1)
 		r.wait.Add(1)
 		go func() {
 			defer r.wait.Done()
-			defer r.pipes.Add(-1)
-			r.pipe(conn, from.name, to.name, &net.TCPAddr{IP: from.door.Addr().AsSlice()}, to.own)
+			defer r.openStreams.Add(-1)
+			r.pipe(conn, from.name, to.name, &net.TCPAddr{IP: from.public.Addr().AsSlice()}, to.target)
 		}()
 	}
 }
 
-// Front opens a further door to an address, for one party alone: what it sends there goes on as the links from it to the other say.
-func (r *Relay) Front(from, to string, door, own netip.AddrPort) error {
+// AddPrivate opens a further door to an address, for one party alone: what it sends there goes on as the links from it to the other say.
+func (r *Relay) AddPrivate(from, to string, door, own netip.AddrPort) error {
 	tcp, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(door))
 	if err != nil {
 		return err
 	}
 	r.mu.Lock()
-	r.doors[from+" "+to] = &relayDoor{name: to, tcp: tcp}
+	r.ports[from+" "+to] = &relayPort{name: to, tcp: tcp}
 	r.mu.Unlock()
 	r.wait.Add(1)
 	go func() {
@@ -156,15 +156,15 @@
 			if err != nil {
 				return
 			}
-			if r.pipes.Load() >= r.most {
+			if r.openStreams.Load() >= r.maxStreams {
 				conn.Close()
 				continue
 			}
-			r.pipes.Add(1)
+			r.openStreams.Add(1)
 			r.wait.Add(1)
 			go func() {
 				defer r.wait.Done()
-				defer r.pipes.Add(-1)
+				defer r.openStreams.Add(-1)
 				r.pipe(conn, from, to, nil, own)
 			}()
 		}
@@ -172,20 +172,20 @@
 	return nil
 }
 
-// hold keeps a stream open and silent, as one into a cut is.
-func (r *Relay) hold(conn net.Conn) {
-	late := time.NewTimer(stall)
+// holdSilent keeps a stream open and silent, as one into a cut is.
+func (r *Relay) holdSilent(conn net.Conn) {
+	late := time.NewTimer(cutTimeout)
 	defer late.Stop()
 	select {
 	case <-late.C:
-	case <-r.over:
+	case <-r.done:
 	}
 	conn.Close()
 }
 
 func (r *Relay) pipe(in *net.TCPConn, from, to string, as *net.TCPAddr, own netip.AddrPort) {
-	if !r.links.Open(from, to) { // neither its first word nor the answer to it would come through
-		r.hold(in)
+	if !r.links.IsOpen(from, to) { // neither its first word nor the answer to it would come through
+		r.holdSilent(in)
 		return
 	}
 	d := net.Dialer{Timeout: 2 * time.Second}
@@ -200,28 +200,28 @@
 	}
 	var both sync.WaitGroup
 	both.Add(2)
-	go func() { defer both.Done(); r.pump(in, out.(*net.TCPConn), from, to) }()
-	go func() { defer both.Done(); r.pump(out.(*net.TCPConn), in, to, from) }()
+	go func() { defer both.Done(); r.copyStream(in, out.(*net.TCPConn), from, to) }()
+	go func() { defer both.Done(); r.copyStream(out.(*net.TCPConn), in, to, from) }()
 	done := make(chan struct{})
 	go func() { both.Wait(); close(done) }()
 	select {
 	case <-done:
-	case <-r.over:
+	case <-r.done:
 	}
 	in.Close()
 	out.Close()
 	<-done
 }
 
-// pump moves bytes one way; into a cut it holds still.
-func (r *Relay) pump(in, out *net.TCPConn, from, to string) {
-	buf := make([]byte, chunk)
+// copyStream moves bytes one way; into a cut it holds still.
+func (r *Relay) copyStream(in, out *net.TCPConn, from, to string) {
+	buf := make([]byte, copyBuffer)
 	for {
 		n, err := in.Read(buf)
 		if n > 0 {
-			cut, takes := r.links.Fate(from, to, n, true)
+			cut, takes := r.links.Transfer(from, to, n, true)
 			if cut {
-				r.hold(in)
+				r.holdSilent(in)
 				out.Close()
 				return
 			}
@@ -240,9 +240,9 @@
 
 // Close ends the relay and waits for it.
 func (r *Relay) Close() {
-	close(r.over)
+	close(r.done)
 	r.mu.Lock()
-	for _, d := range r.doors {
+	for _, d := range r.ports {
 		if d.udp != nil {
 			d.udp.Close()
 		}
--- a/internal/lab/fleet/report.go
+++ b/internal/lab/fleet/report.go
@@ -14,130 +14,130 @@
 
 // Report is what became of one run.
 type Report struct {
-	Scenario string        `json:"scenario"`
-	Seed     uint64        `json:"seed"`
-	Gateways int64         `json:"gateways"`
-	ReadyMS  int64         `json:"ready_ms"` // until all started gateways had settled
-	Steps    []StepReport  `json:"steps"`
-	False    int           `json:"false_deaths"` // lines that told dead a gateway that ran and could be reached
-	Rest     Traffic       `json:"at_rest"`      // between ready and the first step
-	Churn    Traffic       `json:"in_churn"`     // from the first step on
-	Load     *LoadReport   `json:"load,omitempty"`
-	Limit    *LimitReport  `json:"limit,omitempty"`
-	Spread   *SpreadReport `json:"spread,omitempty"` // of purges told at a rate
-	Events   []Event       `json:"events,omitempty"`
-	Views    []ViewAt      `json:"views,omitempty"`
-	Wrong    []string      `json:"wrong,omitempty"` // what must not be
+	Scenario    string           `json:"scenario"`
+	Seed        uint64           `json:"seed"`
+	Gateways    int64            `json:"gateways"`
+	ReadyMS     int64            `json:"ready_ms"` // until all started gateways had settled
+	Steps       []StepReport     `json:"steps"`
+	FalseDeaths int              `json:"false_deaths"` // lines that told dead a gateway that ran and could be reached
+	AtRest      Traffic          `json:"at_rest"`      // between ready and the first step
+	InChurn     Traffic          `json:"in_churn"`     // from the first step on
+	Load        *LoadReport      `json:"load,omitempty"`
+	Limit       *LimitReport     `json:"limit,omitempty"`
+	Broadcast   *BroadcastReport `json:"spread,omitempty"` // of purges told at a rate
+	Events      []Event          `json:"events,omitempty"`
+	Views       []ViewSample     `json:"views,omitempty"`
+	Violations  []string         `json:"wrong,omitempty"` // what must not be
 }
 
 // StepReport is how a step ended.
 type StepReport struct {
-	AtMS     int64  `json:"at_ms"`
-	Do       string `json:"do"`
-	Awaited  bool   `json:"awaited"`
-	Agreed   bool   `json:"agreed"`    // before the next step, for good
-	AgreedMS int64  `json:"agreed_ms"` // after the step, the last time all views came to be what is
-	Told     bool   `json:"told"`      // and each gateway said that it had settled, on the same set
-	ToldMS   int64  `json:"told_ms"`
-	BoundMS  int64  `json:"bound_ms,omitempty"`
-	Heeded   int    `json:"heeded,omitempty"`    // gateways that heard a purge of peers first
-	HeededMS int64  `json:"heeded_ms,omitempty"` // until the last of them had
+	AtMS            int64  `json:"at_ms"`
+	Action          string `json:"do"`
+	Awaited         bool   `json:"awaited"`
+	Agreed          bool   `json:"agreed"`    // before the next step, for good
+	AgreedMS        int64  `json:"agreed_ms"` // after the step, the last time all views came to be what is
+	Settled         bool   `json:"told"`      // and each gateway said that it had settled, on the same set
+	SettledMS       int64  `json:"told_ms"`
+	BoundMS         int64  `json:"bound_ms,omitempty"`
+	PurgeReceivers  int    `json:"heeded,omitempty"`    // gateways that heard a purge of peers first
+	PurgeReceivedMS int64  `json:"heeded_ms,omitempty"` // until the last of them had
 }
 
 // Traffic is of one gateway, mean over gateways, each second.
 type Traffic struct {
-	Packets float64 `json:"packets_s"`
-	Bytes   float64 `json:"bytes_s"`
-	Streams float64 `json:"streams_s"`
-	Seconds float64 `json:"seconds"`
+	PacketsPerSecond float64 `json:"packets_s"`
+	BytesPerSecond   float64 `json:"bytes_s"`
+	StreamsPerSecond float64 `json:"streams_s"`
+	Seconds          float64 `json:"seconds"`
 }
 
-// ViewAt is the least and the most live members in running gateways' views.
-type ViewAt struct {
-	AtMS  int64 `json:"at_ms"`
-	Least int   `json:"least"`
-	Most  int   `json:"most"`
-	Up    int   `json:"up"`
-	Agree bool  `json:"agree"`
-	Told  bool  `json:"told"`
+// ViewSample is the least and the most live members in running gateways' views.
+type ViewSample struct {
+	AtMS    int64 `json:"at_ms"`
+	MinLive int   `json:"least"`
+	MaxLive int   `json:"most"`
+	Running int   `json:"up"`
+	Agreed  bool  `json:"agree"`
+	Settled bool  `json:"told"`
 }
 
 func (r *Rig) report() *Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rep := &Report{Scenario: r.s.Name, Seed: r.o.Seed, Gateways: r.s.Gateways, False: r.falsely, Events: r.events}
+	rep := &Report{Scenario: r.scenario.Name, Seed: r.options.Seed, Gateways: r.scenario.Gateways, FalseDeaths: r.falseDeaths, Events: r.events}
 	if len(r.marks) == 0 {
 		return rep
 	}
 	rep.ReadyMS = r.marks[0].at.Milliseconds()
-	for i, st := range r.s.Steps {
+	for i, st := range r.scenario.Steps {
 		from, to := r.marks[i+1].at, r.marks[i+2].at
-		out := StepReport{AtMS: (from - r.marks[0].at).Milliseconds(), Do: st.Do, Awaited: st.Settle != "none", BoundMS: st.BoundMS}
-		out.Agreed, out.AgreedMS = lastTurn(r.states, from, to, func(m moment) bool { return m.agree })
-		out.Told, out.ToldMS = lastTurn(r.states, from, to, func(m moment) bool { return m.told })
-		if st.Do == "purge" {
+		out := StepReport{AtMS: (from - r.marks[0].at).Milliseconds(), Action: st.Action, Awaited: st.Settle != "none", BoundMS: st.BoundMS}
+		out.Agreed, out.AgreedMS = heldSince(r.states, from, to, func(m viewState) bool { return m.agreed })
+		out.Settled, out.SettledMS = heldSince(r.states, from, to, func(m viewState) bool { return m.settled })
+		if st.Action == "purge" {
 			for _, e := range r.events {
 				if at := time.Duration(e.AtMS) * time.Millisecond; e.State == "purge" && at >= from && at < to {
-					out.Heeded, out.HeededMS = out.Heeded+1, e.AtMS-from.Milliseconds()
+					out.PurgeReceivers, out.PurgeReceivedMS = out.PurgeReceivers+1, e.AtMS-from.Milliseconds()
 				}
 			}
-			if out.Heeded < int(st.Least) || st.BoundMS > 0 && out.HeededMS > st.BoundMS {
-				rep.Wrong = append(rep.Wrong, fmt.Sprintf("step %d (purge): %d gateways heard it of peers, the last after %d ms; at least %d within %d ms", i,
-					out.Heeded, out.HeededMS, st.Least, st.BoundMS))
+			if out.PurgeReceivers < int(st.MinReceivers) || st.BoundMS > 0 && out.PurgeReceivedMS > st.BoundMS {
+				rep.Violations = append(rep.Violations, fmt.Sprintf("step %d (purge): %d gateways heard it of peers, the last after %d ms; at least %d within %d ms", i,
+					out.PurgeReceivers, out.PurgeReceivedMS, st.MinReceivers, st.BoundMS))
 			}
 		}
 		rep.Steps = append(rep.Steps, out)
-		if !out.Awaited || st.Do == "purge" {
+		if !out.Awaited || st.Action == "purge" {
 			continue
 		}
 		switch {
 		case !out.Agreed:
-			rep.Wrong = append(rep.Wrong, fmt.Sprintf("step %d (%s): views do not agree with what is before the next step", i, st.Do))
-		case !out.Told:
-			rep.Wrong = append(rep.Wrong, fmt.Sprintf("step %d (%s): not all gateways said that they had settled", i, st.Do))
-		case st.BoundMS > 0 && max(out.AgreedMS, out.ToldMS) > st.BoundMS:
-			rep.Wrong = append(rep.Wrong, fmt.Sprintf("step %d (%s): settled after %d ms, bound %d ms", i, st.Do, max(out.AgreedMS, out.ToldMS), st.BoundMS))
+			rep.Violations = append(rep.Violations, fmt.Sprintf("step %d (%s): views do not agree with what is before the next step", i, st.Action))
+		case !out.Settled:
+			rep.Violations = append(rep.Violations, fmt.Sprintf("step %d (%s): not all gateways said that they had settled", i, st.Action))
+		case st.BoundMS > 0 && max(out.AgreedMS, out.SettledMS) > st.BoundMS:
+			rep.Violations = append(rep.Violations, fmt.Sprintf("step %d (%s): settled after %d ms, bound %d ms", i, st.Action, max(out.AgreedMS, out.SettledMS), st.BoundMS))
 		}
 	}
 	first := 1
-	for first < len(r.s.Steps) && r.s.Steps[first-1].Do == "mark" {
+	for first < len(r.scenario.Steps) && r.scenario.Steps[first-1].Action == "mark" {
 		first++
 	}
-	rep.Rest = between(r.marks[0], r.marks[first])
-	rep.Churn = between(r.marks[first], r.marks[len(r.marks)-1])
+	rep.AtRest = trafficBetween(r.marks[0], r.marks[first])
+	rep.InChurn = trafficBetween(r.marks[first], r.marks[len(r.marks)-1])
 	for _, m := range r.states {
-		rep.Views = append(rep.Views, ViewAt{m.at.Milliseconds(), m.least, m.most, m.up, m.agree, m.told})
+		rep.Views = append(rep.Views, ViewSample{m.at.Milliseconds(), m.minLive, m.maxLive, m.running, m.agreed, m.settled})
 	}
 	if r.load != nil {
 		rep.Load = r.load.report()
 		if rep.Load.Lost > 0 {
-			rep.Wrong = append(rep.Wrong, fmt.Sprintf("%d lookups got no answer of a gateway that ran", rep.Load.Lost))
+			rep.Violations = append(rep.Violations, fmt.Sprintf("%d lookups got no answer of a gateway that ran", rep.Load.Lost))
 		}
 	}
-	if l := r.s.Limit; l != nil && r.load != nil {
-		rep.Limit = r.load.limits(l, len(r.all))
-		if l.Fleet && rep.Limit.Most1 > rep.Limit.Bound1 {
-			rep.Wrong = append(rep.Wrong, fmt.Sprintf("in one second %.2f of the fleet's limit were let in, bound %.2f", rep.Limit.Most1, rep.Limit.Bound1))
+	if l := r.scenario.Limit; l != nil && r.load != nil {
+		rep.Limit = r.load.limitReport(l, len(r.processes))
+		if l.FleetWide && rep.Limit.MaxIn1s > rep.Limit.Bound1s {
+			rep.Violations = append(rep.Violations, fmt.Sprintf("in one second %.2f of the fleet's limit were let in, bound %.2f", rep.Limit.MaxIn1s, rep.Limit.Bound1s))
 		}
-		if l.Fleet && rep.Limit.Most10 > rep.Limit.Bound {
-			rep.Wrong = append(rep.Wrong, fmt.Sprintf("in ten seconds %.2f of the fleet's limit were let in, bound %.2f", rep.Limit.Most10, rep.Limit.Bound))
+		if l.FleetWide && rep.Limit.MaxIn10s > rep.Limit.Bound10s {
+			rep.Violations = append(rep.Violations, fmt.Sprintf("in ten seconds %.2f of the fleet's limit were let in, bound %.2f", rep.Limit.MaxIn10s, rep.Limit.Bound10s))
 		}
-		if rep.Limit.Mean < l.Least*l.Lookups {
-			rep.Wrong = append(rep.Wrong, fmt.Sprintf("%.0f a second were let in of a limit of %.0f, at least %.0f are wanted", rep.Limit.Mean, l.Lookups, l.Least*l.Lookups))
+		if rep.Limit.Mean < l.MinShare*l.LookupsPerSecond {
+			rep.Violations = append(rep.Violations, fmt.Sprintf("%.0f a second were let in of a limit of %.0f, at least %.0f are wanted", rep.Limit.Mean, l.LookupsPerSecond, l.MinShare*l.LookupsPerSecond))
 		}
 	}
-	if r.spread != nil {
-		rep.Spread = r.spread.report(r.states)
-		rep.Wrong = append(rep.Wrong, rep.Spread.wrong(r.s.Purges)...)
+	if r.broadcast != nil {
+		rep.Broadcast = r.broadcast.report(r.states)
+		rep.Violations = append(rep.Violations, rep.Broadcast.violations(r.scenario.Purges)...)
 	}
-	if err := r.crashes(); err != nil {
-		rep.Wrong = append(rep.Wrong, err.Error())
+	if err := r.checkCrashes(); err != nil {
+		rep.Violations = append(rep.Violations, err.Error())
 	}
 	return rep
 }
 
-// lastTurn tells whether a thing held at the end of a time, and when it came to hold for good, in milliseconds since its begin.
-func lastTurn(states []moment, from, to time.Duration, holds func(moment) bool) (bool, int64) {
+// heldSince tells whether a thing held at the end of a time, and when it came to hold for good, in milliseconds since its begin.
+func heldSince(states []viewState, from, to time.Duration, holds func(viewState) bool) (bool, int64) {
 	at, held := time.Duration(-1), false
 	for _, m := range states {
 		if m.at >= to {
@@ -152,21 +152,21 @@
 	return held, max(0, (at - from).Milliseconds())
 }
 
-func between(a, b mark) (t Traffic) {
+func trafficBetween(a, b trafficSample) (t Traffic) {
 	t.Seconds = (b.at - a.at).Seconds()
 	n := 0.0
-	for key, late := range b.bytes {
-		early, ok := a.bytes[key]
+	for key, late := range b.byStart {
+		early, ok := a.byStart[key]
 		if !ok || t.Seconds <= 0 {
 			continue // it was started meanwhile
 		}
 		n++
-		t.Packets += float64(late.packets-early.packets) / t.Seconds
-		t.Bytes += float64(late.bytes-early.bytes) / t.Seconds
-		t.Streams += float64(late.streams-early.streams) / t.Seconds
+		t.PacketsPerSecond += float64(late.packets-early.packets) / t.Seconds
+		t.BytesPerSecond += float64(late.bytes-early.bytes) / t.Seconds
+		t.StreamsPerSecond += float64(late.streams-early.streams) / t.Seconds
 	}
 	if n > 0 {
-		t.Packets, t.Bytes, t.Streams = t.Packets/n, t.Bytes/n, t.Streams/n
+		t.PacketsPerSecond, t.BytesPerSecond, t.StreamsPerSecond = t.PacketsPerSecond/n, t.BytesPerSecond/n, t.StreamsPerSecond/n
 	}
 	return t
 }
@@ -179,12 +179,12 @@
 	p.Y.Min = 0
 	series := []struct {
 		name string
-		of   func(ViewAt) int
+		of   func(ViewSample) int
 		c    color.Color
 		dash []vg.Length
-	}{{"run", func(v ViewAt) int { return v.Up }, color.Gray{150}, []vg.Length{vg.Points(4), vg.Points(3)}},
-		{"most seen", func(v ViewAt) int { return v.Most }, color.RGBA{R: 200, G: 90, A: 255}, nil},
-		{"least seen", func(v ViewAt) int { return v.Least }, color.RGBA{B: 180, G: 60, A: 255}, nil}}
+	}{{"run", func(v ViewSample) int { return v.Running }, color.Gray{150}, []vg.Length{vg.Points(4), vg.Points(3)}},
+		{"most seen", func(v ViewSample) int { return v.MaxLive }, color.RGBA{R: 200, G: 90, A: 255}, nil},
+		{"least seen", func(v ViewSample) int { return v.MinLive }, color.RGBA{B: 180, G: 60, A: 255}, nil}}
 	for _, s := range series {
 		var pts plotter.XYs
 		for i, v := range rep.Views {
@@ -203,7 +203,7 @@
 		p.Legend.Add(s.name, line)
 	}
 	for _, st := range rep.Steps {
-		if st.Do == "mark" {
+		if st.Action == "mark" {
 			continue
 		}
 		x := float64(st.AtMS+rep.ReadyMS) / 1000
@@ -213,7 +213,7 @@
 		}
 		line.Color = color.Gray{200}
 		p.Add(line)
-		labels, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: x, Y: 0.3}}, Labels: []string{st.Do}})
+		labels, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: x, Y: 0.3}}, Labels: []string{st.Action}})
 		if err != nil {
 			return err
 		}
@@ -222,8 +222,8 @@
 	return p.Save(24*vg.Centimeter, 12*vg.Centimeter, path)
 }
 
-// Of are the median and the greatest of figures, NaN without any.
-func Of(figures []float64) (median, most float64) {
+// MedianAndMax are the median and the greatest of figures, NaN without any.
+func MedianAndMax(figures []float64) (median, most float64) {
 	if len(figures) == 0 {
 		return math.NaN(), math.NaN()
 	}
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -19,91 +19,91 @@
 )
 
 const (
-	peerPort   = 7946
-	clientPort = 10080
-	frontPort  = 20000
-	look       = 20 * time.Millisecond
-	stopIn     = 12 * time.Second
+	peerPort     = 7946
+	clientPort   = 10080
+	standInPort  = 20000
+	viewInterval = 20 * time.Millisecond
+	stopTimeout  = 12 * time.Second
 )
 
 // Options are where a run is made.
 type Options struct {
-	Program string // the gateway's
-	Dir     string // for settings and logs; made, not removed
-	Seed    uint64
-	Net     int // which loopback networks it takes, 0 to 60; runs at once need different ones
-	Tell    func(format string, a ...any)
+	Program  string // the gateway's
+	Dir      string // for settings and logs; made, not removed
+	Seed     uint64
+	Network  int // which loopback networks it takes, 0 to 60; runs at once need different ones
+	Progress func(format string, a ...any)
 }
 
 // Rig is one run of a scenario on real processes.
 type Rig struct {
-	s      *Scenario
-	o      Options
-	cast   *Cast
-	links  *Links
-	relay  *Relay
-	all    []*process
-	by     map[string]*process
-	began  time.Time
-	load   *load
-	spread *spread // nil: the scenario tells no purges at a rate
+	scenario  *Scenario
+	options   Options
+	selector  *Selector
+	links     *Links
+	relay     *Relay
+	processes []*process
+	byName    map[string]*process
+	startedAt time.Time
+	load      *load
+	broadcast *broadcastRun // nil: the scenario tells no purges at a rate
 
-	mu       sync.Mutex
-	states   []moment // agreement over time
-	events   []Event
-	falsely  int
-	marks    []mark
-	caches   []*standin.Cache
-	bulletin *standin.Discovery
-	poke     chan struct{}
-	over     chan struct{}
+	mu           sync.Mutex
+	states       []viewState // agreement over time
+	events       []Event
+	falseDeaths  int
+	marks        []trafficSample
+	caches       []*standin.Cache
+	discovery    *standin.Discovery
+	viewsChanged chan struct{}
+	done         chan struct{}
 }
 
-// moment is what the rig saw at a time, if it differs from the moment before.
-type moment struct {
-	at          time.Duration
-	agree, told bool
-	least, most int // live members in the views of running gateways
-	up          int
+// viewState is what the rig saw at a time, if it differs from the moment before.
+type viewState struct {
+	at               time.Duration
+	agreed, settled  bool
+	minLive, maxLive int // live members in the views of running gateways
+	running          int
 }
 
-type mark struct {
-	at    time.Duration
-	step  int // -1: ready, len(steps): the end
-	bytes map[string]traffic
+type trafficSample struct {
+	at      time.Duration
+	step    int // -1: ready, len(steps): the end
+	byStart map[string]traffic
 }
 
 type traffic struct{ packets, bytes, streams uint64 }
 
 // Event is a change of a view, as a gateway logged it.
 type Event struct {
-	AtMS  int64  `json:"at_ms"`
-	On    string `json:"on"`
-	Name  string `json:"name"`
-	State string `json:"state"`
-	By    string `json:"by,omitempty"`
-	Why   string `json:"why,omitempty"`
-	False bool   `json:"false,omitempty"` // it was told dead while it ran, with ways open both ways
+	AtMS       int64  `json:"at_ms"`
+	Observer   string `json:"on"`
+	Name       string `json:"name"`
+	State      string `json:"state"`
+	Source     string `json:"by,omitempty"`
+	Reason     string `json:"why,omitempty"`
+	FalseDeath bool   `json:"false,omitempty"` // it was told dead while it ran, with ways open both ways
 }
 
-const mostEvents = 20_000
+const maxEvents = 20_000
 
 // Run plays a scenario once. An error is of the rig; what the fleet did wrong stands in the report.
 func Run(s *Scenario, o Options) (*Report, error) {
-	if o.Tell == nil {
-		o.Tell = func(string, ...any) {}
+	if o.Progress == nil {
+		o.Progress = func(string, ...any) {}
 	}
 	links := NewLinks(o.Seed)
-	r := &Rig{s: s, o: o, cast: s.NewCast(o.Seed), links: links, relay: NewRelay(links, s.streams()), by: map[string]*process{}, poke: make(chan struct{}, 1), over: make(chan struct{})}
+	r := &Rig{scenario: s, options: o, selector: s.NewSelector(o.Seed), links: links, relay: NewRelay(links, s.maxStreams()), byName: map[string]*process{}, viewsChanged: make(chan struct{}, 1), done: make(chan struct{})}
 	defer r.close()
-	if err := r.open(); err != nil {
+	if err := r.setUp(); err != nil {
 		return nil, err
 	}
 	stop := make(chan struct{})
 	var wait sync.WaitGroup
 	wait.Add(1)
-	go func() { defer wait.Done(); r.watch(stop) }()
-	err := r.play()
+	go func() { defer wait.Done(); r.watchViews(stop) }()
+	err := r.runSteps()
 	close(stop)
 	wait.Wait()
 	if err != nil {
@@ -115,55 +115,55 @@
 // The rig's loopback network has a run of blocks for each kind of address: the third byte of the first one of the run, hostsInBlock hosts in
 // each. Fronts share a gateway's address and differ by port, as there may be a thousand caches.
 const (
-	hostsInBlock    = 250
-	bulletinBlock   = 9
-	doorBlocks      = 10 // of gateways, under which the others know them
-	ownBlocks       = 20 // where gateways listen
-	frontBlocks     = 30 // where each gateway finds the bulletin and the caches
-	cacheBlocks     = 40
-	firstCacheFront = 10_000 // port of the front to the first cache
+	hostsInBlock   = 250
+	discoveryBlock = 9
+	relayBlocks    = 10 // of gateways, under which the others know them
+	listenBlocks   = 20 // where gateways listen
+	privateBlocks  = 30 // where each gateway finds the bulletin and the caches
+	cacheBlocks    = 40
+	firstCachePort = 10_000 // port of the front to the first cache
 )
 
 // addr is host i, counted from 0, of a run of blocks.
 func (r *Rig) addr(blocks, i, port int) netip.AddrPort {
 	block, host := blocks+i/hostsInBlock, 1+i%hostsInBlock
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(60 + r.o.Net), byte(block), byte(host)}), uint16(port))
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(60 + r.options.Network), byte(block), byte(host)}), uint16(port))
 }
 
-func (r *Rig) open() error {
-	if err := os.MkdirAll(r.o.Dir, 0o700); err != nil {
+func (r *Rig) setUp() error {
+	if err := os.MkdirAll(r.options.Dir, 0o700); err != nil {
 		return err
 	}
 	var err error
-	if r.bulletin, err = standin.NewDiscovery(r.addr(bulletinBlock, 0, 8500).String(), 1); err != nil {
+	if r.discovery, err = standin.NewDiscovery(r.addr(discoveryBlock, 0, 8500).String(), 1); err != nil {
 		return err
 	}
-	go drop(r.bulletin.Subscribed, r.over) // nobody here asks what gateways asked for
+	go discard(r.discovery.Subscribed, r.done) // nobody here asks what gateways asked for
 	var members []standin.Endpoint
-	for i := range int(r.s.Caches) + 2 {
+	for i := range int(r.scenario.Caches) + 2 {
 		flavor, zone := "edge", "town"
-		if i >= int(r.s.Caches) {
-			flavor, zone = []string{"parent", "origin"}[i-int(r.s.Caches)], "hub"
+		if i >= int(r.scenario.Caches) {
+			flavor, zone = []string{"parent", "origin"}[i-int(r.scenario.Caches)], "hub"
 		}
-		toy := &toy{held: map[string]time.Time{}}
-		c, err := standin.NewCache(r.addr(cacheBlocks, i, frontPort).String(), toy.answer)
+		toy := &memoryCache{stored: map[string]time.Time{}}
+		c, err := standin.NewCache(r.addr(cacheBlocks, i, standInPort).String(), toy.answer)
 		if err != nil {
 			return err
 		}
 		r.caches = append(r.caches, c)
-		go drop(c.Cancelled, r.over)
+		go discard(c.Cancelled, r.done)
 		members = append(members, standin.Endpoint{ID: fmt.Sprintf("c%d", i+1), HostPort: c.Addr, Locality: zone, Flavor: flavor, Phase: "up", Size: 1})
 	}
 	var seeds []string
-	for i := range int(r.s.Seeds) {
-		seeds = append(seeds, r.addr(doorBlocks, i, peerPort).String())
+	for i := range int(r.scenario.Seeds) {
+		seeds = append(seeds, r.addr(relayBlocks, i, peerPort).String())
 	}
-	for i, name := range r.s.names() {
-		own, door := r.addr(ownBlocks, i, peerPort), r.addr(doorBlocks, i, peerPort)
+	for i, name := range r.scenario.names() {
+		own, door := r.addr(listenBlocks, i, peerPort), r.addr(relayBlocks, i, peerPort)
 		if err := r.relay.Add(name, door, own); err != nil {
 			return err
 		}
-		p := &process{name: name, dir: filepath.Join(r.o.Dir, name), program: r.o.Program, clients: r.addr(ownBlocks, i, clientPort).String(), rig: r}
+		p := &process{name: name, dir: filepath.Join(r.options.Dir, name), program: r.options.Program, clients: r.addr(listenBlocks, i, clientPort).String(), rig: r}
 		if err := os.MkdirAll(p.dir, 0o700); err != nil {
 			return err
 		}
@@ -172,40 +172,40 @@
 		}
 		its := slices.Clone(members)
 		for j := range its {
-			front := r.addr(frontBlocks, i, firstCacheFront+j)
-			if err := r.relay.Front(name, its[j].ID, front, netip.MustParseAddrPort(its[j].HostPort)); err != nil {
+			front := r.addr(privateBlocks, i, firstCachePort+j)
+			if err := r.relay.AddPrivate(name, its[j].ID, front, netip.MustParseAddrPort(its[j].HostPort)); err != nil {
 				return err
 			}
 			its[j].HostPort = front.String()
 		}
-		front := r.addr(frontBlocks, i, frontPort)
-		if err := r.relay.Front(name, Bulletin, front, netip.MustParseAddrPort(r.bulletin.Addr)); err != nil {
+		front := r.addr(privateBlocks, i, standInPort)
+		if err := r.relay.AddPrivate(name, DiscoveryName, front, netip.MustParseAddrPort(r.discovery.Addr)); err != nil {
 			return err
 		}
-		p.bulletin = front.String()
-		if err := r.settings(p, i, its, seeds, own, door); err != nil {
+		p.discovery = front.String()
+		if err := r.writeGatewayFiles(p, i, its, seeds, own, door); err != nil {
 			return err
 		}
-		r.all = append(r.all, p)
-		r.by[name] = p
+		r.processes = append(r.processes, p)
+		r.byName[name] = p
 	}
 	return nil
 }
 
-// settings writes what a gateway is told.
-func (r *Rig) settings(p *process, i int, caches []standin.Endpoint, seeds []string, own, door netip.AddrPort) error {
-	f := r.s.Fleet
+// writeGatewayFiles writes what a gateway is told.
+func (r *Rig) writeGatewayFiles(p *process, i int, caches []standin.Endpoint, seeds []string, own, door netip.AddrPort) error {
+	f := r.scenario.Fleet
 	f.Listen, f.Advertise, f.Seeds, f.Socket = own.String(), door.String(), seeds, p.socket()
-	at := r.s.place(p.name)
+	at := r.scenario.place(p.name)
 	f.Region, f.Zone, f.Site = at.Region, at.Zone, at.Site
-	if r.s.Disk {
+	if r.scenario.KeepMembers {
 		f.Folder = filepath.Join(p.dir, "kept")
 	}
 	its := map[string]any{"fleet": f}
-	if l := r.s.Limit; l != nil {
+	if l := r.scenario.Limit; l != nil {
 		its["routing"] = map[string]any{"pools": map[string]any{"all": map[string]any{"locations": []string{"town"}}},
 			"routes":  []any{map[string]any{"name": "all", "tenant": "all", "to": []any{map[string]any{"pool": "all"}}}},
-			"tenants": map[string]any{"all": map[string]any{"lookups_a_second": l.Lookups, "fleet": l.Fleet}}}
+			"tenants": map[string]any{"all": map[string]any{"lookups_a_second": l.LookupsPerSecond, "fleet": l.FleetWide}}}
 	}
 	text, err := json.Marshal(its)
 	if err != nil {
@@ -214,8 +214,8 @@
 	if err := os.WriteFile(filepath.Join(p.dir, "settings.jsonnet"), text, 0o600); err != nil {
 		return err
 	}
-	config := map[string]any{"name": p.name, "listen": p.clients, "seed": fmt.Sprintf("%x", r.o.Seed*1000+uint64(i)+1),
-		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "bulletin": p.bulletin,
+	config := map[string]any{"name": p.name, "listen": p.clients, "seed": fmt.Sprintf("%x", r.options.Seed*1000+uint64(i)+1),
+		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "bulletin": p.discovery,
 		"known":    map[string]any{"no": 1, "items": []any{json.RawMessage(`{"no":1,` + standin.EndpointList(true, caches...)[1:])}},
 		"settings": json.RawMessage(gatewaySettings)}
 	if text, err = json.Marshal(config); err != nil {
@@ -227,8 +227,8 @@
 	}
 	p.env = append(os.Environ(), "ROUTER_CONFIG="+path, "ROUTER_NAME="+p.name, "ROUTER_LISTEN=")
 	p.args = []string{"serve", "--settings", filepath.Join(p.dir, "settings.jsonnet")}
-	for _, o := range r.s.Offsets {
-		if o.Who == p.name {
+	for _, o := range r.scenario.ClockOffsets {
+		if o.Gateway == p.name {
 			p.args = append(p.args, fmt.Sprintf("--clock-offset=%dms", o.MS))
 		}
 	}
@@ -236,82 +236,82 @@
 }
 
 func (r *Rig) running() (names []string) {
-	for _, p := range r.all {
-		if p.running() {
+	for _, p := range r.processes {
+		if p.isRunning() {
 			names = append(names, p.name)
 		}
 	}
 	return names
 }
 
-func (r *Rig) now() time.Duration { return time.Since(r.began) }
+func (r *Rig) now() time.Duration { return time.Since(r.startedAt) }
 
-// play starts the fleet and carries the steps out.
-func (r *Rig) play() (err error) {
-	r.began = time.Now()
-	for _, p := range r.all[:len(r.all)-int(r.s.Late)] {
+// runSteps starts the fleet and carries the steps out.
+func (r *Rig) runSteps() (err error) {
+	r.startedAt = time.Now()
+	for _, p := range r.processes[:len(r.processes)-int(r.scenario.LateGateways)] {
 		if err := p.start(); err != nil {
 			return err
 		}
 	}
-	r.looked()
-	for end := time.Duration(r.s.ReadyMS) * time.Millisecond; !r.is(func(m moment) bool { return m.told }); time.Sleep(look) {
+	r.requestObservation()
+	for end := time.Duration(r.scenario.ReadyMS) * time.Millisecond; !r.currently(func(m viewState) bool { return m.settled }); time.Sleep(viewInterval) {
 		if r.now() > end {
-			return fmt.Errorf("the fleet was not ready within %v: see the logs in %s", end, r.o.Dir)
+			return fmt.Errorf("the fleet was not ready within %v: see the logs in %s", end, r.options.Dir)
 		}
-		if err := r.crashes(); err != nil {
+		if err := r.checkCrashes(); err != nil {
 			return err
 		}
 	}
 	ready := r.now()
-	r.o.Tell("ready after %v", ready.Round(time.Millisecond))
-	r.mark(-1)
-	if r.s.Load.PerSecond > 0 {
-		if r.load, err = startLoad(r.s.Load, r); err != nil {
+	r.options.Progress("ready after %v", ready.Round(time.Millisecond))
+	r.sampleTraffic(-1)
+	if r.scenario.Load.PerSecond > 0 {
+		if r.load, err = startLoad(r.scenario.Load, r); err != nil {
 			return err
 		}
 	}
-	if r.s.Purges != nil {
-		r.spread = startSpread(r)
+	if r.scenario.Purges != nil {
+		r.broadcast = startBroadcastRun(r)
 	}
-	for i, st := range r.s.Steps {
+	for i, st := range r.scenario.Steps {
 		time.Sleep(ready + time.Duration(st.AtMS)*time.Millisecond - r.now())
-		r.mark(i)
+		r.sampleTraffic(i)
 		at := r.now()
-		if err := r.step(st); err != nil {
-			return fmt.Errorf("step %d (%s): %w", i, st.Do, err)
+		if err := r.runStep(st); err != nil {
+			return fmt.Errorf("step %d (%s): %w", i, st.Action, err)
 		}
-		if r.spread != nil {
-			r.spread.changed(at)
+		if r.broadcast != nil {
+			r.broadcast.topologyChanged(at)
 		}
-		r.looked()
+		r.requestObservation()
 	}
-	time.Sleep(time.Duration(r.s.EndMS) * time.Millisecond)
+	time.Sleep(time.Duration(r.scenario.EndMS) * time.Millisecond)
 	if r.load != nil {
 		r.load.stop()
 	}
-	if r.spread != nil {
-		r.spread.stop()
+	if r.broadcast != nil {
+		r.broadcast.stop()
 	}
-	r.mark(len(r.s.Steps))
+	r.sampleTraffic(len(r.scenario.Steps))
 	return nil
 }
 
-func (r *Rig) step(st Step) error {
+func (r *Rig) runStep(st Step) error {
 	who := []*process{}
-	for _, name := range r.cast.Who(st, r.running()) {
-		who = append(who, r.by[name])
+	for _, name := range r.selector.Targets(st, r.running()) {
+		who = append(who, r.byName[name])
 	}
 	var errs []error
-	switch st.Do {
+	switch st.Action {
 	case "split":
-		r.links.Split(r.cast.Groups(st))
+		r.links.Split(r.selector.Groups(st))
 	case "heal":
 		r.links.Heal()
 	case "purge":
-		r.bulletin.Announce(fmt.Sprintf(`{"recall":{"item":"%016x","issued":%d}}`, r.now().Milliseconds(), time.Now().UnixMilli()))
+		r.discovery.Announce(fmt.Sprintf(`{"recall":{"item":"%016x","issued":%d}}`, r.now().Milliseconds(), time.Now().UnixMilli()))
 	case "link":
-		r.links.Set(r.cast.names(st.From), r.cast.names(st.To), st.Fault())
+		r.links.Set(r.selector.names(st.From), r.selector.names(st.To), st.LinkFault())
 	}
 	var all sync.WaitGroup
 	var mu sync.Mutex
@@ -320,13 +320,13 @@
 		go func() {
 			defer all.Done()
 			var err error
-			switch st.Do {
+			switch st.Action {
 			case "kill":
-				err = p.end(syscall.SIGKILL, stopIn)
+				err = p.signalAndWait(syscall.SIGKILL, stopTimeout)
 			case "stop":
-				err = p.end(syscall.SIGTERM, stopIn)
+				err = p.signalAndWait(syscall.SIGTERM, stopTimeout)
 			case "pause", "resume":
-				err = p.pause(st.Do == "pause")
+				err = p.setPaused(st.Action == "pause")
 			case "start":
 				if st.Forget {
 					err = os.RemoveAll(filepath.Join(p.dir, "kept"))
@@ -345,12 +345,12 @@
 	for _, p := range who {
 		names = append(names, p.name)
 	}
-	r.o.Tell("%v %s %s", r.now().Round(time.Millisecond), st.Do, strings.Join(names, " "))
+	r.options.Progress("%v %s %s", r.now().Round(time.Millisecond), st.Action, strings.Join(names, " "))
 	return errors.Join(errs...)
 }
 
-func (r *Rig) crashes() error {
-	for _, p := range r.all {
+func (r *Rig) checkCrashes() error {
+	for _, p := range r.processes {
 		p.mu.Lock()
 		crashed := p.crashed
 		p.mu.Unlock()
@@ -361,111 +361,111 @@
 	return nil
 }
 
-// looked asks for a look at once.
-func (r *Rig) looked() {
+// requestObservation asks for a look at once.
+func (r *Rig) requestObservation() {
 	select {
-	case r.poke <- struct{}{}:
+	case r.viewsChanged <- struct{}{}:
 	default:
 	}
 }
 
-func (r *Rig) is(true func(moment) bool) bool {
+func (r *Rig) currently(true func(viewState) bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.states) > 0 && true(r.states[len(r.states)-1])
 }
 
-// watch keeps whether the running gateways agree with what is, over time.
-func (r *Rig) watch(stop chan struct{}) {
-	every := time.NewTicker(look)
+// watchViews keeps whether the running gateways agree with what is, over time.
+func (r *Rig) watchViews(stop chan struct{}) {
+	every := time.NewTicker(viewInterval)
 	defer every.Stop()
 	for {
 		select {
 		case <-stop:
 			return
-		case <-r.poke:
+		case <-r.viewsChanged:
 		case <-every.C:
 		}
-		m := r.lookAround()
+		m := r.observeViews()
 		r.mu.Lock()
-		if n := len(r.states); n == 0 || !m.like(r.states[n-1]) {
+		if n := len(r.states); n == 0 || !m.sameViews(r.states[n-1]) {
 			r.states = append(r.states, m)
 		}
 		r.mu.Unlock()
 	}
 }
 
-func (m moment) like(o moment) bool {
+func (m viewState) sameViews(o viewState) bool {
 	m.at = o.at
 	return m == o
 }
 
-func (r *Rig) lookAround() moment {
+func (r *Rig) observeViews() viewState {
 	running := r.running()
-	m := moment{at: r.now(), agree: true, told: true, least: len(r.all), up: len(running)}
+	m := viewState{at: r.now(), agreed: true, settled: true, minLive: len(r.processes), running: len(running)}
 	if len(running) == 0 {
-		return moment{at: m.at}
+		return viewState{at: m.at}
 	}
-	for _, side := range r.links.Sides(running) {
+	for _, side := range r.links.Partitions(running) {
 		want := map[string]bool{}
 		for _, name := range side {
 			want[name] = true
 		}
 		digest := ""
 		for _, name := range side {
-			p := r.by[name]
+			p := r.byName[name]
 			p.mu.Lock()
-			sees := p.sees
+			sees := p.view
 			agree := maps.Equal(sees.live, want)
-			m.least, m.most = min(m.least, len(sees.live)), max(m.most, len(sees.live))
+			m.minLive, m.maxLive = min(m.minLive, len(sees.live)), max(m.maxLive, len(sees.live))
 			p.mu.Unlock()
 			if digest == "" {
 				digest = sees.digest
 			}
-			m.agree = m.agree && agree
-			m.told = m.told && agree && sees.settled && sees.digest == digest
+			m.agreed = m.agreed && agree
+			m.settled = m.settled && agree && sees.settled && sees.digest == digest
 		}
 	}
 	return m
 }
 
-// heard takes a line of a gateway's log.
-func (r *Rig) heard(on string, f map[string]string, at time.Time) {
-	defer r.looked()
+// handleLogEvent takes a line of a gateway's log.
+func (r *Rig) handleLogEvent(on string, f map[string]string, at time.Time) {
+	defer r.requestObservation()
 	if f["event"] == "fleet_purge" {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if len(r.events) < mostEvents {
-			r.events = append(r.events, Event{AtMS: at.Sub(r.began).Milliseconds(), On: on, Name: f["object"], State: "purge"})
+		if len(r.events) < maxEvents {
+			r.events = append(r.events, Event{AtMS: at.Sub(r.startedAt).Milliseconds(), Observer: on, Name: f["object"], State: "purge"})
 		}
 		return
 	}
 	if f["event"] != "fleet_member" {
 		return
 	}
-	e := Event{AtMS: at.Sub(r.began).Milliseconds(), On: on, Name: f["name"], State: f["state"], By: f["by"], Why: f["why"]}
-	if e.State == "dead" && r.by[e.Name] != nil && r.by[e.Name].running() && r.links.Open(on, e.Name) {
-		e.False = true
+	e := Event{AtMS: at.Sub(r.startedAt).Milliseconds(), Observer: on, Name: f["name"], State: f["state"], Source: f["by"], Reason: f["why"]}
+	if e.State == "dead" && r.byName[e.Name] != nil && r.byName[e.Name].isRunning() && r.links.IsOpen(on, e.Name) {
+		e.FalseDeath = true
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if e.False {
-		r.falsely++
+	if e.FalseDeath {
+		r.falseDeaths++
 	}
-	if len(r.events) < mostEvents {
+	if len(r.events) < maxEvents {
 		r.events = append(r.events, e)
 	}
 }
 
-// mark reads the counts of all running gateways.
-func (r *Rig) mark(step int) {
-	m := mark{at: r.now(), step: step, bytes: map[string]traffic{}}
+// sampleTraffic reads the counts of all running gateways.
+func (r *Rig) sampleTraffic(step int) {
+	m := trafficSample{at: r.now(), step: step, byStart: map[string]traffic{}}
 	ctx, stop := context.WithTimeout(context.Background(), 2*time.Second)
 	defer stop()
 	var wait sync.WaitGroup
 	var mu sync.Mutex
-	for _, p := range r.all {
-		if !p.running() {
+	for _, p := range r.processes {
+		if !p.isRunning() {
 			continue
 		}
 		wait.Add(1)
@@ -479,7 +479,7 @@
 			key := fmt.Sprintf("%s/%d", p.name, p.starts)
 			p.mu.Unlock()
 			mu.Lock()
-			m.bytes[key] = traffic{rep.PacketsOut, rep.BytesOut + rep.StreamBytes/2, rep.Streams}
+			m.byStart[key] = traffic{rep.PacketsOut, rep.BytesOut + rep.StreamBytes/2, rep.Streams}
 			mu.Unlock()
 		}()
 	}
@@ -492,27 +492,27 @@
 // close ends all that was started.
 func (r *Rig) close() {
 	var wait sync.WaitGroup
-	for _, p := range r.all {
+	for _, p := range r.processes {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			p.end(syscall.SIGKILL, stopIn)
+			p.signalAndWait(syscall.SIGKILL, stopTimeout)
 			p.log.Close()
 		}()
 	}
 	wait.Wait()
 	r.relay.Close()
-	close(r.over)
+	close(r.done)
 	for _, c := range r.caches {
 		c.Close()
 	}
-	if r.bulletin != nil {
-		r.bulletin.Close()
+	if r.discovery != nil {
+		r.discovery.Close()
 	}
 }
 
-// drop takes what nobody reads.
-func drop[T any](c <-chan T, over <-chan struct{}) {
+// discard takes what nobody reads.
+func discard[T any](c <-chan T, over <-chan struct{}) {
 	for {
 		select {
 		case <-c:
--- a/internal/lab/fleet/rig_test.go
+++ b/internal/lab/fleet/rig_test.go
@@ -38,49 +38,49 @@
 	os.Exit(code)
 }
 
-var brief = config.Fleet{ProbeMS: 200, ProbeTimeoutMS: 100, GossipMS: 40, SettleMS: 300, RejoinMS: 1000}
+var fastDetector = config.Fleet{ProbeMS: 200, ProbeTimeoutMS: 100, GossipMS: 40, SettleMS: 300, RejoinMS: 1000}
 
 func TestRealGatewaysSettleAfter(t *testing.T) {
 	cases := []Scenario{
-		{Name: "a restart at once", Gateways: 6, Disk: true, Caches: 2, Load: Load{PerSecond: 30}, EndMS: 4000, Steps: []Step{
-			{AtMS: 500, Do: "kill", Pick: 1, As: "x", Settle: "none"}, {AtMS: 600, Do: "start", Who: []string{"@x"}},
-			{AtMS: 5000, Do: "kill", Who: []string{"@x"}, Settle: "none"}, {AtMS: 5100, Do: "start", Who: []string{"@x"}, Forget: true}}},
-		{Name: "a crash", Gateways: 6, EndMS: 10000, Steps: []Step{{AtMS: 500, Do: "kill", Pick: 1}}},
+		{Name: "a restart at once", Gateways: 6, KeepMembers: true, Caches: 2, Load: Load{PerSecond: 30}, EndMS: 4000, Steps: []Step{
+			{AtMS: 500, Action: "kill", PickCount: 1, PickName: "x", Settle: "none"}, {AtMS: 600, Action: "start", Targets: []string{"@x"}},
+			{AtMS: 5000, Action: "kill", Targets: []string{"@x"}, Settle: "none"}, {AtMS: 5100, Action: "start", Targets: []string{"@x"}, Forget: true}}},
+		{Name: "a crash", Gateways: 6, EndMS: 10000, Steps: []Step{{AtMS: 500, Action: "kill", PickCount: 1}}},
 		{Name: "standing still", Gateways: 6, Caches: 2, Load: Load{PerSecond: 30}, EndMS: 5000, Steps: []Step{
-			{AtMS: 500, Do: "pause", Pick: 1, As: "x"}, {AtMS: 9000, Do: "resume", Who: []string{"@x"}}}},
+			{AtMS: 500, Action: "pause", PickCount: 1, PickName: "x"}, {AtMS: 9000, Action: "resume", Targets: []string{"@x"}}}},
 		{Name: "a split that heals", Gateways: 7, Caches: 2, Load: Load{PerSecond: 30}, EndMS: 8000, Steps: []Step{
-			{AtMS: 500, Do: "split", Sizes: []int64{3, 4}}, {AtMS: 12500, Do: "heal"}}},
+			{AtMS: 500, Action: "split", Sizes: []int64{3, 4}}, {AtMS: 12500, Action: "heal"}}},
 		{Name: "a cut one way", Gateways: 6, EndMS: 3000, Steps: []Step{
-			{AtMS: 500, Do: "link", From: []string{"n2"}, To: []string{"n5"}, Cut: true}, {AtMS: 6000, Do: "heal"}}},
+			{AtMS: 500, Action: "link", From: []string{"n2"}, To: []string{"n5"}, Cut: true}, {AtMS: 6000, Action: "heal"}}},
 		{Name: "a bridge between three sides", Gateways: 7, EndMS: 8000, Steps: []Step{
-			{AtMS: 500, Do: "split", Sizes: []int64{2, 2, 2}, Bridge: 1, Settle: "none"}, {AtMS: 8000, Do: "heal"}}},
+			{AtMS: 500, Action: "split", Sizes: []int64{2, 2, 2}, Bridge: 1, Settle: "none"}, {AtMS: 8000, Action: "heal"}}},
 		{Name: "loss of one in five", Gateways: 6, EndMS: 5000, Steps: []Step{
-			{AtMS: 500, Do: "link", From: []string{"*"}, To: []string{"*"}, Loss: 0.2, DelayMS: 1, Jitter: 4, Reorder: 0.02, Settle: "none"},
-			{AtMS: 8000, Do: "heal"}}},
-		{Name: "half restarting at once", Gateways: 6, Disk: true, EndMS: 6000, Steps: []Step{
-			{AtMS: 500, Do: "kill", Pick: 3, As: "x", Settle: "none"}, {AtMS: 700, Do: "start", Who: []string{"@x"}}}},
-		{Name: "a storm of joins", Gateways: 15, Late: 10, EndMS: 8000, Steps: []Step{
-			{AtMS: 500, Do: "start", Who: []string{"n6", "n7", "n8", "n9", "n10", "n11", "n12", "n13", "n14", "n15"}}}},
-		{Name: "a clock an hour off", Gateways: 5, Offsets: []Offset{{"n3", 3_600_000}}, EndMS: 5000, Steps: []Step{
-			{AtMS: 500, Do: "kill", Who: []string{"n3"}, Settle: "none"}, {AtMS: 700, Do: "start", Who: []string{"n3"}}}},
+			{AtMS: 500, Action: "link", From: []string{"*"}, To: []string{"*"}, Loss: 0.2, DelayMS: 1, JitterMS: 4, Reorder: 0.02, Settle: "none"},
+			{AtMS: 8000, Action: "heal"}}},
+		{Name: "half restarting at once", Gateways: 6, KeepMembers: true, EndMS: 6000, Steps: []Step{
+			{AtMS: 500, Action: "kill", PickCount: 3, PickName: "x", Settle: "none"}, {AtMS: 700, Action: "start", Targets: []string{"@x"}}}},
+		{Name: "a storm of joins", Gateways: 15, LateGateways: 10, EndMS: 8000, Steps: []Step{
+			{AtMS: 500, Action: "start", Targets: []string{"n6", "n7", "n8", "n9", "n10", "n11", "n12", "n13", "n14", "n15"}}}},
+		{Name: "a clock an hour off", Gateways: 5, ClockOffsets: []ClockOffset{{"n3", 3_600_000}}, EndMS: 5000, Steps: []Step{
+			{AtMS: 500, Action: "kill", Targets: []string{"n3"}, Settle: "none"}, {AtMS: 700, Action: "start", Targets: []string{"n3"}}}},
 		{Name: "one that flaps", Gateways: 5, EndMS: 8000, Steps: []Step{
-			{AtMS: 500, Do: "kill", Pick: 1, As: "x", Settle: "none", Repeat: 5, EveryMS: 1000}, {AtMS: 1000, Do: "start", Who: []string{"@x"}, Settle: "none"},
-			{AtMS: 5600, Do: "mark"}}},
-		{Name: "leaving", Gateways: 6, EndMS: 5000, Steps: []Step{{AtMS: 500, Do: "stop", Pick: 2}}},
+			{AtMS: 500, Action: "kill", PickCount: 1, PickName: "x", Settle: "none", Repeat: 5, EveryMS: 1000}, {AtMS: 1000, Action: "start", Targets: []string{"@x"}, Settle: "none"},
+			{AtMS: 5600, Action: "mark"}}},
+		{Name: "leaving", Gateways: 6, EndMS: 5000, Steps: []Step{{AtMS: 500, Action: "stop", PickCount: 2}}},
 	}
 	for i, s := range cases {
 		t.Run(s.Name, func(t *testing.T) {
 			t.Parallel()
-			s.Fleet = brief
+			s.Fleet = fastDetector
 			if err := s.check("story"); err != nil {
 				t.Fatal(err)
 			}
 			dir := t.TempDir()
-			rep, err := Run(&s, Options{Program: program, Dir: dir, Seed: 1, Net: testNet + i, Tell: t.Logf})
+			rep, err := Run(&s, Options{Program: program, Dir: dir, Seed: 1, Network: testNet + i, Progress: t.Logf})
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, wrong := range rep.Wrong {
+			for _, wrong := range rep.Violations {
 				t.Error(wrong)
 			}
 			if s.Name == "leaving" {
@@ -90,8 +90,8 @@
 					}
 				}
 			}
-			if s.Load.PerSecond > 0 && rep.Load.Satisfied < rep.Load.Asked/2 {
-				t.Errorf("of %d lookups %d were satisfied", rep.Load.Asked, rep.Load.Satisfied)
+			if s.Load.PerSecond > 0 && rep.Load.Satisfied < rep.Load.Sent/2 {
+				t.Errorf("of %d lookups %d were satisfied", rep.Load.Sent, rep.Load.Satisfied)
 			}
 			if t.Failed() {
 				for _, e := range rep.Events {
@@ -103,22 +103,22 @@
 }
 
 // The rig must see what is wrong: a fleet that cannot settle before the next step fails it.
-func TestTheRigSeesAFleetThatDoesNotSettle(t *testing.T) {
+func TestRigReportsFleetThatDoesNotSettle(t *testing.T) {
 	t.Parallel()
-	s := Scenario{Name: "too soon", Gateways: 3, Fleet: brief, EndMS: 300, Steps: []Step{{AtMS: 300, Do: "kill", Pick: 1}}}
+	s := Scenario{Name: "too soon", Gateways: 3, Fleet: fastDetector, EndMS: 300, Steps: []Step{{AtMS: 300, Action: "kill", PickCount: 1}}}
 	if err := s.check("story"); err != nil {
 		t.Fatal(err)
 	}
-	rep, err := Run(&s, Options{Program: program, Dir: t.TempDir(), Seed: 1, Net: testNet + 19})
+	rep, err := Run(&s, Options{Program: program, Dir: t.TempDir(), Seed: 1, Network: testNet + 19})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(rep.Wrong) == 0 || !strings.Contains(rep.Wrong[0], "do not agree") {
-		t.Errorf("%v", rep.Wrong)
+	if len(rep.Violations) == 0 || !strings.Contains(rep.Violations[0], "do not agree") {
+		t.Errorf("%v", rep.Violations)
 	}
 }
 
-func TestScenariosThatCannotBePlayedAreRefusedWithTheirPlace(t *testing.T) {
+func TestInvalidScenariosAreRefusedWithTheirPath(t *testing.T) {
 	for text, want := range map[string]string{
 		`{ gateways: 3, steps: [{ at_ms: 1, do: 'explode' }] }`:                                              "steps[0].do",
 		`{ gateways: 3, steps: [{ at_ms: 1, do: 'kill', who: ['n4'] }] }`:                                    `"n4" is nobody`,
@@ -149,19 +149,19 @@
 }
 
 // Purges that one gateway of twelve in four sites hears of the bulletin come to all others, also while the root of the tree is dead.
-func TestPurgesOfOneWatchComeToAllGateways(t *testing.T) {
+func TestPurgesOfOneWatchReachAllGateways(t *testing.T) {
 	t.Parallel()
-	s := Scenario{Name: "broadcast", Gateways: 12, Fleet: brief, EndMS: 7000,
-		Purges: &Purges{PerSecond: 10, FromMS: 1000, ForMS: 5000, Share: 0.99},
-		Places: []Place{{Who: []string{"n1", "n2", "n3"}, Region: "north", Zone: "a", Site: "a1"}, {Who: []string{"n4", "n5", "n6"}, Region: "north", Zone: "a", Site: "a2"},
-			{Who: []string{"n7", "n8", "n9"}, Region: "south", Zone: "b", Site: "b1"}, {Who: []string{"n10", "n11", "n12"}, Region: "south", Zone: "b", Site: "b2"}},
+	s := Scenario{Name: "broadcast", Gateways: 12, Fleet: fastDetector, EndMS: 7000,
+		Purges: &PurgeLoad{PerSecond: 10, FromMS: 1000, ForMS: 5000, MinShare: 0.99},
+		Places: []Place{{Gateways: []string{"n1", "n2", "n3"}, Region: "north", Zone: "a", Site: "a1"}, {Gateways: []string{"n4", "n5", "n6"}, Region: "north", Zone: "a", Site: "a2"},
+			{Gateways: []string{"n7", "n8", "n9"}, Region: "south", Zone: "b", Site: "b1"}, {Gateways: []string{"n10", "n11", "n12"}, Region: "south", Zone: "b", Site: "b2"}},
 		Steps: []Step{
-			{AtMS: 100, Do: "link", To: []string{Bulletin}, Cut: true, Settle: "none"},
-			{AtMS: 100, Do: "link", From: []string{Bulletin}, Cut: true, Settle: "none"},
-			{AtMS: 3000, Do: "kill", Who: []string{"@root"}, Settle: "none"},
+			{AtMS: 100, Action: "link", To: []string{DiscoveryName}, Cut: true, Settle: "none"},
+			{AtMS: 100, Action: "link", From: []string{DiscoveryName}, Cut: true, Settle: "none"},
+			{AtMS: 3000, Action: "kill", Targets: []string{"@root"}, Settle: "none"},
 		}}
 	s.Fleet.BroadcastsPurges = true
-	root := s.heads()["root"][0]
+	root := s.treeHeads()["root"][0]
 	deaf := slices.DeleteFunc(s.names(), func(name string) bool { return name == "n2" })
 	s.Steps[0].From, s.Steps[1].To = deaf, deaf
 	if root == "n2" {
@@ -170,75 +170,75 @@
 	if err := s.check("story"); err != nil {
 		t.Fatal(err)
 	}
-	rep, err := Run(&s, Options{Program: program, Dir: t.TempDir(), Seed: 1, Net: testNet + 21, Tell: t.Logf})
+	rep, err := Run(&s, Options{Program: program, Dir: t.TempDir(), Seed: 1, Network: testNet + 21, Progress: t.Logf})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, wrong := range rep.Wrong {
+	for _, wrong := range rep.Violations {
 		t.Error(wrong)
 	}
-	if r := rep.Spread; r.Told != 50 || r.Pairs < 400 || r.Final != 11*50 {
+	if r := rep.Broadcast; r.Purges != 50 || r.Pairs < 400 || r.FinalPairs != 11*50 {
 		t.Errorf("%+v", r)
 	}
-	t.Logf("%+v", rep.Spread)
+	t.Logf("%+v", rep.Broadcast)
 }
 
 // What the rig says of the spreading comes of what it did: a purge that came late, one that did not come, and gateways that had no part.
-func TestTheRigJudgesTheSpreadingOfPurges(t *testing.T) {
-	w := func(at int, up, hears string, side map[string]int) world {
-		out := world{at: time.Duration(at) * time.Second, done: time.Duration(at) * time.Second, up: map[string]bool{}, hears: map[string]bool{}, side: side}
+func TestRigReportsBroadcastOfPurges(t *testing.T) {
+	w := func(at int, up, hears string, side map[string]int) topology {
+		out := topology{from: time.Duration(at) * time.Second, completeAt: time.Duration(at) * time.Second, running: map[string]bool{}, watching: map[string]bool{}, side: side}
 		for _, name := range strings.Fields(up) {
-			out.up[name] = true
+			out.running[name] = true
 		}
 		for _, name := range strings.Fields(hears) {
-			out.hears[name] = true
+			out.watching[name] = true
 		}
 		return out
 	}
 	one := map[string]int{"n1": 0, "n2": 0, "n3": 0}
-	had := func(objects ...string) *heeds {
-		h := &heeds{asked: true, now: map[string]bool{}, first: map[string]time.Duration{}}
+	had := func(objects ...string) *appliedPurges {
+		h := &appliedPurges{reported: true, current: map[string]bool{}, firstAt: map[string]time.Duration{}}
 		for i, o := range objects {
 			if o != "" {
-				h.now[o], h.first[o] = true, time.Duration(10+10*i)*time.Second+time.Second
+				h.current[o], h.firstAt[o] = true, time.Duration(10+10*i)*time.Second+time.Second
 			}
 		}
 		return h
 	}
-	s := &spread{told: []toldPurge{{"a", 10 * time.Second}, {"b", 20 * time.Second}, {"c", 30 * time.Second}},
-		worlds: []world{w(0, "n1 n2 n3", "n1", one), w(15, "n1 n2", "n1", one), w(25, "n1 n2 n3", "n1", one)},
-		had:    map[string]*heeds{"n1": had("a", "b", "c"), "n2": had("a", "b", "c"), "n3": had("a", "", "c")}}
-	agreed := []moment{{at: 0, agree: true}, {at: 15 * time.Second}, {at: 28 * time.Second, agree: true}}
-	if r := s.report(agreed); r.Pairs != 5 || r.Within != 5 || r.Own != 3 || r.Lost != 1 || r.Final != 9 || r.Most != 1000 {
+	s := &broadcastRun{purges: []publishedPurge{{"a", 10 * time.Second}, {"b", 20 * time.Second}, {"c", 30 * time.Second}},
+		topologies: []topology{w(0, "n1 n2 n3", "n1", one), w(15, "n1 n2", "n1", one), w(25, "n1 n2 n3", "n1", one)},
+		applied:    map[string]*appliedPurges{"n1": had("a", "b", "c"), "n2": had("a", "b", "c"), "n3": had("a", "", "c")}}
+	agreed := []viewState{{at: 0, agreed: true}, {at: 15 * time.Second}, {at: 28 * time.Second, agreed: true}}
+	if r := s.report(agreed); r.Pairs != 5 || r.InTime != 5 || r.ByWatch != 3 || r.MissingPairs != 1 || r.FinalPairs != 9 || r.Max != 1000 {
 		t.Errorf("one was down for the second purge: %+v", r)
 	}
 	if r := s.report(agreed[:2]); r.Pairs != 4 {
 		t.Errorf("its views never agreed again: %+v", r)
 	}
-	s.had["n2"].first["a"] = 15 * time.Second
-	if r := s.report(agreed); r.Within != 4 || r.Share != 0.8 || r.Most != 5000 {
+	s.applied["n2"].firstAt["a"] = 15 * time.Second
+	if r := s.report(agreed); r.InTime != 4 || r.Share != 0.8 || r.Max != 5000 {
 		t.Errorf("one came late: %+v", r)
 	}
-	delete(s.had["n2"].first, "a")
-	if r := s.report(agreed); r.Within != 4 || r.Pairs != 5 {
+	delete(s.applied["n2"].firstAt, "a")
+	if r := s.report(agreed); r.InTime != 4 || r.Pairs != 5 {
 		t.Errorf("one did not come: %+v", r)
 	}
-	s.worlds[2].hears["n2"] = true
-	if r := s.report(agreed); r.Pairs != 4 || r.Own != 3 {
+	s.topologies[2].watching["n2"] = true
+	if r := s.report(agreed); r.Pairs != 4 || r.ByWatch != 3 {
 		t.Errorf("a watch that has just come back is neither: %+v", r)
 	}
-	s.worlds[1].side = map[string]int{"n1": 0, "n2": 1}
+	s.topologies[1].side = map[string]int{"n1": 0, "n2": 1}
 	if r := s.report(agreed); r.Pairs != 3 {
 		t.Errorf("who is cut off need not be told: %+v", r)
 	}
-	r := &SpreadReport{Lost: 1, Final: 9, Pairs: 100, Share: 0.98, Unasked: 1}
-	if got := r.wrong(&Purges{Share: 0.99}); len(got) != 3 {
+	r := &BroadcastReport{MissingPairs: 1, FinalPairs: 9, Pairs: 100, Share: 0.98, Unreported: 1}
+	if got := r.violations(&PurgeLoad{MinShare: 0.99}); len(got) != 3 {
 		t.Errorf("%q", got)
 	}
-	if got := (&SpreadReport{}).wrong(&Purges{Share: 0.99}); len(got) != 2 {
+	if got := (&BroadcastReport{}).violations(&PurgeLoad{MinShare: 0.99}); len(got) != 2 {
 		t.Errorf("%q", got)
 	}
-	if got := (&SpreadReport{Share: 1, Pairs: 1}).wrong(&Purges{Share: 0.99}); len(got) != 0 {
+	if got := (&BroadcastReport{Share: 1, Pairs: 1}).violations(&PurgeLoad{MinShare: 0.99}); len(got) != 0 {
 		t.Errorf("%q", got)
 	}
 }
--- a/internal/lab/fleet/scale_test.go
+++ b/internal/lab/fleet/scale_test.go
@@ -26,46 +26,46 @@
 	runs    = flag.Int("fleet.runs", 1, "runs of each size")
 )
 
-// Size is what was measured at a size on the virtual clock. Times in seconds, traffic of one gateway.
-type Size struct {
-	Gateways    int     `json:"gateways"`
-	Run         int     `json:"run"`
-	Ready       float64 `json:"ready_s"`
-	Suspected   float64 `json:"crash_first_suspected_s"`
-	Crash       float64 `json:"crash_agreed_s"`
-	CrashTold   float64 `json:"crash_told_s"`
-	Restart     float64 `json:"restart_told_s"`
-	Split       float64 `json:"split_agreed_s"`
-	Minority    float64 `json:"minority_known_s"` // all of the smaller side knew
-	Heal        float64 `json:"heal_agreed_s"`
-	LossFalse   int     `json:"loss_false_deaths"`
-	LossSeconds float64 `json:"loss_s"`
-	Storm       float64 `json:"storm_told_s"` // a quarter as many more come at once
-	RestPackets float64 `json:"rest_packets_s"`
-	RestBytes   float64 `json:"rest_bytes_s"`
-	LossPackets float64 `json:"loss_packets_s"`
-	LossBytes   float64 `json:"loss_bytes_s"`
-	MemberBytes float64 `json:"member_bytes"` // of heap, of one member in one gateway
+// SizeReport is what was measured at a size on the virtual clock. Times in seconds, traffic of one gateway.
+type SizeReport struct {
+	Gateways       int     `json:"gateways"`
+	Run            int     `json:"run"`
+	Ready          float64 `json:"ready_s"`
+	Suspected      float64 `json:"crash_first_suspected_s"`
+	Crash          float64 `json:"crash_agreed_s"`
+	CrashSettled   float64 `json:"crash_told_s"`
+	RestartSettled float64 `json:"restart_told_s"`
+	Split          float64 `json:"split_agreed_s"`
+	Minority       float64 `json:"minority_known_s"` // all of the smaller side knew
+	Heal           float64 `json:"heal_agreed_s"`
+	LossFalse      int     `json:"loss_false_deaths"`
+	LossSeconds    float64 `json:"loss_s"`
+	StormSettled   float64 `json:"storm_told_s"` // a quarter as many more come at once
+	RestPackets    float64 `json:"rest_packets_s"`
+	RestBytes      float64 `json:"rest_bytes_s"`
+	LossPackets    float64 `json:"loss_packets_s"`
+	LossBytes      float64 `json:"loss_bytes_s"`
+	MemberBytes    float64 `json:"member_bytes"` // of heap, of one member in one gateway
 }
 
-func heap() float64 {
+func heapBytes() float64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc)
 }
 
-func measure(t *testing.T, n, run int) (out Size) {
+func measureSize(t *testing.T, n, run int) (out SizeReport) {
 	synctest.Test(t, func(t *testing.T) {
-		out = Size{Gateways: n, Run: run}
-		began := heap()
-		v := NewVirtual(n, uint64(run), Usual())
-		defer v.End()
-		if err := v.Start(v.all...); err != nil {
+		out = SizeReport{Gateways: n, Run: run}
+		began := heapBytes()
+		v := NewVirtualFleet(n, uint64(run), DefaultSettings())
+		defer v.Close()
+		if err := v.Start(v.names...); err != nil {
 			t.Fatal(err)
 		}
 		wait := func(what string, told bool, most time.Duration) float64 {
-			took, ok := v.Until(told, most)
+			took, ok := v.WaitForAgreement(told, most)
 			if !ok {
 				t.Errorf("%d gateways: %s not done within %v", n, what, most)
 			}
@@ -80,12 +80,12 @@
 		}
 		time.Sleep(20 * time.Second)
 		out.RestPackets, out.RestBytes = rate(60 * time.Second)
-		out.MemberBytes = (heap() - began) / float64(n) / float64(n)
+		out.MemberBytes = (heapBytes() - began) / float64(n) / float64(n)
 
-		v.Kill(v.all[n-1])
+		v.Kill(v.names[n-1])
 		at := time.Now()
 		for ; time.Since(at) < time.Minute; time.Sleep(20 * time.Millisecond) {
-			if s := v.Of(v.all[0]).State(); s.Alive < n {
+			if s := v.Fleet(v.names[0]).State(); s.Alive < n {
 				break
 			}
 		}
@@ -93,20 +93,20 @@
 		wait("crash", false, 2*time.Minute)
 		out.Crash = time.Since(at).Seconds()
 		wait("crash told", true, 2*time.Minute)
-		out.CrashTold = time.Since(at).Seconds()
-		<-v.by[v.all[n-1]].ended
-		if err := v.Start(v.all[n-1]); err != nil {
+		out.CrashSettled = time.Since(at).Seconds()
+		<-v.byName[v.names[n-1]].ended
+		if err := v.Start(v.names[n-1]); err != nil {
 			t.Fatal(err)
 		}
-		out.Restart = wait("restart", true, 2*time.Minute)
+		out.RestartSettled = wait("restart", true, 2*time.Minute)
 
-		small, large := v.all[:n*2/5], v.all[n*2/5:]
+		small, large := v.names[:n*2/5], v.names[n*2/5:]
 		v.Links.Split([][]string{small, large})
 		at = time.Now()
 		for knows := false; !knows && time.Since(at) < 2*time.Minute; time.Sleep(20 * time.Millisecond) {
 			knows = true
 			for _, name := range small {
-				knows = knows && v.Of(name).State().InMinority
+				knows = knows && v.Fleet(name).State().InMinority
 			}
 		}
 		out.Minority = time.Since(at).Seconds()
@@ -116,38 +116,38 @@
 		v.Links.Heal()
 		out.Heal = wait("heal", true, 2*time.Minute)
 
-		v.False = 0
-		v.Links.Set(v.all, v.all, Fault{Loss: 0.2})
+		v.FalseDeaths = 0
+		v.Links.Set(v.names, v.names, LinkFault{Loss: 0.2})
 		out.LossSeconds = 60
 		out.LossPackets, out.LossBytes = rate(60 * time.Second)
-		out.LossFalse = v.False
+		out.LossFalse = v.FalseDeaths
 		v.Links.Heal()
 		wait("after loss", true, time.Minute)
 
 		for i := range n / 4 {
 			name := fmt.Sprintf("late%d", i)
 			v.Add(name, "")
-			v.by[name].addr = fmt.Sprintf("10.200.%d.%d:7946", i>>8, i&255)
-			v.all = append(v.all, name)
+			v.byName[name].addr = fmt.Sprintf("10.200.%d.%d:7946", i>>8, i&255)
+			v.names = append(v.names, name)
 		}
-		if err := v.Start(v.all[n:]...); err != nil {
+		if err := v.Start(v.names[n:]...); err != nil {
 			t.Fatal(err)
 		}
-		out.Storm = wait("storm", true, 2*time.Minute)
+		out.StormSettled = wait("storm", true, 2*time.Minute)
 	})
 	return out
 }
 
 // What a gateway spends must not grow with the fleet, and what it learns must come in a time that grows with its logarithm (SWIM).
-func TestLargerFleetsSettleAtTheSameCostOfAGateway(t *testing.T) {
-	var all []Size
+func TestLargerFleetsSettleAtEqualCostPerGateway(t *testing.T) {
+	var all []SizeReport
 	for _, word := range strings.Split(*sizes, ",") {
 		n, err := strconv.Atoi(word)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for run := range *runs {
-			s := measure(t, n, run+1)
+			s := measureSize(t, n, run+1)
 			text, _ := json.Marshal(s)
 			t.Log(string(text))
 			all = append(all, s)
@@ -159,13 +159,13 @@
 			first.RestBytes, first.Gateways, last.RestPackets, last.RestBytes, last.Gateways)
 	}
 	if *reports != "" {
-		if err := write(all, *reports); err != nil {
+		if err := writeReports(all, *reports); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-func write(all []Size, dir string) error {
+func writeReports(all []SizeReport, dir string) error {
 	text, err := json.MarshalIndent(all, "", " ")
 	if err != nil {
 		return err
@@ -178,7 +178,7 @@
 	expected := func(n float64) float64 { return math.E/(math.E-1) + 1 + 4*math.Max(1, math.Log10(n)) }
 	type series struct {
 		name string
-		of   func(Size) float64
+		of   func(SizeReport) float64
 	}
 	draw := func(file, title, y string, lines []series, ref func(float64) float64) error {
 		p := plot.New()
@@ -208,11 +208,11 @@
 		}
 		return p.Save(20*vg.Centimeter, 12*vg.Centimeter, filepath.Join(dir, file))
 	}
-	if err := draw("settling.png", "Until all agree, virtual clock", "seconds", []series{{"crash", func(s Size) float64 { return s.Crash }},
-		{"split of 2 in 5", func(s Size) float64 { return s.Split }}, {"healed", func(s Size) float64 { return s.Heal }},
-		{"a quarter more at once", func(s Size) float64 { return s.Storm }}, {"smaller side knows", func(s Size) float64 { return s.Minority }}}, expected); err != nil {
+	if err := draw("settling.png", "Until all agree, virtual clock", "seconds", []series{{"crash", func(s SizeReport) float64 { return s.Crash }},
+		{"split of 2 in 5", func(s SizeReport) float64 { return s.Split }}, {"healed", func(s SizeReport) float64 { return s.Heal }},
+		{"a quarter more at once", func(s SizeReport) float64 { return s.StormSettled }}, {"smaller side knows", func(s SizeReport) float64 { return s.Minority }}}, expected); err != nil {
 		return err
 	}
-	return draw("traffic.png", "Traffic of one gateway, virtual clock", "bytes a second", []series{{"at rest", func(s Size) float64 { return s.RestBytes }},
-		{"one datagram in five lost", func(s Size) float64 { return s.LossBytes }}}, nil)
+	return draw("traffic.png", "Traffic of one gateway, virtual clock", "bytes a second", []series{{"at rest", func(s SizeReport) float64 { return s.RestBytes }},
+		{"one datagram in five lost", func(s SizeReport) float64 { return s.LossBytes }}}, nil)
 }
--- a/internal/lab/fleet/size_test.go
+++ b/internal/lab/fleet/size_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestSizes: a scenario may have as many gateways and caches as a list must hold, and no two of them share an address.
-func TestSizes(t *testing.T) {
+func TestLargestScenarioHasDistinctAddresses(t *testing.T) {
 	read := func(gateways, caches int) (*Scenario, error) {
 		path := filepath.Join(t.TempDir(), "many.jsonnet")
 		text := fmt.Sprintf("{ gateways: %d, caches: %d, steps: [{ at_ms: 1000, do: 'mark' }], end_ms: 1000 }", gateways, caches)
@@ -27,22 +27,22 @@
 			t.Errorf("%d gateways and %d caches are not refused", past[0], past[1])
 		}
 	}
-	if wanted := 1024 * (1024 + 2); s.streams() < wanted {
-		t.Errorf("%d streams, fewer than a connection of each gateway to each cache: %d", s.streams(), wanted)
+	if wanted := 1024 * (1024 + 2); s.maxStreams() < wanted {
+		t.Errorf("%d streams, fewer than a connection of each gateway to each cache: %d", s.maxStreams(), wanted)
 	}
-	r, taken := &Rig{s: s}, map[netip.AddrPort]string{}
+	r, taken := &Rig{scenario: s}, map[netip.AddrPort]string{}
 	take := func(at netip.AddrPort, whose string) {
 		if other, twice := taken[at]; twice {
 			t.Fatalf("%v is of %s and of %s", at, other, whose)
 		}
 		taken[at] = whose
 	}
-	take(r.addr(bulletinBlock, 0, frontPort), "the bulletin")
-	for i := range mostGateways {
-		take(r.addr(doorBlocks, i, peerPort), fmt.Sprint("door ", i))
-		take(r.addr(ownBlocks, i, peerPort), fmt.Sprint("own ", i))
-		take(r.addr(frontBlocks, i, frontPort), fmt.Sprint("front ", i))
-		take(r.addr(cacheBlocks, i, frontPort), fmt.Sprint("cache ", i))
-		take(r.addr(frontBlocks, i, firstCacheFront+mostCaches+1), fmt.Sprint("last cache's front ", i))
+	take(r.addr(discoveryBlock, 0, standInPort), "the bulletin")
+	for i := range maxGateways {
+		take(r.addr(relayBlocks, i, peerPort), fmt.Sprint("door ", i))
+		take(r.addr(listenBlocks, i, peerPort), fmt.Sprint("own ", i))
+		take(r.addr(privateBlocks, i, standInPort), fmt.Sprint("front ", i))
+		take(r.addr(cacheBlocks, i, standInPort), fmt.Sprint("cache ", i))
+		take(r.addr(privateBlocks, i, firstCachePort+maxCaches+1), fmt.Sprint("last cache's front ", i))
 	}
 }
--- a/internal/lab/fleet/virtual.go
+++ b/internal/lab/fleet/virtual.go
@@ -19,53 +19,53 @@
 	"foldslip/internal/fleet/view"
 )
 
-// Net carries the detector's messages between gateways of one process, as the links say. With testing/synctest its time is virtual:
+// Network carries the detector's messages between gateways of one process, as the links say. With testing/synctest its time is virtual:
 // the very code of fleet/membership and of the detector, hundreds of gateways, hours in seconds. It stands in for Relay there.
-type Net struct {
+type Network struct {
 	links *Links
 	mu    sync.Mutex
 	ports map[string]*port // by address
 }
 
-// NewNet makes a network over links.
-func NewNet(links *Links) *Net { return &Net{links: links, ports: map[string]*port{}} }
+// NewNetwork makes a network over links.
+func NewNetwork(links *Links) *Network { return &Network{links: links, ports: map[string]*port{}} }
 
-const wire = 200 * time.Microsecond // one way, where links have no fault
+const linkLatency = 200 * time.Microsecond // one way, where links have no fault
 
 // port is a gateway's transport. It implements memberlist.NodeAwareTransport.
 type port struct {
-	net     *Net
-	name    string
-	addr    *net.UDPAddr
-	counts  *transport.Counts
-	packets chan *memberlist.Packet
-	streams chan net.Conn
-	mu      sync.Mutex
-	over    bool
+	network    *Network
+	name       string
+	addr       *net.UDPAddr
+	counts     *transport.Counts
+	packets    chan *memberlist.Packet
+	streams    chan net.Conn
+	mu         sync.Mutex
+	isShutDown bool
 }
 
 // Open gives a gateway's transport at an address that nobody has open.
-func (n *Net) Open(name, addr string, counts *transport.Counts) (memberlist.Transport, error) {
+func (n *Network) Open(name, addr string, counts *transport.Counts) (memberlist.Transport, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.ports[addr] != nil {
 		return nil, fmt.Errorf("%s: address already in use", addr)
 	}
-	p := &port{net: n, name: name, addr: net.UDPAddrFromAddrPort(netip.MustParseAddrPort(addr)), counts: counts,
+	p := &port{network: n, name: name, addr: net.UDPAddrFromAddrPort(netip.MustParseAddrPort(addr)), counts: counts,
 		packets: make(chan *memberlist.Packet, 512), streams: make(chan net.Conn, 32)}
 	n.ports[addr] = p
 	return p, nil
 }
 
-func (n *Net) at(addr string) *port {
+func (n *Network) portAt(addr string) *port {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.ports[addr]
 }
 
 // Unplug takes the transport away at once, as a kill does.
-func (n *Net) Unplug(addr string) {
-	if p := n.at(addr); p != nil {
+func (n *Network) Unplug(addr string) {
+	if p := n.portAt(addr); p != nil {
 		p.Shutdown()
 	}
 }
@@ -87,8 +87,8 @@
 
 func (p *port) WriteTo(b []byte, addr string) (time.Time, error) {
 	now := time.Now()
-	to := p.net.at(addr)
-	if p.closed() {
+	to := p.network.portAt(addr)
+	if p.isClosed() {
 		return now, net.ErrClosed
 	}
 	p.counts.PacketsOut.Add(1)
@@ -96,19 +96,19 @@
 	if to == nil {
 		return now, nil
 	}
-	lost, takes := p.net.links.Fate(p.name, to.name, len(b), false)
+	lost, takes := p.network.links.Transfer(p.name, to.name, len(b), false)
 	if lost {
 		return now, nil
 	}
 	text := slices.Clone(b)
-	time.AfterFunc(wire+takes, func() { to.take(text, p.addr) })
+	time.AfterFunc(linkLatency+takes, func() { to.receive(text, p.addr) })
 	return now, nil
 }
 
-func (p *port) take(text []byte, from net.Addr) {
+func (p *port) receive(text []byte, from net.Addr) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.over {
+	if p.isShutDown {
 		return
 	}
 	select {
@@ -124,21 +124,21 @@
 
 func (p *port) DialTimeout(addr string, within time.Duration) (net.Conn, error) {
 	p.counts.StreamsOut.Add(1)
-	to := p.net.at(addr)
-	if to != nil && !p.net.links.Open(p.name, to.name) {
+	to := p.network.portAt(addr)
+	if to != nil && !p.network.links.IsOpen(p.name, to.name) {
 		time.Sleep(within)
 		p.counts.StreamsFailed.Add(1)
 		return nil, fmt.Errorf("%s: i/o timeout", addr)
 	}
-	time.Sleep(2 * wire)
-	if to == nil || to.closed() {
+	time.Sleep(2 * linkLatency)
+	if to == nil || to.isClosed() {
 		p.counts.StreamsFailed.Add(1)
 		return nil, errRefused
 	}
 	here, there := net.Pipe()
 	to.mu.Lock()
 	defer to.mu.Unlock()
-	if to.over {
+	if to.isShutDown {
 		return nil, errRefused
 	}
 	select {
@@ -153,10 +153,10 @@
 type pipeEnd struct {
 	net.Conn
 	counts *transport.Counts
-	far    net.Addr
+	remote net.Addr
 }
 
-func (e *pipeEnd) RemoteAddr() net.Addr { return e.far }
+func (e *pipeEnd) RemoteAddr() net.Addr { return e.remote }
 
 func (e *pipeEnd) Write(b []byte) (int, error) {
 	n, err := e.Conn.Write(b)
@@ -164,98 +164,98 @@
 	return n, err
 }
 
-func (p *port) closed() bool {
+func (p *port) isClosed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.over
+	return p.isShutDown
 }
 
 func (p *port) Shutdown() error {
 	p.mu.Lock()
-	p.over = true
+	p.isShutDown = true
 	for len(p.streams) > 0 { // nobody takes them any more
 		(<-p.streams).Close()
 	}
 	p.mu.Unlock()
-	p.net.mu.Lock()
-	defer p.net.mu.Unlock()
-	if p.net.ports[p.addr.String()] == p {
-		delete(p.net.ports, p.addr.String())
+	p.network.mu.Lock()
+	defer p.network.mu.Unlock()
+	if p.network.ports[p.addr.String()] == p {
+		delete(p.network.ports, p.addr.String())
 	}
 	return nil
 }
 
-// Virtual is a fleet on a Net.
-type Virtual struct {
-	Links *Links
-	Net   *Net
-	Log   *slog.Logger
-	base  membership.Settings
-	seeds int
-	all   []string
-	by    map[string]*gateway
-	False int // deaths told of gateways that ran and could be reached
-	mu    sync.Mutex
+// VirtualFleet is a fleet on a Net.
+type VirtualFleet struct {
+	Links       *Links
+	Network     *Network
+	Log         *slog.Logger
+	base        membership.Settings
+	seeds       int
+	names       []string
+	byName      map[string]*gateway
+	FalseDeaths int // deaths told of gateways that ran and could be reached
+	mu          sync.Mutex
 }
 
 type gateway struct {
-	name, addr string
-	as         string            // the name it claims, where that is another's
-	fleet      *membership.Fleet // nil: does not run
-	stop       chan struct{}
-	ended      chan struct{}
-	counts     *transport.Counts
-	disk       env.Directory // nil: keeps nothing
+	name, addr  string
+	claimedName string            // the name it claims, where that is another's
+	fleet       *membership.Fleet // nil: does not run
+	stop        chan struct{}
+	ended       chan struct{}
+	counts      *transport.Counts
+	directory   env.Directory // nil: keeps nothing
 }
 
-// NewVirtual makes a fleet of so many gateways, none of which runs.
-func NewVirtual(n int, seed uint64, base membership.Settings) *Virtual {
+// NewVirtualFleet makes a fleet of so many gateways, none of which runs.
+func NewVirtualFleet(n int, seed uint64, base membership.Settings) *VirtualFleet {
 	links := NewLinks(seed)
-	v := &Virtual{Links: links, Net: NewNet(links), Log: slog.New(slog.DiscardHandler), base: base, seeds: 3, by: map[string]*gateway{}}
+	v := &VirtualFleet{Links: links, Network: NewNetwork(links), Log: slog.New(slog.DiscardHandler), base: base, seeds: 3, byName: map[string]*gateway{}}
 	for i := range n {
 		name := fmt.Sprintf("n%d", i+1)
-		v.all = append(v.all, name)
-		v.by[name] = &gateway{name: name, addr: fmt.Sprintf("10.%d.%d.%d:7946", i>>16, i>>8&255, i&255), counts: &transport.Counts{}}
+		v.names = append(v.names, name)
+		v.byName[name] = &gateway{name: name, addr: fmt.Sprintf("10.%d.%d.%d:7946", i>>16, i>>8&255, i&255), counts: &transport.Counts{}}
 	}
 	return v
 }
 
-// Usual are the usual settings (config.Fleet) for the rig's virtual fleets.
-func Usual() membership.Settings {
+// DefaultSettings are the usual settings (config.Fleet) for the rig's virtual fleets.
+func DefaultSettings() membership.Settings {
 	return membership.Settings{MaxMembers: 1024, ProbeInterval: time.Second, ProbeTimeout: 500 * time.Millisecond, GossipInterval: 200 * time.Millisecond,
 		ReapAfter: time.Hour, SettleAfter: time.Second, RejoinInterval: 5 * time.Second}
 }
 
 // Start starts gateways.
-func (v *Virtual) Start(names ...string) error {
+func (v *VirtualFleet) Start(names ...string) error {
 	for _, name := range names {
-		g := v.by[name]
+		g := v.byName[name]
 		if g.fleet != nil {
 			return fmt.Errorf("%s runs already", name)
 		}
 		set := v.base
 		set.Name, set.Advertise = name, g.addr
-		if g.as != "" {
-			set.Name = g.as
+		if g.claimedName != "" {
+			set.Name = g.claimedName
 		}
-		for _, seed := range v.all[:min(v.seeds, len(v.all))] {
-			set.Seeds = append(set.Seeds, v.by[seed].addr)
+		for _, seed := range v.names[:min(v.seeds, len(v.names))] {
+			set.Seeds = append(set.Seeds, v.byName[seed].addr)
 		}
 		g.counts = &transport.Counts{}
 		parts := membership.Dependencies{Log: v.Log.With("on", name), Now: time.Now, TransportCounts: g.counts,
-			OpenTransport: func() (memberlist.Transport, error) { return v.Net.Open(name, g.addr, g.counts) },
+			OpenTransport: func() (memberlist.Transport, error) { return v.Network.Open(name, g.addr, g.counts) },
 			OnChange: func(c view.Change, _ time.Time) {
-				if c.To == view.Dead && v.Links.Open(name, c.Name) {
+				if c.To == view.Dead && v.Links.IsOpen(name, c.Name) {
 					v.mu.Lock()
-					if v.by[c.Name].fleet != nil {
-						v.False++
+					if v.byName[c.Name].fleet != nil {
+						v.FalseDeaths++
 					}
 					v.mu.Unlock()
 				}
 			}}
-		if g.disk != nil {
+		if g.directory != nil {
 			var err error
-			if parts.Store, _, err = membership.OpenMemberStore(g.disk, name, set.MaxMembers); err != nil {
+			if parts.Store, _, err = membership.OpenMemberStore(g.directory, name, set.MaxMembers); err != nil {
 				return err
 			}
 		}
@@ -275,24 +275,24 @@
 }
 
 // Kill takes gateways away without a word.
-func (v *Virtual) Kill(names ...string) {
+func (v *VirtualFleet) Kill(names ...string) {
 	for _, name := range names {
-		g := v.by[name]
-		v.Net.Unplug(g.addr)
-		v.end(g)
+		g := v.byName[name]
+		v.Network.Unplug(g.addr)
+		v.endGateway(g)
 	}
 }
 
 // Stop lets gateways leave, and waits until they have.
-func (v *Virtual) Stop(names ...string) {
+func (v *VirtualFleet) Stop(names ...string) {
 	for _, name := range names {
-		g := v.by[name]
-		v.end(g)
+		g := v.byName[name]
+		v.endGateway(g)
 		<-g.ended
 	}
 }
 
-func (v *Virtual) end(g *gateway) {
+func (v *VirtualFleet) endGateway(g *gateway) {
 	v.mu.Lock()
 	was := g.fleet
 	g.fleet = nil
@@ -303,39 +303,39 @@
 }
 
 // Add adds a gateway beside the others, that does not run yet; as is the name that it claims, if not its own.
-func (v *Virtual) Add(name, as string) {
-	v.by[name] = &gateway{name: name, as: as, addr: fmt.Sprintf("10.9.9.%d:7946", len(v.by)%250+1), counts: &transport.Counts{}}
+func (v *VirtualFleet) Add(name, as string) {
+	v.byName[name] = &gateway{name: name, claimedName: as, addr: fmt.Sprintf("10.9.9.%d:7946", len(v.byName)%250+1), counts: &transport.Counts{}}
 }
 
-// Keep gives a gateway a disk for whom it knew.
-func (v *Virtual) Keep(name string, disk env.Directory) { v.by[name].disk = disk }
+// SetDirectory gives a gateway a disk for whom it knew.
+func (v *VirtualFleet) SetDirectory(name string, disk env.Directory) { v.byName[name].directory = disk }
 
 // Running are the names of gateways that run.
-func (v *Virtual) Running() (names []string) {
-	for _, name := range v.all {
-		if v.by[name].fleet != nil {
+func (v *VirtualFleet) Running() (names []string) {
+	for _, name := range v.names {
+		if v.byName[name].fleet != nil {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// Agree tells whether all running gateways see what is: live members are those that run on their side of the links; told also that
+// Agreement tells whether all running gateways see what is: live members are those that run on their side of the links; told also that
 // each has settled on one set a side.
-func (v *Virtual) Agree() (agree, told bool) {
+func (v *VirtualFleet) Agreement() (agree, told bool) {
 	agree, told = true, true
 	running := v.Running()
 	sides := [][]string{running}
-	if v.Links.Faulty() {
-		sides = v.Links.Sides(running)
+	if v.Links.HasFaults() {
+		sides = v.Links.Partitions(running)
 	}
 	for _, side := range sides {
 		var digest uint32
 		for i, name := range side {
-			s := v.by[name].fleet.State()
+			s := v.byName[name].fleet.State()
 			if i == 0 {
 				digest = s.Digest
-				if agree = agree && maps.Equal(asSet(v.by[name].fleet.LiveNames()), asSet(side)); !agree {
+				if agree = agree && maps.Equal(asSet(v.byName[name].fleet.LiveNames()), asSet(side)); !agree {
 					return false, false
 				}
 			}
@@ -356,10 +356,10 @@
 	return out
 }
 
-// Until waits for agreement, at most so long, and tells how long it took; told: until each said that it settled.
-func (v *Virtual) Until(told bool, within time.Duration) (time.Duration, bool) {
+// WaitForAgreement waits for agreement, at most so long, and tells how long it took; told: until each said that it settled.
+func (v *VirtualFleet) WaitForAgreement(told bool, within time.Duration) (time.Duration, bool) {
 	for began := time.Now(); ; time.Sleep(20 * time.Millisecond) {
-		agree, all := v.Agree()
+		agree, all := v.Agreement()
 		if agree && (!told || all) {
 			return time.Since(began), true
 		}
@@ -370,10 +370,10 @@
 }
 
 // Traffic is what running gateways sent so far: datagrams, bytes, streams; the mean of one.
-func (v *Virtual) Traffic() (packets, bytes, streams float64) {
+func (v *VirtualFleet) Traffic() (packets, bytes, streams float64) {
 	running := v.Running()
 	for _, name := range running {
-		c := v.by[name].counts
+		c := v.byName[name].counts
 		packets += float64(c.PacketsOut.Load())
 		bytes += float64(c.BytesOut.Load() + c.StreamBytes.Load())
 		streams += float64(c.StreamsOut.Load())
@@ -382,17 +382,17 @@
 	return packets / n, bytes / n, streams / n
 }
 
-// Of is a running gateway; nil if it does not run.
-func (v *Virtual) Of(name string) *membership.Fleet { return v.by[name].fleet }
+// Fleet is a running gateway; nil if it does not run.
+func (v *VirtualFleet) Fleet(name string) *membership.Fleet { return v.byName[name].fleet }
 
-// End ends all gateways.
-func (v *Virtual) End() {
-	for _, g := range v.by {
+// Close ends all gateways.
+func (v *VirtualFleet) Close() {
+	for _, g := range v.byName {
 		if g.fleet != nil {
 			v.Kill(g.name)
 		}
 	}
-	for _, g := range v.by {
+	for _, g := range v.byName {
 		if g.ended != nil {
 			<-g.ended
 		}
--- a/internal/lab/scale/broadcast.go
+++ b/internal/lab/scale/broadcast.go
@@ -22,25 +22,25 @@
 	Gateways  int
 	Mechanism string // one of Mechanisms
 	Case      string // one of Cases
-	Told      string // one of Sources; "": the case's own
+	Source    string // one of Sources; "": the case's own
 	Rate      float64
 	Seed      uint64
 
-	Warm, For, Settle time.Duration // before purges are told, while, and how long the last may take
-	Fault             time.Duration // how long a cut, a zone's loss, deafness lasts; 0: the case's own
-	Restarts          int           // of a release; 0: 1,900 of 3,900, or as many of the size
+	Warmup, Duration, Settle time.Duration // before purges are told, while, and how long the last may take
+	FaultDuration            time.Duration // how long a cut, a zone's loss, deafness lasts; 0: the case's own
+	Restarts                 int           // of a release; 0: 1,900 of 3,900, or as many of the size
 
-	Detect, Seen time.Duration // a crash and a start are seen by all within; 0: 4 log10(n) s, 1 s
-	WatchLag     time.Duration // a watch tells within a tenth of it to all of it; 0: 0.3 s
-	Within       time.Duration // the term of a purge; 0: 4.5 s
-	Bytes        float64       // a second, in and out, of a gateway; 0: 15 KB
+	CrashSeenWithin, StartSeenWithin time.Duration // a crash and a start are seen by all within; 0: 4 log10(n) s, 1 s
+	WatchLag                         time.Duration // a watch tells within a tenth of it to all of it; 0: 0.3 s
+	Deadline                         time.Duration // the term of a purge; 0: 4.5 s
+	BytesPerSecond                   float64       // a second, in and out, of a gateway; 0: 15 KB
 
-	Skew time.Duration // gateways' Unix clocks are off by up to so much either way
+	ClockSkew time.Duration // gateways' Unix clocks are off by up to so much either way
 
-	Keep time.Duration // the new mechanism's; 0: its usual one
+	KeepPurges time.Duration // the new mechanism's; 0: its usual one
 
-	Measure bool // processor and heap: only where nothing else runs in the process
-	Tell    func(string, ...any)
+	Measure  bool // processor and heap: only where nothing else runs in the process
+	Progress func(string, ...any)
 }
 
 // Mechanisms that can be run.
@@ -50,91 +50,91 @@
 func Sources() []string { return []string{"one", "two", "all"} }
 
 const (
-	mostGateways = 10_000
-	mostPurges   = 1 << 20
-	mostLate     = 5                // purges that a report names
-	restFor      = 20 * time.Second // after all is heard
-	freshFor     = 5 * time.Second  // a gateway counts as standing so long after its start; before, apart
-	excluded     = math.MaxUint32
-	firstIssued  = int64(1_764_576_000_000) // Unix milliseconds of the Net's beginning
+	maxGateways   = 10_000
+	maxPurges     = 1 << 20
+	maxLateNamed  = 5                // purges that a report names
+	restDuration  = 20 * time.Second // after all is heard
+	freshDuration = 5 * time.Second  // a gateway counts as standing so long after its start; before, apart
+	notCounted    = math.MaxUint32
+	epochMillis   = int64(1_764_576_000_000) // Unix milliseconds of the Net's beginning
 )
 
-type purge struct {
-	told
-	at    time.Duration
-	lag   []uint32 // by gateway: microseconds and 1; 0: not heard; excluded: not asked for. nil: done
-	left  int      // of them that have not heard
-	far   bool     // told on one side of a cut while it was there: the other side counts from the heal
-	side  int8
-	fresh []int32 // gateways that started shortly before
+type issuedPurge struct {
+	watchPurge
+	at            time.Duration
+	latencies     []uint32 // by gateway: microseconds and 1; 0: not heard; excluded: not asked for. nil: done
+	outstanding   int      // of them that have not heard
+	acrossCut     bool     // told on one side of a cut while it was there: the other side counts from the heal
+	side          int8
+	freshGateways []int32 // gateways that started shortly before
 }
 
 type broadcastRun struct {
-	o       BroadcastOptions
-	c       *faultCase
-	net     *Net
-	places  []Place
-	names   []string
-	at      map[string]int
-	scratch []string
-	known   []broadcast.Member            // all
-	sorted  []broadcast.Member            // all, in the tree's order
-	shared  map[string][]broadcast.Member // lists of the live, by who is in them
-	key     []byte
-	all     []gateway
-	views   *views
-	make    func(*gateway, int64) spreader
-	chance  *rand.Rand
-	purges  []purge
-	open    int // the first purge that is not done
-	tellers []int
-	guarded set // not killed: tellers
-	deaf    func(i int, at time.Duration) bool
-	sides   set // of the cut: the region; nil: none
-	cut     *Cut
-	cutAt   time.Duration
-	healAt  time.Duration
-	newest  time.Duration // when the last purge was heard on the far side after a heal
+	options       BroadcastOptions
+	faultCase     *faultCase
+	net           *Network
+	places        []Place
+	names         []string
+	indexByName   map[string]int
+	scratch       []string
+	allMembers    []broadcast.Member            // all
+	sortedMembers []broadcast.Member            // all, in the tree's order
+	memberLists   map[string][]broadcast.Member // lists of the live, by who is in them
+	listKey       []byte
+	gateways      []gateway
+	views         *views
+	newSpreader   func(*gateway, int64) spreader
+	rng           *rand.Rand
+	purges        []issuedPurge
+	firstOpen     int // the first purge that is not done
+	sources       []int
+	protected     gatewaySet // not killed: tellers
+	watchIsDeaf   func(i int, at time.Duration) bool
+	cutRegion     gatewaySet // of the cut: the region; nil: none
+	cut           *Cut
+	cutAt         time.Duration
+	healAt        time.Duration
+	lastAcrossCut time.Duration // when the last purge was heard on the far side after a heal
 
-	r        *BroadcastReport
-	most     []float64 // seconds to everywhere
-	digest   *xxhash.Digest
-	seconds  []tick
-	began    []Counters
-	last     []Counters
-	worstIn  []int64
-	worstOut []int64
+	result          *BroadcastReport
+	everywhereAfter []float64 // seconds to everywhere
+	digest          *xxhash.Digest
+	seconds         []secondSample
+	countersAtStart []Counters
+	lastCounters    []Counters
+	worstIn         []int64
+	worstOut        []int64
 }
 
-type tick struct{ at, bytes int64 } // most bytes of a gateway in that second, in and out
+type secondSample struct{ at, bytes int64 } // most bytes of a gateway in that second, in and out
 
-// usual fills in what was left out.
-func (o *BroadcastOptions) usual() error {
+// setDefaults fills in what was left out.
+func (o *BroadcastOptions) setDefaults() error {
 	def := func(d *time.Duration, v time.Duration) {
 		if *d == 0 {
 			*d = v
 		}
 	}
-	def(&o.Warm, 5*time.Second)
-	def(&o.For, time.Minute)
+	def(&o.Warmup, 5*time.Second)
+	def(&o.Duration, time.Minute)
 	def(&o.Settle, time.Minute)
-	def(&o.Detect, time.Duration(4*math.Log10(float64(max(o.Gateways, 2)))*float64(time.Second)))
-	def(&o.Seen, time.Second)
+	def(&o.CrashSeenWithin, time.Duration(4*math.Log10(float64(max(o.Gateways, 2)))*float64(time.Second)))
+	def(&o.StartSeenWithin, time.Second)
 	def(&o.WatchLag, 300*time.Millisecond)
-	def(&o.Within, 4500*time.Millisecond)
-	if o.Bytes == 0 {
-		o.Bytes = 15 << 10
+	def(&o.Deadline, 4500*time.Millisecond)
+	if o.BytesPerSecond == 0 {
+		o.BytesPerSecond = 15 << 10
 	}
 	switch {
-	case o.Gateways < 12 || o.Gateways > mostGateways:
-		return fmt.Errorf("%d gateways: expected 12 to %d", o.Gateways, mostGateways)
-	case !(o.Rate > 0) || o.Rate > 1000 || o.Rate*o.For.Seconds() > mostPurges:
-		return fmt.Errorf("%g purges a second for %v: expected up to 1,000 a second and %d in all", o.Rate, o.For, mostPurges)
+	case o.Gateways < 12 || o.Gateways > maxGateways:
+		return fmt.Errorf("%d gateways: expected 12 to %d", o.Gateways, maxGateways)
+	case !(o.Rate > 0) || o.Rate > 1000 || o.Rate*o.Duration.Seconds() > maxPurges:
+		return fmt.Errorf("%g purges a second for %v: expected up to 1,000 a second and %d in all", o.Rate, o.Duration, maxPurges)
 	case !slices.Contains(Mechanisms(), o.Mechanism):
 		return fmt.Errorf("mechanism %q: expected one of %s", o.Mechanism, strings.Join(Mechanisms(), ", "))
-	case o.Told != "" && !slices.Contains(Sources(), o.Told):
-		return fmt.Errorf("told %q: expected one of %s", o.Told, strings.Join(Sources(), ", "))
-	case o.Warm < 0 || o.For <= 0 || o.Settle <= 0 || o.Fault < 0 || o.Restarts < 0 || o.Warm+o.For+o.Settle > 4*time.Hour:
+	case o.Source != "" && !slices.Contains(Sources(), o.Source):
+		return fmt.Errorf("told %q: expected one of %s", o.Source, strings.Join(Sources(), ", "))
+	case o.Warmup < 0 || o.Duration <= 0 || o.Settle <= 0 || o.FaultDuration < 0 || o.Restarts < 0 || o.Warmup+o.Duration+o.Settle > 4*time.Hour:
 		return fmt.Errorf("times: expected more than 0, and 4 hours in all")
 	case findCase(o.Case) == nil:
 		return fmt.Errorf("case %q: expected one of %s", o.Case, strings.Join(Cases(), ", "))
@@ -142,95 +142,95 @@
 	return nil
 }
 
-// Check tells what cannot be played.
-func (o BroadcastOptions) Check() error { return o.usual() }
+// Validate tells what cannot be played.
+func (o BroadcastOptions) Validate() error { return o.setDefaults() }
 
 // Broadcast plays a run. Equal options give equal reports but for Core and Heap.
 func Broadcast(o BroadcastOptions) (*BroadcastReport, error) {
-	if err := o.usual(); err != nil {
+	if err := o.setDefaults(); err != nil {
 		return nil, err
 	}
 	r := newBroadcastRun(o)
 	var before syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &before)
-	for i := range r.all {
+	for i := range r.gateways {
 		r.net.Start(i)
 	}
 	r.schedule()
-	end, done := o.Warm+o.For+o.Settle, time.Duration(0)
+	end, done := o.Warmup+o.Duration+o.Settle, time.Duration(0)
 	for now := time.Second; now <= end; now += time.Second {
 		r.net.Run(now)
-		r.finish(false)
-		if now < o.Warm+o.For || now < r.settled() || r.open < len(r.purges) {
+		r.finishPurges(false)
+		if now < o.Warmup+o.Duration || now < r.caseOverAt() || r.firstOpen < len(r.purges) {
 			continue
 		}
 		if done == 0 {
 			done = now
 		}
-		if now >= done+restFor { // a while at rest: who knew that it lacked some knows that it does not
+		if now >= done+restDuration { // a while at rest: who knew that it lacked some knows that it does not
 			break
 		}
 	}
-	r.finish(true)
+	r.finishPurges(true)
 	if o.Measure {
 		var after syscall.Rusage
 		syscall.Getrusage(syscall.RUSAGE_SELF, &after)
 		cpu := func(u *syscall.Rusage) float64 { return float64(u.Utime.Nano()+u.Stime.Nano()) / 1e9 }
-		r.r.Core = (cpu(&after) - cpu(&before)) / float64(o.Gateways) / r.net.Now().Seconds()
+		r.result.CoreShare = (cpu(&after) - cpu(&before)) / float64(o.Gateways) / r.net.Now().Seconds()
 	}
-	r.report()
+	r.fillReport()
 	if o.Measure {
-		r.r.Heap = r.heap()
+		r.result.Heap = r.heapBytes()
 	}
-	return r.r, nil
+	return r.result, nil
 }
 
 // newBroadcastRun sets up a run whose options are whole.
 func newBroadcastRun(o BroadcastOptions) *broadcastRun {
 	c := findCase(o.Case)
-	if o.Told == "" {
-		o.Told = c.told
-	}
-	r := &broadcastRun{o: o, c: c, places: spreadPlaces(o.Gateways), at: map[string]int{}, shared: map[string][]broadcast.Member{}, chance: rand.New(rand.NewPCG(o.Seed, 0x62726f6164)), digest: xxhash.New(),
-		r: &BroadcastReport{What: "broadcast", Gateways: o.Gateways, Mechanism: o.Mechanism, Case: o.Case, Told: o.Told, Rate: o.Rate, Seed: o.Seed, Seconds: o.For.Seconds()}}
-	r.net = NewNet(o.Seed, r.places, Usual, r.newGateway)
-	r.all, r.guarded = make([]gateway, o.Gateways), newSet(o.Gateways)
-	for i := range r.all {
+	if o.Source == "" {
+		o.Source = c.source
+	}
+	r := &broadcastRun{options: o, faultCase: c, places: broadcastLayout(o.Gateways), indexByName: map[string]int{}, memberLists: map[string][]broadcast.Member{}, rng: rand.New(rand.NewPCG(o.Seed, 0x62726f6164)), digest: xxhash.New(),
+		result: &BroadcastReport{Kind: "broadcast", Gateways: o.Gateways, Mechanism: o.Mechanism, Case: o.Case, Source: o.Source, Rate: o.Rate, Seed: o.Seed, Seconds: o.Duration.Seconds()}}
+	r.net = NewNetwork(o.Seed, r.places, DefaultLatency, r.newGateway)
+	r.gateways, r.protected = make([]gateway, o.Gateways), newGatewaySet(o.Gateways)
+	for i := range r.gateways {
 		r.names = append(r.names, fmt.Sprintf("g%04d", i))
-		r.at[r.names[i]] = i
-		r.known = append(r.known, r.member(i))
-	}
-	r.sorted = slices.Clone(r.known)
-	broadcast.SortMembers(r.sorted)
-	r.views = &views{r: r}
-	r.make = spreaders[o.Mechanism]
-	first := r.chance.IntN(o.Gateways)
-	r.tellers = []int{first}
-	if o.Told == "two" {
-		there := In(r.places, func(p Place) bool { return p.Region != r.places[first].Region })
+		r.indexByName[r.names[i]] = i
+		r.allMembers = append(r.allMembers, r.member(i))
+	}
+	r.sortedMembers = slices.Clone(r.allMembers)
+	broadcast.SortMembers(r.sortedMembers)
+	r.views = &views{run: r}
+	r.newSpreader = spreaders[o.Mechanism]
+	first := r.rng.IntN(o.Gateways)
+	r.sources = []int{first}
+	if o.Source == "two" {
+		there := NodesWhere(r.places, func(p Place) bool { return p.Region != r.places[first].Region })
 		if len(there) == 0 {
-			there = In(r.places, func(p Place) bool { return p.Site != r.places[first].Site })
+			there = NodesWhere(r.places, func(p Place) bool { return p.Site != r.places[first].Site })
 		}
-		r.tellers = append(r.tellers, there[r.chance.IntN(len(there))])
+		r.sources = append(r.sources, there[r.rng.IntN(len(there))])
 	}
-	for _, i := range r.tellers {
-		r.guarded.put(i, true)
+	for _, i := range r.sources {
+		r.protected.put(i, true)
 	}
-	r.last, r.began = make([]Counters, o.Gateways), make([]Counters, o.Gateways)
+	r.lastCounters, r.countersAtStart = make([]Counters, o.Gateways), make([]Counters, o.Gateways)
 	r.worstIn, r.worstOut = make([]int64, o.Gateways), make([]int64, o.Gateways)
 	return r
 }
 
-// settled is when the case has no more to play.
-func (r *broadcastRun) settled() time.Duration {
+// caseOverAt is when the case has no more to play.
+func (r *broadcastRun) caseOverAt() time.Duration {
 	if r.healAt > 0 {
 		return r.healAt + time.Second
 	}
 	return 0
 }
 
-// heap is what the gateways' spreaders hold, by taking them away.
-func (r *broadcastRun) heap() float64 {
+// heapBytes is what the gateways' spreaders hold, by taking them away.
+func (r *broadcastRun) heapBytes() float64 {
 	use := func() float64 {
 		var m runtime.MemStats
 		runtime.GC()
@@ -238,23 +238,23 @@
 		return float64(m.HeapAlloc)
 	}
 	full := use()
-	for i := range r.all {
-		r.all[i].its = nil
+	for i := range r.gateways {
+		r.gateways[i].spreader = nil
 	}
 	empty := use()
 	runtime.KeepAlive(r.net)
-	return (full - empty) / float64(len(r.all))
+	return (full - empty) / float64(len(r.gateways))
 }
 
 // schedule sets up purges, samples and the case.
 func (r *broadcastRun) schedule() {
-	o := &r.o
-	count := int(o.Rate * o.For.Seconds())
-	r.purges = make([]purge, 0, count)
+	o := &r.options
+	count := int(o.Rate * o.Duration.Seconds())
+	r.purges = make([]issuedPurge, 0, count)
 	var issue func()
-	at := func(k int) time.Duration { return o.Warm + time.Duration(float64(k)/o.Rate*float64(time.Second)) }
+	at := func(k int) time.Duration { return o.Warmup + time.Duration(float64(k)/o.Rate*float64(time.Second)) }
 	issue = func() {
-		r.issue()
+		r.issuePurge()
 		if k := len(r.purges); k < count {
 			r.net.At(at(k), issue)
 		}
@@ -262,87 +262,87 @@
 	r.net.At(at(0), issue)
 	var sample func()
 	sample = func() {
-		r.sample()
+		r.sampleSecond()
 		r.net.At(r.net.Now()+time.Second, sample)
 	}
-	r.net.At(o.Warm, func() {
-		for i := range r.all {
-			r.began[i] = r.net.Count(i)
-			r.last[i] = r.began[i]
+	r.net.At(o.Warmup, func() {
+		for i := range r.gateways {
+			r.countersAtStart[i] = r.net.Counters(i)
+			r.lastCounters[i] = r.countersAtStart[i]
 		}
-		r.r.places = r.roles()
-		r.net.At(o.Warm+time.Second, sample)
+		r.result.roles = r.roles()
+		r.net.At(o.Warmup+time.Second, sample)
 	})
-	r.net.At(o.Warm+o.For, func() {
-		for i := range r.all {
-			r.r.ended = append(r.r.ended, r.net.Count(i))
+	r.net.At(o.Warmup+o.Duration, func() {
+		for i := range r.gateways {
+			r.result.endedCounters = append(r.result.endedCounters, r.net.Counters(i))
 		}
 	})
-	r.c.play(r)
+	r.faultCase.play(r)
 }
 
-// issue issues the next purge: of an object, each fiftieth of one of eight groups.
-func (r *broadcastRun) issue() {
+// issuePurge issues the next purge: of an object, each fiftieth of one of eight groups.
+func (r *broadcastRun) issuePurge() {
 	k, now := len(r.purges), r.net.Now()
-	p := purge{at: now, told: told{Object: fmt.Sprintf("%016x", mix(r.o.Seed^uint64(k)<<20)), Issued: firstIssued + now.Milliseconds()}}
+	p := issuedPurge{at: now, watchPurge: watchPurge{Object: fmt.Sprintf("%016x", mix(r.options.Seed^uint64(k)<<20)), Issued: epochMillis + now.Milliseconds()}}
 	if k%50 == 49 {
 		p.Object, p.Group = "", int64(k/50%8+1)
 	}
-	if r.o.Told == "two" {
-		p.side = r.side(r.tellers[k%2])
-	} else if r.o.Told == "one" {
-		p.side = r.side(r.tellers[0])
+	if r.options.Source == "two" {
+		p.side = r.side(r.sources[k%2])
+	} else if r.options.Source == "one" {
+		p.side = r.side(r.sources[0])
 	}
-	p.far = r.sides != nil && r.o.Told != "all" && now >= r.cutAt-freshFor && now < r.healAt
-	p.lag = make([]uint32, len(r.all))
-	for i := range r.all {
+	p.acrossCut = r.cutRegion != nil && r.options.Source != "all" && now >= r.cutAt-freshDuration && now < r.healAt
+	p.latencies = make([]uint32, len(r.gateways))
+	for i := range r.gateways {
 		switch {
-		case !r.net.Up(i):
-			p.lag[i] = excluded
-		case now < r.all[i].started+freshFor && r.all[i].started > 0:
-			p.lag[i] = excluded
-			p.fresh = append(p.fresh, int32(i))
+		case !r.net.IsUp(i):
+			p.latencies[i] = notCounted
+		case now < r.gateways[i].started+freshDuration && r.gateways[i].started > 0:
+			p.latencies[i] = notCounted
+			p.freshGateways = append(p.freshGateways, int32(i))
 		default:
-			p.left++
+			p.outstanding++
 		}
 	}
-	r.r.FreshPairs += int64(len(p.fresh))
+	r.result.FreshPairs += int64(len(p.freshGateways))
 	r.purges = append(r.purges, p)
 }
 
-// heard notes that a gateway knows of a purge.
-func (r *broadcastRun) heard(g *gateway, t told, own bool) {
-	k := int(math.Round((time.Duration(t.Issued-firstIssued)*time.Millisecond - r.o.Warm).Seconds() * r.o.Rate))
-	for k = max(k-2, 0); k < len(r.purges) && r.purges[k].told != t; k++ {
+// purgeReceived notes that a gateway knows of a purge.
+func (r *broadcastRun) purgeReceived(g *gateway, t watchPurge, own bool) {
+	k := int(math.Round((time.Duration(t.Issued-epochMillis)*time.Millisecond - r.options.Warmup).Seconds() * r.options.Rate))
+	for k = max(k-2, 0); k < len(r.purges) && r.purges[k].watchPurge != t; k++ {
 		if r.purges[k].Issued > t.Issued {
 			k = len(r.purges)
 			break
 		}
 	}
 	if k >= len(r.purges) {
-		r.r.Unknown++
+		r.result.UnknownPurges++
 		return
 	}
 	p, now := &r.purges[k], r.net.Now()
 	if !own {
-		r.r.Heeded++
+		r.result.Applied++
 	}
-	if p.lag == nil {
+	if p.latencies == nil {
 		return
 	}
 	lag := now - p.at
-	switch v := &p.lag[g.i]; {
+	switch v := &p.latencies[g.index]; {
 	case *v == 0:
-		*v = uint32(min(lag.Microseconds()+1, excluded-1))
-		p.left--
-		if r.cut == nil && r.healAt > 0 && p.far && r.side(g.i) != p.side {
-			r.newest = max(r.newest, now)
+		*v = uint32(min(lag.Microseconds()+1, notCounted-1))
+		p.outstanding--
+		if r.cut == nil && r.healAt > 0 && p.acrossCut && r.side(g.index) != p.side {
+			r.lastAcrossCut = max(r.lastAcrossCut, now)
 		}
-	case *v == excluded:
-		if at := slices.Index(p.fresh, int32(g.i)); at >= 0 {
-			p.fresh = slices.Delete(p.fresh, at, at+1)
-			if r.r.FreshWorst = max(r.r.FreshWorst, lag.Seconds()); lag <= r.o.Within {
-				r.r.freshIn++
+	case *v == notCounted:
+		if at := slices.Index(p.freshGateways, int32(g.index)); at >= 0 {
+			p.freshGateways = slices.Delete(p.freshGateways, at, at+1)
+			if r.result.FreshWorst = max(r.result.FreshWorst, lag.Seconds()); lag <= r.options.Deadline {
+				r.result.freshIn++
 			}
 		}
 	}
@@ -350,26 +350,26 @@
 
 // kill ends a gateway; what it had not heard does not count.
 func (r *broadcastRun) kill(i int) {
-	if !r.net.Up(i) || r.guarded.has(i) {
+	if !r.net.IsUp(i) || r.protected.has(i) {
 		return
 	}
-	g := &r.all[i]
-	r.r.Sums.add(g.its.counts())
+	g := &r.gateways[i]
+	r.result.Totals.add(g.spreader.tally())
 	r.net.Kill(i)
-	r.r.Kills++
-	r.views.note(sighting{who: int32(i), life: g.life})
-	for k := r.open; k < len(r.purges); k++ {
+	r.result.Kills++
+	r.views.record(membershipEvent{gateway: int32(i), incarnation: g.incarnation})
+	for k := r.firstOpen; k < len(r.purges); k++ {
 		p := &r.purges[k]
-		if p.lag == nil {
+		if p.latencies == nil {
 			continue
 		}
-		if p.lag[i] == 0 {
-			p.lag[i] = excluded
-			p.left--
+		if p.latencies[i] == 0 {
+			p.latencies[i] = notCounted
+			p.outstanding--
 		}
-		if at := slices.Index(p.fresh, int32(i)); at >= 0 {
-			p.fresh = slices.Delete(p.fresh, at, at+1)
-			r.r.FreshPairs--
+		if at := slices.Index(p.freshGateways, int32(i)); at >= 0 {
+			p.freshGateways = slices.Delete(p.freshGateways, at, at+1)
+			r.result.FreshPairs--
 		}
 	}
 }
@@ -386,42 +386,42 @@
 	})
 }
 
-// finish counts purges that all have heard, or all that are left.
-func (r *broadcastRun) finish(all bool) {
-	for k := r.open; k < len(r.purges); k++ {
-		if p := &r.purges[k]; p.lag != nil && (all || p.left == 0 && len(p.fresh) == 0) {
-			r.count(k)
-			p.lag = nil
+// finishPurges counts purges that all have heard, or all that are left.
+func (r *broadcastRun) finishPurges(all bool) {
+	for k := r.firstOpen; k < len(r.purges); k++ {
+		if p := &r.purges[k]; p.latencies != nil && (all || p.outstanding == 0 && len(p.freshGateways) == 0) {
+			r.countPurge(k)
+			p.latencies = nil
 		}
-		if k == r.open && r.purges[k].lag == nil {
-			r.open++
+		if k == r.firstOpen && r.purges[k].latencies == nil {
+			r.firstOpen++
 		}
 	}
 }
 
-// count takes a purge into the figures.
-func (r *broadcastRun) count(k int) {
+// countPurge takes a purge into the figures.
+func (r *broadcastRun) countPurge(k int) {
 	p := &r.purges[k]
 	var worst uint32
 	who := 0
-	lost, lostFar, within := 0, 0, uint32(r.o.Within.Microseconds()+1)
-	sum := make([]byte, 0, 4*len(p.lag)+8)
+	lost, lostFar, within := 0, 0, uint32(r.options.Deadline.Microseconds()+1)
+	sum := make([]byte, 0, 4*len(p.latencies)+8)
 	sum = binary.LittleEndian.AppendUint64(sum, uint64(k))
-	for i, v := range p.lag {
+	for i, v := range p.latencies {
 		sum = binary.LittleEndian.AppendUint32(sum, v)
-		far := p.far && r.side(i) != p.side
+		far := p.acrossCut && r.side(i) != p.side
 		switch {
-		case v == excluded:
+		case v == notCounted:
 		case v == 0 && far:
 			lostFar++
 		case far:
 		case v == 0:
 			lost++
-			r.r.Pairs++
+			r.result.Pairs++
 		default:
-			r.r.Pairs++
+			r.result.Pairs++
 			if v <= within {
-				r.r.pairsIn++
+				r.result.pairsIn++
 			}
 			if v > worst {
 				worst, who = v, i
@@ -429,39 +429,39 @@
 		}
 	}
 	r.digest.Write(sum)
-	r.r.Purges++
+	r.result.Purges++
 	if worst > within {
-		r.r.Late = append(r.r.Late, Late{(p.at - r.o.Warm).Seconds(), who, float64(worst) / 1e6})
-		slices.SortStableFunc(r.r.Late, func(a, b Late) int { return cmp.Compare(b.Took, a.Took) })
-		r.r.Late = r.r.Late[:min(len(r.r.Late), mostLate)]
+		r.result.Late = append(r.result.Late, LatePurge{(p.at - r.options.Warmup).Seconds(), who, float64(worst) / 1e6})
+		slices.SortStableFunc(r.result.Late, func(a, b LatePurge) int { return cmp.Compare(b.Latency, a.Latency) })
+		r.result.Late = r.result.Late[:min(len(r.result.Late), maxLateNamed)]
 	}
-	r.r.LostPairs += int64(lost)
-	r.r.LostFar += int64(lostFar)
-	r.r.LostFresh += int64(len(p.fresh))
-	if p.far {
-		r.r.Far++
+	r.result.LostPairs += int64(lost)
+	r.result.LostAcrossCut += int64(lostFar)
+	r.result.LostFresh += int64(len(p.freshGateways))
+	if p.acrossCut {
+		r.result.AcrossCut++
 	}
 	if lost > 0 {
-		r.r.Lost++
-		r.most = append(r.most, math.Inf(1))
+		r.result.Lost++
+		r.everywhereAfter = append(r.everywhereAfter, math.Inf(1))
 	} else {
-		r.most = append(r.most, float64(worst)/1e6)
+		r.everywhereAfter = append(r.everywhereAfter, float64(worst)/1e6)
 	}
 }
 
-// sample looks at the last second's bytes.
-func (r *broadcastRun) sample() {
+// sampleSecond looks at the last second's bytes.
+func (r *broadcastRun) sampleSecond() {
 	var most, behind int64
-	for i := range r.all {
-		if r.net.Up(i) && r.all[i].its.behind() {
+	for i := range r.gateways {
+		if r.net.IsUp(i) && r.gateways[i].spreader.isBehind() {
 			behind++
 		}
-		c := r.net.Count(i)
-		in, out := c.BytesIn-r.last[i].BytesIn, c.BytesOut-r.last[i].BytesOut
+		c := r.net.Counters(i)
+		in, out := c.BytesIn-r.lastCounters[i].BytesIn, c.BytesOut-r.lastCounters[i].BytesOut
 		r.worstIn[i], r.worstOut[i] = max(r.worstIn[i], in), max(r.worstOut[i], out)
 		most = max(most, in+out)
-		r.last[i] = c
+		r.lastCounters[i] = c
 	}
-	r.r.BehindMost, r.r.BehindEnd, r.r.BehindTime = max(r.r.BehindMost, behind), behind, r.r.BehindTime+float64(behind)
-	r.seconds = append(r.seconds, tick{int64(r.net.Now() / time.Second), most})
+	r.result.MaxBehind, r.result.BehindAtEnd, r.result.BehindTime = max(r.result.MaxBehind, behind), behind, r.result.BehindTime+float64(behind)
+	r.seconds = append(r.seconds, secondSample{int64(r.net.Now() / time.Second), most})
 }
--- a/internal/lab/scale/broadcast_plot.go
+++ b/internal/lab/scale/broadcast_plot.go
@@ -13,7 +13,7 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-const neverAt = 1000 // seconds: where a plot has what some gateway never heard
+const neverSeconds = 1000 // seconds: where a plot has what some gateway never heard
 
 // PlotBroadcast draws the time to everywhere and the bytes of the most loaded gateway against size as SVG files, on log axes with their
 // bounds: a line through the medians of each case and mechanism, and a mark for each run.
@@ -23,13 +23,13 @@
 		bound       float64
 		of          func(*BroadcastReport) float64
 	}{
-		{"broadcast-p99", fmt.Sprintf("until a purge is everywhere, p99, s (%d: never)", neverAt), within.Seconds(), func(r *BroadcastReport) float64 {
+		{"broadcast-p99", fmt.Sprintf("until a purge is everywhere, p99, s (%d: never)", neverSeconds), within.Seconds(), func(r *BroadcastReport) float64 {
 			if r.P99 < 0 {
-				return neverAt
+				return neverSeconds
 			}
 			return r.P99
 		}},
-		{"broadcast-bytes", "bytes a second of the most loaded gateway, in and out", bytes, func(r *BroadcastReport) float64 { return r.Both.Most }},
+		{"broadcast-bytes", "bytes a second of the most loaded gateway, in and out", bytes, func(r *BroadcastReport) float64 { return r.Both.Max }},
 	} {
 		if err := plotBroadcast(filepath.Join(dir, f.name+".svg"), f.title, f.bound, runs, f.of); err != nil {
 			return err
@@ -39,8 +39,8 @@
 }
 
 var (
-	plotHues  = []color.RGBA{{B: 200, A: 255}, {G: 140, A: 255}, {R: 160, B: 160, A: 255}, {R: 200, G: 120, A: 255}, {G: 140, B: 160, A: 255}, {R: 120, G: 80, B: 40, A: 255}}
-	plotMarks = []draw.GlyphDrawer{draw.CircleGlyph{}, draw.TriangleGlyph{}, draw.SquareGlyph{}, draw.CrossGlyph{}, draw.PlusGlyph{}, draw.RingGlyph{}}
+	plotColors = []color.RGBA{{B: 200, A: 255}, {G: 140, A: 255}, {R: 160, B: 160, A: 255}, {R: 200, G: 120, A: 255}, {G: 140, B: 160, A: 255}, {R: 120, G: 80, B: 40, A: 255}}
+	plotGlyphs = []draw.GlyphDrawer{draw.CircleGlyph{}, draw.TriangleGlyph{}, draw.SquareGlyph{}, draw.CrossGlyph{}, draw.PlusGlyph{}, draw.RingGlyph{}}
 )
 
 func plotBroadcast(path, title string, bound float64, runs []*BroadcastReport, of func(*BroadcastReport) float64) error {
@@ -91,7 +91,7 @@
 		if err != nil {
 			return err
 		}
-		dots.GlyphStyle.Color, dots.GlyphStyle.Shape, dots.GlyphStyle.Radius = plotHues[k%len(plotHues)], plotMarks[k%len(plotMarks)], vg.Points(2)
+		dots.GlyphStyle.Color, dots.GlyphStyle.Shape, dots.GlyphStyle.Radius = plotColors[k%len(plotColors)], plotGlyphs[k%len(plotGlyphs)], vg.Points(2)
 		if through.Color = dots.GlyphStyle.Color; s.mechanism == "old" {
 			through.Dashes = []vg.Length{vg.Points(2), vg.Points(2)}
 		}
--- a/internal/lab/scale/capacity.go
+++ b/internal/lab/scale/capacity.go
@@ -17,14 +17,14 @@
 	"foldslip/internal/lab/cost"
 )
 
-// Capacity is a figure of docs/CAPACITY.md with the line fitted through it.
-type Capacity struct {
+// CapacityFigure is a figure of docs/CAPACITY.md with the line fitted through it.
+type CapacityFigure struct {
 	*cost.Figure
 	Fit *Fit // nil where there are fewer than two sizes
 }
 
-// Fitted reads a figure and fits it. Values of 0 or less, which the clock of a short run can give, are an error.
-func Fitted(path string) (*Capacity, error) {
+// ReadFitted reads a figure and fits it. Values of 0 or less, which the clock of a short run can give, are an error.
+func ReadFitted(path string) (*CapacityFigure, error) {
 	f, err := cost.Read(path)
 	if err != nil {
 		return nil, err
@@ -33,29 +33,29 @@
 	for _, p := range f.Points {
 		by[int(p.Size)] = append(by[int(p.Size)], p.Values...)
 	}
-	c := &Capacity{Figure: f}
+	c := &CapacityFigure{Figure: f}
 	if len(by) > 1 {
-		if c.Fit, err = Line(f.Name, by); err != nil {
+		if c.Fit, err = FitLine(f.Name, by); err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
 	}
 	return c, nil
 }
 
-// Off is the greatest factor by which the means lie off the line, either way; 1 where there is none.
-func (c *Capacity) Off() float64 {
+// MaxDeviation is the greatest factor by which the means lie off the line, either way; 1 where there is none.
+func (c *CapacityFigure) MaxDeviation() float64 {
 	off := 1.0
 	if c.Fit != nil {
-		for _, at := range c.Fit.At {
-			off = max(off, at.Off, 1/at.Off)
+		for _, at := range c.Fit.Points {
+			off = max(off, at.Deviation, 1/at.Deviation)
 		}
 	}
 	return off
 }
 
-// Misses is the size at which the figure first passes its budget, and whether that was measured; 0: at no size that was measured, nor on the
+// ExceedsBudgetAt is the size at which the figure first passes its budget, and whether that was measured; 0: at no size that was measured, nor on the
 // straight line through the last two sizes (on log axes) up to a thousand times the largest.
-func (c *Capacity) Misses() (size float64, measured bool) {
+func (c *CapacityFigure) ExceedsBudgetAt() (size float64, measured bool) {
 	if c.Budget <= 0 || len(c.Points) == 0 {
 		return 0, false
 	}
@@ -87,7 +87,7 @@
 }
 
 // Value is the median at a size: as measured, else on the straight line (on log axes) between the sizes beside it, or through the last two.
-func (c *Capacity) Value(size float64) (value float64, measured bool) {
+func (c *CapacityFigure) Value(size float64) (value float64, measured bool) {
 	points := slices.Clone(c.Points)
 	slices.SortFunc(points, func(a, b cost.Point) int { return int(math.Copysign(1, a.Size-b.Size)) })
 	for i, p := range points {
@@ -103,8 +103,8 @@
 	return 0, false
 }
 
-// short writes a figure with three digits that count, thousands apart.
-func short(v float64) string {
+// formatShort writes a figure with three digits that count, thousands apart.
+func formatShort(v float64) string {
 	if math.Abs(v) < 1000 {
 		return strconv.FormatFloat(v, 'g', 3, 64)
 	}
@@ -116,14 +116,14 @@
 	return text
 }
 
-// Row is the figure's row of a table in Markdown.
-func (c *Capacity) Row() string {
-	at, measured := c.Value(c.At)
+// MarkdownRow is the figure's row of a table in Markdown.
+func (c *CapacityFigure) MarkdownRow() string {
+	at, measured := c.Value(c.PlanSize)
 	spread := ""
 	for _, p := range c.Points {
-		if p.Size == c.At {
+		if p.Size == c.PlanSize {
 			_, least, most := p.Median()
-			spread = fmt.Sprintf(" (%s to %s)", short(least), short(most))
+			spread = fmt.Sprintf(" (%s to %s)", formatShort(least), formatShort(most))
 		}
 	}
 	said := "M"
@@ -132,37 +132,37 @@
 	}
 	shape, misses, part := "", "none", ""
 	if c.Fit != nil {
-		shape = fmt.Sprintf("%.3g n^%.2f, off by %.2f at most", c.Fit.Factor, c.Fit.Slope, c.Off())
+		shape = fmt.Sprintf("%.3g n^%.2f, off by %.2f at most", c.Fit.Factor, c.Fit.Slope, c.MaxDeviation())
 		if c.Fit.Curved {
 			shape += ", curved"
 		}
 	}
-	if size, seen := c.Misses(); size > 0 {
-		if misses = short(size); !seen {
+	if size, seen := c.ExceedsBudgetAt(); size > 0 {
+		if misses = formatShort(size); !seen {
 			misses += " (X)"
 		}
 	}
 	if c.Budget > 0 {
-		if part = short(at/c.Budget*100) + "%"; at > c.Budget {
+		if part = formatShort(at/c.Budget*100) + "%"; at > c.Budget {
 			part = "**" + part + "**"
 		}
 	}
-	return fmt.Sprintf("| %s | %s to %s %s | %s | %s at %s: %s%s %s | %s: %s | %s | %s |", c.Name, short(c.Points[0].Size), short(c.Points[len(c.Points)-1].Size), c.X, shape,
-		said, short(c.At), short(at), spread, c.Y, c.Of, short(c.Budget), part, misses)
+	return fmt.Sprintf("| %s | %s to %s %s | %s | %s at %s: %s%s %s | %s: %s | %s | %s |", c.Name, formatShort(c.Points[0].Size), formatShort(c.Points[len(c.Points)-1].Size), c.XLabel, shape,
+		said, formatShort(c.PlanSize), formatShort(at), spread, c.YLabel, c.BudgetOf, formatShort(c.Budget), part, misses)
 }
 
 // CapacityHead is the head of the table of rows.
-const CapacityHead = "| figure | sizes | line on log axes | at the plan's size | budget | used | first misses at |\n| --- | --- | --- | --- | --- | --- | --- |"
+const CapacityTableHead = "| figure | sizes | line on log axes | at the plan's size | budget | used | first misses at |\n| --- | --- | --- | --- | --- | --- | --- |"
 
 // Draw makes an SVG file of the figure on log axes: each run a point, the fitted line, the budget, and the plan's size.
-func (c *Capacity) Draw(dir string) error {
+func (c *CapacityFigure) Draw(dir string) error {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Title, c.X, c.Y
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Title, c.XLabel, c.YLabel
 	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
 	p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
 	p.Legend.Top, p.Legend.Left = true, true
 	var pts plotter.XYs
-	least, most := c.At, c.At
+	least, most := c.PlanSize, c.PlanSize
 	for _, at := range c.Points {
 		least, most = min(least, at.Size), max(most, at.Size)
 		for _, v := range at.Values {
@@ -199,12 +199,12 @@
 		}
 	}
 	if c.Budget > 0 {
-		if err := line("budget: "+c.Of, color.RGBA{R: 200, A: 255}, plotter.XY{X: least, Y: c.Budget}, plotter.XY{X: most, Y: c.Budget}); err != nil {
+		if err := line("budget: "+c.BudgetOf, color.RGBA{R: 200, A: 255}, plotter.XY{X: least, Y: c.Budget}, plotter.XY{X: most, Y: c.Budget}); err != nil {
 			return err
 		}
 	}
-	if c.At > 0 {
-		if err := line(fmt.Sprintf("the plan: %.0f", c.At), color.RGBA{G: 140, A: 255}, plotter.XY{X: c.At, Y: p.Y.Min}, plotter.XY{X: c.At, Y: p.Y.Max}); err != nil {
+	if c.PlanSize > 0 {
+		if err := line(fmt.Sprintf("the plan: %.0f", c.PlanSize), color.RGBA{G: 140, A: 255}, plotter.XY{X: c.PlanSize, Y: p.Y.Min}, plotter.XY{X: c.PlanSize, Y: p.Y.Max}); err != nil {
 			return err
 		}
 	}
@@ -217,8 +217,8 @@
 	return p.Save(16*vg.Centimeter, 10*vg.Centimeter, filepath.Join(dir, c.Name+".svg"))
 }
 
-// CapacityOf reads all figures of a folder, by name.
-func CapacityOf(dir string) (all []*Capacity, err error) {
+// ReadCapacityFigures reads all figures of a folder, by name.
+func ReadCapacityFigures(dir string) (all []*CapacityFigure, err error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
 		return nil, err
@@ -227,12 +227,12 @@
 		return nil, fmt.Errorf("%s: %d figures (*.json), expected 1 to 256", dir, len(paths))
 	}
 	for _, path := range paths {
-		c, err := Fitted(path)
+		c, err := ReadFitted(path)
 		if err != nil {
 			return nil, err
 		}
 		all = append(all, c)
 	}
-	slices.SortFunc(all, func(a, b *Capacity) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(all, func(a, b *CapacityFigure) int { return strings.Compare(a.Name, b.Name) })
 	return all, nil
 }
