--- a/internal/lab/scale/capacity_test.go
+++ b/internal/lab/scale/capacity_test.go
@@ -10,18 +10,18 @@
 	"foldslip/internal/lab/cost"
 )
 
-func figure(budget, at float64, of func(n float64) float64, sizes ...float64) *Capacity {
-	f := &cost.Figure{Name: "a", X: "gateways", Y: "bytes", Budget: budget, At: at}
+func figure(budget, at float64, of func(n float64) float64, sizes ...float64) *CapacityFigure {
+	f := &cost.Figure{Name: "a", XLabel: "gateways", YLabel: "bytes", Budget: budget, PlanSize: at}
 	for _, n := range sizes {
 		f.Points = append(f.Points, cost.Point{Size: n, Values: []float64{of(n)}})
 	}
-	return &Capacity{Figure: f}
+	return &CapacityFigure{Figure: f}
 }
 
-func TestWhereABudgetIsFirstMissed(t *testing.T) {
+func TestExceedsBudgetAt(t *testing.T) {
 	square := func(n float64) float64 { return n * n }
 	for _, of := range []struct {
-		c        *Capacity
+		c        *CapacityFigure
 		size     float64
 		measured bool
 	}{
@@ -32,13 +32,13 @@
 		{figure(50, 1, func(float64) float64 { return 7 }, 10, 100), 0, false}, // does not grow
 		{figure(1e6, 1, square, 100, 10), 1000, false},                         // in any order
 	} {
-		if size, measured := of.c.Misses(); math.Abs(size-of.size) > 1e-6*of.size || measured != of.measured {
+		if size, measured := of.c.ExceedsBudgetAt(); math.Abs(size-of.size) > 1e-6*of.size || measured != of.measured {
 			t.Errorf("%v: %g %v, not %g %v", of.c.Points, size, measured, of.size, of.measured)
 		}
 	}
 }
 
-func TestTheValueAtTheSizeOfThePlan(t *testing.T) {
+func TestValueAtPlanSize(t *testing.T) {
 	c := figure(0, 50, func(n float64) float64 { return 3 * n }, 10, 100)
 	for _, of := range []struct {
 		size, value float64
@@ -52,16 +52,16 @@
 
 func TestFiguresAreReadFittedAndDrawn(t *testing.T) {
 	dir := t.TempDir()
-	if _, err := CapacityOf(dir); err == nil {
+	if _, err := ReadCapacityFigures(dir); err == nil {
 		t.Error("an empty folder is taken")
 	}
 	os.WriteFile(filepath.Join(dir, "b.json"), []byte(`{"name":"b","title":"of b","x":"gateways","y":"bytes","budget":1000,"of":"all","at":50,
 		"points":[{"size":10,"values":[10,11,12]},{"size":100,"values":[95,100,110]}]}`), 0o600)
-	all, err := CapacityOf(dir)
+	all, err := ReadCapacityFigures(dir)
 	if err != nil || len(all) != 1 || all[0].Fit == nil || math.Abs(all[0].Fit.Slope-1) > 0.05 {
 		t.Fatal(all, err)
 	}
-	if row := all[0].Row(); strings.Count(row, "|") != strings.Count(strings.SplitN(CapacityHead, "\n", 2)[0], "|") || !strings.Contains(row, "X at 50") {
+	if row := all[0].MarkdownRow(); strings.Count(row, "|") != strings.Count(strings.SplitN(CapacityTableHead, "\n", 2)[0], "|") || !strings.Contains(row, "X at 50") {
 		t.Error(row)
 	}
 	if err := all[0].Draw(dir); err != nil {
@@ -72,27 +72,27 @@
 		t.Error(err)
 	}
 	os.WriteFile(filepath.Join(dir, "c.json"), []byte(`{"name":"c","points":[{"size":10,"values":[0]},{"size":20,"values":[1]}]}`), 0o600)
-	if _, err := CapacityOf(dir); err == nil {
+	if _, err := ReadCapacityFigures(dir); err == nil {
 		t.Error("a value of 0 is taken for log axes")
 	}
 }
 
 // The figures that docs/CAPACITY.md plans by can be read, each with its run.
-func TestTheFiguresKept(t *testing.T) {
-	all, err := CapacityOf("../../../docs/capacity")
+func TestCommittedFiguresAreReadable(t *testing.T) {
+	all, err := ReadCapacityFigures("../../../docs/capacity")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range all {
-		if c.Command == "" || c.Commit == "" || c.Title == "" || c.At <= 0 {
+		if c.Command == "" || c.Commit == "" || c.Title == "" || c.PlanSize <= 0 {
 			t.Errorf("%s does not tell its command, commit, title and size", c.Name)
 		}
 	}
 }
 
-func TestFiguresAreWrittenShort(t *testing.T) {
+func TestFormatShort(t *testing.T) {
 	for v, want := range map[float64]string{0: "0", 0.0538: "0.0538", 75.8234: "75.8", 999.4: "999", 1103: "1,100", 18234: "18,200", 1234567: "1,230,000", -4321: "-4,320"} {
-		if got := short(v); got != want {
+		if got := formatShort(v); got != want {
 			t.Errorf("%v is written %s", v, got)
 		}
 	}
--- a/internal/lab/scale/controls_test.go
+++ b/internal/lab/scale/controls_test.go
@@ -7,65 +7,65 @@
 	"time"
 )
 
-var cutFor = flag.Duration("scale.cut", 20*time.Second, "how long a region of the whole fleet is cut off; an hour is the plan's")
+var cutDuration = flag.Duration("scale.cut", 20*time.Second, "how long a region of the whole fleet is cut off; an hour is the plan's")
 
-// hearer is a gateway that only hears its watch.
-type hearer struct {
-	t    *testing.T
-	held int64
-	any  bool
+// watchingNode is a gateway that only hears its watch.
+type watchingNode struct {
+	t        *testing.T
+	received int64
+	any      bool
 }
 
-func (*hearer) Datagram(time.Duration, int, []byte) {}
-func (*hearer) Wake(time.Duration)                  {}
-func (h *hearer) Told(_ time.Duration, first, last int64) {
-	if h.any && first != h.held+1 || last < first {
-		h.t.Errorf("told %d to %d after %d", first, last, h.held)
+func (*watchingNode) Datagram(time.Duration, int, []byte) {}
+func (*watchingNode) TimerFired(time.Duration)            {}
+func (h *watchingNode) EventsArrived(_ time.Duration, first, last int64) {
+	if h.any && first != h.received+1 || last < first {
+		h.t.Errorf("told %d to %d after %d", first, last, h.received)
 	}
-	h.held, h.any = last, true
+	h.received, h.any = last, true
 }
 
-type watched struct {
-	*Net
-	*Controls
-	*Faults
-	hearers []*hearer
+type watchedFleet struct {
+	*Network
+	*ControlMachines
+	*FaultSchedule
+	nodes []*watchingNode
 }
 
-// town is a fleet of 390 at 30 sites, 5 zones and 3 regions with 4 control machines, all settled, told 20 events a second.
-func town(t *testing.T, o ControlOptions) *watched {
-	return fleetOf(t, Layout(390, 30, 5, 3), 4, 20, o)
+// newSmallFleet is a fleet of 390 at 30 sites, 5 zones and 3 regions with 4 control machines, all settled, told 20 events a second.
+func newSmallFleet(t *testing.T, o ControlOptions) *watchedFleet {
+	return newWatchedFleet(t, Layout(390, 30, 5, 3), 4, 20, o)
 }
 
-func fleetOf(t *testing.T, places []Place, machines int, rate float64, o ControlOptions) *watched {
+func newWatchedFleet(t *testing.T, places []Place, machines int, rate float64, o ControlOptions) *watchedFleet {
 	o.Gateways, o.Machines = len(places), machines
-	w := &watched{hearers: make([]*hearer, len(places))}
-	w.Net = NewNet(1, WithControls(places, machines), Usual, func(i int) Node {
+	w := &watchedFleet{nodes: make([]*watchingNode, len(places))}
+	w.Network = NewNetwork(1, WithControlMachines(places, machines), DefaultLatency, func(i int) Node {
 		if i >= len(places) {
 			return ControlMachine{}
 		}
-		w.hearers[i] = &hearer{t: t}
-		return w.hearers[i]
+		w.nodes[i] = &watchingNode{t: t}
+		return w.nodes[i]
 	})
 	for i := range places {
-		w.Net.Start(i)
+		w.Network.Start(i)
 	}
-	w.Controls = NewControls(w.Net, o)
-	w.Faults = NewFaults(w.Net, len(places), 1)
+	w.ControlMachines = NewControlMachines(w.Network, o)
+	w.FaultSchedule = NewFaultSchedule(w.Network, len(places), 1)
 	every := time.Duration(float64(time.Second) / rate)
 	var tell func()
 	tell = func() {
-		w.Tell()
-		w.Net.At(w.Net.Now()+every, tell)
+		w.Publish()
+		w.Network.At(w.Network.Now()+every, tell)
 	}
-	w.Net.At(5*time.Second, tell)
+	w.Network.At(5*time.Second, tell)
 	return w
 }
 
 // behind names the gateways that run and do not hold an event.
-func (w *watched) behind(no int64) (who []int) {
-	for i := range w.Faults.Gateways {
-		if w.Up(i) && w.Held(i) < no {
+func (w *watchedFleet) behind(no int64) (who []int) {
+	for i := range w.FaultSchedule.Gateways {
+		if w.IsUp(i) && w.Received(i) < no {
 			who = append(who, i)
 		}
 	}
@@ -73,23 +73,23 @@
 }
 
 // caughtUp runs until a time and expects all to hold what was told so long before it.
-func (w *watched) caughtUp(t *testing.T, until, lag time.Duration) {
+func (w *watchedFleet) caughtUp(t *testing.T, until, lag time.Duration) {
 	t.Helper()
 	w.Run(until - lag)
-	no := w.Last()
+	no := w.LastEvent()
 	w.Run(until)
 	if who := w.behind(no); len(who) > 0 {
-		t.Errorf("at %v: %d gateways do not hold event %d of %v before, the first is %d with %d", until, len(who), no, lag, who[0], w.Held(who[0]))
+		t.Errorf("at %v: %d gateways do not hold event %d of %v before, the first is %d with %d", until, len(who), no, lag, who[0], w.Received(who[0]))
 	}
 }
 
-func TestEachEventComesToEachWatchInOrder(t *testing.T) {
-	w := town(t, ControlOptions{})
+func TestEachWatchGetsEachEventInOrder(t *testing.T) {
+	w := newSmallFleet(t, ControlOptions{})
 	w.Loss(0.02)
 	w.caughtUp(t, 60*time.Second, time.Second)
 	var most time.Duration
-	for no := int64(1); no <= w.Last()-20; no++ {
-		most = max(most, w.LastAt(no)-w.ToldAt(no))
+	for no := int64(1); no <= w.LastEvent()-20; no++ {
+		most = max(most, w.LastArrival(no)-w.PublishedAt(no))
 	}
 	if most < 200*time.Millisecond || most > 800*time.Millisecond {
 		t.Errorf("the slowest event was everywhere after %v; a loss costs 200 ms", most)
@@ -98,7 +98,7 @@
 	if slices.Min(loads) < 80 || slices.Max(loads) > 131 {
 		t.Errorf("watches of machines: %v", loads)
 	}
-	c, m := w.Count(0), w.Count(390)
+	c, m := w.Counters(0), w.Counters(390)
 	if want := int64(55 * 20 * (72 + 52)); c.StreamIn < want || c.StreamIn > want+270_000*104/100+60*64 || c.StreamOut < want/6 {
 		t.Errorf("a gateway's watch brought %d bytes, %d of events, and took %d", c.StreamIn, want, c.StreamOut)
 	}
@@ -108,8 +108,8 @@
 }
 
 func TestWatchesOfALostControlMachineMove(t *testing.T) {
-	w := town(t, ControlOptions{})
-	w.ControlLost(20*time.Second, 60*time.Second, 2)
+	w := newSmallFleet(t, ControlOptions{})
+	w.FailControlMachine(20*time.Second, 60*time.Second, 2)
 	w.Run(20 * time.Second)
 	its := w.Watches()[2]
 	w.Run(19 * time.Second)
@@ -120,92 +120,92 @@
 	w.caughtUp(t, 120*time.Second, time.Second)
 }
 
-func TestAFullMachineSendsWatchesOn(t *testing.T) {
-	w := town(t, ControlOptions{Most: 130}) // a third of all: just enough with one lost
-	w.ControlLost(10*time.Second, time.Hour, 1)
+func TestFullMachineRedirectsWatches(t *testing.T) {
+	w := newSmallFleet(t, ControlOptions{MaxWatches: 130}) // a third of all: just enough with one lost
+	w.FailControlMachine(10*time.Second, time.Hour, 1)
 	w.caughtUp(t, 40*time.Second, time.Second)
 	if loads := w.Watches(); !slices.Equal(loads, []int{130, 0, 130, 130}) || w.Denied == 0 {
 		t.Errorf("%v, %d denied", loads, w.Denied)
 	}
 }
 
-func TestARegionThatWasCutOffIsToldAllAfterTheHeal(t *testing.T) {
+func TestCutOffRegionGetsAllEventsAfterHeal(t *testing.T) {
 	const cut = 3 * time.Minute // an hour of the plan is a matter of minutes on an idle machine
-	w := town(t, ControlOptions{CatchUp: 20_000, List: 1000})
-	w.RegionCut(20*time.Second, cut, 2)
-	cutOff := w.Gateway(func(p Place) bool { return p.Region == 2 })
+	w := newSmallFleet(t, ControlOptions{CatchUpBytesPerSecond: 20_000, ListBytes: 1000})
+	w.CutRegion(20*time.Second, cut, 2)
+	cutOff := w.GatewaysWhere(func(p Place) bool { return p.Region == 2 })
 	w.Run(20 * time.Second)
-	at := w.Last()
+	at := w.LastEvent()
 	w.Run(cut)
-	if who := w.behind(w.Last() - 40); !slices.Equal(who, cutOff) {
+	if who := w.behind(w.LastEvent() - 40); !slices.Equal(who, cutOff) {
 		t.Errorf("%d are behind in the cut, expected the %d of the region", len(who), len(cutOff))
 	}
-	if held := w.Held(cutOff[0]); held < at-5 || held > at {
+	if held := w.Received(cutOff[0]); held < at-5 || held > at {
 		t.Errorf("cut off at event %d, holds %d", at, held)
 	}
 	w.caughtUp(t, 20*time.Second+cut+25*time.Second, 2*time.Second) // 3,600 events of 72 bytes at 20 KB/s are 13 s, and what is told meanwhile
-	if c := w.Count(cutOff[0]); c.MostIn > 3*catchUpMost/2 {
-		t.Errorf("the catching up took %d bytes in a second; one turn is %d", c.MostIn, catchUpMost)
+	if c := w.Counters(cutOff[0]); c.MaxInPerSecond > 3*maxCatchUpBytes/2 {
+		t.Errorf("the catching up took %d bytes in a second; one turn is %d", c.MaxInPerSecond, maxCatchUpBytes)
 	}
 }
 
-func TestAfterEachFaultOfThePlanAllThatRunHearAll(t *testing.T) {
-	for name, play := range map[string]func(w *watched){
-		"rack":          func(w *watched) { w.Rack(20*time.Second, 30*time.Second, 7) },
-		"zone":          func(w *watched) { w.Zone(20*time.Second, 60*time.Second, 2) },
-		"regions apart": func(w *watched) { w.RegionsApart(20*time.Second, 60*time.Second) },
-		"release":       func(w *watched) { w.Release(20*time.Second, 60*time.Second, 5*time.Second, 190) },
-		"days":          func(w *watched) { w.Days(10*time.Second, 70*time.Second, 20_000, 100_000) },
-		"standing still": func(w *watched) {
+func TestAllRunningGatewaysCatchUpAfterEachFault(t *testing.T) {
+	for name, play := range map[string]func(w *watchedFleet){
+		"rack":          func(w *watchedFleet) { w.FailRack(20*time.Second, 30*time.Second, 7) },
+		"zone":          func(w *watchedFleet) { w.FailZone(20*time.Second, 60*time.Second, 2) },
+		"regions apart": func(w *watchedFleet) { w.SplitRegions(20*time.Second, 60*time.Second) },
+		"release":       func(w *watchedFleet) { w.Release(20*time.Second, 60*time.Second, 5*time.Second, 190) },
+		"days":          func(w *watchedFleet) { w.FailAtRates(10*time.Second, 70*time.Second, 20_000, 100_000) },
+		"standing still": func(w *watchedFleet) {
 			w.At(20*time.Second, func() { w.Pause(5) })
 			w.At(50*time.Second, func() { w.Resume(5) })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := town(t, ControlOptions{})
+			w := newSmallFleet(t, ControlOptions{})
 			play(w)
 			w.caughtUp(t, 100*time.Second, time.Second)
-			if w.Last() < 1800 {
-				t.Errorf("%d events", w.Last())
+			if w.LastEvent() < 1800 {
+				t.Errorf("%d events", w.LastEvent())
 			}
 		})
 	}
 }
 
 // The whole fleet on the users' rates, as an engineer would run a scenario.
-func TestTheWholeFleetHearsAHundredPurgesASecond(t *testing.T) {
-	w := fleetOf(t, Layout(FullGateways, FullSites, FullZones, FullRegions), FullControls, 100, ControlOptions{})
-	w.Zone(10*time.Second, time.Minute, 3)
+func TestFullFleetReceivesHundredPurgesPerSecond(t *testing.T) {
+	w := newWatchedFleet(t, Layout(FullGateways, FullSites, FullZones, FullRegions), FullControls, 100, ControlOptions{})
+	w.FailZone(10*time.Second, time.Minute, 3)
 	w.caughtUp(t, 15*time.Second, time.Second)
 	var most time.Duration
-	for no := int64(1); no <= w.Last()-200; no++ {
-		most = max(most, w.LastAt(no)-w.ToldAt(no))
+	for no := int64(1); no <= w.LastEvent()-200; no++ {
+		most = max(most, w.LastArrival(no)-w.PublishedAt(no))
 	}
-	t.Logf("%d events, the slowest everywhere after %v, %d steps", w.Last(), most, w.Steps())
+	t.Logf("%d events, the slowest everywhere after %v, %d steps", w.LastEvent(), most, w.Steps())
 	if most > 4500*time.Millisecond {
 		t.Errorf("an event took %v", most)
 	}
 }
 
 // A region cut off from the others and healed, at the users' size and rates, with the backlog paced at the budget of a gateway.
-func TestTheWholeFleetHearsAllAfterARegionWasCutOff(t *testing.T) {
+func TestFullFleetCatchesUpAfterRegionCut(t *testing.T) {
 	const pace = 15 << 10
-	w := fleetOf(t, Layout(FullGateways, FullSites, FullZones, FullRegions), FullControls, 100, ControlOptions{Batch: 100 * time.Millisecond, CatchUp: pace, List: 1000})
-	w.RegionCut(10*time.Second, *cutFor, 4)
-	region := w.Gateway(func(p Place) bool { return p.Region == 4 })
-	w.Run(10*time.Second + *cutFor)
-	missed := w.Last() - w.Held(region[0])
-	if missed < int64(cutFor.Seconds()*95) {
-		t.Fatalf("%d events behind after %v", missed, *cutFor)
+	w := newWatchedFleet(t, Layout(FullGateways, FullSites, FullZones, FullRegions), FullControls, 100, ControlOptions{BatchInterval: 100 * time.Millisecond, CatchUpBytesPerSecond: pace, ListBytes: 1000})
+	w.CutRegion(10*time.Second, *cutDuration, 4)
+	region := w.GatewaysWhere(func(p Place) bool { return p.Region == 4 })
+	w.Run(10*time.Second + *cutDuration)
+	missed := w.LastEvent() - w.Received(region[0])
+	if missed < int64(cutDuration.Seconds()*95) {
+		t.Fatalf("%d events behind after %v", missed, *cutDuration)
 	}
 	at := w.Now()
-	for len(w.behind(w.Last()-200)) > 0 && w.Now() < at+2**cutFor+time.Minute { // 2 s of events
+	for len(w.behind(w.LastEvent()-200)) > 0 && w.Now() < at+2**cutDuration+time.Minute { // 2 s of events
 		w.Run(w.Now() + time.Second)
 	}
 	took := w.Now() - at
-	c := w.Count(region[0])
-	t.Logf("%d events missed, caught up after %v, %d bytes in the worst second of a gateway, %d moves, %d steps", missed, took, c.MostIn, w.Moves, w.Steps())
-	if most := time.Duration(float64(*cutFor)*0.95) + 15*time.Second; took > most { // 7.2 KB/s are missed and 7.2 KB/s come beside 15 KB/s
+	c := w.Counters(region[0])
+	t.Logf("%d events missed, caught up after %v, %d bytes in the worst second of a gateway, %d moves, %d steps", missed, took, c.MaxInPerSecond, w.Moves, w.Steps())
+	if most := time.Duration(float64(*cutDuration)*0.95) + 15*time.Second; took > most { // 7.2 KB/s are missed and 7.2 KB/s come beside 15 KB/s
 		t.Errorf("caught up only after %v", took)
 	}
 }
--- a/internal/lab/scale/crowd.go
+++ b/internal/lab/scale/crowd.go
@@ -24,9 +24,9 @@
 // A crowd is a process of its own with hollow gateways in it, so that what it spends is theirs alone. It is told by lines of JSON on its
 // standard input and answers each with one on its standard output, until the input ends.
 
-// order is a line to a crowd.
-type order struct {
-	Do       string          `json:"do"` // start, halt, restart, usage, arrivals, profile, stop
+// command is a line to a crowd.
+type command struct {
+	Action   string          `json:"do"` // start, halt, restart, usage, arrivals, profile, stop
 	First    int             `json:"first,omitempty"`
 	Count    int             `json:"count,omitempty"`
 	Watch    []string        `json:"watch,omitempty"`
@@ -43,8 +43,8 @@
 	File     string          `json:"file,omitempty"`
 }
 
-// answer is a crowd's line.
-type answer struct {
+// reply is a crowd's line.
+type reply struct {
 	Error    string    `json:"error,omitempty"`
 	Usage    *Usage    `json:"usage,omitempty"`
 	Arrivals []Arrival `json:"arrivals,omitempty"`
@@ -52,32 +52,32 @@
 
 // Usage is what a crowd has spent since it began; see runtime.MemStats.
 type Usage struct {
-	Heap       uint64           `json:"Heap"`
-	Mallocs    uint64           `json:"Mallocs"`
-	AllocBytes uint64           `json:"AllocBytes"`
-	In         int64            `json:"In"`
-	Out        int64            `json:"Out"`
-	Reads      int64            `json:"Reads"`
-	Writes     int64            `json:"Writes"`
-	Dials      int64            `json:"Dials"`
-	Log        int64            `json:"Log"`
-	Closed     map[string]int64 `json:"Closed"` // ends of watches and faults by reason
+	Heap        uint64           `json:"Heap"`
+	Mallocs     uint64           `json:"Mallocs"`
+	AllocBytes  uint64           `json:"AllocBytes"`
+	In          int64            `json:"In"`
+	Out         int64            `json:"Out"`
+	Reads       int64            `json:"Reads"`
+	Writes      int64            `json:"Writes"`
+	Dials       int64            `json:"Dials"`
+	LogLines    int64            `json:"Log"`
+	EventCounts map[string]int64 `json:"Closed"` // ends of watches and faults by reason
 }
 
-const orderMost = 4 << 20 // bytes of a line: a whole list is some 300 KB
+const maxCommandBytes = 4 << 20 // bytes of a line: a whole list is some 300 KB
 
-// Crowd runs hollow gateways as told on in until it ends; foldslip-rig's hidden command.
-func Crowd(in io.Reader, out io.Writer) error {
-	c := &crowdServer{ground: NewGround(NewPace(0, 1)), ledger: &Ledger{}, by: map[int]*Hollow{}, held: map[int]*atomic.Int64{}}
+// RunHollowProcess runs hollow gateways as told on in until it ends; foldslip-rig's hidden command.
+func RunHollowProcess(in io.Reader, out io.Writer) error {
+	c := &hollowServer{environment: NewEnvironment(NewSlowClock(0, 1)), arrivals: &ArrivalLog{}, gateways: map[int]*HollowGateway{}, lastEvents: map[int]*atomic.Int64{}}
 	defer c.stop()
 	lines := bufio.NewScanner(in)
-	lines.Buffer(nil, orderMost)
+	lines.Buffer(nil, maxCommandBytes)
 	to := json.NewEncoder(out)
 	for lines.Scan() {
-		var o order
-		a, err := &answer{}, json.Unmarshal(lines.Bytes(), &o)
+		var o command
+		a, err := &reply{}, json.Unmarshal(lines.Bytes(), &o)
 		if err == nil {
-			err = c.do(&o, a)
+			err = c.handle(&o, a)
 		}
 		if err != nil {
 			a.Error = err.Error()
@@ -89,97 +89,97 @@
 	return lines.Err()
 }
 
-type crowdServer struct {
-	ground *Ground
-	ledger *Ledger
-	by     map[int]*Hollow
-	held   map[int]*atomic.Int64 // position of the last event that counts
-	last   order                 // start
-	places []Place
-	file   *os.File // of the profile under way
+type hollowServer struct {
+	environment  *Environment
+	arrivals     *ArrivalLog
+	gateways     map[int]*HollowGateway
+	lastEvents   map[int]*atomic.Int64 // position of the last event that counts
+	startCommand command               // start
+	places       []Place
+	profile      *os.File // of the profile under way
 }
 
-func (c *crowdServer) do(o *order, a *answer) error {
-	switch o.Do {
+func (c *hollowServer) handle(o *command, a *reply) error {
+	switch o.Action {
 	case "start":
-		c.last, c.places, c.ground = *o, Sized(o.Gateways), NewGround(NewPace(o.Since, o.Stretch))
+		c.startCommand, c.places, c.environment = *o, ScaledLayout(o.Gateways), NewEnvironment(NewSlowClock(o.Since, o.Stretch))
 		for i := range o.Count {
 			if err := c.start(o.First+i, o.Base, o.Known, o.Watch[i]); err != nil {
 				return err
 			}
 		}
 	case "halt":
-		was := c.by[o.First]
+		was := c.gateways[o.First]
 		if was == nil {
 			return fmt.Errorf("gateway %d is not here", o.First)
 		}
 		return was.Stop()
 	case "restart":
-		if at := c.held[o.First]; at != nil { // what was told while it was down, the list that it starts with has taken in
+		if at := c.lastEvents[o.First]; at != nil { // what was told while it was down, the list that it starts with has taken in
 			for pos := at.Load() + 1; pos <= o.Base; pos++ {
-				c.ledger.Note(pos, time.Time{})
+				c.arrivals.Record(pos, time.Time{})
 			}
 		}
-		return c.start(o.First, o.Base, o.Known, c.last.Watch[o.First-c.last.First])
+		return c.start(o.First, o.Base, o.Known, c.startCommand.Watch[o.First-c.startCommand.First])
 	case "usage":
 		if o.GC {
 			runtime.GC()
 		}
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
-		g := c.ground
+		g := c.environment
 		a.Usage = &Usage{Heap: m.HeapAlloc, Mallocs: m.Mallocs, AllocBytes: m.TotalAlloc, In: g.In.Load(), Out: g.Out.Load(), Reads: g.Reads.Load(),
-			Writes: g.Writes.Load(), Dials: g.Dials.Load(), Closed: g.Logged()}
+			Writes: g.Writes.Load(), Dials: g.Dials.Load(), EventCounts: g.LogCounts()}
 	case "arrivals":
 		var err error
-		a.Arrivals, err = c.ledger.Since(o.From, o.To)
+		a.Arrivals, err = c.arrivals.Since(o.From, o.To)
 		return err
 	case "profile":
-		if c.file != nil {
+		if c.profile != nil {
 			pprof.StopCPUProfile()
-			err := c.file.Close()
-			c.file = nil
+			err := c.profile.Close()
+			c.profile = nil
 			return err
 		}
 		var err error
-		if c.file, err = os.Create(o.File); err != nil {
+		if c.profile, err = os.Create(o.File); err != nil {
 			return err
 		}
-		return pprof.StartCPUProfile(c.file)
+		return pprof.StartCPUProfile(c.profile)
 	case "stop":
 		return c.stop()
 	default:
-		return fmt.Errorf("%q is no order", o.Do)
+		return fmt.Errorf("%q is no order", o.Action)
 	}
 	return nil
 }
 
-func (c *crowdServer) start(i int, base int64, known json.RawMessage, watch string) (err error) {
+func (c *hollowServer) start(i int, base int64, known json.RawMessage, watch string) (err error) {
 	at := &atomic.Int64{}
 	at.Store(base)
-	c.held[i] = at
-	c.by[i], err = StartHollow(c.ground, HollowSpec{Watch: watch, Known: known, Settings: Settings(c.places, i, c.last.Zones), Seed: uint64(i) + 1,
-		Lookups: c.last.Lookups, Event: func(no int64) {
+	c.lastEvents[i] = at
+	c.gateways[i], err = StartHollowGateway(c.environment, HollowOptions{DiscoveryAddr: watch, Known: known, Settings: Settings(c.places, i, c.startCommand.Zones), Seed: uint64(i) + 1,
+		LookupsPerSecond: c.startCommand.Lookups, OnEvent: func(no int64) {
 			at.Store(base + no - 1)
-			c.ledger.Note(base+no-1, c.ground.Now())
+			c.arrivals.Record(base+no-1, c.environment.Now())
 		}})
 	return err
 }
 
-func (c *crowdServer) stop() error {
+func (c *hollowServer) stop() error {
 	var errs []error
-	for _, h := range c.by { // all at once
-		h.life.End()
+	for _, h := range c.gateways { // all at once
+		h.lifetime.End()
 	}
-	for _, h := range c.by {
+	for _, h := range c.gateways {
 		errs = append(errs, h.Stop())
 	}
-	clear(c.by)
+	clear(c.gateways)
 	return errors.Join(errs...)
 }
 
-// crowd is the other side: a process that this one started.
-type crowd struct {
+// hollowProcess is the other side: a process that this one started.
+type hollowProcess struct {
 	cmd          *exec.Cmd
 	in           io.WriteCloser
 	out          *bufio.Reader
@@ -187,8 +187,8 @@
 	first, count int
 }
 
-// newCrowd starts a process that runs Crowd.
-func newCrowd(cmd *exec.Cmd) (*crowd, error) {
+// startHollowProcess starts a process that runs Crowd.
+func startHollowProcess(cmd *exec.Cmd) (*hollowProcess, error) {
 	cmd.Stderr = os.Stderr
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	in, err := cmd.StdinPipe()
@@ -202,10 +202,10 @@
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	return &crowd{cmd: cmd, in: in, out: bufio.NewReader(out)}, nil
+	return &hollowProcess{cmd: cmd, in: in, out: bufio.NewReader(out)}, nil
 }
 
-func (c *crowd) tell(o order) (*answer, error) {
+func (c *hollowProcess) call(o command) (*reply, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err := json.NewEncoder(c.in).Encode(o); err != nil {
@@ -215,7 +215,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("a process of hollow gateways: %w", err)
 	}
-	var a answer
+	var a reply
 	if err := json.Unmarshal(line, &a); err != nil {
 		return nil, err
 	}
@@ -226,7 +226,7 @@
 }
 
 // end ends the process: by the end of its input, and by its id where that does not do.
-func (c *crowd) end() error {
+func (c *hollowProcess) end() error {
 	c.in.Close()
 	late := time.AfterFunc(20*time.Second, func() { c.cmd.Process.Kill() })
 	defer late.Stop()
@@ -244,8 +244,8 @@
 	return time.Duration(t.Nano()), nil
 }
 
-// waitedOf is how long a process's threads that there are now have stood ready to run without a core, since they began.
-func waitedOf(pid int) (sum time.Duration, err error) {
+// runQueueWaitOf is how long a process's threads that there are now have stood ready to run without a core, since they began.
+func runQueueWaitOf(pid int) (sum time.Duration, err error) {
 	tasks, err := os.ReadDir(fmt.Sprintf("/proc/%d/task", pid))
 	if err != nil {
 		return 0, err
@@ -305,8 +305,8 @@
 
 func cores() int { return runtime.NumCPU() }
 
-// since is how much of each reason came between two usages.
-func since(after, before map[string]int64) map[string]int64 {
+// countsSince is how much of each reason came between two usages.
+func countsSince(after, before map[string]int64) map[string]int64 {
 	out := maps.Clone(after)
 	for k, n := range before {
 		if out[k] -= n; out[k] == 0 {
--- a/internal/lab/scale/discovery.go
+++ b/internal/lab/scale/discovery.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	askWithin  = 5 * time.Second // for the line "after N" of a watch
-	askMost    = 64              // bytes of it
-	takeWithin = 5 * time.Second // for a watcher to take what is written; a slower one is dropped
-	writeMost  = 64 << 10        // bytes of one write, and of the buffer of each watch
-	pulseUsual = time.Second     // a line with the last number alone
-	mostWatch  = 8192            // gateways
+	requestTimeout   = 5 * time.Second // for the line "after N" of a watch
+	maxRequestBytes  = 64              // bytes of it
+	writeTimeout     = 5 * time.Second // for a watcher to take what is written; a slower one is dropped
+	maxWriteBytes    = 64 << 10        // bytes of one write, and of the buffer of each watch
+	defaultHeartbeat = time.Second     // a line with the last number alone
+	maxWatches       = 8192            // gateways
 )
 
 // Discovery is the stand-in for the discovery watch of the whole fleet: one listener on loopback, one watch a gateway, events numbered
@@ -34,59 +34,59 @@
 // Bounds: Gateways watches, one goroutine and one buffer of 64 KB at most each; Keep events for those that come back. A watcher that is
 // behind them is dropped and counted, as is one that takes nothing for 5 s.
 type Discovery struct {
-	listen net.Listener
-	port   uint16
-	wait   sync.WaitGroup
-	pulse  time.Duration
-	asking chan struct{} // a place each for connections that have not asked yet
+	listener   net.Listener
+	port       uint16
+	wait       sync.WaitGroup
+	heartbeat  time.Duration
+	handshakes chan struct{} // a place each for connections that have not asked yet
 
-	mu      sync.Mutex
-	keep    int
-	members []standin.Endpoint
-	at      map[string]int // place in members by id
-	whole   []byte         // the list as an event without its number; nil: to be made anew
-	first   int64          // position of events[0]; positions go on over all starts, numbers are a gateway's own
-	events  [][]byte       // events without their numbers
-	by      []*watcher
-	cut     func(gateway int) bool // whose watches are refused; nil: nobody's
-	closed  bool
+	mu          sync.Mutex
+	maxEvents   int
+	members     []standin.Endpoint
+	indexByID   map[string]int // place in members by id
+	encodedList []byte         // the list as an event without its number; nil: to be made anew
+	first       int64          // position of events[0]; positions go on over all starts, numbers are a gateway's own
+	events      [][]byte       // events without their numbers
+	watchers    []*watcher
+	isRefused   func(gateway int) bool // whose watches are refused; nil: nobody's
+	closed      bool
 }
 
 // watcher is what a gateway hears, over its connections.
 type watcher struct {
-	joined bool
-	base   int64  // position of the event that is its number 1
-	list   []byte // event 1, where it comes over the watch
-	conn   net.Conn
-	poke   chan struct{}
-	count  WatchCounts
+	joined       bool
+	basePosition int64  // position of the event that is its number 1
+	listEvent    []byte // event 1, where it comes over the watch
+	conn         net.Conn
+	wakeup       chan struct{}
+	counts       WatchCounts
 }
 
 // WatchCounts are of one gateway's watch since the stand-in began. Bytes are payload; see Wire for what TCP adds.
 type WatchCounts struct {
-	BytesOut, Writes, Events atomic.Int64
-	BytesIn, Connects        atomic.Int64
-	Behind, Slow             atomic.Int64 // times that it was dropped
+	BytesOut, Writes, Events   atomic.Int64
+	BytesIn, Connects          atomic.Int64
+	DroppedBehind, DroppedSlow atomic.Int64 // times that it was dropped
 }
 
 // DiscoveryOptions bound a stand-in.
 type DiscoveryOptions struct {
-	Gateways int // 1 to 8192
-	Keep     int // events kept for watchers that come back; 65,536 if 0 (ten minutes of 100 a second)
-	Members  []standin.Endpoint
-	Pulse    time.Duration // between lines with the last number alone; a second if 0
+	Gateways   int // 1 to 8192
+	KeepEvents int // events kept for watchers that come back; 65,536 if 0 (ten minutes of 100 a second)
+	Members    []standin.Endpoint
+	Heartbeat  time.Duration // between lines with the last number alone; a second if 0
 }
 
 // NewDiscovery serves on a port of its own.
 func NewDiscovery(o DiscoveryOptions) (*Discovery, error) {
-	if o.Gateways < 1 || o.Gateways > mostWatch {
-		return nil, fmt.Errorf("%d gateways watch, expected 1 to %d", o.Gateways, mostWatch)
+	if o.Gateways < 1 || o.Gateways > maxWatches {
+		return nil, fmt.Errorf("%d gateways watch, expected 1 to %d", o.Gateways, maxWatches)
 	}
-	if o.Keep <= 0 {
-		o.Keep = 65536
+	if o.KeepEvents <= 0 {
+		o.KeepEvents = 65536
 	}
-	if o.Pulse <= 0 {
-		o.Pulse = pulseUsual
+	if o.Heartbeat <= 0 {
+		o.Heartbeat = defaultHeartbeat
 	}
 	onLoopback := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
 		if e := c.Control(func(fd uintptr) {
@@ -100,13 +100,13 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Discovery{listen: l, port: l.Addr().(*net.TCPAddr).AddrPort().Port(), keep: o.Keep, pulse: o.Pulse, members: slices.Clone(o.Members), at: map[string]int{},
-		first: 1, by: make([]*watcher, o.Gateways), asking: make(chan struct{}, 256)}
+	d := &Discovery{listener: l, port: l.Addr().(*net.TCPAddr).AddrPort().Port(), maxEvents: o.KeepEvents, heartbeat: o.Heartbeat, members: slices.Clone(o.Members), indexByID: map[string]int{},
+		first: 1, watchers: make([]*watcher, o.Gateways), handshakes: make(chan struct{}, 256)}
 	for i, m := range d.members {
-		d.at[m.ID] = i
+		d.indexByID[m.ID] = i
 	}
-	for i := range d.by {
-		d.by[i] = &watcher{poke: make(chan struct{}, 1)}
+	for i := range d.watchers {
+		d.watchers[i] = &watcher{wakeup: make(chan struct{}, 1)}
 	}
 	d.wait.Go(d.accept)
 	return d, nil
@@ -124,7 +124,7 @@
 		return -1
 	}
 	b := t.AddrPort().Addr().Unmap().As4()
-	if i := int(b[2])<<8 | int(b[3]); b[0] == 127 && b[1] == 64 && i < len(d.by) {
+	if i := int(b[2])<<8 | int(b[3]); b[0] == 127 && b[1] == 64 && i < len(d.watchers) {
 		return i
 	}
 	return -1
@@ -136,45 +136,45 @@
 func (d *Discovery) Join(gateway int, told bool) (known json.RawMessage, base int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	w := d.by[gateway]
-	w.drop()
-	w.joined, w.base, w.list = true, d.last(), d.list()
+	w := d.watchers[gateway]
+	w.disconnect()
+	w.joined, w.basePosition, w.listEvent = true, d.last(), d.listUpdate()
 	if !told {
-		return json.RawMessage(`{"no":0,"items":[]}`), w.base
+		return json.RawMessage(`{"no":0,"items":[]}`), w.basePosition
 	}
-	return fmt.Appendf(nil, `{"no":1,"items":[{"no":1,%s]}`, w.list), w.base
+	return fmt.Appendf(nil, `{"no":1,"items":[{"no":1,%s]}`, w.listEvent), w.basePosition
 }
 
 // Leave ends a gateway: it is told nothing until it joins again.
 func (d *Discovery) Leave(gateway int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.by[gateway].joined = false
-	d.by[gateway].drop()
+	d.watchers[gateway].joined = false
+	d.watchers[gateway].disconnect()
 }
 
-// drop ends a watch, under the lock.
-func (w *watcher) drop() {
+// disconnect ends a watch, under the lock.
+func (w *watcher) disconnect() {
 	if w.conn != nil {
 		w.conn.Close()
 		w.conn = nil
-		w.ring()
+		w.notify()
 	}
 }
 
-func (w *watcher) ring() {
+func (w *watcher) notify() {
 	select {
-	case w.poke <- struct{}{}:
+	case w.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// list is the whole list as an event, under the lock: shared by all that join before it changes.
-func (d *Discovery) list() []byte {
-	if d.whole == nil {
-		d.whole = []byte(standin.EndpointList(true, d.members...)[1:])
+// listUpdate is the whole list as an event, under the lock: shared by all that join before it changes.
+func (d *Discovery) listUpdate() []byte {
+	if d.encodedList == nil {
+		d.encodedList = []byte(standin.EndpointList(true, d.members...)[1:])
 	}
-	return d.whole
+	return d.encodedList
 }
 
 // last is the position of the last event.
@@ -197,7 +197,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.tell(b)
+	return d.publish(b)
 }
 
 // Change tells of changed, new or removed members of the list, and returns its position.
@@ -205,61 +205,61 @@
 	b := []byte(standin.EndpointList(false, members...)[1:])
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.whole = nil
+	d.encodedList = nil
 	for _, m := range members {
-		i, held := d.at[m.ID]
+		i, held := d.indexByID[m.ID]
 		switch {
 		case m.Phase == "removed" && held:
 			d.members = slices.Delete(d.members, i, i+1)
-			delete(d.at, m.ID)
-			for id, j := range d.at {
+			delete(d.indexByID, m.ID)
+			for id, j := range d.indexByID {
 				if j > i {
-					d.at[id] = j - 1
+					d.indexByID[id] = j - 1
 				}
 			}
 		case m.Phase == "removed":
 		case held:
 			d.members[i] = m
 		default:
-			d.at[m.ID] = len(d.members)
+			d.indexByID[m.ID] = len(d.members)
 			d.members = append(d.members, m)
 		}
 	}
-	return d.tell(b)
+	return d.publish(b)
 }
 
-// member is one of the list as it is, by any number.
-func (d *Discovery) member(i int) standin.Endpoint {
+// memberAt is one of the list as it is, by any number.
+func (d *Discovery) memberAt(i int) standin.Endpoint {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.members[i%len(d.members)]
 }
 
-// tell adds an event, under the lock.
-func (d *Discovery) tell(event []byte) int64 {
+// publish adds an event, under the lock.
+func (d *Discovery) publish(event []byte) int64 {
 	d.events = append(d.events, event)
-	if len(d.events) >= 2*d.keep { // twice, so that each is moved once
-		gone := len(d.events) - d.keep
+	if len(d.events) >= 2*d.maxEvents { // twice, so that each is moved once
+		gone := len(d.events) - d.maxEvents
 		d.first += int64(gone)
 		d.events = append([][]byte(nil), d.events[gone:]...)
 	}
-	for _, w := range d.by {
+	for _, w := range d.watchers {
 		if w.conn != nil {
-			w.ring()
+			w.notify()
 		}
 	}
 	return d.last()
 }
 
-// Cut ends the watches of some gateways and refuses them until Cut is called again: their control machine is lost, or they are cut off
+// RefuseWatches ends the watches of some gateways and refuses them until Cut is called again: their control machine is lost, or they are cut off
 // from all. Nil refuses nobody.
-func (d *Discovery) Cut(who func(gateway int) bool) {
+func (d *Discovery) RefuseWatches(who func(gateway int) bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.cut = who
-	for i, w := range d.by {
+	d.isRefused = who
+	for i, w := range d.watchers {
 		if who != nil && who(i) {
-			w.drop()
+			w.disconnect()
 		}
 	}
 }
@@ -268,7 +268,7 @@
 func (d *Discovery) Watching() (n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, w := range d.by {
+	for _, w := range d.watchers {
 		if w.conn != nil {
 			n++
 		}
@@ -277,16 +277,16 @@
 }
 
 // Counts are those of a gateway's watch.
-func (d *Discovery) Counts(gateway int) *WatchCounts { return &d.by[gateway].count }
+func (d *Discovery) Counts(gateway int) *WatchCounts { return &d.watchers[gateway].counts }
 
 // Close ends the stand-in and all watches.
 func (d *Discovery) Close() {
-	d.listen.Close()
+	d.listener.Close()
 	d.mu.Lock()
 	d.closed = true
-	for _, w := range d.by {
+	for _, w := range d.watchers {
 		w.joined = false
-		w.drop()
+		w.disconnect()
 	}
 	d.mu.Unlock()
 	d.wait.Wait()
@@ -294,7 +294,7 @@
 
 func (d *Discovery) accept() {
 	for {
-		conn, err := d.listen.Accept()
+		conn, err := d.listener.Accept()
 		if err != nil {
 			if !errors.Is(err, net.ErrClosed) {
 				time.Sleep(10 * time.Millisecond) // out of descriptors
@@ -302,7 +302,7 @@
 			}
 			return
 		}
-		d.asking <- struct{}{} // at most askWithin until a place is free
+		d.handshakes <- struct{}{} // at most askWithin until a place is free
 		d.wait.Go(func() {
 			d.serve(conn)
 			conn.Close()
@@ -310,12 +310,12 @@
 	}
 }
 
-// ask reads the number of the last event that a watcher holds.
-func ask(conn net.Conn) (after int64, n int, err error) {
-	conn.SetReadDeadline(time.Now().Add(askWithin))
-	buf := make([]byte, 0, askMost)
+// readRequest reads the number of the last event that a watcher holds.
+func readRequest(conn net.Conn) (after int64, n int, err error) {
+	conn.SetReadDeadline(time.Now().Add(requestTimeout))
+	buf := make([]byte, 0, maxRequestBytes)
 	for {
-		k, err := conn.Read(buf[len(buf):askMost])
+		k, err := conn.Read(buf[len(buf):maxRequestBytes])
 		buf = buf[:len(buf)+k]
 		if line, _, whole := bytes.Cut(buf, []byte("\n")); whole {
 			word, ok := bytes.CutPrefix(bytes.TrimSpace(line), []byte("after "))
@@ -325,7 +325,7 @@
 			after, err = strconv.ParseInt(string(word), 10, 64)
 			return after, len(buf), err
 		}
-		if err == nil && len(buf) == askMost {
+		if err == nil && len(buf) == maxRequestBytes {
 			err = errors.New("a watch began with a line that is too long")
 		}
 		if err != nil {
@@ -338,24 +338,24 @@
 	i := d.gatewayAt(conn.LocalAddr())
 	after, asked, err := int64(0), 0, errors.New("nobody's address")
 	if i >= 0 {
-		after, asked, err = ask(conn)
+		after, asked, err = readRequest(conn)
 	}
-	<-d.asking
+	<-d.handshakes
 	if err != nil {
 		return
 	}
-	w := d.by[i]
+	w := d.watchers[i]
 	d.mu.Lock()
-	if d.closed || !w.joined || after < 0 || d.cut != nil && d.cut(i) {
+	if d.closed || !w.joined || after < 0 || d.isRefused != nil && d.isRefused(i) {
 		d.mu.Unlock()
 		return
 	}
-	w.drop() // a gateway has one watch
+	w.disconnect() // a gateway has one watch
 	w.conn = conn
-	base := w.base
+	base := w.basePosition
 	d.mu.Unlock()
-	w.count.Connects.Add(1)
-	w.count.BytesIn.Add(int64(asked))
+	w.counts.Connects.Add(1)
+	w.counts.BytesIn.Add(int64(asked))
 	d.watch(w, conn, base, after)
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -366,7 +366,7 @@
 
 // watch tells one watcher what it does not hold yet, for as long as it is the gateway's watch.
 func (d *Discovery) watch(w *watcher, conn net.Conn, base, after int64) {
-	pulse := time.NewTicker(d.pulse)
+	pulse := time.NewTicker(d.heartbeat)
 	defer pulse.Stop()
 	var buf []byte
 	var held [64][]byte // events of one turn
@@ -382,7 +382,7 @@
 		for no := after + 1; no <= last && len(some) < len(held); no++ {
 			switch pos := base + no - 1; {
 			case no == 1:
-				some = append(some, w.list)
+				some = append(some, w.listEvent)
 			case pos < d.first:
 				behind = true
 			default:
@@ -391,7 +391,7 @@
 		}
 		d.mu.Unlock()
 		if behind {
-			w.count.Behind.Add(1)
+			w.counts.DroppedBehind.Add(1)
 			return
 		}
 		buf = buf[:0]
@@ -400,7 +400,7 @@
 			after++
 			buf = append(strconv.AppendInt(append(buf, `{"no":`...), after, 10), ',')
 			buf = append(append(buf, e...), '\n')
-			if len(buf) > writeMost {
+			if len(buf) > maxWriteBytes {
 				break
 			}
 		}
@@ -410,18 +410,18 @@
 		}
 		beat = false
 		if len(buf) > 0 {
-			conn.SetWriteDeadline(time.Now().Add(takeWithin))
+			conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 			n, err := conn.Write(buf)
-			w.count.BytesOut.Add(int64(n))
-			w.count.Writes.Add(1)
+			w.counts.BytesOut.Add(int64(n))
+			w.counts.Writes.Add(1)
 			if err != nil {
 				if late := net.Error(nil); errors.As(err, &late) && late.Timeout() {
-					w.count.Slow.Add(1)
+					w.counts.DroppedSlow.Add(1)
 				}
 				return
 			}
-			w.count.Events.Add(told)
-			if cap(buf) > writeMost {
+			w.counts.Events.Add(told)
+			if cap(buf) > maxWriteBytes {
 				buf = nil // after a whole list
 			}
 			if after < last {
@@ -429,16 +429,16 @@
 			}
 		}
 		select {
-		case <-w.poke:
+		case <-w.wakeup:
 		case <-pulse.C:
 			beat = true
 		}
 	}
 }
 
-// Wire is what TCP over IPv4 adds to a watch, as arithmetic: 52 bytes (20 and 20, and 12 of timestamps) for each segment of up to 1,448
+// TCPOverhead is what TCP over IPv4 adds to a watch, as arithmetic: 52 bytes (20 and 20, and 12 of timestamps) for each segment of up to 1,448
 // bytes, and for each acknowledgement the other way, one for two segments. A write is one segment at least.
-func Wire(payload, writes int64) (down, up int64) {
+func TCPOverhead(payload, writes int64) (down, up int64) {
 	segments := max(writes, (payload+1447)/1448)
 	return payload + 52*segments, 52 * (segments + 1) / 2
 }
--- a/internal/lab/scale/discovery_test.go
+++ b/internal/lab/scale/discovery_test.go
@@ -13,7 +13,7 @@
 	"foldslip/example/standin"
 )
 
-func discovery(t *testing.T, o DiscoveryOptions) *Discovery {
+func newDiscovery(t *testing.T, o DiscoveryOptions) *Discovery {
 	d, err := NewDiscovery(o)
 	if err != nil {
 		t.Fatal(err)
@@ -22,14 +22,14 @@
 	return d
 }
 
-// listener is a watch of a test: it asks and reads lines.
-type listener struct {
+// testWatch is a watch of a test: it asks and reads lines.
+type testWatch struct {
 	net.Conn
 	in *bufio.Reader
 	t  *testing.T
 }
 
-func listen(t *testing.T, d *Discovery, gateway int, after int64) *listener {
+func openWatch(t *testing.T, d *Discovery, gateway int, after int64) *testWatch {
 	conn, err := net.Dial("tcp", d.Addr(gateway))
 	if err != nil {
 		t.Fatal(err)
@@ -37,11 +37,11 @@
 	t.Cleanup(func() { conn.Close() })
 	fmt.Fprintf(conn, "after %d\n", after)
 	conn.SetReadDeadline(time.Now().Add(10 * time.Second))
-	return &listener{conn, bufio.NewReader(conn), t}
+	return &testWatch{conn, bufio.NewReader(conn), t}
 }
 
 // event reads up to the next event, past lines with the last number alone.
-func (l *listener) event() (text string) {
+func (l *testWatch) event() (text string) {
 	l.t.Helper()
 	for {
 		line, err := l.in.ReadString('\n')
@@ -54,7 +54,7 @@
 	}
 }
 
-func (l *listener) ended() {
+func (l *testWatch) ended() {
 	l.t.Helper()
 	if _, err := io.Copy(io.Discard, l.in); err != nil && !strings.Contains(err.Error(), "reset") {
 		l.t.Fatal(err)
@@ -64,7 +64,7 @@
 var issued = time.UnixMilli(1764576000123)
 
 func TestEachGatewaysEventsAreNumberedFromItsOwnStart(t *testing.T) {
-	d := discovery(t, DiscoveryOptions{Gateways: 300, Members: Members(3, 1)})
+	d := newDiscovery(t, DiscoveryOptions{Gateways: 300, Members: Members(3, 1)})
 	known, _ := d.Join(2, true)
 	var held struct {
 		No    int64
@@ -75,7 +75,7 @@
 	}
 	d.Purge("00000000000000aa", 0, issued)
 	d.Join(299, false)
-	a, b := listen(t, d, 2, 1), listen(t, d, 299, 0)
+	a, b := openWatch(t, d, 2, 1), openWatch(t, d, 299, 0)
 	if got := a.event(); got != `{"no":2,"recall":{"item":"00000000000000aa","issued":1764576000123}}` {
 		t.Errorf("the first: %s", got)
 	}
@@ -83,28 +83,28 @@
 		t.Errorf("the second: %s", got)
 	}
 	d.Purge("", 17, issued)
-	for who, l := range map[int64]*listener{3: a, 2: b} {
+	for who, l := range map[int64]*testWatch{3: a, 2: b} {
 		if got := l.event(); got != fmt.Sprintf(`{"no":%d,"recall":{"lot":17,"issued":1764576000123}}`, who) {
 			t.Errorf("told %s, expected number %d", got, who)
 		}
 	}
 	d.Join(2, true) // a restart
 	a.ended()
-	a = listen(t, d, 2, 1)
+	a = openWatch(t, d, 2, 1)
 	d.Purge("00000000000000bb", 0, issued)
 	if got := a.event(); !strings.HasPrefix(got, `{"no":2,`) || !strings.Contains(got, "bb") {
 		t.Errorf("after a restart: %s", got)
 	}
 }
 
-func TestWhoComesBackIsToldWhatItMissedOrDroppedWhereThatIsNotKept(t *testing.T) {
-	d := discovery(t, DiscoveryOptions{Gateways: 2, Keep: 100})
+func TestReturningWatcherGetsMissedEventsOrIsDropped(t *testing.T) {
+	d := newDiscovery(t, DiscoveryOptions{Gateways: 2, KeepEvents: 100})
 	d.Join(0, true)
 	d.Join(1, true)
 	for i := range 150 {
 		d.Purge(fmt.Sprintf("%016x", i), 0, issued)
 	}
-	l := listen(t, d, 0, 51)
+	l := openWatch(t, d, 0, 51)
 	for no := int64(52); no <= 151; no++ {
 		if got := l.event(); !strings.HasPrefix(got, fmt.Sprintf(`{"no":%d,`, no)) || !strings.Contains(got, fmt.Sprintf(`"%016x"`, no-2)) {
 			t.Fatalf("number %d: %s", no, got)
@@ -113,8 +113,8 @@
 	for i := range 100 {
 		d.Purge(fmt.Sprintf("%016x", 150+i), 0, issued)
 	}
-	listen(t, d, 1, 1).ended()
-	if got := d.Counts(1).Behind.Load(); got != 1 {
+	openWatch(t, d, 1, 1).ended()
+	if got := d.Counts(1).DroppedBehind.Load(); got != 1 {
 		t.Errorf("dropped %d times for being behind", got)
 	}
 	if c := d.Counts(0); c.Events.Load() < 100 || c.BytesOut.Load() < 100*70 {
@@ -122,10 +122,10 @@
 	}
 }
 
-func TestASilentWatchIsToldTheLastNumberEverySecond(t *testing.T) {
-	d := discovery(t, DiscoveryOptions{Gateways: 1})
+func TestIdleWatchGetsHeartbeatEverySecond(t *testing.T) {
+	d := newDiscovery(t, DiscoveryOptions{Gateways: 1})
 	d.Join(0, true)
-	l := listen(t, d, 0, 1)
+	l := openWatch(t, d, 0, 1)
 	began := time.Now()
 	for range 2 {
 		if line, err := l.in.ReadString('\n'); err != nil || line != "{\"no\":1}\n" {
@@ -137,32 +137,32 @@
 	}
 }
 
-func TestOneWatchAGatewayAndNoneForStrangersOrWhileItsMachineIsLost(t *testing.T) {
-	d := discovery(t, DiscoveryOptions{Gateways: 2})
+func TestOneWatchPerGatewayAndNoneForStrangersOrWhileRefused(t *testing.T) {
+	d := newDiscovery(t, DiscoveryOptions{Gateways: 2})
 	d.Join(0, true)
-	first := listen(t, d, 0, 1)
+	first := openWatch(t, d, 0, 1)
 	d.Purge("00000000000000aa", 0, issued)
 	first.event()
-	second := listen(t, d, 0, 1)
+	second := openWatch(t, d, 0, 1)
 	second.event()
 	first.ended()
-	listen(t, d, 1, 1).ended() // has not joined
-	listen(t, d, 7, 1).ended() // is none of ours
-	d.Cut(func(i int) bool { return i == 0 })
+	openWatch(t, d, 1, 1).ended() // has not joined
+	openWatch(t, d, 7, 1).ended() // is none of ours
+	d.RefuseWatches(func(i int) bool { return i == 0 })
 	second.ended()
-	listen(t, d, 0, 2).ended()
-	d.Cut(nil)
+	openWatch(t, d, 0, 2).ended()
+	d.RefuseWatches(nil)
 	d.Purge("00000000000000bb", 0, issued)
-	if got := listen(t, d, 0, 2).event(); !strings.Contains(got, "bb") {
+	if got := openWatch(t, d, 0, 2).event(); !strings.Contains(got, "bb") {
 		t.Errorf("after it came back: %s", got)
 	}
 	d.Leave(0)
-	listen(t, d, 0, 3).ended()
+	openWatch(t, d, 0, 3).ended()
 	bad, err := net.Dial("tcp", d.Addr(0))
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintf(bad, "%s\n", strings.Repeat("x", askMost))
+	fmt.Fprintf(bad, "%s\n", strings.Repeat("x", maxRequestBytes))
 	bad.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if n, err := bad.Read(make([]byte, 1)); n != 0 || err == nil {
 		t.Error("a watch that asked for nothing was told something")
@@ -170,9 +170,9 @@
 	bad.Close()
 }
 
-func TestAJoinSeesTheListAsItIs(t *testing.T) {
+func TestJoinGetsCurrentList(t *testing.T) {
 	members := Members(3, 1)
-	d := discovery(t, DiscoveryOptions{Gateways: 1, Members: members})
+	d := newDiscovery(t, DiscoveryOptions{Gateways: 1, Members: members})
 	gone := members[1]
 	gone.Phase = "removed"
 	d.Change(gone)
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -13,30 +13,30 @@
 // one that grows with it. Whether the line is the right shape is told by how far the means at the sizes lie off it, against how far
 // runs of one size lie apart (the lack-of-fit test of regression): Curved where chance gives that less than once in a hundred.
 type Fit struct {
-	Figure string   `json:"figure"`
-	Factor float64  `json:"factor"`
-	Slope  float64  `json:"slope"`
-	R2     float64  `json:"r2"`
-	At     []FitAt  `json:"at"`
-	P      *float64 `json:"lack_of_fit_p,omitempty"` // nil: fewer than three sizes, or no two runs of a size
-	Curved bool     `json:"curved"`
+	Figure string     `json:"figure"`
+	Factor float64    `json:"factor"`
+	Slope  float64    `json:"slope"`
+	R2     float64    `json:"r2"`
+	Points []FitPoint `json:"at"`
+	P      *float64   `json:"lack_of_fit_p,omitempty"` // nil: fewer than three sizes, or no two runs of a size
+	Curved bool       `json:"curved"`
 }
 
-// FitAt is one size: the geometric mean of its runs, their least and most, and by what factor the mean lies off the line.
-type FitAt struct {
-	Size  int     `json:"size"`
-	Runs  int     `json:"runs"`
-	Mean  float64 `json:"mean"`
-	Least float64 `json:"least"`
-	Most  float64 `json:"most"`
-	Off   float64 `json:"off"`
+// FitPoint is one size: the geometric mean of its runs, their least and most, and by what factor the mean lies off the line.
+type FitPoint struct {
+	Size      int     `json:"size"`
+	Runs      int     `json:"runs"`
+	Mean      float64 `json:"mean"`
+	Min       float64 `json:"least"`
+	Max       float64 `json:"most"`
+	Deviation float64 `json:"off"`
 }
 
 // curvedBelow is the chance below which a line is not taken for the shape of the figures.
-const curvedBelow = 0.01
+const curvedBelowP = 0.01
 
-// Line fits figures by size; those of 0 or less cannot stand on a log axis, and are an error.
-func Line(figure string, by map[int][]float64) (*Fit, error) {
+// FitLine fits figures by size; those of 0 or less cannot stand on a log axis, and are an error.
+func FitLine(figure string, by map[int][]float64) (*Fit, error) {
 	var sizes []int
 	var xs, ys []float64
 	for n := range by {
@@ -68,7 +68,7 @@
 		}
 		off := mean - a - b*math.Log10(float64(n))
 		lack += float64(len(logs)) * off * off
-		f.At = append(f.At, FitAt{Size: n, Runs: len(logs), Mean: math.Pow(10, mean), Least: slices.Min(by[n]), Most: slices.Max(by[n]), Off: math.Pow(10, off)})
+		f.Points = append(f.Points, FitPoint{Size: n, Runs: len(logs), Mean: math.Pow(10, mean), Min: slices.Min(by[n]), Max: slices.Max(by[n]), Deviation: math.Pow(10, off)})
 	}
 	if k, all := len(sizes), len(xs); k > 2 && all > k {
 		p := 0.0
@@ -78,7 +78,7 @@
 		} else if lack < 1e-18 {
 			p = 1
 		}
-		f.P, f.Curved = &p, p < curvedBelow
+		f.P, f.Curved = &p, p < curvedBelowP
 	}
 	return f, nil
 }
--- a/internal/lab/scale/fit_test.go
+++ b/internal/lab/scale/fit_test.go
@@ -10,7 +10,7 @@
 // noise is a factor that differs from run to run and has no trend.
 func noise(i int) float64 { return math.Pow(1.03, float64((i*7)%5-2)) }
 
-func TestALineIsFoundAndACurveIsNotTakenForOne(t *testing.T) {
+func TestFitLineFindsLinesAndFlagsCurves(t *testing.T) {
 	line, curve := map[int][]float64{}, map[int][]float64{}
 	for i, n := range []int{12, 50, 200, 500, 1000} {
 		for run := range 3 {
@@ -19,36 +19,36 @@
 			curve[n] = append(curve[n], v+float64(n))
 		}
 	}
-	f, err := Line("a", line)
+	f, err := FitLine("a", line)
 	if err != nil || math.Abs(f.Slope-0.5) > 0.02 || f.Curved || math.Abs(f.Value(3900)/(3*math.Sqrt(3900))-1) > 0.1 {
 		t.Errorf("line: %+v, %v", f, err)
 	}
-	if f, err = Line("b", curve); err != nil || !f.Curved || f.R2 < 0.95 {
+	if f, err = FitLine("b", curve); err != nil || !f.Curved || f.R2 < 0.95 {
 		t.Errorf("curve: %+v, %v", f, err)
 	}
-	if f, err = Line("c", map[int][]float64{10: {1, 1}, 100: {10, 10}, 1000: {100, 100}}); err != nil || f.Curved || math.Abs(f.Slope-1) > 1e-9 {
+	if f, err = FitLine("c", map[int][]float64{10: {1, 1}, 100: {10, 10}, 1000: {100, 100}}); err != nil || f.Curved || math.Abs(f.Slope-1) > 1e-9 {
 		t.Errorf("exact: %+v, %v", f, err)
 	}
-	if _, err = Line("d", map[int][]float64{10: {1}, 100: {0}}); err == nil {
+	if _, err = FitLine("d", map[int][]float64{10: {1}, 100: {0}}); err == nil {
 		t.Error("a figure of 0 on a log axis")
 	}
-	if _, err = Line("e", map[int][]float64{10: {1, 2}}); err == nil {
+	if _, err = FitLine("e", map[int][]float64{10: {1, 2}}); err == nil {
 		t.Error("a line through one size")
 	}
 }
 
-func TestEachFigureIsDrawn(t *testing.T) {
+func TestEachPlotIsDrawn(t *testing.T) {
 	var runs []*WatchReport
 	for _, n := range []int{12, 50, 200} {
 		for run := range 2 {
 			v := float64(n) * noise(run)
-			c := Cost{Gateways: n, Core: 0.001 * v, Event: 100, WireIn: 9000, WireOut: 2000, Resident: 3e6}
-			runs = append(runs, &WatchReport{Gateways: n, Hollow: c, Real: c, Median: 2, P99: 5, Most: 9})
+			c := Cost{Gateways: n, Core: 0.001 * v, EventMicros: 100, WireIn: 9000, WireOut: 2000, Resident: 3e6}
+			runs = append(runs, &WatchReport{Gateways: n, Hollow: c, Real: c, Median: 2, P99: 5, Max: 9})
 		}
 	}
 	dir := t.TempDir()
-	for _, g := range Figures(runs, FullBudget) {
-		fit, err := Line(g.Name, g.By)
+	for _, g := range WatchPlots(runs, FullBudget) {
+		fit, err := FitLine(g.Name, g.BySize)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/scale/forms_test.go
+++ b/internal/lab/scale/forms_test.go
@@ -14,12 +14,12 @@
 	readAndWrite(t, "watch-report.json", &WatchReport{})
 	readAndWrite(t, "broadcast-report.json", &BroadcastReport{})
 	readAndWrite(t, "fit.json", &Fit{})
-	readAndWrite(t, "order.json", &order{})
-	readAndWrite(t, "answer.json", &answer{})
+	readAndWrite(t, "order.json", &command{})
+	readAndWrite(t, "answer.json", &reply{})
 }
 
 func TestPlatformSettingsKeepTheirForm(t *testing.T) {
-	checkWritten(t, "settings.json", Settings(Sized(12), 5, 3))
+	checkWritten(t, "settings.json", Settings(ScaledLayout(12), 5, 3))
 }
 
 // readAndWrite reads a file of testdata into value, which must know every key of it, and checks that value is written as the same bytes.
--- a/internal/lab/scale/gateway.go
+++ b/internal/lab/scale/gateway.go
@@ -7,118 +7,118 @@
 
 // gateway is a hollow one: its part of the spreading of purges, its list of the live, its discovery watch.
 type gateway struct {
-	run     *broadcastRun
-	i       int
-	life    int32 // its starts, from 1
-	started time.Duration
-	its     spreader
-	view    set
-	joined  bool
-	viewed  time.Duration
-	viewAt  time.Duration
-	watchAt time.Duration // never: no watch
-	lag     time.Duration // of its watch
-	cursor  int           // purges that its watch came to
-	number  int64         // of the last event of its watch
+	run         *broadcastRun
+	index       int
+	incarnation int32 // its starts, from 1
+	started     time.Duration
+	spreader    spreader
+	view        gatewaySet
+	joined      bool
+	viewedAt    time.Duration
+	nextView    time.Duration
+	nextWatch   time.Duration // never: no watch
+	watchLag    time.Duration // of its watch
+	nextPurge   int           // purges that its watch came to
+	lastEvent   int64         // of the last event of its watch
 }
 
 const (
-	watchTurn = 50 * time.Millisecond // what a watch tells is read so often
-	ground    = int64(1_000_000)      // microseconds of a gateway's clock when the Net begins: 0 means "never" in places
-	aheadMost = 1000                  // events that a watch tells at once
+	watchInterval  = 50 * time.Millisecond // what a watch tells is read so often
+	clockStart     = int64(1_000_000)      // microseconds of a gateway's clock when the Net begins: 0 means "never" in places
+	maxWatchEvents = 1000                  // events that a watch tells at once
 )
 
-func micro(now time.Duration) int64 { return ground + now.Microseconds() }
+func clockMicros(now time.Duration) int64 { return clockStart + now.Microseconds() }
 
 func (r *broadcastRun) newGateway(i int) Node {
-	g := &r.all[i]
+	g := &r.gateways[i]
 	now := r.net.Now()
-	*g = gateway{run: r, i: i, life: g.life + 1, started: now, view: g.view, watchAt: never, number: 0}
+	*g = gateway{run: r, index: i, incarnation: g.incarnation + 1, started: now, view: g.view, nextWatch: never, lastEvent: 0}
 	if g.view == nil {
-		g.view = newSet(len(r.all))
+		g.view = newGatewaySet(len(r.gateways))
 	}
 	if now == 0 {
-		for j := range r.all {
+		for j := range r.gateways {
 			g.view.put(j, true)
 		}
 		g.joined = true
 	} else {
 		r.views.join(g)
-		r.views.note(sighting{who: int32(i), life: g.life, up: true})
+		r.views.record(membershipEvent{gateway: int32(i), incarnation: g.incarnation, up: true})
 	}
-	g.viewed = now
-	chance := func(what uint64) float64 { return part01(r.o.Seed, uint64(i)<<32|uint64(g.life), what) }
-	g.viewAt = now + time.Duration(chance(1)*float64(viewTurn))
-	if r.watches(i) {
-		g.watchAt = now + time.Duration(chance(2)*float64(watchTurn))
-		g.lag = r.o.WatchLag/10 + time.Duration(chance(3)*0.9*float64(r.o.WatchLag))
-		g.cursor = len(r.purges)
+	g.viewedAt = now
+	chance := func(what uint64) float64 { return hashUnit(r.options.Seed, uint64(i)<<32|uint64(g.incarnation), what) }
+	g.nextView = now + time.Duration(chance(1)*float64(viewInterval))
+	if r.hasWatch(i) {
+		g.nextWatch = now + time.Duration(chance(2)*float64(watchInterval))
+		g.watchLag = r.options.WatchLag/10 + time.Duration(chance(3)*0.9*float64(r.options.WatchLag))
+		g.nextPurge = len(r.purges)
 	}
-	g.its = r.make(g, micro(now))
-	g.its.see(micro(now))
+	g.spreader = r.newSpreader(g, clockMicros(now))
+	g.spreader.membersChanged(clockMicros(now))
 	return g
 }
 
-func (g *gateway) send(to int, b []byte) { g.run.net.Send(g.i, to, b) }
+func (g *gateway) send(to int, b []byte) { g.run.net.Send(g.index, to, b) }
 
 // Datagram brings one of another gateway.
 func (g *gateway) Datagram(now time.Duration, from int, b []byte) {
-	for _, p := range g.its.take(from, b, micro(now)) {
-		g.run.heard(g, p, false)
+	for _, p := range g.spreader.receive(from, b, clockMicros(now)) {
+		g.run.purgeReceived(g, p, false)
 	}
-	g.wakeAt()
+	g.setTimer()
 }
 
-// Wake does what is due.
-func (g *gateway) Wake(now time.Duration) {
-	if now >= g.viewAt {
-		if g.run.views.update(g, g.viewed, now) {
-			g.its.see(micro(now))
+// TimerFired does what is due.
+func (g *gateway) TimerFired(now time.Duration) {
+	if now >= g.nextView {
+		if g.run.views.update(g, g.viewedAt, now) {
+			g.spreader.membersChanged(clockMicros(now))
 		}
-		g.viewed, g.viewAt = now, g.viewAt+viewTurn
+		g.viewedAt, g.nextView = now, g.nextView+viewInterval
 	}
-	if now >= g.watchAt {
-		g.listen(now)
-		g.watchAt += watchTurn
+	if now >= g.nextWatch {
+		g.readWatch(now)
+		g.nextWatch += watchInterval
 	}
-	if micro(now) >= g.its.next() {
-		g.its.step(micro(now))
+	if clockMicros(now) >= g.spreader.nextStep() {
+		g.spreader.step(clockMicros(now))
 	}
-	g.wakeAt()
+	g.setTimer()
 }
 
-func (g *gateway) wakeAt() {
-	due := time.Duration(max(g.its.next()-ground, 0))
+func (g *gateway) setTimer() {
+	due := time.Duration(max(g.spreader.nextStep()-clockStart, 0))
 	if due < never/time.Microsecond {
 		due *= time.Microsecond
 	} else {
 		due = never
 	}
-	g.run.net.WakeAt(g.i, min(g.viewAt, g.watchAt, due))
+	g.run.net.SetTimer(g.index, min(g.nextView, g.nextWatch, due))
 }
 
-// listen takes what the own watch tells by now: events are numbered from 1 at the gateway's start, also those that it does not hear.
-func (g *gateway) listen(now time.Duration) {
+// readWatch takes what the own watch tells by now: events are numbered from 1 at the gateway's start, also those that it does not hear.
+func (g *gateway) readWatch(now time.Duration) {
 	r := g.run
 	var numbers []int64
-	var purges []told
-	for g.cursor < len(r.purges) && len(purges) < aheadMost && r.purges[g.cursor].at+g.lag <= now {
-		k := g.cursor
-		g.cursor++
-		if !r.counts(g.i, k) {
+	var purges []watchPurge
+	for g.nextPurge < len(r.purges) && len(purges) < maxWatchEvents && r.purges[g.nextPurge].at+g.watchLag <= now {
+		k := g.nextPurge
+		g.nextPurge++
+		if !r.isWatchEvent(g.index, k) {
 			continue
 		}
-		g.number++
-		if r.tells(g.i, k) {
-			numbers = append(numbers, g.number)
-			purges = append(purges, r.purges[k].told)
+		g.lastEvent++
+		if r.watchDelivers(g.index, k) {
+			numbers = append(numbers, g.lastEvent)
+			purges = append(purges, r.purges[k].watchPurge)
 		}
 	}
 	if len(purges) == 0 {
 		return
 	}
 	for _, p := range purges {
-		r.heard(g, p, true)
+		r.purgeReceived(g, p, true)
 	}
-	g.its.own(g.number, numbers, slices.Clone(purges), micro(now))
+	g.spreader.publish(g.lastEvent, numbers, slices.Clone(purges), clockMicros(now))
 }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -22,70 +22,70 @@
 
 const (
 	purgeSlack  = 5 * time.Second // as in package service
-	mostEntries = 1 << 20         // positions that a Ledger keeps
+	maxArrivals = 1 << 20         // positions that a Ledger keeps
 )
 
-// Hollow is one gateway without its load: the reader of the discovery watch, the caches, the purges and the router behind its facade, on
+// HollowGateway is one gateway without its load: the reader of the discovery watch, the caches, the purges and the router behind its facade, on
 // real TCP, put together as service.Run does. It has no door, no connections to caches, no list on disk, no routes and no part in a
 // fleet. Its goroutines end with Stop.
-type Hollow struct {
-	Router *dispatch.Dispatcher
-	Caches *memory.Registry
-	Purges *memory.Log
-	life   *env.Lifetime
-	group  env.Group
+type HollowGateway struct {
+	Router   *dispatch.Dispatcher
+	Caches   *memory.Registry
+	Purges   *memory.Log
+	lifetime *env.Lifetime
+	group    env.Group
 }
 
-// HollowSpec is what a hollow gateway is told.
-type HollowSpec struct {
-	Watch    string          // address of the discovery watch
-	Known    json.RawMessage // as in a gateway's configuration
-	Settings json.RawMessage
-	Seed     uint64
-	Lookups  float64 // a second, answered at once by nobody; 0: none
+// HollowOptions is what a hollow gateway is told.
+type HollowOptions struct {
+	DiscoveryAddr    string          // address of the discovery watch
+	Known            json.RawMessage // as in a gateway's configuration
+	Settings         json.RawMessage
+	Seed             uint64
+	LookupsPerSecond float64 // a second, answered at once by nobody; 0: none
 	// Event, if set, is told the number of each event that counts; it must not wait.
-	Event func(no int64)
+	OnEvent func(no int64)
 }
 
-// StartHollow starts one on a ground.
-func StartHollow(g env.Environment, s HollowSpec) (*Hollow, error) {
+// StartHollowGateway starts one on a ground.
+func StartHollowGateway(g env.Environment, s HollowOptions) (*HollowGateway, error) {
 	terms, err := settings.Parse(s.Settings)
 	if err != nil {
 		return nil, err
 	}
-	h := &Hollow{Caches: &memory.Registry{}, life: env.NewLifetime(nil), group: g.NewGroup()}
+	h := &HollowGateway{Caches: &memory.Registry{}, lifetime: env.NewLifetime(nil), group: g.NewGroup()}
 	h.Purges = &memory.Log{Clock: g, Grace: time.Duration(terms.PurgeGrace) * time.Microsecond, Retention: time.Duration(terms.Router.PurgeSettleTime)*time.Microsecond + purgeSlack}
 	h.Router = dispatch.New(g, s.Seed, terms.Router, nil)
-	watch := wire.NewWatch(g, s.Watch, terms, h.Router, h.Caches, h.Purges)
+	watch := wire.NewWatch(g, s.DiscoveryAddr, terms, h.Router, h.Caches, h.Purges)
 	if err := watch.LoadKnown(s.Known); err != nil {
 		return nil, err
 	}
-	if s.Event != nil {
-		watch.OnEvent = func(no int64, _ []dispatch.Purge) { s.Event(no) }
+	if s.OnEvent != nil {
+		watch.OnEvent = func(no int64, _ []dispatch.Purge) { s.OnEvent(no) }
 	}
-	h.group.Go("bulletin", func() error { return watch.Run(h.life) })
-	h.group.Go("tick", func() error { return h.tick(g) })
-	if s.Lookups > 0 {
-		h.group.Go("lookups", func() error { return h.trickle(g, terms, s) })
+	h.group.Go("bulletin", func() error { return watch.Run(h.lifetime) })
+	h.group.Go("tick", func() error { return h.runTimers(g) })
+	if s.LookupsPerSecond > 0 {
+		h.group.Go("lookups", func() error { return h.runLookups(g, terms, s) })
 	}
 	return h, nil
 }
 
-// tick brings the router its timers, as service does.
-func (h *Hollow) tick(g env.Environment) error {
+// runTimers brings the router its timers, as service does.
+func (h *HollowGateway) runTimers(g env.Environment) error {
 	end := g.NewNotifier()
-	defer h.life.OnEnd(end.Notify)()
+	defer h.lifetime.OnEnd(end.Notify)()
 	for !end.Wait(max(h.Router.Tick(nil, false, nil), time.Millisecond)) {
 	}
 	return nil
 }
 
-// trickle has lookups decided: each is picked and told satisfied at once, so that only the decision costs.
-func (h *Hollow) trickle(g env.Environment, terms *settings.Settings, s HollowSpec) error {
+// runLookups has lookups decided: each is picked and told satisfied at once, so that only the decision costs.
+func (h *HollowGateway) runLookups(g env.Environment, terms *settings.Settings, s HollowOptions) error {
 	end := g.NewNotifier()
-	defer h.life.OnEnd(end.Notify)()
+	defer h.lifetime.OnEnd(end.Notify)()
 	chance := rand.New(rand.NewPCG(s.Seed, 0x6c6f6f6b))
-	for n := 0; !end.Wait(time.Duration(chance.ExpFloat64() / s.Lookups * float64(time.Second))); n++ {
+	for n := 0; !end.Wait(time.Duration(chance.ExpFloat64() / s.LookupsPerSecond * float64(time.Second))); n++ {
 		l := h.Router.Submit(fmt.Sprintf("%016x", n), 0, fmt.Sprintf("%016x", chance.Uint64N(1000)), 0, 0, 449, g.Now().Add(terms.LatencyBudget(0, 449)))
 		for l != nil {
 			step := h.Router.WaitStep(l)
@@ -100,104 +100,104 @@
 }
 
 // Stop ends the gateway and waits for its goroutines.
-func (h *Hollow) Stop() error {
-	h.life.End()
+func (h *HollowGateway) Stop() error {
+	h.lifetime.End()
 	return h.group.Wait()
 }
 
-// Ground is the system's ground with its connections counted, its log kept as counts of events, and its time at a pace.
-type Ground struct {
+// Environment is the system's ground with its connections counted, its log kept as counts of events, and its time at a pace.
+type Environment struct {
 	*env.System
-	pace Pace
-	log  *slog.Logger
+	clock SlowClock
+	log   *slog.Logger
 	// In and Out are payload bytes, Reads and Writes calls that moved any, Dials connections that came up.
 	In, Out, Reads, Writes, Dials atomic.Int64
-	tally                         *tally
+	counter                       *eventCounter
 }
 
-// NewGround makes one; many hollow gateways may share it.
-func NewGround(pace Pace) *Ground {
-	g := &Ground{System: &env.System{}, pace: pace, tally: &tally{by: map[string]int64{}}}
-	g.log = slog.New(g.tally)
+// NewEnvironment makes one; many hollow gateways may share it.
+func NewEnvironment(pace SlowClock) *Environment {
+	g := &Environment{System: &env.System{}, clock: pace, counter: &eventCounter{counts: map[string]int64{}}}
+	g.log = slog.New(g.counter)
 	return g
 }
 
 // Log takes the log's lines; see Logged.
-func (g *Ground) Log() *slog.Logger { return g.log }
+func (g *Environment) Log() *slog.Logger { return g.log }
 
-// Logged is how often each event was logged.
-func (g *Ground) Logged() map[string]int64 {
-	g.tally.mu.Lock()
-	defer g.tally.mu.Unlock()
+// LogCounts is how often each event was logged.
+func (g *Environment) LogCounts() map[string]int64 {
+	g.counter.mu.Lock()
+	defer g.counter.mu.Unlock()
 	out := map[string]int64{}
-	for k, n := range g.tally.by {
+	for k, n := range g.counter.counts {
 		out[k] = n
 	}
 	return out
 }
 
 // Now is the time at the ground's pace.
-func (g *Ground) Now() time.Time { return g.pace.Now() }
+func (g *Environment) Now() time.Time { return g.clock.Now() }
 
 // AfterFunc waits at the ground's pace.
-func (g *Ground) AfterFunc(d time.Duration, f func()) env.Timer {
-	return g.System.AfterFunc(g.pace.span(d), f)
+func (g *Environment) AfterFunc(d time.Duration, f func()) env.Timer {
+	return g.System.AfterFunc(g.clock.realDuration(d), f)
 }
 
 // NewNotifier waits at the ground's pace.
-func (g *Ground) NewNotifier() env.Notifier {
-	if g.pace.k == 1 {
+func (g *Environment) NewNotifier() env.Notifier {
+	if g.clock.factor == 1 {
 		return g.System.NewNotifier()
 	}
-	return slowNotifier{g.System.NewNotifier(), g.pace}
+	return slowNotifier{g.System.NewNotifier(), g.clock}
 }
 
 // Dial connects as the system does.
-func (g *Ground) Dial(life *env.Lifetime, addr string, within time.Duration) (net.Conn, error) {
-	conn, err := g.System.Dial(life, addr, g.pace.span(within))
+func (g *Environment) Dial(life *env.Lifetime, addr string, within time.Duration) (net.Conn, error) {
+	conn, err := g.System.Dial(life, addr, g.clock.realDuration(within))
 	if err != nil {
 		return nil, err
 	}
 	g.Dials.Add(1)
-	if g.pace.k > 1 {
-		conn = &slowConn{conn, g.pace}
+	if g.clock.factor > 1 {
+		conn = &slowConn{conn, g.clock}
 	}
-	return &counted{conn, g}, nil
+	return &countedConn{conn, g}, nil
 }
 
-type counted struct {
+type countedConn struct {
 	net.Conn
-	g *Ground
+	environment *Environment
 }
 
-func (c *counted) Read(b []byte) (int, error) {
+func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.g.In.Add(int64(n))
-		c.g.Reads.Add(1)
+		c.environment.In.Add(int64(n))
+		c.environment.Reads.Add(1)
 	}
 	return n, err
 }
 
-func (c *counted) Write(b []byte) (int, error) {
+func (c *countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	if n > 0 {
-		c.g.Out.Add(int64(n))
-		c.g.Writes.Add(1)
+		c.environment.Out.Add(int64(n))
+		c.environment.Writes.Add(1)
 	}
 	return n, err
 }
 
-// tally is a log that keeps how often each event came, 64 of them told apart.
-type tally struct {
-	mu sync.Mutex
-	by map[string]int64
+// eventCounter is a log that keeps how often each event came, 64 of them told apart.
+type eventCounter struct {
+	mu     sync.Mutex
+	counts map[string]int64
 }
 
-func (t *tally) Enabled(context.Context, slog.Level) bool { return true }
-func (t *tally) WithAttrs([]slog.Attr) slog.Handler       { return t }
-func (t *tally) WithGroup(string) slog.Handler            { return t }
-func (t *tally) Handle(_ context.Context, r slog.Record) error {
+func (t *eventCounter) Enabled(context.Context, slog.Level) bool { return true }
+func (t *eventCounter) WithAttrs([]slog.Attr) slog.Handler       { return t }
+func (t *eventCounter) WithGroup(string) slog.Handler            { return t }
+func (t *eventCounter) Handle(_ context.Context, r slog.Record) error {
 	what := r.Message
 	r.Attrs(func(a slog.Attr) bool {
 		if a.Key == "reason" {
@@ -207,48 +207,48 @@
 	})
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if _, known := t.by[what]; known || len(t.by) < 64 {
-		t.by[what]++
+	if _, known := t.counts[what]; known || len(t.counts) < 64 {
+		t.counts[what]++
 	}
 	return nil
 }
 
-// Ledger keeps when each event came to the last of many gateways.
-type Ledger struct {
-	mu      sync.Mutex
-	entries []Arrival // by position, from 1
-	past    int64     // arrivals of positions that are not kept
+// ArrivalLog keeps when each event came to the last of many gateways.
+type ArrivalLog struct {
+	mu       sync.Mutex
+	entries  []Arrival // by position, from 1
+	overflow int64     // arrivals of positions that are not kept
 }
 
 // Arrival is of one event: how many gateways it came to, and the Unix microseconds of the last.
 type Arrival struct {
-	N    int32 `json:"n"`
-	Last int64 `json:"t"`
+	Gateways   int32 `json:"n"`
+	LastMicros int64 `json:"t"`
 }
 
-// Note keeps that an event counts at one gateway more; a zero time stands for a gateway that was down when it was told.
-func (l *Ledger) Note(position int64, at time.Time) {
+// Record keeps that an event counts at one gateway more; a zero time stands for a gateway that was down when it was told.
+func (l *ArrivalLog) Record(position int64, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if position < 1 || position > mostEntries {
-		l.past++
+	if position < 1 || position > maxArrivals {
+		l.overflow++
 		return
 	}
 	for int64(len(l.entries)) < position {
 		l.entries = append(l.entries, Arrival{})
 	}
 	e := &l.entries[position-1]
-	e.N++
+	e.Gateways++
 	if !at.IsZero() {
-		e.Last = max(e.Last, at.UnixMicro())
+		e.LastMicros = max(e.LastMicros, at.UnixMicro())
 	}
 }
 
 // Since gives the arrivals of positions from one on up to another; those that never came are zero.
-func (l *Ledger) Since(from, to int64) ([]Arrival, error) {
+func (l *ArrivalLog) Since(from, to int64) ([]Arrival, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if from < 1 || to < from || to > mostEntries {
+	if from < 1 || to < from || to > maxArrivals {
 		return nil, errors.New("positions that no ledger keeps")
 	}
 	out := make([]Arrival, to-from+1)
--- a/internal/lab/scale/hollow_test.go
+++ b/internal/lab/scale/hollow_test.go
@@ -14,7 +14,7 @@
 // TestMain builds the gateway's program, and lets this binary be a process of hollow gateways.
 func TestMain(m *testing.M) {
 	if os.Getenv("SCALE_CROWD") != "" {
-		if err := Crowd(os.Stdin, os.Stdout); err != nil {
+		if err := RunHollowProcess(os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -37,36 +37,36 @@
 	os.Exit(code)
 }
 
-func anotherOfUs() *exec.Cmd {
+func hollowProcessCommand() *exec.Cmd {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "SCALE_CROWD=1")
 	return cmd
 }
 
-// brief is a run that a test can wait for.
-func brief(t *testing.T) WatchOptions {
-	return WatchOptions{Gateways: 8, Real: 2, PerCrowd: 4, Purges: 50, Changes: 300 * time.Millisecond, Caches: 100, ListTold: true, Warm: 500 * time.Millisecond,
-		For: 2 * time.Second, Bound: 30 * time.Second, Seed: 1, Dir: t.TempDir(), Program: program, Crowd: anotherOfUs}
+// shortRun is a run that a test can wait for.
+func shortRun(t *testing.T) WatchOptions {
+	return WatchOptions{Gateways: 8, Real: 2, PerProcess: 4, PurgesPerSecond: 50, ChangeInterval: 300 * time.Millisecond, Caches: 100, ListInConfig: true, Warmup: 500 * time.Millisecond,
+		Duration: 2 * time.Second, Deadline: 30 * time.Second, Seed: 1, Dir: t.TempDir(), Program: program, HollowCommand: hollowProcessCommand}
 }
 
-func run(t *testing.T, o WatchOptions) *WatchReport {
+func runWatch(t *testing.T, o WatchOptions) *WatchReport {
 	t.Helper()
 	r, err := Watch(o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(r.Wrong) > 0 {
-		t.Errorf("wrong: %q", r.Wrong)
+	if len(r.Violations) > 0 {
+		t.Errorf("wrong: %q", r.Violations)
 	}
 	return r
 }
 
-func TestAHollowGatewayHeedsWhatTheWatchTells(t *testing.T) {
-	d := discovery(t, DiscoveryOptions{Gateways: 1, Members: Members(100, 25)})
+func TestHollowGatewayAppliesWatchEvents(t *testing.T) {
+	d := newDiscovery(t, DiscoveryOptions{Gateways: 1, Members: Members(100, 25)})
 	known, _ := d.Join(0, true)
 	heard := make(chan int64, 10)
-	h, err := StartHollow(NewGround(NewPace(0, 1)), HollowSpec{Watch: d.Addr(0), Known: known, Settings: Settings(Sized(1), 0, 25), Seed: 1, Lookups: 200,
-		Event: func(no int64) { heard <- no }})
+	h, err := StartHollowGateway(NewEnvironment(NewSlowClock(0, 1)), HollowOptions{DiscoveryAddr: d.Addr(0), Known: known, Settings: Settings(ScaledLayout(1), 0, 25), Seed: 1, LookupsPerSecond: 200,
+		OnEvent: func(no int64) { heard <- no }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,41 +100,41 @@
 	}
 }
 
-func TestHollowAndRealGatewaysAreToldTheSameAndNothingIsLost(t *testing.T) {
-	r := run(t, brief(t))
-	if r.Told < 100 || r.Told > 112 || r.Lost != 0 || r.Processes != 4 || r.Hollow.Gateways != 6 || r.Real.Gateways != 2 {
+func TestHollowAndRealGatewaysReceiveTheSameEvents(t *testing.T) {
+	r := runWatch(t, shortRun(t))
+	if r.Events < 100 || r.Events > 112 || r.LostEvents != 0 || r.Processes != 4 || r.Hollow.Gateways != 6 || r.Real.Gateways != 2 {
 		t.Errorf("%+v", r)
 	}
-	each := r.Hollow.In * r.Seconds / float64(r.Told) // 71 bytes for an object, 53 for a group, a few longer changes, a number a second
+	each := r.Hollow.In * r.Seconds / float64(r.Events) // 71 bytes for an object, 53 for a group, a few longer changes, a number a second
 	if each < 65 || each > 100 || r.Hollow.In/r.Real.In > 1.1 || r.Real.In/r.Hollow.In > 1.1 {
 		t.Errorf("%.0f bytes a second to a hollow one, %.0f to a real one", r.Hollow.In, r.Real.In)
 	}
-	if r.Hollow.Core <= 0 || r.Real.Core <= 0 || r.Hollow.Resident <= 0 || r.Real.Resident <= 0 || r.Hollow.Heap <= 0 || r.Most <= 0 {
+	if r.Hollow.Core <= 0 || r.Real.Core <= 0 || r.Hollow.Resident <= 0 || r.Real.Resident <= 0 || r.Hollow.Heap <= 0 || r.Max <= 0 {
 		t.Errorf("not counted: %+v", r)
 	}
 }
 
-func TestNothingIsLostWhileGatewaysStartAnew(t *testing.T) {
-	o := brief(t)
-	o.Real, o.Restarts, o.ListTold, o.Lookups = 0, 10, false, 20
-	o.Warm, o.Profile = 0, filepath.Join(t.TempDir(), "profile")
-	if r := run(t, o); r.Lost != 0 || r.Restarts < 5 {
-		t.Errorf("%d lost, %d restarts", r.Lost, r.Restarts)
+func TestNothingIsLostWhileGatewaysRestart(t *testing.T) {
+	o := shortRun(t)
+	o.Real, o.RestartsPerSecond, o.ListInConfig, o.LookupsPerSecond = 0, 10, false, 20
+	o.Warmup, o.Profile = 0, filepath.Join(t.TempDir(), "profile")
+	if r := runWatch(t, o); r.LostEvents != 0 || r.Restarts < 5 {
+		t.Errorf("%d lost, %d restarts", r.LostEvents, r.Restarts)
 	}
 	if s, err := os.Stat(o.Profile); err != nil || s.Size() == 0 {
 		t.Errorf("the profile: %v", err)
 	}
 }
 
-func TestARunThatIsOverItsBudgetSaysSo(t *testing.T) {
-	o := brief(t)
-	o.Real, o.Allowance = 0, Budget{Core: 1e-9, Resident: 1, Bytes: 1}
+func TestRunOverItsBudgetIsReported(t *testing.T) {
+	o := shortRun(t)
+	o.Real, o.Budget = 0, Budget{Core: 1e-9, Resident: 1, BytesPerSecond: 1}
 	r, err := Watch(o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(r.Wrong) != 3 {
-		t.Errorf("wrong: %q", r.Wrong)
+	if len(r.Violations) != 3 {
+		t.Errorf("wrong: %q", r.Violations)
 	}
 	o.Gateways, o.Real = 3, 4
 	if _, err := Watch(o); err == nil {
@@ -142,16 +142,16 @@
 	}
 }
 
-func TestGatewaysOnASlowClockHearAndSpendTheSameOfItsSeconds(t *testing.T) {
-	o := brief(t)
-	o.Gateways, o.Real, o.Stretch, o.Purges, o.Warm, o.For = 4, 0, 4, 50, 100*time.Millisecond, time.Second
+func TestGatewaysOnSlowClockSpendTheSamePerSecond(t *testing.T) {
+	o := shortRun(t)
+	o.Gateways, o.Real, o.Stretch, o.PurgesPerSecond, o.Warmup, o.Duration = 4, 0, 4, 50, 100*time.Millisecond, time.Second
 	began := time.Now()
-	r := run(t, o)
+	r := runWatch(t, o)
 	if took := time.Since(began); took < 4400*time.Millisecond {
 		t.Errorf("a second and a tenth took %v", took)
 	}
-	each := r.Hollow.In * r.Seconds / float64(r.Told)
-	if r.Told < 50 || r.Told > 56 || each < 65 || each > 110 || r.Lost != 0 {
-		t.Errorf("%d events of %.0f bytes, %d lost", r.Told, each, r.Lost)
+	each := r.Hollow.In * r.Seconds / float64(r.Events)
+	if r.Events < 50 || r.Events > 56 || each < 65 || each > 110 || r.LostEvents != 0 {
+		t.Errorf("%d events of %.0f bytes, %d lost", r.Events, each, r.LostEvents)
 	}
 }
--- a/internal/lab/scale/layout.go
+++ b/internal/lab/scale/layout.go
@@ -47,16 +47,16 @@
 	return places
 }
 
-// Sized is a layout of the users' shape at another size: 13 gateways a site, 12 sites a zone, two zones a region, as near as it goes.
-func Sized(gateways int) []Place {
+// ScaledLayout is a layout of the users' shape at another size: 13 gateways a site, 12 sites a zone, two zones a region, as near as it goes.
+func ScaledLayout(gateways int) []Place {
 	of := func(full int, most int) int { return min(most, max(1, gateways*full/FullGateways)) }
 	sites := of(FullSites, gateways)
 	zones := of(FullZones, sites)
 	return Layout(gateways, sites, zones, of(FullRegions, zones))
 }
 
-// In gives the nodes whose place is as asked.
-func In(places []Place, is func(Place) bool) (nodes []int) {
+// NodesWhere gives the nodes whose place is as asked.
+func NodesWhere(places []Place, is func(Place) bool) (nodes []int) {
 	for i, p := range places {
 		if is(p) {
 			nodes = append(nodes, i)
--- a/internal/lab/scale/net_test.go
+++ b/internal/lab/scale/net_test.go
@@ -38,7 +38,7 @@
 		}
 	}
 	for _, n := range []int{1, 2, 12, 13, 50, 200, 1000, 2000} {
-		if got := len(Sized(n)); got != n {
+		if got := len(ScaledLayout(n)); got != n {
 			t.Errorf("Sized(%d) has %d", n, got)
 		}
 	}
@@ -46,29 +46,29 @@
 
 // recorder keeps what comes to it.
 type recorder struct {
-	net   *Net
-	me    int
-	got   []string
-	woken []time.Duration
-	reply bool
+	net         *Network
+	index       int
+	got         []string
+	timersFired []time.Duration
+	reply       bool
 }
 
 func (r *recorder) Datagram(now time.Duration, from int, b []byte) {
 	r.got = append(r.got, fmt.Sprintf("%v %d %s", now, from, b))
 	if r.reply {
-		r.net.Send(r.me, from, []byte("re: "+string(b)))
+		r.net.Send(r.index, from, []byte("re: "+string(b)))
 	}
 }
-func (r *recorder) Wake(now time.Duration) { r.woken = append(r.woken, now) }
+func (r *recorder) TimerFired(now time.Duration) { r.timersFired = append(r.timersFired, now) }
 
-// recorded makes a network of recorders, all started, without jitter.
-func recorded(places []Place) (*Net, []*recorder) {
-	lag := Usual
+// newRecorderNetwork makes a network of recorders, all started, without jitter.
+func newRecorderNetwork(places []Place) (*Network, []*recorder) {
+	lag := DefaultLatency
 	lag.Jitter = 0
 	all := make([]*recorder, len(places))
-	var n *Net
-	n = NewNet(1, places, lag, func(i int) Node {
-		all[i] = &recorder{net: n, me: i}
+	var n *Network
+	n = NewNetwork(1, places, lag, func(i int) Node {
+		all[i] = &recorder{net: n, index: i}
 		return all[i]
 	})
 	for i := range places {
@@ -80,7 +80,7 @@
 
 func TestLatencyIsOfTheNearestThingShared(t *testing.T) {
 	places := []Place{{0, 0, 0}, {0, 0, 0}, {1, 0, 0}, {2, 1, 0}, {3, 2, 1}, {4, 3, 2}, {5, 4, 3}, {6, 5, 4}}
-	n, all := recorded(places)
+	n, all := newRecorderNetwork(places)
 	for to := 1; to < len(places); to++ {
 		n.Send(0, to, []byte("x"))
 	}
@@ -93,24 +93,24 @@
 }
 
 func TestEachDatagramIsCountedWithItsHeadOnBothSides(t *testing.T) {
-	n, all := recorded(Layout(2, 1, 1, 1))
+	n, all := newRecorderNetwork(Layout(2, 1, 1, 1))
 	all[1].reply = true
 	n.Send(0, 1, make([]byte, 100))
-	n.Send(0, 1, make([]byte, MostDatagram+1))
+	n.Send(0, 1, make([]byte, MaxDatagram+1))
 	n.Run(time.Second)
 	n.Send(0, 1, make([]byte, 10))
 	n.Run(2 * time.Second)
-	a, b := n.Count(0), n.Count(1)
-	if want := (Counters{Out: 2, In: 2, BytesOut: 110 + 56, BytesIn: 118 + 56, MostOut: 128, MostIn: 132, Refused: 1}); a != want {
+	a, b := n.Counters(0), n.Counters(1)
+	if want := (Counters{Out: 2, In: 2, BytesOut: 110 + 56, BytesIn: 118 + 56, MaxOutPerSecond: 128, MaxInPerSecond: 132, Refused: 1}); a != want {
 		t.Errorf("sender: %+v, want %+v", a, want)
 	}
-	if want := (Counters{Out: 2, In: 2, BytesOut: 118 + 56, BytesIn: 110 + 56, MostOut: 132, MostIn: 128}); b != want {
+	if want := (Counters{Out: 2, In: 2, BytesOut: 118 + 56, BytesIn: 110 + 56, MaxOutPerSecond: 132, MaxInPerSecond: 128}); b != want {
 		t.Errorf("receiver: %+v, want %+v", b, want)
 	}
 }
 
-func TestCutsPartTwoGroupsBothWaysUntilEachIsHealed(t *testing.T) {
-	n, all := recorded(Layout(3, 3, 3, 3))
+func TestCutsSplitTwoGroupsBothWaysUntilHealed(t *testing.T) {
+	n, all := newRecorderNetwork(Layout(3, 3, 3, 3))
 	one, two := n.Cut([]int{0}, []int{1, 2}), n.Cut([]int{0}, []int{1})
 	send := func() (got [3]int) {
 		for _, r := range all {
@@ -145,15 +145,15 @@
 	n.Cut([]int{0}, []int{1})
 	all[1].got = nil
 	n.Run(n.Now() + time.Second)
-	if len(all[1].got) != 0 || n.Count(0).Lost != 4 {
-		t.Errorf("under way at a cut: got %v, lost %d", all[1].got, n.Count(0).Lost)
+	if len(all[1].got) != 0 || n.Counters(0).Lost != 4 {
+		t.Errorf("under way at a cut: got %v, lost %d", all[1].got, n.Counters(0).Lost)
 	}
 }
 
-func TestAKilledNodeHearsNothingAndStartsAnew(t *testing.T) {
-	n, all := recorded(Layout(2, 1, 1, 1))
+func TestKilledNodeReceivesNothingAndRestartsEmpty(t *testing.T) {
+	n, all := newRecorderNetwork(Layout(2, 1, 1, 1))
 	was := all[1]
-	n.WakeAt(1, 5*time.Second)
+	n.SetTimer(1, 5*time.Second)
 	n.Kill(1)
 	n.Send(0, 1, []byte("lost"))
 	n.Send(1, 0, []byte("never sent"))
@@ -161,17 +161,17 @@
 	n.Start(1)
 	n.Send(0, 1, []byte("heard"))
 	n.Run(10 * time.Second)
-	if len(was.got) != 0 || len(was.woken) != 1 || len(all[0].got) != 0 {
-		t.Errorf("the killed one got %q and woke at %v; its peer got %q", was.got, was.woken, all[0].got)
+	if len(was.got) != 0 || len(was.timersFired) != 1 || len(all[0].got) != 0 {
+		t.Errorf("the killed one got %q and woke at %v; its peer got %q", was.got, was.timersFired, all[0].got)
 	}
-	if all[1] == was || len(all[1].got) != 1 || !slices.Equal(all[1].woken, []time.Duration{time.Second}) || n.Count(0).Lost != 1 {
-		t.Errorf("the new one got %q and woke at %v, lost %d", all[1].got, all[1].woken, n.Count(0).Lost)
+	if all[1] == was || len(all[1].got) != 1 || !slices.Equal(all[1].timersFired, []time.Duration{time.Second}) || n.Counters(0).Lost != 1 {
+		t.Errorf("the new one got %q and woke at %v, lost %d", all[1].got, all[1].timersFired, n.Counters(0).Lost)
 	}
 }
 
-func TestANodeThatStandsStillHearsLaterWhatItsSocketHeld(t *testing.T) {
-	n, all := recorded(Layout(2, 1, 1, 1))
-	n.WakeAt(1, time.Second)
+func TestPausedNodeReceivesItsInboxOnResume(t *testing.T) {
+	n, all := newRecorderNetwork(Layout(2, 1, 1, 1))
+	n.SetTimer(1, time.Second)
 	n.Pause(1)
 	const sent = 300
 	for i := range sent {
@@ -180,39 +180,39 @@
 	}
 	n.Run(10 * time.Second)
 	n.Send(1, 0, []byte("a still one sends nothing"))
-	if len(all[1].got) != 0 || len(all[1].woken) != 1 {
+	if len(all[1].got) != 0 || len(all[1].timersFired) != 1 {
 		t.Fatal("it did not stand still")
 	}
 	n.Resume(1)
 	n.Run(11 * time.Second)
-	held := mostInbox / 1028
-	if len(all[1].got) != held || n.Count(0).Lost != int64(sent-held) || len(all[0].got) != 0 {
-		t.Errorf("got %d and lost %d of %d; its peer got %d", len(all[1].got), n.Count(0).Lost, sent, len(all[0].got))
+	held := maxInboxBytes / 1028
+	if len(all[1].got) != held || n.Counters(0).Lost != int64(sent-held) || len(all[0].got) != 0 {
+		t.Errorf("got %d and lost %d of %d; its peer got %d", len(all[1].got), n.Counters(0).Lost, sent, len(all[0].got))
 	}
-	if !slices.Equal(all[1].woken, []time.Duration{0, 10 * time.Second}) {
-		t.Errorf("woken at %v", all[1].woken)
+	if !slices.Equal(all[1].timersFired, []time.Duration{0, 10 * time.Second}) {
+		t.Errorf("woken at %v", all[1].timersFired)
 	}
 }
 
-func TestWakingIsWhenItWasAskedForLast(t *testing.T) {
-	n, all := recorded(Layout(1, 1, 1, 1))
-	all[0].woken = nil
-	n.WakeAt(0, 5*time.Second)
-	n.WakeAt(0, 2*time.Second)
-	n.WakeAt(0, 3*time.Second)
+func TestTimerFiresWhenSetLast(t *testing.T) {
+	n, all := newRecorderNetwork(Layout(1, 1, 1, 1))
+	all[0].timersFired = nil
+	n.SetTimer(0, 5*time.Second)
+	n.SetTimer(0, 2*time.Second)
+	n.SetTimer(0, 3*time.Second)
 	n.Run(4 * time.Second)
-	n.WakeAt(0, 5*time.Second)
+	n.SetTimer(0, 5*time.Second)
 	n.Run(6 * time.Second)
-	n.WakeAt(0, 7*time.Second)
-	n.WakeAt(0, never)
+	n.SetTimer(0, 7*time.Second)
+	n.SetTimer(0, never)
 	n.Run(8 * time.Second)
-	if want := []time.Duration{3 * time.Second, 5 * time.Second}; !slices.Equal(all[0].woken, want) {
-		t.Errorf("woken at %v, want %v", all[0].woken, want)
+	if want := []time.Duration{3 * time.Second, 5 * time.Second}; !slices.Equal(all[0].timersFired, want) {
+		t.Errorf("woken at %v, want %v", all[0].timersFired, want)
 	}
 }
 
-func TestCallsOfAScenarioComeInOrder(t *testing.T) {
-	n, _ := recorded(Layout(1, 1, 1, 1))
+func TestScheduledCallsRunInOrder(t *testing.T) {
+	n, _ := newRecorderNetwork(Layout(1, 1, 1, 1))
 	var got []int
 	for _, at := range []int{3, 1, 2, 1} {
 		n.At(time.Duration(at)*time.Second, func() { got = append(got, at) })
@@ -227,8 +227,8 @@
 
 // talker sends to chance peers at a rate, and passes a part of what it hears on.
 type talker struct {
-	net    *Net
-	me     int
+	net    *Network
+	index  int
 	every  time.Duration
 	digest uint64
 	buf    [120]byte
@@ -237,17 +237,17 @@
 func (k *talker) Datagram(now time.Duration, from int, b []byte) {
 	k.digest = (k.digest ^ uint64(now) ^ uint64(from)<<48 ^ uint64(len(b))<<40) * 0x9e3779b97f4a7c15
 }
-func (k *talker) Wake(now time.Duration) {
-	x := (uint64(k.me)*0x9e3779b97f4a7c15 + uint64(now)) * 0xbf58476d1ce4e5b9
-	k.net.Send(k.me, int(x>>33)%k.net.Nodes(), k.buf[:])
-	k.net.WakeAt(k.me, now+k.every)
+func (k *talker) TimerFired(now time.Duration) {
+	x := (uint64(k.index)*0x9e3779b97f4a7c15 + uint64(now)) * 0xbf58476d1ce4e5b9
+	k.net.Send(k.index, int(x>>33)%k.net.Nodes(), k.buf[:])
+	k.net.SetTimer(k.index, now+k.every)
 }
 
-func talkers(seed uint64, nodes int, every time.Duration) (*Net, func() uint64) {
+func newTalkerNetwork(seed uint64, nodes int, every time.Duration) (*Network, func() uint64) {
 	all := make([]*talker, nodes)
-	var n *Net
-	n = NewNet(seed, Sized(nodes), Usual, func(i int) Node {
-		all[i] = &talker{net: n, me: i, every: every}
+	var n *Network
+	n = NewNetwork(seed, ScaledLayout(nodes), DefaultLatency, func(i int) Node {
+		all[i] = &talker{net: n, index: i, every: every}
 		return all[i]
 	})
 	for i := range nodes {
@@ -263,9 +263,9 @@
 
 func TestEqualSeedsGiveEqualRuns(t *testing.T) {
 	play := func(seed uint64) uint64 {
-		n, digest := talkers(seed, 200, 50*time.Millisecond)
+		n, digest := newTalkerNetwork(seed, 200, 50*time.Millisecond)
 		n.Loss(0.1)
-		n.Twice(0.05)
+		n.Duplicate(0.05)
 		n.At(2*time.Second, func() { n.Kill(7); n.Pause(8); n.Cut([]int{1, 2}, []int{3}) })
 		n.At(4*time.Second, func() { n.Start(7); n.Resume(8) })
 		n.Run(6 * time.Second)
@@ -277,14 +277,14 @@
 	}
 }
 
-func TestLossIsAsOftenAsAsked(t *testing.T) {
-	n, _ := talkers(3, 100, 10*time.Millisecond)
+func TestLossMatchesItsProbability(t *testing.T) {
+	n, _ := newTalkerNetwork(3, 100, 10*time.Millisecond)
 	n.Loss(0.1)
-	n.Twice(0.2)
+	n.Duplicate(0.2)
 	n.Run(10 * time.Second)
 	var out, in, lost int64
 	for i := range n.Nodes() {
-		c := n.Count(i)
+		c := n.Counters(i)
 		out, in, lost = out+c.Out, in+c.In, lost+c.Lost
 	}
 	if share := float64(lost) / float64(out); share < 0.095 || share > 0.105 {
@@ -296,19 +296,19 @@
 }
 
 // Real time of one virtual second at the users' size with some 100,000 datagrams in it.
-func BenchmarkSecondOfTheWholeFleet(b *testing.B) {
-	n, _ := talkers(1, FullGateways, 39*time.Millisecond)
+func BenchmarkSecondOfFullFleet(b *testing.B) {
+	n, _ := newTalkerNetwork(1, FullGateways, 39*time.Millisecond)
 	n.Run(time.Second)
 	var before int64
 	for i := range n.Nodes() {
-		before += n.Count(i).Out
+		before += n.Counters(i).Out
 	}
 	for b.Loop() {
 		n.Run(n.Now() + time.Second)
 	}
 	var after int64
 	for i := range n.Nodes() {
-		after += n.Count(i).Out
+		after += n.Counters(i).Out
 	}
 	b.ReportMetric(float64(after-before)/float64(b.N), "datagrams/op")
 }
--- a/internal/lab/scale/plots.go
+++ b/internal/lab/scale/plots.go
@@ -13,42 +13,42 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// Figure is one thing that runs measure, by size.
-type Figure struct {
-	Name   string // of the file, without its ending
-	Title  string
-	Budget float64 // a line across; 0: none
-	By     map[int][]float64
-	Beside map[int][]float64 // the same of real gateways; may be empty
+// SizePlot is one thing that runs measure, by size.
+type SizePlot struct {
+	Name       string // of the file, without its ending
+	Title      string
+	Budget     float64 // a line across; 0: none
+	BySize     map[int][]float64
+	RealBySize map[int][]float64 // the same of real gateways; may be empty
 }
 
-// Figures are those of runs of Watch, each run a point.
-func Figures(runs []*WatchReport, budget Budget) []Figure {
-	all := []Figure{
+// WatchPlots are those of runs of Watch, each run a point.
+func WatchPlots(runs []*WatchReport, budget Budget) []SizePlot {
+	all := []SizePlot{
 		{Name: "core", Title: "processor, part of a core", Budget: budget.Core},
 		{Name: "event", Title: "processor an event heard, microseconds"},
-		{Name: "wire", Title: "watch with TCP, bytes a second in and out", Budget: budget.Bytes},
+		{Name: "wire", Title: "watch with TCP, bytes a second in and out", Budget: budget.BytesPerSecond},
 		{Name: "resident", Title: "anonymous memory, bytes", Budget: budget.Resident},
 		{Name: "everywhere-p50", Title: "until a purge is everywhere, median, ms"},
 		{Name: "everywhere-p99", Title: "until a purge is everywhere, 99th percentile, ms"},
 		{Name: "everywhere-max", Title: "until a purge is everywhere, the last, ms"},
 	}
-	of := func(c Cost) []float64 { return []float64{c.Core, c.Event, c.WireIn + c.WireOut, c.Resident} }
+	of := func(c Cost) []float64 { return []float64{c.Core, c.EventMicros, c.WireIn + c.WireOut, c.Resident} }
 	for i := range all {
-		all[i].By, all[i].Beside = map[int][]float64{}, map[int][]float64{}
+		all[i].BySize, all[i].RealBySize = map[int][]float64{}, map[int][]float64{}
 	}
 	for _, r := range runs {
 		if r.Hollow.Gateways > 0 {
-			for i, v := range append(of(r.Hollow), r.Median, r.P99, r.Most) {
+			for i, v := range append(of(r.Hollow), r.Median, r.P99, r.Max) {
 				if v > 0 {
-					all[i].By[r.Gateways] = append(all[i].By[r.Gateways], v)
+					all[i].BySize[r.Gateways] = append(all[i].BySize[r.Gateways], v)
 				}
 			}
 		}
 		if r.Real.Gateways > 0 {
 			for i, v := range of(r.Real) {
 				if v > 0 {
-					all[i].Beside[r.Gateways] = append(all[i].Beside[r.Gateways], v)
+					all[i].RealBySize[r.Gateways] = append(all[i].RealBySize[r.Gateways], v)
 				}
 			}
 		}
@@ -56,8 +56,8 @@
 	return all
 }
 
-// ticks are 1, 2 and 5 of each decade, so that a range within one has labels too.
-func ticks(least, most float64) (all []plot.Tick) {
+// decadeTicks are 1, 2 and 5 of each decade, so that a range within one has labels too.
+func decadeTicks(least, most float64) (all []plot.Tick) {
 	for e := math.Floor(math.Log10(least)); e <= math.Log10(most); e++ {
 		for _, m := range []float64{1, 2, 5} {
 			if v := m * math.Pow(10, e); v >= least && v <= most {
@@ -69,14 +69,14 @@
 }
 
 // Plot draws a figure against size on log axes as an SVG file, with its line and its budget.
-func (g *Figure) Plot(dir string, fit *Fit) error {
-	if len(g.By) == 0 {
+func (g *SizePlot) Plot(dir string, fit *Fit) error {
+	if len(g.BySize) == 0 {
 		return nil
 	}
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = g.Title, "gateways", g.Title
 	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
-	p.X.Tick.Marker, p.Y.Tick.Marker = plot.TickerFunc(ticks), plot.TickerFunc(ticks)
+	p.X.Tick.Marker, p.Y.Tick.Marker = plot.TickerFunc(decadeTicks), plot.TickerFunc(decadeTicks)
 	p.Legend.Top, p.Legend.Left = true, true
 	blue, red, green, grey := color.RGBA{B: 200, A: 255}, color.RGBA{R: 200, A: 255}, color.RGBA{G: 140, A: 255}, color.Gray{100}
 	least, most := 0.0, 0.0
@@ -85,7 +85,7 @@
 		by   map[int][]float64
 		c    color.Color
 		mark draw.GlyphDrawer
-	}{{"hollow", g.By, blue, draw.CircleGlyph{}}, {"real, beside them", g.Beside, green, draw.CrossGlyph{}}} {
+	}{{"hollow", g.BySize, blue, draw.CircleGlyph{}}, {"real, beside them", g.RealBySize, green, draw.CrossGlyph{}}} {
 		var pts plotter.XYs
 		for n, values := range s.by {
 			for _, v := range values {
--- a/internal/lab/scale/real.go
+++ b/internal/lab/scale/real.go
@@ -21,8 +21,8 @@
 }
 
 const (
-	realPort = 10080
-	realMB   = 192 // told as its limit, as in the fleet's rig
+	realPort     = 10080
+	realMemoryMB = 192 // told as its limit, as in the fleet's rig
 )
 
 // startReal writes a gateway's configuration into a folder and starts it. Its listen address is one of its own, 127.66.x.y.
@@ -31,7 +31,7 @@
 		return nil, err
 	}
 	text, err := json.Marshal(map[string]any{"name": fmt.Sprintf("g%04d", i), "listen": fmt.Sprintf("127.66.%d.%d:%d", i>>8, i&255, realPort),
-		"seed": fmt.Sprintf("%x", i+1), "limits": map[string]any{"cores": 1, "memory_mb": realMB, "sockets": 1024}, "bulletin": watch, "known": known,
+		"seed": fmt.Sprintf("%x", i+1), "limits": map[string]any{"cores": 1, "memory_mb": realMemoryMB, "sockets": 1024}, "bulletin": watch, "known": known,
 		"settings": settings})
 	if err != nil {
 		return nil, err
@@ -56,9 +56,9 @@
 	return r, nil
 }
 
-// heard is what the log of a gateway that has ended says of its watch: the number of the last event that it held, and how often the
+// watchResult is what the log of a gateway that has ended says of its watch: the number of the last event that it held, and how often the
 // watch ended before the stop.
-func (r *realGateway) heard() (last int64, ends int, err error) {
+func (r *realGateway) watchResult() (last int64, ends int, err error) {
 	file, err := os.Open(r.log.Name())
 	if err != nil {
 		return 0, 0, err
@@ -83,8 +83,8 @@
 	return last, ends, d.Err()
 }
 
-// end asks the process to stop and waits; one that does not is killed, and that is an error.
-func (r *realGateway) end() error {
+// stop asks the process to stop and waits; one that does not is killed, and that is an error.
+func (r *realGateway) stop() error {
 	defer r.log.Close()
 	r.cmd.Process.Signal(syscall.SIGTERM)
 	late := time.NewTimer(15 * time.Second)
--- a/internal/lab/scale/roles.go
+++ b/internal/lab/scale/roles.go
@@ -8,9 +8,9 @@
 )
 
 // spreaders make a mechanism's part of a gateway.
-var spreaders = map[string]func(g *gateway, now int64) spreader{"old": newOldSpread, "new": newNewSpread}
+var spreaders = map[string]func(g *gateway, now int64) spreader{"old": newPurgesyncSpreader, "new": newBroadcastSpreader}
 
-const mostShared = 64 // lists of the live that are kept for who has the same
+const maxSharedLists = 64 // lists of the live that are kept for who has the same
 
 func (r *broadcastRun) member(i int) broadcast.Member {
 	p := r.places[i]
@@ -18,35 +18,35 @@
 }
 
 // members gives a list of the live; gateways that see the same share one, as no process of theirs would, so that 3,900 fit.
-func (r *broadcastRun) members(view set) []broadcast.Member {
-	key := r.key[:0]
+func (r *broadcastRun) members(view gatewaySet) []broadcast.Member {
+	key := r.listKey[:0]
 	for _, word := range view {
 		key = binary.LittleEndian.AppendUint64(key, word)
 	}
-	r.key = key
-	if list, is := r.shared[string(key)]; is {
+	r.listKey = key
+	if list, is := r.memberLists[string(key)]; is {
 		return list
 	}
 	var list []broadcast.Member
-	for _, m := range r.sorted { // in the tree's order: a list that is not is copied
-		if view.has(r.at[m.Name]) {
+	for _, m := range r.sortedMembers { // in the tree's order: a list that is not is copied
+		if view.has(r.indexByName[m.Name]) {
 			list = append(list, m)
 		}
 	}
-	if len(r.shared) >= mostShared {
-		clear(r.shared)
+	if len(r.memberLists) >= maxSharedLists {
+		clear(r.memberLists)
 	}
-	r.shared[string(key)] = list
+	r.memberLists[string(key)] = list
 	return list
 }
 
-// ranked gives the gateways that are up in the order of the new mechanism's tree, and of each how high it stands: 0 the root, 1 a region's
+// treeOrder gives the gateways that are up in the order of the new mechanism's tree, and of each how high it stands: 0 the root, 1 a region's
 // head, 2 a zone's, 3 a site's, 4 another.
-func (r *broadcastRun) ranked() (who []int, level []int) {
+func (r *broadcastRun) treeOrder() (who []int, level []int) {
 	var list []broadcast.Member
-	for i := range r.all {
-		if r.net.Up(i) {
-			list = append(list, r.known[i])
+	for i := range r.gateways {
+		if r.net.IsUp(i) {
+			list = append(list, r.allMembers[i])
 		}
 	}
 	broadcast.SortMembers(list)
@@ -61,16 +61,16 @@
 		} else if before.Site != m.Locality.Site {
 			l = 3
 		}
-		who, level = append(who, r.at[m.Name]), append(level, l)
+		who, level = append(who, r.indexByName[m.Name]), append(level, l)
 	}
 	return who, level
 }
 
 // heads are the most loaded gateways by the true list of the live: root, regions' heads, zones' heads.
 func (r *broadcastRun) heads() (out [3][]int) {
-	who, level := r.ranked()
+	who, level := r.treeOrder()
 	for k, l := range level {
-		if l < 3 && !r.guarded.has(who[k]) {
+		if l < 3 && !r.protected.has(who[k]) {
 			out[l] = append(out[l], who[k])
 		}
 	}
@@ -79,16 +79,16 @@
 
 // roles name each gateway's place in the tree.
 func (r *broadcastRun) roles() []string {
-	out := make([]string, len(r.all))
-	who, level := r.ranked()
+	out := make([]string, len(r.gateways))
+	who, level := r.treeOrder()
 	for k, i := range who {
 		out[i] = [...]string{"root", "region head", "zone head", "site head", "other"}[level[k]]
-		if s, is := r.all[i].its.(*newSpread); is && level[k] == 4 && len(s.node.Stats().Children) == 0 {
+		if s, is := r.gateways[i].spreader.(*broadcastSpreader); is && level[k] == 4 && len(s.node.Stats().Children) == 0 {
 			out[i] = "leaf"
 		}
 	}
-	if r.o.Told != "all" {
-		for _, i := range r.tellers {
+	if r.options.Source != "all" {
+		for _, i := range r.sources {
 			out[i] = "told"
 		}
 	}
--- a/internal/lab/scale/spread_new.go
+++ b/internal/lab/scale/spread_new.go
@@ -6,25 +6,25 @@
 	"foldslip/internal/fleet/broadcast"
 )
 
-// newSpread is fleet/broadcast.
-type newSpread struct {
-	g    *gateway
-	node *broadcast.Node
+// broadcastSpreader is fleet/broadcast.
+type broadcastSpreader struct {
+	gateway *gateway
+	node    *broadcast.Node
 }
 
-func newNewSpread(g *gateway, now int64) spreader {
+func newBroadcastSpreader(g *gateway, now int64) spreader {
 	r := g.run
 	set := broadcast.DefaultSettings
-	if r.o.Keep > 0 {
-		set.KeepFor = r.o.Keep.Microseconds()
+	if r.options.KeepPurges > 0 {
+		set.KeepFor = r.options.KeepPurges.Microseconds()
 	}
-	set.StartUnixMillis = firstIssued - ground/1000 + int64(2*(part01(r.o.Seed, uint64(g.i), 4)-0.5)*float64(r.o.Skew.Milliseconds()))
-	chance := rand.New(rand.NewPCG(r.o.Seed, uint64(g.i)<<32|uint64(g.life)))
-	stamp := mix(r.o.Seed ^ uint64(g.i)<<32 ^ uint64(g.life))
-	return &newSpread{g: g, node: broadcast.New(set, r.member(g.i), stamp, chance, now)}
+	set.StartUnixMillis = epochMillis - clockStart/1000 + int64(2*(hashUnit(r.options.Seed, uint64(g.index), 4)-0.5)*float64(r.options.ClockSkew.Milliseconds()))
+	chance := rand.New(rand.NewPCG(r.options.Seed, uint64(g.index)<<32|uint64(g.incarnation)))
+	stamp := mix(r.options.Seed ^ uint64(g.index)<<32 ^ uint64(g.incarnation))
+	return &broadcastSpreader{gateway: g, node: broadcast.New(set, r.member(g.index), stamp, chance, now)}
 }
 
-func (s *newSpread) own(_ int64, _ []int64, purges []told, now int64) {
+func (s *broadcastSpreader) publish(_ int64, _ []int64, purges []watchPurge, now int64) {
 	own := make([]broadcast.Purge, len(purges))
 	for k, p := range purges {
 		own[k] = broadcast.Purge(p)
@@ -33,39 +33,39 @@
 	s.send()
 }
 
-func (s *newSpread) see(now int64) {
-	s.node.SetMembers(s.g.run.members(s.g.view), now)
+func (s *broadcastSpreader) membersChanged(now int64) {
+	s.node.SetMembers(s.gateway.run.members(s.gateway.view), now)
 	s.send()
 }
 
-func (s *newSpread) take(from int, b []byte, now int64) (heed []told) {
-	got, err := s.node.HandleFrame(s.g.run.names[from], b, now)
+func (s *broadcastSpreader) receive(from int, b []byte, now int64) (heed []watchPurge) {
+	got, err := s.node.HandleFrame(s.gateway.run.names[from], b, now)
 	if err != nil {
-		s.g.run.r.Unread++
+		s.gateway.run.result.UnreadableFrames++
 	}
 	for _, p := range got {
-		heed = append(heed, told(p))
+		heed = append(heed, watchPurge(p))
 	}
 	s.send()
 	return heed
 }
 
-func (s *newSpread) step(now int64) {
+func (s *broadcastSpreader) step(now int64) {
 	s.node.Step(now)
 	s.send()
 }
 
-func (s *newSpread) send() {
+func (s *broadcastSpreader) send() {
 	for _, l := range s.node.TakeMessages() {
-		s.g.send(s.g.run.at[l.To], l.Frame)
+		s.gateway.send(s.gateway.run.indexByName[l.To], l.Frame)
 	}
 }
 
-func (s *newSpread) next() int64  { return s.node.Next() }
-func (s *newSpread) behind() bool { return s.node.Stats().Behind.Since != 0 }
+func (s *broadcastSpreader) nextStep() int64 { return s.node.Next() }
+func (s *broadcastSpreader) isBehind() bool  { return s.node.Stats().Behind.Since != 0 }
 
-func (s *newSpread) counts() Tally {
+func (s *broadcastSpreader) tally() Tally {
 	a := s.node.Stats()
-	return Tally{Batches: a.BatchesSent, Said: a.PurgesSent, Copies: a.BatchesReceived, Again: a.DuplicateBatches, Wants: a.RepairRequests, Repairs: a.Repairs, GivenUp: a.GivenUp, Passes: a.ReconcilePasses,
-		Unanswered: a.UnfinishedPasses, Items: a.PurgesReceived, Shed: a.Shed, Refused: a.RefusedRequests, Unsaid: a.NotBatched, Unkept: a.NotKept, Dropped: a.Dropped}
+	return Tally{Batches: a.BatchesSent, Purges: a.PurgesSent, BatchesReceived: a.BatchesReceived, Duplicates: a.DuplicateBatches, Requests: a.RepairRequests, Repairs: a.Repairs, GivenUp: a.GivenUp, Reconciliations: a.ReconcilePasses,
+		Unanswered: a.UnfinishedPasses, ReconciledPurges: a.PurgesReceived, Shed: a.Shed, RefusedQuestions: a.RefusedRequests, Unannounced: a.NotBatched, OutsideWindow: a.NotKept, Dropped: a.Dropped}
 }
--- a/internal/lab/scale/views.go
+++ b/internal/lab/scale/views.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// set is a set of gateways.
-type set []uint64
+// gatewaySet is a set of gateways.
+type gatewaySet []uint64
 
-func newSet(n int) set { return make(set, (n+63)/64) }
+func newGatewaySet(n int) gatewaySet { return make(gatewaySet, (n+63)/64) }
 
-func (s set) has(i int) bool { return s[i>>6]>>(i&63)&1 != 0 }
+func (s gatewaySet) has(i int) bool { return s[i>>6]>>(i&63)&1 != 0 }
 
 // put sets one and tells whether that changed it.
-func (s set) put(i int, in bool) bool {
+func (s gatewaySet) put(i int, in bool) bool {
 	if s.has(i) == in {
 		return false
 	}
@@ -21,34 +21,34 @@
 	return true
 }
 
-// sighting is a thing that the membership protocol tells: a gateway is gone, or is there. Each other gateway is told of it at a time of
+// membershipEvent is a thing that the membership protocol tells: a gateway is gone, or is there. Each other gateway is told of it at a time of
 // its own, so that lists differ for a while.
-type sighting struct {
-	at   time.Duration
-	who  int32
-	life int32 // of the gateway when it happened: a later start takes the place of it
-	up   bool
-	cut  int8 // 0: for all; 1, 2: for the gateways at that side of the cut (who is at the other)
+type membershipEvent struct {
+	at          time.Duration
+	gateway     int32
+	incarnation int32 // of the gateway when it happened: a later start takes the place of it
+	up          bool
+	cutSide     int8 // 0: for all; 1, 2: for the gateways at that side of the cut (who is at the other)
 }
 
 // views stand in for the gateways' membership (SWIM): a crash is seen within Detect, each gateway at a time of its own in the second half
 // of that; a start within Seen. A gateway that starts again sooner is not seen dead. A start begins with the list of another gateway, as
 // memberlist's join gives it.
 type views struct {
-	r       *broadcastRun
-	pending []sighting // of the last Detect and a turn, by time
+	run     *broadcastRun
+	pending []membershipEvent // of the last Detect and a turn, by time
 }
 
-const viewTurn = 250 * time.Millisecond // a gateway looks at its list so often (fleet/post's turn)
+const viewInterval = 250 * time.Millisecond // a gateway looks at its list so often (fleet/post's turn)
 
-func (v *views) note(s sighting) {
-	s.at = v.r.net.Now()
+func (v *views) record(s membershipEvent) {
+	s.at = v.run.net.Now()
 	v.pending = append(v.pending, s)
 }
 
-// forget drops what all gateways were told of.
-func (v *views) forget(now time.Duration) {
-	old, keep := 0, max(v.r.o.Detect, 2*v.r.o.Seen)+2*viewTurn
+// prune drops what all gateways were told of.
+func (v *views) prune(now time.Duration) {
+	old, keep := 0, max(v.run.options.CrashSeenWithin, 2*v.run.options.StartSeenWithin)+2*viewInterval
 	for old < len(v.pending) && v.pending[old].at < now-keep {
 		old++
 	}
@@ -65,36 +65,36 @@
 	return x ^ x>>31
 }
 
-// part01 is a chance from 0 to 1 that depends on nothing but its arguments.
-func part01(a, b, c uint64) float64 { return float64(mix(a^mix(b^mix(c)))>>11) / (1 << 53) }
+// hashUnit is a chance from 0 to 1 that depends on nothing but its arguments.
+func hashUnit(a, b, c uint64) float64 { return float64(mix(a^mix(b^mix(c)))>>11) / (1 << 53) }
 
 // update brings a gateway's list from one time to another and tells whether it changed.
 func (v *views) update(g *gateway, from, to time.Duration) (changed bool) {
-	o := &v.r.o
-	v.forget(to)
+	o := &v.run.options
+	v.prune(to)
 	for k := len(v.pending) - 1; k >= 0; k-- {
 		s := &v.pending[k]
-		least, span := o.Detect/2, o.Detect/2
+		least, span := o.CrashSeenWithin/2, o.CrashSeenWithin/2
 		if s.up {
-			least, span = o.Seen/2, o.Seen
+			least, span = o.StartSeenWithin/2, o.StartSeenWithin
 		}
-		if s.at+least > to || int(s.who) == g.i {
+		if s.at+least > to || int(s.gateway) == g.index {
 			continue
 		}
-		if s.cut != 0 && v.r.side(g.i) != s.cut {
+		if s.cutSide != 0 && v.run.side(g.index) != s.cutSide {
 			continue
 		}
-		at := s.at + least + time.Duration(float64(span)*part01(o.Seed, uint64(g.i)<<32|uint64(s.who), uint64(s.at)))
+		at := s.at + least + time.Duration(float64(span)*hashUnit(o.Seed, uint64(g.index)<<32|uint64(s.gateway), uint64(s.at)))
 		if at <= from || at > to {
 			continue
 		}
-		if up := v.r.net.Up(int(s.who)); s.cut == 0 && (s.up != up || s.life != v.r.all[s.who].life) {
+		if up := v.run.net.IsUp(int(s.gateway)); s.cutSide == 0 && (s.up != up || s.incarnation != v.run.gateways[s.gateway].incarnation) {
 			continue // the membership protocol's incarnation: a later word takes its place
 		}
-		if s.cut != 0 && s.up == v.r.cutNow() {
+		if s.cutSide != 0 && s.up == v.run.isCut() {
 			continue
 		}
-		changed = g.view.put(int(s.who), s.up) || changed
+		changed = g.view.put(int(s.gateway), s.up) || changed
 	}
 	return changed
 }
@@ -102,13 +102,13 @@
 // join gives a gateway that starts the list of another.
 func (v *views) join(g *gateway) {
 	clear(g.view)
-	for k := range v.r.all {
-		j := (g.i + 1 + k) % len(v.r.all)
-		if o := v.r.all[j]; j != g.i && v.r.net.Up(j) && v.r.net.Open(g.i, j) && o.view != nil && o.joined {
+	for k := range v.run.gateways {
+		j := (g.index + 1 + k) % len(v.run.gateways)
+		if o := v.run.gateways[j]; j != g.index && v.run.net.IsUp(j) && v.run.net.CanReach(g.index, j) && o.view != nil && o.joined {
 			copy(g.view, o.view)
 			break
 		}
 	}
-	g.view.put(g.i, true)
+	g.view.put(g.index, true)
 	g.joined = true
 }
--- a/internal/lab/scenario/bench_test.go
+++ b/internal/lab/scenario/bench_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-func BenchmarkDay(b *testing.B) {
+func BenchmarkScenario(b *testing.B) {
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		if _, err := Play(Draw(uint64(i%20+1), "mixed"), Look{}); err != nil {
+		if _, err := Run(DrawPlan(uint64(i%20+1), "mixed"), Hooks{}); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/lab/scenario/bulletin.go
+++ b/internal/lab/scenario/bulletin.go
@@ -9,20 +9,20 @@
 	"foldslip/internal/lab/simenv"
 )
 
-type event struct {
-	No     int     `json:"no"`
-	Roster *roster `json:"roster,omitempty"`
-	Recall *recall `json:"recall,omitempty"`
-	at     time.Duration
+type discoveryEvent struct {
+	Number      int             `json:"no"`
+	Endpoints   *endpointUpdate `json:"roster,omitempty"`
+	Purge       *purgeEvent     `json:"recall,omitempty"`
+	publishedAt time.Duration
 }
 
-type roster struct {
-	Revision int      `json:"revision"`
-	Complete bool     `json:"complete"`
-	Members  []member `json:"members"`
+type endpointUpdate struct {
+	Revision  int        `json:"revision"`
+	Complete  bool       `json:"complete"`
+	Endpoints []endpoint `json:"members"`
 }
 
-type member struct {
+type endpoint struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
 	Locality string  `json:"locality"`
@@ -33,194 +33,194 @@
 	UpSince  int64   `json:"up_since_ms"`
 }
 
-type recall struct {
-	Item   string `json:"item,omitempty"`
-	Lot    *int   `json:"lot,omitempty"`
+type purgeEvent struct {
+	Object string `json:"item,omitempty"`
+	Group  *int   `json:"lot,omitempty"`
 	Issued int64  `json:"issued"`
 }
 
 // publish adds an event; both bulletins tell it.
-func (d *Day) publish(e event) {
-	e.No, e.at = len(d.events)+1, d.w.Now()
+func (d *Scenario) publish(e discoveryEvent) {
+	e.Number, e.publishedAt = len(d.events)+1, d.sim.Now()
 	d.events = append(d.events, e)
-	d.w.Note(simenv.StepPublish, "", "", int64(e.No))
-	for _, b := range d.bulletins {
-		b.stir()
+	d.sim.Note(simenv.StepPublish, "", "", int64(e.Number))
+	for _, b := range d.discoveryServers {
+		b.notifyWatches()
 	}
 }
 
-// bulletin tells gateways of numbered events.
-type bulletin struct {
-	d     *Day
-	no    int
-	host  *simenv.Host
-	lag   time.Duration
-	mute  bool // stays open and says nothing
-	down  bool
-	twice bool
-	skip  bool // leaves the next event out, once a connection
-	conns []*bulletinConn
+// discoveryServer tells gateways of numbered events.
+type discoveryServer struct {
+	scenario   *Scenario
+	index      int
+	host       *simenv.Host
+	lag        time.Duration
+	silent     bool // stays open and says nothing
+	down       bool
+	duplicates bool
+	skipsEvent bool // leaves the next event out, once a connection
+	conns      []*watchConn
 }
 
-func newBulletin(d *Day, no int) *bulletin {
-	b := &bulletin{d: d, no: no, host: d.w.Host(fmt.Sprintf("10.7.0.%d", no+1), "bulletin")}
+func newDiscoveryServer(d *Scenario, no int) *discoveryServer {
+	b := &discoveryServer{scenario: d, index: no, host: d.sim.Host(fmt.Sprintf("10.7.0.%d", no+1), "bulletin")}
 	b.serve()
-	b.beat()
+	b.heartbeat()
 	return b
 }
 
-func (b *bulletin) addr() string { return b.host.IP + ":8500" }
+func (b *discoveryServer) addr() string { return b.host.IP + ":8500" }
 
-func (b *bulletin) serve() {
+func (b *discoveryServer) serve() {
 	b.down = false
 	b.host.Serve("8500", func(e *simenv.End) simenv.Handler {
-		c := &bulletinConn{b: b, e: e, after: -1}
-		for _, g := range b.d.gateways {
+		c := &watchConn{server: b, end: e, after: -1}
+		for _, g := range b.scenario.gateways {
 			if g.host == e.Peer {
-				c.l = g.its
+				c.process = g.current
 			}
 		}
-		e.Arrived = c.arrived
+		e.OnArrived = c.arrived
 		b.conns = append(b.conns, c)
 		return c
 	})
 }
 
-// fall takes the bulletin away for a time: connections break, new ones are refused.
-func (b *bulletin) fall(span time.Duration) {
+// stopFor takes the bulletin away for a time: connections break, new ones are refused.
+func (b *discoveryServer) stopFor(span time.Duration) {
 	b.down = true
-	b.host.Unserve("8500")
-	for _, c := range append([]*bulletinConn(nil), b.conns...) {
-		c.e.Reset()
+	b.host.StopServing("8500")
+	for _, c := range append([]*watchConn(nil), b.conns...) {
+		c.end.Reset()
 		c.Closed(true)
 	}
-	b.d.after(span, b.serve)
+	b.scenario.after(span, b.serve)
 }
 
-func (b *bulletin) beat() {
+func (b *discoveryServer) heartbeat() {
 	for _, c := range b.conns {
-		if c.next > 0 && !b.mute {
-			c.say(strconv.Itoa(c.next-1) + "\n")
+		if c.next > 0 && !b.silent {
+			c.send(strconv.Itoa(c.next-1) + "\n")
 		}
 	}
-	b.d.after(time.Second, b.beat)
+	b.scenario.after(time.Second, b.heartbeat)
 }
 
-// stir tells what has not been told.
-func (b *bulletin) stir() {
+// notifyWatches tells what has not been told.
+func (b *discoveryServer) notifyWatches() {
 	if b == nil {
 		return
 	}
 	tell := func() {
-		for _, c := range append([]*bulletinConn(nil), b.conns...) {
-			c.more()
+		for _, c := range append([]*watchConn(nil), b.conns...) {
+			c.sendDue()
 		}
 	}
 	if b.lag > 0 {
-		b.d.after(b.lag, tell)
+		b.scenario.after(b.lag, tell)
 	} else {
 		tell()
 	}
 }
 
-// bulletinConn is a gateway's connection to a bulletin.
-type bulletinConn struct {
-	b       *bulletin
-	e       *simenv.End
-	l       *life
-	in      []byte
-	after   int // -1 until it is said
-	next    int // event
-	sent    int // bytes
-	got     int // bytes that reached the gateway
-	marks   []mark
-	skipped bool
+// watchConn is a gateway's connection to a bulletin.
+type watchConn struct {
+	server       *discoveryServer
+	end          *simenv.End
+	process      *gatewayProcess
+	in           []byte
+	after        int // -1 until it is said
+	next         int // event
+	sentBytes    int // bytes
+	arrivedBytes int // bytes that reached the gateway
+	marks        []sentMark
+	skipped      bool
 }
 
-type mark struct{ end, no int }
+type sentMark struct{ endByte, event int }
 
-func (c *bulletinConn) Opened()             { c.after = -1 }
-func (c *bulletinConn) Written(int, []byte) {}
+func (c *watchConn) Opened()             { c.after = -1 }
+func (c *watchConn) Written(int, []byte) {}
 
-func (c *bulletinConn) Closed(bool) {
-	b := c.b
+func (c *watchConn) Closed(bool) {
+	b := c.server
 	for i, o := range b.conns {
 		if o == c {
 			b.conns = append(b.conns[:i:i], b.conns[i+1:]...)
 			break
 		}
 	}
-	c.e.Close()
+	c.end.Close()
 }
 
-func (c *bulletinConn) Data(data []byte) {
+func (c *watchConn) Data(data []byte) {
 	c.in = append(c.in, data...)
 	line, _, whole := bytes.Cut(c.in, []byte("\n"))
 	if !whole || c.next > 0 {
 		return
 	}
 	n, err := strconv.Atoi(string(bytes.TrimPrefix(line, []byte("after "))))
-	if err != nil || n < 0 || n > len(c.b.d.events) {
-		c.b.d.ref.broken("protocol", "bulletin was asked with %q", line)
-		c.e.Reset()
+	if err != nil || n < 0 || n > len(c.server.scenario.events) {
+		c.server.scenario.checker.violated("protocol", "bulletin was asked with %q", line)
+		c.end.Reset()
 		return
 	}
 	c.after, c.next = n, n+1
-	c.more()
+	c.sendDue()
 }
 
-func (c *bulletinConn) say(text string) {
-	c.sent += len(text)
-	c.e.Send([]byte(text))
+func (c *watchConn) send(text string) {
+	c.sentBytes += len(text)
+	c.end.Send([]byte(text))
 }
 
-func (c *bulletinConn) more() {
-	b := c.b
-	for c.next > 0 && !b.mute && c.next <= len(b.d.events) {
-		e := b.d.events[c.next-1]
-		if b.lag > 0 && b.d.w.Now() < e.at+b.lag {
-			b.d.after(e.at+b.lag-b.d.w.Now(), c.more)
+func (c *watchConn) sendDue() {
+	b := c.server
+	for c.next > 0 && !b.silent && c.next <= len(b.scenario.events) {
+		e := b.scenario.events[c.next-1]
+		if b.lag > 0 && b.scenario.sim.Now() < e.publishedAt+b.lag {
+			b.scenario.after(e.publishedAt+b.lag-b.scenario.sim.Now(), c.sendDue)
 			return
 		}
-		if b.skip && !c.skipped && c.next < len(b.d.events) {
+		if b.skipsEvent && !c.skipped && c.next < len(b.scenario.events) {
 			c.skipped = true
 			c.next++
 			continue
 		}
-		text := string(must(e)) + "\n"
-		c.say(text)
-		c.marks = append(c.marks, mark{c.sent, c.next})
-		if b.twice {
-			c.say(text)
+		text := string(mustMarshal(e)) + "\n"
+		c.send(text)
+		c.marks = append(c.marks, sentMark{c.sentBytes, c.next})
+		if b.duplicates {
+			c.send(text)
 		}
 		c.next++
 	}
 }
 
-// half breaks the connection in the middle of an event.
-func (c *bulletinConn) half() {
-	text := must(event{No: c.next, Recall: &recall{Item: "s1", Issued: c.b.d.w.Unix().UnixMilli()}})
-	c.say(string(text[:1+c.b.d.chance(len(text)-1)]))
-	c.e.Close()
+// breakInEvent breaks the connection in the middle of an event.
+func (c *watchConn) breakInEvent() {
+	text := mustMarshal(discoveryEvent{Number: c.next, Purge: &purgeEvent{Object: "s1", Issued: c.server.scenario.sim.Unix().UnixMilli()}})
+	c.send(string(text[:1+c.server.scenario.randN(len(text)-1)]))
+	c.end.Close()
 }
 
 // arrived notes which events have reached the gateway whole.
-func (c *bulletinConn) arrived(data []byte) {
-	c.got += len(data)
-	for len(c.marks) > 0 && c.marks[0].end <= c.got {
-		if c.l != nil {
-			c.l.hears(c.marks[0].no, c.b.d.w.Now())
+func (c *watchConn) arrived(data []byte) {
+	c.arrivedBytes += len(data)
+	for len(c.marks) > 0 && c.marks[0].endByte <= c.arrivedBytes {
+		if c.process != nil {
+			c.process.markNotified(c.marks[0].event, c.server.scenario.sim.Now())
 		}
 		c.marks = c.marks[1:]
 	}
 }
 
-// hears notes that an event counts as told from then on.
-func (l *life) hears(no int, at time.Duration) {
-	for len(l.told) <= no {
-		l.told = append(l.told, 0)
+// markNotified notes that an event counts as told from then on.
+func (l *gatewayProcess) markNotified(no int, at time.Duration) {
+	for len(l.notified) <= no {
+		l.notified = append(l.notified, 0)
 	}
-	if l.told[no] == 0 {
-		l.told[no] = max(1, at)
+	if l.notified[no] == 0 {
+		l.notified[no] = max(1, at)
 	}
 }
--- a/internal/lab/scenario/cache_conn.go
+++ b/internal/lab/scenario/cache_conn.go
@@ -12,38 +12,38 @@
 
 // cacheConn is a gateway's connection to a cache, seen from the cache.
 type cacheConn struct {
-	c      *cache
-	e      *simenv.End
-	l      *life
-	in     []byte
-	open   map[string]*do
-	wire   []byte // what the gateway has written and is not yet a whole line
-	since  time.Duration
-	sent   int // bytes to the gateway, and how many have arrived
-	got    int
-	due    []due
-	out    []*send // sends that are out on it, as seen on the wire
-	closed bool
-	torn   bool                     // an answer broke off on it: it is of no more use
-	to     func(q *do, text string) // where a proxy's one send waits, without a connection of its own
-	lost   func()
-	id     string // of that send
+	cache          *cache
+	end            *simenv.End
+	process        *gatewayProcess
+	in             []byte
+	requests       map[string]*attemptRequest
+	written        []byte // what the gateway has written and is not yet a whole line
+	lineStartedAt  time.Duration
+	sentBytes      int // bytes to the gateway, and how many have arrived
+	arrivedBytes   int
+	pendingAnswers []pendingAnswer
+	attempts       []*attempt // sends that are out on it, as seen on the wire
+	closed         bool
+	torn           bool                                 // an answer broke off on it: it is of no more use
+	deliver        func(q *attemptRequest, text string) // where a proxy's one send waits, without a connection of its own
+	onReset        func()
+	attemptID      string // of that send
 }
 
 // reset breaks it.
 func (k *cacheConn) reset() {
-	if k.to == nil {
-		k.e.Reset()
+	if k.deliver == nil {
+		k.end.Reset()
 		return
 	}
-	k.c.d.after(k.c.d.hop(), k.lost)
+	k.cache.scenario.after(k.cache.scenario.callerLatency(), k.onReset)
 }
 
-// drop takes a proxy's send off its cache.
-func (k *cacheConn) drop() {
-	for i, o := range k.c.conns {
+// detach takes a proxy's send off its cache.
+func (k *cacheConn) detach() {
+	for i, o := range k.cache.conns {
 		if o == k {
-			k.c.conns = append(k.c.conns[:i:i], k.c.conns[i+1:]...)
+			k.cache.conns = append(k.cache.conns[:i:i], k.cache.conns[i+1:]...)
 			break
 		}
 	}
@@ -51,31 +51,31 @@
 
 func (k *cacheConn) Opened() {}
 
-// over is the end at the cache's side; where it is silent the gateway cannot know.
-func (k *cacheConn) over(silent bool) {
-	for i, o := range k.c.conns {
+// endAtCache is the end at the cache's side; where it is silent the gateway cannot know.
+func (k *cacheConn) endAtCache(silent bool) {
+	for i, o := range k.cache.conns {
 		if o == k {
-			k.c.conns = append(k.c.conns[:i:i], k.c.conns[i+1:]...)
+			k.cache.conns = append(k.cache.conns[:i:i], k.cache.conns[i+1:]...)
 			break
 		}
 	}
-	for _, q := range k.open {
-		q.over = true
+	for _, q := range k.requests {
+		q.ended = true
 	}
-	k.open = nil
+	k.requests = nil
 	if !silent {
-		k.c.d.ref.connOver(k)
+		k.cache.scenario.checker.connectionEnded(k)
 	}
-	for _, s := range k.out {
-		s.out = false
+	for _, s := range k.attempts {
+		s.inFlight = false
 	}
 }
 
 func (k *cacheConn) Closed(bool) {
-	k.over(false)
-	k.e.Close()
-	if k.l != nil {
-		delete(k.l.conns, k)
+	k.endAtCache(false)
+	k.end.Close()
+	if k.process != nil {
+		delete(k.process.conns, k)
 	}
 }
 
@@ -90,68 +90,68 @@
 		line := string(k.in[:i])
 		if id, undo := strings.CutPrefix(line, "undo "); undo {
 			k.in = k.in[i+2:]
-			if q := k.open[id]; q != nil {
-				q.over = true
-				delete(k.open, id)
+			if q := k.requests[id]; q != nil {
+				q.ended = true
+				delete(k.requests, id)
 			}
 			continue
 		}
-		n := max(0, doLength(line))
+		n := max(0, requestBodyLength(line))
 		if len(k.in) < i+n+4 {
 			return
 		}
 		text := string(k.in[i+2 : i+2+n])
 		k.in = k.in[i+n+4:]
-		q, err := readDo(line, text)
+		q, err := parseRequest(line, text)
 		if err != nil {
-			k.c.d.ref.broken("protocol", "%s reads: %v", k.c.id, err)
-			k.e.Reset()
-			k.over(false)
+			k.cache.scenario.checker.violated("protocol", "%s reads: %v", k.cache.id, err)
+			k.end.Reset()
+			k.endAtCache(false)
 			return
 		}
-		q.k = k
-		q.work = workOf(q.object, q.part)
-		if k.open == nil {
-			k.open = map[string]*do{}
+		q.conn = k
+		q.work = partWork(q.object, q.part)
+		if k.requests == nil {
+			k.requests = map[string]*attemptRequest{}
 		}
-		k.open[q.id] = q
-		k.c.bear(k.l, meanWork[q.kind_]) // what the rule counts for a send to a cold cache
-		k.c.take(q)
-		if k.e.Gone() {
+		k.requests[q.id] = q
+		k.cache.checkColdLoad(k.process, meanWork[q.kindIndex]) // what the rule counts for a send to a cold cache
+		k.cache.handle(q)
+		if k.end.IsClosed() {
 			return
 		}
 	}
 }
 
-// say writes an answer, or what a fault makes of it.
-func (k *cacheConn) say(q *do, text string) {
+// send writes an answer, or what a fault makes of it.
+func (k *cacheConn) send(q *attemptRequest, text string) {
 	if k.torn {
-		delete(k.open, q.id)
+		delete(k.requests, q.id)
 		return
 	}
-	if k.open[q.id] == q {
-		delete(k.open, q.id)
+	if k.requests[q.id] == q {
+		delete(k.requests, q.id)
 	}
-	if k.to != nil {
-		k.to(q, text)
+	if k.deliver != nil {
+		k.deliver(q, text)
 		return
 	}
-	k.sent += len(text)
-	k.c.d.ref.sendOver(q, k.sent)
-	k.e.Send([]byte(text))
+	k.sentBytes += len(text)
+	k.cache.scenario.checker.answerWritten(q, k.sentBytes)
+	k.end.Send([]byte(text))
 }
 
-// due is a send whose answer has reached the gateway once so many bytes have.
-type due struct {
-	end int
-	s   *send
+// pendingAnswer is a send whose answer has reached the gateway once so many bytes have.
+type pendingAnswer struct {
+	endByte int
+	attempt *attempt
 }
 
 func (k *cacheConn) arrived(b []byte) {
-	k.got += len(b)
-	for len(k.due) > 0 && k.due[0].end <= k.got {
-		k.c.d.ref.heard(k.due[0].s)
-		k.due = k.due[1:]
+	k.arrivedBytes += len(b)
+	for len(k.pendingAnswers) > 0 && k.pendingAnswers[0].endByte <= k.arrivedBytes {
+		k.cache.scenario.checker.outcomeArrived(k.pendingAnswers[0].attempt)
+		k.pendingAnswers = k.pendingAnswers[1:]
 	}
 }
 
@@ -159,39 +159,39 @@
 func (k *cacheConn) Written(n int, b []byte) {
 	if n < 0 {
 		k.closed = true
-		k.c.d.ref.connOver(k)
+		k.cache.scenario.checker.connectionEnded(k)
 		return
 	}
-	if len(k.wire) == 0 {
-		k.since = k.c.d.w.Now()
+	if len(k.written) == 0 {
+		k.lineStartedAt = k.cache.scenario.sim.Now()
 	}
-	k.wire = append(k.wire, b...)
+	k.written = append(k.written, b...)
 	for {
-		i := bytes.Index(k.wire, []byte("\r\n"))
+		i := bytes.Index(k.written, []byte("\r\n"))
 		if i < 0 {
 			return
 		}
-		line := string(k.wire[:i])
+		line := string(k.written[:i])
 		if id, undo := strings.CutPrefix(line, "undo "); undo {
-			k.wire = k.wire[i+2:]
-			k.c.d.ref.undone(k, id)
+			k.written = k.written[i+2:]
+			k.cache.scenario.checker.attemptCancelled(k, id)
 			continue
 		}
-		n := max(0, doLength(line))
-		if len(k.wire) < i+n+4 {
+		n := max(0, requestBodyLength(line))
+		if len(k.written) < i+n+4 {
 			return
 		}
-		text := string(k.wire[i+2 : i+2+n])
-		k.wire = k.wire[i+n+4:]
-		if q, err := readDo(line, text); err == nil {
-			k.c.d.ref.sent(k, q, k.since)
+		text := string(k.written[i+2 : i+2+n])
+		k.written = k.written[i+n+4:]
+		if q, err := parseRequest(line, text); err == nil {
+			k.cache.scenario.checker.attemptSent(k, q, k.lineStartedAt)
 		}
-		k.since = k.c.d.w.Now()
+		k.lineStartedAt = k.cache.scenario.sim.Now()
 	}
 }
 
-// stray writes an answer to nothing.
-func (k *cacheConn) stray(text string) {
-	k.sent += len(text)
-	k.e.Send([]byte(text))
+// sendStray writes an answer to nothing.
+func (k *cacheConn) sendStray(text string) {
+	k.sentBytes += len(text)
+	k.end.Send([]byte(text))
 }
--- a/internal/lab/scenario/cache_send.go
+++ b/internal/lab/scenario/cache_send.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// do is a send as it reached the cache.
-type do struct {
-	id, kind, object, from, seen, mode string
-	bytes                              string
-	part, rank                         int
-	wait, oldest                       time.Duration
-	k                                  *cacheConn
-	kind_                              int
-	work                               time.Duration
-	came                               time.Duration
-	over                               bool
+// attemptRequest is a send as it reached the cache.
+type attemptRequest struct {
+	id, kind, object, source, etag, mode string
+	body                                 string
+	part, rank                           int
+	timeout, maxAge                      time.Duration
+	conn                                 *cacheConn
+	kindIndex                            int
+	work                                 time.Duration
+	receivedAt                           time.Duration
+	ended                                bool
 }
 
-func (q *do) key() string { return q.object + "/" + strconv.Itoa(q.part) }
+func (q *attemptRequest) key() string { return q.object + "/" + strconv.Itoa(q.part) }
 
-// doLength is how many bytes follow the line of a send; -1: it is none.
-func doLength(line string) int {
+// requestBodyLength is how many bytes follow the line of a send; -1: it is none.
+func requestBodyLength(line string) int {
 	words := strings.Split(line, " ")
 	if len(words) != 4 || words[0] != "do" {
 		return -1
@@ -37,13 +37,13 @@
 	return int(n)
 }
 
-// readDo reads the line of a send, without the line's end, and the bytes that follow it.
-func readDo(line, bytes string) (*do, error) {
+// parseRequest reads the line of a send, without the line's end, and the bytes that follow it.
+func parseRequest(line, bytes string) (*attemptRequest, error) {
 	words := strings.Split(line, " ")
-	if doLength(line) < 0 {
+	if requestBodyLength(line) < 0 {
 		return nil, fmt.Errorf("%q is no send", line)
 	}
-	q := &do{id: words[1], kind_: -1, bytes: bytes}
+	q := &attemptRequest{id: words[1], kindIndex: -1, body: bytes}
 	for _, f := range strings.Split(words[2], ",") {
 		name, v, _ := strings.Cut(f, "=")
 		n := 0
@@ -63,27 +63,27 @@
 		case "p":
 			q.part = n
 		case "w":
-			q.wait = time.Duration(n) * time.Millisecond
+			q.timeout = time.Duration(n) * time.Millisecond
 		case "from":
-			q.from = v
+			q.source = v
 		case "rank":
 			q.rank = n
 		case "oldest":
-			q.oldest = time.Duration(n) * time.Millisecond
+			q.maxAge = time.Duration(n) * time.Millisecond
 		case "mode":
 			q.mode = v
 		case "seen":
-			q.seen = v
+			q.etag = v
 		default:
 			return nil, fmt.Errorf("field %q of a send is unknown", name)
 		}
 	}
-	for i, k := range kinds {
+	for i, k := range lookupKinds {
 		if k.name == q.kind {
-			q.kind_ = i
+			q.kindIndex = i
 		}
 	}
-	if q.kind_ < 0 || q.rank > 3 || q.wait <= 0 || q.object == "" {
+	if q.kindIndex < 0 || q.rank > 3 || q.timeout <= 0 || q.object == "" {
 		return nil, fmt.Errorf("%q has fields that cannot be used", line)
 	}
 	return q, nil
--- a/internal/lab/scenario/door.go
+++ b/internal/lab/scenario/door.go
@@ -23,34 +23,34 @@
 // The door for other proxies on the virtual clock: the streams, the desk and the steps are the program's own (package door);
 // only the wire is the lab's, plain text in place of gRPC, whose library keeps time and goroutines of its own.
 
-const doorPort = "18200"
+const extprocPort = "18200"
 
 // doorTable is the operator's table of a virtual day.
-var doorTable = []route.Rule{{Path: "/call/{kind}/{object}/part-{part}", Kind: "path:kind", Object: "path:object", Part: "path:part",
+var extprocRoutes = []route.Rule{{Path: "/call/{kind}/{object}/part-{part}", Kind: "path:kind", Object: "path:object", Part: "path:part",
 	Group: "header:x-group", KB: "header:x-ram-kb", ID: "header:x-job-id", AllowMS: "header:x-allow-ms", Tag: "header:x-tag"}}
 
-var doorTerms = extproc.Limits{MaxStreams: 200, SilenceTimeout: 8 * time.Second, MessagesPerSecond: 400, BytesPerSecond: 200_000,
+var extprocLimits = extproc.Limits{MaxStreams: 200, SilenceTimeout: 8 * time.Second, MessagesPerSecond: 400, BytesPerSecond: 200_000,
 	Lookups: retry.Limits{MaxLookups: 256, MaxPerCaller: 200, ReturnTimeout: 300 * time.Millisecond, Retention: 5 * time.Second}}
 
-// plainDoor is a service.Door on the lab's wire.
-type plainDoor struct {
+// extprocServer is a service.Door on the lab's wire.
+type extprocServer struct {
 	*extproc.Server
-	g     env.Environment
-	l     net.Listener
-	mu    sync.Mutex
-	conns map[net.Conn]int
-	count int
-	group env.Group
-	plant doorPlant
-	d     *Day
+	environment env.Environment
+	listener    net.Listener
+	mu          sync.Mutex
+	conns       map[net.Conn]int
+	accepted    int
+	group       env.Group
+	fault       extprocFault
+	scenario    *Scenario
 }
 
-func doorOf(in gateway.Dependencies, at string, d *Day) (*plainDoor, error) {
-	terms, plant := doorTerms, doorPlants[d.Plan.Plant]
-	if plant.terms != nil {
-		plant.terms(&in, &terms)
+func newExtprocServer(in gateway.Dependencies, at string, d *Scenario) (*extprocServer, error) {
+	terms, plant := extprocLimits, extprocFaults[d.Plan.InjectedFault]
+	if plant.limits != nil {
+		plant.limits(&in, &terms)
 	}
-	table, err := route.Compile(doorTable, in.Settings.Kinds)
+	table, err := route.Compile(extprocRoutes, in.Settings.Kinds)
 	if err != nil {
 		return nil, err
 	}
@@ -58,20 +58,20 @@
 	if err != nil {
 		return nil, err
 	}
-	return &plainDoor{Server: extproc.New(in.Environment, in.Settings, in.Dispatcher, in.Registry, in.Purges, in.Admission, table, terms), g: in.Environment, l: l,
-		conns: map[net.Conn]int{}, group: in.Environment.NewGroup(), plant: plant, d: d}, nil
+	return &extprocServer{Server: extproc.New(in.Environment, in.Settings, in.Dispatcher, in.Registry, in.Purges, in.Admission, table, terms), environment: in.Environment, listener: l,
+		conns: map[net.Conn]int{}, group: in.Environment.NewGroup(), fault: plant, scenario: d}, nil
 }
 
-// open is how many streams there are.
-func (p *plainDoor) open() int {
+// openStreams is how many streams there are.
+func (p *extprocServer) openStreams() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.conns)
 }
 
-func (p *plainDoor) Run(life *env.Lifetime) error {
+func (p *extprocServer) Run(life *env.Lifetime) error {
 	defer life.OnEnd(func() {
-		p.l.Close()
+		p.listener.Close()
 		p.mu.Lock()
 		var all []net.Conn
 		for c := range p.conns {
@@ -85,21 +85,21 @@
 	})()
 	p.group.Go("accept", func() error {
 		for {
-			c, err := p.l.Accept()
+			c, err := p.listener.Accept()
 			if err != nil {
 				return nil
 			}
 			p.mu.Lock()
-			p.count++
-			p.conns[c] = p.count
+			p.accepted++
+			p.conns[c] = p.accepted
 			p.mu.Unlock()
 			p.group.Go("serve", func() error {
 				host, _, _ := net.SplitHostPort(c.RemoteAddr().String())
-				w := &plainWire{c: c, in: bufio.NewReader(c), p: p}
+				w := &textStream{conn: c, in: bufio.NewReader(c), server: p}
 				err := p.Serve(w, host)
 				var why extproc.EndReason
 				if errors.As(err, &why) {
-					c.SetWriteDeadline(p.g.Now().Add(100 * time.Millisecond))
+					c.SetWriteDeadline(p.environment.Now().Add(100 * time.Millisecond))
 					fmt.Fprintf(c, "E%d\n\n", why)
 				}
 				c.Close()
@@ -114,22 +114,22 @@
 	return p.group.Wait()
 }
 
-func (p *plainDoor) PrepareReload(*config.Config) (func(), error) { return func() {}, nil }
-func (p *plainDoor) Drain()                                       { p.l.Close() }
-func (p *plainDoor) Wait() {
+func (p *extprocServer) PrepareReload(*config.Config) (func(), error) { return func() {}, nil }
+func (p *extprocServer) Drain()                                       { p.listener.Close() }
+func (p *extprocServer) Wait() {
 	for p.OpenLookups() > 0 {
-		p.g.NewNotifier().Wait(10 * time.Millisecond)
+		p.environment.NewNotifier().Wait(10 * time.Millisecond)
 	}
 }
 
-// plainWire is a stream: messages are a first line with the phase, lines of headers, and an empty one.
-type plainWire struct {
-	c  net.Conn
-	in *bufio.Reader
-	p  *plainDoor
+// textStream is a stream: messages are a first line with the phase, lines of headers, and an empty one.
+type textStream struct {
+	conn   net.Conn
+	in     *bufio.Reader
+	server *extprocServer
 }
 
-func (w *plainWire) Receive() (extproc.Message, error) {
+func (w *textStream) Receive() (extproc.Message, error) {
 	first, err := w.in.ReadString('\n')
 	if err != nil {
 		return extproc.Message{}, err
@@ -149,8 +149,8 @@
 		}
 		fields = append(fields, line[:len(line)-1])
 	}
-	if w.p.plant.recv != nil {
-		w.p.plant.recv(w.p.d, &m, fields)
+	if w.server.fault.recv != nil {
+		w.server.fault.recv(w.server.scenario, &m, fields)
 	}
 	m.Get = func(name string) (v string, n int) {
 		for _, f := range fields {
@@ -167,7 +167,7 @@
 	return m, nil
 }
 
-func (w *plainWire) Send(r extproc.Reply) error {
+func (w *textStream) Send(r extproc.Reply) error {
 	var b strings.Builder
 	if r.Status != 0 {
 		fmt.Fprintf(&b, "F%d\n", r.Status)
@@ -183,62 +183,62 @@
 		}
 	}
 	text := b.String() + "\n"
-	if w.p.plant.send != nil {
-		text = w.p.plant.send(w.p.d, w.p.g, r, text)
+	if w.server.fault.send != nil {
+		text = w.server.fault.send(w.server.scenario, w.server.environment, r, text)
 	}
-	_, err := io.WriteString(w.c, text)
+	_, err := io.WriteString(w.conn, text)
 	return err
 }
 
-// doorPlant is a fault of the door, planted at its wire and its terms.
-type doorPlant struct {
-	help  string
-	terms func(in *gateway.Dependencies, t *extproc.Limits)
-	recv  func(d *Day, m *extproc.Message, fields []string)
-	send  func(d *Day, g env.Environment, r extproc.Reply, text string) string
+// extprocFault is a fault of the door, planted at its wire and its terms.
+type extprocFault struct {
+	help   string
+	limits func(in *gateway.Dependencies, t *extproc.Limits)
+	recv   func(d *Scenario, m *extproc.Message, fields []string)
+	send   func(d *Scenario, g env.Environment, r extproc.Reply, text string) string
 }
 
-var doorPlants = map[string]doorPlant{
-	"door_reply_lost": {help: "a reply is not written", send: func(d *Day, _ env.Environment, _ extproc.Reply, text string) string {
-		if d.chance(60) == 0 {
+var extprocFaults = map[string]extprocFault{
+	"door_reply_lost": {help: "a reply is not written", send: func(d *Scenario, _ env.Environment, _ extproc.Reply, text string) string {
+		if d.randN(60) == 0 {
 			return ""
 		}
 		return text
 	}},
-	"door_reply_twice": {help: "a reply is written twice", send: func(d *Day, _ env.Environment, _ extproc.Reply, text string) string {
-		if d.chance(60) == 0 {
+	"door_reply_twice": {help: "a reply is written twice", send: func(d *Scenario, _ env.Environment, _ extproc.Reply, text string) string {
+		if d.randN(60) == 0 {
 			return text + text
 		}
 		return text
 	}},
-	"door_end_kept_back": {help: "a final answer is written near the deadline", send: func(d *Day, g env.Environment, r extproc.Reply, text string) string {
+	"door_end_kept_back": {help: "a final answer is written near the deadline", send: func(d *Scenario, g env.Environment, r extproc.Reply, text string) string {
 		if r.Status == 503 && r.RetryAfter > 0 {
 			g.NewNotifier().Wait(1400 * time.Millisecond)
 		}
 		return text
 	}},
-	"door_purges_unheard": {help: "births of answers are not held against purges", terms: func(in *gateway.Dependencies, _ *extproc.Limits) { in.Purges = nil }},
-	"door_forgetful":      {help: "an ended lookup is forgotten at once", terms: func(_ *gateway.Dependencies, t *extproc.Limits) { t.Lookups.Retention = 1 }},
-	"door_answer_never_ran": {help: "a send that brought its answer is taken for one that did not run", recv: func(d *Day, m *extproc.Message, fields []string) {
+	"door_purges_unheard": {help: "births of answers are not held against purges", limits: func(in *gateway.Dependencies, _ *extproc.Limits) { in.Purges = nil }},
+	"door_forgetful":      {help: "an ended lookup is forgotten at once", limits: func(_ *gateway.Dependencies, t *extproc.Limits) { t.Lookups.Retention = 1 }},
+	"door_answer_never_ran": {help: "a send that brought its answer is taken for one that did not run", recv: func(d *Scenario, m *extproc.Message, fields []string) {
 		for i, f := range fields {
-			if f == "x-foldslip-end: hit" && d.chance(40) == 0 {
+			if f == "x-foldslip-end: hit" && d.randN(40) == 0 {
 				fields[i] = "x-foldslip-end: shed"
 			}
 		}
 	}},
-	"door_wait_untold": {help: "a nack does not say when to come back", send: func(_ *Day, _ env.Environment, r extproc.Reply, text string) string {
+	"door_wait_untold": {help: "a nack does not say when to come back", send: func(_ *Scenario, _ env.Environment, r extproc.Reply, text string) string {
 		return strings.ReplaceAll(text, "x-wait-ms", "x-wait")
 	}},
-	"door_other_cache": {help: "a decision names another cache than the module's", send: func(d *Day, _ env.Environment, _ extproc.Reply, text string) string {
-		if d.chance(40) > 0 {
+	"door_other_cache": {help: "a decision names another cache than the module's", send: func(d *Scenario, _ env.Environment, _ extproc.Reply, text string) string {
+		if d.randN(40) > 0 {
 			return text
 		}
 		return strings.Replace(text, "x-foldslip-addr: 10.1.0.1:", "x-foldslip-addr: 10.1.0.2:", 1)
 	}},
 }
 
-// frames cuts whole messages off the front of b.
-func frames(b []byte, each func(first string, fields map[string]string)) []byte {
+// splitMessages cuts whole messages off the front of b.
+func splitMessages(b []byte, each func(first string, fields map[string]string)) []byte {
 	for {
 		i := strings.Index(string(b), "\n\n")
 		if i < 0 {
--- a/internal/lab/scenario/forms_test.go
+++ b/internal/lab/scenario/forms_test.go
@@ -15,7 +15,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		plan, err := Read(text)
+		plan, err := ReadPlan(text)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
@@ -26,16 +26,16 @@
 // TestReportsKeepTheirForm does so with what the commands print, all fields set.
 func TestReportsKeepTheirForm(t *testing.T) {
 	readAndWrite(t, "result.json", &Result{})
-	readAndWrite(t, "pair.json", &Pair{})
-	readAndWrite(t, "trial.json", &Trial{})
-	readAndWrite(t, "cells.json", &[]Cell{})
+	readAndWrite(t, "pair.json", &DifferentialResult{})
+	readAndWrite(t, "trial.json", &RouteTrial{})
+	readAndWrite(t, "cells.json", &[]ColdStartCell{})
 }
 
 // TestPlatformSideKeepsItsForm does so with what stands in for the platform: discovery events and the settings' text.
 func TestPlatformSideKeepsItsForm(t *testing.T) {
-	readAndWrite(t, "events.json", &[]event{})
-	d := &Day{Plan: Plan{Gateways: 3}, zones: 2}
-	checkWritten(t, "settings.json", json.RawMessage(must(d.settings(1))))
+	readAndWrite(t, "events.json", &[]discoveryEvent{})
+	d := &Scenario{Plan: Plan{Gateways: 3}, zoneCount: 2}
+	checkWritten(t, "settings.json", json.RawMessage(mustMarshal(d.settings(1))))
 }
 
 // readAndWrite reads a file of testdata into value, which must know every key of it, and checks that value is written as the same bytes.
--- a/internal/lab/scenario/gateway.go
+++ b/internal/lab/scenario/gateway.go
@@ -13,43 +13,43 @@
 
 // gatewayActor is a place where a gateway runs, one life after another.
 type gatewayActor struct {
-	d        *Day
-	no, zone int
-	name, ip string
-	host     *simenv.Host
-	skew     time.Duration
-	bulletin int
-	memory   float64
-	fds      int
-	its      *life
-	lives    int
-	disk     *simenv.Disk
-	sides    map[uint64]side // configurations by version, on days of routes
-	barred   map[string]bool // caches that its list on disk knows to drain
+	scenario       *Scenario
+	index, zone    int
+	name, ip       string
+	host           *simenv.Host
+	skew           time.Duration
+	discoveryIndex int
+	memoryMB       float64
+	descriptors    int
+	current        *gatewayProcess
+	starts         int
+	directory      *simenv.Directory
+	routeSides     map[uint64]routeSide // configurations by version, on days of routes
+	knownDraining  map[string]bool      // caches that its list on disk knows to drain
 }
 
-// life is one process of a gateway, from its start to its end.
-type life struct {
-	g      *gatewayActor
-	p      *simenv.Proc
-	its    *gateway.Gateway
-	door   *plainDoor // where other proxies ask
-	began  time.Duration
-	ready  bool
-	term   time.Duration // when it was told to stop; 0: not yet
-	over   bool
-	ended  time.Duration
-	told   []time.Duration // by number of the event, 0: not yet
-	sick   time.Duration   // since when it could not hear, or until when
-	conns  map[*cacheConn]bool
-	forced []forced // routes in force by time
-	looked time.Duration
+// gatewayProcess is one process of a gateway, from its start to its end.
+type gatewayProcess struct {
+	actor           *gatewayActor
+	process         *simenv.Process
+	instance        *gateway.Gateway
+	extproc         *extprocServer // where other proxies ask
+	startedAt       time.Duration
+	ready           bool
+	terminatedAt    time.Duration // when it was told to stop; 0: not yet
+	ended           bool
+	endedAt         time.Duration
+	notified        []time.Duration // by number of the event, 0: not yet
+	cutOffAt        time.Duration   // since when it could not hear, or until when
+	conns           map[*cacheConn]bool
+	activeRoutes    []activeRoutes // routes in force by time
+	routesCheckedAt time.Duration
 }
 
-func newGateway(d *Day, no int) *gatewayActor {
-	g := &gatewayActor{d: d, no: no, zone: no % d.zones, name: fmt.Sprintf("n%d", no), ip: fmt.Sprintf("10.0.%d.%d", no%d.zones, no+1),
-		memory: d.Plan.MemoryMB, fds: d.Plan.FDs}
-	g.host, g.disk, g.barred = d.w.Host(g.ip, "gateways"), simenv.NewDisk(), map[string]bool{}
+func newGateway(d *Scenario, no int) *gatewayActor {
+	g := &gatewayActor{scenario: d, index: no, zone: no % d.zoneCount, name: fmt.Sprintf("n%d", no), ip: fmt.Sprintf("10.0.%d.%d", no%d.zoneCount, no+1),
+		memoryMB: d.Plan.MemoryMB, descriptors: d.Plan.Descriptors}
+	g.host, g.directory, g.knownDraining = d.sim.Host(g.ip, "gateways"), simenv.NewDirectory(), map[string]bool{}
 	return g
 }
 
@@ -57,89 +57,89 @@
 
 // config is the text of its configuration file now.
 func (g *gatewayActor) config() []byte {
-	items := append([]event{}, g.d.events...)
-	known := any(map[string]any{"no": len(g.d.events), "items": items})
-	if g.d.Plan.Morning != nil {
-		known = g.d.known()
-	}
-	text := map[string]any{"name": g.name, "listen": g.addr(), "seed": fmt.Sprintf("%016x", g.d.w.Chance.Uint64()),
-		"limits":   map[string]any{"cores": 1, "memory_mb": g.memory, "sockets": g.fds},
-		"bulletin": g.d.bulletins[g.bulletin].addr(), "flow_bytes_per_s": 310000, "link_bytes_per_s": 1240000,
-		"settings": g.d.settings(g.zone)}
+	items := append([]discoveryEvent{}, g.scenario.events...)
+	known := any(map[string]any{"no": len(g.scenario.events), "items": items})
+	if g.scenario.Plan.ColdStart != nil {
+		known = g.scenario.initialList()
+	}
+	text := map[string]any{"name": g.name, "listen": g.addr(), "seed": fmt.Sprintf("%016x", g.scenario.sim.Rand.Uint64()),
+		"limits":   map[string]any{"cores": 1, "memory_mb": g.memoryMB, "sockets": g.descriptors},
+		"bulletin": g.scenario.discoveryServers[g.discoveryIndex].addr(), "flow_bytes_per_s": 310000, "link_bytes_per_s": 1240000,
+		"settings": g.scenario.settings(g.zone)}
 	if known != nil {
 		text["known"] = known
 	}
-	return must(text)
+	return mustMarshal(text)
 }
 
 // start begins a life, if none is under way.
 func (g *gatewayActor) start() {
-	if g.its != nil && !g.its.over {
+	if g.current != nil && !g.current.ended {
 		return
 	}
-	d := g.d
-	if d.Plan.Morning != nil {
-		g.wake(g.its)
+	d := g.scenario
+	if d.Plan.ColdStart != nil {
+		g.restoreMachine(g.current)
 	}
-	g.lives++
-	l := &life{g: g, began: d.w.Now(), told: make([]time.Duration, len(d.events)+1), conns: map[*cacheConn]bool{}}
-	for i := range l.told {
-		l.told[i] = max(1, d.w.Now()) // known from the start
+	g.starts++
+	l := &gatewayProcess{actor: g, startedAt: d.sim.Now(), notified: make([]time.Duration, len(d.events)+1), conns: map[*cacheConn]bool{}}
+	for i := range l.notified {
+		l.notified[i] = max(1, d.sim.Now()) // known from the start
 	}
-	if d.Plan.Morning != nil {
-		l.told, l.sick = nil, d.w.Now()
+	if d.Plan.ColdStart != nil {
+		l.notified, l.cutOffAt = nil, d.sim.Now()
 	}
-	g.its = l
-	g.host.Mute = false
-	l.p = &simenv.Proc{Name: fmt.Sprintf("%s.%d", g.name, g.lives), FDs: g.fds, Skew: g.skew,
-		Env_:  map[string]string{"ROUTER_CONFIG": "/config.json"},
-		Files: map[string][]byte{"/config.json": g.config()}, Line: d.line,
-		Done: func(_ *simenv.Proc, err error) { d.ref.ended(l, err) }}
-	if d.Plan.Morning != nil {
-		g.morning(l.p)
+	g.current = l
+	g.host.Vanished = false
+	l.process = &simenv.Process{Name: fmt.Sprintf("%s.%d", g.name, g.starts), MaxDescriptors: g.descriptors, Skew: g.skew,
+		Variables: map[string]string{"ROUTER_CONFIG": "/config.json"},
+		Files:     map[string][]byte{"/config.json": g.config()}, OnLogLine: d.handleLogLine,
+		OnEnd: func(_ *simenv.Process, err error) { d.checker.gatewayEnded(l, err) }}
+	if d.Plan.ColdStart != nil {
+		g.setUpKeptList(l.process)
 	}
 	watch := gateway.Hooks{OnStarted: func(its *gateway.Gateway) {
-		if l.its, l.ready = its, true; its.Routes() != nil {
-			l.note()
-			l.forced[0].at = 0
+		if l.instance, l.ready = its, true; its.Routes() != nil {
+			l.recordRoutes()
+			l.activeRoutes[0].from = 0
 			d.after(0, l.watchRoutes)
 		}
 	}}
-	if d.Plan.routed() {
-		if g.sides == nil {
-			g.sides = map[uint64]side{1: 0}
+	if d.Plan.changesRoutes() {
+		if g.routeSides == nil {
+			g.routeSides = map[uint64]routeSide{1: 0}
 		} else {
-			g.disk.Crash(d.w.Chance)
+			g.directory.Crash(d.sim.Rand)
 		}
-		g.routes(l.p)
+		g.setUpRoutes(l.process)
 	}
-	if d.proxies != nil {
+	if d.callers != nil {
 		watch.NewServices = func(in gateway.Dependencies) ([]gateway.Service, error) {
 			var err error
-			if l.door, err = doorOf(in, g.ip+":"+doorPort, d); err != nil {
+			if l.extproc, err = newExtprocServer(in, g.ip+":"+extprocPort, d); err != nil {
 				return nil, err
 			}
-			return []gateway.Service{l.door}, nil
+			return []gateway.Service{l.extproc}, nil
 		}
 	}
 	var ground func(env.Environment) env.Environment
-	if d.look.decided != nil {
+	if d.hooks.onDecision != nil {
 		watch.Interceptor = func(h policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
-			return start(&says{Executor: h, fetch: func(h policy.Executor, lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.FetchMode,
+			return start(&executorInterceptor{Executor: h, fetch: func(h policy.Executor, lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.FetchMode,
 				patience, hush, oldest policy.Micros) {
 				h.Fetch(lk, to, source, rank, how, patience, hush, oldest)
-				d.look.decided(d, l, to.Name)
+				d.hooks.onDecision(d, l, to.Name)
 			}})
 		}
 	}
-	if d.look.script != nil {
-		watch.Interceptor = d.look.script.between(d)
+	if d.hooks.script != nil {
+		watch.Interceptor = d.hooks.script.interceptor(d)
 	}
-	if p := plants[d.Plan.Plant]; p.make != nil {
-		watch.Interceptor, ground = p.make(d, l)
+	if p := injectedFaults[d.Plan.InjectedFault]; p.inject != nil {
+		watch.Interceptor, ground = p.inject(d, l)
 	}
-	watch.Interceptor = d.noting(l.p.Name, watch.Interceptor)
-	d.w.Start(g.host, l.p, func(under env.Environment) error {
+	watch.Interceptor = d.recordDecisions(l.process.Name, watch.Interceptor)
+	d.sim.Start(g.host, l.process, func(under env.Environment) error {
 		if ground != nil {
 			under = ground(under)
 		}
@@ -149,32 +149,32 @@
 
 // kill ends the life at once; what it had taken is lost, and not owed.
 func (g *gatewayActor) kill() {
-	if l := g.its; l != nil && !l.over {
-		l.over, l.ended = true, g.d.w.Now()
-		l.p.Kill()
-		g.d.ref.killed(l)
+	if l := g.current; l != nil && !l.ended {
+		l.ended, l.endedAt = true, g.scenario.sim.Now()
+		l.process.Kill()
+		g.scenario.checker.gatewayKilled(l)
 	}
 }
 
-// term stops the gateway as the platform does, and starts it again if asked.
-func (g *gatewayActor) term(again bool) {
-	l := g.its
-	if l == nil || l.over || l.term > 0 {
+// terminate stops the gateway as the platform does, and starts it again if asked.
+func (g *gatewayActor) terminate(again bool) {
+	l := g.current
+	if l == nil || l.ended || l.terminatedAt > 0 {
 		return
 	}
-	d := g.d
-	l.term = d.w.Now()
-	l.p.Signal(env.Terminate)
+	d := g.scenario
+	l.terminatedAt = d.sim.Now()
+	l.process.Signal(env.Terminate)
 	longest := 3 * time.Second
-	for _, k := range kinds {
+	for _, k := range lookupKinds {
 		longest = max(longest, k.deadline)
 	}
 	d.after(longest+700*time.Millisecond, func() {
-		if !l.over {
-			d.ref.broken("stop", "%s still runs when the platform kills it, %s", l.p.Name, l.p.Names())
-			l.over = true
-			l.p.Kill()
-			d.ref.killed(l)
+		if !l.ended {
+			d.checker.violated("stop", "%s still runs when the platform kills it, %s", l.process.Name, l.process.GoroutineNames())
+			l.ended = true
+			l.process.Kill()
+			d.checker.gatewayKilled(l)
 		}
 		if again {
 			d.after(50*time.Millisecond, g.start)
@@ -182,18 +182,20 @@
 	})
 }
 
-// reread puts a file in place of the configuration and says so.
-func (g *gatewayActor) reread(text []byte) {
-	if l := g.its; l != nil && !l.over && l.ready && l.term == 0 {
-		l.p.Files["/config.json"] = text
-		l.p.Signal(env.Reload)
+// reload puts a file in place of the configuration and says so.
+func (g *gatewayActor) reload(text []byte) {
+	if l := g.current; l != nil && !l.ended && l.ready && l.terminatedAt == 0 {
+		l.process.Files["/config.json"] = text
+		l.process.Signal(env.Reload)
 	}
 }
 
-// noting takes every decision of the module into the digest, before whoever else looks on.
-func (d *Day) noting(process string, between dispatch.Interceptor) dispatch.Interceptor {
+// recordDecisions takes every decision of the module into the digest, before whoever else looks on.
+func (d *Scenario) recordDecisions(process string, between dispatch.Interceptor) dispatch.Interceptor {
 	return func(h policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
-		under := func(h policy.Executor) dispatch.Router { return start(&noted{Executor: h, w: d.w, process: process}) }
+		under := func(h policy.Executor) dispatch.Router {
+			return start(&decisionDigester{Executor: h, sim: d.sim, process: process})
+		}
 		if between == nil {
 			return under(h)
 		}
@@ -201,36 +203,36 @@
 	}
 }
 
-// noted notes what the module decides.
-type noted struct {
+// decisionDigester notes what the module decides.
+type decisionDigester struct {
 	policy.Executor
-	w       *simenv.World
+	sim     *simenv.Simulation
 	process string
 }
 
-func (n *noted) note(lk *policy.Lookup, decision string, numbers ...policy.Micros) {
-	n.w.Note(simenv.StepDecision, n.process+" "+lk.ID+" "+decision, "", int64(len(numbers)))
+func (n *decisionDigester) note(lk *policy.Lookup, decision string, numbers ...policy.Micros) {
+	n.sim.Note(simenv.StepDecision, n.process+" "+lk.ID+" "+decision, "", int64(len(numbers)))
 	for _, m := range numbers {
-		n.w.Note(simenv.StepDecision, "", "", int64(m))
+		n.sim.Note(simenv.StepDecision, "", "", int64(m))
 	}
 }
 
-func (n *noted) Fetch(lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.FetchMode, patience, hush, oldest policy.Micros) {
+func (n *decisionDigester) Fetch(lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.FetchMode, patience, hush, oldest policy.Micros) {
 	n.note(lk, "fetch "+to.Name+" "+source.Name, policy.Micros(rank), policy.Micros(how), patience, hush, oldest)
 	n.Executor.Fetch(lk, to, source, rank, how, patience, hush, oldest)
 }
 
-func (n *noted) CancelAttempt(lk *policy.Lookup, send int) {
+func (n *decisionDigester) CancelAttempt(lk *policy.Lookup, send int) {
 	n.note(lk, "cancel", policy.Micros(send))
 	n.Executor.CancelAttempt(lk, send)
 }
 
-func (n *noted) Reject(lk *policy.Lookup, retryIn policy.Micros) {
+func (n *decisionDigester) Reject(lk *policy.Lookup, retryIn policy.Micros) {
 	n.note(lk, "reject", retryIn)
 	n.Executor.Reject(lk, retryIn)
 }
 
-func (n *noted) Fail(lk *policy.Lookup) {
+func (n *decisionDigester) Fail(lk *policy.Lookup) {
 	n.note(lk, "fail")
 	n.Executor.Fail(lk)
 }
--- a/internal/lab/scenario/plan.go
+++ b/internal/lab/scenario/plan.go
@@ -15,50 +15,50 @@
 )
 
 // Form is the form of plans on file.
-const Form = 1
+const PlanForm = 1
 
 // Plan is a day: its size, its length and its faults.
 type Plan struct {
-	Form     int      `json:"form"`
-	Seed     uint64   `json:"seed"`
-	Days     string   `json:"days"`
-	Seconds  int      `json:"seconds"` // from the clients' first lookup to their last
-	Gateways int      `json:"gateways"`
-	Caches   int      `json:"caches"`
-	Parents  int      `json:"parents"`
-	Rate     float64  `json:"rate"`      // lookups a second at each gateway
-	MemoryMB float64  `json:"memory_mb"` // told to each gateway
-	FDs      int      `json:"descriptors"`
-	Faults   []Fault  `json:"faults"`
-	Plant    string   `json:"plant,omitempty"` // a fault of the gateway itself, to prove the referee
-	Morning  *Morning `json:"morning,omitempty"`
+	Form          int        `json:"form"`
+	Seed          uint64     `json:"seed"`
+	Profile       string     `json:"days"`
+	Seconds       int        `json:"seconds"` // from the clients' first lookup to their last
+	Gateways      int        `json:"gateways"`
+	Caches        int        `json:"caches"`
+	Parents       int        `json:"parents"`
+	Rate          float64    `json:"rate"`      // lookups a second at each gateway
+	MemoryMB      float64    `json:"memory_mb"` // told to each gateway
+	Descriptors   int        `json:"descriptors"`
+	Faults        []Fault    `json:"faults"`
+	InjectedFault string     `json:"plant,omitempty"` // a fault of the gateway itself, to prove the referee
+	ColdStart     *ColdStart `json:"morning,omitempty"`
 }
 
 // Fault is one trouble, with its beginning and its span in milliseconds. Who is a number that is taken modulo the
 // parties of its kind; More is what the kind makes of it.
 type Fault struct {
-	At   int    `json:"at_ms"`
-	Kind string `json:"kind"`
-	Who  int    `json:"who"`
-	For  int    `json:"for_ms"`
-	More int    `json:"more,omitempty"`
+	AtMS       int    `json:"at_ms"`
+	Kind       string `json:"kind"`
+	Target     int    `json:"who"`
+	DurationMS int    `json:"for_ms"`
+	Variant    int    `json:"more,omitempty"`
 }
 
 func (f Fault) String() string {
-	return fmt.Sprintf("%d.%03d s %s who=%d for=%dms", f.At/1000, f.At%1000, f.Kind, f.Who, f.For)
+	return fmt.Sprintf("%d.%03d s %s who=%d for=%dms", f.AtMS/1000, f.AtMS%1000, f.Kind, f.Target, f.DurationMS)
 }
 
-// Kind is a kind of fault.
-type Kind struct {
-	Name, Help  string
-	least, most int // span in milliseconds
-	weight      int
-	allDay      bool
-	begin       func(d *Day, f Fault)
+// FaultKind is a kind of fault.
+type FaultKind struct {
+	Name, Help   string
+	minMS, maxMS int // span in milliseconds
+	weight       int
+	fromStart    bool
+	begin        func(d *Scenario, f Fault)
 }
 
 // Days are the kinds of days and what they draw from.
-var Days = map[string]string{
+var Profiles = map[string]string{
 	"mixed":    "faults of every kind, two to nine a day, overlapping",
 	"calm":     "no faults",
 	"gateways": "gateways die, restart and read anew",
@@ -71,7 +71,7 @@
 	"morning":  "gateways start from a list on disk, young or old, while the bulletin is away; few faults besides",
 }
 
-func belongs(days, kind string) bool {
+func profileDraws(days, kind string) bool {
 	has := func(words ...string) bool {
 		return slices.ContainsFunc(words, func(w string) bool { return strings.HasPrefix(kind, w) })
 	}
@@ -99,22 +99,22 @@
 	return false
 }
 
-// proxied tells whether other proxies ask at the gateways' doors.
-func (p Plan) proxied() bool { return p.Days == "door" || p.Days == "both" }
+// usesExternalProcessor tells whether other proxies ask at the gateways' doors.
+func (p Plan) usesExternalProcessor() bool { return p.Profile == "door" || p.Profile == "both" }
 
-// Draw makes the plan of a seed.
-func Draw(seed uint64, days string) Plan {
+// DrawPlan makes the plan of a seed.
+func DrawPlan(seed uint64, days string) Plan {
 	r := rand.New(rand.NewPCG(seed, 0x6461792d706c616e))
-	p := Plan{Form: Form, Seed: seed, Days: days, Seconds: 60, Gateways: 3, Caches: 8, Parents: 2, Rate: 6 + 6*r.Float64(),
-		MemoryMB: 64, FDs: 384}
+	p := Plan{Form: PlanForm, Seed: seed, Profile: days, Seconds: 60, Gateways: 3, Caches: 8, Parents: 2, Rate: 6 + 6*r.Float64(),
+		MemoryMB: 64, Descriptors: 384}
 	if r.IntN(8) == 0 { // now and then a larger place
 		p.Gateways, p.Caches, p.Parents = 4+r.IntN(9), 8+r.IntN(33), 2+r.IntN(3)
 		p.Rate = min(p.Rate, 30/float64(p.Gateways))
 	}
-	var from []Kind
+	var from []FaultKind
 	sum := 0
-	for _, k := range Kinds {
-		if belongs(days, k.Name) {
+	for _, k := range FaultKinds {
+		if profileDraws(days, k.Name) {
 			from = append(from, k)
 			sum += k.weight
 		}
@@ -122,7 +122,7 @@
 	if len(from) == 0 {
 		return p
 	}
-	draw := func() Kind {
+	draw := func() FaultKind {
 		n := r.IntN(sum)
 		for _, k := range from {
 			if n -= k.weight; n < 0 {
@@ -135,35 +135,35 @@
 	n := 2 + r.IntN(8)
 	if days == "routes" {
 		for range 3 + r.IntN(6) {
-			p.Faults = append(p.Faults, Fault{Kind: "route_change", At: 2000 + r.IntN(55000), Who: r.IntN(1 << 16), More: r.IntN(1 << 16), For: 50 + r.IntN(2000)})
+			p.Faults = append(p.Faults, Fault{Kind: "route_change", AtMS: 2000 + r.IntN(55000), Target: r.IntN(1 << 16), Variant: r.IntN(1 << 16), DurationMS: 50 + r.IntN(2000)})
 		}
 	}
 	if days == "morning" {
-		p.Morning = drawMorning(r)
+		p.ColdStart = drawColdStart(r)
 		n = r.IntN(4)
 	}
 	for range n {
 		k := draw()
-		f := Fault{Kind: k.Name, Who: r.IntN(1 << 16), More: r.IntN(1 << 16), For: k.least + r.IntN(k.most-k.least+1)}
+		f := Fault{Kind: k.Name, Target: r.IntN(1 << 16), Variant: r.IntN(1 << 16), DurationMS: k.minMS + r.IntN(k.maxMS-k.minMS+1)}
 		switch r.IntN(3) {
 		case 0:
-			f.At = knots[r.IntN(2)] // at the very instant
+			f.AtMS = knots[r.IntN(2)] // at the very instant
 		case 1:
-			f.At = knots[r.IntN(2)] + r.IntN(3000)
+			f.AtMS = knots[r.IntN(2)] + r.IntN(3000)
 		default:
-			f.At = 3000 + r.IntN(54000)
+			f.AtMS = 3000 + r.IntN(54000)
 		}
-		if k.allDay {
-			f.At = 0
+		if k.fromStart {
+			f.AtMS = 0
 		}
 		p.Faults = append(p.Faults, f)
 	}
-	slices.SortStableFunc(p.Faults, func(a, b Fault) int { return a.At - b.At })
+	slices.SortStableFunc(p.Faults, func(a, b Fault) int { return a.AtMS - b.AtMS })
 	return p
 }
 
-// Read reads a plan from a file's text.
-func Read(text []byte) (Plan, error) {
+// ReadPlan reads a plan from a file's text.
+func ReadPlan(text []byte) (Plan, error) {
 	var p Plan
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
@@ -173,17 +173,17 @@
 	if err := json.Unmarshal(text, &form); err != nil {
 		return p, fmt.Errorf("not a plan in JSON: %w", err)
 	}
-	if form.Form != Form {
-		return p, fmt.Errorf("a plan of form %d; this program plays form %d: draw the seed anew", form.Form, Form)
+	if form.Form != PlanForm {
+		return p, fmt.Errorf("a plan of form %d; this program plays form %d: draw the seed anew", form.Form, PlanForm)
 	}
 	if err := d.Decode(&p); err != nil {
 		return p, fmt.Errorf("not a plan: %w", err)
 	}
-	return p, p.Check()
+	return p, p.Validate()
 }
 
-// Check tells what of a plan cannot be played.
-func (p Plan) Check() error {
+// Validate tells what of a plan cannot be played.
+func (p Plan) Validate() error {
 	in := func(name string, n, least, most int) error {
 		if n < least || n > most {
 			return fmt.Errorf("%s is %d, expected %d to %d", name, n, least, most)
@@ -191,44 +191,44 @@
 		return nil
 	}
 	for _, err := range []error{in("seconds", p.Seconds, 1, 3600), in("gateways", p.Gateways, 1, 12),
-		in("caches", p.Caches, 1, 40), in("parents", p.Parents, 1, 8), in("descriptors", p.FDs, 32, 4096),
+		in("caches", p.Caches, 1, 40), in("parents", p.Parents, 1, 8), in("descriptors", p.Descriptors, 32, 4096),
 		in("memory_mb", int(p.MemoryMB), 8, 4096), in("rate", int(p.Rate), 0, 1000)} {
 		if err != nil {
 			return err
 		}
 	}
-	if _, known := Days[p.Days]; !known {
-		return fmt.Errorf("days %q is unknown, expected one of %s", p.Days, strings.Join(sorted(Days), ", "))
+	if _, known := Profiles[p.Profile]; !known {
+		return fmt.Errorf("days %q is unknown, expected one of %s", p.Profile, strings.Join(sortedKeys(Profiles), ", "))
 	}
-	if p.Morning != nil {
-		if err := p.Morning.check(); err != nil {
+	if p.ColdStart != nil {
+		if err := p.ColdStart.validate(); err != nil {
 			return err
 		}
 	}
 	for i, f := range p.Faults {
-		if kindOf(f.Kind) == nil {
+		if findFaultKind(f.Kind) == nil {
 			return fmt.Errorf("faults[%d]: kind %q is unknown; foldslip faults kinds lists them", i, f.Kind)
 		}
-		if f.At < 0 || f.For < 0 || f.Who < 0 || f.More < 0 {
+		if f.AtMS < 0 || f.DurationMS < 0 || f.Target < 0 || f.Variant < 0 {
 			return fmt.Errorf("faults[%d]: a figure is negative", i)
 		}
 	}
-	if p.Plant != "" && plants[p.Plant].help == "" && doorPlants[p.Plant].help == "" {
-		return fmt.Errorf("plant %q is unknown, expected one of %s", p.Plant, strings.Join(Plants(), ", "))
+	if p.InjectedFault != "" && injectedFaults[p.InjectedFault].help == "" && extprocFaults[p.InjectedFault].help == "" {
+		return fmt.Errorf("plant %q is unknown, expected one of %s", p.InjectedFault, strings.Join(InjectedFaults(), ", "))
 	}
 	return nil
 }
 
-func kindOf(name string) *Kind {
-	for i := range Kinds {
-		if Kinds[i].Name == name {
-			return &Kinds[i]
+func findFaultKind(name string) *FaultKind {
+	for i := range FaultKinds {
+		if FaultKinds[i].Name == name {
+			return &FaultKinds[i]
 		}
 	}
 	return nil
 }
 
-func sorted[T any](m map[string]T) (names []string) {
+func sortedKeys[T any](m map[string]T) (names []string) {
 	for n := range m {
 		names = append(names, n)
 	}
@@ -236,8 +236,8 @@
 	return names
 }
 
-func drawMorning(r *rand.Rand) *Morning {
-	return &Morning{From: "list", Age: []int{2, 60, 3600, 86400, 30 * 86400}[r.IntN(5)], Wrong: []float64{0, 0.1, 0.5, 1}[r.IntN(4)],
-		Away: []int{0, 3000, 12000, 35000}[r.IntN(4)], Cold: r.IntN(3) == 0, Torn: r.IntN(6) == 0,
-		Skew: []int{0, 0, 0, -7200, 7200}[r.IntN(5)], Spans: r.IntN(4) == 0, Behind: r.IntN(4) == 0}
+func drawColdStart(r *rand.Rand) *ColdStart {
+	return &ColdStart{StartFrom: "list", AgeSeconds: []int{2, 60, 3600, 86400, 30 * 86400}[r.IntN(5)], WrongShare: []float64{0, 0.1, 0.5, 1}[r.IntN(4)],
+		AwayMS: []int{0, 3000, 12000, 35000}[r.IntN(4)], Cold: r.IntN(3) == 0, Torn: r.IntN(6) == 0,
+		SkewSeconds: []int{0, 0, 0, -7200, 7200}[r.IntN(5)], NumbersRestarted: r.IntN(4) == 0, DrainUnannounced: r.IntN(4) == 0}
 }
--- a/internal/lab/scenario/plant.go
+++ b/internal/lab/scenario/plant.go
@@ -13,172 +13,174 @@
 	"foldslip/internal/policy"
 )
 
-// plant is a fault of the gateway itself, planted at its seams (its ground, or between facade and module) to prove that
+// injectedFault is a fault of the gateway itself, planted at its seams (its ground, or between facade and module) to prove that
 // the referee sees it. Nothing of this is in the gateway's own code.
-type plant struct {
-	help string
-	make func(d *Day, l *life) (dispatch.Interceptor, func(env.Environment) env.Environment)
+type injectedFault struct {
+	help   string
+	inject func(d *Scenario, l *gatewayProcess) (dispatch.Interceptor, func(env.Environment) env.Environment)
 }
 
-// Plants are the names of the faults that can be planted.
-func Plants() []string { return append(sorted(plants), sorted(doorPlants)...) }
+// InjectedFaults are the names of the faults that can be planted.
+func InjectedFaults() []string {
+	return append(sortedKeys(injectedFaults), sortedKeys(extprocFaults)...)
+}
 
-// ground is a process's ground with some of it replaced.
-type ground struct {
+// faultyEnvironment is a process's ground with some of it replaced.
+type faultyEnvironment struct {
 	env.Environment
-	conn    func(c env.Conn, dialled bool) env.Conn
-	timer   func(t env.Timer) env.Timer
-	group   func(g env.Group) env.Group
-	signals func(hear func(env.Signal)) func(env.Signal)
-	fds     func(n uint64) uint64
-	file    func(text []byte) []byte
+	wrapConn          func(c env.Conn, dialled bool) env.Conn
+	wrapTimer         func(t env.Timer) env.Timer
+	wrapGroup         func(g env.Group) env.Group
+	wrapSignals       func(hear func(env.Signal)) func(env.Signal)
+	changeDescriptors func(n uint64) uint64
+	changeFile        func(text []byte) []byte
 }
 
-func (g *ground) Dial(life *env.Lifetime, addr string, within time.Duration) (net.Conn, error) {
+func (g *faultyEnvironment) Dial(life *env.Lifetime, addr string, within time.Duration) (net.Conn, error) {
 	c, err := g.Environment.Dial(life, addr, within)
-	if err == nil && g.conn != nil {
-		return g.conn(c.(env.Conn), true), nil
+	if err == nil && g.wrapConn != nil {
+		return g.wrapConn(c.(env.Conn), true), nil
 	}
 	return c, err
 }
 
-type tampered struct {
+type faultyListener struct {
 	net.Listener
-	g *ground
+	environment *faultyEnvironment
 }
 
-func (t tampered) Accept() (net.Conn, error) {
+func (t faultyListener) Accept() (net.Conn, error) {
 	c, err := t.Listener.Accept()
-	if err == nil && t.g.conn != nil {
-		return t.g.conn(c.(env.Conn), false), nil
+	if err == nil && t.environment.wrapConn != nil {
+		return t.environment.wrapConn(c.(env.Conn), false), nil
 	}
 	return c, err
 }
 
-func (t tampered) SetDeadline(at time.Time) error {
+func (t faultyListener) SetDeadline(at time.Time) error {
 	return t.Listener.(interface{ SetDeadline(time.Time) error }).SetDeadline(at)
 }
 
-func (g *ground) Listen(addr string) (net.Listener, error) {
+func (g *faultyEnvironment) Listen(addr string) (net.Listener, error) {
 	l, err := g.Environment.Listen(addr)
-	return tampered{l, g}, err
+	return faultyListener{l, g}, err
 }
 
-func (g *ground) AfterFunc(d time.Duration, f func()) env.Timer {
+func (g *faultyEnvironment) AfterFunc(d time.Duration, f func()) env.Timer {
 	t := g.Environment.AfterFunc(d, f)
-	if g.timer != nil {
-		return g.timer(t)
+	if g.wrapTimer != nil {
+		return g.wrapTimer(t)
 	}
 	return t
 }
 
-func (g *ground) NewGroup() env.Group {
-	if g.group != nil {
-		return g.group(g.Environment.NewGroup())
+func (g *faultyEnvironment) NewGroup() env.Group {
+	if g.wrapGroup != nil {
+		return g.wrapGroup(g.Environment.NewGroup())
 	}
 	return g.Environment.NewGroup()
 }
 
-func (g *ground) OnSignal(hear func(env.Signal)) func() {
-	if g.signals != nil {
-		hear = g.signals(hear)
+func (g *faultyEnvironment) OnSignal(hear func(env.Signal)) func() {
+	if g.wrapSignals != nil {
+		hear = g.wrapSignals(hear)
 	}
 	return g.Environment.OnSignal(hear)
 }
 
-func (g *ground) ReadFile(path string) ([]byte, error) {
+func (g *faultyEnvironment) ReadFile(path string) ([]byte, error) {
 	text, err := g.Environment.ReadFile(path)
-	if g.file != nil {
-		text = g.file(text)
+	if g.changeFile != nil {
+		text = g.changeFile(text)
 	}
 	return text, err
 }
 
-func (g *ground) DescriptorLimit() uint64 {
-	if g.fds != nil {
-		return g.fds(g.Environment.DescriptorLimit())
+func (g *faultyEnvironment) DescriptorLimit() uint64 {
+	if g.changeDescriptors != nil {
+		return g.changeDescriptors(g.Environment.DescriptorLimit())
 	}
 	return g.Environment.DescriptorLimit()
 }
 
-// wired is a connection whose bytes or end are tampered with.
-type wired struct {
+// faultyConn is a connection whose bytes or end are tampered with.
+type faultyConn struct {
 	env.Conn
-	write func(c env.Conn, b []byte) (int, error)
-	read  func(b []byte) []byte // of the same length
-	ended func()                // before the far side's end is told
-	close func(c env.Conn) error
+	write     func(c env.Conn, b []byte) (int, error)
+	read      func(b []byte) []byte // of the same length
+	beforeEnd func()                // before the far side's end is told
+	close     func(c env.Conn) error
 }
 
-func (w *wired) Write(b []byte) (int, error) {
+func (w *faultyConn) Write(b []byte) (int, error) {
 	if w.write != nil {
 		return w.write(w.Conn, b)
 	}
 	return w.Conn.Write(b)
 }
 
-func (w *wired) Read(b []byte) (int, error) {
+func (w *faultyConn) Read(b []byte) (int, error) {
 	n, err := w.Conn.Read(b)
 	if n > 0 && w.read != nil {
 		copy(b[:n], w.read(b[:n]))
 	}
-	if err != nil && w.ended != nil && !errors.Is(err, os.ErrDeadlineExceeded) && !errors.Is(err, net.ErrClosed) {
-		w.ended()
+	if err != nil && w.beforeEnd != nil && !errors.Is(err, os.ErrDeadlineExceeded) && !errors.Is(err, net.ErrClosed) {
+		w.beforeEnd()
 	}
 	return n, err
 }
 
-func (w *wired) Close() error {
+func (w *faultyConn) Close() error {
 	if w.close != nil {
 		return w.close(w.Conn)
 	}
 	return w.Conn.Close()
 }
 
-// told stands before the module: it passes on what it is told, but for what a plant replaces.
-type told struct {
+// moduleInterceptor stands before the module: it passes on what it is told, but for what a plant replaces.
+type moduleInterceptor struct {
 	dispatch.Router
-	rows   func(rows []policy.Endpoint) []policy.Endpoint
-	purged func() bool // whether a purge is passed on
-	ended  func() bool
-	within func(s *policy.Scope) *policy.Scope
+	changeRows  func(rows []policy.Endpoint) []policy.Endpoint
+	passPurge   func() bool // whether a purge is passed on
+	passEnded   func() bool
+	changeScope func(s *policy.Scope) *policy.Scope
 }
 
-func (t *told) SetNextScope(s *policy.Scope) {
-	if t.within != nil {
-		s = t.within(s)
+func (t *moduleInterceptor) SetNextScope(s *policy.Scope) {
+	if t.changeScope != nil {
+		s = t.changeScope(s)
 	}
 	t.Router.SetNextScope(s)
 }
 
-func (t *told) UpdateEndpoints(now policy.Micros, what policy.UpdateKind, rows []policy.Endpoint) {
-	if t.rows != nil {
-		rows = t.rows(slices.Clone(rows))
+func (t *moduleInterceptor) UpdateEndpoints(now policy.Micros, what policy.UpdateKind, rows []policy.Endpoint) {
+	if t.changeRows != nil {
+		rows = t.changeRows(slices.Clone(rows))
 	}
 	t.Router.UpdateEndpoints(now, what, rows)
 }
 
-func (t *told) ApplyPurge(now policy.Micros, name string, group int, ago policy.Micros) {
-	if t.purged == nil || t.purged() {
+func (t *moduleInterceptor) ApplyPurge(now policy.Micros, name string, group int, ago policy.Micros) {
+	if t.passPurge == nil || t.passPurge() {
 		t.Router.ApplyPurge(now, name, group, ago)
 	}
 }
 
-func (t *told) AttemptEnded(now policy.Micros, lk *policy.Lookup, n int, e policy.AttemptOutcome, remark policy.OutcomeDetail, took,
+func (t *moduleInterceptor) AttemptEnded(now policy.Micros, lk *policy.Lookup, n int, e policy.AttemptOutcome, remark policy.OutcomeDetail, took,
 	waited policy.Micros, closed bool) {
-	if t.ended == nil || t.ended() {
+	if t.passEnded == nil || t.passEnded() {
 		t.Router.AttemptEnded(now, lk, n, e, remark, took, waited, closed)
 	}
 }
 
-// says stands before the facade: it does what the module asks for, but for what a plant replaces.
-type says struct {
+// executorInterceptor stands before the facade: it does what the module asks for, but for what a plant replaces.
+type executorInterceptor struct {
 	policy.Executor
-	fetch func(h policy.Executor, lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.FetchMode, patience, hush, oldest policy.Micros)
-	nack  func(h policy.Executor, lk *policy.Lookup, in policy.Micros)
+	fetch  func(h policy.Executor, lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.FetchMode, patience, hush, oldest policy.Micros)
+	reject func(h policy.Executor, lk *policy.Lookup, in policy.Micros)
 }
 
-func (s *says) Fetch(lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.FetchMode, patience, hush, oldest policy.Micros) {
+func (s *executorInterceptor) Fetch(lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.FetchMode, patience, hush, oldest policy.Micros) {
 	if s.fetch != nil {
 		s.fetch(s.Executor, lk, to, source, rank, how, patience, hush, oldest)
 		return
@@ -186,23 +188,23 @@
 	s.Executor.Fetch(lk, to, source, rank, how, patience, hush, oldest)
 }
 
-func (s *says) Reject(lk *policy.Lookup, in policy.Micros) {
-	if s.nack != nil {
-		s.nack(s.Executor, lk, in)
+func (s *executorInterceptor) Reject(lk *policy.Lookup, in policy.Micros) {
+	if s.reject != nil {
+		s.reject(s.Executor, lk, in)
 		return
 	}
 	s.Executor.Reject(lk, in)
 }
 
 // onAnswers plants at the connections of clients, for one answer in so many.
-func onAnswers(one int, do func(d *Day, l *life, g env.Environment, c env.Conn, b []byte) (int, error)) func(*Day, *life) (
+func onAnswers(one int, do func(d *Scenario, l *gatewayProcess, g env.Environment, c env.Conn, b []byte) (int, error)) func(*Scenario, *gatewayProcess) (
 	dispatch.Interceptor, func(env.Environment) env.Environment) {
-	return onConns(func(d *Day, l *life, g env.Environment, c env.Conn, dialled bool) env.Conn {
+	return onConnections(func(d *Scenario, l *gatewayProcess, g env.Environment, c env.Conn, dialled bool) env.Conn {
 		if dialled {
 			return c
 		}
-		return &wired{Conn: c, write: func(c env.Conn, b []byte) (int, error) {
-			if bytes.HasPrefix(b, []byte("HTTP/1.1 ")) && d.chance(one) == 0 {
+		return &faultyConn{Conn: c, write: func(c env.Conn, b []byte) (int, error) {
+			if bytes.HasPrefix(b, []byte("HTTP/1.1 ")) && d.randN(one) == 0 {
 				return do(d, l, g, c, b)
 			}
 			return c.Write(b)
@@ -210,51 +212,51 @@
 	})
 }
 
-func onConns(do func(d *Day, l *life, g env.Environment, c env.Conn, dialled bool) env.Conn) func(*Day, *life) (
+func onConnections(do func(d *Scenario, l *gatewayProcess, g env.Environment, c env.Conn, dialled bool) env.Conn) func(*Scenario, *gatewayProcess) (
 	dispatch.Interceptor, func(env.Environment) env.Environment) {
-	return func(d *Day, l *life) (dispatch.Interceptor, func(env.Environment) env.Environment) {
+	return func(d *Scenario, l *gatewayProcess) (dispatch.Interceptor, func(env.Environment) env.Environment) {
 		return nil, func(under env.Environment) env.Environment {
-			g := &ground{Environment: under}
-			g.conn = func(c env.Conn, dialled bool) env.Conn { return do(d, l, under, c, dialled) }
+			g := &faultyEnvironment{Environment: under}
+			g.wrapConn = func(c env.Conn, dialled bool) env.Conn { return do(d, l, under, c, dialled) }
 			return g
 		}
 	}
 }
 
-// leftLate plants that the end of a client's connection is heard late.
-func leftLate(by time.Duration) func(*Day, *life) (dispatch.Interceptor, func(env.Environment) env.Environment) {
-	return onConns(func(_ *Day, _ *life, g env.Environment, c env.Conn, dialled bool) env.Conn {
+// delayClientClose plants that the end of a client's connection is heard late.
+func delayClientClose(by time.Duration) func(*Scenario, *gatewayProcess) (dispatch.Interceptor, func(env.Environment) env.Environment) {
+	return onConnections(func(_ *Scenario, _ *gatewayProcess, g env.Environment, c env.Conn, dialled bool) env.Conn {
 		if dialled {
 			return c
 		}
-		return &wired{Conn: c, ended: func() { g.NewNotifier().Wait(by) }}
+		return &faultyConn{Conn: c, beforeEnd: func() { g.NewNotifier().Wait(by) }}
 	})
 }
 
-func onGround(change func(d *Day, g *ground)) func(*Day, *life) (dispatch.Interceptor, func(env.Environment) env.Environment) {
-	return func(d *Day, _ *life) (dispatch.Interceptor, func(env.Environment) env.Environment) {
+func changeEnvironment(change func(d *Scenario, g *faultyEnvironment)) func(*Scenario, *gatewayProcess) (dispatch.Interceptor, func(env.Environment) env.Environment) {
+	return func(d *Scenario, _ *gatewayProcess) (dispatch.Interceptor, func(env.Environment) env.Environment) {
 		return nil, func(under env.Environment) env.Environment {
-			g := &ground{Environment: under}
+			g := &faultyEnvironment{Environment: under}
 			change(d, g)
 			return g
 		}
 	}
 }
 
-func onTold(change func(d *Day, l *life, t *told)) func(*Day, *life) (dispatch.Interceptor, func(env.Environment) env.Environment) {
-	return func(d *Day, l *life) (dispatch.Interceptor, func(env.Environment) env.Environment) {
+func interceptModule(change func(d *Scenario, l *gatewayProcess, t *moduleInterceptor)) func(*Scenario, *gatewayProcess) (dispatch.Interceptor, func(env.Environment) env.Environment) {
+	return func(d *Scenario, l *gatewayProcess) (dispatch.Interceptor, func(env.Environment) env.Environment) {
 		return func(h policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
-			t := &told{Router: start(h)}
+			t := &moduleInterceptor{Router: start(h)}
 			change(d, l, t)
 			return t
 		}, nil
 	}
 }
 
-func onSays(change func(d *Day, s *says)) func(*Day, *life) (dispatch.Interceptor, func(env.Environment) env.Environment) {
-	return func(d *Day, _ *life) (dispatch.Interceptor, func(env.Environment) env.Environment) {
+func interceptExecutor(change func(d *Scenario, s *executorInterceptor)) func(*Scenario, *gatewayProcess) (dispatch.Interceptor, func(env.Environment) env.Environment) {
+	return func(d *Scenario, _ *gatewayProcess) (dispatch.Interceptor, func(env.Environment) env.Environment) {
 		return func(h policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
-			s := &says{Executor: h}
+			s := &executorInterceptor{Executor: h}
 			change(d, s)
 			return start(s)
 		}, nil
@@ -267,43 +269,43 @@
 
 type leakyGroup struct {
 	env.Group
-	d *Day
-	g env.Environment
+	scenario    *Scenario
+	environment env.Environment
 }
 
 func (l leakyGroup) Go(name string, f func() error) {
-	if name == "lookup" && l.d.chance(50) == 0 {
-		l.g.AfterFunc(0, func() { l.g.NewNotifier().Wait(time.Hour) })
+	if name == "lookup" && l.scenario.randN(50) == 0 {
+		l.environment.AfterFunc(0, func() { l.environment.NewNotifier().Wait(time.Hour) })
 	}
 	l.Group.Go(name, f)
 }
 
-var plants map[string]plant
+var injectedFaults map[string]injectedFault
 
 func init() {
-	plants = map[string]plant{
-		"answer_lost": {"an answer is not written", onAnswers(60, func(_ *Day, _ *life, _ env.Environment, _ env.Conn, b []byte) (int, error) {
+	injectedFaults = map[string]injectedFault{
+		"answer_lost": {"an answer is not written", onAnswers(60, func(_ *Scenario, _ *gatewayProcess, _ env.Environment, _ env.Conn, b []byte) (int, error) {
 			return len(b), nil
 		})},
-		"answer_twice": {"an answer is written twice", onAnswers(60, func(_ *Day, _ *life, _ env.Environment, c env.Conn, b []byte) (int, error) {
+		"answer_twice": {"an answer is written twice", onAnswers(60, func(_ *Scenario, _ *gatewayProcess, _ env.Environment, c env.Conn, b []byte) (int, error) {
 			c.Write(b)
 			return c.Write(b)
 		})},
-		"answer_late": {"an answer is held up past its time", onAnswers(60, func(_ *Day, _ *life, g env.Environment, c env.Conn, b []byte) (int, error) {
+		"answer_late": {"an answer is held up past its time", onAnswers(60, func(_ *Scenario, _ *gatewayProcess, g env.Environment, c env.Conn, b []byte) (int, error) {
 			g.NewNotifier().Wait(5100 * time.Millisecond)
 			return c.Write(b)
 		})},
-		"answer_spoilt": {"a byte of an answer is changed", onAnswers(60, func(_ *Day, _ *life, _ env.Environment, c env.Conn, b []byte) (int, error) {
+		"answer_spoilt": {"a byte of an answer is changed", onAnswers(60, func(_ *Scenario, _ *gatewayProcess, _ env.Environment, c env.Conn, b []byte) (int, error) {
 			b = slices.Clone(b)
 			b[len(b)-1] ^= 1
 			return c.Write(b)
 		})},
-		"answer_mixed": {"an answer brings another's bytes", func() func(*Day, *life) (dispatch.Interceptor, func(env.Environment) env.Environment) {
-			return func(d *Day, l *life) (dispatch.Interceptor, func(env.Environment) env.Environment) {
+		"answer_mixed": {"an answer brings another's bytes", func() func(*Scenario, *gatewayProcess) (dispatch.Interceptor, func(env.Environment) env.Environment) {
+			return func(d *Scenario, l *gatewayProcess) (dispatch.Interceptor, func(env.Environment) env.Environment) {
 				var last []byte
-				return onAnswers(1, func(d *Day, _ *life, _ env.Environment, c env.Conn, b []byte) (int, error) {
+				return onAnswers(1, func(d *Scenario, _ *gatewayProcess, _ env.Environment, c env.Conn, b []byte) (int, error) {
 					was := last
-					if last = slices.Clone(b); was != nil && bytes.HasPrefix(b, []byte("HTTP/1.1 200")) && d.chance(80) == 0 {
+					if last = slices.Clone(b); was != nil && bytes.HasPrefix(b, []byte("HTTP/1.1 200")) && d.randN(80) == 0 {
 						c.Write(was)
 						return len(b), nil
 					}
@@ -311,21 +313,21 @@
 				})(d, l)
 			}
 		}()},
-		"nack_kept_back": {"a nack is written near the deadline", onConns(func(d *Day, _ *life, g env.Environment, c env.Conn, dialled bool) env.Conn {
+		"nack_kept_back": {"a nack is written near the deadline", onConnections(func(d *Scenario, _ *gatewayProcess, g env.Environment, c env.Conn, dialled bool) env.Conn {
 			if dialled {
 				return c
 			}
-			return &wired{Conn: c, write: func(c env.Conn, b []byte) (int, error) {
+			return &faultyConn{Conn: c, write: func(c env.Conn, b []byte) (int, error) {
 				if bytes.HasPrefix(b, []byte("HTTP/1.1 503 ")) && bytes.Contains(b, []byte("X-Wait-Ms")) {
 					g.NewNotifier().Wait(1200 * time.Millisecond)
 				}
 				return c.Write(b)
 			}}
 		})},
-		"leave_unheard": {"that a client left is heard 1.5 s late", leftLate(1500 * time.Millisecond)},
-		"leave_late":    {"that a client left is heard 0.2 s late", leftLate(200 * time.Millisecond)},
-		"drain_unheard": {"a drain does not reach the module", onTold(func(_ *Day, _ *life, t *told) {
-			t.rows = func(rows []policy.Endpoint) []policy.Endpoint {
+		"leave_unheard": {"that a client left is heard 1.5 s late", delayClientClose(1500 * time.Millisecond)},
+		"leave_late":    {"that a client left is heard 0.2 s late", delayClientClose(200 * time.Millisecond)},
+		"drain_unheard": {"a drain does not reach the module", interceptModule(func(_ *Scenario, _ *gatewayProcess, t *moduleInterceptor) {
+			t.changeRows = func(rows []policy.Endpoint) []policy.Endpoint {
 				for i := range rows {
 					if rows[i].State == policy.Draining {
 						rows[i].State = policy.Ready
@@ -334,31 +336,31 @@
 				return rows
 			}
 		})},
-		"gone_unheard": {"word that a cache has gone does not reach the module", onTold(func(_ *Day, _ *life, t *told) {
-			t.rows = func(rows []policy.Endpoint) []policy.Endpoint {
+		"gone_unheard": {"word that a cache has gone does not reach the module", interceptModule(func(_ *Scenario, _ *gatewayProcess, t *moduleInterceptor) {
+			t.changeRows = func(rows []policy.Endpoint) []policy.Endpoint {
 				return slices.DeleteFunc(rows, func(r policy.Endpoint) bool { return r.State != policy.Ready })
 			}
 		})},
-		"purge_unheard": {"recalls are read as of another object", onConns(func(_ *Day, _ *life, _ env.Environment, c env.Conn, _ bool) env.Conn {
-			return &wired{Conn: c, read: func(b []byte) []byte {
+		"purge_unheard": {"recalls are read as of another object", onConnections(func(_ *Scenario, _ *gatewayProcess, _ env.Environment, c env.Conn, _ bool) env.Conn {
+			return &faultyConn{Conn: c, read: func(b []byte) []byte {
 				for _, old := range []string{`"item":"s`, `"item":"p`} {
 					b = bytes.ReplaceAll(b, []byte(old), []byte(old[:len(old)-1]+"z"))
 				}
 				return b
 			}}
 		})},
-		"purge_late": {"the bulletin is read three seconds late", onConns(func(_ *Day, _ *life, g env.Environment, c env.Conn, dialled bool) env.Conn {
+		"purge_late": {"the bulletin is read three seconds late", onConnections(func(_ *Scenario, _ *gatewayProcess, g env.Environment, c env.Conn, dialled bool) env.Conn {
 			if !dialled || c.RemoteAddr().String()[:5] != "10.7." {
 				return c
 			}
-			return &wired{Conn: c, read: func(b []byte) []byte {
+			return &faultyConn{Conn: c, read: func(b []byte) []byte {
 				if bytes.Contains(b, []byte("recall")) {
 					g.NewNotifier().Wait(3 * time.Second)
 				}
 				return b
 			}}
 		})},
-		"doubled_send": {"a side-effecting send goes out twice", onSays(func(_ *Day, s *says) {
+		"doubled_send": {"a side-effecting send goes out twice", interceptExecutor(func(_ *Scenario, s *executorInterceptor) {
 			s.fetch = func(h policy.Executor, lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.FetchMode, patience, hush, oldest policy.Micros) {
 				h.Fetch(lk, to, source, rank, how, patience, hush, oldest)
 				if oldest == 0 && rank == 0 && how == 0 {
@@ -366,24 +368,24 @@
 				}
 			}
 		})},
-		"two_at_once": {"an idempotent send goes out twice at once", onSays(func(d *Day, s *says) {
+		"two_at_once": {"an idempotent send goes out twice at once", interceptExecutor(func(d *Scenario, s *executorInterceptor) {
 			s.fetch = func(h policy.Executor, lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.FetchMode, patience, hush, oldest policy.Micros) {
 				h.Fetch(lk, to, source, rank, how, patience, hush, oldest)
-				if rank > 0 && d.chance(40) == 0 {
+				if rank > 0 && d.randN(40) == 0 {
 					h.Fetch(lk, to, source, rank, how, patience, hush, oldest)
 				}
 			}
 		})},
-		"undo_unsaid": {"a send that is given up is not undone", onConns(func(_ *Day, _ *life, _ env.Environment, c env.Conn, dialled bool) env.Conn {
-			return &wired{Conn: c, write: func(c env.Conn, b []byte) (int, error) {
+		"undo_unsaid": {"a send that is given up is not undone", onConnections(func(_ *Scenario, _ *gatewayProcess, _ env.Environment, c env.Conn, dialled bool) env.Conn {
+			return &faultyConn{Conn: c, write: func(c env.Conn, b []byte) (int, error) {
 				if bytes.HasPrefix(b, []byte("undo ")) {
 					return len(b), nil
 				}
 				return c.Write(b)
 			}}
 		})},
-		"cold_cache": {"the module is not told that a cache is cold", onTold(func(d *Day, l *life, t *told) {
-			t.rows = func(rows []policy.Endpoint) []policy.Endpoint {
+		"cold_cache": {"the module is not told that a cache is cold", interceptModule(func(d *Scenario, l *gatewayProcess, t *moduleInterceptor) {
+			t.changeRows = func(rows []policy.Endpoint) []policy.Endpoint {
 				for i := range rows {
 					if rows[i].Kind == 0 {
 						rows[i].StartedAt = 0
@@ -392,30 +394,30 @@
 				return rows
 			}
 		})},
-		"cold_parent": {"the settings say that parents are warm at once", onGround(func(_ *Day, g *ground) {
-			g.file = func(text []byte) []byte {
+		"cold_parent": {"the settings say that parents are warm at once", changeEnvironment(func(_ *Scenario, g *faultyEnvironment) {
+			g.changeFile = func(text []byte) []byte {
 				return bytes.Replace(text, []byte(`"parent_ramp":21000000`), []byte(`"parent_ramp":1`), 1)
 			}
 		})},
-		"conn_leaked": {"a connection is not closed", onConns(func(d *Day, _ *life, _ env.Environment, c env.Conn, _ bool) env.Conn {
-			return &wired{Conn: c, close: func(c env.Conn) error {
-				if d.chance(20) == 0 {
+		"conn_leaked": {"a connection is not closed", onConnections(func(d *Scenario, _ *gatewayProcess, _ env.Environment, c env.Conn, _ bool) env.Conn {
+			return &faultyConn{Conn: c, close: func(c env.Conn) error {
+				if d.randN(20) == 0 {
 					return nil
 				}
 				return c.Close()
 			}}
 		})},
-		"timer_leaked": {"timers are not stopped", onGround(func(d *Day, g *ground) {
-			g.timer = func(t env.Timer) env.Timer { return stuckTimer{t} }
+		"timer_leaked": {"timers are not stopped", changeEnvironment(func(d *Scenario, g *faultyEnvironment) {
+			g.wrapTimer = func(t env.Timer) env.Timer { return stuckTimer{t} }
 		})},
-		"goroutine_leaked": {"a goroutine stays", onGround(func(d *Day, g *ground) {
-			g.group = func(of env.Group) env.Group { return leakyGroup{of, d, g.Environment} }
+		"goroutine_leaked": {"a goroutine stays", changeEnvironment(func(d *Scenario, g *faultyEnvironment) {
+			g.wrapGroup = func(of env.Group) env.Group { return leakyGroup{of, d, g.Environment} }
 		})},
-		"ending_untold": {"the module is not told how a send ended", onTold(func(d *Day, _ *life, t *told) {
-			t.ended = func() bool { return d.chance(100) > 0 }
+		"ending_untold": {"the module is not told how a send ended", interceptModule(func(d *Scenario, _ *gatewayProcess, t *moduleInterceptor) {
+			t.passEnded = func() bool { return d.randN(100) > 0 }
 		})},
-		"stop_unheard": {"SIGTERM is not heard", onGround(func(_ *Day, g *ground) {
-			g.signals = func(hear func(env.Signal)) func(env.Signal) {
+		"stop_unheard": {"SIGTERM is not heard", changeEnvironment(func(_ *Scenario, g *faultyEnvironment) {
+			g.wrapSignals = func(hear func(env.Signal)) func(env.Signal) {
 				return func(s env.Signal) {
 					if s != env.Terminate {
 						hear(s)
@@ -423,22 +425,22 @@
 				}
 			}
 		})},
-		"reread_ends": {"SIGHUP ends the gateway", onGround(func(_ *Day, g *ground) {
-			g.signals = func(hear func(env.Signal)) func(env.Signal) {
+		"reread_ends": {"SIGHUP ends the gateway", changeEnvironment(func(_ *Scenario, g *faultyEnvironment) {
+			g.wrapSignals = func(hear func(env.Signal)) func(env.Signal) {
 				return func(s env.Signal) { hear(env.Terminate) }
 			}
 		})},
-		"scope_lost": {"a lookup's scope does not reach the module", onTold(func(d *Day, _ *life, t *told) {
-			t.within = func(s *policy.Scope) *policy.Scope {
-				if d.chance(30) == 0 {
+		"scope_lost": {"a lookup's scope does not reach the module", interceptModule(func(d *Scenario, _ *gatewayProcess, t *moduleInterceptor) {
+			t.changeScope = func(s *policy.Scope) *policy.Scope {
+				if d.randN(30) == 0 {
 					return nil
 				}
 				return s
 			}
 		})},
-		"scope_mixed": {"a lookup has the scope of the one before it", onTold(func(_ *Day, _ *life, t *told) {
+		"scope_mixed": {"a lookup has the scope of the one before it", interceptModule(func(_ *Scenario, _ *gatewayProcess, t *moduleInterceptor) {
 			var last *policy.Scope
-			t.within = func(s *policy.Scope) *policy.Scope {
+			t.changeScope = func(s *policy.Scope) *policy.Scope {
 				was := last
 				if last = s; was == nil {
 					was = s
@@ -446,8 +448,8 @@
 				return was
 			}
 		})},
-		"wait_untold": {"a nack does not say when to come back", onSays(func(_ *Day, s *says) {
-			s.nack = func(h policy.Executor, lk *policy.Lookup, _ policy.Micros) { h.Reject(lk, 0) }
+		"wait_untold": {"a nack does not say when to come back", interceptExecutor(func(_ *Scenario, s *executorInterceptor) {
+			s.reject = func(h policy.Executor, lk *policy.Lookup, _ policy.Micros) { h.Reject(lk, 0) }
 		})},
 	}
 }
--- a/internal/lab/scenario/plant_test.go
+++ b/internal/lab/scenario/plant_test.go
@@ -44,8 +44,8 @@
 	"door_wait_untold":      {2, "held back"},
 }
 
-func TestPlantedFaultsAreFound(t *testing.T) {
-	for _, name := range Plants() {
+func TestInjectedFaultsAreFound(t *testing.T) {
+	for _, name := range InjectedFaults() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			at, known := foundAt[name]
@@ -53,21 +53,21 @@
 				t.Fatal("no seed is known to find it")
 			}
 			days := "mixed"
-			if doorPlants[name].help != "" {
+			if extprocFaults[name].help != "" {
 				days = "door"
 			}
 			if name == "scope_lost" || name == "scope_mixed" {
 				days = "routes"
 			}
-			p := Draw(at.seed, days)
-			clean, err := Play(p, Look{})
-			if err != nil || len(clean.Broken) > 0 {
-				t.Fatal("with nothing planted:", clean.Broken, err)
+			p := DrawPlan(at.seed, days)
+			clean, err := Run(p, Hooks{})
+			if err != nil || len(clean.Violations) > 0 {
+				t.Fatal("with nothing planted:", clean.Violations, err)
 			}
-			p.Plant = name
-			r, err := Play(p, Look{})
-			if err != nil || len(r.Broken) == 0 || r.Broken[0].Rule != at.rule {
-				t.Fatalf("expected %s, got %v, %v", at.rule, r.Broken, err)
+			p.InjectedFault = name
+			r, err := Run(p, Hooks{})
+			if err != nil || len(r.Violations) == 0 || r.Violations[0].Rule != at.rule {
+				t.Fatalf("expected %s, got %v, %v", at.rule, r.Violations, err)
 			}
 		})
 	}
