--- a/internal/lab/scenario/referee.go
+++ b/internal/lab/scenario/referee.go
@@ -11,93 +11,93 @@
 	"foldslip/internal/lab/simenv"
 )
 
-// referee sees the wires and the true state of every party, never the gateway's own view but for its counts, which
+// checker sees the wires and the true state of every party, never the gateway's own view but for its counts, which
 // must agree with its sockets. It checks after each step.
-type referee struct {
-	d        *Day
-	list     []Broken
-	asks     map[string]*ask // by id, until some time after their end
-	asked    int
-	ends     map[string]int
-	versions map[string]int  // of objects and groups: purges so far
-	known    map[string]bool // deduplicated lookups by zone and id
-	purges   []purge
-	quiets   uint64
-	drained  map[string]int // by cache: number of the event that told it drains or is gone
+type checker struct {
+	scenario     *Scenario
+	violations   []Violation
+	lookups      map[string]*lookup // by id, until some time after their end
+	lookupCount  int
+	outcomes     map[string]int
+	versions     map[string]int  // of objects and groups: purges so far
+	deduplicated map[string]bool // deduplicated lookups by zone and id
+	purges       []purge
+	idleCount    uint64
+	drainEvents  map[string]int // by cache: number of the event that told it drains or is gone
 }
 
 type purge struct {
-	no     int // of the event
+	number int // of the event
 	object string
 	group  int
 	issued time.Time
 }
 
-// ask is a lookup of a usual client at one gateway.
-type ask struct {
-	id, object string
-	kind, part int
-	group      int
-	tag, bytes string
-	allow      time.Duration
-	l          *life
-	c          *clientConn
-	sentAt     time.Duration
-	taken      time.Duration // its last byte reached the gateway's machine; 0: not yet
-	over       bool          // answered, or nothing is owed any more
-	left       bool
-	leftAt     time.Duration // its client closed or reset the connection
-	sends      []*send
-	lastOut    time.Duration // when a send was last out
-	again      int
-	came       time.Duration // of it, or of the lookup that it repeats
-	done       func(status int, wait time.Duration)
-	sides      *[2]bool // configurations of the routes that all its sends so far may have been decided under
+// lookup is a lookup of a usual client at one gateway.
+type lookup struct {
+	id, object   string
+	kind, part   int
+	group        int
+	etag, body   string
+	deadline     time.Duration
+	process      *gatewayProcess
+	conn         *clientConn
+	sentAt       time.Duration
+	receivedAt   time.Duration // its last byte reached the gateway's machine; 0: not yet
+	ended        bool          // answered, or nothing is owed any more
+	clientGone   bool
+	clientGoneAt time.Duration // its client closed or reset the connection
+	attempts     []*attempt
+	lastInFlight time.Duration // when a send was last out
+	repeats      int
+	firstSentAt  time.Duration // of it, or of the lookup that it repeats
+	onAnswer     func(status int, wait time.Duration)
+	routeSides   *[2]bool // configurations of the routes that all its sends so far may have been decided under
 }
 
-// send is a send as it stood on a gateway's wire.
-type send struct {
-	a        *ask
-	k        *cacheConn
-	first    time.Duration // its first byte
-	out      bool
-	waits    bool // its answer has not reached the gateway, which has not given it up
-	answers  []*copied
-	sameTold bool
+// attempt is a send as it stood on a gateway's wire.
+type attempt struct {
+	lookup      *lookup
+	conn        *cacheConn
+	firstByteAt time.Duration // its first byte
+	inFlight    bool
+	awaited     bool // its answer has not reached the gateway, which has not given it up
+	answers     []*cachedCopy
+	notModified bool
 }
 
-func newReferee(d *Day) *referee {
-	return &referee{d: d, asks: map[string]*ask{}, ends: map[string]int{}, versions: map[string]int{}, known: map[string]bool{},
-		drained: map[string]int{}}
+func newChecker(d *Scenario) *checker {
+	return &checker{scenario: d, lookups: map[string]*lookup{}, outcomes: map[string]int{}, versions: map[string]int{}, deduplicated: map[string]bool{},
+		drainEvents: map[string]int{}}
 }
 
-// broken notes a broken rule; the first one ends the day.
-func (r *referee) broken(rule, format string, a ...any) {
-	b := Broken{rule, r.d.w.Now(), fmt.Sprintf(format, a...)}
-	r.list = append(r.list, b)
-	r.d.tell("BROKEN %s: %s", rule, b.Detail)
-	r.d.w.Halt()
+// violated notes a broken rule; the first one ends the day.
+func (r *checker) violated(rule, format string, a ...any) {
+	b := Violation{rule, r.scenario.sim.Now(), fmt.Sprintf(format, a...)}
+	r.violations = append(r.violations, b)
+	r.scenario.record("BROKEN %s: %s", rule, b.Detail)
+	r.scenario.sim.Halt()
 }
 
-// began is when the answer that a gateway has just finished began.
-func (a *ask) began() time.Duration {
-	if a.c == nil || a.c.wireAt == 0 {
-		return a.l.g.d.w.Now()
+// answerStartedAt is when the answer that a gateway has just finished began.
+func (a *lookup) answerStartedAt() time.Duration {
+	if a.conn == nil || a.conn.firstByteAt == 0 {
+		return a.process.actor.scenario.sim.Now()
 	}
-	return a.c.wireAt
+	return a.conn.firstByteAt
 }
 
-func groupOf(object string) int { return int(sum(object) % 16) }
+func groupOf(object string) int { return int(hashString(object) % 16) }
 
-func sum(s string) uint64 {
+func hashString(s string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(s))
 	return h.Sum64()
 }
 
-// kbOf is the size of a part as lookups count it.
-func kbOf(object string, part int) float64 {
-	n := sum(object + "/" + strconv.Itoa(part))
+// partKB is the size of a part as lookups count it.
+func partKB(object string, part int) float64 {
+	n := hashString(object + "/" + strconv.Itoa(part))
 	switch {
 	case object[0] == 's' && n%12 == 0:
 		return 1200
@@ -107,50 +107,50 @@
 	return 10 + float64(n%50)
 }
 
-func sizeOf(object string, part int) int {
-	kb := kbOf(object, part)
-	if kb >= 1200 && sum(object)%2 == 0 {
-		return mostBody
+func partBytes(object string, part int) int {
+	kb := partKB(object, part)
+	if kb >= 1200 && hashString(object)%2 == 0 {
+		return maxBody
 	}
 	return int(kb * 12)
 }
 
 // meanWork is the mean of workOf by kind.
 var meanWork = func() (mean [4]time.Duration) {
-	for i, k := range kinds {
+	for i, k := range lookupKinds {
 		sum := time.Duration(0)
 		for n := range 300 {
-			sum += workOf(fmt.Sprintf("%c%d", k.name[0], n), n%4)
+			sum += partWork(fmt.Sprintf("%c%d", k.name[0], n), n%4)
 		}
 		mean[i] = sum / 300
 	}
 	return mean
 }()
 
-func workOf(object string, part int) time.Duration {
-	return time.Duration(kbOf(object, part) / flowKB * float64(time.Second))
+func partWork(object string, part int) time.Duration {
+	return time.Duration(partKB(object, part) / flowKBPerSecond * float64(time.Second))
 }
 
 // version is how often an object or its group was purged: the origin gives out that version.
-func (r *referee) version(object string) int {
+func (r *checker) version(object string) int {
 	return r.versions[object] + r.versions["lot"+strconv.Itoa(groupOf(object))]
 }
 
 // purge purges an object, or a group where it is empty.
-func (d *Day) purge(object string, group int) {
-	issued := d.w.Unix().Truncate(time.Millisecond).Add(time.Millisecond) // what was given out up to now is older
-	p := purge{no: len(d.events) + 1, object: object, group: group, issued: issued}
-	e := event{Recall: &recall{Item: object, Issued: issued.UnixMilli()}}
+func (d *Scenario) purge(object string, group int) {
+	issued := d.sim.Unix().Truncate(time.Millisecond).Add(time.Millisecond) // what was given out up to now is older
+	p := purge{number: len(d.events) + 1, object: object, group: group, issued: issued}
+	e := discoveryEvent{Purge: &purgeEvent{Object: object, Issued: issued.UnixMilli()}}
 	if object == "" {
-		e.Recall.Lot = &group
-		d.ref.versions["lot"+strconv.Itoa(group)]++
+		e.Purge.Group = &group
+		d.checker.versions["lot"+strconv.Itoa(group)]++
 	} else {
-		d.ref.versions[object]++
+		d.checker.versions[object]++
 	}
-	d.ref.purges = append(d.ref.purges, p)
+	d.checker.purges = append(d.checker.purges, p)
 	d.publish(e)
 	for _, c := range slices.Concat(d.caches, d.parents) {
-		d.after(time.Duration(500+d.chance(5000))*time.Millisecond, func() { c.clear(p) })
+		d.after(time.Duration(500+d.randN(5000))*time.Millisecond, func() { c.applyPurge(p) })
 	}
 }
 
@@ -160,374 +160,374 @@
 	return p.object == object || p.object == "" && p.group == groupOf(object)
 }
 
-// ask opens a lookup.
-func (r *referee) ask(a *ask) {
-	r.asked++
-	if a.again == 0 {
-		a.came = r.d.w.Now()
-		if a.came < warmup+earlyFor {
-			r.d.early.Asked++
+// lookupSent opens a lookup.
+func (r *checker) lookupSent(a *lookup) {
+	r.lookupCount++
+	if a.repeats == 0 {
+		a.firstSentAt = r.scenario.sim.Now()
+		if a.firstSentAt < warmup+earlyPeriod {
+			r.scenario.earlyLookups.Sent++
 		}
 	}
-	r.asks[a.id] = a
-	r.d.w.Note(simenv.StepAsk, a.id, "", 0)
+	r.lookups[a.id] = a
+	r.scenario.sim.Note(simenv.StepLookup, a.id, "", 0)
 }
 
-// took notes that a lookup has reached its gateway whole, and looks after its time.
-func (r *referee) took(a *ask) {
-	a.taken = r.d.w.Now()
-	if r.d.look.taken != nil {
-		r.d.look.taken(r.d, a)
+// lookupReceived notes that a lookup has reached its gateway whole, and looks after its time.
+func (r *checker) lookupReceived(a *lookup) {
+	a.receivedAt = r.scenario.sim.Now()
+	if r.scenario.hooks.onReceived != nil {
+		r.scenario.hooks.onReceived(r.scenario, a)
 	}
-	r.d.after(a.allow+slack+time.Millisecond, func() {
-		if a.over || a.l.over || a.c.split {
+	r.scenario.after(a.deadline+socketSlack+time.Millisecond, func() {
+		if a.ended || a.process.ended || a.conn.split {
 			return
 		}
-		if a.l.term > 0 && a.taken > a.l.term+700*time.Millisecond || !a.c.e.Taken() || a.c.e.Stalled || a.c.wild {
+		if a.process.terminatedAt > 0 && a.receivedAt > a.process.terminatedAt+700*time.Millisecond || !a.conn.end.IsAccepted() || a.conn.end.Stalled || a.conn.misbehaves {
 			return
 		}
-		if a.c.answering() { // it has begun, and its client is slow to take it
+		if a.conn.isAnswering() { // it has begun, and its client is slow to take it
 			return
 		}
-		r.broken("rule 1", "lookup %s (%s) taken by %s has no answer after %v of %v", a.id, kinds[a.kind].name, a.l.p.Name,
-			r.d.w.Now()-a.taken, a.allow)
+		r.violated("rule 1", "lookup %s (%s) taken by %s has no answer after %v of %v", a.id, lookupKinds[a.kind].name, a.process.process.Name,
+			r.scenario.sim.Now()-a.receivedAt, a.deadline)
 	})
 }
 
-// close ends what is owed for a lookup.
-func (r *referee) close(a *ask, end string) {
-	if a.over {
+// lookupEnded ends what is owed for a lookup.
+func (r *checker) lookupEnded(a *lookup, end string) {
+	if a.ended {
 		return
 	}
-	a.over = true
-	r.ends[end]++
-	if (end == "200" || end == "304") && a.came < warmup+earlyFor {
-		r.d.early.Satisfied++
+	a.ended = true
+	r.outcomes[end]++
+	if (end == "200" || end == "304") && a.firstSentAt < warmup+earlyPeriod {
+		r.scenario.earlyLookups.Satisfied++
 	}
-	r.d.after(15*time.Second, func() { delete(r.asks, a.id) })
+	r.scenario.after(15*time.Second, func() { delete(r.lookups, a.id) })
 }
 
-// answer is a whole answer on a gateway's wire to the client.
-func (r *referee) answer(a *ask, status int, body string, tagged string, wait time.Duration) {
-	now := r.d.w.Now()
+// clientAnswered is a whole answer on a gateway's wire to the client.
+func (r *checker) clientAnswered(a *lookup, status int, body string, tagged string, wait time.Duration) {
+	now := r.scenario.sim.Now()
 	// An answer that began in time and that the way or its client is slow to take is not late by its gateway, which writes it at once.
-	late := a.began() - (a.taken + a.allow + slack)
+	late := a.answerStartedAt() - (a.receivedAt + a.deadline + socketSlack)
 	if late > 0 {
-		r.broken("rule 1", "answer %d to %s is %v late", status, a.id, late)
+		r.violated("rule 1", "answer %d to %s is %v late", status, a.id, late)
 	}
 	out := false
-	for _, s := range a.sends {
-		out = out || s.waits
+	for _, s := range a.attempts {
+		out = out || s.awaited
 	}
 	switch status {
 	case 200, 304:
-		r.satisfied(a, status, body, tagged)
+		r.checkSatisfied(a, status, body, tagged)
 	case 503, 429, 502:
-		k := kinds[a.kind]
-		budget := min(k.aim+time.Duration(k.stretch*float64(workOf(a.object, a.part))), k.deadline)
+		k := lookupKinds[a.kind]
+		budget := min(k.aim+time.Duration(k.stretch*float64(partWork(a.object, a.part))), k.deadline)
 		// A send may wait for its connection to come up, or behind a line that its cache does not take.
-		idle := now - max(a.lastOut, a.taken, a.l.p.Dialling(), a.l.p.Blocking())
-		if !out && idle > 400*time.Millisecond && now-a.taken > budget+300*time.Millisecond && now-a.taken > a.allow/2 {
-			r.broken("held back", "%s was answered %d after %v of %v, with nothing out for it for %v", a.id, status, now-a.taken,
-				a.allow, idle)
+		idle := now - max(a.lastInFlight, a.receivedAt, a.process.process.LastDialing(), a.process.process.LastBlocked())
+		if !out && idle > 400*time.Millisecond && now-a.receivedAt > budget+300*time.Millisecond && now-a.receivedAt > a.deadline/2 {
+			r.violated("held back", "%s was answered %d after %v of %v, with nothing out for it for %v", a.id, status, now-a.receivedAt,
+				a.deadline, idle)
 		}
-		if status != 502 && wait <= 0 && len(a.sends) > 0 {
-			r.broken("held back", "%s was nacked without a time to come back", a.id)
+		if status != 502 && wait <= 0 && len(a.attempts) > 0 {
+			r.violated("held back", "%s was nacked without a time to come back", a.id)
 		}
 	default:
-		r.broken("rule 1", "%s was answered with status %d", a.id, status)
+		r.violated("rule 1", "%s was answered with status %d", a.id, status)
 	}
-	r.close(a, strconv.Itoa(status))
+	r.lookupEnded(a, strconv.Itoa(status))
 }
 
-// satisfied checks that what was served came from a send, and is not too old.
-func (r *referee) satisfied(a *ask, status int, body, tag string) {
-	var by *send
-	var got *copied
-	for _, s := range a.sends {
+// checkSatisfied checks that what was served came from a send, and is not too old.
+func (r *checker) checkSatisfied(a *lookup, status int, body, tag string) {
+	var by *attempt
+	var got *cachedCopy
+	for _, s := range a.attempts {
 		for _, c := range s.answers {
-			bare := tag == "" && kinds[a.kind].passOn
-			if (c.ver == tag || bare) && (status == 304 && s.sameTold || status == 200 && c.body(a.object+"/"+strconv.Itoa(a.part)) == body) {
+			bare := tag == "" && lookupKinds[a.kind].passOn
+			if (c.version == tag || bare) && (status == 304 && s.notModified || status == 200 && c.body(a.object+"/"+strconv.Itoa(a.part)) == body) {
 				by, got = s, c
 			}
 		}
 	}
 	if by == nil {
-		r.broken("rule 1", "%s was served with %d, tag %s and %d bytes that no cache made for it", a.id, status, tag, len(body))
+		r.violated("rule 1", "%s was served with %d, tag %s and %d bytes that no cache made for it", a.id, status, tag, len(body))
 		return
 	}
 	for _, p := range r.purges {
-		if p.object != a.object && (p.object != "" || p.group != a.group) || !got.born.Before(p.issued) {
+		if p.object != a.object && (p.object != "" || p.group != a.group) || !got.createdAt.Before(p.issued) {
 			continue
 		}
-		if told := a.l.toldOf(p.no); told > 0 && by.first > told+obey+slack {
-			r.broken("rule 5", "%s (%s) was served a copy %v older than a purge that %s was told of %v before the send", a.id,
-				a.object, p.issued.Sub(got.born), a.l.p.Name, by.first-told)
+		if told := a.process.notifiedAt(p.number); told > 0 && by.firstByteAt > told+purgeGrace+socketSlack {
+			r.violated("rule 5", "%s (%s) was served a copy %v older than a purge that %s was told of %v before the send", a.id,
+				a.object, p.issued.Sub(got.createdAt), a.process.process.Name, by.firstByteAt-told)
 		}
 	}
 }
 
-// strict checks an answer that a gateway lets pass now: no copy older than a purge that it was told of past the grace,
+// checkForwardedAnswer checks an answer that a gateway lets pass now: no copy older than a purge that it was told of past the grace,
 // whenever the send went out.
-func (r *referee) strict(a *ask, got *copied) {
+func (r *checker) checkForwardedAnswer(a *lookup, got *cachedCopy) {
 	for _, p := range r.purges {
-		if p.object != a.object && (p.object != "" || p.group != a.group) || !got.born.Before(p.issued) {
+		if p.object != a.object && (p.object != "" || p.group != a.group) || !got.createdAt.Before(p.issued) {
 			continue
 		}
-		if told := a.l.toldOf(p.no); told > 0 && r.d.w.Now() > told+obey+slack {
-			r.broken("rule 5", "%s (%s): an answer %v older than a purge that %s was told of %v ago is let pass", a.id, a.object,
-				p.issued.Sub(got.born), a.l.p.Name, r.d.w.Now()-told)
+		if told := a.process.notifiedAt(p.number); told > 0 && r.scenario.sim.Now() > told+purgeGrace+socketSlack {
+			r.violated("rule 5", "%s (%s): an answer %v older than a purge that %s was told of %v ago is let pass", a.id, a.object,
+				p.issued.Sub(got.createdAt), a.process.process.Name, r.scenario.sim.Now()-told)
 		}
 	}
 }
 
-func (l *life) toldOf(no int) time.Duration {
-	if no < len(l.told) {
-		return l.told[no]
+func (l *gatewayProcess) notifiedAt(no int) time.Duration {
+	if no < len(l.notified) {
+		return l.notified[no]
 	}
 	return 0
 }
 
-// sent is a send that a gateway has written whole.
-func (r *referee) sent(k *cacheConn, q *do, first time.Duration) {
-	d, l := r.d, k.l
-	a := r.asks[q.id]
-	if l == nil || l.over {
+// attemptSent is a send that a gateway has written whole.
+func (r *checker) attemptSent(k *cacheConn, q *attemptRequest, first time.Duration) {
+	d, l := r.scenario, k.process
+	a := r.lookups[q.id]
+	if l == nil || l.ended {
 		return
 	}
-	if a == nil || a.l != l {
-		r.broken("protocol", "%s sends %s, which no client asked of it", l.p.Name, q.id)
+	if a == nil || a.process != l {
+		r.violated("protocol", "%s sends %s, which no client asked of it", l.process.Name, q.id)
 		return
 	}
-	if q.object != a.object || q.part != a.part || q.kind != kinds[a.kind].name || q.seen != "" && q.seen != a.tag ||
-		q.bytes != a.bytes {
-		r.broken("protocol", "%s sends %s with other fields than its client's: %s %s/%d", l.p.Name, q.id, q.kind, q.object, q.part)
+	if q.object != a.object || q.part != a.part || q.kind != lookupKinds[a.kind].name || q.etag != "" && q.etag != a.etag ||
+		q.body != a.body {
+		r.violated("protocol", "%s sends %s with other fields than its client's: %s %s/%d", l.process.Name, q.id, q.kind, q.object, q.part)
 		return
 	}
-	if a.over && !a.left && first > a.c.overAt {
-		r.broken("rule 1", "%s sends %s to %s after its final answer", l.p.Name, q.id, k.c.id)
+	if a.ended && !a.clientGone && first > a.conn.answeredAt {
+		r.violated("rule 1", "%s sends %s to %s after its final answer", l.process.Name, q.id, k.cache.id)
 	}
 	// A client that left while its lookup waited: aim for never, and past this the users count it.
-	if a.left && a.leftAt > 0 && !a.c.split && first > a.leftAt+goneFor {
-		r.broken("gone client", "%s sends %s to %s %v after its client left", l.p.Name, q.id, k.c.id, first-a.leftAt)
+	if a.clientGone && a.clientGoneAt > 0 && !a.conn.split && first > a.clientGoneAt+cancelGrace {
+		r.violated("gone client", "%s sends %s to %s %v after its client left", l.process.Name, q.id, k.cache.id, first-a.clientGoneAt)
 	}
-	for _, s := range a.sends {
-		if s.out {
-			r.broken("rule 2", "%s has %s out at %s and sends it to %s", l.p.Name, q.id, s.k.c.id, k.c.id)
+	for _, s := range a.attempts {
+		if s.inFlight {
+			r.violated("rule 2", "%s has %s out at %s and sends it to %s", l.process.Name, q.id, s.conn.cache.id, k.cache.id)
 			return
 		}
 	}
-	if len(a.sends) >= tries {
-		r.broken("protocol", "%s sends %s more than %d times", l.p.Name, q.id, tries)
+	if len(a.attempts) >= maxAttempts {
+		r.violated("protocol", "%s sends %s more than %d times", l.process.Name, q.id, maxAttempts)
 	}
-	for _, x := range [][2]string{{"sends to", k.c.id}, {"names as source", q.from}} {
+	for _, x := range [][2]string{{"sends to", k.cache.id}, {"names as source", q.source}} {
 		what, id := x[0], x[1]
-		if no := r.drained[id]; no > 0 {
-			if told := l.toldOf(no); told > 0 && first > told+leave+slack {
-				r.broken("rule 3", "%s %s %s, told %v ago that it drains or is gone", l.p.Name, what, id, first-told)
+		if no := r.drainEvents[id]; no > 0 {
+			if told := l.notifiedAt(no); told > 0 && first > told+drainGrace+socketSlack {
+				r.violated("rule 3", "%s %s %s, told %v ago that it drains or is gone", l.process.Name, what, id, first-told)
 				return
 			}
 		}
 	}
-	if m := d.Plan.Morning; m != nil && !m.Torn && (l.toldOf(1) == 0 || m.Behind && l.toldOf(2) == 0) && (l.g.barred[k.c.id] || l.g.barred[q.from]) {
-		r.broken("rule 3", "%s sends to %s (source %q), of which its list on disk knows that it drains", l.p.Name, k.c.id, q.from)
+	if m := d.Plan.ColdStart; m != nil && !m.Torn && (l.notifiedAt(1) == 0 || m.DrainUnannounced && l.notifiedAt(2) == 0) && (l.actor.knownDraining[k.cache.id] || l.actor.knownDraining[q.source]) {
+		r.violated("rule 3", "%s sends to %s (source %q), of which its list on disk knows that it drains", l.process.Name, k.cache.id, q.source)
 		return
 	}
-	if d.Plan.routed() {
-		r.routed(a, k.c.id)
+	if d.Plan.changesRoutes() {
+		r.checkRoutes(a, k.cache.id)
 	}
-	if q.from != "" {
-		from := d.byID[q.from]
-		if from == nil && d.Plan.Morning == nil || from != nil && from.flavor == "edge" {
-			r.broken("protocol", "%s names %q as a source", l.p.Name, q.from)
+	if q.source != "" {
+		from := d.byID[q.source]
+		if from == nil && d.Plan.ColdStart == nil || from != nil && from.flavor == "edge" {
+			r.violated("protocol", "%s names %q as a source", l.process.Name, q.source)
 			return
 		}
 	}
-	s := &send{a: a, k: k, first: first, out: true, waits: true}
-	a.sends = append(a.sends, s)
-	k.out = append(k.out, s)
-	d.w.Note(simenv.StepSent, q.id, "", int64(len(a.sends)))
-	if d.look.sent != nil {
-		d.look.sent(d, k, q)
+	s := &attempt{lookup: a, conn: k, firstByteAt: first, inFlight: true, awaited: true}
+	a.attempts = append(a.attempts, s)
+	k.attempts = append(k.attempts, s)
+	d.sim.Note(simenv.StepAttempt, q.id, "", int64(len(a.attempts)))
+	if d.hooks.onAttempt != nil {
+		d.hooks.onAttempt(d, k, q)
 	}
 }
 
-func (r *referee) endSend(s *send) {
-	s.out = false
-	r.heard(s)
+func (r *checker) attemptEnded(s *attempt) {
+	s.inFlight = false
+	r.outcomeArrived(s)
 }
 
-// heard is the end of a send as its gateway has it.
-func (r *referee) heard(s *send) {
-	if s.waits {
-		s.waits = false
-		s.a.lastOut = r.d.w.Now()
+// outcomeArrived is the end of a send as its gateway has it.
+func (r *checker) outcomeArrived(s *attempt) {
+	if s.awaited {
+		s.awaited = false
+		s.lookup.lastInFlight = r.scenario.sim.Now()
 	}
 }
 
-// undone is a send that its gateway gives up.
-func (r *referee) undone(k *cacheConn, id string) {
-	k.out = slices.DeleteFunc(k.out, func(s *send) bool {
-		if s.a.id == id {
-			r.endSend(s)
+// attemptCancelled is a send that its gateway gives up.
+func (r *checker) attemptCancelled(k *cacheConn, id string) {
+	k.attempts = slices.DeleteFunc(k.attempts, func(s *attempt) bool {
+		if s.lookup.id == id {
+			r.attemptEnded(s)
 		}
-		return s.a.id == id
+		return s.lookup.id == id
 	})
 }
 
-// sendOver is a send whose end the cache is writing now; the gateway has it once so many bytes have arrived.
-func (r *referee) sendOver(q *do, end int) {
-	k := q.k
-	k.out = slices.DeleteFunc(k.out, func(s *send) bool {
-		if s.a.id != q.id {
+// answerWritten is a send whose end the cache is writing now; the gateway has it once so many bytes have arrived.
+func (r *checker) answerWritten(q *attemptRequest, end int) {
+	k := q.conn
+	k.attempts = slices.DeleteFunc(k.attempts, func(s *attempt) bool {
+		if s.lookup.id != q.id {
 			return false
 		}
-		s.out = false
-		k.due = append(k.due, due{end, s})
+		s.inFlight = false
+		k.pendingAnswers = append(k.pendingAnswers, pendingAnswer{end, s})
 		return true
 	})
 }
 
-// connOver is the end of a connection, at either side: all that is open on it is given up.
-func (r *referee) connOver(k *cacheConn) {
-	for _, s := range k.out {
-		r.endSend(s)
+// connectionEnded is the end of a connection, at either side: all that is open on it is given up.
+func (r *checker) connectionEnded(k *cacheConn) {
+	for _, s := range k.attempts {
+		r.attemptEnded(s)
 	}
-	for _, x := range k.due {
-		r.heard(x.s)
+	for _, x := range k.pendingAnswers {
+		r.outcomeArrived(x.attempt)
 	}
-	k.out, k.due = nil, nil
+	k.attempts, k.pendingAnswers = nil, nil
 }
 
-// answered is a good answer that a cache makes for a send.
-func (r *referee) answered(q *do, got *copied, same bool) {
-	for _, s := range q.k.out {
-		if s.a.id == q.id {
+// cacheAnswered is a good answer that a cache makes for a send.
+func (r *checker) cacheAnswered(q *attemptRequest, got *cachedCopy, same bool) {
+	for _, s := range q.conn.attempts {
+		if s.lookup.id == q.id {
 			kept := *got
 			s.answers = append(s.answers, &kept)
-			s.sameTold = s.sameTold || same
+			s.notModified = s.notModified || same
 		}
 	}
 }
 
-// effect is a lookup that has run at the origin.
-func (r *referee) effect(q *do, times int) {
-	if kinds[q.kind_].effect != "idempotent" && times > 1 {
-		r.broken("rule 2", "the effect of %s (%s, %s) has run %d times", q.object, q.kind, q.id, times)
+// effectRan is a lookup that has run at the origin.
+func (r *checker) effectRan(q *attemptRequest, times int) {
+	if lookupKinds[q.kindIndex].effect != "idempotent" && times > 1 {
+		r.violated("rule 2", "the effect of %s (%s, %s) has run %d times", q.object, q.kind, q.id, times)
 	}
 }
 
-// killed is the end of a life without a word.
-func (r *referee) killed(l *life) {
-	for _, id := range sorted(r.asks) {
-		if a := r.asks[id]; a.l == l && !a.over {
-			r.close(a, "gateway gone")
+// gatewayKilled is the end of a life without a word.
+func (r *checker) gatewayKilled(l *gatewayProcess) {
+	for _, id := range sortedKeys(r.lookups) {
+		if a := r.lookups[id]; a.process == l && !a.ended {
+			r.lookupEnded(a, "gateway gone")
 		}
 	}
 }
 
-// ended is the end of a life by itself.
-func (r *referee) ended(l *life, err error) {
-	l.over, l.ended = true, r.d.w.Now()
-	if err != nil || l.term == 0 {
-		r.broken("crash", "%s ended by itself: %v", l.p.Name, err)
+// gatewayEnded is the end of a life by itself.
+func (r *checker) gatewayEnded(l *gatewayProcess, err error) {
+	l.ended, l.endedAt = true, r.scenario.sim.Now()
+	if err != nil || l.terminatedAt == 0 {
+		r.violated("crash", "%s ended by itself: %v", l.process.Name, err)
 		return
 	}
-	r.d.after(0, func() {
-		if n, timers, fds := l.p.Held(); n > 0 || timers > 0 || fds > 0 {
-			r.broken("leak", "%s has ended and left %d goroutines (%s), %d timers, %d descriptors", l.p.Name, n, l.p.Names(),
+	r.scenario.after(0, func() {
+		if n, timers, fds := l.process.Resources(); n > 0 || timers > 0 || fds > 0 {
+			r.violated("leak", "%s has ended and left %d goroutines (%s), %d timers, %d descriptors", l.process.Name, n, l.process.GoroutineNames(),
 				timers, fds)
 		}
 	})
-	for _, id := range sorted(r.asks) {
-		a := r.asks[id]
-		if a.l != l || a.over {
+	for _, id := range sortedKeys(r.lookups) {
+		a := r.lookups[id]
+		if a.process != l || a.ended {
 			continue
 		}
-		if a.taken > 0 && a.taken < l.term+700*time.Millisecond && a.c.e.Taken() && !a.c.split {
-			r.broken("rule 1", "%s ended and left %s, taken %v after SIGTERM, without an answer", l.p.Name, a.id, a.taken-l.term)
+		if a.receivedAt > 0 && a.receivedAt < l.terminatedAt+700*time.Millisecond && a.conn.end.IsAccepted() && !a.conn.split {
+			r.violated("rule 1", "%s ended and left %s, taken %v after SIGTERM, without an answer", l.process.Name, a.id, a.receivedAt-l.terminatedAt)
 		}
-		r.close(a, "gateway gone")
+		r.lookupEnded(a, "gateway gone")
 	}
 }
 
-// quiet checks what must hold whenever all wait.
-func (r *referee) quiet() {
-	r.quiets++
-	d := r.d
+// checkIdle checks what must hold whenever all wait.
+func (r *checker) checkIdle() {
+	r.idleCount++
+	d := r.scenario
 	for _, g := range d.gateways {
-		l := g.its
-		if l == nil || l.over || l.its == nil {
+		l := g.current
+		if l == nil || l.ended || l.instance == nil {
 			continue
 		}
-		if r.quiets%4 == 0 {
-			load := l.its.Load()
+		if r.idleCount%4 == 0 {
+			load := l.instance.Load()
 			handed, streams := 0, 0
-			if l.door != nil {
-				handed, streams = l.door.AttemptsOut(), l.door.open()
+			if l.extproc != nil {
+				handed, streams = l.extproc.AttemptsOut(), l.extproc.openStreams()
 			}
 			if load.OpenAttempts != load.ConnAttempts+load.QueuedAttempts+handed {
-				r.broken("in flight", "%s: the module counts %d sends, its connections %d, %d wait to be written, %d are at callers", l.p.Name,
+				r.violated("in flight", "%s: the module counts %d sends, its connections %d, %d wait to be written, %d are at callers", l.process.Name,
 					load.OpenAttempts, load.ConnAttempts, load.QueuedAttempts, handed)
 			}
-			if room := int(g.memory * 8); load.Lookups > 4*room || load.ClientConns > g.fds/2+1 {
-				r.broken("bounds", "%s holds %d lookups (room %d), %d clients of %d descriptors", l.p.Name, load.Lookups, room,
-					load.ClientConns, g.fds)
+			if room := int(g.memoryMB * 8); load.Lookups > 4*room || load.ClientConns > g.descriptors/2+1 {
+				r.violated("bounds", "%s holds %d lookups (room %d), %d clients of %d descriptors", l.process.Name, load.Lookups, room,
+					load.ClientConns, g.descriptors)
 			}
 			out := 0
 			for k := range l.conns { // a sum: the order does not matter
-				out += len(k.out)
+				out += len(k.attempts)
 			}
 			if out > load.ConnAttempts {
-				r.broken("in flight", "%s: %d sends are out on its wires, it counts %d", l.p.Name, out, load.ConnAttempts)
+				r.violated("in flight", "%s: %d sends are out on its wires, it counts %d", l.process.Name, out, load.ConnAttempts)
 			}
 			// The listener, the bulletin and what is being accepted or closed are all that may be beside them.
-			if _, _, fds := l.p.Held(); fds > load.ClientConns+load.CacheConns+streams+3+min(1, streams) && l.term == 0 {
-				r.broken("leak", "%s holds %d descriptors for %d clients and %d connections to caches", l.p.Name, fds, load.ClientConns,
+			if _, _, fds := l.process.Resources(); fds > load.ClientConns+load.CacheConns+streams+3+min(1, streams) && l.terminatedAt == 0 {
+				r.violated("leak", "%s holds %d descriptors for %d clients and %d connections to caches", l.process.Name, fds, load.ClientConns,
 					load.CacheConns)
 			}
 		}
 	}
-	if r.quiets%256 == 0 {
-		r.hearing()
+	if r.idleCount%256 == 0 {
+		r.countAsNotified()
 	}
 }
 
-// hearing lets what was published long ago count as told to those that could hear it.
-func (r *referee) hearing() {
-	d, now := r.d, r.d.w.Now()
+// countAsNotified lets what was published long ago count as told to those that could hear it.
+func (r *checker) countAsNotified() {
+	d, now := r.scenario, r.scenario.sim.Now()
 	for _, g := range d.gateways {
-		l := g.its
-		if l == nil || l.over {
+		l := g.current
+		if l == nil || l.ended {
 			continue
 		}
-		b := d.bulletins[g.bulletin]
-		if b.down || b.mute || b.lag > 0 || d.split("gateways", "bulletin") || g.host.Mute {
-			l.sick = now
+		b := d.discoveryServers[g.discoveryIndex]
+		if b.down || b.silent || b.lag > 0 || d.isSplit("gateways", "bulletin") || g.host.Vanished {
+			l.cutOffAt = now
 		}
 		for no := range d.events {
 			e := d.events[no]
-			if l.toldOf(e.No) == 0 && now-e.at > toldBy && now-max(l.began, l.sick) > hearing {
-				l.hears(e.No, now)
+			if l.notifiedAt(e.Number) == 0 && now-e.publishedAt > notifiedAfter && now-max(l.startedAt, l.cutOffAt) > reachableFor {
+				l.markNotified(e.Number, now)
 			}
 		}
 	}
 }
 
-// final checks what must hold at the day's end.
-func (r *referee) final() {
-	for _, g := range r.d.gateways {
-		if g.its != nil && !g.its.over {
-			r.broken("stop", "%s has not ended", g.its.p.Name)
+// checkEnd checks what must hold at the day's end.
+func (r *checker) checkEnd() {
+	for _, g := range r.scenario.gateways {
+		if g.current != nil && !g.current.ended {
+			r.violated("stop", "%s has not ended", g.current.process.Name)
 		}
 	}
 	open := 0
-	for _, a := range r.asks {
-		if !a.over && a.taken > 0 {
+	for _, a := range r.lookups {
+		if !a.ended && a.receivedAt > 0 {
 			open++
 		}
 	}
-	if open > 0 && len(r.list) == 0 {
-		r.broken("rule 1", "%d lookups were never answered", open)
+	if open > 0 && len(r.violations) == 0 {
+		r.violated("rule 1", "%d lookups were never answered", open)
 	}
 }
--- a/internal/lab/scenario/shrink.go
+++ b/internal/lab/scenario/shrink.go
@@ -11,21 +11,21 @@
 // Shrink makes the smallest day that still breaks the rule which p breaks: faults, gateways, caches and time are taken
 // away as long as the rule breaks, and spans are halved. It tells how many days it played.
 func Shrink(p Plan, tell func(string)) (Plan, Result, int, error) {
-	best, err := Play(p, Look{})
+	best, err := Run(p, Hooks{})
 	if err != nil {
 		return p, best, 0, err
 	}
-	if len(best.Broken) == 0 {
+	if len(best.Violations) == 0 {
 		return p, best, 1, errors.New("this day breaks no rule: nothing to shrink")
 	}
-	rule, tried := best.Broken[0].Rule, 1
+	rule, tried := best.Violations[0].Rule, 1
 	try := func(q Plan) bool {
-		if q.Check() != nil {
+		if q.Validate() != nil {
 			return false
 		}
 		tried++
-		r, err := Play(q, Look{})
-		if err != nil || len(r.Broken) == 0 || r.Broken[0].Rule != rule {
+		r, err := Run(q, Hooks{})
+		if err != nil || len(r.Violations) == 0 || r.Violations[0].Rule != rule {
 			return false
 		}
 		p, best = q, r
@@ -34,10 +34,10 @@
 	for again := true; again; {
 		again = false
 		// Nothing after the break matters.
-		if last := int((best.Broken[0].At - warmup).Seconds()) + 1; last >= 1 && last < p.Seconds {
+		if last := int((best.Violations[0].At - warmup).Seconds()) + 1; last >= 1 && last < p.Seconds {
 			q := p
 			q.Seconds = last
-			q.Faults = slices.DeleteFunc(slices.Clone(p.Faults), func(f Fault) bool { return f.At > last*1000 })
+			q.Faults = slices.DeleteFunc(slices.Clone(p.Faults), func(f Fault) bool { return f.AtMS > last*1000 })
 			again = try(q) || again
 		}
 		for size := max(1, len(p.Faults)/2); size >= 1; size /= 2 { // by halves, then one by one
@@ -60,10 +60,10 @@
 			}
 		}
 		for i := range p.Faults {
-			if p.Faults[i].For > 100 {
+			if p.Faults[i].DurationMS > 100 {
 				q := p
 				q.Faults = slices.Clone(p.Faults)
-				q.Faults[i].For /= 2
+				q.Faults[i].DurationMS /= 2
 				try(q)
 			}
 		}
@@ -73,8 +73,8 @@
 	return p, best, tried, nil
 }
 
-// Sum is a digest over digests.
-func Sum(digests []string) string {
+// CombineDigests is a digest over digests.
+func CombineDigests(digests []string) string {
 	h := xxhash.New()
 	for _, d := range digests {
 		h.WriteString(d)
@@ -82,12 +82,12 @@
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-// Unmet are the pairs of kinds that never met, of how many, and how often the rarest did.
-func Unmet(days string, pairs map[string]int) (none []string, least, all int) {
+// UnmetPairs are the pairs of kinds that never met, of how many, and how often the rarest did.
+func UnmetPairs(days string, pairs map[string]int) (none []string, least, all int) {
 	least = -1
-	for i, a := range Kinds {
-		for _, b := range Kinds[i+1:] {
-			if !belongs(days, a.Name) || !belongs(days, b.Name) {
+	for i, a := range FaultKinds {
+		for _, b := range FaultKinds[i+1:] {
+			if !profileDraws(days, a.Name) || !profileDraws(days, b.Name) {
 				continue
 			}
 			key := min(a.Name, b.Name) + " " + max(a.Name, b.Name)
@@ -102,19 +102,19 @@
 	return none, max(least, 0), all
 }
 
-// Belongs tells whether a kind of days draws a kind of fault.
-func Belongs(days, kind string) bool { return belongs(days, kind) }
+// ProfileDraws tells whether a kind of days draws a kind of fault.
+func ProfileDraws(days, kind string) bool { return profileDraws(days, kind) }
 
-// Names are a table's names, in order.
-func Names(of map[string]string) []string { return sorted(of) }
+// SortedNames are a table's names, in order.
+func SortedNames(of map[string]string) []string { return sortedKeys(of) }
 
-// PlantHelp is what each planted fault does.
-func PlantHelp() map[string]string {
+// InjectedFaultHelp is what each planted fault does.
+func InjectedFaultHelp() map[string]string {
 	help := map[string]string{}
-	for name, p := range plants {
+	for name, p := range injectedFaults {
 		help[name] = p.help
 	}
-	for name, p := range doorPlants {
+	for name, p := range extprocFaults {
 		help[name] = p.help
 	}
 	return help
--- a/internal/lab/scenario/stories_test.go
+++ b/internal/lab/scenario/stories_test.go
@@ -7,21 +7,21 @@
 )
 
 // tell plays a story for some seeds; happened tells whether what it is about did happen.
-func tellStory(t *testing.T, faults []Fault, look func(seed uint64) (Look, func(r Result) bool)) {
+func runCase(t *testing.T, faults []Fault, look func(seed uint64) (Hooks, func(r Result) bool)) {
 	t.Helper()
 	t.Parallel()
 	met := 0
 	for seed := uint64(1); seed <= 3; seed++ {
-		p := Draw(seed, "calm")
+		p := DrawPlan(seed, "calm")
 		p.Seconds, p.Faults, p.Rate = 12, faults, 12
 		l, happened := look(seed)
-		r, err := Play(p, l)
+		r, err := Run(p, l)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(r.Broken) > 0 {
-			t.Errorf("seed %d: %s", seed, r.Broken[0])
-			for _, line := range r.Story {
+		if len(r.Violations) > 0 {
+			t.Errorf("seed %d: %s", seed, r.Violations[0])
+			for _, line := range r.RecentEvents {
 				t.Log(line)
 			}
 		}
@@ -34,53 +34,53 @@
 	}
 }
 
-func faultsOnly(happened func(r Result) bool) func(uint64) (Look, func(Result) bool) {
-	return func(uint64) (Look, func(Result) bool) { return Look{}, happened }
+func withoutHooks(happened func(r Result) bool) func(uint64) (Hooks, func(Result) bool) {
+	return func(uint64) (Hooks, func(Result) bool) { return Hooks{}, happened }
 }
 
-// once drains the cache of a send at one place of the send's way, in the very instant.
-func once(place func(l *Look, drain func(d *Day, cache string))) func(uint64) (Look, func(Result) bool) {
-	return func(uint64) (Look, func(Result) bool) {
-		var l Look
+// drainOnce drains the cache of a send at one place of the send's way, in the very instant.
+func drainOnce(place func(l *Hooks, drain func(d *Scenario, cache string))) func(uint64) (Hooks, func(Result) bool) {
+	return func(uint64) (Hooks, func(Result) bool) {
+		var l Hooks
 		drained := ""
-		place(&l, func(d *Day, id string) {
-			if c := d.byID[id]; drained == "" && d.w.Now() > 4*time.Second && c != nil && c.flavor == "edge" && c.free() {
+		place(&l, func(d *Scenario, id string) {
+			if c := d.byID[id]; drained == "" && d.sim.Now() > 4*time.Second && c != nil && c.flavor == "edge" && c.isUndisturbed() {
 				drained = id
 				c.phase = "draining"
-				d.drained(c, "draining", 0)
-				d.after(6*time.Second, func() { c.say("removed", 0); d.after(100*time.Millisecond, func() { c.fall(false) }) })
+				d.publishDrain(c, "draining", 0)
+				d.after(6*time.Second, func() { c.publishPhase("removed", 0); d.after(100*time.Millisecond, func() { c.stop(false) }) })
 			}
 		})
 		return l, func(Result) bool { return drained != "" }
 	}
 }
 
-func TestStories(t *testing.T) {
+func TestCases(t *testing.T) {
 	t.Run("a drain told between a send's decision and its first byte", func(t *testing.T) {
-		tellStory(t, nil, once(func(l *Look, drain func(*Day, string)) {
-			l.decided = func(d *Day, _ *life, to string) { drain(d, to) }
+		runCase(t, nil, drainOnce(func(l *Hooks, drain func(*Scenario, string)) {
+			l.onDecision = func(d *Scenario, _ *gatewayProcess, to string) { drain(d, to) }
 		}))
 	})
 	t.Run("a drain told while the send is on the wire", func(t *testing.T) {
-		tellStory(t, nil, once(func(l *Look, drain func(*Day, string)) {
-			l.sent = func(d *Day, k *cacheConn, _ *do) { drain(d, k.c.id) }
+		runCase(t, nil, drainOnce(func(l *Hooks, drain func(*Scenario, string)) {
+			l.onAttempt = func(d *Scenario, k *cacheConn, _ *attemptRequest) { drain(d, k.cache.id) }
 		}))
 	})
 	t.Run("a drain told while the answer is written", func(t *testing.T) {
-		tellStory(t, nil, once(func(l *Look, drain func(*Day, string)) {
-			l.answering = func(d *Day, q *do) { drain(d, q.k.c.id) }
+		runCase(t, nil, drainOnce(func(l *Hooks, drain func(*Scenario, string)) {
+			l.onAnswer = func(d *Scenario, q *attemptRequest) { drain(d, q.conn.cache.id) }
 		}))
 	})
 	t.Run("nearly half of the gateways die in the instant of a purge, with a slow origin", func(t *testing.T) {
-		tellStory(t, []Fault{{At: 3000, Kind: "origin_slow", For: 9000, More: 40}, {At: 5000, Kind: "gateway_half", For: 800},
-			{At: 5000, Kind: "purge_group"}, {At: 5000, Kind: "purge_object"}},
-			faultsOnly(func(r Result) bool { return r.Ends["gateway gone"] > 0 }))
+		runCase(t, []Fault{{AtMS: 3000, Kind: "origin_slow", DurationMS: 9000, Variant: 40}, {AtMS: 5000, Kind: "gateway_half", DurationMS: 800},
+			{AtMS: 5000, Kind: "purge_group"}, {AtMS: 5000, Kind: "purge_object"}},
+			withoutHooks(func(r Result) bool { return r.Outcomes["gateway gone"] > 0 }))
 	})
 	t.Run("a purge told between an answer's first and last byte", func(t *testing.T) {
-		tellStory(t, nil, func(uint64) (Look, func(Result) bool) {
+		runCase(t, nil, func(uint64) (Hooks, func(Result) bool) {
 			n := 0
-			return Look{answering: func(d *Day, q *do) {
-				if sizeOf(q.object, q.part) > 10000 && n < 20 {
+			return Hooks{onAnswer: func(d *Scenario, q *attemptRequest) {
+				if partBytes(q.object, q.part) > 10000 && n < 20 {
 					n++
 					d.after(300*time.Microsecond, func() { d.purge(q.object, 0) })
 				}
@@ -88,81 +88,81 @@
 		})
 	})
 	t.Run("a cache resets after the last byte of a send and before its answer", func(t *testing.T) {
-		tellStory(t, nil, func(uint64) (Look, func(Result) bool) {
+		runCase(t, nil, func(uint64) (Hooks, func(Result) bool) {
 			n := 0
-			return Look{sent: func(d *Day, k *cacheConn, q *do) {
+			return Hooks{onAttempt: func(d *Scenario, k *cacheConn, q *attemptRequest) {
 				if n++; n%15 == 0 {
-					d.after(time.Millisecond, func() { k.e.Reset(); k.over(false) })
+					d.after(time.Millisecond, func() { k.end.Reset(); k.endAtCache(false) })
 				}
 			}}, func(r Result) bool { return r.Reasons["cache_closed reset"] > 5 }
 		})
 	})
 	t.Run("a client resets after the last byte of its lookup and before the answer", func(t *testing.T) {
-		tellStory(t, nil, func(uint64) (Look, func(Result) bool) {
+		runCase(t, nil, func(uint64) (Hooks, func(Result) bool) {
 			n := 0
-			return Look{taken: func(d *Day, a *ask) {
+			return Hooks{onReceived: func(d *Scenario, a *lookup) {
 				if n++; n%9 == 0 {
-					d.after(0, func() { a.c.shut("client left") })
+					d.after(0, func() { a.conn.close("client left") })
 				}
-			}}, func(r Result) bool { return r.Ends["client left"] > 5 }
+			}}, func(r Result) bool { return r.Outcomes["client left"] > 5 }
 		})
 	})
 	t.Run("SIGTERM amid a burst", func(t *testing.T) {
-		tellStory(t, []Fault{{At: 4000, Kind: "burst", For: 3000}, {At: 5000, Kind: "gateway_restart"}},
-			faultsOnly(func(r Result) bool { return r.Reasons["stopping"] > 3 && r.Reasons["client_closed stopping"] > 0 }))
+		runCase(t, []Fault{{AtMS: 4000, Kind: "burst", DurationMS: 3000}, {AtMS: 5000, Kind: "gateway_restart"}},
+			withoutHooks(func(r Result) bool { return r.Reasons["stopping"] > 3 && r.Reasons["client_closed stopping"] > 0 }))
 	})
 	t.Run("SIGHUP in a bulletin break", func(t *testing.T) {
-		tellStory(t, []Fault{{At: 4000, Kind: "bulletin_break"}, {At: 4000, Kind: "reload_good"}, {At: 4000, Kind: "purge_object"},
-			{At: 6000, Kind: "bulletin_gone", For: 2000}, {At: 6000, Kind: "reload_good"}, {At: 6100, Kind: "cache_drain", For: 1000}},
-			faultsOnly(func(r Result) bool { return r.Reasons["reread"] > 3 }))
+		runCase(t, []Fault{{AtMS: 4000, Kind: "bulletin_break"}, {AtMS: 4000, Kind: "reload_good"}, {AtMS: 4000, Kind: "purge_object"},
+			{AtMS: 6000, Kind: "bulletin_gone", DurationMS: 2000}, {AtMS: 6000, Kind: "reload_good"}, {AtMS: 6100, Kind: "cache_drain", DurationMS: 1000}},
+			withoutHooks(func(r Result) bool { return r.Reasons["reread"] > 3 }))
 	})
 	t.Run("time moves on while a write is blocked", func(t *testing.T) {
-		tellStory(t, []Fault{{At: 3000, Kind: "cache_deaf", For: 4000}, {At: 4000, Kind: "cache_deaf", Who: 1, For: 4000},
-			{At: 3000, Kind: "clients_mute", For: 8000}, {At: 5000, Kind: "burst", For: 2000}},
-			faultsOnly(func(r Result) bool { return r.Reasons["cache_closed write_failed"] > 0 }))
+		runCase(t, []Fault{{AtMS: 3000, Kind: "cache_deaf", DurationMS: 4000}, {AtMS: 4000, Kind: "cache_deaf", Target: 1, DurationMS: 4000},
+			{AtMS: 3000, Kind: "clients_mute", DurationMS: 8000}, {AtMS: 5000, Kind: "burst", DurationMS: 2000}},
+			withoutHooks(func(r Result) bool { return r.Reasons["cache_closed write_failed"] > 0 }))
 	})
-	two := []Fault{{At: 5000, Kind: "cache_kill", Who: 2, For: 700}, {At: 5000, Kind: "purge_object", More: 1},
-		{At: 5000, Kind: "gateway_kill", Who: 1, For: 900}, {At: 5000, Kind: "bulletin_gone", For: 1500}}
+	two := []Fault{{AtMS: 5000, Kind: "cache_kill", Target: 2, DurationMS: 700}, {AtMS: 5000, Kind: "purge_object", Variant: 1},
+		{AtMS: 5000, Kind: "gateway_kill", Target: 1, DurationMS: 900}, {AtMS: 5000, Kind: "bulletin_gone", DurationMS: 1500}}
 	for i, a := range two {
 		for _, b := range two[i+1:] {
 			for n, order := range [][]Fault{{a, b}, {b, a}} {
 				t.Run(fmt.Sprintf("two faults in one instant: %s and %s, %d", a.Kind, b.Kind, n), func(t *testing.T) {
-					tellStory(t, order, faultsOnly(func(r Result) bool { return r.Lookups > 100 }))
+					runCase(t, order, withoutHooks(func(r Result) bool { return r.Lookups > 100 }))
 				})
 			}
 		}
 	}
 }
 
-// tellMorning plays a morning for some seeds; more tells what must be so beside the rules.
-func tellMorning(t *testing.T, m Morning, faults []Fault, more func(r Result) string) {
+// runColdStart plays a morning for some seeds; more tells what must be so beside the rules.
+func runColdStart(t *testing.T, m ColdStart, faults []Fault, more func(r Result) string) {
 	t.Helper()
 	t.Parallel()
 	for seed := uint64(1); seed <= 6; seed++ {
-		p := Draw(seed, "calm")
+		p := DrawPlan(seed, "calm")
 		m := m
-		if m.From == "" {
-			m.From = "list"
+		if m.StartFrom == "" {
+			m.StartFrom = "list"
 		}
-		p.Seconds, p.Morning, p.Faults = 30, &m, faults
-		r, err := Play(p, Look{})
+		p.Seconds, p.ColdStart, p.Faults = 30, &m, faults
+		r, err := Run(p, Hooks{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(r.Broken) > 0 {
-			t.Errorf("seed %d: %s", seed, r.Broken[0])
+		if len(r.Violations) > 0 {
+			t.Errorf("seed %d: %s", seed, r.Violations[0])
 			continue
 		}
 		if text := more(r); text != "" {
-			t.Errorf("seed %d: %s, %v, %+v", seed, text, r.Ends, r.Early)
+			t.Errorf("seed %d: %s, %v, %+v", seed, text, r.Outcomes, r.EarlyLookups)
 		}
 	}
 }
 
-func TestMornings(t *testing.T) {
+func TestColdStarts(t *testing.T) {
 	least := func(share float64) func(r Result) string {
 		return func(r Result) string {
-			if float64(r.Early.Satisfied) < share*float64(r.Early.Asked) {
+			if float64(r.EarlyLookups.Satisfied) < share*float64(r.EarlyLookups.Sent) {
 				return fmt.Sprintf("under %.2f of the first lookups satisfied", share)
 			}
 			if r.Reasons["from_list"] == 0 {
@@ -173,37 +173,37 @@
 	}
 	for _, story := range []struct {
 		name string
-		m    Morning
+		m    ColdStart
 		more func(r Result) string
 	}{
-		{"a list a minute old, and all as it says", Morning{Age: 60}, least(0.97)},
-		{"an hour old", Morning{Age: 3600}, least(0.97)},
-		{"a month old", Morning{Age: 30 * 86400}, least(0.9)},
-		{"half of it is wrong: gone, silent, strangers, other caches at old addresses", Morning{Age: 3600, Wrong: 0.5}, least(0.6)},
-		{"all that it calls warm has just started", Morning{Age: 60, Wrong: 1, Cold: true}, least(0.5)},
-		{"the clock that wrote it was two hours ahead", Morning{Age: 60, Skew: 7200}, least(0.9)},
-		{"or two hours behind", Morning{Age: 60, Skew: -7200}, least(0.97)},
-		{"the bulletin comes back with its numbers from 1", Morning{Age: 60, Away: 9000, Spans: true}, least(0.97)},
-		{"the bulletin comes back, behind the list by a drain", Morning{Age: 60, Away: 3000, Behind: true}, least(0.97)},
-		{"the last bytes of the list are torn", Morning{Age: 60, Torn: true, Away: 3000}, func(r Result) string {
+		{"a list a minute old, and all as it says", ColdStart{AgeSeconds: 60}, least(0.97)},
+		{"an hour old", ColdStart{AgeSeconds: 3600}, least(0.97)},
+		{"a month old", ColdStart{AgeSeconds: 30 * 86400}, least(0.9)},
+		{"half of it is wrong: gone, silent, strangers, other caches at old addresses", ColdStart{AgeSeconds: 3600, WrongShare: 0.5}, least(0.6)},
+		{"all that it calls warm has just started", ColdStart{AgeSeconds: 60, WrongShare: 1, Cold: true}, least(0.5)},
+		{"the clock that wrote it was two hours ahead", ColdStart{AgeSeconds: 60, SkewSeconds: 7200}, least(0.9)},
+		{"or two hours behind", ColdStart{AgeSeconds: 60, SkewSeconds: -7200}, least(0.97)},
+		{"the bulletin comes back with its numbers from 1", ColdStart{AgeSeconds: 60, AwayMS: 9000, NumbersRestarted: true}, least(0.97)},
+		{"the bulletin comes back, behind the list by a drain", ColdStart{AgeSeconds: 60, AwayMS: 3000, DrainUnannounced: true}, least(0.97)},
+		{"the last bytes of the list are torn", ColdStart{AgeSeconds: 60, Torn: true, AwayMS: 3000}, func(r Result) string {
 			if r.Reasons["list_torn"]+r.Reasons["from_list"] == 0 {
 				return "nothing was read"
 			}
 			return ""
 		}},
-		{"no list and no bulletin: all is nacked at once, until it speaks", Morning{From: "wait", Away: 9000}, func(r Result) string {
-			if r.Reasons["no_list"] == 0 || r.Ends["503"] == 0 || r.Early.Satisfied == 0 {
+		{"no list and no bulletin: all is nacked at once, until it speaks", ColdStart{StartFrom: "wait", AwayMS: 9000}, func(r Result) string {
+			if r.Reasons["no_list"] == 0 || r.Outcomes["503"] == 0 || r.EarlyLookups.Satisfied == 0 {
 				return "expected nacks first, then answers"
 			}
 			return ""
 		}},
 	} {
-		t.Run(story.name, func(t *testing.T) { tellMorning(t, story.m, nil, story.more) })
+		t.Run(story.name, func(t *testing.T) { runColdStart(t, story.m, nil, story.more) })
 	}
 	t.Run("a drain told, then all gateways killed with or without their machines", func(t *testing.T) {
-		tellMorning(t, Morning{Age: 60, Away: 1}, []Fault{{At: 5000, Kind: "cache_drain", Who: 1, For: 20000},
-			{At: 9000, Kind: "gateway_kill", Who: 0, For: 1000}, {At: 9000, Kind: "gateway_kill", Who: 1, For: 1000}, {At: 9000, Kind: "gateway_kill", Who: 2, For: 1000},
-			{At: 9100, Kind: "bulletin_gone", Who: 0, For: 12000}, {At: 9100, Kind: "bulletin_gone", Who: 1, For: 12000}}, func(r Result) string {
+		runColdStart(t, ColdStart{AgeSeconds: 60, AwayMS: 1}, []Fault{{AtMS: 5000, Kind: "cache_drain", Target: 1, DurationMS: 20000},
+			{AtMS: 9000, Kind: "gateway_kill", Target: 0, DurationMS: 1000}, {AtMS: 9000, Kind: "gateway_kill", Target: 1, DurationMS: 1000}, {AtMS: 9000, Kind: "gateway_kill", Target: 2, DurationMS: 1000},
+			{AtMS: 9100, Kind: "bulletin_gone", Target: 0, DurationMS: 12000}, {AtMS: 9100, Kind: "bulletin_gone", Target: 1, DurationMS: 12000}}, func(r Result) string {
 			if r.Reasons["from_list"] < 4 {
 				return "nobody started from the list once more"
 			}
@@ -211,7 +211,7 @@
 		})
 	})
 	t.Run("all gateways restart from their lists while all caches are cold", func(t *testing.T) {
-		tellMorning(t, Morning{Age: 3600, Wrong: 1, Cold: true}, []Fault{{At: 1500, Kind: "gateway_kill", Who: 0, For: 500}, {At: 1500, Kind: "gateway_kill", Who: 1, For: 700},
-			{At: 1500, Kind: "gateway_kill", Who: 2, For: 900}}, least(0.3))
+		runColdStart(t, ColdStart{AgeSeconds: 3600, WrongShare: 1, Cold: true}, []Fault{{AtMS: 1500, Kind: "gateway_kill", Target: 0, DurationMS: 500}, {AtMS: 1500, Kind: "gateway_kill", Target: 1, DurationMS: 700},
+			{AtMS: 1500, Kind: "gateway_kill", Target: 2, DurationMS: 900}}, least(0.3))
 	})
 }
--- a/internal/lab/scenario/twin_test.go
+++ b/internal/lab/scenario/twin_test.go
@@ -6,15 +6,15 @@
 )
 
 // The same lookups are decided alike at a gateway and at its door, one decision after the other.
-func TestTwins(t *testing.T) {
+func TestDifferentialRunsDecideAlike(t *testing.T) {
 	for seed := uint64(1); seed <= 30; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			p, err := Twins(seed)
+			p, err := RunDifferential(seed)
 			if err != nil || p.Broken != "" {
 				t.Fatal(err, p.Broken)
 			}
-			if p.Different != "" && p.Term == "" || p.Compared == 0 {
+			if p.Different != "" && p.Divergence == "" || p.Compared == 0 {
 				t.Errorf("%+v", p)
 			}
 		})
@@ -22,10 +22,10 @@
 }
 
 // Decisions a microsecond apart are alike; others, or other decisions, are not.
-func TestAlike(t *testing.T) {
+func TestSameDecision(t *testing.T) {
 	for x, want := range map[[2]string]bool{{"5 us nack a", "4 us nack a"}: true, {"5 us nack a", "3 us nack a"}: false,
 		{"5 us nack a", "5 us nack b"}: false, {"nothing", "5 us nack a"}: false, {"nothing", "nothing"}: true} {
-		if alike(x[0], x[1]) != want {
+		if sameDecision(x[0], x[1]) != want {
 			t.Errorf("%q, %q: %v", x[0], x[1], !want)
 		}
 	}
--- a/internal/lab/simenv/disk.go
+++ b/internal/lab/simenv/disk.go
@@ -9,160 +9,160 @@
 	"foldslip/internal/store/wal"
 )
 
-// Disk is a folder whose machine may lose power: what was not synced is then there in part or not at all. It is a
+// Directory is a folder whose machine may lose power: what was not synced is then there in part or not at all. It is a
 // record.Disk. It lives through the lives of its processes.
-type Disk struct {
+type Directory struct {
 	// Left is how many more operations go through; below 0 there is no end. At 0 every operation fails with ErrPower.
-	Left int
+	OpsLeft int
 	// Ops counts operations so far.
-	Ops     int
-	names   map[string]*inode // as the running system sees the folder
-	lasting map[string]*inode // as it is after a loss of power
-	locked  bool
+	Ops    int
+	files  map[string]*inode // as the running system sees the folder
+	synced map[string]*inode // as it is after a loss of power
+	locked bool
 }
 
 type inode struct {
-	data   []byte
-	synced int
+	data        []byte
+	syncedBytes int
 }
 
 // ErrPower is the error of a disk without power.
 var ErrPower = errors.New("the disk has no power")
 
-// NewDisk makes an empty folder.
-func NewDisk() *Disk {
-	return &Disk{Left: -1, names: map[string]*inode{}, lasting: map[string]*inode{}}
+// NewDirectory makes an empty folder.
+func NewDirectory() *Directory {
+	return &Directory{OpsLeft: -1, files: map[string]*inode{}, synced: map[string]*inode{}}
 }
 
-func (d *Disk) op() error {
-	if d.Left == 0 {
+func (d *Directory) countOp() error {
+	if d.OpsLeft == 0 {
 		return ErrPower
 	}
-	d.Left = max(-1, d.Left-1)
+	d.OpsLeft = max(-1, d.OpsLeft-1)
 	d.Ops++
 	return nil
 }
 
 // Crash is a loss of power: of what was not synced some is there, by chance. Afterwards the disk works again.
-func (d *Disk) Crash(chance *rand.Rand) {
-	d.Left, d.locked = -1, false
+func (d *Directory) Crash(chance *rand.Rand) {
+	d.OpsLeft, d.locked = -1, false
 	if chance.IntN(2) == 0 { // the folder's changes may have reached it
-		d.lasting = d.names
+		d.synced = d.files
 	}
-	d.names = map[string]*inode{}
-	names := make([]string, 0, len(d.lasting))
-	for n := range d.lasting {
+	d.files = map[string]*inode{}
+	names := make([]string, 0, len(d.synced))
+	for n := range d.synced {
 		names = append(names, n)
 	}
 	slices.Sort(names)
 	for _, n := range names {
-		was := d.lasting[n]
-		kept := slices.Clone(was.data[:was.synced+chance.IntN(len(was.data)-was.synced+1)])
-		if len(kept) > was.synced && chance.IntN(4) == 0 { // a block that was on its way may hold anything
-			kept[was.synced+chance.IntN(len(kept)-was.synced)] ^= byte(1 + chance.IntN(255))
+		was := d.synced[n]
+		kept := slices.Clone(was.data[:was.syncedBytes+chance.IntN(len(was.data)-was.syncedBytes+1)])
+		if len(kept) > was.syncedBytes && chance.IntN(4) == 0 { // a block that was on its way may hold anything
+			kept[was.syncedBytes+chance.IntN(len(kept)-was.syncedBytes)] ^= byte(1 + chance.IntN(255))
 		}
-		d.names[n] = &inode{kept, len(kept)}
+		d.files[n] = &inode{kept, len(kept)}
 	}
-	d.lasting = map[string]*inode{}
-	for n, i := range d.names {
-		d.lasting[n] = i
+	d.synced = map[string]*inode{}
+	for n, i := range d.files {
+		d.synced[n] = i
 	}
 }
 
-// Spoil changes one byte of a file, or cuts it there.
-func (d *Disk) Spoil(name string, at int, cut bool) {
-	i := d.names[name]
+// Corrupt changes one byte of a file, or cuts it there.
+func (d *Directory) Corrupt(name string, at int, cut bool) {
+	i := d.files[name]
 	if cut {
 		i.data = i.data[:at]
 	} else {
 		i.data[at] ^= 0x40
 	}
-	i.synced = len(i.data)
+	i.syncedBytes = len(i.data)
 }
 
 // Size is the length of a file, -1 where there is none.
-func (d *Disk) Size(name string) int {
-	if i := d.names[name]; i != nil {
+func (d *Directory) Size(name string) int {
+	if i := d.files[name]; i != nil {
 		return len(i.data)
 	}
 	return -1
 }
 
 // Copy is the same folder once more.
-func (d *Disk) Copy() *Disk {
-	c := NewDisk()
-	for n, i := range d.names {
-		c.names[n] = &inode{slices.Clone(i.data), len(i.data)}
-		c.lasting[n] = c.names[n]
+func (d *Directory) Copy() *Directory {
+	c := NewDirectory()
+	for n, i := range d.files {
+		c.files[n] = &inode{slices.Clone(i.data), len(i.data)}
+		c.synced[n] = c.files[n]
 	}
 	return c
 }
 
-func (d *Disk) Names() ([]string, error) {
-	if err := d.op(); err != nil {
+func (d *Directory) Names() ([]string, error) {
+	if err := d.countOp(); err != nil {
 		return nil, err
 	}
 	var names []string
-	for n := range d.names {
+	for n := range d.files {
 		names = append(names, n)
 	}
 	slices.Sort(names)
 	return names, nil
 }
 
-func (d *Disk) Read(name string) ([]byte, error) {
-	if err := d.op(); err != nil {
+func (d *Directory) Read(name string) ([]byte, error) {
+	if err := d.countOp(); err != nil {
 		return nil, err
 	}
-	if i := d.names[name]; i != nil {
+	if i := d.files[name]; i != nil {
 		return slices.Clone(i.data), nil
 	}
 	return nil, &fs.PathError{Op: "open", Path: name, Err: fs.ErrNotExist}
 }
 
-func (d *Disk) Create(name string) (wal.File, error) {
-	if err := d.op(); err != nil {
+func (d *Directory) Create(name string) (wal.File, error) {
+	if err := d.countOp(); err != nil {
 		return nil, err
 	}
 	i := &inode{}
-	d.names[name] = i
+	d.files[name] = i
 	return &file{d, i}, nil
 }
 
-func (d *Disk) Rename(from, to string) error {
-	if err := d.op(); err != nil {
+func (d *Directory) Rename(from, to string) error {
+	if err := d.countOp(); err != nil {
 		return err
 	}
-	i := d.names[from]
+	i := d.files[from]
 	if i == nil {
 		return &fs.PathError{Op: "rename", Path: from, Err: fs.ErrNotExist}
 	}
-	delete(d.names, from)
-	d.names[to] = i
+	delete(d.files, from)
+	d.files[to] = i
 	return nil
 }
 
-func (d *Disk) Remove(name string) error {
-	if err := d.op(); err != nil {
+func (d *Directory) Remove(name string) error {
+	if err := d.countOp(); err != nil {
 		return err
 	}
-	delete(d.names, name)
+	delete(d.files, name)
 	return nil
 }
 
-func (d *Disk) Sync() error {
-	if err := d.op(); err != nil {
+func (d *Directory) Sync() error {
+	if err := d.countOp(); err != nil {
 		return err
 	}
-	d.lasting = map[string]*inode{}
-	for n, i := range d.names {
-		d.lasting[n] = i
+	d.synced = map[string]*inode{}
+	for n, i := range d.files {
+		d.synced[n] = i
 	}
 	return nil
 }
 
-func (d *Disk) Lock() (func(), error) {
-	if err := d.op(); err != nil {
+func (d *Directory) Lock() (func(), error) {
+	if err := d.countOp(); err != nil {
 		return nil, err
 	}
 	if d.locked {
@@ -173,24 +173,24 @@
 }
 
 type file struct {
-	d *Disk
-	i *inode
+	directory *Directory
+	inode     *inode
 }
 
 func (f *file) Write(b []byte) (int, error) {
-	if err := f.d.op(); err != nil {
-		f.i.data = append(f.i.data, b[:len(b)/2]...) // the power went in the middle of it
+	if err := f.directory.countOp(); err != nil {
+		f.inode.data = append(f.inode.data, b[:len(b)/2]...) // the power went in the middle of it
 		return len(b) / 2, err
 	}
-	f.i.data = append(f.i.data, b...)
+	f.inode.data = append(f.inode.data, b...)
 	return len(b), nil
 }
 
 func (f *file) Sync() error {
-	if err := f.d.op(); err != nil {
+	if err := f.directory.countOp(); err != nil {
 		return err
 	}
-	f.i.synced = len(f.i.data)
+	f.inode.syncedBytes = len(f.inode.data)
 	return nil
 }
 
--- a/internal/lab/simenv/proc.go
+++ b/internal/lab/simenv/proc.go
@@ -15,149 +15,151 @@
 
 // Host is a machine: it has an address and, in the end, a fate.
 type Host struct {
-	IP    string
-	Group string // of hosts that a split of the network separates from others
-	Slow  time.Duration
-	Mute  bool // vanished: it says nothing more and hears nothing
-	w     *World
-	serve map[string]acceptor // by port
+	IP           string
+	Group        string // of hosts that a split of the network separates from others
+	ExtraLatency time.Duration
+	Vanished     bool // vanished: it says nothing more and hears nothing
+	sim          *Simulation
+	listeners    map[string]acceptor // by port
 }
 
 type acceptor interface {
 	// connect tells whether a connection is taken: refused, taken, or left without a word.
-	connect(e *End) verdict
+	connect(e *End) connectResult
 }
 
-type verdict int
+type connectResult int
 
 const (
-	refused verdict = iota
-	taken
-	silent
+	refused connectResult = iota
+	accepted
+	unanswered
 )
 
 // Host makes a host, or finds it.
-func (w *World) Host(ip, group string) *Host {
+func (w *Simulation) Host(ip, group string) *Host {
 	h := w.hosts[ip]
 	if h == nil {
-		h = &Host{IP: ip, Group: group, w: w, serve: map[string]acceptor{}}
+		h = &Host{IP: ip, Group: group, sim: w, listeners: map[string]acceptor{}}
 		w.hosts[ip] = h
 	}
 	return h
 }
 
 // Split cuts two groups of hosts from each other; Heal mends all cuts between them.
-func (w *World) Split(a, b string) { w.cut = append(w.cut, [2]string{a, b}) }
+func (w *Simulation) Split(a, b string) { w.splits = append(w.splits, [2]string{a, b}) }
 
 // Heal mends the cuts between two groups.
-func (w *World) Heal(a, b string) {
-	kept := w.cut[:0]
-	for _, c := range w.cut {
+func (w *Simulation) Heal(a, b string) {
+	kept := w.splits[:0]
+	for _, c := range w.splits {
 		if c != [2]string{a, b} {
 			kept = append(kept, c)
 		}
 	}
-	w.cut = kept
+	w.splits = kept
 }
 
-func (w *World) reach(a, b *Host) bool {
-	for _, c := range w.cut {
+func (w *Simulation) isReachable(a, b *Host) bool {
+	for _, c := range w.splits {
 		if c[0] == a.Group && c[1] == b.Group || c[0] == b.Group && c[1] == a.Group {
 			return false
 		}
 	}
-	return !a.Mute && !b.Mute
+	return !a.Vanished && !b.Vanished
 }
 
-// lag is the time a message takes, with the seed's jitter.
-func (w *World) lag(a, b *Host) time.Duration {
-	if w.Even {
+// latency is the time a message takes, with the seed's jitter.
+func (w *Simulation) latency(a, b *Host) time.Duration {
+	if w.Lockstep {
 		return 0
 	}
 	base := 200 * time.Microsecond
 	if a.Group != b.Group {
 		base = 2 * time.Millisecond
 	}
-	return base + a.Slow + b.Slow + time.Duration(w.Chance.Uint32()%300)*time.Microsecond
+	return base + a.ExtraLatency + b.ExtraLatency + time.Duration(w.Rand.Uint32()%300)*time.Microsecond
 }
 
-// Proc is a process on a host. It is a clock.Ground.
-type Proc struct {
-	Name  string
-	Env_  map[string]string
-	Files map[string][]byte
-	Disks map[string]*Disk // by the path of a folder
-	FDs   int              // descriptors it may hold
+// Process is a process on a host. It is a clock.Ground.
+type Process struct {
+	Name           string
+	Variables      map[string]string
+	Files          map[string][]byte
+	Directories    map[string]*Directory // by the path of a folder
+	MaxDescriptors int                   // descriptors it may hold
 	// Skew is how far the clock of its machine was from the true time when it started.
 	Skew time.Duration
 	// Line gets each line of its log.
-	Line func(p *Proc, level slog.Level, line string)
+	OnLogLine func(p *Process, level slog.Level, line string)
 	// Done is called when its main goroutine ends.
-	Done func(p *Proc, err error)
-
-	w       *World
-	host    *Host
-	began   time.Duration
-	tasks   []*task
-	count   uint64
-	timers  int
-	dead    bool
-	over    bool
-	held    int // descriptors
-	most    int
-	conns   []*Conn
-	listens []*listener
-	dials   int
-	blocks  int
-	blocked time.Duration // when a write last was
-	dialled time.Duration // when the last one ended
-	hear    func(env.Signal)
-	logger  *slog.Logger
+	OnEnd func(p *Process, err error)
+
+	sim             *Simulation
+	host            *Host
+	startedAt       time.Duration
+	tasks           []*task
+	taskCount       uint64
+	timerCount      int
+	killed          bool
+	ended           bool
+	descriptors     int // descriptors
+	peakDescriptors int
+	conns           []*Conn
+	listeners       []*listener
+	openDials       int
+	blockedWrites   int
+	lastBlocked     time.Duration // when a write last was
+	lastDialed      time.Duration // when the last one ended
+	onSignal        func(env.Signal)
+	logger          *slog.Logger
 }
 
 // Start makes a process and calls main in a goroutine of it.
-func (w *World) Start(h *Host, p *Proc, main func(g env.Environment) error) *Proc {
-	p.w, p.host, p.began = w, h, w.now
-	p.logger = slog.New(&handler{p: p})
-	w.procs = append(w.procs, p)
+func (w *Simulation) Start(h *Host, p *Process, main func(g env.Environment) error) *Process {
+	p.sim, p.host, p.startedAt = w, h, w.now
+	p.logger = slog.New(&logHandler{process: p})
+	w.processes = append(w.processes, p)
 	w.Note(StepStart, p.Name, "", 0)
 	w.spawn(p, "main", func() {
 		err := main(p)
-		p.over = true
-		if p.Done != nil {
-			p.Done(p, err)
+		p.ended = true
+		if p.OnEnd != nil {
+			p.OnEnd(p, err)
 		}
 	})
 	return p
 }
 
-// Alive tells whether it has neither ended nor been killed.
-func (p *Proc) Alive() bool { return !p.dead && !p.over }
+// IsAlive tells whether it has neither ended nor been killed.
+func (p *Process) IsAlive() bool { return !p.killed && !p.ended }
 
-// Held is what it holds now: goroutines, timers, descriptors.
-func (p *Proc) Held() (goroutines, timers, descriptors int) { return len(p.tasks), p.timers, p.held }
+// Resources is what it holds now: goroutines, timers, descriptors.
+func (p *Process) Resources() (goroutines, timers, descriptors int) {
+	return len(p.tasks), p.timerCount, p.descriptors
+}
 
-// Dialling is when a connection was last being made, as its wire shows.
-func (p *Proc) Dialling() time.Duration {
-	if p.dials > 0 {
-		return p.w.now
+// LastDialing is when a connection was last being made, as its wire shows.
+func (p *Process) LastDialing() time.Duration {
+	if p.openDials > 0 {
+		return p.sim.now
 	}
-	return p.dialled
+	return p.lastDialed
 }
 
-// Blocking is when a write of the process last waited for a peer that takes nothing.
-func (p *Proc) Blocking() time.Duration {
-	if p.blocks > 0 {
-		return p.w.now
+// LastBlocked is when a write of the process last waited for a peer that takes nothing.
+func (p *Process) LastBlocked() time.Duration {
+	if p.blockedWrites > 0 {
+		return p.sim.now
 	}
-	return p.blocked
+	return p.lastBlocked
 }
 
-// Most is how many descriptors it held at once.
-func (p *Proc) Most() int { return p.most }
+// PeakDescriptors is how many descriptors it held at once.
+func (p *Process) PeakDescriptors() int { return p.peakDescriptors }
 
-// Names are the names of its goroutines.
-func (p *Proc) Names() string {
+// GoroutineNames are the names of its goroutines.
+func (p *Process) GoroutineNames() string {
 	var names []string
 	for _, t := range p.tasks {
 		names = append(names, t.name)
@@ -166,17 +168,17 @@
 }
 
 // Kill ends it at once: its connections are reset, nothing of it runs any more.
-func (p *Proc) Kill() {
-	if p.dead {
+func (p *Process) Kill() {
+	if p.killed {
 		return
 	}
-	p.w.Note(StepKill, p.Name, "", 0)
-	p.dead = true
-	for _, d := range p.Disks {
+	p.sim.Note(StepKill, p.Name, "", 0)
+	p.killed = true
+	for _, d := range p.Directories {
 		d.locked = false
 	}
-	for _, l := range append([]*listener(nil), p.listens...) {
-		l.shut()
+	for _, l := range append([]*listener(nil), p.listeners...) {
+		l.closeAll()
 	}
 	for _, c := range append([]*Conn(nil), p.conns...) {
 		c.abort()
@@ -184,80 +186,80 @@
 	p.stopTasks()
 }
 
-func (p *Proc) stopTasks() {
-	w, was := p.w, p.w.cur
+func (p *Process) stopTasks() {
+	w, was := p.sim, p.sim.current
 	for _, t := range append([]*task(nil), p.tasks...) {
-		w.Drop(t.due)
-		if w.cur = t; !t.ended {
+		w.Cancel(t.timeout)
+		if w.current = t; !t.ended {
 			t.ended = true
 			t.stop()
 		}
 	}
-	w.cur, p.tasks = was, nil
+	w.current, p.tasks = was, nil
 }
 
 // Signal gives it a signal, if it hears them; without ears it ends.
-func (p *Proc) Signal(s env.Signal) {
-	if !p.Alive() {
+func (p *Process) Signal(s env.Signal) {
+	if !p.IsAlive() {
 		return
 	}
-	p.w.Note(StepSignal, p.Name, "", int64(s))
-	if p.hear == nil {
+	p.sim.Note(StepSignal, p.Name, "", int64(s))
+	if p.onSignal == nil {
 		p.Kill()
 		return
 	}
-	p.hear(s)
+	p.onSignal(s)
 }
 
-func (p *Proc) take() bool {
-	if p.FDs > 0 && p.held >= p.FDs {
+func (p *Process) acquireDescriptor() bool {
+	if p.MaxDescriptors > 0 && p.descriptors >= p.MaxDescriptors {
 		return false
 	}
-	p.held++
-	p.most = max(p.most, p.held)
+	p.descriptors++
+	p.peakDescriptors = max(p.peakDescriptors, p.descriptors)
 	return true
 }
 
 // Now is the time as this process's machine tells it; a step of the clock shows in processes started after it.
-func (p *Proc) Now() time.Time { return Epoch.Add(p.w.now + p.Skew) }
+func (p *Process) Now() time.Time { return Epoch.Add(p.sim.now + p.Skew) }
 
-func (p *Proc) since(t time.Time) time.Duration { return t.Sub(Epoch) - p.Skew }
+func (p *Process) simTime(t time.Time) time.Duration { return t.Sub(Epoch) - p.Skew }
 
 type timer struct {
-	p *Proc
-	e *Event
+	process *Process
+	event   *Event
 }
 
 func (t *timer) Stop() bool {
-	if t.p.w.Drop(t.e) {
-		t.p.timers--
+	if t.process.sim.Cancel(t.event) {
+		t.process.timerCount--
 		return true
 	}
 	return false
 }
 
-func (p *Proc) AfterFunc(d time.Duration, f func()) env.Timer {
-	p.timers++
-	return &timer{p, p.w.After(d, func() {
-		p.timers--
-		p.w.spawn(p, "timer", f)
+func (p *Process) AfterFunc(d time.Duration, f func()) env.Timer {
+	p.timerCount++
+	return &timer{p, p.sim.After(d, func() {
+		p.timerCount--
+		p.sim.spawn(p, "timer", f)
 	})}
 }
 
 type notifier struct {
-	p       *Proc
+	process *Process
 	pending bool
 	waiters []*task
 }
 
-func (p *Proc) NewNotifier() env.Notifier { return &notifier{p: p} }
+func (p *Process) NewNotifier() env.Notifier { return &notifier{process: p} }
 
 func (b *notifier) Notify() {
 	for len(b.waiters) > 0 {
 		t := b.waiters[0]
 		b.waiters = b.waiters[1:]
-		if t.waits {
-			b.p.w.wake(t, true)
+		if t.parked {
+			b.process.sim.wake(t, true)
 			return
 		}
 	}
@@ -265,8 +267,8 @@
 }
 
 func (b *notifier) Wait(within time.Duration) bool {
-	w := b.p.w
-	w.lapse()
+	w := b.process.sim
+	w.maybeYield()
 	if b.pending {
 		b.pending = false
 		return true
@@ -274,7 +276,7 @@
 	if within == 0 {
 		return false
 	}
-	t := w.cur
+	t := w.current
 	b.waiters = append(b.waiters, t)
 	if w.park(within) {
 		return true
@@ -289,23 +291,23 @@
 }
 
 type group struct {
-	p    *Proc
-	open int
-	err  error
-	wait []*task
+	process *Process
+	open    int
+	err     error
+	waiters []*task
 }
 
-func (p *Proc) NewGroup() env.Group { return &group{p: p} }
+func (p *Process) NewGroup() env.Group { return &group{process: p} }
 
 func (g *group) Go(name string, f func() error) {
 	g.open++
-	g.p.w.spawn(g.p, name, func() {
+	g.process.sim.spawn(g.process, name, func() {
 		defer func() {
 			if g.open--; g.open == 0 {
-				for _, t := range g.wait {
-					g.p.w.wake(t, true)
+				for _, t := range g.waiters {
+					g.process.sim.wake(t, true)
 				}
-				g.wait = nil
+				g.waiters = nil
 			}
 		}()
 		if err := f(); err != nil && g.err == nil {
@@ -316,24 +318,24 @@
 
 func (g *group) Wait() error {
 	for g.open > 0 {
-		g.wait = append(g.wait, g.p.w.cur)
-		g.p.w.park(-1)
+		g.waiters = append(g.waiters, g.process.sim.current)
+		g.process.sim.park(-1)
 	}
 	return g.err
 }
 
-func (p *Proc) Getenv(name string) string { return p.Env_[name] }
+func (p *Process) Getenv(name string) string { return p.Variables[name] }
 
 // OpenDirectory is the disk that the process's machine has at a path.
-func (p *Proc) OpenDirectory(path string) (env.Directory, error) {
-	d := p.Disks[path]
+func (p *Process) OpenDirectory(path string) (env.Directory, error) {
+	d := p.Directories[path]
 	if d == nil {
 		return nil, &fs.PathError{Op: "mkdir", Path: path, Err: fs.ErrPermission}
 	}
 	return d, nil
 }
 
-func (p *Proc) ReadFile(path string) ([]byte, error) {
+func (p *Process) ReadFile(path string) ([]byte, error) {
 	b, ok := p.Files[path]
 	if !ok {
 		return nil, &fs.PathError{Op: "open", Path: path, Err: fs.ErrNotExist}
@@ -341,26 +343,26 @@
 	return b, nil
 }
 
-func (p *Proc) OnSignal(hear func(env.Signal)) (stop func()) {
-	p.hear = hear
-	return func() { p.hear = nil }
+func (p *Process) OnSignal(hear func(env.Signal)) (stop func()) {
+	p.onSignal = hear
+	return func() { p.onSignal = nil }
 }
 
-func (p *Proc) SetResourceLimits(int, int64) {}
+func (p *Process) SetResourceLimits(int, int64) {}
 
-func (p *Proc) ReleaseMemory() {}
+func (p *Process) ReleaseMemory() {}
 
-func (p *Proc) DescriptorLimit() uint64 { return uint64(p.FDs) }
+func (p *Process) DescriptorLimit() uint64 { return uint64(p.MaxDescriptors) }
 
-func (p *Proc) Log() *slog.Logger { return p.logger }
+func (p *Process) Log() *slog.Logger { return p.logger }
 
-// handler writes the log without its clock, which the world keeps, and counts events by name.
-type handler struct{ p *Proc }
+// logHandler writes the log without its clock, which the world keeps, and counts events by name.
+type logHandler struct{ process *Process }
 
-func (h *handler) Enabled(context.Context, slog.Level) bool { return true }
-func (h *handler) WithAttrs([]slog.Attr) slog.Handler       { return h }
-func (h *handler) WithGroup(string) slog.Handler            { return h }
-func (h *handler) Handle(_ context.Context, r slog.Record) error {
+func (h *logHandler) Enabled(context.Context, slog.Level) bool { return true }
+func (h *logHandler) WithAttrs([]slog.Attr) slog.Handler       { return h }
+func (h *logHandler) WithGroup(string) slog.Handler            { return h }
+func (h *logHandler) Handle(_ context.Context, r slog.Record) error {
 	var b strings.Builder
 	b.WriteString("event=" + r.Message)
 	r.Attrs(func(a slog.Attr) bool {
@@ -370,23 +372,23 @@
 		fmt.Fprintf(&b, " %s=%v", a.Key, a.Value)
 		return true
 	})
-	if h.p.dead {
+	if h.process.killed {
 		return nil
 	}
-	h.p.w.trace(StepLog, h.p.Name, b.String(), 0)
-	if h.p.Line != nil {
-		h.p.Line(h.p, r.Level, b.String())
+	h.process.sim.trace(StepLog, h.process.Name, b.String(), 0)
+	if h.process.OnLogLine != nil {
+		h.process.OnLogLine(h.process, r.Level, b.String())
 	}
 	return nil
 }
 
-var errCanceled = errors.New("operation was canceled")
+var errDialCanceled = errors.New("operation was canceled")
 
-func opError(op string, err error) error { return &net.OpError{Op: op, Net: "tcp", Err: err} }
+func tcpError(op string, err error) error { return &net.OpError{Op: op, Net: "tcp", Err: err} }
 
-// Cut tells whether two groups are cut from each other.
-func (w *World) Cut(a, b string) bool {
-	for _, c := range w.cut {
+// IsSplit tells whether two groups are cut from each other.
+func (w *Simulation) IsSplit(a, b string) bool {
+	for _, c := range w.splits {
 		if c == [2]string{a, b} || c == [2]string{b, a} {
 			return true
 		}
--- a/internal/lab/simenv/world_test.go
+++ b/internal/lab/simenv/world_test.go
@@ -16,31 +16,34 @@
 
 // echo is a party that sends back what it gets.
 type echo struct {
-	e      *End
-	got    int
-	closed string
+	end      *End
+	received int
+	closed   string
 }
 
-// echoed is one connection of it.
-type echoed struct {
-	x *echo
-	e *End
+// echoConn is one connection of it.
+type echoConn struct {
+	echo *echo
+	end  *End
 }
 
-func (x echoed) Opened()             {}
-func (x echoed) Data(b []byte)       { x.x.got += len(b); x.e.Send(b) }
-func (x echoed) Closed(reset bool)   { x.x.closed = fmt.Sprint("closed, reset ", reset); x.e.Close() }
-func (x echoed) Written(int, []byte) {}
+func (x echoConn) Opened()       {}
+func (x echoConn) Data(b []byte) { x.echo.received += len(b); x.end.Send(b) }
+func (x echoConn) Closed(reset bool) {
+	x.echo.closed = fmt.Sprint("closed, reset ", reset)
+	x.end.Close()
+}
+func (x echoConn) Written(int, []byte) {}
 
-// room is a world with a process on one host and an echo on another.
-func room(t *testing.T, seed uint64, main func(g env.Environment, dial func() (net.Conn, error))) (*World, *echo, *Proc) {
+// newEchoSimulation is a world with a process on one host and an echo on another.
+func newEchoSimulation(t *testing.T, seed uint64, main func(g env.Environment, dial func() (net.Conn, error))) (*Simulation, *echo, *Process) {
 	t.Helper()
 	w := New(seed)
 	t.Cleanup(w.Close)
-	w.Crashed = func(p *Proc, text string) { t.Error(text) }
+	w.OnCrash = func(p *Process, text string) { t.Error(text) }
 	x := &echo{}
-	w.Host("10.0.0.2", "far").Serve("80", func(e *End) Handler { x.e = e; return echoed{x, e} })
-	p := w.Start(w.Host("10.0.0.1", "near"), &Proc{Name: "p", FDs: 3}, func(g env.Environment) error {
+	w.Host("10.0.0.2", "far").Serve("80", func(e *End) Handler { x.end = e; return echoConn{x, e} })
+	p := w.Start(w.Host("10.0.0.1", "near"), &Process{Name: "p", MaxDescriptors: 3}, func(g env.Environment) error {
 		life := env.NewLifetime(nil)
 		defer life.End()
 		main(g, func() (net.Conn, error) { return g.Dial(life, "10.0.0.2:80", time.Second) })
@@ -53,7 +56,7 @@
 	t.Run("what is written comes back whole, past any window, and the end is an EOF", func(t *testing.T) {
 		done := false
 		text := strings.Repeat("0123456789", 30000)
-		w, x, p := room(t, 1, func(g env.Environment, dial func() (net.Conn, error)) {
+		w, x, p := newEchoSimulation(t, 1, func(g env.Environment, dial func() (net.Conn, error)) {
 			c, err := dial()
 			if err != nil {
 				t.Error(err)
@@ -77,13 +80,13 @@
 			done = true
 		})
 		w.Run(time.Minute)
-		if n, timers, fds := p.Held(); !done || x.got != len(text) || n+timers+fds != 0 {
-			t.Errorf("done %v, %d bytes, holds %d %d %d", done, x.got, n, timers, fds)
+		if n, timers, fds := p.Resources(); !done || x.received != len(text) || n+timers+fds != 0 {
+			t.Errorf("done %v, %d bytes, holds %d %d %d", done, x.received, n, timers, fds)
 		}
 	})
 	t.Run("errors are those of the net package", func(t *testing.T) {
 		met := 0
-		w, x, _ := room(t, 2, func(g env.Environment, dial func() (net.Conn, error)) {
+		w, x, _ := newEchoSimulation(t, 2, func(g env.Environment, dial func() (net.Conn, error)) {
 			is := func(what string, err, want error) {
 				met++
 				if !errors.Is(err, want) {
@@ -114,8 +117,8 @@
 			_, err = c.Read(make([]byte, 1))
 			is("reset by the peer", err, syscall.ECONNRESET)
 		})
-		w.After(20*time.Second, func() { w.hosts["10.0.0.2"].Unserve("80") })
-		w.After(10*time.Second, func() { w.procs[0].conns[0].peer.Reset() })
+		w.After(20*time.Second, func() { w.hosts["10.0.0.2"].StopServing("80") })
+		w.After(10*time.Second, func() { w.processes[0].conns[0].peer.Reset() })
 		w.Run(time.Minute)
 		if met != 7 {
 			t.Errorf("%d of 7 errors met, %+v", met, x)
@@ -123,8 +126,8 @@
 	})
 	t.Run("a split holds bytes back, a heal brings them", func(t *testing.T) {
 		var at time.Duration
-		var w *World
-		w, _, _ = room(t, 3, func(g env.Environment, dial func() (net.Conn, error)) {
+		var w *Simulation
+		w, _, _ = newEchoSimulation(t, 3, func(g env.Environment, dial func() (net.Conn, error)) {
 			c, _ := dial()
 			g.NewNotifier().Wait(2 * time.Second)
 			io.WriteString(c, "x")
@@ -141,7 +144,7 @@
 	})
 	t.Run("a reset at a byte lets the bytes before it through", func(t *testing.T) {
 		n, failed := 0, error(nil)
-		w, x, _ := room(t, 4, func(g env.Environment, dial func() (net.Conn, error)) {
+		w, x, _ := newEchoSimulation(t, 4, func(g env.Environment, dial func() (net.Conn, error)) {
 			c, _ := dial()
 			io.WriteString(c, "0123456789")
 			b := make([]byte, 10)
@@ -153,9 +156,9 @@
 			c.Close()
 		})
 		w.After(100*time.Microsecond, func() {})
-		w.Quiet = func() {
-			if x.e != nil && x.e.CutIn == 0 && x.got == 0 {
-				x.e.CutIn = 4
+		w.OnIdle = func() {
+			if x.end != nil && x.end.ResetAfterIn == 0 && x.received == 0 {
+				x.end.ResetAfterIn = 4
 			}
 		}
 		w.Run(time.Minute)
@@ -165,7 +168,7 @@
 	})
 	t.Run("a killed process says nothing more, and its peers see a reset", func(t *testing.T) {
 		ran := 0
-		w, x, p := room(t, 5, func(g env.Environment, dial func() (net.Conn, error)) {
+		w, x, p := newEchoSimulation(t, 5, func(g env.Environment, dial func() (net.Conn, error)) {
 			c, _ := dial()
 			defer func() { ran = 100 }() // a killed process runs nothing that shows
 			for {
@@ -176,16 +179,16 @@
 		})
 		w.After(3500*time.Millisecond, p.Kill)
 		w.Run(time.Minute)
-		if x.closed != "closed, reset true" || x.got != 4 {
-			t.Errorf("%q, %d bytes, ran %d", x.closed, x.got, ran)
+		if x.closed != "closed, reset true" || x.received != 4 {
+			t.Errorf("%q, %d bytes, ran %d", x.closed, x.received, ran)
 		}
-		if n, _, fds := p.Held(); n != 0 || fds != 0 {
+		if n, _, fds := p.Resources(); n != 0 || fds != 0 {
 			t.Errorf("holds %d goroutines, %d descriptors", n, fds)
 		}
 	})
 	t.Run("a deaf peer blocks a write until its deadline", func(t *testing.T) {
 		n, failed := 0, error(nil)
-		w, x, _ := room(t, 6, func(g env.Environment, dial func() (net.Conn, error)) {
+		w, x, _ := newEchoSimulation(t, 6, func(g env.Environment, dial func() (net.Conn, error)) {
 			c, _ := dial()
 			io.WriteString(c, "x")
 			g.NewNotifier().Wait(time.Second)
@@ -193,7 +196,7 @@
 			n, failed = c.Write(make([]byte, 1000))
 			c.Close()
 		})
-		w.After(500*time.Millisecond, func() { x.e.Stalled, x.e.Window = true, 300 })
+		w.After(500*time.Millisecond, func() { x.end.Stalled, x.end.Window = true, 300 })
 		w.Run(time.Minute)
 		if n != 300 || !errors.Is(failed, os.ErrDeadlineExceeded) {
 			t.Errorf("%d bytes, %v", n, failed)
@@ -201,10 +204,10 @@
 	})
 }
 
-func TestBells(t *testing.T) {
+func TestNotifiersAndTimers(t *testing.T) {
 	t.Run("one ring wakes one, and a ring without waiters is kept", func(t *testing.T) {
 		woken, timely := 0, false
-		w, _, _ := room(t, 7, func(g env.Environment, _ func() (net.Conn, error)) {
+		w, _, _ := newEchoSimulation(t, 7, func(g env.Environment, _ func() (net.Conn, error)) {
 			b, all := g.NewNotifier(), g.NewGroup()
 			for range 3 {
 				all.Go("waiter", func() error {
@@ -229,7 +232,7 @@
 	})
 	t.Run("a stopped timer does not come, and says so once", func(t *testing.T) {
 		came := 0
-		w, _, p := room(t, 8, func(g env.Environment, _ func() (net.Conn, error)) {
+		w, _, p := newEchoSimulation(t, 8, func(g env.Environment, _ func() (net.Conn, error)) {
 			a := g.AfterFunc(time.Second, func() { came += 10 })
 			g.AfterFunc(2*time.Second, func() { came++ })
 			if !a.Stop() || a.Stop() {
@@ -238,12 +241,12 @@
 			g.NewNotifier().Wait(3 * time.Second)
 		})
 		w.Run(time.Minute)
-		if _, timers, _ := p.Held(); came != 1 || timers != 0 {
+		if _, timers, _ := p.Resources(); came != 1 || timers != 0 {
 			t.Errorf("%d, %d timers", came, timers)
 		}
 	})
 	t.Run("a wait outside the world's goroutines is a fault of the rig", func(t *testing.T) {
-		w, _, p := room(t, 9, func(env.Environment, func() (net.Conn, error)) {})
+		w, _, p := newEchoSimulation(t, 9, func(env.Environment, func() (net.Conn, error)) {})
 		w.Run(time.Second)
 		defer func() {
 			if recover() == nil {
@@ -255,10 +258,10 @@
 }
 
 // Two worlds of one seed are the same step by step; the order of what is due at one instant is the seed's.
-func TestSeeds(t *testing.T) {
+func TestEqualSeedsGiveEqualRuns(t *testing.T) {
 	run := func(seed uint64) (string, uint64) {
 		order := ""
-		w, _, _ := room(t, seed, func(g env.Environment, _ func() (net.Conn, error)) {
+		w, _, _ := newEchoSimulation(t, seed, func(g env.Environment, _ func() (net.Conn, error)) {
 			for _, name := range []string{"a", "b", "c", "d"} {
 				g.AfterFunc(time.Second, func() { order += name })
 			}
@@ -284,7 +287,7 @@
 // The digest tells apart what a process does, not what it calls things.
 func TestDigestHoldsActionsAndNoText(t *testing.T) {
 	run := func(data, logLine, goroutine string, after time.Duration) uint64 {
-		w, _, _ := room(t, 1, func(g env.Environment, dial func() (net.Conn, error)) {
+		w, _, _ := newEchoSimulation(t, 1, func(g env.Environment, dial func() (net.Conn, error)) {
 			c, err := dial()
 			if err != nil {
 				t.Error(err)
--- a/internal/policy/cost_test.go
+++ b/internal/policy/cost_test.go
@@ -7,7 +7,7 @@
 	"foldslip/internal/lab/cost"
 )
 
-var costs = cost.Flags("./logic")
+var costs = cost.NewProbes("./logic")
 
 // members is a list of n caches as one gateway of the large fleet sees it: its own edges, two parents in each of 25 zones, an origin, and
 // edges of other locations.
@@ -40,10 +40,10 @@
 
 // A change of one cache, by the length of the list.
 func TestCostListed(t *testing.T) {
-	costs.Take(t, cost.Figure{Name: "logic-change", Title: "logic.Router.Listed: processor time of a change of one cache", X: "caches in the list", Y: "us of a core",
-		Budget: 1000, Of: "a change, 0.1% of a core at one a second", At: 1800}, []int{225, 450, 900, 1800, 3600, 7200, 14400}, func(n int) float64 {
+	costs.Measure(t, cost.Figure{Name: "logic-change", Title: "logic.Router.Listed: processor time of a change of one cache", XLabel: "caches in the list", YLabel: "us of a core",
+		Budget: 1000, BudgetOf: "a change, 0.1% of a core at one a second", PlanSize: 1800}, []int{225, 450, 900, 1800, 3600, 7200, 14400}, func(n int) float64 {
 		f, rows := large(t, n, 6)
-		return costs.Micros(func(i int) {
+		return costs.MicrosPerCall(func(i int) {
 			row := rows[60+i%100]
 			row.State = EndpointState(i / 100 % 2) // drains, then is ready again
 			f.r.UpdateEndpoints(f.now, UpdateDelta, []Endpoint{row})
@@ -53,10 +53,10 @@
 
 // A list held: heap, caches and rows with it.
 func TestCostListHeld(t *testing.T) {
-	costs.Take(t, cost.Figure{Name: "logic-list-heap", Title: "logic.Router: heap of the list", X: "caches in the list", Y: "bytes", Budget: 4 << 20, Of: "the list, 4 MB of 128", At: 1800},
+	costs.Measure(t, cost.Figure{Name: "logic-list-heap", Title: "logic.Router: heap of the list", XLabel: "caches in the list", YLabel: "bytes", Budget: 4 << 20, BudgetOf: "the list, 4 MB of 128", PlanSize: 1800},
 		[]int{225, 450, 900, 1800, 3600, 7200}, func(n int) float64 {
 			f, _ := play(t, nil)
-			return cost.Heap(func() any {
+			return cost.HeapBytes(func() any {
 				f.r.UpdateEndpoints(f.now, UpdateFull, members(n, 6))
 				return f.r
 			})
@@ -67,8 +67,8 @@
 // edges of which nothing is known yet bear 96 at once: 17 are held and looked at anew in each sweep.
 func TestCostSweep(t *testing.T) {
 	for _, open := range []int{0, 113} {
-		costs.Take(t, cost.Figure{Name: fmt.Sprint("logic-sweep-", open), Title: fmt.Sprintf("logic.Router.Woken: processor time of a sweep, %d lookups open", open),
-			X: "edges of the own location", Y: "us of a core", Budget: 15, Of: "a sweep, 0.15% of a core at 100/s", At: 6}, []int{6, 12, 24, 72, 144, 288}, func(edges int) float64 {
+		costs.Measure(t, cost.Figure{Name: fmt.Sprint("logic-sweep-", open), Title: fmt.Sprintf("logic.Router.Woken: processor time of a sweep, %d lookups open", open),
+			XLabel: "edges of the own location", YLabel: "us of a core", Budget: 15, BudgetOf: "a sweep, 0.15% of a core at 100/s", PlanSize: 6}, []int{6, 12, 24, 72, 144, 288}, func(edges int) float64 {
 			f, _ := large(t, 1800, edges)
 			for i := range open {
 				f.r.StartLookup(f.now, fmt.Sprint(i), 0, fmt.Sprint("object-", i), 0, 3, 449, f.now+3600*second, false, false)
@@ -76,7 +76,7 @@
 			if held := max(0, open-int(initialLimit)*edges); len(f.r.openAttempts) != open-held || len(f.r.queued) != held {
 				t.Fatalf("%d open, %d held of %d: expected %d held", len(f.r.openAttempts), len(f.r.queued), open, held)
 			}
-			return costs.Micros(func(int) { f.r.TimerFired(f.now, timerSweep) })
+			return costs.MicrosPerCall(func(int) { f.r.TimerFired(f.now, timerSweep) })
 		})
 	}
 }
@@ -84,20 +84,20 @@
 // Purges noted in the module: one more where so many are kept, and their heap.
 func TestCostPurged(t *testing.T) {
 	sizes := []int{1100, 6700, 60000, 360000}
-	costs.Take(t, cost.Figure{Name: "logic-purged", Title: "logic.Router.Purged: processor time of one purge", X: "purges kept", Y: "us of a core", Budget: 40,
-		Of: "a purge, 0.4% of a core at 100/s", At: 6700}, sizes, func(n int) float64 {
+	costs.Measure(t, cost.Figure{Name: "logic-purged", Title: "logic.Router.Purged: processor time of one purge", XLabel: "purges kept", YLabel: "us of a core", Budget: 40,
+		BudgetOf: "a purge, 0.4% of a core at 100/s", PlanSize: 6700}, sizes, func(n int) float64 {
 		f, _ := play(t, nil)
 		names := make([]string, n)
 		for i := range names {
 			names[i] = fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15)
 			f.r.ApplyPurge(f.now, names[i], 0, 0)
 		}
-		return costs.Micros(func(i int) { f.r.ApplyPurge(f.now, names[i%n], 0, 0) })
+		return costs.MicrosPerCall(func(i int) { f.r.ApplyPurge(f.now, names[i%n], 0, 0) })
 	})
-	costs.Take(t, cost.Figure{Name: "logic-purged-heap", Title: "logic.Router: heap of the purges", X: "purges kept", Y: "bytes", Budget: 2 << 20, Of: "purges, 2 MB of 128", At: 6700},
+	costs.Measure(t, cost.Figure{Name: "logic-purged-heap", Title: "logic.Router: heap of the purges", XLabel: "purges kept", YLabel: "bytes", Budget: 2 << 20, BudgetOf: "purges, 2 MB of 128", PlanSize: 6700},
 		sizes, func(n int) float64 {
 			f, _ := play(t, nil)
-			return cost.Heap(func() any {
+			return cost.HeapBytes(func() any {
 				for i := range n {
 					f.r.ApplyPurge(f.now, fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15), 0, 0)
 				}
@@ -117,16 +117,16 @@
 			f.r.lookupCounts[mixHash(uint64(i), 1)] = 0x1p1000 // none is gone before the thousandth halving
 		}
 	}
-	costs.Take(t, cost.Figure{Name: "logic-counts-heap", Title: "logic.Router: heap of the counts", X: "counts", Y: "bytes", Budget: 4 << 20, Of: "counts, 4 MB of 128", At: maxCounts},
+	costs.Measure(t, cost.Figure{Name: "logic-counts-heap", Title: "logic.Router: heap of the counts", XLabel: "counts", YLabel: "bytes", Budget: 4 << 20, BudgetOf: "counts, 4 MB of 128", PlanSize: maxCounts},
 		sizes, func(n int) float64 {
 			f, _ := play(t, nil)
-			return cost.Heap(func() any { fill(f, n); return f.r })
+			return cost.HeapBytes(func() any { fill(f, n); return f.r })
 		})
-	costs.Take(t, cost.Figure{Name: "logic-halve", Title: "logic.Router: processor time of halving the counts, once a minute", X: "counts", Y: "us of a core", Budget: 60000,
-		Of: "0.1% of a core, once a minute", At: maxCounts}, sizes, func(n int) float64 {
+	costs.Measure(t, cost.Figure{Name: "logic-halve", Title: "logic.Router: processor time of halving the counts, once a minute", XLabel: "counts", YLabel: "us of a core", Budget: 60000,
+		BudgetOf: "0.1% of a core, once a minute", PlanSize: maxCounts}, sizes, func(n int) float64 {
 		f, _ := play(t, nil)
 		fill(f, n)
-		us := costs.Micros(func(i int) {
+		us := costs.MicrosPerCall(func(i int) {
 			if f.r.decayCounts(); i%900 == 899 {
 				fill(f, n)
 			}
--- a/internal/route/pools/cost_test.go
+++ b/internal/route/pools/cost_test.go
@@ -8,7 +8,7 @@
 	"foldslip/internal/lab/cost"
 )
 
-var costs = cost.Flags("./route/pools")
+var costs = cost.NewProbes("./route/pools")
 
 // The table of routes: its heap, and what compiling it takes, as each change does.
 func TestCostTable(t *testing.T) {
@@ -20,16 +20,16 @@
 		}
 		return made
 	}
-	costs.Take(t, cost.Figure{Name: "routes-heap", Title: "route/pools: heap of a table", X: "routes", Y: "bytes", Budget: 4 << 20, Of: "a table, 4 MB of 128", At: 1000}, sizes,
-		func(n int) float64 { return cost.Heap(func() any { return table(n) }) })
-	costs.Take(t, cost.Figure{Name: "routes-compile", Title: "route/pools: processor time of compiling a table", X: "routes", Y: "us of a core", Budget: 12400,
-		Of: "a change, 0.2% of a core at one in 6.2 s", At: 1000}, sizes, func(n int) float64 { return costs.Micros(func(int) { table(n) }) })
+	costs.Measure(t, cost.Figure{Name: "routes-heap", Title: "route/pools: heap of a table", XLabel: "routes", YLabel: "bytes", Budget: 4 << 20, BudgetOf: "a table, 4 MB of 128", PlanSize: 1000}, sizes,
+		func(n int) float64 { return cost.HeapBytes(func() any { return table(n) }) })
+	costs.Measure(t, cost.Figure{Name: "routes-compile", Title: "route/pools: processor time of compiling a table", XLabel: "routes", YLabel: "us of a core", Budget: 12400,
+		BudgetOf: "a change, 0.2% of a core at one in 6.2 s", PlanSize: 1000}, sizes, func(n int) float64 { return costs.MicrosPerCall(func(int) { table(n) }) })
 }
 
 // A new list of caches under a table of 1,000 routes and 100 pools.
 func TestCostView(t *testing.T) {
-	costs.Take(t, cost.Figure{Name: "routes-see", Title: "route/pools: processor time of a view for a new list, 100 pools", X: "caches in the list", Y: "us of a core", Budget: 2000,
-		Of: "a change, 0.2% of a core at one a second", At: 1800}, []int{225, 450, 900, 1800, 3600}, func(n int) float64 {
+	costs.Measure(t, cost.Figure{Name: "routes-see", Title: "route/pools: processor time of a view for a new list, 100 pools", XLabel: "caches in the list", YLabel: "us of a core", Budget: 2000,
+		BudgetOf: "a change, 0.2% of a core at one a second", PlanSize: 1800}, []int{225, 450, 900, 1800, 3600}, func(n int) float64 {
 		c := manyRoutes(1000)
 		c.Pools = map[string]Pool{}
 		for i := range 100 {
@@ -46,14 +46,14 @@
 		if table == nil {
 			t.Fatal(faults)
 		}
-		return costs.Micros(func(int) { table.View(1, caches) })
+		return costs.MicrosPerCall(func(int) { table.View(1, caches) })
 	})
 }
 
 // Bytes of a configuration as JSON: what a change is if the whole text is told.
 func TestCostCompile(t *testing.T) {
-	costs.Take(t, cost.Figure{Name: "routes-text", Title: "route/pools: bytes of a configuration as JSON", X: "routes", Y: "bytes", Budget: 6200,
-		Of: "a change, 1 KB/s at one in 6.2 s", At: 1000}, []int{10, 100, 1000, 5000}, func(n int) float64 {
+	costs.Measure(t, cost.Figure{Name: "routes-text", Title: "route/pools: bytes of a configuration as JSON", XLabel: "routes", YLabel: "bytes", Budget: 6200,
+		BudgetOf: "a change, 1 KB/s at one in 6.2 s", PlanSize: 1000}, []int{10, 100, 1000, 5000}, func(n int) float64 {
 		text, err := json.Marshal(manyRoutes(n))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/route/rollout/steer_test.go
+++ b/internal/route/rollout/steer_test.go
@@ -309,11 +309,11 @@
 	never := 0
 	for seed := range uint64(500) {
 		r := rand.New(rand.NewPCG(seed, 9))
-		g, disk := newTestEnv(), simenv.NewDisk()
+		g, disk := newTestEnv(), simenv.NewDirectory()
 		s := openController(t, g, disk, routesTo("town"))
 		confirmed, after := "town", "" // after: what a step under way would confirm
 		head := uint64(1)
-		disk.Left = r.IntN(60)
+		disk.OpsLeft = r.IntN(60)
 		for n := range 6 {
 			place := []string{"hill", "town"}[n%2]
 			step, err := s.Propose(head, routesTo(place), "ada", "sale")
--- a/internal/store/snapshot/keeper_test.go
+++ b/internal/store/snapshot/keeper_test.go
@@ -33,7 +33,7 @@
 
 // failingDirectory is a disk that can be told to fail, and counts its syncs.
 type failingDirectory struct {
-	*simenv.Disk
+	*simenv.Directory
 	mu        sync.Mutex
 	err       error
 	syncCount int
@@ -45,7 +45,7 @@
 	if s.err != nil {
 		return nil, s.err
 	}
-	f, err := s.Disk.Create(name)
+	f, err := s.Directory.Create(name)
 	return failingFile{f, s}, err
 }
 
@@ -130,7 +130,7 @@
 	var log bytes.Buffer
 	system := env.NewSystem(&log, slog.LevelInfo)
 	t.Run("what was told is there at the next start", func(t *testing.T) {
-		g := testEnv{system, simenv.NewDisk()}
+		g := testEnv{system, simenv.NewDirectory()}
 		k, stop := startSnapshotter(t, g, Limits{1 << 20, 1000})
 		for n := int64(1); n <= 170; n++ {
 			k.Apply(numberedUpdate(n))
@@ -144,7 +144,7 @@
 	})
 	t.Run("a disk that fails is told once, and once when it is well again; nothing told is lost", func(t *testing.T) {
 		log.Reset()
-		d := &failingDirectory{Disk: simenv.NewDisk()}
+		d := &failingDirectory{Directory: simenv.NewDirectory()}
 		k, stop := startSnapshotter(t, testEnv{system, d}, Limits{1 << 20, 1000})
 		k.Apply(numberedUpdate(1))
 		waitFor(t, "the first event on disk", func() bool { return k.DurableEvent() == 1 })
@@ -167,7 +167,7 @@
 		}
 	})
 	t.Run("a disk that never works costs the list only, in bounded memory", func(t *testing.T) {
-		d := &failingDirectory{Disk: simenv.NewDisk()}
+		d := &failingDirectory{Directory: simenv.NewDirectory()}
 		d.setError(syscall.EROFS)
 		k, stop := startSnapshotter(t, testEnv{system, d}, Limits{1 << 20, 1000})
 		defer stop()
@@ -181,7 +181,7 @@
 		}
 	})
 	t.Run("so many writes a second and no more, whatever is told", func(t *testing.T) {
-		d := &failingDirectory{Disk: simenv.NewDisk()}
+		d := &failingDirectory{Directory: simenv.NewDirectory()}
 		k, stop := startSnapshotter(t, testEnv{system, d}, Limits{1 << 20, 20})
 		began := time.Now()
 		for n := int64(1); time.Since(began) < 300*time.Millisecond; n++ {
@@ -198,7 +198,7 @@
 		}
 	})
 	t.Run("the record is compacted before it outgrows its bytes", func(t *testing.T) {
-		d := simenv.NewDisk()
+		d := simenv.NewDirectory()
 		k, stop := startSnapshotter(t, testEnv{system, d}, Limits{200 << 10, 1e6})
 		for n := int64(1); n <= 6000; n++ {
 			k.Apply(numberedUpdate(n))
@@ -219,7 +219,7 @@
 	})
 	t.Run("a list that outgrows its bytes is told", func(t *testing.T) {
 		log.Reset()
-		k, stop := startSnapshotter(t, testEnv{system, simenv.NewDisk()}, Limits{64 << 10, 1000})
+		k, stop := startSnapshotter(t, testEnv{system, simenv.NewDirectory()}, Limits{64 << 10, 1000})
 		many := endpoints.Update{LastEvent: 1, Complete: true}
 		for i := range 3000 {
 			many.Endpoints = append(many.Endpoints, endpoints.Endpoint{ID: fmt.Sprint("edge-", i), Addr: "10.1.0.1:1", Zone: "town", MachineType: "edge"})
@@ -231,7 +231,7 @@
 		}
 	})
 	t.Run("a second process on one folder says so", func(t *testing.T) {
-		g := testEnv{system, simenv.NewDisk()}
+		g := testEnv{system, simenv.NewDirectory()}
 		_, stop := startSnapshotter(t, g, Limits{1 << 20, 1000})
 		defer stop()
 		if _, _, err := Open(g, "/list", Limits{1 << 20, 1000}); !errors.Is(err, wal.ErrLocked) {
@@ -239,7 +239,7 @@
 		}
 	})
 	t.Run("what is out is kept when that changes, not each time", func(t *testing.T) {
-		k, stop := startSnapshotter(t, testEnv{system, simenv.NewDisk()}, Limits{1 << 20, 1000})
+		k, stop := startSnapshotter(t, testEnv{system, simenv.NewDirectory()}, Limits{1 << 20, 1000})
 		defer stop()
 		k.Apply(numberedUpdate(1))
 		k.UpdateHealth([]string{"edge-1"}, []string{"edge-1"})
--- a/internal/store/wal/record_test.go
+++ b/internal/store/wal/record_test.go
@@ -52,7 +52,7 @@
 
 func TestLogs(t *testing.T) {
 	t.Run("what was appended is read again, in a generation of its own", func(t *testing.T) {
-		d := simenv.NewDisk()
+		d := simenv.NewDirectory()
 		if k, err := wal.Read(d, "list"); err != nil || k.Generation != 0 || k.Snapshot != nil {
 			t.Fatalf("%+v, %v", k, err)
 		}
@@ -87,7 +87,7 @@
 		r.Close()
 	})
 	t.Run("cut or flipped at any byte: the newest whole state, or the generation before", func(t *testing.T) {
-		whole := simenv.NewDisk()
+		whole := simenv.NewDirectory()
 		seen := map[string]bool{}
 		if err := writeEntries(whole, func(s string) { seen[s] = true }); err != nil {
 			t.Fatal(err)
@@ -95,7 +95,7 @@
 		for at := range whole.Size("list-2.rec") {
 			for _, cut := range []bool{true, false} {
 				d := whole.Copy()
-				d.Spoil("list-2.rec", at, cut)
+				d.Corrupt("list-2.rec", at, cut)
 				k, err := wal.Read(d, "list")
 				if err != nil || !seen[describe(k)] {
 					t.Fatalf("byte %d, cut %v: %s, %v", at, cut, describe(k), err)
@@ -110,14 +110,14 @@
 		}
 	})
 	t.Run("power lost at any operation, by many chances: nothing synced is lost", func(t *testing.T) {
-		all := simenv.NewDisk()
+		all := simenv.NewDirectory()
 		if err := writeEntries(all, func(string) {}); err != nil {
 			t.Fatal(err)
 		}
 		for left := range all.Ops {
 			for seed := range uint64(40) {
-				d := simenv.NewDisk()
-				d.Left = left
+				d := simenv.NewDirectory()
+				d.OpsLeft = left
 				synced, tried := "+", []string{"+"}
 				err := writeEntries(d, func(s string) { synced = s; tried = append(tried, s) })
 				if err == nil {
@@ -129,7 +129,7 @@
 					t.Fatal(err)
 				}
 				// The state synced last, or the one under way.
-				next := simenv.NewDisk()
+				next := simenv.NewDirectory()
 				after, passed := "", false
 				writeEntries(next, func(s string) {
 					if passed && after == "" {
@@ -163,16 +163,16 @@
 		}
 	})
 	t.Run("after a failed append only a snapshot goes on", func(t *testing.T) {
-		d := simenv.NewDisk()
+		d := simenv.NewDirectory()
 		r, _, err := wal.Open(d, "list")
 		if err != nil || r.WriteSnapshot([]byte("a")) != nil {
 			t.Fatal(err)
 		}
-		d.Left = 0
+		d.OpsLeft = 0
 		if r.Append([]byte("b")) == nil {
 			t.Fatal("appended without power")
 		}
-		d.Left = -1
+		d.OpsLeft = -1
 		if r.Append([]byte("c")) == nil {
 			t.Error("appended behind what may be torn")
 		}
@@ -186,13 +186,13 @@
 }
 
 func FuzzRead(f *testing.F) {
-	d := simenv.NewDisk()
+	d := simenv.NewDirectory()
 	writeEntries(d, func(string) {})
 	text, _ := d.Read("list-2.rec")
 	f.Add(text)
 	f.Add(wal.Header(1, 2))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		d := simenv.NewDisk()
+		d := simenv.NewDirectory()
 		file, _ := d.Create("list-2.rec")
 		file.Write(text)
 		k, err := wal.Read(d, "list")
--- a/internal/wire/cost_test.go
+++ b/internal/wire/cost_test.go
@@ -14,7 +14,7 @@
 	"foldslip/internal/settings"
 )
 
-var costs = cost.Flags("./wire")
+var costs = cost.NewProbes("./wire")
 
 // fixedClock is a ground whose time is set.
 type fixedClock struct {
@@ -85,22 +85,22 @@
 
 // A purge, from the line to the router: by purges kept, 1,800 caches listed of which 6 are edges of the own location.
 func TestCostPurgeLine(t *testing.T) {
-	costs.Take(t, cost.Figure{Name: "wire-purge", Title: "watch: processor time of a purge, from the line to the router", X: "purges kept", Y: "us of a core", Budget: 80,
-		Of: "a purge, 0.8% of a core at 100/s", At: 1100}, []int{100, 600, 1100, 2200, 4400, 20000}, func(kept int) float64 {
+	costs.Measure(t, cost.Figure{Name: "wire-purge", Title: "watch: processor time of a purge, from the line to the router", XLabel: "purges kept", YLabel: "us of a core", Budget: 80,
+		BudgetOf: "a purge, 0.8% of a core at 100/s", PlanSize: 1100}, []int{100, 600, 1100, 2200, 4400, 20000}, func(kept int) float64 {
 		b, g := newLoadedWatch(t, 1800, 6, time.Duration(kept)*10*time.Millisecond)
 		for range kept {
 			g.advancePastRetention(t, b)
 		}
-		return costs.Micros(func(int) { g.advancePastRetention(t, b) })
+		return costs.MicrosPerCall(func(int) { g.advancePastRetention(t, b) })
 	})
 }
 
 // A change of one cache, from the line to the router.
 func TestCostChangeLine(t *testing.T) {
-	costs.Take(t, cost.Figure{Name: "wire-change", Title: "watch: processor time of a change of one cache, from the line to the router", X: "caches in the list", Y: "us of a core",
-		Budget: 1000, Of: "a change, 0.1% of a core at one a second", At: 1800}, []int{225, 450, 900, 1800, 3600, 7200, 14400}, func(n int) float64 {
+	costs.Measure(t, cost.Figure{Name: "wire-change", Title: "watch: processor time of a change of one cache, from the line to the router", XLabel: "caches in the list", YLabel: "us of a core",
+		Budget: 1000, BudgetOf: "a change, 0.1% of a core at one a second", PlanSize: 1800}, []int{225, 450, 900, 1800, 3600, 7200, 14400}, func(n int) float64 {
 		b, _ := newLoadedWatch(t, n, 6, 11*time.Second)
-		return costs.Micros(func(i int) {
+		return costs.MicrosPerCall(func(i int) {
 			line := fmt.Appendf(nil, `{"no":%d,"roster":{"revision":%d,"complete":false,"members":[%s]}}`, b.LastEvent+1, b.LastEvent+1,
 				endpointJSON(60+i/2%100, 6, []string{"draining", "up"}[i%2]))
 			if err := b.handleLine(line, false); err != nil {
@@ -112,15 +112,15 @@
 
 // The whole list, as a start or a resync takes it.
 func TestCostCompleteList(t *testing.T) {
-	costs.Take(t, cost.Figure{Name: "wire-list", Title: "watch: processor time of a whole list", X: "caches in the list", Y: "us of a core", Budget: 210000,
-		Of: "2.1% of a core for 10 s", At: 1800}, []int{225, 450, 900, 1800, 3600, 7200, 14400}, func(n int) float64 {
+	costs.Measure(t, cost.Figure{Name: "wire-list", Title: "watch: processor time of a whole list", XLabel: "caches in the list", YLabel: "us of a core", Budget: 210000,
+		BudgetOf: "2.1% of a core for 10 s", PlanSize: 1800}, []int{225, 450, 900, 1800, 3600, 7200, 14400}, func(n int) float64 {
 		b, _ := newLoadedWatch(t, n, 6, 11*time.Second)
 		var members []string
 		for i := range n {
 			members = append(members, endpointJSON(i, 6, "up"))
 		}
 		rest := strings.Join(members, ",")
-		return costs.Micros(func(int) {
+		return costs.MicrosPerCall(func(int) {
 			if err := b.handleLine(fmt.Appendf(nil, `{"no":%d,"roster":{"revision":%d,"complete":true,"members":[%s]}}`, b.LastEvent+1, b.LastEvent+1, rest), false); err != nil {
 				t.Fatal(err)
 			}
@@ -130,10 +130,10 @@
 
 // A line that holds only the last number, one a second.
 func TestCostNumberLine(t *testing.T) {
-	costs.Take(t, cost.Figure{Name: "wire-number", Title: "watch: processor time of a line with a number only", X: "caches in the list", Y: "us of a core", Budget: 100,
-		Of: "a line, 0.01% of a core at 1/s", At: 1800}, []int{225, 1800, 7200}, func(n int) float64 {
+	costs.Measure(t, cost.Figure{Name: "wire-number", Title: "watch: processor time of a line with a number only", XLabel: "caches in the list", YLabel: "us of a core", Budget: 100,
+		BudgetOf: "a line, 0.01% of a core at 1/s", PlanSize: 1800}, []int{225, 1800, 7200}, func(n int) float64 {
 		b, _ := newLoadedWatch(t, n, 6, 11*time.Second)
-		return costs.Micros(func(int) {
+		return costs.MicrosPerCall(func(int) {
 			if err := b.handleLine([]byte("1"), false); err != nil {
 				t.Fatal(err)
 			}
@@ -143,9 +143,9 @@
 
 // Heap of all that a list leaves behind: reader, caches, router.
 func TestCostListHeap(t *testing.T) {
-	costs.Take(t, cost.Figure{Name: "wire-list-heap", Title: "watch, caches and router: heap of the list", X: "caches in the list", Y: "bytes", Budget: 4 << 20, Of: "the list, 4 MB of 128", At: 1800},
+	costs.Measure(t, cost.Figure{Name: "wire-list-heap", Title: "watch, caches and router: heap of the list", XLabel: "caches in the list", YLabel: "bytes", Budget: 4 << 20, BudgetOf: "the list, 4 MB of 128", PlanSize: 1800},
 		[]int{225, 450, 900, 1800, 3600, 7200}, func(n int) float64 {
-			return cost.Heap(func() any { b, _ := newLoadedWatch(t, n, 6, 11*time.Second); return b })
+			return cost.HeapBytes(func() any { b, _ := newLoadedWatch(t, n, 6, 11*time.Second); return b })
 		})
 }
 
