--- /dev/null
+++ b/internal/admission/quotas.go
@@ -0,0 +1,189 @@
+package admission
+
+import (
+	"math"
+	"slices"
+	"strings"
+	"time"
+)
+
+// MaxClaimants is how many claimants are told apart. Past it newcomers share one.
+const MaxClaimants = 1024
+
+const (
+	demandHalfLife = time.Second      // of a claimant's demand beyond what it has open
+	levelLifetime  = time.Millisecond // of the fair level, before it is computed anew
+	idleDemand     = 0.5              // lookups; a claimant with none open and less demand may be forgotten
+)
+
+// overflowName is the claimant that newcomers share when there are MaxClaimants.
+const overflowName = "others"
+
+// Quotas divides a capacity of open lookups among claimants by max-min fairness. A claimant alone may have all of it. Among several, the
+// recent demand of each is met up to a common level times its weight; above that level a claimant gets only what no other has a claim to. So
+// a flood of one takes idle capacity and no more, and a newcomer's claim grows with each rejection until what others release is its own.
+type Quotas struct {
+	capacity, open int
+	claimants      []*Claimant
+	level          float64 // the fair level as of levelAt
+	levelAt        time.Time
+}
+
+// Claimant is one party with open lookups. It is owned by its Quotas.
+type Claimant struct {
+	Name      string
+	Weight    float64
+	Requested uint64 // lookups requested since the start
+	Rejected  uint64 // of these
+	open      int
+	demand    float64 // open lookups wanted as of demandAt, the highest of recent time
+	demandAt  time.Time
+}
+
+// NewQuotas divides a capacity of so many open lookups.
+func NewQuotas(capacity int) *Quotas { return &Quotas{capacity: capacity} }
+
+// Claimant returns the claimant of a name and adds it if it is not known. Past MaxClaimants the idle ones are forgotten, but never the
+// first; if none is idle, newcomers share one claimant of weight 1.
+func (q *Quotas) Claimant(now time.Time, name string, weight float64) *Claimant {
+	if c := q.find(name); c != nil {
+		return c
+	}
+	if len(q.claimants) >= MaxClaimants {
+		q.forgetIdle(now)
+	}
+	if len(q.claimants) >= MaxClaimants {
+		if c := q.find(overflowName); c != nil {
+			return c
+		}
+		name = overflowName
+		weight = 1
+	}
+	c := &Claimant{Name: name, Weight: weight, demandAt: now}
+	q.levelAt = time.Time{}
+	q.claimants = append(q.claimants, c)
+	return c
+}
+
+func (q *Quotas) find(name string) *Claimant {
+	if i := slices.IndexFunc(q.claimants, func(c *Claimant) bool { return c.Name == name }); i >= 0 {
+		return q.claimants[i]
+	}
+	return nil
+}
+
+func (q *Quotas) forgetIdle(now time.Time) {
+	permanent := q.claimants[0].Name // the gateway's own clients
+	q.claimants = slices.DeleteFunc(q.claimants, func(c *Claimant) bool {
+		return c.open == 0 && c.currentDemand(now) < idleDemand && c.Name != permanent
+	})
+}
+
+// TryAcquire opens a lookup of a claimant if its quota allows one more.
+func (q *Quotas) TryAcquire(now time.Time, c *Claimant) bool {
+	c.Requested++
+	c.demand = max(c.currentDemand(now), float64(c.open+1))
+	c.demandAt = now
+	if q.admits(now, c) {
+		c.open++
+		q.open++
+		return true
+	}
+	c.Rejected++
+	c.demand = min(c.demand+1, float64(q.capacity))
+	return false
+}
+
+// Release ends an open lookup of a claimant.
+func (q *Quotas) Release(now time.Time, c *Claimant) {
+	c.demand = c.currentDemand(now)
+	c.demandAt = now
+	c.open--
+	q.open--
+}
+
+// Resize sets the capacity. Where more lookups are open, none is admitted until enough have ended.
+func (q *Quotas) Resize(capacity int) {
+	if capacity != q.capacity {
+		q.capacity = capacity
+		q.levelAt = time.Time{}
+	}
+}
+
+// Open returns the number of open lookups of all claimants.
+func (q *Quotas) Open() int { return q.open }
+
+// Open returns the number of open lookups of the claimant.
+func (c *Claimant) Open() int { return c.open }
+
+// currentDemand returns how many lookups the claimant wanted open at once in recent time.
+func (c *Claimant) currentDemand(now time.Time) float64 {
+	open := float64(c.open)
+	if c.demand <= open {
+		return open
+	}
+	return open + (c.demand-open)*math.Exp2(-now.Sub(c.demandAt).Seconds()/demandHalfLife.Seconds())
+}
+
+// admits reports whether a claimant may open one more lookup: below the fair level always, above it from what no other claims.
+func (q *Quotas) admits(now time.Time, c *Claimant) bool {
+	free := q.capacity - q.open
+	switch {
+	case free <= 0:
+		return false
+	case len(q.claimants) < 2:
+		return true
+	}
+	if age := now.Sub(q.levelAt); age < 0 || age >= levelLifetime {
+		q.level = q.fairLevel(now)
+		q.levelAt = now
+	}
+	level := q.level
+	if float64(c.open+1) <= level*c.Weight {
+		return true
+	}
+	claims := 0.0
+	for _, other := range q.claimants {
+		if other != c {
+			claims += max(0, math.Round(min(other.currentDemand(now), level*other.Weight))-float64(other.open))
+		}
+	}
+	return float64(free) > claims
+}
+
+// fairLevel returns how many open lookups a claimant of weight 1 gets if it wants more: the level at which the demands, each cut at the
+// level times its weight, add up to the capacity. It is infinite where the capacity meets all demand.
+func (q *Quotas) fairLevel(now time.Time) float64 {
+	left := float64(q.capacity)
+	weights := 0.0
+	demands := make([]float64, len(q.claimants))
+	for i, c := range q.claimants {
+		if demands[i] = c.currentDemand(now); demands[i] > 0 {
+			weights += c.Weight
+		}
+	}
+	for hasMet := true; hasMet && weights > 0; {
+		hasMet = false
+		for i, c := range q.claimants {
+			if demands[i] > 0 && demands[i] <= left/weights*c.Weight {
+				left -= demands[i]
+				weights -= c.Weight
+				demands[i] = 0
+				hasMet = true
+			}
+		}
+	}
+	if weights <= 0 {
+		return math.Inf(1)
+	}
+	return left / weights
+}
+
+// Each calls a function for each claimant, by name.
+func (q *Quotas) Each(visit func(c *Claimant)) {
+	sorted := slices.Clone(q.claimants)
+	slices.SortFunc(sorted, func(a, b *Claimant) int { return strings.Compare(a.Name, b.Name) })
+	for _, c := range sorted {
+		visit(c)
+	}
+}
--- a/internal/extproc/door.go
+++ b/internal/extproc/door.go
@@ -20,11 +20,13 @@
 
 	"golang.org/x/time/rate"
 
+	"foldslip/internal/admission"
+	"foldslip/internal/cacheregistry"
 	"foldslip/internal/dispatch"
 	"foldslip/internal/env"
 	"foldslip/internal/limit"
-	"foldslip/internal/memory"
 	"foldslip/internal/policy"
+	"foldslip/internal/purgelog"
 	"foldslip/internal/retry"
 	"foldslip/internal/route"
 	"foldslip/internal/route/rollout"
@@ -50,9 +52,9 @@
 	limits      Limits
 	settings    *settings.Settings
 	dispatcher  *dispatch.Dispatcher
-	caches      *memory.Registry
-	purges      *memory.Log
-	admission   *memory.Controller
+	caches      *cacheregistry.Registry
+	purges      *purgelog.Log
+	admission   *admission.Controller
 	Routes      *rollout.Controller // nil: a lookup may go anywhere
 	mu          sync.Mutex          // of what follows; held over one call of the facade only, Take, which waits for nothing
 	table       *route.Table
@@ -91,7 +93,7 @@
 )
 
 // New makes a door behind a table. purges may be nil.
-func New(g env.Environment, its *settings.Settings, router *dispatch.Dispatcher, caches *memory.Registry, purges *memory.Log, room *memory.Controller,
+func New(g env.Environment, its *settings.Settings, router *dispatch.Dispatcher, caches *cacheregistry.Registry, purges *purgelog.Log, room *admission.Controller,
 	table *route.Table, terms Limits) *Server {
 	if terms.Weight <= 0 {
 		terms.Weight = 1
--- a/internal/extproc/extprocgrpc/caller_test.go
+++ b/internal/extproc/extprocgrpc/caller_test.go
@@ -26,10 +26,12 @@
 	"google.golang.org/grpc/credentials/insecure"
 
 	"foldslip/client"
+	"foldslip/internal/admission"
+	"foldslip/internal/cacheregistry"
 	"foldslip/internal/config"
 	"foldslip/internal/env"
 	"foldslip/internal/gateway"
-	"foldslip/internal/memory"
+	"foldslip/internal/purgelog"
 	"foldslip/internal/route"
 )
 
@@ -83,12 +85,12 @@
 // listening is a door of the operators' settings on loopback.
 func listening(t *testing.T, x *config.ExternalProcessor) *Listener {
 	t.Helper()
-	g, caches := env.NewSystem(io.Discard, slog.LevelInfo), &memory.Registry{}
+	g, caches := env.NewSystem(io.Discard, slog.LevelInfo), &cacheregistry.Registry{}
 	terms, f := router(t, caches, false)
 	x.StreamsPerConnection, x.StreamsPerCaller, x.Lookups, x.LookupsPerCaller, x.MaxRetryAfterMS, x.RememberMS, x.SilenceTimeoutMS, x.Weight = 100, 100, 100, 100, 300, 2000, 5000, 1
 	x.Table = []route.Rule{{Path: "/call/{kind}/{object}/part-{part}", Kind: "path:kind", Object: "path:object", Part: "path:part", ID: "header:x-job-id"}}
-	l, err := Listen(gateway.Dependencies{Name: "n0", Environment: g, Settings: terms, Dispatcher: f, Registry: caches, Purges: &memory.Log{Clock: g, Retention: time.Minute},
-		Admission: memory.NewController(g, 100, 1<<20), Config: &config.Config{ExternalProcessor: x}}, x)
+	l, err := Listen(gateway.Dependencies{Name: "n0", Environment: g, Settings: terms, Dispatcher: f, Registry: caches, Purges: &purgelog.Log{Clock: g, Retention: time.Minute},
+		Admission: admission.NewController(g, 100, 1<<20), Config: &config.Config{ExternalProcessor: x}}, x)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/extproc/extprocgrpc/extproc_test.go
+++ b/internal/extproc/extprocgrpc/extproc_test.go
@@ -17,11 +17,13 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/structpb"
 
+	"foldslip/internal/admission"
+	"foldslip/internal/cacheregistry"
 	"foldslip/internal/dispatch"
 	"foldslip/internal/env"
 	"foldslip/internal/extproc"
-	"foldslip/internal/memory"
 	"foldslip/internal/policy"
+	"foldslip/internal/purgelog"
 	"foldslip/internal/retry"
 	"foldslip/internal/route"
 	"foldslip/internal/settings"
@@ -37,11 +39,11 @@
 	t      *testing.T
 	router *dispatch.Dispatcher
 	door   *Service
-	purges *memory.Log
+	purges *purgelog.Log
 	client extprocv3.ExternalProcessorClient
 }
 
-func router(t testing.TB, caches *memory.Registry, empty bool) (*settings.Settings, *dispatch.Dispatcher) {
+func router(t testing.TB, caches *cacheregistry.Registry, empty bool) (*settings.Settings, *dispatch.Dispatcher) {
 	terms, err := settings.Parse(testSettings)
 	if err != nil {
 		t.Fatal(err)
@@ -59,7 +61,7 @@
 
 func begin(t *testing.T, empty bool) *place {
 	t.Helper()
-	g, caches := env.NewSystem(io.Discard, slog.LevelInfo), &memory.Registry{}
+	g, caches := env.NewSystem(io.Discard, slog.LevelInfo), &cacheregistry.Registry{}
 	p := &place{t: t}
 	terms, f := router(t, caches, empty)
 	p.router = f
@@ -68,8 +70,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.purges = &memory.Log{Clock: g, Retention: time.Minute}
-	p.door = &Service{Server: extproc.New(g, terms, f, caches, p.purges, memory.NewController(g, 8, 1<<20), table, extproc.Limits{SilenceTimeout: 2 * time.Second,
+	p.purges = &purgelog.Log{Clock: g, Retention: time.Minute}
+	p.door = &Service{Server: extproc.New(g, terms, f, caches, p.purges, admission.NewController(g, 8, 1<<20), table, extproc.Limits{SilenceTimeout: 2 * time.Second,
 		Lookups: retry.Limits{MaxLookups: 8, MaxPerCaller: 6, ReturnTimeout: 150 * time.Millisecond, Retention: time.Second}})}
 	at, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/extproc/extprocgrpc/measure_test.go
+++ b/internal/extproc/extprocgrpc/measure_test.go
@@ -22,9 +22,10 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/credentials/insecure"
 
+	"foldslip/internal/admission"
+	"foldslip/internal/cacheregistry"
 	"foldslip/internal/env"
 	"foldslip/internal/extproc"
-	"foldslip/internal/memory"
 	"foldslip/internal/retry"
 	"foldslip/internal/route"
 )
@@ -80,7 +81,7 @@
 	if which == "noop" {
 		extprocv3.RegisterExternalProcessorServer(server, noop{})
 	} else {
-		g, caches := env.NewSystem(io.Discard, slog.LevelInfo), &memory.Registry{}
+		g, caches := env.NewSystem(io.Discard, slog.LevelInfo), &cacheregistry.Registry{}
 		terms, f := router(nil, caches, false)
 		table, err := route.Compile([]route.Rule{{Path: "/call/{kind}/{object}/part-{part}", Kind: "path:kind", Object: "path:object", Part: "path:part",
 			KB: "header:x-ram-kb", ID: "header:x-job-id"}}, terms.Kinds)
@@ -91,7 +92,7 @@
 		if which == "guarded" { // as the settings have it where nothing is told, but for the rate
 			messages, streams, lookups, each = 3000, 1024, 256, 128
 		}
-		d := &Service{Server: extproc.New(g, terms, f, caches, nil, memory.NewController(g, lookups, 1<<30), table, extproc.Limits{SilenceTimeout: 30 * time.Second,
+		d := &Service{Server: extproc.New(g, terms, f, caches, nil, admission.NewController(g, lookups, 1<<30), table, extproc.Limits{SilenceTimeout: 30 * time.Second,
 			MessagesPerSecond: messages, MaxStreams: streams,
 			Lookups: retry.Limits{MaxLookups: lookups, MaxPerCaller: each, ReturnTimeout: 300 * time.Millisecond, Retention: 5 * time.Second}})}
 		guard.Service = *d
--- a/internal/extproc/frozen_test.go
+++ b/internal/extproc/frozen_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
+	"foldslip/internal/cacheregistry"
 	"foldslip/internal/dispatch"
 	"foldslip/internal/env"
-	"foldslip/internal/memory"
 	"foldslip/internal/policy"
 	"foldslip/internal/retry"
 	"foldslip/internal/route"
@@ -21,7 +21,7 @@
 
 // TestFrozenReplies compares the fields, statuses and texts that callers get with those that an earlier build sent.
 func TestFrozenReplies(t *testing.T) {
-	g, caches := env.NewSystem(io.Discard, slog.LevelInfo), &memory.Registry{}
+	g, caches := env.NewSystem(io.Discard, slog.LevelInfo), &cacheregistry.Registry{}
 	edge, origin := caches.Register("c0", "10.1.0.1:1000").Policy, caches.Register("c1", "10.1.0.1:1001").Policy
 	its, err := settings.Parse([]byte(`{"classes":[{"aim":1,"deadline":2,"effect":"idempotent"}],"ceilings":{"retry_after":true,"max_retry_after":2500000}}`))
 	if err != nil {
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -12,11 +12,13 @@
 	"sync"
 	"time"
 
+	"foldslip/internal/admission"
+	"foldslip/internal/cacheregistry"
 	"foldslip/internal/config"
 	"foldslip/internal/config/change"
 	"foldslip/internal/dispatch"
 	"foldslip/internal/env"
-	"foldslip/internal/memory"
+	"foldslip/internal/purgelog"
 	"foldslip/internal/route/rollout"
 	"foldslip/internal/settings"
 	"foldslip/internal/store/snapshot"
@@ -176,9 +178,9 @@
 	Environment env.Environment
 	Settings    *settings.Settings
 	Dispatcher  *dispatch.Dispatcher
-	Registry    *memory.Registry
-	Purges      *memory.Log
-	Admission   *memory.Controller
+	Registry    *cacheregistry.Registry
+	Purges      *purgelog.Log
+	Admission   *admission.Controller
 	Config      *config.Config
 	Routes      *rollout.Controller // nil: a lookup may go anywhere
 }
@@ -214,8 +216,8 @@
 	life := env.NewLifetime(nil)
 	defer life.End()
 
-	caches := &memory.Registry{}
-	purges := &memory.Log{Clock: g, Grace: time.Duration(terms.PurgeGrace) * time.Microsecond, Retention: time.Duration(terms.Router.PurgeSettleTime)*time.Microsecond + purgeRetentionSlack}
+	caches := &cacheregistry.Registry{}
+	purges := &purgelog.Log{Clock: g, Grace: time.Duration(terms.PurgeGrace) * time.Microsecond, Retention: time.Duration(terms.Router.PurgeSettleTime)*time.Microsecond + purgeRetentionSlack}
 	router := dispatch.New(g, seed, terms.Router, watch.Interceptor)
 	calling := &evictingEnv{Environment: g}
 	bulletin := wire.NewWatch(calling, s.DiscoveryAddr, terms, router, caches, purges)
@@ -254,7 +256,7 @@
 		bytes = int64(s.Limits.MemoryMB * bodyMemoryShare * (1 << 20))
 	}
 	links := wire.NewPool(calling, life, terms, router, caches, purges, held.Caches)
-	room := memory.NewController(g, lookups, bytes)
+	room := admission.NewController(g, lookups, bytes)
 	front := wire.NewServer(g, terms, router, links, room, held.Clients)
 	calling.evictIdle = func() bool { return front.EvictIdle() || links.EvictIdle() } // who waits for nothing goes first
 	front.Routes = routes
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -12,10 +12,11 @@
 	"sync/atomic"
 	"time"
 
+	"foldslip/internal/cacheregistry"
 	"foldslip/internal/dispatch"
 	"foldslip/internal/env"
-	"foldslip/internal/memory"
 	"foldslip/internal/policy"
+	"foldslip/internal/purgelog"
 	"foldslip/internal/settings"
 	"foldslip/internal/wire"
 )
@@ -30,8 +31,8 @@
 // fleet. Its goroutines end with Stop.
 type Hollow struct {
 	Router *dispatch.Dispatcher
-	Caches *memory.Registry
-	Purges *memory.Log
+	Caches *cacheregistry.Registry
+	Purges *purgelog.Log
 	life   *env.Lifetime
 	group  env.Group
 }
@@ -53,8 +54,8 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &Hollow{Caches: &memory.Registry{}, life: env.NewLifetime(nil), group: g.NewGroup()}
-	h.Purges = &memory.Log{Clock: g, Grace: time.Duration(terms.PurgeGrace) * time.Microsecond, Retention: time.Duration(terms.Router.PurgeSettleTime)*time.Microsecond + purgeSlack}
+	h := &Hollow{Caches: &cacheregistry.Registry{}, life: env.NewLifetime(nil), group: g.NewGroup()}
+	h.Purges = &purgelog.Log{Clock: g, Grace: time.Duration(terms.PurgeGrace) * time.Microsecond, Retention: time.Duration(terms.Router.PurgeSettleTime)*time.Microsecond + purgeSlack}
 	h.Router = dispatch.New(g, s.Seed, terms.Router, nil)
 	watch := wire.NewWatch(g, s.Watch, terms, h.Router, h.Caches, h.Purges)
 	if err := watch.LoadKnown(s.Known); err != nil {
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -3,7 +3,7 @@
 // back. State is carried over from one configuration to the next where the thing is the same (Set.Carry), so that no change refills a
 // bucket or forgets what is out.
 //
-// Owner: whoever admits, under its lock. Bounds: one record a named thing, told by the configuration; tenants as memory.MostHolders.
+// Owner: whoever admits, under its lock. Bounds: one record a named thing, told by the configuration; tenants as admission.MaxClaimants.
 package limit
 
 import (
@@ -12,7 +12,7 @@
 
 	"golang.org/x/time/rate"
 
-	"foldslip/internal/memory"
+	"foldslip/internal/admission"
 )
 
 // Spec are the limits of one thing. Zero is no limit.
@@ -68,7 +68,7 @@
 	spec            Spec
 	lookups         *rate.Limiter
 	bytes           *rate.Limiter
-	quotas          *memory.Quotas
+	quotas          *admission.Quotas
 	adaptive        *Adaptive
 	retries         *RetryBudget
 	lease           Lease
@@ -96,7 +96,7 @@
 	case t.MaxOpen <= 0:
 		l.quotas = nil
 	case l.quotas == nil:
-		l.quotas = memory.NewQuotas(t.MaxOpen)
+		l.quotas = admission.NewQuotas(t.MaxOpen)
 	default:
 		l.quotas.Resize(t.MaxOpen)
 	}
@@ -141,7 +141,7 @@
 	l.lookups, l.bytes = empty(lookups, t.LookupsPerSecond), empty(bytes, t.BytesPerSecond)
 	if t.MaxOpen > 0 {
 		if l.quotas = open; open == nil {
-			l.quotas = memory.NewQuotas(0)
+			l.quotas = admission.NewQuotas(0)
 		}
 	}
 	l.spec = t
@@ -210,7 +210,7 @@
 // Permit is one lookup that was let in; it ends once.
 type Permit struct {
 	limit      *Limit
-	claimant   *memory.Claimant
+	claimant   *admission.Claimant
 	admittedAt time.Time
 }
 
--- /dev/null
+++ b/internal/purgelog/cost_test.go
@@ -0,0 +1,53 @@
+package purgelog
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"foldslip/internal/lab/cost"
+)
+
+var costs = cost.Flags("./internal/purgelog")
+
+// objectName spreads numbers over names as objects' names are spread.
+func objectName(i int) string { return fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15) }
+
+// Heap of the purges held, by number (docs/CAPACITY.md).
+func TestCostRetainedPurges(t *testing.T) {
+	costs.Take(t, cost.Figure{Name: "memory-purges-heap", Title: "purgelog.Log: heap of the purges held", X: "purges held", Y: "bytes", Budget: 2 << 20,
+		Of: "purges held, 2 MB of 128", At: 1100}, []int{600, 1100, 6000, 60000, 360000}, func(held int) float64 {
+		return cost.Heap(func() any {
+			clock := &adjustableClock{now: time.Unix(1_764_576_000, 0)}
+			l := &Log{Retention: time.Hour, Grace: time.Second, Clock: clock}
+			for i := range held {
+				l.Record(objectName(i), 0, clock.now)
+			}
+			if len(l.objects) != held {
+				t.Errorf("%d held of %d", len(l.objects), held)
+			}
+			return l
+		})
+	})
+}
+
+// Processor time of one Record where so many are held, purges coming 10 ms apart.
+func TestCostRecord(t *testing.T) {
+	costs.Take(t, cost.Figure{Name: "memory-note", Title: "purgelog.Log.Record: processor time of one purge", X: "purges held", Y: "us of a core", Budget: 40,
+		Of: "a purge, 0.4% of a core at 100/s", At: 1100}, []int{600, 1100, 2200, 6000, 20000, 60000, 360000}, func(held int) float64 {
+		clock := &adjustableClock{now: time.Unix(1_764_576_000, 0)}
+		l := &Log{Retention: time.Duration(held) * 10 * time.Millisecond, Grace: time.Second, Clock: clock}
+		record := func(i int) {
+			l.Record(objectName(i), 0, clock.now)
+			clock.now = clock.now.Add(10 * time.Millisecond)
+		}
+		for i := range held {
+			record(i)
+		}
+		us := costs.Micros(func(i int) { record(held + i) })
+		if n := len(l.objects); n < held || n > held+2 {
+			t.Errorf("%d held, not %d: the test measures another number", n, held)
+		}
+		return us
+	})
+}
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -18,8 +18,8 @@
 	"sync/atomic"
 	"time"
 
+	"foldslip/internal/admission"
 	"foldslip/internal/dispatch"
-	"foldslip/internal/memory"
 	"foldslip/internal/policy"
 	"foldslip/internal/route"
 	"foldslip/internal/route/rollout"
@@ -119,7 +119,7 @@
 	ETag            string
 	Request         *route.Lookup
 	Trace           any // the door's own
-	Quota           *memory.Gate
+	Quota           *admission.Gate
 	Ticket          *rollout.Ticket // nil: it came by no route
 	ArrivedAt       time.Time
 	claims          atomic.Int32
--- a/internal/warmstart/member.go
+++ b/internal/warmstart/member.go
@@ -13,11 +13,12 @@
 	"sync"
 	"time"
 
+	"foldslip/internal/cacheregistry"
 	"foldslip/internal/dispatch"
 	"foldslip/internal/env"
 	"foldslip/internal/freshness"
-	"foldslip/internal/memory"
 	"foldslip/internal/policy"
+	"foldslip/internal/purgelog"
 	"foldslip/internal/settings"
 	"foldslip/internal/store/endpoints"
 	"foldslip/internal/store/snapshot"
@@ -40,7 +41,7 @@
 	env         env.Environment
 	settings    *settings.Settings
 	dispatcher  *dispatch.Dispatcher
-	caches      *memory.Registry
+	caches      *cacheregistry.Registry
 	snapshotter *snapshot.Snapshotter
 
 	listMu sync.Mutex // held while the kept list is told to the router, or laid aside
@@ -61,7 +62,7 @@
 }
 
 // New makes members over an open list.
-func New(g env.Environment, terms *settings.Settings, router *dispatch.Dispatcher, caches *memory.Registry, keep *snapshot.Snapshotter) *Reconciler {
+func New(g env.Environment, terms *settings.Settings, router *dispatch.Dispatcher, caches *cacheregistry.Registry, keep *snapshot.Snapshotter) *Reconciler {
 	m := &Reconciler{env: g, settings: terms, dispatcher: router, caches: caches, snapshotter: keep, knownDrains: map[string]*knownDrain{}}
 	s := keep.State()
 	m.lastEvent = s.LastEvent
@@ -73,7 +74,7 @@
 }
 
 // Start lists to the router what the kept list is worth, and tells how many entries there are; 0: there is no list.
-func (m *Reconciler) Start(purges *memory.Log) int {
+func (m *Reconciler) Start(purges *purgelog.Log) int {
 	s := m.snapshotter.State()
 	now := m.env.Now()
 	age := now.Sub(time.UnixMilli(s.CurrentAsOf))
--- a/internal/warmstart/member_test.go
+++ b/internal/warmstart/member_test.go
@@ -8,10 +8,11 @@
 	"testing"
 	"time"
 
+	"foldslip/internal/cacheregistry"
 	"foldslip/internal/dispatch"
 	"foldslip/internal/env"
-	"foldslip/internal/memory"
 	"foldslip/internal/policy"
+	"foldslip/internal/purgelog"
 	"foldslip/internal/settings"
 	"foldslip/internal/store/endpoints"
 	"foldslip/internal/store/snapshot"
@@ -40,8 +41,8 @@
 	module      *recordingModule
 	settings    *settings.Settings
 	dispatcher  *dispatch.Dispatcher
-	caches      *memory.Registry
-	purges      *memory.Log
+	caches      *cacheregistry.Registry
+	purges      *purgelog.Log
 	snapshotter *snapshot.Snapshotter
 	reconciler  *Reconciler
 }
@@ -52,9 +53,9 @@
 // startFrom starts from a folder into which a gateway before wrote some changes.
 func startFrom(t *testing.T, before ...endpoints.Update) *fixture {
 	t.Helper()
-	p := &fixture{caches: &memory.Registry{}}
+	p := &fixture{caches: &cacheregistry.Registry{}}
 	p.env = env.NewSystem(&p.log, slog.LevelInfo)
-	p.purges = &memory.Log{Clock: p.env, Retention: time.Hour}
+	p.purges = &purgelog.Log{Clock: p.env, Retention: time.Hour}
 	var err error
 	if p.settings, err = settings.Parse(testSettings); err != nil {
 		t.Fatal(err)
--- a/internal/wire/answer.go
+++ b/internal/wire/answer.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
+	"foldslip/internal/admission"
 	"foldslip/internal/dispatch"
-	"foldslip/internal/memory"
 	"foldslip/internal/route/rollout"
 )
 
@@ -20,7 +20,7 @@
 	request       Request
 	dispatched    *dispatch.Lookup
 	attempts      []*attempt
-	admission     *memory.Controller
+	admission     *admission.Controller
 	passThrough   bool            // at the origin: what it brings is no copy
 	ticket        *rollout.Ticket // nil: it came by no route
 	arrivedAt     time.Time
--- a/internal/wire/bulletin.go
+++ b/internal/wire/bulletin.go
@@ -12,10 +12,12 @@
 	"sync"
 	"time"
 
+	"foldslip/internal/cacheregistry"
 	"foldslip/internal/dispatch"
 	"foldslip/internal/env"
-	"foldslip/internal/memory"
+	"foldslip/internal/linebuffer"
 	"foldslip/internal/policy"
+	"foldslip/internal/purgelog"
 	"foldslip/internal/settings"
 	"foldslip/internal/store/endpoints"
 	"foldslip/internal/warmstart"
@@ -38,8 +40,8 @@
 	LastEvent  int64 // number of the last event held
 	Settings   *settings.Settings
 	Dispatcher *dispatch.Dispatcher
-	Registry   *memory.Registry
-	Purges     *memory.Log
+	Registry   *cacheregistry.Registry
+	Purges     *purgelog.Log
 	// Members, if there are any, are told all that counts beside the router.
 	Reconciler *warmstart.Reconciler
 	// Heard, if set, is told of each event before the router is; it must not wait.
@@ -61,8 +63,8 @@
 }
 
 // NewWatch makes the follower of the bulletin at an address.
-func NewWatch(g env.Environment, addr string, terms *settings.Settings, router *dispatch.Dispatcher, caches *memory.Registry,
-	purges *memory.Log) *Watch {
+func NewWatch(g env.Environment, addr string, terms *settings.Settings, router *dispatch.Dispatcher, caches *cacheregistry.Registry,
+	purges *purgelog.Log) *Watch {
 	return &Watch{env: g, addr: addr, Settings: terms, Dispatcher: router, Registry: caches, Purges: purges, wakeup: g.NewNotifier()}
 }
 
@@ -355,7 +357,7 @@
 	if _, err := fmt.Fprintf(conn, "after %d\n", b.LastEvent); err != nil {
 		return "write_failed"
 	}
-	var buf memory.Buffer
+	var buf linebuffer.Buffer
 	for {
 		for {
 			line, _, whole := bytes.Cut(buf.Bytes(), []byte("\n"))
@@ -387,7 +389,7 @@
 			switch {
 			case life.Ended():
 				return "stopping"
-			case errors.Is(err, memory.ErrTooLong):
+			case errors.Is(err, linebuffer.ErrTooLong):
 				return "bad_line"
 			}
 			var late net.Error
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -13,7 +13,7 @@
 	"foldslip/internal/dispatch"
 	"foldslip/internal/env"
 	"foldslip/internal/limit"
-	"foldslip/internal/memory"
+	"foldslip/internal/linebuffer"
 	"foldslip/internal/policy"
 )
 
@@ -93,7 +93,7 @@
 }
 
 func (c *clientConn) readRequests() {
-	var buf memory.Buffer
+	var buf linebuffer.Buffer
 	c.mu.Lock()
 	first := c.idleSince.Add(firstRequestTimeout)
 	if c.endReason != "" {
@@ -166,7 +166,7 @@
 
 // readBody reads the bytes that follow a head, into a block of their own: the connection's buffer stays small. They count in the room for
 // bytes until the lookup is over. false if the connection ends.
-func (c *clientConn) readBody(req *Request, buf *memory.Buffer) bool {
+func (c *clientConn) readBody(req *Request, buf *linebuffer.Buffer) bool {
 	c.limitRequestTime()
 	if !c.server.admission.ReserveBytes(req.BodyLength) {
 		if c.awaitTurn(buf) {
@@ -193,7 +193,7 @@
 
 // awaitTurn waits until the request before has its answer, with the next one read, and takes what ends c.done; false if the client has
 // gone meanwhile. It reads on: a client that sends ahead and goes is seen to go, and its lookup is not sent on.
-func (c *clientConn) awaitTurn(buf *memory.Buffer) bool {
+func (c *clientConn) awaitTurn(buf *linebuffer.Buffer) bool {
 	for {
 		c.mu.Lock()
 		if c.pipelined = c.busy; c.pipelined {
@@ -205,7 +205,7 @@
 			break
 		}
 		err := buf.Fill(c.conn, maxPipelinedBytes)
-		if errors.Is(err, memory.ErrTooLong) {
+		if errors.Is(err, linebuffer.ErrTooLong) {
 			c.mu.Lock()
 			lk := c.lookup
 			c.mu.Unlock()
@@ -235,7 +235,7 @@
 // checkGone reads what is there up to the bound, to see the client's end if it is behind that; false if it has gone. Guards gone clients:
 // without it, lookups of one that sent far ahead and left, or that left before it was accepted, would begin long after. Past the
 // bound nothing is known, and what comes is refused.
-func (c *clientConn) checkGone(buf *memory.Buffer) bool {
+func (c *clientConn) checkGone(buf *linebuffer.Buffer) bool {
 	began := c.server.env.Now()
 	for empty := 0; empty < 2; { // a time-out alone does not say that nothing is there: the read may have come after it
 		c.conn.SetReadDeadline(c.server.env.Now().Add(finalReadTimeout))
@@ -245,11 +245,11 @@
 			empty = 0
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			empty++
-		case !errors.Is(err, memory.ErrTooLong):
+		case !errors.Is(err, linebuffer.ErrTooLong):
 			c.readFailed(err)
 			return false
 		}
-		if errors.Is(err, memory.ErrTooLong) || c.server.env.Now().Sub(began) > requestTimeout {
+		if errors.Is(err, linebuffer.ErrTooLong) || c.server.env.Now().Sub(began) > requestTimeout {
 			return true
 		}
 	}
@@ -302,7 +302,7 @@
 	switch {
 	case errors.Is(err, io.EOF):
 		reason = "closed_by_client"
-	case errors.Is(err, memory.ErrTooLong):
+	case errors.Is(err, linebuffer.ErrTooLong):
 		reason = "bad_request"
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		reason = "idle"
--- a/internal/wire/cost_test.go
+++ b/internal/wire/cost_test.go
@@ -7,10 +7,11 @@
 	"testing"
 	"time"
 
+	"foldslip/internal/cacheregistry"
 	"foldslip/internal/dispatch"
 	"foldslip/internal/env"
 	"foldslip/internal/lab/cost"
-	"foldslip/internal/memory"
+	"foldslip/internal/purgelog"
 	"foldslip/internal/settings"
 )
 
@@ -37,7 +38,7 @@
 		t.Fatal(err)
 	}
 	g := &fixedClock{env.NewSystem(io.Discard, 0), time.Unix(1_764_576_000, 0)}
-	b := NewWatch(g, "", terms, dispatch.New(g, 1, terms.Router, nil), &memory.Registry{}, &memory.Log{Retention: keep, Grace: time.Second, Clock: g})
+	b := NewWatch(g, "", terms, dispatch.New(g, 1, terms.Router, nil), &cacheregistry.Registry{}, &purgelog.Log{Retention: keep, Grace: time.Second, Clock: g})
 	var line strings.Builder
 	line.WriteString(`{"no":1,"roster":{"revision":1,"complete":true,"members":[`)
 	for i := range n {
--- a/internal/wire/ending_test.go
+++ b/internal/wire/ending_test.go
@@ -13,10 +13,12 @@
 	"time"
 
 	"foldslip/example/standin"
+	"foldslip/internal/admission"
+	"foldslip/internal/cacheregistry"
 	"foldslip/internal/dispatch"
 	"foldslip/internal/env"
-	"foldslip/internal/memory"
 	"foldslip/internal/policy"
+	"foldslip/internal/purgelog"
 	"foldslip/internal/settings"
 )
 
@@ -152,8 +154,8 @@
 	server     *Server
 	pool       *Pool
 	listener   gatedListener
-	registry   *memory.Registry
-	purges     *memory.Log
+	registry   *cacheregistry.Registry
+	purges     *purgelog.Log
 	edges      []*standin.Cache
 	received   chan standin.Request
 	lastID     int
@@ -171,11 +173,11 @@
 		t.Fatal(err)
 	}
 	h.System = env.NewSystem(io.Discard, 0)
-	r := &testbed{t: t, registry: &memory.Registry{}, received: make(chan standin.Request, 99), purges: &memory.Log{Clock: h, Retention: time.Minute}}
+	r := &testbed{t: t, registry: &cacheregistry.Registry{}, received: make(chan standin.Request, 99), purges: &purgelog.Log{Clock: h, Retention: time.Minute}}
 	r.dispatcher = dispatch.New(h, 1, terms.Router, nil)
 	life := env.NewLifetime(nil)
 	r.pool = NewPool(h, life, terms, r.dispatcher, r.registry, r.purges, 99)
-	r.server = NewServer(h, terms, r.dispatcher, r.pool, memory.NewController(h, 100, 1<<20), most)
+	r.server = NewServer(h, terms, r.dispatcher, r.pool, admission.NewController(h, 100, 1<<20), most)
 	r.server.SetReady()
 	var rows []policy.Endpoint
 	for i := range 2 {
--- a/internal/wire/front.go
+++ b/internal/wire/front.go
@@ -10,9 +10,9 @@
 	"sync"
 	"time"
 
+	"foldslip/internal/admission"
 	"foldslip/internal/dispatch"
 	"foldslip/internal/env"
-	"foldslip/internal/memory"
 	"foldslip/internal/route/rollout"
 	"foldslip/internal/settings"
 )
@@ -39,8 +39,8 @@
 	settings        *settings.Settings
 	dispatcher      *dispatch.Dispatcher
 	pool            *Pool
-	admission       *memory.Controller
-	gate            *memory.Gate        // in it, of direct clients
+	admission       *admission.Controller
+	gate            *admission.Gate     // in it, of direct clients
 	maxConns        int                 // connections
 	evictionReserve int                 // of these, for those that make room, while they are looked at once more
 	Routes          *rollout.Controller // nil: a lookup may go anywhere
@@ -58,7 +58,7 @@
 }
 
 // NewServer makes a front that takes so many connections at most.
-func NewServer(g env.Environment, terms *settings.Settings, router *dispatch.Dispatcher, links *Pool, room *memory.Controller, most int) *Server {
+func NewServer(g env.Environment, terms *settings.Settings, router *dispatch.Dispatcher, links *Pool, room *admission.Controller, most int) *Server {
 	f := &Server{env: g, settings: terms, dispatcher: router, pool: links, admission: room, gate: room.Gate("clients", 1), maxConns: most, evictionReserve: most / 8, kindByName: map[string]int{},
 		conns: map[*clientConn]bool{}, group: g.NewGroup(), acceptDone: g.NewNotifier(), evicted: g.NewNotifier()}
 	for i, k := range terms.Kinds {
--- a/internal/wire/frozen_test.go
+++ b/internal/wire/frozen_test.go
@@ -14,9 +14,9 @@
 	"time"
 
 	"foldslip/example/standin"
+	"foldslip/internal/admission"
 	"foldslip/internal/dispatch"
 	"foldslip/internal/env"
-	"foldslip/internal/memory"
 	"foldslip/internal/policy"
 	"foldslip/internal/store/endpoints"
 )
@@ -204,7 +204,7 @@
 func TestFrozenRefusals(t *testing.T) {
 	var all bytes.Buffer
 	r := newTestbed(t, &gatedEnv{}, true, 9)
-	r.server.admission = memory.NewController(r.pool.env, 1, 1)
+	r.server.admission = admission.NewController(r.pool.env, 1, 1)
 	r.server.gate = r.server.admission.Gate("clients", 1)
 	r.server.gate.TryAdmit()
 	for _, request := range []string{r.requestText("segment", "Connection: close\r\n"),
--- a/internal/wire/link.go
+++ b/internal/wire/link.go
@@ -15,8 +15,9 @@
 	"syscall"
 	"time"
 
+	"foldslip/internal/cacheregistry"
 	"foldslip/internal/env"
-	"foldslip/internal/memory"
+	"foldslip/internal/linebuffer"
 	"foldslip/internal/policy"
 )
 
@@ -24,7 +25,7 @@
 type cacheConn struct {
 	pool           *Pool
 	key            string
-	cache          *memory.Cache
+	cache          *cacheregistry.Cache
 	mu             sync.Mutex
 	conn           net.Conn // nil while dialling
 	closed         bool
@@ -48,7 +49,7 @@
 	evicted        atomic.Bool          // for another's sake
 	responses      int
 	strayResponses int // answers to no send: given up, given twice, another's
-	input          memory.Buffer
+	input          linebuffer.Buffer
 }
 
 // closeEvicted ends a displaced connection; its descriptor is free then.
--- a/internal/wire/links.go
+++ b/internal/wire/links.go
@@ -7,10 +7,11 @@
 	"sync/atomic"
 	"time"
 
+	"foldslip/internal/cacheregistry"
 	"foldslip/internal/dispatch"
 	"foldslip/internal/env"
-	"foldslip/internal/memory"
 	"foldslip/internal/policy"
+	"foldslip/internal/purgelog"
 	"foldslip/internal/settings"
 )
 
@@ -28,8 +29,8 @@
 	env          env.Environment
 	settings     *settings.Settings
 	dispatcher   *dispatch.Dispatcher
-	registry     *memory.Registry
-	purges       *memory.Log
+	registry     *cacheregistry.Registry
+	purges       *purgelog.Log
 	mu           sync.Mutex
 	conns        map[string][]*cacheConn // by cache id and address
 	maxConns     int                     // connections to all caches together, those being dialled included
@@ -41,8 +42,8 @@
 }
 
 // NewPool makes the links, so many connections at most; they end with life.
-func NewPool(g env.Environment, life *env.Lifetime, terms *settings.Settings, router *dispatch.Dispatcher, caches *memory.Registry,
-	purges *memory.Log, most int) *Pool {
+func NewPool(g env.Environment, life *env.Lifetime, terms *settings.Settings, router *dispatch.Dispatcher, caches *cacheregistry.Registry,
+	purges *purgelog.Log, most int) *Pool {
 	return &Pool{env: g, settings: terms, dispatcher: router, registry: caches, purges: purges, conns: map[string][]*cacheConn{},
 		maxConns: most, group: g.NewGroup(), lifetime: life}
 }
@@ -108,7 +109,7 @@
 
 // pickConn finds a connection with room, or dials one, in the place of the one longest idle where there are as many as there may be; nil
 // where each of them has a send and none is to this cache.
-func (ls *Pool) pickConn(to *memory.Cache, id string) *cacheConn {
+func (ls *Pool) pickConn(to *cacheregistry.Cache, id string) *cacheConn {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	key := to.ID + " " + to.Addr
--- a/internal/wire/silence_test.go
+++ b/internal/wire/silence_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"foldslip/internal/memory"
+	"foldslip/internal/cacheregistry"
 	"foldslip/internal/policy"
 	"foldslip/internal/settings"
 )
@@ -21,7 +21,7 @@
 		{3 * time.Second, 2500 * time.Millisecond, 0},
 		{time.Minute, 2500 * time.Millisecond, 0},
 	} {
-		caches := &memory.Registry{}
+		caches := &cacheregistry.Registry{}
 		caches.Register("a", "127.0.0.1:1")
 		b := &Watch{Settings: &settings.Settings{DrainGrace: policy.Micros(c.grace.Microseconds())}, Registry: caches}
 		if got := b.silenceTimeout(); got != c.silent {
--- a/internal/wire/size_test.go
+++ b/internal/wire/size_test.go
@@ -10,10 +10,11 @@
 	"testing"
 	"time"
 
+	"foldslip/internal/cacheregistry"
 	"foldslip/internal/dispatch"
 	"foldslip/internal/env"
-	"foldslip/internal/memory"
 	"foldslip/internal/policy"
+	"foldslip/internal/purgelog"
 	"foldslip/internal/settings"
 )
 
@@ -54,7 +55,7 @@
 	defer runtime.UnlockOSThread()
 	for run := range *listRuns {
 		g := env.NewSystem(io.Discard, 0)
-		b := NewWatch(g, "", terms, dispatch.New(g, uint64(run+1), terms.Router, nil), &memory.Registry{}, &memory.Log{Retention: time.Minute, Clock: g})
+		b := NewWatch(g, "", terms, dispatch.New(g, uint64(run+1), terms.Router, nil), &cacheregistry.Registry{}, &purgelog.Log{Retention: time.Minute, Clock: g})
 		var line strings.Builder
 		line.WriteString(`{"no":1,"roster":{"revision":1,"complete":true,"members":[`)
 		for i := range *listed {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -8,10 +8,11 @@
 	"testing"
 	"time"
 
+	"foldslip/internal/cacheregistry"
 	"foldslip/internal/dispatch"
 	"foldslip/internal/env"
-	"foldslip/internal/memory"
 	"foldslip/internal/policy"
+	"foldslip/internal/purgelog"
 	"foldslip/internal/settings"
 )
 
@@ -149,7 +150,7 @@
 		t.Fatal(err)
 	}
 	g := env.NewSystem(io.Discard, 0)
-	b := NewWatch(g, "", terms, dispatch.New(g, 1, terms.Router, nil), &memory.Registry{}, &memory.Log{Retention: time.Minute, Clock: g})
+	b := NewWatch(g, "", terms, dispatch.New(g, 1, terms.Router, nil), &cacheregistry.Registry{}, &purgelog.Log{Retention: time.Minute, Clock: g})
 	b.LastEvent = 40
 	return b
 }
