--- /dev/null
+++ b/internal/store/endpoints/apply.go
@@ -0,0 +1,166 @@
+package endpoints
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+)
+
+const hourMS = 3_600_000
+
+// Apply carries an update out. A time that runs backwards counts as standing still.
+func (s *State) Apply(u Update) {
+	if u.DiscoveryAddr != "" {
+		s.DiscoveryAddr = u.DiscoveryAddr
+	}
+	if u.LastEvent != 0 {
+		s.LastEvent = u.LastEvent
+	}
+	isFromDiscovery := u.StillCurrent || u.Complete || len(u.Endpoints) > 0
+	if isFromDiscovery && s.ChangedAt > 0 && u.At > s.ChangedAt {
+		watchedMS := min(u.At-s.ChangedAt, hourMS) // a longer gap was not watched
+		s.CacheHours += float64(watchedMS) / hourMS * float64(len(s.Endpoints))
+	}
+	s.ChangedAt = max(s.ChangedAt, u.At)
+	if u.Complete {
+		s.removeUnlisted(u)
+	}
+	for _, e := range u.Endpoints {
+		s.applyEndpoint(e, u.At)
+	}
+	if isFromDiscovery {
+		s.CurrentAsOf = max(s.CurrentAsOf, u.At)
+	}
+	if u.HasHealth {
+		s.applyHealth(u)
+	}
+	s.Purges = append(s.Purges, u.Purges...)
+	if n := len(s.Purges); n > MaxPurges {
+		s.Purges = slices.Clone(s.Purges[n-MaxPurges:])
+	}
+	s.enforceLimits()
+}
+
+// Import adds an operator's endpoints. They say nothing of how long the list was current.
+func (s *State) Import(u Update) {
+	for _, e := range u.Endpoints {
+		e.Source = Imported
+		s.applyEndpoint(e, u.At)
+	}
+	s.enforceLimits()
+}
+
+// removeUnlisted removes the endpoints that a complete list does not name.
+func (s *State) removeUnlisted(u Update) {
+	listed := idSet(u.Endpoints)
+	for id := range s.Endpoints {
+		if !listed[id] {
+			s.remove(id, u.At)
+		}
+	}
+}
+
+func idSet(list []Endpoint) map[string]bool {
+	ids := map[string]bool{}
+	for _, e := range list {
+		ids[e.ID] = true
+	}
+	return ids
+}
+
+// applyEndpoint takes one row of a list. Only discovery brings a cache back that drains or was removed, an imported list does not.
+func (s *State) applyEndpoint(e Endpoint, at int64) {
+	before, isKnown := s.Endpoints[e.ID]
+	tombstone := s.Tombstones[e.ID]
+	switch {
+	case e.Phase == Removed:
+		s.remove(e.ID, at)
+		return
+	case e.Source == Imported && tombstone.ID != "":
+		return
+	case e.Source == Imported && isKnown && before.Source == Discovered:
+		return
+	}
+	if tombstone.Removed && e.Source == Discovered { // it had not left: discovery read the list from its beginning
+		s.Departures = max(0, s.Departures-1)
+	}
+	if e.Phase == Draining {
+		s.Tombstones[e.ID] = Tombstone{ID: e.ID, At: at}
+	} else {
+		delete(s.Tombstones, e.ID)
+	}
+	s.claimAddr(e, before.Addr)
+	e.ListedAt = at
+	e.LastResponseAt = 0
+	e.EjectedAt = 0
+	if isSameIncarnation := isKnown && before.Addr == e.Addr && before.StartedAt == e.StartedAt; isSameIncarnation {
+		e.ListedAt = before.ListedAt
+		e.LastResponseAt = before.LastResponseAt
+		e.EjectedAt = before.EjectedAt
+	}
+	s.Endpoints[e.ID] = e
+}
+
+// claimAddr gives an address to the endpoint that was listed there last: a draining one that had it goes.
+func (s *State) claimAddr(e Endpoint, addrBefore string) {
+	if id := s.drainingByAddr[e.Addr]; id != "" && id != e.ID {
+		delete(s.Endpoints, id)
+	}
+	delete(s.drainingByAddr, addrBefore)
+	if e.Phase == Draining {
+		s.drainingByAddr[e.Addr] = e.ID
+	} else {
+		delete(s.drainingByAddr, e.Addr)
+	}
+}
+
+func (s *State) remove(id string, at int64) {
+	if before, isKnown := s.Endpoints[id]; isKnown {
+		delete(s.Endpoints, id)
+		delete(s.drainingByAddr, before.Addr)
+		s.Departures++
+	}
+	s.Tombstones[id] = Tombstone{ID: id, At: at, Removed: true}
+}
+
+// applyHealth notes which endpoints are ejected and which responded.
+func (s *State) applyHealth(u Update) {
+	isEjected := map[string]bool{}
+	for _, id := range u.Ejected {
+		isEjected[id] = true
+	}
+	for id, e := range s.Endpoints {
+		if !isEjected[id] {
+			e.EjectedAt = 0
+		} else if e.EjectedAt == 0 {
+			e.EjectedAt = u.At
+		}
+		s.Endpoints[id] = e
+	}
+	for _, id := range u.Responded {
+		if e, isKnown := s.Endpoints[id]; isKnown {
+			e.LastResponseAt = max(e.LastResponseAt, u.At)
+			s.Endpoints[id] = e
+		}
+	}
+}
+
+// enforceLimits drops what is past the bounds, oldest first.
+func (s *State) enforceLimits() {
+	if n := len(s.Tombstones) - MaxTombstones; n > tombstoneSlack { // in one sort for many, since an update must cost little
+		oldest := slices.SortedFunc(maps.Values(s.Tombstones), func(a, b Tombstone) int {
+			return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.ID, b.ID))
+		})
+		for _, t := range oldest[:n] {
+			delete(s.Tombstones, t.ID)
+		}
+	}
+	if n := len(s.Endpoints) - MaxEndpoints; n > 0 {
+		importedThenOldest := slices.SortedFunc(maps.Values(s.Endpoints), func(a, b Endpoint) int {
+			return cmp.Or(cmp.Compare(b.Source, a.Source), cmp.Compare(a.ListedAt, b.ListedAt), cmp.Compare(a.ID, b.ID))
+		})
+		for _, e := range importedThenOldest[:n] {
+			delete(s.Endpoints, e.ID)
+		}
+	}
+}
--- a/internal/store/endpoints/frozen_test.go
+++ b/internal/store/endpoints/frozen_test.go
@@ -6,14 +6,14 @@
 	"foldslip/internal/lab/frozen"
 )
 
-// rewrite restores a state of a snapshot file and change files and writes it again.
-func rewrite(t *testing.T, snapshotFile string, changeFiles ...string) []byte {
+// rewrite restores a state from a snapshot file and update files and encodes it again.
+func rewrite(t *testing.T, snapshotFile string, updateFiles ...string) []byte {
 	t.Helper()
-	var changes [][]byte
-	for _, name := range changeFiles {
-		changes = append(changes, frozen.Read(t, name))
+	var updates [][]byte
+	for _, name := range updateFiles {
+		updates = append(updates, frozen.Read(t, name))
 	}
-	state, err := Restore(frozen.Read(t, snapshotFile), changes)
+	state, err := Restore(frozen.Read(t, snapshotFile), updates)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,20 +43,20 @@
 	frozen.Equal(t, "old-key-as-written-now.bin", rewrite(t, "old-key-snapshot.bin"))
 }
 
-func TestChangesKeepTheirForm(t *testing.T) {
+func TestUpdatesKeepTheirForm(t *testing.T) {
 	for _, name := range []string{"change.bin", "small-change.bin"} {
-		var change Update
-		if err := decode(frozen.Read(t, name), &change); err != nil {
+		var update Update
+		if err := decode(frozen.Read(t, name), &update); err != nil {
 			t.Fatal(name, err)
 		}
-		written, err := change.Encode()
+		written, err := update.Encode()
 		if err != nil {
 			t.Fatal(name, err)
 		}
 		frozen.Equal(t, name, written)
 		if name == "change.bin" {
-			change.Endpoints = change.Endpoints[1:] // the row of all fields
-			frozen.Complete(t, name, change)
+			update.Endpoints = update.Endpoints[1:] // the one with all fields
+			frozen.Complete(t, name, update)
 		}
 	}
 }
