--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -12,10 +12,11 @@
 	"sync/atomic"
 	"time"
 
+	"foldslip/internal/cacheregistry"
 	"foldslip/internal/dispatch"
 	"foldslip/internal/env"
-	"foldslip/internal/memory"
 	"foldslip/internal/policy"
+	"foldslip/internal/purgelog"
 	"foldslip/internal/settings"
 	"foldslip/internal/wire"
 )
@@ -30,8 +31,8 @@
 // fleet. Its goroutines end with Stop.
 type HollowGateway struct {
 	Router   *dispatch.Dispatcher
-	Caches   *memory.Registry
-	Purges   *memory.Log
+	Caches   *cacheregistry.Registry
+	Purges   *purgelog.Log
 	lifetime *env.Lifetime
 	group    env.Group
 }
@@ -53,8 +54,8 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &HollowGateway{Caches: &memory.Registry{}, lifetime: env.NewLifetime(nil), group: g.NewGroup()}
-	h.Purges = &memory.Log{Clock: g, Grace: time.Duration(terms.PurgeGrace) * time.Microsecond, Retention: time.Duration(terms.Router.PurgeSettleTime)*time.Microsecond + purgeSlack}
+	h := &HollowGateway{Caches: &cacheregistry.Registry{}, lifetime: env.NewLifetime(nil), group: g.NewGroup()}
+	h.Purges = &purgelog.Log{Clock: g, Grace: time.Duration(terms.PurgeGrace) * time.Microsecond, Retention: time.Duration(terms.Router.PurgeSettleTime)*time.Microsecond + purgeSlack}
 	h.Router = dispatch.New(g, s.Seed, terms.Router, nil)
 	watch := wire.NewWatch(g, s.DiscoveryAddr, terms, h.Router, h.Caches, h.Purges)
 	if err := watch.LoadKnown(s.Known); err != nil {
