--- a/internal/wire/cost_test.go
+++ b/internal/discovery/cost_test.go
@@ -1,4 +1,4 @@
-package wire
+package discovery
 
 import (
 	"fmt"
--- a/internal/wire/size_test.go
+++ b/internal/discovery/size_test.go
@@ -1,4 +1,4 @@
-package wire
+package discovery
 
 import (
 	"flag"
@@ -19,8 +19,8 @@
 )
 
 var (
-	listed   = flag.Int("wire.listed", 1800, "caches of the list that is taken")
-	listRuns = flag.Int("wire.runs", 1, "times that it is taken anew")
+	listed   = flag.Int("discovery.listed", 1800, "caches of the list that is taken")
+	listRuns = flag.Int("discovery.runs", 1, "times that it is taken anew")
 )
 
 // appendEndpointJSON writes the i-th cache of a long list as the watch tells it.
@@ -39,7 +39,7 @@
 // A probe of the list at size (docs/CAPACITY.md): bytes of the line that brings the whole of it, the time to take it, and the time to take
 // a change of one cache; also of facade and logic alone. It prints; times are of this machine. The short form is 1,800 caches once:
 //
-//	go test ./wire -run SizeOfTheList -v -wire.runs 3
+//	go test ./internal/discovery -run SizeOfTheEndpointList -v -discovery.runs 3
 func TestSizeOfTheEndpointList(t *testing.T) {
 	var areas []string
 	for i := range 25 {
--- a/internal/wire/bulletin.go
+++ b/internal/discovery/watch.go
@@ -1,4 +1,7 @@
-package wire
+// Package discovery follows the discovery watch: numbered events that bring changes of the endpoint list and purges, over one connection
+// that is opened anew after a gap, a silence or a fault. It applies each event to the dispatcher, the registry of caches, the log of
+// purges and the kept list, in that order. One goroutine (Watch.Run) owns the watch; SetAddr alone may be called beside it.
+package discovery
 
 import (
 	"bytes"
@@ -20,6 +23,7 @@
 	"foldslip/internal/purgelog"
 	"foldslip/internal/settings"
 	"foldslip/internal/store/endpoints"
+	"foldslip/internal/upstream"
 	"foldslip/internal/warmstart"
 )
 
@@ -281,7 +285,7 @@
 		default:
 			return nil, nil, fmt.Errorf("member %q: phase %q is unknown", m.ID, m.Phase)
 		}
-		if !isName(m.ID) {
+		if !upstream.IsName(m.ID) {
 			return nil, nil, fmt.Errorf("member %q: the id cannot be used", m.ID)
 		}
 		if row.State != policy.Gone {
--- a/internal/wire/client.go
+++ b/internal/frontend/conn.go
@@ -1,6 +1,4 @@
-// A client's connection: requests read from it one after another, and how it ends.
-
-package wire
+package frontend
 
 import (
 	"errors"
@@ -15,6 +13,7 @@
 	"foldslip/internal/limit"
 	"foldslip/internal/linebuffer"
 	"foldslip/internal/policy"
+	"foldslip/internal/upstream"
 )
 
 // clientConn is one connection of a client.
@@ -210,7 +209,7 @@
 			lk := c.lookup
 			c.mu.Unlock()
 			if c.mayBeGone = true; lk != nil {
-				c.server.dispatcher.GiveUp(lk.dispatched)
+				c.server.dispatcher.GiveUp(lk.Dispatched)
 			}
 			break
 		}
@@ -315,7 +314,7 @@
 	c.closeLocked(reason)
 	c.mu.Unlock()
 	if lk != nil {
-		c.server.dispatcher.ClientGone(lk.dispatched)
+		c.server.dispatcher.ClientGone(lk.Dispatched)
 	}
 }
 
@@ -363,8 +362,7 @@
 			req.TimeAllowed = most
 		}
 	}
-	o, wait := &lookup{request: req, admission: f.admission, arrivedAt: came, reservedBytes: len(req.Body),
-		passThrough: known && f.settings.Router.Kinds[kind].PassThrough}, time.Duration(0)
+	o, wait := &lookup{Lookup: upstream.NewLookup(req.Request, known && f.settings.Router.Kinds[kind].PassThrough, f.admission), request: req, arrivedAt: came}, time.Duration(0)
 	switch {
 	case status != 0:
 	case c.mayBeGone:
@@ -386,15 +384,15 @@
 			status, text = 503, "past a limit: "+string(why)
 			break
 		}
-		o.dispatched = f.dispatcher.SubmitWithin(req.ID, kind, req.Object, req.Part, req.Group, req.SizeKB, came.Add(req.TimeAllowed), scope, nil)
-		if o.dispatched == nil {
+		o.Dispatched = f.dispatcher.SubmitWithin(req.ID, kind, req.Object, req.Part, req.Group, req.SizeKB, came.Add(req.TimeAllowed), scope, nil)
+		if o.Dispatched == nil {
 			f.gate.Release()
 			o.endTicket(dispatch.StepFailed, false)
 			status, text = 409, "this lookup is open already"
 		}
 	}
 	if status != 0 {
-		o.release()
+		o.Release()
 		c.writeText(status, text, wait, end)
 		if end {
 			c.closeInput()
@@ -408,7 +406,7 @@
 	c.mu.Unlock()
 	f.group.Go("lookup", func() error {
 		c.respond(o)
-		o.release()
+		o.Release()
 		f.gate.Release()
 		c.responded.Notify()
 		return nil
--- /dev/null
+++ b/internal/frontend/frozen_test.go
@@ -0,0 +1,19 @@
+package frontend
+
+import (
+	"testing"
+
+	"foldslip/internal/lab/frozen"
+)
+
+// The files under testdata/frozen were written by the build at 58d6067. Heads of responses stay to the byte.
+
+// Heads of answers to clients by status, with and without the end of the connection.
+func TestFrozenHeads(t *testing.T) {
+	var b []byte
+	for _, status := range []int{200, 304, 400, 404, 405, 409, 431, 502, 503, 505} {
+		b = appendHead(b, status, 17, "", false)
+		b = appendHead(b, status, 17, "ETag: \"4be0\"\r\n", true)
+	}
+	frozen.Equal(t, "frozen/heads", b)
+}
--- a/internal/wire/request.go
+++ b/internal/frontend/request.go
@@ -1,6 +1,4 @@
-// Package wire is what the gateway speaks: HTTP/1.1 with clients, lines with caches, numbered events with the
-// bulletin. Its parsers are strict and bounded, and never panic.
-package wire
+package frontend
 
 import (
 	"bytes"
@@ -9,6 +7,8 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"foldslip/internal/upstream"
 )
 
 const (
@@ -20,15 +20,13 @@
 
 // Request is one request of a client, or what is wrong with it.
 type Request struct {
-	Method, Kind, Object string
-	Part, Group          int
-	ID, ETag             string // Tag: of the copy that the client holds
-	IdempotencyKey       string // by which caches know a lookup again, also when its client repeats it under another id
-	SizeKB               float64
-	TimeAllowed          time.Duration // -1: not told
-	IsPing, ClosesConn   bool
-	BodyLength           int    // of the bytes that follow the head; only with PUT
-	Body                 []byte // these, once they have been read
+	upstream.Request
+	Method      string
+	SizeKB      float64
+	TimeAllowed time.Duration // -1: not given
+	IsPing      bool
+	ClosesConn  bool
+	BodyLength  int // of the bytes that follow the head; only with PUT
 }
 
 // RequestError is a request that gets a plain answer and never reaches the module.
@@ -143,7 +141,7 @@
 	case "host":
 		*host = true
 	case "x-job-id":
-		if !isID(v) {
+		if !upstream.IsID(v) {
 			return badRequest("X-Job-Id is not 16 hex digits")
 		}
 		r.ID = v
@@ -166,14 +164,14 @@
 		}
 		r.SizeKB = n
 	case "x-unique":
-		if !isName(v) || len(v) > maxIdempotencyKeyBytes {
+		if !upstream.IsName(v) || len(v) > maxIdempotencyKeyBytes {
 			return badRequest("X-Unique is not a word that can be passed on")
 		}
 		r.IdempotencyKey = v
 	case "if-none-match":
 		// One strong or weak tag that a cache's line can carry is passed on; anything else is as none.
 		tag := strings.TrimPrefix(v, "W/")
-		if len(tag) > 2 && tag[0] == '"' && tag[len(tag)-1] == '"' && isName(tag[1:len(tag)-1]) {
+		if len(tag) > 2 && tag[0] == '"' && tag[len(tag)-1] == '"' && upstream.IsName(tag[1:len(tag)-1]) {
 			r.ETag = tag[1 : len(tag)-1]
 		}
 	case "content-length":
@@ -181,7 +179,7 @@
 		if err != nil {
 			return badRequest("Content-Length is not a length")
 		}
-		if n > MaxObjectBytes {
+		if n > upstream.MaxObjectBytes {
 			return badRequest("the body is too long")
 		}
 		r.BodyLength = int(n)
@@ -219,7 +217,7 @@
 	var ok1, ok2 bool
 	r.Kind, ok1 = unescape(parts[2])
 	r.Object, ok2 = unescape(parts[3])
-	if !ok1 || !ok2 || !isName(r.Kind) || !isName(r.Object) || len(r.Object) > 256 {
+	if !ok1 || !ok2 || !upstream.IsName(r.Kind) || !upstream.IsName(r.Object) || len(r.Object) > 256 {
 		return badRequest("the target cannot be read")
 	}
 	if len(parts) == 5 {
@@ -257,16 +255,6 @@
 	return string(out), true
 }
 
-// isName tells whether a name can stand in a cache's line: printable, none of the signs that divide one.
-func isName(s string) bool {
-	for i := 0; i < len(s); i++ {
-		if c := s[i]; c <= ' ' || c >= 0x7f || c == ',' || c == '=' {
-			return false
-		}
-	}
-	return s != "" && s != "-"
-}
-
 func isToken(b []byte) bool {
 	for _, c := range b {
 		if !(c >= '0' && c <= '9' || c >= 'A' && c <= 'Z' || c >= 'a' && c <= 'z' ||
@@ -276,12 +264,3 @@
 	}
 	return len(b) > 0
 }
-
-func isID(s string) bool {
-	for i := 0; i < len(s); i++ {
-		if c := s[i]; !(c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F') {
-			return false
-		}
-	}
-	return len(s) == 16
-}
--- a/internal/wire/answer.go
+++ b/internal/frontend/respond.go
@@ -1,66 +1,23 @@
-// Answers to clients: a lookup while it is open, and the bytes that go out for it.
-
-package wire
+package frontend
 
 import (
 	"errors"
 	"fmt"
 	"os"
 	"strconv"
-	"sync"
 	"time"
 
-	"foldslip/internal/admission"
 	"foldslip/internal/dispatch"
 	"foldslip/internal/route/rollout"
+	"foldslip/internal/upstream"
 )
 
-// lookup is a lookup between its request and its answer, as the network sees it.
+// lookup is a lookup of a client from its request to its answer.
 type lookup struct {
-	request       Request
-	dispatched    *dispatch.Lookup
-	attempts      []*attempt
-	admission     *admission.Controller
-	passThrough   bool            // at the origin: what it brings is no copy
-	ticket        *rollout.Ticket // nil: it came by no route
-	arrivedAt     time.Time
-	mu            sync.Mutex
-	objects       map[int]*object
-	reservedBytes int // bytes of room that the request's body and got take
-	closed        bool
-}
-
-// object is an answer to pass on: room for a head, then the bytes.
-type object struct {
-	buffer      []byte
-	tag         string
-	notModified bool
-}
-
-// storeObject holds an answer of a cache for its lookup, with room for the head before it; not if the lookup is over or there is no room.
-func (o *lookup) storeObject(n int, a response) (kept, over bool) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	size := headReserve + len(a.body)
-	if o.closed || !o.admission.ReserveBytes(size) {
-		return false, o.closed
-	}
-	o.reservedBytes += size
-	c := &object{tag: a.etag, notModified: a.notModified, buffer: make([]byte, size)}
-	copy(c.buffer[headReserve:], a.body)
-	if o.objects == nil {
-		o.objects = map[int]*object{}
-	}
-	o.objects[n] = c
-	return true, false
-}
-
-// release gives back what is held; nothing is kept from now on.
-func (o *lookup) release() {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.admission.ReleaseBytes(o.reservedBytes)
-	o.reservedBytes, o.objects, o.closed = 0, nil, true
+	*upstream.Lookup
+	request   Request
+	ticket    *rollout.Ticket // nil: it came by no route
+	arrivedAt time.Time
 }
 
 // endTicket ends what its route let in.
@@ -74,16 +31,16 @@
 func (c *clientConn) respond(o *lookup) {
 	f := c.server
 	for {
-		s := f.dispatcher.WaitStep(o.dispatched)
+		s := f.dispatcher.WaitStep(o.Dispatched)
 		switch s.Kind {
 		case dispatch.StepFetch:
-			f.pool.startAttempt(o, s)
+			f.pool.Start(o.Lookup, s)
 			continue
 		case dispatch.StepCancel:
-			f.pool.cancelAttempt(o, s.Attempt)
+			f.pool.CancelAttempt(o.Lookup, s.Attempt)
 			continue
 		}
-		f.pool.cancelAll(o)
+		f.pool.CancelAll(o.Lookup)
 		o.endTicket(s.Kind, f.env.Now().Sub(o.arrivedAt) > f.settings.LatencyBudget(f.kindByName[o.request.Kind], o.request.SizeKB))
 		end := o.request.ClosesConn || c.isEnding()
 		switch s.Kind {
@@ -97,9 +54,9 @@
 			if s.RetryAfter > 0 {
 				wait = "X-Wait-Ms: " + strconv.FormatInt((s.RetryAfter+999)/1000, 10) + "\r\n"
 			}
-			c.write(appendHead(nil, 503, 0, wait, end), o.dispatched.Deadline)
+			c.write(appendHead(nil, 503, 0, wait, end), o.Dispatched.Deadline)
 		case dispatch.StepFailed:
-			c.write(appendHead(nil, 502, 0, "", end), o.dispatched.Deadline)
+			c.write(appendHead(nil, 502, 0, "", end), o.Dispatched.Deadline)
 		}
 		switch {
 		case end && s.Kind == dispatch.StepSatisfied:
@@ -114,27 +71,24 @@
 
 // writeObject hands on what a send brought: the bytes whole and unchanged, or word that the client's copy holds.
 func (c *clientConn) writeObject(o *lookup, n int, end bool) {
-	o.mu.Lock()
-	got := o.objects[n]
-	o.objects = nil
-	o.mu.Unlock()
+	got := o.TakeObject(n)
 	status := 200
-	if got.notModified {
+	if got.NotModified {
 		status = 304
 	}
-	var room [headReserve]byte
+	var room [upstream.HeadReserve]byte
 	tag := ""
-	if got.tag != "" { // of a copy; what ran at the origin is none
-		tag = "ETag: \"" + got.tag + "\"\r\n"
+	if got.ETag != "" { // of a copy; what ran at the origin is none
+		tag = "ETag: \"" + got.ETag + "\"\r\n"
 	}
-	head := appendHead(room[:0], status, len(got.buffer)-headReserve, tag, end)
-	if len(head) > headReserve { // only with an unusually long tag
-		c.write(append(head, got.buffer[headReserve:]...), o.dispatched.Deadline)
+	head := appendHead(room[:0], status, len(got.Buffer)-upstream.HeadReserve, tag, end)
+	if len(head) > upstream.HeadReserve { // only with an unusually long tag
+		c.write(append(head, got.Buffer[upstream.HeadReserve:]...), o.Dispatched.Deadline)
 		return
 	}
-	from := headReserve - len(head)
-	copy(got.buffer[from:], head)
-	c.write(got.buffer[from:], o.dispatched.Deadline)
+	from := upstream.HeadReserve - len(head)
+	copy(got.Buffer[from:], head)
+	c.write(got.Buffer[from:], o.Dispatched.Deadline)
 }
 
 // writeText answers what never reached the module.
--- a/internal/wire/front.go
+++ b/internal/frontend/server.go
@@ -1,4 +1,8 @@
-package wire
+// Package frontend is the gateway's side toward its clients: an HTTP/1.1 server with its connections, a strict and bounded parser of
+// requests, and the responses. It hands each lookup to the dispatcher, carries out the dispatcher's steps with the pool of connections to
+// caches, and writes the response. Each connection has a goroutine that reads and, while a lookup is open on it, one that responds.
+// Bounds: maxConns connections, of which idle ones give way to new ones; maxHeadBytes of a request's head; maxPipelinedBytes read ahead.
+package frontend
 
 import (
 	"cmp"
@@ -15,6 +19,7 @@
 	"foldslip/internal/env"
 	"foldslip/internal/route/rollout"
 	"foldslip/internal/settings"
+	"foldslip/internal/upstream"
 )
 
 const (
@@ -22,7 +27,6 @@
 	requestTimeout      = 2 * time.Second         // from a request's first byte to its last
 	firstRequestTimeout = 2500 * time.Millisecond // from connecting to the first request's last byte
 	responseWriteSlack  = time.Second             // past the deadline, for the client to take the last byte
-	headReserve         = 256                     // before an answer's bytes, for its head
 	lingerTimeout       = 200 * time.Millisecond
 	maxLingerBytes      = 256 << 10
 	acceptRetryDelay    = 10 * time.Millisecond
@@ -38,7 +42,7 @@
 	env             env.Environment
 	settings        *settings.Settings
 	dispatcher      *dispatch.Dispatcher
-	pool            *Pool
+	pool            *upstream.Pool
 	admission       *admission.Controller
 	gate            *admission.Gate     // in it, of direct clients
 	maxConns        int                 // connections
@@ -58,7 +62,7 @@
 }
 
 // NewServer makes a front that takes so many connections at most.
-func NewServer(g env.Environment, terms *settings.Settings, router *dispatch.Dispatcher, links *Pool, room *admission.Controller, most int) *Server {
+func NewServer(g env.Environment, terms *settings.Settings, router *dispatch.Dispatcher, links *upstream.Pool, room *admission.Controller, most int) *Server {
 	f := &Server{env: g, settings: terms, dispatcher: router, pool: links, admission: room, gate: room.Gate("clients", 1), maxConns: most, evictionReserve: most / 8, kindByName: map[string]int{},
 		conns: map[*clientConn]bool{}, group: g.NewGroup(), acceptDone: g.NewNotifier(), evicted: g.NewNotifier()}
 	for i, k := range terms.Kinds {
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -12,6 +12,7 @@
 
 	"foldslip/internal/admin"
 	"foldslip/internal/config"
+	"foldslip/internal/discovery"
 	"foldslip/internal/dispatch"
 	"foldslip/internal/env"
 	"foldslip/internal/fleet/broadcast"
@@ -22,7 +23,6 @@
 	"foldslip/internal/fleet/transport"
 	"foldslip/internal/fleet/view"
 	"foldslip/internal/route/rollout"
-	"foldslip/internal/wire"
 )
 
 // fleetService is this gateway's part in its fleet. Like a door it runs for the gateway's life and ends with the drain; it takes no lookups,
@@ -38,7 +38,7 @@
 
 // joinFleet makes it; nil where the operators' settings name no fleet, as on the platform.
 func joinFleet(g env.Environment, own *config.Config, name string, seed uint64, routes *rollout.Controller, router *dispatch.Dispatcher,
-	bulletin *wire.Watch) (*fleetService, error) {
+	bulletin *discovery.Watch) (*fleetService, error) {
 	if own.Fleet == nil {
 		return nil, nil
 	}
@@ -145,7 +145,7 @@
 }
 
 // newBroadcaster makes the carrier of purges between gateways, told what the own discovery watch tells.
-func (p *fleetService) newBroadcaster(set membership.Settings, wall func() time.Time, stamp uint64, g env.Environment, bulletin *wire.Watch,
+func (p *fleetService) newBroadcaster(set membership.Settings, wall func() time.Time, stamp uint64, g env.Environment, bulletin *discovery.Watch,
 	heard func([]dispatch.Purge)) {
 	p.broadcaster = driver.New(set.Name, set.Locality, func(some []broadcast.Purge) {
 		purges := make([]dispatch.Purge, 0, len(some))
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -16,14 +16,16 @@
 	"foldslip/internal/cacheregistry"
 	"foldslip/internal/config"
 	"foldslip/internal/config/change"
+	"foldslip/internal/discovery"
 	"foldslip/internal/dispatch"
 	"foldslip/internal/env"
+	"foldslip/internal/frontend"
 	"foldslip/internal/purgelog"
 	"foldslip/internal/route/rollout"
 	"foldslip/internal/settings"
 	"foldslip/internal/store/snapshot"
+	"foldslip/internal/upstream"
 	"foldslip/internal/warmstart"
-	"foldslip/internal/wire"
 )
 
 const (
@@ -119,7 +121,7 @@
 }
 
 // openRoutes puts the operators' routes in force; nil where they name none.
-func openRoutes(g env.Environment, own *config.Config, terms *settings.Settings, bulletin *wire.Watch) (*rollout.Controller, error) {
+func openRoutes(g env.Environment, own *config.Config, terms *settings.Settings, bulletin *discovery.Watch) (*rollout.Controller, error) {
 	if own.Routing == nil {
 		return nil, nil
 	}
@@ -144,8 +146,8 @@
 // Gateway is a gateway at work, for whoever looks on.
 type Gateway struct {
 	dispatcher *dispatch.Dispatcher
-	pool       *wire.Pool
-	server     *wire.Server
+	pool       *upstream.Pool
+	server     *frontend.Server
 	routes     *rollout.Controller
 }
 
@@ -220,7 +222,7 @@
 	purges := &purgelog.Log{Clock: g, Grace: time.Duration(terms.PurgeGrace) * time.Microsecond, Retention: time.Duration(terms.Router.PurgeSettleTime)*time.Microsecond + purgeRetentionSlack}
 	router := dispatch.New(g, seed, terms.Router, watch.Interceptor)
 	calling := &evictingEnv{Environment: g}
-	bulletin := wire.NewWatch(calling, s.DiscoveryAddr, terms, router, caches, purges)
+	bulletin := discovery.NewWatch(calling, s.DiscoveryAddr, terms, router, caches, purges)
 	routes, err := openRoutes(g, own, terms, bulletin)
 	if err != nil {
 		return err
@@ -250,14 +252,14 @@
 		return err
 	}
 	held := shareDescriptors(s.Limits.Sockets, g.DescriptorLimit(), own, watch.NewServices != nil)
-	lookups, bytes := maxLookups, int64(maxLookups*wire.MaxObjectBytes)
+	lookups, bytes := maxLookups, int64(maxLookups*upstream.MaxObjectBytes)
 	if s.Limits.MemoryMB > 0 {
 		lookups = min(lookups, max(1, int(s.Limits.MemoryMB*lookupsPerMB)))
 		bytes = int64(s.Limits.MemoryMB * bodyMemoryShare * (1 << 20))
 	}
-	links := wire.NewPool(calling, life, terms, router, caches, purges, held.Caches)
+	links := upstream.NewPool(calling, life, terms, router, caches, purges, held.Caches)
 	room := admission.NewController(g, lookups, bytes)
-	front := wire.NewServer(g, terms, router, links, room, held.Clients)
+	front := frontend.NewServer(g, terms, router, links, room, held.Clients)
 	calling.evictIdle = func() bool { return front.EvictIdle() || links.EvictIdle() } // who waits for nothing goes first
 	front.Routes = routes
 	var doors []Service
@@ -372,7 +374,7 @@
 
 // reloadOnSignal reads the configuration anew at each SIGHUP. The bulletin moves at once and nothing else is touched; what
 // is told of the rest counts from the next start. A file that cannot be used leaves all as it is.
-func reloadOnSignal(g env.Environment, life *env.Lifetime, told *pendingSignals, was *platformConfig, bulletin *wire.Watch, routes *rollout.Controller,
+func reloadOnSignal(g env.Environment, life *env.Lifetime, told *pendingSignals, was *platformConfig, bulletin *discovery.Watch, routes *rollout.Controller,
 	doors []Service) error {
 	defer life.OnEnd(told.reload.Notify)()
 	for {
@@ -415,7 +417,7 @@
 }
 
 // drain stops the gateway as the platform stops it. What is still open shortly before the kill is given up, so that it has its answer.
-func drain(g env.Environment, terms *settings.Settings, router *dispatch.Dispatcher, front *wire.Server, doors []Service,
+func drain(g env.Environment, terms *settings.Settings, router *dispatch.Dispatcher, front *frontend.Server, doors []Service,
 	listener net.Listener) error {
 	kill := time.Duration(0)
 	for _, k := range terms.Router.Kinds {
--- a/internal/wire/link.go
+++ b/internal/upstream/conn.go
@@ -1,6 +1,4 @@
-// One connection to a cache: the sends on it, the answers read from it, and how it ends.
-
-package wire
+package upstream
 
 import (
 	"cmp"
@@ -72,7 +70,7 @@
 		l.mu.Unlock()
 		return false
 	}
-	l.attempts[f.lookup.request.ID] = f
+	l.attempts[f.lookup.ID] = f
 	f.sequence = l.pool.attemptCount.Add(1)
 	f.conn = l
 	f.deadlineTimer = l.pool.env.AfterFunc(f.deadline.Sub(l.pool.env.Now()), func() { l.pool.giveUp(f, policy.OutcomeTimeout) })
@@ -86,7 +84,7 @@
 
 // remove removes a send, under the link's lock; whoever gets it reports its ending. up: it is given up, an answer may still come.
 func (l *cacheConn) remove(f *attempt, up bool) bool {
-	id := f.lookup.request.ID
+	id := f.lookup.ID
 	if l.attempts[id] != f {
 		return false
 	}
@@ -315,7 +313,7 @@
 	if f == nil {
 		return ""
 	}
-	if fault == nil && a.hasNoVersion && !f.lookup.passThrough { // guards clients against bytes that no cache vouches for
+	if fault == nil && a.hasNoVersion && !f.lookup.PassThrough { // guards clients against bytes that no cache vouches for
 		fault = errors.New("a copy without ver or born")
 	}
 	if fault != nil {
@@ -328,7 +326,7 @@
 	if !its {
 		return "" // given up this moment
 	}
-	if a.notModified && a.etag != f.lookup.request.ETag {
+	if a.notModified && a.etag != f.lookup.ETag {
 		a.outcome = policy.OutcomeError // word of another copy than the client's is none
 		l.pool.env.Log().Warn("cache_fault", "cache", l.cache.ID, "text", "VALID for a copy that the client does not hold")
 	}
@@ -342,7 +340,7 @@
 		a.outcome, a.detail = policy.OutcomeTimeout, policy.DetailNone
 	}
 	if a.outcome == policy.OutcomeSatisfied {
-		switch kept, over := f.lookup.storeObject(f.number, a); {
+		switch kept, over := f.lookup.store(f.number, a); {
 		case over:
 			a.outcome = policy.OutcomeTimeout // its lookup has just ended: no fault of the cache
 		case !kept:
--- a/internal/wire/links.go
+++ b/internal/upstream/pool.go
@@ -1,4 +1,8 @@
-package wire
+// Package upstream is the gateway's side toward the caches: a pool of connections, each of which carries many attempts at once, the
+// request lines that go out on them and the responses that come back in any order. It decides nothing: the dispatcher says which cache
+// an attempt goes to, and is told how each attempt ended. Bounds: maxConns connections in all, maxConnsPerCache to one cache,
+// maxQueuedBytes of lines that wait on one, maxResponseBytes of a response.
+package upstream
 
 import (
 	"cmp"
@@ -56,7 +60,7 @@
 	sentAt        time.Time
 	object        string
 	group         int
-	lookup        *lookup
+	lookup        *Lookup
 	number        int
 	step          dispatch.Step
 	deadline      time.Time // it is given up then
@@ -81,20 +85,20 @@
 // the settings say of giving up: the cache has seen nothing of it.
 func (f *attempt) hasBegun() bool { return f.line.number > 0 && f.line.number <= f.conn.linesBegun }
 
-// startAttempt writes a send to its cache or reports at once why it cannot.
-func (ls *Pool) startAttempt(o *lookup, s dispatch.Step) {
+// Start writes a send to its cache or reports at once why it cannot.
+func (ls *Pool) Start(o *Lookup, s dispatch.Step) {
 	to := ls.registry.Find(s.Cache.Name)
 	if to == nil || to.Addr == "" {
-		ls.dispatcher.AttemptEnded(o.dispatched, s.Attempt, policy.OutcomeConnectFailed, policy.DetailNone, 0)
+		ls.dispatcher.AttemptEnded(o.Dispatched, s.Attempt, policy.OutcomeConnectFailed, policy.DetailNone, 0)
 		return
 	}
-	f := &attempt{lookup: o, number: s.Attempt, step: s, object: o.request.Object, group: o.request.Group,
+	f := &attempt{lookup: o, number: s.Attempt, step: s, object: o.Object, group: o.Group,
 		deadline: ls.env.Now().Add(time.Duration(s.Timeout) * time.Microsecond)}
 	f.line.attempt = f
 	o.attempts = append(o.attempts, f)
 	ls.openAttempts.Add(1)
 	for {
-		l := ls.pickConn(to, o.request.ID)
+		l := ls.pickConn(to, o.ID)
 		if l == nil {
 			// As if the cache had turned it away: it never ran, the cache is not held for dead, and after a pause the module looks for
 			// one that is connected. As never sent it would choose the same cache again at once.
@@ -207,7 +211,7 @@
 	case tells && !l.closed:
 		// Behind its own line, which it cannot overtake. It has ended once that is out: the next send of the lookup
 		// must not be on its way before.
-		undo := &line{text: appendCancelLine(nil, f.lookup.request.ID)}
+		undo := &line{text: appendCancelLine(nil, f.lookup.ID)}
 		l.queueLine(undo)
 		l.givenUp = append(l.givenUp, givenUpAttempt{f, how, undo.number})
 		l.mu.Unlock()
@@ -220,7 +224,7 @@
 
 // reportOutcome tells the ending of a send, once.
 func (ls *Pool) reportOutcome(f *attempt, how policy.AttemptOutcome, remark policy.OutcomeDetail, waited policy.Micros) {
-	ls.dispatcher.AttemptEnded(f.lookup.dispatched, f.number, how, remark, waited)
+	ls.dispatcher.AttemptEnded(f.lookup.Dispatched, f.number, how, remark, waited)
 	ls.openAttempts.Add(-1)
 }
 
@@ -234,8 +238,8 @@
 	return int(ls.openAttempts.Load()), conns
 }
 
-// cancelAttempt gives up the lookup's send of that number.
-func (ls *Pool) cancelAttempt(o *lookup, n int) {
+// CancelAttempt gives up the lookup's send of that number.
+func (ls *Pool) CancelAttempt(o *Lookup, n int) {
 	for _, f := range o.attempts {
 		if f.number == n {
 			ls.giveUp(f, policy.OutcomeCancelled)
@@ -243,8 +247,8 @@
 	}
 }
 
-// cancelAll gives up all that is still out for a lookup that is over.
-func (ls *Pool) cancelAll(o *lookup) {
+// CancelAll gives up all that is still out for a lookup that is over.
+func (ls *Pool) CancelAll(o *Lookup) {
 	for _, f := range o.attempts {
 		ls.giveUp(f, policy.OutcomeCancelled)
 	}
--- a/internal/wire/lines.go
+++ b/internal/upstream/protocol.go
@@ -1,4 +1,4 @@
-package wire
+package upstream
 
 import (
 	"bytes"
@@ -54,6 +54,9 @@
 
 func appendCancelLine(b []byte, id string) []byte { return fmt.Appendf(b, "undo %s\r\n", id) }
 
+// errIncomplete asks for more bytes.
+var errIncomplete = errors.New("not whole yet")
+
 // response is what a cache said of a send.
 type response struct {
 	id           string
@@ -90,7 +93,7 @@
 	if len(words) != 4 || words[0] == "" {
 		return a, 0, errors.New("the line has not four words")
 	}
-	if !isID(words[0]) { // most likely the front of an answer that broke off, and this one behind it
+	if !IsID(words[0]) { // most likely the front of an answer that broke off, and this one behind it
 		return a, 0, errors.New("the id is not 16 hex digits")
 	}
 	n, err := strconv.ParseUint(words[3], 10, 31)
@@ -153,7 +156,7 @@
 			}
 			a.sourceWait = policy.Micros(math.Round(n * 1000))
 		case "ver":
-			if !isName(v) {
+			if !IsName(v) {
 				return errors.New("ver cannot be read")
 			}
 			a.etag = v
@@ -167,3 +170,23 @@
 	}
 	return nil
 }
+
+// IsName tells whether a name can stand in a cache's line: printable, none of the signs that divide one.
+func IsName(s string) bool {
+	for i := 0; i < len(s); i++ {
+		if c := s[i]; c <= ' ' || c >= 0x7f || c == ',' || c == '=' {
+			return false
+		}
+	}
+	return s != "" && s != "-"
+}
+
+// IsID tells whether a text is the id of a lookup: 16 hex digits.
+func IsID(s string) bool {
+	for i := 0; i < len(s); i++ {
+		if c := s[i]; !(c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F') {
+			return false
+		}
+	}
+	return len(s) == 16
+}
--- a/internal/wire/link_write.go
+++ b/internal/upstream/write.go
@@ -1,6 +1,4 @@
-// The lines that go out on a connection to a cache, queued while it takes those before them.
-
-package wire
+package upstream
 
 import (
 	"cmp"
@@ -17,7 +15,7 @@
 // a connection that was late to come up has not been silent for that.
 func (l *cacheConn) queueAttempt(f *attempt) {
 	f.sentAt = l.pool.env.Now()
-	source, s, q := "", f.step, f.lookup.request
+	source, s, q := "", f.step, f.lookup.Request
 	if s.Source != s.Cache {
 		source = s.Source.Name
 	}
@@ -55,10 +53,10 @@
 		one := l.queue[0]
 		l.queue = l.queue[1:]
 		l.queuedBytes -= len(one.text)
-		if f := one.attempt; f != nil && one.text != nil && !l.pool.dispatcher.MaySend(f.lookup.dispatched, f.step) {
+		if f := one.attempt; f != nil && one.text != nil && !l.pool.dispatcher.MaySend(f.lookup.Dispatched, f.step) {
 			// Guards rules 2 (a window that has passed) and 3, lookups that are over and clients that left: the send was decided
 			// some time ago. Nothing of it has gone out, so it is as never sent, and the router says what next.
-			delete(l.attempts, f.lookup.request.ID)
+			delete(l.attempts, f.lookup.ID)
 			f.stopTimers()
 			at := slices.IndexFunc(l.givenUp, func(u givenUpAttempt) bool { return u.lineNumber > one.number })
 			l.givenUp = slices.Insert(l.givenUp, cmp.Or(at+1, len(l.givenUp)+1)-1, givenUpAttempt{f, policy.OutcomeNotSent, one.number})
@@ -85,7 +83,7 @@
 		}
 		return l.partialLine == nil
 	}
-	if f := one.attempt; f != nil && l.attempts[f.lookup.request.ID] != f { // given up this moment: neither it nor its undo need go out
+	if f := one.attempt; f != nil && l.attempts[f.lookup.ID] != f { // given up this moment: neither it nor its undo need go out
 		one.text = nil
 		for _, u := range l.givenUp {
 			if at := slices.IndexFunc(l.queue, func(o *line) bool { return u.attempt == f && o.number == u.lineNumber }); at >= 0 {
