--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -533,11 +533,16 @@
 	}
 }
 
+// wallClock is an environment whose clock may be off, as other machines see it.
+type wallClock interface{ WallTime() time.Time }
+
+var _ wallClock = (*env.System)(nil)
+
 // FromEnvironment is where the parts of a real process come from.
 func FromEnvironment(g env.Environment) Dependencies {
 	p := Dependencies{Log: g.Log(), Now: g.Now, ReadFile: g.ReadFile}
-	if w, ok := g.(interface{ Wall() time.Time }); ok {
-		p.Now = w.Wall
+	if clock, ok := g.(wallClock); ok {
+		p.Now = clock.WallTime
 	}
 	return p
 }
