--- a/internal/wire/client.go
+++ b/internal/frontend/conn.go
@@ -1,6 +1,4 @@
-// A client's connection: requests read from it one after another, and how it ends.
-
-package wire
+package frontend
 
 import (
 	"errors"
@@ -13,8 +11,9 @@
 	"foldslip/internal/dispatch"
 	"foldslip/internal/env"
 	"foldslip/internal/limit"
-	"foldslip/internal/memory"
+	"foldslip/internal/linebuffer"
 	"foldslip/internal/policy"
+	"foldslip/internal/upstream"
 )
 
 // clientConn is one connection of a client.
@@ -93,7 +92,7 @@
 }
 
 func (c *clientConn) readRequests() {
-	var buf memory.Buffer
+	var buf linebuffer.Buffer
 	c.mu.Lock()
 	first := c.idleSince.Add(firstRequestTimeout)
 	if c.endReason != "" {
@@ -166,7 +165,7 @@
 
 // readBody reads the bytes that follow a head, into a block of their own: the connection's buffer stays small. They count in the room for
 // bytes until the lookup is over. false if the connection ends.
-func (c *clientConn) readBody(req *Request, buf *memory.Buffer) bool {
+func (c *clientConn) readBody(req *Request, buf *linebuffer.Buffer) bool {
 	c.limitRequestTime()
 	if !c.server.admission.ReserveBytes(req.BodyLength) {
 		if c.awaitTurn(buf) {
@@ -193,7 +192,7 @@
 
 // awaitTurn waits until the request before has its answer, with the next one read, and takes what ends c.done; false if the client has
 // gone meanwhile. It reads on: a client that sends ahead and goes is seen to go, and its lookup is not sent on.
-func (c *clientConn) awaitTurn(buf *memory.Buffer) bool {
+func (c *clientConn) awaitTurn(buf *linebuffer.Buffer) bool {
 	for {
 		c.mu.Lock()
 		if c.pipelined = c.busy; c.pipelined {
@@ -205,12 +204,12 @@
 			break
 		}
 		err := buf.Fill(c.conn, maxPipelinedBytes)
-		if errors.Is(err, memory.ErrTooLong) {
+		if errors.Is(err, linebuffer.ErrTooLong) {
 			c.mu.Lock()
 			lk := c.lookup
 			c.mu.Unlock()
 			if c.mayBeGone = true; lk != nil {
-				c.server.dispatcher.GiveUp(lk.dispatched)
+				c.server.dispatcher.GiveUp(lk.Dispatched)
 			}
 			break
 		}
@@ -235,7 +234,7 @@
 // checkGone reads what is there up to the bound, to see the client's end if it is behind that; false if it has gone. Guards gone clients:
 // without it, lookups of one that sent far ahead and left, or that left before it was accepted, would begin long after. Past the
 // bound nothing is known, and what comes is refused.
-func (c *clientConn) checkGone(buf *memory.Buffer) bool {
+func (c *clientConn) checkGone(buf *linebuffer.Buffer) bool {
 	began := c.server.env.Now()
 	for empty := 0; empty < 2; { // a time-out alone does not say that nothing is there: the read may have come after it
 		c.conn.SetReadDeadline(c.server.env.Now().Add(finalReadTimeout))
@@ -245,11 +244,11 @@
 			empty = 0
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			empty++
-		case !errors.Is(err, memory.ErrTooLong):
+		case !errors.Is(err, linebuffer.ErrTooLong):
 			c.readFailed(err)
 			return false
 		}
-		if errors.Is(err, memory.ErrTooLong) || c.server.env.Now().Sub(began) > requestTimeout {
+		if errors.Is(err, linebuffer.ErrTooLong) || c.server.env.Now().Sub(began) > requestTimeout {
 			return true
 		}
 	}
@@ -302,7 +301,7 @@
 	switch {
 	case errors.Is(err, io.EOF):
 		reason = "closed_by_client"
-	case errors.Is(err, memory.ErrTooLong):
+	case errors.Is(err, linebuffer.ErrTooLong):
 		reason = "bad_request"
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		reason = "idle"
@@ -315,7 +314,7 @@
 	c.closeLocked(reason)
 	c.mu.Unlock()
 	if lk != nil {
-		c.server.dispatcher.ClientGone(lk.dispatched)
+		c.server.dispatcher.ClientGone(lk.Dispatched)
 	}
 }
 
@@ -363,8 +362,7 @@
 			req.TimeAllowed = most
 		}
 	}
-	o, wait := &lookup{request: req, admission: f.admission, arrivedAt: came, reservedBytes: len(req.Body),
-		passThrough: known && f.settings.Router.Kinds[kind].PassThrough}, time.Duration(0)
+	o, wait := &lookup{Lookup: upstream.NewLookup(req.Request, known && f.settings.Router.Kinds[kind].PassThrough, f.admission), request: req, arrivedAt: came}, time.Duration(0)
 	switch {
 	case status != 0:
 	case c.mayBeGone:
@@ -386,16 +384,16 @@
 			status, text = 503, "past a limit: "+string(why)
 			break
 		}
-		o.dispatched = f.dispatcher.Submit(dispatch.Request{ID: req.ID, Kind: kind, Object: req.Object, Part: req.Part, Group: req.Group, SizeKB: req.SizeKB,
+		o.Dispatched = f.dispatcher.Submit(dispatch.Request{ID: req.ID, Kind: kind, Object: req.Object, Part: req.Part, Group: req.Group, SizeKB: req.SizeKB,
 			Deadline: came.Add(req.TimeAllowed), Scope: scope})
-		if o.dispatched == nil {
+		if o.Dispatched == nil {
 			f.gate.Release()
 			o.endTicket(dispatch.StepFailed, false)
 			status, text = 409, "this lookup is open already"
 		}
 	}
 	if status != 0 {
-		o.release()
+		o.Release()
 		c.writeText(status, text, wait, end)
 		if end {
 			c.closeInput()
@@ -409,7 +407,7 @@
 	c.mu.Unlock()
 	f.group.Go("lookup", func() error {
 		c.respond(o)
-		o.release()
+		o.Release()
 		f.gate.Release()
 		c.responded.Notify()
 		return nil
--- a/internal/policy/cost_test.go
+++ b/internal/policy/cost_test.go
@@ -7,7 +7,7 @@
 	"foldslip/internal/lab/cost"
 )
 
-var costs = cost.Flags("./internal/policy")
+var costs = cost.NewProbes("./internal/policy")
 
 // endpointList is a list of n caches as one gateway of the large fleet sees it: edge caches of its zone, two parents in each of 25 zones, an
 // origin, and edge caches of other zones.
@@ -41,10 +41,10 @@
 
 // A change of one cache, by the length of the list.
 func TestCostListed(t *testing.T) {
-	costs.Take(t, cost.Figure{Name: "logic-change", Title: "policy.Router.UpdateEndpoints: processor time of a change of one cache", X: "caches in the list", Y: "us of a core",
-		Budget: 1000, Of: "a change, 0.1% of a core at one a second", At: 1800}, []int{225, 450, 900, 1800, 3600, 7200, 14400}, func(n int) float64 {
+	costs.Measure(t, cost.Figure{Name: "logic-change", Title: "policy.Router.UpdateEndpoints: processor time of a change of one cache", XLabel: "caches in the list", YLabel: "us of a core",
+		Budget: 1000, BudgetOf: "a change, 0.1% of a core at one a second", PlanSize: 1800}, []int{225, 450, 900, 1800, 3600, 7200, 14400}, func(n int) float64 {
 		f, endpoints := newLargeFixture(t, n, 6)
-		return costs.Micros(func(i int) {
+		return costs.MicrosPerCall(func(i int) {
 			endpoint := endpoints[60+i%100]
 			endpoint.State = EndpointState(i / 100 % 2) // drains, then is ready again
 			f.router.UpdateEndpoints(f.now, UpdateDelta, []Endpoint{endpoint})
@@ -54,10 +54,10 @@
 
 // A list: its heap, with caches and endpoints.
 func TestCostListHeap(t *testing.T) {
-	costs.Take(t, cost.Figure{Name: "logic-list-heap", Title: "policy.Router: heap of the list", X: "caches in the list", Y: "bytes", Budget: 4 << 20, Of: "the list, 4 MB of 128", At: 1800},
+	costs.Measure(t, cost.Figure{Name: "logic-list-heap", Title: "policy.Router: heap of the list", XLabel: "caches in the list", YLabel: "bytes", Budget: 4 << 20, BudgetOf: "the list, 4 MB of 128", PlanSize: 1800},
 		[]int{225, 450, 900, 1800, 3600, 7200}, func(n int) float64 {
 			f, _ := newFixture(t, nil)
-			return cost.Heap(func() any {
+			return cost.HeapBytes(func() any {
 				f.router.UpdateEndpoints(f.now, UpdateFull, endpointList(n, 6))
 				return f.router
 			})
@@ -68,8 +68,8 @@
 // edge caches of which nothing is known yet take 96 at once: 17 are queued and tried again in each sweep.
 func TestCostSweep(t *testing.T) {
 	for _, open := range []int{0, 113} {
-		costs.Take(t, cost.Figure{Name: fmt.Sprint("logic-sweep-", open), Title: fmt.Sprintf("policy.Router.TimerFired: processor time of a sweep, %d lookups open", open),
-			X: "edge caches of the own zone", Y: "us of a core", Budget: 15, Of: "a sweep, 0.15% of a core at 100/s", At: 6}, []int{6, 12, 24, 72, 144, 288}, func(edges int) float64 {
+		costs.Measure(t, cost.Figure{Name: fmt.Sprint("logic-sweep-", open), Title: fmt.Sprintf("policy.Router.TimerFired: processor time of a sweep, %d lookups open", open),
+			XLabel: "edge caches of the own zone", YLabel: "us of a core", Budget: 15, BudgetOf: "a sweep, 0.15% of a core at 100/s", PlanSize: 6}, []int{6, 12, 24, 72, 144, 288}, func(edges int) float64 {
 			f, _ := newLargeFixture(t, 1800, edges)
 			for i := range open {
 				f.router.StartLookup(f.now, Arrival{ID: fmt.Sprint(i), Object: fmt.Sprint("object-", i), Group: 3, SizeKB: 449, Deadline: f.now + 3600*second})
@@ -77,7 +77,7 @@
 			if queued := max(0, open-int(initialLimit)*edges); len(f.router.openAttempts) != open-queued || len(f.router.queued) != queued {
 				t.Fatalf("%d open, %d queued of %d: expected %d queued", len(f.router.openAttempts), len(f.router.queued), open, queued)
 			}
-			return costs.Micros(func(int) { f.router.TimerFired(f.now, timerSweep) })
+			return costs.MicrosPerCall(func(int) { f.router.TimerFired(f.now, timerSweep) })
 		})
 	}
 }
@@ -85,20 +85,20 @@
 // Purges: one more beside so many, and their heap.
 func TestCostPurged(t *testing.T) {
 	sizes := []int{1100, 6700, 60000, 360000}
-	costs.Take(t, cost.Figure{Name: "logic-purged", Title: "policy.Router.ApplyPurge: processor time of one purge", X: "purges", Y: "us of a core", Budget: 40,
-		Of: "a purge, 0.4% of a core at 100/s", At: 6700}, sizes, func(n int) float64 {
+	costs.Measure(t, cost.Figure{Name: "logic-purged", Title: "policy.Router.ApplyPurge: processor time of one purge", XLabel: "purges", YLabel: "us of a core", Budget: 40,
+		BudgetOf: "a purge, 0.4% of a core at 100/s", PlanSize: 6700}, sizes, func(n int) float64 {
 		f, _ := newFixture(t, nil)
 		names := make([]string, n)
 		for i := range names {
 			names[i] = fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15)
 			f.router.ApplyPurge(f.now, names[i], 0, 0)
 		}
-		return costs.Micros(func(i int) { f.router.ApplyPurge(f.now, names[i%n], 0, 0) })
+		return costs.MicrosPerCall(func(i int) { f.router.ApplyPurge(f.now, names[i%n], 0, 0) })
 	})
-	costs.Take(t, cost.Figure{Name: "logic-purged-heap", Title: "policy.Router: heap of the purges", X: "purges", Y: "bytes", Budget: 2 << 20, Of: "purges, 2 MB of 128", At: 6700},
+	costs.Measure(t, cost.Figure{Name: "logic-purged-heap", Title: "policy.Router: heap of the purges", XLabel: "purges", YLabel: "bytes", Budget: 2 << 20, BudgetOf: "purges, 2 MB of 128", PlanSize: 6700},
 		sizes, func(n int) float64 {
 			f, _ := newFixture(t, nil)
-			return cost.Heap(func() any {
+			return cost.HeapBytes(func() any {
 				for i := range n {
 					f.router.ApplyPurge(f.now, fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15), 0, 0)
 				}
@@ -118,16 +118,16 @@
 			f.router.lookupCounts[mixHash(uint64(i), 1)] = 0x1p1000 // none is gone before the thousandth halving
 		}
 	}
-	costs.Take(t, cost.Figure{Name: "logic-counts-heap", Title: "policy.Router: heap of the counts", X: "counts", Y: "bytes", Budget: 4 << 20, Of: "counts, 4 MB of 128", At: maxCounts},
+	costs.Measure(t, cost.Figure{Name: "logic-counts-heap", Title: "policy.Router: heap of the counts", XLabel: "counts", YLabel: "bytes", Budget: 4 << 20, BudgetOf: "counts, 4 MB of 128", PlanSize: maxCounts},
 		sizes, func(n int) float64 {
 			f, _ := newFixture(t, nil)
-			return cost.Heap(func() any { fill(f, n); return f.router })
+			return cost.HeapBytes(func() any { fill(f, n); return f.router })
 		})
-	costs.Take(t, cost.Figure{Name: "logic-halve", Title: "policy.Router: processor time of halving the counts, once a minute", X: "counts", Y: "us of a core", Budget: 60000,
-		Of: "0.1% of a core, once a minute", At: maxCounts}, sizes, func(n int) float64 {
+	costs.Measure(t, cost.Figure{Name: "logic-halve", Title: "policy.Router: processor time of halving the counts, once a minute", XLabel: "counts", YLabel: "us of a core", Budget: 60000,
+		BudgetOf: "0.1% of a core, once a minute", PlanSize: maxCounts}, sizes, func(n int) float64 {
 		f, _ := newFixture(t, nil)
 		fill(f, n)
-		us := costs.Micros(func(i int) {
+		us := costs.MicrosPerCall(func(i int) {
 			if f.router.decayCounts(); i%900 == 899 {
 				fill(f, n)
 			}
