--- /dev/null
+++ b/internal/fleet/membership/contact.go
@@ -0,0 +1,70 @@
+package membership
+
+import (
+	"log/slog"
+	"slices"
+
+	"foldslip/internal/fleet/rejoin"
+	"foldslip/internal/fleet/view"
+)
+
+// contactDue starts the contact that is due by the scheduler, if there is one.
+func (f *Fleet) contactDue(now int64) {
+	if f.detector == nil {
+		return
+	}
+	f.refreshSeeds(now)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.contacting || f.leaving {
+		return
+	}
+	differing := func() []string { return f.view.DifferingAddrs(now) }
+	if contact, ok := f.scheduler.Next(now, f.peers(), differing); ok {
+		f.startContact(contact)
+	}
+}
+
+// startContact exchanges whole states with the gateway at an address, on a goroutine of its own; mu is held.
+func (f *Fleet) startContact(contact rejoin.Contact) {
+	f.contacting = true
+	f.counts.Contacts++
+	detector := f.detector
+	versionBefore := f.view.Version()
+	go func() {
+		_, err := detector.Join([]string{contact.Addr})
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		f.contacting = false
+		if err != nil {
+			f.counts.FailedContacts++
+			f.queueLog(slog.LevelDebug, "fleet_contact_failed", "addr", contact.Addr, "why", string(contact.Reason), "text", err.Error())
+			return
+		}
+		level := slog.LevelDebug
+		if f.view.Version() != versionBefore {
+			level = slog.LevelInfo
+		}
+		f.queueLog(level, "fleet_contacted", "addr", contact.Addr, "why", string(contact.Reason))
+	}()
+}
+
+// peers returns what the scheduler needs of the view, made again only where the view or the seeds changed; mu is held.
+func (f *Fleet) peers() rejoin.Peers {
+	if f.peersVersion == f.view.Version() && slices.Equal(f.peersSeen.Seeds, f.seeds) {
+		return f.peersSeen
+	}
+	peers := rejoin.Peers{Self: f.self.Addr, Seeds: f.seeds}
+	for _, member := range f.view.Members() {
+		switch {
+		case member.Name == f.self.Name || member.State == view.Left:
+		case member.State.IsLive():
+			peers.Live = append(peers.Live, member.Addr)
+		default:
+			peers.Lost = append(peers.Lost, rejoin.Lost{Addr: member.Addr, LostAt: member.Since, LastSeen: member.LastSeen})
+		}
+	}
+	f.peersSeen = peers
+	f.peersVersion = f.view.Version()
+	return peers
+}
--- a/internal/fleet/membership/delegate.go
+++ b/internal/fleet/membership/delegate.go
@@ -1,5 +1,3 @@
-// What memberlist asks of a member and tells it: its delegates.
-
 package membership
 
 import (
@@ -7,6 +5,7 @@
 	"fmt"
 	"log/slog"
 	"net"
+	"strconv"
 	"time"
 	"unique"
 
@@ -15,42 +14,73 @@
 	"foldslip/internal/fleet/view"
 )
 
-// NodeMeta is memberlist's Delegate.
+// Fleet is each of memberlist's delegates.
+var (
+	_ memberlist.Delegate         = (*Fleet)(nil)
+	_ memberlist.EventDelegate    = (*Fleet)(nil)
+	_ memberlist.PingDelegate     = (*Fleet)(nil)
+	_ memberlist.AliveDelegate    = (*Fleet)(nil)
+	_ memberlist.ConflictDelegate = (*Fleet)(nil)
+)
+
+// ErrNotLive tells that a gateway is no live member of this one's view.
+var ErrNotLive = errors.New("no live member")
+
+// Reasons why a gateway is refused, beside those of the view.
+const (
+	refusedVersion view.Refusal = "version"
+	refusedName    view.Refusal = "name"
+)
+
+const (
+	maxConflictNames         = 256
+	conflictLogMicros        = 60_000_000 // between log lines about one name
+	minProbeRTTMicros  int64 = 1
+)
+
+// refusedError tells the detector, which logs it, why a gateway is refused.
+type refusedError struct{ reason view.Refusal }
+
+func (e refusedError) Error() string { return "refused: " + string(e.reason) }
+
+// NodeMeta returns what this gateway sends about itself with the detector's messages; memberlist's Delegate.
 func (f *Fleet) NodeMeta(limit int) []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return metadata{f.self.Incarnation, f.leaving, f.self.Locality}.append(nil)
 }
 
-// NotifyMsg takes words that rode on gossip, and what another part of a peer sent to this one's; memberlist's Delegate.
+// NotifyMsg takes a datagram of a peer: a heartbeat frame that rode on gossip, a request to refute, or a message that another package
+// sent by Send; memberlist's Delegate.
 func (f *Fleet) NotifyMsg(b []byte) {
-	if len(b) == 1 && b[0] == refuteRequestKind {
+	switch {
+	case len(b) == 1 && b[0] == refuteRequestKind:
 		f.mu.Lock()
 		f.refuteRequested = true
 		f.mu.Unlock()
-		return
-	}
-	if len(b) > 0 && b[0] != view.Kind {
+	case len(b) > 0 && b[0] != view.Kind:
 		if f.deps.OnMessage != nil {
 			f.deps.OnMessage(b)
 		}
-		return
+	default:
+		f.mergeHeartbeat(b)
 	}
-	f.mergeHeartbeat(b)
 }
 
-// Send brings a datagram to another part of a live member; it may be lost, late or come twice. Its first byte is not that of words.
+// Send sends a datagram to a live member; it may be lost, late or arrive twice. Its first byte tells the receiver which package it is
+// for, and is not view.Kind. The error is ErrNotLive or the transport's.
 func (f *Fleet) Send(to string, b []byte) error {
 	f.mu.Lock()
-	m, ok := f.view.Get(to)
-	list := f.sender
+	member, known := f.view.Get(to)
+	sender := f.sender
 	f.mu.Unlock()
-	if !ok || !m.State.IsLive() || list == nil {
-		return fmt.Errorf("%s is not live here", to)
+	if !known || !member.State.IsLive() || sender == nil {
+		return fmt.Errorf("send to %s: %w", to, ErrNotLive)
 	}
-	return list.SendToAddress(memberlist.Address{Addr: m.Addr, Name: to}, b)
+	return sender.SendToAddress(memberlist.Address{Addr: member.Addr, Name: to}, b)
 }
 
+// mergeHeartbeat takes a heartbeat frame of a peer.
 func (f *Fleet) mergeHeartbeat(b []byte) {
 	if len(b) == 0 {
 		return
@@ -65,117 +95,139 @@
 	f.recordChanges(changes)
 }
 
-// GetBroadcasts puts words on gossip while the view is restless; memberlist's Delegate. At rest they ride on acks alone.
+// GetBroadcasts puts a heartbeat frame on gossip for a while after the view changed; memberlist's Delegate. At rest frames ride on acks
+// alone.
 func (f *Fleet) GetBroadcasts(overhead, limit int) [][]byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	if !f.view.ShouldGossip(now, micros(minGossipAfterChange), micros(maxGossipAfterChange)) || now-f.heartbeatAt < micros(heartbeatInterval)/3 || limit <= overhead {
+	if !f.view.ShouldGossip(now, minGossipAfterChange.Microseconds(), maxGossipAfterChange.Microseconds()) {
+		return nil
+	}
+	if now-f.heartbeatAt < heartbeatInterval.Microseconds()/3 || limit <= overhead {
 		return nil
 	}
 	f.heartbeatAt = now
-	if b := f.view.HeartbeatFrame(limit-overhead, now); b != nil {
-		return [][]byte{b}
+	if frame := f.view.HeartbeatFrame(limit-overhead, now); frame != nil {
+		return [][]byte{frame}
 	}
 	return nil
 }
 
-// LocalState is what rides on a whole exchange of states; memberlist's Delegate.
+// LocalState returns the heartbeat frame for an exchange of whole states; memberlist's Delegate.
 func (f *Fleet) LocalState(bool) []byte { return f.AckPayload() }
 
-// MergeRemoteState takes it; memberlist's Delegate.
+// MergeRemoteState takes the heartbeat frame of an exchange of whole states; memberlist's Delegate.
 func (f *Fleet) MergeRemoteState(b []byte, _ bool) { f.mergeHeartbeat(b) }
 
-// AckPayload is what rides on the answer to a probe; memberlist's PingDelegate.
+// AckPayload returns the heartbeat frame for the ack of a probe; memberlist's PingDelegate.
 func (f *Fleet) AckPayload() []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view.HeartbeatFrame(view.MaxFrameBytes, f.now())
 }
 
-// NotifyPingComplete is memberlist's PingDelegate: a probe was answered.
+// NotifyPingComplete takes the ack of a probe; memberlist's PingDelegate.
 func (f *Fleet) NotifyPingComplete(other *memberlist.Node, rtt time.Duration, payload []byte) {
+	f.recordAck(other.Name, rtt)
+	f.mergeHeartbeat(payload)
+}
+
+func (f *Fleet) recordAck(name string, rtt time.Duration) {
 	f.mu.Lock()
-	f.rtt.RecordValue(min(max(1, rtt.Microseconds()), 60_000_000))
+	defer f.mu.Unlock()
+	f.rtt.RecordValue(min(max(minProbeRTTMicros, rtt.Microseconds()), maxRTTMicros))
 	now := f.now()
-	f.recordChanges(f.view.RecordSeen(other.Name, f.self.Name, now, now))
-	f.mu.Unlock()
-	f.mergeHeartbeat(payload)
+	f.recordChanges(f.view.RecordSeen(name, f.self.Name, now, now))
 }
 
-// NotifyAlive refuses gateways that cannot be members; memberlist's AliveDelegate.
+// NotifyAlive refuses gateways that can't be members, by an error; memberlist's AliveDelegate.
 func (f *Fleet) NotifyAlive(peer *memberlist.Node) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if peer.Name == f.self.Name {
 		return nil
 	}
-	why := ""
-	if _, err := parseMetadata(peer.Meta); err != nil || peer.DCur != ProtocolVersion {
-		why = "version"
-	} else if len(peer.Name) == 0 || len(peer.Name) > maxNameBytes {
-		why = "name"
-	} else {
-		why = string(f.view.RefusalOf(peer.Name))
-	}
-	if why == "" {
+	reason := f.refusalOf(peer)
+	if reason == "" {
 		return nil
 	}
 	f.counts.Refused++
 	now := f.now()
-	if last, told := f.conflictLoggedAt[peer.Name]; !told || now-last > 60_000_000 {
-		if len(f.conflictLoggedAt) >= 256 {
+	if f.conflictLogDue(peer.Name, now) {
+		if len(f.conflictLoggedAt) >= maxConflictNames {
 			clear(f.conflictLoggedAt)
 		}
 		f.conflictLoggedAt[peer.Name] = now
-		f.queueLog(slog.LevelWarn, "fleet_refused", "name", peer.Name, "addr", peer.Address(), "why", why, "speaks", peer.DCur)
+		f.queueLog(slog.LevelWarn, "fleet_member_refused", "name", peer.Name, "addr", peer.Address(), "why", string(reason), "speaks", peer.DCur)
 	}
-	return errors.New("refused: " + why)
+	return refusedError{reason}
+}
+
+// refusalOf returns why a gateway can't be a member, "" if it can; mu is held.
+func (f *Fleet) refusalOf(peer *memberlist.Node) view.Refusal {
+	if _, err := parseMetadata(peer.Meta); err != nil || peer.DCur != ProtocolVersion {
+		return refusedVersion
+	}
+	if len(peer.Name) == 0 || len(peer.Name) > maxNameBytes {
+		return refusedName
+	}
+	return f.view.RefusalOf(peer.Name)
+}
+
+// conflictLogDue reports whether a refusal or conflict of a name is to be logged: once in conflictLogMicros; mu is held.
+func (f *Fleet) conflictLogDue(name string, now int64) bool {
+	loggedAt, logged := f.conflictLoggedAt[name]
+	return !logged || now-loggedAt > conflictLogMicros
 }
 
-func processOf(n *memberlist.Node) view.ID {
-	m, _ := parseMetadata(n.Meta)                                                                                          // NotifyAlive let no other in
-	return view.ID{Name: n.Name, Addr: n.Address(), Incarnation: m.incarnation, Locality: unique.Make(m.locality).Value()} // hundreds share a place's strings
+// processOf returns the process that a node of the detector is.
+func processOf(node *memberlist.Node) view.ID {
+	parsed, _ := parseMetadata(node.Meta) // NotifyAlive let no unreadable one in
+	// Interned: hundreds of members share the strings of a locality.
+	locality := unique.Make(parsed.locality).Value()
+	return view.ID{Name: node.Name, Addr: node.Address(), Incarnation: parsed.incarnation, Locality: locality}
 }
 
-// NotifyJoin is memberlist's EventDelegate.
-func (f *Fleet) NotifyJoin(n *memberlist.Node) {
+// NotifyJoin takes the detector's word that a gateway is alive; memberlist's EventDelegate.
+func (f *Fleet) NotifyJoin(node *memberlist.Node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.recordChanges(f.view.Join(processOf(n), n.Name, f.now()))
+	f.recordChanges(f.view.Join(processOf(node), node.Name, f.now()))
 }
 
-// NotifyUpdate is memberlist's EventDelegate.
-func (f *Fleet) NotifyUpdate(n *memberlist.Node) {
+// NotifyUpdate takes the new metadata of a gateway; memberlist's EventDelegate.
+func (f *Fleet) NotifyUpdate(node *memberlist.Node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.recordChanges(f.view.Update(processOf(n), f.now()))
+	f.recordChanges(f.view.Update(processOf(node), f.now()))
 }
 
-// NotifyLeave is memberlist's EventDelegate: a gateway is dead or has left.
-func (f *Fleet) NotifyLeave(n *memberlist.Node) {
+// NotifyLeave takes the detector's word that a gateway is dead or has left; memberlist's EventDelegate.
+func (f *Fleet) NotifyLeave(node *memberlist.Node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m, _ := parseMetadata(n.Meta) // the last that it told of itself
-	f.recordChanges(f.view.MarkGone(n.Name, m.leaving, f.now()))
+	last, _ := parseMetadata(node.Meta)
+	f.recordChanges(f.view.MarkGone(node.Name, last.leaving, f.now()))
 }
 
-// NotifyConflict is memberlist's ConflictDelegate: a name is claimed from another address while its holder lives.
+// NotifyConflict takes that a process at another address claims the name of a live member; memberlist's ConflictDelegate.
 func (f *Fleet) NotifyConflict(existing, other *memberlist.Node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.counts.NameConflicts++
-	m, err := parseMetadata(other.Meta)
+	parsed, err := parseMetadata(other.Meta)
 	if err != nil {
 		return
 	}
 	now := f.now()
 	if existing.Name == f.self.Name {
-		f.claimantAddr, f.claimantIncarnation = net.JoinHostPort(other.Addr.String(), fmt.Sprint(other.Port)), m.incarnation
+		addr := net.JoinHostPort(other.Addr.String(), strconv.Itoa(int(other.Port)))
+		f.claimant = claimant{addr: addr, incarnation: parsed.incarnation}
 	}
 	f.view.RecordNameConflict(existing.Name, other.Address(), now)
-	if last, told := f.conflictLoggedAt[existing.Name]; !told || now-last > 60_000_000 {
+	if f.conflictLogDue(existing.Name, now) {
 		f.conflictLoggedAt[existing.Name] = now
-		f.queueLog(slog.LevelWarn, "fleet_name_claimed", "name", existing.Name, "held_by", existing.Address(), "claimed_by", other.Address())
+		f.queueLog(slog.LevelWarn, "fleet_name_conflict", "name", existing.Name, "held_by", existing.Address(), "claimed_by", other.Address())
 	}
 }
--- a/internal/fleet/membership/frozen_test.go
+++ b/internal/fleet/membership/frozen_test.go
@@ -14,41 +14,55 @@
 
 const storedFile = "fleet-1.rec"
 
-// What released builds kept of the fleet is read, and written to the same bytes.
-func TestFrozenKeptMembersKeepTheirBytes(t *testing.T) {
-	want := []view.ID{{Name: "n2", Addr: "10.0.0.2:7946", Incarnation: 0x0102030405060708}, {Name: "n3", Addr: "[fd00::3]:7946", Incarnation: 1},
-		{Name: "n4", Addr: "10.0.0.4:7946"}}
-	read := t.TempDir()
-	if err := os.WriteFile(filepath.Join(read, storedFile), frozen.Read(t, storedFile), 0o600); err != nil {
+// openStore opens a store that must be usable, until the test ends or it is closed.
+func openStore(t *testing.T, dir string) *MemberStore {
+	t.Helper()
+	store, err := OpenMemberStore(env.OSDirectory{Path: dir}, "n1", 100)
+	if err != nil {
 		t.Fatal(err)
 	}
-	shelf, why, err := OpenMemberStore(env.OSDirectory{Path: read}, "n1", 100)
-	if err != nil || why != nil {
-		t.Fatal(err, why)
-	}
-	known := shelf.Known()
-	if !slices.Equal(known, want) {
-		t.Errorf("read %+v, not %+v", known, want)
+	if err := store.LoadError(); err != nil {
+		t.Fatal(err)
 	}
-	if err := shelf.Close(); err != nil {
+	return store
+}
+
+func closeStore(t *testing.T, store *MemberStore) {
+	t.Helper()
+	if err := store.Close(); err != nil {
 		t.Error(err)
 	}
+}
 
-	written := t.TempDir()
-	if shelf, why, err = OpenMemberStore(env.OSDirectory{Path: written}, "n1", 100); err != nil || why != nil {
-		t.Fatal(err, why)
+// Members that released builds stored are read, and written to the same bytes.
+func TestFrozenKeptMembersKeepTheirBytes(t *testing.T) {
+	want := []view.ID{
+		{Name: "n2", Addr: "10.0.0.2:7946", Incarnation: 0x0102030405060708},
+		{Name: "n3", Addr: "[fd00::3]:7946", Incarnation: 1},
+		{Name: "n4", Addr: "10.0.0.4:7946"},
 	}
-	if err := shelf.Save(known); err != nil {
+	readDir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(readDir, storedFile), frozen.Read(t, storedFile), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := shelf.Close(); err != nil {
-		t.Error(err)
+	store := openStore(t, readDir)
+	known := store.Known()
+	closeStore(t, store)
+	if !slices.Equal(known, want) {
+		t.Errorf("read %+v, not %+v", known, want)
+	}
+
+	writtenDir := t.TempDir()
+	store = openStore(t, writtenDir)
+	if err := store.Save(known); err != nil {
+		t.Fatal(err)
 	}
-	got, err := os.ReadFile(filepath.Join(written, storedFile))
+	closeStore(t, store)
+	written, err := os.ReadFile(filepath.Join(writtenDir, storedFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	frozen.Equal(t, storedFile, got)
+	frozen.Equal(t, storedFile, written)
 }
 
 // Metadata that released builds sent is read, and written to the same bytes.
@@ -65,10 +79,11 @@
 		frozen.Equal(t, name, got.append(nil))
 	}
 	if !bytes.Equal(frozen.Read(t, "speak-up.datagram"), []byte{refuteRequestKind}) {
-		t.Error("the datagram that asks a gateway to speak up is another one")
+		t.Error("the datagram that asks a gateway to refute a suspicion is another one")
 	}
 }
 
+// The JSON of reports has the keys that released builds printed.
 func TestFrozenReportsKeepTheirKeys(t *testing.T) {
 	frozen.JSON(t, "report.json", new(Report), false)
 	frozen.JSON(t, "report-empty.json", new(Report), false)
--- a/internal/fleet/membership/report.go
+++ b/internal/fleet/membership/report.go
@@ -8,20 +8,19 @@
 	"foldslip/internal/fleet/view"
 )
 
-// Report is what a gateway holds of its fleet, for operators and for the fleet's limits and choices. Ages in place of times, in
-// milliseconds.
+// Report is what a gateway knows of its fleet, for operators. It has ages in milliseconds in place of times.
 type Report struct {
 	Name         string         `json:"name"`
 	Addr         string         `json:"addr"`
 	Incarnation  uint64         `json:"stamp"`
-	State        string         `json:"state"` // settled, unsettled, alone, yielded
+	State        string         `json:"state"` // settled, unsettled, alone, yielded (the name is another process's)
 	Version      uint64         `json:"version"`
 	Digest       string         `json:"digest"`
-	Live         int            `json:"live"`
-	Alive        int            `json:"seen"`  // alive, suspects not counted
-	FleetSize    int            `json:"fleet"` // of which
+	Live         int            `json:"live"`  // alive or suspect
+	Alive        int            `json:"seen"`  // without suspects
+	FleetSize    int            `json:"fleet"` // that those are a part of
 	InMinority   bool           `json:"minority"`
-	Agreeing     int            `json:"agree"` // live members known to see the same set, itself included
+	Agreeing     int            `json:"agree"` // live members known to see the same set, this gateway included
 	ChangedAgoMS int64          `json:"changed_ago_ms"`
 	Members      []MemberReport `json:"members,omitempty"`
 	Counts       Counts         `json:"counts"`
@@ -37,7 +36,7 @@
 	UpMS         int64          `json:"up_ms"`
 }
 
-// MemberReport is a member in a report.
+// MemberReport is one member in a report.
 type MemberReport struct {
 	Name          string        `json:"name"`
 	Addr          string        `json:"addr"`
@@ -54,14 +53,53 @@
 	Evidence      []Evidence    `json:"said,omitempty"`
 }
 
-// Evidence is who said what of a member, how long ago.
+// Evidence is what a gateway reported of a member, and how long ago.
 type Evidence struct {
 	AgoMS int64  `json:"ago_ms"`
 	By    string `json:"by"`
 	What  string `json:"what"`
 }
 
-// Distribution is a whole distribution in five figures.
+// Counts are events since the process started.
+type Counts struct {
+	Joins                uint64 `json:"Joins"`
+	Deaths               uint64 `json:"Deaths"`
+	FalseDeaths          uint64 `json:"WrongDeaths"` // deaths after which the same process came back
+	Leaves               uint64 `json:"Lefts"`
+	Suspicions           uint64 `json:"Suspicions"`
+	ClearedSuspicions    uint64 `json:"Cleared"`
+	Restarts             uint64 `json:"Restarts"`
+	Settled              uint64 `json:"Settled"`
+	Contacts             uint64 `json:"Calls"`
+	FailedContacts       uint64 `json:"CallsFailed"`
+	Refused              uint64 `json:"Refused"`
+	NameConflicts        uint64 `json:"Conflicts"`
+	NameDeferrals        uint64 `json:"Yields"`
+	Pauses               uint64 `json:"Pauses"`
+	UnreadableHeartbeats uint64 `json:"BadWords"`
+}
+
+func (c *Counts) add(change view.Change) {
+	switch {
+	case change.Reason == view.ReasonRestarted:
+		c.Restarts++
+	case change.To == view.Alive && change.From == view.Suspect:
+		c.ClearedSuspicions++
+	case change.To == view.Alive:
+		c.Joins++
+		if change.Reason == view.ReasonCameBack {
+			c.FalseDeaths++
+		}
+	case change.To == view.Suspect:
+		c.Suspicions++
+	case change.To == view.Dead:
+		c.Deaths++
+	case change.To == view.Left:
+		c.Leaves++
+	}
+}
+
+// Distribution is a histogram in five figures.
 type Distribution struct {
 	N   int64 `json:"n"`
 	P50 int64 `json:"p50"`
@@ -74,91 +112,166 @@
 	return Distribution{h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(90), h.ValueAtQuantile(99), h.Max()}
 }
 
-// Report tells what this gateway holds; members false leaves them out, explain names the one whose words are told ("" none).
-func (f *Fleet) Report(members bool, explain string) (Report, error) {
+// UnknownMemberError tells that the view has no gateway of a name.
+type UnknownMemberError struct{ Name string }
+
+// Error names the gateway.
+func (e *UnknownMemberError) Error() string { return fmt.Sprintf("no gateway %q is known here", e.Name) }
+
+// Report returns what this gateway knows of its fleet. Without withMembers it has no members. Where explain names a member, it is the
+// only one and comes with its evidence; an *UnknownMemberError tells that there is none of that name.
+func (f *Fleet) Report(withMembers bool, explain string) (Report, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	c := f.deps.TransportCounts
-	r := Report{Name: f.self.Name, Addr: f.self.Addr, Incarnation: f.self.Incarnation, Version: f.view.Version(), Digest: fmt.Sprintf("%08x", f.view.Digest()),
-		Live: f.view.LiveCount(), InMinority: f.view.InMinority(), ChangedAgoMS: (now - f.view.LiveChangedAt()) / 1000, Counts: f.counts,
-		RTT: summarize(f.rtt), SettleTimes: summarize(f.settleTimes), PacketsIn: c.PacketsIn.Load(), PacketsOut: c.PacketsOut.Load(),
-		BytesIn: c.BytesIn.Load(), BytesOut: c.BytesOut.Load(), Streams: c.StreamsIn.Load() + c.StreamsOut.Load(),
-		StreamBytes: c.StreamBytes.Load(), Dropped: c.Dropped.Load(), UpMS: now / 1000}
-	r.Alive, r.FleetSize = f.view.Size()
-	r.Agreeing = f.view.AgreeingCount()
-	switch {
-	case f.scheduler.HasDeferred():
-		r.State = "yielded"
-	case r.Live == 1:
-		r.State = "alone"
-	case f.view.Settled():
-		r.State = "settled"
-	default:
-		r.State = "unsettled"
-	}
+	report := f.summary(now)
 	found := explain == ""
-	for _, m := range f.view.Members() {
-		row := MemberReport{Name: m.Name, Addr: m.Addr, Incarnation: m.Incarnation, Locality: m.Locality, State: m.State, SinceMS: (now - m.Since) / 1000, LastSeenAgoMS: (now - m.LastSeen) / 1000,
-			LastSeenBy: m.LastSeenBy, Agrees: f.view.Agrees(m.Name), Restarts: m.Restarts, Deaths: m.Deaths, FalseDeaths: m.FalseDeaths}
-		if m.Name == explain {
-			found = true
-			for _, s := range m.Evidence() {
-				row.Evidence = append(row.Evidence, Evidence{(now - s.At) / 1000, s.By, s.What})
-			}
+	for _, member := range f.view.Members() {
+		isExplained := member.Name == explain
+		found = found || isExplained
+		if !withMembers || explain != "" && !isExplained {
+			continue
 		}
-		if members && (explain == "" || m.Name == explain) {
-			r.Members = append(r.Members, row)
+		row := f.reportMember(member, now)
+		if isExplained {
+			row.Evidence = reportEvidence(member, now)
 		}
+		report.Members = append(report.Members, row)
 	}
 	if !found {
-		return r, fmt.Errorf("no gateway %q is known here", explain)
+		return report, &UnknownMemberError{explain}
+	}
+	return report, nil
+}
+
+// summary is a report without members; mu is held.
+func (f *Fleet) summary(now int64) Report {
+	counts := f.deps.TransportCounts
+	alive, size := f.view.Size()
+	return Report{
+		Name:         f.self.Name,
+		Addr:         f.self.Addr,
+		Incarnation:  f.self.Incarnation,
+		State:        f.stateName(),
+		Version:      f.view.Version(),
+		Digest:       fmt.Sprintf("%08x", f.view.Digest()),
+		Live:         f.view.LiveCount(),
+		Alive:        alive,
+		FleetSize:    size,
+		InMinority:   f.view.InMinority(),
+		Agreeing:     f.view.AgreeingCount(),
+		ChangedAgoMS: (now - f.view.LiveChangedAt()) / 1000,
+		Counts:       f.counts,
+		RTT:          summarize(f.rtt),
+		SettleTimes:  summarize(f.settleTimes),
+		PacketsIn:    counts.PacketsIn.Load(),
+		PacketsOut:   counts.PacketsOut.Load(),
+		BytesIn:      counts.BytesIn.Load(),
+		BytesOut:     counts.BytesOut.Load(),
+		Streams:      counts.StreamsIn.Load() + counts.StreamsOut.Load(),
+		StreamBytes:  counts.StreamBytes.Load(),
+		Dropped:      counts.Dropped.Load(),
+		UpMS:         now / 1000,
+	}
+}
+
+// stateName is the state in a report; mu is held.
+func (f *Fleet) stateName() string {
+	switch {
+	case f.scheduler.HasDeferred():
+		return "yielded"
+	case f.view.LiveCount() == 1:
+		return "alone"
+	case f.view.Settled():
+		return "settled"
 	}
-	return r, nil
+	return "unsettled"
 }
 
-// State is how far a gateway may rely on its view: what fleet limits and shares ask before they act.
+// reportMember is a member in a report, without evidence; mu is held.
+func (f *Fleet) reportMember(member view.Member, now int64) MemberReport {
+	return MemberReport{
+		Name:          member.Name,
+		Addr:          member.Addr,
+		Incarnation:   member.Incarnation,
+		Locality:      member.Locality,
+		State:         member.State,
+		SinceMS:       (now - member.Since) / 1000,
+		LastSeenAgoMS: (now - member.LastSeen) / 1000,
+		LastSeenBy:    member.LastSeenBy,
+		Agrees:        f.view.Agrees(member.Name),
+		Restarts:      member.Restarts,
+		Deaths:        member.Deaths,
+		FalseDeaths:   member.FalseDeaths,
+	}
+}
+
+func reportEvidence(member view.Member, now int64) (out []Evidence) {
+	for _, evidence := range member.Evidence() {
+		out = append(out, Evidence{(now - evidence.At) / 1000, evidence.By, evidence.What})
+	}
+	return out
+}
+
+// State is how far a gateway may rely on its view: what fleet limits and quotas depend on.
 type State struct {
-	Live, Alive, FleetSize int // live members; of them alive; the fleet that they are a part of
-	Rank                   int // of this gateway among those who did not leave, by name
-	InMinority, Settled    bool
-	Digest                 uint32
-	Version                uint64
+	Live       int // members that are alive or suspect
+	Alive      int // without suspects
+	FleetSize  int // that those are a part of
+	Rank       int // of this gateway among those who did not leave, by name
+	InMinority bool
+	Settled    bool
+	Digest     uint32 // of the live set
+	Version    uint64 // of the view
 }
 
-// State tells it.
+// State returns it.
 func (f *Fleet) State() State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	seen, fleet := f.view.Size()
-	return State{f.view.LiveCount(), seen, fleet, f.view.Rank(), f.view.InMinority(), f.view.Settled(), f.view.Digest(), f.view.Version()}
+	alive, size := f.view.Size()
+	return State{
+		Live:       f.view.LiveCount(),
+		Alive:      alive,
+		FleetSize:  size,
+		Rank:       f.view.Rank(),
+		InMinority: f.view.InMinority(),
+		Settled:    f.view.Settled(),
+		Digest:     f.view.Digest(),
+		Version:    f.view.Version(),
+	}
 }
 
-// LiveNames are the names of live members, this gateway included, sorted.
+// LiveNames returns the names of live members, this gateway included, sorted.
 func (f *Fleet) LiveNames() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view.LiveNames()
 }
 
-// LiveIDs are the processes of live members, this gateway's included, by name, and the view's version that they are of.
-func (f *Fleet) LiveIDs() ([]view.ID, uint64) {
+// LiveIDs returns the processes of live members, this gateway's included, by name, and the view's version that they are of.
+func (f *Fleet) LiveIDs() (ids []view.ID, version uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view.LiveIDs(), f.view.Version()
 }
 
-// Version is the view's.
+// Version returns the view's version.
 func (f *Fleet) Version() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view.Version()
 }
 
-// Usage is how many things wait or are kept, for who looks whether bounds hold.
-type Usage struct{ Members, PendingLogLines, Contacted, LoggedConflicts int }
+// Usage is how many entries are held, for checks of the bounds.
+type Usage struct {
+	Members         int
+	PendingLogLines int
+	Contacted       int // addresses that the scheduler of contacts remembers
+	LoggedConflicts int // names
+}
 
-// Usage tells it.
+// Usage returns it.
 func (f *Fleet) Usage() Usage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- /dev/null
+++ b/internal/fleet/view/detector.go
@@ -0,0 +1,90 @@
+package view
+
+// Join takes the detector's word that a gateway is alive, by whoever reported it first.
+func (v *View) Join(id ID, by string, now int64) []Change {
+	if id.Name == v.self {
+		return nil
+	}
+	m := v.members[id.Name]
+	if m == nil {
+		return v.joinNew(id, by, now)
+	}
+	from := m.State
+	isOtherProcess := m.Incarnation != id.Incarnation
+	reason := ReasonJoined
+	switch {
+	case isOtherProcess && from != NeverSeen:
+		reason = ReasonRestarted
+		m.Restarts++
+	case from == Dead:
+		reason = ReasonCameBack
+		m.FalseDeaths++
+	}
+	m.ID = id
+	m.LastSeen = max(m.LastSeen, now)
+	m.LastSeenBy = by
+	m.ProbeFailedAt = 0
+	m.clearedAt = 0
+	if from.IsLive() && isOtherProcess { // the live set has another process in it, though the name was in it before
+		v.liveSetChanged(now)
+	}
+	if from != Alive {
+		return []Change{v.transition(m, Alive, by, reason, now)}
+	}
+	if !isOtherProcess {
+		return nil
+	}
+	m.addEvidence(now, by, "alive: "+string(reason))
+	return []Change{{Name: id.Name, From: from, To: Alive, By: by, Reason: reason, HeldFor: now - m.Since}}
+}
+
+// joinNew adds a live member that the view did not have, unless it is refused.
+func (v *View) joinNew(id ID, by string, now int64) []Change {
+	if v.RefusalOf(id.Name) != "" {
+		return nil
+	}
+	m := v.add(id, Alive, now)
+	m.LastSeenBy = by
+	m.addEvidence(now, by, "alive: joined")
+	v.liveSetChanged(now)
+	return []Change{{Name: id.Name, From: NeverSeen, To: Alive, IsNew: true, By: by, Reason: ReasonJoined}}
+}
+
+// Update takes the detector's word that a live gateway sent other metadata.
+func (v *View) Update(id ID, now int64) []Change {
+	m := v.members[id.Name]
+	if m == nil || id.Name == v.self || m.ID == id {
+		return nil
+	}
+	return v.Join(id, id.Name, now)
+}
+
+// MarkGone takes the detector's word that a gateway is dead, or that it has left. One that was held dead may turn out to have left.
+func (v *View) MarkGone(name string, left bool, now int64) []Change {
+	m := v.members[name]
+	if m == nil || name == v.self || !m.State.IsLive() && !(left && m.State == Dead) {
+		return nil
+	}
+	if left {
+		return []Change{v.transition(m, Left, name, ReasonLeft, now)}
+	}
+	m.Deaths++
+	by := v.self
+	if m.ProbeFailedBy != "" {
+		by = m.ProbeFailedBy
+	}
+	return []Change{v.transition(m, Dead, by, ReasonUnseen, now)}
+}
+
+// MarkPaused notes that this process did not run for a while: what it knows of others is old, so the view has not settled.
+func (v *View) MarkPaused(now int64) {
+	v.members[v.self].addEvidence(now, v.self, "stood still")
+	v.liveSetChanged(now)
+}
+
+// RecordNameConflict keeps as evidence that a process at another address claims a member's name.
+func (v *View) RecordNameConflict(name, addr string, now int64) {
+	if m := v.members[name]; m != nil {
+		m.addEvidence(now, addr, "claims the name")
+	}
+}
--- a/internal/fleet/view/view_test.go
+++ b/internal/fleet/view/view_test.go
@@ -105,8 +105,8 @@
 	if _, fleet := v.Size(); fleet != 3 {
 		t.Errorf("a fleet of %d", fleet)
 	}
-	if forgotten, _, _ := v.Tick(3602 * second); !slices.Equal(forgotten, []string{"b"}) {
-		t.Errorf("forgotten: %v", forgotten)
+	if reaped := v.Tick(3602 * second).Reaped; !slices.Equal(reaped, []string{"b"}) {
+		t.Errorf("reaped: %v", reaped)
 	}
 }
 
@@ -170,12 +170,12 @@
 
 func TestSettlesOnlyOnReceivedAgreement(t *testing.T) {
 	all := viewsOf("a", "b", "c")
-	if _, settled, _ := all[0].Tick(9 * second); settled {
+	if all[0].Tick(9 * second).HasSettled {
 		t.Error("settled though nobody said a word")
 	}
 	exchangeHeartbeats(t, 9*second, all...)
-	if _, settled, took := all[0].Tick(10 * second); !settled || took != 10*second-1 {
-		t.Errorf("not settled though all agree: %v %d", settled, took)
+	if tick := all[0].Tick(10 * second); !tick.HasSettled || tick.SettleTime != 10*second-1 {
+		t.Errorf("not settled though all agree: %+v", tick)
 	}
 	all[1].MarkGone("c", false, 11*second) // b thinks otherwise now
 	exchangeHeartbeats(t, 12*second, all...)
@@ -185,7 +185,7 @@
 	all[1].Join(testID("c"), "c", 13*second)
 	exchangeHeartbeats(t, 14*second, all...)
 	all[1].Tick(15 * second)
-	if _, settled, _ := all[0].Tick(15 * second); !settled {
+	if !all[0].Tick(15 * second).HasSettled {
 		t.Error("does not settle again")
 	}
 }
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -71,14 +71,14 @@
 		if err != nil {
 			return nil, fmt.Errorf("fleet.folder: %w", err)
 		}
-		shelf, why, err := membership.OpenMemberStore(disk, name, set.MaxMembers)
+		store, err := membership.OpenMemberStore(disk, name, set.MaxMembers)
 		if err != nil {
 			return nil, fmt.Errorf("fleet.folder: %w", err)
 		}
-		if why != nil {
-			g.Log().Warn("fleet_torn", "folder", c.Folder, "text", why.Error())
+		if err := store.LoadError(); err != nil {
+			g.Log().Warn("fleet_torn", "folder", c.Folder, "text", err.Error())
 		}
-		parts.Store = shelf
+		parts.Store = store
 	}
 	p := &fleetService{dispatcher: router, stop: make(chan struct{}), ended: make(chan struct{})}
 	var doors gossip.Admission
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -140,9 +140,9 @@
 		if was != p.sees.live[f["name"]] || f["why"] == "restarted" {
 			p.sees.settled = false
 		}
-	case "fleet_stood_still":
+	case "fleet_process_paused":
 		p.sees.settled = false
-	case "fleet_yielded":
+	case "fleet_name_deferred":
 		p.sees = sighting{live: map[string]bool{p.name: true}}
 	case "fleet_settled":
 		p.sees.settled, p.sees.digest = true, f["digest"]
--- a/internal/lab/fleet/virtual.go
+++ b/internal/lab/fleet/virtual.go
@@ -255,7 +255,7 @@
 			}}
 		if g.disk != nil {
 			var err error
-			if parts.Store, _, err = membership.OpenMemberStore(g.disk, name, set.MaxMembers); err != nil {
+			if parts.Store, err = membership.OpenMemberStore(g.disk, name, set.MaxMembers); err != nil {
 				return err
 			}
 		}
--- a/internal/lab/fleet/virtual_test.go
+++ b/internal/lab/fleet/virtual_test.go
@@ -228,7 +228,7 @@
 		if r, _ := v.Of("twin").Report(false, ""); r.State != "yielded" || r.Counts.NameDeferrals != 1 {
 			t.Errorf("the twin does not yield: %s, %+v", r.State, r.Counts)
 		}
-		if !log.has("level=ERROR", "event=fleet_yielded", "name=n3") || !log.has("event=fleet_name_claimed") {
+		if !log.has("level=ERROR", "event=fleet_name_deferred", "name=n3") || !log.has("event=fleet_name_conflict") {
 			t.Error("the log does not tell of it")
 		}
 		for _, name := range v.all {
@@ -341,7 +341,7 @@
 		v.Add("m1", "")
 		v.Start("m1")
 		time.Sleep(10 * time.Second)
-		if agree, _ := v.Agree(); !agree || !log.has("event=fleet_refused", "name=m1", "why=full") {
+		if agree, _ := v.Agree(); !agree || !log.has("event=fleet_member_refused", "name=m1", "why=full") {
 			t.Error("a fifth is in a view of four, or was refused in silence")
 		}
 	}, func(s *membership.Settings) { s.MaxMembers = 4 })
