--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -35,7 +35,7 @@
 
 const (
 	maxSeeds         = 4096
-	maxLocalityBytes = 48 // bytes of a region's, zone's or site's name: membership.MostPlace
+	maxLocalityBytes = 48 // bytes of a region's, zone's or site's name: membership.MaxLocalityNameBytes
 )
 
 // validate fills in defaults and tells the first value that cannot be.
--- a/internal/fleet/membership/delegate.go
+++ b/internal/fleet/membership/delegate.go
@@ -33,9 +33,9 @@
 )
 
 const (
-	maxConflictNames         = 256
-	conflictLogMicros        = 60_000_000 // between log lines about one name
-	minProbeRTTMicros  int64 = 1
+	maxConflictNames  = 256        // whose last log line is remembered
+	conflictLogMicros = 60_000_000 // between log lines about one name
+	minRTTMicros      = 1          // the histogram has no 0
 )
 
 // refusedError tells the detector, which logs it, why a gateway is refused.
@@ -136,7 +136,7 @@
 func (f *Fleet) recordAck(name string, rtt time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.rtt.RecordValue(min(max(minProbeRTTMicros, rtt.Microseconds()), maxRTTMicros))
+	f.rtt.RecordValue(min(max(minRTTMicros, rtt.Microseconds()), maxRTTMicros))
 	now := f.now()
 	f.recordChanges(f.view.RecordSeen(name, f.self.Name, now, now))
 }
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -2,7 +2,7 @@
 // detector (hashicorp/memberlist: SWIM with Lifeguard) and from the heartbeat evidence that gateways exchange on the detector's acks
 // and gossip. It contacts the addresses that package rejoin chooses, saves the known members on disk and logs every change.
 //
-// The view is data for whoever asks; nothing here decides anything about lookups.
+// The view is data; nothing here decides anything about lookups.
 //
 // Concurrency: Fleet.mu guards the view, the scheduler of contacts and the queue of log lines. It is never held over I/O or over a
 // call of the detector, whose callbacks take it. The goroutine of Run owns the detector, writes the log and the disk and decides on
--- /dev/null
+++ b/internal/fleet/membership/membership_test.go
@@ -0,0 +1,53 @@
+package membership
+
+import (
+	"errors"
+	"io"
+	"log/slog"
+	"slices"
+	"testing"
+	"time"
+
+	"foldslip/internal/env"
+	"foldslip/internal/fleet/view"
+)
+
+// The clock of which incarnations are made is the one that an operator's offset shifts.
+func TestIncarnationClockHasTheOffset(t *testing.T) {
+	system := env.NewSystem(io.Discard, slog.LevelError)
+	system.WallOffset = time.Hour
+	if offset := time.Until(FromEnvironment(system).Now()); offset < 59*time.Minute || offset > time.Hour {
+		t.Errorf("the clock is %v off, not an hour", offset)
+	}
+}
+
+// Seeds that can be used are, whatever else the file holds; the error tells the first line that can't be.
+func TestSeedsAreParsedAndTheFirstBadLineIsNamed(t *testing.T) {
+	seeds, err := ParseSeeds("# seeds\n10.0.0.4:7946 # first\n\nnobody\n[fd00::3]:7946\n10.0.0.5:0\n")
+	if want := []string{"10.0.0.4:7946", "[fd00::3]:7946"}; !slices.Equal(seeds, want) {
+		t.Errorf("%v, not %v", seeds, want)
+	}
+	var seedError *SeedFileError
+	if !errors.As(err, &seedError) || seedError.Line != 4 {
+		t.Errorf("%v, not of line 4", err)
+	}
+}
+
+// Members that another gateway stored are not used, and the store tells so.
+func TestMembersOfAnotherGatewayAreNotUsed(t *testing.T) {
+	dir := t.TempDir()
+	store := openStore(t, dir)
+	if err := store.Save([]view.ID{{Name: "n2", Addr: "10.0.0.2:7946", Incarnation: 1}}); err != nil {
+		t.Fatal(err)
+	}
+	closeStore(t, store)
+	other, err := OpenMemberStore(env.OSDirectory{Path: dir}, "n9", 100)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer closeStore(t, other)
+	var foreign *ForeignStoreError
+	if !errors.As(other.LoadError(), &foreign) || foreign.Self != "n1" || len(other.Known()) > 0 {
+		t.Errorf("%v, known %v", other.LoadError(), other.Known())
+	}
+}
--- a/internal/fleet/membership/name_conflict.go
+++ b/internal/fleet/membership/name_conflict.go
@@ -28,7 +28,7 @@
 		f.mu.Unlock()
 		f.stopDeferred(detector, inCompany, now)
 	default:
-		f.startContact(rejoin.Contact{Addr: other.addr, Reason: rejoin.ReasonClaimed})
+		f.startContact(rejoin.Contact{Addr: other.addr, Reason: rejoin.ReasonConflict})
 		f.mu.Unlock()
 	}
 }
--- a/internal/fleet/membership/report.go
+++ b/internal/fleet/membership/report.go
@@ -116,7 +116,9 @@
 type UnknownMemberError struct{ Name string }
 
 // Error names the gateway.
-func (e *UnknownMemberError) Error() string { return fmt.Sprintf("no gateway %q is known here", e.Name) }
+func (e *UnknownMemberError) Error() string {
+	return fmt.Sprintf("no gateway %q is known here", e.Name)
+}
 
 // Report returns what this gateway knows of its fleet. Without withMembers it has no members. Where explain names a member, it is the
 // only one and comes with its evidence; an *UnknownMemberError tells that there is none of that name.
--- a/internal/fleet/rejoin/rejoin.go
+++ b/internal/fleet/rejoin/rejoin.go
@@ -60,12 +60,12 @@
 
 // Reasons of contacts.
 const (
-	ReasonStart   Reason = "start"   // this gateway is alone
-	ReasonRejoin  Reason = "rejoin"  // a lost member or missing seed is due
-	ReasonSeen    Reason = "heard"   // a peer saw a lost member
-	ReasonDiffer  Reason = "differ"  // a live member sees another live set
-	ReasonResumed Reason = "awake"   // this process ran on after a pause
-	ReasonClaimed Reason = "claimed" // another process claims this gateway's name
+	ReasonStart    Reason = "start"   // this gateway is alone
+	ReasonRejoin   Reason = "rejoin"  // a lost member or missing seed is due
+	ReasonSeen     Reason = "heard"   // a peer saw a lost member
+	ReasonDiffer   Reason = "differ"  // a live member sees another live set
+	ReasonResumed  Reason = "awake"   // this process ran on after a pause
+	ReasonConflict Reason = "claimed" // another process claims this gateway's name
 )
 
 // Contact is an address to contact, and why.
--- a/internal/fleet/transport/transport_test.go
+++ b/internal/fleet/transport/transport_test.go
@@ -2,78 +2,89 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
 	"net"
 	"net/netip"
 	"os"
+	"strings"
+	"syscall"
 	"testing"
 	"time"
 )
 
+// listen opens a transport on a loopback network of this process until the test ends, and returns its address too.
 func listen(t *testing.T, host int, counts *Counts) (*Transport, string) {
 	t.Helper()
-	at := netip.MustParseAddrPort(fmt.Sprintf("127.%d.%d.%d:7946", 200+os.Getpid()>>8%40, os.Getpid()%250, host))
-	l, err := Listen(at, at, counts, slog.New(slog.DiscardHandler))
+	addr := netip.MustParseAddrPort(fmt.Sprintf("127.%d.%d.%d:7946", 200+os.Getpid()>>8%40, os.Getpid()%250, host))
+	transport, err := Listen(addr, addr, counts, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Shutdown() })
-	return l, at.String()
+	t.Cleanup(func() { transport.Shutdown() })
+	return transport, addr.String()
 }
 
+// Datagrams and dialled streams come from the address where the sender listens, and are counted on both sides.
 func TestPacketsAndStreamsComeFromTheListenAddress(t *testing.T) {
-	var ca, cb Counts
-	a, atA := listen(t, 1, &ca)
-	b, atB := listen(t, 2, &cb)
-	if _, err := a.WriteTo([]byte("hello"), atB); err != nil {
+	var senderCounts, receiverCounts Counts
+	sender, senderAddr := listen(t, 1, &senderCounts)
+	receiver, receiverAddr := listen(t, 2, &receiverCounts)
+	if _, err := sender.WriteTo([]byte("hello"), receiverAddr); err != nil {
 		t.Fatal(err)
 	}
-	p := <-b.PacketCh()
-	if string(p.Buf) != "hello" || p.From.String() != atA {
-		t.Errorf("%q from %v", p.Buf, p.From)
+	packet := <-receiver.PacketCh()
+	if string(packet.Buf) != "hello" || packet.From.String() != senderAddr {
+		t.Errorf("%q from %v", packet.Buf, packet.From)
 	}
-	conn, err := a.DialTimeout(atB, time.Second)
+	dialled, err := sender.DialTimeout(receiverAddr, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
-	in := <-b.StreamCh()
-	defer in.Close()
-	if from, _, _ := net.SplitHostPort(in.RemoteAddr().String()); netip.MustParseAddr(from) != netip.MustParseAddrPort(atA).Addr() {
+	defer dialled.Close()
+	accepted := <-receiver.StreamCh()
+	defer accepted.Close()
+	from, _, _ := net.SplitHostPort(accepted.RemoteAddr().String())
+	if netip.MustParseAddr(from) != netip.MustParseAddrPort(senderAddr).Addr() {
 		t.Error("the stream comes from", from)
 	}
-	go conn.Write([]byte("whole state"))
+	go dialled.Write([]byte("whole state"))
 	got := make([]byte, 11)
-	if _, err := io.ReadFull(in, got); err != nil || !bytes.Equal(got, []byte("whole state")) {
+	if _, err := io.ReadFull(accepted, got); err != nil || !bytes.Equal(got, []byte("whole state")) {
 		t.Errorf("%q %v", got, err)
 	}
-	if ca.PacketsOut.Load() != 1 || cb.BytesIn.Load() != 5 || cb.StreamBytes.Load() != 11 || ca.StreamsOut.Load() != 1 {
-		t.Error("not counted")
+	if senderCounts.PacketsOut.Load() != 1 || senderCounts.StreamsOut.Load() != 1 {
+		t.Error("the sender does not count")
+	}
+	if receiverCounts.BytesIn.Load() != 5 || receiverCounts.StreamBytes.Load() != 11 {
+		t.Error("the receiver does not count")
 	}
 }
 
+// Datagrams beyond the bound of those that wait are dropped and counted.
 func TestUnreadPacketsAreDroppedAndCounted(t *testing.T) {
-	var ca, cb Counts
-	a, _ := listen(t, 3, &ca)
-	_, atB := listen(t, 4, &cb)
+	var senderCounts, receiverCounts Counts
+	sender, _ := listen(t, 3, &senderCounts)
+	_, receiverAddr := listen(t, 4, &receiverCounts)
 	for range maxQueuedPackets + 200 {
-		a.WriteTo([]byte("x"), atB)
+		sender.WriteTo([]byte("x"), receiverAddr)
 		time.Sleep(20 * time.Microsecond)
 	}
-	for end := time.Now().Add(5 * time.Second); cb.Dropped.Load() == 0; time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(5 * time.Second); receiverCounts.Dropped.Load() == 0; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal("nothing is dropped")
 		}
 	}
 }
 
+// The error of an address in use names the setting that has it.
 func TestAddressInUseNamesTheSetting(t *testing.T) {
-	var c Counts
-	_, at := listen(t, 5, &c)
-	_, err := Listen(netip.MustParseAddrPort(at), netip.MustParseAddrPort(at), &c, slog.Default())
-	if err == nil || !bytes.Contains([]byte(err.Error()), []byte("fleet.listen")) {
+	var counts Counts
+	_, addr := listen(t, 5, &counts)
+	_, err := Listen(netip.MustParseAddrPort(addr), netip.MustParseAddrPort(addr), &counts, slog.Default())
+	if !errors.Is(err, syscall.EADDRINUSE) || !strings.Contains(err.Error(), "fleet.listen") {
 		t.Error(err)
 	}
 }
--- a/internal/fleet/view/cost_test.go
+++ b/internal/fleet/view/cost_test.go
@@ -7,7 +7,7 @@
 	"foldslip/internal/lab/cost"
 )
 
-var costs = cost.Flags("./fleet/view")
+var costs = cost.Flags("./internal/fleet/view")
 
 var sizes = []int{12, 50, 200, 500, 1000, 2000, 3900}
 
@@ -15,8 +15,9 @@
 	return ID{Name: fmt.Sprintf("r%02d-z%02d-s%03d-g%02d", i/325, i/156, i/13, i%13), Addr: fmt.Sprintf("10.%d.%d.%d:7946", i>>16, i>>8&255, i&255), Incarnation: uint64(i) + 1}
 }
 
-// viewOfSize is a view of n gateways, self among them.
+// viewOfSize returns a view of n gateways, self among them.
 func viewOfSize(t testing.TB, n int) *View {
+	t.Helper()
 	v := New(gateway(0), Settings{MaxMembers: 4096, ReapAfter: 3600 * second, SettleAfter: second, EvidenceMaxAge: 30 * second}, 1)
 	for i := 1; i < n; i++ {
 		v.Join(gateway(i), gateway(i).Name, 1)
@@ -27,12 +28,13 @@
 	return v
 }
 
+// The memory of a view.
 func TestCostMembers(t *testing.T) {
 	costs.Take(t, cost.Figure{Name: "view-heap", Title: "fleet/view: heap of the view alone", X: "gateways", Y: "bytes", Budget: 8 << 20, Of: "the view, 8 MB of 128", At: 3900}, sizes,
 		func(n int) float64 { return cost.Heap(func() any { return viewOfSize(t, n) }) })
 }
 
-// The join of all, as a gateway hears it at its start.
+// The joins of all members, as a gateway sees them at its start.
 func TestCostJoins(t *testing.T) {
 	costs.Take(t, cost.Figure{Name: "view-joins", Title: "fleet/view: processor time of the join of all", X: "gateways", Y: "us of a core", Budget: 210000,
 		Of: "2.1% of a core for 10 s", At: 3900}, sizes, func(n int) float64 { return costs.Micros(func(int) { viewOfSize(t, n) }) })
@@ -54,18 +56,18 @@
 	})
 }
 
-// A frame of words made, and one taken, in a fleet at rest.
+// A heartbeat frame written, and one merged, in a fleet at rest.
 func TestCostHeartbeatFrames(t *testing.T) {
-	costs.Take(t, cost.Figure{Name: "view-words", Title: "fleet/view: processor time of a frame of words made", X: "gateways", Y: "us of a core", Budget: 800,
+	costs.Take(t, cost.Figure{Name: "view-words", Title: "fleet/view: processor time of a heartbeat frame written", X: "gateways", Y: "us of a core", Budget: 800,
 		Of: "a frame, 0.4% of a core at 5/s", At: 3900}, sizes, func(n int) float64 {
 		v := viewOfSize(t, n)
 		return costs.Micros(func(int) {
 			if len(v.HeartbeatFrame(1400, 2)) < headerSize+n/8 {
-				t.Fatal("no words")
+				t.Fatal("no frame")
 			}
 		})
 	})
-	costs.Take(t, cost.Figure{Name: "view-take", Title: "fleet/view: processor time of a frame of words taken", X: "gateways", Y: "us of a core", Budget: 800,
+	costs.Take(t, cost.Figure{Name: "view-take", Title: "fleet/view: processor time of a heartbeat frame merged", X: "gateways", Y: "us of a core", Budget: 800,
 		Of: "a frame, 0.4% of a core at 5/s", At: 3900}, sizes, func(n int) float64 {
 		v := viewOfSize(t, n)
 		other := New(gateway(1), v.settings, 1)
@@ -86,14 +88,14 @@
 	})
 }
 
-// What package post reads of the view in each turn, four a second: who is live, in order, how many of how many, and the own rank.
+// What package gossip reads of the view in each step, four a second: who is live, in order, how many of how many, and the own rank.
 func TestCostLook(t *testing.T) {
 	costs.Take(t, cost.Figure{Name: "view-look", Title: "fleet/view: processor time of a look at the live members, their number and the own rank", X: "gateways",
 		Y: "us of a core", Budget: 500, Of: "a look, 0.2% of a core at 4/s", At: 3900}, sizes, func(n int) float64 {
 		v := viewOfSize(t, n)
 		return costs.Micros(func(int) {
-			if seen, _ := v.Size(); len(v.LiveNames()) != n || seen != n || v.Rank() >= n {
-				t.Fatal("not all are seen")
+			if alive, _ := v.Size(); len(v.LiveNames()) != n || alive != n || v.Rank() >= n {
+				t.Fatal("not all are alive")
 			}
 		})
 	})
--- a/internal/fleet/view/detector.go
+++ b/internal/fleet/view/detector.go
@@ -1,6 +1,6 @@
 package view
 
-// Join takes the detector's word that a gateway is alive, by whoever reported it first.
+// Join takes the detector's word that a gateway is alive; by names the gateway that reported it first.
 func (v *View) Join(id ID, by string, now int64) []Change {
 	if id.Name == v.self {
 		return nil
--- a/internal/fleet/view/evidence.go
+++ b/internal/fleet/view/evidence.go
@@ -20,7 +20,7 @@
 	}
 	if !m.State.IsLive() && by != v.self {
 		m.addEvidence(now, by, "heard while not live here")
-		v.version++ // whoever seeks lost members looks again
+		v.version++ // the peers of package rejoin are read again
 	}
 	return nil
 }
--- a/internal/fleet/view/frozen_test.go
+++ b/internal/fleet/view/frozen_test.go
@@ -31,9 +31,9 @@
 	}
 	d, _ := all[2].Get("d")
 	if d.State != Suspect || d.ProbeFailedBy != "a" || d.ProbeFailedAt != 6*second {
-		t.Errorf("d is held %v, accused by %q at %d", d.State, d.ProbeFailedBy, d.ProbeFailedAt)
+		t.Errorf("d is %v, probe of %q failed at %d", d.State, d.ProbeFailedBy, d.ProbeFailedAt)
 	}
 	if b, _ := all[2].Get("b"); b.LastSeen != 7*second || b.Digest != all[2].Digest() {
-		t.Errorf("b was heard at %d with digest %08x, here it is %08x", b.LastSeen, b.Digest, all[2].Digest())
+		t.Errorf("b was last seen at %d with digest %08x, here it is %08x", b.LastSeen, b.Digest, all[2].Digest())
 	}
 }
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -1,5 +1,5 @@
-// Package view is one gateway's view of the fleet of gateways: who is in it, in which state, since when, by whose word and how sure that
-// is. It is a pure state machine: words of the failure detector, heartbeat frames of peers and times go in, changes come out. It does no
+// Package view is one gateway's view of the fleet of gateways: who is in it, in which state, since when, by which report and how sure that
+// is. It is a pure state machine: reports of the failure detector, heartbeat frames of peers and times go in, changes come out. It does no
 // I/O, holds no lock and knows no transport (package membership brings both).
 //
 // Two sources feed it. The detector (memberlist: SWIM, Das, Gupta and Motivala, DSN 2002, with Lifeguard, Dadgar, Phillips and Currey,
--- a/internal/fleet/view/view_test.go
+++ b/internal/fleet/view/view_test.go
@@ -1,6 +1,7 @@
 package view
 
 import (
+	"errors"
 	"fmt"
 	"slices"
 	"testing"
@@ -14,7 +15,7 @@
 
 func testID(name string) ID { return ID{Name: name, Addr: "127.0.0.1:" + name, Incarnation: 1} }
 
-// viewOf is a view of a with others alive since 1.
+// viewOf returns the view of gateway a with others alive since 1.
 func viewOf(others ...string) *View {
 	v := New(testID("a"), testSettings, 1)
 	for _, name := range others {
@@ -26,10 +27,11 @@
 func wantState(t *testing.T, v *View, name string, want State) {
 	t.Helper()
 	if m, _ := v.Get(name); m.State != want {
-		t.Errorf("%s is held %v, not %v", name, m.State, want)
+		t.Errorf("%s is %v, not %v", name, m.State, want)
 	}
 }
 
+// A failed probe after which a member was not seen makes it suspect; evidence that it was seen since clears it.
 func TestFailedProbeSuspectsAndLaterHeartbeatClears(t *testing.T) {
 	v := viewOf("b", "c")
 	v.RecordFailedProbe("b", "c", 5*second, 6*second)
@@ -38,11 +40,12 @@
 	wantState(t, v, "b", Suspect)
 	v.RecordSeen("b", "a", 7*second, 7*second)
 	wantState(t, v, "b", Alive)
-	v.RecordFailedProbe("b", "c", 6*second, 8*second) // the same word come late, by way of others
+	v.RecordFailedProbe("b", "c", 6*second, 8*second) // an older probe whose record comes late, by way of others
 	wantState(t, v, "b", Alive)
 }
 
-func TestMemberClearedByHeartbeatsIsAskedToRefute(t *testing.T) {
+// A member whose suspicion evidence cleared is asked a few times to refute it, and no more once the detector has news of it.
+func TestMemberClearedByHeartbeatsGetsRefuteRequests(t *testing.T) {
 	v := viewOf("b", "c")
 	v.RecordFailedProbe("b", "c", 5*second, 5*second)
 	v.RecordSeen("b", "c", 6*second, 6*second)
@@ -55,14 +58,15 @@
 	}
 	v.RecordFailedProbe("b", "c", 70*second, 70*second)
 	v.RecordSeen("b", "c", 71*second, 71*second)
-	again := testID("b")
-	again.Incarnation = 2
-	v.Update(again, 71*second) // the detector itself heard of it
-	if d := v.DueRefuteRequests(90 * second); len(d) > 0 {
-		t.Error(d)
+	restarted := testID("b")
+	restarted.Incarnation = 2
+	v.Update(restarted, 71*second) // the detector itself has news of it
+	if names := v.DueRefuteRequests(90 * second); len(names) > 0 {
+		t.Errorf("asked again: %v", names)
 	}
 }
 
+// Heartbeat evidence about a dead member is kept, but neither makes it alive nor another one dead.
 func TestHeartbeatsNeitherKillNorRevive(t *testing.T) {
 	v := viewOf("b", "c")
 	v.MarkGone("b", false, 2*second)
@@ -71,11 +75,12 @@
 	v.RecordFailedProbe("c", "b", 4*second, 4*second)
 	wantState(t, v, "c", Suspect)
 	m, _ := v.Get("b")
-	if said := m.Evidence(); said[len(said)-1].By != "c" {
-		t.Errorf("who heard the dead one is not kept: %v", said)
+	if evidence := m.Evidence(); evidence[len(evidence)-1].By != "c" {
+		t.Errorf("who saw the dead one is not kept: %v", evidence)
 	}
 }
 
+// Half of the fleet or less is a minority; suspects are not part of it, and members that left don't count.
 func TestMinorityIsRecognised(t *testing.T) {
 	v := viewOf("b", "c", "d", "e")
 	for _, name := range []string{"c", "d"} {
@@ -85,12 +90,12 @@
 		t.Error("three of five take themselves for a minority")
 	}
 	v.RecordFailedProbe("e", "a", 3*second, 3*second)
-	if seen, fleet := v.Size(); !v.InMinority() || seen != 2 || fleet != 5 {
-		t.Errorf("two of five that answer are no minority: %d of %d", seen, fleet)
+	if alive, fleet := v.Size(); !v.InMinority() || alive != 2 || fleet != 5 {
+		t.Errorf("two of five that answer are no minority: %d of %d", alive, fleet)
 	}
-	v.MarkGone("c", true, 4*second) // it had left: it counts for the fleet no more
-	if seen, fleet := v.Size(); seen != 2 || fleet != 4 || !v.InMinority() {
-		t.Errorf("%d of %d", seen, fleet)
+	v.MarkGone("c", true, 4*second) // it had left: it no longer counts for the fleet
+	if alive, fleet := v.Size(); alive != 2 || fleet != 4 || !v.InMinority() {
+		t.Errorf("%d of %d", alive, fleet)
 	}
 	alone := New(testID("a"), Settings{MaxMembers: 9, ExpectedMembers: 3}, 1)
 	if !alone.InMinority() || New(testID("a"), testSettings, 1).InMinority() {
@@ -98,6 +103,7 @@
 	}
 }
 
+// Dead members count for the size of the fleet until the reap time is over.
 func TestDeadMembersCountUntilReaped(t *testing.T) {
 	v := viewOf("b", "c")
 	v.MarkGone("b", false, second)
@@ -110,39 +116,41 @@
 	}
 }
 
+// A full view refuses a gateway while all members are live, and forgets the longest dead one for it otherwise.
 func TestJoinsEvictTheLongestDead(t *testing.T) {
 	v := viewOf("b", "c", "d", "e") // full
 	if v.RefusalOf("f") != Full {
-		t.Error("a sixth is let into five places that are all live")
+		t.Error("a sixth is admitted to a view of five, all of them live")
 	}
 	v.MarkGone("c", false, 2*second)
 	v.MarkGone("b", false, 3*second)
 	if v.RefusalOf("f") != "" {
-		t.Error("the dead hold places")
+		t.Error("refused though two members are dead")
 	}
 	v.Join(testID("f"), "f", 4*second)
 	wantState(t, v, "f", Alive)
-	if _, held := v.Get("c"); held {
-		t.Error("the longest dead did not give way")
+	if _, known := v.Get("c"); known {
+		t.Error("the longest dead was not forgotten")
 	}
 	wantState(t, v, "b", Dead)
 }
 
+// Another incarnation under a name is a restart; the same one after a death is a false death.
 func TestRestartIsReportedAndIsNoFalseDeath(t *testing.T) {
 	v := viewOf("b")
-	again := testID("b")
-	again.Incarnation = 2
-	if c := v.Update(again, second); len(c) != 1 || c[0].Reason != "restarted" {
-		t.Errorf("%+v", c)
+	restarted := testID("b")
+	restarted.Incarnation = 2
+	if changes := v.Update(restarted, second); len(changes) != 1 || changes[0].Reason != ReasonRestarted {
+		t.Errorf("%+v", changes)
 	}
 	v.MarkGone("b", false, 2*second)
-	v.Join(again, "b", 3*second) // the same process: it had not died
+	v.Join(restarted, "b", 3*second) // the same process: it had not died
 	if m, _ := v.Get("b"); m.Restarts != 1 || m.Deaths != 1 || m.FalseDeaths != 1 {
-		t.Errorf("restarts %d, deaths %d, wrong %d", m.Restarts, m.Deaths, m.FalseDeaths)
+		t.Errorf("restarts %d, deaths %d, false ones %d", m.Restarts, m.Deaths, m.FalseDeaths)
 	}
 }
 
-// exchangeHeartbeats gives each view's words to each other, as gossip would.
+// exchangeHeartbeats merges each view's frame into each other view, as gossip would.
 func exchangeHeartbeats(t *testing.T, now int64, views ...*View) {
 	t.Helper()
 	for _, from := range views {
@@ -157,6 +165,7 @@
 	}
 }
 
+// viewsOf returns the views of gateways that all know each other as alive since 1.
 func viewsOf(names ...string) (all []*View) {
 	for _, name := range names {
 		v := New(testID(name), Settings{MaxMembers: 1000, SettleAfter: second, EvidenceMaxAge: 30 * second, ReapAfter: 3600 * second}, 1)
@@ -168,19 +177,20 @@
 	return all
 }
 
+// A view settles once every live member has reported the same set, and no more while one reports another.
 func TestSettlesOnlyOnReceivedAgreement(t *testing.T) {
 	all := viewsOf("a", "b", "c")
 	if all[0].Tick(9 * second).HasSettled {
-		t.Error("settled though nobody said a word")
+		t.Error("settled though nobody reported what it sees")
 	}
 	exchangeHeartbeats(t, 9*second, all...)
 	if tick := all[0].Tick(10 * second); !tick.HasSettled || tick.SettleTime != 10*second-1 {
 		t.Errorf("not settled though all agree: %+v", tick)
 	}
-	all[1].MarkGone("c", false, 11*second) // b thinks otherwise now
+	all[1].MarkGone("c", false, 11*second) // b sees another set now
 	exchangeHeartbeats(t, 12*second, all...)
 	if all[0].Settled() {
-		t.Error("settled though b sees others")
+		t.Error("settled though b sees another set")
 	}
 	all[1].Join(testID("c"), "c", 13*second)
 	exchangeHeartbeats(t, 14*second, all...)
@@ -190,61 +200,65 @@
 	}
 }
 
-func TestFailedProbeIsForwardedWithItsSource(t *testing.T) {
+// A failed probe that comes by way of a third gateway still has the gateway whose probe it was, and its time.
+func TestForwardedFailedProbeKeepsSource(t *testing.T) {
 	all := viewsOf("a", "b", "c", "d")
 	all[0].RecordFailedProbe("d", "a", 5*second, 5*second)
 	all[1].MergeHeartbeat(all[0].HeartbeatFrame(MaxFrameBytes, 6*second), 6*second)
 	all[2].MergeHeartbeat(all[1].HeartbeatFrame(MaxFrameBytes, 7*second), 7*second) // by way of b
 	m, _ := all[2].Get("d")
 	if m.State != Suspect || m.ProbeFailedBy != "a" || m.ProbeFailedAt != 5*second {
-		t.Errorf("%v, accused by %s at %d", m.State, m.ProbeFailedBy, m.ProbeFailedAt)
+		t.Errorf("%v, probe of %s failed at %d", m.State, m.ProbeFailedBy, m.ProbeFailedAt)
 	}
 }
 
+// Where not all members fit a frame, all come in turn.
 func TestLargeFleetRotatesMembersThroughFrames(t *testing.T) {
 	var names []string
 	for i := range 200 {
 		names = append(names, fmt.Sprintf("g%d", i))
 	}
-	v := viewsOf(names...)[0]
-	told := map[string]bool{}
-	w := New(testID("other"), Settings{MaxMembers: 1000, EvidenceMaxAge: 30 * second}, 1)
+	sender := viewsOf(names...)[0]
+	receiver := New(testID("other"), Settings{MaxMembers: 1000, EvidenceMaxAge: 30 * second}, 1)
 	for _, name := range names {
-		w.Join(testID(name), name, 0)
+		receiver.Join(testID(name), name, 0)
 	}
 	for range 200/maxSeenRecords + 1 {
-		b := v.HeartbeatFrame(MaxFrameBytes, 2*second)
-		if len(b) > MaxFrameBytes {
-			t.Fatal(len(b))
+		frame := sender.HeartbeatFrame(MaxFrameBytes, 2*second)
+		if len(frame) > MaxFrameBytes {
+			t.Fatalf("a frame of %d bytes", len(frame))
 		}
-		if _, err := w.MergeHeartbeat(b, 20*second); err != nil {
+		if _, err := receiver.MergeHeartbeat(frame, 20*second); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for _, m := range w.Members() {
+	reported := map[string]bool{}
+	for _, m := range receiver.Members() {
 		if m.LastSeen > 1 {
-			told[m.Name] = true
+			reported[m.Name] = true
 		}
 	}
-	if len(told) < 199 {
-		t.Errorf("%d of 199 were told of", len(told))
+	if len(reported) < 199 {
+		t.Errorf("%d of 199 members came in frames", len(reported))
 	}
 }
 
+// A frame that is cut short anywhere is refused as a whole.
 func TestUnreadableFrameChangesNothing(t *testing.T) {
 	all := viewsOf("a", "b", "c")
 	all[0].RecordFailedProbe("c", "a", second, second)
 	good := all[0].HeartbeatFrame(MaxFrameBytes, 2*second)
 	for n := range good {
-		if _, err := all[1].MergeHeartbeat(good[:n], 2*second); err == nil {
-			t.Errorf("%d bytes of %d are taken", n, len(good))
+		if _, err := all[1].MergeHeartbeat(good[:n], 2*second); !errors.Is(err, ErrFrame) {
+			t.Errorf("%d bytes of %d: %v", n, len(good), err)
 		}
 	}
 	if m, _ := all[1].Get("c"); m.State != Alive {
-		t.Error("a torn frame had its effect")
+		t.Error("a frame that was cut short changed the view")
 	}
 }
 
+// No frame changes who is live, dates evidence in the future or makes more members agree than there are.
 func FuzzMergeHeartbeat(f *testing.F) {
 	all := viewsOf("a", "b", "c")
 	all[0].RecordFailedProbe("c", "a", second, second)
@@ -260,7 +274,7 @@
 	})
 }
 
-// Whatever comes in whatever order, bounds hold and self is there.
+// Bounds hold, self stays alive and the digest is of the live set, whatever happens in whatever order.
 func TestBoundsHoldInAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := viewOf()
@@ -270,13 +284,13 @@
 			now += rapid.Int64Range(0, 400*second).Draw(t, "passes")
 			name := rapid.SampledFrom(names).Draw(t, "name")
 			by := rapid.SampledFrom(names).Draw(t, "by")
-			its := testID(name)
-			its.Incarnation = rapid.Uint64Range(1, 3).Draw(t, "stamp")
+			id := testID(name)
+			id.Incarnation = rapid.Uint64Range(1, 3).Draw(t, "stamp")
 			switch rapid.IntRange(0, 7).Draw(t, "what") {
 			case 0:
-				v.Join(its, by, now)
+				v.Join(id, by, now)
 			case 1:
-				v.Update(its, now)
+				v.Update(id, now)
 			case 2:
 				v.MarkGone(name, rapid.Bool().Draw(t, "left"), now)
 			case 3:
@@ -286,14 +300,17 @@
 			case 5:
 				v.Tick(now)
 			case 6:
-				v.AddKnown(its, now)
+				v.AddKnown(id, now)
 			case 7:
 				v.MarkPaused(now)
 			}
 			self, ok := v.Get("a")
-			if seen, fleet := v.Size(); !ok || self.State != Alive || len(v.Members()) > testSettings.MaxMembers || len(v.nameByKey) != len(v.members) || seen > fleet {
+			if !ok || self.State != Alive || len(v.Members()) > testSettings.MaxMembers || len(v.nameByKey) != len(v.members) {
 				t.Fatalf("%+v", v.Members())
 			}
+			if alive, fleet := v.Size(); alive > fleet {
+				t.Fatalf("%d alive in a fleet of %d: %+v", alive, fleet, v.Members())
+			}
 			if v.Digest() != v.computeDigest() || v.LiveCount() != len(v.LiveNames()) {
 				t.Fatal("the digest is not of the live set")
 			}
