--- a/internal/wire/size_test.go
+++ b/internal/discovery/size_test.go
@@ -1,4 +1,4 @@
-package wire
+package discovery
 
 import (
 	"flag"
@@ -10,16 +10,17 @@
 	"testing"
 	"time"
 
+	"foldslip/internal/cacheregistry"
 	"foldslip/internal/dispatch"
 	"foldslip/internal/env"
-	"foldslip/internal/memory"
 	"foldslip/internal/policy"
+	"foldslip/internal/purgelog"
 	"foldslip/internal/settings"
 )
 
 var (
-	listed   = flag.Int("wire.listed", 1800, "caches of the list that is taken")
-	listRuns = flag.Int("wire.runs", 1, "times that it is taken anew")
+	listed   = flag.Int("discovery.listed", 1800, "caches of the list that is taken")
+	listRuns = flag.Int("discovery.runs", 1, "times that it is taken anew")
 )
 
 // appendEndpointJSON writes the i-th cache of a long list as the watch tells it.
@@ -38,7 +39,7 @@
 // A probe of the list at size (docs/CAPACITY.md): bytes of the line that brings the whole of it, the time to take it, and the time to take
 // a change of one cache; also of facade and logic alone. It prints; times are of this machine. The short form is 1,800 caches once:
 //
-//	go test ./wire -run SizeOfTheList -v -wire.runs 3
+//	go test ./internal/discovery -run SizeOfTheEndpointList -v -discovery.runs 3
 func TestSizeOfTheEndpointList(t *testing.T) {
 	var areas []string
 	for i := range 25 {
@@ -54,7 +55,7 @@
 	defer runtime.UnlockOSThread()
 	for run := range *listRuns {
 		g := env.NewSystem(io.Discard, 0)
-		b := NewWatch(g, "", terms, dispatch.New(g, uint64(run+1), terms.Router, nil), &memory.Registry{}, &memory.Log{Retention: time.Minute, Clock: g})
+		b := NewWatch(g, "", terms, dispatch.New(g, uint64(run+1), terms.Router, nil), &cacheregistry.Registry{}, &purgelog.Log{Retention: time.Minute, Clock: g})
 		var line strings.Builder
 		line.WriteString(`{"no":1,"roster":{"revision":1,"complete":true,"members":[`)
 		for i := range *listed {
--- a/internal/wire/bulletin.go
+++ b/internal/discovery/watch.go
@@ -1,4 +1,7 @@
-package wire
+// Package discovery follows the discovery watch: numbered events that bring changes of the endpoint list and purges, over one connection
+// that is opened anew after a gap, a silence or a fault. It applies each event to the dispatcher, the registry of caches, the log of
+// purges and the kept list, in that order. One goroutine (Watch.Run) owns the watch; SetAddr alone may be called beside it.
+package discovery
 
 import (
 	"bytes"
@@ -12,12 +15,15 @@
 	"sync"
 	"time"
 
+	"foldslip/internal/cacheregistry"
 	"foldslip/internal/dispatch"
 	"foldslip/internal/env"
-	"foldslip/internal/memory"
+	"foldslip/internal/linebuffer"
 	"foldslip/internal/policy"
+	"foldslip/internal/purgelog"
 	"foldslip/internal/settings"
 	"foldslip/internal/store/endpoints"
+	"foldslip/internal/upstream"
 	"foldslip/internal/warmstart"
 )
 
@@ -38,8 +44,8 @@
 	LastEvent  int64 // number of the last event held
 	Settings   *settings.Settings
 	Dispatcher *dispatch.Dispatcher
-	Registry   *memory.Registry
-	Purges     *memory.Log
+	Registry   *cacheregistry.Registry
+	Purges     *purgelog.Log
 	// Members, if there are any, are told all that counts beside the router.
 	Reconciler *warmstart.Reconciler
 	// Heard, if set, is told of each event before the router is; it must not wait.
@@ -61,8 +67,8 @@
 }
 
 // NewWatch makes the follower of the bulletin at an address.
-func NewWatch(g env.Environment, addr string, terms *settings.Settings, router *dispatch.Dispatcher, caches *memory.Registry,
-	purges *memory.Log) *Watch {
+func NewWatch(g env.Environment, addr string, terms *settings.Settings, router *dispatch.Dispatcher, caches *cacheregistry.Registry,
+	purges *purgelog.Log) *Watch {
 	return &Watch{env: g, addr: addr, Settings: terms, Dispatcher: router, Registry: caches, Purges: purges, wakeup: g.NewNotifier()}
 }
 
@@ -279,7 +285,7 @@
 		default:
 			return nil, nil, fmt.Errorf("member %q: phase %q is unknown", m.ID, m.Phase)
 		}
-		if !isName(m.ID) {
+		if !upstream.IsName(m.ID) {
 			return nil, nil, fmt.Errorf("member %q: the id cannot be used", m.ID)
 		}
 		if row.State != policy.Gone {
@@ -355,7 +361,7 @@
 	if _, err := fmt.Fprintf(conn, "after %d\n", b.LastEvent); err != nil {
 		return "write_failed"
 	}
-	var buf memory.Buffer
+	var buf linebuffer.Buffer
 	for {
 		for {
 			line, _, whole := bytes.Cut(buf.Bytes(), []byte("\n"))
@@ -387,7 +393,7 @@
 			switch {
 			case life.Ended():
 				return "stopping"
-			case errors.Is(err, memory.ErrTooLong):
+			case errors.Is(err, linebuffer.ErrTooLong):
 				return "bad_line"
 			}
 			var late net.Error
