--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -140,9 +140,9 @@
 		if was != p.view.live[f["name"]] || f["why"] == "restarted" {
 			p.view.settled = false
 		}
-	case "fleet_stood_still":
+	case "fleet_process_paused":
 		p.view.settled = false
-	case "fleet_yielded":
+	case "fleet_name_deferred":
 		p.view = loggedView{live: map[string]bool{p.name: true}}
 	case "fleet_settled":
 		p.view.settled, p.view.digest = true, f["digest"]
--- a/internal/lab/fleet/virtual.go
+++ b/internal/lab/fleet/virtual.go
@@ -255,7 +255,7 @@
 			}}
 		if g.directory != nil {
 			var err error
-			if parts.Store, _, err = membership.OpenMemberStore(g.directory, name, set.MaxMembers); err != nil {
+			if parts.Store, err = membership.OpenMemberStore(g.directory, name, set.MaxMembers); err != nil {
 				return err
 			}
 		}
