--- a/internal/cli/list.go
+++ b/internal/cli/list.go
@@ -10,6 +10,7 @@
 	"text/tabwriter"
 	"time"
 
+	"foldslip/internal/env"
 	"foldslip/internal/freshness"
 	"foldslip/internal/store/endpoints"
 	"foldslip/internal/store/wal"
@@ -31,13 +32,13 @@
 }
 
 // open is the folder, which must be there.
-func (f listFolder) open() (wal.OSDirectory, error) {
+func (f listFolder) open() (env.OSDirectory, error) {
 	if at, err := os.Stat(f.Folder); err != nil {
-		return wal.OSDirectory{}, usageErrorf("%v: name the folder that holds the list", err)
+		return env.OSDirectory{}, usageErrorf("%v: name the folder that holds the list", err)
 	} else if !at.IsDir() {
-		return wal.OSDirectory{}, usageErrorf("%s is no folder", f.Folder)
+		return env.OSDirectory{}, usageErrorf("%s is no folder", f.Folder)
 	}
-	return wal.OSDirectory{Path: f.Folder}, nil
+	return env.OSDirectory{Path: f.Folder}, nil
 }
 
 // read reads what a folder holds, without its lock: the files of a running gateway can be looked at.
@@ -210,7 +211,7 @@
 				StartedAt: k.UpSince, Source: endpoints.Imported})
 		}
 	}
-	disk, err := wal.OpenOSDirectory(f.Folder)
+	disk, err := env.OpenOSDirectory(f.Folder)
 	if err != nil {
 		return usageErrorf("%v", err)
 	}
--- a/internal/store/snapshot/bench_test.go
+++ b/internal/store/snapshot/bench_test.go
@@ -12,7 +12,7 @@
 	"foldslip/internal/store/wal"
 )
 
-const fleet = 10000
+const fleetSize = 10000
 
 func fleetEndpoint(i int, phase endpoints.Phase) endpoints.Endpoint {
 	return endpoints.Endpoint{ID: fmt.Sprintf("edge-%08x", i), Addr: fmt.Sprintf("10.%d.%d.9:10080", i/256, i%256), Zone: "harbour", MachineType: "edge",
@@ -20,80 +20,79 @@
 }
 
 func fleetUpdate() endpoints.Update {
-	c := endpoints.Update{LastEvent: 1, DiscoveryAddr: "10.7.0.1:8500", Complete: true}
-	for i := range fleet {
-		c.Endpoints = append(c.Endpoints, fleetEndpoint(i, endpoints.Up))
+	update := endpoints.Update{LastEvent: 1, DiscoveryAddr: "10.7.0.1:8500", Complete: true}
+	for i := range fleetSize {
+		update.Endpoints = append(update.Endpoints, fleetEndpoint(i, endpoints.Up))
 	}
-	return c
+	return update
 }
 
-// BenchmarkChange is one change of a cache in a fleet of 10,000, told as they come, on the file system. It holds the time
-// that the teller waits, the bytes on disk and the syncs of a change at 2 writes and 100 changes a second.
-func BenchmarkChange(b *testing.B) {
-	path := b.TempDir()
-	k, _, err := Open(env.NewSystem(io.Discard, slog.LevelInfo), path, Limits{8 << 20, 2})
+// openFleet opens a list on the file system and writes the fleet to it.
+func openFleet(b *testing.B, path string) *Snapshotter {
+	b.Helper()
+	s, _, err := Open(env.NewSystem(io.Discard, slog.LevelInfo), path, Limits{8 << 20, 2})
 	if err != nil {
 		b.Fatal(err)
 	}
-	k.Apply(fleetUpdate())
-	if err := k.flush(); err != nil {
+	s.Apply(fleetUpdate())
+	if err := s.flush(); err != nil {
 		b.Fatal(err)
 	}
-	n, writes, bytes, generation := 0, 0, int64(0), k.log.Generation()
-	size := k.log.Size()
+	return s
+}
+
+// BenchmarkApply takes one update of a cache in a fleet of 10,000, on the file system. It reports the time that the caller waits, and the
+// bytes on disk and the syncs of an update at 2 writes and 100 updates a second.
+func BenchmarkApply(b *testing.B) {
+	s := openFleet(b, b.TempDir())
+	updates, writes := 0, 0
+	bytes, size, generation := int64(0), s.log.Size(), s.log.Generation()
 	b.ReportAllocs()
 	for b.Loop() {
-		n++
-		k.Apply(endpoints.Update{LastEvent: int64(1 + n), Endpoints: []endpoints.Endpoint{fleetEndpoint(n%fleet, endpoints.Phase(n/fleet%2))}})
-		if n%50 == 0 { // half a second of them
+		updates++
+		s.Apply(endpoints.Update{LastEvent: int64(1 + updates), Endpoints: []endpoints.Endpoint{fleetEndpoint(updates%fleetSize, endpoints.Phase(updates/fleetSize%2))}})
+		if updates%50 == 0 { // half a second of them
 			b.StopTimer()
-			if err := k.flush(); err != nil {
+			if err := s.flush(); err != nil {
 				b.Fatal(err)
 			}
 			writes++
-			if g := k.log.Generation(); g != generation {
-				generation, size = g, 0
+			if g := s.log.Generation(); g != generation {
+				generation = g
+				size = 0
 			}
-			bytes += k.log.Size() - size
-			size = k.log.Size()
+			bytes += s.log.Size() - size
+			size = s.log.Size()
 			b.StartTimer()
 		}
 	}
-	b.ReportMetric(float64(bytes)/float64(max(1, n)), "disk-B/op")
-	b.ReportMetric(float64(writes)/float64(max(1, n)), "syncs/op")
-	k.log.Close()
+	b.ReportMetric(float64(bytes)/float64(max(1, updates)), "disk-B/op")
+	b.ReportMetric(float64(writes)/float64(max(1, updates)), "syncs/op")
+	s.log.Close()
 }
 
-// BenchmarkStart reads a list of 10,000 caches with 1,000 changes since its snapshot.
+// BenchmarkStart reads a list of 10,000 caches with 1,000 updates since its snapshot.
 func BenchmarkStart(b *testing.B) {
 	path := b.TempDir()
-	g := env.NewSystem(io.Discard, slog.LevelInfo)
-	k, _, err := Open(g, path, Limits{8 << 20, 2})
-	if err != nil {
-		b.Fatal(err)
-	}
-	k.Apply(fleetUpdate())
-	if err := k.flush(); err != nil {
-		b.Fatal(err)
-	}
+	s := openFleet(b, path)
 	for n := range 1000 {
-		k.Apply(endpoints.Update{LastEvent: int64(2 + n), Endpoints: []endpoints.Endpoint{fleetEndpoint(n, endpoints.Draining)}})
+		s.Apply(endpoints.Update{LastEvent: int64(2 + n), Endpoints: []endpoints.Endpoint{fleetEndpoint(n, endpoints.Draining)}})
 	}
-	if err := k.flush(); err != nil {
+	if err := s.flush(); err != nil {
 		b.Fatal(err)
 	}
-	k.log.Close()
+	s.log.Close()
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	var last *endpoints.State
 	b.ReportAllocs()
 	for b.Loop() {
-		kept, err := wal.Read(wal.OSDirectory{Path: path}, LogName)
+		contents, err := wal.Read(env.OSDirectory{Path: path}, LogName)
 		if err != nil {
 			b.Fatal(err)
 		}
-		if last, err = endpoints.Restore(kept.Snapshot, kept.Changes); err != nil || len(last.Endpoints) != fleet {
+		if last, err = endpoints.Restore(contents.Snapshot, contents.Changes); err != nil || len(last.Endpoints) != fleetSize {
 			b.Fatal(err)
 		}
 	}
--- /dev/null
+++ b/internal/store/snapshot/snapshotter_test.go
@@ -0,0 +1,266 @@
+package snapshot
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"log/slog"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"foldslip/internal/env"
+	"foldslip/internal/lab/simenv"
+	"foldslip/internal/store/endpoints"
+	"foldslip/internal/store/wal"
+)
+
+// testEnv is the system's environment with another directory.
+type testEnv struct {
+	env.Environment
+	directory env.Directory
+}
+
+func (e testEnv) OpenDirectory(string) (env.Directory, error) { return e.directory, nil }
+
+// newTestEnv returns an environment with a directory, and its log.
+func newTestEnv(directory env.Directory) (testEnv, *bytes.Buffer) {
+	log := &bytes.Buffer{}
+	return testEnv{env.NewSystem(log, slog.LevelInfo), directory}, log
+}
+
+// failingDirectory fails while an error is set, and counts its syncs.
+type failingDirectory struct {
+	*simenv.Disk
+	mu        sync.Mutex
+	err       error
+	syncCount int
+}
+
+func (d *failingDirectory) Create(name string) (env.File, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.err != nil {
+		return nil, d.err
+	}
+	f, err := d.Disk.Create(name)
+	return failingFile{f, d}, err
+}
+
+func (d *failingDirectory) setError(err error) {
+	d.mu.Lock()
+	d.err = err
+	d.mu.Unlock()
+}
+
+type failingFile struct {
+	env.File
+	directory *failingDirectory
+}
+
+func (f failingFile) Write(b []byte) (int, error) {
+	f.directory.mu.Lock()
+	defer f.directory.mu.Unlock()
+	if f.directory.err != nil {
+		return 0, f.directory.err
+	}
+	return f.File.Write(b)
+}
+
+func (f failingFile) Sync() error {
+	f.directory.mu.Lock()
+	defer f.directory.mu.Unlock()
+	f.directory.syncCount++
+	return f.File.Sync()
+}
+
+// numberedUpdate is the update of a number: fifty caches that come up, drain and go in turn.
+func numberedUpdate(n int64) endpoints.Update {
+	phase := []endpoints.Phase{endpoints.Up, endpoints.Draining, endpoints.Removed}[n/50%3]
+	return endpoints.Update{LastEvent: n, DiscoveryAddr: "10.7.0.1:8500", Endpoints: []endpoints.Endpoint{
+		{ID: fmt.Sprint("edge-", n%50), Addr: fmt.Sprint("10.1.0.1:", 1000+n%50), Zone: "town", MachineType: "edge", Phase: phase}}}
+}
+
+// stateAfter describes the list after so many numbered updates.
+func stateAfter(n int64) string {
+	s := endpoints.New()
+	for i := int64(1); i <= n; i++ {
+		s.Apply(numberedUpdate(i))
+	}
+	return describe(s)
+}
+
+func describe(s *endpoints.State) string {
+	text := fmt.Sprint(s.LastEvent)
+	for _, e := range s.Sorted() {
+		text += fmt.Sprint(" ", e.ID, e.Phase)
+	}
+	for _, t := range s.SortedTombstones() {
+		text += fmt.Sprint(" ", t.ID, t.Removed)
+	}
+	return text
+}
+
+var wideLimits = Limits{MaxBytes: 1 << 20, WritesPerSecond: 1000}
+
+// startSnapshotter opens a list and runs its writer until stop is called, at the latest at the end of the test.
+func startSnapshotter(t *testing.T, e env.Environment, limits Limits) (s *Snapshotter, stop func()) {
+	t.Helper()
+	s, damage, err := Open(e, "/list", limits)
+	if err != nil || damage != nil {
+		t.Fatal(damage, err)
+	}
+	lifetime := env.NewLifetime(nil)
+	ended := make(chan error)
+	go func() { ended <- s.Run(lifetime) }()
+	stop = sync.OnceFunc(func() {
+		lifetime.End()
+		<-ended
+	})
+	t.Cleanup(stop)
+	return s, stop
+}
+
+func waitFor(t *testing.T, what string, isDone func() bool) {
+	t.Helper()
+	for range 2000 {
+		if isDone() {
+			return
+		}
+		time.Sleep(time.Millisecond)
+	}
+	t.Fatal("waited in vain: ", what)
+}
+
+func TestUpdatesAreThereAtTheNextStart(t *testing.T) {
+	e, _ := newTestEnv(simenv.NewDisk())
+	s, stop := startSnapshotter(t, e, wideLimits)
+	for n := int64(1); n <= 170; n++ {
+		s.Apply(numberedUpdate(n))
+	}
+	stop()
+	s, _ = startSnapshotter(t, e, wideLimits)
+	if got := describe(s.State()); got != stateAfter(170) {
+		t.Error(got)
+	}
+}
+
+// A directory that fails is logged once, and once when it works again; no update is lost.
+func TestADirectoryThatFailsForAWhile(t *testing.T) {
+	directory := &failingDirectory{Disk: simenv.NewDisk()}
+	e, log := newTestEnv(directory)
+	s, stop := startSnapshotter(t, e, wideLimits)
+	s.Apply(numberedUpdate(1))
+	waitFor(t, "the first event on disk", func() bool { return s.DurableEvent() == 1 })
+	directory.setError(syscall.ENOSPC)
+	for n := int64(2); n <= 60; n++ {
+		s.Apply(numberedUpdate(n))
+		time.Sleep(100 * time.Microsecond)
+	}
+	directory.setError(nil)
+	waitFor(t, "all on disk", func() bool { return s.DurableEvent() == 60 })
+	stop()
+	if n := strings.Count(log.String(), "event=list_write_failed"); n != 1 || strings.Count(log.String(), "event=list_write_recovered ") != 1 ||
+		!strings.Contains(log.String(), "no space left") {
+		t.Error(log.String())
+	}
+	s, _ = startSnapshotter(t, e, wideLimits)
+	if got := describe(s.State()); got != stateAfter(60) {
+		t.Error(got)
+	}
+}
+
+func TestADirectoryThatAlwaysFailsCostsBoundedMemory(t *testing.T) {
+	directory := &failingDirectory{Disk: simenv.NewDisk()}
+	directory.setError(syscall.EROFS)
+	e, _ := newTestEnv(directory)
+	s, _ := startSnapshotter(t, e, wideLimits)
+	for n := int64(1); n <= 20000; n++ {
+		s.Apply(numberedUpdate(n))
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.pendingBytes > maxPendingBytes || len(s.state.Endpoints) > 50 || s.state.LastEvent != 20000 {
+		t.Error(s.pendingBytes, len(s.state.Endpoints), s.state.LastEvent)
+	}
+}
+
+func TestWritesAreRateLimited(t *testing.T) {
+	directory := &failingDirectory{Disk: simenv.NewDisk()}
+	e, _ := newTestEnv(directory)
+	s, stop := startSnapshotter(t, e, Limits{1 << 20, 20})
+	start := time.Now()
+	for n := int64(1); time.Since(start) < 300*time.Millisecond; n++ {
+		s.Apply(numberedUpdate(n))
+		time.Sleep(time.Millisecond)
+	}
+	elapsed := time.Since(start)
+	directory.mu.Lock()
+	syncs := directory.syncCount
+	directory.mu.Unlock()
+	stop()
+	if maxSyncs := maxWriteBurst + 2 + int(20*elapsed.Seconds()); syncs > maxSyncs || syncs < 2 {
+		t.Errorf("%d syncs in %v, at most %d", syncs, elapsed, maxSyncs)
+	}
+}
+
+func TestTheLogIsCompactedBelowTheSizeLimit(t *testing.T) {
+	directory := simenv.NewDisk()
+	e, _ := newTestEnv(directory)
+	s, stop := startSnapshotter(t, e, Limits{200 << 10, 1e6})
+	for n := int64(1); n <= 6000; n++ {
+		s.Apply(numberedUpdate(n))
+		if n%20 == 0 {
+			waitFor(t, "a write", func() bool { return s.DurableEvent() == n })
+		}
+	}
+	stop()
+	names, _ := directory.Names()
+	for _, name := range names {
+		if directory.Size(name) > 200<<10 {
+			t.Errorf("%s has %d bytes", name, directory.Size(name))
+		}
+	}
+	if len(names) > 3 || s.log.Generation() < 3 {
+		t.Error(names, s.log.Generation())
+	}
+}
+
+func TestAListAboveTheSizeLimitIsLogged(t *testing.T) {
+	e, log := newTestEnv(simenv.NewDisk())
+	s, stop := startSnapshotter(t, e, Limits{64 << 10, 1000})
+	update := endpoints.Update{LastEvent: 1, Complete: true}
+	for i := range 3000 {
+		update.Endpoints = append(update.Endpoints, endpoints.Endpoint{ID: fmt.Sprint("edge-", i), Addr: "10.1.0.1:1", Zone: "town", MachineType: "edge"})
+	}
+	s.Apply(update)
+	stop()
+	if !strings.Contains(log.String(), "list.bytes allows 65536") {
+		t.Error(log.String())
+	}
+}
+
+func TestASecondProcessIsLockedOut(t *testing.T) {
+	e, _ := newTestEnv(simenv.NewDisk())
+	startSnapshotter(t, e, wideLimits)
+	if _, _, err := Open(e, "/list", wideLimits); !errors.Is(err, wal.ErrLocked) {
+		t.Error(err)
+	}
+}
+
+func TestEjectionsAreUpdatedWhenTheyChange(t *testing.T) {
+	e, _ := newTestEnv(simenv.NewDisk())
+	s, _ := startSnapshotter(t, e, wideLimits)
+	s.Apply(numberedUpdate(1))
+	s.UpdateHealth([]string{"edge-1"}, []string{"edge-1"})
+	first := s.State().Endpoints["edge-1"].EjectedAt
+	s.UpdateHealth(nil, []string{"edge-1"})
+	if now := s.State().Endpoints["edge-1"].EjectedAt; first == 0 || now != first {
+		t.Error(first, now)
+	}
+	if s.UpdateHealth(nil, nil); s.State().Endpoints["edge-1"].EjectedAt != 0 {
+		t.Error("it is still ejected")
+	}
+}
--- a/internal/store/wal/frozen_test.go
+++ b/internal/store/wal/frozen_test.go
@@ -6,17 +6,18 @@
 	"slices"
 	"testing"
 
+	"foldslip/internal/env"
 	"foldslip/internal/lab/frozen"
 	"foldslip/internal/store/wal"
 )
 
 // The files under testdata were written by the build before the names of Go changed.
 func TestGenerationFormsAndNamesAreUnchanged(t *testing.T) {
-	old, err := wal.OpenOSDirectory(t.TempDir())
+	old, err := env.OpenOSDirectory(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	fresh, err := wal.OpenOSDirectory(t.TempDir())
+	fresh, err := env.OpenOSDirectory(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/store/wal/kill_test.go
+++ b/internal/store/wal/kill_test.go
@@ -11,30 +11,37 @@
 	"testing"
 	"time"
 
+	"foldslip/internal/env"
 	"foldslip/internal/store/wal"
 )
 
-// TestMain is the process that is killed, where it is told so: it counts up on disk, and says each number once it is synced.
+// countIn names the directory in which this program counts, as the process that the test kills.
+const countIn = "FOLDSLIP_COUNT_ON"
+
 func TestMain(m *testing.M) {
-	path := os.Getenv("FOLDSLIP_COUNT_ON")
-	if path == "" {
-		os.Exit(m.Run())
+	if path := os.Getenv(countIn); path != "" {
+		countForever(path)
 	}
-	r, kept, err := wal.Open(wal.OSDirectory{Path: path}, "count")
+	os.Exit(m.Run())
+}
+
+// countForever counts up in a log and prints each number once it is synced.
+func countForever(path string) {
+	log, contents, err := wal.Open(env.OSDirectory{Path: path}, "count")
 	if err != nil {
 		panic(err)
 	}
-	n := countEntries(kept)
-	if err := r.WriteSnapshot(binary.LittleEndian.AppendUint64(nil, n)); err != nil {
+	n := lastCount(contents)
+	if err := log.WriteSnapshot(binary.LittleEndian.AppendUint64(nil, n)); err != nil {
 		panic(err)
 	}
 	for {
 		n++
-		text := binary.LittleEndian.AppendUint64(nil, n)
+		entry := binary.LittleEndian.AppendUint64(nil, n)
 		if n%7 == 0 {
-			err = r.WriteSnapshot(text)
+			err = log.WriteSnapshot(entry)
 		} else {
-			err = r.Append(text)
+			err = log.Append(entry)
 		}
 		if err != nil {
 			panic(err)
@@ -43,63 +50,70 @@
 	}
 }
 
-func countEntries(k wal.Contents) uint64 {
-	if k.Generation == 0 {
+func lastCount(contents wal.Contents) uint64 {
+	if contents.Generation == 0 {
 		return 0
 	}
-	last := k.Snapshot
-	if n := len(k.Changes); n > 0 {
-		last = k.Changes[n-1]
+	last := contents.Snapshot
+	if n := len(contents.Changes); n > 0 {
+		last = contents.Changes[n-1]
 	}
 	return binary.LittleEndian.Uint64(last)
 }
 
-// A process that is killed at random points, again and again on one folder: what it said was synced is there, and at most
-// the one change that was under way beside it. FOLDSLIP_KILLS sets how often, for a long measurement.
+// killCounter starts a process that counts, kills it after a time, and returns the last number that it printed; 0: none.
+func killCounter(t *testing.T, path string, after time.Duration) (printed uint64) {
+	t.Helper()
+	cmd := exec.Command(os.Args[0])
+	cmd.Env = append(os.Environ(), countIn+"="+path)
+	out, err := cmd.StdoutPipe()
+	if err != nil || cmd.Start() != nil {
+		t.Fatal(err)
+	}
+	defer cmd.Wait()
+	lines := bufio.NewReader(out)
+	line, err := lines.ReadString('\n') // it is at work
+	if err != nil {
+		t.Fatal("it did not start: ", err)
+	}
+	time.Sleep(after)
+	cmd.Process.Kill()
+	for ; err == nil; line, err = lines.ReadString('\n') {
+		if n, parseErr := strconv.ParseUint(strings.TrimSuffix(line, "\n"), 10, 64); parseErr == nil {
+			printed = n
+		}
+	}
+	return printed
+}
+
+// A process that is killed at random points, again and again in one directory: what it printed as synced is there, and at most the one
+// change that was under way beside it. FOLDSLIP_KILLS sets how often, for a long measurement.
 func TestAProcessKilledWhileItWrites(t *testing.T) {
 	kills, _ := strconv.Atoi(os.Getenv("FOLDSLIP_KILLS"))
 	if kills == 0 {
 		kills = 40
 	}
 	path := t.TempDir()
-	chance := rand.New(rand.NewPCG(1, 2))
-	said, moved := uint64(0), 0
+	random := rand.New(rand.NewPCG(1, 2))
+	synced := uint64(0)
+	advanced := 0
 	for i := range kills {
-		cmd := exec.Command(os.Args[0])
-		cmd.Env = append(os.Environ(), "FOLDSLIP_COUNT_ON="+path)
-		out, err := cmd.StdoutPipe()
-		if err != nil || cmd.Start() != nil {
-			t.Fatal(err)
-		}
-		lines := bufio.NewReader(out)
-		line, err := lines.ReadString('\n') // it is at work
-		if err != nil {
-			t.Fatal("it did not start: ", err)
-		}
-		time.Sleep(time.Duration(chance.IntN(5000)) * time.Microsecond)
-		cmd.Process.Kill()
-		before := said
-		for err == nil {
-			if n, bad := strconv.ParseUint(strings.TrimSuffix(line, "\n"), 10, 64); bad == nil && strings.HasSuffix(line, "\n") {
-				said = n
-			}
-			line, err = lines.ReadString('\n')
-		}
-		cmd.Wait()
-		if said > before {
-			moved++
+		before := synced
+		synced = killCounter(t, path, time.Duration(random.IntN(5000))*time.Microsecond)
+		if synced > before {
+			advanced++
 		}
-		kept, err := wal.Read(wal.OSDirectory{Path: path}, "count")
+		contents, err := wal.Read(env.OSDirectory{Path: path}, "count")
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := countEntries(kept); got != said && got != said+1 {
-			t.Fatalf("kill %d: %d on disk, %d were said to be synced", i, got, said)
+		if got := lastCount(contents); got != synced && got != synced+1 {
+			t.Fatalf("kill %d: %d on disk, %d were printed as synced", i, got, synced)
 		}
-		said = countEntries(kept)
+		synced = lastCount(contents)
 	}
-	if moved < kills/2 {
-		t.Errorf("only %d of %d lives wrote anything", moved, kills)
+	if advanced < kills/2 {
+		t.Errorf("only %d of %d processes wrote anything", advanced, kills)
 	}
-	t.Logf("%d kills, counted to %d", kills, said)
+	t.Logf("%d kills, counted to %d", kills, synced)
 }
--- /dev/null
+++ b/internal/store/wal/wal_test.go
@@ -0,0 +1,209 @@
+package wal_test
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"slices"
+	"testing"
+
+	"foldslip/internal/env"
+	"foldslip/internal/lab/simenv"
+	"foldslip/internal/store/wal"
+)
+
+// describe gives the contents as text: the snapshot and the changes since.
+func describe(c wal.Contents) string {
+	return fmt.Sprintf("%s+%s", c.Snapshot, bytes.Join(c.Changes, []byte(",")))
+}
+
+// writeEntries opens a log, writes snapshots and appends by a fixed script. It passes each state to onSynced once it is synced.
+func writeEntries(directory wal.Directory, onSynced func(state string)) error {
+	log, before, err := wal.Open(directory, "list")
+	if err != nil {
+		return err
+	}
+	defer log.Close()
+	snapshot := "s" + describe(before)[:1]
+	if err := log.WriteSnapshot([]byte(snapshot)); err != nil {
+		return err
+	}
+	state := snapshot + "+"
+	onSynced(state)
+	for i := range 6 {
+		change := fmt.Sprintf("c%d", i)
+		if err := log.Append([]byte(change)); err != nil {
+			return err
+		}
+		if state[len(state)-1] != '+' {
+			state += ","
+		}
+		state += change
+		onSynced(state)
+		if i == 3 {
+			if err := log.WriteSnapshot([]byte("t")); err != nil {
+				return err
+			}
+			state = "t+"
+			onSynced(state)
+		}
+	}
+	return nil
+}
+
+func ignoreState(string) {}
+
+func TestReadReturnsWhatWasWritten(t *testing.T) {
+	directory := simenv.NewDisk()
+	if contents, err := wal.Read(directory, "list"); err != nil || contents.Generation != 0 || contents.Snapshot != nil {
+		t.Fatalf("%+v, %v", contents, err)
+	}
+	last := ""
+	if err := writeEntries(directory, func(state string) { last = state }); err != nil {
+		t.Fatal(err)
+	}
+	contents, err := wal.Read(directory, "list")
+	if err != nil || describe(contents) != last || contents.Generation != 2 || contents.LostBytes != 0 {
+		t.Errorf("%s, expected %s, %+v, %v", describe(contents), last, contents, err)
+	}
+	if names, _ := directory.Names(); len(names) != 2 {
+		t.Errorf("files: %v", names)
+	}
+}
+
+func TestASecondProcessIsLockedOut(t *testing.T) {
+	directory, err := env.OpenOSDirectory(t.TempDir())
+	if err != nil {
+		t.Fatal(err)
+	}
+	log, _, err := wal.Open(directory, "list")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, _, err := wal.Open(directory, "list"); !errors.Is(err, wal.ErrLocked) {
+		t.Errorf("%v", err)
+	}
+	log.Close()
+	if log, _, err = wal.Open(directory, "list"); err != nil {
+		t.Fatal(err)
+	}
+	log.Close()
+}
+
+// A file that is cut or has a flipped byte gives the newest complete state, or the generation before.
+func TestDamagedFiles(t *testing.T) {
+	intact := simenv.NewDisk()
+	isSynced := map[string]bool{}
+	if err := writeEntries(intact, func(state string) { isSynced[state] = true }); err != nil {
+		t.Fatal(err)
+	}
+	for at := range intact.Size("list-2.rec") {
+		for _, cut := range []bool{true, false} {
+			directory := intact.Copy()
+			directory.Spoil("list-2.rec", at, cut)
+			contents, err := wal.Read(directory, "list")
+			if err != nil || !isSynced[describe(contents)] {
+				t.Fatalf("byte %d, cut %v: %s, %v", at, cut, describe(contents), err)
+			}
+			if contents.Generation == 1 && describe(contents) != "s++c0,c1,c2,c3" {
+				t.Fatalf("byte %d, cut %v: %s of the generation before", at, cut, describe(contents))
+			}
+			if log, _, err := wal.Open(directory, "list"); err != nil || log.WriteSnapshot([]byte("n")) != nil || log.Generation() != 3 {
+				t.Fatalf("byte %d: no new generation: %v", at, err)
+			}
+		}
+	}
+}
+
+// Power lost at any operation, with many random outcomes of what was not synced: nothing synced is lost.
+func TestPowerLoss(t *testing.T) {
+	var states []string
+	intact := simenv.NewDisk()
+	if err := writeEntries(intact, func(state string) { states = append(states, state) }); err != nil {
+		t.Fatal(err)
+	}
+	states = append(states, "") // behind the last there is none
+	for operations := range intact.Ops {
+		for seed := range uint64(40) {
+			directory := simenv.NewDisk()
+			directory.Left = operations
+			synced := "+"
+			if err := writeEntries(directory, func(state string) { synced = state }); err == nil {
+				t.Fatal("the power held")
+			}
+			directory.Crash(rand.New(rand.NewPCG(seed, 1)))
+			contents, err := wal.Read(directory, "list")
+			if err != nil {
+				t.Fatal(err)
+			}
+			underWay := states[slices.Index(states, synced)+1] // the first state where none was synced
+			if got := describe(contents); got != synced && got != underWay {
+				t.Fatalf("at operation %d, seed %d: %s, synced %s, under way %s", operations, seed, got, synced, underWay)
+			}
+		}
+	}
+}
+
+func TestANewerFormatIsRefusedAndLeftAlone(t *testing.T) {
+	directory, err := env.OpenOSDirectory(t.TempDir())
+	if err != nil {
+		t.Fatal(err)
+	}
+	header := wal.Header(wal.FormatVersion+1, 7)
+	if err := os.WriteFile(directory.Path+"/list-7.rec", header, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if _, _, err := wal.Open(directory, "list"); !errors.Is(err, wal.ErrNewerFormat) {
+		t.Errorf("%v", err)
+	}
+	if got, _ := os.ReadFile(directory.Path + "/list-7.rec"); !bytes.Equal(got, header) {
+		t.Error("the file was changed")
+	}
+}
+
+func TestAfterAFailedAppendASnapshotIsNeeded(t *testing.T) {
+	directory := simenv.NewDisk()
+	log, _, err := wal.Open(directory, "list")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := log.Append([]byte("a")); !errors.Is(err, wal.ErrSnapshotNeeded) {
+		t.Errorf("appended without a generation: %v", err)
+	}
+	if err := log.WriteSnapshot([]byte("a")); err != nil {
+		t.Fatal(err)
+	}
+	directory.Left = 0
+	if log.Append([]byte("b")) == nil {
+		t.Fatal("appended without power")
+	}
+	directory.Left = -1
+	if err := log.Append([]byte("c")); !errors.Is(err, wal.ErrSnapshotNeeded) {
+		t.Errorf("appended behind what may be torn: %v", err)
+	}
+	if err := log.WriteSnapshot([]byte("d")); err != nil || log.Append([]byte("e")) != nil {
+		t.Error(err)
+	}
+	if contents, _ := wal.Read(directory, "list"); describe(contents) != "d+e" {
+		t.Error(describe(contents))
+	}
+}
+
+func FuzzRead(f *testing.F) {
+	directory := simenv.NewDisk()
+	writeEntries(directory, ignoreState)
+	content, _ := directory.Read("list-2.rec")
+	f.Add(content)
+	f.Add(wal.Header(1, 2))
+	f.Fuzz(func(t *testing.T, content []byte) {
+		directory := simenv.NewDisk()
+		file, _ := directory.Create("list-2.rec")
+		file.Write(content)
+		contents, err := wal.Read(directory, "list")
+		if err == nil && contents.Generation == 2 && contents.Snapshot == nil {
+			t.Error("a generation without a snapshot")
+		}
+	})
+}
