--- /dev/null
+++ b/internal/warmstart/reconciler_test.go
@@ -0,0 +1,212 @@
+package warmstart
+
+import (
+	"bytes"
+	"fmt"
+	"log/slog"
+	"strings"
+	"testing"
+	"time"
+
+	"foldslip/internal/cacheregistry"
+	"foldslip/internal/dispatch"
+	"foldslip/internal/env"
+	"foldslip/internal/policy"
+	"foldslip/internal/purgelog"
+	"foldslip/internal/settings"
+	"foldslip/internal/store/endpoints"
+	"foldslip/internal/store/snapshot"
+)
+
+// recordingRouter records the endpoints that the policy's router gets.
+type recordingRouter struct {
+	dispatch.Router
+	kind policy.UpdateKind
+	rows map[string]policy.Endpoint // nil: none came
+}
+
+func (r *recordingRouter) UpdateEndpoints(now policy.Micros, kind policy.UpdateKind, list []policy.Endpoint) {
+	r.kind = kind
+	if kind != policy.UpdateDelta || r.rows == nil {
+		r.rows = map[string]policy.Endpoint{}
+	}
+	for _, e := range list {
+		r.rows[e.Cache.Name] = e
+	}
+	r.Router.UpdateEndpoints(now, kind, list)
+}
+
+// fixture is a reconciler over a list that an earlier gateway stored, and what it works with.
+type fixture struct {
+	log         bytes.Buffer
+	router      *recordingRouter
+	caches      *cacheregistry.Registry
+	purges      *purgelog.Log
+	snapshotter *snapshot.Snapshotter
+	reconciler  *Reconciler
+}
+
+var testSettings = []byte(`{"areas":["town"],"machine_types":["edge","parent","origin"],"classes":[{"name":"segment","aim":400000,"deadline":5000000,"effect":"idempotent"}],
+"specifics":{"parent_kind":1,"source_kind":2,"max_age":[0],"grace_for":[0],"pass_on":[false],"seats_by_zone":[1],"cleared_within":6000000}}`)
+
+// newFixture starts from a directory into which an earlier gateway wrote updates.
+func newFixture(t *testing.T, stored ...endpoints.Update) *fixture {
+	t.Helper()
+	f := &fixture{caches: &cacheregistry.Registry{}}
+	system := env.NewSystem(&f.log, slog.LevelInfo)
+	f.purges = &purgelog.Log{Clock: system, Retention: time.Hour}
+	platform, err := settings.Parse(testSettings)
+	if err != nil {
+		t.Fatal(err)
+	}
+	dispatcher := dispatch.New(system, 1, platform.Router, func(e policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
+		f.router = &recordingRouter{Router: start(e)}
+		return f.router
+	})
+	directory := t.TempDir()
+	earlier := openSnapshotter(t, system, directory)
+	for _, update := range stored {
+		earlier.Apply(update)
+	}
+	ended := env.NewLifetime(nil)
+	ended.End()
+	earlier.Run(ended)
+	f.snapshotter = openSnapshotter(t, system, directory)
+	f.reconciler = New(system, platform, dispatcher, f.caches, f.snapshotter)
+	return f
+}
+
+func openSnapshotter(t *testing.T, e env.Environment, directory string) *snapshot.Snapshotter {
+	t.Helper()
+	s, damage, err := snapshot.Open(e, directory, snapshot.Limits{MaxBytes: 1 << 20, WritesPerSecond: 100})
+	if damage != nil || err != nil {
+		t.Fatal(damage, err)
+	}
+	return s
+}
+
+func edge(id string, phase endpoints.Phase) endpoints.Endpoint {
+	return endpoints.Endpoint{ID: id, Addr: "10.0.0.1:" + fmt.Sprint(1000+len(id)+int(id[0])), Zone: "town", MachineType: "edge", Phase: phase}
+}
+
+var completeList = endpoints.Update{LastEvent: 40, Complete: true, DiscoveryAddr: "10.7.0.1:8500", Endpoints: []endpoints.Endpoint{edge("a", endpoints.Up), edge("b", endpoints.Up),
+	edge("c", endpoints.Draining)}}
+
+func TestStartFromStoredList(t *testing.T) {
+	t.Run("without a list there are no endpoints", func(t *testing.T) {
+		f := newFixture(t)
+		if n := f.reconciler.Start(f.purges); n != 0 || f.router.rows != nil {
+			t.Errorf("%d, %+v", n, f.router.rows)
+		}
+	})
+	t.Run("a draining cache is gone, the others are on probation", func(t *testing.T) {
+		f := newFixture(t, completeList)
+		f.reconciler.Start(f.purges)
+		if f.router.kind != policy.UpdateCached || len(f.router.rows) != 3 || f.router.rows["c"].State != policy.Gone {
+			t.Fatalf("%+v", f.router)
+		}
+		delete(f.router.rows, "c")
+		for _, row := range f.router.rows {
+			if row.Confidence != policy.OnProbation || row.StartedAt == 0 || row.State != policy.Ready {
+				t.Errorf("%+v", row)
+			}
+		}
+		if !strings.Contains(f.log.String(), "event=started_from_stored_list caches=3") {
+			t.Error(f.log.String())
+		}
+	})
+	t.Run("a cache that was ejected when the list was stored is suspect", func(t *testing.T) {
+		f := newFixture(t, completeList, endpoints.Update{HasHealth: true, Ejected: []string{"b"}})
+		f.reconciler.Start(f.purges)
+		if f.router.rows["a"].Confidence != policy.OnProbation || f.router.rows["b"].Confidence != policy.Suspect {
+			t.Errorf("%+v", f.router.rows)
+		}
+	})
+	t.Run("purges in force are applied, old ones not", func(t *testing.T) {
+		now := time.Now()
+		f := newFixture(t, completeList, endpoints.Update{Purges: []endpoints.Purge{{Object: "new", IssuedAt: now.UnixMilli()}, {Object: "old", IssuedAt: 1000}}})
+		f.reconciler.Start(f.purges)
+		if issuedAt, _ := f.purges.InForce("new", 0); issuedAt.UnixMilli() != now.UnixMilli() {
+			t.Error(issuedAt)
+		}
+		if issuedAt, _ := f.purges.InForce("old", 0); !issuedAt.IsZero() {
+			t.Error(issuedAt)
+		}
+	})
+	t.Run("hits confirm an endpoint, and the policy gets it as warm", func(t *testing.T) {
+		f := newFixture(t, completeList)
+		f.reconciler.Start(f.purges)
+		a := f.caches.Find("a").Policy
+		for range 8 {
+			f.reconciler.observe(a, a, policy.OutcomeSatisfied, policy.DetailHit)
+		}
+		f.reconciler.publishChanges()
+		if f.router.kind != policy.UpdateDelta || f.router.rows["a"].StartedAt != 0 || f.router.rows["b"].StartedAt == 0 {
+			t.Errorf("%+v", f.router)
+		}
+	})
+}
+
+// stateOfC returns the state in which the dispatcher gets c when a discovery event tells it as ready.
+func (f *fixture) stateOfC(event int64, startedAt policy.Micros) policy.EndpointState {
+	list := []policy.Endpoint{{Cache: f.caches.Register("c", "10.0.0.1:9").Policy, StartedAt: startedAt}}
+	f.reconciler.KeepDraining(event, false, []string{"c"}, list)
+	return list[0].State
+}
+
+func TestKnownDrains(t *testing.T) {
+	requireState := func(t *testing.T, got, want policy.EndpointState) {
+		t.Helper()
+		if got != want {
+			t.Errorf("state %v, want %v", got, want)
+		}
+	}
+	t.Run("hold against a discovery service that is behind the list", func(t *testing.T) {
+		f := newFixture(t, completeList)
+		requireState(t, f.stateOfC(3, 0), policy.Draining)
+	})
+	t.Run("end with a later event", func(t *testing.T) {
+		f := newFixture(t, completeList)
+		requireState(t, f.stateOfC(41, 0), policy.Ready)
+	})
+	t.Run("end with a later start of the cache", func(t *testing.T) {
+		f := newFixture(t, completeList)
+		requireState(t, f.stateOfC(3, time.Now().Add(time.Second).UnixMicro()), policy.Ready)
+	})
+	t.Run("hold until drainHold after the start, however old", func(t *testing.T) {
+		f := newFixture(t, completeList)
+		f.reconciler.knownDrains["c"].tombstone.At -= 24 * time.Hour.Milliseconds()
+		requireState(t, f.stateOfC(3, 0), policy.Draining)
+		f.reconciler.startedAt = f.reconciler.startedAt.Add(-drainHold)
+		requireState(t, f.stateOfC(3, 0), policy.Ready)
+	})
+}
+
+func TestDiscoveryComesBack(t *testing.T) {
+	t.Run("a complete list ends the use of the stored one, and is logged", func(t *testing.T) {
+		f := newFixture(t, completeList)
+		f.reconciler.Start(f.purges)
+		f.reconciler.KeepDraining(1, true, []string{"a", "d"}, make([]policy.Endpoint, 2))
+		f.router.rows = nil
+		a := f.caches.Find("a").Policy
+		f.reconciler.observe(a, a, policy.OutcomeSatisfied, policy.DetailHit)
+		if f.reconciler.publishChanges(); f.router.rows != nil {
+			t.Error("the stored list follows discovery's")
+		}
+		f.reconciler.Apply(endpoints.Update{LastEvent: 1, Complete: true, Endpoints: []endpoints.Endpoint{edge("a", endpoints.Up), edge("d", endpoints.Up)}})
+		if !strings.Contains(f.log.String(), "event=stored_list_replaced") || !strings.Contains(f.log.String(), "discovered=2 stored=3 in_both=1") {
+			t.Error(f.log.String())
+		}
+		if list := f.snapshotter.State(); list.Endpoints["d"].ID == "" || list.Endpoints["b"].ID != "" || list.Tombstones["b"].ID == "" {
+			t.Errorf("%+v", list)
+		}
+	})
+	t.Run("event numbers below the last known, three in a row, mean that discovery began anew", func(t *testing.T) {
+		f := newFixture(t, completeList)
+		for i, reported := range []int64{3, 3, 41, 3, 3, 3} {
+			if hasRestarted := f.reconciler.ObserveEventNumber(reported, 41); hasRestarted != (i == 5) {
+				t.Errorf("%d: %v", i, hasRestarted)
+			}
+		}
+	})
+}
