--- a/internal/store/snapshot/snapshotter_test.go
+++ b/internal/store/snapshot/snapshotter_test.go
@@ -33,7 +33,7 @@
 
 // failingDirectory fails while an error is set, and counts its syncs.
 type failingDirectory struct {
-	*simenv.Disk
+	*simenv.Directory
 	mu        sync.Mutex
 	err       error
 	syncCount int
@@ -45,7 +45,7 @@
 	if d.err != nil {
 		return nil, d.err
 	}
-	f, err := d.Disk.Create(name)
+	f, err := d.Directory.Create(name)
 	return failingFile{f, d}, err
 }
 
@@ -135,7 +135,7 @@
 }
 
 func TestUpdatesAreThereAtTheNextStart(t *testing.T) {
-	e, _ := newTestEnv(simenv.NewDisk())
+	e, _ := newTestEnv(simenv.NewDirectory())
 	s, stop := startSnapshotter(t, e, wideLimits)
 	for n := int64(1); n <= 170; n++ {
 		s.Apply(numberedUpdate(n))
@@ -149,7 +149,7 @@
 
 // A directory that fails is logged once, and once when it works again; no update is lost.
 func TestADirectoryThatFailsForAWhile(t *testing.T) {
-	directory := &failingDirectory{Disk: simenv.NewDisk()}
+	directory := &failingDirectory{Directory: simenv.NewDirectory()}
 	e, log := newTestEnv(directory)
 	s, stop := startSnapshotter(t, e, wideLimits)
 	s.Apply(numberedUpdate(1))
@@ -173,7 +173,7 @@
 }
 
 func TestADirectoryThatAlwaysFailsCostsBoundedMemory(t *testing.T) {
-	directory := &failingDirectory{Disk: simenv.NewDisk()}
+	directory := &failingDirectory{Directory: simenv.NewDirectory()}
 	directory.setError(syscall.EROFS)
 	e, _ := newTestEnv(directory)
 	s, _ := startSnapshotter(t, e, wideLimits)
@@ -188,7 +188,7 @@
 }
 
 func TestWritesAreRateLimited(t *testing.T) {
-	directory := &failingDirectory{Disk: simenv.NewDisk()}
+	directory := &failingDirectory{Directory: simenv.NewDirectory()}
 	e, _ := newTestEnv(directory)
 	s, stop := startSnapshotter(t, e, Limits{1 << 20, 20})
 	start := time.Now()
@@ -207,7 +207,7 @@
 }
 
 func TestTheLogIsCompactedBelowTheSizeLimit(t *testing.T) {
-	directory := simenv.NewDisk()
+	directory := simenv.NewDirectory()
 	e, _ := newTestEnv(directory)
 	s, stop := startSnapshotter(t, e, Limits{200 << 10, 1e6})
 	for n := int64(1); n <= 6000; n++ {
@@ -229,7 +229,7 @@
 }
 
 func TestAListAboveTheSizeLimitIsLogged(t *testing.T) {
-	e, log := newTestEnv(simenv.NewDisk())
+	e, log := newTestEnv(simenv.NewDirectory())
 	s, stop := startSnapshotter(t, e, Limits{64 << 10, 1000})
 	update := endpoints.Update{LastEvent: 1, Complete: true}
 	for i := range 3000 {
@@ -243,7 +243,7 @@
 }
 
 func TestASecondProcessIsLockedOut(t *testing.T) {
-	e, _ := newTestEnv(simenv.NewDisk())
+	e, _ := newTestEnv(simenv.NewDirectory())
 	startSnapshotter(t, e, wideLimits)
 	if _, _, err := Open(e, "/list", wideLimits); !errors.Is(err, wal.ErrLocked) {
 		t.Error(err)
@@ -251,7 +251,7 @@
 }
 
 func TestEjectionsAreUpdatedWhenTheyChange(t *testing.T) {
-	e, _ := newTestEnv(simenv.NewDisk())
+	e, _ := newTestEnv(simenv.NewDirectory())
 	s, _ := startSnapshotter(t, e, wideLimits)
 	s.Apply(numberedUpdate(1))
 	s.UpdateHealth([]string{"edge-1"}, []string{"edge-1"})
--- a/internal/store/wal/wal_test.go
+++ b/internal/store/wal/wal_test.go
@@ -56,7 +56,7 @@
 func ignoreState(string) {}
 
 func TestReadReturnsWhatWasWritten(t *testing.T) {
-	directory := simenv.NewDisk()
+	directory := simenv.NewDirectory()
 	if contents, err := wal.Read(directory, "list"); err != nil || contents.Generation != 0 || contents.Snapshot != nil {
 		t.Fatalf("%+v, %v", contents, err)
 	}
@@ -94,7 +94,7 @@
 
 // A file that is cut or has a flipped byte gives the newest complete state, or the generation before.
 func TestDamagedFiles(t *testing.T) {
-	intact := simenv.NewDisk()
+	intact := simenv.NewDirectory()
 	isSynced := map[string]bool{}
 	if err := writeEntries(intact, func(state string) { isSynced[state] = true }); err != nil {
 		t.Fatal(err)
@@ -102,7 +102,7 @@
 	for at := range intact.Size("list-2.rec") {
 		for _, cut := range []bool{true, false} {
 			directory := intact.Copy()
-			directory.Spoil("list-2.rec", at, cut)
+			directory.Corrupt("list-2.rec", at, cut)
 			contents, err := wal.Read(directory, "list")
 			if err != nil || !isSynced[describe(contents)] {
 				t.Fatalf("byte %d, cut %v: %s, %v", at, cut, describe(contents), err)
@@ -120,15 +120,15 @@
 // Power lost at any operation, with many random outcomes of what was not synced: nothing synced is lost.
 func TestPowerLoss(t *testing.T) {
 	var states []string
-	intact := simenv.NewDisk()
+	intact := simenv.NewDirectory()
 	if err := writeEntries(intact, func(state string) { states = append(states, state) }); err != nil {
 		t.Fatal(err)
 	}
 	states = append(states, "") // behind the last there is none
 	for operations := range intact.Ops {
 		for seed := range uint64(40) {
-			directory := simenv.NewDisk()
-			directory.Left = operations
+			directory := simenv.NewDirectory()
+			directory.OpsLeft = operations
 			synced := "+"
 			if err := writeEntries(directory, func(state string) { synced = state }); err == nil {
 				t.Fatal("the power held")
@@ -164,7 +164,7 @@
 }
 
 func TestAfterAFailedAppendASnapshotIsNeeded(t *testing.T) {
-	directory := simenv.NewDisk()
+	directory := simenv.NewDirectory()
 	log, _, err := wal.Open(directory, "list")
 	if err != nil {
 		t.Fatal(err)
@@ -175,11 +175,11 @@
 	if err := log.WriteSnapshot([]byte("a")); err != nil {
 		t.Fatal(err)
 	}
-	directory.Left = 0
+	directory.OpsLeft = 0
 	if log.Append([]byte("b")) == nil {
 		t.Fatal("appended without power")
 	}
-	directory.Left = -1
+	directory.OpsLeft = -1
 	if err := log.Append([]byte("c")); !errors.Is(err, wal.ErrSnapshotNeeded) {
 		t.Errorf("appended behind what may be torn: %v", err)
 	}
@@ -192,13 +192,13 @@
 }
 
 func FuzzRead(f *testing.F) {
-	directory := simenv.NewDisk()
+	directory := simenv.NewDirectory()
 	writeEntries(directory, ignoreState)
 	content, _ := directory.Read("list-2.rec")
 	f.Add(content)
 	f.Add(wal.Header(1, 2))
 	f.Fuzz(func(t *testing.T, content []byte) {
-		directory := simenv.NewDisk()
+		directory := simenv.NewDirectory()
 		file, _ := directory.Create("list-2.rec")
 		file.Write(content)
 		contents, err := wal.Read(directory, "list")
