--- a/internal/extproc/door.go
+++ b/internal/extproc/door.go
@@ -121,7 +121,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	odd := maps.Clone(d.anomalies)
-	for k, n := range d.coordinator.Anomalies {
+	for k, n := range d.coordinator.Anomalies() {
 		odd[k] += n
 	}
 	return odd
@@ -154,7 +154,7 @@
 
 // notifyReady notes that the router has steps for a lookup; it is called under the facade's lock.
 func (d *Server) notifyReady(lk *retry.Lookup) {
-	if lk.IsClaimed() {
+	if lk.IsHandled() {
 		return
 	}
 	d.readyMu.Lock()
@@ -211,9 +211,9 @@
 func (d *Server) apply(do retry.Commands) {
 	for _, t := range do.Reports {
 		d.tracer.AttemptEnded(t.Lookup, t)
-		t.Lookup.AddClaim(1)
+		t.Lookup.BeginHandling()
 		d.dispatcher.AttemptEnded(t.Lookup.Dispatched, t.Attempt, t.Outcome, t.Detail, t.SourceWait)
-		t.Lookup.AddClaim(-1)
+		t.Lookup.EndHandling()
 	}
 	for _, lk := range do.Gone {
 		d.dispatcher.ClientGone(lk.Dispatched)
@@ -371,10 +371,10 @@
 		lk.Ticket, scope = pass, pass.Scope()
 	}
 	lk.ArrivedAt = came
-	lk.AddClaim(1)
+	lk.BeginHandling()
 	lk.Dispatched = d.dispatcher.Submit(dispatch.Request{ID: a.ID, Kind: a.Kind, Object: a.Object, Part: a.Part, Group: a.Group, SizeKB: a.KB,
 		Deadline: until, Scope: scope, OnReady: func() { d.notifyReady(lk) }})
-	lk.AddClaim(-1)
+	lk.EndHandling()
 	if lk.Dispatched == nil {
 		d.coordinator.Discard(lk)
 		d.mu.Unlock()
@@ -425,7 +425,7 @@
 			}
 		}
 	}
-	do := d.coordinator.ReportOutcome(d.environment.Now(), &st.handle, r.outcome, r.detail, r.sourceWait)
+	do := d.coordinator.ReportOutcome(&st.handle, r.outcome, r.detail, r.sourceWait)
 	d.mu.Unlock()
 	d.apply(do)
 }
--- a/internal/extproc/frozen_test.go
+++ b/internal/extproc/frozen_test.go
@@ -46,8 +46,12 @@
 	}
 	reply("go", d.replyFor(retry.Answer{Kind: retry.AnswerAttempt, Step: full, Lookup: &retry.Lookup{Ticket: routed}}))
 	reply("go without routes", d.replyFor(retry.Answer{Kind: retry.AnswerAttempt, Step: bare, Lookup: &retry.Lookup{}}))
-	for _, what := range []retry.AnswerKind{retry.AnswerAccepted, retry.AnswerAskAgain, retry.AnswerReject, retry.AnswerFail, retry.AnswerOpenElsewhere, retry.AnswerAlreadyGiven, retry.AnswerFull, retry.AnswerOutOfOrder} {
-		reply(what.String(), d.replyFor(retry.Answer{Kind: what, RetryAfter: 1500 * time.Millisecond}))
+	for _, answer := range []struct {
+		name string
+		kind retry.AnswerKind
+	}{{"accepted", retry.AnswerAccepted}, {"again", retry.AnswerAskAgain}, {"nack", retry.AnswerReject}, {"fail", retry.AnswerFail}, {"twice", retry.AnswerOpenElsewhere},
+		{"known", retry.AnswerAlreadyGiven}, {"full", retry.AnswerFull}, {"disorder", retry.AnswerOutOfOrder}} {
+		reply(answer.name, d.replyFor(retry.Answer{Kind: answer.kind, RetryAfter: 1500 * time.Millisecond}))
 	}
 	for end := NotEnded; end <= EndedClosing; end++ {
 		fmt.Fprintf(&got, "end %d %s\n", end, end.Error())
