--- a/internal/simadapter/protocol.go
+++ b/internal/simadapter/protocol.go
@@ -22,8 +22,8 @@
 const (
 	messageStart         = "UP"
 	messageStop          = "STOP"
-	messageEndpoints     = "VIEW"  // and so many rows of
-	messageEndpoint      = "CACHE" //
+	messageEndpoints     = "VIEW"  // its rows follow
+	messageEndpoint      = "CACHE" // one such row
 	messageLookup        = "ASK"
 	messageAttemptEnded  = "RESULT"
 	messageClientGone    = "ABANDONED"
