--- /dev/null
+++ b/internal/fleet/transport/transport_test.go
@@ -0,0 +1,90 @@
+package transport
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/netip"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// listen opens a transport on a loopback network of this process until the test ends, and returns its address too.
+func listen(t *testing.T, host int, counts *Counts) (*Transport, string) {
+	t.Helper()
+	addr := netip.MustParseAddrPort(fmt.Sprintf("127.%d.%d.%d:7946", 200+os.Getpid()>>8%40, os.Getpid()%250, host))
+	transport, err := Listen(addr, addr, counts, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { transport.Shutdown() })
+	return transport, addr.String()
+}
+
+// Datagrams and dialled streams come from the address where the sender listens, and are counted on both sides.
+func TestPacketsAndStreamsComeFromTheListenAddress(t *testing.T) {
+	var senderCounts, receiverCounts Counts
+	sender, senderAddr := listen(t, 1, &senderCounts)
+	receiver, receiverAddr := listen(t, 2, &receiverCounts)
+	if _, err := sender.WriteTo([]byte("hello"), receiverAddr); err != nil {
+		t.Fatal(err)
+	}
+	packet := <-receiver.PacketCh()
+	if string(packet.Buf) != "hello" || packet.From.String() != senderAddr {
+		t.Errorf("%q from %v", packet.Buf, packet.From)
+	}
+	dialled, err := sender.DialTimeout(receiverAddr, time.Second)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer dialled.Close()
+	accepted := <-receiver.StreamCh()
+	defer accepted.Close()
+	from, _, _ := net.SplitHostPort(accepted.RemoteAddr().String())
+	if netip.MustParseAddr(from) != netip.MustParseAddrPort(senderAddr).Addr() {
+		t.Error("the stream comes from", from)
+	}
+	go dialled.Write([]byte("whole state"))
+	got := make([]byte, 11)
+	if _, err := io.ReadFull(accepted, got); err != nil || !bytes.Equal(got, []byte("whole state")) {
+		t.Errorf("%q %v", got, err)
+	}
+	if senderCounts.PacketsOut.Load() != 1 || senderCounts.StreamsOut.Load() != 1 {
+		t.Error("the sender does not count")
+	}
+	if receiverCounts.BytesIn.Load() != 5 || receiverCounts.StreamBytes.Load() != 11 {
+		t.Error("the receiver does not count")
+	}
+}
+
+// Datagrams beyond the bound of those that wait are dropped and counted.
+func TestUnreadPacketsAreDroppedAndCounted(t *testing.T) {
+	var senderCounts, receiverCounts Counts
+	sender, _ := listen(t, 3, &senderCounts)
+	_, receiverAddr := listen(t, 4, &receiverCounts)
+	for range maxQueuedPackets + 200 {
+		sender.WriteTo([]byte("x"), receiverAddr)
+		time.Sleep(20 * time.Microsecond)
+	}
+	for deadline := time.Now().Add(5 * time.Second); receiverCounts.Dropped.Load() == 0; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("nothing is dropped")
+		}
+	}
+}
+
+// The error of an address in use names the setting that has it.
+func TestAddressInUseNamesTheSetting(t *testing.T) {
+	var counts Counts
+	_, addr := listen(t, 5, &counts)
+	_, err := Listen(netip.MustParseAddrPort(addr), netip.MustParseAddrPort(addr), &counts, slog.Default())
+	if !errors.Is(err, syscall.EADDRINUSE) || !strings.Contains(err.Error(), "fleet.listen") {
+		t.Error(err)
+	}
+}
--- a/internal/lab/scenario/stories_test.go
+++ b/internal/lab/scenario/stories_test.go
@@ -165,7 +165,7 @@
 			if float64(r.EarlyLookups.Satisfied) < share*float64(r.EarlyLookups.Sent) {
 				return fmt.Sprintf("under %.2f of the first lookups satisfied", share)
 			}
-			if r.Reasons["from_list"] == 0 {
+			if r.Reasons["started_from_stored_list"] == 0 {
 				return "not started from the list"
 			}
 			return ""
@@ -186,7 +186,7 @@
 		{"the bulletin comes back with its numbers from 1", ColdStart{AgeSeconds: 60, AwayMS: 9000, NumbersRestarted: true}, least(0.97)},
 		{"the bulletin comes back, behind the list by a drain", ColdStart{AgeSeconds: 60, AwayMS: 3000, DrainUnannounced: true}, least(0.97)},
 		{"the last bytes of the list are torn", ColdStart{AgeSeconds: 60, Torn: true, AwayMS: 3000}, func(r Result) string {
-			if r.Reasons["list_torn"]+r.Reasons["from_list"] == 0 {
+			if r.Reasons["list_torn"]+r.Reasons["started_from_stored_list"] == 0 {
 				return "nothing was read"
 			}
 			return ""
@@ -204,7 +204,7 @@
 		runColdStart(t, ColdStart{AgeSeconds: 60, AwayMS: 1}, []Fault{{AtMS: 5000, Kind: "cache_drain", Target: 1, DurationMS: 20000},
 			{AtMS: 9000, Kind: "gateway_kill", Target: 0, DurationMS: 1000}, {AtMS: 9000, Kind: "gateway_kill", Target: 1, DurationMS: 1000}, {AtMS: 9000, Kind: "gateway_kill", Target: 2, DurationMS: 1000},
 			{AtMS: 9100, Kind: "bulletin_gone", Target: 0, DurationMS: 12000}, {AtMS: 9100, Kind: "bulletin_gone", Target: 1, DurationMS: 12000}}, func(r Result) string {
-			if r.Reasons["from_list"] < 4 {
+			if r.Reasons["started_from_stored_list"] < 4 {
 				return "nobody started from the list once more"
 			}
 			return ""
