--- a/internal/config/change/frozen_test.go
+++ b/internal/config/change/frozen_test.go
@@ -8,8 +8,8 @@
 	"foldslip/internal/lab/frozen"
 )
 
-// keepsForm checks that a CBOR file decodes into a pointer and encodes to the same bytes again.
-func keepsForm(t *testing.T, name string, into any) {
+// requireSameForm checks that a CBOR file decodes into a pointer and encodes to the same bytes again.
+func requireSameForm(t *testing.T, name string, into any) {
 	t.Helper()
 	if err := cbor.Unmarshal(frozen.Read(t, name), into); err != nil {
 		t.Fatal(name, err)
@@ -24,15 +24,15 @@
 // The files under testdata were written by the build before the names of Go changed.
 func TestStepFormsAreUnchanged(t *testing.T) {
 	var step Step
-	keepsForm(t, "step.cbor", &step)
+	requireSameForm(t, "step.cbor", &step)
 	frozen.Complete(t, "step.cbor", step)
-	keepsForm(t, "empty-step.cbor", &Step{})
+	requireSameForm(t, "empty-step.cbor", &Step{})
 	frozen.JSON(t, "step.json", &Step{}, true)
 }
 
 func TestStoredStageNamesAreUnchanged(t *testing.T) {
 	var steps []Step
-	keepsForm(t, "stages.cbor", &steps)
+	requireSameForm(t, "stages.cbor", &steps)
 	want := []Stage{Proposed, Checked, Staged, Applied, Confirmed, RolledBack, Archived}
 	if len(steps) != len(want) {
 		t.Fatal(steps)
--- /dev/null
+++ b/internal/config/change/versions.go
@@ -0,0 +1,245 @@
+package change
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"time"
+)
+
+const (
+	maxTextBytes         = 1 << 20
+	maxAuthorReasonBytes = 500
+	maxVersions          = 64 // retained with their text; older ones are forgotten, never the confirmed one
+	maxTimeout           = 24 * time.Hour
+)
+
+type version struct {
+	number, parent uint64
+	stage          Stage
+	author, reason string
+	text           []byte
+	rollbackReason string
+	findings       []Finding
+}
+
+func (v *version) info() VersionInfo {
+	return VersionInfo{Version: v.number, Parent: v.parent, Stage: v.stage, Author: v.author, Reason: v.reason, RollbackReason: v.rollbackReason}
+}
+
+// Versions are the versions of one configuration, and the change in progress. They are bounded by maxVersions of maxTextBytes and not safe
+// for concurrent use.
+type Versions struct {
+	versions   []*version // by number
+	lastNumber uint64
+	confirmed  uint64
+	inProgress *version // nil: no change is in progress
+	share      float64  // of the change in progress, while it is staged
+	deadline   time.Time
+	timeout    time.Duration
+}
+
+// New begins with a first version, which is confirmed, and returns its step.
+func New(text []byte, author string) (*Versions, Step) {
+	first := &version{number: 1, stage: Confirmed, author: author, reason: "first", text: slices.Clone(text)}
+	v := &Versions{versions: []*version{first}, lastNumber: 1, confirmed: 1}
+	return v, Step{Version: 1, Stage: Confirmed, Author: author, Reason: first.reason, Text: slices.Clone(text)}
+}
+
+// Active returns the versions that are active now.
+func (v *Versions) Active() Active {
+	active := Active{Base: v.confirmed}
+	if v.inProgress != nil {
+		switch v.inProgress.stage {
+		case Staged:
+			active.Next = v.inProgress.number
+			active.Share = v.share
+		case Applied:
+			active.Base = v.inProgress.number
+		}
+	}
+	return active
+}
+
+// Text returns a version's configuration, nil if it is not retained. The caller must not change it.
+func (v *Versions) Text(number uint64) []byte {
+	if found := v.find(number); found != nil {
+		return found.text
+	}
+	return nil
+}
+
+func (v *Versions) find(number uint64) *version {
+	i, isFound := slices.BinarySearchFunc(v.versions, number, func(candidate *version, number uint64) int { return cmp.Compare(candidate.number, number) })
+	if !isFound {
+		return nil
+	}
+	return v.versions[i]
+}
+
+// Propose begins a change of the version that its author has seen.
+func (v *Versions) Propose(parent uint64, text []byte, author, reason string) (Step, error) {
+	switch {
+	case v.inProgress != nil:
+		return Step{}, newError(fmt.Sprintf("confirm or undo version %d first", v.inProgress.number), "version %d of %s is under way (%s)",
+			v.inProgress.number, v.inProgress.author, v.inProgress.stage)
+	case parent != v.confirmed:
+		return Step{}, newError("look at what has changed since, and propose against it", "version %d is in force, the change is of %d", v.confirmed, parent)
+	case len(text) == 0 || len(text) > maxTextBytes:
+		return Step{}, newError(fmt.Sprintf("1 to %d", maxTextBytes), "%d bytes", len(text))
+	case author == "" || reason == "" || len(author)+len(reason) > maxAuthorReasonBytes:
+		return Step{}, newError(fmt.Sprintf("name both, in %d bytes at most", maxAuthorReasonBytes), "author or reason is missing or too long")
+	}
+	v.lastNumber++
+	proposed := &version{number: v.lastNumber, parent: parent, stage: Proposed, author: author, reason: reason, text: slices.Clone(text)}
+	v.versions = append(v.versions, proposed)
+	v.inProgress = proposed
+	v.dropOldest()
+	return Step{Version: proposed.number, Parent: parent, Stage: Proposed, Author: author, Reason: reason, Text: slices.Clone(text)}, nil
+}
+
+// ProposeEarlier proposes the text of an earlier version as a change of the confirmed one. It is checked, staged and confirmed like any other,
+// since what it refers to may have changed.
+func (v *Versions) ProposeEarlier(number uint64, author, reason string) (Step, error) {
+	earlier := v.find(number)
+	switch {
+	case earlier == nil:
+		return Step{}, newError("see history", "version %d is not kept", number)
+	case earlier.number == v.confirmed:
+		return Step{}, newError("name another", "version %d is in force", number)
+	}
+	return v.Propose(v.confirmed, earlier.text, author, reason)
+}
+
+// dropOldest forgets the oldest versions past the bound.
+func (v *Versions) dropOldest() {
+	for len(v.versions) > maxVersions {
+		i := slices.IndexFunc(v.versions, func(candidate *version) bool { return candidate.number != v.confirmed && candidate != v.inProgress })
+		v.versions = slices.Delete(v.versions, i, i+1)
+	}
+}
+
+// requireStage checks that a version is in progress and at one of these stages.
+func (v *Versions) requireStage(number uint64, stages ...Stage) error {
+	switch {
+	case v.inProgress == nil:
+		return newError("propose it", "version %d is not under way, none is", number)
+	case v.inProgress.number != number:
+		return newError("name that one", "version %d is not under way, %d is", number, v.inProgress.number)
+	case !slices.Contains(stages, v.inProgress.stage):
+		return newError(fmt.Sprintf("expected one of %v", stages), "version %d is %s", number, v.inProgress.stage)
+	}
+	return nil
+}
+
+// Check notes what the checks have found. An error among the findings rolls the change back, and the step says so.
+func (v *Versions) Check(number uint64, findings []Finding) (Step, error) {
+	if err := v.requireStage(number, Proposed, Checked); err != nil {
+		return Step{}, err
+	}
+	for _, f := range findings {
+		if f.IsError {
+			return v.rollBack(fmt.Sprintf("%s: %s", f.Path, f.Text), findings), nil
+		}
+	}
+	v.inProgress.stage = Checked
+	v.inProgress.findings = findings
+	return Step{Version: number, Parent: v.inProgress.parent, Stage: Checked, Findings: findings}, nil
+}
+
+// Stage makes a checked change active for a share of the objects, or moves the share of one that is staged. Without a further step within the
+// timeout it is rolled back.
+func (v *Versions) Stage(now time.Time, number uint64, share float64, timeout time.Duration) (Step, error) {
+	if err := v.requireStage(number, Checked, Staged); err != nil {
+		return Step{}, err
+	}
+	if !(share > 0 && share < 1) {
+		return Step{}, newError("above 0 and below 1; apply is for all", "share %g", share)
+	}
+	return v.activate(now, Staged, share, timeout)
+}
+
+// Apply makes a checked or staged change active for all objects. Without a confirmation within the timeout it is rolled back.
+func (v *Versions) Apply(now time.Time, number uint64, timeout time.Duration) (Step, error) {
+	if err := v.requireStage(number, Checked, Staged); err != nil {
+		return Step{}, err
+	}
+	return v.activate(now, Applied, 0, timeout)
+}
+
+func (v *Versions) activate(now time.Time, stage Stage, share float64, timeout time.Duration) (Step, error) {
+	if timeout <= 0 || timeout > maxTimeout {
+		return Step{}, newError("above 0, at most a day", "%v to go on", timeout)
+	}
+	v.inProgress.stage = stage
+	v.share = share
+	v.deadline = now.Add(timeout)
+	v.timeout = timeout
+	return Step{Version: v.inProgress.number, Parent: v.inProgress.parent, Stage: stage, Share: share, TimeoutMS: timeout.Milliseconds()}, nil
+}
+
+// Confirm makes an applied change the confirmed version. Past its time the change is rolled back instead, and the step says so.
+func (v *Versions) Confirm(now time.Time, number uint64) (Step, error) {
+	if err := v.requireStage(number, Applied); err != nil {
+		return Step{}, err
+	}
+	if !now.Before(v.deadline) {
+		return v.rollBack("not confirmed within its time", nil), nil
+	}
+	confirmed := v.inProgress
+	confirmed.stage = Confirmed
+	v.confirmed = confirmed.number
+	v.inProgress = nil
+	return Step{Version: confirmed.number, Parent: confirmed.parent, Stage: Confirmed}, nil
+}
+
+// RollBack ends the change in progress. What was confirmed before it is active again.
+func (v *Versions) RollBack(number uint64, reason string) (Step, error) {
+	if err := v.requireStage(number, Proposed, Checked, Staged, Applied); err != nil {
+		return Step{}, err
+	}
+	return v.rollBack(reason, nil), nil
+}
+
+func (v *Versions) rollBack(reason string, findings []Finding) Step {
+	ended := v.inProgress
+	ended.stage = RolledBack
+	ended.rollbackReason = reason
+	v.inProgress = nil
+	return Step{Version: ended.number, Parent: ended.parent, Stage: RolledBack, Reason: reason, Findings: findings}
+}
+
+// Tick takes the time: a change past its deadline is rolled back. It returns the deadline of the change in progress, zero if there is none.
+func (v *Versions) Tick(now time.Time) (steps []Step, deadline time.Time) {
+	if v.inProgress == nil || v.inProgress.stage != Staged && v.inProgress.stage != Applied {
+		return nil, time.Time{}
+	}
+	if now.Before(v.deadline) {
+		return nil, v.deadline
+	}
+	missing := "not confirmed"
+	if v.inProgress.stage == Staged {
+		missing = "neither applied nor undone"
+	}
+	return []Step{v.rollBack(fmt.Sprintf("%s within %v", missing, v.timeout), nil)}, time.Time{}
+}
+
+// History returns the versions that are retained, oldest first.
+func (v *Versions) History() (history []VersionInfo) {
+	for _, version := range v.versions {
+		history = append(history, version.info())
+	}
+	return history
+}
+
+// Confirmed returns the version that was confirmed last.
+func (v *Versions) Confirmed() uint64 { return v.confirmed }
+
+// InProgress returns the change in progress, nil if there is none.
+func (v *Versions) InProgress() *VersionInfo {
+	if v.inProgress == nil {
+		return nil
+	}
+	info := v.inProgress.info()
+	return &info
+}
