--- a/internal/lab/scenario/day.go
+++ b/internal/lab/scenario/day.go
@@ -192,7 +192,7 @@
 		key += " " + noteMode(rest)
 	}
 	d.reasons[key]++
-	if t := d.hooks.routeTrial; t != nil && name == "routes" && strings.Contains(rest, "stage=undone") && t.RolledBackAfter == 0 {
+	if t := d.hooks.routeTrial; t != nil && name == "route_change_step" && strings.Contains(rest, "stage=undone") && t.RolledBackAfter == 0 {
 		t.RolledBackAfter = d.sim.Now() - t.startedAt
 	}
 	if level >= slog.LevelWarn || name == "module" || name == "reread" {
--- a/internal/route/rollout/frozen_test.go
+++ b/internal/route/rollout/frozen_test.go
@@ -11,30 +11,30 @@
 	"foldslip/internal/lab/frozen"
 )
 
-// recordedDirectory takes every step of changes in an empty folder, so that the file of its first generation holds each kind of step.
+// recordedDirectory takes every step of changes in an empty directory, so that the file of its first generation holds each kind of step.
 func recordedDirectory(t *testing.T) env.OSDirectory {
 	t.Helper()
-	disk, err := env.OpenOSDirectory(t.TempDir())
+	directory, err := env.OpenOSDirectory(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := openController(t, newTestEnv(), disk, routesTo("town"))
-	requireStep(t)(s.Propose(1, routesTo("hill"), "ada", "sale"))
-	requireStep(t)(s.Stage(2, 0.25, time.Minute))
-	requireStep(t)(s.Apply(2, time.Minute))
-	requireStep(t)(s.Confirm(2))
-	requireStep(t)(s.Propose(2, routesTo("nowhere"), "ada", "a mistake"))
-	requireStep(t)(s.Propose(2, routesTo("town"), "bob", "end of sale"))
-	requireStep(t)(s.RollBack(4, "not yet"))
-	requireStep(t)(s.ProposeEarlier(1, "bob", "end of sale"))
-	requireStep(t)(s.Apply(5, time.Minute))
-	s.Close()
-	return disk
+	c := openController(t, newTestEnv(), directory, routesTo("town"))
+	requireStep(t)(c.Propose(1, routesTo("hill"), "ada", "sale"))
+	requireStep(t)(c.Stage(2, 0.25, time.Minute))
+	requireStep(t)(c.Apply(2, time.Minute))
+	requireStep(t)(c.Confirm(2))
+	requireStep(t)(c.Propose(2, routesTo("nowhere"), "ada", "a mistake"))
+	requireStep(t)(c.Propose(2, routesTo("town"), "bob", "end of sale"))
+	requireStep(t)(c.RollBack(4, "not yet"))
+	requireStep(t)(c.ProposeEarlier(1, "bob", "end of sale"))
+	requireStep(t)(c.Apply(5, time.Minute))
+	c.Close()
+	return directory
 }
 
-func historyJSON(t *testing.T, s *Controller) []byte {
+func historyJSON(t *testing.T, c *Controller) []byte {
 	t.Helper()
-	entries, _ := s.History()
+	entries, _ := c.History()
 	text, err := json.Marshal(entries)
 	if err != nil {
 		t.Fatal(err)
@@ -42,9 +42,9 @@
 	return append(text, '\n')
 }
 
-func readFile(t *testing.T, disk env.OSDirectory, name string) []byte {
+func readFile(t *testing.T, directory env.OSDirectory, name string) []byte {
 	t.Helper()
-	text, err := disk.Read(name)
+	text, err := directory.Read(name)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,20 +52,20 @@
 }
 
 // The files under testdata were written by the build before the names of Go changed.
-func TestStepsOnDiskKeepTheirForm(t *testing.T) {
+func TestStoredStepFormsAreUnchanged(t *testing.T) {
 	frozen.Equal(t, "routes-1.rec", readFile(t, recordedDirectory(t), "routes-1.rec"))
 }
 
 func TestALogOfAnEarlierBuildIsContinued(t *testing.T) {
-	disk, err := env.OpenOSDirectory(t.TempDir())
+	directory, err := env.OpenOSDirectory(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(disk.Path, "routes-1.rec"), frozen.Read(t, "routes-1.rec"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(directory.Path, "routes-1.rec"), frozen.Read(t, "routes-1.rec"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s := openController(t, newTestEnv(), disk, routesTo("nowhere"))
-	defer s.Close()
-	frozen.Equal(t, "history.json", historyJSON(t, s))
-	frozen.Equal(t, "routes-2.rec", readFile(t, disk, "routes-2.rec"))
+	c := openController(t, newTestEnv(), directory, routesTo("nowhere"))
+	defer c.Close()
+	frozen.Equal(t, "history.json", historyJSON(t, c))
+	frozen.Equal(t, "routes-2.rec", readFile(t, directory, "routes-2.rec"))
 }
--- a/internal/route/rollout/steps.go
+++ b/internal/route/rollout/steps.go
@@ -1,7 +1,6 @@
 package rollout
 
 import (
-	"bytes"
 	"encoding/json"
 	"time"
 
@@ -12,267 +11,236 @@
 	"foldslip/internal/route/pools"
 )
 
-// takeStep takes a step: it is decided, written and synced, and then put in force. A step that cannot be written is none.
-func (s *Controller) takeStep(take func(now time.Time) (change.Step, error)) (change.Step, error) {
-	s.stepMu.Lock()
-	defer s.stepMu.Unlock()
-	s.mu.Lock()
-	was := s.versions.Snapshot()
-	step, err := take(s.env.Now())
-	s.mu.Unlock()
-	if err != nil {
-		return step, err
-	}
-	step.At = s.env.Now()
-	return step, s.commit(step, was)
-}
-
-// commit writes a step that the changes have taken, and puts it in force; without a write the changes go back.
-func (s *Controller) commit(step change.Step, was []change.Step) error {
-	err := s.persist(step)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if err != nil {
-		s.env.Log().Warn("routes_not_kept", "version", step.Version, "stage", string(step.Stage), "text", err.Error())
-		if step.Stage != change.RolledBack { // what is undone stays undone: the record then holds less than is in force, never more
-			if back, _, bad := change.Recover(was); bad == nil {
-				s.versions = back
-			}
-			s.activate()
-			return err
-		}
-	}
-	if bad := s.activate(); bad != nil {
-		return bad
-	}
-	s.notifyGuard(step)
-	s.env.Log().Info("routes", "version", step.Version, "stage", string(step.Stage), "share", step.Share, "author", step.Author, "reason", step.Reason)
-	return err
-}
-
-func (s *Controller) persist(step change.Step) error {
-	if s.log == nil {
-		return nil
-	}
-	text, err := cbor.Marshal(step)
-	if err != nil {
-		return err
-	}
-	if err := s.log.Append(text); err != nil {
-		return err
-	}
-	if s.log.Size() > maxLogBytes {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		return s.writeSnapshot()
-	}
-	return nil
-}
-
-// notifyGuard tells the guard of a step, under the lock. It watches always, so that it knows how things were before a change is applied to all;
-// a change that was staged first has its own side watched from there on.
-func (s *Controller) notifyGuard(step change.Step) {
-	switch step.Stage {
-	case change.Proposed, change.RolledBack:
-		s.guard.BeginChange()
-	case change.Confirmed:
-		s.guard.AcceptChange()
-	}
-}
+const tickInterval = 100 * time.Millisecond
 
-// Propose begins a change of the version that its author has seen, and checks it: what is found comes with the step. With an error
-// among it the change is over.
-func (s *Controller) Propose(parent uint64, c pools.Config, author, reason string) (change.Step, error) {
-	text, err := json.Marshal(c)
+// Propose begins a change of the version that its author has seen, and checks it: the step that it returns has the findings. With an error
+// among them the change is over.
+func (c *Controller) Propose(parent uint64, config pools.Config, author, reason string) (change.Step, error) {
+	text, err := json.Marshal(config)
 	if err != nil {
 		return change.Step{}, err
 	}
-	step, err := s.takeStep(func(time.Time) (change.Step, error) { return s.versions.Propose(parent, text, author, reason) })
+	step, err := c.takeStep(func(time.Time) (change.Step, error) { return c.versions.Propose(parent, text, author, reason) })
 	if err != nil {
 		return step, err
 	}
-	return s.Check(step.Version)
+	return c.Check(step.Version)
 }
 
 // ProposeEarlier proposes an earlier version's configuration, and checks it.
-func (s *Controller) ProposeEarlier(to uint64, author, reason string) (change.Step, error) {
-	step, err := s.takeStep(func(time.Time) (change.Step, error) { return s.versions.ProposeEarlier(to, author, reason) })
+func (c *Controller) ProposeEarlier(version uint64, author, reason string) (change.Step, error) {
+	step, err := c.takeStep(func(time.Time) (change.Step, error) { return c.versions.ProposeEarlier(version, author, reason) })
 	if err != nil {
 		return step, err
 	}
-	return s.Check(step.Version)
-}
-
-// Check checks the change under way against the list as it is now.
-func (s *Controller) Check(no uint64) (change.Step, error) {
-	return s.takeStep(func(time.Time) (change.Step, error) { return s.versions.Check(no, s.findings(no)) })
+	return c.Check(step.Version)
 }
 
-func (s *Controller) findings(no uint64) (all []change.Finding) {
-	t, faults, err := s.compile(s.versions.Text(no))
-	if err != nil {
-		return []change.Finding{{IsError: true, Text: err.Error(), Remedy: "mend it there"}}
-	}
-	if t != nil {
-		faults = append(faults, t.Check(s.sortedCaches())...)
-	}
-	for _, f := range faults {
-		all = append(all, change.Finding{IsError: f.IsError, Path: f.Path, Text: f.Text, Remedy: f.Remedy})
-	}
-	return all
+// Check checks the change in progress against the list of caches as it is now.
+func (c *Controller) Check(version uint64) (change.Step, error) {
+	return c.takeStep(func(time.Time) (change.Step, error) { return c.versions.Check(version, c.findings(version)) })
 }
 
-// Stage puts the change in place for a share of the objects; it is checked once more before, as the list may have changed.
-func (s *Controller) Stage(no uint64, share float64, within time.Duration) (change.Step, error) {
-	return s.takeStep(func(now time.Time) (change.Step, error) {
-		if step, bad := s.recheck(no); bad {
+// Stage makes the change active for a share of the objects. It is checked once more before, as the list may have changed.
+func (c *Controller) Stage(version uint64, share float64, timeout time.Duration) (change.Step, error) {
+	return c.takeStep(func(now time.Time) (change.Step, error) {
+		if step, isRolledBack := c.recheck(version); isRolledBack {
 			return step, nil
 		}
-		return s.versions.Stage(now, no, share, within)
+		return c.versions.Stage(now, version, share, timeout)
 	})
 }
 
-// Apply puts the change in place for all, checked once more.
-func (s *Controller) Apply(no uint64, within time.Duration) (change.Step, error) {
-	return s.takeStep(func(now time.Time) (change.Step, error) {
-		if step, bad := s.recheck(no); bad {
+// Apply makes the change active for all, checked once more.
+func (c *Controller) Apply(version uint64, timeout time.Duration) (change.Step, error) {
+	return c.takeStep(func(now time.Time) (change.Step, error) {
+		if step, isRolledBack := c.recheck(version); isRolledBack {
 			return step, nil
 		}
-		return s.versions.Apply(now, no, within)
+		return c.versions.Apply(now, version, timeout)
 	})
 }
 
-// recheck checks a change that is about to go on; one that fails is undone.
-func (s *Controller) recheck(no uint64) (change.Step, bool) {
-	for _, f := range s.findings(no) {
-		if f.IsError {
-			if step, err := s.versions.RollBack(no, f.Path+": "+f.Text); err == nil {
-				step.Findings = []change.Finding{f}
-				return step, true
+// Confirm makes an applied change the confirmed version.
+func (c *Controller) Confirm(version uint64) (change.Step, error) {
+	return c.takeStep(func(now time.Time) (change.Step, error) { return c.versions.Confirm(now, version) })
+}
+
+// RollBack ends the change in progress.
+func (c *Controller) RollBack(version uint64, reason string) (change.Step, error) {
+	return c.takeStep(func(time.Time) (change.Step, error) { return c.versions.RollBack(version, reason) })
+}
+
+// takeStep takes a step: decide is called under the lock, what it decides is written and synced, and then becomes active.
+func (c *Controller) takeStep(decide func(now time.Time) (change.Step, error)) (change.Step, error) {
+	c.stepMu.Lock()
+	defer c.stepMu.Unlock()
+	c.mu.Lock()
+	before := c.versions.Snapshot()
+	step, err := decide(c.env.Now())
+	c.mu.Unlock()
+	if err != nil {
+		return step, err
+	}
+	step.At = c.env.Now()
+	return step, c.commit(step, before)
+}
+
+// commit writes a step that the versions have taken and makes it active. Without a write the versions go back to those before, but a rollback
+// stays: the log then holds less than is active, never more.
+func (c *Controller) commit(step change.Step, before []change.Step) error {
+	writeErr := c.writeStep(step)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if writeErr != nil {
+		c.env.Log().Warn("route_change_not_saved", "version", step.Version, "stage", string(step.Stage), "error", writeErr.Error())
+		if step.Stage != change.RolledBack {
+			if versions, _, err := change.Recover(before); err == nil {
+				c.versions = versions
 			}
+			c.activate()
+			return writeErr
 		}
 	}
-	return change.Step{}, false
+	if err := c.activate(); err != nil {
+		return err
+	}
+	c.notifyGuard(step)
+	c.env.Log().Info("route_change_step", "version", step.Version, "stage", string(step.Stage), "share", step.Share, "author", step.Author,
+		"reason", step.Reason)
+	return writeErr
 }
 
-// Confirm makes an applied change the one in force for good.
-func (s *Controller) Confirm(no uint64) (change.Step, error) {
-	return s.takeStep(func(now time.Time) (change.Step, error) { return s.versions.Confirm(now, no) })
+func (c *Controller) writeStep(step change.Step) error {
+	if c.log == nil {
+		return nil
+	}
+	encoded, err := cbor.Marshal(step)
+	if err != nil {
+		return err
+	}
+	if err := c.log.Append(encoded); err != nil {
+		return err
+	}
+	if c.log.Size() > maxLogBytes {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		return c.writeSnapshot()
+	}
+	return nil
 }
 
-// RollBack ends the change under way.
-func (s *Controller) RollBack(no uint64, why string) (change.Step, error) {
-	return s.takeStep(func(time.Time) (change.Step, error) { return s.versions.RollBack(no, why) })
+// notifyGuard tells the guard of a step. It watches always, so that it knows how things were before a change is applied to all; a change that
+// was staged first has its own side watched from there on. The lock is held.
+func (c *Controller) notifyGuard(step change.Step) {
+	switch step.Stage {
+	case change.Proposed, change.RolledBack:
+		c.guard.BeginChange()
+	case change.Confirmed:
+		c.guard.AcceptChange()
+	}
 }
 
-// ApplyFile is word of the operators' file, read anew: other routes than those in force are proposed, checked and applied, and wait for their
-// confirmation: by hand, or by the same file once more. The routes in force, while a change of the file waits, undo that change.
-func (s *Controller) ApplyFile(c pools.Config, within time.Duration) (change.Step, error) {
-	text, err := json.Marshal(c)
+// findings checks a version. The lock is held.
+func (c *Controller) findings(version uint64) (findings []change.Finding) {
+	table, problems, err := c.compile(c.versions.Text(version))
 	if err != nil {
-		return change.Step{}, err
+		return []change.Finding{{IsError: true, Text: err.Error(), Remedy: "mend it there"}}
 	}
-	s.mu.Lock()
-	head, under := s.versions.Confirmed(), s.versions.InProgress()
-	waits := under != nil && under.Author == fileAuthor
-	same := func(no uint64) bool { return bytes.Equal(s.versions.Text(no), text) }
-	again, back := waits && same(under.Version), same(head)
-	s.mu.Unlock()
-	switch {
-	case again:
-		return s.Confirm(under.Version)
-	case back && waits:
-		return s.RollBack(under.Version, "the file has the routes of before again")
-	case back:
-		return change.Step{Version: head, Stage: change.Confirmed}, nil
-	case waits: // the file has changed once more; one that cannot be used leaves the change that waits as it is
-		t, faults := pools.Compile(c, s.kinds)
-		if t != nil {
-			s.mu.Lock()
-			faults = append(faults, t.Check(s.sortedCaches())...)
-			s.mu.Unlock()
-		}
-		for _, f := range faults {
-			if f.IsError {
-				return change.Step{}, change.Error{Text: f.Path + ": " + f.Text, Remedy: f.Remedy}
-			}
-		}
-		if step, err := s.RollBack(under.Version, "the file has changed"); err != nil {
-			return step, err
-		}
+	if table != nil {
+		problems = append(problems, table.Check(c.sortedCaches())...)
 	}
-	step, err := s.Propose(head, c, fileAuthor, "the file was read anew")
-	if err != nil || step.Stage != change.Checked {
-		return step, err
+	for _, p := range problems {
+		findings = append(findings, change.Finding{IsError: p.IsError, Path: p.Path, Text: p.Text, Remedy: p.Remedy})
 	}
-	return s.Apply(step.Version, within)
+	return findings
 }
 
-const fileAuthor = "file"
+// recheck checks a change before its next step, and rolls it back at the first error. The lock is held.
+func (c *Controller) recheck(version uint64) (step change.Step, isRolledBack bool) {
+	for _, f := range c.findings(version) {
+		if !f.IsError {
+			continue
+		}
+		if step, err := c.versions.RollBack(version, f.Path+": "+f.Text); err == nil {
+			step.Findings = []change.Finding{f}
+			return step, true
+		}
+	}
+	return change.Step{}, false
+}
 
-// History is the versions that are kept, and what is in force.
-func (s *Controller) History() ([]change.VersionInfo, change.Active) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.versions.History(), s.versions.Active()
+// History returns the versions that are retained, and those that are active.
+func (c *Controller) History() ([]change.VersionInfo, change.Active) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.versions.History(), c.versions.Active()
 }
 
-// Text is a version's configuration; nil where it is not kept.
-func (s *Controller) Text(no uint64) []byte {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.versions.Text(no)
+// Text returns a version's configuration, nil if it is not retained.
+func (c *Controller) Text(version uint64) []byte {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.versions.Text(version)
 }
 
-// Plan tells what a configuration would move of a load.
-func (s *Controller) Plan(c pools.Config, load []pools.LoadSample) (pools.Impact, []pools.Problem) {
-	t, faults := pools.Compile(c, s.kinds)
-	if t == nil {
-		return pools.Impact{}, faults
+// Plan returns what a configuration would move of a load, and its problems. With an error among them there is no plan.
+func (c *Controller) Plan(config pools.Config, load []pools.LoadSample) (pools.Impact, []pools.Problem) {
+	table, problems := pools.Compile(config, c.kinds)
+	if table == nil {
+		return pools.Impact{}, problems
 	}
-	s.mu.Lock()
-	all := s.sortedCaches()
-	s.mu.Unlock()
-	return s.active.Load().base.Plan(t.View(0, all), load), append(faults, t.Check(all)...)
+	c.mu.Lock()
+	caches := c.sortedCaches()
+	c.mu.Unlock()
+	return c.active.Load().base.Plan(table.View(0, caches), load), append(problems, table.Check(caches)...)
 }
 
-// Run undoes what is not confirmed in time, and what its guard finds worse, until life ends.
-func (s *Controller) Run(life *env.Lifetime) error {
-	end := s.env.NewNotifier()
-	defer life.OnEnd(end.Notify)()
-	for !end.Wait(tickInterval) {
-		s.Tick()
+// Run rolls back what is not confirmed in time and what the guard finds worse, until the lifetime ends. It closes the log.
+func (c *Controller) Run(lifetime *env.Lifetime) error {
+	ended := c.env.NewNotifier()
+	defer lifetime.OnEnd(ended.Notify)()
+	for !ended.Wait(tickInterval) {
+		c.Tick()
 	}
-	s.Close()
+	c.Close()
 	return nil
 }
 
-// Tick brings the time.
-func (s *Controller) Tick() {
-	s.stepMu.Lock()
-	defer s.stepMu.Unlock()
-	s.mu.Lock()
-	now := s.env.Now()
-	steps, _ := s.versions.Tick(now)
-	if f := s.versions.Active(); len(steps) == 0 && (f.Next != 0 || f.Base != s.versions.Confirmed()) {
-		if why := s.guard.Tripped(); why != "" {
-			if step, err := s.versions.RollBack(s.versionInProgress(), why); err == nil {
-				steps = append(steps, step)
-			}
-		}
+// Tick takes the time: it rolls back what is due.
+func (c *Controller) Tick() {
+	c.stepMu.Lock()
+	defer c.stepMu.Unlock()
+	c.mu.Lock()
+	now := c.env.Now()
+	steps, _ := c.versions.Tick(now)
+	if len(steps) == 0 {
+		steps = c.rollBackIfTripped()
 	}
-	s.mu.Unlock()
+	c.mu.Unlock()
 	for _, step := range steps {
 		step.At = now
-		s.commit(step, nil)
+		c.commit(step, nil) // a rollback stays without a write, which commit logs
 	}
 }
 
-// versionInProgress is the version under way that is staged or applied.
-func (s *Controller) versionInProgress() uint64 {
-	f := s.versions.Active()
-	if f.Next != 0 {
-		return f.Next
+// rollBackIfTripped rolls back a staged or applied change that the guard finds worse. The lock is held.
+func (c *Controller) rollBackIfTripped() []change.Step {
+	active := c.versions.Active()
+	watched := active.Base
+	if active.Next != 0 {
+		watched = active.Next
+	}
+	if watched == c.versions.Confirmed() {
+		return nil
+	}
+	reason := c.guard.Tripped()
+	if reason == "" {
+		return nil
+	}
+	step, err := c.versions.RollBack(watched, reason)
+	if err != nil {
+		return nil
 	}
-	return f.Base
+	return []change.Step{step}
 }
