--- a/internal/cli/extproccli/doors.go
+++ b/internal/cli/extproccli/doors.go
@@ -28,6 +28,7 @@
 
 	"foldslip/client"
 	"foldslip/internal/env"
+	"foldslip/internal/extproc"
 	"foldslip/internal/extproc/extprocgrpc"
 	"foldslip/internal/gateway"
 )
@@ -96,13 +97,33 @@
 	if g.Getenv("ROUTER_CONFIG") == "" {
 		return usageError{errors.New("ROUTER_CONFIG is not set: name the gateway's configuration file in it, see docs/external-processor.md (Start)")}
 	}
-	if err := gateway.Run(g, gateway.Hooks{NewServices: extprocgrpc.OpenConfigured}); err != nil {
+	if err := gateway.Run(g, gateway.Hooks{NewServices: openServices}); err != nil {
 		g.Log().Error("ended", "text", err.Error())
 		return errReported
 	}
 	return nil
 }
 
+// openServices opens the external processor that the configuration names, if it names one.
+func openServices(in gateway.Dependencies) ([]gateway.Service, error) {
+	if in.Config.ExternalProcessor == nil {
+		return nil, nil
+	}
+	listener, err := extprocgrpc.Listen(in.Name, extproc.Dependencies{
+		Environment: in.Environment,
+		Settings:    in.Settings,
+		Dispatcher:  in.Dispatcher,
+		Caches:      in.Registry,
+		Purges:      in.Purges,
+		Admission:   in.Admission,
+		Routes:      in.Routes,
+	}, in.Config.ExternalProcessor)
+	if err != nil {
+		return nil, err
+	}
+	return []gateway.Service{listener}, nil
+}
+
 type lookupCommand struct {
 	Path     string        `arg:"" help:"Path of the request, as /call/segment/7f3a/part-3."`
 	Address  string        `name:"door" default:"127.0.0.1:18200" help:"Where the door listens: an address and port, or unix:/path."`
--- /dev/null
+++ b/internal/cli/extproccli/serve_test.go
@@ -0,0 +1,128 @@
+package extproccli
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/credentials/insecure"
+	healthv1 "google.golang.org/grpc/health/grpc_health_v1"
+
+	"foldslip/client"
+	"foldslip/internal/env"
+	"foldslip/internal/gateway"
+)
+
+const servedSettings = `{"areas":["town"],"machine_types":["edge","parent","origin"],"ceilings":{"cancelling":true,"try_limit":6,"retry_after":true,
+"max_retry_after":2000000},"classes":[{"name":"segment","aim":400000,"deadline":5000000,"points":1,"effect":"idempotent"}],
+"specifics":{"parent_kind":1,"source_kind":2,"flow_kb_per_s":100000,"max_age":[0],"grace_for":[0],"pass_on":[false],"seats_by_zone":[1],"merges_fills":true}}`
+
+// lockedBuffer is a buffer that a gateway logs to while a test reads it.
+type lockedBuffer struct {
+	mu sync.Mutex
+	bytes.Buffer
+}
+
+func (b *lockedBuffer) Write(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.Buffer.Write(p)
+}
+
+func (b *lockedBuffer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.Buffer.String()
+}
+
+// freeAddr is a loopback address of this process alone, with a port below those that connections get.
+func freeAddr(t *testing.T, n int) string {
+	t.Helper()
+	pid := os.Getpid()
+	for ; n < 250; n += 10 {
+		addr := fmt.Sprintf("127.%d.%d.%d:10080", 1+pid>>8%250, pid%256, 1+n)
+		if l, err := net.Listen("tcp", addr); err == nil {
+			l.Close()
+			return addr
+		}
+	}
+	t.Fatal("no address is free")
+	return ""
+}
+
+func writeFile(t *testing.T, path, text string) string {
+	t.Helper()
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// health asks a gateway for its health; -1 where there is no answer in time.
+func health(conn *grpc.ClientConn, timeout time.Duration) healthv1.HealthCheckResponse_ServingStatus {
+	ctx, stop := context.WithTimeout(context.Background(), timeout)
+	defer stop()
+	response, err := healthv1.NewHealthClient(conn).Check(ctx, &healthv1.HealthCheckRequest{}, grpc.WaitForReady(true))
+	if err != nil {
+		return -1
+	}
+	return response.Status
+}
+
+// A gateway with its external processor, from its files to SIGTERM amid a lookup whose attempt is at its caller.
+func TestServed(t *testing.T) {
+	dir, addr := t.TempDir(), freeAddr(t, 0)
+	t.Setenv("ROUTER_CONFIG", writeFile(t, filepath.Join(dir, "config.json"), fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"1","bulletin":"127.0.0.1:1",
+"limits":{"memory_mb":64,"sockets":256},"settings":%s,"known":{"no":1,"items":[{"no":1,"roster":{"complete":true,"members":[
+{"id":"c0","host_port":"127.0.0.1:1","locality":"town","flavor":"edge","phase":"up"},{"id":"c1","host_port":"127.0.0.1:1","locality":"town","flavor":"origin","phase":"up"}]}}]}}`,
+		freeAddr(t, 1), servedSettings)))
+	t.Setenv("FOLDSLIP_SETTINGS", writeFile(t, filepath.Join(dir, "own.jsonnet"), fmt.Sprintf(`{ external_processor: { listen: '%s', table: [
+  { path: '/call/{kind}/{object}/part-{part}', kind: 'path:kind', object: 'path:object', part: 'path:part', id: 'header:x-job-id' }] } }`, addr)))
+	log := &lockedBuffer{}
+	ended := make(chan error, 1)
+	go func() {
+		ended <- gateway.Run(env.NewSystem(log, slog.LevelInfo), gateway.Hooks{NewServices: openServices})
+	}()
+	conn, err := grpc.NewClient(addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	if got := health(conn, 5*time.Second); got != healthv1.HealthCheckResponse_SERVING {
+		t.Fatal(got, log.String())
+	}
+	request := client.Request{Path: "/call/segment/o/part-0", Header: http.Header{"X-Job-Id": {"a1"}}}
+	result, err := client.New(conn).Lookup(context.Background(), request, func(_ context.Context, d client.Decision) client.AttemptOutcome {
+		if d.Cache != "c0" || d.Addr != "127.0.0.1:1" {
+			t.Errorf("%+v", d)
+		}
+		syscall.Kill(os.Getpid(), syscall.SIGTERM)
+		time.Sleep(800 * time.Millisecond) // its listener has closed
+		return client.AttemptOutcome{Word: "hit"}
+	})
+	if err != nil || result.Kind != client.Satisfied || len(result.Attempts) != 1 {
+		t.Errorf("the lookup from before: %+v, %v", result, err)
+	}
+	if got := health(conn, 200*time.Millisecond); got == healthv1.HealthCheckResponse_SERVING {
+		t.Error("it is healthy after SIGTERM")
+	}
+	select {
+	case err := <-ended:
+		if err != nil || !strings.Contains(log.String(), "event=extproc_closed kind=external_processor open=0") {
+			t.Error(err, log.String())
+		}
+	case <-time.After(10 * time.Second):
+		t.Fatal("it does not end: ", log.String())
+	}
+}
--- a/internal/extproc/extprocgrpc/caller_test.go
+++ b/internal/extproc/extprocgrpc/caller_test.go
@@ -18,6 +18,7 @@
 	"os"
 	"path/filepath"
 	"strings"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -30,7 +31,7 @@
 	"foldslip/internal/cacheregistry"
 	"foldslip/internal/config"
 	"foldslip/internal/env"
-	"foldslip/internal/gateway"
+	"foldslip/internal/extproc"
 	"foldslip/internal/purgelog"
 	"foldslip/internal/route"
 )
@@ -89,8 +90,8 @@
 	terms, f := router(t, caches, false)
 	x.StreamsPerConnection, x.StreamsPerCaller, x.Lookups, x.LookupsPerCaller, x.MaxRetryAfterMS, x.RememberMS, x.SilenceTimeoutMS, x.Weight = 100, 100, 100, 100, 300, 2000, 5000, 1
 	x.Table = []route.Rule{{Path: "/call/{kind}/{object}/part-{part}", Kind: "path:kind", Object: "path:object", Part: "path:part", ID: "header:x-job-id"}}
-	l, err := Listen(gateway.Dependencies{Name: "n0", Environment: g, Settings: terms, Dispatcher: f, Registry: caches, Purges: &purgelog.Log{Clock: g, Retention: time.Minute},
-		Admission: admission.NewController(g, 100, 1<<20), Config: &config.Config{ExternalProcessor: x}}, x)
+	l, err := Listen("n0", extproc.Dependencies{Environment: g, Settings: terms, Dispatcher: f, Caches: caches, Purges: &purgelog.Log{Clock: g, Retention: time.Minute},
+		Admission: admission.NewController(g, 100, 1<<20)}, x)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -153,7 +154,7 @@
 	})
 	t.Run("another process on the socket is told, a socket left behind is taken over", func(t *testing.T) {
 		path := strings.TrimPrefix(x.Listen, "unix:")
-		if _, err := openListener(env.NewSystem(io.Discard, slog.LevelInfo), x.Listen); err == nil || !strings.Contains(err.Error(), "another process") {
+		if _, err := listenAt(env.NewSystem(io.Discard, slog.LevelInfo), x.Listen); err == nil || !strings.Contains(err.Error(), "another process") {
 			t.Error(err)
 		}
 		if info, err := os.Stat(path); err != nil || info.Mode().Perm() != socketMode {
@@ -165,7 +166,7 @@
 		}
 		left.(*net.UnixListener).SetUnlinkOnClose(false)
 		left.Close()
-		again, err := openListener(env.NewSystem(io.Discard, slog.LevelInfo), x.Listen+"2")
+		again, err := listenAt(env.NewSystem(io.Discard, slog.LevelInfo), x.Listen+"2")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -290,3 +291,18 @@
 		t.Errorf("%s before, %s after, %v", before, after, l.Anomalies())
 	}
 }
+
+var addrs atomic.Uint32
+
+// free is an address that nothing else takes meanwhile: a loopback address of its own, with a port below those that
+// connections are given by chance.
+func free() string {
+	for {
+		n, pid := addrs.Add(1), os.Getpid()
+		at := fmt.Sprintf("127.%d.%d.%d:10080", 1+pid>>8%250, pid%256, 1+n%250)
+		if l, err := net.Listen("tcp", at); err == nil {
+			l.Close()
+			return at
+		}
+	}
+}
--- /dev/null
+++ b/internal/extproc/extprocgrpc/encoding.go
@@ -0,0 +1,211 @@
+package extprocgrpc
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+
+	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
+	filterv3 "github.com/envoyproxy/go-control-plane/envoy/extensions/filters/http/ext_proc/v3"
+	extprocv3 "github.com/envoyproxy/go-control-plane/envoy/service/ext_proc/v3"
+	typev3 "github.com/envoyproxy/go-control-plane/envoy/type/v3"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+	"google.golang.org/protobuf/proto"
+	"google.golang.org/protobuf/types/known/structpb"
+
+	"foldslip/internal/extproc"
+	"foldslip/internal/route"
+)
+
+const (
+	metadataNamespace = "foldslip" // of dynamic metadata
+	headerRetryAfter  = "x-wait-ms"
+	attributePrefix   = "attr:" // of the table's names for attributes
+	metadataPrefix    = "meta:" // and for metadata, followed by namespace/key
+)
+
+// transport is a stream of gRPC as an extproc.Transport.
+type transport struct {
+	extprocv3.ExternalProcessor_ProcessServer
+}
+
+// Receive waits for the next message.
+func (t transport) Receive() (extproc.Message, error) {
+	request, err := t.ExternalProcessor_ProcessServer.Recv()
+	if status.Code(err) == codes.ResourceExhausted { // so the library reports a message past MaxMessageBytes
+		return extproc.Message{}, fmt.Errorf("%w: %w", extproc.ErrMessageTooLarge, err)
+	}
+	if err != nil {
+		return extproc.Message{}, err
+	}
+	return parseMessage(request), nil
+}
+
+// Send sends a reply.
+func (t transport) Send(reply extproc.Reply) error {
+	return t.ExternalProcessor_ProcessServer.Send(encodeReply(reply))
+}
+
+// parseMessage reads a message. One of an unknown phase has phase 0.
+func parseMessage(request *extprocv3.ProcessingRequest) extproc.Message {
+	message := extproc.Message{Size: proto.Size(request), ObserveOnly: request.ObservabilityMode}
+	var headers *extprocv3.HttpHeaders
+	switch r := request.Request.(type) {
+	case *extprocv3.ProcessingRequest_RequestHeaders:
+		message.Phase, headers = extproc.RequestHeaders, r.RequestHeaders
+	case *extprocv3.ProcessingRequest_RequestBody:
+		message.Phase = extproc.RequestBody
+	case *extprocv3.ProcessingRequest_RequestTrailers:
+		message.Phase = extproc.RequestTrailers
+	case *extprocv3.ProcessingRequest_ResponseHeaders:
+		message.Phase, headers = extproc.ResponseHeaders, r.ResponseHeaders
+	case *extprocv3.ProcessingRequest_ResponseBody:
+		message.Phase = extproc.ResponseBody
+	case *extprocv3.ProcessingRequest_ResponseTrailers:
+		message.Phase = extproc.ResponseTrailers
+	}
+	message.Get = attributeReader(request, headers)
+	message.Method, _ = message.Get(":method")
+	message.Path, _ = message.Get(":path")
+	return message
+}
+
+// attributeReader reads headers, attributes and metadata by the table's names.
+func attributeReader(request *extprocv3.ProcessingRequest, headers *extprocv3.HttpHeaders) route.Attributes {
+	return func(name string) (value string, count int) {
+		if attribute, ok := strings.CutPrefix(name, attributePrefix); ok {
+			return readAttribute(request, attribute)
+		}
+		if path, ok := strings.CutPrefix(name, metadataPrefix); ok {
+			return readMetadata(request, path)
+		}
+		return readHeader(headers, name)
+	}
+}
+
+// readAttribute reads an attribute, which stands under the name of each extension; the protocol has one.
+func readAttribute(request *extprocv3.ProcessingRequest, name string) (value string, count int) {
+	for _, extension := range request.GetAttributes() {
+		if field := extension.GetFields()[name]; field != nil {
+			count++
+			if count == 1 {
+				value = scalarText(field)
+			}
+		}
+	}
+	return value, count
+}
+
+func readMetadata(request *extprocv3.ProcessingRequest, path string) (value string, count int) {
+	namespace, key, _ := strings.Cut(path, "/")
+	if field := request.GetMetadataContext().GetFilterMetadata()[namespace].GetFields()[key]; field != nil {
+		return scalarText(field), 1
+	}
+	return "", 0
+}
+
+func readHeader(headers *extprocv3.HttpHeaders, name string) (value string, count int) {
+	for _, header := range headers.GetHeaders().GetHeaders() {
+		if header.Key != name {
+			continue
+		}
+		count++
+		if count > 1 {
+			continue
+		}
+		value = header.Value
+		if len(header.RawValue) > 0 {
+			value = string(header.RawValue)
+		}
+	}
+	return value, count
+}
+
+// scalarText is a value as text; empty for a list or an object.
+func scalarText(v *structpb.Value) string {
+	switch kind := v.Kind.(type) {
+	case *structpb.Value_StringValue:
+		return kind.StringValue
+	case *structpb.Value_NumberValue:
+		return strconv.FormatFloat(kind.NumberValue, 'f', -1, 64)
+	case *structpb.Value_BoolValue:
+		return strconv.FormatBool(kind.BoolValue)
+	}
+	return ""
+}
+
+// processingMode asks the caller for what the contract needs: the headers of the response, no bodies, no trailers.
+var processingMode = &filterv3.ProcessingMode{
+	RequestHeaderMode:   filterv3.ProcessingMode_SEND,
+	ResponseHeaderMode:  filterv3.ProcessingMode_SEND,
+	RequestTrailerMode:  filterv3.ProcessingMode_SKIP,
+	ResponseTrailerMode: filterv3.ProcessingMode_SKIP,
+}
+
+// encodeReply writes a reply in the form of the phase that it answers.
+func encodeReply(reply extproc.Reply) *extprocv3.ProcessingResponse {
+	response := &extprocv3.ProcessingResponse{}
+	switch {
+	case reply.Status != 0:
+		response.Response = finalResponse(reply)
+	case reply.Phase == extproc.RequestHeaders:
+		addDecision(response, reply.Decision)
+	case reply.Phase == extproc.RequestBody:
+		response.Response = &extprocv3.ProcessingResponse_RequestBody{RequestBody: &extprocv3.BodyResponse{}}
+	case reply.Phase == extproc.RequestTrailers:
+		response.Response = &extprocv3.ProcessingResponse_RequestTrailers{RequestTrailers: &extprocv3.TrailersResponse{}}
+	case reply.Phase == extproc.ResponseHeaders:
+		response.Response = &extprocv3.ProcessingResponse_ResponseHeaders{ResponseHeaders: &extprocv3.HeadersResponse{}}
+	case reply.Phase == extproc.ResponseBody:
+		response.Response = &extprocv3.ProcessingResponse_ResponseBody{ResponseBody: &extprocv3.BodyResponse{}}
+	case reply.Phase == extproc.ResponseTrailers:
+		response.Response = &extprocv3.ProcessingResponse_ResponseTrailers{ResponseTrailers: &extprocv3.TrailersResponse{}}
+	}
+	return response
+}
+
+// finalResponse answers the caller's client.
+func finalResponse(reply extproc.Reply) *extprocv3.ProcessingResponse_ImmediateResponse {
+	headers := &extprocv3.HeaderMutation{}
+	for _, header := range reply.Headers {
+		headers.SetHeaders = append(headers.SetHeaders, headerOption(header))
+	}
+	if reply.RetryAfter > 0 {
+		roundedUp := (reply.RetryAfter + time.Millisecond - 1).Milliseconds()
+		headers.SetHeaders = append(headers.SetHeaders, headerOption(extproc.Header{Name: headerRetryAfter, Value: strconv.FormatInt(roundedUp, 10)}))
+	}
+	return &extprocv3.ProcessingResponse_ImmediateResponse{ImmediateResponse: &extprocv3.ImmediateResponse{
+		Status:  &typev3.HttpStatus{Code: typev3.StatusCode(reply.Status)},
+		Headers: headers,
+		Body:    []byte(reply.Text + "\n"),
+		Details: strings.ReplaceAll(reply.Text, " ", "_"),
+	}}
+}
+
+// addDecision sets the headers of a decision on the request, and the same values as dynamic metadata.
+func addDecision(response *extprocv3.ProcessingResponse, decision []extproc.Header) {
+	headers := &extprocv3.HeaderMutation{}
+	metadata := make(map[string]*structpb.Value, len(decision))
+	for _, header := range decision {
+		if header.Value == "" {
+			headers.RemoveHeaders = append(headers.RemoveHeaders, header.Name)
+			continue
+		}
+		headers.SetHeaders = append(headers.SetHeaders, headerOption(header))
+		metadata[strings.TrimPrefix(header.Name, extproc.Prefix)] = structpb.NewStringValue(header.Value)
+	}
+	response.Response = &extprocv3.ProcessingResponse_RequestHeaders{RequestHeaders: &extprocv3.HeadersResponse{
+		Response: &extprocv3.CommonResponse{HeaderMutation: headers, ClearRouteCache: true}}}
+	response.DynamicMetadata = &structpb.Struct{Fields: map[string]*structpb.Value{
+		metadataNamespace: structpb.NewStructValue(&structpb.Struct{Fields: metadata})}}
+	response.ModeOverride = processingMode
+}
+
+func headerOption(header extproc.Header) *corev3.HeaderValueOption {
+	return &corev3.HeaderValueOption{
+		Header:       &corev3.HeaderValue{Key: header.Name, RawValue: []byte(header.Value)},
+		AppendAction: corev3.HeaderValueOption_OVERWRITE_IF_EXISTS_OR_ADD,
+	}
+}
--- a/internal/extproc/extprocgrpc/extproc_test.go
+++ b/internal/extproc/extprocgrpc/extproc_test.go
@@ -71,7 +71,8 @@
 		t.Fatal(err)
 	}
 	p.purges = &purgelog.Log{Clock: g, Retention: time.Minute}
-	p.door = &Service{Server: extproc.New(g, terms, f, caches, p.purges, admission.NewController(g, 8, 1<<20), table, extproc.Limits{SilenceTimeout: 2 * time.Second,
+	p.door = &Service{Server: extproc.New(extproc.Dependencies{Environment: g, Settings: terms, Dispatcher: f, Caches: caches, Purges: p.purges,
+		Admission: admission.NewController(g, 8, 1<<20)}, table, extproc.Limits{SilenceTimeout: 2 * time.Second,
 		Lookups: retry.Limits{MaxLookups: 8, MaxPerCaller: 6, ReturnTimeout: 150 * time.Millisecond, Retention: time.Second}})}
 	at, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/extproc/extprocgrpc/measure_test.go
+++ b/internal/extproc/extprocgrpc/measure_test.go
@@ -92,7 +92,8 @@
 		if which == "guarded" { // as the settings have it where nothing is told, but for the rate
 			messages, streams, lookups, each = 3000, 1024, 256, 128
 		}
-		d := &Service{Server: extproc.New(g, terms, f, caches, nil, admission.NewController(g, lookups, 1<<30), table, extproc.Limits{SilenceTimeout: 30 * time.Second,
+		d := &Service{Server: extproc.New(extproc.Dependencies{Environment: g, Settings: terms, Dispatcher: f, Caches: caches,
+			Admission: admission.NewController(g, lookups, 1<<30)}, table, extproc.Limits{SilenceTimeout: 30 * time.Second,
 			MessagesPerSecond: messages, MaxStreams: streams,
 			Lookups: retry.Limits{MaxLookups: lookups, MaxPerCaller: each, ReturnTimeout: 300 * time.Millisecond, Retention: 5 * time.Second}})}
 		guard.Service = *d
--- a/internal/extproc/frozen_test.go
+++ b/internal/extproc/frozen_test.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := New(g, its, nil, caches, nil, nil, nil, Limits{})
+	d := New(Dependencies{Environment: g, Settings: its, Caches: caches}, nil, Limits{})
 	full := dispatch.Step{Kind: dispatch.StepFetch, Attempt: 2, FetchRequest: policy.FetchRequest{Cache: edge, Source: origin, Rank: 3,
 		Mode: policy.ModeCoalesce | policy.ModeCachedOnly | policy.ModeSourceNoStore | policy.ModeRevalidate, Timeout: 1234567, SilenceTimeout: 99, MaxAge: 2500}}
 	bare := dispatch.Step{Kind: dispatch.StepFetch, FetchRequest: policy.FetchRequest{Cache: policy.NewCache("unknown"), MaxAge: 1, Mode: policy.ModeRevalidate}}
--- /dev/null
+++ b/internal/extproc/handlers.go
@@ -0,0 +1,154 @@
+package extproc
+
+import (
+	"errors"
+	"time"
+
+	"foldslip/internal/admission"
+	"foldslip/internal/dispatch"
+	"foldslip/internal/limit"
+	"foldslip/internal/policy"
+	"foldslip/internal/retry"
+	"foldslip/internal/route"
+)
+
+// handleRequest takes the headers of a request. It returns a reply if there is one at once; else the stream receives an answer later.
+func (s *Server) handleRequest(st *stream, message Message) (reply Reply, ok bool) {
+	arrivedAt := s.Environment.Now()
+	request, err := s.currentTable().Match(message.Method, message.Path, message.Get)
+	var invalid *route.RequestError
+	if errors.As(err, &invalid) {
+		return finalReply(invalid.Status, invalid.Text), true
+	}
+	longest := time.Duration(s.Settings.Router.Kinds[request.Kind].Deadline) * time.Microsecond
+	if request.TimeAllowed < 0 || request.TimeAllowed > longest {
+		request.TimeAllowed = longest
+	}
+	s.mu.Lock()
+	lookup, commands, rejected := s.openLookup(st, message.Get, &request, arrivedAt)
+	s.mu.Unlock()
+	switch {
+	case rejected != nil:
+		s.release(rejected)
+		return rejected.reply, true
+	case lookup == nil: // not a new one
+		s.apply(commands)
+	default:
+		s.deliverSteps(lookup)
+	}
+	return Reply{}, false
+}
+
+// rejection is a lookup that was not submitted.
+type rejection struct {
+	reply  Reply
+	quota  *admission.Gate // to be released; nil: none
+	lookup *retry.Lookup   // whose ticket ends; nil: none
+}
+
+// release frees what a rejected lookup held, without the lock.
+func (s *Server) release(rejected *rejection) {
+	if rejected.quota != nil {
+		rejected.quota.Release()
+	}
+	if rejected.lookup != nil {
+		s.endTicket(rejected.lookup, dispatch.StepFailed)
+	}
+}
+
+// openLookup has the coordinator take a request and submits a new lookup to the dispatcher, under the lock. It returns the lookup if it is new, and
+// commands if it is not.
+func (s *Server) openLookup(st *stream, get route.Attributes, request *route.Lookup, arrivedAt time.Time) (*retry.Lookup, retry.Commands, *rejection) {
+	if request.TimeAllowed <= 0 && !s.coordinator.Knows(&st.handle, request.ID) { // a known one has its end, however late it is requested
+		return nil, retry.Commands{}, &rejection{reply: finalReply(503, textNoTime)}
+	}
+	deadline := arrivedAt.Add(request.TimeAllowed)
+	lookup, commands := s.coordinator.Request(arrivedAt, &st.handle, request.ID, deadline)
+	if lookup == nil {
+		return nil, commands, nil
+	}
+	lookup.Object, lookup.Group, lookup.ETag = request.Object, request.Group, request.Tag
+	lookup.Request, lookup.ArrivedAt = request, arrivedAt
+	rejected := s.submit(st, lookup, deadline)
+	if rejected != nil {
+		s.coordinator.Discard(lookup)
+		return nil, commands, rejected
+	}
+	s.tracer.LookupStarted(lookup, get)
+	return lookup, commands, nil
+}
+
+// submit admits a lookup by its caller's quota and its route, and hands it to the dispatcher.
+func (s *Server) submit(st *stream, lookup *retry.Lookup, deadline time.Time) *rejection {
+	request := lookup.Request
+	lookup.Quota = s.Admission.Gate(st.caller.name, s.limits.Weight)
+	if !lookup.Quota.TryAdmit() {
+		return &rejection{reply: s.fullReply()}
+	}
+	var scope *policy.Scope
+	if s.Routes != nil {
+		ticket, reason, retryAfter := s.Routes.Admit(request.Kind, request.Group, request.Object, request.KB)
+		if reason != limit.Allowed {
+			reply := finalReply(503, textPastLimit+string(reason))
+			reply.RetryAfter = retryAfter
+			return &rejection{reply: reply, quota: lookup.Quota}
+		}
+		lookup.Ticket, scope = ticket, ticket.Scope()
+	}
+	lookup.BeginHandling()
+	defer lookup.EndHandling()
+	lookup.Dispatched = s.Dispatcher.Submit(dispatch.Request{
+		ID:       request.ID,
+		Kind:     request.Kind,
+		Object:   request.Object,
+		Part:     request.Part,
+		Group:    request.Group,
+		SizeKB:   request.KB,
+		Deadline: deadline,
+		Scope:    scope,
+		OnReady:  func() { s.notifyReady(lookup) },
+	})
+	if lookup.Dispatched == nil {
+		return &rejection{reply: finalReply(409, textOpenElsewhere), quota: lookup.Quota, lookup: lookup}
+	}
+	return nil
+}
+
+// handleReport takes the headers of a response: the end of an attempt.
+func (s *Server) handleReport(st *stream, message Message) {
+	report := parseReport(message.Get)
+	s.mu.Lock()
+	lookup := s.coordinator.LookupOf(&st.handle)
+	if lookup != nil && report.outcome == policy.OutcomeSatisfied {
+		s.checkAnswer(st, lookup, &report)
+	}
+	commands := s.coordinator.ReportOutcome(&st.handle, report.outcome, report.detail, report.sourceWait)
+	s.mu.Unlock()
+	s.apply(commands)
+}
+
+// checkAnswer changes the report of an answer that is no use to its lookup, as the frontend does: a confirmation of another copy than the client's
+// is an error, and an answer from before a purge in force, or of unknown age beside one, counts as late, since the attempt has run. What ran
+// at the origin and reports no age is no copy, and no purge concerns it.
+func (s *Server) checkAnswer(st *stream, lookup *retry.Lookup, report *attemptReport) {
+	if report.notModified && (report.etag != lookup.ETag || lookup.ETag == "") {
+		s.anomalies[anomalyValidOtherCopy]++
+		report.outcome = policy.OutcomeError
+	}
+	if s.Purges == nil {
+		return
+	}
+	purgedAt, learnedAt := s.Purges.InForce(lookup.Object, lookup.Group)
+	passThrough := s.Settings.Router.Kinds[lookup.Request.Kind].PassThrough
+	switch {
+	case purgedAt.IsZero():
+	case report.createdAt.IsZero() && passThrough:
+	case report.createdAt.IsZero():
+		s.anomalies[anomalyCreationUnreported]++
+		report.markLate()
+	case report.createdAt.Before(purgedAt):
+		s.Environment.Log().Warn("outdated_copy", "caller", st.caller.name, "older_ms", purgedAt.Sub(report.createdAt).Milliseconds(),
+			"told_ms_ago", s.Environment.Now().Sub(learnedAt).Milliseconds())
+		report.markLate()
+	}
+}
--- a/internal/extproc/stream.go
+++ b/internal/extproc/stream.go
@@ -10,104 +10,132 @@
 	"foldslip/internal/retry"
 )
 
-// Transport is one stream of a caller, in whatever form it comes.
+// maxQueuedReplies is the number of replies on a stream that its caller has not read past which no more messages are read.
+const maxQueuedReplies = 8
+
+// Transport is a stream of a caller in the form that it has on a wire.
 type Transport interface {
-	// Recv waits for the next message; io.EOF where the caller has said its last.
+	// Receive waits for the next message. It returns io.EOF after the caller's last one.
 	Receive() (Message, error)
 	// Send may wait until the caller reads.
 	Send(Reply) error
 }
 
-// stream is a stream of a caller: one request of its client, whose phases come in their order.
+// stream is a stream of a caller: one request of its client, whose phases come in order.
 type stream struct {
 	server       *Server
 	caller       *caller
 	handle       retry.Stream
-	mu           sync.Mutex
-	repliesReady env.Notifier // rung for the replying side
-	queueSpace   env.Notifier // rung for the receiving side when replies have gone out
+	repliesReady env.Notifier // for the replying side
+	queueSpace   env.Notifier // for the receiving side
+
+	mu           sync.Mutex // of what follows
 	replies      []Reply
-	awaitedPhase Phase // that waits for the desk's word; 0: none
-	earlyAnswer  *retry.Answer
-	receiveErr   error // the receiving side has ended
-	ended        bool  // the replying side has
+	awaitedPhase Phase         // that waits for the coordinator's answer; 0: none
+	earlyAnswer  *retry.Answer // the lookup's end, while the caller makes an attempt
+	receiveErr   error         // the receiving side has ended
+	ended        bool          // the replying side has ended
 	lastActivity time.Time
 }
 
-// ErrTooLarge is a message larger than a door takes; a Wire's Recv gives it.
-var ErrMessageTooLarge = errors.New("a message is larger than this door takes")
-
-// ErrFull is a stream more than its caller may have.
-var ErrTooManyStreams = errors.New("too many streams of this caller")
-
-// Serve serves one stream until either side ends it. What it had open is given up.
-func (d *Server) Serve(w Transport, name string) error {
-	c := d.enterCaller(name)
-	if c == nil {
+// Serve serves one stream until either side ends it, and ends what it had open.
+func (s *Server) Serve(transport Transport, callerName string) error {
+	caller := s.enterCaller(callerName)
+	if caller == nil {
 		return ErrTooManyStreams
 	}
-	st := &stream{server: d, caller: c, repliesReady: d.environment.NewNotifier(), queueSpace: d.environment.NewNotifier(), lastActivity: d.environment.Now()}
-	st.handle = retry.Stream{Caller: name, Owner: st}
-	defer d.leaveCaller(c)
-	d.streams.Go("stream", func() error { // it ends with the wire, after Serve has returned
-		st.receiveMessages(w)
+	defer s.leaveCaller(caller)
+	st := &stream{
+		server:       s,
+		caller:       caller,
+		repliesReady: s.Environment.NewNotifier(),
+		queueSpace:   s.Environment.NewNotifier(),
+		lastActivity: s.Environment.Now(),
+	}
+	st.handle = retry.Stream{Caller: callerName, Owner: st}
+	s.streams.Go("stream", func() error { // it ends with the transport, after Serve has returned
+		st.receiveMessages(transport)
 		return nil
 	})
-	err := st.sendReplies(w)
+	err := st.sendReplies(transport)
 	st.mu.Lock()
 	st.ended = true
 	st.mu.Unlock()
 	st.queueSpace.Notify()
-	d.mu.Lock()
-	do := d.coordinator.StreamEnded(d.environment.Now(), &st.handle)
-	d.mu.Unlock()
-	d.apply(do)
+	s.mu.Lock()
+	commands := s.coordinator.StreamEnded(s.Environment.Now(), &st.handle)
+	s.mu.Unlock()
+	s.apply(commands)
 	return err
 }
 
-// sendReplies sends what there is to say; it ends with the stream.
-func (st *stream) sendReplies(w Transport) error {
+// sendReplies sends the queued replies until the stream ends.
+func (st *stream) sendReplies(transport Transport) error {
 	for {
-		st.mu.Lock()
-		if len(st.replies) > 0 {
-			r := st.replies[0]
-			st.replies = st.replies[1:]
-			st.mu.Unlock()
-			st.queueSpace.Notify()
-			if r.End != NotEnded {
-				return r.End
-			}
-			if err := w.Send(r); err != nil {
+		reply, ok := st.nextReply()
+		if !ok {
+			if err := st.waitForReply(); err != nil {
+				if errors.Is(err, io.EOF) {
+					return nil
+				}
 				return err
 			}
 			continue
 		}
-		failed, quiet := st.receiveErr, st.server.environment.Now().Sub(st.lastActivity)
-		st.mu.Unlock()
-		if failed != nil {
-			if errors.Is(failed, io.EOF) {
-				return nil
-			}
-			return failed
+		if reply.End != NotEnded {
+			return reply.End
 		}
-		wait := time.Duration(-1)
-		if silent := st.server.limits.SilenceTimeout; silent > 0 {
-			if wait = silent - quiet; wait <= 0 {
-				st.server.countAnomaly("stream_silent")
-				return EndedSilent
-			}
+		if err := transport.Send(reply); err != nil {
+			return err
+		}
+	}
+}
+
+// nextReply takes a queued reply.
+func (st *stream) nextReply() (reply Reply, ok bool) {
+	st.mu.Lock()
+	if len(st.replies) == 0 {
+		st.mu.Unlock()
+		return Reply{}, false
+	}
+	reply = st.replies[0]
+	st.replies = st.replies[1:]
+	st.mu.Unlock()
+	st.queueSpace.Notify()
+	return reply, true
+}
+
+// waitForReply waits for a queued reply. It returns the error that ended the receiving side, or EndedSilent.
+func (st *stream) waitForReply() error {
+	st.mu.Lock()
+	if len(st.replies) > 0 {
+		st.mu.Unlock()
+		return nil
+	}
+	receiveErr, silentFor := st.receiveErr, st.server.Environment.Now().Sub(st.lastActivity)
+	st.mu.Unlock()
+	if receiveErr != nil {
+		return receiveErr
+	}
+	wait := time.Duration(-1)
+	if timeout := st.server.limits.SilenceTimeout; timeout > 0 {
+		wait = timeout - silentFor
+		if wait <= 0 {
+			st.server.countAnomaly(anomalyStreamSilent)
+			return EndedSilent
 		}
-		st.repliesReady.Wait(wait)
 	}
+	st.repliesReady.Wait(wait)
+	return nil
 }
 
-// receiveMessages takes messages in and has each dealt with, up to the wire's end.
-func (st *stream) receiveMessages(w Transport) {
+// receiveMessages handles messages until the transport's end.
+func (st *stream) receiveMessages(transport Transport) {
 	for {
-		m, err := w.Receive()
+		message, err := transport.Receive()
 		if err != nil {
 			if errors.Is(err, ErrMessageTooLarge) {
-				st.countFault("message_too_large")
+				st.countFault(anomalyMessageTooLarge)
 			}
 			st.mu.Lock()
 			st.receiveErr = err
@@ -115,117 +143,121 @@
 			st.repliesReady.Notify()
 			return
 		}
-		if why := st.server.chargeMessage(st.caller, m.Size); why != "" {
+		if !st.server.chargeMessage(st.caller, message.Size) {
 			st.queueReply(Reply{End: EndedOverLimit})
 			return
 		}
-		if m.ObserveOnly { // told for others to see: no reply, and nothing of it reaches the module
-			st.server.countAnomaly("watched")
+		if message.ObserveOnly { // no reply, and nothing of it reaches the dispatcher
+			st.server.countAnomaly(anomalyObserveOnly)
 			st.noteActivity()
 			continue
 		}
-		if !st.handleMessage(m) {
+		if !st.handleMessage(message) {
 			return
 		}
 	}
 }
 
-// handleMessage deals with one message; false ends the receiving side.
-func (st *stream) handleMessage(m Message) bool {
-	st.mu.Lock()
-	st.lastActivity = st.server.environment.Now()
-	for len(st.replies) >= maxQueuedReplies && !st.ended { // the caller does not read: it is read no further either
-		st.mu.Unlock()
-		st.queueSpace.Wait(-1)
-		st.mu.Lock()
-	}
-	if st.ended {
-		st.mu.Unlock()
+// handleMessage handles one message. It returns false if no more are to be received.
+func (st *stream) handleMessage(message Message) (ok bool) {
+	if !st.waitForSpace() {
 		return false
 	}
-	early, owed := st.earlyAnswer, st.awaitedPhase
+	st.mu.Lock()
+	earlyAnswer, awaitedPhase := st.earlyAnswer, st.awaitedPhase
 	st.mu.Unlock()
-	if owed != 0 && (m.Phase == RequestHeaders || m.Phase == ResponseHeaders) {
-		st.countFault("phase_out_of_order")
+	if awaitedPhase != 0 && (message.Phase == RequestHeaders || message.Phase == ResponseHeaders) {
+		st.countFault(anomalyPhaseOutOfOrder)
 		st.queueReply(Reply{End: EndedOutOfOrder})
 		return false
 	}
-	switch m.Phase {
+	switch message.Phase {
 	case RequestHeaders:
-		st.awaitAnswer(m.Phase)
-		if r, told := st.server.handleRequest(st, m); told {
-			st.answerAwaited(r)
+		st.awaitAnswer(message.Phase)
+		if reply, ok := st.server.handleRequest(st, message); ok {
+			st.answerAwaited(reply)
 		}
 	case ResponseHeaders:
-		if early != nil {
-			r := st.server.replyFor(*early)
-			r.Phase = m.Phase
-			st.queueReply(r)
+		if earlyAnswer != nil {
+			reply := st.server.replyFor(*earlyAnswer)
+			reply.Phase = message.Phase
+			st.queueReply(reply)
 			return true
 		}
-		st.awaitAnswer(m.Phase)
-		st.server.handleReport(st, m)
+		st.awaitAnswer(message.Phase)
+		st.server.handleReport(st, message)
 	default:
-		st.queueReply(Reply{Phase: m.Phase})
+		st.queueReply(Reply{Phase: message.Phase})
 	}
 	return true
 }
 
-// awaitAnswer notes the phase that waits for the desk's word.
-func (st *stream) awaitAnswer(p Phase) {
+// waitForSpace waits while the caller does not read its replies. It returns false if the replying side has ended.
+func (st *stream) waitForSpace() (ok bool) {
 	st.mu.Lock()
-	st.awaitedPhase = p
-	st.mu.Unlock()
+	defer st.mu.Unlock()
+	st.lastActivity = st.server.Environment.Now()
+	for len(st.replies) >= maxQueuedReplies && !st.ended {
+		st.mu.Unlock()
+		st.queueSpace.Wait(-1)
+		st.mu.Lock()
+	}
+	return !st.ended
+}
+
+// awaitAnswer notes the phase that waits for the coordinator's answer.
+func (st *stream) awaitAnswer(phase Phase) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.awaitedPhase = phase
 }
 
 func (st *stream) noteActivity() {
 	st.mu.Lock()
-	st.lastActivity = st.server.environment.Now()
-	st.mu.Unlock()
+	defer st.mu.Unlock()
+	st.lastActivity = st.server.Environment.Now()
 }
 
-// answerAwaited answers what was owed.
-func (st *stream) answerAwaited(r Reply) {
+// answerAwaited replies to the phase that waits.
+func (st *stream) answerAwaited(reply Reply) {
 	st.mu.Lock()
-	r.Phase, st.awaitedPhase = st.awaitedPhase, 0
+	reply.Phase = st.awaitedPhase
+	st.awaitedPhase = 0
 	st.mu.Unlock()
-	st.queueReply(r)
+	st.queueReply(reply)
 }
 
-// receiveAnswer is the desk's word. One that answers nothing, an end while the caller is at its send, is kept for its report.
-func (st *stream) receiveAnswer(say retry.Answer) {
+// receiveAnswer takes an answer of the coordinator. If no phase waits for one, the lookup has ended while the caller makes an attempt, and the
+// answer is kept for its report.
+func (st *stream) receiveAnswer(answer retry.Answer) {
 	st.mu.Lock()
-	if say.Kind == retry.AnswerOutOfOrder && st.earlyAnswer != nil { // a report that crossed the end hears the end
-		say = *st.earlyAnswer
+	if answer.Kind == retry.AnswerOutOfOrder && st.earlyAnswer != nil { // a report that crossed the end gets the end
+		answer = *st.earlyAnswer
 	}
-	if say.Kind == retry.AnswerOutOfOrder {
-		st.countFault("report_out_of_order")
+	if answer.Kind == retry.AnswerOutOfOrder {
+		st.countFault(anomalyReportOutOfOrder)
 	}
-	if st.awaitedPhase == 0 {
-		st.earlyAnswer = &say
-		st.mu.Unlock()
-		return
+	isAwaited := st.awaitedPhase != 0
+	if !isAwaited {
+		st.earlyAnswer = &answer
 	}
 	st.mu.Unlock()
-	st.answerAwaited(st.server.replyFor(say))
+	if isAwaited {
+		st.answerAwaited(st.server.replyFor(answer))
+	}
 }
 
-func (st *stream) queueReply(r Reply) {
+func (st *stream) queueReply(reply Reply) {
 	st.mu.Lock()
-	st.replies = append(st.replies, r)
-	st.lastActivity = st.server.environment.Now()
+	st.replies = append(st.replies, reply)
+	st.lastActivity = st.server.Environment.Now()
 	st.mu.Unlock()
 	st.repliesReady.Notify()
 }
 
-func (st *stream) countFault(why string) {
+// countFault counts an anomaly as a fault of the stream's caller.
+func (st *stream) countFault(anomaly string) {
 	st.server.mu.Lock()
 	defer st.server.mu.Unlock()
-	st.server.countFault(st.server.environment.Now(), st.caller, why)
-}
-
-func (d *Server) countAnomaly(what string) {
-	d.mu.Lock()
-	d.anomalies[what]++
-	d.mu.Unlock()
+	st.server.countFault(st.server.Environment.Now(), st.caller, anomaly)
 }
--- /dev/null
+++ b/internal/extproc/tracer.go
@@ -0,0 +1,20 @@
+package extproc
+
+import (
+	"foldslip/internal/dispatch"
+	"foldslip/internal/retry"
+	"foldslip/internal/route"
+)
+
+// Tracer is notified of each lookup's steps. It must not wait: LookupStarted is called under the Server's lock.
+type Tracer interface {
+	LookupStarted(lookup *retry.Lookup, get route.Attributes)
+	StepDecided(lookup *retry.Lookup, step dispatch.Step)
+	AttemptEnded(lookup *retry.Lookup, report retry.Report)
+}
+
+type noTracer struct{}
+
+func (noTracer) LookupStarted(*retry.Lookup, route.Attributes) {}
+func (noTracer) StepDecided(*retry.Lookup, dispatch.Step)      {}
+func (noTracer) AttemptEnded(*retry.Lookup, retry.Report)      {}
--- a/internal/lab/scenario/door.go
+++ b/internal/lab/scenario/door.go
@@ -58,7 +58,8 @@
 	if err != nil {
 		return nil, err
 	}
-	return &extprocServer{Server: extproc.New(in.Environment, in.Settings, in.Dispatcher, in.Registry, in.Purges, in.Admission, table, terms), environment: in.Environment, listener: l,
+	return &extprocServer{Server: extproc.New(extproc.Dependencies{Environment: in.Environment, Settings: in.Settings, Dispatcher: in.Dispatcher,
+		Caches: in.Registry, Purges: in.Purges, Admission: in.Admission}, table, terms), environment: in.Environment, listener: l,
 		conns: map[net.Conn]int{}, group: in.Environment.NewGroup(), fault: plant, scenario: d}, nil
 }
 
