--- a/internal/extproc/callers.go
+++ b/internal/extproc/callers.go
@@ -61,8 +61,8 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(minBurst, int(perSecond/burstsPerSecond)))
 }
 
-// enterCaller finds or makes a caller and counts one more stream of it; nil if it or the Server has all that it may.
-func (s *Server) enterCaller(name string) *caller {
+// acquireCaller finds or makes a caller and counts one more stream of it; nil if it or the Server has all that it may.
+func (s *Server) acquireCaller(name string) *caller {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.callers[name]
@@ -103,7 +103,7 @@
 	return c
 }
 
-func (s *Server) leaveCaller(c *caller) {
+func (s *Server) releaseCaller(c *caller) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.streams--
--- /dev/null
+++ b/internal/extproc/extprocgrpc/listener_test.go
@@ -0,0 +1,237 @@
+package extprocgrpc
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/credentials"
+	"google.golang.org/grpc/credentials/insecure"
+
+	"foldslip/client"
+	"foldslip/internal/admission"
+	"foldslip/internal/config"
+	"foldslip/internal/env"
+	"foldslip/internal/route"
+)
+
+// startListener starts a Listener of a configuration, with what that leaves out, until the test's end.
+func startListener(t *testing.T, configuration *config.ExternalProcessor) *Listener {
+	t.Helper()
+	dependencies, err := newDependencies(true)
+	if err != nil {
+		t.Fatal(err)
+	}
+	dependencies.Admission = admission.NewController(dependencies.Environment, 100, 1<<20)
+	configuration.StreamsPerConnection, configuration.StreamsPerCaller = 100, 100
+	configuration.Lookups, configuration.LookupsPerCaller = 100, 100
+	configuration.MaxRetryAfterMS, configuration.RememberMS, configuration.SilenceTimeoutMS = 300, 2000, 5000
+	configuration.Weight = 1
+	configuration.Table = []route.Rule{{Path: "/call/{kind}/{object}/part-{part}", Kind: "path:kind", Object: "path:object", Part: "path:part", ID: "header:x-job-id"}}
+	l, err := Listen("n0", dependencies, configuration)
+	if err != nil {
+		t.Fatal(err)
+	}
+	lifetime, ended := env.NewLifetime(nil), make(chan error)
+	go func() { ended <- l.Run(lifetime) }()
+	go tick(dependencies.Dispatcher, lifetime)
+	t.Cleanup(func() {
+		dependencies.Dispatcher.Stop()
+		lifetime.End()
+		if err := <-ended; err != nil {
+			t.Error(err)
+		}
+	})
+	return l
+}
+
+// lookUp makes a lookup through the client package. Its attempts end with these words, the last one again and again.
+func lookUp(t *testing.T, target string, creds credentials.TransportCredentials, id string, words ...string) (client.Result, error) {
+	t.Helper()
+	conn, err := grpc.NewClient(target, grpc.WithTransportCredentials(creds))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
+	defer stop()
+	return client.New(conn).Lookup(ctx, client.Request{Path: "/call/segment/o/part-1", Header: http.Header{"X-Job-Id": {id}}},
+		func(_ context.Context, d client.Decision) client.AttemptOutcome {
+			return client.AttemptOutcome{Word: words[min(d.Attempt, len(words)-1)], CreatedAt: time.Now()}
+		})
+}
+
+// Lookups through the client.
+func TestClientLookups(t *testing.T) {
+	configuration := &config.ExternalProcessor{Listen: "unix:" + filepath.Join(t.TempDir(), "listener")}
+	startListener(t, configuration)
+	at := configuration.Listen
+	for i, test := range []struct {
+		name     string
+		words    []string
+		result   client.ResultKind
+		attempts int
+	}{{"a hit", []string{"hit"}, client.Satisfied, 1}, {"rejected, then a hit elsewhere", []string{"shed", "hit"}, client.Satisfied, 2},
+		{"never connected, an error, a hit", []string{"unconnected", "fault", "hit"}, client.Satisfied, 3},
+		{"errors without end", []string{"fault"}, client.Rejected, 3}} {
+		t.Run(test.name, func(t *testing.T) {
+			result, err := lookUp(t, at, insecure.NewCredentials(), fmt.Sprint("a", i), test.words...)
+			if err != nil || result.Kind != test.result || len(result.Attempts) != test.attempts {
+				t.Errorf("%+v, %v", result, err)
+			}
+		})
+	}
+	t.Run("one that was answered before is refused", func(t *testing.T) {
+		if result, err := lookUp(t, at, insecure.NewCredentials(), "a0", "hit"); err != nil || result.Kind != client.Refused || result.Status != 409 {
+			t.Errorf("%+v, %v", result, err)
+		}
+	})
+}
+
+// A Unix socket in use is refused, one left behind is taken over.
+func TestUnixSocket(t *testing.T) {
+	configuration := &config.ExternalProcessor{Listen: "unix:" + filepath.Join(t.TempDir(), "listener")}
+	startListener(t, configuration)
+	path := strings.TrimPrefix(configuration.Listen, "unix:")
+	if _, err := listenAt(env.NewSystem(io.Discard, slog.LevelInfo), configuration.Listen); err == nil || !strings.Contains(err.Error(), "another process") {
+		t.Error(err)
+	}
+	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != socketMode {
+		t.Error(info, err)
+	}
+	left, err := net.Listen("unix", path+"2")
+	if err != nil {
+		t.Fatal(err)
+	}
+	left.(*net.UnixListener).SetUnlinkOnClose(false)
+	left.Close()
+	again, err := listenAt(env.NewSystem(io.Discard, slog.LevelInfo), configuration.Listen+"2")
+	if err != nil {
+		t.Fatal(err)
+	}
+	again.Close()
+}
+
+// A configuration that moves the listener is refused, a table is taken.
+func TestPrepareReload(t *testing.T) {
+	configuration := &config.ExternalProcessor{Listen: "unix:" + filepath.Join(t.TempDir(), "listener")}
+	l := startListener(t, configuration)
+	other := *configuration
+	other.Listen = "127.0.0.1:1"
+	if _, err := l.PrepareReload(&config.Config{ExternalProcessor: &other}); !errors.Is(err, ErrNeedsRestart) {
+		t.Error(err)
+	}
+	other = *configuration
+	other.Table = []route.Rule{{Path: "/other", Kind: "segment", Object: "o", ID: "header:x-job-id"}}
+	change, err := l.PrepareReload(&config.Config{ExternalProcessor: &other})
+	if err != nil {
+		t.Fatal(err)
+	}
+	change()
+	if result, err := lookUp(t, configuration.Listen, insecure.NewCredentials(), "b1", "hit"); err != nil || result.Status != 404 {
+		t.Errorf("%+v, %v", result, err)
+	}
+}
+
+// Callers with certificates.
+func TestTLS(t *testing.T) {
+	dir := t.TempDir()
+	ours, theirs := newAuthority(t, dir), newAuthority(t, t.TempDir())
+	ours.issue("listener", ours)
+	ours.issue("edge", ours)
+	theirs.issue("stranger", theirs)
+	at := freeAddr()
+	configuration := &config.ExternalProcessor{Listen: at, TLS: &config.TLS{Cert: dir + "/listener.crt", Key: dir + "/listener.key", ClientCA: dir + "/ca.crt"}}
+	l := startListener(t, configuration)
+	creds := func(by *authority, name string) credentials.TransportCredentials {
+		return ours.clientCredentials(by, name)
+	}
+	if result, err := lookUp(t, at, creds(ours, "edge"), "a", "hit"); err != nil || result.Kind != client.Satisfied {
+		t.Fatalf("%+v, %v", result, err)
+	}
+	for name, c := range map[string]credentials.TransportCredentials{"no certificate": creds(nil, ""), "a stranger's": creds(theirs, "stranger"),
+		"no TLS": insecure.NewCredentials()} {
+		t.Run(name+" is refused", func(t *testing.T) {
+			if result, err := lookUp(t, at, c, "b", "hit"); err == nil {
+				t.Errorf("%+v", result)
+			}
+		})
+	}
+	t.Run("keys are reloaded, and open streams go on", func(t *testing.T) {
+		conn, err := grpc.NewClient(at, grpc.WithTransportCredentials(creds(ours, "edge")))
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer conn.Close()
+		during := func(_ context.Context, d client.Decision) client.AttemptOutcome {
+			ours.issue("listener", ours) // a new certificate under the same name
+			change, err := l.PrepareReload(&config.Config{ExternalProcessor: configuration})
+			if err != nil {
+				t.Error(err)
+				return client.AttemptOutcome{}
+			}
+			change()
+			if result, err := lookUp(t, at, creds(ours, "edge"), "d", "hit"); err != nil || result.Kind != client.Satisfied {
+				t.Errorf("%+v, %v", result, err)
+			}
+			return client.AttemptOutcome{Word: "hit", CreatedAt: time.Now()}
+		}
+		result, err := client.New(conn).Lookup(context.Background(), client.Request{Path: "/call/segment/o/part-1", Header: http.Header{"X-Job-Id": {"c"}}}, during)
+		if err != nil || result.Kind != client.Satisfied {
+			t.Errorf("%+v, %v", result, err)
+		}
+	})
+	t.Run("a key that others may read is refused", func(t *testing.T) {
+		os.Chmod(dir+"/listener.key", 0o644)
+		if _, err := l.PrepareReload(&config.Config{ExternalProcessor: configuration}); err == nil || !strings.Contains(err.Error(), "chmod 600") {
+			t.Error(err)
+		}
+	})
+}
+
+// A caller that breaks off many streams says nothing of the caches: another caller's lookups go where they went.
+func TestBrokenStreamsEjectNoCache(t *testing.T) {
+	configuration := &config.ExternalProcessor{Listen: "unix:" + filepath.Join(t.TempDir(), "listener")}
+	l := startListener(t, configuration)
+	conn, err := grpc.NewClient(configuration.Listen, grpc.WithTransportCredentials(insecure.NewCredentials()))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	where := func(id string) string {
+		result, err := lookUp(t, configuration.Listen, insecure.NewCredentials(), id, "hit")
+		if err != nil || result.Kind != client.Satisfied {
+			t.Fatalf("%+v, %v", result, err)
+		}
+		return result.Attempts[0].Cache
+	}
+	before := where("before")
+	for i := range 12 {
+		ctx, leave := context.WithCancel(context.Background())
+		client.New(conn).Lookup(ctx, client.Request{Path: "/call/segment/o/part-1", Header: http.Header{"X-Job-Id": {fmt.Sprint("left", i)}}},
+			func(context.Context, client.Decision) client.AttemptOutcome {
+				leave()
+				time.Sleep(5 * time.Millisecond)
+				return client.AttemptOutcome{}
+			})
+	}
+	for range 2000 {
+		if l.Anomalies()["stream_ended_with_send"] == 12 {
+			break
+		}
+		time.Sleep(time.Millisecond)
+	}
+	if after := where("after"); after != before || l.Anomalies()["stream_ended_with_send"] != 12 {
+		t.Errorf("%s before, %s after, %v", before, after, l.Anomalies())
+	}
+}
--- /dev/null
+++ b/internal/extproc/extprocgrpc/load_test.go
@@ -0,0 +1,308 @@
+package extprocgrpc
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"os/exec"
+	"runtime"
+	"runtime/pprof"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+	extprocv3 "github.com/envoyproxy/go-control-plane/envoy/service/ext_proc/v3"
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/credentials/insecure"
+
+	"foldslip/internal/admission"
+	"foldslip/internal/env"
+	"foldslip/internal/extproc"
+	"foldslip/internal/retry"
+	"foldslip/internal/route"
+)
+
+// noopService answers each message with nothing to change.
+type noopService struct {
+	extprocv3.UnimplementedExternalProcessorServer
+}
+
+func (noopService) Process(stream extprocv3.ExternalProcessor_ProcessServer) error {
+	for {
+		m, err := stream.Recv()
+		if err != nil {
+			if err == io.EOF {
+				return nil
+			}
+			return err
+		}
+		r := &extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_RequestHeaders{RequestHeaders: &extprocv3.HeadersResponse{}}}
+		if m.GetResponseHeaders() != nil {
+			r.Response = &extprocv3.ProcessingResponse_ResponseHeaders{ResponseHeaders: &extprocv3.HeadersResponse{}}
+		}
+		if err := stream.Send(r); err != nil {
+			return err
+		}
+	}
+}
+
+// TestMain becomes the process under load where FOLDSLIP_SERVE names a kind of server.
+func TestMain(m *testing.M) {
+	if kind := os.Getenv("FOLDSLIP_SERVE"); kind != "" {
+		serveUnderLoad(kind)
+		return
+	}
+	os.Exit(m.Run())
+}
+
+// The kinds of servers under load.
+const (
+	kindNoop    = "noop"    // noopService
+	kindPlain   = "plain"   // a Service without limits
+	kindGuarded = "guarded" // a Service with the limits of the default configuration, but for the rate
+)
+
+// serveUnderLoad is the process under load: it serves until its input ends, and prints its memory and allocations for each line.
+func serveUnderLoad(kind string) {
+	runtime.GOMAXPROCS(1)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		panic(err)
+	}
+	guard := &Listener{}
+	options := []grpc.ServerOption{grpc.MaxRecvMsgSize(MaxMessageBytes), grpc.MaxConcurrentStreams(4096)}
+	if kind == kindGuarded {
+		options = append(options, grpc.InTapHandle(guard.admitStream))
+	}
+	server := grpc.NewServer(options...)
+	if kind == kindNoop {
+		extprocv3.RegisterExternalProcessorServer(server, noopService{})
+	} else {
+		guard.Service = Service{Server: newLoadedServer(kind)}
+		extprocv3.RegisterExternalProcessorServer(server, &guard.Service)
+	}
+	go server.Serve(listener)
+	defer startProfile(kind)()
+	fmt.Println(listener.Addr())
+	defer func() {
+		if guard.Server != nil {
+			fmt.Fprintln(os.Stderr, "anomalies:", guard.AnomalySummary())
+		}
+	}()
+	printUsage()
+}
+
+// newLoadedServer starts a Server for load.
+func newLoadedServer(kind string) *extproc.Server {
+	dependencies, err := newDependencies(true)
+	if err != nil {
+		panic(err)
+	}
+	table, err := route.Compile([]route.Rule{{Path: "/call/{kind}/{object}/part-{part}", Kind: "path:kind", Object: "path:object", Part: "path:part",
+		KB: "header:x-ram-kb", ID: "header:x-job-id"}}, dependencies.Settings.Kinds)
+	if err != nil {
+		panic(err)
+	}
+	limits := extproc.Limits{SilenceTimeout: 30 * time.Second,
+		Lookups: retry.Limits{MaxLookups: 4096, MaxPerCaller: 4096, ReturnTimeout: 300 * time.Millisecond, Retention: 5 * time.Second}}
+	if kind == kindGuarded {
+		limits.MessagesPerSecond, limits.MaxStreams = 3000, 1024
+		limits.Lookups.MaxLookups, limits.Lookups.MaxPerCaller = 256, 128
+	}
+	dependencies.Purges = nil
+	dependencies.Admission = admission.NewController(dependencies.Environment, limits.Lookups.MaxLookups, 1<<30)
+	server := extproc.New(dependencies, table, limits)
+	lifetime := env.NewLifetime(nil)
+	go server.Run(lifetime)
+	go tick(dependencies.Dispatcher, lifetime)
+	return server
+}
+
+// startProfile writes a profile of the processor to the file that FOLDSLIP_PROFILE names, until stop.
+func startProfile(kind string) (stop func()) {
+	path := os.Getenv("FOLDSLIP_PROFILE")
+	if path == "" {
+		return func() {}
+	}
+	f, err := os.Create(path + "." + kind)
+	if err != nil {
+		panic(err)
+	}
+	pprof.StartCPUProfile(f)
+	return pprof.StopCPUProfile
+}
+
+// printUsage prints a line of memory, allocations and goroutines for each line of input.
+func printUsage() {
+	var line [1]byte
+	for {
+		if _, err := os.Stdin.Read(line[:]); err != nil {
+			return
+		}
+		var m runtime.MemStats
+		runtime.ReadMemStats(&m)
+		status, _ := os.ReadFile("/proc/self/status")
+		_, rss, _ := strings.Cut(string(status), "VmRSS:")
+		fmt.Println(m.Mallocs, m.TotalAlloc, strings.Fields(rss)[0], runtime.NumGoroutine())
+	}
+}
+
+// loadedProcess is a process under load.
+type loadedProcess struct {
+	cmd   *exec.Cmd
+	in    io.WriteCloser
+	out   io.Reader
+	conns []*grpc.ClientConn
+	addr  string
+}
+
+// startProcess starts a process of a kind and opens connections to it.
+func startProcess(t *testing.T, kind string, conns int) *loadedProcess {
+	p := &loadedProcess{cmd: exec.Command(os.Args[0])}
+	p.cmd.Env = append(os.Environ(), "FOLDSLIP_SERVE="+kind)
+	p.cmd.Stderr = os.Stderr
+	p.in, _ = p.cmd.StdinPipe()
+	p.out, _ = p.cmd.StdoutPipe()
+	if err := p.cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	fmt.Fscanln(p.out, &p.addr)
+	addr := p.addr
+	for range conns {
+		c, err := grpc.NewClient(addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
+		if err != nil {
+			t.Fatal(err)
+		}
+		p.conns = append(p.conns, c)
+	}
+	t.Cleanup(p.stop)
+	return p
+}
+
+func (p *loadedProcess) stop() {
+	for _, c := range p.conns {
+		c.Close()
+	}
+	p.conns = nil
+	p.in.Close()
+	p.cmd.Wait()
+}
+
+// usage is what a process uses: allocations and bytes since its start, resident KB, goroutines.
+type usage struct{ mallocs, bytes, rss, goroutines uint64 }
+
+func (p *loadedProcess) usage() (u usage) {
+	p.in.Write([]byte{'\n'})
+	fmt.Fscanln(p.out, &u.mallocs, &u.bytes, &u.rss, &u.goroutines)
+	return u
+}
+
+// load keeps so many streams open at a time, each for a lookup and the report of its attempt; one in broken is broken off instead. It ends after n
+// lookups or the duration, and returns the times to decisions in microseconds.
+func (p *loadedProcess) load(streams, broken int, n int64, duration time.Duration) (latencies *hdrhistogram.Histogram, done int64, elapsed time.Duration) {
+	var mu sync.Mutex
+	var left, decided atomic.Int64
+	left.Store(n)
+	latencies = newHistogram()
+	startedAt := time.Now()
+	var workers sync.WaitGroup
+	for i := range streams {
+		workers.Go(func() {
+			client := extprocv3.NewExternalProcessorClient(p.conns[i%len(p.conns)])
+			own := newHistogram()
+			for k := 0; left.Add(-1) >= 0 && time.Since(startedAt) < duration; k++ {
+				id := strconv.Itoa(i) + "-" + strconv.Itoa(k)
+				if latency, ok := decideAndReport(client, id, k, broken == 0 || k%broken != 0); ok {
+					own.RecordValue(latency.Microseconds())
+					decided.Add(1)
+				}
+			}
+			mu.Lock()
+			latencies.Merge(own)
+			mu.Unlock()
+		})
+	}
+	workers.Wait()
+	return latencies, decided.Load(), time.Since(startedAt)
+}
+
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 10_000_000, 3) }
+
+// decideAndReport requests a lookup, and reports its attempt unless it is to be broken off. It returns the time to the decision.
+func decideAndReport(client extprocv3.ExternalProcessorClient, id string, k int, report bool) (latency time.Duration, ok bool) {
+	ctx, stop := context.WithCancel(context.Background())
+	defer stop()
+	stream, err := client.Process(ctx)
+	if err != nil {
+		return 0, false
+	}
+	requestedAt := time.Now()
+	stream.Send(requestHeaders(":method", "GET", ":path", fmt.Sprintf("/call/segment/o%d/part-0", k%50), "x-job-id", id, "x-ram-kb", "1",
+		"user-agent", "kiosk", "accept", "*/*", "x-request-id", "5f3c"))
+	response, err := stream.Recv()
+	latency, ok = time.Since(requestedAt), err == nil
+	if response.GetImmediateResponse() != nil { // rejected: the lookup is over
+		return latency, ok
+	}
+	if report {
+		stream.Send(responseHeaders(":status", "200", "x-foldslip-end", "hit", "x-foldslip-note", "hit"))
+		stream.Recv()
+		stream.CloseSend()
+		stream.Recv()
+	}
+	return latency, ok
+}
+
+// failures are the errors of loadPaced.
+var failures sync.Map
+
+// loadPaced requests a thousand lookups a second and returns the times to their decisions from when each was due, so that waiting counts.
+func (p *loadedProcess) loadPaced(duration time.Duration) *hdrhistogram.Histogram {
+	latencies, mu := newHistogram(), sync.Mutex{}
+	var workers sync.WaitGroup
+	for i := range 20 {
+		workers.Go(func() {
+			client, own := extprocv3.NewExternalProcessorClient(p.conns[0]), newHistogram()
+			startedAt := time.Now()
+			for k := 0; time.Since(startedAt) < duration; k++ {
+				due := startedAt.Add(time.Duration(k)*20*time.Millisecond + time.Duration(i)*time.Millisecond)
+				time.Sleep(time.Until(due))
+				id := fmt.Sprint("u", startedAt.UnixNano(), "-", i, "-", k)
+				own.RecordValue(decideDue(client, id, k, due))
+			}
+			mu.Lock()
+			latencies.Merge(own)
+			mu.Unlock()
+		})
+	}
+	workers.Wait()
+	return latencies
+}
+
+// decideDue requests a lookup that is due and returns the microseconds to its decision; 10 s for a failure.
+func decideDue(client extprocv3.ExternalProcessorClient, id string, k int, due time.Time) (micros int64) {
+	ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
+	defer stop()
+	var response *extprocv3.ProcessingResponse
+	stream, err := client.Process(ctx)
+	if err == nil {
+		stream.Send(requestHeaders(":method", "GET", ":path", fmt.Sprintf("/call/segment/o%d/part-0", k%50), "x-job-id", id, "x-ram-kb", "1"))
+		response, err = stream.Recv()
+	}
+	if err != nil {
+		failures.Store(err.Error(), true)
+		return 10_000_000
+	}
+	micros = time.Since(due).Microseconds()
+	if response.GetImmediateResponse() == nil {
+		stream.Send(responseHeaders(":status", "200", "x-foldslip-end", "hit", "x-foldslip-note", "hit"))
+		stream.Recv()
+	}
+	return micros
+}
--- a/internal/extproc/server.go
+++ b/internal/extproc/server.go
@@ -3,10 +3,10 @@
 // a Transport is their form on a wire (package extprocgrpc). Which attempt a lookup has next is decided by the dispatcher, how the
 // streams of one lookup fit together by package retry.
 //
-// A stream has two goroutines while it lives: one receives messages, one sends replies. A lookup has none: whoever reports something to the
-// dispatcher delivers the steps that follow from it, and Run those that come by themselves. Everything stands on env.Environment, so that a
-// Server also runs on simulated time. Bounds: Limits; a stream holds one message and at most maxQueuedReplies replies, past which it is read
-// no further.
+// A stream has two goroutines while it lives: one receives messages, one sends replies. A lookup has none: a goroutine that reports
+// something to the dispatcher delivers the steps that follow from it, and Run those that come by themselves. Everything stands on
+// env.Environment, so that a Server also runs on simulated time. Bounds: Limits; a stream holds one message and at most maxQueuedReplies
+// replies, past which it is read no further.
 package extproc
 
 import (
--- a/internal/extproc/stream.go
+++ b/internal/extproc/stream.go
@@ -40,11 +40,11 @@
 
 // Serve serves one stream until either side ends it, and ends what it had open.
 func (s *Server) Serve(transport Transport, callerName string) error {
-	caller := s.enterCaller(callerName)
+	caller := s.acquireCaller(callerName)
 	if caller == nil {
 		return ErrTooManyStreams
 	}
-	defer s.leaveCaller(caller)
+	defer s.releaseCaller(caller)
 	st := &stream{
 		server:       s,
 		caller:       caller,
