--- /dev/null
+++ b/internal/fleet/broadcast/driver/testfleet_test.go
@@ -0,0 +1,229 @@
+package driver
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"foldslip/internal/fleet/broadcast"
+	"foldslip/internal/fleet/view"
+)
+
+const (
+	testLatency = time.Millisecond
+	spreadBound = 4500 * time.Millisecond // in which a purge is to reach all
+)
+
+// testFleet is a fleet of drivers in one process, over a network that delays datagrams by testLatency, loses a share of them, and cuts off
+// isolated gateways.
+type testFleet struct {
+	mu       sync.Mutex
+	ids      []view.ID
+	drivers  map[string]*Driver
+	isolated map[string]bool
+	loss     float64 // share of datagrams
+	rng      *rand.Rand
+	applied  map[string]map[broadcast.Purge]int // by gateway: purges of peers, and how often
+	log      bytes.Buffer
+	version  uint64
+	stop     chan struct{}
+}
+
+// testEndpoint is the Fleet of one gateway.
+type testEndpoint struct {
+	*testFleet
+	name string
+}
+
+func (e testEndpoint) Send(to string, b []byte) error {
+	e.mu.Lock()
+	receiver := e.drivers[to]
+	isLost := e.isolated[to] || e.isolated[e.name] || e.loss > 0 && e.rng.Float64() < e.loss
+	e.mu.Unlock()
+	if receiver == nil {
+		return errors.New("no such gateway")
+	}
+	if !isLost {
+		b = slices.Clone(b)
+		time.AfterFunc(testLatency, func() { receiver.HandleMessage(b) })
+	}
+	return nil
+}
+
+func (e testEndpoint) LiveIDs() ([]view.ID, uint64) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return slices.Clone(e.ids), e.version
+}
+
+func (e testEndpoint) Version() uint64 {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.version
+}
+
+// newTestFleet makes n gateways at three sites that don't run yet.
+func newTestFleet(n int) *testFleet {
+	f := &testFleet{
+		rng:      rand.New(rand.NewPCG(1, 2)),
+		drivers:  map[string]*Driver{},
+		isolated: map[string]bool{},
+		applied:  map[string]map[broadcast.Purge]int{},
+		version:  1,
+		stop:     make(chan struct{}),
+	}
+	for i := range n {
+		locality := view.Locality{Region: "r", Zone: "z", Site: fmt.Sprint("s", i%3)}
+		id := view.ID{Name: fmt.Sprint("n", i), Incarnation: uint64(i + 1), Locality: locality}
+		f.ids = append(f.ids, id)
+		f.drivers[id.Name] = f.newDriver(id, uint64(i)+7)
+	}
+	return f
+}
+
+// newDriver makes the driver of a new process of a gateway.
+func (f *testFleet) newDriver(id view.ID, stamp uint64) *Driver {
+	applied := map[broadcast.Purge]int{}
+	f.applied[id.Name] = applied
+	log := slog.New(slog.NewTextHandler(&lockedLog{f}, nil))
+	d := New(id.Name, id.Locality, func(purges []broadcast.Purge) {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		for _, p := range purges {
+			applied[p]++
+		}
+	}, log.With("on", id.Name), stamp, time.Now)
+	d.SetFleet(testEndpoint{f, id.Name})
+	return d
+}
+
+// run runs all drivers and returns a function that ends them.
+func (f *testFleet) run() (shutdown func()) {
+	var running sync.WaitGroup
+	for _, d := range f.drivers {
+		running.Go(func() { d.Run(f.stop) })
+	}
+	return func() {
+		close(f.stop)
+		running.Wait()
+	}
+}
+
+// setIsolated cuts a gateway off, or connects it again.
+func (f *testFleet) setIsolated(name string, isolated bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.isolated[name] = isolated
+}
+
+// receivers are the gateways that applied a purge of a peer, by name.
+func (f *testFleet) receivers(p broadcast.Purge) (names []string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for name, applied := range f.applied {
+		if applied[p] > 0 {
+			names = append(names, name)
+		}
+	}
+	slices.Sort(names)
+	return names
+}
+
+// loggedModes are the modes that a gateway logged.
+func (f *testFleet) loggedModes(name string) (modes []string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for line := range strings.Lines(f.log.String()) {
+		if strings.Contains(line, "on="+name+" ") {
+			_, mode, _ := strings.Cut(line, "mode=")
+			mode, _, _ = strings.Cut(mode, " ")
+			modes = append(modes, mode)
+		}
+	}
+	return modes
+}
+
+// lockedLog writes the fleet's log.
+type lockedLog struct{ fleet *testFleet }
+
+func (l *lockedLog) Write(b []byte) (int, error) {
+	l.fleet.mu.Lock()
+	defer l.fleet.mu.Unlock()
+	return l.fleet.log.Write(b)
+}
+
+// newPurge makes a purge that is issued now: older ones go by reconciliation only, and those that are hours ahead of the clock are not kept.
+func newPurge(i int) broadcast.Purge {
+	return broadcast.Purge{Object: fmt.Sprintf("%016x", i+1), Issued: time.Now().UnixMilli()}
+}
+
+// spreadResult counts pairs of a purge and a gateway, those whose purge was applied past spreadBound, and those whose purge never was.
+type spreadResult struct{ pairs, late, missing int }
+
+// appliedTimes collects, from the drivers' reports, when each purge was first applied at each gateway.
+type appliedTimes struct {
+	fleet     *testFleet
+	startedAt time.Time
+	times     map[string]map[broadcast.Purge]time.Duration // since startedAt
+	last      map[string]uint64                            // number of the last applied purge, by gateway
+}
+
+func newAppliedTimes(f *testFleet) *appliedTimes {
+	a := &appliedTimes{fleet: f, startedAt: time.Now(), times: map[string]map[broadcast.Purge]time.Duration{}, last: map[string]uint64{}}
+	for name := range f.drivers {
+		a.times[name] = map[broadcast.Purge]time.Duration{}
+	}
+	return a
+}
+
+// collect takes what all drivers report since the last time.
+func (a *appliedTimes) collect() {
+	for name, d := range a.fleet.drivers {
+		report := d.Report(a.last[name])
+		for _, applied := range report.Latest {
+			purge := broadcast.Purge{Object: applied.Object, Group: applied.Group, Issued: applied.Issued}
+			at := time.Duration(applied.AtUptimeMS)*time.Millisecond + d.startedAt.Sub(a.startedAt)
+			if before, ok := a.times[name][purge]; !ok || at < before {
+				a.times[name][purge] = at
+			}
+		}
+		a.last[name] = report.Applied
+	}
+}
+
+// spreadPurges publishes purges at a rate for some seconds, waits for the last, and counts how they reached all gateways.
+func (f *testFleet) spreadPurges(perSecond, seconds int, publish func(p broadcast.Purge), wait time.Duration) (result spreadResult) {
+	applied := newAppliedTimes(f)
+	var purges []broadcast.Purge
+	for i := range perSecond * seconds {
+		p := newPurge(i)
+		purges = append(purges, p)
+		publish(p)
+		time.Sleep(time.Second / time.Duration(perSecond))
+		if i%perSecond == 0 {
+			applied.collect()
+		}
+	}
+	for range wait / time.Second {
+		time.Sleep(time.Second)
+		applied.collect()
+	}
+	for name := range f.drivers {
+		for _, p := range purges {
+			at, ok := applied.times[name][p]
+			result.pairs++
+			if !ok {
+				result.missing++
+			} else if at-time.UnixMilli(p.Issued).Sub(applied.startedAt) > spreadBound {
+				result.late++
+			}
+		}
+	}
+	return result
+}
