--- a/internal/fleet/broadcast/driver/mode.go
+++ b/internal/fleet/broadcast/driver/mode.go
@@ -27,7 +27,7 @@
 }
 
 // update takes the gaps that are open now and reports whether isBehind changed.
-func (l *lagDetector) update(gaps broadcast.Behind, now int64) (changed bool) {
+func (l *lagDetector) update(gaps broadcast.Lag, now int64) (changed bool) {
 	since := l.openSince(gaps, now)
 	hasOldGap := since != 0 && now-since > behindThreshold.Microseconds()
 	if hasOldGap {
@@ -47,7 +47,7 @@
 
 // openSince is when the oldest gap began, 0 where there is none. The node dates missing batches; seconds of which a peer has more purges
 // are dated here.
-func (l *lagDetector) openSince(gaps broadcast.Behind, now int64) int64 {
+func (l *lagDetector) openSince(gaps broadcast.Lag, now int64) int64 {
 	since := gaps.Since
 	if gaps.DifferingSeconds == 0 {
 		l.differingSince = 0
--- a/internal/fleet/broadcast/fleet_test.go
+++ b/internal/fleet/broadcast/fleet_test.go
@@ -103,8 +103,8 @@
 		kill func(members []Member) []int
 	}{
 		{"the root", 0, false, func([]Member) []int { return []int{0} }},
-		{"a head of a region", 0, false, func(all []Member) []int { return heads(all, 3)[:1] }},
-		{"all heads of regions but the root", 0, false, func(all []Member) []int { return heads(all, 3) }},
+		{"a head of a region", 0, false, func(all []Member) []int { return headIndices(all, 3)[:1] }},
+		{"all heads of regions but the root", 0, false, func(all []Member) []int { return headIndices(all, 3) }},
 		{"the root, 5% lost", 0.05, false, func([]Member) []int { return []int{0} }},
 		{"a zone, 1% lost, all told", 0.01, true, func(all []Member) (zone []int) {
 			for i, m := range all {
@@ -159,7 +159,7 @@
 }
 
 // heads gives the first of each region (3), zone (2) or site (1) but the root.
-func heads(members []Member, level int) (all []int) {
+func headIndices(members []Member, level int) (all []int) {
 	for i := 1; i < len(members); i++ {
 		if distance(members[i-1].Locality, members[i].Locality) >= level {
 			all = append(all, i)
@@ -229,7 +229,7 @@
 		t.Error("reconciliation spent more than the rate")
 	}
 	for i, n := range f.nodes {
-		if b := n.Stats().Behind; b != (Behind{}) {
+		if b := n.Stats().Behind; b != (Lag{}) {
 			t.Errorf("%s still says that it is behind: %+v", f.members[i].Name, b)
 		}
 	}
--- a/internal/fleet/broadcast/frame.go
+++ b/internal/fleet/broadcast/frame.go
@@ -1,64 +1,74 @@
 package broadcast
 
 import (
-	"cmp"
 	"encoding/binary"
 	"errors"
 	"math/bits"
-	"slices"
 )
 
-// Kind is the first byte of every frame, beside other things that gateways say: words are 1, limits 2, verdicts 3, and 4 alone asks a
-// gateway to speak up.
+// Kind is the first byte of a frame and tells it from the other messages of gateways.
 const Kind byte = 5
 
-// The second byte tells what a frame is. Numbers are varints of encoding/binary where not said otherwise; all of a frame must be readable.
+// The second byte of a frame is its type. Numbers are varints of encoding/binary where not said otherwise; all of a frame must be
+// readable.
 const (
-	frameBatch         = iota // 8 bytes origin, sequence, its tier (a byte), purges
-	frameLazyPush             // number of origins, for each: 8 bytes origin, contiguous, 8 bytes bitmap of the sequences after
+	frameBatch         = iota // 8 bytes origin, sequence, tier of the origin (a byte), purges
+	frameLazyPush             // number of origins, for each: 8 bytes origin, contiguous sequence, bitmap of the sequences after it
 	frameRepairRequest        // number of batches, for each: 8 bytes origin, sequence
-	frameSum                  // from, up to (seconds), count, 8 bytes sum
-	frameSums                 // up to, first, step (seconds), number, for each: count, 8 bytes sum
+	frameSum                  // from, to (seconds), count, 8 bytes sum
+	frameSums                 // from, step (seconds), number of sums, for each: count, 8 bytes sum
 	frameSumsRequest          // first second of a minute
 	framePullRequest          // second, bits and value of the prefix, number of ids, 4 bytes each
-	framePurges               // second, bits and value of the prefix, 1 whole or 0 a part, purges
+	framePurges               // second, bits and value of the prefix, 1 complete or 0 a part, purges
 )
 
 const (
-	maxFrameBytes      = 1100 // bytes of a frame: one datagram of at most 1,200 with what carries it
-	datagramOverhead   = 28   // IPv4 and UDP
-	maxObjectNameBytes = 255  // bytes of an object's name that goes in a frame
+	frameHeaderSize    = 2    // kind and type
+	maxFrameBytes      = 1100 // one datagram of at most 1,200 with what carries it
+	datagramOverhead   = 28   // bytes of the headers of IPv4 and UDP
+	maxObjectNameBytes = 255
 	maxIssued          = 1e14 // Unix milliseconds: the year 5138
-	maxPurgesPerFrame  = 256  // in a frame
-	maxOriginsPerFrame = 16   // origins in a frame
-	maxRepairsPerFrame = 32   // batches in a frame
-	maxSumsPerFrame    = 100  // of a frame
-	maxIDsPerFrame     = 200  // of a frame
-	maxPrefixBits      = 32   // bits
 	maxSeconds         = maxIssued / 1000
+	maxSeq             = 1 << 48
+	maxPurgesPerFrame  = 256
+	maxOriginsPerFrame = 16
+	maxRepairsPerFrame = 32
+	maxSumsPerFrame    = 100
+	maxIDsPerFrame     = 200
+	maxPrefixBits      = 32
 )
 
-var errFrame = errors.New("a frame of purges that cannot be read")
+// ErrFrame is the error of a frame that cannot be read.
+var ErrFrame = errors.New("not a readable frame of the broadcast")
 
-// frameReader reads a frame; after the first fault it gives zeros.
+// frameReader reads a frame; after the first error it returns zeros.
 type frameReader struct {
 	rest   []byte
 	failed bool
 }
 
-func (r *frameReader) uvarint(most uint64) uint64 {
-	v, n := binary.Uvarint(r.rest)
-	if n <= 0 || v > most || n > 1 && r.rest[n-1] == 0 { // one way to write a number
-		r.failed, r.rest = true, nil
+// isComplete reports whether all of the frame was read without an error.
+func (r *frameReader) isComplete() bool { return !r.failed && len(r.rest) == 0 }
+
+func (r *frameReader) fail() {
+	r.failed = true
+	r.rest = nil
+}
+
+// uvarint reads a number up to a limit. There is one way to write each: others are not read.
+func (r *frameReader) uvarint(limit uint64) uint64 {
+	v, size := binary.Uvarint(r.rest)
+	if size <= 0 || v > limit || size > 1 && r.rest[size-1] == 0 {
+		r.fail()
 		return 0
 	}
-	r.rest = r.rest[n:]
+	r.rest = r.rest[size:]
 	return v
 }
 
 func (r *frameReader) bytes(n int) []byte {
 	if len(r.rest) < n {
-		r.failed, r.rest = true, nil
+		r.fail()
 		return nil
 	}
 	b := r.rest[:n]
@@ -66,15 +76,6 @@
 	return b
 }
 
-func (r *frameReader) tier() tier {
-	b := r.bytes(1)
-	if b == nil || tier(b[0]) > other {
-		r.failed = true
-		return other
-	}
-	return tier(b[0])
-}
-
 func (r *frameReader) uint64() uint64 {
 	if b := r.bytes(8); b != nil {
 		return binary.LittleEndian.Uint64(b)
@@ -89,288 +90,104 @@
 	return 0
 }
 
-func (r *frameReader) done() error {
-	if r.failed || len(r.rest) > 0 {
-		return errFrame
-	}
-	return nil
-}
-
-func appendUvarint(b []byte, v uint64) []byte { return binary.AppendUvarint(b, v) }
-func appendUint64(b []byte, v uint64) []byte  { return binary.LittleEndian.AppendUint64(b, v) }
-
-// The shape of a purge, in the two lowest bits of its first number; the rest is the milliseconds since the purge before it.
-const (
-	shapeHex   = iota // 8 bytes: the name is 16 digits 0-9a-f
-	shapeGroup        // the group; no object
-	shapeName         // length, name
-	shapeBoth         // group, length, name
-)
-
-// hexName packs a name of 16 lower-case hex digits.
-func hexName(s string) (v uint64, ok bool) {
-	if len(s) != 16 {
-		return 0, false
-	}
-	for i := range 16 {
-		switch c := s[i]; {
-		case c >= '0' && c <= '9':
-			v = v<<4 | uint64(c-'0')
-		case c >= 'a' && c <= 'f':
-			v = v<<4 | uint64(c-'a'+10)
-		default:
-			return 0, false
-		}
-	}
-	return v, true
-}
-
-func hexString(v uint64) string {
-	var b [16]byte
-	for i := range b {
-		b[i] = "0123456789abcdef"[v>>(60-4*i)&15]
-	}
-	return string(b[:])
-}
-
-func shapeOf(p Purge) (shape, name uint64) {
-	if p.Object == "" {
-		return shapeGroup, 0
-	}
-	if p.Group != 0 {
-		return shapeBoth, 0
-	}
-	if v, ok := hexName(p.Object); ok {
-		return shapeHex, v
-	}
-	return shapeName, 0
-}
-
-func zigzag(v int64) uint64   { return uint64(v<<1) ^ uint64(v>>63) }
-func unzigzag(v uint64) int64 { return int64(v>>1) ^ -int64(v&1) }
+func (r *frameReader) second() int64 { return int64(r.uvarint(maxSeconds)) }
 
-// appendPurge writes one whose issue is no earlier than before.
-func appendPurge(b []byte, p Purge, before int64) []byte {
-	shape, name := shapeOf(p)
-	b = appendUvarint(b, uint64(p.Issued-before)<<2|shape)
-	switch shape {
-	case shapeHex:
-		return appendUint64(b, name)
-	case shapeGroup:
-		return appendUvarint(b, zigzag(p.Group))
-	case shapeBoth:
-		b = appendUvarint(b, zigzag(p.Group))
-	}
-	return append(append(b, byte(len(p.Object))), p.Object...)
-}
-
-func uvarintSize(v uint64) int { return (bits.Len64(v|1) + 6) / 7 }
-
-// purgeSize is what appendPurge adds.
-func purgeSize(p Purge, before int64) int {
-	shape, _ := shapeOf(p)
-	size := uvarintSize(uint64(p.Issued-before)<<2 | shape)
-	switch shape {
-	case shapeHex:
-		return size + 8
-	case shapeGroup:
-		return size + uvarintSize(zigzag(p.Group))
-	case shapeBoth:
-		size += uvarintSize(zigzag(p.Group))
-	}
-	return size + 1 + len(p.Object)
-}
-
-// appendPurges writes as many of those, sorted by their issue, as have room, and tells how many.
-func appendPurges(b []byte, purges []Purge) ([]byte, int) {
-	n, size, before := 0, len(b)+2, int64(0)
-	for _, p := range purges {
-		if size += purgeSize(p, before); size > maxFrameBytes || n == maxPurgesPerFrame {
-			break
-		}
-		n, before = n+1, p.Issued
-	}
-	b, before = appendUvarint(b, uint64(n)), 0
-	for _, p := range purges[:n] {
-		b, before = appendPurge(b, p, before), p.Issued
-	}
-	return b, n
-}
-
-func (r *frameReader) purges() []Purge {
-	n := r.uvarint(maxPurgesPerFrame)
-	out := make([]Purge, 0, min(int(n), len(r.rest)/2))
-	before := int64(0)
-	for range n {
-		v := r.uvarint(maxIssued << 2)
-		p := Purge{Issued: before + int64(v>>2)}
-		before = p.Issued
-		shape := v & 3
-		if shape == shapeGroup || shape == shapeBoth {
-			p.Group = unzigzag(r.uvarint(1<<64 - 1))
-		}
-		switch shape {
-		case shapeHex:
-			p.Object = hexString(r.uint64())
-		case shapeName, shapeBoth:
-			if b := r.bytes(1); b != nil {
-				p.Object = string(r.bytes(int(b[0])))
-			}
-		}
-		if want, _ := shapeOf(p); r.failed || want != shape || !plausible(p) { // one way to write a purge
-			r.failed = true
-			return nil
-		}
-		out = append(out, p)
-	}
-	return out
-}
-
-func plausible(p Purge) bool { return p.Issued > 0 && p.Issued < maxIssued }
-
-// sortByIssue sorts for a frame.
-func sortByIssue(purges []Purge) { slices.SortFunc(purges, comparePurges) }
-
-func comparePurges(a, b Purge) int {
-	return cmp.Or(cmp.Compare(a.Issued, b.Issued), cmp.Compare(a.Object, b.Object), cmp.Compare(a.Group, b.Group))
-}
+// frameHeader is the beginning of a frame, with room for the rest.
+func frameHeader(frameType byte) []byte { return []byte{Kind, frameType} }
 
+// batchID identifies a batch among all.
 type batchID struct {
 	origin uint64
-	seq    uint64
+	seq    uint64 // from 1
 }
 
-const maxSeq = 1 << 48
-
-func encodeBatch(id batchID, by tier, purges []Purge) ([]byte, int) {
-	return appendPurges(append(appendUvarint(appendUint64([]byte{Kind, frameBatch}, id.origin), id.seq), byte(by)), purges)
+func (id batchID) append(b []byte) []byte {
+	b = binary.LittleEndian.AppendUint64(b, id.origin)
+	return binary.AppendUvarint(b, id.seq)
 }
 
-func (r *frameReader) batchID() (id batchID) {
-	id = batchID{r.uint64(), r.uvarint(maxSeq)}
+func (r *frameReader) batchID() batchID {
+	id := batchID{r.uint64(), r.uvarint(maxSeq)}
 	r.failed = r.failed || id.seq == 0
 	return id
 }
 
-type originProgress struct {
-	origin, top uint64 // all up to top, as far as this gateway goes
-	after       uint64 // bit i: top+1+i
+// batch is a batch of purges as it was received.
+type batch struct {
+	id         batchID
+	originTier tier
+	purges     []Purge // by issue
+	frame      []byte
 }
 
-func encodeLazyPush(all []originProgress) []byte {
-	b := appendUvarint([]byte{Kind, frameLazyPush}, uint64(len(all)))
-	for _, h := range all {
-		b = appendUvarint(appendUvarint(appendUint64(b, h.origin), h.top), uint64(bits.Reverse64(h.after))) // the first bits are set where few are: short so
-	}
-	return b
+// encodeBatch encodes as many of the first purges as fit a frame, and returns how many. They must be sorted by issue.
+func encodeBatch(id batchID, originTier tier, purges []Purge) (frame []byte, fitting int) {
+	b := id.append(frameHeader(frameBatch))
+	return appendPurges(append(b, byte(originTier)), purges)
 }
 
-func (r *frameReader) lazyPush() (out []originProgress) {
-	for range r.uvarint(maxOriginsPerFrame) {
-		out = append(out, originProgress{r.uint64(), r.uvarint(maxSeq), bits.Reverse64(r.uvarint(1<<64 - 1))})
-	}
-	return out
+func (r *frameReader) batch(frame []byte) batch {
+	return batch{id: r.batchID(), originTier: r.tier(), purges: r.purges(), frame: frame}
 }
 
-func encodeRepairRequest(all []batchID) []byte {
-	b := appendUvarint([]byte{Kind, frameRepairRequest}, uint64(len(all)))
-	for _, id := range all {
-		b = appendUvarint(appendUint64(b, id.origin), id.seq)
+func (r *frameReader) tier() tier {
+	b := r.bytes(1)
+	if b == nil || tier(b[0]) > other {
+		r.failed = true
+		return other
 	}
-	return b
+	return tier(b[0])
 }
 
-func (r *frameReader) repairRequest() (out []batchID) {
-	for range r.uvarint(maxRepairsPerFrame) {
-		out = append(out, r.batchID())
-	}
-	return out
+// originProgress is how far a gateway has received the batches of an origin.
+type originProgress struct {
+	origin     uint64
+	contiguous uint64 // all batches up to this sequence
+	after      uint64 // bit i: the batch contiguous+1+i
 }
 
-// sum is of a set of purges: their number and the sum of their ids.
-type sum struct{ count, ids uint64 }
-
-func (r *frameReader) sum() sum { return sum{r.uvarint(1 << 32), r.uint64()} }
-
-func (s sum) append(b []byte) []byte { return appendUint64(appendUvarint(b, s.count), s.ids) }
-
-// span is seconds of issue time.
-type span struct{ from, to int64 }
-
-func encodeSum(s span, of sum) []byte {
-	return of.append(appendUvarint(appendUvarint([]byte{Kind, frameSum}, uint64(s.from)), uint64(s.to)))
+// has reports whether the batch of a sequence was received.
+func (p originProgress) has(seq uint64) bool {
+	return seq <= p.contiguous || seq <= p.contiguous+receiveWindow && p.after>>(seq-p.contiguous-1)&1 == 1
 }
 
-type sums struct {
-	from, step int64
-	of         []sum
+// highest is the highest sequence that was received.
+func (p originProgress) highest() uint64 {
+	window := p.after & (1<<receiveWindow - 1)
+	return p.contiguous + uint64(bits.Len64(window))
 }
 
-func encodeSums(s sums) []byte {
-	b := appendUvarint(appendUvarint(appendUvarint([]byte{Kind, frameSums}, uint64(s.from)), uint64(s.step)), uint64(len(s.of)))
-	for _, one := range s.of {
-		b = one.append(b)
+// encodeLazyPush encodes at most maxOriginsPerFrame origins. The bitmap is sent reversed: where few bits are set they are the first ones,
+// and the number is short.
+func encodeLazyPush(origins []originProgress) []byte {
+	b := binary.AppendUvarint(frameHeader(frameLazyPush), uint64(len(origins)))
+	for _, progress := range origins {
+		b = binary.LittleEndian.AppendUint64(b, progress.origin)
+		b = binary.AppendUvarint(b, progress.contiguous)
+		b = binary.AppendUvarint(b, bits.Reverse64(progress.after))
 	}
 	return b
 }
 
-func (r *frameReader) sums() (s sums) {
-	s.from, s.step = int64(r.uvarint(maxSeconds)), int64(r.uvarint(minute))
-	for range r.uvarint(maxSumsPerFrame) {
-		s.of = append(s.of, r.sum())
+func (r *frameReader) lazyPush() (origins []originProgress) {
+	for range r.uvarint(maxOriginsPerFrame) {
+		origins = append(origins, originProgress{r.uint64(), r.uvarint(maxSeq), bits.Reverse64(r.uvarint(1<<64 - 1))})
 	}
-	r.failed = r.failed || s.step != 1 && s.step != minute || s.step == minute && s.from%minute != 0
-	return s
-}
-
-func encodeSumsRequest(from int64) []byte {
-	return appendUvarint([]byte{Kind, frameSumsRequest}, uint64(from))
-}
-
-// pullRequest asks for the purges of a second whose ids begin with a prefix, but those whose ids' lower halves are listed.
-type pullRequest struct {
-	second int64
-	bits   uint8
-	prefix uint32
-	ids    []uint32
-}
-
-func (p pullRequest) appendHeader(word byte) []byte {
-	return appendUvarint(append(appendUvarint([]byte{Kind, word}, uint64(p.second)), p.bits), uint64(p.prefix))
+	return origins
 }
 
-func encodePullRequest(p pullRequest) []byte {
-	b := appendUvarint(p.appendHeader(framePullRequest), uint64(len(p.ids)))
-	for _, id := range p.ids {
-		b = binary.LittleEndian.AppendUint32(b, id)
+// encodeRepairRequest encodes at most maxRepairsPerFrame batches.
+func encodeRepairRequest(ids []batchID) []byte {
+	b := binary.AppendUvarint(frameHeader(frameRepairRequest), uint64(len(ids)))
+	for _, id := range ids {
+		b = id.append(b)
 	}
 	return b
 }
 
-func (r *frameReader) pullHead() (p pullRequest) {
-	p.second = int64(r.uvarint(maxSeconds))
-	if b := r.bytes(1); b != nil {
-		p.bits = b[0]
-	}
-	p.prefix = uint32(r.uvarint(1<<32 - 1))
-	r.failed = r.failed || p.bits > maxPrefixBits || uint64(p.prefix)>>p.bits != 0
-	return p
-}
-
-func (r *frameReader) pullRequest() (p pullRequest) {
-	p = r.pullHead()
-	for range r.uvarint(maxIDsPerFrame) {
-		p.ids = append(p.ids, r.uint32())
-	}
-	return p
-}
-
-func encodePurges(of pullRequest, whole bool, purges []Purge) ([]byte, int) {
-	b := of.appendHeader(framePurges)
-	if whole {
-		b = append(b, 1)
-	} else {
-		b = append(b, 0)
+func (r *frameReader) repairRequest() (ids []batchID) {
+	for range r.uvarint(maxRepairsPerFrame) {
+		ids = append(ids, r.batchID())
 	}
-	return appendPurges(b, purges)
+	return ids
 }
--- a/internal/fleet/broadcast/frame_test.go
+++ b/internal/fleet/broadcast/frame_test.go
@@ -39,7 +39,7 @@
 				t.Fatalf("%d purges in %d bytes", took, len(frame))
 			}
 			r := frameReader{rest: frame[2:]}
-			if got, tier, purges := r.batchID(), r.tier(), r.purges(); r.done() != nil || got != id || tier != by || !slices.Equal(purges, rest[:took]) {
+			if got, tier, purges := r.batchID(), r.tier(), r.purges(); !r.isComplete() || got != id || tier != by || !slices.Equal(purges, rest[:took]) {
 				t.Fatalf("wrote %v %v, read %v %v", id, rest[:took], got, purges)
 			}
 			if cut := rapid.IntRange(2, len(frame)-1).Draw(t, "cut"); isReadable(frame[:cut]) {
@@ -59,17 +59,17 @@
 			return originProgress{rapid.Uint64().Draw(t, "origin"), rapid.Uint64Range(0, maxSeq).Draw(t, "top"), rapid.Uint64().Draw(t, "after")}
 		}), 0, maxOriginsPerFrame).Draw(t, "haves")
 		frame := encodeLazyPush(haves)
-		if r := (frameReader{rest: frame[2:]}); !slices.Equal(r.lazyPush(), haves) || r.done() != nil || len(frame) > maxFrameBytes {
+		if r := (frameReader{rest: frame[2:]}); !slices.Equal(r.lazyPush(), haves) || !r.isComplete() || len(frame) > maxFrameBytes {
 			t.Fatalf("%v not read", haves)
 		}
 		s := sums{from: minute * rapid.Int64Range(0, 1e9).Draw(t, "from"), step: minute}
-		s.of = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) sum {
-			return sum{rapid.Uint64Range(0, 1<<32).Draw(t, "count"), rapid.Uint64().Draw(t, "ids")}
+		s.list = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) purgeSum {
+			return purgeSum{rapid.Uint64Range(0, 1<<32).Draw(t, "count"), rapid.Uint64().Draw(t, "ids")}
 		}), 0, maxSumsPerFrame).Draw(t, "sums")
-		frame = trimSums(s)
+		frame = encodeLatestSums(s)
 		r := frameReader{rest: frame[2:]}
 		got := r.sums()
-		if r.done() != nil || len(frame) > maxFrameBytes || len(got.of) > len(s.of) || !slices.Equal(got.of, s.of[len(s.of)-len(got.of):]) {
+		if !r.isComplete() || len(frame) > maxFrameBytes || len(got.list) > len(s.list) || !slices.Equal(got.list, s.list[len(s.list)-len(got.list):]) {
 			t.Fatalf("%v read as %v", s, got)
 		}
 		ids := rapid.SliceOfN(rapid.Uint32(), 0, maxIDsPerFrame).Draw(t, "ids")
@@ -78,7 +78,7 @@
 			t.Fatalf("a pull of %d bytes", len(frame))
 		}
 		r = frameReader{rest: frame[2:]}
-		if back := r.pullRequest(); r.done() != nil || back.second != p.second || back.bits != 3 || back.prefix != 5 || !slices.Equal(back.ids, ids) {
+		if back := r.pullRequest(); !r.isComplete() || back.second != p.second || back.bits != 3 || back.prefix != 5 || !slices.Equal(back.ids, ids) {
 			t.Fatalf("%v read as %v", p, back)
 		}
 	})
@@ -113,8 +113,8 @@
 	some := []Purge{{Object: "00112233445566ff", Issued: epoch}, {Group: 17, Issued: epoch + 5}, {Object: "a name", Group: -1, Issued: epoch + 9}}
 	batch, _ := encodeBatch(batchID{7, 1}, root, some)
 	items, _ := encodePurges(pullRequest{second: epoch / 1000}, true, some)
-	for _, b := range [][]byte{batch, items, encodeLazyPush([]originProgress{{7, 3, 5}}), encodeRepairRequest([]batchID{{7, 1}}), encodeSum(span{0, 100}, sum{1, 2}),
-		encodeSums(sums{0, minute, []sum{{1, 2}}}), encodeSumsRequest(epoch / 60000 * 60), encodePullRequest(pullRequest{second: epoch / 1000, ids: []uint32{1}})} {
+	for _, b := range [][]byte{batch, items, encodeLazyPush([]originProgress{{7, 3, 5}}), encodeRepairRequest([]batchID{{7, 1}}), encodeSum(span{0, 100}, purgeSum{1, 2}),
+		encodeSums(sums{0, minute, []purgeSum{{1, 2}}}), encodeSumsRequest(epoch / 60000 * 60), encodePullRequest(pullRequest{second: epoch / 1000, ids: []uint32{1}})} {
 		f.Add(b, uint8(0))
 		f.Add(b, uint8(3))
 	}
@@ -127,7 +127,7 @@
 				t.Fatal("an unreadable frame told something")
 			}
 			for _, p := range heed {
-				if !plausible(p) || len(p.Object) > maxObjectNameBytes {
+				if !p.isPlausible() || len(p.Object) > maxObjectNameBytes {
 					t.Fatalf("told %v", p)
 				}
 			}
@@ -158,13 +158,13 @@
 	if s := n.session; s != nil && (len(s.open) > maxOpenRequests || len(s.pending) > maxPendingRequests) {
 		t.Fatalf("a session of %d and %d requests", len(s.open), len(s.pending))
 	}
-	items, minutes := 0, map[int64]sum{}
+	items, minutes := 0, map[int64]purgeSum{}
 	for sec, s := range n.kept.seconds {
-		items += len(s.items)
+		items += len(s.purges)
 		m := minutes[sec/minute]
-		for i, it := range s.items {
-			m = sum{m.count + 1, m.ids + it.id}
-			if i > 0 && s.items[i-1].id > it.id {
+		for i, it := range s.purges {
+			m = purgeSum{m.count + 1, m.ids + it.id}
+			if i > 0 && s.purges[i-1].id > it.id {
 				t.Fatalf("a second out of order")
 			}
 		}
--- a/internal/fleet/broadcast/frozen_test.go
+++ b/internal/fleet/broadcast/frozen_test.go
@@ -19,8 +19,8 @@
 		"batch.frame":          batch,
 		"have.frame":           encodeLazyPush([]originProgress{{0x0102030405060708, 300, 5}, {7, 0, 1 << 63}}),
 		"want.frame":           encodeRepairRequest([]batchID{{0x0102030405060708, 300}, {7, 1}}),
-		"sum.frame":            encodeSum(span{1_764_570_000, 1_764_576_000}, sum{1 << 20, 0x0102030405060708}),
-		"sums.frame":           encodeSums(sums{1_764_576_000, minute, []sum{{1, 2}, {0, 0}, {3, 0x0102030405060708}}}),
+		"sum.frame":            encodeSum(span{1_764_570_000, 1_764_576_000}, purgeSum{1 << 20, 0x0102030405060708}),
+		"sums.frame":           encodeSums(sums{1_764_576_000, minute, []purgeSum{{1, 2}, {0, 0}, {3, 0x0102030405060708}}}),
 		"ask.frame":            encodeSumsRequest(1_764_576_000),
 		"pull.frame":           encodePullRequest(part),
 		"items-complete.frame": complete,
@@ -56,11 +56,11 @@
 	case framePullRequest:
 		out = encodePullRequest(r.pullRequest())
 	case framePurges:
-		of, complete := r.pullHead(), r.uvarint(1) == 1
+		of, complete := r.pullHeader(), r.uvarint(1) == 1
 		out, _ = encodePurges(of, complete, r.purges())
 	}
-	if err := r.done(); err != nil {
-		t.Fatal(err)
+	if !r.isComplete() {
+		t.Fatal("the frame cannot be read")
 	}
 	return out
 }
--- a/internal/fleet/broadcast/graft.go
+++ b/internal/fleet/broadcast/graft.go
@@ -5,76 +5,81 @@
 	"slices"
 )
 
-// Graft. The view takes seconds to tell that a gateway is dead, and meanwhile its place parts the tree. Neighbours tell each other haves, so
-// those of the dead one know within silence, and stand in a line for it: its parent, then its children in order. Each takes for an edge of the
-// tree the next of the line on either side, and beyond it if that one is silent too. So each gets two edges more at most for a dead
-// neighbour. Plumtree grafts by what is missing; here the order is known to all, so nobody has to ask.
-const silenceTimeout = 1_500_000 // some five haves
+// Grafts. The view takes seconds to tell that a gateway is dead, and until then its place parts the tree. Neighbours send each other lazy
+// pushes, so those of a dead gateway know it within silenceTimeout, and form a line that bypasses it: its parent, then its children in
+// order. Each takes as an edge of the tree the next of the line on either side, and the one beyond it if that one is silent too. So each
+// gets at most two more edges for a dead neighbour. Plumtree grafts by what is missing; here the order is known to all, so nobody has to
+// ask.
+const silenceTimeout = 1_500_000 // microseconds, some five lazy pushes
 
+// isSilent reports whether a peer has sent nothing for silenceTimeout, counted from when it was first asked about.
 func (n *Node) isSilent(peer string, now int64) bool {
-	at, known := n.lastSeen[peer]
-	if !known {
+	lastSeen, isKnown := n.lastSeen[peer]
+	if !isKnown {
 		n.lastSeen[peer] = now
+		return false
 	}
-	return known && now-at > silenceTimeout
+	return now-lastSeen > silenceTimeout
 }
 
-// graft finds the edges that stand for those of silent neighbours.
+// graft finds the edges that bypass silent neighbours.
 func (n *Node) graft(now int64) {
-	t := &n.tree
 	n.grafts = n.grafts[:0]
-	add := func(line []string) {
-		for _, peer := range line {
-			if !n.isNeighbour(peer) {
-				n.grafts = append(n.grafts, peer)
-			}
-			if !n.isSilent(peer, now) {
-				return
-			}
-		}
-	}
+	t := &n.tree
 	if t.parent != "" && n.isSilent(t.parent, now) {
-		me := slices.Index(t.siblings, n.self.Name)
-		before := slices.Clone(t.siblings[:me])
+		self := slices.Index(t.siblings, n.self.Name)
+		before := slices.Clone(t.siblings[:self])
 		slices.Reverse(before)
 		if t.grandparent != "" {
 			before = append(before, t.grandparent)
 		}
-		add(before)
-		add(t.siblings[me+1:])
+		n.graftFirstAlive(before, now)
+		n.graftFirstAlive(t.siblings[self+1:], now)
 	}
 	for i, child := range t.children {
 		if n.isSilent(child, now) {
-			add(t.grandchildren[i])
+			n.graftFirstAlive(t.grandchildren[i], now)
+		}
+	}
+}
+
+// graftFirstAlive grafts members of a line up to the first one that is not silent.
+func (n *Node) graftFirstAlive(line []string, now int64) {
+	for _, peer := range line {
+		if !n.isNeighbour(peer) {
+			n.grafts = append(n.grafts, peer)
+		}
+		if !n.isSilent(peer, now) {
+			return
 		}
 	}
 }
 
-// neighbours are those across an edge.
+// neighbours are the members across an edge.
 func (n *Node) neighbours() []string {
 	all := make([]string, 0, 1+len(n.tree.children)+len(n.grafts))
 	if n.tree.parent != "" {
 		all = append(all, n.tree.parent)
 	}
-	return append(append(all, n.tree.children...), n.grafts...)
+	all = append(all, n.tree.children...)
+	return append(all, n.grafts...)
 }
 
-// isNeighbour tells whether a peer is across an edge.
+// isNeighbour reports whether a peer is across an edge.
 func (n *Node) isNeighbour(peer string) bool {
 	return peer == n.tree.parent || slices.Contains(n.tree.children, peer) || slices.Contains(n.grafts, peer)
 }
 
-// forgetDistant keeps of those heard only who has to do with the own place.
+// forgetDistant forgets what is known of peers that are no longer near in the tree.
 func (n *Node) forgetDistant() {
-	t := &n.tree
-	for peer := range n.lastSeen {
-		near := peer == t.parent || peer == t.grandparent || slices.Contains(t.siblings, peer) || slices.Contains(t.children, peer)
-		for _, below := range t.grandchildren {
-			near = near || slices.Contains(below, peer)
-		}
-		if !near {
-			delete(n.lastSeen, peer)
-		}
-	}
+	maps.DeleteFunc(n.lastSeen, func(peer string, _ int64) bool { return !n.tree.isNear(peer) })
 	maps.DeleteFunc(n.activeNeighbours, func(peer string, _ bool) bool { return !n.isNeighbour(peer) })
 }
+
+// isNear reports whether a peer is a neighbour of this member, or of one of its neighbours as far as grafts go.
+func (t *tree) isNear(peer string) bool {
+	if peer == t.parent || peer == t.grandparent || slices.Contains(t.siblings, peer) || slices.Contains(t.children, peer) {
+		return true
+	}
+	return slices.ContainsFunc(t.grandchildren, func(below []string) bool { return slices.Contains(below, peer) })
+}
--- a/internal/fleet/broadcast/property_test.go
+++ b/internal/fleet/broadcast/property_test.go
@@ -370,10 +370,10 @@
 			}
 		}
 	}
-	if s := b.Stats().Behind; s != (Behind{MissingBatches: 1, Since: 800_000}) {
+	if s := b.Stats().Behind; s != (Lag{MissingBatches: 1, Since: 800_000}) {
 		t.Errorf("says %+v", s)
 	}
-	if _, heard := deliverAll(t, a, b, 900_000, 1_500_000); len(heard) != 1 || b.Stats().Behind != (Behind{}) {
+	if _, heard := deliverAll(t, a, b, 900_000, 1_500_000); len(heard) != 1 || b.Stats().Behind != (Lag{}) {
 		t.Errorf("heard %v, says %+v", heard, b.Stats().Behind)
 	}
 }
@@ -394,9 +394,9 @@
 				var answer []byte
 				switch l.Frame[1] {
 				case frameSum:
-					answer = encodeSums(sums{sec, minute, []sum{{1, 1}}})
+					answer = encodeSums(sums{sec, minute, []purgeSum{{1, 1}}})
 				case frameSumsRequest:
-					answer = encodeSums(sums{sec, 1, []sum{{1, 1}}})
+					answer = encodeSums(sums{sec, 1, []purgeSum{{1, 1}}})
 				case framePullRequest:
 					asked++
 					answer, _ = encodePurges(r.pullRequest(), false, nil)
