--- a/internal/fleet/broadcast/met_test.go
+++ b/internal/fleet/broadcast/forward_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A gateway that has just started, and whose list lacks those that started beside it, takes for neighbours some that have others: what
-// it has of the one is not sent to the rest before they have said something.
+// A gateway that has just started, whose members lack those that started beside it, takes for neighbours some that have other neighbours:
+// batches of a neighbour are not forwarded to them before they have sent something.
 func TestBatchesAreNotForwardedToNeighboursThatSentNothing(t *testing.T) {
 	var members []Member
 	for _, name := range []string{"a", "b", "c", "d", "e", "f"} {
@@ -23,34 +23,34 @@
 	if len(children) != fanOut {
 		t.Fatal(children)
 	}
-	batches := func() (to []string) {
-		for _, l := range n.TakeMessages() {
-			if l.Frame[1] == frameBatch {
-				to = append(to, l.To)
+	batchReceivers := func() (names []string) {
+		for _, m := range n.TakeMessages() {
+			if m.Frame[1] == frameBatch {
+				names = append(names, m.To)
 			}
 		}
-		slices.Sort(to)
-		return to
+		slices.Sort(names)
+		return names
 	}
-	if heed, err := n.HandleFrame(children[0], frame, 2); err != nil || len(heed) != 1 {
-		t.Fatal(heed, err)
+	if learned, err := n.HandleFrame(children[0], frame, 2); err != nil || len(learned) != 1 {
+		t.Fatal(learned, err)
 	}
-	if to := batches(); len(to) > 0 {
-		t.Errorf("sent on to %v, which said nothing yet", to)
+	if to := batchReceivers(); len(to) > 0 {
+		t.Errorf("forwarded to %v, which have sent nothing yet", to)
 	}
 	n.HandleFrame(children[1], encodeLazyPush(nil), 3)
-	if n.HandleFrame(children[0], next, 4); !slices.Equal(batches(), children[1:2]) {
-		t.Error("not sent on to the one neighbour that said something")
+	if n.HandleFrame(children[0], next, 4); !slices.Equal(batchReceivers(), children[1:2]) {
+		t.Error("not forwarded to the one neighbour that has sent something")
 	}
 	n.RecordOwn([]Purge{{Object: "0000000000000003", Issued: 1_764_576_000_002}}, 5)
 	n.Step(n.injectAt)
-	if to := batches(); len(to) != fanOut {
+	if to := batchReceivers(); len(to) != fanOut {
 		t.Errorf("its own batch goes to %v", to)
 	}
 	n.SetMembers(members[:1], 6)
 	n.SetMembers(members, 7)
 	third, _ := encodeBatch(batchID{7, 3}, root, []Purge{{Object: "0000000000000004", Issued: 1_764_576_000_003}})
-	if n.HandleFrame(children[0], third, 8); len(batches()) > 0 {
-		t.Error("a neighbour anew has said nothing since, and is sent on to")
+	if n.HandleFrame(children[0], third, 8); len(batchReceivers()) > 0 {
+		t.Error("forwarded to a gateway that has sent nothing since it became a neighbour again")
 	}
 }
--- /dev/null
+++ b/internal/fleet/broadcast/testfleet_test.go
@@ -0,0 +1,285 @@
+package broadcast
+
+import (
+	"container/heap"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+)
+
+// fleet is a network of nodes on one virtual clock, with latency by locality, loss, cuts and kills. Equal seeds give equal runs.
+type fleet struct {
+	t             testing.TB
+	rng           *rand.Rand
+	members       []Member
+	index         map[string]int
+	nodes         []*Node
+	armedAt       []int64           // of each node: when its next step is queued
+	receivedAt    []map[Purge]int64 // of each node
+	issued        map[Purge]int64   // when
+	loss          float64
+	isCut         func(a, b Member) bool
+	dead          []bool
+	queue         eventQueue
+	now           int64
+	lastOrder     int
+	byType        [8]frameCount // of frames sent
+	measuredSince int64
+	statsBefore   []Stats // at measuredSince
+}
+
+// frameCount counts frames and their bytes.
+type frameCount struct{ frames, bytes uint64 }
+
+// event is a call, a frame that arrives, or a node's step that is due.
+type event struct {
+	at    int64
+	order int // of events at one time
+	to    int
+	from  string
+	frame []byte // nil: a step
+	call  func() // nil: none
+}
+
+type eventQueue []event
+
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
+}
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
+	old := *q
+	e := old[len(old)-1]
+	old[len(old)-1] = event{}
+	*q = old[:len(old)-1]
+	return e
+}
+
+// testMembers returns members spread evenly over sites, sites over zones, and zones over regions.
+func testMembers(gateways, sites, zones, regions int) []Member {
+	members := make([]Member, gateways)
+	for i := range members {
+		site := i * sites / gateways
+		zone := site * zones / sites
+		region := zone * regions / zones
+		members[i] = Member{
+			Name:     fmt.Sprintf("gw-%04d", i),
+			Locality: Locality{Region: fmt.Sprintf("r%02d", region), Zone: fmt.Sprintf("z%02d", zone), Site: fmt.Sprintf("s%03d", site)},
+		}
+	}
+	return members
+}
+
+const epoch = 1_764_576_000_000 // Unix milliseconds when now is 0
+
+func testSettings() Settings {
+	settings := DefaultSettings
+	settings.StartUnixMillis = epoch
+	return settings
+}
+
+// newFleet makes a fleet whose nodes all know the members; it sorts them.
+func newFleet(t testing.TB, seed uint64, members []Member, settings Settings) *fleet {
+	t.Helper()
+	f := &fleet{
+		t:       t,
+		rng:     rand.New(rand.NewPCG(seed, 1)),
+		members: members,
+		index:   map[string]int{},
+		issued:  map[Purge]int64{},
+		isCut:   noCut,
+		dead:    make([]bool, len(members)),
+		armedAt: make([]int64, len(members)),
+	}
+	SortMembers(f.members)
+	for i, m := range members {
+		f.index[m.Name] = i
+		f.receivedAt = append(f.receivedAt, map[Purge]int64{})
+		f.nodes = append(f.nodes, New(settings, m, seed*10_000+uint64(i), rand.New(rand.NewPCG(seed, uint64(i)+2)), 0))
+		f.nodes[i].SetMembers(f.members, 0)
+		f.arm(i)
+	}
+	return f
+}
+
+func noCut(a, b Member) bool { return false }
+
+func (f *fleet) push(e event) {
+	f.lastOrder++
+	e.order = f.lastOrder
+	heap.Push(&f.queue, e)
+}
+
+func (f *fleet) latency(a, b Member) int64 {
+	base := [...]int64{withinSite: 250, withinZone: 1000, withinRegion: 4000, acrossRegions: 60_000}[distance(a.Locality, b.Locality)]
+	return base + f.rng.Int64N(base/5+1)
+}
+
+// arm sends a node's messages and queues its next step.
+func (f *fleet) arm(i int) {
+	for _, m := range f.nodes[i].TakeMessages() {
+		if len(m.Frame) > maxFrameBytes {
+			f.t.Fatalf("a frame of %d bytes", len(m.Frame))
+		}
+		count := &f.byType[m.Frame[1]]
+		count.frames++
+		count.bytes += uint64(len(m.Frame) + datagramOverhead)
+		to := f.index[m.To]
+		if f.loss > 0 && f.rng.Float64() < f.loss || f.isCut(f.members[i], f.members[to]) {
+			continue
+		}
+		f.push(event{at: f.now + f.latency(f.members[i], f.members[to]), to: to, from: f.members[i].Name, frame: m.Frame})
+	}
+	if next := max(f.now, f.nodes[i].Next()); next != f.armedAt[i] && next != never {
+		f.armedAt[i] = next
+		f.push(event{at: next, to: i})
+	}
+}
+
+// run plays all events up to a time.
+func (f *fleet) run(until int64) {
+	for len(f.queue) > 0 && f.queue[0].at <= until {
+		e := heap.Pop(&f.queue).(event)
+		f.now = e.at
+		switch {
+		case e.call != nil:
+			e.call()
+		case f.dead[e.to]:
+		case e.frame != nil:
+			learned, err := f.nodes[e.to].HandleFrame(e.from, e.frame, f.now)
+			if err != nil {
+				f.t.Fatalf("%s could not read a frame of %s: %x", f.members[e.to].Name, e.from, e.frame)
+			}
+			f.recordReceived(e.to, learned)
+			f.arm(e.to)
+		case f.armedAt[e.to] == e.at:
+			f.armedAt[e.to] = -1
+			f.nodes[e.to].Step(f.now)
+			f.arm(e.to)
+		}
+	}
+	f.now = until
+}
+
+func (f *fleet) schedule(at int64, call func()) { f.push(event{at: at, call: call}) }
+
+func (f *fleet) recordReceived(i int, purges []Purge) {
+	for _, p := range purges {
+		if _, received := f.receivedAt[i][p]; !received {
+			f.receivedAt[i][p] = f.now
+		}
+	}
+}
+
+// recordOwn has a node's own watch bring purges.
+func (f *fleet) recordOwn(i int, purges ...Purge) {
+	if f.dead[i] {
+		return
+	}
+	f.recordReceived(i, purges)
+	f.nodes[i].RecordOwn(purges, f.now)
+	f.arm(i)
+}
+
+// newPurge issues a purge now, one in ten of a group.
+func (f *fleet) newPurge() Purge {
+	p := Purge{Issued: epoch + f.now/1000}
+	if f.rng.IntN(10) == 0 {
+		p.Group = f.rng.Int64N(256)
+	} else {
+		p.Object = hexString(f.rng.Uint64())
+	}
+	f.issued[p] = f.now
+	return p
+}
+
+// stream issues purges at a rate per second for a while; publish hands each to watches.
+func (f *fleet) stream(from, to int64, rate int64, publish func(p Purge)) {
+	for at := from; at < to; at += microsPerSecond / rate {
+		f.schedule(at, func() { publish(f.newPurge()) })
+	}
+}
+
+// result is the outcome of a run.
+type result struct {
+	missing        int     // pairs of a purge and a node that did not receive it
+	worst          int64   // microseconds, of those received
+	median         int64   // microseconds until the last node has a purge
+	batchCopies    float64 // of a batch at a node, for each batch injected
+	busiest        float64 // bytes per second in and out, of the busiest node
+	typical        float64 // of the mean node
+	batches        uint64
+	repairs        uint64
+	repairRequests uint64
+	shed           uint64
+	givenUp        uint64
+	reconciled     uint64
+}
+
+// measure begins the time of which traffic counts bytes, copies and batches.
+func (f *fleet) measure() {
+	f.measuredSince = f.now
+	f.statsBefore = nil
+	f.byType = [8]frameCount{}
+	for _, n := range f.nodes {
+		f.statsBefore = append(f.statsBefore, n.Stats())
+	}
+}
+
+// traffic returns the counters since measure.
+func (f *fleet) traffic() (r result) {
+	copies := uint64(0)
+	seconds := float64(f.now-f.measuredSince) / 1e6
+	sum := 0.0
+	for i, n := range f.nodes {
+		after, before := n.Stats(), f.statsBefore[i]
+		bytesPerSecond := float64(after.BytesIn+after.BytesOut-before.BytesIn-before.BytesOut) / seconds
+		r.busiest = max(r.busiest, bytesPerSecond)
+		sum += bytesPerSecond
+		copies += after.BatchesReceived - before.BatchesReceived
+		r.batches += after.BatchesSent - before.BatchesSent
+		r.repairs += after.Repairs - before.Repairs
+		r.repairRequests += after.RepairRequests - before.RepairRequests
+		r.shed += after.Shed - before.Shed
+		r.givenUp += after.GivenUp - before.GivenUp
+		r.reconciled += after.PurgesReceived - before.PurgesReceived
+	}
+	r.typical = sum / float64(len(f.nodes))
+	r.batchCopies = float64(copies) / float64(len(f.nodes)) / float64(max(1, r.batches))
+	return r
+}
+
+// result returns the counters since measure and how all purges were received.
+func (f *fleet) result() result {
+	r := f.traffic()
+	var latencies []int64
+	for p, issuedAt := range f.issued {
+		last := int64(0)
+		for i := range f.nodes {
+			if f.dead[i] {
+				continue
+			}
+			receivedAt, ok := f.receivedAt[i][p]
+			if !ok {
+				r.missing++
+				continue
+			}
+			last = max(last, receivedAt-issuedAt)
+		}
+		latencies = append(latencies, last)
+		r.worst = max(r.worst, last)
+	}
+	if len(latencies) > 0 {
+		slices.Sort(latencies)
+		r.median = latencies[len(latencies)/2]
+	}
+	return r
+}
+
+func (r result) String() string {
+	return fmt.Sprintf("missing %d, all everywhere after %.2f s (median %.2f), %d batches, %.3f copies of each a node, %.0f B/s at the busiest, %.0f mean, repairs %d, requests %d, shed %d, given up %d, by reconciliation %d",
+		r.missing, float64(r.worst)/1e6, float64(r.median)/1e6, r.batches, r.batchCopies, r.busiest, r.typical, r.repairs, r.repairRequests, r.shed, r.givenUp, r.reconciled)
+}
