--- a/internal/fleet/membership/contact.go
+++ b/internal/fleet/membership/contact.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// startContact exchanges whole states with the gateway at an address, on a goroutine of its own; mu is held.
+// startContact exchanges full states (memberlist's push/pull) with the gateway at an address, on a goroutine of its own; mu is held.
 func (f *Fleet) startContact(contact rejoin.Contact) {
 	f.contacting = true
 	f.counts.Contacts++
--- a/internal/fleet/membership/delegate.go
+++ b/internal/fleet/membership/delegate.go
@@ -23,7 +23,7 @@
 	_ memberlist.ConflictDelegate = (*Fleet)(nil)
 )
 
-// ErrNotLive tells that a gateway is no live member of this one's view.
+// ErrNotLive reports that a gateway is no live member of this one's view.
 var ErrNotLive = errors.New("no live member")
 
 // Reasons why a gateway is refused, beside those of the view.
@@ -38,7 +38,7 @@
 	minRTTMicros      = 1          // the histogram has no 0
 )
 
-// refusedError tells the detector, which logs it, why a gateway is refused.
+// refusedError is why a gateway is refused; the detector logs it.
 type refusedError struct{ reason view.Refusal }
 
 func (e refusedError) Error() string { return "refused: " + string(e.reason) }
@@ -114,10 +114,10 @@
 	return nil
 }
 
-// LocalState returns the heartbeat frame for an exchange of whole states; memberlist's Delegate.
+// LocalState returns the heartbeat frame for an push/pull exchange of full states; memberlist's Delegate.
 func (f *Fleet) LocalState(bool) []byte { return f.AckPayload() }
 
-// MergeRemoteState takes the heartbeat frame of an exchange of whole states; memberlist's Delegate.
+// MergeRemoteState takes the heartbeat frame of an push/pull exchange of full states; memberlist's Delegate.
 func (f *Fleet) MergeRemoteState(b []byte, _ bool) { f.mergeHeartbeat(b) }
 
 // AckPayload returns the heartbeat frame for the ack of a probe; memberlist's PingDelegate.
@@ -189,7 +189,7 @@
 	return view.ID{Name: node.Name, Addr: node.Address(), Incarnation: parsed.incarnation, Locality: locality}
 }
 
-// NotifyJoin takes the detector's word that a gateway is alive; memberlist's EventDelegate.
+// NotifyJoin records the detector's report that a gateway is alive; memberlist's EventDelegate.
 func (f *Fleet) NotifyJoin(node *memberlist.Node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -203,7 +203,7 @@
 	f.recordChanges(f.view.Update(processOf(node), f.now()))
 }
 
-// NotifyLeave takes the detector's word that a gateway is dead or has left; memberlist's EventDelegate.
+// NotifyLeave records the detector's report that a gateway is dead or has left; memberlist's EventDelegate.
 func (f *Fleet) NotifyLeave(node *memberlist.Node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -6,7 +6,7 @@
 //
 // Concurrency: Fleet.mu guards the view, the scheduler of contacts and the queue of log lines. It is never held over I/O or over a
 // call of the detector, whose callbacks take it. The goroutine of Run owns the detector, writes the log and the disk and decides on
-// contacts; a second goroutine makes the contact in flight, and a third one tells the detector to refute a suspicion.
+// contacts; a second goroutine makes the contact in flight, and a third one makes the detector refute a suspicion.
 //
 // Bounds: those of the view; maxPendingLogLines queued log lines; one contact at a time, of at most joinTimeout; one write of the
 // disk each saveInterval; the detector's queues, which hold one message a member.
--- a/internal/fleet/membership/report.go
+++ b/internal/fleet/membership/report.go
@@ -112,7 +112,7 @@
 	return Distribution{h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(90), h.ValueAtQuantile(99), h.Max()}
 }
 
-// UnknownMemberError tells that the view has no gateway of a name.
+// UnknownMemberError reports that the view has no gateway of a name.
 type UnknownMemberError struct{ Name string }
 
 // Error names the gateway.
@@ -121,7 +121,7 @@
 }
 
 // Report returns what this gateway knows of its fleet. Without withMembers it has no members. Where explain names a member, it is the
-// only one and comes with its evidence; an *UnknownMemberError tells that there is none of that name.
+// only one and comes with its evidence; the error is an *UnknownMemberError if there is none of that name.
 func (f *Fleet) Report(withMembers bool, explain string) (Report, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -220,7 +220,7 @@
 	Live       int // members that are alive or suspect
 	Alive      int // without suspects
 	FleetSize  int // that those are a part of
-	Rank       int // of this gateway among those who did not leave, by name
+	Rank       int // of this gateway among members that did not leave, by name
 	InMinority bool
 	Settled    bool
 	Digest     uint32 // of the live set
--- a/internal/fleet/membership/run.go
+++ b/internal/fleet/membership/run.go
@@ -78,7 +78,7 @@
 	return c
 }
 
-// leaveAndStop leaves the fleet and stops the detector. The metadata says first that this gateway leaves: the detector tells peers
+// leaveAndStop leaves the fleet and stops the detector. The metadata says first that this gateway leaves: the detector reports to peers
 // that a member is gone, but not their delegates whether it went by its own will.
 func (f *Fleet) leaveAndStop() {
 	if f.deps.Store != nil {
@@ -137,7 +137,7 @@
 	f.queueLog(slog.LevelWarn, "fleet_process_paused", "ms", gap/1000)
 }
 
-// advanceView tells the view the time and logs what came of it; mu is held.
+// advanceView moves the view's time on and logs what came of it; mu is held.
 func (f *Fleet) advanceView(now int64) {
 	tick := f.view.Tick(now)
 	for _, name := range tick.Reaped {
--- a/internal/fleet/membership/seeds.go
+++ b/internal/fleet/membership/seeds.go
@@ -14,7 +14,7 @@
 	aloneSeedInterval = time.Second
 )
 
-// SeedFileError tells the first line of a file of seeds that can't be used.
+// SeedFileError reports the first line of a file of seeds that can't be used.
 type SeedFileError struct {
 	Line    int // from 1 on
 	Problem string
--- a/internal/fleet/membership/store.go
+++ b/internal/fleet/membership/store.go
@@ -39,19 +39,19 @@
 	Incarnation uint64 `cbor:"3,keyasint"`
 }
 
-// ForeignStoreError tells that the members on disk are of another format or were saved by a gateway of another name.
+// ForeignStoreError reports that the members on disk are of another format or were saved by a gateway of another name.
 type ForeignStoreError struct {
 	Format int
 	Self   string // whose they are
 }
 
-// Error tells both.
+// Error returns both.
 func (e *ForeignStoreError) Error() string {
 	return fmt.Sprintf("the list of gateways is of form %d for %q; it is not used", e.Format, e.Self)
 }
 
 // OpenMemberStore opens the members that a gateway keeps in a folder, which is its own until Close. It loads at most maxMembers-1
-// others. Members that can't be used are no error: none is known then, and LoadError tells why.
+// others. Members that can't be used are no error: none is known then, and LoadError returns why.
 func OpenMemberStore(directory env.Directory, self string, maxMembers int) (*MemberStore, error) {
 	log, kept, err := wal.Open(directory, storeName)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return known, nil
 }
 
-// LoadError tells why what was stored is not used; nil if it is, or if nothing was stored.
+// LoadError returns why what was stored is not used; nil if it is, or if nothing was stored.
 func (s *MemberStore) LoadError() error { return s.loadError }
 
 // Known returns the members of the last Save, or else those that were loaded.
--- a/internal/fleet/view/detector.go
+++ b/internal/fleet/view/detector.go
@@ -1,6 +1,6 @@
 package view
 
-// Join takes the detector's word that a gateway is alive; by names the gateway that reported it first.
+// Join records the detector's report that a gateway is alive; by names the gateway that reported it first.
 func (v *View) Join(id ID, by string, now int64) []Change {
 	if id.Name == v.self {
 		return nil
@@ -50,7 +50,7 @@
 	return []Change{{Name: id.Name, From: NeverSeen, To: Alive, IsNew: true, By: by, Reason: ReasonJoined}}
 }
 
-// Update takes the detector's word that a live gateway sent other metadata.
+// Update records the detector's report that a live gateway sent other metadata.
 func (v *View) Update(id ID, now int64) []Change {
 	m := v.members[id.Name]
 	if m == nil || id.Name == v.self || m.ID == id {
@@ -59,7 +59,7 @@
 	return v.Join(id, id.Name, now)
 }
 
-// MarkGone takes the detector's word that a gateway is dead, or that it has left. One that was held dead may turn out to have left.
+// MarkGone records the detector's report that a gateway is dead, or that it has left. One that was held dead may turn out to have left.
 func (v *View) MarkGone(name string, left bool, now int64) []Change {
 	m := v.members[name]
 	if m == nil || name == v.self || !m.State.IsLive() && !(left && m.State == Dead) {
--- a/internal/fleet/view/heartbeat.go
+++ b/internal/fleet/view/heartbeat.go
@@ -16,8 +16,8 @@
 //	4 bytes  sender's digest, 8 bytes its generation (agreement.go)
 //	2 bytes  length g of the agreed bits, 1 byte number s of seen records, 1 byte number f of failed probes
 //	g bytes  agreed bits
-//	s times  8 key of the member, 8 key of who saw it, 4 age in milliseconds
-//	f times  8 key of the member, 8 key of whose probe failed, 4 age in milliseconds
+//	s times  8 key of the member, 8 key of the gateway that saw it, 4 age in milliseconds
+//	f times  8 key of the member, 8 key of the gateway whose probe failed, 4 age in milliseconds
 const (
 	// Kind is the first byte of heartbeat frames, which tells them from other datagrams of gateways.
 	Kind = 1
@@ -42,7 +42,7 @@
 	failedCountOffset = 24
 )
 
-// ErrFrame tells that a heartbeat frame can't be read: it is of another kind, or of another length than it says.
+// ErrFrame reports that a heartbeat frame can't be read: it is of another kind, or of another length than it says.
 var ErrFrame = errors.New("unreadable heartbeat frame")
 
 // agreementFrame is the part of a frame about agreement.
