--- a/internal/lab/ci/style_test.go
+++ b/internal/lab/ci/style_test.go
@@ -36,7 +36,6 @@
 	"internal/lab/simenv",
 	"internal/lab/testbed",
 	"internal/limit",
-	"internal/retry",
 	"internal/route",
 	"internal/route/pools",
 	"internal/upstream",
