--- /dev/null
+++ b/internal/env/lifetime_test.go
@@ -0,0 +1,34 @@
+package env
+
+import "testing"
+
+func TestLifetime(t *testing.T) {
+	t.Run("ends once: its hooks run in order, children end with it", func(t *testing.T) {
+		calls := ""
+		call := func(name string) func() { return func() { calls += name } }
+		parent := NewLifetime(nil)
+		parent.OnEnd(call("a"))
+		drop := parent.OnEnd(call("b"))
+		child := NewLifetime(parent)
+		child.OnEnd(call("c"))
+		parent.OnEnd(call("d"))
+		drop()
+		parent.End()
+		parent.End()
+		if calls != "acd" || !child.Ended() || !parent.Ended() {
+			t.Error(calls)
+		}
+		if parent.OnEnd(call("e")); calls != "acde" {
+			t.Error("a hook of an ended lifetime does not run at once:", calls)
+		}
+	})
+	t.Run("a child that ends detaches from its parent", func(t *testing.T) {
+		parent := NewLifetime(nil)
+		for range 100 {
+			NewLifetime(parent).End()
+		}
+		if parent.Ended() || parent.hooks.Len() != 0 {
+			t.Errorf("%d hooks are left", parent.hooks.Len())
+		}
+	})
+}
