--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -257,7 +257,8 @@
 		lookups = min(lookups, max(1, int(s.Limits.MemoryMB*lookupsPerMB)))
 		bytes = int64(s.Limits.MemoryMB * bodyMemoryShare * (1 << 20))
 	}
-	links := upstream.NewPool(calling, life, terms, router, caches, purges, held.Caches)
+	links := upstream.NewPool(upstream.Config{Environment: calling, Lifetime: life, Settings: terms, Dispatcher: router, Registry: caches,
+		Purges: purges, MaxConns: held.Caches})
 	room := admission.NewController(g, lookups, bytes)
 	front := frontend.NewServer(g, terms, router, links, room, held.Clients)
 	calling.evictIdle = func() bool { return front.EvictIdle() || links.EvictIdle() } // who waits for nothing goes first
--- a/internal/lab/testbed/gates.go
+++ b/internal/lab/testbed/gates.go
@@ -9,127 +9,143 @@
 	"foldslip/internal/env"
 )
 
-// The crossings of docs/ending.md on loopback: the real front and links, with stand-in caches, on a ground that holds the exact
-// instant. What is held goes on by a step of the story, never by the passing of time.
+// clientReadBuffer holds all that a test's client sends ahead, whatever is read of it.
+const clientReadBuffer = 1 << 20
 
-// GatedEnv is the system's ground with gates in it; a nil gate is open.
+// GatedEnv is the system's environment with gates in it: what waits at a gate goes on once the test sends to it, and no longer waits once
+// the test closes it. A nil gate is open.
 type GatedEnv struct {
 	*env.System
-	DialGate       chan bool    // each connection to a cache waits for one
-	ReadGate       chan bool    // each read of a client's connection waits for one
-	ReadWaiting    chan bool    // told of each read that waits
-	AcceptGate     chan bool    // each Accept waits for one
-	WriteGate      chan bool    // each write to a cache waits for one
-	WriteWaiting   chan bool    // told of each write that waits
+	DialGate       chan bool    // each connection to a cache, before it is dialled
+	AcceptGate     chan bool    // each Accept
+	ReadGate       chan bool    // each read of a client's connection
+	ReadWaiting    chan bool    // receives for each read that waits at ReadGate
+	IdleReadGate   chan bool    // each read of a client's connection without a deadline, as while a lookup is open
+	WriteGate      chan bool    // each write to a cache
+	WriteWaiting   chan bool    // receives for each write that waits at WriteGate
 	Unblock        chan bool    // caches take nothing, not a byte, until it is closed
 	AcceptFailures atomic.Int32 // so many Accepts fail, as without a descriptor
-	IdleReadGate   chan bool    // each read of a client whose lookup is open waits for one
 }
 
-func (h *GatedEnv) Dial(life *env.Lifetime, addr string, within time.Duration) (net.Conn, error) {
-	if h.DialGate != nil {
-		<-h.DialGate
+// Dial connects to a cache.
+func (g *GatedEnv) Dial(lifetime *env.Lifetime, addr string, timeout time.Duration) (net.Conn, error) {
+	if g.DialGate != nil {
+		<-g.DialGate
 	}
-	c, err := h.System.Dial(life, addr, within)
-	if err == nil && h.WriteGate != nil {
-		return &gatedWriter{c, h}, nil
+	conn, err := g.System.Dial(lifetime, addr, timeout)
+	if err == nil && g.WriteGate != nil {
+		return &gatedWriter{conn, g}, nil
 	}
-	if err == nil && h.Unblock != nil {
-		return &blockedWriter{c, h}, nil
+	if err == nil && g.Unblock != nil {
+		return &blockedWriter{conn, g}, nil
 	}
-	return c, err
+	return conn, err
 }
 
-func (h *GatedEnv) NonBlockingWriter(c net.Conn) env.NonBlockingWrite {
-	if h.WriteGate != nil {
+// NonBlockingWriter returns nil where writes are gated, so that they wait, and takes nothing while caches are blocked.
+func (g *GatedEnv) NonBlockingWriter(conn net.Conn) env.NonBlockingWrite {
+	if g.WriteGate != nil {
 		return nil
 	}
-	if d, ok := c.(*blockedWriter); ok {
-		direct := h.System.NonBlockingWriter(d.Conn)
-		return func(b []byte) int {
-			select {
-			case <-h.Unblock:
-				return direct(b)
-			default:
-				return 0
-			}
+	blocked, ok := conn.(*blockedWriter)
+	if !ok {
+		return g.System.NonBlockingWriter(conn)
+	}
+	write := g.System.NonBlockingWriter(blocked.Conn)
+	return func(b []byte) int {
+		select {
+		case <-g.Unblock:
+			return write(b)
+		default:
+			return 0
 		}
 	}
-	return h.System.NonBlockingWriter(c)
 }
 
-// blockedWriter is a connection that takes nothing at once, and whose Write waits, until the gate is gone.
+// blockedWriter is a connection that takes nothing, and whose Write waits, until it is unblocked.
 type blockedWriter struct {
 	net.Conn
-	env *GatedEnv
+	gates *GatedEnv
 }
 
-func (d *blockedWriter) Write(b []byte) (int, error) {
-	<-d.env.Unblock
-	return d.Conn.Write(b)
+// Write waits until the connection is unblocked.
+func (w *blockedWriter) Write(b []byte) (int, error) {
+	<-w.gates.Unblock
+	return w.Conn.Write(b)
 }
 
-// gatedWriter is a connection whose peer takes nothing until the gate opens.
+// gatedWriter is a connection whose peer takes nothing until the gate lets it.
 type gatedWriter struct {
 	net.Conn
-	env *GatedEnv
+	gates *GatedEnv
 }
 
-func (s *gatedWriter) Write(b []byte) (int, error) {
-	s.env.WriteWaiting <- true
-	<-s.env.WriteGate
-	return s.Conn.Write(b)
+// Write waits at the gate.
+func (w *gatedWriter) Write(b []byte) (int, error) {
+	w.gates.WriteWaiting <- true
+	<-w.gates.WriteGate
+	return w.Conn.Write(b)
 }
 
+// gatedListener accepts clients through the gates.
 type gatedListener struct {
 	*net.TCPListener
-	env *GatedEnv
+	gates *GatedEnv
 }
 
-func (g gatedListener) Accept() (net.Conn, error) {
-	if g.env.AcceptGate != nil {
-		<-g.env.AcceptGate
+// Accept waits at the gate and gives the connection those of its reads.
+func (l gatedListener) Accept() (net.Conn, error) {
+	if l.gates.AcceptGate != nil {
+		<-l.gates.AcceptGate
 	}
-	if g.env.AcceptFailures.Add(-1) >= 0 {
+	if l.gates.AcceptFailures.Add(-1) >= 0 {
 		return nil, syscall.EMFILE
 	}
-	c, err := g.TCPListener.Accept()
-	if err == nil && g.env.IdleReadGate != nil {
-		c.(*net.TCPConn).SetReadBuffer(1 << 20)
-		return &gatedIdleReader{TCPConn: c.(*net.TCPConn), env: g.env}, nil
+	conn, err := l.TCPListener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	tcp := conn.(*net.TCPConn)
+	if l.gates.IdleReadGate != nil {
+		tcp.SetReadBuffer(clientReadBuffer)
+		return &gatedIdleReader{TCPConn: tcp, gates: l.gates}, nil
 	}
-	if err == nil && g.env.ReadGate != nil {
-		return &gatedReader{c.(*net.TCPConn), g.env}, nil
+	if l.gates.ReadGate != nil {
+		return &gatedReader{tcp, l.gates}, nil
 	}
-	return c, err
+	return conn, nil
 }
 
-// gatedIdleReader is a connection whose reads without a deadline, as while a lookup is open, wait for the gate.
-type gatedIdleReader struct {
+// gatedReader is a connection whose reads wait at the gate.
+type gatedReader struct {
 	*net.TCPConn
-	env         *GatedEnv
-	hasDeadline atomic.Bool
+	gates *GatedEnv
 }
 
-func (i *gatedIdleReader) SetReadDeadline(at time.Time) error {
-	i.hasDeadline.Store(!at.IsZero())
-	return i.TCPConn.SetReadDeadline(at)
+// Read waits at the gate.
+func (r *gatedReader) Read(b []byte) (int, error) {
+	r.gates.ReadWaiting <- true
+	<-r.gates.ReadGate
+	return r.TCPConn.Read(b)
 }
 
-func (i *gatedIdleReader) Read(b []byte) (int, error) {
-	if !i.hasDeadline.Load() {
-		<-i.env.IdleReadGate
-	}
-	return i.TCPConn.Read(b)
+// gatedIdleReader is a connection whose reads without a deadline wait at the gate.
+type gatedIdleReader struct {
+	*net.TCPConn
+	gates       *GatedEnv
+	hasDeadline atomic.Bool
 }
 
-type gatedReader struct {
-	*net.TCPConn
-	env *GatedEnv
+// SetReadDeadline notes whether there is a deadline.
+func (r *gatedIdleReader) SetReadDeadline(deadline time.Time) error {
+	r.hasDeadline.Store(!deadline.IsZero())
+	return r.TCPConn.SetReadDeadline(deadline)
 }
 
-func (s *gatedReader) Read(b []byte) (int, error) {
-	s.env.ReadWaiting <- true
-	<-s.env.ReadGate
-	return s.TCPConn.Read(b)
+// Read waits at the gate if there is no deadline.
+func (r *gatedIdleReader) Read(b []byte) (int, error) {
+	if !r.hasDeadline.Load() {
+		<-r.gates.IdleReadGate
+	}
+	return r.TCPConn.Read(b)
 }
--- a/internal/lab/testbed/testbed.go
+++ b/internal/lab/testbed/testbed.go
@@ -1,5 +1,5 @@
-// Package testbed puts the real server and the real pool of connections before stand-in caches on loopback, on an environment whose gates
-// hold an exact instant: what is held goes on by a step of the test, never by the passing of time. Only tests import it.
+// Package testbed puts the real front end and the real pool of connections before stand-in caches on loopback, in an environment whose
+// gates hold an exact instant: what is held goes on by a step of the test, never by the passing of time. Only tests import it.
 package testbed
 
 import (
@@ -24,187 +24,229 @@
 	"foldslip/internal/upstream"
 )
 
-// Testbed is a front and links before two edges and the origin.
+const (
+	// MaxBytes is the admission's bound on bytes of bodies and objects.
+	MaxBytes = 1 << 20
+
+	maxLookups     = 100
+	maxCacheConns  = 99
+	clientTimeout  = 20 * time.Second
+	receiveTimeout = 10 * time.Second
+	waitTimeout    = 6 * time.Second
+	originKind     = 2 // in testSettings
+)
+
+// testSettings has an object kind of each effect: segment (idempotent), order (with side effects, runs at the origin) and berth
+// (deduplicated within 2 s, runs at the origin).
+const testSettings = `{"areas":["town"],"machine_types":["edge","parent","origin"],"ceilings":{"cancelling":CANCEL,"try_limit":6,
+"retry_after":true,"max_retry_after":2000000,"connect_timeout":8000000},"classes":[{"name":"segment","aim":4000000,"deadline":9000000,"points":1,"effect":"idempotent"},
+{"name":"order","aim":4000000,"deadline":9000000,"points":1,"effect":"at_most_once"},
+{"name":"berth","aim":4000000,"deadline":9000000,"points":1,"effect":"deduplicated","group":"all","window":2000000}],
+"specifics":{"parent_kind":1,"source_kind":2,"flow_kb_per_s":100000,"max_age":[0,0,0],"grace_for":[0,0,0],"pass_on":[false,true,true],"seats_by_zone":[1],"cleared_within":6000000}}`
+
+// Testbed is a front end and a pool before two edges, edge0 and edge1, and an origin that cannot be reached.
 type Testbed struct {
-	t          *testing.T
 	Dispatcher *dispatch.Dispatcher
 	Server     *frontend.Server
 	Pool       *upstream.Pool
-	Listener   gatedListener
+	Listener   net.Listener
 	Registry   *cacheregistry.Registry
-	Purges     *purgelog.Log
+	Purges     *purgelog.Log // without a grace: a purge is in force at once
 	Edges      []*standin.Cache
-	Received   chan standin.Request
-	LastID     int
-}
+	Received   chan standin.Request // by either edge
+	LastID     int                  // of the lookup that RequestText made last
 
-const testSettings = `{"areas":["town"],"machine_types":["edge","parent","origin"],"ceilings":{"cancelling":CANCEL,"try_limit":6,
-"retry_after":true,"max_retry_after":2000000,"connect_timeout":8000000},"classes":[{"name":"segment","aim":4000000,"deadline":9000000,"points":1,"effect":"idempotent"},
-{"name":"order","aim":4000000,"deadline":9000000,"points":1,"effect":"at_most_once"},
-{"name":"berth","aim":4000000,"deadline":9000000,"points":1,"effect":"deduplicated","group":"all","window":2000000}],
-"specifics":{"parent_kind":1,"source_kind":2,"flow_kb_per_s":100000,"max_age":[0,0,0],"grace_for":[0,0,0],"pass_on":[false,true,true],"seats_by_zone":[1],"cleared_within":6000000}}`
+	t *testing.T
+}
 
-func New(t *testing.T, h *GatedEnv, cancelling bool, most int) *Testbed {
-	terms, err := settings.Parse([]byte(strings.Replace(testSettings, "CANCEL", fmt.Sprint(cancelling), 1)))
+// New starts a testbed that ends with the test. canCancel is the settings' word on cancelling attempts.
+func New(t *testing.T, gates *GatedEnv, canCancel bool, maxClients int) *Testbed {
+	t.Helper()
+	parsed, err := settings.Parse([]byte(strings.Replace(testSettings, "CANCEL", fmt.Sprint(canCancel), 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.System = env.NewSystem(io.Discard, 0)
-	r := &Testbed{t: t, Registry: &cacheregistry.Registry{}, Received: make(chan standin.Request, 99), Purges: &purgelog.Log{Clock: h, Retention: time.Minute}}
-	r.Dispatcher = dispatch.New(h, 1, terms.Router, nil)
-	life := env.NewLifetime(nil)
-	r.Pool = upstream.NewPool(h, life, terms, r.Dispatcher, r.Registry, r.Purges, 99)
-	r.Server = frontend.NewServer(h, terms, r.Dispatcher, r.Pool, admission.NewController(h, 100, 1<<20), most)
-	r.Server.SetReady()
-	var rows []policy.Endpoint
-	for i := range 2 {
-		c, err := standin.NewCache("127.0.0.1:0", func(d standin.Request) { r.Received <- d })
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(c.Close)
-		r.Edges = append(r.Edges, c)
-		rows = append(rows, policy.Endpoint{Cache: r.Registry.Register(fmt.Sprint("edge", i), c.Addr).Policy})
+	gates.System = env.NewSystem(io.Discard, 0)
+	b := &Testbed{
+		Registry: &cacheregistry.Registry{},
+		Purges:   &purgelog.Log{Clock: gates, Retention: time.Minute},
+		Received: make(chan standin.Request, 99),
+		t:        t,
 	}
-	rows = append(rows, policy.Endpoint{Cache: r.Registry.Register("origin", "127.0.0.1:1").Policy, Kind: 2})
-	r.Dispatcher.Tick(rows, true, nil)
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	b.Dispatcher = dispatch.New(gates, 1, parsed.Router, nil)
+	lifetime := env.NewLifetime(nil)
+	b.Pool = upstream.NewPool(upstream.Config{Environment: gates, Lifetime: lifetime, Settings: parsed, Dispatcher: b.Dispatcher,
+		Registry: b.Registry, Purges: b.Purges, MaxConns: maxCacheConns})
+	b.Server = frontend.NewServer(gates, parsed, b.Dispatcher, b.Pool, admission.NewController(gates, maxLookups, MaxBytes), maxClients)
+	b.Server.SetReady()
+	b.startCaches()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Listener = gatedListener{l.(*net.TCPListener), h}
-	go r.Server.Serve(life, r.Listener)
-	t.Cleanup(func() { life.End(); l.Close(); r.Server.Close() })
-	return r
+	b.Listener = gatedListener{listener.(*net.TCPListener), gates}
+	go b.Server.Serve(lifetime, b.Listener)
+	t.Cleanup(func() { lifetime.End(); listener.Close(); b.Server.Close() })
+	return b
+}
+
+// startCaches starts the edges and lists them and the origin.
+func (b *Testbed) startCaches() {
+	b.t.Helper()
+	var endpoints []policy.Endpoint
+	for i := range 2 {
+		edge, err := standin.NewCache("127.0.0.1:0", func(request standin.Request) { b.Received <- request })
+		if err != nil {
+			b.t.Fatal(err)
+		}
+		b.t.Cleanup(edge.Close)
+		b.Edges = append(b.Edges, edge)
+		endpoints = append(endpoints, policy.Endpoint{Cache: b.Registry.Register(fmt.Sprint("edge", i), edge.Addr).Policy})
+	}
+	origin := b.Registry.Register("origin", "127.0.0.1:1")
+	endpoints = append(endpoints, policy.Endpoint{Cache: origin.Policy, Kind: originKind})
+	b.Dispatcher.Tick(endpoints, true, nil)
 }
 
-func (r *Testbed) Connect() net.Conn {
-	c, err := net.Dial("tcp", r.Listener.Addr().String())
+// Connect opens a client's connection.
+func (b *Testbed) Connect() net.Conn {
+	b.t.Helper()
+	conn, err := net.Dial("tcp", b.Listener.Addr().String())
 	if err != nil {
-		r.t.Fatal(err)
+		b.t.Fatal(err)
 	}
-	r.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(20 * time.Second))
-	return c
+	b.t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(clientTimeout))
+	return conn
 }
 
-func (r *Testbed) RequestText(kind string, more ...string) string {
-	r.LastID++
-	return fmt.Sprintf("GET /call/%s/o HTTP/1.1\r\nHost: x\r\nX-Job-Id: %016x\r\n%s\r\n", kind, r.LastID, strings.Join(more, ""))
+// RequestText is the text of a lookup's request, with an id of its own and further header lines.
+func (b *Testbed) RequestText(kind string, headers ...string) string {
+	b.LastID++
+	return fmt.Sprintf("GET /call/%s/o HTTP/1.1\r\nHost: x\r\nX-Job-Id: %016x\r\n%s\r\n", kind, b.LastID, strings.Join(headers, ""))
 }
 
-func (r *Testbed) SendRequest(kind string, more ...string) net.Conn {
-	c := r.Connect()
-	io.WriteString(c, r.RequestText(kind, more...))
-	return c
+// SendRequest sends a lookup on a connection of its own.
+func (b *Testbed) SendRequest(kind string, headers ...string) net.Conn {
+	b.t.Helper()
+	conn := b.Connect()
+	io.WriteString(conn, b.RequestText(kind, headers...))
+	return conn
 }
 
-func (r *Testbed) WaitFor(what string, true func() bool) {
-	r.t.Helper()
-	for end := time.Now().Add(6 * time.Second); !true(); time.Sleep(time.Millisecond) {
+// WaitFor waits until a condition holds.
+func (b *Testbed) WaitFor(what string, condition func() bool) {
+	b.t.Helper()
+	for end := time.Now().Add(waitTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Fatal("no ", what)
+			b.t.Fatal("no ", what)
 		}
 	}
 }
 
-func (r *Testbed) WaitOpenLookups(n int) {
-	r.t.Helper()
-	r.WaitFor(fmt.Sprint(n, " lookups open"), func() bool { return r.Dispatcher.OpenLookups() == n })
+// WaitOpenLookups waits until so many lookups are open.
+func (b *Testbed) WaitOpenLookups(n int) {
+	b.t.Helper()
+	b.WaitFor(fmt.Sprint(n, " lookups open"), func() bool { return b.Dispatcher.OpenLookups() == n })
 }
 
-// WaitOpenAttempts waits until the module counts so many sends and none waits to be picked.
-func (r *Testbed) WaitOpenAttempts(n int) {
-	r.t.Helper()
-	r.WaitFor(fmt.Sprint(n, " sends out"), func() bool { out, queued := r.Dispatcher.InFlight(); return out == n && queued == 0 })
+// WaitOpenAttempts waits until the policy counts so many attempts and none of them waits to be started.
+func (b *Testbed) WaitOpenAttempts(n int) {
+	b.t.Helper()
+	b.WaitFor(fmt.Sprint(n, " open attempts"), func() bool {
+		open, queued := b.Dispatcher.InFlight()
+		return open == n && queued == 0
+	})
 }
 
-func (r *Testbed) ExpectStatus(c net.Conn, want int) string {
-	r.t.Helper()
-	got, err := http.ReadResponse(bufio.NewReader(c), nil)
-	if err != nil {
-		r.t.Fatal(err)
-	}
-	body, err := io.ReadAll(got.Body)
-	if got.StatusCode != want || err != nil {
-		r.t.Fatalf("status %d, %v, expected %d", got.StatusCode, err, want)
-	}
-	return string(body)
+// WaitQueued waits until so many lookups are open and none has an attempt.
+func (b *Testbed) WaitQueued(n int) {
+	b.t.Helper()
+	b.WaitOpenAttempts(0)
+	b.WaitOpenLookups(n)
 }
 
-func (r *Testbed) ExpectNothingReceived() {
-	r.t.Helper()
-	// Whatever was written before is read before what follows on the same connection; a lookup of its own shows that.
-	c := r.SendRequest("segment")
-	select {
-	case d := <-r.Received:
-		if d.ID != fmt.Sprintf("%016x", r.LastID) {
-			r.t.Fatalf("%s was sent, expected only %016x", d.ID, r.LastID)
-		}
-		d.Hit(time.Now(), "hit", "ok")
-	case <-time.After(10 * time.Second):
-		r.t.Fatal("the lookup after it was not sent")
+// WaitNoConns waits until the server has no connection left: it has noticed each client that left.
+func (b *Testbed) WaitNoConns() {
+	b.t.Helper()
+	b.WaitFor("server without connections", func() bool { return b.Server.ConnCount() == 0 })
+}
+
+// TickTimes gives the dispatcher its timers, which nobody else does here, some 10 ms apart.
+func (b *Testbed) TickTimes(n int) {
+	for range n {
+		b.Dispatcher.Tick(nil, false, nil)
+		time.Sleep(10 * time.Millisecond)
 	}
-	r.ExpectStatus(c, 200)
 }
 
-// SetEndpointState lists a cache in another state.
-func (r *Testbed) SetEndpointState(name string, state policy.EndpointState) {
-	row := policy.Endpoint{Cache: r.Registry.Find(name).Policy, State: state}
-	if name == "origin" {
-		row.Kind = 2
+// ExpectStatus reads a response with that status and returns its body.
+func (b *Testbed) ExpectStatus(conn net.Conn, status int) string {
+	b.t.Helper()
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil {
+		b.t.Fatal(err)
 	}
-	r.Dispatcher.Tick([]policy.Endpoint{row}, false, nil)
+	body, err := io.ReadAll(response.Body)
+	if response.StatusCode != status || err != nil {
+		b.t.Fatalf("status %d, %v, expected %d", response.StatusCode, err, status)
+	}
+	return string(body)
 }
 
-func (r *Testbed) NextReceived() standin.Request {
-	r.t.Helper()
+// NextReceived returns the next request that reached an edge.
+func (b *Testbed) NextReceived() standin.Request {
+	b.t.Helper()
 	select {
-	case d := <-r.Received:
-		return d
-	case <-time.After(10 * time.Second):
-		r.t.Fatal("nothing was sent")
+	case request := <-b.Received:
+		return request
+	case <-time.After(receiveTimeout):
+		b.t.Fatal("nothing was sent")
 	}
 	panic("not reached")
 }
 
-// Every path on which an attempt of a lookup can begin, with its client gone by then: none begins (docs/ending.md).
-
-// WaitNoConns waits until the front has no connection of a client any more: whoever left has been seen to.
-func (r *Testbed) WaitNoConns() {
-	r.t.Helper()
-	r.WaitFor("front without clients", func() bool { return r.Server.ConnCount() == 0 })
-}
-
-// WaitQueued waits until the module has that many lookups without a send.
-func (r *Testbed) WaitQueued(n int) {
-	r.t.Helper()
-	r.WaitOpenAttempts(0)
-	r.WaitOpenLookups(n)
+// ExpectNothingReceived checks that no request is on its way to an edge. What was written before is read before what follows on the same
+// connection; a lookup of its own shows that.
+func (b *Testbed) ExpectNothingReceived() {
+	b.t.Helper()
+	conn := b.SendRequest("segment")
+	select {
+	case request := <-b.Received:
+		if request.ID != fmt.Sprintf("%016x", b.LastID) {
+			b.t.Fatalf("%s was sent, expected only %016x", request.ID, b.LastID)
+		}
+		request.Hit(time.Now(), "hit", "ok")
+	case <-time.After(receiveTimeout):
+		b.t.Fatal("the lookup after it was not sent")
+	}
+	b.ExpectStatus(conn, http.StatusOK)
 }
 
-// TickTimes brings the module its timers, which nobody else does in these stories, until it has nothing held.
-func (r *Testbed) TickTimes(n int) {
-	for range n {
-		r.Dispatcher.Tick(nil, false, nil)
-		time.Sleep(10 * time.Millisecond)
+// SetEndpointState lists a cache in another state.
+func (b *Testbed) SetEndpointState(name string, state policy.EndpointState) {
+	endpoint := policy.Endpoint{Cache: b.Registry.Find(name).Policy, State: state}
+	if name == "origin" {
+		endpoint.Kind = originKind
 	}
+	b.Dispatcher.Tick([]policy.Endpoint{endpoint}, false, nil)
 }
 
-// ReachEachEdge asks for objects until each of the edges has had a send; it answers each at once.
-func (r *Testbed) ReachEachEdge() {
-	r.t.Helper()
-	seen := map[string]bool{}
-	for n := 0; len(seen) < len(r.Edges); n++ {
-		if n > 200 {
-			r.t.Fatalf("%d of %d edges had a send", len(seen), len(r.Edges))
+// ReachEachEdge looks up objects until each edge has had an attempt, and answers each at once.
+func (b *Testbed) ReachEachEdge() {
+	b.t.Helper()
+	const maxObjects = 200
+	reached := map[string]bool{}
+	for n := 0; len(reached) < len(b.Edges); n++ {
+		if n > maxObjects {
+			b.t.Fatalf("%d of %d edges had an attempt", len(reached), len(b.Edges))
 		}
-		c := r.Connect()
-		r.LastID++
-		fmt.Fprintf(c, "GET /call/segment/o%d HTTP/1.1\r\nHost: x\r\nX-Job-Id: %016x\r\nConnection: close\r\n\r\n", n, r.LastID)
-		d := r.NextReceived()
-		seen[d.Conn.LocalAddr().String()] = true
-		d.Hit(time.Now(), "hit", "ok")
-		r.ExpectStatus(c, 200)
+		conn := b.Connect()
+		b.LastID++
+		fmt.Fprintf(conn, "GET /call/segment/o%d HTTP/1.1\r\nHost: x\r\nX-Job-Id: %016x\r\nConnection: close\r\n\r\n", n, b.LastID)
+		request := b.NextReceived()
+		reached[request.Conn.LocalAddr().String()] = true
+		request.Hit(time.Now(), "hit", "ok")
+		b.ExpectStatus(conn, http.StatusOK)
 	}
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -1,13 +1,10 @@
 package upstream
 
 import (
-	"cmp"
 	"errors"
 	"io"
-	"maps"
 	"net"
 	"os"
-	"slices"
 	"sync"
 	"sync/atomic"
 	"syscall"
@@ -19,334 +16,292 @@
 	"foldslip/internal/policy"
 )
 
-// cacheConn is one connection to a cache, from its dialling on.
+const (
+	// lateResponseWindow is how long a response to an attempt that was given up may still come.
+	lateResponseWindow = 10 * time.Second
+	// silentAttemptsToClose is how many attempts must be silent before their connection counts as dead: one may be slow by itself.
+	silentAttemptsToClose = 2
+)
+
+// cacheConn is one connection to a cache, from its dialling on. Its goroutine (run) owns input; what else changes is guarded by mu, but
+// for the atomic fields.
 type cacheConn struct {
-	pool           *Pool
-	key            string
-	cache          *cacheregistry.Cache
+	pool       *Pool
+	key        string
+	cache      *cacheregistry.Cache
+	evictFirst *cacheConn // closed before this one is dialled, for its descriptor; nil: none
+
+	input linebuffer.Buffer
+
+	evicted       atomic.Bool  // closed so that something else has its descriptor
+	writeTimedOut atomic.Bool  // lines did not go out in time
+	wakeup        env.Notifier // of writeLoop: lines wait, or the connection has ended
+
 	mu             sync.Mutex
-	conn           net.Conn // nil while dialling
-	closed         bool
-	lastResponseAt time.Time // last whole answer, or when it came up
-	suspect        bool      // takes no more sends
-	attempts       map[string]*attempt
-	givenUpAt      map[string]time.Time // given up, an answer may still come
-	queue          []*line              // to be written, so that no lookup waits for a peer
-	queuedBytes    int                  // their bytes
-	linesQueued    int64                // lines so far, how many of them have begun to be written, and how many are out whole
-	linesBegun     int64
-	linesWritten   int64
-	partialLine    []byte               // of the last line begun
-	lastLine       *line                // the last one that next took from out; nil: it gave the rest
-	writing        bool                 // one goroutine at a time writes
-	writeNow       env.NonBlockingWrite // writes what the connection takes at once; nil: it cannot
-	givenUp        []givenUpAttempt     // given up, the undo not yet written
-	wakeup         env.Notifier         // rung when there are lines, and at the end
-	writeTimedOut  atomic.Bool          // lines did not go out in time
-	evictFirst     *cacheConn           // closed before this one is dialled, for its descriptor
-	evicted        atomic.Bool          // for another's sake
-	responses      int
-	strayResponses int // answers to no send: given up, given twice, another's
-	input          linebuffer.Buffer
+	conn           net.Conn             // nil while dialling
+	closed         bool                 // takes no attempts, for good
+	suspect        bool                 // most likely dead: takes no attempts, and is closed once it has none
+	lastResponseAt time.Time            // or when it came up
+	attempts       map[string]*attempt  // by lookup id
+	givenUpAt      map[string]time.Time // by lookup id: a response may still come
+	givenUp        []givenUpAttempt     // not reported yet, in the order of their lines
+	responses      int                  // to open attempts
+	strayResponses int                  // to no open attempt: given up, answered already, or another\'s
+
+	outgoing
 }
 
-// closeEvicted ends a displaced connection; its descriptor is free then.
-func (l *cacheConn) closeEvicted() {
-	l.evicted.Store(true)
-	l.conn.Close()
+// connLoad is what pickConn weighs of a connection.
+type connLoad struct {
+	attempts      int
+	mayAnswerLate bool // a response to an earlier attempt of the same lookup may still come
+	isUsable      bool
 }
 
-func (l *cacheConn) load(id string) (open int, late, dead bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	_, late = l.givenUpAt[id]
-	return len(l.attempts), late, l.closed || l.suspect
+func newCacheConn(pool *Pool, cache *cacheregistry.Cache, evicted *cacheConn) *cacheConn {
+	return &cacheConn{
+		pool:       pool,
+		key:        connKey(cache),
+		cache:      cache,
+		evictFirst: evicted,
+		wakeup:     pool.env.NewNotifier(),
+		attempts:   map[string]*attempt{},
+		givenUpAt:  map[string]time.Time{},
+	}
 }
 
-// add puts a send on the connection: at once, or when it is up.
-func (l *cacheConn) add(f *attempt) bool {
-	l.mu.Lock()
-	if l.closed || l.suspect {
-		l.mu.Unlock()
+// load returns how loaded the connection is for an attempt of a lookup.
+func (c *cacheConn) load(lookupID string) connLoad {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	_, mayAnswerLate := c.givenUpAt[lookupID]
+	return connLoad{attempts: len(c.attempts), mayAnswerLate: mayAnswerLate, isUsable: !c.closed && !c.suspect}
+}
+
+// isIdle reports whether the connection is up and owes nothing. Under its lock.
+func (c *cacheConn) isIdle() bool {
+	return c.conn != nil && !c.closed && len(c.attempts) == 0 && len(c.givenUp) == 0
+}
+
+// add puts an attempt on the connection: its line goes out at once, or when the connection is up. It returns false if the connection takes
+// none any more.
+func (c *cacheConn) add(a *attempt) bool {
+	c.mu.Lock()
+	if c.closed || c.suspect {
+		c.mu.Unlock()
 		return false
 	}
-	l.attempts[f.lookup.ID] = f
-	f.sequence = l.pool.attemptCount.Add(1)
-	f.conn = l
-	f.deadlineTimer = l.pool.env.AfterFunc(f.deadline.Sub(l.pool.env.Now()), func() { l.pool.giveUp(f, policy.OutcomeTimeout) })
-	if l.conn != nil {
-		l.queueAttempt(f)
+	c.attempts[a.lookup.ID] = a
+	a.sequence = c.pool.addedAttempts.Add(1)
+	a.conn = c
+	timeout := a.deadline.Sub(c.pool.env.Now())
+	a.deadlineTimer = c.pool.env.AfterFunc(timeout, func() { c.pool.giveUp(a, policy.OutcomeTimeout) })
+	if c.conn != nil {
+		c.queueAttempt(a)
 	}
-	l.mu.Unlock()
-	l.flush()
+	c.mu.Unlock()
+	c.flush()
 	return true
 }
 
-// remove removes a send, under the link's lock; whoever gets it reports its ending. up: it is given up, an answer may still come.
-func (l *cacheConn) remove(f *attempt, up bool) bool {
-	id := f.lookup.ID
-	if l.attempts[id] != f {
+// remove takes an attempt off the connection; the caller that gets true reports its outcome. givenUp: a response may still come. Under its lock.
+func (c *cacheConn) remove(a *attempt, givenUp bool) bool {
+	id := a.lookup.ID
+	if c.attempts[id] != a {
 		return false
 	}
-	delete(l.attempts, id)
-	f.stopTimers()
-	if up = up && f.hasBegun(); up && f.isSilent && !l.lastResponseAt.After(f.sentAt) {
-		l.suspect = true
+	delete(c.attempts, id)
+	a.stopTimers()
+	mayAnswerLate := givenUp && a.hasBegun()
+	if mayAnswerLate && c.isUnanswered(a) {
+		c.suspect = true
 	}
-	l.closeIfSuspectAndIdle()
-	if up {
-		now := l.pool.env.Now()
-		for k, at := range l.givenUpAt {
-			if now.Sub(at) > lateResponseWindow {
-				delete(l.givenUpAt, k)
-			}
-		}
-		l.givenUpAt[id] = now
+	c.closeIfSuspectAndIdle()
+	if mayAnswerLate {
+		c.expectLateResponse(id)
 	}
 	return true
 }
 
-// noteSilence notes that a send has waited for its hush. Two that did, with no whole answer since, end the connection: one
-// may be slow by itself, and so may the cache be if its connection has brought nothing yet. Guards against a peer that
-// falls silent and leaves the connection open.
-func (l *cacheConn) noteSilence(f *attempt) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	f.isSilent = true
-	n := 0
-	for _, o := range l.attempts {
-		if o.isSilent && !l.lastResponseAt.After(o.sentAt) {
-			n++
+// expectLateResponse remembers that a response to a lookup's attempt may still come, and forgets those for which it is too late.
+func (c *cacheConn) expectLateResponse(lookupID string) {
+	now := c.pool.env.Now()
+	for id, at := range c.givenUpAt {
+		if now.Sub(at) > lateResponseWindow {
+			delete(c.givenUpAt, id)
 		}
 	}
-	if n >= 2 && l.responses > 0 && l.conn != nil {
-		l.suspect = true
-		l.conn.Close()
+	c.givenUpAt[lookupID] = now
+}
+
+// isUnanswered reports whether an attempt is silent, and the connection has brought nothing at all since it was sent. Under its lock.
+func (c *cacheConn) isUnanswered(a *attempt) bool {
+	return a.isSilent && !c.lastResponseAt.After(a.sentAt)
+}
+
+// noteSilence is called when an attempt has been silent for its silence timeout. With silentAttemptsToClose of them, and no response since,
+// the connection ends; not if it has never brought any, since the cache itself may be slow. This guards against a peer that falls silent
+// and leaves its connection open.
+func (c *cacheConn) noteSilence(a *attempt) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	a.isSilent = true
+	unanswered := 0
+	for _, other := range c.attempts {
+		if c.isUnanswered(other) {
+			unanswered++
+		}
+	}
+	if unanswered >= silentAttemptsToClose && c.responses > 0 && c.conn != nil {
+		c.suspect = true
+		c.conn.Close()
 	}
 }
 
-// closeIfSuspectAndIdle ends a doubted connection once nothing is open on it, under the link's lock.
-func (l *cacheConn) closeIfSuspectAndIdle() {
-	if l.suspect && len(l.attempts) == 0 && l.conn != nil {
-		l.conn.Close()
+// closeIfSuspectAndIdle ends a suspect connection that has no attempts left. Under its lock.
+func (c *cacheConn) closeIfSuspectAndIdle() {
+	if c.suspect && len(c.attempts) == 0 && c.conn != nil {
+		c.conn.Close()
 	}
 }
 
-// givenUpAttempt is a send that was given up, with the number of its undo's line, or of its own where that was not written; in the order of
-// these numbers.
-type givenUpAttempt struct {
-	attempt    *attempt
-	outcome    policy.AttemptOutcome
-	lineNumber int64
+// closeEvicted ends a connection that was taken out of the pool; its descriptor is free then.
+func (c *cacheConn) closeEvicted() {
+	c.evicted.Store(true)
+	c.conn.Close()
 }
 
-// takeReportable takes the undone sends whose undo is out, or all of them; under the link's lock.
-func (l *cacheConn) takeReportable(all bool) (out []givenUpAttempt) {
+// closeToAttempts lets the connection take no more attempts, if it has none.
+func (c *cacheConn) closeToAttempts() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.closed = len(c.attempts) == 0
+	return c.closed
+}
+
+func (c *cacheConn) isSuspect() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.suspect
+}
+
+// takeReportable takes the attempts that were given up and whose lines are out; all of them if the connection has ended. Under its lock.
+func (c *cacheConn) takeReportable(ended bool) []givenUpAttempt {
 	n := 0
-	for n < len(l.givenUp) && (all || l.givenUp[n].lineNumber <= l.linesWritten) {
+	for n < len(c.givenUp) && (ended || c.givenUp[n].lineNumber <= c.linesWritten) {
 		n++
 	}
-	out, l.givenUp = l.givenUp[:n:n], l.givenUp[n:]
-	if len(l.givenUp) == 0 {
-		l.givenUp = nil
+	reportable := c.givenUp[:n:n]
+	c.givenUp = c.givenUp[n:]
+	if len(c.givenUp) == 0 {
+		c.givenUp = nil
 	}
-	return out
+	return reportable
 }
 
-// reportGivenUp reports undone sends.
-func (l *cacheConn) reportGivenUp(out []givenUpAttempt) {
-	for _, u := range out {
-		l.pool.reportOutcome(u.attempt, u.outcome, policy.DetailNone, 0)
+// reportGivenUp reports attempts that takeReportable gave, without the lock.
+func (c *cacheConn) reportGivenUp(reportable []givenUpAttempt) {
+	for _, g := range reportable {
+		c.pool.reportOutcome(g.attempt, g.outcome, policy.DetailNone, 0)
 	}
 }
 
-// run dials, reads until the connection ends, and reports what was open on it.
-func (l *cacheConn) run() {
-	ls, began := l.pool, l.pool.env.Now()
-	if l.evictFirst != nil {
-		l.evictFirst.closeEvicted()
-		l.evictFirst = nil
+// run dials, reads until the connection ends, and reports the attempts that were open on it.
+func (c *cacheConn) run() {
+	startedAt := c.pool.env.Now()
+	if c.evictFirst != nil {
+		c.evictFirst.closeEvicted()
+		c.evictFirst = nil
 	}
-	conn, err := ls.env.Dial(ls.lifetime, l.cache.Addr, time.Duration(ls.settings.ConnectTimeout)*time.Microsecond)
+	conn, err := c.pool.env.Dial(c.pool.lifetime, c.cache.Addr, time.Duration(c.pool.settings.ConnectTimeout)*time.Microsecond)
 	if err != nil {
-		reason := "refused"
-		if !errors.Is(err, syscall.ECONNREFUSED) {
-			reason = "no_connection"
-		}
-		how := policy.OutcomeConnectFailed
-		if env.IsDescriptorExhausted(err) { // says nothing of the cache
-			how, reason = policy.OutcomeRejected, "no_descriptor"
-		}
-		l.finish(how, reason, began)
+		c.dialFailed(err, startedAt)
 		return
 	}
-	defer ls.lifetime.OnEnd(func() { conn.Close() })()
+	defer c.pool.lifetime.OnEnd(func() { conn.Close() })()
 	defer conn.Close()
-	l.mu.Lock()
-	l.conn, l.lastResponseAt, l.writeNow = conn, ls.env.Now(), ls.env.NonBlockingWriter(conn)
-	for _, f := range attemptsInOrder(l.attempts) {
-		l.queueAttempt(f)
-	}
-	l.mu.Unlock()
-	l.flush()
-	ls.group.Go("pour", func() error { l.writeLoop(conn); return nil })
-	reason := l.readResponses(conn)
+	c.connected(conn)
+	c.flush()
+	c.pool.group.Go("cache_writer", func() error { c.writeLoop(conn); return nil })
+	reason := c.readResponses(conn)
 	conn.Close() // before it no longer counts
-	l.finish(policy.OutcomeReset, reason, began)
+	c.finish(policy.OutcomeReset, reason, startedAt)
 }
 
-func (l *cacheConn) finish(how policy.AttemptOutcome, reason string, began time.Time) {
-	ls := l.pool
-	ls.mu.Lock()
-	ls.remove(l)
-	ls.mu.Unlock()
-	l.mu.Lock()
-	l.closed = true
-	lost, unsent := attemptsInOrder(l.attempts), map[*attempt]bool{}
-	l.attempts = nil
-	for _, f := range lost {
-		if f.stopTimers(); how == policy.OutcomeReset && !f.hasBegun() {
-			unsent[f] = true
-		}
-	}
-	l.queue = nil
-	undone := l.takeReportable(true)
-	l.mu.Unlock()
-	l.wakeup.Notify()
-	l.reportGivenUp(undone)
-	for _, f := range lost {
-		its := how
-		if unsent[f] {
-			its = policy.OutcomeNotSent // the connection broke before the send had gone out whole
-		}
-		ls.reportOutcome(f, its, policy.DetailNone, 0)
+// dialFailed ends a connection that did not come up.
+func (c *cacheConn) dialFailed(err error, startedAt time.Time) {
+	switch {
+	case env.IsDescriptorExhausted(err): // says nothing of the cache
+		c.finish(policy.OutcomeRejected, "no_descriptor", startedAt)
+	case errors.Is(err, syscall.ECONNREFUSED):
+		c.finish(policy.OutcomeConnectFailed, "refused", startedAt)
+	default:
+		c.finish(policy.OutcomeConnectFailed, "no_connection", startedAt)
 	}
-	ls.env.Log().Info("cache_closed", "cache", l.cache.ID, "addr", l.cache.Addr, "reason", reason, "open", len(lost), "unsent",
-		len(unsent), "answers", l.responses, "strays", l.strayResponses, "age_ms", ls.env.Now().Sub(began).Milliseconds())
 }
 
-// attemptsInOrder is sends in the order they boarded, so that one run is as the next.
-func attemptsInOrder(flights map[string]*attempt) []*attempt {
-	return slices.SortedFunc(maps.Values(flights), func(a, b *attempt) int { return cmp.Compare(a.sequence, b.sequence) })
+// connected queues the attempts that waited for the connection.
+func (c *cacheConn) connected(conn net.Conn) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.conn = conn
+	c.lastResponseAt = c.pool.env.Now()
+	c.writeNow = c.pool.env.NonBlockingWriter(conn)
+	for _, a := range attemptsInOrder(c.attempts) {
+		c.queueAttempt(a)
+	}
 }
 
-// readResponses takes answers until the connection ends and tells why it did.
-func (l *cacheConn) readResponses(conn net.Conn) string {
-	for {
-		a, size, err := parseResponse(l.input.Bytes())
-		switch {
-		case size > 0:
-			reason := l.handleResponse(a, err)
-			l.input.Discard(size)
-			if reason != "" {
-				return reason
-			}
-		case errors.Is(err, errIncomplete):
-			// This side closes first, and only while nothing is open: no send meets the cache's own idle close.
-			wait, begun := time.Duration(l.pool.settings.IdleTimeout)*time.Microsecond*8/10, len(l.input.Bytes()) > 0
-			if begun {
-				wait = stalledResponseTimeout // what stops short would hold up all other sends here
-			}
-			conn.SetReadDeadline(l.pool.env.Now().Add(wait))
-			err := l.input.Fill(conn, maxResponseBytes)
-			if errors.Is(err, os.ErrDeadlineExceeded) && begun {
-				return "stalled"
-			}
-			if errors.Is(err, os.ErrDeadlineExceeded) && !l.closeIfIdle() {
-				continue
-			}
-			if err != nil {
-				return l.closeReason(err)
-			}
-		default:
-			l.pool.env.Log().Warn("cache_fault", "cache", l.cache.ID, "text", err.Error())
-			return "bad_answer"
+// finish takes a connection that has ended out of the pool and reports the attempts that were open on it: as not sent if the connection was
+// reset before an attempt's line had begun, else with the outcome.
+func (c *cacheConn) finish(outcome policy.AttemptOutcome, reason string, startedAt time.Time) {
+	c.pool.mu.Lock()
+	c.pool.remove(c)
+	c.pool.mu.Unlock()
+
+	c.mu.Lock()
+	c.closed = true
+	open := attemptsInOrder(c.attempts)
+	c.attempts = nil
+	notSent := map[*attempt]bool{}
+	for _, a := range open {
+		a.stopTimers()
+		if outcome == policy.OutcomeReset && !a.hasBegun() {
+			notSent[a] = true
 		}
 	}
-}
+	c.queue = nil
+	reportable := c.takeReportable(true)
+	c.mu.Unlock()
 
-// closeIfIdle lets nothing more on board, if nothing is open.
-func (l *cacheConn) closeIfIdle() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.closed = len(l.attempts) == 0
-	return l.closed
+	c.wakeup.Notify()
+	c.reportGivenUp(reportable)
+	for _, a := range open {
+		outcomeOfAttempt := outcome
+		if notSent[a] {
+			outcomeOfAttempt = policy.OutcomeNotSent
+		}
+		c.pool.reportOutcome(a, outcomeOfAttempt, policy.DetailNone, 0)
+	}
+	c.pool.env.Log().Info("cache_closed", "cache", c.cache.ID, "addr", c.cache.Addr, "reason", reason, "open", len(open), "unsent", len(notSent),
+		"answers", c.responses, "strays", c.strayResponses, "age_ms", c.pool.env.Now().Sub(startedAt).Milliseconds())
 }
 
-func (l *cacheConn) closeReason(err error) string {
+// closeReason says for the log why reading a connection failed.
+func (c *cacheConn) closeReason(err error) string {
 	switch {
-	case l.pool.lifetime.Ended():
+	case c.pool.lifetime.Ended():
 		return "stopping"
-	case l.evicted.Load():
+	case c.evicted.Load():
 		return "displaced"
 	case errors.Is(err, io.EOF):
 		return "closed_by_cache"
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return "idle"
-	case l.isSuspect():
+	case c.isSuspect():
 		return "silent"
-	case l.writeTimedOut.Load():
+	case c.writeTimedOut.Load():
 		return "write_failed"
 	}
 	return "reset"
 }
-
-func (l *cacheConn) isSuspect() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.suspect
-}
-
-// handleResponse hands an answer to its lookup, or what is wrong with it. A reason ends the connection. An answer to no send
-// (given up, a second copy, another's) is whole and harms nothing: the sends around it go on.
-func (l *cacheConn) handleResponse(a response, fault error) string {
-	l.mu.Lock()
-	f := l.attempts[a.id]
-	if l.lastResponseAt = l.pool.env.Now(); f != nil {
-		l.responses++
-	}
-	if f == nil {
-		delete(l.givenUpAt, a.id)
-		l.strayResponses++
-	}
-	l.mu.Unlock()
-	if f == nil {
-		return ""
-	}
-	if fault == nil && a.hasNoVersion && !f.lookup.PassThrough { // guards clients against bytes that no cache vouches for
-		fault = errors.New("a copy without ver or born")
-	}
-	if fault != nil {
-		l.pool.env.Log().Warn("cache_fault", "cache", l.cache.ID, "text", fault.Error())
-		return "bad_answer"
-	}
-	l.mu.Lock()
-	its := l.remove(f, false)
-	l.mu.Unlock()
-	if !its {
-		return "" // given up this moment
-	}
-	if a.notModified && a.etag != f.lookup.ETag {
-		a.outcome = policy.OutcomeError // word of another copy than the client's is none
-		l.pool.env.Log().Warn("cache_fault", "cache", l.cache.ID, "text", "VALID for a copy that the client does not hold")
-	}
-	if issued, told := l.pool.purges.InForce(f.object, f.group); a.outcome == policy.OutcomeSatisfied && !a.hasNoVersion && a.createdAt.Before(issued) {
-		// Guards rule 5, past the grace whenever the send went out. To the module it is as if no answer had come: where the
-		// object kind allows it, it sends anew with the purge in mind. The send has run, so it is never as if it had not gone out
-		// (rule 2: a side-effecting lookup would go out a second time).
-		now := l.pool.env.Now()
-		l.pool.env.Log().Warn("outdated_copy", "cache", l.cache.ID, "older_ms", issued.Sub(a.createdAt).Milliseconds(), "told_ms_ago",
-			now.Sub(told).Milliseconds(), "sent_ms_ago", now.Sub(f.sentAt).Milliseconds())
-		a.outcome, a.detail = policy.OutcomeTimeout, policy.DetailNone
-	}
-	if a.outcome == policy.OutcomeSatisfied {
-		switch kept, over := f.lookup.store(f.number, a); {
-		case over:
-			a.outcome = policy.OutcomeTimeout // its lookup has just ended: no fault of the cache
-		case !kept:
-			a.outcome = policy.OutcomeError // answers that clients are slow to take fill the room; it may have run
-		}
-	}
-	l.pool.reportOutcome(f, a.outcome, a.detail, a.sourceWait)
-	return ""
-}
--- a/internal/upstream/export_test.go
+++ b/internal/upstream/export_test.go
@@ -8,6 +8,7 @@
 
 // What tests outside the package look at or set.
 
+// WriteTimeout is how long a cache may take none of the bytes that wait for it.
 const WriteTimeout = writeTimeout
 
 // SetConnLimits leaves so many connections to caches, and so many attempts on each before a second is wanted.
--- a/internal/upstream/frozen_test.go
+++ b/internal/upstream/frozen_test.go
@@ -16,20 +16,36 @@
 // Each field of a request line alone, all of them together, and the line that gives a request up.
 func TestFrozenLinesToCaches(t *testing.T) {
 	const id = "00000000000000aa"
-	b := appendRequestLine(nil, id, "segment", "7f3a", 0, 0, "", 0, 0, 0, "", "", nil)
-	b = appendRequestLine(b, id, "segment", "7f3a", 3, 1, "", 0, 0, 0, "", "", nil)
-	b = appendRequestLine(b, id, "segment", "7f3a", 3, 1000001, "", 0, 0, 0, "", "", nil)
-	b = appendRequestLine(b, id, "segment", "7f3a", 0, 250000, "origin-1", 0, 0, 0, "", "", nil)
-	b = appendRequestLine(b, id, "segment", "7f3a", 0, 250000, "", 2, 0, 0, "", "", nil)
-	b = appendRequestLine(b, id, "segment", "7f3a", 0, 250000, "", 0, 999, 0, "", "", nil)
-	b = appendRequestLine(b, id, "segment", "7f3a", 0, 250000, "", 0, 2500000, 0, "", "", nil)
+	plain := Request{ID: id, Kind: "segment", Object: "7f3a"}
+	part := plain
+	part.Part = 3
+	const timeout = 250000
+	lines := []requestLine{
+		{Request: plain},
+		{Request: part, timeout: 1},
+		{Request: part, timeout: 1000001},
+		{Request: plain, timeout: timeout, source: "origin-1"},
+		{Request: plain, timeout: timeout, rank: 2},
+		{Request: plain, timeout: timeout, maxAge: 999},
+		{Request: plain, timeout: timeout, maxAge: 2500000},
+	}
 	for mode := policy.FetchMode(0); mode < 16; mode++ {
-		b = appendRequestLine(b, id, "segment", "7f3a", 0, 250000, "", 0, 0, mode, "", "", nil)
+		lines = append(lines, requestLine{Request: plain, timeout: timeout, mode: mode})
+	}
+	withETag := plain
+	withETag.ETag = "4be0"
+	withKey := Request{ID: id, Kind: "order", Object: "7f3a", IdempotencyKey: "bcedd3"}
+	withBody := Request{ID: id, Kind: "order", Object: "7f3a", Body: []byte("a\r\nb")}
+	all := Request{ID: id, Kind: "order", Object: "7f3a", Part: 7, ETag: "4be0", IdempotencyKey: "bcedd3", Body: []byte("all of them")}
+	lines = append(lines,
+		requestLine{Request: withETag, timeout: timeout},
+		requestLine{Request: withKey, timeout: timeout},
+		requestLine{Request: withBody, timeout: timeout},
+		requestLine{Request: all, timeout: 1500000, source: "parent-2", rank: 1, maxAge: 60000000, mode: policy.ModeCoalesce | policy.ModeRevalidate})
+	var b []byte
+	for _, line := range lines {
+		b = line.appendTo(b)
 	}
-	b = appendRequestLine(b, id, "segment", "7f3a", 0, 250000, "", 0, 0, 0, "4be0", "", nil)
-	b = appendRequestLine(b, id, "order", "7f3a", 0, 250000, "", 0, 0, 0, "", "bcedd3", nil)
-	b = appendRequestLine(b, id, "order", "7f3a", 0, 250000, "", 0, 0, 0, "", "", []byte("a\r\nb"))
-	b = appendRequestLine(b, id, "order", "7f3a", 7, 1500000, "parent-2", 1, 60000000, policy.ModeCoalesce|policy.ModeRevalidate, "4be0", "bcedd3", []byte("all of them"))
 	b = appendCancelLine(b, id)
 	frozen.Equal(t, "frozen/lines-to-caches", b)
 }
@@ -39,16 +55,16 @@
 	text := frozen.Read(t, "frozen/answers")
 	var read bytes.Buffer
 	for len(text) > 0 {
-		a, size, err := parseResponse(text)
+		r, size, err := parseResponse(text)
 		if errors.Is(err, errIncomplete) || size == 0 {
 			t.Fatalf("cannot be read on from %q: %v", text, err)
 		}
-		born := int64(0)
-		if !a.createdAt.IsZero() {
-			born = a.createdAt.UnixMicro()
+		createdAt := int64(0)
+		if !r.createdAt.IsZero() {
+			createdAt = r.createdAt.UnixMicro()
 		}
-		fmt.Fprintf(&read, "%s ending=%d remark=%d waited=%d tag=%q born=%d same=%v bare=%v body=%q usable=%v\n", a.id, a.outcome, a.detail, a.sourceWait, a.etag,
-			born, a.notModified, a.hasNoVersion, a.body, err == nil)
+		fmt.Fprintf(&read, "%s ending=%d remark=%d waited=%d tag=%q born=%d same=%v bare=%v body=%q usable=%v\n", r.id, r.outcome, r.detail, r.sourceWait, r.etag,
+			createdAt, r.notModified, r.hasNoVersion, r.body, err == nil)
 		text = text[size:]
 	}
 	frozen.Equal(t, "frozen/answers-as-read", read.Bytes())
--- a/internal/upstream/lookup.go
+++ b/internal/upstream/lookup.go
@@ -7,27 +7,32 @@
 	"foldslip/internal/dispatch"
 )
 
-// HeadReserve is how many bytes are left free before an object's bytes, so that whoever passes them on can write a head before them
+// HeadReserve is how many bytes are left free before an object's bytes, so that a head can be written before them
 // without copying them.
 const HeadReserve = 256
 
-// Request is what a lookup asks caches for, as its request lines carry it.
+// Request is what a lookup asks caches for, as its request lines carry it. It does not change once it is made.
 type Request struct {
-	ID, Kind, Object string
-	Part, Group      int
-	ETag             string // of the copy that the client holds; "": none
-	IdempotencyKey   string // by which caches know a lookup again, also when its client repeats it under another id
-	Body             []byte
+	ID     string // 16 hex digits, unique among the gateway's open lookups
+	Kind   string
+	Object string
+	Part   int
+	Group  int    // of objects that are purged together
+	ETag   string // of the copy that the client holds; "": none
+	// IdempotencyKey is by what caches know a lookup again, also when its client repeats it under another id; "": by nothing.
+	IdempotencyKey string
+	Body           []byte
 }
 
-// Lookup is an open lookup as the pool needs it: what it asks for, its attempts, and the objects that they brought. Its owner calls
-// Release once it has ended.
+// Lookup is an open lookup as the pool needs it: its request, its attempts, and the objects that they brought. Its owner, a goroutine of
+// the front end, calls Release once the lookup has ended. What is read from the connections to caches is stored from their goroutines.
 type Lookup struct {
 	Request
 	PassThrough bool             // runs at the origin: what it brings is no copy
 	Dispatched  *dispatch.Lookup // set before its first attempt
 
-	attempts      []*attempt // of the goroutine that starts and cancels them
+	attempts []*attempt // the owner's: all of them, in the order of their start
+
 	admission     *admission.Controller
 	mu            sync.Mutex
 	objects       map[int]*Object // by attempt
@@ -38,16 +43,16 @@
 // Object is what an attempt brought for its lookup.
 type Object struct {
 	Buffer      []byte // HeadReserve bytes, then the object's
-	ETag        string
-	NotModified bool // the client's copy is the current one
+	ETag        string // "": it is no copy, but what ran at the origin
+	NotModified bool   // the client's copy is the current one
 }
 
-// NewLookup makes a lookup. The bytes of its body are reserved with admission already; Release gives them back.
-func NewLookup(request Request, passThrough bool, admission *admission.Controller) *Lookup {
-	return &Lookup{Request: request, PassThrough: passThrough, admission: admission, reservedBytes: len(request.Body)}
+// NewLookup returns a lookup. The bytes of its body are reserved with the controller already; Release gives them back.
+func NewLookup(request Request, passThrough bool, controller *admission.Controller) *Lookup {
+	return &Lookup{Request: request, PassThrough: passThrough, admission: controller, reservedBytes: len(request.Body)}
 }
 
-// store keeps the object that an attempt brought; not if the lookup has ended or no bytes are left for it.
+// store keeps what an attempt brought. It does not if the lookup has ended, or if admission has no bytes left for it.
 func (l *Lookup) store(attempt int, r response) (stored, ended bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,7 +70,7 @@
 	return true, false
 }
 
-// TakeObject gives the object that an attempt brought, and lets go of all others.
+// TakeObject returns what an attempt brought and lets go of what others did.
 func (l *Lookup) TakeObject(attempt int) *Object {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,10 +79,12 @@
 	return object
 }
 
-// Release gives back the bytes that the lookup holds; nothing is stored for it from now on.
+// Release gives back the bytes that the lookup holds. Nothing is stored for it from now on.
 func (l *Lookup) Release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.admission.ReleaseBytes(l.reservedBytes)
-	l.reservedBytes, l.objects, l.released = 0, nil, true
+	l.reservedBytes = 0
+	l.objects = nil
+	l.released = true
 }
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -8,186 +8,276 @@
 	"slices"
 	"time"
 
+	"foldslip/internal/env"
 	"foldslip/internal/policy"
 )
 
-// queueAttempt queues a send once the connection is up, under the link's lock. Its line says how long is left by now, and its hush begins:
-// a connection that was late to come up has not been silent for that.
-func (l *cacheConn) queueAttempt(f *attempt) {
-	f.sentAt = l.pool.env.Now()
-	source, s, q := "", f.step, f.lookup.Request
-	if s.Source != s.Cache {
-		source = s.Source.Name
-	}
-	f.line.text = appendRequestLine(nil, q.ID, q.Kind, q.Object, q.Part, f.deadline.Sub(f.sentAt).Microseconds(), source, s.Rank, s.MaxAge, s.Mode, q.ETag,
-		q.IdempotencyKey, q.Body)
-	f.silenceTimer = l.pool.env.AfterFunc(time.Duration(s.SilenceTimeout)*time.Microsecond, func() { l.noteSilence(f) })
-	l.queueLine(&f.line)
+const (
+	// writeTimeout bounds how long a cache may take none of the bytes that wait for it.
+	writeTimeout = time.Second
+	// maxQueuedBytes bounds the bytes of lines that wait for a cache to take those before them.
+	maxQueuedBytes = 64<<10 + MaxObjectBytes
+	// writeRetryDelay is the pause before a line of which the connection took nothing is tried again.
+	writeRetryDelay = 5 * time.Millisecond
+)
+
+// outgoing are the lines that wait to be written on a connection. It is guarded by the connection's lock, except that the goroutine that
+// has set writing may write without it.
+type outgoing struct {
+	queue        []*line
+	queuedBytes  int
+	linesQueued  int64                // so far: the number of the last line
+	linesBegun   int64                // the number of the last line that began to be written
+	linesWritten int64                // the number of the last line that is out
+	partialLine  []byte               // the rest of the last line that began
+	lastLine     *line                // that nextLine took from the queue; nil: it gave a partial line
+	writing      bool                 // one goroutine at a time writes
+	writeNow     env.NonBlockingWrite // nil: the connection has none
 }
 
-// line is a line to a cache, with its number on the connection.
+// line is a line to a cache.
 type line struct {
-	number  int64
+	number  int64    // on its connection, from 1
 	text    []byte   // nil once it is withdrawn
-	attempt *attempt // the send it is of; nil: an undo
+	attempt *attempt // that it starts; nil: a cancel line
 }
 
-// queueLine queues a line, under the link's lock. A peer that takes so few that they pile up has its connection ended.
-func (l *cacheConn) queueLine(one *line) {
-	l.linesQueued++
-	one.number = l.linesQueued
-	l.queue = append(l.queue, one)
-	if l.queuedBytes += len(one.text); l.queuedBytes > maxQueuedBytes {
-		l.writeTimedOut.Store(true)
-		l.conn.Close()
+// queueAttempt queues an attempt's line once the connection is up. The line says how much time is left by now, and its silence timeout
+// begins: a connection that was late to come up has not been silent for that. Under the connection's lock.
+func (c *cacheConn) queueAttempt(a *attempt) {
+	a.sentAt = c.pool.env.Now()
+	step := a.step
+	request := requestLine{
+		Request: a.lookup.Request,
+		timeout: a.deadline.Sub(a.sentAt).Microseconds(),
+		rank:    step.Rank,
+		maxAge:  step.MaxAge,
+		mode:    step.Mode,
+	}
+	if step.Source != step.Cache {
+		request.source = step.Source.Name
 	}
+	a.line.text = request.appendTo(nil)
+	a.silenceTimer = c.pool.env.AfterFunc(time.Duration(step.SilenceTimeout)*time.Microsecond, func() { c.noteSilence(a) })
+	c.queueLine(&a.line)
 }
 
-// nextLine takes what is to be written next, under the link's lock; nil where there is nothing.
-func (l *cacheConn) nextLine() (text []byte) {
-	if l.lastLine = nil; l.partialLine != nil {
-		text, l.partialLine = l.partialLine, nil
+// queueLine queues a line. A cache that takes so few that they pile up has its connection ended. Under the connection's lock.
+func (c *cacheConn) queueLine(l *line) {
+	c.linesQueued++
+	l.number = c.linesQueued
+	c.queue = append(c.queue, l)
+	c.queuedBytes += len(l.text)
+	if c.queuedBytes > maxQueuedBytes {
+		c.writeTimedOut.Store(true)
+		c.conn.Close()
+	}
+}
+
+// nextLine returns what is to be written next, nil if there is nothing. It takes one line at a time, so that those behind a cache that
+// takes nothing can still be withdrawn. Under the connection's lock.
+func (c *cacheConn) nextLine() []byte {
+	c.lastLine = nil
+	if text := c.partialLine; text != nil {
+		c.partialLine = nil
 		return text
 	}
-	for len(l.queue) > 0 { // one at a time: what waits behind a peer that takes nothing can be withdrawn
-		one := l.queue[0]
-		l.queue = l.queue[1:]
-		l.queuedBytes -= len(one.text)
-		if f := one.attempt; f != nil && one.text != nil && !l.pool.dispatcher.MaySend(f.lookup.Dispatched, f.step) {
-			// Guards rules 2 (a window that has passed) and 3, lookups that are over and clients that left: the send was decided
-			// some time ago. Nothing of it has gone out, so it is as never sent, and the router says what next.
-			delete(l.attempts, f.lookup.ID)
-			f.stopTimers()
-			at := slices.IndexFunc(l.givenUp, func(u givenUpAttempt) bool { return u.lineNumber > one.number })
-			l.givenUp = slices.Insert(l.givenUp, cmp.Or(at+1, len(l.givenUp)+1)-1, givenUpAttempt{f, policy.OutcomeNotSent, one.number})
-			l.closeIfSuspectAndIdle()
-			one.text = nil
+	for len(c.queue) > 0 {
+		next := c.queue[0]
+		c.queue = c.queue[1:]
+		c.queuedBytes -= len(next.text)
+		if next.attempt != nil && next.text != nil && !c.pool.dispatcher.MaySend(next.attempt.lookup.Dispatched, next.attempt.step) {
+			c.withdraw(next)
 		}
-		if l.linesBegun = one.number; one.text != nil {
-			l.lastLine = one
-			return one.text
+		c.linesBegun = next.number
+		if next.text != nil {
+			c.lastLine = next
+			return next.text
 		}
-		l.linesWritten = l.linesBegun // all before it is out
+		c.linesWritten = c.linesBegun // all before it is out
 	}
 	return nil
 }
 
-// noteWritten notes how much of what next gave the connection took at once, under the link's lock; false: not all. A line of which it took
-// nothing has not begun and goes back, to be asked of again (next) before it does: a peer that takes nothing may do so for long after
-// a client left, a lookup ended or a cache was told draining, and the first byte would still go out then.
-func (l *cacheConn) noteWritten(text []byte, n int) bool {
-	one := l.lastLine
-	if n > 0 || one == nil {
-		if l.partialLine = text[n:]; len(l.partialLine) == 0 {
-			l.partialLine, l.linesWritten = nil, l.linesBegun
-		}
-		return l.partialLine == nil
-	}
-	if f := one.attempt; f != nil && l.attempts[f.lookup.ID] != f { // given up this moment: neither it nor its undo need go out
-		one.text = nil
-		for _, u := range l.givenUp {
-			if at := slices.IndexFunc(l.queue, func(o *line) bool { return u.attempt == f && o.number == u.lineNumber }); at >= 0 {
-				l.queuedBytes -= len(l.queue[at].text)
-				l.queue[at].text = nil
+// withdraw takes back an attempt that was decided some time ago and may not go out any more: its window has passed (rule 2), its cache
+// drains (rule 3), its lookup has ended or its client has gone. Nothing of it has gone out, so it is reported as not sent, and the policy
+// says what comes next. Under the connection's lock.
+func (c *cacheConn) withdraw(l *line) {
+	a := l.attempt
+	delete(c.attempts, a.lookup.ID)
+	a.stopTimers()
+	firstLater := slices.IndexFunc(c.givenUp, func(g givenUpAttempt) bool { return g.lineNumber > l.number })
+	position := cmp.Or(firstLater+1, len(c.givenUp)+1) - 1
+	c.givenUp = slices.Insert(c.givenUp, position, givenUpAttempt{a, policy.OutcomeNotSent, l.number})
+	c.closeIfSuspectAndIdle()
+	l.text = nil
+}
+
+// noteWritten notes how many bytes of what nextLine gave the connection took at once; it returns whether that was all of them. A line of
+// which it took nothing has not begun and goes back to the queue, so that nextLine asks again whether it may go out: a cache may take
+// nothing for long after a client has gone, a lookup has ended or the cache has begun to drain. Under the connection's lock.
+func (c *cacheConn) noteWritten(text []byte, n int) bool {
+	if n == 0 && c.lastLine != nil {
+		c.requeueLast()
+		return false
+	}
+	c.partialLine = text[n:]
+	if len(c.partialLine) > 0 {
+		return false
+	}
+	c.partialLine = nil
+	c.linesWritten = c.linesBegun
+	return true
+}
+
+// requeueLast puts the line that nextLine gave back to the front of the queue. If its attempt has been given up meanwhile, neither it nor
+// its cancel line need go out. Under the connection's lock.
+func (c *cacheConn) requeueLast() {
+	last := c.lastLine
+	if a := last.attempt; a != nil && c.attempts[a.lookup.ID] != a {
+		last.text = nil
+		for _, g := range c.givenUp {
+			cancelLine := slices.IndexFunc(c.queue, func(l *line) bool { return g.attempt == a && l.number == g.lineNumber })
+			if cancelLine >= 0 {
+				c.queuedBytes -= len(c.queue[cancelLine].text)
+				c.queue[cancelLine].text = nil
 			}
 		}
 	}
-	l.queuedBytes += len(one.text)
-	l.queue = slices.Insert(l.queue, 0, one)
-	l.linesBegun, l.lastLine = one.number-1, nil
-	return false
+	c.queuedBytes += len(last.text)
+	c.queue = slices.Insert(c.queue, 0, last)
+	c.linesBegun = last.number - 1
+	c.lastLine = nil
 }
 
-// flush writes what is queued, as far as the connection takes it at once; where it does not, pour goes on. So the wake of
-// a goroutine is paid for lines to a cache that is slow to read, not for each send.
-func (l *cacheConn) flush() {
-	l.mu.Lock()
-	if l.writing || l.closed || l.writeNow == nil {
-		if !l.writing && l.conn != nil {
-			l.wakeup.Notify()
+// flush writes what is queued, as far as the connection takes it at once; writeLoop goes on with the rest. So a goroutine is woken only for
+// lines to a cache that is slow to read, not for each attempt.
+func (c *cacheConn) flush() {
+	c.mu.Lock()
+	if c.writing || c.closed || c.writeNow == nil {
+		if !c.writing && c.conn != nil {
+			c.wakeup.Notify()
 		}
-		l.mu.Unlock()
+		c.mu.Unlock()
 		return
 	}
-	l.writing = true
-	for text := l.nextLine(); text != nil; text = l.nextLine() {
-		l.mu.Unlock()
-		n := l.writeNow(text)
-		l.mu.Lock()
-		if !l.noteWritten(text, n) {
+	c.writing = true
+	for text := c.nextLine(); text != nil; text = c.nextLine() {
+		c.mu.Unlock()
+		n := c.writeNow(text)
+		c.mu.Lock()
+		if !c.noteWritten(text, n) {
 			break
 		}
 	}
-	l.writing = false
-	out := l.takeReportable(false)
-	if l.partialLine != nil || len(l.queue) > 0 || l.closed {
-		l.wakeup.Notify()
+	c.writing = false
+	reportable := c.takeReportable(false)
+	if c.partialLine != nil || len(c.queue) > 0 || c.closed {
+		c.wakeup.Notify()
 	}
-	l.mu.Unlock()
-	l.reportGivenUp(out)
+	c.mu.Unlock()
+	c.reportGivenUp(reportable)
 }
 
-// writeLoop writes what flush left until the connection ends; what does not go out soon ends it.
-func (l *cacheConn) writeLoop(conn net.Conn) {
-	var since time.Time // the connection has taken nothing, with so many lines begun
-	var begun int64
+// claim is what writeLoop is to do next.
+type claim struct {
+	text     []byte // nil: nothing now
+	isNew    bool   // the text is a line of which nothing has been written
+	closed   bool   // the connection has ended
+	writeNow env.NonBlockingWrite
+}
+
+// stall is how long a connection has taken nothing.
+type stall struct {
+	since      time.Time // zero: it is not stalled
+	linesBegun int64     // when it began
+}
+
+// writeLoop writes what flush left until the connection ends; what does not go out in time ends it. Attempts that are open then are
+// reported by finish.
+func (c *cacheConn) writeLoop(conn net.Conn) {
+	var stalled stall
 	for {
-		l.mu.Lock()
-		var text []byte
-		if !l.writing {
-			text = l.nextLine()
-		}
-		l.writing = l.writing || text != nil
-		dead, out, now, fresh := l.closed, l.takeReportable(false), l.writeNow, l.lastLine != nil
-		l.mu.Unlock()
-		l.reportGivenUp(out)
-		if dead {
+		next := c.claimLine()
+		if next.closed {
 			return
 		}
-		if text == nil {
-			since = time.Time{}
-			l.wakeup.Wait(-1)
+		if next.text == nil {
+			stalled.since = time.Time{}
+			c.wakeup.Wait(-1)
 			continue
 		}
-		if fresh && now != nil { // a Write that waits would begin whenever the peer reads on, whatever has been told by then
-			n := now(text)
-			l.mu.Lock()
-			l.noteWritten(text, n)
-			l.writing = false
-			if n > 0 || l.linesBegun != begun {
-				since, begun = time.Time{}, l.linesBegun
-			}
-			l.mu.Unlock()
-			if at := l.pool.env.Now(); since.IsZero() {
-				since = at
-			} else if at.Sub(since) > writeTimeout {
-				l.writeTimedOut.Store(true)
+		if next.isNew && next.writeNow != nil { // a Write that waits would begin whenever the cache reads on, whatever has changed by then
+			if !c.writeWithoutWaiting(next, &stalled) {
+				c.writeTimedOut.Store(true)
 				conn.Close()
 				return
 			}
-			if n == 0 {
-				l.wakeup.Wait(writeRetryDelay)
-			}
 			continue
 		}
-		since = time.Time{}
-		conn.SetWriteDeadline(l.pool.env.Now().Add(writeTimeout))
-		_, err := conn.Write(text)
-		conn.SetWriteDeadline(time.Time{}) // one that has passed would stop flush too
-		l.mu.Lock()
-		l.writing = false
-		if err == nil {
-			l.linesWritten = l.linesBegun
-		}
-		out = l.takeReportable(false)
-		l.mu.Unlock()
-		l.reportGivenUp(out)
-		if err != nil {
-			if errors.Is(err, os.ErrDeadlineExceeded) {
-				l.writeTimedOut.Store(true)
-			}
+		stalled.since = time.Time{}
+		if !c.writeWaiting(conn, next.text) {
 			conn.Close()
-			return // end tells what was undone
+			return
 		}
 	}
 }
+
+// claimLine takes what is to be written next, unless flush is writing, and reports attempts whose lines are out.
+func (c *cacheConn) claimLine() claim {
+	c.mu.Lock()
+	var next claim
+	if !c.writing {
+		next.text = c.nextLine()
+	}
+	c.writing = c.writing || next.text != nil
+	next.isNew = c.lastLine != nil
+	next.closed = c.closed
+	next.writeNow = c.writeNow
+	reportable := c.takeReportable(false)
+	c.mu.Unlock()
+	c.reportGivenUp(reportable)
+	return next
+}
+
+// writeWithoutWaiting writes what the connection takes of a line at once. It returns false if the connection has taken nothing for
+// writeTimeout.
+func (c *cacheConn) writeWithoutWaiting(next claim, stalled *stall) bool {
+	n := next.writeNow(next.text)
+	c.mu.Lock()
+	c.noteWritten(next.text, n)
+	c.writing = false
+	if n > 0 || c.linesBegun != stalled.linesBegun {
+		*stalled = stall{linesBegun: c.linesBegun}
+	}
+	c.mu.Unlock()
+	now := c.pool.env.Now()
+	if stalled.since.IsZero() {
+		stalled.since = now
+	} else if now.Sub(stalled.since) > writeTimeout {
+		return false
+	}
+	if n == 0 {
+		c.wakeup.Wait(writeRetryDelay)
+	}
+	return true
+}
+
+// writeWaiting writes text and waits for the connection to take it; false if it does not in time.
+func (c *cacheConn) writeWaiting(conn net.Conn, text []byte) bool {
+	conn.SetWriteDeadline(c.pool.env.Now().Add(writeTimeout))
+	_, err := conn.Write(text)
+	conn.SetWriteDeadline(time.Time{}) // one that has passed would stop flush too
+	c.mu.Lock()
+	c.writing = false
+	if err == nil {
+		c.linesWritten = c.linesBegun
+	}
+	reportable := c.takeReportable(false)
+	c.mu.Unlock()
+	c.reportGivenUp(reportable)
+	if errors.Is(err, os.ErrDeadlineExceeded) {
+		c.writeTimedOut.Store(true)
+	}
+	return err == nil
+}
