--- a/internal/frontend/conn_test.go
+++ b/internal/frontend/conn_test.go
@@ -15,39 +15,39 @@
 	"foldslip/internal/lab/testbed"
 )
 
-// A client that has sent a next request ahead and goes: the lookup under way is given up at once, the next never begins.
+// A client that has sent a next request ahead and leaves: the open lookup is given up at once, the next never begins.
 func TestPipeliningClientThatLeaves(t *testing.T) {
-	r := testbed.New(t, &testbed.GatedEnv{}, true, 50)
-	c := r.Connect()
-	io.WriteString(c, r.RequestText("segment")+r.RequestText("segment"))
-	d := r.NextReceived()
-	c.Close()
-	for _, e := range r.Edges {
-		if e.Addr != d.Conn.LocalAddr().String() {
+	bed := testbed.New(t, &testbed.GatedEnv{}, true, 50)
+	client := bed.Connect()
+	io.WriteString(client, bed.RequestText("segment")+bed.RequestText("segment"))
+	request := bed.NextReceived()
+	client.Close()
+	for _, edge := range bed.Edges {
+		if edge.Addr != request.Conn.LocalAddr().String() {
 			continue
 		}
 		select {
-		case id := <-e.Cancelled:
-			if id != d.ID {
-				t.Errorf("%s undone, expected %s", id, d.ID)
+		case id := <-edge.Cancelled:
+			if id != request.ID {
+				t.Errorf("%s cancelled, expected %s", id, request.ID)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatal("not undone")
+			t.Fatal("not cancelled")
 		}
 	}
-	r.WaitOpenLookups(0)
-	r.ExpectNothingReceived()
+	bed.WaitOpenLookups(0)
+	bed.ExpectNothingReceived()
 }
 
-// Sent ahead and answered in turn, as long as the client stays.
+// Requests that are sent ahead are answered in turn, as long as the client stays.
 func TestPipeliningClientThatStays(t *testing.T) {
-	r := testbed.New(t, &testbed.GatedEnv{}, true, 50)
-	c := r.Connect()
-	io.WriteString(c, r.RequestText("segment")+r.RequestText("segment")+r.RequestText("segment"))
-	in := bufio.NewReader(c)
+	bed := testbed.New(t, &testbed.GatedEnv{}, true, 50)
+	client := bed.Connect()
+	io.WriteString(client, bed.RequestText("segment")+bed.RequestText("segment")+bed.RequestText("segment"))
+	in := bufio.NewReader(client)
 	for i := range 3 {
 		want := fmt.Sprint("answer ", i)
-		r.NextReceived().Hit(time.Now(), "hit", want)
+		bed.NextReceived().Hit(time.Now(), "hit", want)
 		got, err := http.ReadResponse(in, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -58,27 +58,27 @@
 	}
 }
 
-// A request has come whole and its goroutine has not read it when this side wants to end the connection: it is read and answered.
+// A request has come completely and has not been read when this side wants to end the connection: it is read and answered.
 func TestRequestPendingWhenItsConnectionEnds(t *testing.T) {
-	for name, end := range map[string]func(r *testbed.Testbed){
-		"a drain":                 func(r *testbed.Testbed) { r.Server.Drain() },
-		"a new one, at the bound": func(r *testbed.Testbed) { r.Connect() },
+	for name, end := range map[string]func(bed *testbed.Testbed){
+		"a drain":                 func(bed *testbed.Testbed) { bed.Server.Drain() },
+		"a new one, at the bound": func(bed *testbed.Testbed) { bed.Connect() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := &testbed.GatedEnv{ReadGate: make(chan bool), ReadWaiting: make(chan bool, 99)}
-			r := testbed.New(t, h, true, 1)
-			c := r.Connect()
-			<-h.ReadWaiting // its goroutine is about to read
-			io.WriteString(c, r.RequestText("segment"))
+			gates := &testbed.GatedEnv{ReadGate: make(chan bool), ReadWaiting: make(chan bool, 99)}
+			bed := testbed.New(t, gates, true, 1)
+			client := bed.Connect()
+			<-gates.ReadWaiting // its goroutine is about to read
+			io.WriteString(client, bed.RequestText("segment"))
 			time.Sleep(20 * time.Millisecond) // for the bytes to be in the socket
-			end(r)
-			r.WaitFor("a connection that is to end", r.Server.HasEndingConn)
-			close(h.ReadGate)
-			r.NextReceived().Hit(time.Now(), "hit", "ok")
-			if body := r.ExpectStatus(c, 200); body != "ok" {
+			end(bed)
+			bed.WaitFor("a connection that is to end", bed.Server.HasEndingConn)
+			close(gates.ReadGate)
+			bed.NextReceived().Hit(time.Now(), "hit", "ok")
+			if body := bed.ExpectStatus(client, 200); body != "ok" {
 				t.Errorf("got %q", body)
 			}
-			if _, err := c.Read(make([]byte, 1)); err != io.EOF {
+			if _, err := client.Read(make([]byte, 1)); err != io.EOF {
 				t.Errorf("the connection is left open: %v", err)
 			}
 		})
@@ -87,25 +87,25 @@
 
 // A drain between two requests of a connection, the first answered and the next read: that is answered too.
 func TestDrainBetweenTwoRequestsOfAConnection(t *testing.T) {
-	h := &testbed.GatedEnv{ReadGate: make(chan bool), ReadWaiting: make(chan bool, 99)}
-	r := testbed.New(t, h, true, 50)
-	c := r.Connect()
-	io.WriteString(c, r.RequestText("segment")+r.RequestText("segment"))
-	h.ReadGate <- true
-	first := r.NextReceived()
-	<-h.ReadWaiting
-	<-h.ReadWaiting // with the next request read, its goroutine is about to read on
+	gates := &testbed.GatedEnv{ReadGate: make(chan bool), ReadWaiting: make(chan bool, 99)}
+	bed := testbed.New(t, gates, true, 50)
+	client := bed.Connect()
+	io.WriteString(client, bed.RequestText("segment")+bed.RequestText("segment"))
+	gates.ReadGate <- true
+	first := bed.NextReceived()
+	<-gates.ReadWaiting
+	<-gates.ReadWaiting // with the next request read, its goroutine is about to read on
 	first.Hit(time.Now(), "hit", "first")
-	in := bufio.NewReader(c)
+	in := bufio.NewReader(client)
 	got, err := http.ReadResponse(in, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	io.ReadAll(got.Body)
-	r.WaitOpenLookups(0)
-	r.Server.Drain()
-	close(h.ReadGate)
-	r.NextReceived().Hit(time.Now(), "hit", "second")
+	bed.WaitOpenLookups(0)
+	bed.Server.Drain()
+	close(gates.ReadGate)
+	bed.NextReceived().Hit(time.Now(), "hit", "second")
 	if got, err = http.ReadResponse(in, nil); err != nil {
 		t.Fatal(err)
 	}
@@ -114,93 +114,93 @@
 	}
 }
 
-// An answer with Connection: close to a client that reads it late and sends something more meanwhile: the answer comes whole. A close
-// over what the client sends on would have the system reset the connection and drop what the client has not taken.
+// A response with Connection: close to a client that reads it late and sends something more meanwhile comes completely. A close over what
+// the client still sends would have the system reset the connection and drop what the client has not taken.
 func TestResponseTailArrivesAfterAClose(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", 15000)
-	for _, drain := range []bool{false, true} {
-		for _, ahead := range []bool{false, true} {
-			t.Run(fmt.Sprint("a drain ", drain, ", bytes sent ahead ", ahead), func(t *testing.T) {
-				r := testbed.New(t, &testbed.GatedEnv{}, true, 50)
-				d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) (err error) {
+	for _, drains := range []bool{false, true} {
+		for _, sendsAhead := range []bool{false, true} {
+			t.Run(fmt.Sprint("a drain ", drains, ", bytes sent ahead ", sendsAhead), func(t *testing.T) {
+				bed := testbed.New(t, &testbed.GatedEnv{}, true, 50)
+				dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) (err error) {
 					raw.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
 					return err
 				}}
-				c, err := d.Dial("tcp", r.Listener.Addr().String())
+				client, err := dialer.Dial("tcp", bed.Listener.Addr().String())
 				if err != nil {
 					t.Fatal(err)
 				}
-				defer c.Close()
-				c.SetDeadline(time.Now().Add(20 * time.Second))
-				asks := "Connection: close\r\n"
-				if drain {
-					asks = ""
+				defer client.Close()
+				client.SetDeadline(time.Now().Add(20 * time.Second))
+				closeField := "Connection: close\r\n"
+				if drains {
+					closeField = ""
 				}
-				io.WriteString(c, r.RequestText("segment", asks))
-				do := r.NextReceived()
-				if drain {
-					r.Server.Drain()
+				io.WriteString(client, bed.RequestText("segment", closeField))
+				request := bed.NextReceived()
+				if drains {
+					bed.Server.Drain()
 				}
-				if ahead {
-					io.WriteString(c, r.RequestText("segment")+"GET /call/")
+				if sendsAhead {
+					io.WriteString(client, bed.RequestText("segment")+"GET /call/")
 					time.Sleep(20 * time.Millisecond)
 				}
-				do.Hit(time.Now(), "hit", body)
-				r.WaitOpenLookups(0)
-				r.WaitFor("an answer that is out", func() bool { return !r.Server.HasBusyConn() })
+				request.Hit(time.Now(), "hit", body)
+				bed.WaitOpenLookups(0)
+				bed.WaitFor("a response that is out", func() bool { return !bed.Server.HasBusyConn() })
 				for range 3 { // the first byte after a close is answered by a reset
-					io.WriteString(c, "more\r\n")
+					io.WriteString(client, "more\r\n")
 					time.Sleep(20 * time.Millisecond)
 				}
-				if got := r.ExpectStatus(c, 200); got != body {
+				if got := bed.ExpectStatus(client, 200); got != body {
 					t.Errorf("%d bytes of %d", len(got), len(body))
 				}
-				c.Close()
-				r.WaitFor("an end of its lingering", func() bool { return r.Server.ConnCount() == 0 })
+				client.Close()
+				bed.WaitFor("an end of its lingering close", func() bool { return bed.Server.ConnCount() == 0 })
 			})
 		}
 	}
 }
 
-// A client that has its last answer and stays: it lingers for a second at most, and a new client gets its place at once.
+// A client that has its last response and stays open: its connection ends within a second, and a new client gets its place at once.
 func TestClientThatStaysOpenAfterAClose(t *testing.T) {
-	r := testbed.New(t, &testbed.GatedEnv{}, true, 1)
-	c := r.SendRequest("segment", "Connection: close\r\n")
-	r.NextReceived().Hit(time.Now(), "hit", "ok")
-	r.ExpectStatus(c, 200)
-	if _, err := c.Read(make([]byte, 1)); err != io.EOF {
+	bed := testbed.New(t, &testbed.GatedEnv{}, true, 1)
+	client := bed.SendRequest("segment", "Connection: close\r\n")
+	bed.NextReceived().Hit(time.Now(), "hit", "ok")
+	bed.ExpectStatus(client, 200)
+	if _, err := client.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("not ended on this side: %v", err)
 	}
-	began := time.Now()
-	next := r.SendRequest("segment")
-	r.NextReceived().Hit(time.Now(), "hit", "ok")
-	r.ExpectStatus(next, 200)
-	if took := time.Since(began); took > frontend.ResponseWriteSlack/2 {
-		t.Errorf("the next client waited %v", took)
+	startedAt := time.Now()
+	next := bed.SendRequest("segment")
+	bed.NextReceived().Hit(time.Now(), "hit", "ok")
+	bed.ExpectStatus(next, 200)
+	if elapsed := time.Since(startedAt); elapsed > frontend.ResponseWriteSlack/2 {
+		t.Errorf("the next client waited %v", elapsed)
 	}
 	next.Close()
-	r.WaitFor("an end of the next one", func() bool { return r.Server.ConnCount() == 0 }) // not the matter here: else it may be in the way of the last
-	last := r.SendRequest("segment", "Connection: close\r\n")
-	r.NextReceived().Hit(time.Now(), "hit", "ok")
-	r.ExpectStatus(last, 200)
-	r.WaitFor("an end of its lingering", func() bool { return r.Server.ConnCount() == 0 })
+	bed.WaitFor("an end of the next one", func() bool { return bed.Server.ConnCount() == 0 }) // else it may be in the way of the last
+	last := bed.SendRequest("segment", "Connection: close\r\n")
+	bed.NextReceived().Hit(time.Now(), "hit", "ok")
+	bed.ExpectStatus(last, 200)
+	bed.WaitFor("an end of its lingering close", func() bool { return bed.Server.ConnCount() == 0 })
 }
 
-// A client sends more ahead than this side reads, and goes: its end is behind what nobody has read. None of its lookups begins.
+// A client sends more ahead than this side reads, and leaves: its end is behind what nobody has read. None of its lookups begins.
 func TestClientPipeliningPastTheLimitThatLeaves(t *testing.T) {
-	h := &testbed.GatedEnv{IdleReadGate: make(chan bool)}
-	r := testbed.New(t, h, true, 50)
-	c := r.Connect()
-	io.WriteString(c, r.RequestText("segment"))
-	d := r.NextReceived()
-	far := strings.Builder{}
-	for far.Len() < frontend.MaxPipelinedBytes*3/2 {
-		far.WriteString(r.RequestText("segment"))
+	gates := &testbed.GatedEnv{IdleReadGate: make(chan bool)}
+	bed := testbed.New(t, gates, true, 50)
+	client := bed.Connect()
+	io.WriteString(client, bed.RequestText("segment"))
+	request := bed.NextReceived()
+	pipelined := strings.Builder{}
+	for pipelined.Len() < frontend.MaxPipelinedBytes*3/2 {
+		pipelined.WriteString(bed.RequestText("segment"))
 	}
 	written := make(chan bool)
 	go func() {
-		io.WriteString(c, far.String())
-		c.(*net.TCPConn).CloseWrite() // an end behind all that; a close with answers unread is a reset, which is seen at once
+		io.WriteString(client, pipelined.String())
+		client.(*net.TCPConn).CloseWrite() // an end behind all that; a close with responses unread is a reset, which is noticed at once
 		close(written)
 	}()
 	select {
@@ -208,49 +208,51 @@
 	case <-time.After(5 * time.Second):
 		t.Fatal("the socket does not take what is sent ahead")
 	}
-	// It has gone before any of that is read; after each read while a lookup is open that has time to begin.
-	over, ended := make(chan bool), make(chan bool)
+	// It has left before any of that is read; after each read while a lookup is open, a next one has time to begin.
+	stop := make(chan bool)
+	stopped := make(chan bool)
 	go func() {
-		defer close(ended)
+		defer close(stopped)
 		for {
 			select {
-			case h.IdleReadGate <- true:
+			case gates.IdleReadGate <- true:
 				time.Sleep(5 * time.Millisecond)
-			case <-over:
+			case <-stop:
 				return
 			}
 		}
 	}()
-	r.WaitNoConns()
-	close(over)
-	<-ended
-	close(h.IdleReadGate)
-	r.WaitOpenLookups(0)
-	if len(r.Received) > 0 {
-		t.Errorf("%d were sent after %s", len(r.Received), d.ID)
+	bed.WaitNoConns()
+	close(stop)
+	<-stopped
+	close(gates.IdleReadGate)
+	bed.WaitOpenLookups(0)
+	if len(bed.Received) > 0 {
+		t.Errorf("%d were sent after %s", len(bed.Received), request.ID)
 	}
-	r.ExpectNothingReceived()
+	bed.ExpectNothingReceived()
 }
 
-// The same client stays: what is past the bound is refused, each request has its answer, and once it has caught up it is served again.
+// The same client stays: what is past the bound is refused, each request gets a response, and once it has caught up it is served again.
 func TestClientPipeliningPastTheLimitThatStays(t *testing.T) {
-	r := testbed.New(t, &testbed.GatedEnv{}, true, 50)
-	c := r.Connect()
-	io.WriteString(c, r.RequestText("segment"))
-	r.NextReceived()
-	far, n := strings.Builder{}, 1
-	for ; far.Len() < 3*frontend.MaxPipelinedBytes; n++ {
-		far.WriteString(r.RequestText("segment"))
+	bed := testbed.New(t, &testbed.GatedEnv{}, true, 50)
+	client := bed.Connect()
+	io.WriteString(client, bed.RequestText("segment"))
+	bed.NextReceived()
+	pipelined := strings.Builder{}
+	requests := 1
+	for ; pipelined.Len() < 3*frontend.MaxPipelinedBytes; requests++ {
+		pipelined.WriteString(bed.RequestText("segment"))
 	}
-	go io.WriteString(c, far.String())
-	in := bufio.NewReader(c)
+	go io.WriteString(client, pipelined.String())
+	in := bufio.NewReader(client)
 	done := make(chan bool)
 	defer close(done)
 	go func() {
 		for {
 			select {
-			case d := <-r.Received:
-				d.Hit(time.Now(), "hit", "ok")
+			case request := <-bed.Received:
+				request.Hit(time.Now(), "hit", "ok")
 			case <-done:
 				return
 			}
@@ -264,15 +266,15 @@
 		io.ReadAll(got.Body)
 		return got.StatusCode
 	}
-	by := map[int]int{}
-	for range n {
-		by[status()]++
+	byStatus := map[int]int{}
+	for range requests {
+		byStatus[status()]++
 	}
-	if by[503] == 0 || by[503]+by[200] != n {
-		t.Errorf("%d requests, answers %v", n, by)
+	if byStatus[503] == 0 || byStatus[503]+byStatus[200] != requests {
+		t.Errorf("%d requests, responses %v", requests, byStatus)
 	}
 	time.Sleep(20 * time.Millisecond)
-	io.WriteString(c, r.RequestText("segment"))
+	io.WriteString(client, bed.RequestText("segment"))
 	if got := status(); got != 200 {
 		t.Errorf("once it has caught up: %d", got)
 	}
--- a/internal/frontend/export_test.go
+++ b/internal/frontend/export_test.go
@@ -5,34 +5,33 @@
 )
 
 // What tests outside the package look at or set.
-
 const (
 	MaxPipelinedBytes  = maxPipelinedBytes
 	ResponseWriteSlack = responseWriteSlack
 )
 
-// Admission is what bounds the lookups and their bytes.
-func (f *Server) Admission() *admission.Controller { return f.admission }
+// Admission returns what bounds the lookups and their bytes.
+func (s *Server) Admission() *admission.Controller { return s.admission }
 
-// SetFull leaves room for so many lookups and bytes, with one lookup admitted already.
-func (f *Server) SetFull(limit int) {
-	f.admission = admission.NewController(f.env, limit, int64(limit))
-	f.gate = f.admission.Gate("clients", 1)
-	f.gate.TryAdmit()
+// SetFull leaves capacity for so many lookups and bytes, with one lookup admitted already.
+func (s *Server) SetFull(limit int) {
+	s.admission = admission.NewController(s.env, limit, int64(limit))
+	s.gate = s.admission.Gate(gateName, gateWeight)
+	s.gate.TryAdmit()
 }
 
-// AcceptedCount is how many connections have been accepted.
-func (f *Server) AcceptedCount() int64 {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.acceptedCount
+// AcceptedCount returns how many connections have been accepted.
+func (s *Server) AcceptedCount() int64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.acceptedCount
 }
 
-// HasEndingConn tells whether there is a connection that the server wants to end.
-func (f *Server) HasEndingConn() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for c := range f.conns {
+// HasEndingConn reports whether there is a connection that the server wants to end.
+func (s *Server) HasEndingConn() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.conns {
 		if c.isEnding() {
 			return true
 		}
@@ -40,15 +39,15 @@
 	return false
 }
 
-// HasBusyConn tells whether there is a connection with a lookup that has no answer yet.
-func (f *Server) HasBusyConn() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for c := range f.conns {
+// HasBusyConn reports whether there is a connection with a request that has no response yet.
+func (s *Server) HasBusyConn() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.conns {
 		c.mu.Lock()
-		busy := c.busy
+		isBusy := c.isBusy
 		c.mu.Unlock()
-		if busy {
+		if isBusy {
 			return true
 		}
 	}
--- a/internal/frontend/frozen_test.go
+++ b/internal/frontend/frozen_test.go
@@ -12,8 +12,8 @@
 func TestFrozenHeads(t *testing.T) {
 	var b []byte
 	for _, status := range []int{200, 304, 400, 404, 405, 409, 431, 502, 503, 505} {
-		b = appendHead(b, status, 17, "", false)
-		b = appendHead(b, status, 17, "ETag: \"4be0\"\r\n", true)
+		b = appendHead(b, head{status: status, bodyLength: 17})
+		b = appendHead(b, head{status: status, bodyLength: 17, fields: "ETag: \"4be0\"\r\n", closes: true})
 	}
 	frozen.Equal(t, "frozen/heads", b)
 }
--- /dev/null
+++ b/internal/frontend/lookup.go
@@ -0,0 +1,164 @@
+package frontend
+
+import (
+	"time"
+
+	"foldslip/internal/dispatch"
+	"foldslip/internal/limit"
+	"foldslip/internal/policy"
+	"foldslip/internal/route/rollout"
+	"foldslip/internal/upstream"
+)
+
+// lookup is a client's lookup from its request to its response.
+type lookup struct {
+	*upstream.Lookup
+	request   Request
+	kind      int
+	ticket    *rollout.Ticket // nil: it came by no route
+	arrivedAt time.Time
+}
+
+// endTicket tells the route how the lookup ended.
+func (l *lookup) endTicket(result dispatch.StepKind, isLate bool) {
+	if l.ticket != nil {
+		l.ticket.End(result == dispatch.StepSatisfied && !isLate, result == dispatch.StepRejected, isLate || result == dispatch.StepFailed)
+	}
+}
+
+// startResponse answers a request: at once, or for a lookup from a goroutine of its own. The connection's responded is taken until the
+// response is out.
+func (c *clientConn) startResponse(request Request, arrivedAt time.Time) {
+	closes := request.ClosesConn || c.isEnding()
+	l, response := c.server.newLookup(request, arrivedAt)
+	if response == nil && c.mayBeGone {
+		response = unavailable("too much sent ahead of its answer")
+	}
+	if response == nil {
+		response = c.server.submit(l)
+	}
+	if response != nil {
+		response.closes = response.closes || closes
+		l.Release()
+		c.writeText(*response)
+		if response.closes {
+			c.closeInput()
+		}
+		c.awaitNextRequest()
+		c.responded.Notify()
+		return
+	}
+	c.mu.Lock()
+	c.lookup = l
+	c.mu.Unlock()
+	c.server.group.Go("lookup", func() error {
+		c.respond(l)
+		l.Release()
+		c.server.gate.Release()
+		c.responded.Notify()
+		return nil
+	})
+}
+
+// newLookup returns a request's lookup, and the response if it needs no lookup: a ping, or a request for something that is not there.
+func (s *Server) newLookup(request Request, arrivedAt time.Time) (*lookup, *textResponse) {
+	kind, isKnown := s.kindByName[request.Kind]
+	passThrough := isKnown && s.settings.Router.Kinds[kind].PassThrough
+	var response *textResponse
+	switch {
+	case request.Method != methodGet && (request.Method != methodPut || request.IsPing || isKnown && !passThrough):
+		response = &textResponse{status: statusMethodNotAllowed, text: "only GET is known, and PUT for an object kind that runs at the origin", closes: true}
+	case request.IsPing:
+		response = s.ping()
+	case !isKnown:
+		response = &textResponse{status: statusNotFound, text: "no such object kind"}
+	case request.ID == "":
+		response = &textResponse{status: statusBadRequest, text: "X-Job-Id is missing", closes: true}
+	}
+	if isKnown {
+		request.TimeAllowed = s.timeAllowed(kind, request.TimeAllowed)
+	}
+	return &lookup{Lookup: upstream.NewLookup(request.Request, passThrough, s.admission), request: request, kind: kind, arrivedAt: arrivedAt}, response
+}
+
+// ping says whether the gateway is ready.
+func (s *Server) ping() *textResponse {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.isReady {
+		return &textResponse{status: statusOK, text: "ready"}
+	}
+	return unavailable("not ready")
+}
+
+// timeAllowed is what a client allows, at most what its object kind does.
+func (s *Server) timeAllowed(kind int, allowed time.Duration) time.Duration {
+	maxAllowed := time.Duration(s.settings.Router.Kinds[kind].Deadline) * time.Microsecond
+	if allowed < 0 || allowed > maxAllowed {
+		return maxAllowed
+	}
+	return allowed
+}
+
+// submit admits a lookup and gives it to the dispatcher; a response if it cannot. The caller releases the gate once a submitted lookup has ended.
+func (s *Server) submit(l *lookup) *textResponse {
+	if l.request.TimeAllowed <= 0 {
+		return unavailable("no time left")
+	}
+	if !s.gate.TryAdmit() {
+		return unavailable("too many lookups")
+	}
+	var scope *policy.Scope
+	if s.routes != nil {
+		ticket, reason, retryAfter := s.routes.Admit(l.kind, l.Group, l.Object, l.request.SizeKB)
+		if reason != limit.Allowed {
+			s.gate.Release()
+			response := unavailable("past a limit: " + string(reason))
+			response.retryAfter = retryAfter
+			return response
+		}
+		l.ticket = ticket
+		scope = ticket.Scope()
+	}
+	deadline := l.arrivedAt.Add(l.request.TimeAllowed)
+	l.Dispatched = s.dispatcher.SubmitWithin(l.ID, l.kind, l.Object, l.Part, l.Group, l.request.SizeKB, deadline, scope, nil)
+	if l.Dispatched == nil {
+		s.gate.Release()
+		l.endTicket(dispatch.StepFailed, false)
+		return &textResponse{status: statusConflict, text: "this lookup is open already"}
+	}
+	return nil
+}
+
+// respond carries out a lookup's steps up to its end and writes the response.
+func (c *clientConn) respond(l *lookup) {
+	s := c.server
+	step := s.runSteps(l)
+	s.pool.CancelAll(l.Lookup)
+	isLate := s.env.Now().Sub(l.arrivedAt) > s.settings.LatencyBudget(l.kind, l.request.SizeKB)
+	l.endTicket(step.Kind, isLate)
+	closes := l.request.ClosesConn || c.isEnding()
+	c.writeResult(l, step, closes)
+	switch {
+	case closes && step.Kind == dispatch.StepSatisfied:
+		c.closeInput()
+	case closes: // a head alone is out at once; what is given up before the kill must not linger up to Close
+		c.close(reasonClientAsked)
+	}
+	c.awaitNextRequest()
+}
+
+// runSteps carries out a lookup's steps up to the one that ends it, and returns that.
+func (s *Server) runSteps(l *lookup) dispatch.Step {
+	for {
+		step := s.dispatcher.WaitStep(l.Dispatched)
+		switch step.Kind {
+		case dispatch.StepFetch:
+			s.pool.Start(l.Lookup, step)
+		case dispatch.StepCancel:
+			s.pool.CancelAttempt(l.Lookup, step.Attempt)
+		default:
+			return step
+		}
+	}
+}
--- a/internal/frontend/lookup_test.go
+++ b/internal/frontend/lookup_test.go
@@ -13,121 +13,122 @@
 	"foldslip/internal/lab/testbed"
 )
 
-// A lookup with bytes: they go on whole and unchanged, what ran at the origin brings no tag, and the room it took is given back.
+// A lookup with a body: the bytes are passed on complete and unchanged, what ran at the origin has no ETag, and the bytes reserved for it
+// are released.
 func TestLookupWithBody(t *testing.T) {
-	r := testbed.New(t, &testbed.GatedEnv{}, true, 50)
-	bytes := strings.Repeat("\r\n0\r\n\r\nHTTP/1.1 200 OK\r\n\x00", 4000)
-	head := strings.Replace(r.RequestText("order", fmt.Sprintf("X-Unique: u7\r\nContent-Length: %d\r\n", len(bytes))), "GET", "PUT", 1)
-	c := r.Connect()
-	for _, piece := range []string{head, bytes[:7], bytes[7:50000], bytes[50000:] + r.RequestText("segment")[:20]} {
-		io.WriteString(c, piece)
+	bed := testbed.New(t, &testbed.GatedEnv{}, true, 50)
+	body := strings.Repeat("\r\n0\r\n\r\nHTTP/1.1 200 OK\r\n\x00", 4000)
+	head := strings.Replace(bed.RequestText("order", fmt.Sprintf("X-Unique: u7\r\nContent-Length: %d\r\n", len(body))), "GET", "PUT", 1)
+	client := bed.Connect()
+	for _, piece := range []string{head, body[:7], body[7:50000], body[50000:] + bed.RequestText("segment")[:20]} {
+		io.WriteString(client, piece)
 		time.Sleep(2 * time.Millisecond)
 	}
-	d := r.NextReceived()
-	if string(d.Body) != bytes || d.Fields["rank"] != "" || d.Fields["i"] != "u7" {
-		t.Fatalf("%d bytes of %d, %v", len(d.Body), len(bytes), d.Fields)
+	request := bed.NextReceived()
+	if string(request.Body) != body || request.Fields["rank"] != "" || request.Fields["i"] != "u7" {
+		t.Fatalf("%d bytes of %d, %v", len(request.Body), len(body), request.Fields)
 	}
-	d.Conn.Send(d.ID + " HIT - 4\r\ndone\r\n")
-	got, err := http.ReadResponse(bufio.NewReader(c), nil)
+	request.Conn.Send(request.ID + " HIT - 4\r\ndone\r\n")
+	response, err := http.ReadResponse(bufio.NewReader(client), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if body, _ := io.ReadAll(got.Body); string(body) != "done" || got.Header.Get("ETag") != "" || got.StatusCode != 200 {
-		t.Errorf("status %d, %q, tag %q", got.StatusCode, body, got.Header.Get("ETag"))
+	if got, _ := io.ReadAll(response.Body); string(got) != "done" || response.Header.Get("ETag") != "" || response.StatusCode != 200 {
+		t.Errorf("status %d, %q, tag %q", response.StatusCode, got, response.Header.Get("ETag"))
 	}
-	r.WaitFor("room given back", func() bool {
-		if !r.Server.Admission().ReserveBytes(1 << 20) {
-			return false
-		}
-		r.Server.Admission().ReleaseBytes(1 << 20)
-		return true
+	waitBytesReleased(bed)
+	t.Run("not for an object kind that is cached", func(t *testing.T) {
+		client := bed.Connect()
+		io.WriteString(client, strings.Replace(bed.RequestText("segment", "Content-Length: 2\r\n"), "GET", "PUT", 1)+"no")
+		bed.ExpectStatus(client, 405)
 	})
-	t.Run("not for an object kind that is kept", func(t *testing.T) {
-		c := r.Connect()
-		io.WriteString(c, strings.Replace(r.RequestText("segment", "Content-Length: 2\r\n"), "GET", "PUT", 1)+"no")
-		r.ExpectStatus(c, 405)
+	t.Run("past the bound on bytes it is rejected", func(t *testing.T) {
+		client := bed.Connect()
+		bed.Server.Admission().ReserveBytes(testbed.MaxBytes)
+		defer bed.Server.Admission().ReleaseBytes(testbed.MaxBytes)
+		io.WriteString(client, strings.Replace(bed.RequestText("order", "Content-Length: 200000\r\n"), "GET", "PUT", 1))
+		bed.ExpectStatus(client, 503)
 	})
-	t.Run("past the room for bytes it is nacked", func(t *testing.T) {
-		c := r.Connect()
-		r.Server.Admission().ReserveBytes(1 << 20)
-		defer r.Server.Admission().ReleaseBytes(1 << 20)
-		io.WriteString(c, strings.Replace(r.RequestText("order", "Content-Length: 200000\r\n"), "GET", "PUT", 1))
-		r.ExpectStatus(c, 503)
-	})
-	t.Run("half of them and the end: nothing is sent, the room is given back", func(t *testing.T) {
-		c := r.Connect()
-		io.WriteString(c, strings.Replace(r.RequestText("order", "Content-Length: 200000\r\n"), "GET", "PUT", 1)+"half")
-		c.Close()
-		r.WaitFor("room given back", func() bool {
-			if !r.Server.Admission().ReserveBytes(1 << 20) {
-				return false
-			}
-			r.Server.Admission().ReleaseBytes(1 << 20)
-			return true
-		})
-		r.ExpectNothingReceived()
+	t.Run("half of it and the end: nothing is sent, the bytes are released", func(t *testing.T) {
+		client := bed.Connect()
+		io.WriteString(client, strings.Replace(bed.RequestText("order", "Content-Length: 200000\r\n"), "GET", "PUT", 1)+"half")
+		client.Close()
+		waitBytesReleased(bed)
+		bed.ExpectNothingReceived()
 	})
-	t.Run("a copy that tells no tag is none for a kind that is kept", func(t *testing.T) {
-		c := r.SendRequest("segment")
-		d := r.NextReceived()
-		d.Conn.Send(d.ID + " HIT - 4\r\ndone\r\n")
-		r.NextReceived().Hit(time.Now(), "hit", "whole")
-		if body := r.ExpectStatus(c, 200); body != "whole" {
+	t.Run("a copy without a version is none for a kind that is cached", func(t *testing.T) {
+		client := bed.SendRequest("segment")
+		request := bed.NextReceived()
+		request.Conn.Send(request.ID + " HIT - 4\r\ndone\r\n")
+		bed.NextReceived().Hit(time.Now(), "hit", "complete")
+		if body := bed.ExpectStatus(client, 200); body != "complete" {
 			t.Errorf("got %q", body)
 		}
 	})
 }
 
-// A lookup that the module holds, here after its cache turned it away (a backoff of 30 ms): sent on while its client waits, never after.
+// waitBytesReleased waits until no bytes are reserved with admission.
+func waitBytesReleased(bed *testbed.Testbed) {
+	bed.WaitFor("release of all bytes", func() bool {
+		if !bed.Server.Admission().ReserveBytes(testbed.MaxBytes) {
+			return false
+		}
+		bed.Server.Admission().ReleaseBytes(testbed.MaxBytes)
+		return true
+	})
+}
+
+// A lookup that the policy holds back, here after its cache rejected it (a backoff of 30 ms), is forwarded while its client waits, never
+// after.
 func TestQueuedLookupWhoseClientLeaves(t *testing.T) {
 	for _, leaves := range []bool{false, true} {
 		t.Run(fmt.Sprint("leaves ", leaves), func(t *testing.T) {
-			r := testbed.New(t, &testbed.GatedEnv{}, true, 50)
-			c := r.SendRequest("segment")
-			r.NextReceived().Respond("SHED", "-")
-			r.WaitQueued(1)
+			bed := testbed.New(t, &testbed.GatedEnv{}, true, 50)
+			client := bed.SendRequest("segment")
+			bed.NextReceived().Respond("SHED", "-")
+			bed.WaitQueued(1)
 			if leaves {
-				c.Close()
-				r.WaitOpenLookups(0)
-				r.TickTimes(8)
-				r.ExpectNothingReceived()
+				client.Close()
+				bed.WaitOpenLookups(0)
+				bed.TickTimes(8)
+				bed.ExpectNothingReceived()
 				return
 			}
-			go r.TickTimes(8)
-			r.NextReceived().Hit(time.Now(), "hit", "ok")
-			r.ExpectStatus(c, 200)
+			go bed.TickTimes(8)
+			bed.NextReceived().Hit(time.Now(), "hit", "ok")
+			bed.ExpectStatus(client, 200)
 		})
 	}
 }
 
-// An attempt ends after its client left, in a way that would have another one follow at once. Where the settings allow no giving up
-// the cache goes on, with a fill too: its end is taken and nothing follows.
+// An attempt ends after its client left, in a way that would have another one follow at once. Where the settings allow no cancelling the
+// cache goes on, with a fill too: its outcome is taken and nothing follows.
 func TestAttemptEndingAfterItsClientLeft(t *testing.T) {
-	for name, end := range map[string]func(d standin.Request, reset func()){
-		"a miss":            func(d standin.Request, _ func()) { d.Respond("NONE", "-") },
-		"an error":          func(d standin.Request, _ func()) { d.Respond("FAULT", "-") },
-		"a fill that broke": func(d standin.Request, _ func()) { d.Respond("FAULT", "note=src_broke") },
+	for name, end := range map[string]func(request standin.Request, reset func()){
+		"a miss":            func(request standin.Request, _ func()) { request.Respond("NONE", "-") },
+		"an error":          func(request standin.Request, _ func()) { request.Respond("FAULT", "-") },
+		"a fill that broke": func(request standin.Request, _ func()) { request.Respond("FAULT", "note=src_broke") },
 		"a reset":           func(_ standin.Request, reset func()) { reset() },
 	} {
 		for _, leaves := range []bool{false, true} {
 			t.Run(fmt.Sprint(name, ", leaves ", leaves), func(t *testing.T) {
-				r := testbed.New(t, &testbed.GatedEnv{}, false, 50)
-				c := r.SendRequest("segment")
-				d := r.NextReceived()
+				bed := testbed.New(t, &testbed.GatedEnv{}, false, 50)
+				client := bed.SendRequest("segment")
+				request := bed.NextReceived()
 				if leaves {
-					c.Close()
-					r.WaitNoConns()
+					client.Close()
+					bed.WaitNoConns()
 				}
-				end(d, d.Reset)
+				end(request, request.Reset)
 				if leaves {
-					r.WaitOpenLookups(0)
-					r.TickTimes(4)
-					r.ExpectNothingReceived()
+					bed.WaitOpenLookups(0)
+					bed.TickTimes(4)
+					bed.ExpectNothingReceived()
 					return
 				}
-				go r.TickTimes(8)
-				r.NextReceived().Hit(time.Now(), "hit", "ok")
-				r.ExpectStatus(c, 200)
+				go bed.TickTimes(8)
+				bed.NextReceived().Hit(time.Now(), "hit", "ok")
+				bed.ExpectStatus(client, 200)
 			})
 		}
 	}
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"errors"
-	"math"
 	"strconv"
 	"strings"
 	"time"
@@ -12,107 +11,104 @@
 )
 
 const (
-	maxHeadBytes           = 16 << 10 // bytes of a request's head
+	maxHeadBytes           = 16 << 10
 	maxHeaderFields        = 64
 	maxTimeAllowed         = time.Hour
-	maxIdempotencyKeyBytes = 128 // bytes of the word by which caches know a lookup again
+	maxIdempotencyKeyBytes = 128
+	maxObjectNameBytes     = 256
+
+	// timeNotGiven is the time allowed of a request that does not say.
+	timeNotGiven = time.Duration(-1)
 )
 
-// Request is one request of a client, or what is wrong with it.
+// Request is one request of a client.
 type Request struct {
 	upstream.Request
 	Method      string
 	SizeKB      float64
-	TimeAllowed time.Duration // -1: not given
+	TimeAllowed time.Duration // timeNotGiven: the request does not say
 	IsPing      bool
 	ClosesConn  bool
 	BodyLength  int // of the bytes that follow the head; only with PUT
 }
 
-// RequestError is a request that gets a plain answer and never reaches the module.
+// RequestError reports a request that cannot be used, with the response that its client gets.
 type RequestError struct {
 	Status int
 	Text   string
 }
 
-func (f *RequestError) Error() string { return f.Text }
+// Error returns the response's text.
+func (e *RequestError) Error() string { return e.Text }
 
-func badRequest(text string) *RequestError { return &RequestError{400, text} }
+func badRequest(text string) *RequestError { return &RequestError{statusBadRequest, text} }
 
+// errIncomplete asks for more bytes.
 var errIncomplete = errors.New("not whole yet")
 
-// parseRequest reads a request's head at the front of b and tells how long it is; errShort asks for more bytes. Length bytes follow it.
+// parseRequest parses the head of a request at the front of b and returns the head's length; BodyLength bytes follow it. Its error is
+// errIncomplete, which asks for more bytes, or a *RequestError.
 func parseRequest(b []byte) (Request, int, error) {
-	r := Request{TimeAllowed: -1}
-	end := headLength(b)
-	if end < 0 {
-		if len(b) >= maxHeadBytes {
-			return r, 0, &RequestError{431, "the head is too long"}
-		}
-		if i := bytes.IndexByte(b, '\n'); i >= 0 {
-			if _, _, err := parseRequestLine(&r, trimCR(b[:i])); err != nil {
-				return r, 0, err
-			}
-		}
-		return r, 0, errIncomplete
+	request := Request{TimeAllowed: timeNotGiven}
+	length := headLength(b)
+	if length < 0 {
+		return request, 0, checkIncomplete(b)
 	}
-	head := b[:end]
-	line, rest, _ := bytes.Cut(head, []byte("\n"))
-	target, old, err := parseRequestLine(&r, trimCR(line))
+	line, fields, _ := bytes.Cut(b[:length], []byte("\n"))
+	target, isHTTP10, err := request.parseLine(trimCR(line))
 	if err != nil {
-		return r, 0, err
+		return request, 0, err
 	}
-	r.ClosesConn = old
-	host, seen := false, map[string]bool{}
-	for n := 0; ; n++ {
-		line, rest, _ = bytes.Cut(rest, []byte("\n"))
-		if line = trimCR(line); len(line) == 0 {
-			break
-		}
-		if n >= maxHeaderFields {
-			return r, 0, &RequestError{431, "too many header fields"}
-		}
-		name, value, ok := bytes.Cut(line, []byte(":"))
-		if !ok || !isToken(name) {
-			return r, 0, badRequest("a header field cannot be read")
-		}
-		v := string(bytes.Trim(value, " \t"))
-		if strings.ContainsFunc(v, func(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f }) {
-			return r, 0, badRequest("a header value has control bytes")
-		}
-		if err := r.parseField(strings.ToLower(string(name)), v, seen, &host); err != nil {
-			return r, 0, err
-		}
+	request.ClosesConn = isHTTP10
+	hasHost, err := request.parseFields(fields)
+	if err != nil {
+		return request, 0, err
 	}
-	if !host && !old {
-		return r, 0, badRequest("Host is missing")
+	if !hasHost && !isHTTP10 {
+		return request, 0, badRequest("Host is missing")
 	}
-	if err := r.parseTarget(target); err != nil {
-		return r, 0, err
+	if err := request.parseTarget(target); err != nil {
+		return request, 0, err
 	}
-	if r.BodyLength > 0 && r.Method != "PUT" {
-		return r, 0, badRequest("a lookup has no body")
+	if request.BodyLength > 0 && request.Method != methodPut {
+		return request, 0, badRequest("a lookup has no body")
 	}
-	return r, end, nil
+	return request, length, nil
 }
 
-// headLength is the length of a head with its empty line, or -1.
+// checkIncomplete returns errIncomplete for a head that has not come completely, unless it is bound to be refused.
+func checkIncomplete(b []byte) error {
+	if len(b) >= maxHeadBytes {
+		return &RequestError{statusHeadTooLarge, "the head is too long"}
+	}
+	if i := bytes.IndexByte(b, '\n'); i >= 0 {
+		var request Request
+		if _, _, err := request.parseLine(trimCR(b[:i])); err != nil {
+			return err
+		}
+	}
+	return errIncomplete
+}
+
+// headLength returns the length of a head with its empty line, or -1.
 func headLength(b []byte) int {
-	for at := 0; ; {
-		i := bytes.IndexByte(b[at:], '\n')
+	for lineStart := 0; ; {
+		i := bytes.IndexByte(b[lineStart:], '\n')
 		if i < 0 {
 			return -1
 		}
-		if at > 0 && len(trimCR(b[at:at+i])) == 0 {
-			return at + i + 1
+		next := lineStart + i + 1
+		if lineStart > 0 && len(trimCR(b[lineStart:next-1])) == 0 {
+			return next
 		}
-		at += i + 1
+		lineStart = next
 	}
 }
 
 func trimCR(b []byte) []byte { return bytes.TrimSuffix(b, []byte("\r")) }
 
-func parseRequestLine(r *Request, line []byte) (target string, old bool, err error) {
+// parseLine parses a request line.
+func (r *Request) parseLine(line []byte) (target string, isHTTP10 bool, err error) {
 	words := strings.Split(string(line), " ")
 	if len(words) != 3 || !isToken([]byte(words[0])) || words[1] == "" {
 		return "", false, badRequest("the request line cannot be read")
@@ -120,141 +116,108 @@
 	switch words[2] {
 	case "HTTP/1.1":
 	case "HTTP/1.0":
-		old = true
+		isHTTP10 = true
 	default:
-		return "", false, &RequestError{505, "the version is not HTTP/1.1"}
+		return "", false, &RequestError{statusVersionUnsupported, "the version is not HTTP/1.1"}
 	}
 	r.Method = words[0]
-	return words[1], old, nil
+	return words[1], isHTTP10, nil
 }
 
-// parseField takes one header field; those that a lookup is made of may come once only.
-func (r *Request) parseField(name, v string, seen map[string]bool, host *bool) error {
-	switch name {
-	case "x-job-id", "x-allow-ms", "x-group", "x-ram-kb", "x-unique", "if-none-match", "host", "content-length":
-		if seen[name] {
-			return badRequest(name + " comes twice")
-		}
-		seen[name] = true
-	}
-	switch name {
-	case "host":
-		*host = true
-	case "x-job-id":
-		if !upstream.IsID(v) {
-			return badRequest("X-Job-Id is not 16 hex digits")
-		}
-		r.ID = v
-	case "x-allow-ms":
-		n, err := strconv.ParseFloat(v, 64)
-		if err != nil || math.IsNaN(n) || n > float64(maxTimeAllowed.Milliseconds()) || n < -1e12 {
-			return badRequest("X-Allow-Ms is not a time in milliseconds")
-		}
-		r.TimeAllowed = max(0, time.Duration(n*float64(time.Millisecond)))
-	case "x-group":
-		n, err := strconv.ParseUint(v, 10, 8)
-		if err != nil {
-			return badRequest("X-Group is not a number from 0 to 255")
-		}
-		r.Group = int(n)
-	case "x-ram-kb":
-		n, err := strconv.ParseFloat(v, 64)
-		if err != nil || !(n >= 0 && n <= 1e9) {
-			return badRequest("X-Ram-Kb is not a size")
-		}
-		r.SizeKB = n
-	case "x-unique":
-		if !upstream.IsName(v) || len(v) > maxIdempotencyKeyBytes {
-			return badRequest("X-Unique is not a word that can be passed on")
+// parseFields parses the header fields up to the empty line.
+func (r *Request) parseFields(lines []byte) (hasHost bool, err error) {
+	seen := map[string]bool{}
+	for n := 0; ; n++ {
+		var line []byte
+		line, lines, _ = bytes.Cut(lines, []byte("\n"))
+		line = trimCR(line)
+		if len(line) == 0 {
+			return seen[headerHost], nil
 		}
-		r.IdempotencyKey = v
-	case "if-none-match":
-		// One strong or weak tag that a cache's line can carry is passed on; anything else is as none.
-		tag := strings.TrimPrefix(v, "W/")
-		if len(tag) > 2 && tag[0] == '"' && tag[len(tag)-1] == '"' && upstream.IsName(tag[1:len(tag)-1]) {
-			r.ETag = tag[1 : len(tag)-1]
+		if n >= maxHeaderFields {
+			return false, &RequestError{statusHeadTooLarge, "too many header fields"}
 		}
-	case "content-length":
-		n, err := strconv.ParseUint(v, 10, 63)
-		if err != nil {
-			return badRequest("Content-Length is not a length")
+		name, value, ok := bytes.Cut(line, []byte(":"))
+		if !ok || !isToken(name) {
+			return false, badRequest("a header field cannot be read")
 		}
-		if n > upstream.MaxObjectBytes {
-			return badRequest("the body is too long")
+		text := string(bytes.Trim(value, " \t"))
+		if strings.ContainsFunc(text, isControl) {
+			return false, badRequest("a header value has control bytes")
 		}
-		r.BodyLength = int(n)
-	case "transfer-encoding":
-		return badRequest("the length of a body is told by Content-Length alone")
-	case "connection":
-		for _, o := range strings.Split(strings.ToLower(v), ",") {
-			switch strings.TrimSpace(o) {
-			case "close":
-				r.ClosesConn = true
-			case "keep-alive":
-				r.ClosesConn = seen["close"]
-			}
+		if err := r.parseField(strings.ToLower(string(name)), text, seen); err != nil {
+			return false, err
 		}
 	}
-	return nil
 }
 
-// parseTarget reads /ping or /call/KIND/OBJECT/part-N; a target without a part means part 0.
-func (r *Request) parseTarget(t string) error {
-	if i := strings.Index(t, "://"); i > 0 && !strings.HasPrefix(t, "/") {
-		if j := strings.IndexByte(t[i+3:], '/'); j >= 0 {
-			t = t[i+3+j:]
-		}
-	}
-	t, _, _ = strings.Cut(t, "?")
-	if t == "/ping" {
+func isControl(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f }
+
+// parseTarget parses /ping or /call/KIND/OBJECT/part-N; a target without a part means part 0.
+func (r *Request) parseTarget(target string) error {
+	path := pathOf(target)
+	if path == pathPing {
 		r.IsPing = true
 		return nil
 	}
-	parts := strings.Split(t, "/")
-	if len(parts) < 4 || len(parts) > 5 || parts[0] != "" || parts[1] != "call" {
-		return &RequestError{404, "no such target"}
+	parts := strings.Split(path, "/")
+	if len(parts) < 4 || len(parts) > 5 || parts[0] != "" || parts[1] != pathLookup {
+		return &RequestError{statusNotFound, "no such target"}
 	}
-	var ok1, ok2 bool
-	r.Kind, ok1 = unescape(parts[2])
-	r.Object, ok2 = unescape(parts[3])
-	if !ok1 || !ok2 || !upstream.IsName(r.Kind) || !upstream.IsName(r.Object) || len(r.Object) > 256 {
+	var okKind, okObject bool
+	r.Kind, okKind = unescape(parts[2])
+	r.Object, okObject = unescape(parts[3])
+	if !okKind || !okObject || !upstream.IsName(r.Kind) || !upstream.IsName(r.Object) || len(r.Object) > maxObjectNameBytes {
 		return badRequest("the target cannot be read")
 	}
 	if len(parts) == 5 {
-		last, ok := unescape(parts[4])
-		digits, found := strings.CutPrefix(last, "part-")
-		n, err := strconv.ParseUint(digits, 10, 31)
+		text, ok := unescape(parts[4])
+		digits, found := strings.CutPrefix(text, pathPartPrefix)
+		number, err := strconv.ParseUint(digits, 10, 31)
 		if !ok || !found || err != nil {
 			return badRequest("the part cannot be read")
 		}
-		r.Part = int(n)
+		r.Part = int(number)
 	}
 	return nil
 }
 
+// pathOf returns a target's path, without scheme, authority and query.
+func pathOf(target string) string {
+	if i := strings.Index(target, "://"); i > 0 && !strings.HasPrefix(target, "/") {
+		if j := strings.IndexByte(target[i+3:], '/'); j >= 0 {
+			target = target[i+3+j:]
+		}
+	}
+	path, _, _ := strings.Cut(target, "?")
+	return path
+}
+
+// unescape resolves the percent escapes of a path segment.
 func unescape(s string) (string, bool) {
 	if !strings.Contains(s, "%") {
 		return s, true
 	}
-	var out []byte
+	var unescaped []byte
 	for i := 0; i < len(s); i++ {
 		if s[i] != '%' {
-			out = append(out, s[i])
+			unescaped = append(unescaped, s[i])
 			continue
 		}
 		if i+2 >= len(s) {
 			return "", false
 		}
-		n, err := strconv.ParseUint(s[i+1:i+3], 16, 8)
+		value, err := strconv.ParseUint(s[i+1:i+3], 16, 8)
 		if err != nil {
 			return "", false
 		}
-		out = append(out, byte(n))
+		unescaped = append(unescaped, byte(value))
 		i += 2
 	}
-	return string(out), true
+	return string(unescaped), true
 }
 
+// isToken reports whether b is a token of HTTP, as methods and field names are.
 func isToken(b []byte) bool {
 	for _, c := range b {
 		if !(c >= '0' && c <= '9' || c >= 'A' && c <= 'Z' || c >= 'a' && c <= 'z' ||
--- a/internal/frontend/request_test.go
+++ b/internal/frontend/request_test.go
@@ -13,7 +13,7 @@
 const completeRequest = "GET /call/segment/7f3a/part-3 HTTP/1.1\r\nhOsT : x\r\nHost:\tbackend.local \r\n" +
 	"x-job-id:9b1f03aa5c7e2d41\r\nX-ALLOW-MS: 1500\r\nX-Group: 17\r\nX-Ram-Kb: 412.5\r\nIf-None-Match: \"4be0\"\r\n\r\n"
 
-func TestRequests(t *testing.T) {
+func TestRequestsWithoutBody(t *testing.T) {
 	good := strings.Replace(completeRequest, "hOsT : x\r\n", "", 1)
 	r, n, err := parseRequest([]byte(good + "GET"))
 	if want := (Request{Request: upstream.Request{Kind: "segment", Object: "7f3a", Part: 3, Group: 17, ID: "9b1f03aa5c7e2d41",
@@ -37,16 +37,16 @@
 		"a name that splits lines": strings.Replace(good, "7f3a", "7f%0d%0a3a", 1),
 		"a name that splits lists": strings.Replace(good, "7f3a", "7f,from=x", 1),
 		"two spaces":               strings.Replace(good, " HTTP", "  HTTP", 1),
-		"a part past all":          strings.Replace(good, "part-3", "part-99999999999", 1),
+		"a part out of range":      strings.Replace(good, "part-3", "part-99999999999", 1),
 	} {
-		var fault *RequestError
-		if _, _, err := parseRequest([]byte(text)); !errors.As(err, &fault) || fault.Status/100 != 4 {
+		var invalid *RequestError
+		if _, _, err := parseRequest([]byte(text)); !errors.As(err, &invalid) || invalid.Status/100 != 4 {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-func TestBodies(t *testing.T) {
+func TestRequestsWithBody(t *testing.T) {
 	put := strings.NewReplacer("hOsT : x\r\n", "", "GET", "PUT", "X-Group: 17", "Content-Length: 240000").Replace(completeRequest)
 	if r, n, err := parseRequest([]byte(put + "bytes")); err != nil || n != len(put) || r.BodyLength != 240000 || r.Method != "PUT" {
 		t.Errorf("%+v, %d, %v", r, n, err)
@@ -55,20 +55,20 @@
 		t.Errorf("%+v, %v", r, err)
 	}
 	for name, text := range map[string]string{
-		"known by no word":  strings.Replace(put, "Content", "X-Unique: a,from=x\r\nContent", 1),
-		"known by two":      strings.Replace(put, "Content", "X-Unique: a\r\nX-Unique: a\r\nContent", 1),
+		"a key of no name":  strings.Replace(put, "Content", "X-Unique: a,from=x\r\nContent", 1),
+		"two keys":          strings.Replace(put, "Content", "X-Unique: a\r\nX-Unique: a\r\nContent", 1),
 		"too long":          strings.Replace(put, "240000", "240001", 1),
-		"past all":          strings.Replace(put, "240000", "99999999999999999999", 1),
+		"out of range":      strings.Replace(put, "240000", "99999999999999999999", 1),
 		"negative":          strings.Replace(put, "240000", "-1", 1),
 		"signed":            strings.Replace(put, "240000", "+1", 1),
 		"chunks":            strings.Replace(put, "Content-Length: 240000", "Transfer-Encoding: chunked", 1),
 		"chunks besides":    strings.Replace(put, "240000", "3\r\nTransfer-Encoding: chunked", 1),
-		"told twice":        strings.Replace(put, "240000", "3\r\nContent-Length: 3", 1),
+		"given twice":       strings.Replace(put, "240000", "3\r\nContent-Length: 3", 1),
 		"with GET":          strings.Replace(put, "PUT", "GET", 1),
 		"with another verb": strings.Replace(put, "PUT", "POST", 1),
 	} {
-		var fault *RequestError
-		if _, _, err := parseRequest([]byte(text)); !errors.As(err, &fault) || fault.Status != 400 {
+		var invalid *RequestError
+		if _, _, err := parseRequest([]byte(text)); !errors.As(err, &invalid) || invalid.Status != 400 {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -260,9 +260,9 @@
 	links := upstream.NewPool(upstream.Config{Environment: calling, Lifetime: life, Settings: terms, Dispatcher: router, Registry: caches,
 		Purges: purges, MaxConns: held.Caches})
 	room := admission.NewController(g, lookups, bytes)
-	front := frontend.NewServer(g, terms, router, links, room, held.Clients)
+	front := frontend.NewServer(frontend.Config{Environment: g, Settings: terms, Dispatcher: router, Pool: links, Admission: room, Routes: routes,
+		MaxConns: held.Clients})
 	calling.evictIdle = func() bool { return front.EvictIdle() || links.EvictIdle() } // who waits for nothing goes first
-	front.Routes = routes
 	var doors []Service
 	if watch.NewServices != nil {
 		if doors, err = watch.NewServices(Dependencies{s.Name, g, terms, router, caches, purges, room, own, routes}); err != nil {
--- a/internal/lab/testbed/testbed.go
+++ b/internal/lab/testbed/testbed.go
@@ -77,7 +77,8 @@
 	lifetime := env.NewLifetime(nil)
 	b.Pool = upstream.NewPool(upstream.Config{Environment: gates, Lifetime: lifetime, Settings: parsed, Dispatcher: b.Dispatcher,
 		Registry: b.Registry, Purges: b.Purges, MaxConns: maxCacheConns})
-	b.Server = frontend.NewServer(gates, parsed, b.Dispatcher, b.Pool, admission.NewController(gates, maxLookups, MaxBytes), maxClients)
+	b.Server = frontend.NewServer(frontend.Config{Environment: gates, Settings: parsed, Dispatcher: b.Dispatcher, Pool: b.Pool,
+		Admission: admission.NewController(gates, maxLookups, MaxBytes), MaxConns: maxClients})
 	b.Server.SetReady()
 	b.startCaches()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
