--- /dev/null
+++ b/internal/discovery/apply.go
@@ -0,0 +1,173 @@
+package discovery
+
+import (
+	"encoding/json"
+	"fmt"
+	"strconv"
+
+	"foldslip/internal/dispatch"
+	"foldslip/internal/policy"
+	"foldslip/internal/store/endpoints"
+)
+
+// source is where an event comes from.
+type source int
+
+const (
+	fromSession source = iota
+	fromConfig         // the platform's configuration: events known at the start, whatever their numbers
+)
+
+// LoadKnown applies the events that the platform's configuration holds. Call it before Run.
+func (w *Watch) LoadKnown(text json.RawMessage) error {
+	var known struct {
+		LastEvent int64             `json:"no"`
+		Events    []json.RawMessage `json:"items"`
+	}
+	if err := json.Unmarshal(text, &known); err != nil {
+		return fmt.Errorf("known: %w", err)
+	}
+	for _, event := range known.Events {
+		if err := w.handleLine(event, fromConfig); err != nil {
+			return fmt.Errorf("known: %w", err)
+		}
+	}
+	w.LastEvent = known.LastEvent
+	return nil
+}
+
+// handleLine handles one line: an event, or only the number of the last one.
+func (w *Watch) handleLine(line []byte, from source) error {
+	if number, err := strconv.ParseInt(string(line), 10, 64); err == nil {
+		return w.handleNumber(number)
+	}
+	var e event
+	if err := json.Unmarshal(line, &e); err != nil {
+		return err
+	}
+	if e.Number == nil {
+		return errNoNumber
+	}
+	if e.Endpoints == nil && e.Purge == nil {
+		if *e.Number > w.LastEvent && from == fromSession {
+			return numberError(errGap, *e.Number, w.LastEvent)
+		}
+		return nil
+	}
+	if from == fromSession {
+		if isNext, err := e.checkNumber(w.LastEvent); !isNext {
+			return err
+		}
+	}
+	return w.apply(&e, from)
+}
+
+// handleNumber compares the number of the last event there is with the last one held.
+func (w *Watch) handleNumber(number int64) error {
+	if number > w.LastEvent {
+		return numberError(errGap, number, w.LastEvent)
+	}
+	if w.Reconciler.ObserveEventNumber(number, w.LastEvent) {
+		held := w.LastEvent
+		w.LastEvent = 0
+		return numberError(errRenumbered, number, held)
+	}
+	return nil
+}
+
+// apply has an event take effect everywhere. If its endpoints cannot be used, nothing of it does.
+func (w *Watch) apply(e *event, from source) error {
+	list, removed, err := w.parseEndpoints(e.Endpoints)
+	if err != nil {
+		return err
+	}
+	var purges []dispatch.Purge
+	if e.Purge != nil {
+		parsed, err := e.Purge.parse()
+		if err != nil {
+			return err
+		}
+		w.purges.Record(parsed.Object, parsed.Group, parsed.IssuedAt)
+		purges = append(purges, parsed)
+	}
+	if w.OnUpdate != nil {
+		w.OnUpdate(w.storedUpdate(e))
+	}
+	if e.Endpoints != nil {
+		w.Reconciler.KeepDraining(*e.Number, e.isComplete(), e.Endpoints.ids(), list)
+	}
+	w.dispatcher.Tick(list, e.isComplete(), purges)
+	w.forgetRemoved(e, removed)
+	w.LastEvent = *e.Number
+	if w.OnEvent != nil {
+		w.OnEvent(w.LastEvent, purges)
+	}
+	if w.Reconciler != nil {
+		w.Reconciler.Apply(w.storedUpdate(e))
+	}
+	if e.isComplete() && w.OnFirstList != nil && from == fromSession {
+		w.OnFirstList()
+		w.OnFirstList = nil
+	}
+	return nil
+}
+
+// parseEndpoints returns the endpoints of an event in the dispatcher's terms, and the ids of those that were removed. All of them must be
+// usable before any of their caches is registered.
+func (w *Watch) parseEndpoints(l *endpointList) (list []policy.Endpoint, removed []string, err error) {
+	if l == nil {
+		return nil, nil, nil
+	}
+	for i := range l.Endpoints {
+		parsed, err := l.Endpoints[i].parse(w.settings.Zones, w.settings.MachineTypes)
+		if err != nil {
+			return nil, nil, err
+		}
+		if parsed.State == policy.Gone {
+			removed = append(removed, l.Endpoints[i].ID)
+		}
+		list = append(list, parsed)
+	}
+	for i, m := range l.Endpoints {
+		list[i].Cache = w.registry.Register(m.ID, m.Addr).Policy
+	}
+	return list, removed, nil
+}
+
+func (l *endpointList) ids() []string {
+	ids := make([]string, len(l.Endpoints))
+	for i, m := range l.Endpoints {
+		ids[i] = m.ID
+	}
+	return ids
+}
+
+// forgetRemoved drops the caches that an event removed, or that its complete list does not name.
+func (w *Watch) forgetRemoved(e *event, removed []string) {
+	if e.isComplete() {
+		named := map[string]bool{}
+		for _, m := range e.Endpoints.Endpoints {
+			named[m.ID] = true
+		}
+		w.registry.Retain(named)
+	}
+	for _, id := range removed {
+		w.registry.Remove(id)
+	}
+}
+
+// storedUpdate returns an event in the terms of the stored list.
+func (w *Watch) storedUpdate(e *event) endpoints.Update {
+	update := endpoints.Update{LastEvent: w.LastEvent, DiscoveryAddr: w.currentAddr()}
+	if e.Purge != nil {
+		update.Purges = append(update.Purges, e.Purge.stored(w.env.Now()))
+	}
+	if e.Endpoints == nil {
+		return update
+	}
+	update.Complete = e.Endpoints.Complete
+	for i := range e.Endpoints.Endpoints {
+		update.Endpoints = append(update.Endpoints, e.Endpoints.Endpoints[i].stored())
+	}
+	return update
+}
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -22,6 +22,7 @@
 	"foldslip/internal/fleet/purgesync"
 	"foldslip/internal/fleet/transport"
 	"foldslip/internal/fleet/view"
+	"foldslip/internal/purgelog"
 	"foldslip/internal/route/rollout"
 )
 
@@ -38,7 +39,7 @@
 
 // joinFleet makes it; nil where the operators' settings name no fleet, as on the platform.
 func joinFleet(g env.Environment, own *config.Config, name string, seed uint64, routes *rollout.Controller, router *dispatch.Dispatcher,
-	bulletin *discovery.Watch) (*fleetService, error) {
+	bulletin *discovery.Watch, log *purgelog.Log) (*fleetService, error) {
 	if own.Fleet == nil {
 		return nil, nil
 	}
@@ -88,7 +89,7 @@
 	// heard brings purges that peers told first to where they count, as those of the own watch.
 	heard := func(purges []dispatch.Purge) {
 		for _, one := range purges {
-			bulletin.Purges.Record(one.Object, one.Group, one.IssuedAt)
+			log.Record(one.Object, one.Group, one.IssuedAt)
 		}
 		router.Tick(nil, false, purges)
 	}
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -222,7 +222,7 @@
 	purges := &purgelog.Log{Clock: g, Grace: time.Duration(terms.PurgeGrace) * time.Microsecond, Retention: time.Duration(terms.Router.PurgeSettleTime)*time.Microsecond + purgeRetentionSlack}
 	router := dispatch.New(g, seed, terms.Router, watch.Interceptor)
 	calling := &evictingEnv{Environment: g}
-	bulletin := discovery.NewWatch(calling, s.DiscoveryAddr, terms, router, caches, purges)
+	bulletin := discovery.NewWatch(discovery.Config{Environment: calling, Addr: s.DiscoveryAddr, Settings: terms, Dispatcher: router, Registry: caches, Purges: purges})
 	routes, err := openRoutes(g, own, terms, bulletin)
 	if err != nil {
 		return err
@@ -269,7 +269,7 @@
 			return err
 		}
 	}
-	fleet, err := joinFleet(g, own, s.Name, seed, routes, router, bulletin)
+	fleet, err := joinFleet(g, own, s.Name, seed, routes, router, bulletin, purges)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -57,7 +57,7 @@
 	h := &HollowGateway{Caches: &cacheregistry.Registry{}, lifetime: env.NewLifetime(nil), group: g.NewGroup()}
 	h.Purges = &purgelog.Log{Clock: g, Grace: time.Duration(terms.PurgeGrace) * time.Microsecond, Retention: time.Duration(terms.Router.PurgeSettleTime)*time.Microsecond + purgeSlack}
 	h.Router = dispatch.New(g, s.Seed, terms.Router, nil)
-	watch := discovery.NewWatch(g, s.DiscoveryAddr, terms, h.Router, h.Caches, h.Purges)
+	watch := discovery.NewWatch(discovery.Config{Environment: g, Addr: s.DiscoveryAddr, Settings: terms, Dispatcher: h.Router, Registry: h.Caches, Purges: h.Purges})
 	if err := watch.LoadKnown(s.Known); err != nil {
 		return nil, err
 	}
--- a/internal/lab/scale/real.go
+++ b/internal/lab/scale/real.go
@@ -70,7 +70,7 @@
 		for d.ScanKeyval() {
 			f[string(d.Key())] = string(d.Value())
 		}
-		if f["event"] != "bulletin_closed" {
+		if f["event"] != "discovery_closed" {
 			continue
 		}
 		if last, err = strconv.ParseInt(f["last"], 10, 64); err != nil {
