--- a/internal/frontend/lookup.go
+++ b/internal/frontend/lookup.go
@@ -120,8 +120,16 @@
 		l.ticket = ticket
 		scope = ticket.Scope()
 	}
-	deadline := l.arrivedAt.Add(l.request.TimeAllowed)
-	l.Dispatched = s.dispatcher.SubmitWithin(l.ID, l.kind, l.Object, l.Part, l.Group, l.request.SizeKB, deadline, scope, nil)
+	l.Dispatched = s.dispatcher.Submit(dispatch.Request{
+		ID:       l.ID,
+		Kind:     l.kind,
+		Object:   l.Object,
+		Part:     l.Part,
+		Group:    l.Group,
+		SizeKB:   l.request.SizeKB,
+		Deadline: l.arrivedAt.Add(l.request.TimeAllowed),
+		Scope:    scope,
+	})
 	if l.Dispatched == nil {
 		s.gate.Release()
 		l.endTicket(dispatch.StepFailed, false)
