--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -222,7 +222,7 @@
 	purges := &purgelog.Log{Clock: g, Grace: time.Duration(terms.PurgeGrace) * time.Microsecond, Retention: time.Duration(terms.Router.PurgeSettleTime)*time.Microsecond + purgeRetentionSlack}
 	router := dispatch.New(g, seed, terms.Router, watch.Interceptor)
 	calling := &evictingEnv{Environment: g}
-	bulletin := discovery.NewWatch(calling, s.DiscoveryAddr, terms, router, caches, purges)
+	bulletin := discovery.NewWatch(discovery.Config{Environment: calling, Addr: s.DiscoveryAddr, Settings: terms, Dispatcher: router, Registry: caches, Purges: purges})
 	routes, err := openRoutes(g, own, terms, bulletin)
 	if err != nil {
 		return err
@@ -257,18 +257,19 @@
 		lookups = min(lookups, max(1, int(s.Limits.MemoryMB*lookupsPerMB)))
 		bytes = int64(s.Limits.MemoryMB * bodyMemoryShare * (1 << 20))
 	}
-	links := upstream.NewPool(calling, life, terms, router, caches, purges, held.Caches)
+	links := upstream.NewPool(upstream.Config{Environment: calling, Lifetime: life, Settings: terms, Dispatcher: router, Registry: caches,
+		Purges: purges, MaxConns: held.Caches})
 	room := admission.NewController(g, lookups, bytes)
-	front := frontend.NewServer(g, terms, router, links, room, held.Clients)
+	front := frontend.NewServer(frontend.Config{Environment: g, Settings: terms, Dispatcher: router, Pool: links, Admission: room, Routes: routes,
+		MaxConns: held.Clients})
 	calling.evictIdle = func() bool { return front.EvictIdle() || links.EvictIdle() } // who waits for nothing goes first
-	front.Routes = routes
 	var doors []Service
 	if watch.NewServices != nil {
 		if doors, err = watch.NewServices(Dependencies{s.Name, g, terms, router, caches, purges, room, own, routes}); err != nil {
 			return err
 		}
 	}
-	fleet, err := joinFleet(g, own, s.Name, seed, routes, router, bulletin)
+	fleet, err := joinFleet(g, own, s.Name, seed, routes, router, bulletin, purges)
 	if err != nil {
 		return err
 	}
