--- a/internal/lab/ci/style_test.go
+++ b/internal/lab/ci/style_test.go
@@ -25,20 +25,15 @@
 	"internal/cli/extproccli",
 	"internal/cli/rigcli",
 	"internal/config",
-	"internal/discovery",
-	"internal/env",
 	"internal/extproc",
-	"internal/frontend",
 	"internal/gateway",
 	"internal/lab/fleet",
 	"internal/lab/scale",
 	"internal/lab/scenario",
 	"internal/lab/simenv",
-	"internal/lab/testbed",
 	"internal/limit",
 	"internal/route",
 	"internal/route/pools",
-	"internal/upstream",
 }
 
 // sourceFile is a parsed Go file that is no test.
