--- a/internal/lab/ci/style_test.go
+++ b/internal/lab/ci/style_test.go
@@ -39,7 +39,6 @@
 	"internal/lab/scenario",
 	"internal/lab/simenv",
 	"internal/lab/testbed",
-	"internal/limit",
 	"internal/policy",
 	"internal/retry",
 	"internal/route",
--- a/internal/limit/adaptive.go
+++ b/internal/limit/adaptive.go
@@ -5,66 +5,93 @@
 	"time"
 )
 
-// Adaptive finds how many lookups at once a pool bears, by what they take: the published gradient of the least time of late over the
-// time now. While answers take their least the limit grows by its root, which is room for a queue; as they slow it shrinks in
-// proportion; an answer lost for want of room cuts it by a tenth, once a round trip.
+const (
+	minLimit         = 4 // open lookups, whatever the latency
+	startShare       = 4 // the limit starts at the ceiling divided by this
+	smoothing        = 0.1
+	queueFreeRatio   = 1.5    // of the mean latency to the lowest one, up to which there is no queue
+	minGradient      = 0.5    // the limit shrinks to no less of itself for one sample's sake
+	upwardDrift      = 0.0005 // of the difference, for each sample
+	overloadFactor   = 0.9    // of the limit, after an overload
+	minReduceSpacing = 10 * time.Millisecond
+)
+
+// Adaptive finds how many lookups open at once a pool can take, by their latency: the published gradient of the lowest recent latency over the
+// present one. While the latency stays low the limit grows by its square root, which leaves room for a queue; as it rises the limit shrinks in
+// proportion. An overload cuts it by a tenth, at most once in a latency.
 type Adaptive struct {
 	ceiling     int
 	limit       float64
-	minLatency  float64 // seconds, of answers with few others out; drifts up so that a change for good is learnt
-	meanLatency float64 // mean of late
+	minLatency  float64 // seconds; drifts upwards, so that a lasting change is learnt
+	meanLatency float64 // seconds, of recent lookups
 	reducedAt   time.Time
 }
 
-const (
-	minLimit       = 4
-	smoothing      = 0.1    // of each answer in the mean
-	queueFreeRatio = 1.5    // times the least that is no sign of a queue
-	upwardDrift    = 0.0005 // of the difference, an answer
-	overloadFactor = 0.9
-)
+// Sample is a lookup that has ended.
+type Sample struct {
+	Latency    time.Duration
+	Open       int  // lookups that were open with it, itself included
+	IsSuccess  bool // others tell nothing of the latency
+	IsOverload bool // it was late or failed for want of capacity
+}
 
 // NewAdaptive starts at a quarter of the ceiling.
 func NewAdaptive(ceiling int) *Adaptive {
-	return &Adaptive{ceiling: ceiling, limit: max(minLimit, float64(ceiling)/4)}
+	return &Adaptive{ceiling: ceiling, limit: max(minLimit, float64(ceiling)/startShare)}
 }
 
 // SetCeiling sets another ceiling.
-func (a *Adaptive) SetCeiling(n int) { a.ceiling, a.limit = n, min(a.limit, float64(n)) }
+func (a *Adaptive) SetCeiling(ceiling int) {
+	a.ceiling = ceiling
+	a.limit = min(a.limit, float64(ceiling))
+}
 
-// Limit is how many may be out.
-func (a *Adaptive) Limit() int { return min(a.ceiling, max(min(minLimit, a.ceiling), int(a.limit))) }
+// Limit returns how many lookups may be open.
+func (a *Adaptive) Limit() int {
+	return min(a.ceiling, max(min(minLimit, a.ceiling), int(a.limit)))
+}
 
-// Latency is what a lookup takes of late.
+// Latency returns the mean latency of recent lookups, 0 before the first.
 func (a *Adaptive) Latency() time.Duration {
 	return time.Duration(a.meanLatency * float64(time.Second))
 }
 
-// Observe is a lookup that ended after a time with so many out. Those that brought no answer tell nothing of times.
-func (a *Adaptive) Observe(at time.Time, took time.Duration, out int, good, pressed bool) {
-	if pressed {
-		if at.Sub(a.reducedAt) >= max(a.Latency(), 10*time.Millisecond) {
-			a.reducedAt, a.limit = at, max(minLimit, a.limit*overloadFactor)
-		}
+// Observe takes a lookup that ended.
+func (a *Adaptive) Observe(now time.Time, sample Sample) {
+	if sample.IsOverload {
+		a.reduce(now)
 		return
 	}
-	s := took.Seconds()
-	if !good || s <= 0 {
+	seconds := sample.Latency.Seconds()
+	if !sample.IsSuccess || seconds <= 0 {
 		return
 	}
+	a.observeLatency(seconds)
+	if float64(sample.Open) < a.limit/2 {
+		return // too few to learn what more would do
+	}
+	gradient := min(1, max(minGradient, queueFreeRatio*a.minLatency/a.meanLatency))
+	target := a.limit*gradient + math.Sqrt(a.limit)
+	a.limit = min(float64(a.ceiling), max(minLimit, a.limit+(target-a.limit)/a.limit))
+}
+
+// reduce cuts the limit, unless it has just been cut: overloads come in groups.
+func (a *Adaptive) reduce(now time.Time) {
+	if now.Sub(a.reducedAt) >= max(a.Latency(), minReduceSpacing) {
+		a.reducedAt = now
+		a.limit = max(minLimit, a.limit*overloadFactor)
+	}
+}
+
+func (a *Adaptive) observeLatency(seconds float64) {
 	if a.meanLatency == 0 {
-		a.meanLatency, a.minLatency = s, s
+		a.meanLatency = seconds
+		a.minLatency = seconds
 	}
-	a.meanLatency += smoothing * (s - a.meanLatency)
-	if s < a.minLatency {
-		a.minLatency += smoothing * (s - a.minLatency)
+	a.meanLatency += smoothing * (seconds - a.meanLatency)
+	if seconds < a.minLatency {
+		a.minLatency += smoothing * (seconds - a.minLatency)
 	} else {
-		a.minLatency += upwardDrift * (s - a.minLatency)
-	}
-	if float64(out) < a.limit/2 {
-		return // too few to learn what more would do
+		a.minLatency += upwardDrift * (seconds - a.minLatency)
 	}
-	gradient := min(1, max(0.5, queueFreeRatio*a.minLatency/a.meanLatency))
-	next := a.limit*gradient + math.Sqrt(a.limit)
-	a.limit = min(float64(a.ceiling), max(minLimit, a.limit+(next-a.limit)/a.limit))
 }
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -1,9 +1,9 @@
-// Package limit says how much a pool, a route or a tenant may have at once and in a second: lookups, bytes, sends in flight, and further
-// sends. It does no I/O and keeps no clock: time goes in, and whether and when to come back comes out. What is refused is never held
-// back. State is carried over from one configuration to the next where the thing is the same (Set.Carry), so that no change refills a
-// bucket or forgets what is out.
+// Package limit bounds what a pool, a route or a tenant may have: lookups and bytes a second, lookups open at once, and retries. It does no I/O
+// and keeps no clock: time goes in, and whether a lookup is admitted or when to retry comes out. Nothing waits here. State is carried over from
+// one configuration to the next where the limited thing is the same (Set.Carry), so that no change refills a bucket or forgets what is open.
 //
-// Owner: whoever admits, under its lock. Bounds: one record a named thing, told by the configuration; tenants as admission.MaxClaimants.
+// Nothing in it is safe for concurrent use; the rollout controller holds its lock. It is bounded by the configuration, one Limit for each
+// thing that it names, and by admission.MaxClaimants for each.
 package limit
 
 import (
@@ -15,45 +15,20 @@
 	"foldslip/internal/admission"
 )
 
-// Spec are the limits of one thing. Zero is no limit.
+// Spec is the limits of one thing. Zero is no limit.
 type Spec struct {
-	LookupsPerSecond float64 // a second
-	BytesPerSecond   float64 // a second
-	MaxOpen          int     // lookups at once
-	Adaptive         bool    // Open is a ceiling, and less is allowed as answers slow
-	RetryRatio       float64 // further sends, as a part of first ones; below 0: none
-	FleetWide        bool    // Lookups, Bytes and Open are of all gateways together; here goes what a Lease gives
+	LookupsPerSecond float64
+	BytesPerSecond   float64
+	MaxOpen          int     // lookups open at once
+	Adaptive         bool    // MaxOpen is a ceiling, and fewer are allowed as responses slow down
+	RetryRatio       float64 // retries for each first attempt; below 0: none
+	FleetWide        bool    // the rates and MaxOpen are of all gateways together; this one admits what a Lease grants
 }
 
-// Amounts are the parts of a fleet's limit that may be let in here.
-type Amounts struct {
-	LookupsPerSecond, BytesPerSecond float64 // a second
-	MaxOpen                          int
-}
-
-// Lease is what may be let in here until a time, and after it, if no other has come by then: a process that stood still must not go on
-// with what it had borrowed.
-type Lease struct {
-	Granted, Fallback Amounts
-	ExpiresAt         time.Time
-}
-
-// Usage is what lookups wanted and what was let in since the limit was made, and how many are in.
-type Usage struct {
-	RequestedLookups, AdmittedLookups uint64 // lookups
-	RequestedBytes, AdmittedBytes     uint64
-	RequestedOpen, Open               int // at once, now
-}
-
-// leastBytes is what a gateway's part of a fleet's limit of bytes may be over at once: an object is never larger.
-const minFleetByteBurst = 240_000
-
-// Burst is how long a second's worth may be saved up.
-const BurstWindow = time.Second / 2
-
-// Reason is why something is refused.
+// Reason is why a lookup is rejected.
 type Reason string
 
+// Reasons are sent to clients and logged by these words.
 const (
 	Allowed            Reason = ""
 	LookupRateExceeded Reason = "lookups_a_second"
@@ -62,234 +37,206 @@
 	RetriesExceeded    Reason = "further_sends"
 )
 
-// Limit is the state of one thing.
+const (
+	// BurstWindow is how long a second's worth may be saved up.
+	BurstWindow = time.Second / 2
+
+	minLookupBurst = 1
+	minByteBurst   = 1 << 20
+
+	defaultRetryAfter = 100 * time.Millisecond // for open lookups, where latency is not measured
+	minRetryAfter     = time.Millisecond
+)
+
+// Limit is the state of one thing's limits.
 type Limit struct {
-	Name            string
-	spec            Spec
-	lookups         *rate.Limiter
-	bytes           *rate.Limiter
-	quotas          *admission.Quotas
-	adaptive        *Adaptive
-	retries         *RetryBudget
-	lease           Lease
-	isLeaseExpired  bool // the lease is over, and what holds after it is in force
-	usage           Usage
-	rejectedForOpen int // lookups turned away for want of places since Use was asked
-	Rejections      map[Reason]uint64
+	Name       string
+	Rejections map[Reason]uint64
+
+	spec     Spec
+	lookups  *rate.Limiter // nil: no limit, as those that follow
+	bytes    *rate.Limiter
+	quotas   *admission.Quotas // open lookups, divided among tenants
+	adaptive *Adaptive
+	retries  *RetryBudget
+	fleet    fleetState
 }
 
-// New makes a thing's limit.
-func New(now time.Time, name string, t Spec) *Limit {
+// New returns the limit of a thing.
+func New(now time.Time, name string, spec Spec) *Limit {
 	l := &Limit{Name: name, Rejections: map[Reason]uint64{}}
-	l.setSpec(now, t)
+	l.setSpec(now, spec)
 	return l
 }
 
-// setSpec puts terms in place and keeps what has been used.
-func (l *Limit) setSpec(now time.Time, t Spec) {
-	if t.FleetWide {
-		l.setFleetSpec(now, t)
+// Spec returns the limits that hold.
+func (l *Limit) Spec() Spec { return l.spec }
+
+// Open returns how many lookups are open.
+func (l *Limit) Open() int {
+	if l.quotas == nil {
+		return 0
+	}
+	return l.quotas.Open()
+}
+
+// setSpec changes the limits and keeps what has been used.
+func (l *Limit) setSpec(now time.Time, spec Spec) {
+	if spec.FleetWide {
+		l.setFleetSpec(now, spec)
 		return
 	}
-	l.lookups, l.bytes = resizeBucket(now, l.lookups, t.LookupsPerSecond, 1), resizeBucket(now, l.bytes, t.BytesPerSecond, 1<<20)
+	l.lookups = resizeBucket(now, l.lookups, spec.LookupsPerSecond, minLookupBurst)
+	l.bytes = resizeBucket(now, l.bytes, spec.BytesPerSecond, minByteBurst)
+	l.setMaxOpen(spec)
+	l.setRetryRatio(spec.RetryRatio)
+	l.spec = spec
+}
+
+func (l *Limit) setMaxOpen(spec Spec) {
 	switch {
-	case t.MaxOpen <= 0:
+	case spec.MaxOpen <= 0:
 		l.quotas = nil
 	case l.quotas == nil:
-		l.quotas = admission.NewQuotas(t.MaxOpen)
+		l.quotas = admission.NewQuotas(spec.MaxOpen)
 	default:
-		l.quotas.Resize(t.MaxOpen)
+		l.quotas.Resize(spec.MaxOpen)
 	}
 	switch {
-	case !t.Adaptive || t.MaxOpen <= 0:
+	case !spec.Adaptive || spec.MaxOpen <= 0:
 		l.adaptive = nil
 	case l.adaptive == nil:
-		l.adaptive = NewAdaptive(t.MaxOpen)
+		l.adaptive = NewAdaptive(spec.MaxOpen)
 	default:
-		l.adaptive.SetCeiling(t.MaxOpen)
+		l.adaptive.SetCeiling(spec.MaxOpen)
 	}
+}
+
+func (l *Limit) setRetryRatio(ratio float64) {
 	switch {
-	case t.RetryRatio == 0:
+	case ratio == 0:
 		l.retries = nil
 	case l.retries == nil:
-		l.retries = NewRetryBudget(max(0, t.RetryRatio))
+		l.retries = NewRetryBudget(max(0, ratio))
 	default:
-		l.retries.SetRatio(max(0, t.RetryRatio))
-	}
-	l.spec = t
-}
-
-// setFleetSpec puts terms of a whole fleet in place: nothing is let in before a lease says how much. What is not the fleet's stays.
-func (l *Limit) setFleetSpec(now time.Time, t Spec) {
-	own := t
-	own.FleetWide, own.LookupsPerSecond, own.BytesPerSecond, own.MaxOpen, own.Adaptive = false, 0, 0, 0, false
-	was, shared := l.lease, l.spec.FleetWide
-	if !shared {
-		was = Lease{}
-	}
-	lookups, bytes, open := l.lookups, l.bytes, l.quotas
-	l.setSpec(now, own)
-	empty := func(b *rate.Limiter, a float64) *rate.Limiter {
-		if a <= 0 {
-			return nil
-		}
-		if b == nil || !shared {
-			b = rate.NewLimiter(0, 0) // empty: what another process of this name used up is not there again
-		}
-		return b
-	}
-	l.lookups, l.bytes = empty(lookups, t.LookupsPerSecond), empty(bytes, t.BytesPerSecond)
-	if t.MaxOpen > 0 {
-		if l.quotas = open; open == nil {
-			l.quotas = admission.NewQuotas(0)
-		}
-	}
-	l.spec = t
-	l.SetLease(now, was)
-}
-
-// SetLease puts in place what may be let in here; for limits of the fleet only.
-func (l *Limit) SetLease(now time.Time, lease Lease) {
-	if !l.spec.FleetWide {
-		return
-	}
-	l.lease, l.isLeaseExpired = lease, false
-	l.setAmounts(now, lease.Granted)
-}
-
-func (l *Limit) setAmounts(now time.Time, a Amounts) {
-	rated := func(b *rate.Limiter, r, least float64) {
-		if b == nil || float64(b.Limit()) == r {
-			return
-		}
-		burst := 0
-		if r > 0 {
-			burst = int(max(least, r*BurstWindow.Seconds()))
-		}
-		b.SetLimitAt(now, rate.Limit(r))
-		b.SetBurstAt(now, burst)
-	}
-	rated(l.lookups, a.LookupsPerSecond, 1)
-	rated(l.bytes, a.BytesPerSecond, minFleetByteBurst)
-	if l.quotas != nil {
-		l.quotas.Resize(a.MaxOpen)
-	}
-}
-
-// Usage tells what was wanted, for who shares the fleet's limit out.
-func (l *Limit) Usage() Usage {
-	u := l.usage
-	if l.quotas != nil {
-		u.Open = l.quotas.Open()
+		l.retries.SetRatio(max(0, ratio))
 	}
-	u.RequestedOpen = u.Open + l.rejectedForOpen
-	l.rejectedForOpen = 0
-	return u
 }
 
-// Spec are those in place.
-func (l *Limit) Spec() Spec { return l.spec }
-
-// resizeBucket is a token bucket at a new rate: what had been used of the old one stays used.
-func resizeBucket(now time.Time, was *rate.Limiter, a, least float64) *rate.Limiter {
-	if a <= 0 {
+// resizeBucket returns a token bucket of another rate, nil for no limit. The part of the old one that had been used is used of the new one.
+func resizeBucket(now time.Time, before *rate.Limiter, perSecond, minBurst float64) *rate.Limiter {
+	if perSecond <= 0 {
 		return nil
 	}
-	burst := int(max(least, a*BurstWindow.Seconds()))
-	if was == nil {
-		return rate.NewLimiter(rate.Limit(a), burst)
+	burst := int(max(minBurst, perSecond*BurstWindow.Seconds()))
+	resized := rate.NewLimiter(rate.Limit(perSecond), burst)
+	if before == nil {
+		return resized
 	}
-	part := was.TokensAt(now) / float64(was.Burst())
-	b := rate.NewLimiter(rate.Limit(a), burst)
-	if spent := int(math.Ceil(float64(burst) * (1 - part))); spent > 0 {
-		b.AllowN(now, min(burst, spent))
+	left := before.TokensAt(now) / float64(before.Burst())
+	if used := int(math.Ceil(float64(burst) * (1 - left))); used > 0 {
+		resized.AllowN(now, min(burst, used))
 	}
-	return b
+	return resized
 }
 
-// Permit is one lookup that was let in; it ends once.
+// Permit is a lookup that was admitted. Release must be called at its end.
 type Permit struct {
 	limit      *Limit
-	claimant   *admission.Claimant
+	claimant   *admission.Claimant // nil: open lookups are not limited, or it was released
 	admittedAt time.Time
 }
 
-// Admit lets a lookup of a tenant in, or says why not and when to come back.
+// Admit admits a lookup of a tenant. If it is rejected there is no permit, but a reason and the time after which to retry.
 func (l *Limit) Admit(now time.Time, tenant string, weight float64, bytes int) (*Permit, Reason, time.Duration) {
-	t := &Permit{limit: l, admittedAt: now}
 	if l.spec.FleetWide {
-		if !l.isLeaseExpired && !now.Before(l.lease.ExpiresAt) {
-			l.isLeaseExpired = true
-			l.setAmounts(now, l.lease.Fallback)
-		}
-		l.usage.RequestedLookups++
-		l.usage.RequestedBytes += uint64(max(0, bytes))
+		l.expireLease(now)
+		l.fleet.usage.request(bytes)
 	}
-	if l.quotas != nil {
-		if l.adaptive != nil {
-			l.quotas.Resize(l.adaptive.Limit())
-		}
-		if t.claimant = l.quotas.Claimant(now, tenant, weight); !l.quotas.TryAcquire(now, t.claimant) {
-			l.rejectedForOpen++
-			return nil, l.reject(OpenExceeded), l.retryAfter(now)
-		}
+	permit := &Permit{limit: l, admittedAt: now}
+	if !l.acquireOpen(now, permit, tenant, weight) {
+		l.fleet.rejectedForOpen++
+		return nil, l.reject(OpenExceeded), l.openRetryAfter()
 	}
-	back := func(r Reason, b *rate.Limiter, n int) (*Permit, Reason, time.Duration) {
-		if t.claimant != nil {
-			l.quotas.Release(now, t.claimant)
-		}
-		if b.Limit() <= 0 { // nothing of the fleet's limit is here yet
-			return nil, l.reject(r), time.Second
-		}
-		missing := float64(min(n, b.Burst())) - b.TokensAt(now)
-		return nil, l.reject(r), max(time.Millisecond, time.Duration(missing/float64(b.Limit())*float64(time.Second)))
+	if reason, retryAfter := l.takeRates(now, bytes); reason != Allowed {
+		permit.releaseOpen(now)
+		return nil, l.reject(reason), retryAfter
+	}
+	if l.retries != nil {
+		l.retries.RecordFirstAttempt(now)
+	}
+	if l.spec.FleetWide {
+		l.fleet.usage.admit(bytes)
 	}
+	return permit, Allowed, 0
+}
+
+// acquireOpen takes one of the tenant's quota of open lookups, if they are limited.
+func (l *Limit) acquireOpen(now time.Time, permit *Permit, tenant string, weight float64) bool {
+	if l.quotas == nil {
+		return true
+	}
+	if l.adaptive != nil {
+		l.quotas.Resize(l.adaptive.Limit())
+	}
+	permit.claimant = l.quotas.Claimant(now, tenant, weight)
+	return l.quotas.TryAcquire(now, permit.claimant)
+}
+
+// takeRates takes a lookup and its bytes from their buckets, both or neither.
+func (l *Limit) takeRates(now time.Time, bytes int) (Reason, time.Duration) {
 	if l.bytes != nil && (l.bytes.Burst() == 0 || l.bytes.TokensAt(now) < float64(min(bytes, l.bytes.Burst()))) {
-		return back(ByteRateExceeded, l.bytes, bytes)
+		return ByteRateExceeded, bucketRetryAfter(now, l.bytes, bytes)
 	}
 	if l.lookups != nil && !l.lookups.AllowN(now, 1) {
-		return back(LookupRateExceeded, l.lookups, 1)
+		return LookupRateExceeded, bucketRetryAfter(now, l.lookups, 1)
 	}
 	if l.bytes != nil {
 		l.bytes.AllowN(now, min(bytes, l.bytes.Burst()))
 	}
-	if l.retries != nil {
-		l.retries.RecordFirstAttempt(now)
-	}
-	if l.spec.FleetWide {
-		l.usage.AdmittedLookups++
-		l.usage.AdmittedBytes += uint64(max(0, bytes))
-	}
-	return t, Allowed, 0
+	return Allowed, 0
 }
 
-func (l *Limit) reject(r Reason) Reason {
-	l.Rejections[r]++
-	return r
+// bucketRetryAfter returns when a bucket will have so many tokens.
+func bucketRetryAfter(now time.Time, bucket *rate.Limiter, tokens int) time.Duration {
+	if bucket.Limit() <= 0 { // no lease has granted any of the fleet's limit
+		return time.Second
+	}
+	missing := float64(min(tokens, bucket.Burst())) - bucket.TokensAt(now)
+	return max(minRetryAfter, time.Duration(missing/float64(bucket.Limit())*float64(time.Second)))
 }
 
-// retryAfter is when a place may be free: as long as lookups take of late.
-func (l *Limit) retryAfter(now time.Time) time.Duration {
+// openRetryAfter returns when an open lookup is likely to have ended: after the recent latency.
+func (l *Limit) openRetryAfter() time.Duration {
 	if l.adaptive != nil {
-		if took := l.adaptive.Latency(); took > 0 {
-			return took
+		if latency := l.adaptive.Latency(); latency > 0 {
+			return latency
 		}
 	}
-	return 100 * time.Millisecond
+	return defaultRetryAfter
+}
+
+func (l *Limit) reject(reason Reason) Reason {
+	l.Rejections[reason]++
+	return reason
 }
 
-// Release ends a lookup; good tells whether its answer came, bad whether it was late or failed for want of room.
-func (t *Permit) Release(now time.Time, good, pressed bool) {
-	if t.claimant != nil {
-		t.limit.quotas.Release(now, t.claimant)
-		t.claimant = nil
+func (p *Permit) releaseOpen(now time.Time) {
+	if p.claimant != nil {
+		p.limit.quotas.Release(now, p.claimant)
+		p.claimant = nil
 	}
-	if t.limit.adaptive != nil {
-		t.limit.adaptive.Observe(now, now.Sub(t.admittedAt), t.limit.quotas.Open()+1, good, pressed)
+}
+
+// Release ends the lookup: isSuccess if its response came, isOverload if it was late or failed for want of capacity.
+func (p *Permit) Release(now time.Time, isSuccess, isOverload bool) {
+	p.releaseOpen(now)
+	if p.limit.adaptive != nil {
+		p.limit.adaptive.Observe(now, Sample{Latency: now.Sub(p.admittedAt), Open: p.limit.quotas.Open() + 1, IsSuccess: isSuccess, IsOverload: isOverload})
 	}
 }
 
-// AllowRetry tells whether a further send of a lookup may go out now.
+// AllowRetry reports, by Allowed, whether a lookup may send one more attempt now.
 func (l *Limit) AllowRetry(now time.Time) Reason {
 	if l.retries == nil {
 		return Allowed
@@ -299,44 +246,3 @@
 	}
 	return Allowed
 }
-
-// Open is how many lookups are in.
-func (l *Limit) Open() int {
-	if l.quotas == nil {
-		return 0
-	}
-	return l.quotas.Open()
-}
-
-// Set is the limits of a configuration, by name.
-type Set struct{ byName map[string]*Limit }
-
-// NewSet makes the limits of the first configuration.
-func NewSet(now time.Time, terms map[string]Spec) *Set { return (&Set{}).Carry(now, terms) }
-
-// Carry makes the limits of the next configuration: a thing of the same name is the same thing. The set before it goes on for
-// the tickets that it gave out; what leaves there leaves here too, since both have the one record.
-func (s *Set) Carry(now time.Time, terms map[string]Spec) *Set {
-	next := &Set{byName: make(map[string]*Limit, len(terms))}
-	for name, t := range terms {
-		if l := s.byName[name]; l != nil {
-			l.setSpec(now, t)
-			next.byName[name] = l
-			continue
-		}
-		next.byName[name] = New(now, name, t)
-	}
-	return next
-}
-
-// EachFleetWide calls f for each limit of the fleet, by name.
-func (s *Set) EachFleetWide(f func(name string, l *Limit)) {
-	for name, l := range s.byName {
-		if l.spec.FleetWide {
-			f(name, l)
-		}
-	}
-}
-
-// Find is the limit of a name; nil: none.
-func (s *Set) Find(name string) *Limit { return s.byName[name] }
