--- a/client/caller.go
+++ b/client/caller.go
@@ -47,12 +47,12 @@
 
 // Decision is a send to make: once, now, to that cache.
 type Decision struct {
-	Attempt     int // of the lookup's sends, from 0
+	Attempt     int `json:"N"` // of the lookup's sends, from 0
 	Cache, Addr string
 	Source      string // where the cache fills a miss from; "": it does not
 	Rank        int
-	MaxAge      time.Duration // the oldest copy that will do; 0: the object kind's own
-	Timeout     time.Duration // how long to wait at most
+	MaxAge      time.Duration `json:"Oldest"` // the oldest copy that will do; 0: the object kind's own
+	Timeout     time.Duration `json:"Wait"`   // how long to wait at most
 	Mode        string        // as the caches' protocol has it
 	Route       string        // that it was decided by, and the version of the routes; "" and 0 where there are none
 	Version     uint64
--- a/client/frozen_test.go
+++ b/client/frozen_test.go
@@ -78,3 +78,14 @@
 	}
 	frozen.Equal(t, "answers.txt", []byte(got.String()))
 }
+
+// TestFrozenDecisionJSON holds the keys that foldslip-extproc ask --json prints of each decision; the file is what the build at 58d6067
+// printed of the same values.
+func TestFrozenDecisionJSON(t *testing.T) {
+	text, err := json.Marshal(Decision{Attempt: 3, Cache: "c0", Addr: "10.0.0.1:1", Source: "c1", Rank: 2, MaxAge: 25 * time.Millisecond,
+		Timeout: 1234567 * time.Microsecond, Mode: "j+h", Route: "films", Version: 7})
+	if err != nil {
+		t.Fatal(err)
+	}
+	frozen.Equal(t, "decision.json", append(text, '\n'))
+}
