--- /dev/null
+++ b/client/client_test.go
@@ -0,0 +1,26 @@
+package client
+
+import (
+	"errors"
+	"testing"
+
+	extprocv3 "github.com/envoyproxy/go-control-plane/envoy/service/ext_proc/v3"
+)
+
+// TestProtocolErrors checks that answers outside the contract can be told from failures of the connection.
+func TestProtocolErrors(t *testing.T) {
+	for name, mutation := range map[string]*extprocv3.HeaderMutation{
+		"no headers":           set(),
+		"no timeout":           set("x-foldslip-cache", "c0"),
+		"timeout not a number": set("x-foldslip-cache", "c0", "x-foldslip-wait-ms", "soon"),
+	} {
+		t.Run(name, func(t *testing.T) {
+			_, err := parseDecision(&extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_RequestHeaders{
+				RequestHeaders: &extprocv3.HeadersResponse{Response: &extprocv3.CommonResponse{HeaderMutation: mutation}}}})
+			var protocolError *ProtocolError
+			if !errors.As(err, &protocolError) || protocolError.Detail == "" {
+				t.Errorf("%v is no ProtocolError", err)
+			}
+		})
+	}
+}
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -12,7 +12,7 @@
 	"foldslip/client"
 )
 
-// A program that makes its sends over HTTP asks the door of the gateway beside it.
+// A program that carries out its attempts over HTTP looks an object up at the gateway beside it.
 func ExampleClient_Lookup() {
 	conn, err := grpc.NewClient("unix:/run/foldslip/door", grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
@@ -20,24 +20,27 @@
 		return
 	}
 	defer conn.Close()
-	header := http.Header{"X-Job-Id": {"9b1f03aa5c7e2d41"}, "X-Ram-Kb": {"420"}}
-	outcome, err := client.New(conn).Lookup(context.Background(), client.Request{Path: "/call/segment/7f3a9c21e0b4d655/part-3", Header: header},
-		func(ctx context.Context, d client.Decision) client.AttemptOutcome {
-			r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.Addr+"/7f3a9c21e0b4d655/part-3", nil)
-			if err != nil {
-				return client.AttemptOutcome{Word: "late"} // it never ran
-			}
-			answer, err := http.DefaultClient.Do(r)
-			if err != nil {
-				return client.AttemptOutcome{Word: "reset"} // it may have run
-			}
-			defer answer.Body.Close()
-			born, _ := time.Parse(http.TimeFormat, answer.Header.Get("Last-Modified"))
-			return client.AttemptOutcome{Word: "hit", CreatedAt: born, ETag: answer.Header.Get("ETag")}
-		})
+	request := client.Request{
+		Path:   "/call/segment/7f3a9c21e0b4d655/part-3",
+		Header: http.Header{"X-Job-Id": {"9b1f03aa5c7e2d41"}, "X-Ram-Kb": {"420"}},
+	}
+	fetch := func(ctx context.Context, decision client.Decision) client.AttemptOutcome {
+		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+decision.Addr+"/7f3a9c21e0b4d655/part-3", nil)
+		if err != nil {
+			return client.AttemptOutcome{Word: client.WordLate} // never sent
+		}
+		response, err := http.DefaultClient.Do(request)
+		if err != nil {
+			return client.AttemptOutcome{Word: client.WordReset} // may have run
+		}
+		defer response.Body.Close()
+		createdAt, _ := time.Parse(http.TimeFormat, response.Header.Get("Last-Modified"))
+		return client.AttemptOutcome{Word: client.WordHit, CreatedAt: createdAt, ETag: response.Header.Get("ETag")}
+	}
+	result, err := client.New(conn).Lookup(context.Background(), request, fetch)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	fmt.Println(outcome.Kind, outcome.RetryAfter)
+	fmt.Println(result.Kind, result.RetryAfter)
 }
--- a/client/frozen_test.go
+++ b/client/frozen_test.go
@@ -20,13 +20,13 @@
 // TestFrozenMessages compares the messages that the client sends with those that an earlier build sent.
 func TestFrozenMessages(t *testing.T) {
 	var got strings.Builder
-	for _, m := range []*extprocv3.HttpHeaders{
+	for _, message := range []*extprocv3.HttpHeaders{
 		requestHeaders(Request{Path: "/call/segment/o/part-0"}),
 		requestHeaders(Request{Method: "POST", Path: "/", Header: http.Header{"X-Job-Id": {"a1"}, "A": {"1", "2"}}}),
 		reportHeaders(AttemptOutcome{}),
 		reportHeaders(AttemptOutcome{Word: "valid", Note: "hit", SourceWait: 12345 * time.Microsecond, CreatedAt: time.UnixMilli(1700000000123), ETag: `"v1"`}),
 	} {
-		text, err := protojson.Marshal(m)
+		text, err := protojson.Marshal(message)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -39,15 +39,18 @@
 	frozen.Equal(t, "messages.txt", []byte(got.String()))
 }
 
+// set returns a mutation that sets headers, given as names and values in turn.
+func set(pairs ...string) *extprocv3.HeaderMutation {
+	mutation := &extprocv3.HeaderMutation{}
+	for i := 0; i < len(pairs); i += 2 {
+		header := &corev3.HeaderValue{Key: pairs[i], RawValue: []byte(pairs[i+1])}
+		mutation.SetHeaders = append(mutation.SetHeaders, &corev3.HeaderValueOption{Header: header})
+	}
+	return mutation
+}
+
 // TestFrozenAnswers reads the answers of a gateway as an earlier build read them.
 func TestFrozenAnswers(t *testing.T) {
-	set := func(all ...string) *extprocv3.HeaderMutation {
-		m := &extprocv3.HeaderMutation{}
-		for i := 0; i < len(all); i += 2 {
-			m.SetHeaders = append(m.SetHeaders, &corev3.HeaderValueOption{Header: &corev3.HeaderValue{Key: all[i], RawValue: []byte(all[i+1])}})
-		}
-		return m
-	}
 	var got strings.Builder
 	for _, mutation := range []*extprocv3.HeaderMutation{
 		set("x-foldslip-cache", "c0", "x-foldslip-addr", "10.0.0.1:1", "x-foldslip-send", "3", "x-foldslip-source", "c1", "x-foldslip-rank", "2", "x-foldslip-oldest-ms", "25",
@@ -57,24 +60,25 @@
 		set("x-foldslip-cache", "c0", "x-foldslip-wait-ms", "soon"),
 		set(),
 	} {
-		d, err := parseDecision(&extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_RequestHeaders{RequestHeaders: &extprocv3.HeadersResponse{
+		decision, err := parseDecision(&extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_RequestHeaders{RequestHeaders: &extprocv3.HeadersResponse{
 			Response: &extprocv3.CommonResponse{HeaderMutation: mutation}}}})
-		fmt.Fprintf(&got, "send %d cache %q addr %q source %q rank %d oldest %v wait %v mode %q route %q version %d: read %v\n", d.Attempt, d.Cache, d.Addr, d.Source, d.Rank, d.MaxAge, d.Timeout,
-			d.Mode, d.Route, d.Version, err == nil)
+		fmt.Fprintf(&got, "send %d cache %q addr %q source %q rank %d oldest %v wait %v mode %q route %q version %d: read %v\n", decision.Attempt, decision.Cache,
+			decision.Addr, decision.Source, decision.Rank, decision.MaxAge, decision.Timeout, decision.Mode, decision.Route, decision.Version, err == nil)
 	}
-	for _, i := range []*extprocv3.ImmediateResponse{
+	for _, response := range []*extprocv3.ImmediateResponse{
 		{Status: &typev3.HttpStatus{Code: 503}, Body: []byte("nacked\n"), Headers: set("x-wait-ms", "1500")},
 		{Status: &typev3.HttpStatus{Code: 503}, Body: []byte("ask again\n"), Headers: set("x-foldslip-again", "1")},
 		{Status: &typev3.HttpStatus{Code: 502}, Body: []byte("failed\n")},
 		{Status: &typev3.HttpStatus{Code: 409}, Body: []byte("this lookup has been answered\n")},
 		{},
 	} {
-		o := Result{Attempts: []Decision{{}}}
-		again := o.readEnd(i)
-		fmt.Fprintf(&got, "again %v result %d %v status %d text %q wait %v sends %d\n", again, o.Kind, o.Kind, o.Status, o.Text, o.RetryAfter, len(o.Attempts))
+		result := Result{Attempts: []Decision{{}}}
+		again := result.readEnd(response)
+		fmt.Fprintf(&got, "again %v result %d %v status %d text %q wait %v sends %d\n", again, result.Kind, result.Kind, result.Status, result.Text,
+			result.RetryAfter, len(result.Attempts))
 	}
-	for r := ResultKind(0); r <= Refused; r++ {
-		fmt.Fprintf(&got, "result %d %v\n", r, r)
+	for kind := ResultKind(0); kind <= Refused; kind++ {
+		fmt.Fprintf(&got, "result %d %v\n", kind, kind)
 	}
 	frozen.Equal(t, "answers.txt", []byte(got.String()))
 }
