--- a/internal/telemetry/frozen_test.go
+++ b/internal/telemetry/frozen_test.go
@@ -22,18 +22,18 @@
 	exporter := tracetest.NewInMemoryExporter()
 	tracer := New(Options{Share: 1, Name: "n0"}, sdk.WithSyncer(exporter))
 	edge, parent := &policy.Cache{Name: "c0"}, &policy.Cache{Name: "p0"}
-	routed := &rollout.Ticket{Version: 7}
-	routed.Decision.Route = "films"
+	ticket := &rollout.Ticket{Version: 7}
+	ticket.Decision.Route = "films"
 	for _, end := range []dispatch.Step{{Kind: dispatch.StepSatisfied}, {Kind: dispatch.StepRejected, RetryAfter: 2500}, {Kind: dispatch.StepFailed}, {Kind: dispatch.StepClientGone}} {
-		lk := &retry.Lookup{Object: "o", Group: 3, Request: &route.Lookup{ID: "a1", Part: 2, KB: 12.5}, Ticket: routed}
-		tracer.LookupStarted(lk, headers("", 0))
-		tracer.StepDecided(lk, dispatch.Step{Kind: dispatch.StepFetch, Attempt: 0, FetchRequest: policy.FetchRequest{Cache: edge, Source: parent, Rank: 3, Timeout: 99}})
-		tracer.StepDecided(lk, dispatch.Step{Kind: dispatch.StepCancel, Attempt: 0})
-		for how := policy.OutcomeSatisfied; how <= policy.OutcomeMiss; how++ {
-			tracer.StepDecided(lk, dispatch.Step{Kind: dispatch.StepFetch, Attempt: int(how), FetchRequest: policy.FetchRequest{Cache: edge, Source: edge}})
-			tracer.AttemptEnded(lk, retry.Report{Lookup: lk, Attempt: int(how), Outcome: how, Detail: policy.DetailStale})
+		lookup := &retry.Lookup{Object: "o", Group: 3, Request: &route.Lookup{ID: "a1", Part: 2, KB: 12.5}, Ticket: ticket}
+		tracer.LookupStarted(lookup, headers("", 0))
+		tracer.StepDecided(lookup, dispatch.Step{Kind: dispatch.StepFetch, Attempt: 0, FetchRequest: policy.FetchRequest{Cache: edge, Source: parent, Rank: 3, Timeout: 99}})
+		tracer.StepDecided(lookup, dispatch.Step{Kind: dispatch.StepCancel, Attempt: 0})
+		for outcome := policy.OutcomeSatisfied; outcome <= policy.OutcomeMiss; outcome++ {
+			tracer.StepDecided(lookup, dispatch.Step{Kind: dispatch.StepFetch, Attempt: int(outcome), FetchRequest: policy.FetchRequest{Cache: edge, Source: edge}})
+			tracer.AttemptEnded(lookup, retry.Report{Lookup: lookup, Attempt: int(outcome), Outcome: outcome, Detail: policy.DetailStale})
 		}
-		tracer.StepDecided(lk, end)
+		tracer.StepDecided(lookup, end)
 	}
 	tracer.LookupStarted(&retry.Lookup{}, headers("", 0))
 	var got strings.Builder
