--- a/internal/lab/ci/style_test.go
+++ b/internal/lab/ci/style_test.go
@@ -30,9 +30,7 @@
 	"internal/lab/scale",
 	"internal/lab/scenario",
 	"internal/lab/simenv",
-	"internal/limit",
 	"internal/route",
-	"internal/route/pools",
 }
 
 // sourceFile is a parsed Go file that is no test.
