--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -57,7 +57,7 @@
 	h := &HollowGateway{Caches: &cacheregistry.Registry{}, lifetime: env.NewLifetime(nil), group: g.NewGroup()}
 	h.Purges = &purgelog.Log{Clock: g, Grace: time.Duration(terms.PurgeGrace) * time.Microsecond, Retention: time.Duration(terms.Router.PurgeSettleTime)*time.Microsecond + purgeSlack}
 	h.Router = dispatch.New(g, s.Seed, terms.Router, nil)
-	watch := discovery.NewWatch(g, s.DiscoveryAddr, terms, h.Router, h.Caches, h.Purges)
+	watch := discovery.NewWatch(discovery.Config{Environment: g, Addr: s.DiscoveryAddr, Settings: terms, Dispatcher: h.Router, Registry: h.Caches, Purges: h.Purges})
 	if err := watch.LoadKnown(s.Known); err != nil {
 		return nil, err
 	}
@@ -87,7 +87,8 @@
 	defer h.lifetime.OnEnd(end.Notify)()
 	chance := rand.New(rand.NewPCG(s.Seed, 0x6c6f6f6b))
 	for n := 0; !end.Wait(time.Duration(chance.ExpFloat64() / s.LookupsPerSecond * float64(time.Second))); n++ {
-		l := h.Router.Submit(fmt.Sprintf("%016x", n), 0, fmt.Sprintf("%016x", chance.Uint64N(1000)), 0, 0, 449, g.Now().Add(terms.LatencyBudget(0, 449)))
+		l := h.Router.Submit(dispatch.Request{ID: fmt.Sprintf("%016x", n), Object: fmt.Sprintf("%016x", chance.Uint64N(1000)), SizeKB: 449,
+			Deadline: g.Now().Add(terms.LatencyBudget(0, 449))})
 		for l != nil {
 			step := h.Router.WaitStep(l)
 			if step.Kind == dispatch.StepFetch {
--- a/internal/lab/scenario/day.go
+++ b/internal/lab/scenario/day.go
@@ -192,7 +192,7 @@
 		key += " " + noteMode(rest)
 	}
 	d.reasons[key]++
-	if t := d.hooks.routeTrial; t != nil && name == "routes" && strings.Contains(rest, "stage=undone") && t.RolledBackAfter == 0 {
+	if t := d.hooks.routeTrial; t != nil && name == "route_change_step" && strings.Contains(rest, "stage=undone") && t.RolledBackAfter == 0 {
 		t.RolledBackAfter = d.sim.Now() - t.startedAt
 	}
 	if level >= slog.LevelWarn || name == "module" || name == "reread" {
@@ -206,8 +206,8 @@
 // noteMode is a module's note without its names and figures.
 func noteMode(note string) string {
 	note = strings.TrimPrefix(note, "note=")
-	for _, m := range []string{"out: unreachable", "out: errors", "out: silent", "out: fills fail", "out: lags",
-		"back after", "fills pressed", "overload true", "overload false"} {
+	for _, m := range []string{"ejected: unreachable", "ejected: errors", "ejected: silent", "ejected: fills fail", "ejected: slow",
+		"readmitted after", "fills pressed", "overload true", "overload false"} {
 		if strings.Contains(note, m) {
 			return m
 		}
--- a/internal/lab/scenario/plant.go
+++ b/internal/lab/scenario/plant.go
@@ -146,11 +146,11 @@
 	changeScope func(s *policy.Scope) *policy.Scope
 }
 
-func (t *moduleInterceptor) SetNextScope(s *policy.Scope) {
-	if t.changeScope != nil {
-		s = t.changeScope(s)
+func (t *moduleInterceptor) StartLookup(now policy.Micros, arrival policy.Arrival) *policy.Lookup {
+	if t.changeScope != nil && arrival.Scope != nil {
+		arrival.Scope = t.changeScope(arrival.Scope)
 	}
-	t.Router.SetNextScope(s)
+	return t.Router.StartLookup(now, arrival)
 }
 
 func (t *moduleInterceptor) UpdateEndpoints(now policy.Micros, what policy.UpdateKind, rows []policy.Endpoint) {
@@ -166,26 +166,25 @@
 	}
 }
 
-func (t *moduleInterceptor) AttemptEnded(now policy.Micros, lk *policy.Lookup, n int, e policy.AttemptOutcome, remark policy.OutcomeDetail, took,
-	waited policy.Micros, closed bool) {
+func (t *moduleInterceptor) AttemptEnded(now policy.Micros, lk *policy.Lookup, report policy.AttemptReport) {
 	if t.passEnded == nil || t.passEnded() {
-		t.Router.AttemptEnded(now, lk, n, e, remark, took, waited, closed)
+		t.Router.AttemptEnded(now, lk, report)
 	}
 }
 
 // executorInterceptor stands before the facade: it does what the module asks for, but for what a plant replaces.
 type executorInterceptor struct {
 	policy.Executor
-	fetch  func(h policy.Executor, lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.FetchMode, patience, hush, oldest policy.Micros)
+	fetch  func(h policy.Executor, lk *policy.Lookup, request policy.FetchRequest)
 	reject func(h policy.Executor, lk *policy.Lookup, in policy.Micros)
 }
 
-func (s *executorInterceptor) Fetch(lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.FetchMode, patience, hush, oldest policy.Micros) {
+func (s *executorInterceptor) Fetch(lk *policy.Lookup, request policy.FetchRequest) {
 	if s.fetch != nil {
-		s.fetch(s.Executor, lk, to, source, rank, how, patience, hush, oldest)
+		s.fetch(s.Executor, lk, request)
 		return
 	}
-	s.Executor.Fetch(lk, to, source, rank, how, patience, hush, oldest)
+	s.Executor.Fetch(lk, request)
 }
 
 func (s *executorInterceptor) Reject(lk *policy.Lookup, in policy.Micros) {
@@ -361,18 +360,18 @@
 			}}
 		})},
 		"doubled_send": {"a side-effecting send goes out twice", interceptExecutor(func(_ *Scenario, s *executorInterceptor) {
-			s.fetch = func(h policy.Executor, lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.FetchMode, patience, hush, oldest policy.Micros) {
-				h.Fetch(lk, to, source, rank, how, patience, hush, oldest)
-				if oldest == 0 && rank == 0 && how == 0 {
-					h.Fetch(lk, to, source, rank, how, patience, hush, oldest)
+			s.fetch = func(h policy.Executor, lk *policy.Lookup, request policy.FetchRequest) {
+				h.Fetch(lk, request)
+				if request.MaxAge == 0 && request.Rank == 0 && request.Mode == 0 {
+					h.Fetch(lk, request)
 				}
 			}
 		})},
 		"two_at_once": {"an idempotent send goes out twice at once", interceptExecutor(func(d *Scenario, s *executorInterceptor) {
-			s.fetch = func(h policy.Executor, lk *policy.Lookup, to, source *policy.Cache, rank int, how policy.FetchMode, patience, hush, oldest policy.Micros) {
-				h.Fetch(lk, to, source, rank, how, patience, hush, oldest)
-				if rank > 0 && d.randN(40) == 0 {
-					h.Fetch(lk, to, source, rank, how, patience, hush, oldest)
+			s.fetch = func(h policy.Executor, lk *policy.Lookup, request policy.FetchRequest) {
+				h.Fetch(lk, request)
+				if request.Rank > 0 && d.randN(40) == 0 {
+					h.Fetch(lk, request)
 				}
 			}
 		})},
