--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -78,7 +78,7 @@
 // recoverFault, when deferred, keeps a panic of the router from ending the gateway: the lookup concerned runs into its deadline.
 func (d *Dispatcher) recoverFault() {
 	if p := recover(); p != nil {
-		d.environment.Log().Error("module_fault", "text", fmt.Sprint(p), "stack", string(debug.Stack()))
+		d.environment.Log().Error("policy_fault", "text", fmt.Sprint(p), "stack", string(debug.Stack()))
 	}
 }
 
--- a/internal/dispatch/executor.go
+++ b/internal/dispatch/executor.go
@@ -54,4 +54,4 @@
 func (e *executor) SubscribeEndpoints(bool) {}
 
 // Log writes a line of the router's.
-func (e *executor) Log(line string) { e.environment.Log().Info("module", "note", line) }
+func (e *executor) Log(line string) { e.environment.Log().Info("policy", "note", line) }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -126,7 +126,7 @@
 	go func() { s.ended <- s.cmd.Wait() }()
 	t.Cleanup(func() {
 		s.cmd.Process.Kill()
-		for _, bad := range []string{"DATA RACE", "event=module_fault", "panic:"} {
+		for _, bad := range []string{"DATA RACE", "event=policy_fault", "panic:"} {
 			if strings.Contains(s.out.String(), bad) {
 				t.Errorf("%s in the log", bad)
 			}
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -115,7 +115,7 @@
 		p.ready = true
 		p.mu.Unlock()
 	}
-	if !strings.Contains(text, "event=fleet_") && !strings.Contains(text, "event=module_fault") {
+	if !strings.Contains(text, "event=fleet_") && !strings.Contains(text, "event=policy_fault") {
 		return
 	}
 	d := logfmt.NewDecoder(strings.NewReader(text))
@@ -127,8 +127,8 @@
 	}
 	p.mu.Lock()
 	switch f["event"] {
-	case "module_fault":
-		p.crashed = p.name + ": module_fault"
+	case "policy_fault":
+		p.crashed = p.name + ": policy_fault"
 	case "fleet_member":
 		was := p.view.live[f["name"]]
 		switch f["state"] {
--- a/internal/lab/scenario/day.go
+++ b/internal/lab/scenario/day.go
@@ -188,17 +188,17 @@
 		why, _, _ := strings.Cut(after, " ")
 		key += " " + why
 	}
-	if name == "module" {
+	if name == "policy" {
 		key += " " + noteMode(rest)
 	}
 	d.reasons[key]++
 	if t := d.hooks.routeTrial; t != nil && name == "route_change_step" && strings.Contains(rest, "stage=undone") && t.RolledBackAfter == 0 {
 		t.RolledBackAfter = d.sim.Now() - t.startedAt
 	}
-	if level >= slog.LevelWarn || name == "module" || name == "reread" {
+	if level >= slog.LevelWarn || name == "policy" || name == "reread" {
 		d.record("%s %s", p.Name, line)
 	}
-	if name == "module_fault" {
+	if name == "policy_fault" {
 		d.checker.violated("crash", "%s: %s", p.Name, line)
 	}
 }
