--- a/internal/policy/queue_test.go
+++ b/internal/policy/queue_test.go
@@ -40,7 +40,7 @@
 }
 
 // A stale copy is better than none.
-func TestStaleCopies(t *testing.T) {
+func TestStaleObjects(t *testing.T) {
 	t.Run("before a miss is given up one attempt takes a copy within its grace, past no purge", func(t *testing.T) {
 		for _, purged := range []bool{false, true} {
 			f, _ := newFixture(t, func(s *Settings) { s.Kinds[1].StaleGrace = 20 * second })
--- a/internal/policy/silence_test.go
+++ b/internal/policy/silence_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A silent cache is told from a slow one.
+// A silent cache is not a slow one.
 func TestSilentCaches(t *testing.T) {
 	t.Run("a silent cache is ejected for unanswered attempts, and a probe readmits it", func(t *testing.T) {
 		f, caches := newFixture(t, nil)
