--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -232,7 +232,7 @@
 	if err == nil {
 		return ""
 	}
-	w.env.Log().Warn("discovery_event_invalid", "text", err.Error(), "last", w.LastEvent)
+	w.env.Log().Warn("discovery_event_invalid", "error", err.Error(), "last", w.LastEvent)
 	switch {
 	case errors.Is(err, errGap):
 		return "gap"
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -149,7 +149,7 @@
 		default:
 			if s.env.Now().Sub(lastLogged) > acceptLogInterval {
 				lastLogged = s.env.Now()
-				s.env.Log().Warn("accept_failed", "text", err.Error())
+				s.env.Log().Warn("accept_failed", "error", err.Error())
 			}
 			if !s.waitToAccept(err, stop) {
 				return nil
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -19,106 +19,135 @@
 	"foldslip/internal/env"
 )
 
-// runHere starts a gateway in this process.
-var runHere = func() error { return Run(env.NewSystem(io.Discard, slog.LevelInfo), Hooks{}) }
+const (
+	benchEndpoints      = 10000
+	benchChangeInterval = 10 * time.Millisecond
+)
+
+// benchConfig is the gateway's configuration with its own address, discovery's, and a cache's.
+const benchConfig = `{"name":"n0","listen":%q,"seed":"1","bulletin":%q,"limits":{"memory_mb":192,"sockets":512},"settings":
+{"areas":["town","far"],"balancers":1,"machine_types":["edge","parent","origin"],"ceilings":{"cancelling":true,"try_limit":6},
+"classes":[{"name":"segment","aim":400000,"deadline":5000000,"effect":"idempotent","points":1}],
+"specifics":{"parent_kind":1,"source_kind":2,"flow_kb_per_s":100000,"max_age":[0],"grace_for":[0],"pass_on":[false],"seats_by_zone":[1]}},
+"known":{"no":1,"items":[{"no":1,"roster":{"complete":true,"members":[
+{"id":"c0","host_port":%q,"locality":"town","flavor":"edge","phase":"up"},
+{"id":"c1","host_port":"127.0.0.1:1","locality":"town","flavor":"origin","phase":"up"}]}}]}}`
 
-// BenchmarkLookup is a lookup through a gateway on loopback, client and cache in the same process. It holds CPU time and
+// benchSetup is what a gateway of a benchmark has to do besides lookups.
+type benchSetup struct {
+	storesList bool // on disk, at two synced writes a second
+	hasChanges bool // of a list of benchEndpoints, each benchChangeInterval
+}
+
+// BenchmarkLookup is a lookup through a gateway on loopback, client and cache in the same process. It measures processor time and
 // allocations of a lookup: both count the stand-ins too, which stay the same.
-func BenchmarkLookup(b *testing.B) { lookups(b, false) }
+func BenchmarkLookup(b *testing.B) { benchmarkLookups(b, benchSetup{}) }
 
-// BenchmarkLookupWithSnapshots is the same while a list of 10,000 caches is kept on disk, with 100 changes a second, two synced
-// writes a second.
-func BenchmarkLookupWithSnapshots(b *testing.B) { lookups(b, true) }
+// BenchmarkLookupWithSnapshots is the same while a list of 10,000 caches is stored, with 100 changes a second.
+func BenchmarkLookupWithSnapshots(b *testing.B) {
+	benchmarkLookups(b, benchSetup{storesList: true, hasChanges: true})
+}
 
-// BenchmarkLookupChanges has the changes and keeps no list: what they cost without it.
-func BenchmarkLookupChanges(b *testing.B) { lookups(b, false, true) }
+// BenchmarkLookupChanges has the changes and stores no list: what they cost without it.
+func BenchmarkLookupChanges(b *testing.B) { benchmarkLookups(b, benchSetup{hasChanges: true}) }
 
-func lookups(b *testing.B, kept bool, changes ...bool) {
-	born := time.Now()
-	cache := must(standin.NewCache("127.0.0.1:0", func(d standin.Request) { d.Hit(born, "hit", "bytes") }))
-	bulletin := must(standin.NewDiscovery("127.0.0.1:0", 1))
+func benchmarkLookups(b *testing.B, setup benchSetup) {
+	createdAt := time.Now()
+	cache := must(standin.NewCache("127.0.0.1:0", func(request standin.Request) { request.Hit(createdAt, "hit", "bytes") }))
+	discovery := must(standin.NewDiscovery("127.0.0.1:0", 1))
 	addr := freeAddr()
-	settings := `{"areas":["town","far"],"balancers":1,"machine_types":["edge","parent","origin"],"ceilings":{"cancelling":true,"try_limit":6},
-"classes":[{"name":"segment","aim":400000,"deadline":5000000,"effect":"idempotent","points":1}],
-"specifics":{"parent_kind":1,"source_kind":2,"flow_kb_per_s":100000,"max_age":[0],"grace_for":[0],"pass_on":[false],"seats_by_zone":[1]}}`
 	path := filepath.Join(b.TempDir(), "config.json")
-	text := fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"1","bulletin":%q,"limits":{"memory_mb":192,"sockets":512},"settings":%s,
-"known":{"no":1,"items":[{"no":1,"roster":{"complete":true,"members":[
-{"id":"c0","host_port":%q,"locality":"town","flavor":"edge","phase":"up"},
-{"id":"c1","host_port":"127.0.0.1:1","locality":"town","flavor":"origin","phase":"up"}]}}]}}`, addr, bulletin.Addr, settings, cache.Addr)
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(path, fmt.Appendf(nil, benchConfig, addr, discovery.Addr, cache.Addr), 0o600); err != nil {
 		b.Fatal(err)
 	}
 	b.Setenv("ROUTER_CONFIG", path)
-	if kept {
-		own := filepath.Join(b.TempDir(), "own.jsonnet")
-		if err := os.WriteFile(own, fmt.Appendf(nil, "{ list: { folder: %q } }", b.TempDir()), 0o600); err != nil {
-			b.Fatal(err)
-		}
-		b.Setenv("FOLDSLIP_SETTINGS", own)
+	if setup.storesList {
+		writeOperatorConfig(b, fmt.Sprintf("{ list: { folder: %q } }", b.TempDir()))
 	}
-	if kept || len(changes) > 0 {
-		other := func(i int, phase string) standin.Endpoint { // of another location: the module has little to do with it
-			return standin.Endpoint{ID: fmt.Sprintf("o%d", i), HostPort: "127.0.0.1:1", Locality: "far", Flavor: "edge", Phase: phase}
-		}
-		many := []standin.Endpoint{{ID: "c0", HostPort: cache.Addr, Locality: "town", Flavor: "edge", Phase: "up"},
-			{ID: "c1", HostPort: "127.0.0.1:1", Locality: "town", Flavor: "origin", Phase: "up"}}
-		for i := range 10000 {
-			many = append(many, other(i, "up"))
-		}
-		bulletin.Announce(standin.EndpointList(true, many...))
-		stop := make(chan bool)
-		defer close(stop)
-		go func() {
-			every := time.NewTicker(10 * time.Millisecond)
-			defer every.Stop()
-			for n := 0; ; n++ {
-				select {
-				case <-stop:
-					return
-				case <-every.C:
-					bulletin.Announce(standin.EndpointList(false, other(n%10000, []string{"draining", "up"}[n%2])))
-				}
-			}
-		}()
+	if setup.hasChanges {
+		stop := announceChanges(discovery, cache.Addr)
+		defer stop()
 	}
 	ended := make(chan error, 1)
-	go func() { ended <- runHere() }()
-	var conn net.Conn
+	go func() { ended <- Run(env.NewSystem(io.Discard, slog.LevelInfo), Hooks{}) }()
+	conn := dialWhenUp(b, addr)
+	if setup.hasChanges {
+		time.Sleep(time.Second) // until the complete list has come
+	}
+	measureLookups(b, conn)
+	conn.Close()
+	syscall.Kill(os.Getpid(), syscall.SIGTERM)
+	<-ended
+}
+
+// announceChanges has discovery send a long list, of a zone that the dispatcher has little to do with, and changes of it until stop.
+func announceChanges(discovery *standin.Discovery, cacheAddr string) (stop func()) {
+	distant := func(i int, phase string) standin.Endpoint {
+		return standin.Endpoint{ID: fmt.Sprintf("o%d", i), HostPort: "127.0.0.1:1", Locality: "far", Flavor: "edge", Phase: phase}
+	}
+	list := []standin.Endpoint{
+		{ID: "c0", HostPort: cacheAddr, Locality: "town", Flavor: "edge", Phase: "up"},
+		{ID: "c1", HostPort: "127.0.0.1:1", Locality: "town", Flavor: "origin", Phase: "up"}}
+	for i := range benchEndpoints {
+		list = append(list, distant(i, "up"))
+	}
+	discovery.Announce(standin.EndpointList(true, list...))
+	done := make(chan bool)
+	go func() {
+		ticker := time.NewTicker(benchChangeInterval)
+		defer ticker.Stop()
+		for n := 0; ; n++ {
+			select {
+			case <-done:
+				return
+			case <-ticker.C:
+				discovery.Announce(standin.EndpointList(false, distant(n%benchEndpoints, []string{"draining", "up"}[n%2])))
+			}
+		}
+	}()
+	return func() { close(done) }
+}
+
+// dialWhenUp connects to a gateway that is starting.
+func dialWhenUp(b *testing.B, addr string) net.Conn {
+	b.Helper()
 	for range 200 {
-		var err error
-		if conn, err = net.Dial("tcp", addr); err == nil {
-			break
+		if conn, err := net.Dial("tcp", addr); err == nil {
+			return conn
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
+	b.Fatal("the gateway does not listen")
+	return nil
+}
+
+// processTime is the processor time of this process.
+func processTime() time.Duration {
+	var usage syscall.Rusage
+	syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
+}
+
+// measureLookups sends one lookup after another.
+func measureLookups(b *testing.B, conn net.Conn) {
+	b.Helper()
 	in := bufio.NewReader(conn)
-	cpu := func() time.Duration {
-		var u syscall.Rusage
-		syscall.Getrusage(syscall.RUSAGE_SELF, &u)
-		return time.Duration(u.Utime.Nano() + u.Stime.Nano())
-	}
 	b.ReportAllocs()
-	if kept || len(changes) > 0 {
-		time.Sleep(time.Second) // until the whole list has been told
-	}
-	began, n := cpu(), 0
-	took := hdrhistogram.New(1, 10_000_000, 3) // microseconds
+	before := processTime()
+	lookups := 0
+	latency := hdrhistogram.New(1, 10_000_000, 3) // microseconds
 	for b.Loop() {
-		n++
-		sent := time.Now()
-		fmt.Fprintf(conn, "GET /call/segment/o%d/part-0 HTTP/1.1\r\nHost: x\r\nX-Job-Id: %016x\r\nX-Allow-Ms: 2000\r\nX-Ram-Kb: 1\r\n\r\n", n%100, n)
-		got, err := http.ReadResponse(in, nil)
-		if err != nil || got.StatusCode != 200 {
-			b.Fatal(got, err)
+		lookups++
+		sentAt := time.Now()
+		fmt.Fprintf(conn, "GET /call/segment/o%d/part-0 HTTP/1.1\r\nHost: x\r\nX-Job-Id: %016x\r\nX-Allow-Ms: 2000\r\nX-Ram-Kb: 1\r\n\r\n", lookups%100, lookups)
+		response, err := http.ReadResponse(in, nil)
+		if err != nil || response.StatusCode != 200 {
+			b.Fatal(response, err)
 		}
-		io.Copy(io.Discard, got.Body)
-		took.RecordValue(time.Since(sent).Microseconds())
+		io.Copy(io.Discard, response.Body)
+		latency.RecordValue(time.Since(sentAt).Microseconds())
 	}
-	b.ReportMetric(float64(took.ValueAtQuantile(50)), "p50-us")
-	b.ReportMetric(float64(took.ValueAtQuantile(99)), "p99-us")
-	b.ReportMetric(float64((cpu()-began).Microseconds())/float64(n), "cpu-us/op")
-	conn.Close()
-	syscall.Kill(os.Getpid(), syscall.SIGTERM)
-	<-ended
+	b.ReportMetric(float64(latency.ValueAtQuantile(50)), "p50-us")
+	b.ReportMetric(float64(latency.ValueAtQuantile(99)), "p99-us")
+	b.ReportMetric(float64((processTime()-before).Microseconds())/float64(lookups), "cpu-us/op")
 }
--- a/internal/gateway/descriptors.go
+++ b/internal/gateway/descriptors.go
@@ -10,89 +10,111 @@
 )
 
 const (
-	// Descriptors that the process takes for itself: three standard streams, five of the runtime's (its poller, its wake, the control
-	// group's files), the listener, a connection that is being accepted or turned away, the discovery watch, a file that is read anew.
-	processDescriptors       = 12
-	adminDescriptors         = 9  // of the operators: its listener and its calls
-	storeDescriptors         = 4  // kept on disk: its lock, a file that is written, one that is read, the folder
-	fleetDescriptors         = 40 // its two listeners, 32 streams let in, calls out
-	extprocDescriptorDivisor = 8  // doors for other proxies have one over this of all
-	minCacheConns            = 4  // connections to caches, however few descriptors there are
-	maxEvictionsPerDial      = 4
-	shortageWindow           = 5 * time.Second // without a shortage until the next counts as a new one
+	// processDescriptors are what the process takes for itself: three standard streams, five of the runtime's (its poller, its wake, the
+	// control group's files), the listener, a connection that is being accepted or refused, the discovery watch, a file that is read.
+	processDescriptors = 12
+	adminDescriptors   = 9  // of a socket for operators: its listener and its calls
+	storeDescriptors   = 4  // of a directory: its lock, a file that is written, one that is read, the directory
+	fleetDescriptors   = 40 // its two listeners, 32 accepted streams, streams it opens
+
+	maxClientConns          = 4096
+	maxCacheConns           = 16384
+	minCacheConns           = 4 // however few descriptors there are
+	clientDescriptorDivisor = 2 // clients have one over this of all descriptors; the platform's hold up to a third
+	extprocDivisor          = 8 // entry points for other proxies have one over this of all
+	maxCountedDescriptors   = 1 << 20
+
+	maxEvictionsPerDial = 4
+	// shortageWindow is the time without a shortage after which the next one counts as new.
+	shortageWindow = 5 * time.Second
 )
 
 // descriptorShares are the descriptors of each role. Together they are what the process may hold, where it may hold 64 or more.
 type descriptorShares struct{ Process, Extproc, Clients, Caches int }
 
-// shareDescriptors divides what the process may hold: told is the platform's number and held the kernel's, 0: not known; the lower counts.
-// Clients have a half, at most mostClients (the platform's hold up to a third), the process, its watch and its operators what they can
-// take at most, connections to caches the rest.
-func shareDescriptors(told int, held uint64, own *config.Config, doors bool) (p descriptorShares) {
-	all := uint64(max(told, 0))
-	if held > 0 && (all == 0 || held < all) {
-		all = held // fewer than told: clients must not take what the caches need
+// descriptorDemand is what descriptors are shared out by.
+type descriptorDemand struct {
+	platformLimit int    // 0: none
+	systemLimit   uint64 // 0: not known
+	operators     *config.Config
+	hasExtproc    bool // there are entry points for other proxies
+}
+
+// shareDescriptors divides what the process may hold; the lower limit counts. Clients have a half, at most maxClientConns, the process with
+// its watch, its operators and its fleet what they can take at most, connections to caches the rest.
+func shareDescriptors(demand descriptorDemand) descriptorShares {
+	limit := uint64(max(demand.platformLimit, 0))
+	if demand.systemLimit > 0 && (limit == 0 || demand.systemLimit < limit) {
+		limit = demand.systemLimit // fewer than the platform says: clients must not take what the caches need
+	}
+	shares := descriptorShares{Clients: int(min(max(1, limit/clientDescriptorDivisor), maxClientConns))}
+	if limit == 0 {
+		shares.Caches = maxCacheConns
+		return shares
 	}
-	p.Clients = int(min(max(1, all/clientDescriptorDivisor), maxClientConns))
-	if all == 0 {
-		p.Caches = maxCacheConns
-		return p
+	shares.Process = processDemand(demand.operators)
+	if demand.hasExtproc {
+		shares.Extproc = int(min(limit/extprocDivisor, maxClientConns))
 	}
-	p.Process = processDescriptors
-	if r := own.Routing; r != nil {
-		if r.Socket != "" {
-			p.Process += adminDescriptors
+	left := int(min(limit, maxCountedDescriptors)) - shares.Process - shares.Extproc - shares.Clients
+	shares.Caches = max(min(left, maxCacheConns), minCacheConns)
+	return shares
+}
+
+// processDemand is what the process can take at most for itself, as the operators have configured it.
+func processDemand(operators *config.Config) int {
+	demand := processDescriptors
+	if routing := operators.Routing; routing != nil {
+		if routing.Socket != "" {
+			demand += adminDescriptors
 		}
-		if r.Folder != "" {
-			p.Process += storeDescriptors
+		if routing.Folder != "" {
+			demand += storeDescriptors
 		}
 	}
-	if f := own.Fleet; f != nil {
-		if p.Process += fleetDescriptors; f.Socket != "" {
-			p.Process += adminDescriptors
+	if fleet := operators.Fleet; fleet != nil {
+		demand += fleetDescriptors
+		if fleet.Socket != "" {
+			demand += adminDescriptors
 		}
 	}
-	if own.List != nil {
-		p.Process += storeDescriptors
+	if operators.List != nil {
+		demand += storeDescriptors
 	}
-	if doors {
-		p.Extproc = int(min(all/extprocDescriptorDivisor, maxClientConns))
-	}
-	left := int(min(all, 1<<20)) - p.Process - p.Extproc - p.Clients
-	p.Caches = max(min(left, maxCacheConns), minCacheConns)
-	return p
+	return demand
 }
 
-// evictingEnv is a ground whose dials that find no descriptor have someone else give one up. The parts of the roles keep that from coming to
-// pass, unless the process holds descriptors that it does not know of or its limit has been lowered since it started.
+// evictingEnv is an environment whose dials evict an idle connection when there is no descriptor left. The shares of the roles keep that
+// from happening, unless the process holds descriptors that it does not know of or its limit has been lowered since it started.
 type evictingEnv struct {
 	env.Environment
-	evictIdle    func() bool // one is free now
+	evictIdle func() bool // frees a descriptor; false: none can be freed
+
 	mu           sync.Mutex
-	lastShortage time.Time // the last shortage
+	lastShortage time.Time
 }
 
-// Dial is the ground's, tried again as often as something gives way, yieldsADial times at most.
-func (f *evictingEnv) Dial(life *env.Lifetime, addr string, within time.Duration) (net.Conn, error) {
-	conn, err := f.Environment.Dial(life, addr, within)
+// Dial is the environment's, tried again as often as a descriptor could be freed, maxEvictionsPerDial times at most.
+func (e *evictingEnv) Dial(lifetime *env.Lifetime, addr string, timeout time.Duration) (net.Conn, error) {
+	conn, err := e.Environment.Dial(lifetime, addr, timeout)
 	for n := 0; n < maxEvictionsPerDial && env.IsDescriptorExhausted(err); n++ {
-		f.reportShortage()
-		if !f.evictIdle() {
+		e.reportShortage()
+		if !e.evictIdle() {
 			break
 		}
-		conn, err = f.Environment.Dial(life, addr, within)
+		conn, err = e.Environment.Dial(lifetime, addr, timeout)
 	}
 	return conn, err
 }
 
 // reportShortage logs that a shortage has begun.
-func (f *evictingEnv) reportShortage() {
-	f.mu.Lock()
-	now := f.Now()
-	begun := f.lastShortage.IsZero() || now.Sub(f.lastShortage) > shortageWindow
-	f.lastShortage = now
-	f.mu.Unlock()
-	if begun {
-		f.Log().Warn("descriptors_short", "limit", f.DescriptorLimit())
+func (e *evictingEnv) reportShortage() {
+	e.mu.Lock()
+	now := e.Now()
+	isNew := e.lastShortage.IsZero() || now.Sub(e.lastShortage) > shortageWindow
+	e.lastShortage = now
+	e.mu.Unlock()
+	if isNew {
+		e.Log().Warn("descriptors_short", "limit", e.DescriptorLimit())
 	}
 }
--- a/internal/gateway/descriptors_test.go
+++ b/internal/gateway/descriptors_test.go
@@ -4,12 +4,12 @@
 	"bufio"
 	"bytes"
 	"fmt"
-	"foldslip/internal/env"
 	"io"
 	"log/slog"
 	"net"
 	"net/http"
 	"os"
+	"slices"
 	"strings"
 	"syscall"
 	"testing"
@@ -17,16 +17,17 @@
 
 	"foldslip/example/standin"
 	"foldslip/internal/config"
+	"foldslip/internal/env"
 )
 
 func TestDescriptorShares(t *testing.T) {
 	all := &config.Config{List: &config.EndpointStore{}, Routing: &config.Routing{Socket: "s", Folder: "f"}, Fleet: &config.Fleet{Socket: "s"}}
 	for _, c := range []struct {
-		told  int
-		held  uint64
-		own   *config.Config
-		doors bool
-		want  descriptorShares
+		platform   int
+		system     uint64
+		operators  *config.Config
+		hasExtproc bool
+		want       descriptorShares
 	}{
 		{1024, 1024, &config.Config{}, false, descriptorShares{12, 0, 512, 500}}, // the platform's scored days
 		{4096, 1024, &config.Config{}, false, descriptorShares{12, 0, 512, 500}},
@@ -36,149 +37,171 @@
 		{20000, 20000, &config.Config{}, false, descriptorShares{12, 0, 4096, 15892}},
 		{0, 1 << 63, &config.Config{}, false, descriptorShares{12, 0, 4096, 16384}},
 		{0, 0, &config.Config{}, false, descriptorShares{0, 0, 1, 16384}},
-		{2, 100, &config.Config{}, false, descriptorShares{12, 0, 1, 4}}, // too few for all: what must be had all the same
+		{2, 100, &config.Config{}, false, descriptorShares{12, 0, 1, 4}}, // too few for all: the least that each must have
 	} {
-		got := shareDescriptors(c.told, c.held, c.own, c.doors)
+		got := shareDescriptors(descriptorDemand{c.platform, c.system, c.operators, c.hasExtproc})
 		if got != c.want {
-			t.Errorf("%d told, %d held: %+v, expected %+v", c.told, c.held, got, c.want)
+			t.Errorf("limits %d and %d: %+v, expected %+v", c.platform, c.system, got, c.want)
 		}
-		if n := got.Process + got.Extproc + got.Clients + got.Caches; c.told >= 64 && n > c.told {
-			t.Errorf("%d told, %d given out", c.told, n)
+		if n := got.Process + got.Extproc + got.Clients + got.Caches; c.platform >= 64 && n > c.platform {
+			t.Errorf("limit %d, %d shared out", c.platform, n)
 		}
 	}
 }
 
-// openDescriptors is how many descriptors the program holds.
-func (s *testGateway) openDescriptors() int {
-	s.t.Helper()
-	return len(must(os.ReadDir(fmt.Sprintf("/proc/%d/fd", s.cmd.Process.Pid))))
+// openDescriptors is how many descriptors the process holds.
+func (g *testGateway) openDescriptors() int {
+	g.t.Helper()
+	return len(must(os.ReadDir(fmt.Sprintf("/proc/%d/fd", g.cmd.Process.Pid))))
+}
+
+// lookupOnce sends a lookup on a connection that the client never closes; status 0: there was no response.
+func (g *testGateway) lookupOnce(n int) (status int, body string) {
+	g.t.Helper()
+	conn, err := net.Dial("tcp", g.addr)
+	if err != nil {
+		g.t.Fatal(err)
+	}
+	g.t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(4 * time.Second))
+	io.WriteString(conn, g.lookup("segment", fmt.Sprint("o", n)))
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil {
+		return 0, err.Error()
+	}
+	text, _ := io.ReadAll(response.Body)
+	return response.StatusCode, string(text)
+}
+
+// lookupTwice is lookupOnce, sent once more if there was no response: a request that crosses the close of its idle connection may be.
+func (g *testGateway) lookupTwice(n int) (status int, body string) {
+	g.t.Helper()
+	if status, body = g.lookupOnce(n); status == 0 {
+		status, body = g.lookupOnce(n)
+	}
+	return status, body
+}
+
+// listMoreCaches starts caches and has discovery list them.
+func (g *testGateway) listMoreCaches(n int) (added []standin.Endpoint) {
+	g.t.Helper()
+	for i := range n {
+		cache := must(standin.NewCache("127.0.0.1:0", func(request standin.Request) { answerHit(0, request) }))
+		g.t.Cleanup(cache.Close)
+		endpoint := g.endpoints[0]
+		endpoint.ID = fmt.Sprint("old", i)
+		endpoint.HostPort = cache.Addr
+		added = append(added, endpoint)
+	}
+	g.discovery.Announce(standin.EndpointList(false, added...))
+	return added
+}
+
+// drained returns endpoints as they drain.
+func drained(endpoints []standin.Endpoint) []standin.Endpoint {
+	draining := slices.Clone(endpoints)
+	for i := range draining {
+		draining[i].Phase = "draining"
+	}
+	return draining
 }
 
-// Clients and connections to 24 caches fill the descriptors while discovery is down. It comes back and tells that all of them drain and
-// that a new one has started: within 2 s the watch has a descriptor, the new cache a connection and a client its answer from it. The
-// second story's program is started with 14 files open that it does not know of, so that its count of them is wrong.
+// Clients and connections to 24 caches fill the descriptors while discovery is down. It comes back, and all of them drain and a new one has
+// started: within 2 s the watch has a descriptor, the new cache a connection and a client its response from it. The second gateway is
+// started with 14 files open that it does not know of, so that its count of them is wrong.
 func TestDiscoveryReturnsWhileDescriptorsAreExhausted(t *testing.T) {
-	for name, more := range map[string]int{"counted": 0, "inherited": 14} {
+	const limit = 2 * time.Second
+	for name, inherited := range map[string]int{"counted": 0, "inherited": 14} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var files []*os.File
-			for range more {
-				f := must(os.Open(os.DevNull))
-				t.Cleanup(func() { f.Close() })
-				files = append(files, f)
-			}
-			s := startGatewayWith(t, 40, files, answerHit, changedSettings(func(map[string]any) {}))
-			receiveSoon(t, s.bulletin.Subscribed)
-			var old []standin.Endpoint
-			for i := range 24 {
-				c := must(standin.NewCache("127.0.0.1:0", func(d standin.Request) { answerHit(0, d) }))
-				t.Cleanup(c.Close)
-				m := s.members[0]
-				m.ID, m.HostPort = fmt.Sprint("old", i), c.Addr
-				old = append(old, m)
+			for range inherited {
+				file := must(os.Open(os.DevNull))
+				t.Cleanup(func() { file.Close() })
+				files = append(files, file)
 			}
-			s.bulletin.Announce(standin.EndpointList(false, old...))
-			at := s.bulletin.Addr
-			s.bulletin.Close()
-			once := func(n int) (int, string) { // a client that never closes
-				conn, err := net.Dial("tcp", s.addr)
-				if err != nil {
-					t.Fatal(err)
-				}
-				t.Cleanup(func() { conn.Close() })
-				conn.SetDeadline(time.Now().Add(4 * time.Second))
-				io.WriteString(conn, s.lookup("segment", fmt.Sprint("o", n)))
-				got, err := http.ReadResponse(bufio.NewReader(conn), nil)
-				if err != nil {
-					return 0, err.Error()
-				}
-				body, _ := io.ReadAll(got.Body)
-				return got.StatusCode, string(body)
-			}
-			ask := func(n int) (int, string) { // a request that crosses the close of its idle connection is sent once more (PROTOCOL)
-				status, body := once(n)
-				if status == 0 {
-					status, body = once(n)
-				}
-				return status, body
-			}
-			refused := 0
+			g := startGatewayWith(t, 40, files, answerHit, changedSettings(func(map[string]any) {}))
+			receiveSoon(t, g.discovery.Subscribed)
+			old := g.listMoreCaches(24)
+			discoveryAddr := g.discovery.Addr
+			g.discovery.Close()
+			failed := 0
 			for n := range 120 {
-				if status, _ := ask(n); status != 200 {
-					refused++
+				if status, _ := g.lookupTwice(n); status != 200 {
+					failed++
 				}
 			}
-			if refused > 0 {
-				t.Errorf("%d of 120 lookups not answered with 200 while discovery was down", refused)
+			if failed > 0 {
+				t.Errorf("%d of 120 lookups not answered with 200 while discovery was down", failed)
 			}
-			t.Logf("%d descriptors of 40 as discovery comes back", s.openDescriptors())
-			fresh := must(standin.NewCache("127.0.0.1:0", func(d standin.Request) { d.Hit(time.Now(), "hit", "fresh") }))
+			t.Logf("%d descriptors of 40 as discovery comes back", g.openDescriptors())
+			fresh := must(standin.NewCache("127.0.0.1:0", func(request standin.Request) { request.Hit(time.Now(), "hit", "fresh") }))
 			t.Cleanup(fresh.Close)
-			again := must(standin.NewDiscovery(at, 1))
-			t.Cleanup(again.Close)
-			back := time.Now()
-			for i := range old {
-				old[i].Phase = "draining"
-			}
-			two := s.members[:2]
-			two[0].Phase, two[1].Phase = "draining", "draining"
-			m := s.members[0]
-			m.ID, m.HostPort, m.Phase = "fresh", fresh.Addr, "up"
-			again.Announce(standin.EndpointList(false, old...)) // the event it holds, once more
-			again.Announce(standin.EndpointList(false, append(append(old, two...), m)...))
+			added := g.endpoints[0]
+			added.ID = "fresh"
+			added.HostPort = fresh.Addr
+			discovery := must(standin.NewDiscovery(discoveryAddr, 1))
+			t.Cleanup(discovery.Close)
+			backAt := time.Now()
+			draining := drained(old)
+			discovery.Announce(standin.EndpointList(false, draining...)) // in place of the event that it holds already
+			discovery.Announce(standin.EndpointList(false, append(append(draining, drained(g.endpoints[:2])...), added)...))
 			for n := 200; ; n++ {
-				status, body := ask(n)
+				status, body := g.lookupTwice(n)
 				if status == 200 && body == "fresh" {
-					t.Logf("%v after its return a client has the new cache's answer", time.Since(back).Round(time.Millisecond))
 					break
 				}
-				if time.Since(back) > 2*time.Second {
+				if time.Since(backAt) > limit {
 					t.Fatalf("2 s after discovery came back a client has %d %q", status, body)
 				}
 				time.Sleep(20 * time.Millisecond)
 			}
-			if took := time.Since(back); took > 2*time.Second {
-				t.Errorf("after %v", took)
+			elapsed := time.Since(backAt)
+			t.Logf("%v after its return a client has the new cache's response", elapsed.Round(time.Millisecond))
+			if elapsed > limit {
+				t.Errorf("after %v", elapsed)
 			}
 		})
 	}
 }
 
-// exhaustedEnv is a ground that has no descriptor for a dial until so many are given up.
+// exhaustedEnv is an environment that has no descriptor for a dial until so many have been freed.
 type exhaustedEnv struct {
 	env.Environment
-	wants int
+	missing int
 }
 
-func (d *exhaustedEnv) Dial(*env.Lifetime, string, time.Duration) (net.Conn, error) {
-	if d.wants > 0 {
+// Dial fails while descriptors are missing.
+func (e *exhaustedEnv) Dial(*env.Lifetime, string, time.Duration) (net.Conn, error) {
+	if e.missing > 0 {
 		return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.EMFILE)}
 	}
-	c, far := net.Pipe()
+	conn, far := net.Pipe()
 	far.Close()
-	return c, nil
+	return conn, nil
 }
 
-// A dial without a descriptor has others give theirs up, four times at most, and says so once.
+// A dial without a descriptor has idle connections evicted, four times at most, and logs that once.
 func TestDialWithoutDescriptors(t *testing.T) {
-	for _, c := range []struct{ wants, idle, asked int }{{0, 9, 0}, {1, 9, 1}, {4, 9, 4}, {5, 9, 4}, {2, 1, 2}} {
+	for _, c := range []struct{ missing, idle, evictions int }{{0, 9, 0}, {1, 9, 1}, {4, 9, 4}, {5, 9, 4}, {2, 1, 2}} {
 		var log bytes.Buffer
-		d := &exhaustedEnv{Environment: env.NewSystem(&log, slog.LevelWarn), wants: c.wants}
-		idle, asked := c.idle, 0
-		f := &evictingEnv{Environment: d, evictIdle: func() bool {
-			if asked++; idle == 0 {
+		exhausted := &exhaustedEnv{Environment: env.NewSystem(&log, slog.LevelWarn), missing: c.missing}
+		idle, evictions := c.idle, 0
+		evicting := &evictingEnv{Environment: exhausted, evictIdle: func() bool {
+			evictions++
+			if idle == 0 {
 				return false
 			}
 			idle--
-			d.wants--
+			exhausted.missing--
 			return true
 		}}
-		conn, err := f.Dial(nil, "", 0)
-		if asked != c.asked || (err == nil) != (c.wants <= min(c.idle, maxEvictionsPerDial)) {
-			t.Errorf("%+v: asked %d times, %v", c, asked, err)
+		conn, err := evicting.Dial(nil, "", 0)
+		if evictions != c.evictions || (err == nil) != (c.missing <= min(c.idle, maxEvictionsPerDial)) {
+			t.Errorf("%+v: %d evictions, %v", c, evictions, err)
 		}
-		if n := strings.Count(log.String(), "event=descriptors_short"); n != min(1, c.wants) {
-			t.Errorf("%+v: told %d times", c, n)
+		if n := strings.Count(log.String(), "event=descriptors_short"); n != min(1, c.missing) {
+			t.Errorf("%+v: logged %d times", c, n)
 		}
 		if err == nil {
 			conn.Close()
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -3,6 +3,7 @@
 import (
 	crand "crypto/rand"
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"net/netip"
 	"sync"
@@ -10,244 +11,226 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"foldslip/internal/admin"
 	"foldslip/internal/config"
-	"foldslip/internal/discovery"
 	"foldslip/internal/dispatch"
 	"foldslip/internal/env"
-	"foldslip/internal/fleet/broadcast"
 	"foldslip/internal/fleet/broadcast/driver"
 	"foldslip/internal/fleet/gossip"
 	"foldslip/internal/fleet/membership"
-	"foldslip/internal/fleet/purgesync"
 	"foldslip/internal/fleet/transport"
 	"foldslip/internal/fleet/view"
-	"foldslip/internal/purgelog"
-	"foldslip/internal/route/rollout"
 )
 
-// fleetService is this gateway's part in its fleet. Like a door it runs for the gateway's life and ends with the drain; it takes no lookups,
-// and no decision asks it.
+// fleetSizeInterval is how often the dispatcher learns the size of the fleet.
+const fleetSizeInterval = time.Second
+
+var errNoFleetName = errors.New("fleet: this gateway has no name; set ROUTER_NAME, unlike that of any other")
+
+// KeyFileError reports a file that holds no key. It never holds the key itself.
+type KeyFileError struct {
+	Path  string
+	Bytes int // in the file
+}
+
+// Error says which file it is and what a key is.
+func (e *KeyFileError) Error() string {
+	return fmt.Sprintf("fleet.key_file: %s holds %d bytes; 16, 24 or 32 are a key", e.Path, e.Bytes)
+}
+
+// fleetService is this gateway's part in its fleet: it owns the fleet's goroutines. It takes no lookups, and no decision waits for it.
 type fleetService struct {
 	fleet       *membership.Fleet
 	gossip      *gossip.Gossiper // nil: no limits to share
 	broadcaster *driver.Driver   // nil: purges are not broadcast
 	dispatcher  *dispatch.Dispatcher
-	stop        chan struct{}
-	ended       chan struct{}
+	stop        chan struct{} // closed by Drain
+	ended       chan struct{} // closed when Run returns
 }
 
-// joinFleet makes it; nil where the operators' settings name no fleet, as on the platform.
-func joinFleet(g env.Environment, own *config.Config, name string, seed uint64, routes *rollout.Controller, router *dispatch.Dispatcher,
-	bulletin *discovery.Watch, log *purgelog.Log) (*fleetService, error) {
-	if own.Fleet == nil {
+// joinFleet opens the gateway's part in its fleet; nil where the operators configure no fleet, as on the platform.
+func (g *instance) joinFleet() (*fleetService, error) {
+	fleetConfig := g.config.operators.Fleet
+	if fleetConfig == nil {
 		return nil, nil
 	}
-	c := own.Fleet
-	if name == "" {
-		return nil, fmt.Errorf("fleet: this gateway has no name; set ROUTER_NAME, unlike that of any other")
-	}
-	set := membership.Settings{Name: name, Listen: c.Listen, Advertise: c.Advertise, Label: c.Label, Seeds: c.Seeds, SeedFile: c.SeedFile,
-		MaxMembers: int(c.MaxMembers), ExpectedMembers: int(c.ExpectedMembers), ProbeInterval: config.Milliseconds(c.ProbeMS), ProbeTimeout: config.Milliseconds(c.ProbeTimeoutMS), GossipInterval: config.Milliseconds(c.GossipMS),
-		ReapAfter: config.Milliseconds(c.ReapMS), SettleAfter: config.Milliseconds(c.SettleMS), RejoinInterval: config.Milliseconds(c.RejoinMS),
-		Locality: view.Locality{Region: c.Region, Zone: c.Zone, Site: c.Site}}
-	if c.KeyFile != "" {
-		key, err := g.ReadFile(c.KeyFile)
-		if err != nil {
-			return nil, fmt.Errorf("fleet.key_file: %w", err)
-		}
-		if err := memberlist.ValidateKey(key); err != nil { // never the key itself in a log
-			return nil, fmt.Errorf("fleet.key_file: %s holds %d bytes; 16, 24 or 32 are a key", c.KeyFile, len(key))
-		}
-		set.Key = key
-	}
-	parts := membership.FromEnvironment(g)
-	parts.TransportCounts = &transport.Counts{}
-	listen, advertise := netip.MustParseAddrPort(c.Listen), netip.MustParseAddrPort(c.Advertise) // checked with the settings
-	parts.OpenTransport = func() (memberlist.Transport, error) {
-		return transport.Listen(listen, advertise, parts.TransportCounts, g.Log())
-	}
-	if c.Folder != "" {
-		disk, err := g.OpenDirectory(c.Folder)
-		if err != nil {
-			return nil, fmt.Errorf("fleet.folder: %w", err)
-		}
-		store, err := membership.OpenMemberStore(disk, name, set.MaxMembers)
-		if err != nil {
-			return nil, fmt.Errorf("fleet.folder: %w", err)
-		}
-		if err := store.LoadError(); err != nil {
-			g.Log().Warn("fleet_torn", "folder", c.Folder, "text", err.Error())
-		}
-		parts.Store = store
+	if g.config.platform.Name == "" {
+		return nil, errNoFleetName
 	}
-	p := &fleetService{dispatcher: router, stop: make(chan struct{}), ended: make(chan struct{})}
-	var doors gossip.Admission
-	if routes != nil {
-		doors = routes
+	memberSettings, err := g.membershipSettings(fleetConfig)
+	if err != nil {
+		return nil, err
 	}
-	// heard brings purges that peers told first to where they count, as those of the own watch.
-	heard := func(purges []dispatch.Purge) {
-		for _, one := range purges {
-			log.Record(one.Object, one.Group, one.IssuedAt)
-		}
-		router.Tick(nil, false, purges)
+	dependencies, err := g.membershipDependencies(fleetConfig, memberSettings)
+	if err != nil {
+		return nil, err
 	}
-	var heed func([]purgesync.Purge)
-	if c.SharesPurges {
-		heed = func(some []purgesync.Purge) {
-			var purges []dispatch.Purge
-			for _, v := range some {
-				purges = append(purges, dispatch.Purge{Object: v.Object, Group: int(v.Group), IssuedAt: time.UnixMilli(v.Issued)})
-			}
-			heard(purges)
-		}
+	service := &fleetService{dispatcher: g.dispatcher, stop: make(chan struct{}), ended: make(chan struct{})}
+	if err := g.joinExchanges(service, fleetConfig, memberSettings, &dependencies); err != nil {
+		return nil, err
 	}
-	if doors != nil || heed != nil {
-		p.gossip = gossip.New(name, doors, heed, g.Log(), seed)
-		parts.OnMessage = p.gossip.HandleMessage
+	if service.fleet, err = membership.New(memberSettings, dependencies); err != nil {
+		return nil, err
 	}
-	if c.BroadcastsPurges {
-		var stamp [8]byte // not of the seed, which a configuration may give alike at each start and to each gateway
-		if _, err := crand.Read(stamp[:]); err != nil {
-			return nil, err
-		}
-		p.newBroadcaster(set, parts.Now, binary.LittleEndian.Uint64(stamp[:]), g, bulletin, heard)
-		others := parts.OnMessage
-		parts.OnMessage = func(b []byte) {
-			if driver.IsBroadcast(b) {
-				p.broadcaster.HandleMessage(b)
-			} else if others != nil {
-				others(b)
-			}
-		}
+	if service.gossip != nil {
+		service.gossip.SetFleet(service.fleet)
 	}
-	if heed != nil {
-		bulletin.OnEvent = func(no int64, purges []dispatch.Purge) {
-			var told []purgesync.Purge
-			for _, v := range purges {
-				told = append(told, purgesync.Purge{Event: no, Object: v.Object, Group: int64(v.Group), Issued: v.IssuedAt.UnixMilli()})
-			}
-			p.gossip.RecordPurges(no, told)
-		}
-		p.gossip.RecordPurges(bulletin.LastEvent, nil)
+	if service.broadcaster != nil {
+		service.broadcaster.SetFleet(service.fleet)
 	}
-	var err error
-	if p.fleet, err = membership.New(set, parts); err != nil {
-		return nil, err
+	return service, nil
+}
+
+// membershipSettings are the operators' settings of the fleet as package membership has them.
+func (g *instance) membershipSettings(c *config.Fleet) (membership.Settings, error) {
+	memberSettings := membership.Settings{
+		Name:            g.config.platform.Name,
+		Listen:          c.Listen,
+		Advertise:       c.Advertise,
+		Label:           c.Label,
+		Seeds:           c.Seeds,
+		SeedFile:        c.SeedFile,
+		MaxMembers:      int(c.MaxMembers),
+		ExpectedMembers: int(c.ExpectedMembers),
+		ProbeInterval:   config.Milliseconds(c.ProbeMS),
+		ProbeTimeout:    config.Milliseconds(c.ProbeTimeoutMS),
+		GossipInterval:  config.Milliseconds(c.GossipMS),
+		ReapAfter:       config.Milliseconds(c.ReapMS),
+		SettleAfter:     config.Milliseconds(c.SettleMS),
+		RejoinInterval:  config.Milliseconds(c.RejoinMS),
+		Locality:        view.Locality{Region: c.Region, Zone: c.Zone, Site: c.Site},
+	}
+	if c.KeyFile == "" {
+		return memberSettings, nil
+	}
+	key, err := g.env.ReadFile(c.KeyFile)
+	if err != nil {
+		return memberSettings, fmt.Errorf("fleet.key_file: %w", err)
+	}
+	if err := memberlist.ValidateKey(key); err != nil {
+		return memberSettings, &KeyFileError{c.KeyFile, len(key)}
+	}
+	memberSettings.Key = key
+	return memberSettings, nil
+}
+
+// membershipDependencies are the transport and the stored members of the fleet.
+func (g *instance) membershipDependencies(c *config.Fleet, memberSettings membership.Settings) (membership.Dependencies, error) {
+	dependencies := membership.FromEnvironment(g.env)
+	counts := &transport.Counts{}
+	dependencies.TransportCounts = counts
+	listen := netip.MustParseAddrPort(c.Listen) // validated with the configuration
+	advertise := netip.MustParseAddrPort(c.Advertise)
+	dependencies.OpenTransport = func() (memberlist.Transport, error) {
+		return transport.Listen(listen, advertise, counts, g.env.Log())
+	}
+	if c.Folder == "" {
+		return dependencies, nil
+	}
+	directory, err := g.env.OpenDirectory(c.Folder)
+	if err != nil {
+		return dependencies, fmt.Errorf("fleet.folder: %w", err)
+	}
+	store, err := membership.OpenMemberStore(directory, memberSettings.Name, memberSettings.MaxMembers)
+	if err != nil {
+		return dependencies, fmt.Errorf("fleet.folder: %w", err)
+	}
+	if damage := store.LoadError(); damage != nil {
+		g.env.Log().Warn("fleet_members_damaged", "folder", c.Folder, "error", damage.Error())
+	}
+	dependencies.Store = store
+	return dependencies, nil
+}
+
+// joinExchanges opens what gateways exchange over the fleet: shares of limits and purges by gossip, purges by broadcast. Messages come to
+// whichever they are of.
+func (g *instance) joinExchanges(service *fleetService, c *config.Fleet, memberSettings membership.Settings, dependencies *membership.Dependencies) error {
+	var shared gossip.Admission
+	if g.routes != nil {
+		shared = g.routes
+	}
+	purges := &fleetPurges{log: g.purges, dispatcher: g.dispatcher, watch: g.watch}
+	if shared != nil || c.SharesPurges {
+		var onPurges = purges.onGossip
+		if !c.SharesPurges {
+			onPurges = nil
+		}
+		service.gossip = gossip.New(memberSettings.Name, shared, onPurges, g.env.Log(), g.config.seed)
+		dependencies.OnMessage = service.gossip.HandleMessage
 	}
-	if p.gossip != nil {
-		p.gossip.SetFleet(p.fleet)
+	if c.BroadcastsPurges {
+		var incarnation [8]byte // not of the seed, which a configuration may give alike at each start and to each gateway
+		if _, err := crand.Read(incarnation[:]); err != nil {
+			return err
+		}
+		service.broadcaster = driver.New(memberSettings.Name, memberSettings.Locality, purges.onBroadcast, g.env.Log(),
+			binary.LittleEndian.Uint64(incarnation[:]), dependencies.Now)
+		purges.announceByBroadcast(service.broadcaster)
+		dependencies.OnMessage = dispatchMessages(service.broadcaster, dependencies.OnMessage)
 	}
-	if p.broadcaster != nil {
-		p.broadcaster.SetFleet(p.fleet)
+	if c.SharesPurges {
+		purges.announceByGossip(service.gossip)
 	}
-	return p, nil
+	return nil
 }
 
-// newBroadcaster makes the carrier of purges between gateways, told what the own discovery watch tells.
-func (p *fleetService) newBroadcaster(set membership.Settings, wall func() time.Time, stamp uint64, g env.Environment, bulletin *discovery.Watch,
-	heard func([]dispatch.Purge)) {
-	p.broadcaster = driver.New(set.Name, set.Locality, func(some []broadcast.Purge) {
-		purges := make([]dispatch.Purge, 0, len(some))
-		for _, v := range some {
-			purges = append(purges, dispatch.Purge{Object: v.Object, Group: int(v.Group), IssuedAt: time.UnixMilli(v.Issued)})
-		}
-		heard(purges)
-	}, g.Log(), stamp, wall)
-	bulletin.OnEvent = func(_ int64, purges []dispatch.Purge) {
-		told := make([]broadcast.Purge, 0, len(purges))
-		for _, v := range purges {
-			told = append(told, broadcast.Purge{Object: v.Object, Group: int64(v.Group), Issued: v.IssuedAt.UnixMilli()})
+// dispatchMessages gives a member's messages to the broadcast they are of, or to others (nil: nobody).
+func dispatchMessages(broadcaster *driver.Driver, others func([]byte)) func([]byte) {
+	return func(message []byte) {
+		switch {
+		case driver.IsBroadcast(message):
+			broadcaster.HandleMessage(message)
+		case others != nil:
+			others(message)
 		}
-		p.broadcaster.RecordPurges(told)
 	}
 }
 
-// Run takes part until the gateway drains or its life ends.
-func (p *fleetService) Run(life *env.Lifetime) error {
-	defer close(p.ended)
+// Run takes part in the fleet until the gateway drains or its lifetime ends.
+func (s *fleetService) Run(lifetime *env.Lifetime) error {
+	defer close(s.ended)
 	stop := make(chan struct{})
 	end := sync.OnceFunc(func() { close(stop) })
-	defer life.OnEnd(end)()
+	defer lifetime.OnEnd(end)()
 	go func() {
 		select {
-		case <-p.stop:
+		case <-s.stop:
 			end()
 		case <-stop:
 		}
 	}()
-	done := make(chan struct{})
-	go func() {
-		if p.gossip != nil {
-			p.gossip.Run(stop)
-		}
-		close(done)
-	}()
-	cast := make(chan struct{})
-	go func() {
-		if p.broadcaster != nil {
-			p.broadcaster.Run(stop)
-		}
-		close(cast)
-	}()
-	go p.reportFleetSize(stop)
-	err := p.fleet.Run(stop)
+	var exchanges sync.WaitGroup
+	if s.gossip != nil {
+		exchanges.Go(func() { s.gossip.Run(stop) })
+	}
+	if s.broadcaster != nil {
+		exchanges.Go(func() { s.broadcaster.Run(stop) })
+	}
+	go s.reportFleetSize(stop)
+	err := s.fleet.Run(stop)
 	end()
-	<-done
-	<-cast
+	exchanges.Wait()
 	return err
 }
 
-// reportFleetSize tells the router how many gateways share the caches, where the fleet counts more than it was told.
-func (p *fleetService) reportFleetSize(stop chan struct{}) {
-	every := time.NewTicker(time.Second)
-	defer every.Stop()
+// reportFleetSize tells the dispatcher how many gateways share the caches, until stop is closed.
+func (s *fleetService) reportFleetSize(stop chan struct{}) {
+	ticker := time.NewTicker(fleetSizeInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-every.C:
-			p.dispatcher.SetFleetSize(p.fleet.State().FleetSize)
+		case <-ticker.C:
+			s.dispatcher.SetFleetSize(s.fleet.State().FleetSize)
 		case <-stop:
 			return
 		}
 	}
 }
 
-// PrepareReload has nothing that changes at SIGHUP: the seeds' file is read anew by itself, the rest counts from the next start.
-func (p *fleetService) PrepareReload(*config.Config) (func(), error) { return func() {}, nil }
+// PrepareReload changes nothing: the seeds' file is read again by itself, the rest takes effect at the next start.
+func (s *fleetService) PrepareReload(*config.Config) (func(), error) { return func() {}, nil }
 
 // Drain leaves the fleet.
-func (p *fleetService) Drain() { close(p.stop) }
-
-// Wait waits until it has.
-func (p *fleetService) Wait() { <-p.ended }
+func (s *fleetService) Drain() { close(s.stop) }
 
-// openAdmin opens the sockets that the settings name, one where both are the same.
-func openAdmin(g env.Environment, own *config.Config, routes *rollout.Controller, p *fleetService) (doors []Service, err error) {
-	routing, fleet := "", ""
-	if routes != nil {
-		routing = own.Routing.Socket
-	}
-	of := admin.Services{Routes: routes}
-	if p != nil {
-		of.Fleet, of.Limits, of.Broadcast, fleet = p.fleet, p.gossip, p.broadcaster, own.Fleet.Socket
-	}
-	open := func(what, path string, of admin.Services) {
-		if path == "" || err != nil {
-			return
-		}
-		var o *admin.Server
-		if o, err = admin.Open(g, path, of); err != nil {
-			err = fmt.Errorf("%s.socket: %w", what, err)
-			return
-		}
-		doors = append(doors, o)
-	}
-	if routing == fleet {
-		open("routing", routing, of)
-		return doors, err
-	}
-	open("routing", routing, admin.Services{Routes: routes})
-	open("fleet", fleet, admin.Services{Fleet: of.Fleet, Limits: of.Limits, Broadcast: of.Broadcast})
-	return doors, err
-}
+// Wait waits until the gateway has left the fleet.
+func (s *fleetService) Wait() { <-s.ended }
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -21,77 +21,95 @@
 	"foldslip/internal/fleet/transport"
 )
 
+// runFleetCommand runs a sub-command of foldslip fleet against a socket and returns what it prints.
+func runFleetCommand(socket string, args ...string) string {
+	out, _ := exec.Command(program, append([]string{"fleet", args[0], "--socket", socket}, args[1:]...)...).CombinedOutput()
+	return string(out)
+}
+
 // Operators ask a gateway of a fleet at its socket; one that knows no fleet says so.
 func TestAdminSocketReportsTheFleet(t *testing.T) {
 	dir := t.TempDir()
-	socket, settings := filepath.Join(dir, "s"), filepath.Join(dir, "own.jsonnet")
-	at := strings.Replace(freeAddr(), ":10080", ":7946", 1)
-	text := fmt.Sprintf("{ fleet: { listen: %q, socket: %q, expect: 3, folder: %q } }", at, socket, filepath.Join(dir, "kept"))
-	if err := os.WriteFile(settings, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	t.Setenv("FOLDSLIP_SETTINGS", settings)
+	socket := filepath.Join(dir, "s")
+	addr := freeFleetAddr()
+	writeOperatorConfig(t, fmt.Sprintf("{ fleet: { listen: %q, socket: %q, expect: 3, folder: %q } }", addr, socket, filepath.Join(dir, "members")))
 	t.Setenv("ROUTER_NAME", "n7")
-	s := startGateway(t, nil)
-	ask := func(args ...string) string {
-		out, _ := exec.Command(program, append([]string{"fleet"}, args...)...).CombinedOutput()
-		return string(out)
-	}
+	g := startGateway(t, nil)
 	for _, c := range []struct{ args, want string }{
-		{"view", "n7 at " + at + ": alone, sees 1 of 3 (a MINORITY)"},
+		{"view", "n7 at " + addr + ": alone, sees 1 of 3 (a MINORITY)"},
 		{"view --json", `"minority":true`},
 		{"members", "n7"},
 		{"explain n7", "alive"},
 		{"explain n8", `no gateway "n8" is known here`},
 	} {
-		if got := ask(append(strings.Fields(c.args), "--socket", socket)...); !strings.Contains(got, c.want) {
+		if got := runFleetCommand(socket, strings.Fields(c.args)...); !strings.Contains(got, c.want) {
 			t.Errorf("fleet %s: %s", c.args, got)
 		}
 	}
-	if !strings.Contains(s.out.String(), "event=fleet_started name=n7") {
+	if !strings.Contains(g.log.String(), "event=fleet_started name=n7") {
 		t.Error("its start is not in the log")
 	}
-	if got := ask("view", "--socket", filepath.Join(dir, "none")); !strings.Contains(got, "see whether the gateway runs") {
+	if got := runFleetCommand(filepath.Join(dir, "none"), "view"); !strings.Contains(got, "see whether the gateway runs") {
 		t.Error(got)
 	}
 }
 
-// fleetPeer is a member of the fleet that takes down what other parts of gateways send it, by its first byte.
+// fleetPeer is a member of the fleet that counts the messages that gateways send it, by their first byte.
 type fleetPeer struct {
-	mu    sync.Mutex
-	kinds map[byte]int
 	fleet *membership.Fleet
+	mu    sync.Mutex
+	count map[byte]int
 }
 
-func (p *fleetPeer) onMessage(b []byte) {
+func (p *fleetPeer) onMessage(message []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(b) > 0 {
-		p.kinds[b[0]]++
+	if len(message) > 0 {
+		p.count[message[0]]++
 	}
 }
 
+// messagesOf returns how many messages of a kind have come.
 func (p *fleetPeer) messagesOf(kind byte) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.kinds[kind]
+	return p.count[kind]
 }
 
-// joinFleetAs is a member of this process beside the gateway that listens at a seed, until the test ends.
+// joinFleetAs runs a member in this process beside the gateway that listens at a seed, until the test ends.
 func joinFleetAs(t *testing.T, name, seed string) *fleetPeer {
-	p := &fleetPeer{kinds: map[byte]int{}}
-	at := strings.Replace(freeAddr(), ":10080", ":7946", 1)
-	log, counts := slog.New(slog.DiscardHandler), &transport.Counts{}
-	own := netip.MustParseAddrPort(at)
+	t.Helper()
+	p := &fleetPeer{count: map[byte]int{}}
+	addr := freeFleetAddr()
+	parsed := netip.MustParseAddrPort(addr)
+	log := slog.New(slog.DiscardHandler)
+	counts := &transport.Counts{}
 	var err error
-	p.fleet, err = membership.New(membership.Settings{Name: name, Listen: at, Advertise: at, Seeds: []string{seed}, MaxMembers: 64, ProbeInterval: 200 * time.Millisecond,
-		ProbeTimeout: 100 * time.Millisecond, GossipInterval: 40 * time.Millisecond, ReapAfter: time.Hour, SettleAfter: 300 * time.Millisecond, RejoinInterval: time.Second},
-		membership.Dependencies{Log: log, Now: time.Now, ReadFile: os.ReadFile, TransportCounts: counts, OnMessage: p.onMessage,
-			OpenTransport: func() (memberlist.Transport, error) { return transport.Listen(own, own, counts, log) }})
+	p.fleet, err = membership.New(membership.Settings{
+		Name:           name,
+		Listen:         addr,
+		Advertise:      addr,
+		Seeds:          []string{seed},
+		MaxMembers:     64,
+		ProbeInterval:  200 * time.Millisecond,
+		ProbeTimeout:   100 * time.Millisecond,
+		GossipInterval: 40 * time.Millisecond,
+		ReapAfter:      time.Hour,
+		SettleAfter:    300 * time.Millisecond,
+		RejoinInterval: time.Second,
+	}, membership.Dependencies{
+		Log:             log,
+		Now:             time.Now,
+		ReadFile:        os.ReadFile,
+		TransportCounts: counts,
+		OnMessage:       p.onMessage,
+		OpenTransport:   func() (memberlist.Transport, error) { return transport.Listen(parsed, parsed, counts, log) },
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	stop, ended := make(chan struct{}), make(chan error, 1)
+	stop := make(chan struct{})
+	ended := make(chan error, 1)
 	go func() { ended <- p.fleet.Run(stop) }()
 	t.Cleanup(func() {
 		close(stop)
@@ -102,67 +120,83 @@
 	return p
 }
 
-// Purges of the discovery watch go to peers where fleet.broadcast is set, and where it is not nothing of the broadcast runs: no datagram
-// of its kind goes out, and operators are told that it is off.
-func TestBroadcastOnlyWhereConfigured(t *testing.T) {
-	for _, c := range []struct{ name, more string }{{"unset", ""}, {"with places", ", region: 'r', zone: 'z', site: 's'"},
-		{"with purges by verdict", ", purges: true"}, {"set", ", broadcast: true, region: 'r', zone: 'z', site: 's'"}} {
-		t.Run(c.name, func(t *testing.T) {
-			dir := t.TempDir()
-			socket, settings := filepath.Join(dir, "s"), filepath.Join(dir, "own.jsonnet")
-			at := strings.Replace(freeAddr(), ":10080", ":7946", 1)
-			text := fmt.Sprintf("{ fleet: { listen: %q, socket: %q, probe_ms: 200, probe_timeout_ms: 100, gossip_ms: 40, settle_ms: 300%s } }", at, socket, c.more)
-			if err := os.WriteFile(settings, []byte(text), 0o600); err != nil {
-				t.Fatal(err)
-			}
-			t.Setenv("FOLDSLIP_SETTINGS", settings)
-			t.Setenv("ROUTER_NAME", "n7")
-			s := startGateway(t, nil)
-			other := joinFleetAs(t, "n8", at)
-			until := func(what string, true func() bool) {
-				for end := time.Now().Add(20 * time.Second); !true(); time.Sleep(20 * time.Millisecond) {
-					if time.Now().After(end) {
-						t.Fatalf("not within 20 s: %s", what)
-					}
-				}
-			}
-			until("both see each other", func() bool {
-				return other.fleet.State().Live == 2 && strings.Contains(s.out.String(), "event=fleet_member name=n8 state=alive")
-			})
-			ask := func(args ...string) string {
-				out, _ := exec.Command(program, append([]string{"fleet", "broadcast", "--socket", socket}, args...)...).CombinedOutput()
-				return string(out)
-			}
-			for i := range 10 {
-				s.bulletin.Announce(fmt.Sprintf(`{"recall":{"item":"%016x","issued":%d}}`, i+1, time.Now().UnixMilli()))
-			}
-			if c.name != "set" {
-				time.Sleep(3 * time.Second)
-				if n := other.messagesOf(broadcast.Kind); n > 0 {
-					t.Errorf("%d datagrams of the broadcast", n)
-				}
-				if got := ask(); !strings.Contains(got, "this gateway spreads no purges by broadcast") || !strings.Contains(got, "set fleet.broadcast") {
-					t.Error(got)
-				}
-				return
-			}
-			until("the peer is told", func() bool { return other.messagesOf(broadcast.Kind) > 0 })
-			var r driver.Report
-			until("all ten count", func() bool { return json.Unmarshal([]byte(ask("--json")), &r) == nil && r.Applied == 10 })
-			if h := r.Latest; len(h) != 10 || h[9].Number != 10 || h[9].Object != "000000000000000a" || h[9].FromPeer || h[9].AtUptimeMS > r.UptimeMS {
-				t.Errorf("%+v", h)
-			}
-			if err := json.Unmarshal([]byte(ask("--json", "--after", "9")), &r); err != nil || len(r.Latest) != 1 {
-				t.Errorf("after 9: %+v %v", r.Latest, err)
-			}
-			for _, want := range []string{`n7 in region "r", zone "z", site "s"`, "of 2 live", "whole: nothing", "0 unreadable", "purges that counted here 10"} {
-				if got := ask(); !strings.Contains(got, want) {
-					t.Errorf("%q is not in %s", want, got)
-				}
+// startInFleet starts a gateway, n7, in a fleet with further settings, and a peer, n8, and waits until both see each other.
+func startInFleet(t *testing.T, socket, moreSettings string) (*testGateway, *fleetPeer) {
+	t.Helper()
+	addr := freeFleetAddr()
+	writeOperatorConfig(t, fmt.Sprintf("{ fleet: { listen: %q, socket: %q, probe_ms: 200, probe_timeout_ms: 100, gossip_ms: 40, settle_ms: 300%s } }",
+		addr, socket, moreSettings))
+	t.Setenv("ROUTER_NAME", "n7")
+	g := startGateway(t, nil)
+	peer := joinFleetAs(t, "n8", addr)
+	waitInFleet(t, "both see each other", func() bool {
+		return peer.fleet.State().Live == 2 && strings.Contains(g.log.String(), "event=fleet_member name=n8 state=alive")
+	})
+	return g, peer
+}
+
+// waitInFleet waits for a condition, as long as a fleet may take.
+func waitInFleet(t *testing.T, what string, condition func() bool) {
+	t.Helper()
+	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(20 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("not within 20 s: %s", what)
+		}
+	}
+}
+
+// announcePurges has discovery send ten purges.
+func (g *testGateway) announcePurges() {
+	for i := range 10 {
+		g.discovery.Announce(fmt.Sprintf(`{"recall":{"item":"%016x","issued":%d}}`, i+1, time.Now().UnixMilli()))
+	}
+}
+
+// Where fleet.broadcast is not set nothing of the broadcast runs: no datagram of its kind goes out, and operators learn that it is off.
+func TestNoBroadcastUnlessConfigured(t *testing.T) {
+	for name, moreSettings := range map[string]string{
+		"unset":                 "",
+		"with a locality":       ", region: 'r', zone: 'z', site: 's'",
+		"with purges by gossip": ", purges: true",
+	} {
+		t.Run(name, func(t *testing.T) {
+			socket := filepath.Join(t.TempDir(), "s")
+			g, peer := startInFleet(t, socket, moreSettings)
+			g.announcePurges()
+			time.Sleep(3 * time.Second)
+			if n := peer.messagesOf(broadcast.Kind); n > 0 {
+				t.Errorf("%d datagrams of the broadcast", n)
 			}
-			if strings.Contains(s.out.String(), "event=fleet_broadcast") {
-				t.Error("a line of the log that is no change of mode")
+			if got := runFleetCommand(socket, "broadcast"); !strings.Contains(got, "this gateway spreads no purges by broadcast") || !strings.Contains(got, "set fleet.broadcast") {
+				t.Error(got)
 			}
 		})
 	}
 }
+
+// Where fleet.broadcast is set purges of the discovery watch go to other gateways, and operators see what was applied.
+func TestBroadcastWhereConfigured(t *testing.T) {
+	socket := filepath.Join(t.TempDir(), "s")
+	g, peer := startInFleet(t, socket, ", broadcast: true, region: 'r', zone: 'z', site: 's'")
+	g.announcePurges()
+	waitInFleet(t, "the peer gets purges", func() bool { return peer.messagesOf(broadcast.Kind) > 0 })
+	var report driver.Report
+	waitInFleet(t, "all ten are applied", func() bool {
+		return json.Unmarshal([]byte(runFleetCommand(socket, "broadcast", "--json")), &report) == nil && report.Applied == 10
+	})
+	latest := report.Latest
+	if len(latest) != 10 || latest[9].Number != 10 || latest[9].Object != "000000000000000a" || latest[9].FromPeer || latest[9].AtUptimeMS > report.UptimeMS {
+		t.Errorf("%+v", latest)
+	}
+	if err := json.Unmarshal([]byte(runFleetCommand(socket, "broadcast", "--json", "--after", "9")), &report); err != nil || len(report.Latest) != 1 {
+		t.Errorf("after 9: %+v %v", report.Latest, err)
+	}
+	for _, want := range []string{`n7 in region "r", zone "z", site "s"`, "of 2 live", "whole: nothing", "0 unreadable", "purges that counted here 10"} {
+		if got := runFleetCommand(socket, "broadcast"); !strings.Contains(got, want) {
+			t.Errorf("%q is not in %s", want, got)
+		}
+	}
+	if strings.Contains(g.log.String(), "event=fleet_broadcast") {
+		t.Error("a line of the log that is no change of mode")
+	}
+}
--- /dev/null
+++ b/internal/gateway/fleetpurges.go
@@ -0,0 +1,70 @@
+package gateway
+
+import (
+	"time"
+
+	"foldslip/internal/discovery"
+	"foldslip/internal/dispatch"
+	"foldslip/internal/fleet/broadcast"
+	"foldslip/internal/fleet/broadcast/driver"
+	"foldslip/internal/fleet/gossip"
+	"foldslip/internal/fleet/purgesync"
+	"foldslip/internal/purgelog"
+)
+
+// fleetPurges passes purges between the fleet and the gateway: those that other gateways heard first take effect here, those of the
+// gateway's own watch are announced to others.
+type fleetPurges struct {
+	log        *purgelog.Log
+	dispatcher *dispatch.Dispatcher
+	watch      *discovery.Watch
+}
+
+// apply has purges of other gateways take effect as those of the gateway's own watch do.
+func (f *fleetPurges) apply(purges []dispatch.Purge) {
+	for _, p := range purges {
+		f.log.Record(p.Object, p.Group, p.IssuedAt)
+	}
+	f.dispatcher.Tick(nil, false, purges)
+}
+
+// onGossip applies purges that came by gossip.
+func (f *fleetPurges) onGossip(received []purgesync.Purge) {
+	var purges []dispatch.Purge
+	for _, p := range received {
+		purges = append(purges, dispatch.Purge{Object: p.Object, Group: int(p.Group), IssuedAt: time.UnixMilli(p.Issued)})
+	}
+	f.apply(purges)
+}
+
+// onBroadcast applies purges that came by broadcast.
+func (f *fleetPurges) onBroadcast(received []broadcast.Purge) {
+	purges := make([]dispatch.Purge, 0, len(received))
+	for _, p := range received {
+		purges = append(purges, dispatch.Purge{Object: p.Object, Group: int(p.Group), IssuedAt: time.UnixMilli(p.Issued)})
+	}
+	f.apply(purges)
+}
+
+// announceByGossip gives the purges of the gateway's watch to gossip, from the last event held on.
+func (f *fleetPurges) announceByGossip(gossiper *gossip.Gossiper) {
+	f.watch.OnEvent = func(number int64, purges []dispatch.Purge) {
+		var announced []purgesync.Purge
+		for _, p := range purges {
+			announced = append(announced, purgesync.Purge{Event: number, Object: p.Object, Group: int64(p.Group), Issued: p.IssuedAt.UnixMilli()})
+		}
+		gossiper.RecordPurges(number, announced)
+	}
+	gossiper.RecordPurges(f.watch.LastEvent, nil)
+}
+
+// announceByBroadcast gives the purges of the gateway's watch to the broadcast.
+func (f *fleetPurges) announceByBroadcast(broadcaster *driver.Driver) {
+	f.watch.OnEvent = func(_ int64, purges []dispatch.Purge) {
+		announced := make([]broadcast.Purge, 0, len(purges))
+		for _, p := range purges {
+			announced = append(announced, broadcast.Purge{Object: p.Object, Group: int64(p.Group), Issued: p.IssuedAt.UnixMilli()})
+		}
+		broadcaster.RecordPurges(announced)
+	}
+}
--- a/internal/gateway/frozen_test.go
+++ b/internal/gateway/frozen_test.go
@@ -4,43 +4,33 @@
 	"bytes"
 	"fmt"
 	"io"
-	"os"
 	"path/filepath"
 	"testing"
 
 	"foldslip/internal/config"
 	"foldslip/internal/env"
+	"foldslip/internal/lab/frozen"
 )
 
 // The files under testdata/frozen were written by the build at 58d6067: the platform's configuration as the gateway reads it, and what
 // is wrong with one that cannot be used.
 
-// frozen compares what is written now with the file of that name.
-func frozen(t *testing.T, name string, got []byte) {
-	t.Helper()
-	want, err := os.ReadFile(filepath.Join("testdata", "frozen", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s: other bytes than before:\n%s\nexpected:\n%s", name, got, want)
-	}
-}
-
 func TestFrozenConfiguration(t *testing.T) {
-	g := env.NewSystem(io.Discard, 0)
-	var read bytes.Buffer
+	system := env.NewSystem(io.Discard, 0)
+	var all bytes.Buffer
 	for _, name := range []string{"all.json", "names-in-capitals.json", "no-listen.json", "no-bulletin.json", "no-known.json", "bad-seed.json", "bad-settings.json", "no-json.json"} {
 		path := filepath.Join("testdata", "frozen", name)
 		for _, given := range [][2]string{{}, {"name-given", "127.0.0.1:9"}} {
-			s, terms, seed, err := readPlatformConfig(g, path, given[0], given[1], &config.Config{})
+			read, err := readPlatformConfig(system, platformFile{path: path, name: given[0], listen: given[1]}, &config.Config{})
 			if err != nil {
-				fmt.Fprintf(&read, "%s: %v\n", name, err)
+				fmt.Fprintf(&all, "%s: %v\n", name, err)
 				continue
 			}
-			fmt.Fprintf(&read, "%s: name=%q listen=%q seed=%q/%d cores=%v memory=%v sockets=%d bulletin=%q known=%s settings=%d bytes, zones=%v kinds=%v\n", name,
-				s.Name, s.Listen, s.Seed, seed, s.Limits.Cores, s.Limits.MemoryMB, s.Limits.Sockets, s.DiscoveryAddr, s.KnownEvents, len(s.Settings), terms.Zones, terms.Kinds)
+			p := read.platform
+			fmt.Fprintf(&all, "%s: name=%q listen=%q seed=%q/%d cores=%v memory=%v sockets=%d bulletin=%q known=%s settings=%d bytes, zones=%v kinds=%v\n", name,
+				p.Name, p.Listen, p.Seed, read.seed, p.Limits.Cores, p.Limits.MemoryMB, p.Limits.Sockets, p.DiscoveryAddr, p.KnownEvents, len(p.Settings),
+				read.settings.Zones, read.settings.Kinds)
 		}
 	}
-	frozen(t, "configurations-as-read", read.Bytes())
+	frozen.Equal(t, "frozen/configurations-as-read", all.Bytes())
 }
--- /dev/null
+++ b/internal/gateway/reload.go
@@ -0,0 +1,83 @@
+package gateway
+
+import (
+	"bytes"
+	"fmt"
+	"time"
+
+	"foldslip/internal/config"
+	"foldslip/internal/config/change"
+	"foldslip/internal/route/rollout"
+)
+
+// confirmTimeout is how long routes of a reloaded file have until they are confirmed.
+const confirmTimeout = 10 * time.Minute
+
+// RoutesRolledBackError reports routes of a reloaded file that cannot be used.
+type RoutesRolledBackError struct {
+	Version uint64
+	Reason  string
+}
+
+// Error says which version it is and why it was rolled back.
+func (e *RoutesRolledBackError) Error() string {
+	return fmt.Sprintf("routing: version %d is undone: %s", e.Version, e.Reason)
+}
+
+// reloadOnSignal reads the configuration again at each SIGHUP, until the lifetime ends.
+func (g *instance) reloadOnSignal() error {
+	defer g.lifetime.OnEnd(g.signals.reload.Notify)()
+	for {
+		if !g.signals.waitReload() {
+			if g.lifetime.Ended() {
+				return nil
+			}
+			continue
+		}
+		if err := g.reload(); err != nil {
+			g.env.Log().Warn("reload_failed", "error", err.Error())
+		}
+	}
+}
+
+// reload reads the configuration again. Services and routes take what is theirs, all or none of them, and the watch follows discovery's
+// address; the rest takes effect at the next start. A configuration that cannot be used leaves all as it is.
+func (g *instance) reload() error {
+	loaded, err := loadConfiguration(g.env)
+	if err != nil {
+		return err
+	}
+	var applies []func()
+	for _, service := range g.services {
+		apply, err := service.PrepareReload(loaded.operators)
+		if err != nil {
+			return err
+		}
+		applies = append(applies, apply)
+	}
+	if g.routes != nil && loaded.operators.Routing != nil {
+		if err := applyRoutes(g.routes, loaded.operators.Routing); err != nil {
+			return err
+		}
+	}
+	before, after := g.config.platform, loaded.platform
+	needsRestart := after.Limits != before.Limits || after.Listen != before.Listen || !bytes.Equal(after.Settings, before.Settings)
+	g.env.Log().Info("reloaded", "discovery", after.DiscoveryAddr, "restart_wanted", needsRestart)
+	g.watch.SetAddr(after.DiscoveryAddr)
+	for _, apply := range applies {
+		apply()
+	}
+	return nil
+}
+
+// applyRoutes puts the routes of a file in force.
+func applyRoutes(routes *rollout.Controller, routing *config.Routing) error {
+	step, err := routes.ApplyFile(routing.Config, confirmTimeout)
+	if err != nil {
+		return err
+	}
+	if step.Stage == change.RolledBack && len(step.Findings) > 0 {
+		return &RoutesRolledBackError{step.Version, step.Reason}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/gateway/reload_test.go
@@ -0,0 +1,63 @@
+package gateway
+
+import (
+	"fmt"
+	"io"
+	"os"
+	"syscall"
+	"testing"
+	"time"
+
+	"foldslip/example/standin"
+)
+
+// At SIGHUP the new discovery address is asked at once for what follows, and no lookup is dropped.
+func TestReload(t *testing.T) {
+	received := make(chan standin.Request, 9)
+	g := startGateway(t, func(_ int, request standin.Request) { received <- request })
+	c := g.dial()
+	io.WriteString(c, g.lookup("segment", "before"))
+	request := receiveSoon(t, received)
+	g.discovery.Announce(`{"recall":{"item":"x","issued":1764576000123}}`)
+	next := must(standin.NewDiscovery("127.0.0.1:0", 1))
+	next.Announce(`{"recall":{"item":"x","issued":1764576000123}}`)
+	draining := g.endpoints[0]
+	draining.Phase = "draining"
+	next.Announce(standin.EndpointList(false, draining))
+	time.Sleep(100 * time.Millisecond) // for the first event to arrive
+	must(0, os.WriteFile(g.configPath, []byte(`{"bulletin":`), 0o600))
+	g.signal(syscall.SIGHUP)
+	g.waitLogged("event=reload_failed")
+	old := g.discovery
+	g.discovery = next
+	must(0, os.Rename(g.writeConfig(), g.configPath))
+	for range 3 { // several in a row are as one
+		g.signal(syscall.SIGHUP)
+	}
+	select {
+	case after := <-next.Subscribed:
+		if after != 2 {
+			t.Errorf("asked after %d", after)
+		}
+	case <-time.After(2 * time.Second):
+		t.Fatal("not asked")
+	}
+	old.Disconnect("")
+	if len(old.Subscribed) > 1 {
+		t.Error("the old discovery was asked again")
+	}
+	time.Sleep(100 * time.Millisecond) // for the second event to arrive
+	request.Hit(time.Now(), "hit", "complete")
+	if response, body := c.response(t); response.StatusCode != 200 || body != "complete" {
+		t.Errorf("status %d, %q", response.StatusCode, body)
+	}
+	for i := range 8 {
+		io.WriteString(c, g.lookup("segment", fmt.Sprint("o", i)))
+		request := receiveSoon(t, received)
+		request.Hit(time.Now(), "hit", "")
+		if request.Conn.LocalAddr().String() == g.edges[0].Addr {
+			t.Error("an attempt to a cache that drains by the new discovery")
+		}
+		c.response(t)
+	}
+}
--- a/internal/gateway/routes_test.go
+++ b/internal/gateway/routes_test.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"strings"
 	"sync"
 	"syscall"
 	"testing"
@@ -13,62 +12,68 @@
 	"foldslip/example/standin"
 )
 
+// edgeCounts counts the attempts at each edge.
+type edgeCounts struct {
+	mu sync.Mutex
+	at [2]int
+}
+
+// handle counts an attempt and answers it.
+func (c *edgeCounts) handle(edge int, request standin.Request) {
+	c.mu.Lock()
+	c.at[edge]++
+	c.mu.Unlock()
+	request.Hit(time.Now(), "hit", "x")
+}
+
+// expectAllAt sends lookups and checks that all of them go to one edge.
+func (c *edgeCounts) expectAllAt(g *testGateway, edge int) {
+	g.t.Helper()
+	const lookups = 20
+	c.mu.Lock()
+	c.at = [2]int{}
+	c.mu.Unlock()
+	for i := range lookups {
+		response, _ := g.sendLookup("segment", fmt.Sprint("object", i))
+		g.expectStatus(200, response)
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.at[edge] != lookups {
+		g.t.Errorf("%v, expected all at %d\n%s", c.at, edge, g.log.String())
+	}
+}
+
 // A gateway with routes: they say where lookups go, SIGHUP changes them, a restart finds what was confirmed.
 func TestRoutes(t *testing.T) {
 	dir := t.TempDir()
-	own := filepath.Join(dir, "own.jsonnet")
+	path := filepath.Join(dir, "operators.jsonnet")
 	write := func(cache string) {
-		text := fmt.Sprintf(`{ routing: { folder: '%s/kept', pools: { some: { names: ['%s'], limits: { lookups_a_second: 1000 } } },
+		text := fmt.Sprintf(`{ routing: { folder: '%s/versions', pools: { some: { names: ['%s'], limits: { lookups_a_second: 1000 } } },
 routes: [{ name: 'all', to: [{ pool: 'some' }] }] } }`, dir, cache)
-		if err := os.WriteFile(own, []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	var mu sync.Mutex
-	var at [2]int
-	handle := func(edge int, d standin.Request) {
-		mu.Lock()
-		at[edge]++
-		mu.Unlock()
-		d.Hit(time.Now(), "hit", "x")
-	}
+	var counts edgeCounts
 	write("c0")
-	t.Setenv("FOLDSLIP_SETTINGS", own)
-	s := startGateway(t, handle)
-	asked := func(s *testGateway, want int) {
-		t.Helper()
-		mu.Lock()
-		at = [2]int{}
-		mu.Unlock()
-		for i := range 20 {
-			got, _ := s.sendLookup("segment", fmt.Sprint("object", i))
-			s.expect(200, got)
-		}
-		mu.Lock()
-		defer mu.Unlock()
-		if at[want] != 20 {
-			t.Errorf("%v, expected all at %d\n%s", at, want, s.out.String())
-		}
-	}
-	logged := func(s *testGateway, what string) {
-		t.Helper()
-		s.waitFor(what, func() bool { return strings.Contains(s.out.String(), what) })
-	}
-	asked(s, 0)
+	t.Setenv("FOLDSLIP_SETTINGS", path)
+	g := startGateway(t, counts.handle)
+	counts.expectAllAt(g, 0)
 	write("c1")
-	s.cmd.Process.Signal(syscall.SIGHUP)
-	logged(s, "version=2 stage=applied")
-	asked(s, 1)
-	write("c7") // nobody has it
-	s.cmd.Process.Signal(syscall.SIGHUP)
-	logged(s, "c7 is not in the list")
-	asked(s, 1) // the change that waits is left alone
+	g.signal(syscall.SIGHUP)
+	g.waitLogged("version=2 stage=applied")
+	counts.expectAllAt(g, 1)
+	write("c7") // there is no such cache
+	g.signal(syscall.SIGHUP)
+	g.waitLogged("c7 is not in the list")
+	counts.expectAllAt(g, 1) // the change that waits is left alone
 	write("c1")
-	s.cmd.Process.Signal(syscall.SIGHUP)
-	logged(s, "version=2 stage=confirmed")
-	s.cmd.Process.Kill()
-	<-s.ended
-	write("c0") // the record goes before the file: what was confirmed is in force
-	again := startGateway(t, handle)
-	asked(again, 1)
+	g.signal(syscall.SIGHUP)
+	g.waitLogged("version=2 stage=confirmed")
+	g.cmd.Process.Kill()
+	<-g.ended
+	write("c0") // the stored versions go before the file: what was confirmed is in force
+	restarted := startGateway(t, counts.handle)
+	counts.expectAllAt(restarted, 1)
 }
--- a/internal/lab/scenario/day.go
+++ b/internal/lab/scenario/day.go
@@ -195,7 +195,7 @@
 	if t := d.hooks.routeTrial; t != nil && name == "route_change_step" && strings.Contains(rest, "stage=undone") && t.RolledBackAfter == 0 {
 		t.RolledBackAfter = d.sim.Now() - t.startedAt
 	}
-	if level >= slog.LevelWarn || name == "module" || name == "reread" {
+	if level >= slog.LevelWarn || name == "module" || name == "reloaded" {
 		d.record("%s %s", p.Name, line)
 	}
 	if name == "module_fault" {
--- a/internal/lab/scenario/stories_test.go
+++ b/internal/lab/scenario/stories_test.go
@@ -114,7 +114,7 @@
 	t.Run("SIGHUP in a bulletin break", func(t *testing.T) {
 		runCase(t, []Fault{{AtMS: 4000, Kind: "bulletin_break"}, {AtMS: 4000, Kind: "reload_good"}, {AtMS: 4000, Kind: "purge_object"},
 			{AtMS: 6000, Kind: "bulletin_gone", DurationMS: 2000}, {AtMS: 6000, Kind: "reload_good"}, {AtMS: 6100, Kind: "cache_drain", DurationMS: 1000}},
-			withoutHooks(func(r Result) bool { return r.Reasons["reread"] > 3 }))
+			withoutHooks(func(r Result) bool { return r.Reasons["reloaded"] > 3 }))
 	})
 	t.Run("time moves on while a write is blocked", func(t *testing.T) {
 		runCase(t, []Fault{{AtMS: 3000, Kind: "cache_deaf", DurationMS: 4000}, {AtMS: 4000, Kind: "cache_deaf", Target: 1, DurationMS: 4000},
@@ -186,7 +186,7 @@
 		{"the bulletin comes back with its numbers from 1", ColdStart{AgeSeconds: 60, AwayMS: 9000, NumbersRestarted: true}, least(0.97)},
 		{"the bulletin comes back, behind the list by a drain", ColdStart{AgeSeconds: 60, AwayMS: 3000, DrainUnannounced: true}, least(0.97)},
 		{"the last bytes of the list are torn", ColdStart{AgeSeconds: 60, Torn: true, AwayMS: 3000}, func(r Result) string {
-			if r.Reasons["list_torn"]+r.Reasons["started_from_stored_list"] == 0 {
+			if r.Reasons["list_damaged"]+r.Reasons["started_from_stored_list"] == 0 {
 				return "nothing was read"
 			}
 			return ""
--- a/internal/upstream/receive.go
+++ b/internal/upstream/receive.go
@@ -135,5 +135,5 @@
 }
 
 func (c *cacheConn) logInvalidResponse(err error) {
-	c.pool.env.Log().Warn("cache_fault", "cache", c.cache.ID, "text", err.Error())
+	c.pool.env.Log().Warn("cache_fault", "cache", c.cache.ID, "error", err.Error())
 }
