--- a/internal/lab/ci/style_test.go
+++ b/internal/lab/ci/style_test.go
@@ -25,7 +25,6 @@
 	"internal/cli/rigcli",
 	"internal/config",
 	"internal/extproc",
-	"internal/gateway",
 	"internal/lab/fleet",
 	"internal/lab/scale",
 	"internal/lab/scenario",
