--- a/internal/extproc/extprocgrpc/listener.go
+++ b/internal/extproc/extprocgrpc/listener.go
@@ -98,7 +98,8 @@
 		grpc.InTapHandle(l.admitStream),
 	}
 	if l.certificates != nil {
-		options = append(options, grpc.Creds(credentials.NewTLS(&tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: l.certificates.ConfigForClient})))
+		tlsConfig := &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: l.certificates.ConfigForClient}
+		options = append(options, grpc.Creds(credentials.NewTLS(tlsConfig)))
 	}
 	return options
 }
@@ -128,8 +129,8 @@
 	return environment.Listen(address)
 }
 
-// admitStream refuses a new stream of a caller past its rate, on the reading side of its connection and before anything is made for it. The delay slows
-// that connection alone.
+// admitStream refuses a new stream of a caller past its rate, on the reading side of its connection and before anything is made for it. The
+// delay slows that connection alone.
 func (l *Listener) admitStream(ctx context.Context, _ *tap.Info) (context.Context, error) {
 	if !l.AdmitsStream(callerName(ctx)) {
 		time.Sleep(refusalDelay)
--- a/internal/extproc/handlers.go
+++ b/internal/extproc/handlers.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// openLookup has the coordinator take a request and submits a new lookup to the dispatcher, under the lock. It returns the lookup if it is new, and
-// commands if it is not.
+// openLookup has the coordinator take a request and submits a new lookup to the dispatcher, under the lock. It returns the lookup if it is
+// new, and commands if it is not.
 func (s *Server) openLookup(st *stream, get route.Attributes, request *route.Lookup, arrivedAt time.Time) (*retry.Lookup, retry.Commands, *rejection) {
 	if request.TimeAllowed <= 0 && !s.coordinator.Knows(&st.handle, request.ID) { // a known one has its end, however late it is requested
 		return nil, retry.Commands{}, &rejection{reply: finalReply(503, textNoTime)}
--- a/internal/policy/fills.go
+++ b/internal/policy/fills.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	fillPressureTime  = 8 * second // after a fill was late or found no slot
+	fillLimitTime     = 8 * second // after a fill was late or found no slot
 	lateFillShare     = 0.1        // of recent fills past the allowance: so many late ones cut the limit
 	lateFillAllowance = 40         // recent fills up to which every late one counts
 	fillLimitGrowth   = 2.0        // of a router alone, for each round of as many fills as the limit
@@ -78,7 +78,7 @@
 	if r.fills.limitedUntil < r.now {
 		r.logf("fills pressed, limit %.1f", r.fills.limit)
 	}
-	r.fills.limitedUntil = r.now + fillPressureTime
+	r.fills.limitedUntil = r.now + fillLimitTime
 }
 
 // countOpenFills counts those attempts that are fills or open for too long to be hits.
--- a/internal/policy/fills_test.go
+++ b/internal/policy/fills_test.go
@@ -101,7 +101,7 @@
 		if !fill(400, 5) {
 			t.Fatal("not limited by a fifth of late fills")
 		}
-		f.now, pace = f.now+fillPressureTime, 18*millisecond // some eighty recent ones
+		f.now, pace = f.now+fillLimitTime, 18*millisecond // some eighty recent ones
 		if fill(200, 1000) || fill(200, 40) {
 			t.Fatal("limited by one late fill in forty")
 		}
--- a/internal/retry/coordinator.go
+++ b/internal/retry/coordinator.go
@@ -230,7 +230,8 @@
 }
 
 // ReportOutcome takes a caller's report of the end of its attempt. It is answered once the router has decided what follows.
-func (c *Coordinator) ReportOutcome(stream *Stream, outcome policy.AttemptOutcome, detail policy.OutcomeDetail, sourceWait policy.Micros) (commands Commands) {
+func (c *Coordinator) ReportOutcome(stream *Stream, outcome policy.AttemptOutcome, detail policy.OutcomeDetail,
+	sourceWait policy.Micros) (commands Commands) {
 	lookup := c.LookupOf(stream)
 	if lookup == nil {
 		c.anomalies[anomalyReportOfNothing]++
@@ -244,7 +245,13 @@
 	lookup.phase = phaseDeciding
 	lookup.reportPending = true
 	c.timeouts.schedule(lookup)
-	commands.Reports = append(commands.Reports, Report{Lookup: lookup, Attempt: lookup.attempt, Outcome: outcome, Detail: detail, SourceWait: max(0, sourceWait)})
+	commands.Reports = append(commands.Reports, Report{
+		Lookup:     lookup,
+		Attempt:    lookup.attempt,
+		Outcome:    outcome,
+		Detail:     detail,
+		SourceWait: max(0, sourceWait),
+	})
 	return commands
 }
 
--- a/internal/simadapter/protocol.go
+++ b/internal/simadapter/protocol.go
@@ -8,8 +8,8 @@
 	"foldslip/internal/policy"
 )
 
-// This file alone knows the names of the simulator's protocol and maps them to those of package policy. Each message is a line of its name and values set
-// apart by blanks, "-" standing for an absent value; numbers of outcomes, details and fetch modes are those of package policy.
+// This file alone knows the names of the simulator's protocol and maps them to those of package policy. Each message is a line of its name
+// and values set apart by blanks, "-" standing for an absent value; numbers of outcomes, details and fetch modes are those of package policy.
 
 // Lines that frame a batch.
 const (
