--- a/internal/lab/simenv/disk.go
+++ b/internal/lab/simenv/directory.go
@@ -3,33 +3,35 @@
 import (
 	"errors"
 	"io/fs"
+	"maps"
 	"math/rand/v2"
 	"slices"
 
 	"foldslip/internal/store/wal"
 )
 
-// Directory is a folder whose machine may lose power: what was not synced is then there in part or not at all. It is a
-// record.Disk. It lives through the lives of its processes.
+// Directory is a directory whose machine may lose power: what was not synced is then there in part or not at all. It implements
+// env.Directory, and outlives its processes.
 type Directory struct {
-	// Left is how many more operations go through; below 0 there is no end. At 0 every operation fails with ErrPower.
+	// OpsLeft is how many more operations succeed; below 0 all do. At 0 every operation fails with ErrPower.
 	OpsLeft int
-	// Ops counts operations so far.
+	// Ops counts operations.
 	Ops    int
-	files  map[string]*inode // as the running system sees the folder
+	files  map[string]*inode // as the running system has the directory
 	synced map[string]*inode // as it is after a loss of power
 	locked bool
 }
 
+// inode is the content of a file.
 type inode struct {
 	data        []byte
 	syncedBytes int
 }
 
-// ErrPower is the error of a disk without power.
+// ErrPower is the error of a directory without power.
 var ErrPower = errors.New("the disk has no power")
 
-// NewDirectory makes an empty folder.
+// NewDirectory makes an empty directory.
 func NewDirectory() *Directory {
 	return &Directory{OpsLeft: -1, files: map[string]*inode{}, synced: map[string]*inode{}}
 }
@@ -43,36 +45,33 @@
 	return nil
 }
 
-// Crash is a loss of power: of what was not synced some is there, by chance. Afterwards the disk works again.
-func (d *Directory) Crash(chance *rand.Rand) {
-	d.OpsLeft, d.locked = -1, false
-	if chance.IntN(2) == 0 { // the folder's changes may have reached it
+// Crash is a loss of power: of what was not synced a random part survives. Afterwards the directory works again.
+func (d *Directory) Crash(rng *rand.Rand) {
+	d.OpsLeft = -1
+	d.locked = false
+	if rng.IntN(2) == 0 { // renames and removals that were not synced may have reached the disk
 		d.synced = d.files
 	}
 	d.files = map[string]*inode{}
-	names := make([]string, 0, len(d.synced))
-	for n := range d.synced {
-		names = append(names, n)
+	for _, name := range slices.Sorted(maps.Keys(d.synced)) {
+		d.files[name] = d.synced[name].afterCrash(rng)
 	}
-	slices.Sort(names)
-	for _, n := range names {
-		was := d.synced[n]
-		kept := slices.Clone(was.data[:was.syncedBytes+chance.IntN(len(was.data)-was.syncedBytes+1)])
-		if len(kept) > was.syncedBytes && chance.IntN(4) == 0 { // a block that was on its way may hold anything
-			kept[was.syncedBytes+chance.IntN(len(kept)-was.syncedBytes)] ^= byte(1 + chance.IntN(255))
-		}
-		d.files[n] = &inode{kept, len(kept)}
-	}
-	d.synced = map[string]*inode{}
-	for n, i := range d.files {
-		d.synced[n] = i
+	d.synced = maps.Clone(d.files)
+}
+
+// afterCrash is what is left of a file.
+func (i *inode) afterCrash(rng *rand.Rand) *inode {
+	left := slices.Clone(i.data[:i.syncedBytes+rng.IntN(len(i.data)-i.syncedBytes+1)])
+	if len(left) > i.syncedBytes && rng.IntN(4) == 0 { // a block that was being written may hold anything
+		left[i.syncedBytes+rng.IntN(len(left)-i.syncedBytes)] ^= byte(1 + rng.IntN(255))
 	}
+	return &inode{left, len(left)}
 }
 
-// Corrupt changes one byte of a file, or cuts it there.
-func (d *Directory) Corrupt(name string, at int, cut bool) {
+// Corrupt changes a byte of a file, or truncates the file there.
+func (d *Directory) Corrupt(name string, at int, truncate bool) {
 	i := d.files[name]
-	if cut {
+	if truncate {
 		i.data = i.data[:at]
 	} else {
 		i.data[at] ^= 0x40
@@ -88,38 +87,37 @@
 	return -1
 }
 
-// Copy is the same folder once more.
+// Copy returns a directory with the same files, all synced.
 func (d *Directory) Copy() *Directory {
 	c := NewDirectory()
-	for n, i := range d.files {
-		c.files[n] = &inode{slices.Clone(i.data), len(i.data)}
-		c.synced[n] = c.files[n]
+	for name, i := range d.files {
+		c.files[name] = &inode{slices.Clone(i.data), len(i.data)}
+		c.synced[name] = c.files[name]
 	}
 	return c
 }
 
+// Names returns the names of the files, sorted.
 func (d *Directory) Names() ([]string, error) {
 	if err := d.countOp(); err != nil {
 		return nil, err
 	}
-	var names []string
-	for n := range d.files {
-		names = append(names, n)
-	}
-	slices.Sort(names)
-	return names, nil
+	return slices.Sorted(maps.Keys(d.files)), nil
 }
 
+// Read returns the content of a file.
 func (d *Directory) Read(name string) ([]byte, error) {
 	if err := d.countOp(); err != nil {
 		return nil, err
 	}
-	if i := d.files[name]; i != nil {
-		return slices.Clone(i.data), nil
+	i := d.files[name]
+	if i == nil {
+		return nil, &fs.PathError{Op: "open", Path: name, Err: fs.ErrNotExist}
 	}
-	return nil, &fs.PathError{Op: "open", Path: name, Err: fs.ErrNotExist}
+	return slices.Clone(i.data), nil
 }
 
+// Create makes an empty file.
 func (d *Directory) Create(name string) (wal.File, error) {
 	if err := d.countOp(); err != nil {
 		return nil, err
@@ -129,6 +127,7 @@
 	return &file{d, i}, nil
 }
 
+// Rename renames a file.
 func (d *Directory) Rename(from, to string) error {
 	if err := d.countOp(); err != nil {
 		return err
@@ -142,6 +141,7 @@
 	return nil
 }
 
+// Remove removes a file.
 func (d *Directory) Remove(name string) error {
 	if err := d.countOp(); err != nil {
 		return err
@@ -150,18 +150,17 @@
 	return nil
 }
 
+// Sync makes renames and removals survive a loss of power.
 func (d *Directory) Sync() error {
 	if err := d.countOp(); err != nil {
 		return err
 	}
-	d.synced = map[string]*inode{}
-	for n, i := range d.files {
-		d.synced[n] = i
-	}
+	d.synced = maps.Clone(d.files)
 	return nil
 }
 
-func (d *Directory) Lock() (func(), error) {
+// Lock locks the directory for one process.
+func (d *Directory) Lock() (unlock func(), err error) {
 	if err := d.countOp(); err != nil {
 		return nil, err
 	}
@@ -172,20 +171,24 @@
 	return func() { d.locked = false }, nil
 }
 
+// file is an open file. It implements env.File.
 type file struct {
 	directory *Directory
 	inode     *inode
 }
 
+// Write appends b, or half of it when the power goes.
 func (f *file) Write(b []byte) (int, error) {
 	if err := f.directory.countOp(); err != nil {
-		f.inode.data = append(f.inode.data, b[:len(b)/2]...) // the power went in the middle of it
-		return len(b) / 2, err
+		half := len(b) / 2
+		f.inode.data = append(f.inode.data, b[:half]...)
+		return half, err
 	}
 	f.inode.data = append(f.inode.data, b...)
 	return len(b), nil
 }
 
+// Sync makes what was written survive a loss of power.
 func (f *file) Sync() error {
 	if err := f.directory.countOp(); err != nil {
 		return err
@@ -194,4 +197,5 @@
 	return nil
 }
 
+// Close does nothing.
 func (f *file) Close() error { return nil }
