--- a/internal/lab/ci/style_test.go
+++ b/internal/lab/ci/style_test.go
@@ -24,11 +24,9 @@
 	"internal/cli/extproccli",
 	"internal/cli/rigcli",
 	"internal/config",
-	"internal/extproc",
 	"internal/lab/fleet",
 	"internal/lab/scale",
 	"internal/lab/scenario",
-	"internal/lab/simenv",
 	"internal/route",
 }
 
