--- a/internal/admin/operator.go
+++ b/internal/admin/operator.go
@@ -36,16 +36,16 @@
 
 // Request is what an operator asks for.
 type Request struct {
-	Command  string             `json:"do"`             // propose, plan, check, stage, apply, confirm, undo, back, history, text; fleet, limits, broadcast
-	Name     string             `json:"name,omitempty"` // of the gateway to explain, with fleet
-	Version  uint64             `json:"no,omitempty"`
-	Parent   uint64             `json:"parent,omitempty"` // 0: the one in force
-	Author   string             `json:"author,omitempty"`
-	Reason   string             `json:"reason,omitempty"`
-	Share    float64            `json:"share,omitempty"`
-	WithinMS int64              `json:"within_ms,omitempty"`
-	Config   *pools.Config      `json:"config,omitempty"`
-	Load     []pools.LoadSample `json:"load,omitempty"`
+	Command  string              `json:"do"`             // propose, plan, check, stage, apply, confirm, undo, back, history, text; fleet, limits, broadcast
+	Name     string              `json:"name,omitempty"` // of the gateway to explain, with fleet
+	Version  uint64              `json:"no,omitempty"`
+	Parent   uint64              `json:"parent,omitempty"` // 0: the one in force
+	Author   string              `json:"author,omitempty"`
+	Reason   string              `json:"reason,omitempty"`
+	Share    float64             `json:"share,omitempty"`
+	WithinMS int64               `json:"within_ms,omitempty"`
+	Config   *config.RouteConfig `json:"config,omitempty"`
+	Load     []pools.LoadSample  `json:"load,omitempty"`
 }
 
 // Response is what became of it.
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -7,6 +7,7 @@
 	"os"
 
 	"foldslip/internal/config"
+	"foldslip/internal/config/configfile"
 )
 
 type configCommands struct {
@@ -30,7 +31,7 @@
 
 // read reads the settings; what is wrong with them is told on the output where JSON was asked for.
 func (f configFile) read(to *streams) (*config.Config, error) {
-	s, err := config.Read(f.File, os.ReadFile)
+	s, err := configfile.Read(f.File, os.ReadFile)
 	var fault config.Error
 	if errors.As(err, &fault) {
 		if f.JSON {
--- a/internal/cli/routes.go
+++ b/internal/cli/routes.go
@@ -14,6 +14,7 @@
 	"github.com/pmezard/go-difflib/difflib"
 
 	"foldslip/internal/admin"
+	"foldslip/internal/config"
 	"foldslip/internal/config/change"
 	"foldslip/internal/route/pools"
 )
@@ -74,7 +75,7 @@
 }
 
 // routes reads the routing of a file of the operators' settings.
-func (f configFile) routes(to *streams) (*pools.Config, error) {
+func (f configFile) routes(to *streams) (*config.RouteConfig, error) {
 	s, err := f.read(to)
 	if err != nil {
 		return nil, err
@@ -82,7 +83,7 @@
 	if s.Routing == nil {
 		return nil, usageErrorf("%s: routing is not there; see docs/configuration.md", f.File)
 	}
-	return &s.Routing.Config, nil
+	return &s.Routing.RouteConfig, nil
 }
 
 type configPlan struct {
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -16,6 +16,7 @@
 	"foldslip/internal/cacheregistry"
 	"foldslip/internal/config"
 	"foldslip/internal/config/change"
+	"foldslip/internal/config/configfile"
 	"foldslip/internal/discovery"
 	"foldslip/internal/dispatch"
 	"foldslip/internal/env"
@@ -95,7 +96,7 @@
 	own := &config.Config{}
 	if path := g.Getenv("FOLDSLIP_SETTINGS"); path != "" {
 		var err error
-		if own, err = config.Read(path, g.ReadFile); err != nil {
+		if own, err = configfile.Read(path, g.ReadFile); err != nil {
 			return nil, nil, 0, nil, err
 		}
 		g.ReleaseMemory() // the evaluator takes some 2 MB that nothing needs any more
@@ -132,7 +133,7 @@
 			return nil, fmt.Errorf("routing.folder: %w", err)
 		}
 	}
-	s, err := rollout.Open(g, disk, own.Routing.Config, terms.Kinds)
+	s, err := rollout.Open(g, disk, own.Routing.RouteConfig, terms.Kinds)
 	if err != nil {
 		return nil, err
 	}
@@ -410,7 +411,7 @@
 
 // applyRoutes brings the routes of the file in; an error if they cannot be used.
 func applyRoutes(routes *rollout.Controller, r *config.Routing) error {
-	step, err := routes.ApplyFile(r.Config, confirmTimeout)
+	step, err := routes.ApplyFile(r.RouteConfig, confirmTimeout)
 	if err == nil && step.Stage == change.RolledBack && len(step.Findings) > 0 {
 		err = fmt.Errorf("routing: version %d is undone: %s", step.Version, step.Reason)
 	}
--- a/internal/lab/scenario/door.go
+++ b/internal/lab/scenario/door.go
@@ -26,7 +26,7 @@
 const extprocPort = "18200"
 
 // doorTable is the operator's table of a virtual day.
-var extprocRoutes = []route.Rule{{Path: "/call/{kind}/{object}/part-{part}", Kind: "path:kind", Object: "path:object", Part: "path:part",
+var extprocRoutes = []config.LookupRule{{Path: "/call/{kind}/{object}/part-{part}", Kind: "path:kind", Object: "path:object", Part: "path:part",
 	Group: "header:x-group", KB: "header:x-ram-kb", ID: "header:x-job-id", AllowMS: "header:x-allow-ms", Tag: "header:x-tag"}}
 
 var extprocLimits = extproc.Limits{MaxStreams: 200, SilenceTimeout: 8 * time.Second, MessagesPerSecond: 400, BytesPerSecond: 200_000,
--- a/internal/lab/scenario/routes.go
+++ b/internal/lab/scenario/routes.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
+	"foldslip/internal/config"
 	"foldslip/internal/config/change"
 	"foldslip/internal/lab/simenv"
-	"foldslip/internal/route/pools"
 )
 
 // Days on which operators change the routes of gateways at any time: two configurations, left and right, of which neither leads to the
@@ -34,14 +34,14 @@
 	return false
 }
 
-func (d *Scenario) routesFor(s routeSide) pools.Config {
-	p := pools.Pool{Locations: []string{"town", "hill"}}
+func (d *Scenario) routesFor(s routeSide) config.RouteConfig {
+	p := config.Pool{Locations: []string{"town", "hill"}}
 	for _, id := range d.firstEdges {
 		if d.routesExclude(s, id) {
 			p.ExcludedNames = append(p.ExcludedNames, id)
 		}
 	}
-	return pools.Config{Pools: map[string]pools.Pool{"some": p}, Routes: []pools.Route{{Name: []string{"left", "right"}[s], Targets: []pools.Target{{Pool: "some"}}}}}
+	return config.RouteConfig{Pools: map[string]config.Pool{"some": p}, Routes: []config.Route{{Name: []string{"left", "right"}[s], Targets: []config.Target{{Pool: "some"}}}}}
 }
 
 // setUpRoutes sets a gateway's process up: its changes are kept on its disk.
@@ -49,10 +49,10 @@
 	own := struct {
 		Folder string              `json:"folder"`
 		Guards *change.GuardLimits `json:"guards,omitempty"`
-		pools.Config
+		config.RouteConfig
 	}{routesDir, nil, g.scenario.routesFor(0)}
 	if t := g.scenario.hooks.routeTrial; t != nil {
-		own.Config = t.configBefore()
+		own.RouteConfig = t.configBefore()
 		if !t.Guarded {
 			own.Guards = &change.GuardLimits{MinLookups: 1, Deviations: 1}
 		}
--- a/internal/lab/scenario/trials.go
+++ b/internal/lab/scenario/trials.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"foldslip/internal/route/pools"
+	"foldslip/internal/config"
 )
 
 // RouteTrial is one change of routes, good or bad, tried on all gateways of a calm day: how soon its guards undo it, and what it costs.
@@ -25,12 +25,12 @@
 var RouteTrialKinds = map[string]string{"half": "half of the caches are left out", "one": "all goes to one cache", "tight": "limits tenfold too small",
 	"renamed": "", "wide": "", "one_less": ""}
 
-func (t *RouteTrial) configBefore() pools.Config {
-	return pools.Config{Pools: map[string]pools.Pool{"all": {Locations: []string{"town", "hill"}, Limits: &pools.Limits{MaxOpen: 60}}},
-		Routes: []pools.Route{{Name: "all", Targets: []pools.Target{{Pool: "all"}}}}}
+func (t *RouteTrial) configBefore() config.RouteConfig {
+	return config.RouteConfig{Pools: map[string]config.Pool{"all": {Locations: []string{"town", "hill"}, Limits: &config.Limits{MaxOpen: 60}}},
+		Routes: []config.Route{{Name: "all", Targets: []config.Target{{Pool: "all"}}}}}
 }
 
-func (t *RouteTrial) configAfter() pools.Config {
+func (t *RouteTrial) configAfter() config.RouteConfig {
 	c := t.configBefore()
 	all := c.Pools["all"]
 	switch t.Kind {
@@ -39,13 +39,13 @@
 	case "one":
 		all.ExcludedNames = t.edgeIDs[1:]
 	case "tight":
-		all.Limits = &pools.Limits{MaxOpen: 2}
+		all.Limits = &config.Limits{MaxOpen: 2}
 	case "renamed":
 		delete(c.Pools, "all")
 		c.Pools["every"], c.Routes[0].Targets[0].Pool = all, "every"
 		return c
 	case "wide":
-		all.Limits = &pools.Limits{MaxOpen: 600}
+		all.Limits = &config.Limits{MaxOpen: 600}
 	case "one_less":
 		all.ExcludedNames = t.edgeIDs[:1]
 	}
--- a/internal/route/pools/compile.go
+++ b/internal/route/pools/compile.go
@@ -9,6 +9,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"foldslip/internal/config"
 	"foldslip/internal/limit"
 )
 
@@ -23,62 +24,10 @@
 	shareTolerance  = 1e-9 // of sums of shares
 )
 
-// anyValue is the kind or group of a route that names none.
-const anyValue = -1
-
-// Table is a compiled configuration.
-type Table struct {
-	pools  []*pool
-	routes []*route
-	root   *node
-	limits map[string]limit.Spec // by "pool NAME", "route NAME", "tenant NAME"
-}
-
-// HasFleetLimits reports whether any limit is the whole fleet's.
-func (t *Table) HasFleetLimits() bool {
-	for _, l := range t.limits {
-		if l.FleetWide {
-			return true
-		}
-	}
-	return false
-}
-
-// Limits returns the limits by name, for limit.Set.
-func (t *Table) Limits() map[string]limit.Spec { return t.limits }
-
-type route struct {
-	Route
-	index            int
-	kind, group      int // anyValue: any
-	pools            []*pool
-	hashFrom, hashTo float64 // the objects that it takes, by their place in [0, 1)
-}
-
-// specificity orders routes of one pattern: kind and group, kind, group, neither.
-func (r *route) specificity() (n int) {
-	if r.kind >= 0 {
-		n += 2
-	}
-	if r.group >= 0 {
-		n++
-	}
-	return n
-}
-
-type pool struct {
-	Pool
-	name     string
-	index    int
-	hash     uint64
-	names    map[string]bool
-	excluded map[string]bool
-}
-
 // Compile checks and compiles a configuration. Kinds are the object kinds of the platform's settings; with none, kinds are not checked. With an
 // error among the problems there is no table.
-func Compile(config Config, kinds []string) (*Table, []Problem) {
-	c := &compiler{config: config, kinds: kinds, table: &Table{root: &node{}, limits: map[string]limit.Spec{}}, poolsByName: map[string]*pool{},
+func Compile(routes config.RouteConfig, kinds []string) (*Table, []Problem) {
+	c := &compiler{config: routes, kinds: kinds, table: &Table{root: &node{}, limits: map[string]limit.Spec{}}, poolsByName: map[string]*pool{},
 		routeIndex: map[string]int{}, sharesTaken: map[place]float64{}, completeRoute: map[place]int{}}
 	c.compile()
 	if slices.ContainsFunc(c.problems, func(p Problem) bool { return p.IsError }) {
@@ -88,26 +37,9 @@
 	return c.table, c.problems
 }
 
-// buildTree puts the routes into the tree by their patterns.
-func (t *Table) buildTree() {
-	for _, r := range t.routes {
-		pattern, isPrefix := strings.CutSuffix(r.Object, "*")
-		if r.Object == "" {
-			isPrefix = true
-		}
-		n := t.root.insert(pattern)
-		if isPrefix {
-			n.prefixRoutes = append(n.prefixRoutes, r)
-		} else {
-			n.exactRoutes = append(n.exactRoutes, r)
-		}
-	}
-	t.root.sort()
-}
-
 // compiler is what a compilation holds on its way.
 type compiler struct {
-	config   Config
+	config   config.RouteConfig
 	kinds    []string
 	table    *Table
 	problems []Problem
@@ -155,9 +87,9 @@
 	}
 }
 
-func (c *compiler) addPool(name string, config Pool) {
-	p := &pool{Pool: config, name: name, index: len(c.table.pools), hash: xxhash.Sum64String(name), names: toSet(config.Names),
-		excluded: toSet(config.ExcludedNames)}
+func (c *compiler) addPool(name string, written config.Pool) {
+	p := &pool{Pool: written, name: name, index: len(c.table.pools), hash: xxhash.Sum64String(name), names: toSet(written.Names),
+		excluded: toSet(written.ExcludedNames)}
 	path := "pools." + name
 	switch {
 	case !isWord(name):
@@ -177,7 +109,7 @@
 	c.poolsByName[name] = p
 }
 
-func (c *compiler) addLimits(path, name string, l *Limits) {
+func (c *compiler) addLimits(path, name string, l *config.Limits) {
 	if l == nil {
 		return
 	}
@@ -190,12 +122,17 @@
 	if l.FleetWide && (l.Adaptive || l.LookupsPerSecond == 0 && l.BytesPerSecond == 0 && l.MaxOpen == 0) {
 		c.reject(path+".limits.fleet", "what of it is the fleet's is not told", "lookups_a_second, bytes_a_second or open, and not adaptive, which is of one gateway")
 	}
-	c.table.limits[name] = l.spec()
+	c.table.limits[name] = specOf(l)
+}
+
+func specOf(l *config.Limits) limit.Spec {
+	return limit.Spec{LookupsPerSecond: l.LookupsPerSecond, BytesPerSecond: l.BytesPerSecond, MaxOpen: int(l.MaxOpen), Adaptive: l.Adaptive,
+		RetryRatio: l.RetryRatio, FleetWide: l.FleetWide}
 }
 
-func (c *compiler) addRoute(index int, config Route) {
+func (c *compiler) addRoute(index int, written config.Route) {
 	path := fmt.Sprintf("routes[%d]", index)
-	r := &route{Route: config, index: index, kind: anyValue, group: anyValue, hashTo: 1}
+	r := &route{Route: written, index: index, kind: anyValue, group: anyValue, hashTo: 1}
 	c.checkName(path, r)
 	c.resolveMatch(path, r)
 	c.checkFigures(path, r)
--- a/internal/route/rollout/controller.go
+++ b/internal/route/rollout/controller.go
@@ -17,6 +17,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"foldslip/internal/config"
 	"foldslip/internal/config/change"
 	"foldslip/internal/env"
 	"foldslip/internal/limit"
@@ -58,7 +59,7 @@
 
 // Open begins with the routes that the log in a directory holds, or with the first configuration if there is none. Without a directory
 // nothing is stored. Run or Close must follow.
-func Open(e env.Environment, directory env.Directory, first pools.Config, kinds []string) (*Controller, error) {
+func Open(e env.Environment, directory env.Directory, first config.RouteConfig, kinds []string) (*Controller, error) {
 	c := &Controller{env: e, kinds: kinds, guard: change.NewGuard(e.Now(), change.DefaultGuardLimits), endpoints: map[string]pools.Cache{},
 		tables: map[uint64]*pools.Table{}}
 	text, err := json.Marshal(first)
@@ -235,12 +236,12 @@
 }
 
 func (c *Controller) compile(text []byte) (*pools.Table, []pools.Problem, error) {
-	var config pools.Config
+	var routes config.RouteConfig
 	decoder := json.NewDecoder(strings.NewReader(string(text)))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(&config); err != nil {
+	if err := decoder.Decode(&routes); err != nil {
 		return nil, nil, change.Error{Text: "the configuration cannot be read: " + err.Error(), Remedy: "see docs/configuration.md"}
 	}
-	table, problems := pools.Compile(config, c.kinds)
+	table, problems := pools.Compile(routes, c.kinds)
 	return table, problems, nil
 }
--- a/internal/route/rollout/file.go
+++ b/internal/route/rollout/file.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"time"
 
+	"foldslip/internal/config"
 	"foldslip/internal/config/change"
 	"foldslip/internal/route/pools"
 )
@@ -14,8 +15,8 @@
 // ApplyFile takes the operators' file, read anew. Other routes than the active ones are proposed, checked and applied, and wait for their
 // confirmation: by hand, or by the same file once more. If the file has the confirmed routes while a change of it waits, that change is rolled
 // back.
-func (c *Controller) ApplyFile(config pools.Config, timeout time.Duration) (change.Step, error) {
-	text, err := json.Marshal(config)
+func (c *Controller) ApplyFile(routes config.RouteConfig, timeout time.Duration) (change.Step, error) {
+	text, err := json.Marshal(routes)
 	if err != nil {
 		return change.Step{}, err
 	}
@@ -28,14 +29,14 @@
 	case file.isConfirmed:
 		return change.Step{Version: file.confirmed, Stage: change.Confirmed}, nil
 	case file.isWaiting: // the file has changed once more; one that cannot be used leaves the change that waits as it is
-		if err := c.checkFile(config); err != nil {
+		if err := c.checkFile(routes); err != nil {
 			return change.Step{}, err
 		}
 		if step, err := c.RollBack(file.waiting, "the file has changed"); err != nil {
 			return step, err
 		}
 	}
-	step, err := c.Propose(file.confirmed, config, fileAuthor, "the file was read anew")
+	step, err := c.Propose(file.confirmed, routes, fileAuthor, "the file was read anew")
 	if err != nil || step.Stage != change.Checked {
 		return step, err
 	}
@@ -65,8 +66,8 @@
 }
 
 // checkFile returns the first error of a configuration.
-func (c *Controller) checkFile(config pools.Config) error {
-	table, problems := pools.Compile(config, c.kinds)
+func (c *Controller) checkFile(routes config.RouteConfig) error {
+	table, problems := pools.Compile(routes, c.kinds)
 	if table != nil {
 		c.mu.Lock()
 		problems = append(problems, table.Check(c.sortedCaches())...)
--- a/internal/route/rollout/steps.go
+++ b/internal/route/rollout/steps.go
@@ -6,6 +6,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"foldslip/internal/config"
 	"foldslip/internal/config/change"
 	"foldslip/internal/env"
 	"foldslip/internal/route/pools"
@@ -15,8 +16,8 @@
 
 // Propose begins a change of the version that its author has seen, and checks it: the step that it returns has the findings. With an error
 // among them the change is over.
-func (c *Controller) Propose(parent uint64, config pools.Config, author, reason string) (change.Step, error) {
-	text, err := json.Marshal(config)
+func (c *Controller) Propose(parent uint64, routes config.RouteConfig, author, reason string) (change.Step, error) {
+	text, err := json.Marshal(routes)
 	if err != nil {
 		return change.Step{}, err
 	}
@@ -185,8 +186,8 @@
 }
 
 // Plan returns what a configuration would move of a load, and its problems. With an error among them there is no plan.
-func (c *Controller) Plan(config pools.Config, load []pools.LoadSample) (pools.Impact, []pools.Problem) {
-	table, problems := pools.Compile(config, c.kinds)
+func (c *Controller) Plan(routes config.RouteConfig, load []pools.LoadSample) (pools.Impact, []pools.Problem) {
+	table, problems := pools.Compile(routes, c.kinds)
 	if table == nil {
 		return pools.Impact{}, problems
 	}
