--- a/internal/route/match.go
+++ b/internal/route/match.go
@@ -58,24 +58,27 @@
 	if rule == nil {
 		return Lookup{TimeAllowed: timeNotSet}, &RequestError{http.StatusNotFound, "no rule for this path"}
 	}
-	r := reader{values: values, attributes: attributes}
+	var firstErr RequestError
+	r := reader{values: values, attributes: attributes, firstErr: &firstErr}
 	lookup := r.lookup(t, rule)
-	if r.err != nil {
-		return Lookup{TimeAllowed: timeNotSet}, r.err
+	if firstErr.Status != 0 {
+		return Lookup{TimeAllowed: timeNotSet}, &RequestError{firstErr.Status, firstErr.Text}
 	}
 	return lookup, nil
 }
 
-// reader reads the fields of one request. After the first error the others are ignored.
+// reader reads the fields of one request. Nothing of it may be returned, so that it and the values stay on the stack.
 type reader struct {
 	values     []string // of the path's variables
 	attributes Attributes
-	err        *RequestError
+	firstErr   *RequestError // Status 0: none
 }
 
+// fail notes an error, unless there is one.
 func (r *reader) fail(status int, text string) {
-	if r.err == nil {
-		r.err = &RequestError{status, text}
+	if r.firstErr.Status == 0 {
+		r.firstErr.Status = status
+		r.firstErr.Text = text
 	}
 }
 
