--- a/internal/extproc/extprocgrpc/listener_test.go
+++ b/internal/extproc/extprocgrpc/listener_test.go
@@ -37,7 +37,7 @@
 	configuration.Lookups, configuration.LookupsPerCaller = 100, 100
 	configuration.MaxRetryAfterMS, configuration.RememberMS, configuration.SilenceTimeoutMS = 300, 2000, 5000
 	configuration.Weight = 1
-	configuration.Table = []route.Rule{{Path: "/call/{kind}/{object}/part-{part}", Kind: "path:kind", Object: "path:object", Part: "path:part", ID: "header:x-job-id"}}
+	configuration.Table = []config.LookupRule{{Path: "/call/{kind}/{object}/part-{part}", Kind: "path:kind", Object: "path:object", Part: "path:part", ID: "header:x-job-id"}}
 	l, err := Listen("n0", dependencies, configuration)
 	if err != nil {
 		t.Fatal(err)
@@ -132,7 +132,7 @@
 		t.Error(err)
 	}
 	other = *configuration
-	other.Table = []route.Rule{{Path: "/other", Kind: "segment", Object: "o", ID: "header:x-job-id"}}
+	other.Table = []config.LookupRule{{Path: "/other", Kind: "segment", Object: "o", ID: "header:x-job-id"}}
 	change, err := l.PrepareReload(&config.Config{ExternalProcessor: &other})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/extproc/extprocgrpc/load_test.go
+++ b/internal/extproc/extprocgrpc/load_test.go
@@ -22,6 +22,7 @@
 	"google.golang.org/grpc/credentials/insecure"
 
 	"foldslip/internal/admission"
+	"foldslip/internal/config"
 	"foldslip/internal/env"
 	"foldslip/internal/extproc"
 	"foldslip/internal/retry"
@@ -104,7 +105,7 @@
 	if err != nil {
 		panic(err)
 	}
-	table, err := route.Compile([]route.Rule{{Path: "/call/{kind}/{object}/part-{part}", Kind: "path:kind", Object: "path:object", Part: "path:part",
+	table, err := route.Compile([]config.LookupRule{{Path: "/call/{kind}/{object}/part-{part}", Kind: "path:kind", Object: "path:object", Part: "path:part",
 		KB: "header:x-ram-kb", ID: "header:x-job-id"}}, dependencies.Settings.Kinds)
 	if err != nil {
 		panic(err)
