--- a/internal/extproc/extprocgrpc/listener_test.go
+++ b/internal/extproc/extprocgrpc/listener_test.go
@@ -22,7 +22,6 @@
 	"foldslip/internal/admission"
 	"foldslip/internal/config"
 	"foldslip/internal/env"
-	"foldslip/internal/route"
 )
 
 // startListener starts a Listener of a configuration, with what that leaves out, until the test's end.
