--- a/internal/lab/ci/style_test.go
+++ b/internal/lab/ci/style_test.go
@@ -23,11 +23,9 @@
 	"internal/cli",
 	"internal/cli/extproccli",
 	"internal/cli/rigcli",
-	"internal/config",
 	"internal/lab/fleet",
 	"internal/lab/scale",
 	"internal/lab/scenario",
-	"internal/route",
 }
 
 // sourceFile is a parsed Go file that is no test.
