--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -177,7 +177,7 @@
 		}
 	}
 	var err error
-	if g.routes, err = rollout.Open(g.env, directory, routing.Config, g.config.settings.Kinds); err != nil {
+	if g.routes, err = rollout.Open(g.env, directory, routing.RouteConfig, g.config.settings.Kinds); err != nil {
 		return err
 	}
 	if routing.GuardLimits != nil {
