--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,29 +1,18 @@
-// Package cli is the command line: a file a sub-command, arguments read by kong. The bare program is the gateway, as the
-// platform starts it. Exit status: 0 done, 1 what was asked for failed, 2 it could not be asked for like that.
+// Package cli is the command line of foldslip. The bare program is the gateway, as the platform starts it; its sub-commands check
+// configurations, ask a running gateway through its sockets, and run simulated scenarios. Files are named for their sub-command.
+//
+// Exit status: 0 done, 1 the command failed, 2 arguments, a setting or a file cannot be used. Names, flags, JSON keys and printed forms
+// are used by scripts and keep their spelling whatever the code behind them is called.
 package cli
 
 import (
-	"errors"
-	"fmt"
+	"encoding/json"
 	"io"
 	"os"
-	"strings"
 
-	"github.com/alecthomas/kong"
+	"foldslip/internal/cli/program"
 )
 
-const (
-	exitFailed = 1 // the gateway ended on an error, a seed broke a rule
-	exitUsage  = 2 // arguments, a setting or a file that cannot be used
-)
-
-// UsageError is an error of whoever asks: exit status 2.
-type UsageError struct{ Text string }
-
-func (u UsageError) Error() string { return u.Text }
-
-func usageErrorf(format string, a ...any) error { return UsageError{fmt.Sprintf(format, a...)} }
-
 type commands struct {
 	Lookup extprocCommand `name:"ask" cmd:"" passthrough:"" help:"Ask a door for one lookup and print its decisions (runs foldslip-extproc, which stands beside this program)."`
 	List   list           `cmd:"" help:"Read and mend the list of caches that a gateway keeps on disk."`
@@ -33,55 +22,37 @@
 	Serve  serve          `cmd:"" default:"withargs" help:"Be the gateway (what the bare program does): ROUTER_CONFIG names its configuration, ROUTER_NAME and ROUTER_LISTEN go before what stands in it. SIGTERM ends it once all it has taken is answered, SIGHUP moves it to the bulletin that the file then names."`
 }
 
-// Main runs the command that args name and gives the exit status.
-func Main(args []string, out, errs io.Writer) (status int) {
-	var all commands
-	parser, err := kong.New(&all, kong.Name("foldslip"), kong.Writers(out, errs),
-		kong.Description("A lookup router for caches that fill from parents and an origin."),
-		kong.UsageOnError(), kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
-		kong.BindTo(out, (*io.Writer)(nil)), kong.Bind(&streams{out, errs}),
-		kong.Exit(func(code int) { panic(exitCode(code)) }))
-	if err != nil {
-		fmt.Fprintln(errs, "foldslip:", err)
-		return exitUsage
-	}
-	defer func() {
-		if p := recover(); p != nil {
-			code, ok := p.(exitCode)
-			if !ok {
-				panic(p)
-			}
-			status = int(code)
-		}
-	}()
-	asked, err := parser.Parse(args)
-	if err != nil {
-		return reportError(errs, usageErrorf("%v; see foldslip --help", err))
+// Main runs the command that args select and returns the exit status.
+func Main(args []string, out, errs io.Writer) int {
+	foldslip := program.Program{
+		Name:        "foldslip",
+		Description: "A lookup router for caches that fill from parents and an origin.",
+		CompactHelp: true,
+		Hint:        "; see foldslip --help",
+		FormatError: formatError,
 	}
-	return reportError(errs, asked.Run())
+	return foldslip.Main(&commands{}, args, &program.Streams{Out: out, Err: errs})
 }
 
-type exitCode int
-
-type streams struct{ out, errs io.Writer }
-
-// reportError says an error in one line and gives the exit status that goes with it.
-func reportError(errs io.Writer, err error) int {
-	if err == nil {
-		return 0
+// formatError keeps usage errors to one line; other errors may have several.
+func formatError(err error) string {
+	if program.IsUsageError(err) {
+		return program.OneLine(err)
 	}
-	if errors.As(err, new(UsageError)) {
-		fmt.Fprintln(errs, "foldslip:", strings.ReplaceAll(err.Error(), "\n", " "))
-		return exitUsage
-	}
-	if !errors.As(err, new(reportedError)) {
-		fmt.Fprintln(errs, "foldslip:", err)
-	}
-	return exitFailed
+	return err.Error()
 }
 
-// reportedError is an error that has been told already.
-type reportedError struct{ error }
-
-// Run is the program.
+// Run runs the process's own arguments and ends the process.
 func Run() { os.Exit(Main(os.Args[1:], os.Stdout, os.Stderr)) }
+
+// printJSON prints a value as one line of JSON.
+func printJSON(streams *program.Streams, value any) error {
+	return json.NewEncoder(streams.Out).Encode(value)
+}
+
+// printIndentedJSON prints a value as JSON over several lines.
+func printIndentedJSON(streams *program.Streams, value any, indent string) error {
+	encoder := json.NewEncoder(streams.Out)
+	encoder.SetIndent("", indent)
+	return encoder.Encode(value)
+}
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -1,11 +1,11 @@
 package cli
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"os"
 
+	"foldslip/internal/cli/program"
 	"foldslip/internal/config"
 )
 
@@ -28,40 +28,40 @@
 	JSON bool   `help:"Print JSON, also of what is wrong."`
 }
 
-// read reads the settings; what is wrong with them is told on the output where JSON was asked for.
-func (f configFile) read(to *streams) (*config.Config, error) {
-	s, err := config.Read(f.File, os.ReadFile)
-	var fault config.Error
-	if errors.As(err, &fault) {
+// read reads the operators' configuration. With --json an error in it is printed as JSON, too.
+func (f configFile) read(streams *program.Streams) (*config.Config, error) {
+	configuration, err := config.Read(f.File, os.ReadFile)
+	var invalid config.Error
+	if errors.As(err, &invalid) {
 		if f.JSON {
-			json.NewEncoder(to.out).Encode(map[string]any{"ok": false, "fault": fault})
+			printJSON(streams, map[string]any{"ok": false, "fault": invalid})
 		}
-		return nil, usageErrorf("%v", fault)
+		return nil, program.UsageErrorf("%w", invalid)
 	}
-	return s, err
+	return configuration, err
 }
 
 type configCheck struct{ configFile }
 
-func (f *configCheck) Run(to *streams) error {
-	if _, err := f.read(to); err != nil {
+// Run checks a file.
+func (c *configCheck) Run(streams *program.Streams) error {
+	if _, err := c.read(streams); err != nil {
 		return err
 	}
-	if f.JSON {
-		return json.NewEncoder(to.out).Encode(map[string]any{"ok": true})
+	if c.JSON {
+		return printJSON(streams, map[string]any{"ok": true})
 	}
-	_, err := fmt.Fprintf(to.out, "%s can be used\n", f.File)
+	_, err := fmt.Fprintf(streams.Out, "%s can be used\n", c.File)
 	return err
 }
 
 type configShow struct{ configFile }
 
-func (f *configShow) Run(to *streams) error {
-	s, err := f.read(to)
+// Run prints a configuration with its defaults.
+func (c *configShow) Run(streams *program.Streams) error {
+	configuration, err := c.read(streams)
 	if err != nil {
 		return err
 	}
-	e := json.NewEncoder(to.out)
-	e.SetIndent("", "  ")
-	return e.Encode(s)
+	return printIndentedJSON(streams, configuration, "  ")
 }
--- /dev/null
+++ b/internal/cli/faults_replay.go
@@ -0,0 +1,113 @@
+package cli
+
+import (
+	"cmp"
+	"encoding/json"
+	"fmt"
+	"io"
+	"os"
+	"time"
+
+	"foldslip/internal/cli/program"
+	"foldslip/internal/lab/scenario"
+)
+
+type faultsReplay struct {
+	scenarioFlags
+	Source string  `name:"day" arg:"" help:"Seed, or a file that shrink wrote."`
+	Trace  bool    `help:"Print every step."`
+	From   float64 `help:"Print steps from that virtual second on."`
+}
+
+// Run plays one scenario. It fails if a rule was broken.
+func (c *faultsReplay) Run(streams *program.Streams) error {
+	plan, err := c.loadPlan(c.Source)
+	if err != nil {
+		return err
+	}
+	var hooks scenario.Hooks
+	if c.Trace {
+		hooks.Trace = func(at time.Duration, line string) {
+			if at.Seconds() >= c.From {
+				fmt.Fprintf(streams.Out, "%12.6f %s\n", at.Seconds(), line)
+			}
+		}
+	}
+	result, err := scenario.Run(plan, hooks)
+	if err != nil {
+		return err
+	}
+	if err := c.printResult(streams, result); err != nil {
+		return err
+	}
+	return firstViolation(result)
+}
+
+// printResult prints a scenario's result.
+func (f scenarioFlags) printResult(streams *program.Streams, result scenario.Result) error {
+	if f.JSON {
+		return printJSON(streams, result)
+	}
+	for _, fault := range result.Plan.Faults {
+		fmt.Fprintf(streams.Out, "fault %s\n", fault)
+	}
+	for _, event := range result.RecentEvents {
+		fmt.Fprintln(streams.Out, event)
+	}
+	fmt.Fprintf(streams.Out, "seed %d: %d lookups, %d steps, digest %s, ends %v\n", result.Plan.Seed, result.Lookups, result.Steps, result.Digest, result.Outcomes)
+	return nil
+}
+
+// firstViolation returns the first broken rule as an error, nil if there is none.
+func firstViolation(result scenario.Result) error {
+	if len(result.Violations) == 0 {
+		return nil
+	}
+	return program.Failedf("broke %s", result.Violations[0])
+}
+
+type faultsShrink struct {
+	scenarioFlags
+	Source string `name:"day" arg:"" help:"Seed, or a file."`
+	Output string `name:"out" help:"File to write; by default fault-SEED.json in the current folder."`
+}
+
+// Run writes the smallest scenario that breaks the same rule as a given one.
+func (c *faultsShrink) Run(streams *program.Streams) error {
+	plan, err := c.loadPlan(c.Source)
+	if err != nil {
+		return err
+	}
+	smallest, result, tried, err := scenario.Shrink(plan, func(text string) { fmt.Fprintln(streams.Err, text) })
+	if err != nil {
+		return program.UsageErrorf("%w", err)
+	}
+	path := cmp.Or(c.Output, fmt.Sprintf("fault-%d.json", plan.Seed))
+	if err := writePlan(path, smallest); err != nil {
+		return err
+	}
+	printShrunk(streams.Out, plan, smallest, tried, path)
+	if err := c.printResult(streams, result); err != nil {
+		return nil // only the result was not printed
+	}
+	if firstViolation(result) == nil { // cannot be: Shrink returns a plan that breaks a rule
+		return program.Failedf("the smallest day breaks nothing")
+	}
+	return nil
+}
+
+func writePlan(path string, plan scenario.Plan) error {
+	text, err := json.MarshalIndent(plan, "", " ")
+	if err != nil {
+		return err
+	}
+	if err := os.WriteFile(path, append(text, '\n'), 0o644); err != nil {
+		return program.UsageErrorf("the file cannot be written: %w", err)
+	}
+	return nil
+}
+
+func printShrunk(out io.Writer, plan, smallest scenario.Plan, tried int, path string) {
+	fmt.Fprintf(out, "%d days tried; %d of %d faults, %d s and %d gateways are left, in %s\n", tried, len(smallest.Faults), len(plan.Faults),
+		smallest.Seconds, smallest.Gateways, path)
+}
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -1,17 +1,17 @@
 package cli
 
 import (
-	"encoding/json"
 	"fmt"
 	"strings"
 	"text/tabwriter"
 	"time"
 
 	"foldslip/internal/admin"
+	"foldslip/internal/cli/program"
 	"foldslip/internal/fleet/membership"
 )
 
-// fleet are questions to a gateway about the fleet it sees, and the rig that proves it.
+// fleet are requests to a gateway about the fleet that it sees, and the rig that tests fleets.
 type fleet struct {
 	View      fleetView      `cmd:"" help:"How much of the fleet a gateway sees, and whether the fleet agrees."`
 	Members   fleetMembers   `cmd:"" help:"The gateways that a gateway knows, with how sure it is of each."`
@@ -21,76 +21,93 @@
 	Run       fleetRun       `cmd:"" passthrough:"" help:"Start a fleet of real gateways on loopback, put faults between them and report (runs foldslip-rig, which stands beside this program)."`
 }
 
+// fleetSocket is a gateway's socket for requests about the fleet.
 type fleetSocket struct {
 	Socket string        `env:"FOLDSLIP_FLEET" default:"/run/foldslip/fleet" help:"The gateway's socket, fleet.socket of its settings."`
 	JSON   bool          `help:"Print JSON."`
 	Wait   time.Duration `name:"wait" default:"10s" help:"For the answer."`
 }
 
-func (f fleetSocket) fleetReport(name string) (*membership.Report, error) {
-	a, err := adminSocket(f).call(admin.Request{Command: "fleet", Name: name})
+// call sends a request and returns the response.
+func (s fleetSocket) call(request admin.Request) (admin.Response, error) {
+	return adminSocket(s).call(request)
+}
+
+// fleetReport requests a gateway's view of the fleet, or of one member if name is not empty.
+func (s fleetSocket) fleetReport(name string) (*membership.Report, error) {
+	response, err := s.call(admin.Request{Command: "fleet", Name: name})
 	if err != nil {
 		return nil, err
 	}
-	if a.Fleet == nil {
-		return nil, fmt.Errorf("%s: the gateway told nothing of its fleet; is it of this version?", f.Socket)
+	if response.Fleet == nil {
+		return nil, program.Failedf("%s: the gateway told nothing of its fleet; is it of this version?", s.Socket)
 	}
-	return a.Fleet, nil
+	return response.Fleet, nil
 }
 
-func formatDuration(n int64) string {
-	return (time.Duration(n) * time.Millisecond).Round(100 * time.Millisecond).String()
+// formatMilliseconds formats an elapsed time in milliseconds, rounded to tenths of a second.
+func formatMilliseconds(milliseconds int64) string {
+	return (time.Duration(milliseconds) * time.Millisecond).Round(100 * time.Millisecond).String()
 }
 
+// upSeconds returns the time since a start, at least one second: rates are computed by dividing by it.
+func upSeconds(milliseconds int64) float64 { return max(float64(milliseconds)/1000, 1) }
+
 type fleetView struct{ fleetSocket }
 
-func (f *fleetView) Run(to *streams) error {
-	r, err := f.fleetReport("")
+// Run prints a summary of a gateway's view of the fleet.
+func (c *fleetView) Run(streams *program.Streams) error {
+	report, err := c.fleetReport("")
 	if err != nil {
 		return err
 	}
-	if f.JSON {
-		r.Members = nil
-		return json.NewEncoder(to.out).Encode(r)
+	if c.JSON {
+		report.Members = nil
+		return printJSON(streams, report)
 	}
 	side := "a majority"
-	if r.InMinority {
+	if report.InMinority {
 		side = "a MINORITY"
 	}
-	fmt.Fprintf(to.out, "%s at %s: %s, sees %d of %d (%s), %d live, %d agree, version %d, set %s unchanged for %s\n", r.Name, r.Addr, r.State,
-		r.Alive, r.FleetSize, side, r.Live, r.Agreeing, r.Version, r.Digest, formatDuration(r.ChangedAgoMS))
-	c := r.Counts
-	fmt.Fprintf(to.out, "joined %d, died %d (%d wrongly), left %d, restarted %d, suspected %d (%d cleared), refused %d, stood still %d, names claimed %d\n",
-		c.Joins, c.Deaths, c.FalseDeaths, c.Leaves, c.Restarts, c.Suspicions, c.ClearedSuspicions, c.Refused, c.Pauses, c.NameConflicts)
-	up := max(float64(r.UpMS)/1000, 1)
-	fmt.Fprintf(to.out, "datagrams %.1f in, %.1f out a second, %.0f and %.0f bytes; %d streams of %d bytes, %d dropped\n", float64(r.PacketsIn)/up,
-		float64(r.PacketsOut)/up, float64(r.BytesIn)/up, float64(r.BytesOut)/up, r.Streams, r.StreamBytes, r.Dropped)
-	fmt.Fprintf(to.out, "probe p50 %dus p99 %dus max %dus (%d); settling p50 %dms max %dms (%d)\n", r.RTT.P50, r.RTT.P99, r.RTT.Max, r.RTT.N,
-		r.SettleTimes.P50, r.SettleTimes.Max, r.SettleTimes.N)
+	out := streams.Out
+	fmt.Fprintf(out, "%s at %s: %s, sees %d of %d (%s), %d live, %d agree, version %d, set %s unchanged for %s\n", report.Name, report.Addr, report.State,
+		report.Alive, report.FleetSize, side, report.Live, report.Agreeing, report.Version, report.Digest, formatMilliseconds(report.ChangedAgoMS))
+	counts := report.Counts
+	fmt.Fprintf(out, "joined %d, died %d (%d wrongly), left %d, restarted %d, suspected %d (%d cleared), refused %d, stood still %d, names claimed %d\n",
+		counts.Joins, counts.Deaths, counts.FalseDeaths, counts.Leaves, counts.Restarts, counts.Suspicions, counts.ClearedSuspicions, counts.Refused,
+		counts.Pauses, counts.NameConflicts)
+	seconds := upSeconds(report.UpMS)
+	fmt.Fprintf(out, "datagrams %.1f in, %.1f out a second, %.0f and %.0f bytes; %d streams of %d bytes, %d dropped\n", float64(report.PacketsIn)/seconds,
+		float64(report.PacketsOut)/seconds, float64(report.BytesIn)/seconds, float64(report.BytesOut)/seconds, report.Streams, report.StreamBytes,
+		report.Dropped)
+	roundTrips, settling := report.RTT, report.SettleTimes
+	fmt.Fprintf(out, "probe p50 %dus p99 %dus max %dus (%d); settling p50 %dms max %dms (%d)\n", roundTrips.P50, roundTrips.P99, roundTrips.Max, roundTrips.N,
+		settling.P50, settling.Max, settling.N)
 	return nil
 }
 
 type fleetMembers struct{ fleetSocket }
 
-func (f *fleetMembers) Run(to *streams) error {
-	r, err := f.fleetReport("")
+// Run prints the members that a gateway knows.
+func (c *fleetMembers) Run(streams *program.Streams) error {
+	report, err := c.fleetReport("")
 	if err != nil {
 		return err
 	}
-	return printMembers(to, r, f.JSON)
+	return c.printMembers(streams, report)
 }
 
-func printMembers(to *streams, r *membership.Report, asJSON bool) error {
-	if asJSON {
-		return json.NewEncoder(to.out).Encode(r.Members)
+func (s fleetSocket) printMembers(streams *program.Streams, report *membership.Report) error {
+	if s.JSON {
+		return printJSON(streams, report.Members)
 	}
-	w := tabwriter.NewWriter(to.out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "NAME\tADDRESS\tSTATE\tFOR\tHEARD\tBY\tAGREES\tRESTARTS\tDEATHS\tWRONG")
-	for _, m := range r.Members {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s ago\t%s\t%v\t%d\t%d\t%d\n", m.Name, m.Addr, m.State, formatDuration(m.SinceMS), formatDuration(m.LastSeenAgoMS), m.LastSeenBy, m.Agrees,
-			m.Restarts, m.Deaths, m.FalseDeaths)
+	table := tabwriter.NewWriter(streams.Out, 0, 4, 2, ' ', 0)
+	fmt.Fprintln(table, "NAME\tADDRESS\tSTATE\tFOR\tHEARD\tBY\tAGREES\tRESTARTS\tDEATHS\tWRONG")
+	for _, member := range report.Members {
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s ago\t%s\t%v\t%d\t%d\t%d\n", member.Name, member.Addr, member.State, formatMilliseconds(member.SinceMS),
+			formatMilliseconds(member.LastSeenAgoMS), member.LastSeenBy, member.Agrees, member.Restarts, member.Deaths, member.FalseDeaths)
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
 type fleetExplain struct {
@@ -98,83 +115,31 @@
 	fleetSocket
 }
 
-func (f *fleetExplain) Run(to *streams) error {
-	r, err := f.fleetReport(f.Name)
+// Run prints one member with the heartbeat evidence about it.
+func (c *fleetExplain) Run(streams *program.Streams) error {
+	report, err := c.fleetReport(c.Name)
 	if err != nil {
 		return err
 	}
-	if err := printMembers(to, r, f.JSON); err != nil || f.JSON {
+	if err := c.printMembers(streams, report); err != nil || c.JSON {
 		return err
 	}
-	for _, m := range r.Members {
-		for _, s := range m.Evidence {
-			fmt.Fprintf(to.out, "  %s ago, %s: %s\n", formatDuration(s.AgoMS), s.By, s.What)
+	for _, member := range report.Members {
+		for _, evidence := range member.Evidence {
+			fmt.Fprintf(streams.Out, "  %s ago, %s: %s\n", formatMilliseconds(evidence.AgoMS), evidence.By, evidence.What)
 		}
 	}
 	return nil
 }
 
-type fleetLimits struct{ fleetSocket }
-
-func (f *fleetLimits) Run(to *streams) error {
-	a, err := adminSocket{f.Socket, f.JSON, f.Wait}.call(admin.Request{Command: "limits"})
-	if err != nil {
-		return err
-	}
-	if f.JSON {
-		return json.NewEncoder(to.out).Encode(a.Limits)
-	}
-	w := tabwriter.NewWriter(to.out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "LIMIT\tOF ALL\tPART\tLENT\tBORROWED\tMAY\tWANTED\tUSED\tFLEET USES\tAS OF\tGATEWAYS\tUNSEEN\tOVER AT MOST\tSTATE")
-	for _, r := range a.Limits {
-		fmt.Fprintf(w, "%s\t%.6g\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%s ago\t%d\t%d\t%.1f%%\t%s\n", r.Name, r.Total, r.Quota, r.Lent, r.Borrowed,
-			r.Lease, r.Demand, r.Used, r.FleetUsed, formatDuration(r.FleetUsedAgeMS), r.FleetSize, r.Unreachable, 100*r.MaxExcess, r.State)
-	}
-	return w.Flush()
-}
-
-type fleetBroadcast struct {
-	After uint64 `name:"after" help:"Leave out the heeded purges numbered up to this one (with --json)."`
-	fleetSocket
-}
-
-func (f *fleetBroadcast) Run(to *streams) error {
-	a, err := adminSocket{f.Socket, f.JSON, f.Wait}.call(admin.Request{Command: "broadcast", Version: f.After})
-	if err != nil {
-		return err
-	}
-	r := a.Broadcast
-	if r == nil {
-		return fmt.Errorf("%s: the gateway told nothing of its broadcast; is it of this version?", f.Socket)
-	}
-	if f.JSON {
-		return json.NewEncoder(to.out).Encode(r)
-	}
-	parent := "under " + r.Node.Parent
-	if r.Node.Parent == "" {
-		parent = "the root"
-	}
-	fmt.Fprintf(to.out, "%s in region %q, zone %q, site %q: %s, %d of %d live below it: %s\n", r.Name, r.Locality.Region, r.Locality.Zone, r.Locality.Site, parent,
-		len(r.Node.Children), r.Live, strings.Join(r.Node.Children, ", "))
-	if b := r.Node.Behind; r.Mode == "behind" {
-		fmt.Fprintf(to.out, "BEHIND: %d batches and %d seconds of purges are known to be missing\n", b.MissingBatches, b.DifferingSeconds)
-	} else {
-		fmt.Fprintln(to.out, "whole: nothing is known to be missing for longer than 2 s")
-	}
-	c, up := r.Counts, max(float64(r.UptimeMS)/1000, 1)
-	fmt.Fprintf(to.out, "datagrams %.1f in, %.1f out a second, %.0f and %.0f bytes; %d not sent, %d dropped as too many waited, %d of unknown senders, %d unreadable\n",
-		float64(c.Received)/up, float64(c.Sent)/up, float64(c.BytesIn)/up, float64(c.BytesOut)/up, c.SendFailures, c.Dropped, c.UnknownSenders, c.Unreadable)
-	fmt.Fprintf(to.out, "purges that counted here %d, of them told by peers first %d; own ones without room %d; gaps told %d\n", r.Applied, c.LearnedFromPeers, c.OwnPurgesDropped, c.BehindPeriods)
-	return nil
-}
-
-// fleetRun is a command of foldslip-rig, whose libraries (plots) a gateway does without.
+// fleetRun is a command of foldslip-rig, whose plot libraries a gateway does without.
 type fleetRun struct {
 	Args []string `arg:"" optional:""`
 }
 
-func (f *fleetRun) Run() error {
-	args := f.Args
+// Run replaces the process by foldslip-rig.
+func (c *fleetRun) Run() error {
+	args := c.Args
 	if len(args) > 0 && strings.HasPrefix(args[0], "--help") {
 		args = args[:1]
 	}
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -7,6 +7,7 @@
 	"syscall"
 	"time"
 
+	"foldslip/internal/cli/program"
 	"foldslip/internal/env"
 	"foldslip/internal/gateway"
 )
@@ -18,25 +19,26 @@
 	LogLevel    string        `enum:"debug,info,warn,error" default:"info" help:"The least level that is logged: ${enum}."`
 }
 
-func (s *serve) Run(to *streams) error {
-	var least slog.Level
-	if err := least.UnmarshalText([]byte(s.LogLevel)); err != nil {
-		return usageErrorf("--log-level: %v", err)
+// Run runs the gateway until SIGTERM.
+func (s *serve) Run(streams *program.Streams) error {
+	var level slog.Level
+	if err := level.UnmarshalText([]byte(s.LogLevel)); err != nil {
+		return program.UsageErrorf("--log-level: %w", err)
 	}
 	if s.Settings != "" {
 		os.Setenv("FOLDSLIP_SETTINGS", s.Settings)
 	}
 	if s.WithExtproc {
-		return runExtproc("serve", "--settings="+s.Settings, "--log-level="+s.LogLevel)
+		return execExtproc("serve", "--settings="+s.Settings, "--log-level="+s.LogLevel)
 	}
-	g := env.NewSystem(to.errs, least)
-	g.WallOffset = s.ClockOffset
-	if g.Getenv("ROUTER_CONFIG") == "" {
-		return usageErrorf("ROUTER_CONFIG is not set: name the gateway's configuration file in it, see README.md (Start)")
+	environment := env.NewSystem(streams.Err, level)
+	environment.WallOffset = s.ClockOffset
+	if environment.Getenv("ROUTER_CONFIG") == "" {
+		return program.UsageErrorf("ROUTER_CONFIG is not set: name the gateway's configuration file in it, see README.md (Start)")
 	}
-	if err := gateway.Run(g, gateway.Hooks{}); err != nil {
-		g.Log().Error("ended", "text", err.Error())
-		return reportedError{err}
+	if err := gateway.Run(environment, gateway.Hooks{}); err != nil {
+		environment.Log().Error("ended", "text", err.Error())
+		return program.ReportedError{Err: err}
 	}
 	return nil
 }
@@ -46,18 +48,19 @@
 	Args []string `arg:"" optional:""`
 }
 
-func (b *extprocCommand) Run() error { return runExtproc(append([]string{"ask"}, b.Args...)...) }
+// Run replaces the process by foldslip-extproc.
+func (e *extprocCommand) Run() error { return execExtproc(append([]string{"ask"}, e.Args...)...) }
 
-// runExtproc becomes foldslip-extproc, whose libraries this program does without.
-func runExtproc(args ...string) error { return execSibling("foldslip-extproc", args...) }
+// execExtproc replaces the process by foldslip-extproc, whose gRPC libraries a gateway does without.
+func execExtproc(args ...string) error { return execSibling("foldslip-extproc", args...) }
 
-// execSibling becomes a program that stands beside this one.
+// execSibling replaces the process by a program in the same directory. It returns only if that fails.
 func execSibling(name string, args ...string) error {
-	own, err := os.Executable()
+	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(filepath.Dir(own), name)
+	path := filepath.Join(filepath.Dir(self), name)
 	err = syscall.Exec(path, append([]string{path}, args...), os.Environ())
-	return usageErrorf("%s cannot be run: %v; go build -o bin/ ./cmd/... makes it", path, err)
+	return program.UsageErrorf("%s cannot be run: %w; go build -o bin/ ./cmd/... makes it", path, err)
 }
