--- a/internal/cli/extproccli/frozen_test.go
+++ b/internal/cli/extproccli/frozen_test.go
@@ -3,33 +3,19 @@
 import (
 	"bytes"
 	"fmt"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
-	"github.com/alecthomas/kong"
+	"foldslip/internal/cli/program/programtest"
 )
 
-// The files under testdata/frozen were written by the build at 58d6067: exit statuses and messages of what cannot be done, and the
-// names, arguments and flags of the commands.
-
-// frozen compares what is written now with the file of that name.
-func frozen(t *testing.T, name string, got []byte) {
-	t.Helper()
-	want, err := os.ReadFile(filepath.Join("testdata", "frozen", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s: other bytes than before:\n%s\nexpected:\n%s", name, got, want)
-	}
-}
+// The files under testdata/frozen were written by the build at 58d6067. They name the program PROGRAM, since it has an old name too.
 
+// TestFrozenCommands checks exit statuses and messages of commands that cannot be done.
 func TestFrozenCommands(t *testing.T) {
 	t.Setenv("ROUTER_CONFIG", "")
 	t.Setenv("FOLDSLIP_SETTINGS", "")
-	var all bytes.Buffer
+	var printed bytes.Buffer
 	for _, args := range []string{
 		"frobnicate",
 		"--sides 1",
@@ -43,36 +29,17 @@
 	} {
 		var out, errs bytes.Buffer
 		status := Main(strings.Fields(args), &out, &errs)
-		said, _, _ := strings.Cut(errs.String(), "rpc error") // what the RPC library says is its own
-		if strings.HasPrefix(said, "Usage:") {
-			said = said[strings.LastIndex(said, "\n"+programName+":")+1:]
+		message, _, _ := strings.Cut(errs.String(), "rpc error") // the RPC library's text changes with its version
+		if strings.HasPrefix(message, "Usage:") {
+			message = message[strings.LastIndex(message, "\n"+programName+":")+1:]
 		}
-		fmt.Fprintf(&all, "== %s: status %d\n%s%s\n", args, status, out.String(), said)
+		fmt.Fprintf(&printed, "== %s: status %d\n%s%s\n", args, status, out.String(), message)
 	}
-	frozen(t, "commands", bytes.ReplaceAll(all.Bytes(), []byte(programName), []byte("PROGRAM")))
+	programtest.Equal(t, "commands", bytes.ReplaceAll(printed.Bytes(), []byte(programName), []byte("PROGRAM")))
 }
 
-// Each command with its arguments and flags, their defaults and variables of the environment; not the help's text.
+// TestFrozenCommandLine checks each command with its arguments and flags.
 func TestFrozenCommandLine(t *testing.T) {
-	parser, err := kong.New(&commands{}, kong.Name(programName))
-	if err != nil {
-		t.Fatal(err)
-	}
-	var b bytes.Buffer
-	writeNode(&b, parser.Model.Node)
-	frozen(t, "command-line", bytes.ReplaceAll(b.Bytes(), []byte(programName), []byte("PROGRAM")))
-}
-
-func writeNode(b *bytes.Buffer, n *kong.Node) {
-	fmt.Fprintf(b, "%s hidden=%v passthrough=%v\n", n.FullPath(), n.Hidden, n.Passthrough)
-	for _, p := range n.Positional {
-		fmt.Fprintf(b, "  %s %s required=%v default=%q\n", p.Summary(), p.Target.Type(), p.Required, p.Default)
-	}
-	for _, f := range n.Flags {
-		fmt.Fprintf(b, "  --%s short=%q %s required=%v default=%q enum=%q env=%v hidden=%v\n", f.Name, f.Short, f.Target.Type(), f.Required, f.Default, f.Enum,
-			f.Envs, f.Hidden)
-	}
-	for _, child := range n.Children {
-		writeNode(b, child)
-	}
+	list := programtest.CommandLine(t, programName, &commands{})
+	programtest.Equal(t, "command-line", bytes.ReplaceAll(list, []byte(programName), []byte("PROGRAM")))
 }
