--- a/internal/cli/extproccli/extproccli.go
+++ b/internal/cli/extproccli/extproccli.go
@@ -6,13 +6,8 @@
 
 import (
 	"io"
-	"log/slog"
-	"os"
 
 	"foldslip/internal/cli/program"
-	"foldslip/internal/env"
-	"foldslip/internal/extproc/extprocgrpc"
-	"foldslip/internal/gateway"
 )
 
 // programName begins every message.
@@ -33,24 +28,3 @@
 	}
 	return extproc.Main(&commands{}, args, &program.Streams{Out: out, Err: errs})
 }
-
-type serve struct {
-	Settings string `env:"FOLDSLIP_SETTINGS" required:"" help:"The operators' settings, a Jsonnet template with external_processor."`
-	LogLevel string `enum:"debug,info,warn,error" default:"info" help:"The least level that is logged: ${enum}."`
-}
-
-// Run runs the gateway with its external processor until SIGTERM. It logs to the process's own standard error.
-func (s *serve) Run() error {
-	var level slog.Level
-	level.UnmarshalText([]byte(s.LogLevel)) // kong has checked it
-	os.Setenv("FOLDSLIP_SETTINGS", s.Settings)
-	environment := env.NewSystem(os.Stderr, level)
-	if environment.Getenv("ROUTER_CONFIG") == "" {
-		return program.UsageErrorf("ROUTER_CONFIG is not set: name the gateway's configuration file in it, see docs/external-processor.md (Start)")
-	}
-	if err := gateway.Run(environment, gateway.Hooks{NewServices: extprocgrpc.OpenConfigured}); err != nil {
-		environment.Log().Error("ended", "text", err.Error())
-		return program.ReportedError{Err: err}
-	}
-	return nil
-}
--- a/internal/lab/ci/style_test.go
+++ b/internal/lab/ci/style_test.go
@@ -21,11 +21,9 @@
 var unfinished = []string{
 	"internal/admin",
 	"internal/config",
-	"internal/extproc",
 	"internal/lab/fleet",
 	"internal/lab/scale",
 	"internal/lab/scenario",
-	"internal/lab/simenv",
 	"internal/route",
 }
 
