--- a/internal/cli/extproccli/serve_test.go
+++ b/internal/cli/extproccli/serve_test.go
@@ -24,6 +24,7 @@
 	"foldslip/internal/gateway"
 )
 
+// servedSettings are platform settings of one kind of lookup.
 const servedSettings = `{"areas":["town"],"machine_types":["edge","parent","origin"],"ceilings":{"cancelling":true,"try_limit":6,"retry_after":true,
 "max_retry_after":2000000},"classes":[{"name":"segment","aim":400000,"deadline":5000000,"points":1,"effect":"idempotent"}],
 "specifics":{"parent_kind":1,"source_kind":2,"flow_kb_per_s":100000,"max_age":[0],"grace_for":[0],"pass_on":[false],"seats_by_zone":[1],"merges_fills":true}}`
@@ -34,26 +35,28 @@
 	bytes.Buffer
 }
 
+// Write appends to the buffer.
 func (b *lockedBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.Buffer.Write(p)
 }
 
+// String returns what has been written so far.
 func (b *lockedBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.Buffer.String()
 }
 
-// freeAddr is a loopback address of this process alone, with a port below those that connections get.
-func freeAddr(t *testing.T, n int) string {
+// freeAddr returns a free loopback address that only this process uses; its port is below those that outgoing connections get.
+func freeAddr(t *testing.T, host int) string {
 	t.Helper()
 	pid := os.Getpid()
-	for ; n < 250; n += 10 {
-		addr := fmt.Sprintf("127.%d.%d.%d:10080", 1+pid>>8%250, pid%256, 1+n)
-		if l, err := net.Listen("tcp", addr); err == nil {
-			l.Close()
+	for ; host < 250; host += 10 {
+		addr := fmt.Sprintf("127.%d.%d.%d:10080", 1+pid>>8%250, pid%256, 1+host)
+		if listener, err := net.Listen("tcp", addr); err == nil {
+			listener.Close()
 			return addr
 		}
 	}
@@ -61,6 +64,7 @@
 	return ""
 }
 
+// writeFile writes a file and returns its path.
 func writeFile(t *testing.T, path, text string) string {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -69,19 +73,23 @@
 	return path
 }
 
-// health asks a gateway for its health; -1 where there is no answer in time.
+// noHealth is returned by health if the gateway did not answer in time.
+const noHealth healthv1.HealthCheckResponse_ServingStatus = -1
+
+// health requests a gateway's health.
 func health(conn *grpc.ClientConn, timeout time.Duration) healthv1.HealthCheckResponse_ServingStatus {
-	ctx, stop := context.WithTimeout(context.Background(), timeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	defer cancel()
 	response, err := healthv1.NewHealthClient(conn).Check(ctx, &healthv1.HealthCheckRequest{}, grpc.WaitForReady(true))
 	if err != nil {
-		return -1
+		return noHealth
 	}
 	return response.Status
 }
 
-// A gateway with its external processor, from its files to SIGTERM amid a lookup whose attempt is at its caller.
-func TestServed(t *testing.T) {
+// TestServeUntilTerminated starts a gateway with its external processor from its files, and sends SIGTERM while a client carries out an
+// attempt: the lookup is still answered, then the gateway ends.
+func TestServeUntilTerminated(t *testing.T) {
 	dir, addr := t.TempDir(), freeAddr(t, 0)
 	t.Setenv("ROUTER_CONFIG", writeFile(t, filepath.Join(dir, "config.json"), fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"1","bulletin":"127.0.0.1:1",
 "limits":{"memory_mb":64,"sockets":256},"settings":%s,"known":{"no":1,"items":[{"no":1,"roster":{"complete":true,"members":[
@@ -103,19 +111,19 @@
 		t.Fatal(got, log.String())
 	}
 	request := client.Request{Path: "/call/segment/o/part-0", Header: http.Header{"X-Job-Id": {"a1"}}}
-	result, err := client.New(conn).Lookup(context.Background(), request, func(_ context.Context, d client.Decision) client.AttemptOutcome {
-		if d.Cache != "c0" || d.Addr != "127.0.0.1:1" {
-			t.Errorf("%+v", d)
+	result, err := client.New(conn).Lookup(context.Background(), request, func(_ context.Context, decision client.Decision) client.AttemptOutcome {
+		if decision.Cache != "c0" || decision.Addr != "127.0.0.1:1" {
+			t.Errorf("%+v", decision)
 		}
 		syscall.Kill(os.Getpid(), syscall.SIGTERM)
-		time.Sleep(800 * time.Millisecond) // its listener has closed
-		return client.AttemptOutcome{Word: "hit"}
+		time.Sleep(800 * time.Millisecond) // longer than the listener takes to close
+		return client.AttemptOutcome{Word: client.WordHit}
 	})
 	if err != nil || result.Kind != client.Satisfied || len(result.Attempts) != 1 {
-		t.Errorf("the lookup from before: %+v, %v", result, err)
+		t.Errorf("the lookup in progress: %+v, %v", result, err)
 	}
 	if got := health(conn, 200*time.Millisecond); got == healthv1.HealthCheckResponse_SERVING {
-		t.Error("it is healthy after SIGTERM")
+		t.Error("the gateway reports that it serves after SIGTERM")
 	}
 	select {
 	case err := <-ended:
@@ -123,6 +131,6 @@
 			t.Error(err, log.String())
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("it does not end: ", log.String())
+		t.Fatal("the gateway does not end: ", log.String())
 	}
 }
