--- /dev/null
+++ b/internal/admin/handle_test.go
@@ -0,0 +1,39 @@
+package admin
+
+import (
+	"bufio"
+	"errors"
+	"strings"
+	"testing"
+)
+
+// A gateway without a service says which setting turns it on.
+func TestRequestsForServicesThatAreOff(t *testing.T) {
+	for _, command := range []string{CommandFleet, CommandLimits, CommandBroadcast, CommandHistory, CommandPropose, "other"} {
+		t.Run(command, func(t *testing.T) {
+			response := (&Server{}).Handle(Request{Command: command})
+			if response.Error == "" || !strings.HasPrefix(response.Remedy, "set ") {
+				t.Errorf("%+v", response)
+			}
+		})
+	}
+}
+
+func TestReadRequest(t *testing.T) {
+	read := func(text string) (request Request, err error) {
+		err = readRequest(bufio.NewReaderSize(strings.NewReader(text), 16), &request)
+		return request, err
+	}
+	if request, err := read(`{"do":"text","no":7}` + "\n"); err != nil || request.Command != CommandText || request.Version != 7 {
+		t.Errorf("%+v, %v", request, err)
+	}
+	if _, err := read("not JSON\n"); err == nil || !strings.HasPrefix(err.Error(), "the call cannot be read: ") {
+		t.Error(err)
+	}
+	if _, err := read(strings.Repeat("x", maxLineBytes+1)); !errors.Is(err, errTooLong) {
+		t.Error(err)
+	}
+	if _, err := read(""); !errors.Is(err, errCallerGone) {
+		t.Error(err)
+	}
+}
--- a/internal/cli/routes.go
+++ b/internal/cli/routes.go
@@ -164,7 +164,7 @@
 }
 
 func (p *configStage) Run(to *streams) error {
-	return p.printStep(to, admin.Request{Command: "stage", Version: p.Version, Share: p.Share, WithinMS: p.Timeout.Milliseconds()})
+	return p.printStep(to, admin.Request{Command: "stage", Version: p.Version, Share: p.Share, TimeoutMS: p.Timeout.Milliseconds()})
 }
 
 type configApply struct {
@@ -174,7 +174,7 @@
 }
 
 func (p *configApply) Run(to *streams) error {
-	return p.printStep(to, admin.Request{Command: "apply", Version: p.Version, WithinMS: p.Timeout.Milliseconds()})
+	return p.printStep(to, admin.Request{Command: "apply", Version: p.Version, TimeoutMS: p.Timeout.Milliseconds()})
 }
 
 type configConfirm struct {
