--- a/internal/lab/ci/style_test.go
+++ b/internal/lab/ci/style_test.go
@@ -22,11 +22,9 @@
 	"internal/cli",
 	"internal/cli/extproccli",
 	"internal/cli/rigcli",
-	"internal/extproc",
 	"internal/lab/fleet",
 	"internal/lab/scale",
 	"internal/lab/scenario",
-	"internal/lab/simenv",
 }
 
 // sourceFile is a parsed Go file that is no test.
