--- a/internal/cli/config_change.go
+++ b/internal/cli/config_change.go
@@ -46,7 +46,7 @@
 
 // Run stages a change.
 func (c *configStage) Run(streams *program.Streams) error {
-	return c.callAndPrintStep(streams, admin.Request{Command: "stage", Version: c.Version, Share: c.Share, WithinMS: c.Timeout.Milliseconds()})
+	return c.callAndPrintStep(streams, admin.Request{Command: "stage", Version: c.Version, Share: c.Share, TimeoutMS: c.Timeout.Milliseconds()})
 }
 
 type configApply struct {
@@ -57,7 +57,7 @@
 
 // Run applies a change.
 func (c *configApply) Run(streams *program.Streams) error {
-	return c.callAndPrintStep(streams, admin.Request{Command: "apply", Version: c.Version, WithinMS: c.Timeout.Milliseconds()})
+	return c.callAndPrintStep(streams, admin.Request{Command: "apply", Version: c.Version, TimeoutMS: c.Timeout.Milliseconds()})
 }
 
 type configConfirm struct {
