--- a/internal/admission/quotas.go
+++ b/internal/admission/quotas.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// MaxClaimants is how many claimants are told apart. Past it newcomers share one.
+// MaxClaimants is how many claimants are distinguished. Past it newcomers share one.
 const MaxClaimants = 1024
 
 const (
--- a/internal/config/extproc.go
+++ b/internal/config/extproc.go
@@ -28,7 +28,7 @@
 type TLS struct {
 	Cert     string `json:"cert"`
 	Key      string `json:"key"`
-	ClientCA string `json:"client_ca,omitempty"` // none: callers are told apart by address only
+	ClientCA string `json:"client_ca,omitempty"` // none: callers are distinguished by address only
 }
 
 // LookupRule says which requests of a proxy are lookups, by a path template, and where a lookup's fields come from: "header:NAME",
--- a/internal/freshness/assess.go
+++ b/internal/freshness/assess.go
@@ -24,7 +24,7 @@
 }
 
 const (
-	// Until a list's own history tells more, entries are taken to leave at the rate of priorDepartures in priorHours cache-hours: a fleet
+	// Until a list's own history shows more, entries are taken to leave at the rate of priorDepartures in priorHours cache-hours: a fleet
 	// that is replaced about every 17 days.
 	priorDepartures = 1.0
 	priorHours      = 400.0
@@ -40,7 +40,7 @@
 	maxClockSkew   = 10 * time.Second    // a list from further in the future has a clock that cannot be relied on
 )
 
-// History is what is known of the list as a whole.
+// History is what is known of the complete list.
 type History struct {
 	CacheHours float64 // that it was watched
 	Departures int     // caches that left it in these hours
@@ -53,7 +53,7 @@
 	Age       time.Duration // since the list was last current with it; below 0: it is from the future
 	Imported  bool          // from an operator's file, not confirmed by discovery
 	Ejected   bool          // it was ejected when the list was stored
-	Withdrawn bool          // discovery told that it drains or was removed
+	Withdrawn bool          // discovery reported that it drains or was removed
 	Responded bool          // it responded since the start
 	Failed    bool          // it refused connections, was silent or was no cache of this list since the start
 }
--- a/internal/freshness/tracker.go
+++ b/internal/freshness/tracker.go
@@ -45,7 +45,7 @@
 	Confidence Confidence
 }
 
-// Tracker follows the entries of one stored list from the start until discovery has told its list. It is bounded by the list and not safe
+// Tracker follows the entries of one stored list from the start until discovery has reported its list. It is bounded by the list and not safe
 // for concurrent use.
 type Tracker struct {
 	history   History
--- a/internal/limit/adaptive.go
+++ b/internal/limit/adaptive.go
@@ -31,7 +31,7 @@
 type Sample struct {
 	Latency    time.Duration
 	Open       int  // lookups that were open with it, itself included
-	IsSuccess  bool // others tell nothing of the latency
+	IsSuccess  bool // others show nothing of the latency
 	IsOverload bool // it was late or failed for want of capacity
 }
 
--- a/internal/route/rollout/controller.go
+++ b/internal/route/rollout/controller.go
@@ -151,7 +151,7 @@
 
 const edgeMachineType = "edge" // in the platform's settings; caches of other types are sources
 
-// UpdateEndpoints takes what discovery told, before the dispatcher gets it.
+// UpdateEndpoints takes what discovery reported, before the dispatcher gets it.
 func (c *Controller) UpdateEndpoints(update endpoints.Update) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/route/rollout/steps.go
+++ b/internal/route/rollout/steps.go
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// notifyGuard tells the guard of a step. It watches always, so that it knows how things were before a change is applied to all; a change that
+// notifyGuard notifies the guard of a step. It watches always, so that it knows how things were before a change is applied to all; a change that
 // was staged first has its own side watched from there on. The lock is held.
 func (c *Controller) notifyGuard(step change.Step) {
 	switch step.Stage {
--- a/internal/store/endpoints/endpoints.go
+++ b/internal/store/endpoints/endpoints.go
@@ -1,9 +1,9 @@
-// Package endpoints is the list of caches as a gateway retains it past its own end: what discovery told of caches, drains and purges, and
+// Package endpoints is the list of caches as a gateway retains it past its own end: what discovery reported of caches, drains and purges, and
 // what the gateway learnt of the caches itself. A State changes by Updates only, so that a snapshot and the updates since then give the same
 // State again. The package does no I/O and knows no clock: every update brings its time.
 //
 // A State's owner is the snapshotter that also owns the files on disk; it is not safe for concurrent use. It is bounded by MaxEndpoints,
-// MaxTombstones and MaxPurges. Past them the oldest goes, but an endpoint that discovery told never goes for an imported one.
+// MaxTombstones and MaxPurges. Past them the oldest goes, but an endpoint that discovery reported never goes for an imported one.
 package endpoints
 
 import (
@@ -48,7 +48,7 @@
 	MachineType    string  `cbor:"4,keyasint"` // such as edge
 	Cell           int     `cbor:"5,keyasint,omitempty"`
 	Size           float64 `cbor:"6,keyasint,omitempty"`
-	StartedAt      int64   `cbor:"7,keyasint,omitempty"` // of a late start, as discovery told it
+	StartedAt      int64   `cbor:"7,keyasint,omitempty"` // of a late start, as discovery reported it
 	Phase          Phase   `cbor:"8,keyasint,omitempty"`
 	Source         Source  `cbor:"9,keyasint,omitempty"`
 	ListedAt       int64   `cbor:"10,keyasint,omitempty"`
@@ -100,7 +100,7 @@
 	Responded     []string   `cbor:"7,keyasint,omitempty"`  // ids with successful responses since the last update
 	Ejected       []string   `cbor:"8,keyasint,omitempty"`  // ids that are ejected now
 	HasHealth     bool       `cbor:"9,keyasint,omitempty"`  // Responded and Ejected are set, empty ones too
-	StillCurrent  bool       `cbor:"10,keyasint,omitempty"` // discovery was heard up to At and had no news
+	StillCurrent  bool       `cbor:"10,keyasint,omitempty"` // discovery responded up to At and had no changes
 }
 
 // New returns an empty state.
--- a/internal/store/snapshot/snapshotter.go
+++ b/internal/store/snapshot/snapshotter.go
@@ -145,7 +145,7 @@
 	}
 }
 
-// MarkCurrent takes that discovery was heard and had no news. The list is updated at most once in markCurrentInterval.
+// MarkCurrent takes that discovery responded and had no changes. The list is updated at most once in markCurrentInterval.
 func (s *Snapshotter) MarkCurrent() {
 	if s == nil {
 		return
--- a/internal/warmstart/discovery.go
+++ b/internal/warmstart/discovery.go
@@ -5,8 +5,8 @@
 	"foldslip/internal/store/endpoints"
 )
 
-// KeepDraining changes endpoints that a discovery event tells as ready although the stored list knows that they drain: that list is newer than
-// a discovery service that is behind it. Events past the last number in the list count as told, and so does a later start of a cache. A
+// KeepDraining changes endpoints that a discovery event reports as ready although the stored list knows that they drain: that list is newer than
+// a discovery service that is behind it. Events past the last number in the list are taken as they are, and so does a later start of a cache. A
 // complete list ends the use of the stored one before the dispatcher gets it, so that the stored one can't follow it. ids and list are in the
 // same order.
 func (r *Reconciler) KeepDraining(event int64, isComplete bool, ids []string, list []policy.Endpoint) {
@@ -36,7 +36,7 @@
 
 const microsPerMilli = 1000
 
-// discardStored ends the use of the stored list, when discovery has told a complete list of the given ids.
+// discardStored ends the use of the stored list, when discovery has reported a complete list of the given ids.
 func (r *Reconciler) discardStored(ids []string) {
 	r.listMu.Lock()
 	defer r.listMu.Unlock()
@@ -60,7 +60,7 @@
 		"in_both", inBoth, "responded", counts.Responded, "failed", counts.Failed)
 }
 
-// Apply passes what discovery has told to the snapshotter, once the dispatcher has it.
+// Apply passes what discovery has reported to the snapshotter, once the dispatcher has it.
 func (r *Reconciler) Apply(update endpoints.Update) {
 	if r == nil {
 		return
--- a/internal/warmstart/reconciler.go
+++ b/internal/warmstart/reconciler.go
@@ -1,6 +1,6 @@
 // Package warmstart starts the gateway from the endpoint list stored on disk while discovery does not answer, and reconciles that list with
 // discovery's. At the start it gives the dispatcher the stored endpoints, each with a confidence (package freshness); it follows how they
-// respond, and drops the stored list when discovery has told a complete one. From then on it passes what discovery tells to the snapshotter,
+// respond, and drops the stored list when discovery has reported a complete one. From then on it passes what discovery reports to the snapshotter,
 // and holds drains that the stored list knows against a discovery service that is behind it.
 //
 // Lock order: listMu, then the dispatcher's lock, then mu. The dispatcher reports outcomes under its own lock, so mu is never held over a call
@@ -49,7 +49,7 @@
 
 	mu          sync.Mutex // of what follows
 	tracker     *freshness.Tracker
-	stored      map[string]policy.Endpoint // by id; nil, as tracker, once discovery has told a complete list
+	stored      map[string]policy.Endpoint // by id; nil, as tracker, once discovery has reported a complete list
 	knownDrains map[string]*knownDrain     // by id
 	lastEvent   int64                      // number of the last discovery event in the stored list
 	regressions int                        // event numbers reported below the last one known, in a row
@@ -58,7 +58,7 @@
 // knownDrain is a cache that the stored list knows to drain or to be removed.
 type knownDrain struct {
 	tombstone endpoints.Tombstone
-	latest    *policy.Endpoint // as discovery has told it since; nil: it has not
+	latest    *policy.Endpoint // as discovery has reported it since; nil: it has not
 }
 
 // New returns a reconciler over an open list.
@@ -114,7 +114,7 @@
 	}
 }
 
-// releaseDrains gives the dispatcher the caches whose drains no longer hold, as discovery told them last.
+// releaseDrains gives the dispatcher the caches whose drains no longer hold, as discovery reported them last.
 func (r *Reconciler) releaseDrains() {
 	r.mu.Lock()
 	var released []policy.Endpoint
--- a/internal/warmstart/start.go
+++ b/internal/warmstart/start.go
@@ -62,7 +62,7 @@
 	return tracker, stored
 }
 
-// restorePurges records the stored purges that are still in force. Discovery tells those since.
+// restorePurges records the stored purges that are still in force. Discovery reports those since.
 func (r *Reconciler) restorePurges(list *endpoints.State, purges *purgelog.Log, now time.Time) {
 	for _, p := range list.Purges {
 		issuedAt := time.UnixMilli(p.IssuedAt)
