--- a/internal/lab/fleet/forms_test.go
+++ b/internal/lab/fleet/forms_test.go
@@ -34,8 +34,8 @@
 // TestGatewayFilesKeepTheirForm compares the two files that a gateway of the rig is started with.
 func TestGatewayFilesKeepTheirForm(t *testing.T) {
 	s := &Scenario{Name: "x", Gateways: 2, KeepMembers: true, Fleet: config.Fleet{BroadcastsPurges: true, MaxMembers: 8}, ClockOffsets: []ClockOffset{{"n2", 250}},
-		Limit:  &Limit{LookupsPerSecond: 20, FleetWide: true},
-		Places: []Place{{Gateways: []string{"n2"}, Region: "r", Zone: "z", Site: "s"}}}
+		Limit:      &Limit{LookupsPerSecond: 20, FleetWide: true},
+		Localities: []GatewayLocality{{Gateways: []string{"n2"}, Region: "r", Zone: "z", Site: "s"}}}
 	r := &Rig{scenario: s, options: Options{Seed: 7}}
 	p := &process{name: "n2", dir: t.TempDir(), clients: "127.1.0.2:80", discovery: "127.1.0.9:81", rig: r}
 	listen, advertise := netip.MustParseAddrPort("127.1.0.2:82"), netip.MustParseAddrPort("127.1.1.2:82")
--- a/internal/lab/fleet/load.go
+++ b/internal/lab/fleet/load.go
@@ -16,9 +16,9 @@
 	"foldslip/example/standin"
 )
 
-// load is lookups at a steady rate, to running gateways in turn, each on a connection of its own; at most mostAsked are out. Time
+// lookupLoad is lookups at a steady rate, to running gateways in turn, each on a connection of its own; at most mostAsked are out. Time
 // counts from when a lookup was due, not from when it could be sent (coordinated omission).
-type load struct {
+type lookupLoad struct {
 	cancel    context.CancelFunc
 	wait      sync.WaitGroup
 	mu        sync.Mutex
@@ -48,13 +48,13 @@
 	lookupTimeout  = 6 * time.Second // the longest latency budget and a little
 )
 
-func startLoad(l Load, r *Rig) (*load, error) {
+func startLoad(l Load, r *Rig) (*lookupLoad, error) {
 	through := map[string]bool{}
 	for _, name := range l.Through {
 		through[name] = true
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	out := &load{cancel: cancel, startedAt: time.Now(), latencies: hdrhistogram.New(1, 60_000_000, 2)}
+	out := &lookupLoad{cancel: cancel, startedAt: time.Now(), latencies: hdrhistogram.New(1, 60_000_000, 2)}
 	objects := max(1, l.Objects)
 	if l.Objects == 0 {
 		objects = 200
@@ -93,13 +93,13 @@
 	return out, nil
 }
 
-func (l *load) count(f func(*LoadReport)) {
+func (l *lookupLoad) count(f func(*LoadReport)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f(&l.counts)
 }
 
-func (l *load) sendLookup(p *process, n int, object int64) {
+func (l *lookupLoad) sendLookup(p *process, n int, object int64) {
 	p.mu.Lock()
 	starts := p.starts
 	p.mu.Unlock()
@@ -174,7 +174,7 @@
 	PerSecond []int   `json:"per_second"`
 }
 
-func (l *load) limitReport(lim *Limit, gateways int) *LimitReport {
+func (l *lookupLoad) limitReport(lim *Limit, gateways int) *LimitReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := &LimitReport{Limit: lim.LookupsPerSecond, FleetWide: lim.FleetWide}
@@ -197,12 +197,12 @@
 	return r
 }
 
-func (l *load) stop() {
+func (l *lookupLoad) stop() {
 	l.cancel()
 	l.wait.Wait()
 }
 
-func (l *load) report() *LoadReport {
+func (l *lookupLoad) report() *LoadReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.counts
--- a/internal/lab/fleet/mixed_test.go
+++ b/internal/lab/fleet/mixed_test.go
@@ -79,7 +79,7 @@
 // A gateway of the build before and one of this tree see each other come, agree and leave, in both directions.
 func TestAGatewayOfTheBuildBeforeAndOneOfThisTreeSeeEachOther(t *testing.T) {
 	t.Parallel()
-	scenario := Scenario{Name: "mixed", Gateways: 2, KeepMembers: true, Fleet: fastDetector, Places: []Place{
+	scenario := Scenario{Name: "mixed", Gateways: 2, KeepMembers: true, Fleet: fastDetector, Localities: []GatewayLocality{
 		{Gateways: []string{"n1"}, Region: "north", Zone: "a", Site: "a1"}, {Gateways: []string{"n2"}, Region: "south", Zone: "b", Site: "b1"}}}
 	if err := scenario.check("mixed"); err != nil {
 		t.Fatal(err)
--- a/internal/lab/fleet/relay.go
+++ b/internal/lab/fleet/relay.go
@@ -17,7 +17,7 @@
 type Relay struct {
 	links       *Links
 	mu          sync.Mutex
-	ports       map[string]*relayPort
+	listeners   map[string]*relayListener
 	byTarget    map[netip.Addr]string // party by its own address
 	inFlight    atomic.Int64
 	openStreams atomic.Int64
@@ -34,7 +34,7 @@
 	copyBuffer           = 16 << 10
 )
 
-type relayPort struct {
+type relayListener struct {
 	name   string
 	target netip.AddrPort // where the party listens
 	public netip.AddrPort
@@ -44,7 +44,7 @@
 
 // NewRelay makes a relay over links, for at most so many streams at once.
 func NewRelay(links *Links, mostStreams int) *Relay {
-	return &Relay{links: links, maxStreams: int64(mostStreams), ports: map[string]*relayPort{}, byTarget: map[netip.Addr]string{}, done: make(chan struct{})}
+	return &Relay{links: links, maxStreams: int64(mostStreams), listeners: map[string]*relayListener{}, byTarget: map[netip.Addr]string{}, done: make(chan struct{})}
 }
 
 // Add opens a party's door; what comes there goes on to the party's own address, which no other party shares.
@@ -59,9 +59,9 @@
 		return err
 	}
 	udp.SetReadBuffer(4 << 20)
-	d := &relayPort{name, own, door, udp, tcp}
+	d := &relayListener{name, own, door, udp, tcp}
 	r.mu.Lock()
-	r.ports[name] = d
+	r.listeners[name] = d
 	r.byTarget[own.Addr()] = name
 	r.mu.Unlock()
 	r.wait.Add(2)
@@ -71,13 +71,13 @@
 }
 
 // sender is the party whose own address that is.
-func (r *Relay) sender(at netip.Addr) *relayPort {
+func (r *Relay) sender(at netip.Addr) *relayListener {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.ports[r.byTarget[at.Unmap()]]
+	return r.listeners[r.byTarget[at.Unmap()]]
 }
 
-func (r *Relay) relayDatagrams(to *relayPort) {
+func (r *Relay) relayDatagrams(to *relayListener) {
 	defer r.wait.Done()
 	buf := make([]byte, 65536)
 	for {
@@ -113,7 +113,7 @@
 	}
 }
 
-func (r *Relay) relayStreams(to *relayPort) {
+func (r *Relay) relayStreams(to *relayListener) {
 	defer r.wait.Done()
 	for {
 		conn, err := to.tcp.AcceptTCP()
@@ -146,7 +146,7 @@
 		return err
 	}
 	r.mu.Lock()
-	r.ports[from+" "+to] = &relayPort{name: to, tcp: tcp}
+	r.listeners[from+" "+to] = &relayListener{name: to, tcp: tcp}
 	r.mu.Unlock()
 	r.wait.Add(1)
 	go func() {
@@ -242,7 +242,7 @@
 func (r *Relay) Close() {
 	close(r.done)
 	r.mu.Lock()
-	for _, d := range r.ports {
+	for _, d := range r.listeners {
 		if d.udp != nil {
 			d.udp.Close()
 		}
--- a/internal/lab/fleet/report.go
+++ b/internal/lab/fleet/report.go
@@ -66,15 +66,15 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rep := &Report{Scenario: r.scenario.Name, Seed: r.options.Seed, Gateways: r.scenario.Gateways, FalseDeaths: r.falseDeaths, Events: r.events}
-	if len(r.marks) == 0 {
+	if len(r.trafficSamples) == 0 {
 		return rep
 	}
-	rep.ReadyMS = r.marks[0].at.Milliseconds()
+	rep.ReadyMS = r.trafficSamples[0].at.Milliseconds()
 	for i, st := range r.scenario.Steps {
-		from, to := r.marks[i+1].at, r.marks[i+2].at
-		out := StepReport{AtMS: (from - r.marks[0].at).Milliseconds(), Action: st.Action, Awaited: st.Settle != "none", BoundMS: st.BoundMS}
-		out.Agreed, out.AgreedMS = heldSince(r.states, from, to, func(m viewState) bool { return m.agreed })
-		out.Settled, out.SettledMS = heldSince(r.states, from, to, func(m viewState) bool { return m.settled })
+		from, to := r.trafficSamples[i+1].at, r.trafficSamples[i+2].at
+		out := StepReport{AtMS: (from - r.trafficSamples[0].at).Milliseconds(), Action: st.Action, Awaited: st.Settle != "none", BoundMS: st.BoundMS}
+		out.Agreed, out.AgreedMS = heldSince(r.viewStates, from, to, func(m viewState) bool { return m.agreed })
+		out.Settled, out.SettledMS = heldSince(r.viewStates, from, to, func(m viewState) bool { return m.settled })
 		if st.Action == "purge" {
 			for _, e := range r.events {
 				if at := time.Duration(e.AtMS) * time.Millisecond; e.State == "purge" && at >= from && at < to {
@@ -103,9 +103,9 @@
 	for first < len(r.scenario.Steps) && r.scenario.Steps[first-1].Action == "mark" {
 		first++
 	}
-	rep.AtRest = trafficBetween(r.marks[0], r.marks[first])
-	rep.InChurn = trafficBetween(r.marks[first], r.marks[len(r.marks)-1])
-	for _, m := range r.states {
+	rep.AtRest = trafficBetween(r.trafficSamples[0], r.trafficSamples[first])
+	rep.InChurn = trafficBetween(r.trafficSamples[first], r.trafficSamples[len(r.trafficSamples)-1])
+	for _, m := range r.viewStates {
 		rep.Views = append(rep.Views, ViewSample{m.at.Milliseconds(), m.minLive, m.maxLive, m.running, m.agreed, m.settled})
 	}
 	if r.load != nil {
@@ -127,7 +127,7 @@
 		}
 	}
 	if r.broadcast != nil {
-		rep.Broadcast = r.broadcast.report(r.states)
+		rep.Broadcast = r.broadcast.report(r.viewStates)
 		rep.Violations = append(rep.Violations, rep.Broadcast.violations(r.scenario.Purges)...)
 	}
 	if err := r.checkCrashes(); err != nil {
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	peerPort     = 7946
-	clientPort   = 10080
-	standInPort  = 20000
-	viewInterval = 20 * time.Millisecond
-	stopTimeout  = 12 * time.Second
+	peerPort              = 7946
+	clientPort            = 10080
+	discoveryAndCachePort = 20000
+	viewInterval          = 20 * time.Millisecond
+	stopTimeout           = 12 * time.Second
 )
 
 // Options are where a run is made.
@@ -45,18 +45,18 @@
 	processes []*process
 	byName    map[string]*process
 	startedAt time.Time
-	load      *load
+	load      *lookupLoad
 	broadcast *broadcastRun // nil: the scenario tells no purges at a rate
 
-	mu           sync.Mutex
-	states       []viewState // agreement over time
-	events       []Event
-	falseDeaths  int
-	marks        []trafficSample
-	caches       []*standin.Cache
-	discovery    *standin.Discovery
-	viewsChanged chan struct{}
-	done         chan struct{}
+	mu             sync.Mutex
+	viewStates     []viewState // agreement over time
+	events         []Event
+	falseDeaths    int
+	trafficSamples []trafficSample
+	caches         []*standin.Cache
+	discovery      *standin.Discovery
+	viewsChanged   chan struct{}
+	done           chan struct{}
 }
 
 // viewState is what the rig saw at a time, if it differs from the moment before.
@@ -124,8 +124,8 @@
 	firstCachePort = 10_000 // port of the front to the first cache
 )
 
-// addr is host i, counted from 0, of a run of blocks.
-func (r *Rig) addr(blocks, i, port int) netip.AddrPort {
+// address is host i, counted from 0, of a run of blocks.
+func (r *Rig) address(blocks, i, port int) netip.AddrPort {
 	block, host := blocks+i/hostsInBlock, 1+i%hostsInBlock
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(60 + r.options.Network), byte(block), byte(host)}), uint16(port))
 }
@@ -135,7 +135,7 @@
 		return err
 	}
 	var err error
-	if r.discovery, err = standin.NewDiscovery(r.addr(discoveryBlock, 0, 8500).String(), 1); err != nil {
+	if r.discovery, err = standin.NewDiscovery(r.address(discoveryBlock, 0, 8500).String(), 1); err != nil {
 		return err
 	}
 	go discard(r.discovery.Subscribed, r.done) // nobody here asks what gateways asked for
@@ -146,7 +146,7 @@
 			flavor, zone = []string{"parent", "origin"}[i-int(r.scenario.Caches)], "hub"
 		}
 		toy := &memoryCache{stored: map[string]time.Time{}}
-		c, err := standin.NewCache(r.addr(cacheBlocks, i, standInPort).String(), toy.answer)
+		c, err := standin.NewCache(r.address(cacheBlocks, i, discoveryAndCachePort).String(), toy.answer)
 		if err != nil {
 			return err
 		}
@@ -156,14 +156,14 @@
 	}
 	var seeds []string
 	for i := range int(r.scenario.Seeds) {
-		seeds = append(seeds, r.addr(relayBlocks, i, peerPort).String())
+		seeds = append(seeds, r.address(relayBlocks, i, peerPort).String())
 	}
 	for i, name := range r.scenario.names() {
-		own, door := r.addr(listenBlocks, i, peerPort), r.addr(relayBlocks, i, peerPort)
+		own, door := r.address(listenBlocks, i, peerPort), r.address(relayBlocks, i, peerPort)
 		if err := r.relay.Add(name, door, own); err != nil {
 			return err
 		}
-		p := &process{name: name, dir: filepath.Join(r.options.Dir, name), program: r.options.Program, clients: r.addr(listenBlocks, i, clientPort).String(), rig: r}
+		p := &process{name: name, dir: filepath.Join(r.options.Dir, name), program: r.options.Program, clients: r.address(listenBlocks, i, clientPort).String(), rig: r}
 		if err := os.MkdirAll(p.dir, 0o700); err != nil {
 			return err
 		}
@@ -172,13 +172,13 @@
 		}
 		its := slices.Clone(members)
 		for j := range its {
-			front := r.addr(privateBlocks, i, firstCachePort+j)
+			front := r.address(privateBlocks, i, firstCachePort+j)
 			if err := r.relay.AddPrivate(name, its[j].ID, front, netip.MustParseAddrPort(its[j].HostPort)); err != nil {
 				return err
 			}
 			its[j].HostPort = front.String()
 		}
-		front := r.addr(privateBlocks, i, standInPort)
+		front := r.address(privateBlocks, i, discoveryAndCachePort)
 		if err := r.relay.AddPrivate(name, DiscoveryName, front, netip.MustParseAddrPort(r.discovery.Addr)); err != nil {
 			return err
 		}
@@ -196,7 +196,7 @@
 func (r *Rig) writeGatewayFiles(p *process, i int, caches []standin.Endpoint, seeds []string, own, door netip.AddrPort) error {
 	f := r.scenario.Fleet
 	f.Listen, f.Advertise, f.Seeds, f.Socket = own.String(), door.String(), seeds, p.socket()
-	at := r.scenario.place(p.name)
+	at := r.scenario.locality(p.name)
 	f.Region, f.Zone, f.Site = at.Region, at.Zone, at.Site
 	if r.scenario.KeepMembers {
 		f.Folder = filepath.Join(p.dir, "kept")
@@ -372,7 +372,7 @@
 func (r *Rig) currently(true func(viewState) bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.states) > 0 && true(r.states[len(r.states)-1])
+	return len(r.viewStates) > 0 && true(r.viewStates[len(r.viewStates)-1])
 }
 
 // watchViews keeps whether the running gateways agree with what is, over time.
@@ -388,8 +388,8 @@
 		}
 		m := r.observeViews()
 		r.mu.Lock()
-		if n := len(r.states); n == 0 || !m.sameViews(r.states[n-1]) {
-			r.states = append(r.states, m)
+		if n := len(r.viewStates); n == 0 || !m.sameViews(r.viewStates[n-1]) {
+			r.viewStates = append(r.viewStates, m)
 		}
 		r.mu.Unlock()
 	}
@@ -485,7 +485,7 @@
 	}
 	wait.Wait()
 	r.mu.Lock()
-	r.marks = append(r.marks, m)
+	r.trafficSamples = append(r.trafficSamples, m)
 	r.mu.Unlock()
 }
 
--- a/internal/lab/fleet/rig_test.go
+++ b/internal/lab/fleet/rig_test.go
@@ -153,7 +153,7 @@
 	t.Parallel()
 	s := Scenario{Name: "broadcast", Gateways: 12, Fleet: fastDetector, EndMS: 7000,
 		Purges: &PurgeLoad{PerSecond: 10, FromMS: 1000, ForMS: 5000, MinShare: 0.99},
-		Places: []Place{{Gateways: []string{"n1", "n2", "n3"}, Region: "north", Zone: "a", Site: "a1"}, {Gateways: []string{"n4", "n5", "n6"}, Region: "north", Zone: "a", Site: "a2"},
+		Localities: []GatewayLocality{{Gateways: []string{"n1", "n2", "n3"}, Region: "north", Zone: "a", Site: "a1"}, {Gateways: []string{"n4", "n5", "n6"}, Region: "north", Zone: "a", Site: "a2"},
 			{Gateways: []string{"n7", "n8", "n9"}, Region: "south", Zone: "b", Site: "b1"}, {Gateways: []string{"n10", "n11", "n12"}, Region: "south", Zone: "b", Site: "b2"}},
 		Steps: []Step{
 			{AtMS: 100, Action: "link", To: []string{DiscoveryName}, Cut: true, Settle: "none"},
--- a/internal/lab/fleet/scenario.go
+++ b/internal/lab/fleet/scenario.go
@@ -23,21 +23,21 @@
 
 // Scenario is a fleet, its load and a timeline of faults, a Jsonnet template (docs/fleet.md). Times in milliseconds.
 type Scenario struct {
-	Name         string        `json:"name"`
-	Gateways     int64         `json:"gateways"`          // n1, n2, ...
-	LateGateways int64         `json:"late,omitempty"`    // of these, the last so many are started by a step only
-	Caches       int64         `json:"caches,omitempty"`  // stand-in edges beside one parent and the origin
-	Load         Load          `json:"load,omitempty"`    // lookups
-	Limit        *Limit        `json:"limit,omitempty"`   // on all lookups
-	KeepMembers  bool          `json:"disk,omitempty"`    // gateways keep who they knew
-	Seeds        int64         `json:"seeds,omitempty"`   // gateways that the others are told of; 3
-	Fleet        config.Fleet  `json:"fleet,omitempty"`   // settings; addresses, seeds, folder and socket are the rig's
-	ClockOffsets []ClockOffset `json:"offsets,omitempty"` // clocks that are wrong
-	Places       []Place       `json:"places,omitempty"`  // where gateways stand
-	Purges       *PurgeLoad    `json:"purges,omitempty"`  // told at a rate; needs fleet.broadcast
-	ReadyMS      int64         `json:"ready_ms,omitempty"`
-	Steps        []Step        `json:"steps"`
-	EndMS        int64         `json:"end_ms"` // after the last step
+	Name         string            `json:"name"`
+	Gateways     int64             `json:"gateways"`          // n1, n2, ...
+	LateGateways int64             `json:"late,omitempty"`    // of these, the last so many are started by a step only
+	Caches       int64             `json:"caches,omitempty"`  // stand-in edges beside one parent and the origin
+	Load         Load              `json:"load,omitempty"`    // lookups
+	Limit        *Limit            `json:"limit,omitempty"`   // on all lookups
+	KeepMembers  bool              `json:"disk,omitempty"`    // gateways keep who they knew
+	Seeds        int64             `json:"seeds,omitempty"`   // gateways that the others are told of; 3
+	Fleet        config.Fleet      `json:"fleet,omitempty"`   // settings; addresses, seeds, folder and socket are the rig's
+	ClockOffsets []ClockOffset     `json:"offsets,omitempty"` // clocks that are wrong
+	Localities   []GatewayLocality `json:"places,omitempty"`  // where gateways stand
+	Purges       *PurgeLoad        `json:"purges,omitempty"`  // told at a rate; needs fleet.broadcast
+	ReadyMS      int64             `json:"ready_ms,omitempty"`
+	Steps        []Step            `json:"steps"`
+	EndMS        int64             `json:"end_ms"` // after the last step
 }
 
 // Load are lookups that the rig's own client sends to running gateways in turn.
@@ -149,7 +149,7 @@
 	if p := s.Purges; p != nil && (p.PerSecond <= 0 || p.FromMS < 0 || p.PerSecond*float64(p.ForMS)/1000 > maxPurges || p.MinShare < 0 || p.MinShare > 1 || !s.Fleet.BroadcastsPurges) {
 		return bad("purges", fmt.Sprintf("%+v", *p), fmt.Sprintf("expected per_second above 0, at most %d in all, and fleet.broadcast", maxPurges))
 	}
-	for i, p := range s.Places {
+	for i, p := range s.Localities {
 		if p.Region == "" || p.Zone == "" || p.Site == "" {
 			return bad(fmt.Sprintf("places[%d]", i), fmt.Sprintf("%+v", p), "expected region, zone and site")
 		}
--- a/internal/lab/fleet/size_test.go
+++ b/internal/lab/fleet/size_test.go
@@ -37,12 +37,12 @@
 		}
 		taken[at] = whose
 	}
-	take(r.addr(discoveryBlock, 0, standInPort), "the bulletin")
+	take(r.address(discoveryBlock, 0, discoveryAndCachePort), "the bulletin")
 	for i := range maxGateways {
-		take(r.addr(relayBlocks, i, peerPort), fmt.Sprint("door ", i))
-		take(r.addr(listenBlocks, i, peerPort), fmt.Sprint("own ", i))
-		take(r.addr(privateBlocks, i, standInPort), fmt.Sprint("front ", i))
-		take(r.addr(cacheBlocks, i, standInPort), fmt.Sprint("cache ", i))
-		take(r.addr(privateBlocks, i, firstCachePort+maxCaches+1), fmt.Sprint("last cache's front ", i))
+		take(r.address(relayBlocks, i, peerPort), fmt.Sprint("door ", i))
+		take(r.address(listenBlocks, i, peerPort), fmt.Sprint("own ", i))
+		take(r.address(privateBlocks, i, discoveryAndCachePort), fmt.Sprint("front ", i))
+		take(r.address(cacheBlocks, i, discoveryAndCachePort), fmt.Sprint("cache ", i))
+		take(r.address(privateBlocks, i, firstCachePort+maxCaches+1), fmt.Sprint("last cache's front ", i))
 	}
 }
--- a/internal/lab/fleet/spread.go
+++ b/internal/lab/fleet/spread.go
@@ -22,8 +22,8 @@
 	MinShare  float64 `json:"share,omitempty"` // at least that part must be heeded in time by gateways that do not hear the bulletin
 }
 
-// Place is where some gateways stand.
-type Place struct {
+// GatewayLocality is where some gateways stand.
+type GatewayLocality struct {
 	Gateways []string `json:"who"`
 	Region   string   `json:"region"`
 	Zone     string   `json:"zone"`
@@ -350,9 +350,9 @@
 	return out
 }
 
-// place is where a gateway stands in the scenario.
-func (s *Scenario) place(name string) (p Place) {
-	for _, p := range s.Places {
+// locality is where a gateway stands in the scenario.
+func (s *Scenario) locality(name string) (p GatewayLocality) {
+	for _, p := range s.Localities {
 		if slices.Contains(p.Gateways, name) {
 			return p
 		}
@@ -365,7 +365,7 @@
 	out := map[string][]string{}
 	var all []broadcast.Member
 	for _, name := range s.names() {
-		p := s.place(name)
+		p := s.locality(name)
 		all = append(all, broadcast.Member{Name: name, Locality: broadcast.Locality{Region: p.Region, Zone: p.Zone, Site: p.Site}})
 	}
 	broadcast.SortMembers(all)
--- a/internal/lab/fleet/virtual.go
+++ b/internal/lab/fleet/virtual.go
@@ -34,14 +34,14 @@
 
 // port is a gateway's transport. It implements memberlist.NodeAwareTransport.
 type port struct {
-	network    *Network
-	name       string
-	addr       *net.UDPAddr
-	counts     *transport.Counts
-	packets    chan *memberlist.Packet
-	streams    chan net.Conn
-	mu         sync.Mutex
-	isShutDown bool
+	network *Network
+	name    string
+	addr    *net.UDPAddr
+	counts  *transport.Counts
+	packets chan *memberlist.Packet
+	streams chan net.Conn
+	mu      sync.Mutex
+	closed  bool
 }
 
 // Open gives a gateway's transport at an address that nobody has open.
@@ -108,7 +108,7 @@
 func (p *port) receive(text []byte, from net.Addr) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.isShutDown {
+	if p.closed {
 		return
 	}
 	select {
@@ -138,7 +138,7 @@
 	here, there := net.Pipe()
 	to.mu.Lock()
 	defer to.mu.Unlock()
-	if to.isShutDown {
+	if to.closed {
 		return nil, errRefused
 	}
 	select {
@@ -167,12 +167,12 @@
 func (p *port) isClosed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.isShutDown
+	return p.closed
 }
 
 func (p *port) Shutdown() error {
 	p.mu.Lock()
-	p.isShutDown = true
+	p.closed = true
 	for len(p.streams) > 0 { // nobody takes them any more
 		(<-p.streams).Close()
 	}
@@ -199,13 +199,13 @@
 }
 
 type gateway struct {
-	name, addr  string
-	claimedName string            // the name it claims, where that is another's
-	fleet       *membership.Fleet // nil: does not run
-	stop        chan struct{}
-	ended       chan struct{}
-	counts      *transport.Counts
-	directory   env.Directory // nil: keeps nothing
+	name, addr    string
+	announcedName string            // the name it claims, where that is another's
+	fleet         *membership.Fleet // nil: does not run
+	stop          chan struct{}
+	ended         chan struct{}
+	counts        *transport.Counts
+	directory     env.Directory // nil: keeps nothing
 }
 
 // NewVirtualFleet makes a fleet of so many gateways, none of which runs.
@@ -235,8 +235,8 @@
 		}
 		set := v.base
 		set.Name, set.Advertise = name, g.addr
-		if g.claimedName != "" {
-			set.Name = g.claimedName
+		if g.announcedName != "" {
+			set.Name = g.announcedName
 		}
 		for _, seed := range v.names[:min(v.seeds, len(v.names))] {
 			set.Seeds = append(set.Seeds, v.byName[seed].addr)
@@ -304,7 +304,7 @@
 
 // Add adds a gateway beside the others, that does not run yet; as is the name that it claims, if not its own.
 func (v *VirtualFleet) Add(name, as string) {
-	v.byName[name] = &gateway{name: name, claimedName: as, addr: fmt.Sprintf("10.9.9.%d:7946", len(v.byName)%250+1), counts: &transport.Counts{}}
+	v.byName[name] = &gateway{name: name, announcedName: as, addr: fmt.Sprintf("10.9.9.%d:7946", len(v.byName)%250+1), counts: &transport.Counts{}}
 }
 
 // SetDirectory gives a gateway a disk for whom it knew.
