--- a/internal/lab/fleet/scenario.go
+++ b/internal/lab/fleet/scenario.go
@@ -1,17 +1,12 @@
 package fleet
 
 import (
-	"embed"
 	"fmt"
-	"math/rand/v2"
-	"os"
-	"path"
 	"slices"
-	"strings"
 	"time"
 
 	"foldslip/internal/config"
-	"foldslip/internal/config/configfile"
+	"foldslip/internal/fleet/broadcast"
 )
 
 const (
@@ -87,149 +82,31 @@
 	EveryMS      int64      `json:"every_ms,omitempty"`
 }
 
+// PurgeLoad are those that the bulletin tells at a steady rate, and what their spreading among gateways is held to (docs/fleet-broadcast-operators.md).
+type PurgeLoad struct {
+	PerSecond float64 `json:"per_second"`
+	FromMS    int64   `json:"from_ms"` // after the fleet was ready
+	ForMS     int64   `json:"for_ms"`
+	MinShare  float64 `json:"share,omitempty"` // at least that part must be heeded in time by gateways that do not hear the bulletin
+}
+
+// GatewayLocality is where some gateways stand.
+type GatewayLocality struct {
+	Gateways []string `json:"who"`
+	Region   string   `json:"region"`
+	Zone     string   `json:"zone"`
+	Site     string   `json:"site"`
+}
+
 // Bulletin is the name of the bulletin in links; gateways hear it by links of their own.
 const DiscoveryName = "bulletin"
 
-//go:embed scenarios/*.jsonnet
-var shippedScenarios embed.FS
-
 // maxStreams is how many streams the relay must carry at once: a gateway's watch, its connections to each cache, and those among gateways.
 func (s *Scenario) maxStreams() int {
 	const toCache, toPeers, least = 4, 4, 2_000
 	return max(least, int(s.Gateways)*(1+toPeers+toCache*(int(s.Caches)+2)))
 }
 
-// HardCases are the names of the scenarios that come with the rig.
-func HardCases() (names []string) {
-	files, err := shippedScenarios.ReadDir("scenarios")
-	if err != nil {
-		return nil
-	}
-	for _, f := range files {
-		if name := strings.TrimSuffix(f.Name(), ".jsonnet"); !strings.HasPrefix(name, "_") {
-			names = append(names, name)
-		}
-	}
-	return names
-}
-
-// ReadScenario reads a scenario that comes with the rig by its name, or a file.
-func ReadScenario(name string) (*Scenario, error) {
-	read := os.ReadFile
-	if slices.Contains(HardCases(), name) {
-		name = "scenarios/" + name + ".jsonnet"
-		read = shippedScenarios.ReadFile
-	}
-	s := &Scenario{}
-	if err := configfile.Evaluate(name, read, s); err != nil {
-		return nil, err
-	}
-	if s.Name == "" {
-		s.Name = strings.TrimSuffix(path.Base(name), ".jsonnet")
-	}
-	return s, s.check(name)
-}
-
-func (s *Scenario) check(file string) error {
-	bad := func(at, text, remedy string) error {
-		return config.Error{File: file, Path: at, Text: text, Remedy: remedy}
-	}
-	if s.Gateways < 1 || s.Gateways > maxGateways || s.LateGateways < 0 || s.LateGateways >= s.Gateways {
-		return bad("gateways", fmt.Sprintf("%d, %d of them late", s.Gateways, s.LateGateways), fmt.Sprintf("expected 1 to %d, some of them not late", maxGateways))
-	}
-	if s.Caches < 0 || s.Caches > maxCaches {
-		return bad("caches", fmt.Sprintf("is %d", s.Caches), fmt.Sprintf("expected 0 to %d", maxCaches))
-	}
-	if s.Load.PerSecond < 0 || s.Load.PerSecond > 2000 || s.Load.PerSecond > 0 && s.Caches == 0 {
-		return bad("load.per_second", fmt.Sprintf("is %g", s.Load.PerSecond), "expected 0 to 2000, and caches to ask")
-	}
-	if l := s.Limit; l != nil && (l.LookupsPerSecond < 1 || l.MaxOverrun < 0 || s.Load.PerSecond == 0) {
-		return bad("limit", fmt.Sprintf("%+v", *l), "a limit of at least 1 lookup a second, and a load")
-	}
-	if p := s.Purges; p != nil && (p.PerSecond <= 0 || p.FromMS < 0 || p.PerSecond*float64(p.ForMS)/1000 > maxPurges || p.MinShare < 0 || p.MinShare > 1 || !s.Fleet.BroadcastsPurges) {
-		return bad("purges", fmt.Sprintf("%+v", *p), fmt.Sprintf("expected per_second above 0, at most %d in all, and fleet.broadcast", maxPurges))
-	}
-	for i, p := range s.Localities {
-		if p.Region == "" || p.Zone == "" || p.Site == "" {
-			return bad(fmt.Sprintf("places[%d]", i), fmt.Sprintf("%+v", p), "expected region, zone and site")
-		}
-		for _, who := range p.Gateways {
-			if !slices.Contains(s.names(), who) {
-				return bad(fmt.Sprintf("places[%d].who", i), fmt.Sprintf("%q is nobody", who), "expected n1 to n"+fmt.Sprint(s.Gateways))
-			}
-		}
-	}
-	if s.Seeds == 0 {
-		s.Seeds = min(3, s.Gateways-s.LateGateways)
-	}
-	if s.ReadyMS == 0 {
-		s.ReadyMS = 30_000
-	}
-	steps, err := s.unroll()
-	if err != nil {
-		return bad("steps", err.Error(), "see docs/fleet.md")
-	}
-	s.Steps = steps
-	if len(s.Steps) > maxSteps {
-		return bad("steps", fmt.Sprintf("has %d", len(s.Steps)), fmt.Sprintf("at most %d", maxSteps))
-	}
-	last, picked := int64(0), map[string]bool{}
-	for name := range s.treeHeads() {
-		picked[name] = true
-	}
-	for i, st := range s.Steps {
-		at := fmt.Sprintf("steps[%d]", i)
-		if st.AtMS < last {
-			return bad(at+".at_ms", fmt.Sprintf("is %d, before the step before it", st.AtMS), "steps stand in order")
-		}
-		last = st.AtMS
-		if !slices.Contains([]string{"kill", "stop", "start", "pause", "resume", "split", "heal", "link", "purge", "mark"}, st.Action) {
-			return bad(at+".do", fmt.Sprintf("%q", st.Action), "expected kill, stop, start, pause, resume, split, heal, link, purge or mark")
-		}
-		if st.Settle != "" && st.Settle != "sides" && st.Settle != "none" {
-			return bad(at+".settle", fmt.Sprintf("%q", st.Settle), "expected sides or none")
-		}
-		for _, who := range slices.Concat(st.Targets, st.From, st.To, slices.Concat(st.Groups...), s.Load.Through) {
-			if name, ok := strings.CutPrefix(who, "@"); ok && !picked[name] || !ok && who != "*" && who != DiscoveryName && !slices.Contains(s.names(), who) {
-				return bad(at, fmt.Sprintf("%q is nobody", who), "expected n1 to n"+fmt.Sprint(s.Gateways)+", * or @ and what a step before has as")
-			}
-		}
-		if st.PickName != "" {
-			picked[st.PickName] = true
-		}
-	}
-	if end := time.Duration(last+s.EndMS+s.ReadyMS) * time.Millisecond; end > maxDuration {
-		return bad("end_ms", fmt.Sprintf("makes %v", end), fmt.Sprintf("a run takes at most %v", maxDuration))
-	}
-	return nil
-}
-
-// unroll writes repeated steps out: repeat on a step repeats it and the one after it, every so often.
-func (s *Scenario) unroll() (out []Step, err error) {
-	for i := 0; i < len(s.Steps); i++ {
-		st := s.Steps[i]
-		if st.Repeat <= 1 {
-			out = append(out, st)
-			continue
-		}
-		if i+1 >= len(s.Steps) || st.EveryMS <= 0 || st.Repeat > maxSteps {
-			return nil, fmt.Errorf("steps[%d] repeats: it needs every_ms and a step after it", i)
-		}
-		next := s.Steps[i+1]
-		for n := range st.Repeat {
-			a, b := st, next
-			a.AtMS, b.AtMS = st.AtMS+n*st.EveryMS, next.AtMS+n*st.EveryMS
-			a.Repeat, a.EveryMS = 0, 0
-			if n > 0 && a.PickCount > 0 && a.PickName != "" { // the same one again
-				a.PickCount, a.Targets, a.PickName = 0, []string{"@" + a.PickName}, ""
-			}
-			out = append(out, a, b)
-		}
-		i++
-	}
-	return out, nil
-}
-
 func (s *Scenario) names() (all []string) {
 	for i := range s.Gateways {
 		all = append(all, fmt.Sprintf("n%d", i+1))
@@ -237,67 +114,37 @@
 	return all
 }
 
-// Selector draws a scenario's chances: who is picked, who is on which side. Run on real processes and on the virtual clock alike.
-type Selector struct {
-	rng    *rand.Rand
-	all    []string
-	picked map[string][]string
-}
-
-// NewSelector makes the cast of one seed.
-func (s *Scenario) NewSelector(seed uint64) *Selector {
-	return &Selector{rand.New(rand.NewPCG(seed, 0x63617374)), s.names(), s.treeHeads()}
+// LinkFault is a link step's fault.
+func (st Step) LinkFault() LinkFault {
+	return LinkFault{Cut: st.Cut, Loss: st.Loss, Delay: config.Milliseconds(st.DelayMS), Jitter: config.Milliseconds(st.JitterMS), Reorder: st.Reorder, BytesPerSecond: st.KBPerSecond << 10}
 }
 
-func (c *Selector) names(who []string) (out []string) {
-	for _, w := range who {
-		if w == "*" {
-			out = append(out, c.all...)
-		} else if name, ok := strings.CutPrefix(w, "@"); ok {
-			out = append(out, c.picked[name]...)
-		} else {
-			out = append(out, w)
+// locality is where a gateway stands in the scenario.
+func (s *Scenario) locality(name string) (p GatewayLocality) {
+	for _, p := range s.Localities {
+		if slices.Contains(p.Gateways, name) {
+			return p
 		}
 	}
-	return out
+	return p
 }
 
-// Targets are a step's gateways; running are those it may pick from.
-func (c *Selector) Targets(st Step, running []string) (out []string) {
-	if st.PickCount > 0 {
-		out = slices.Clone(running)
-		c.rng.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
-		out = out[:min(int(st.PickCount), len(out))]
-	} else {
-		out = c.names(st.Targets)
-	}
-	if st.PickName != "" {
-		c.picked[st.PickName] = out
+// treeHeads are names of gateways by what they are in the tree of the whole fleet: root, and first-SITE for each site's.
+func (s *Scenario) treeHeads() map[string][]string {
+	out := map[string][]string{}
+	var all []broadcast.Member
+	for _, name := range s.names() {
+		p := s.locality(name)
+		all = append(all, broadcast.Member{Name: name, Locality: broadcast.Locality{Region: p.Region, Zone: p.Zone, Site: p.Site}})
 	}
-	return out
-}
-
-// Groups are a split's sides.
-func (c *Selector) Groups(st Step) (groups [][]string) {
-	if len(st.Groups) > 0 {
-		for _, g := range st.Groups {
-			groups = append(groups, c.names(g))
+	broadcast.SortMembers(all)
+	for i, m := range all {
+		if i == 0 {
+			out["root"] = []string{m.Name}
+		}
+		if key := "first-" + m.Locality.Site; m.Locality.Site != "" && out[key] == nil {
+			out[key] = []string{m.Name}
 		}
-		return groups
-	}
-	rest := slices.Clone(c.all)
-	c.rng.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
-	bridge := rest[:min(int(st.Bridge), len(rest))]
-	rest = rest[len(bridge):]
-	for _, n := range st.Sizes {
-		n := min(int(n), len(rest))
-		groups = append(groups, slices.Concat(rest[:n], bridge))
-		rest = rest[n:]
 	}
-	return groups
-}
-
-// LinkFault is a link step's fault.
-func (st Step) LinkFault() LinkFault {
-	return LinkFault{Cut: st.Cut, Loss: st.Loss, Delay: config.Milliseconds(st.DelayMS), Jitter: config.Milliseconds(st.JitterMS), Reorder: st.Reorder, BytesPerSecond: st.KBPerSecond << 10}
+	return out
 }
