--- a/internal/lab/fleet/addresses_test.go
+++ b/internal/lab/fleet/addresses_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// TestSizes: a scenario may have as many gateways and caches as a list must hold, and no two of them share an address.
+// TestLargestScenarioHasDistinctAddresses: a scenario may have maxGateways gateways and maxCaches caches, and no two of their addresses
+// are equal.
 func TestLargestScenarioHasDistinctAddresses(t *testing.T) {
 	read := func(gateways, caches int) (*Scenario, error) {
 		path := filepath.Join(t.TempDir(), "many.jsonnet")
@@ -24,25 +25,26 @@
 	}
 	for _, past := range [][2]int{{1025, 6}, {6, 1025}} {
 		if _, err := read(past[0], past[1]); err == nil {
-			t.Errorf("%d gateways and %d caches are not refused", past[0], past[1])
+			t.Errorf("%d gateways and %d caches are not rejected", past[0], past[1])
 		}
 	}
 	if wanted := 1024 * (1024 + 2); s.maxStreams() < wanted {
 		t.Errorf("%d streams, fewer than a connection of each gateway to each cache: %d", s.maxStreams(), wanted)
 	}
-	r, taken := &Rig{scenario: s}, map[netip.AddrPort]string{}
-	take := func(at netip.AddrPort, whose string) {
+	r := newRig(s, Options{})
+	taken := map[netip.AddrPort]string{}
+	take := func(at netip.AddrPort, owner string) {
 		if other, twice := taken[at]; twice {
-			t.Fatalf("%v is of %s and of %s", at, other, whose)
+			t.Fatalf("%v is of %s and of %s", at, other, owner)
 		}
-		taken[at] = whose
+		taken[at] = owner
 	}
-	take(r.address(discoveryBlock, 0, discoveryAndCachePort), "the bulletin")
+	take(r.address(discoveryBlock, 0, discoveryAndCachePort), "discovery")
 	for i := range maxGateways {
-		take(r.address(relayBlocks, i, peerPort), fmt.Sprint("door ", i))
-		take(r.address(listenBlocks, i, peerPort), fmt.Sprint("own ", i))
-		take(r.address(privateBlocks, i, discoveryAndCachePort), fmt.Sprint("front ", i))
+		take(r.address(relayBlocks, i, peerPort), fmt.Sprint("public listener ", i))
+		take(r.address(listenBlocks, i, peerPort), fmt.Sprint("gateway ", i))
+		take(r.address(privateBlocks, i, discoveryAndCachePort), fmt.Sprint("private listener ", i))
 		take(r.address(cacheBlocks, i, discoveryAndCachePort), fmt.Sprint("cache ", i))
-		take(r.address(privateBlocks, i, firstCachePort+maxCaches+1), fmt.Sprint("last cache's front ", i))
+		take(r.address(privateBlocks, i, firstCachePort+maxCaches+1), fmt.Sprint("private listener of the last cache ", i))
 	}
 }
--- a/internal/lab/fleet/broadcast.go
+++ b/internal/lab/fleet/broadcast.go
@@ -2,150 +2,160 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"sync"
 	"time"
 
 	"foldslip/internal/admin"
+	"foldslip/internal/config"
 	"foldslip/internal/fleet/broadcast/driver"
 )
 
 const (
-	broadcastWithin = 4500 * time.Millisecond // from when the bulletin told it
-	rewatchWithin   = 12 * time.Second        // a gateway may have its watch back so late after its way to the bulletin was mended: stall and a wait
-	pollInterval    = 500 * time.Millisecond
-	maxPurges       = 3000 // purges of a scenario
+	pollInterval    = 500 * time.Millisecond // between polls of the gateways
+	pollTimeout     = 4 * time.Second        // of one poll
+	firstPurgeIndex = 0x100000               // so that purged objects differ from those of lookups
 )
 
-// broadcastRun tells purges and asks gateways what they heeded.
+// broadcastRun announces purges by discovery at a steady rate and polls the gateways for the purges that they applied.
 type broadcastRun struct {
 	rig    *Rig
 	cancel context.CancelFunc
 	wait   sync.WaitGroup
 
-	mu         sync.Mutex
+	mu         sync.Mutex // guards what follows
 	purges     []publishedPurge
-	applied    map[string]*appliedPurges
-	topologies []topology
+	applied    map[string]*appliedPurges // by gateway
+	topologies []topology                // the first at the start, then one for each step
 }
 
+// publishedPurge is a purge that discovery announced.
 type publishedPurge struct {
 	object string
-	at     time.Duration
+	at     time.Duration // since the run's start
 }
 
-// appliedPurges are what one process of a gateway heeded, by object, and when for the first time in any process of it.
+// appliedPurges are the purges that a gateway reported as applied.
 type appliedPurges struct {
-	start          int
-	lastNumber     uint64
-	current        map[string]bool
-	firstAt        map[string]time.Duration
-	bytesPerSecond float64
-	reported       bool
+	start          int                      // of the gateway, that the fields of its process are of
+	lastNumber     uint64                   // of the process: purges up to it were reported
+	current        map[string]bool          // of the process: objects
+	bytesPerSecond float64                  // of the process
+	reported       bool                     // the last poll was answered
+	firstAt        map[string]time.Duration // by object, the first time in any process
 }
 
+// startBroadcastRun starts announcing and polling. The caller must call stop.
 func startBroadcastRun(r *Rig) *broadcastRun {
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &broadcastRun{rig: r, cancel: cancel, applied: map[string]*appliedPurges{}, topologies: []topology{r.topology(0)}}
+	b := &broadcastRun{rig: r, cancel: cancel, applied: map[string]*appliedPurges{}, topologies: []topology{r.topology(0)}}
 	for _, p := range r.processes {
-		s.applied[p.name] = &appliedPurges{current: map[string]bool{}, firstAt: map[string]time.Duration{}}
+		b.applied[p.name] = &appliedPurges{current: map[string]bool{}, firstAt: map[string]time.Duration{}}
 	}
-	s.wait.Go(func() { s.publish(ctx, r.now()) })
-	s.wait.Go(func() {
-		every := time.NewTicker(pollInterval)
-		defer every.Stop()
-		for {
-			select {
-			case <-ctx.Done():
-				return
-			case <-every.C:
-				s.poll(ctx)
-			}
+	b.wait.Go(func() { b.publish(ctx, r.elapsed()) })
+	b.wait.Go(func() { b.pollUntil(ctx) })
+	return b
+}
+
+// publish announces the scenario's purges, each of an object of its own. Each has its own time, however late the one before was.
+func (b *broadcastRun) publish(ctx context.Context, ready time.Duration) {
+	load := b.rig.scenario.Purges
+	begin := ready + config.Milliseconds(load.FromMS)
+	for i := range int(load.PerSecond * float64(load.ForMS) / 1000) {
+		due := begin + time.Duration(float64(i)/load.PerSecond*float64(time.Second))
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(due - b.rig.elapsed()):
 		}
-	})
-	return s
+		object := fmt.Sprintf("%016x", firstPurgeIndex+i)
+		b.mu.Lock()
+		b.purges = append(b.purges, publishedPurge{object, b.rig.elapsed()})
+		b.mu.Unlock()
+		b.rig.announcePurge(object)
+	}
 }
 
-// publish has the bulletin tell purges, each of an object of its own, in its time however late the one before was.
-func (s *broadcastRun) publish(ctx context.Context, ready time.Duration) {
-	p := s.rig.scenario.Purges
-	begin := ready + time.Duration(p.FromMS)*time.Millisecond
-	for i := range int(p.PerSecond * float64(p.ForMS) / 1000) {
-		due := begin + time.Duration(float64(i)/p.PerSecond*float64(time.Second))
+// pollUntil polls the gateways until ctx is cancelled.
+func (b *broadcastRun) pollUntil(ctx context.Context) {
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
+	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(due - s.rig.now()):
+		case <-ticker.C:
+			b.poll(ctx)
 		}
-		object := fmt.Sprintf("%016x", 0x100000+i)
-		s.mu.Lock()
-		s.purges = append(s.purges, publishedPurge{object, s.rig.now()})
-		s.mu.Unlock()
-		s.rig.discovery.Announce(fmt.Sprintf(`{"recall":{"item":"%s","issued":%d}}`, object, time.Now().UnixMilli()))
 	}
 }
 
-// poll asks all running gateways once for what they heeded since the last time.
-func (s *broadcastRun) poll(ctx context.Context) {
-	ctx, stop := context.WithTimeout(ctx, 4*time.Second)
-	defer stop()
+// poll requests from all running gateways at once what they applied since the last poll.
+func (b *broadcastRun) poll(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
+	defer cancel()
 	var wait sync.WaitGroup
-	for _, p := range s.rig.processes {
+	for _, p := range b.rig.processes {
 		if !p.isRunning() {
 			continue
 		}
-		wait.Go(func() { s.pollGateway(ctx, p) })
+		wait.Go(func() { b.pollGateway(ctx, p) })
 	}
 	wait.Wait()
 }
 
-func (s *broadcastRun) pollGateway(ctx context.Context, p *process) {
-	starts := func() int {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		return p.starts
-	}
-	start := starts()
-	s.mu.Lock()
-	h := s.applied[p.name]
-	if h.start != start {
-		h.start, h.lastNumber, h.current = start, 0, map[string]bool{}
+func (b *broadcastRun) pollGateway(ctx context.Context, p *process) {
+	start := p.startCount()
+	b.mu.Lock()
+	applied := b.applied[p.name]
+	if applied.start != start {
+		applied.start = start
+		applied.lastNumber = 0
+		applied.current = map[string]bool{}
 	}
-	h.reported = false
-	after := h.lastNumber
-	s.mu.Unlock()
-	r, err := fetchBroadcastReport(ctx, p, after)
-	at := s.rig.now()
-	if err != nil || starts() != start {
+	applied.reported = false
+	after := applied.lastNumber
+	b.mu.Unlock()
+	report, err := fetchBroadcastReport(ctx, p, after)
+	at := b.rig.elapsed()
+	if err != nil || p.startCount() != start {
 		return
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	h.lastNumber, h.reported = r.Applied, true
-	h.bytesPerSecond = float64(r.Node.BytesIn+r.Node.BytesOut) / max(1, float64(r.UptimeMS)/1000)
-	for _, one := range r.Latest {
-		when := at - time.Duration(r.UptimeMS-one.AtUptimeMS)*time.Millisecond // no earlier than it was: the answer took its time
-		h.current[one.Object] = true
-		if was, ok := h.firstAt[one.Object]; !ok || when < was {
-			h.firstAt[one.Object] = when
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	applied.add(report, at)
+}
+
+// add takes in a report that arrived at a time. Times of purges are no earlier than they were, as the report took time to arrive.
+func (a *appliedPurges) add(report *driver.Report, at time.Duration) {
+	a.lastNumber = report.Applied
+	a.reported = true
+	a.bytesPerSecond = float64(report.Node.BytesIn+report.Node.BytesOut) / max(1, float64(report.UptimeMS)/1000)
+	for _, purge := range report.Latest {
+		appliedAt := at - config.Milliseconds(report.UptimeMS-purge.AtUptimeMS)
+		a.current[purge.Object] = true
+		first, known := a.firstAt[purge.Object]
+		if !known || appliedAt < first {
+			a.firstAt[purge.Object] = appliedAt
 		}
 	}
 }
 
+// fetchBroadcastReport requests a gateway's report of broadcast, with the purges after a number.
 func fetchBroadcastReport(ctx context.Context, p *process, after uint64) (*driver.Report, error) {
-	a, err := admin.Send(ctx, p.socket(), admin.Request{Command: "broadcast", Version: after})
+	response, err := admin.Send(ctx, p.socket(), admin.Request{Command: "broadcast", Version: after})
 	if err != nil {
 		return nil, err
 	}
-	if a.Broadcast == nil {
-		return nil, errors.New(a.Error)
+	if response.Broadcast == nil {
+		return nil, &AdminError{Text: response.Error}
 	}
-	return a.Broadcast, nil
+	return response.Broadcast, nil
 }
 
-func (s *broadcastRun) stop() {
-	s.cancel()
-	s.wait.Wait()
-	s.poll(context.Background())
+// stop ends announcing and polling and polls once more.
+func (b *broadcastRun) stop() {
+	b.cancel()
+	b.wait.Wait()
+	b.poll(context.Background())
 }
--- a/internal/lab/fleet/broadcast_report.go
+++ b/internal/lab/fleet/broadcast_report.go
@@ -4,98 +4,129 @@
 	"fmt"
 	"maps"
 	"slices"
+	"time"
 )
 
-// BroadcastReport is how purges that the bulletin told came to gateways that could not hear it. A pair is a purge and a gateway that from
-// then on for spreadIn ran, had no way to the bulletin and had, by way of others too, one to a gateway that heard it; who started or was
-// reached anew counts once all views agreed.
+// broadcastWithin is in what time after its announcement a purge must reach gateways by broadcast.
+const broadcastWithin = 4500 * time.Millisecond
+
+// BroadcastReport is how announced purges reached gateways that had no discovery watch. A pair is a purge and a gateway that ran for
+// broadcastWithin from the announcement on, had no link to discovery and could reach, through others too, a gateway with a watch; a
+// gateway that was started or became reachable counts once all views agreed.
 type BroadcastReport struct {
 	Purges                int     `json:"told"`
 	Pairs                 int     `json:"pairs"`
-	InTime                int     `json:"within"` // 4.5 s
-	Share                 float64 `json:"share"`
-	P50                   int64   `json:"p50_ms"`
+	InTime                int     `json:"within"` // pairs whose purge arrived within broadcastWithin
+	Share                 float64 `json:"share"`  // of InTime in Pairs
+	P50                   int64   `json:"p50_ms"` // of the pairs whose purge arrived
 	P99                   int64   `json:"p99_ms"`
-	Max                   int64   `json:"most_ms"`         // of those that came
-	ByWatch               int     `json:"own"`             // purges and gateways that heard the bulletin themselves
+	Max                   int64   `json:"most_ms"`
+	ByWatch               int     `json:"own"`             // purges and gateways with a watch of their own
 	FinalPairs            int     `json:"final"`           // purges and gateways that ran at the end
-	MissingPairs          int     `json:"lost"`            // of them those that the gateway's process never heeded
-	BusiestBytesPerSecond float64 `json:"busiest_bytes_s"` // in and out, of the busiest gateway at the end: the mean since its process started
+	MissingPairs          int     `json:"lost"`            // of FinalPairs, those that the gateway's process never applied
+	BusiestBytesPerSecond float64 `json:"busiest_bytes_s"` // in and out, the mean since its start, of the busiest process at the end
 	Unreported            int     `json:"unasked"`         // gateways that ran at the end and gave no report
 }
 
-// report judges; the rig's mu is held.
-func (s *broadcastRun) report(states []viewState) *BroadcastReport {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	rep := &BroadcastReport{Purges: len(s.purges)}
-	var took []int64
-	names := slices.Sorted(maps.Keys(s.applied))
-	for _, p := range s.purges {
-		first, some := s.topologiesDuring(p.at, p.at+broadcastWithin)
-		var hearers []string
-		for _, name := range names {
-			if s.watchedThroughout(name, p.at, first, some) {
-				hearers = append(hearers, name)
-			}
+// report judges the run by what the rig did. The rig's mu is held.
+func (b *broadcastRun) report(states []viewState) *BroadcastReport {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	report := &BroadcastReport{Purges: len(b.purges)}
+	names := slices.Sorted(maps.Keys(b.applied))
+	var latenciesMS []int64
+	for _, purge := range b.purges {
+		latenciesMS = append(latenciesMS, b.reportPurge(report, purge, names, states)...)
+	}
+	slices.Sort(latenciesMS)
+	if count := len(latenciesMS); count > 0 {
+		report.P50 = latenciesMS[count/2]
+		report.P99 = latenciesMS[count*99/100]
+		report.Max = latenciesMS[count-1]
+	}
+	report.Share = float64(report.InTime) / float64(max(1, report.Pairs))
+	b.reportFinal(report, names)
+	return report
+}
+
+// reportPurge counts the pairs of one purge and returns the latencies of those that arrived.
+func (b *broadcastRun) reportPurge(report *BroadcastReport, purge publishedPurge, names []string, states []viewState) (latenciesMS []int64) {
+	span := b.spanOf(purge)
+	watchers := map[string]bool{}
+	for _, name := range names {
+		if b.watchedThroughout(name, span) {
+			watchers[name] = true
 		}
-		for _, name := range names {
-			switch {
-			case slices.Contains(hearers, name):
-				rep.ByWatch++
-				continue
-			case slices.ContainsFunc(some, func(w topology) bool { return w.watching[name] }):
-				continue // its watch comes or goes
-			case !slices.ContainsFunc(hearers, func(by string) bool { return s.reachableThroughout(name, by, p.at, first, some, states) }):
-				continue
-			}
-			rep.Pairs++
-			if when, ok := s.applied[name].firstAt[p.object]; ok {
-				took = append(took, max(0, when-p.at).Milliseconds())
-				if when-p.at <= broadcastWithin {
-					rep.InTime++
-				}
-			}
+	}
+	report.ByWatch += len(watchers)
+	for _, name := range names {
+		if watchers[name] || !b.mustReceive(name, watchers, span, states) {
+			continue
+		}
+		report.Pairs++
+		appliedAt, ok := b.applied[name].firstAt[purge.object]
+		if !ok {
+			continue
+		}
+		latenciesMS = append(latenciesMS, max(0, appliedAt-purge.at).Milliseconds())
+		if appliedAt-purge.at <= broadcastWithin {
+			report.InTime++
 		}
 	}
-	if slices.Sort(took); len(took) > 0 {
-		rep.P50, rep.P99, rep.Max = took[len(took)/2], took[len(took)*99/100], took[len(took)-1]
+	return latenciesMS
+}
+
+// mustReceive reports whether a gateway must receive a purge by broadcast: it has no watch at any time of the span and can reach a
+// watcher throughout.
+func (b *broadcastRun) mustReceive(name string, watchers map[string]bool, span topologySpan, states []viewState) bool {
+	for _, t := range span.during {
+		if t.watching[name] {
+			return false
+		}
+	}
+	for watcher := range watchers {
+		if b.reachableThroughout(name, watcher, span, states) {
+			return true
+		}
 	}
-	rep.Share = float64(rep.InTime) / float64(max(1, rep.Pairs))
-	last := s.topologies[len(s.topologies)-1]
+	return false
+}
+
+// reportFinal counts what the gateways that run at the end have applied.
+func (b *broadcastRun) reportFinal(report *BroadcastReport, names []string) {
+	last := b.topologies[len(b.topologies)-1]
 	for _, name := range names {
-		h := s.applied[name]
 		if !last.running[name] {
 			continue
 		}
-		if !h.reported {
-			rep.Unreported++
+		applied := b.applied[name]
+		if !applied.reported {
+			report.Unreported++
 			continue
 		}
-		rep.BusiestBytesPerSecond = max(rep.BusiestBytesPerSecond, h.bytesPerSecond)
-		for _, p := range s.purges {
-			rep.FinalPairs++
-			if !h.current[p.object] {
-				rep.MissingPairs++
+		report.BusiestBytesPerSecond = max(report.BusiestBytesPerSecond, applied.bytesPerSecond)
+		for _, purge := range b.purges {
+			report.FinalPairs++
+			if !applied.current[purge.object] {
+				report.MissingPairs++
 			}
 		}
 	}
-	return rep
 }
 
-// violations is what must not be.
-func (r *BroadcastReport) violations(p *PurgeLoad) (out []string) {
+// violations are where the report breaks what the scenario requires.
+func (r *BroadcastReport) violations(load *PurgeLoad) (found []string) {
 	if r.MissingPairs > 0 {
-		out = append(out, fmt.Sprintf("%d purges of %d are lost at gateways that ran at the end", r.MissingPairs, r.FinalPairs))
+		found = append(found, fmt.Sprintf("%d purges of %d are lost at gateways that ran at the end", r.MissingPairs, r.FinalPairs))
 	}
-	if r.Share < p.MinShare {
-		out = append(out, fmt.Sprintf("%.4f of %d purges came to gateways within %v, at least %.4f are wanted", r.Share, r.Pairs, broadcastWithin, p.MinShare))
+	if r.Share < load.MinShare {
+		found = append(found, fmt.Sprintf("%.4f of %d purges came to gateways within %v, at least %.4f are wanted", r.Share, r.Pairs, broadcastWithin, load.MinShare))
 	}
-	if p.MinShare > 0 && r.Pairs == 0 {
-		out = append(out, "no purge had to come from a peer: the scenario shows nothing")
+	if load.MinShare > 0 && r.Pairs == 0 {
+		found = append(found, "no purge had to come from a peer: the scenario shows nothing")
 	}
 	if r.Unreported > 0 {
-		out = append(out, fmt.Sprintf("%d gateways that ran at the end do not tell what they heeded", r.Unreported))
+		found = append(found, fmt.Sprintf("%d gateways that ran at the end do not tell what they heeded", r.Unreported))
 	}
-	return out
+	return found
 }
--- a/internal/lab/fleet/cost_test.go
+++ b/internal/lab/fleet/cost_test.go
@@ -10,9 +10,10 @@
 
 var costs = cost.NewProbes("./internal/lab/fleet")
 
-// trafficAtRest is what one gateway of a settled fleet sends and gets a second over five virtual minutes (one in the short form), without heads of UDP, TCP and IP: in
-// datagrams, and on streams (whole exchanges of the detector). The detector's own chance isn't seeded.
+// trafficAtRest is what one gateway of a settled fleet sends and gets a second over five virtual minutes (one in the short form), without headers of UDP, TCP
+// and IP: in datagrams, and on streams (full state exchanges of the detector). The detector's own random numbers are not seeded.
 func trafficAtRest(t *testing.T, n int) (datagrams, streams float64) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		v := NewVirtualFleet(n, 1, DefaultSettings())
 		defer v.Close()
@@ -22,7 +23,7 @@
 		if took, ok := v.WaitForAgreement(true, 2*time.Minute); !ok {
 			t.Fatalf("%d gateways have not settled after %v", n, took)
 		}
-		time.Sleep(40 * time.Second) // what follows a change is over
+		time.Sleep(40 * time.Second) // the messages after a change are over
 		count := func() (packets, bytes uint64) {
 			for _, name := range v.names {
 				c := v.byName[name].counts
@@ -31,32 +32,34 @@
 			}
 			return packets, bytes
 		}
-		p, s := count()
+		packetsBefore, streamsBefore := count()
 		span := time.Minute
 		if costs.AllSizes() {
-			span = 5 * time.Minute // whole exchanges are 30 s to 90 s apart at these sizes
+			span = 5 * time.Minute // full exchanges are 30 s to 90 s apart at these sizes
 		}
 		time.Sleep(span)
-		q, r := count()
-		datagrams, streams = float64(q-p)/float64(n)/span.Seconds(), float64(r-s)/float64(n)/span.Seconds()
+		packetsAfter, streamsAfter := count()
+		datagrams = float64(packetsAfter-packetsBefore) / float64(n) / span.Seconds()
+		streams = float64(streamsAfter-streamsBefore) / float64(n) / span.Seconds()
 	})
 	return datagrams, streams
 }
 
+// TestCostAtRest measures the traffic of membership at rest by the size of the fleet.
 func TestCostAtRest(t *testing.T) {
-	by := map[int][]float64{}
+	streamsBySize := map[int][]float64{} // of the runs that are not reported yet
 	costs.Measure(t, cost.Figure{Name: "membership-datagrams", Title: "fleet/membership at rest: bytes of datagrams, in and out, heads left out", XLabel: "gateways", YLabel: "bytes a second", Budget: 2000,
 		BudgetOf: "the view, 2 KB a second", PlanSize: 100}, []int{12, 25, 50, 100}, func(n int) float64 {
 		datagrams, streams := trafficAtRest(t, n)
-		by[n] = append(by[n], streams)
+		streamsBySize[n] = append(streamsBySize[n], streams)
 		return datagrams
 	})
 	costs.Measure(t, cost.Figure{Name: "membership-streams", Title: "fleet/membership at rest: bytes of whole exchanges, in and out, heads left out", XLabel: "gateways", YLabel: "bytes a second", Budget: 2000,
 		BudgetOf: "the view, 2 KB a second", PlanSize: 100}, []int{12, 25, 50, 100}, func(n int) float64 {
-		bytes := by[n][0]
-		by[n] = append(by[n][1:], bytes)
+		bytes := streamsBySize[n][0]
+		streamsBySize[n] = append(streamsBySize[n][1:], bytes)
 		if bytes <= 0 {
-			t.Errorf("%d gateways: no whole exchange", n)
+			t.Errorf("%d gateways: no full exchange", n)
 		}
 		return bytes
 	})
--- a/internal/lab/fleet/forms_test.go
+++ b/internal/lab/fleet/forms_test.go
@@ -36,10 +36,15 @@
 	s := &Scenario{Name: "x", Gateways: 2, KeepMembers: true, Fleet: config.Fleet{BroadcastsPurges: true, MaxMembers: 8}, ClockOffsets: []ClockOffset{{"n2", 250}},
 		Limit:      &Limit{LookupsPerSecond: 20, FleetWide: true},
 		Localities: []GatewayLocality{{Gateways: []string{"n2"}, Region: "r", Zone: "z", Site: "s"}}}
-	r := &Rig{scenario: s, options: Options{Seed: 7}}
+	r := newRig(s, Options{Seed: 7})
 	p := &process{name: "n2", dir: t.TempDir(), clients: "127.1.0.2:80", discovery: "127.1.0.9:81", rig: r}
-	listen, advertise := netip.MustParseAddrPort("127.1.0.2:82"), netip.MustParseAddrPort("127.1.1.2:82")
-	if err := r.writeGatewayFiles(p, 1, nil, []string{"127.1.0.1:82"}, listen, advertise); err != nil {
+	files := gatewayFiles{
+		index:     1,
+		seeds:     []string{"127.1.0.1:82"},
+		listen:    netip.MustParseAddrPort("127.1.0.2:82"),
+		advertise: netip.MustParseAddrPort("127.1.1.2:82"),
+	}
+	if err := r.writeGatewayFiles(p, files); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{"settings.jsonnet", "config.json"} {
--- a/internal/lab/fleet/gateway_files.go
+++ b/internal/lab/fleet/gateway_files.go
@@ -10,50 +10,80 @@
 	"foldslip/example/standin"
 )
 
-// writeGatewayFiles writes what a gateway is told.
-func (r *Rig) writeGatewayFiles(p *process, i int, caches []standin.Endpoint, seeds []string, own, door netip.AddrPort) error {
-	f := r.scenario.Fleet
-	f.Listen, f.Advertise, f.Seeds, f.Socket = own.String(), door.String(), seeds, p.socket()
-	at := r.scenario.locality(p.name)
-	f.Region, f.Zone, f.Site = at.Region, at.Zone, at.Site
-	if r.scenario.KeepMembers {
-		f.Folder = filepath.Join(p.dir, "kept")
-	}
-	its := map[string]any{"fleet": f}
-	if l := r.scenario.Limit; l != nil {
-		its["routing"] = map[string]any{"pools": map[string]any{"all": map[string]any{"locations": []string{"town"}}},
-			"routes":  []any{map[string]any{"name": "all", "tenant": "all", "to": []any{map[string]any{"pool": "all"}}}},
-			"tenants": map[string]any{"all": map[string]any{"lookups_a_second": l.LookupsPerSecond, "fleet": l.FleetWide}}}
-	}
-	text, err := json.Marshal(its)
-	if err != nil {
-		return err
-	}
-	if err := os.WriteFile(filepath.Join(p.dir, "settings.jsonnet"), text, 0o600); err != nil {
+// gatewayFiles are the parts of a gateway's configuration that differ from gateway to gateway.
+type gatewayFiles struct {
+	index     int // of the gateway in the scenario, from 0
+	endpoints []standin.Endpoint
+	seeds     []string // addresses of the gateways that it joins
+	listen    netip.AddrPort
+	advertise netip.AddrPort // the relay's listener: the address that peers know
+}
+
+// writeGatewayFiles writes a gateway's configuration and settings and sets the process's arguments and environment. Keys are those
+// of the configuration files.
+func (r *Rig) writeGatewayFiles(p *process, files gatewayFiles) error {
+	settingsPath := filepath.Join(p.dir, "settings.jsonnet")
+	if err := writeJSON(settingsPath, r.operatorSettings(p, files)); err != nil {
 		return err
 	}
-	config := map[string]any{"name": p.name, "listen": p.clients, "seed": fmt.Sprintf("%x", r.options.Seed*1000+uint64(i)+1),
-		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "bulletin": p.discovery,
-		"known":    map[string]any{"no": 1, "items": []any{json.RawMessage(`{"no":1,` + standin.EndpointList(true, caches...)[1:])}},
-		"settings": json.RawMessage(gatewaySettings)}
-	if text, err = json.Marshal(config); err != nil {
-		return err
+	endpointList := standin.EndpointList(true, files.endpoints...)
+	config := map[string]any{
+		"name":     p.name,
+		"listen":   p.clients,
+		"seed":     fmt.Sprintf("%x", r.options.Seed*1000+uint64(files.index)+1),
+		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
+		"bulletin": p.discovery,
+		"known":    map[string]any{"no": 1, "items": []any{json.RawMessage(`{"no":1,` + endpointList[1:])}},
+		"settings": json.RawMessage(gatewaySettings),
 	}
-	path := filepath.Join(p.dir, "config.json")
-	if err := os.WriteFile(path, text, 0o600); err != nil {
+	configPath := filepath.Join(p.dir, "config.json")
+	if err := writeJSON(configPath, config); err != nil {
 		return err
 	}
-	p.env = append(os.Environ(), "ROUTER_CONFIG="+path, "ROUTER_NAME="+p.name, "ROUTER_LISTEN=")
-	p.args = []string{"serve", "--settings", filepath.Join(p.dir, "settings.jsonnet")}
-	for _, o := range r.scenario.ClockOffsets {
-		if o.Gateway == p.name {
-			p.args = append(p.args, fmt.Sprintf("--clock-offset=%dms", o.MS))
+	p.env = append(os.Environ(), "ROUTER_CONFIG="+configPath, "ROUTER_NAME="+p.name, "ROUTER_LISTEN=")
+	p.args = []string{"serve", "--settings", settingsPath}
+	for _, offset := range r.scenario.ClockOffsets {
+		if offset.Gateway == p.name {
+			p.args = append(p.args, fmt.Sprintf("--clock-offset=%dms", offset.MS))
 		}
 	}
 	return nil
 }
 
-// gatewaySettings are those of the example, in the form that the platform tells them.
+// operatorSettings are a gateway's settings of the fleet and of the limit on lookups.
+func (r *Rig) operatorSettings(p *process, files gatewayFiles) map[string]any {
+	fleet := r.scenario.Fleet
+	fleet.Listen = files.listen.String()
+	fleet.Advertise = files.advertise.String()
+	fleet.Seeds = files.seeds
+	fleet.Socket = p.socket()
+	locality := r.scenario.locality(p.name)
+	fleet.Region = locality.Region
+	fleet.Zone = locality.Zone
+	fleet.Site = locality.Site
+	if r.scenario.KeepMembers {
+		fleet.Folder = p.memberDir()
+	}
+	settings := map[string]any{"fleet": fleet}
+	if limit := r.scenario.Limit; limit != nil {
+		settings["routing"] = map[string]any{
+			"pools":   map[string]any{"all": map[string]any{"locations": []string{edgeLocality}}},
+			"routes":  []any{map[string]any{"name": "all", "tenant": "all", "to": []any{map[string]any{"pool": "all"}}}},
+			"tenants": map[string]any{"all": map[string]any{"lookups_a_second": limit.LookupsPerSecond, "fleet": limit.FleetWide}},
+		}
+	}
+	return settings
+}
+
+func writeJSON(path string, value any) error {
+	text, err := json.Marshal(value)
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(path, text, 0o600)
+}
+
+// gatewaySettings are the platform settings of the example, in the form that the platform sends them.
 const gatewaySettings = `{"areas":["town","hub"],"az":0,"balancers":12,"discovery":"push","weights":"off",
 "machine_types":["edge","parent","origin"],"ceilings":{"cancelling":true,"connect_timeout":400000,"keepalive":30000000,
 "max_retry_after":2000000,"max_streams":100,"retry_after":true,"second_copies":true,"try_limit":6},
--- a/internal/lab/fleet/limit_report.go
+++ b/internal/lab/fleet/limit_report.go
@@ -1,50 +1,75 @@
 package fleet
 
-// LimitReport is what was let in against a limit of the whole fleet. A bucket lets a burst of half a second's worth through after a
-// quiet time, and each gateway's holds at least one lookup (package limit); the bound of a window is what the limit gives in it and that.
+import (
+	"fmt"
+)
+
+const (
+	warmUpSeconds = 10  // left out of LimitReport.Mean
+	burstSeconds  = 0.5 // of the limit, that a token bucket admits at once after a quiet time
+)
+
+// LimitReport compares the lookups that were admitted with a limit of the whole fleet. A token bucket admits a burst after a quiet
+// time, and each gateway's holds at least one lookup (package limit); a window's bound is the limit and that burst.
 type LimitReport struct {
-	Limit     float64 `json:"limit"`
+	Limit     float64 `json:"limit"` // lookups a second
 	FleetWide bool    `json:"fleet"`
-	Mean      float64 `json:"mean"`     // let in a second, after the first 10 s
-	MaxIn1s   float64 `json:"most_1s"`  // in any second, of the limit
-	MaxIn10s  float64 `json:"most_10s"` // in any ten seconds, a second, of the limit
+	Mean      float64 `json:"mean"`     // admitted a second, without the first 10 s
+	MaxIn1s   float64 `json:"most_1s"`  // in any second, as a part of the limit
+	MaxIn10s  float64 `json:"most_10s"` // a second in any ten seconds, as a part of the limit
 	Bound1s   float64 `json:"bound_1s"`
 	Bound10s  float64 `json:"bound_10s"`
 	PerSecond []int   `json:"per_second"`
 }
 
-func (l *lookupLoad) limitReport(lim *Limit, gateways int) *LimitReport {
+// limitReport compares the load's satisfied lookups with a limit.
+func (l *lookupLoad) limitReport(limit *Limit, gateways int) *LimitReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := &LimitReport{Limit: lim.LookupsPerSecond, FleetWide: lim.FleetWide}
-	for i, n := range l.admitted {
-		if i%slotsPerSecond == 0 {
-			r.PerSecond = append(r.PerSecond, 0)
+	report := &LimitReport{Limit: limit.LookupsPerSecond, FleetWide: limit.FleetWide}
+	for slot, count := range l.satisfiedBySlot {
+		if slot%slotsPerSecond == 0 {
+			report.PerSecond = append(report.PerSecond, 0)
 		}
-		r.PerSecond[i/slotsPerSecond] += n
+		report.PerSecond[slot/slotsPerSecond] += count
 	}
 	sum := 0
-	for _, n := range r.PerSecond[min(10, len(r.PerSecond)):] {
-		sum += n
+	for _, count := range report.PerSecond[min(warmUpSeconds, len(report.PerSecond)):] {
+		sum += count
+	}
+	report.Mean = float64(sum) / float64(max(1, len(report.PerSecond)-warmUpSeconds))
+	report.MaxIn1s = float64(maxInWindow(l.satisfiedBySlot, slotsPerSecond)) / limit.LookupsPerSecond
+	report.MaxIn10s = float64(maxInWindow(l.satisfiedBySlot, 10*slotsPerSecond)) / 10 / limit.LookupsPerSecond
+	burst := burstSeconds + float64(gateways)/limit.LookupsPerSecond
+	slotLength := 1.0 / slotsPerSecond // windows are of whole slots
+	report.Bound1s = 1 + limit.MaxOverrun + burst + slotLength
+	report.Bound10s = 1 + limit.MaxOverrun + (burst+slotLength)/10
+	return report
+}
+
+// violations are where the report breaks the limit's bounds.
+func (r *LimitReport) violations(limit *Limit) (found []string) {
+	if limit.FleetWide && r.MaxIn1s > r.Bound1s {
+		found = append(found, fmt.Sprintf("in one second %.2f of the fleet's limit were let in, bound %.2f", r.MaxIn1s, r.Bound1s))
+	}
+	if limit.FleetWide && r.MaxIn10s > r.Bound10s {
+		found = append(found, fmt.Sprintf("in ten seconds %.2f of the fleet's limit were let in, bound %.2f", r.MaxIn10s, r.Bound10s))
+	}
+	if minimum := limit.MinShare * limit.LookupsPerSecond; r.Mean < minimum {
+		found = append(found, fmt.Sprintf("%.0f a second were let in of a limit of %.0f, at least %.0f are wanted", r.Mean, limit.LookupsPerSecond, minimum))
 	}
-	r.Mean = float64(sum) / float64(max(1, len(r.PerSecond)-10))
-	r.MaxIn1s = float64(maxInWindow(l.admitted, slotsPerSecond)) / lim.LookupsPerSecond
-	r.MaxIn10s = float64(maxInWindow(l.admitted, 10*slotsPerSecond)) / 10 / lim.LookupsPerSecond
-	burst := 0.5 + float64(gateways)/lim.LookupsPerSecond
-	r.Bound1s = 1 + lim.MaxOverrun + burst + 1.0/slotsPerSecond // windows are of whole parts
-	r.Bound10s = 1 + lim.MaxOverrun + (burst+1.0/slotsPerSecond)/10
-	return r
+	return found
 }
 
-// maxInWindow is how many lookups were let in, at most, within so many parts in a row.
-func maxInWindow(in []int, parts int) (most int) {
+// maxInWindow is the largest sum of counts over so many slots in a row.
+func maxInWindow(counts []int, slots int) (largest int) {
 	sum := 0
-	for i, n := range in {
-		sum += n
-		if i >= parts {
-			sum -= in[i-parts]
+	for i, count := range counts {
+		sum += count
+		if i >= slots {
+			sum -= counts[i-slots]
 		}
-		most = max(most, sum)
+		largest = max(largest, sum)
 	}
-	return most
+	return largest
 }
--- a/internal/lab/fleet/links.go
+++ b/internal/lab/fleet/links.go
@@ -1,10 +1,3 @@
-// Package fleet is the rig on which a fleet of gateways is proven: it starts real processes of the program on loopback, puts the
-// fault relay between every two gateways and between gateways and stand-in caches, plays a scenario of kills, pauses, cuts and
-// loss, reads every process's log and reports. The same model of links carries the same code on a virtual clock (virtual.go, in
-// tests). It judges by what it did itself (who runs, which ways are open), never by what a gateway says of itself.
-//
-// Bounds: mostGateways processes, mostSteps steps, mostTime a run; loopback addresses only; each process it started is ended by
-// its id, and dies with the rig if the rig dies.
 package fleet
 
 import (
@@ -14,63 +7,75 @@
 	"time"
 )
 
-// LinkFault is what one direction of a link does.
+// LinkFault is the fault of one direction of a link. The zero value is no fault.
 type LinkFault struct {
 	Cut            bool
-	Loss           float64       // of datagrams; a stream's bytes come resend later in their place
-	Delay          time.Duration // each way
-	Jitter         time.Duration // more, by chance, up to this
-	Reorder        float64       // of datagrams that come reorderBy later than the others
-	BytesPerSecond int64         // bytes a second; 0: any
+	Loss           float64       // probability that a datagram is lost; a stream's bytes are delayed by retransmitAfter instead
+	Delay          time.Duration // in this direction
+	Jitter         time.Duration // further delay, random up to this
+	Reorder        float64       // probability that a datagram is delayed by reorderDelay
+	BytesPerSecond int64         // 0: no limit
 }
 
 const (
-	retransmitAfter = 200 * time.Millisecond // the least time after which TCP sends a lost segment again (RFC 6298, in Linux's form)
+	retransmitAfter = 200 * time.Millisecond // smallest retransmission timeout of TCP in Linux
 	reorderDelay    = 30 * time.Millisecond
+
+	linksStream = 0x6c696e6b73 // separates the random numbers of Links from others of the same seed
 )
 
-// Links are the directed links between named parties. The zero value has no faults.
+// linkKey names one direction of a link.
+type linkKey struct{ from, to string }
+
+// Links are the directed links between named parties: gateways and stub servers. They are safe for concurrent use.
 type Links struct {
 	mu        sync.Mutex
-	rng       *rand.Rand
-	faults    map[[2]string]LinkFault
-	busyUntil map[[2]string]time.Time // when a slow link has sent what it took
+	random    *rand.Rand
+	faults    map[linkKey]LinkFault
+	busyUntil map[linkKey]time.Time // when a link with limited bytes has sent what was given to it
 }
 
-// NewLinks makes links whose chance comes of a seed.
+// NewLinks returns links without faults. Random faults are drawn from the seed.
 func NewLinks(seed uint64) *Links {
-	return &Links{rng: rand.New(rand.NewPCG(seed, 0x6c696e6b73)), faults: map[[2]string]LinkFault{}, busyUntil: map[[2]string]time.Time{}}
+	return &Links{
+		random:    rand.New(rand.NewPCG(seed, linksStream)),
+		faults:    map[linkKey]LinkFault{},
+		busyUntil: map[linkKey]time.Time{},
+	}
 }
 
-// Set puts a fault on the links from each of some to each of others, or takes it off where it is the zero value.
-func (l *Links) Set(from, to []string, f LinkFault) {
+// Set puts a fault on the links from each of some parties to each of others; the zero value removes their fault.
+func (l *Links) Set(from, to []string, fault LinkFault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, a := range from {
-		for _, b := range to {
-			if a == b {
-				continue
-			}
-			if f == (LinkFault{}) {
-				delete(l.faults, [2]string{a, b})
-			} else {
-				l.faults[[2]string{a, b}] = f
+	for _, sender := range from {
+		for _, receiver := range to {
+			key := linkKey{sender, receiver}
+			switch {
+			case sender == receiver:
+			case fault == LinkFault{}:
+				delete(l.faults, key)
+			default:
+				l.faults[key] = fault
 			}
 		}
 	}
 }
 
-// Split cuts all links between members of different groups; who is in two groups hears both.
+// Split cuts all links between parties that are in no group together. A party may be in several groups.
 func (l *Links) Split(groups [][]string) {
-	for i, a := range groups {
-		for j, b := range groups {
+	areTogether := func(a, b string) bool {
+		return slices.ContainsFunc(groups, func(group []string) bool { return slices.Contains(group, a) && slices.Contains(group, b) })
+	}
+	for i, senders := range groups {
+		for j, receivers := range groups {
 			if i == j {
 				continue
 			}
-			for _, from := range a {
-				for _, to := range b {
-					if !slices.ContainsFunc(groups, func(g []string) bool { return slices.Contains(g, from) && slices.Contains(g, to) }) {
-						l.Set([]string{from}, []string{to}, LinkFault{Cut: true})
+			for _, sender := range senders {
+				for _, receiver := range receivers {
+					if !areTogether(sender, receiver) {
+						l.Set([]string{sender}, []string{receiver}, LinkFault{Cut: true})
 					}
 				}
 			}
@@ -78,7 +83,7 @@
 	}
 }
 
-// Heal takes all faults off.
+// Heal removes all faults.
 func (l *Links) Heal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,68 +91,69 @@
 	clear(l.busyUntil)
 }
 
-// IsOpen tells whether both directions between two parties are open.
+// IsOpen reports whether neither direction between two parties is cut.
 func (l *Links) IsOpen(a, b string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !l.faults[[2]string{a, b}].Cut && !l.faults[[2]string{b, a}].Cut
+	return !l.faults[linkKey{a, b}].Cut && !l.faults[linkKey{b, a}].Cut
 }
 
-// IsCut tells whether nothing goes from one to the other.
+// IsCut reports whether the direction from one party to another is cut.
 func (l *Links) IsCut(from, to string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.faults[[2]string{from, to}].Cut
+	return l.faults[linkKey{from, to}].Cut
 }
 
-// Transfer tells what becomes of so many bytes: lost, or how long they take. Bytes of a stream are never lost but by a cut.
-func (l *Links) Transfer(from, to string, size int, stream bool) (lost bool, takes time.Duration) {
+// Transfer decides what becomes of size bytes on a link: they are lost, or arrive after a delay. Bytes of a stream are lost only by a
+// cut.
+func (l *Links) Transfer(from, to string, size int, isStream bool) (lost bool, delay time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at := [2]string{from, to}
-	f := l.faults[at]
-	if f == (LinkFault{}) {
+	key := linkKey{from, to}
+	fault := l.faults[key]
+	if fault == (LinkFault{}) {
 		return false, 0
 	}
-	takes = f.Delay
-	if f.Jitter > 0 {
-		takes += time.Duration(l.rng.Int64N(int64(f.Jitter) + 1))
+	delay = fault.Delay
+	if fault.Jitter > 0 {
+		delay += time.Duration(l.random.Int64N(int64(fault.Jitter) + 1))
 	}
-	if f.BytesPerSecond > 0 {
+	if fault.BytesPerSecond > 0 {
 		now := time.Now()
-		begin := l.busyUntil[at]
+		begin := l.busyUntil[key]
 		if begin.Before(now) {
 			begin = now
 		}
-		l.busyUntil[at] = begin.Add(time.Duration(int64(size) * int64(time.Second) / f.BytesPerSecond))
-		takes += l.busyUntil[at].Sub(now)
+		l.busyUntil[key] = begin.Add(time.Duration(int64(size) * int64(time.Second) / fault.BytesPerSecond))
+		delay += l.busyUntil[key].Sub(now)
 	}
-	if f.Loss > 0 && l.rng.Float64() < f.Loss {
-		if !stream {
+	if fault.Loss > 0 && l.random.Float64() < fault.Loss {
+		if !isStream {
 			return true, 0
 		}
-		takes += retransmitAfter
+		delay += retransmitAfter
 	}
-	if f.Reorder > 0 && !stream && l.rng.Float64() < f.Reorder {
-		takes += reorderDelay
+	if fault.Reorder > 0 && !isStream && l.random.Float64() < fault.Reorder {
+		delay += reorderDelay
 	}
-	return f.Cut, takes
+	return fault.Cut, delay
 }
 
-// Partitions are the parties that can reach each other over links open both ways, by way of others too.
+// Partitions groups parties by which can reach each other over links that are open in both directions, directly or through others.
 func (l *Links) Partitions(parties []string) (sides [][]string) {
 	seen := map[string]bool{}
-	for _, p := range parties {
-		if seen[p] {
+	for _, party := range parties {
+		if seen[party] {
 			continue
 		}
-		side := []string{p}
-		seen[p] = true
+		side := []string{party}
+		seen[party] = true
 		for i := 0; i < len(side); i++ {
-			for _, q := range parties {
-				if !seen[q] && l.IsOpen(side[i], q) {
-					seen[q] = true
-					side = append(side, q)
+			for _, other := range parties {
+				if !seen[other] && l.IsOpen(side[i], other) {
+					seen[other] = true
+					side = append(side, other)
 				}
 			}
 		}
@@ -156,10 +162,3 @@
 	}
 	return sides
 }
-
-// HasFaults tells whether any link has a fault.
-func (l *Links) HasFaults() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.faults) > 0
-}
--- a/internal/lab/fleet/load.go
+++ b/internal/lab/fleet/load.go
@@ -14,138 +14,159 @@
 	"golang.org/x/time/rate"
 )
 
-// lookupLoad is lookups at a steady rate, to running gateways in turn, each on a connection of its own; at most mostAsked are out. Time
-// counts from when a lookup was due, not from when it could be sent (coordinated omission).
+const (
+	slotsPerSecond   = 10 // of lookupLoad.satisfiedBySlot
+	maxOpenLookups   = 256
+	lookupTimeout    = 6 * time.Second // a little longer than the longest deadline of a lookup
+	dialTimeout      = time.Second
+	maxLatencyMicros = 60_000_000
+	defaultObjects   = 200
+)
+
+// lookupLoad sends lookups at a steady rate to the running gateways in turn, each on a connection of its own, at most maxOpenLookups at
+// once. Latency counts from when a lookup was due, not from when it could be sent (coordinated omission).
 type lookupLoad struct {
+	rig       *Rig
 	cancel    context.CancelFunc
 	wait      sync.WaitGroup
-	mu        sync.Mutex
-	counts    LoadReport
-	admitted  []int // satisfied lookups by when they were asked for, in parts of a second
 	startedAt time.Time
-	latencies *hdrhistogram.Histogram // microseconds
+	through   map[string]bool // gateways that get lookups; empty: all
+	objects   int64
+
+	mu              sync.Mutex // guards what follows
+	counts          LoadReport
+	satisfiedBySlot []int                   // by the time at which the lookup was due
+	latencies       *hdrhistogram.Histogram // microseconds
 }
 
-// LoadReport is what became of lookups.
+// LoadReport is how the lookups of a run ended.
 type LoadReport struct {
 	Sent        int64 `json:"asked"`
 	Satisfied   int64 `json:"satisfied"`
 	Rejected    int64 `json:"nacked"`
-	Failed      int64 `json:"failed"`  // told so
-	Interrupted int64 `json:"broken"`  // no answer, and its gateway was killed, paused or stopped meanwhile
-	Lost        int64 `json:"lost"`    // no answer of a gateway that ran all the time: rule 1
-	Skipped     int64 `json:"skipped"` // not asked: too many were out, or nobody ran
+	Failed      int64 `json:"failed"`  // answered with an error
+	Interrupted int64 `json:"broken"`  // no answer, and the gateway was killed, paused or stopped meanwhile
+	Lost        int64 `json:"lost"`    // no answer of a gateway that ran all the time: never allowed
+	Skipped     int64 `json:"skipped"` // not sent: too many were open, or no gateway ran
 	P50         int64 `json:"p50_us"`
 	P99         int64 `json:"p99_us"`
 	Max         int64 `json:"max_us"`
 }
 
-const (
-	slotsPerSecond = 10 // of a second
-	maxOpenLookups = 256
-	lookupTimeout  = 6 * time.Second // the longest latency budget and a little
-)
-
-func startLoad(l Load, r *Rig) (*lookupLoad, error) {
-	through := map[string]bool{}
-	for _, name := range l.Through {
-		through[name] = true
-	}
+// startLoad starts sending lookups. The caller must call stop.
+func startLoad(load Load, r *Rig) *lookupLoad {
 	ctx, cancel := context.WithCancel(context.Background())
-	out := &lookupLoad{cancel: cancel, startedAt: time.Now(), latencies: hdrhistogram.New(1, 60_000_000, 2)}
-	objects := max(1, l.Objects)
-	if l.Objects == 0 {
-		objects = 200
+	l := &lookupLoad{
+		rig:       r,
+		cancel:    cancel,
+		startedAt: time.Now(),
+		through:   nameSet(load.Through),
+		objects:   max(1, load.Objects),
+		latencies: hdrhistogram.New(1, maxLatencyMicros, 2),
+	}
+	if load.Objects == 0 {
+		l.objects = defaultObjects
+	}
+	l.wait.Go(func() { l.run(ctx, load.PerSecond) })
+	return l
+}
+
+// run sends lookups until ctx is cancelled.
+func (l *lookupLoad) run(ctx context.Context, perSecond float64) {
+	limiter := rate.NewLimiter(rate.Limit(perSecond), 1)
+	open := make(chan struct{}, maxOpenLookups)
+	for number := 0; limiter.Wait(ctx) == nil; number++ {
+		serving := l.serving()
+		if len(serving) == 0 {
+			l.countSkipped()
+			continue
+		}
+		p := serving[number%len(serving)]
+		select {
+		case open <- struct{}{}:
+		default:
+			l.countSkipped()
+			continue
+		}
+		l.wait.Go(func() {
+			defer func() { <-open }()
+			l.sendLookup(p, number)
+		})
 	}
-	turns := rate.NewLimiter(rate.Limit(l.PerSecond), 1)
-	places := make(chan struct{}, maxOpenLookups)
-	out.wait.Add(1)
-	go func() {
-		defer out.wait.Done()
-		for n := 0; turns.Wait(ctx) == nil; n++ {
-			var running []*process
-			for _, p := range r.processes {
-				if p.isServing() && (len(through) == 0 || through[p.name]) {
-					running = append(running, p)
-				}
-			}
-			if len(running) == 0 {
-				out.count(func(c *LoadReport) { c.Skipped++ })
-				continue
-			}
-			p := running[n%len(running)]
-			select {
-			case places <- struct{}{}:
-			default:
-				out.count(func(c *LoadReport) { c.Skipped++ })
-				continue
-			}
-			out.wait.Add(1)
-			go func() {
-				defer out.wait.Done()
-				defer func() { <-places }()
-				out.sendLookup(p, n, int64(n)%objects)
-			}()
+}
+
+// serving are the gateways that get lookups now.
+func (l *lookupLoad) serving() (processes []*process) {
+	for _, p := range l.rig.processes {
+		if p.isServing() && (len(l.through) == 0 || l.through[p.name]) {
+			processes = append(processes, p)
 		}
-	}()
-	return out, nil
+	}
+	return processes
 }
 
-func (l *lookupLoad) count(f func(*LoadReport)) {
+func (l *lookupLoad) countSkipped() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	f(&l.counts)
+	l.counts.Skipped++
 }
 
-func (l *lookupLoad) sendLookup(p *process, n int, object int64) {
-	p.mu.Lock()
-	starts := p.starts
-	p.mu.Unlock()
+// sendLookup sends one lookup, waits for its result and counts it.
+func (l *lookupLoad) sendLookup(p *process, number int) {
+	start := p.startCount()
 	due := time.Now()
-	status, err := doLookup(p.clients, n, object)
+	status, err := doLookup(p.clients, number, int64(number)%l.objects)
 	p.mu.Lock()
-	same := p.starts == starts && p.unpaused
+	ranThroughout := p.starts == start && p.unpaused
 	p.mu.Unlock()
-	l.count(func(c *LoadReport) {
-		c.Sent++
-		switch {
-		case err != nil && same:
-			c.Lost++
-		case err != nil:
-			c.Interrupted++
-		case status == http.StatusOK:
-			c.Satisfied++
-			for at := int(due.Sub(l.startedAt) * slotsPerSecond / time.Second); at >= len(l.admitted); {
-				l.admitted = append(l.admitted, make([]int, at-len(l.admitted)+1)...)
-			}
-			l.admitted[int(due.Sub(l.startedAt)*slotsPerSecond/time.Second)]++
-			l.latencies.RecordValue(min(time.Since(due).Microseconds(), 60_000_000))
-		case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
-			c.Rejected++
-		default:
-			c.Failed++
-		}
-	})
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.counts.Sent++
+	switch {
+	case err != nil && ranThroughout:
+		l.counts.Lost++
+	case err != nil:
+		l.counts.Interrupted++
+	case status == http.StatusOK:
+		l.countSatisfied(due)
+	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
+		l.counts.Rejected++
+	default:
+		l.counts.Failed++
+	}
+}
+
+// countSatisfied counts a satisfied lookup; mu is held.
+func (l *lookupLoad) countSatisfied(due time.Time) {
+	l.counts.Satisfied++
+	slot := int(due.Sub(l.startedAt) * slotsPerSecond / time.Second)
+	if missing := slot + 1 - len(l.satisfiedBySlot); missing > 0 {
+		l.satisfiedBySlot = append(l.satisfiedBySlot, make([]int, missing)...)
+	}
+	l.satisfiedBySlot[slot]++
+	l.latencies.RecordValue(min(time.Since(due).Microseconds(), maxLatencyMicros))
 }
 
-func doLookup(addr string, n int, object int64) (status int, err error) {
-	conn, err := net.DialTimeout("tcp", addr, time.Second)
+// doLookup sends a lookup on a connection of its own and returns the status of the complete response.
+func doLookup(address string, number int, object int64) (status int, err error) {
+	conn, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
 		return 0, err
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(lookupTimeout))
 	fmt.Fprintf(conn, "GET /call/segment/%016x/part-0 HTTP/1.1\r\nHost: x\r\nX-Job-Id: %016x\r\nX-Allow-Ms: 4000\r\nX-Ram-Kb: 1\r\nConnection: close\r\n\r\n",
-		object, n+1)
-	got, err := http.ReadResponse(bufio.NewReader(conn), nil)
+		object, number+1)
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		return 0, err
 	}
-	defer got.Body.Close()
-	_, err = io.Copy(io.Discard, got.Body)
-	return got.StatusCode, err
+	defer response.Body.Close()
+	_, err = io.Copy(io.Discard, response.Body)
+	return response.StatusCode, err
 }
 
+// stop ends the load and waits for its open lookups.
 func (l *lookupLoad) stop() {
 	l.cancel()
 	l.wait.Wait()
@@ -154,7 +175,9 @@
 func (l *lookupLoad) report() *LoadReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c := l.counts
-	c.P50, c.P99, c.Max = l.latencies.ValueAtQuantile(50), l.latencies.ValueAtQuantile(99), l.latencies.Max()
-	return &c
+	report := l.counts
+	report.P50 = l.latencies.ValueAtQuantile(50)
+	report.P99 = l.latencies.ValueAtQuantile(99)
+	report.Max = l.latencies.Max()
+	return &report
 }
--- a/internal/lab/fleet/memory_cache.go
+++ b/internal/lab/fleet/memory_cache.go
@@ -8,30 +8,36 @@
 	"foldslip/example/standin"
 )
 
-// memoryCache is a stand-in cache that makes its objects up: filled the first time they are asked for with a source, then held.
+// maxStoredObjects bounds a memoryCache; later fills are answered but not stored.
+const maxStoredObjects = 100_000
+
+// memoryCache answers a stub cache's requests. It makes up an object the first time that it is requested with a source to fill from,
+// and stores it from then on.
 type memoryCache struct {
-	mu     sync.Mutex
-	stored map[string]time.Time
+	mu       sync.Mutex
+	storedAt map[string]time.Time // by key and part of the object
 }
 
-func (t *memoryCache) answer(d standin.Request) {
-	key := d.Fields["k"] + "/" + d.Fields["p"]
-	t.mu.Lock()
-	born, held := t.stored[key]
-	if !held && d.Fields["from"] != "" && len(t.stored) < 100_000 {
-		born = time.Now()
-		t.stored[key] = born
+// respond answers one request of the caches' protocol.
+func (c *memoryCache) respond(request standin.Request) {
+	key := request.Fields["k"] + "/" + request.Fields["p"]
+	hasSource := request.Fields["from"] != ""
+	c.mu.Lock()
+	storedAt, stored := c.storedAt[key]
+	if !stored && hasSource && len(c.storedAt) < maxStoredObjects {
+		storedAt = time.Now()
+		c.storedAt[key] = storedAt
 	}
-	t.mu.Unlock()
-	body := "part " + d.Fields["p"] + " of " + d.Fields["k"] + "\n"
+	c.mu.Unlock()
+	body := "part " + request.Fields["p"] + " of " + request.Fields["k"] + "\n"
 	switch {
-	case held && d.Fields["seen"] == "v1":
-		d.Respond("VALID", fmt.Sprintf("note=hit,ver=v1,born=%d", born.UnixMilli()))
-	case held:
-		d.Hit(born, "hit", body)
-	case d.Fields["from"] != "":
-		d.Hit(born, "filled", body)
+	case stored && request.Fields["seen"] == "v1":
+		request.Respond("VALID", fmt.Sprintf("note=hit,ver=v1,born=%d", storedAt.UnixMilli()))
+	case stored:
+		request.Hit(storedAt, "hit", body)
+	case hasSource:
+		request.Hit(storedAt, "filled", body)
 	default:
-		d.Respond("NONE", "-")
+		request.Respond("NONE", "-")
 	}
 }
--- a/internal/lab/fleet/mixed_test.go
+++ b/internal/lab/fleet/mixed_test.go
@@ -47,46 +47,44 @@
 	return built
 }
 
-// waitForRow asks a gateway for its view until its row of another one holds.
-func waitForRow(t *testing.T, asked *process, other, what string, holds func(membership.Report, membership.MemberReport) bool) {
+// waitForRow requests a gateway's view until its row of another gateway satisfies a predicate; what names it in the failure.
+func waitForRow(t *testing.T, observer *process, other, what string, isExpected func(membership.Report, membership.MemberReport) bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 15*time.Second)
 	defer cancel()
-	seen := "it did not answer"
+	lastSeen := "it did not answer"
 	for {
-		report, err := asked.report(ctx)
+		report, err := observer.report(ctx)
 		if err == nil {
-			seen = fmt.Sprintf("it is %s and has no row", report.State)
+			lastSeen = fmt.Sprintf("it is %s and has no row", report.State)
 			for _, row := range report.Members {
 				if row.Name != other {
 					continue
 				}
-				if holds(*report, row) {
+				if isExpected(*report, row) {
 					return
 				}
-				seen = fmt.Sprintf("it is %s: %+v", report.State, row)
+				lastSeen = fmt.Sprintf("it is %s: %+v", report.State, row)
 			}
 		}
 		select {
 		case <-ctx.Done():
-			log, _ := os.ReadFile(asked.log.Name())
-			t.Fatalf("%s does not see that %s %s: %s\n%s", asked.name, other, what, seen, log)
+			log, _ := os.ReadFile(observer.log.Name())
+			t.Fatalf("%s does not see that %s %s: %s\n%s", observer.name, other, what, lastSeen, log)
 		case <-time.After(viewInterval):
 		}
 	}
 }
 
-// A gateway of the build before and one of this tree see each other come, agree and leave, in both directions.
-func TestAGatewayOfTheBuildBeforeAndOneOfThisTreeSeeEachOther(t *testing.T) {
+// TestGatewayOfEarlierBuildAndCurrentOneSeeEachOther: each sees the other join, agree, leave and return.
+func TestGatewayOfEarlierBuildAndCurrentOneSeeEachOther(t *testing.T) {
 	t.Parallel()
 	scenario := Scenario{Name: "mixed", Gateways: 2, KeepMembers: true, Fleet: fastDetector, Localities: []GatewayLocality{
 		{Gateways: []string{"n1"}, Region: "north", Zone: "a", Site: "a1"}, {Gateways: []string{"n2"}, Region: "south", Zone: "b", Site: "b1"}}}
 	if err := scenario.check("mixed"); err != nil {
 		t.Fatal(err)
 	}
-	links := NewLinks(1)
-	rig := &Rig{scenario: &scenario, options: Options{Program: program, Dir: t.TempDir(), Seed: 1, Network: testNet + 23}, selector: scenario.NewSelector(1), links: links,
-		relay: NewRelay(links, scenario.maxStreams()), byName: map[string]*process{}, viewsChanged: make(chan struct{}, 1), done: make(chan struct{})}
+	rig := newRig(&scenario, Options{Program: program, Dir: t.TempDir(), Seed: 1, Network: testNetwork + 23})
 	rig.startedAt = time.Now()
 	t.Cleanup(rig.close)
 	if err := rig.setUp(); err != nil {
@@ -100,12 +98,12 @@
 		}
 	}
 
-	places := map[string]view.Locality{"n1": {Region: "north", Zone: "a", Site: "a1"}, "n2": {Region: "south", Zone: "b", Site: "b1"}}
+	localities := map[string]view.Locality{"n1": {Region: "north", Zone: "a", Site: "a1"}, "n2": {Region: "south", Zone: "b", Site: "b1"}}
 	settled := func(report membership.Report, row membership.MemberReport) bool {
-		return report.State == "settled" && row.State == view.Alive && row.Agrees && row.Locality == places[row.Name]
+		return report.State == "settled" && row.State == view.Alive && row.Agrees && row.Locality == localities[row.Name]
 	}
-	for _, pair := range []struct{ asked, other *process }{{before, current}, {current, before}} {
-		waitForRow(t, pair.asked, pair.other.name, "is alive, where it stands, and agrees", settled)
+	for _, pair := range []struct{ observer, other *process }{{before, current}, {current, before}} {
+		waitForRow(t, pair.observer, pair.other.name, "is alive, at its locality, and agrees", settled)
 	}
 	for _, pair := range []struct{ stays, leaves *process }{{before, current}, {current, before}} {
 		if err := pair.leaves.signalAndWait(syscall.SIGTERM, stopTimeout); err != nil {
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -1,102 +1,84 @@
 package fleet
 
 import (
-	"bufio"
 	"context"
-	"errors"
-	"fmt"
 	"io"
 	"os"
 	"os/exec"
 	"path/filepath"
-	"strings"
 	"sync"
 	"syscall"
 	"time"
 
-	"github.com/go-logfmt/logfmt"
-
 	"foldslip/internal/admin"
 	"foldslip/internal/fleet/membership"
 )
 
-// loggedView is what a gateway's own log says of the fleet.
-type loggedView struct {
-	live    map[string]bool
-	settled bool
-	digest  string
-}
-
-// process is one gateway of the rig, over its starts.
+// process is one gateway of the rig, over all of its starts.
 type process struct {
-	name, dir string
+	name      string
+	dir       string // its settings, log, admin socket and kept members
 	program   string
 	env       []string
 	args      []string
-	clients   string // where clients connect
-	discovery string // where it hears the bulletin
+	clients   string // address for clients
+	discovery string // address of its discovery server: a private listener of the relay
 	rig       *Rig
+	log       *os.File // written by followLog only
 
-	mu         sync.Mutex // guards what follows; the rig reads it while the log is read
-	cmd        *exec.Cmd
-	unpaused   bool // runs and is not paused
-	ready      bool // and said that it started: clients may come
+	mu         sync.Mutex    // guards what follows
+	cmd        *exec.Cmd     // nil: does not run
+	ended      chan struct{} // closed when cmd has ended
+	unpaused   bool          // runs and is not paused
+	ready      bool          // and has logged that it started: clients may connect
 	paused     bool
 	expectedUp bool // its end would be a crash
-	stopped    bool // it was asked to end, and is to do so in good order
-	crashed    string
+	stopped    bool // SIGTERM was sent: its exit code must be 0
+	crash      error
 	starts     int
 	view       loggedView
-	ended      chan struct{}
-	log        *os.File
 }
 
-const maxLine = 64 << 10
-
+// start starts the gateway's process; its log is followed until it ends.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
-		return fmt.Errorf("%s runs already", p.name)
+		return &GatewayError{p.name, ErrRunning}
 	}
 	cmd := exec.Command(p.program, p.args...)
 	cmd.Env = p.env
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
-	out, err := cmd.StderrPipe()
+	output, err := cmd.StderrPipe()
 	if err != nil {
 		return err
 	}
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	p.cmd, p.unpaused, p.ready, p.paused, p.expectedUp = cmd, true, false, false, true
+	p.cmd = cmd
+	p.unpaused = true
+	p.ready = false
+	p.paused = false
+	p.expectedUp = true
 	p.starts++
 	p.view = loggedView{live: map[string]bool{p.name: true}}
 	p.ended = make(chan struct{})
-	go p.readLog(out, cmd, p.ended)
+	go p.follow(output, cmd, p.ended)
 	return nil
 }
 
-// readLog follows the log until the process ends.
-func (p *process) readLog(out io.Reader, cmd *exec.Cmd, ended chan struct{}) {
-	in := bufio.NewReaderSize(out, maxLine)
-	for {
-		line, long, err := in.ReadLine()
-		if err != nil {
-			break
-		}
-		at := time.Now()
-		p.log.Write(append(append([]byte(nil), line...), '\n'))
-		if !long {
-			p.handleLine(string(line), at)
-		}
-	}
+// follow reads the process's log until it ends, and closes ended.
+func (p *process) follow(output io.Reader, cmd *exec.Cmd, ended chan struct{}) {
+	p.followLog(output)
 	err := cmd.Wait()
 	p.mu.Lock()
 	if p.cmd == cmd {
-		p.cmd, p.unpaused, p.ready = nil, false, false
+		p.cmd = nil
+		p.unpaused = false
+		p.ready = false
 		if p.expectedUp || p.stopped && err != nil {
-			p.crashed = fmt.Sprintf("%s ended by itself: %v", p.name, err)
+			p.crash = &CrashError{Gateway: p.name, Exit: err}
 		}
 	}
 	p.mu.Unlock()
@@ -104,59 +86,16 @@
 	close(ended)
 }
 
-func (p *process) handleLine(text string, at time.Time) {
-	if strings.Contains(text, "DATA RACE") || strings.HasPrefix(text, "panic:") {
-		p.mu.Lock()
-		p.crashed = p.name + ": " + text
-		p.mu.Unlock()
-	}
-	if strings.Contains(text, " event=started ") {
-		p.mu.Lock()
-		p.ready = true
-		p.mu.Unlock()
-	}
-	if !strings.Contains(text, "event=fleet_") && !strings.Contains(text, "event=policy_fault") {
-		return
-	}
-	d := logfmt.NewDecoder(strings.NewReader(text))
-	f := map[string]string{}
-	for d.ScanRecord() {
-		for d.ScanKeyval() {
-			f[string(d.Key())] = string(d.Value())
-		}
-	}
+// signalAndWait sends the process a signal that ends it and waits for its end. After the timeout it is killed. A process that does
+// not run is no error.
+func (p *process) signalAndWait(signal syscall.Signal, timeout time.Duration) error {
 	p.mu.Lock()
-	switch f["event"] {
-	case "policy_fault":
-		p.crashed = p.name + ": policy_fault"
-	case "fleet_member":
-		was := p.view.live[f["name"]]
-		switch f["state"] {
-		case "alive", "suspect":
-			p.view.live[f["name"]] = true
-		default:
-			delete(p.view.live, f["name"])
-		}
-		if was != p.view.live[f["name"]] || f["why"] == "restarted" {
-			p.view.settled = false
-		}
-	case "fleet_process_paused":
-		p.view.settled = false
-	case "fleet_name_deferred":
-		p.view = loggedView{live: map[string]bool{p.name: true}}
-	case "fleet_settled":
-		p.view.settled, p.view.digest = true, f["digest"]
-	}
-	p.mu.Unlock()
-	p.rig.handleLogEvent(p.name, f, at)
-}
-
-// signalAndWait ends the process by a signal and waits for it.
-func (p *process) signalAndWait(sig syscall.Signal, within time.Duration) error {
-	p.mu.Lock()
-	cmd, ended := p.cmd, p.ended
-	p.expectedUp, p.unpaused, p.stopped = false, false, sig == syscall.SIGTERM
-	if cmd != nil && p.paused && sig != syscall.SIGKILL {
+	cmd := p.cmd
+	ended := p.ended
+	p.expectedUp = false
+	p.unpaused = false
+	p.stopped = signal == syscall.SIGTERM
+	if cmd != nil && p.paused && signal != syscall.SIGKILL {
 		cmd.Process.Signal(syscall.SIGCONT)
 	}
 	p.paused = false
@@ -164,32 +103,33 @@
 	if cmd == nil {
 		return nil
 	}
-	cmd.Process.Signal(sig)
-	late := time.NewTimer(within)
-	defer late.Stop()
+	cmd.Process.Signal(signal)
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
 	case <-ended:
 		return nil
-	case <-late.C:
+	case <-timer.C:
 		cmd.Process.Kill()
 		<-ended
-		return fmt.Errorf("%s did not end within %v of signal %v", p.name, within, sig)
+		return &GatewayError{p.name, &StopTimeoutError{Signal: signal, Timeout: timeout}}
 	}
 }
 
-// setPaused stops the process, or lets it go on.
-func (p *process) setPaused(on bool) error {
+// setPaused stops the process by SIGSTOP, or continues it.
+func (p *process) setPaused(paused bool) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
-		return fmt.Errorf("%s does not run", p.name)
+		return &GatewayError{p.name, ErrNotRunning}
 	}
-	sig := syscall.SIGCONT
-	if on {
-		sig = syscall.SIGSTOP
+	signal := syscall.SIGCONT
+	if paused {
+		signal = syscall.SIGSTOP
 	}
-	p.paused, p.unpaused = on, !on
-	return p.cmd.Process.Signal(sig)
+	p.paused = paused
+	p.unpaused = !paused
+	return p.cmd.Process.Signal(signal)
 }
 
 func (p *process) isRunning() bool {
@@ -204,16 +144,32 @@
 	return p.unpaused && p.ready
 }
 
-// report asks the gateway at its socket.
+func (p *process) startCount() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.starts
+}
+
+func (p *process) crashError() error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.crash
+}
+
+// report requests the gateway's membership report at its admin socket.
 func (p *process) report(ctx context.Context) (*membership.Report, error) {
-	a, err := admin.Send(ctx, p.socket(), admin.Request{Command: "fleet"})
+	response, err := admin.Send(ctx, p.socket(), admin.Request{Command: "fleet"})
 	if err != nil {
 		return nil, err
 	}
-	if a.Fleet == nil {
-		return nil, errors.New(a.Error)
+	if response.Fleet == nil {
+		return nil, &AdminError{Text: response.Error}
 	}
-	return a.Fleet, nil
+	return response.Fleet, nil
 }
 
+// socket is the path of the admin socket, short because of the kernel's limit.
 func (p *process) socket() string { return filepath.Join(p.dir, "s") }
+
+// memberDir is where the gateway keeps its members, in scenarios where it does.
+func (p *process) memberDir() string { return filepath.Join(p.dir, "kept") }
--- a/internal/lab/fleet/relay.go
+++ b/internal/lab/fleet/relay.go
@@ -9,224 +9,230 @@
 	"time"
 )
 
-// Relay is the fault relay: each party has a door of its own on loopback, under which the others know it; datagrams and streams
-// that come to the door from another party's own address go on to the party as the links say, and look as if they came from the
-// sender's door. What is between them is ours alone: no rule of the kernel's is touched.
+// Relay carries datagrams and streams between gateways, and from gateways to the stub servers, with the faults of Links. Each gateway
+// has a public listener of the relay, whose address the others know. What arrives there from another gateway's own address is
+// forwarded to the gateway as the links say, from the sender's public address. No rule of the kernel's network is changed.
 //
-// Bounds: mostFlying datagrams under way, and as many streams as it is made for; past them the oldest habit of networks: dropped.
+// Bounds: maxDatagramsInFlight delayed datagrams and maxStreams streams; what comes beyond them is dropped or closed.
 type Relay struct {
 	links       *Links
-	mu          sync.Mutex
-	listeners   map[string]*relayListener
-	byTarget    map[netip.Addr]string // party by its own address
-	inFlight    atomic.Int64
+	mu          sync.Mutex // guards listeners and byTarget
+	listeners   map[listenerKey]*relayListener
+	byTarget    map[netip.Addr]*relayListener // public listeners by the gateway's own address
+	inFlight    atomic.Int64                  // delayed datagrams
 	openStreams atomic.Int64
-	maxStreams  int64 // streams at once
+	maxStreams  int64
 	done        chan struct{}
 	wait        sync.WaitGroup
-	Lost        atomic.Int64 // datagrams lost by a fault
-	Forwarded   atomic.Int64
 }
 
 const (
 	maxDatagramsInFlight = 20_000
-	cutTimeout           = 10 * time.Second // a stream into a cut is held so long, as nobody answers its bytes
-	copyBuffer           = 16 << 10
+	maxDatagramBytes     = 65536
+	readBufferBytes      = 4 << 20          // the kernel's, of one listener
+	cutTimeout           = 10 * time.Second // a stream into a cut stays open and silent so long
+	relayDialTimeout     = 2 * time.Second
+	acceptErrorPause     = 10 * time.Millisecond // before the next accept
+	copyBufferBytes      = 16 << 10
 )
 
+// listenerKey names a listener: private ones are of one gateway, public ones have no from.
+type listenerKey struct{ from, to string }
+
+// relayListener is where the relay listens for traffic to one target.
 type relayListener struct {
-	name   string
-	target netip.AddrPort // where the party listens
-	public netip.AddrPort
-	udp    *net.UDPConn
+	name   string         // of the target
+	target netip.AddrPort // where the target listens
+	public netip.AddrPort // the relay's address
+	udp    *net.UDPConn   // nil: private
 	tcp    *net.TCPListener
 }
 
-// NewRelay makes a relay over links, for at most so many streams at once.
-func NewRelay(links *Links, mostStreams int) *Relay {
-	return &Relay{links: links, maxStreams: int64(mostStreams), listeners: map[string]*relayListener{}, byTarget: map[netip.Addr]string{}, done: make(chan struct{})}
+// streamRoute is the way of one stream through the relay.
+type streamRoute struct {
+	from, to string
+	source   *net.TCPAddr // address that the target sees; nil: any
+	target   netip.AddrPort
 }
 
-// Add opens a party's door; what comes there goes on to the party's own address, which no other party shares.
-func (r *Relay) Add(name string, door, own netip.AddrPort) error {
-	udp, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(door))
+// NewRelay returns a relay over links, for at most maxStreams streams at once. The caller must call Close.
+func NewRelay(links *Links, maxStreams int) *Relay {
+	return &Relay{
+		links:      links,
+		maxStreams: int64(maxStreams),
+		listeners:  map[listenerKey]*relayListener{},
+		byTarget:   map[netip.Addr]*relayListener{},
+		done:       make(chan struct{}),
+	}
+}
+
+// Add opens a gateway's public listener. What arrives there is forwarded to target, whose address no other gateway shares.
+func (r *Relay) Add(name string, public, target netip.AddrPort) error {
+	udp, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(public))
 	if err != nil {
 		return err
 	}
-	tcp, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(door))
+	tcp, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(public))
 	if err != nil {
 		udp.Close()
 		return err
 	}
-	udp.SetReadBuffer(4 << 20)
-	d := &relayListener{name, own, door, udp, tcp}
+	udp.SetReadBuffer(readBufferBytes)
+	listener := &relayListener{name: name, target: target, public: public, udp: udp, tcp: tcp}
+	r.mu.Lock()
+	r.listeners[listenerKey{to: name}] = listener
+	r.byTarget[target.Addr()] = listener
+	r.mu.Unlock()
+	r.wait.Go(func() { r.relayDatagrams(listener) })
+	r.wait.Go(func() { r.relayStreams(listener) })
+	return nil
+}
+
+// AddPrivate opens a listener for the streams of one gateway to a target, with the faults of the links from it to the target's name.
+func (r *Relay) AddPrivate(from, to string, private, target netip.AddrPort) error {
+	tcp, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(private))
+	if err != nil {
+		return err
+	}
 	r.mu.Lock()
-	r.listeners[name] = d
-	r.byTarget[own.Addr()] = name
+	r.listeners[listenerKey{from, to}] = &relayListener{name: to, target: target, public: private, tcp: tcp}
 	r.mu.Unlock()
-	r.wait.Add(2)
-	go r.relayDatagrams(d)
-	go r.relayStreams(d)
+	r.wait.Go(func() {
+		for {
+			conn, err := tcp.AcceptTCP()
+			if err != nil {
+				return
+			}
+			r.openStream(conn, streamRoute{from: from, to: to, target: target})
+		}
+	})
 	return nil
 }
 
-// sender is the party whose own address that is.
-func (r *Relay) sender(at netip.Addr) *relayListener {
+// sender is the public listener of the gateway whose own address that is; nil: nobody's.
+func (r *Relay) sender(address netip.Addr) *relayListener {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.listeners[r.byTarget[at.Unmap()]]
+	return r.byTarget[address.Unmap()]
 }
 
 func (r *Relay) relayDatagrams(to *relayListener) {
-	defer r.wait.Done()
-	buf := make([]byte, 65536)
+	buffer := make([]byte, maxDatagramBytes)
 	for {
-		n, at, err := to.udp.ReadFromUDPAddrPort(buf)
-		if err != nil {
-			if errors.Is(err, net.ErrClosed) {
-				return
-			}
-			continue
-		}
-		from := r.sender(at.Addr())
-		if from == nil {
-			continue
+		size, source, err := to.udp.ReadFromUDPAddrPort(buffer)
+		if errors.Is(err, net.ErrClosed) {
+			return
 		}
-		lost, takes := r.links.Transfer(from.name, to.name, n, false)
-		if lost || r.inFlight.Load() >= maxDatagramsInFlight {
-			r.Lost.Add(1)
+		if err != nil {
 			continue
 		}
-		r.Forwarded.Add(1)
-		if takes == 0 {
-			from.udp.WriteToUDPAddrPort(buf[:n], to.target)
-			continue
+		if from := r.sender(source.Addr()); from != nil {
+			r.forwardDatagram(from, to, buffer[:size])
 		}
-		text := append([]byte(nil), buf[:n]...)
-		r.inFlight.Add(1)
-		time.AfterFunc(takes, func() {
-			defer r.inFlight.Add(-1)
-			if !r.links.IsCut(from.name, to.name) {
-				from.udp.WriteToUDPAddrPort(text, to.target)
-			}
-		})
 	}
 }
 
+// forwardDatagram sends a datagram on, at once or after the delay of the link, or drops it. It keeps no reference to datagram.
+func (r *Relay) forwardDatagram(from, to *relayListener, datagram []byte) {
+	lost, delay := r.links.Transfer(from.name, to.name, len(datagram), false)
+	if lost || r.inFlight.Load() >= maxDatagramsInFlight {
+		return
+	}
+	if delay == 0 {
+		from.udp.WriteToUDPAddrPort(datagram, to.target)
+		return
+	}
+	delayed := append([]byte(nil), datagram...)
+	r.inFlight.Add(1)
+	time.AfterFunc(delay, func() {
+		defer r.inFlight.Add(-1)
+		if !r.links.IsCut(from.name, to.name) {
+			from.udp.WriteToUDPAddrPort(delayed, to.target)
+		}
+	})
+}
+
 func (r *Relay) relayStreams(to *relayListener) {
-	defer r.wait.Done()
 	for {
 		conn, err := to.tcp.AcceptTCP()
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
 		if err != nil {
-			if errors.Is(err, net.ErrClosed) {
-				return
-			}
-			time.Sleep(10 * time.Millisecond)
+			time.Sleep(acceptErrorPause)
 			continue
 		}
 		from := r.sender(conn.RemoteAddr().(*net.TCPAddr).AddrPort().Addr())
-		if from == nil || r.openStreams.Load() >= r.maxStreams {
+		if from == nil {
 			conn.Close()
 			continue
 		}
-		r.openStreams.Add(1)
-		r.wait.Add(1)
-		go func() {
-			defer r.wait.Done()
-			defer r.openStreams.Add(-1)
-			r.pipe(conn, from.name, to.name, &net.TCPAddr{IP: from.public.Addr().AsSlice()}, to.target)
-		}()
-	}
-}
-
-// AddPrivate opens a further door to an address, for one party alone: what it sends there goes on as the links from it to the other say.
-func (r *Relay) AddPrivate(from, to string, door, own netip.AddrPort) error {
-	tcp, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(door))
-	if err != nil {
-		return err
+		source := &net.TCPAddr{IP: from.public.Addr().AsSlice()}
+		r.openStream(conn, streamRoute{from: from.name, to: to.name, source: source, target: to.target})
 	}
-	r.mu.Lock()
-	r.listeners[from+" "+to] = &relayListener{name: to, tcp: tcp}
-	r.mu.Unlock()
-	r.wait.Add(1)
-	go func() {
-		defer r.wait.Done()
-		for {
-			conn, err := tcp.AcceptTCP()
-			if err != nil {
-				return
-			}
-			if r.openStreams.Load() >= r.maxStreams {
-				conn.Close()
-				continue
-			}
-			r.openStreams.Add(1)
-			r.wait.Add(1)
-			go func() {
-				defer r.wait.Done()
-				defer r.openStreams.Add(-1)
-				r.pipe(conn, from, to, nil, own)
-			}()
-		}
-	}()
-	return nil
 }
 
-// holdSilent keeps a stream open and silent, as one into a cut is.
-func (r *Relay) holdSilent(conn net.Conn) {
-	late := time.NewTimer(cutTimeout)
-	defer late.Stop()
-	select {
-	case <-late.C:
-	case <-r.done:
+// openStream relays an accepted stream in a goroutine of its own, or closes it if too many are open.
+func (r *Relay) openStream(conn *net.TCPConn, route streamRoute) {
+	if r.openStreams.Load() >= r.maxStreams {
+		conn.Close()
+		return
 	}
-	conn.Close()
+	r.openStreams.Add(1)
+	r.wait.Go(func() {
+		defer r.openStreams.Add(-1)
+		r.pipe(conn, route)
+	})
 }
 
-func (r *Relay) pipe(in *net.TCPConn, from, to string, as *net.TCPAddr, own netip.AddrPort) {
-	if !r.links.IsOpen(from, to) { // neither its first word nor the answer to it would come through
-		r.holdSilent(in)
+// pipe relays a stream in both directions until it ends, and closes it.
+func (r *Relay) pipe(client *net.TCPConn, route streamRoute) {
+	if !r.links.IsOpen(route.from, route.to) { // neither the first byte nor the answer to it would come through
+		r.holdSilent(client)
 		return
 	}
-	d := net.Dialer{Timeout: 2 * time.Second}
-	if as != nil {
-		d.LocalAddr = as
+	dialer := net.Dialer{Timeout: relayDialTimeout}
+	if route.source != nil {
+		dialer.LocalAddr = route.source
 	}
-	out, err := d.Dial("tcp", own.String())
+	conn, err := dialer.Dial("tcp", route.target.String())
 	if err != nil {
-		in.SetLinger(0) // nobody listens there: the caller is to hear so
-		in.Close()
+		client.SetLinger(0) // nobody listens there: the client gets a reset
+		client.Close()
 		return
 	}
+	server := conn.(*net.TCPConn)
 	var both sync.WaitGroup
-	both.Add(2)
-	go func() { defer both.Done(); r.copyStream(in, out.(*net.TCPConn), from, to) }()
-	go func() { defer both.Done(); r.copyStream(out.(*net.TCPConn), in, to, from) }()
-	done := make(chan struct{})
-	go func() { both.Wait(); close(done) }()
+	both.Go(func() { r.copyStream(client, server, route.from, route.to) })
+	both.Go(func() { r.copyStream(server, client, route.to, route.from) })
+	copied := make(chan struct{})
+	go func() {
+		both.Wait()
+		close(copied)
+	}()
 	select {
-	case <-done:
+	case <-copied:
 	case <-r.done:
 	}
-	in.Close()
-	out.Close()
-	<-done
+	client.Close()
+	server.Close()
+	<-copied
 }
 
-// copyStream moves bytes one way; into a cut it holds still.
+// copyStream moves bytes in one direction; at a cut it holds the stream open and silent, then ends it.
 func (r *Relay) copyStream(in, out *net.TCPConn, from, to string) {
-	buf := make([]byte, copyBuffer)
+	buffer := make([]byte, copyBufferBytes)
 	for {
-		n, err := in.Read(buf)
-		if n > 0 {
-			cut, takes := r.links.Transfer(from, to, n, true)
+		size, err := in.Read(buffer)
+		if size > 0 {
+			cut, delay := r.links.Transfer(from, to, size, true)
 			if cut {
 				r.holdSilent(in)
 				out.Close()
 				return
 			}
-			time.Sleep(takes)
-			if _, err := out.Write(buf[:n]); err != nil {
+			time.Sleep(delay)
+			if _, err := out.Write(buffer[:size]); err != nil {
 				in.Close()
 				return
 			}
@@ -238,15 +244,26 @@
 	}
 }
 
-// Close ends the relay and waits for it.
+// holdSilent keeps a stream open and silent for cutTimeout, as one into a cut is, and closes it.
+func (r *Relay) holdSilent(conn net.Conn) {
+	timer := time.NewTimer(cutTimeout)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+	case <-r.done:
+	}
+	conn.Close()
+}
+
+// Close ends the relay and waits until all of its goroutines have ended.
 func (r *Relay) Close() {
 	close(r.done)
 	r.mu.Lock()
-	for _, d := range r.listeners {
-		if d.udp != nil {
-			d.udp.Close()
+	for _, listener := range r.listeners {
+		if listener.udp != nil {
+			listener.udp.Close()
 		}
-		d.tcp.Close()
+		listener.tcp.Close()
 	}
 	r.mu.Unlock()
 	r.wait.Wait()
--- a/internal/lab/fleet/report.go
+++ b/internal/lab/fleet/report.go
@@ -5,149 +5,177 @@
 	"math"
 	"slices"
 	"time"
+
+	"foldslip/internal/config"
 )
 
-// Report is what became of one run.
+// Report is the result of one run. JSON keys are a stored form.
 type Report struct {
 	Scenario    string           `json:"scenario"`
 	Seed        uint64           `json:"seed"`
 	Gateways    int64            `json:"gateways"`
 	ReadyMS     int64            `json:"ready_ms"` // until all started gateways had settled
 	Steps       []StepReport     `json:"steps"`
-	FalseDeaths int              `json:"false_deaths"` // lines that told dead a gateway that ran and could be reached
+	FalseDeaths int              `json:"false_deaths"` // log lines that marked a gateway dead that ran and could be reached
 	AtRest      Traffic          `json:"at_rest"`      // between ready and the first step
 	InChurn     Traffic          `json:"in_churn"`     // from the first step on
 	Load        *LoadReport      `json:"load,omitempty"`
 	Limit       *LimitReport     `json:"limit,omitempty"`
-	Broadcast   *BroadcastReport `json:"spread,omitempty"` // of purges told at a rate
+	Broadcast   *BroadcastReport `json:"spread,omitempty"` // of purges announced at a rate
 	Events      []Event          `json:"events,omitempty"`
 	Views       []ViewSample     `json:"views,omitempty"`
-	Violations  []string         `json:"wrong,omitempty"` // what must not be
+	Violations  []string         `json:"wrong,omitempty"` // faults of the fleet; empty: the run passed
 }
 
-// StepReport is how a step ended.
+// StepReport is how a step ended. Times are in milliseconds after the step.
 type StepReport struct {
-	AtMS            int64  `json:"at_ms"`
+	AtMS            int64  `json:"at_ms"` // after the fleet was ready
 	Action          string `json:"do"`
-	Awaited         bool   `json:"awaited"`
-	Agreed          bool   `json:"agreed"`    // before the next step, for good
-	AgreedMS        int64  `json:"agreed_ms"` // after the step, the last time all views came to be what is
-	Settled         bool   `json:"told"`      // and each gateway said that it had settled, on the same set
+	Awaited         bool   `json:"awaited"`   // the fleet must settle before the next step
+	Agreed          bool   `json:"agreed"`    // all views were right at the end of the step
+	AgreedMS        int64  `json:"agreed_ms"` // until they were right and stayed so
+	Settled         bool   `json:"told"`      // and each gateway had logged that it settled, on the same set
 	SettledMS       int64  `json:"told_ms"`
-	BoundMS         int64  `json:"bound_ms,omitempty"`
-	PurgeReceivers  int    `json:"heeded,omitempty"`    // gateways that heard a purge of peers first
-	PurgeReceivedMS int64  `json:"heeded_ms,omitempty"` // until the last of them had
+	BoundMS         int64  `json:"bound_ms,omitempty"` // on AgreedMS, SettledMS and PurgeReceivedMS; 0: none
+	PurgeReceivers  int    `json:"heeded,omitempty"`   // gateways that received a purge from a peer first
+	PurgeReceivedMS int64  `json:"heeded_ms,omitempty"`
 }
 
-// ViewSample is the least and the most live members in running gateways' views.
+// ViewSample is a state of the running gateways' views.
 type ViewSample struct {
 	AtMS    int64 `json:"at_ms"`
-	MinLive int   `json:"least"`
+	MinLive int   `json:"least"` // fewest live members in a view
 	MaxLive int   `json:"most"`
 	Running int   `json:"up"`
 	Agreed  bool  `json:"agree"`
 	Settled bool  `json:"told"`
 }
 
+// report judges the run.
 func (r *Rig) report() *Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rep := &Report{Scenario: r.scenario.Name, Seed: r.options.Seed, Gateways: r.scenario.Gateways, FalseDeaths: r.falseDeaths, Events: r.events}
+	report := &Report{Scenario: r.scenario.Name, Seed: r.options.Seed, Gateways: r.scenario.Gateways, FalseDeaths: r.falseDeaths, Events: r.events}
 	if len(r.trafficSamples) == 0 {
-		return rep
-	}
-	rep.ReadyMS = r.trafficSamples[0].at.Milliseconds()
-	for i, st := range r.scenario.Steps {
-		from, to := r.trafficSamples[i+1].at, r.trafficSamples[i+2].at
-		out := StepReport{AtMS: (from - r.trafficSamples[0].at).Milliseconds(), Action: st.Action, Awaited: st.Settle != "none", BoundMS: st.BoundMS}
-		out.Agreed, out.AgreedMS = heldSince(r.viewStates, from, to, func(m viewState) bool { return m.agreed })
-		out.Settled, out.SettledMS = heldSince(r.viewStates, from, to, func(m viewState) bool { return m.settled })
-		if st.Action == "purge" {
-			for _, e := range r.events {
-				if at := time.Duration(e.AtMS) * time.Millisecond; e.State == "purge" && at >= from && at < to {
-					out.PurgeReceivers, out.PurgeReceivedMS = out.PurgeReceivers+1, e.AtMS-from.Milliseconds()
-				}
-			}
-			if out.PurgeReceivers < int(st.MinReceivers) || st.BoundMS > 0 && out.PurgeReceivedMS > st.BoundMS {
-				rep.Violations = append(rep.Violations, fmt.Sprintf("step %d (purge): %d gateways heard it of peers, the last after %d ms; at least %d within %d ms", i,
-					out.PurgeReceivers, out.PurgeReceivedMS, st.MinReceivers, st.BoundMS))
-			}
-		}
-		rep.Steps = append(rep.Steps, out)
-		if !out.Awaited || st.Action == "purge" {
-			continue
-		}
-		switch {
-		case !out.Agreed:
-			rep.Violations = append(rep.Violations, fmt.Sprintf("step %d (%s): views do not agree with what is before the next step", i, st.Action))
-		case !out.Settled:
-			rep.Violations = append(rep.Violations, fmt.Sprintf("step %d (%s): not all gateways said that they had settled", i, st.Action))
-		case st.BoundMS > 0 && max(out.AgreedMS, out.SettledMS) > st.BoundMS:
-			rep.Violations = append(rep.Violations, fmt.Sprintf("step %d (%s): settled after %d ms, bound %d ms", i, st.Action, max(out.AgreedMS, out.SettledMS), st.BoundMS))
-		}
+		return report
 	}
-	first := 1
-	for first < len(r.scenario.Steps) && r.scenario.Steps[first-1].Action == "mark" {
-		first++
+	report.ReadyMS = r.trafficSamples[0].at.Milliseconds()
+	for i, step := range r.scenario.Steps {
+		stepReport := r.stepReport(i, step)
+		report.Steps = append(report.Steps, stepReport)
+		report.Violations = append(report.Violations, stepReport.violations(i, step)...)
 	}
-	rep.AtRest = trafficBetween(r.trafficSamples[0], r.trafficSamples[first])
-	rep.InChurn = trafficBetween(r.trafficSamples[first], r.trafficSamples[len(r.trafficSamples)-1])
-	for _, m := range r.viewStates {
-		rep.Views = append(rep.Views, ViewSample{m.at.Milliseconds(), m.minLive, m.maxLive, m.running, m.agreed, m.settled})
+	r.reportTraffic(report)
+	for _, state := range r.viewStates {
+		report.Views = append(report.Views, ViewSample{state.at.Milliseconds(), state.minLive, state.maxLive, state.running, state.agreed, state.settled})
 	}
-	if r.load != nil {
-		rep.Load = r.load.report()
-		if rep.Load.Lost > 0 {
-			rep.Violations = append(rep.Violations, fmt.Sprintf("%d lookups got no answer of a gateway that ran", rep.Load.Lost))
-		}
+	r.reportLoad(report)
+	if r.broadcast != nil {
+		report.Broadcast = r.broadcast.report(r.viewStates)
+		report.Violations = append(report.Violations, report.Broadcast.violations(r.scenario.Purges)...)
 	}
-	if l := r.scenario.Limit; l != nil && r.load != nil {
-		rep.Limit = r.load.limitReport(l, len(r.processes))
-		if l.FleetWide && rep.Limit.MaxIn1s > rep.Limit.Bound1s {
-			rep.Violations = append(rep.Violations, fmt.Sprintf("in one second %.2f of the fleet's limit were let in, bound %.2f", rep.Limit.MaxIn1s, rep.Limit.Bound1s))
-		}
-		if l.FleetWide && rep.Limit.MaxIn10s > rep.Limit.Bound10s {
-			rep.Violations = append(rep.Violations, fmt.Sprintf("in ten seconds %.2f of the fleet's limit were let in, bound %.2f", rep.Limit.MaxIn10s, rep.Limit.Bound10s))
+	if err := r.checkCrashes(); err != nil {
+		report.Violations = append(report.Violations, err.Error())
+	}
+	return report
+}
+
+// stepReport is how a step ended; mu is held.
+func (r *Rig) stepReport(index int, step Step) StepReport {
+	ready := r.trafficSamples[0].at
+	from := r.trafficSamples[index+1].at
+	to := r.trafficSamples[index+2].at
+	report := StepReport{AtMS: (from - ready).Milliseconds(), Action: step.Action, Awaited: step.Settle != settleNone, BoundMS: step.BoundMS}
+	report.Agreed, report.AgreedMS = heldSince(r.viewStates, from, to, viewState.isAgreed)
+	report.Settled, report.SettledMS = heldSince(r.viewStates, from, to, viewState.isSettled)
+	if step.Action != actionPurge {
+		return report
+	}
+	for _, event := range r.events {
+		at := config.Milliseconds(event.AtMS)
+		if event.State == eventPurge && at >= from && at < to {
+			report.PurgeReceivers++
+			report.PurgeReceivedMS = event.AtMS - from.Milliseconds()
 		}
-		if rep.Limit.Mean < l.MinShare*l.LookupsPerSecond {
-			rep.Violations = append(rep.Violations, fmt.Sprintf("%.0f a second were let in of a limit of %.0f, at least %.0f are wanted", rep.Limit.Mean, l.LookupsPerSecond, l.MinShare*l.LookupsPerSecond))
+	}
+	return report
+}
+
+// violations are where a step's end breaks what the scenario requires of it.
+func (r StepReport) violations(index int, step Step) []string {
+	one := func(format string, args ...any) []string {
+		return []string{fmt.Sprintf("step %d (%s): ", index, step.Action) + fmt.Sprintf(format, args...)}
+	}
+	settledMS := max(r.AgreedMS, r.SettledMS)
+	switch {
+	case step.Action == actionPurge:
+		if r.PurgeReceivers < int(step.MinReceivers) || step.BoundMS > 0 && r.PurgeReceivedMS > step.BoundMS {
+			return one("%d gateways heard it of peers, the last after %d ms; at least %d within %d ms",
+				r.PurgeReceivers, r.PurgeReceivedMS, step.MinReceivers, step.BoundMS)
 		}
+	case !r.Awaited:
+	case !r.Agreed:
+		return one("views do not agree with what is before the next step")
+	case !r.Settled:
+		return one("not all gateways said that they had settled")
+	case step.BoundMS > 0 && settledMS > step.BoundMS:
+		return one("settled after %d ms, bound %d ms", settledMS, step.BoundMS)
 	}
-	if r.broadcast != nil {
-		rep.Broadcast = r.broadcast.report(r.viewStates)
-		rep.Violations = append(rep.Violations, rep.Broadcast.violations(r.scenario.Purges)...)
+	return nil
+}
+
+// reportTraffic splits the run's traffic at the first step that changes something; mu is held.
+func (r *Rig) reportTraffic(report *Report) {
+	samples := r.trafficSamples
+	first := 1
+	for first < len(r.scenario.Steps) && r.scenario.Steps[first-1].Action == actionMark {
+		first++
 	}
-	if err := r.checkCrashes(); err != nil {
-		rep.Violations = append(rep.Violations, err.Error())
+	report.AtRest = trafficBetween(samples[0], samples[first])
+	report.InChurn = trafficBetween(samples[first], samples[len(samples)-1])
+}
+
+// reportLoad judges the lookups and the limit on them.
+func (r *Rig) reportLoad(report *Report) {
+	if r.load == nil {
+		return
+	}
+	report.Load = r.load.report()
+	if report.Load.Lost > 0 {
+		report.Violations = append(report.Violations, fmt.Sprintf("%d lookups got no answer of a gateway that ran", report.Load.Lost))
+	}
+	if limit := r.scenario.Limit; limit != nil {
+		report.Limit = r.load.limitReport(limit, len(r.processes))
+		report.Violations = append(report.Violations, report.Limit.violations(limit)...)
 	}
-	return rep
 }
 
-// heldSince tells whether a thing held at the end of a time, and when it came to hold for good, in milliseconds since its begin.
-func heldSince(states []viewState, from, to time.Duration, holds func(viewState) bool) (bool, int64) {
-	at, held := time.Duration(-1), false
-	for _, m := range states {
-		if m.at >= to {
+// heldSince reports whether a predicate held at the end of a span of time, and since how many milliseconds after the span's begin.
+func heldSince(states []viewState, from, to time.Duration, holds func(viewState) bool) (held bool, sinceMS int64) {
+	since := time.Duration(-1)
+	for _, state := range states {
+		if state.at >= to {
 			break
 		}
-		now := holds(m)
-		if now && !held {
-			at = m.at
+		holdsNow := holds(state)
+		if holdsNow && !held {
+			since = state.at
 		}
-		held = now
+		held = holdsNow
 	}
-	return held, max(0, (at - from).Milliseconds())
+	return held, max(0, (since - from).Milliseconds())
 }
 
-// MedianAndMax are the median and the greatest of figures, NaN without any.
-func MedianAndMax(figures []float64) (median, most float64) {
+// MedianAndMax are the median and the largest of figures, NaN if there are none.
+func MedianAndMax(figures []float64) (median, largest float64) {
 	if len(figures) == 0 {
 		return math.NaN(), math.NaN()
 	}
-	s := slices.Sorted(slices.Values(figures))
-	median = s[len(s)/2]
-	if len(s)%2 == 0 {
-		median = (s[len(s)/2-1] + median) / 2
+	sorted := slices.Sorted(slices.Values(figures))
+	middle := len(sorted) / 2
+	median = sorted[middle]
+	if len(sorted)%2 == 0 {
+		median = (sorted[middle-1] + median) / 2
 	}
-	return median, s[len(s)-1]
+	return median, sorted[len(sorted)-1]
 }
--- a/internal/lab/fleet/scenario_check.go
+++ b/internal/lab/fleet/scenario_check.go
@@ -4,81 +4,152 @@
 	"fmt"
 	"slices"
 	"strings"
-	"time"
 
 	"foldslip/internal/config"
 )
 
+// Defaults of a scenario.
+const (
+	defaultSeeds   = 3
+	defaultReadyMS = 30_000
+)
+
+// actions are the values of Step.Action.
+var actions = []string{actionKill, actionStop, actionStart, actionPause, actionResume, actionSplit, actionHeal, actionLink, actionPurge, actionMark}
+
+// scenarioCheck checks a scenario that was read from a file.
+type scenarioCheck struct {
+	file     string
+	scenario *Scenario
+}
+
+// check sets defaults, unrolls repeated steps and checks the scenario. file is its name in errors.
 func (s *Scenario) check(file string) error {
-	bad := func(at, text, remedy string) error {
-		return config.Error{File: file, Path: at, Text: text, Remedy: remedy}
+	c := scenarioCheck{file: file, scenario: s}
+	if err := c.checkSizes(); err != nil {
+		return err
+	}
+	if err := c.checkPurges(); err != nil {
+		return err
+	}
+	if err := c.checkLocalities(); err != nil {
+		return err
+	}
+	if s.Seeds == 0 {
+		s.Seeds = min(defaultSeeds, s.Gateways-s.LateGateways)
+	}
+	if s.ReadyMS == 0 {
+		s.ReadyMS = defaultReadyMS
 	}
+	steps, err := unrollSteps(s.Steps)
+	if err != nil {
+		return c.errorAt("steps", err.Error(), "see docs/fleet.md")
+	}
+	s.Steps = steps
+	return c.checkSteps()
+}
+
+func (c scenarioCheck) errorAt(path, text, remedy string) error {
+	return config.Error{File: c.file, Path: path, Text: text, Remedy: remedy}
+}
+
+// checkSizes checks the numbers of gateways and caches, the load and the limit.
+func (c scenarioCheck) checkSizes() error {
+	s := c.scenario
 	if s.Gateways < 1 || s.Gateways > maxGateways || s.LateGateways < 0 || s.LateGateways >= s.Gateways {
-		return bad("gateways", fmt.Sprintf("%d, %d of them late", s.Gateways, s.LateGateways), fmt.Sprintf("expected 1 to %d, some of them not late", maxGateways))
+		return c.errorAt("gateways", fmt.Sprintf("%d, %d of them late", s.Gateways, s.LateGateways), fmt.Sprintf("expected 1 to %d, some of them not late", maxGateways))
 	}
 	if s.Caches < 0 || s.Caches > maxCaches {
-		return bad("caches", fmt.Sprintf("is %d", s.Caches), fmt.Sprintf("expected 0 to %d", maxCaches))
+		return c.errorAt("caches", fmt.Sprintf("is %d", s.Caches), fmt.Sprintf("expected 0 to %d", maxCaches))
+	}
+	if s.Load.PerSecond < 0 || s.Load.PerSecond > maxLoad || s.Load.PerSecond > 0 && s.Caches == 0 {
+		return c.errorAt("load.per_second", fmt.Sprintf("is %g", s.Load.PerSecond), fmt.Sprintf("expected 0 to %d, and caches to ask", maxLoad))
 	}
-	if s.Load.PerSecond < 0 || s.Load.PerSecond > 2000 || s.Load.PerSecond > 0 && s.Caches == 0 {
-		return bad("load.per_second", fmt.Sprintf("is %g", s.Load.PerSecond), "expected 0 to 2000, and caches to ask")
+	limit := s.Limit
+	if limit != nil && (limit.LookupsPerSecond < 1 || limit.MaxOverrun < 0 || s.Load.PerSecond == 0) {
+		return c.errorAt("limit", fmt.Sprintf("%+v", *limit), "a limit of at least 1 lookup a second, and a load")
 	}
-	if l := s.Limit; l != nil && (l.LookupsPerSecond < 1 || l.MaxOverrun < 0 || s.Load.PerSecond == 0) {
-		return bad("limit", fmt.Sprintf("%+v", *l), "a limit of at least 1 lookup a second, and a load")
+	return nil
+}
+
+func (c scenarioCheck) checkPurges() error {
+	purges := c.scenario.Purges
+	if purges == nil {
+		return nil
 	}
-	if p := s.Purges; p != nil && (p.PerSecond <= 0 || p.FromMS < 0 || p.PerSecond*float64(p.ForMS)/1000 > maxPurges || p.MinShare < 0 || p.MinShare > 1 || !s.Fleet.BroadcastsPurges) {
-		return bad("purges", fmt.Sprintf("%+v", *p), fmt.Sprintf("expected per_second above 0, at most %d in all, and fleet.broadcast", maxPurges))
+	count := purges.PerSecond * float64(purges.ForMS) / 1000
+	isShare := purges.MinShare >= 0 && purges.MinShare <= 1
+	if purges.PerSecond <= 0 || purges.FromMS < 0 || count > maxPurges || !isShare || !c.scenario.Fleet.BroadcastsPurges {
+		return c.errorAt("purges", fmt.Sprintf("%+v", *purges), fmt.Sprintf("expected per_second above 0, at most %d in all, and fleet.broadcast", maxPurges))
 	}
-	for i, p := range s.Localities {
-		if p.Region == "" || p.Zone == "" || p.Site == "" {
-			return bad(fmt.Sprintf("places[%d]", i), fmt.Sprintf("%+v", p), "expected region, zone and site")
+	return nil
+}
+
+func (c scenarioCheck) checkLocalities() error {
+	names := c.scenario.names()
+	for i, locality := range c.scenario.Localities {
+		path := fmt.Sprintf("places[%d]", i)
+		if locality.Region == "" || locality.Zone == "" || locality.Site == "" {
+			return c.errorAt(path, fmt.Sprintf("%+v", locality), "expected region, zone and site")
 		}
-		for _, who := range p.Gateways {
-			if !slices.Contains(s.names(), who) {
-				return bad(fmt.Sprintf("places[%d].who", i), fmt.Sprintf("%q is nobody", who), "expected n1 to n"+fmt.Sprint(s.Gateways))
+		for _, name := range locality.Gateways {
+			if !slices.Contains(names, name) {
+				return c.errorAt(path+".who", fmt.Sprintf("%q is nobody", name), fmt.Sprintf("expected n1 to n%d", c.scenario.Gateways))
 			}
 		}
 	}
-	if s.Seeds == 0 {
-		s.Seeds = min(3, s.Gateways-s.LateGateways)
-	}
-	if s.ReadyMS == 0 {
-		s.ReadyMS = 30_000
-	}
-	steps, err := s.unroll()
-	if err != nil {
-		return bad("steps", err.Error(), "see docs/fleet.md")
-	}
-	s.Steps = steps
+	return nil
+}
+
+// checkSteps checks the steps, repeated ones written out, and the length of the run.
+func (c scenarioCheck) checkSteps() error {
+	s := c.scenario
 	if len(s.Steps) > maxSteps {
-		return bad("steps", fmt.Sprintf("has %d", len(s.Steps)), fmt.Sprintf("at most %d", maxSteps))
+		return c.errorAt("steps", fmt.Sprintf("has %d", len(s.Steps)), fmt.Sprintf("at most %d", maxSteps))
 	}
-	last, picked := int64(0), map[string]bool{}
+	lastMS := int64(0)
+	picked := map[string]bool{}
 	for name := range s.treeHeads() {
 		picked[name] = true
 	}
-	for i, st := range s.Steps {
-		at := fmt.Sprintf("steps[%d]", i)
-		if st.AtMS < last {
-			return bad(at+".at_ms", fmt.Sprintf("is %d, before the step before it", st.AtMS), "steps stand in order")
+	for i, step := range s.Steps {
+		path := fmt.Sprintf("steps[%d]", i)
+		if step.AtMS < lastMS {
+			return c.errorAt(path+".at_ms", fmt.Sprintf("is %d, before the step before it", step.AtMS), "steps stand in order")
 		}
-		last = st.AtMS
-		if !slices.Contains([]string{"kill", "stop", "start", "pause", "resume", "split", "heal", "link", "purge", "mark"}, st.Action) {
-			return bad(at+".do", fmt.Sprintf("%q", st.Action), "expected kill, stop, start, pause, resume, split, heal, link, purge or mark")
+		lastMS = step.AtMS
+		if err := c.checkStep(path, step, picked); err != nil {
+			return err
 		}
-		if st.Settle != "" && st.Settle != "sides" && st.Settle != "none" {
-			return bad(at+".settle", fmt.Sprintf("%q", st.Settle), "expected sides or none")
+		if step.PickName != "" {
+			picked[step.PickName] = true
 		}
-		for _, who := range slices.Concat(st.Targets, st.From, st.To, slices.Concat(st.Groups...), s.Load.Through) {
-			if name, ok := strings.CutPrefix(who, "@"); ok && !picked[name] || !ok && who != "*" && who != DiscoveryName && !slices.Contains(s.names(), who) {
-				return bad(at, fmt.Sprintf("%q is nobody", who), "expected n1 to n"+fmt.Sprint(s.Gateways)+", * or @ and what a step before has as")
-			}
+	}
+	if length := config.Milliseconds(lastMS + s.EndMS + s.ReadyMS); length > maxDuration {
+		return c.errorAt("end_ms", fmt.Sprintf("makes %v", length), fmt.Sprintf("a run takes at most %v", maxDuration))
+	}
+	return nil
+}
+
+// checkStep checks one step by itself. picked are the names that it may refer to by @.
+func (c scenarioCheck) checkStep(path string, step Step, picked map[string]bool) error {
+	if !slices.Contains(actions, step.Action) {
+		last := len(actions) - 1
+		return c.errorAt(path+".do", fmt.Sprintf("%q", step.Action), "expected "+strings.Join(actions[:last], ", ")+" or "+actions[last])
+	}
+	if step.Settle != "" && step.Settle != settleSides && step.Settle != settleNone {
+		return c.errorAt(path+".settle", fmt.Sprintf("%q", step.Settle), "expected sides or none")
+	}
+	names := c.scenario.names()
+	for _, name := range slices.Concat(step.Targets, step.From, step.To, slices.Concat(step.Groups...), c.scenario.Load.Through) {
+		pick, isPick := strings.CutPrefix(name, "@")
+		known := name == "*" || name == DiscoveryName || slices.Contains(names, name)
+		if isPick {
+			known = picked[pick]
 		}
-		if st.PickName != "" {
-			picked[st.PickName] = true
+		if !known {
+			return c.errorAt(path, fmt.Sprintf("%q is nobody", name), fmt.Sprintf("expected n1 to n%d, * or @ and what a step before has as", c.scenario.Gateways))
 		}
 	}
-	if end := time.Duration(last+s.EndMS+s.ReadyMS) * time.Millisecond; end > maxDuration {
-		return bad("end_ms", fmt.Sprintf("makes %v", end), fmt.Sprintf("a run takes at most %v", maxDuration))
-	}
 	return nil
 }
--- a/internal/lab/fleet/scenario_read.go
+++ b/internal/lab/fleet/scenario_read.go
@@ -2,7 +2,6 @@
 
 import (
 	"embed"
-	"fmt"
 	"os"
 	"path"
 	"slices"
@@ -14,59 +13,68 @@
 //go:embed scenarios/*.jsonnet
 var shippedScenarios embed.FS
 
-// HardCases are the names of the scenarios that come with the rig.
+const scenarioExtension = ".jsonnet"
+
+// HardCases are the names of the scenarios that come with the rig. Files whose names begin with _ are libraries of these.
 func HardCases() (names []string) {
 	files, err := shippedScenarios.ReadDir("scenarios")
 	if err != nil {
 		return nil
 	}
-	for _, f := range files {
-		if name := strings.TrimSuffix(f.Name(), ".jsonnet"); !strings.HasPrefix(name, "_") {
+	for _, file := range files {
+		name := strings.TrimSuffix(file.Name(), scenarioExtension)
+		if !strings.HasPrefix(name, "_") {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// ReadScenario reads a scenario that comes with the rig by its name, or a file.
+// ReadScenario reads and checks a scenario: one of HardCases by its name, or a file by its path. What is wrong in a file is a
+// config.Error.
 func ReadScenario(name string) (*Scenario, error) {
 	read := os.ReadFile
 	if slices.Contains(HardCases(), name) {
-		name = "scenarios/" + name + ".jsonnet"
+		name = "scenarios/" + name + scenarioExtension
 		read = shippedScenarios.ReadFile
 	}
-	s := &Scenario{}
-	if err := configfile.Evaluate(name, read, s); err != nil {
+	scenario := &Scenario{}
+	if err := configfile.Evaluate(name, read, scenario); err != nil {
 		return nil, err
 	}
-	if s.Name == "" {
-		s.Name = strings.TrimSuffix(path.Base(name), ".jsonnet")
+	if scenario.Name == "" {
+		scenario.Name = strings.TrimSuffix(path.Base(name), scenarioExtension)
 	}
-	return s, s.check(name)
+	return scenario, scenario.check(name)
 }
 
-// unroll writes repeated steps out: repeat on a step repeats it and the one after it, every so often.
-func (s *Scenario) unroll() (out []Step, err error) {
-	for i := 0; i < len(s.Steps); i++ {
-		st := s.Steps[i]
-		if st.Repeat <= 1 {
-			out = append(out, st)
+// unrollSteps returns the steps with repeated ones written out. A repeated step that picks gateways picks the same ones each time.
+func unrollSteps(steps []Step) (unrolled []Step, err error) {
+	for i := 0; i < len(steps); i++ {
+		step := steps[i]
+		if step.Repeat <= 1 {
+			unrolled = append(unrolled, step)
 			continue
 		}
-		if i+1 >= len(s.Steps) || st.EveryMS <= 0 || st.Repeat > maxSteps {
-			return nil, fmt.Errorf("steps[%d] repeats: it needs every_ms and a step after it", i)
+		if i+1 >= len(steps) || step.EveryMS <= 0 || step.Repeat > maxSteps {
+			return nil, &RepeatError{Step: i}
 		}
-		next := s.Steps[i+1]
-		for n := range st.Repeat {
-			a, b := st, next
-			a.AtMS, b.AtMS = st.AtMS+n*st.EveryMS, next.AtMS+n*st.EveryMS
-			a.Repeat, a.EveryMS = 0, 0
-			if n > 0 && a.PickCount > 0 && a.PickName != "" { // the same one again
-				a.PickCount, a.Targets, a.PickName = 0, []string{"@" + a.PickName}, ""
+		following := steps[i+1]
+		for n := range step.Repeat {
+			first := step
+			first.AtMS += n * step.EveryMS
+			first.Repeat = 0
+			first.EveryMS = 0
+			if n > 0 && first.PickCount > 0 && first.PickName != "" {
+				first.Targets = []string{"@" + first.PickName}
+				first.PickCount = 0
+				first.PickName = ""
 			}
-			out = append(out, a, b)
+			second := following
+			second.AtMS += n * step.EveryMS
+			unrolled = append(unrolled, first, second)
 		}
 		i++
 	}
-	return out, nil
+	return unrolled, nil
 }
--- a/internal/lab/fleet/selector.go
+++ b/internal/lab/fleet/selector.go
@@ -6,62 +6,78 @@
 	"strings"
 )
 
-// Selector draws a scenario's chances: who is picked, who is on which side. Run on real processes and on the virtual clock alike.
+// selectorStream separates a Selector's random numbers from others of the same seed.
+const selectorStream = 0x63617374
+
+// Selector chooses the gateways of steps, those that are drawn at random included. The same seed and the same calls choose the same
+// gateways. It is not safe for concurrent use.
 type Selector struct {
-	rng    *rand.Rand
-	all    []string
-	picked map[string][]string
+	random   *rand.Rand
+	gateways []string
+	picked   map[string][]string // what @name refers to
 }
 
-// NewSelector makes the cast of one seed.
+// NewSelector returns the selector of one run.
 func (s *Scenario) NewSelector(seed uint64) *Selector {
-	return &Selector{rand.New(rand.NewPCG(seed, 0x63617374)), s.names(), s.treeHeads()}
+	return &Selector{
+		random:   rand.New(rand.NewPCG(seed, selectorStream)),
+		gateways: s.names(),
+		picked:   s.treeHeads(),
+	}
 }
 
-func (c *Selector) names(who []string) (out []string) {
-	for _, w := range who {
-		if w == "*" {
-			out = append(out, c.all...)
-		} else if name, ok := strings.CutPrefix(w, "@"); ok {
-			out = append(out, c.picked[name]...)
-		} else {
-			out = append(out, w)
+// names resolves * and @name.
+func (s *Selector) names(references []string) (names []string) {
+	for _, reference := range references {
+		pick, isPick := strings.CutPrefix(reference, "@")
+		switch {
+		case reference == "*":
+			names = append(names, s.gateways...)
+		case isPick:
+			names = append(names, s.picked[pick]...)
+		default:
+			names = append(names, reference)
 		}
 	}
-	return out
+	return names
 }
 
-// Targets are a step's gateways; running are those it may pick from.
-func (c *Selector) Targets(st Step, running []string) (out []string) {
-	if st.PickCount > 0 {
-		out = slices.Clone(running)
-		c.rng.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
-		out = out[:min(int(st.PickCount), len(out))]
+// Targets are a step's gateways; running are those that may be drawn.
+func (s *Selector) Targets(step Step, running []string) (targets []string) {
+	if step.PickCount > 0 {
+		targets = s.shuffled(running)
+		targets = targets[:min(int(step.PickCount), len(targets))]
 	} else {
-		out = c.names(st.Targets)
+		targets = s.names(step.Targets)
 	}
-	if st.PickName != "" {
-		c.picked[st.PickName] = out
+	if step.PickName != "" {
+		s.picked[step.PickName] = targets
 	}
-	return out
+	return targets
 }
 
-// Groups are a split's sides.
-func (c *Selector) Groups(st Step) (groups [][]string) {
-	if len(st.Groups) > 0 {
-		for _, g := range st.Groups {
-			groups = append(groups, c.names(g))
+// Groups are the sides of a split.
+func (s *Selector) Groups(step Step) (groups [][]string) {
+	if len(step.Groups) > 0 {
+		for _, group := range step.Groups {
+			groups = append(groups, s.names(group))
 		}
 		return groups
 	}
-	rest := slices.Clone(c.all)
-	c.rng.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
-	bridge := rest[:min(int(st.Bridge), len(rest))]
+	rest := s.shuffled(s.gateways)
+	bridge := rest[:min(int(step.Bridge), len(rest))]
 	rest = rest[len(bridge):]
-	for _, n := range st.Sizes {
-		n := min(int(n), len(rest))
-		groups = append(groups, slices.Concat(rest[:n], bridge))
-		rest = rest[n:]
+	for _, wanted := range step.Sizes {
+		size := min(int(wanted), len(rest))
+		groups = append(groups, slices.Concat(rest[:size], bridge))
+		rest = rest[size:]
 	}
 	return groups
 }
+
+// shuffled is a copy in random order.
+func (s *Selector) shuffled(names []string) []string {
+	copied := slices.Clone(names)
+	s.random.Shuffle(len(copied), func(i, j int) { copied[i], copied[j] = copied[j], copied[i] })
+	return copied
+}
--- a/internal/lab/fleet/setup.go
+++ b/internal/lab/fleet/setup.go
@@ -11,64 +11,104 @@
 	"foldslip/example/standin"
 )
 
+// Cache localities and types of the rig's endpoint list. There are as many edge caches as the scenario wants, one parent and one origin.
+const (
+	edgeLocality   = "town"
+	sourceLocality = "hub"
+)
+
+// setUp starts the stub servers and the relay and writes each gateway's files. It starts no gateway.
 func (r *Rig) setUp() error {
 	if err := os.MkdirAll(r.options.Dir, 0o700); err != nil {
 		return err
 	}
 	var err error
-	if r.discovery, err = standin.NewDiscovery(r.address(discoveryBlock, 0, 8500).String(), 1); err != nil {
+	if r.discovery, err = standin.NewDiscovery(r.address(discoveryBlock, 0, discoveryPort).String(), 1); err != nil {
 		return err
 	}
-	go discard(r.discovery.Subscribed, r.done) // nobody here asks what gateways asked for
-	var members []standin.Endpoint
-	for i := range int(r.scenario.Caches) + 2 {
-		flavor, zone := "edge", "town"
-		if i >= int(r.scenario.Caches) {
-			flavor, zone = []string{"parent", "origin"}[i-int(r.scenario.Caches)], "hub"
-		}
-		toy := &memoryCache{stored: map[string]time.Time{}}
-		c, err := standin.NewCache(r.address(cacheBlocks, i, discoveryAndCachePort).String(), toy.answer)
-		if err != nil {
-			return err
-		}
-		r.caches = append(r.caches, c)
-		go discard(c.Cancelled, r.done)
-		members = append(members, standin.Endpoint{ID: fmt.Sprintf("c%d", i+1), HostPort: c.Addr, Locality: zone, Flavor: flavor, Phase: "up", Size: 1})
+	go discard(r.discovery.Subscribed, r.done)
+	endpoints, err := r.startCaches()
+	if err != nil {
+		return err
 	}
 	var seeds []string
 	for i := range int(r.scenario.Seeds) {
 		seeds = append(seeds, r.address(relayBlocks, i, peerPort).String())
 	}
 	for i, name := range r.scenario.names() {
-		own, door := r.address(listenBlocks, i, peerPort), r.address(relayBlocks, i, peerPort)
-		if err := r.relay.Add(name, door, own); err != nil {
-			return err
-		}
-		p := &process{name: name, dir: filepath.Join(r.options.Dir, name), program: r.options.Program, clients: r.address(listenBlocks, i, clientPort).String(), rig: r}
-		if err := os.MkdirAll(p.dir, 0o700); err != nil {
-			return err
-		}
-		if p.log, err = os.Create(filepath.Join(p.dir, "log")); err != nil {
+		if err := r.addGateway(name, gatewayFiles{
+			index:     i,
+			endpoints: slices.Clone(endpoints),
+			seeds:     seeds,
+			listen:    r.address(listenBlocks, i, peerPort),
+			advertise: r.address(relayBlocks, i, peerPort),
+		}); err != nil {
 			return err
 		}
-		its := slices.Clone(members)
-		for j := range its {
-			front := r.address(privateBlocks, i, firstCachePort+j)
-			if err := r.relay.AddPrivate(name, its[j].ID, front, netip.MustParseAddrPort(its[j].HostPort)); err != nil {
-				return err
-			}
-			its[j].HostPort = front.String()
+	}
+	return nil
+}
+
+// startCaches starts the stub caches and returns the endpoint list with their own addresses.
+func (r *Rig) startCaches() (endpoints []standin.Endpoint, err error) {
+	edges := int(r.scenario.Caches)
+	for i := range edges + 2 {
+		flavor, locality := "edge", edgeLocality
+		switch i {
+		case edges:
+			flavor, locality = "parent", sourceLocality
+		case edges + 1:
+			flavor, locality = "origin", sourceLocality
 		}
-		front := r.address(privateBlocks, i, discoveryAndCachePort)
-		if err := r.relay.AddPrivate(name, DiscoveryName, front, netip.MustParseAddrPort(r.discovery.Addr)); err != nil {
-			return err
+		memory := &memoryCache{storedAt: map[string]time.Time{}}
+		cache, err := standin.NewCache(r.address(cacheBlocks, i, discoveryAndCachePort).String(), memory.respond)
+		if err != nil {
+			return nil, err
 		}
-		p.discovery = front.String()
-		if err := r.writeGatewayFiles(p, i, its, seeds, own, door); err != nil {
+		r.caches = append(r.caches, cache)
+		go discard(cache.Cancelled, r.done)
+		endpoints = append(endpoints, standin.Endpoint{ID: fmt.Sprintf("c%d", i+1), HostPort: cache.Addr, Locality: locality, Flavor: flavor, Phase: "up", Size: 1})
+	}
+	return endpoints, nil
+}
+
+// addGateway opens the relay's listeners for a gateway and writes its files. In files, endpoints have the caches' own addresses;
+// the gateway gets those of its private listeners.
+func (r *Rig) addGateway(name string, files gatewayFiles) error {
+	if err := r.relay.Add(name, files.advertise, files.listen); err != nil {
+		return err
+	}
+	p := &process{
+		name:    name,
+		dir:     filepath.Join(r.options.Dir, name),
+		program: r.options.Program,
+		clients: r.address(listenBlocks, files.index, clientPort).String(),
+		rig:     r,
+	}
+	if err := os.MkdirAll(p.dir, 0o700); err != nil {
+		return err
+	}
+	var err error
+	if p.log, err = os.Create(filepath.Join(p.dir, "log")); err != nil {
+		return err
+	}
+	for i := range files.endpoints {
+		endpoint := &files.endpoints[i]
+		private := r.address(privateBlocks, files.index, firstCachePort+i)
+		if err := r.relay.AddPrivate(name, endpoint.ID, private, netip.MustParseAddrPort(endpoint.HostPort)); err != nil {
 			return err
 		}
-		r.processes = append(r.processes, p)
-		r.byName[name] = p
+		endpoint.HostPort = private.String()
+	}
+	private := r.address(privateBlocks, files.index, discoveryAndCachePort)
+	if err := r.relay.AddPrivate(name, DiscoveryName, private, netip.MustParseAddrPort(r.discovery.Addr)); err != nil {
+		return err
+	}
+	p.discovery = private.String()
+	if err := r.writeGatewayFiles(p, files); err != nil {
+		return err
 	}
+	r.processes = append(r.processes, p)
+	r.byName[name] = p
 	return nil
 }
--- a/internal/lab/fleet/steps.go
+++ b/internal/lab/fleet/steps.go
@@ -4,112 +4,141 @@
 	"errors"
 	"fmt"
 	"os"
-	"path/filepath"
 	"strings"
 	"sync"
 	"syscall"
 	"time"
+
+	"foldslip/internal/config"
+)
+
+// Values of Step.Action.
+const (
+	actionKill   = "kill" // SIGKILL
+	actionStop   = "stop" // SIGTERM
+	actionStart  = "start"
+	actionPause  = "pause"  // SIGSTOP
+	actionResume = "resume" // SIGCONT
+	actionSplit  = "split"  // partition the network
+	actionHeal   = "heal"   // remove all link faults
+	actionLink   = "link"   // put a fault on links
+	actionPurge  = "purge"  // announce a purge by discovery
+	actionMark   = "mark"   // only take a traffic sample
 )
 
-// runSteps starts the fleet and carries the steps out.
-func (r *Rig) runSteps() (err error) {
+// runSteps starts the fleet, waits until it has settled and carries out the scenario's steps.
+func (r *Rig) runSteps() error {
 	r.startedAt = time.Now()
-	for _, p := range r.processes[:len(r.processes)-int(r.scenario.LateGateways)] {
+	early := len(r.processes) - int(r.scenario.LateGateways)
+	for _, p := range r.processes[:early] {
 		if err := p.start(); err != nil {
 			return err
 		}
 	}
 	r.requestObservation()
-	for end := time.Duration(r.scenario.ReadyMS) * time.Millisecond; !r.currently(func(m viewState) bool { return m.settled }); time.Sleep(viewInterval) {
-		if r.now() > end {
-			return fmt.Errorf("the fleet was not ready within %v: see the logs in %s", end, r.options.Dir)
-		}
-		if err := r.checkCrashes(); err != nil {
-			return err
-		}
+	if err := r.waitReady(); err != nil {
+		return err
 	}
-	ready := r.now()
+	ready := r.elapsed()
 	r.options.Progress("ready after %v", ready.Round(time.Millisecond))
-	r.sampleTraffic(-1)
+	r.sampleTraffic()
 	if r.scenario.Load.PerSecond > 0 {
-		if r.load, err = startLoad(r.scenario.Load, r); err != nil {
-			return err
-		}
+		r.load = startLoad(r.scenario.Load, r)
 	}
 	if r.scenario.Purges != nil {
 		r.broadcast = startBroadcastRun(r)
 	}
-	for i, st := range r.scenario.Steps {
-		time.Sleep(ready + time.Duration(st.AtMS)*time.Millisecond - r.now())
-		r.sampleTraffic(i)
-		at := r.now()
-		if err := r.runStep(st); err != nil {
-			return fmt.Errorf("step %d (%s): %w", i, st.Action, err)
+	for i, step := range r.scenario.Steps {
+		time.Sleep(ready + config.Milliseconds(step.AtMS) - r.elapsed())
+		r.sampleTraffic()
+		began := r.elapsed()
+		if err := r.runStep(step); err != nil {
+			return &StepError{Step: i, Action: step.Action, Err: err}
 		}
 		if r.broadcast != nil {
-			r.broadcast.topologyChanged(at)
+			r.broadcast.recordTopology(began)
 		}
 		r.requestObservation()
 	}
-	time.Sleep(time.Duration(r.scenario.EndMS) * time.Millisecond)
+	time.Sleep(config.Milliseconds(r.scenario.EndMS))
 	if r.load != nil {
 		r.load.stop()
 	}
 	if r.broadcast != nil {
 		r.broadcast.stop()
 	}
-	r.sampleTraffic(len(r.scenario.Steps))
+	r.sampleTraffic()
+	return nil
+}
+
+// waitReady waits until all started gateways have settled.
+func (r *Rig) waitReady() error {
+	timeout := config.Milliseconds(r.scenario.ReadyMS)
+	for !r.isSettled() {
+		if r.elapsed() > timeout {
+			return &NotReadyError{Timeout: timeout, Dir: r.options.Dir}
+		}
+		if err := r.checkCrashes(); err != nil {
+			return err
+		}
+		time.Sleep(viewInterval)
+	}
 	return nil
 }
 
-func (r *Rig) runStep(st Step) error {
-	who := []*process{}
-	for _, name := range r.selector.Targets(st, r.running()) {
-		who = append(who, r.byName[name])
+// runStep carries out one step: first on the network, then on all of its gateways at once.
+func (r *Rig) runStep(step Step) error {
+	var targets []*process
+	for _, name := range r.selector.Targets(step, r.running()) {
+		targets = append(targets, r.byName[name])
 	}
-	var errs []error
-	switch st.Action {
-	case "split":
-		r.links.Split(r.selector.Groups(st))
-	case "heal":
+	switch step.Action {
+	case actionSplit:
+		r.links.Split(r.selector.Groups(step))
+	case actionHeal:
 		r.links.Heal()
-	case "purge":
-		r.discovery.Announce(fmt.Sprintf(`{"recall":{"item":"%016x","issued":%d}}`, r.now().Milliseconds(), time.Now().UnixMilli()))
-	case "link":
-		r.links.Set(r.selector.names(st.From), r.selector.names(st.To), st.LinkFault())
+	case actionPurge:
+		r.announcePurge(fmt.Sprintf("%016x", r.elapsed().Milliseconds()))
+	case actionLink:
+		r.links.Set(r.selector.names(step.From), r.selector.names(step.To), step.LinkFault())
 	}
-	var all sync.WaitGroup
-	var mu sync.Mutex
-	for _, p := range who {
-		all.Add(1)
-		go func() {
-			defer all.Done()
-			var err error
-			switch st.Action {
-			case "kill":
-				err = p.signalAndWait(syscall.SIGKILL, stopTimeout)
-			case "stop":
-				err = p.signalAndWait(syscall.SIGTERM, stopTimeout)
-			case "pause", "resume":
-				err = p.setPaused(st.Action == "pause")
-			case "start":
-				if st.Forget {
-					err = os.RemoveAll(filepath.Join(p.dir, "kept"))
-				}
-				if err == nil {
-					err = p.start()
-				}
-			}
-			mu.Lock()
-			errs = append(errs, err)
-			mu.Unlock()
-		}()
+	var wait sync.WaitGroup
+	errs := make([]error, len(targets))
+	for i, p := range targets {
+		wait.Go(func() { errs[i] = p.apply(step) })
 	}
-	all.Wait()
-	names := []string{}
-	for _, p := range who {
+	wait.Wait()
+	var names []string
+	for _, p := range targets {
 		names = append(names, p.name)
 	}
-	r.options.Progress("%v %s %s", r.now().Round(time.Millisecond), st.Action, strings.Join(names, " "))
+	r.options.Progress("%v %s %s", r.elapsed().Round(time.Millisecond), step.Action, strings.Join(names, " "))
 	return errors.Join(errs...)
 }
+
+// apply carries out a step on one process; steps on the network do nothing here.
+func (p *process) apply(step Step) error {
+	switch step.Action {
+	case actionKill:
+		return p.signalAndWait(syscall.SIGKILL, stopTimeout)
+	case actionStop:
+		return p.signalAndWait(syscall.SIGTERM, stopTimeout)
+	case actionPause:
+		return p.setPaused(true)
+	case actionResume:
+		return p.setPaused(false)
+	case actionStart:
+		if step.Forget {
+			if err := os.RemoveAll(p.memberDir()); err != nil {
+				return err
+			}
+		}
+		return p.start()
+	}
+	return nil
+}
+
+// announcePurge sends all gateways that have a discovery watch a purge of an object.
+func (r *Rig) announcePurge(object string) {
+	r.discovery.Announce(fmt.Sprintf(`{"recall":{"item":"%s","issued":%d}}`, object, time.Now().UnixMilli()))
+}
--- a/internal/lab/fleet/topology.go
+++ b/internal/lab/fleet/topology.go
@@ -4,89 +4,114 @@
 	"time"
 )
 
-// topology is who runs, who reaches whom and who hears the bulletin, from a step on; the step was over at done.
+const (
+	// rewatchWithin bounds how long after a link to discovery is healed a gateway has its watch back: a silence timeout and a pause.
+	rewatchWithin = 12 * time.Second
+	// observationDelay is how long an observation of the views may still show what was before a step.
+	observationDelay = 5 * viewInterval
+)
+
+// topology is which gateways run and which links are open, from the begin of a step until the next.
 type topology struct {
-	from, completeAt time.Duration
-	running          map[string]bool
-	watching         map[string]bool
-	side             map[string]int
+	from       time.Duration   // the step's begin, since the run's start
+	completeAt time.Duration   // the step's end
+	running    map[string]bool // gateways
+	watching   map[string]bool // gateways with open links to discovery
+	side       map[string]int  // of the running gateways: equal for two that can reach each other
 }
 
-func (r *Rig) topology(at time.Duration) topology {
+// topology is that of now, of a step that began at a time.
+func (r *Rig) topology(from time.Duration) topology {
 	running := r.running()
-	w := topology{at, r.now(), map[string]bool{}, map[string]bool{}, map[string]int{}}
+	current := topology{from: from, completeAt: r.elapsed(), running: nameSet(running), watching: map[string]bool{}, side: map[string]int{}}
 	for _, name := range running {
-		w.running[name] = true
-		w.watching[name] = r.links.IsOpen(DiscoveryName, name)
+		current.watching[name] = r.links.IsOpen(DiscoveryName, name)
 	}
 	for i, side := range r.links.Partitions(running) {
 		for _, name := range side {
-			w.side[name] = i
+			current.side[name] = i
 		}
 	}
-	return w
+	return current
+}
+
+func (t topology) isWatching(name string) bool { return t.running[name] && t.watching[name] }
+
+func (t topology) areConnected(a, b string) bool {
+	return t.running[a] && t.running[b] && t.side[a] == t.side[b]
+}
+
+// recordTopology records what a step that began at a time made of the fleet.
+func (b *broadcastRun) recordTopology(from time.Duration) {
+	current := b.rig.topology(from)
+	b.mu.Lock()
+	b.topologies = append(b.topologies, current)
+	b.mu.Unlock()
 }
 
-// topologyChanged notes what a step that began then made of the fleet.
-func (s *broadcastRun) topologyChanged(at time.Duration) {
-	w := s.rig.topology(at)
-	s.mu.Lock()
-	s.topologies = append(s.topologies, w)
-	s.mu.Unlock()
+// topologySpan are the topologies in force from when a purge was announced until it must have been received.
+type topologySpan struct {
+	at     time.Duration // when the purge was announced
+	first  int           // index of during[0] in broadcastRun.topologies
+	during []topology
 }
 
-// topologiesDuring are the worlds of a time, and the index of the first.
-func (s *broadcastRun) topologiesDuring(from, to time.Duration) (first int, some []topology) {
-	last := 0
-	for i, w := range s.topologies {
-		if w.from <= from {
+// spanOf is the span of a purge; mu is held.
+func (b *broadcastRun) spanOf(purge publishedPurge) topologySpan {
+	end := purge.at + broadcastWithin
+	first, last := 0, 0
+	for i, t := range b.topologies {
+		if t.from <= purge.at {
 			first = i
 		}
-		if w.from <= to {
+		if t.from <= end {
 			last = i
 		}
 	}
-	return first, s.topologies[first : last+1]
+	return topologySpan{at: purge.at, first: first, during: b.topologies[first : last+1]}
 }
 
-// watchedThroughout tells whether a gateway ran and heard the bulletin at a time and long enough before, and does in all these worlds.
-func (s *broadcastRun) watchedThroughout(name string, at time.Duration, first int, some []topology) bool {
-	for _, w := range some {
-		if !w.running[name] || !w.watching[name] {
+// watchedThroughout reports whether a gateway has a discovery watch during the span, and had it for long enough before; mu is held.
+func (b *broadcastRun) watchedThroughout(name string, span topologySpan) bool {
+	for _, t := range span.during {
+		if !t.isWatching(name) {
 			return false
 		}
 	}
-	for i := first; i > 0; i-- { // back to when it did not
-		if w := s.topologies[i-1]; !w.running[name] || !w.watching[name] {
-			return at-s.topologies[i].completeAt >= rewatchWithin
+	for i := span.first; i > 0; i-- {
+		if !b.topologies[i-1].isWatching(name) {
+			return span.at-b.topologies[i].completeAt >= rewatchWithin
 		}
 	}
 	return true
 }
 
-// reachableThroughout tells whether two run and reach each other in all these worlds, and if they had not before, whether all views agreed since.
-func (s *broadcastRun) reachableThroughout(a, b string, at time.Duration, first int, some []topology, states []viewState) bool {
-	together := func(w topology) bool { return w.running[a] && w.running[b] && w.side[a] == w.side[b] }
-	for _, w := range some {
-		if !together(w) {
+// reachableThroughout reports whether two gateways can reach each other during the span, and, if they could not before, whether all
+// views agreed since then; mu is held.
+func (b *broadcastRun) reachableThroughout(one, other string, span topologySpan, states []viewState) bool {
+	for _, t := range span.during {
+		if !t.areConnected(one, other) {
 			return false
 		}
 	}
-	for i := first; i > 0; i-- {
-		if together(s.topologies[i-1]) {
-			continue
+	for i := span.first; i > 0; i-- {
+		if !b.topologies[i-1].areConnected(one, other) {
+			return agreedBetween(states, b.topologies[i].completeAt+observationDelay, span.at)
 		}
-		since := s.topologies[i].completeAt + 5*viewInterval // what was seen before the step is over by then
-		for j, m := range states {
-			over := at
-			if j+1 < len(states) {
-				over = min(at, states[j+1].at)
-			}
-			if m.agreed && over > since {
-				return true
-			}
-		}
-		return false
 	}
 	return true
 }
+
+// agreedBetween reports whether all views agreed at any time between two. A state holds until the next one.
+func agreedBetween(states []viewState, from, to time.Duration) bool {
+	for i, state := range states {
+		end := to
+		if i+1 < len(states) {
+			end = min(to, states[i+1].at)
+		}
+		if state.agreed && end > from {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/lab/fleet/traffic.go
+++ b/internal/lab/fleet/traffic.go
@@ -2,74 +2,86 @@
 
 import (
 	"context"
-	"fmt"
 	"sync"
 	"time"
 )
 
-// Traffic is of one gateway, mean over gateways, each second.
+const trafficTimeout = 2 * time.Second // for all gateways to answer
+
+// Traffic is what one gateway sends a second, the mean over gateways that ran all the time.
 type Traffic struct {
 	PacketsPerSecond float64 `json:"packets_s"`
 	BytesPerSecond   float64 `json:"bytes_s"`
 	StreamsPerSecond float64 `json:"streams_s"`
-	Seconds          float64 `json:"seconds"`
+	Seconds          float64 `json:"seconds"` // that the figures are of
 }
 
+// trafficSample are the counts of all running gateways at a time. A run takes one when it is ready, one before each step and one at
+// the end.
 type trafficSample struct {
-	at      time.Duration
-	step    int // -1: ready, len(steps): the end
-	byStart map[string]traffic
+	at     time.Duration
+	counts map[processStart]trafficCounts
+}
+
+// processStart names one process of a gateway; start counts from 1.
+type processStart struct {
+	gateway string
+	start   int
 }
 
-type traffic struct{ packets, bytes, streams uint64 }
+// trafficCounts are what a process sent since it started.
+type trafficCounts struct{ packets, bytes, streams uint64 }
 
-// sampleTraffic reads the counts of all running gateways.
-func (r *Rig) sampleTraffic(step int) {
-	m := trafficSample{at: r.now(), step: step, byStart: map[string]traffic{}}
-	ctx, stop := context.WithTimeout(context.Background(), 2*time.Second)
-	defer stop()
+// sampleTraffic reads the counts of all running gateways. A gateway that does not answer is left out.
+func (r *Rig) sampleTraffic() {
+	sample := trafficSample{at: r.elapsed(), counts: map[processStart]trafficCounts{}}
+	ctx, cancel := context.WithTimeout(context.Background(), trafficTimeout)
+	defer cancel()
 	var wait sync.WaitGroup
 	var mu sync.Mutex
 	for _, p := range r.processes {
 		if !p.isRunning() {
 			continue
 		}
-		wait.Add(1)
-		go func() {
-			defer wait.Done()
-			rep, err := p.report(ctx)
+		wait.Go(func() {
+			report, err := p.report(ctx)
 			if err != nil {
 				return
 			}
-			p.mu.Lock()
-			key := fmt.Sprintf("%s/%d", p.name, p.starts)
-			p.mu.Unlock()
+			key := processStart{p.name, p.startCount()}
 			mu.Lock()
-			m.byStart[key] = traffic{rep.PacketsOut, rep.BytesOut + rep.StreamBytes/2, rep.Streams}
-			mu.Unlock()
-		}()
+			defer mu.Unlock()
+			sample.counts[key] = trafficCounts{
+				packets: report.PacketsOut,
+				bytes:   report.BytesOut + report.StreamBytes/2, // StreamBytes are of both directions
+				streams: report.Streams,
+			}
+		})
 	}
 	wait.Wait()
 	r.mu.Lock()
-	r.trafficSamples = append(r.trafficSamples, m)
+	r.trafficSamples = append(r.trafficSamples, sample)
 	r.mu.Unlock()
 }
 
-func trafficBetween(a, b trafficSample) (t Traffic) {
-	t.Seconds = (b.at - a.at).Seconds()
-	n := 0.0
-	for key, late := range b.byStart {
-		early, ok := a.byStart[key]
-		if !ok || t.Seconds <= 0 {
-			continue // it was started meanwhile
+// trafficBetween is the traffic of the processes that are in both samples.
+func trafficBetween(first, last trafficSample) (traffic Traffic) {
+	traffic.Seconds = (last.at - first.at).Seconds()
+	processes := 0.0
+	for key, after := range last.counts {
+		before, ok := first.counts[key]
+		if !ok || traffic.Seconds <= 0 {
+			continue
 		}
-		n++
-		t.PacketsPerSecond += float64(late.packets-early.packets) / t.Seconds
-		t.BytesPerSecond += float64(late.bytes-early.bytes) / t.Seconds
-		t.StreamsPerSecond += float64(late.streams-early.streams) / t.Seconds
+		processes++
+		traffic.PacketsPerSecond += float64(after.packets-before.packets) / traffic.Seconds
+		traffic.BytesPerSecond += float64(after.bytes-before.bytes) / traffic.Seconds
+		traffic.StreamsPerSecond += float64(after.streams-before.streams) / traffic.Seconds
 	}
-	if n > 0 {
-		t.PacketsPerSecond, t.BytesPerSecond, t.StreamsPerSecond = t.PacketsPerSecond/n, t.BytesPerSecond/n, t.StreamsPerSecond/n
+	if processes > 0 {
+		traffic.PacketsPerSecond /= processes
+		traffic.BytesPerSecond /= processes
+		traffic.StreamsPerSecond /= processes
 	}
-	return t
+	return traffic
 }
--- a/internal/lab/fleet/views.go
+++ b/internal/lab/fleet/views.go
@@ -8,15 +8,25 @@
 // viewInterval is the longest time between two observations of the views.
 const viewInterval = 20 * time.Millisecond
 
-// viewState is what the rig saw at a time, if it differs from the moment before.
+// viewState is what the rig observed of the gateways' views at a time.
 type viewState struct {
-	at               time.Duration
-	agreed, settled  bool
-	minLive, maxLive int // live members in the views of running gateways
+	at               time.Duration // since the run's start
+	agreed           bool          // each running gateway's live members are those on its side of the links
+	settled          bool          // and each has logged that it settled, on the same digest as the others of its side
+	minLive, maxLive int           // live members in the views of running gateways
 	running          int
 }
 
-// requestObservation asks for a look at once.
+func (s viewState) isAgreed() bool  { return s.agreed }
+func (s viewState) isSettled() bool { return s.settled }
+
+// equalViews reports whether two states differ in nothing but their time.
+func (s viewState) equalViews(other viewState) bool {
+	s.at = other.at
+	return s == other
+}
+
+// requestObservation makes watchViews observe at once.
 func (r *Rig) requestObservation() {
 	select {
 	case r.viewsChanged <- struct{}{}:
@@ -24,62 +34,67 @@
 	}
 }
 
-func (r *Rig) currently(true func(viewState) bool) bool {
+// isSettled reports whether all running gateways had settled at the last observation.
+func (r *Rig) isSettled() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.viewStates) > 0 && true(r.viewStates[len(r.viewStates)-1])
+	count := len(r.viewStates)
+	return count > 0 && r.viewStates[count-1].settled
 }
 
-// watchViews keeps whether the running gateways agree with what is, over time.
+// watchViews records each change of the views until stop is closed.
 func (r *Rig) watchViews(stop chan struct{}) {
-	every := time.NewTicker(viewInterval)
-	defer every.Stop()
+	ticker := time.NewTicker(viewInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-stop:
 			return
 		case <-r.viewsChanged:
-		case <-every.C:
+		case <-ticker.C:
 		}
-		m := r.observeViews()
+		state := r.observeViews()
 		r.mu.Lock()
-		if n := len(r.viewStates); n == 0 || !m.sameViews(r.viewStates[n-1]) {
-			r.viewStates = append(r.viewStates, m)
+		count := len(r.viewStates)
+		if count == 0 || !state.equalViews(r.viewStates[count-1]) {
+			r.viewStates = append(r.viewStates, state)
 		}
 		r.mu.Unlock()
 	}
 }
 
-func (m viewState) sameViews(o viewState) bool {
-	m.at = o.at
-	return m == o
-}
-
+// observeViews compares the running gateways' views with the links and with each other.
 func (r *Rig) observeViews() viewState {
 	running := r.running()
-	m := viewState{at: r.now(), agreed: true, settled: true, minLive: len(r.processes), running: len(running)}
+	state := viewState{at: r.elapsed(), agreed: true, settled: true, minLive: len(r.processes), running: len(running)}
 	if len(running) == 0 {
-		return viewState{at: m.at}
+		return viewState{at: state.at}
 	}
 	for _, side := range r.links.Partitions(running) {
-		want := map[string]bool{}
-		for _, name := range side {
-			want[name] = true
-		}
+		expected := nameSet(side)
 		digest := ""
 		for _, name := range side {
 			p := r.byName[name]
 			p.mu.Lock()
-			sees := p.view
-			agree := maps.Equal(sees.live, want)
-			m.minLive, m.maxLive = min(m.minLive, len(sees.live)), max(m.maxLive, len(sees.live))
+			seen := p.view
+			agrees := maps.Equal(seen.live, expected)
+			state.minLive = min(state.minLive, len(seen.live))
+			state.maxLive = max(state.maxLive, len(seen.live))
 			p.mu.Unlock()
 			if digest == "" {
-				digest = sees.digest
+				digest = seen.digest
 			}
-			m.agreed = m.agreed && agree
-			m.settled = m.settled && agree && sees.settled && sees.digest == digest
+			state.agreed = state.agreed && agrees
+			state.settled = state.settled && agrees && seen.settled && seen.digest == digest
 		}
 	}
-	return m
+	return state
+}
+
+func nameSet(names []string) map[string]bool {
+	set := map[string]bool{}
+	for _, name := range names {
+		set[name] = true
+	}
+	return set
 }
--- a/internal/lab/fleet/virtual_network.go
+++ b/internal/lab/fleet/virtual_network_test.go
@@ -5,8 +5,10 @@
 	"fmt"
 	"net"
 	"net/netip"
+	"os"
 	"slices"
 	"sync"
+	"syscall"
 	"time"
 
 	"github.com/hashicorp/memberlist"
@@ -14,18 +16,28 @@
 	"foldslip/internal/fleet/transport"
 )
 
-// Network carries the detector's messages between gateways of one process, as the links say. With testing/synctest its time is virtual:
-// the very code of fleet/membership and of the detector, hundreds of gateways, hours in seconds. It stands in for Relay there.
+const (
+	virtualLatency     = 200 * time.Microsecond // one way, on links without fault
+	virtualPacketQueue = 512                    // datagrams that wait at a gateway
+	virtualStreamQueue = 32                     // streams that wait at a gateway
+)
+
+// errRefused is a dial to an address that nobody has open.
+var errRefused = errors.New("connection refused")
+
+// Network carries the failure detector's messages between gateways of one process, with the faults of Links. With testing/synctest its
+// time is virtual: the same code of fleet/membership and of the detector, hundreds of gateways, hours in seconds. It takes the place of
+// Relay.
 type Network struct {
 	links *Links
 	mu    sync.Mutex
 	ports map[string]*port // by address
 }
 
-// NewNetwork makes a network over links.
-func NewNetwork(links *Links) *Network { return &Network{links: links, ports: map[string]*port{}} }
-
-const linkLatency = 200 * time.Microsecond // one way, where links have no fault
+// NewNetwork returns a network over links.
+func NewNetwork(links *Links) *Network {
+	return &Network{links: links, ports: map[string]*port{}}
+}
 
 // port is a gateway's transport. It implements memberlist.NodeAwareTransport.
 type port struct {
@@ -39,15 +51,23 @@
 	closed  bool
 }
 
-// Open gives a gateway's transport at an address that nobody has open.
+var _ memberlist.NodeAwareTransport = (*port)(nil)
+
+// Open returns a gateway's transport at an address, which must not be open.
 func (n *Network) Open(name, addr string, counts *transport.Counts) (memberlist.Transport, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.ports[addr] != nil {
-		return nil, fmt.Errorf("%s: address already in use", addr)
+		return nil, fmt.Errorf("%s: %w", addr, syscall.EADDRINUSE)
+	}
+	p := &port{
+		network: n,
+		name:    name,
+		addr:    net.UDPAddrFromAddrPort(netip.MustParseAddrPort(addr)),
+		counts:  counts,
+		packets: make(chan *memberlist.Packet, virtualPacketQueue),
+		streams: make(chan net.Conn, virtualStreamQueue),
 	}
-	p := &port{network: n, name: name, addr: net.UDPAddrFromAddrPort(netip.MustParseAddrPort(addr)), counts: counts,
-		packets: make(chan *memberlist.Packet, 512), streams: make(chan net.Conn, 32)}
 	n.ports[addr] = p
 	return p, nil
 }
@@ -58,7 +78,7 @@
 	return n.ports[addr]
 }
 
-// Unplug takes the transport away at once, as a kill does.
+// Unplug closes the transport at an address at once, as a kill does.
 func (n *Network) Unplug(addr string) {
 	if p := n.portAt(addr); p != nil {
 		p.Shutdown()
@@ -73,8 +93,8 @@
 	return p.WriteTo(b, a.Addr)
 }
 
-func (p *port) DialAddressTimeout(a memberlist.Address, within time.Duration) (net.Conn, error) {
-	return p.DialTimeout(a.Addr, within)
+func (p *port) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	return p.DialTimeout(a.Addr, timeout)
 }
 
 func (p *port) PacketCh() <-chan *memberlist.Packet { return p.packets }
@@ -91,72 +111,56 @@
 	if to == nil {
 		return now, nil
 	}
-	lost, takes := p.network.links.Transfer(p.name, to.name, len(b), false)
+	lost, delay := p.network.links.Transfer(p.name, to.name, len(b), false)
 	if lost {
 		return now, nil
 	}
-	text := slices.Clone(b)
-	time.AfterFunc(linkLatency+takes, func() { to.receive(text, p.addr) })
+	datagram := slices.Clone(b)
+	time.AfterFunc(virtualLatency+delay, func() { to.receive(datagram, p.addr) })
 	return now, nil
 }
 
-func (p *port) receive(text []byte, from net.Addr) {
+func (p *port) receive(datagram []byte, from net.Addr) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return
 	}
 	select {
-	case p.packets <- &memberlist.Packet{Buf: text, From: from, Timestamp: time.Now()}:
+	case p.packets <- &memberlist.Packet{Buf: datagram, From: from, Timestamp: time.Now()}:
 		p.counts.PacketsIn.Add(1)
-		p.counts.BytesIn.Add(uint64(len(text)))
+		p.counts.BytesIn.Add(uint64(len(datagram)))
 	default:
 		p.counts.Dropped.Add(1)
 	}
 }
 
-var errRefused = errors.New("connection refused")
-
-func (p *port) DialTimeout(addr string, within time.Duration) (net.Conn, error) {
+func (p *port) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	p.counts.StreamsOut.Add(1)
 	to := p.network.portAt(addr)
 	if to != nil && !p.network.links.IsOpen(p.name, to.name) {
-		time.Sleep(within)
+		time.Sleep(timeout)
 		p.counts.StreamsFailed.Add(1)
-		return nil, fmt.Errorf("%s: i/o timeout", addr)
+		return nil, fmt.Errorf("%s: %w", addr, os.ErrDeadlineExceeded)
 	}
-	time.Sleep(2 * linkLatency)
+	time.Sleep(2 * virtualLatency)
 	if to == nil || to.isClosed() {
 		p.counts.StreamsFailed.Add(1)
 		return nil, errRefused
 	}
-	here, there := net.Pipe()
+	local, remote := net.Pipe()
 	to.mu.Lock()
 	defer to.mu.Unlock()
 	if to.closed {
 		return nil, errRefused
 	}
 	select {
-	case to.streams <- &pipeEnd{there, to.counts, p.addr}:
+	case to.streams <- &countedPipe{remote, to.counts, p.addr}:
 		to.counts.StreamsIn.Add(1)
 	default:
-		here.Close()
+		local.Close()
 	}
-	return &pipeEnd{here, p.counts, to.addr}, nil
-}
-
-type pipeEnd struct {
-	net.Conn
-	counts *transport.Counts
-	remote net.Addr
-}
-
-func (e *pipeEnd) RemoteAddr() net.Addr { return e.remote }
-
-func (e *pipeEnd) Write(b []byte) (int, error) {
-	n, err := e.Conn.Write(b)
-	e.counts.StreamBytes.Add(uint64(n))
-	return n, err
+	return &countedPipe{local, p.counts, to.addr}, nil
 }
 
 func (p *port) isClosed() bool {
@@ -165,10 +169,11 @@
 	return p.closed
 }
 
+// Shutdown closes the port and the streams that nobody has taken, and frees the address.
 func (p *port) Shutdown() error {
 	p.mu.Lock()
 	p.closed = true
-	for len(p.streams) > 0 { // nobody takes them any more
+	for len(p.streams) > 0 {
 		(<-p.streams).Close()
 	}
 	p.mu.Unlock()
@@ -179,3 +184,18 @@
 	}
 	return nil
 }
+
+// countedPipe is one end of a stream; it counts what is written.
+type countedPipe struct {
+	net.Conn
+	counts *transport.Counts
+	remote net.Addr
+}
+
+func (c *countedPipe) RemoteAddr() net.Addr { return c.remote }
+
+func (c *countedPipe) Write(b []byte) (int, error) {
+	n, err := c.Conn.Write(b)
+	c.counts.StreamBytes.Add(uint64(n))
+	return n, err
+}
--- a/internal/lab/fleet/virtual_test.go
+++ b/internal/lab/fleet/virtual_test.go
@@ -19,38 +19,39 @@
 	"foldslip/internal/fleet/view"
 )
 
-// logRecorder keeps the log's lines.
+// logRecorder keeps the lines of a log.
 type logRecorder struct {
-	mu sync.Mutex
-	b  strings.Builder
+	mu   sync.Mutex
+	text strings.Builder
 }
 
 func (l *logRecorder) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.Write(b)
+	return l.text.Write(b)
 }
 
+// has reports whether a line contains all parts.
 func (l *logRecorder) has(parts ...string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for line := range strings.Lines(l.b.String()) {
-		if !slices.ContainsFunc(parts, func(p string) bool { return !strings.Contains(line, p) }) {
+	for line := range strings.Lines(l.text.String()) {
+		if !slices.ContainsFunc(parts, func(part string) bool { return !strings.Contains(line, part) }) {
 			return true
 		}
 	}
 	return false
 }
 
-// withSettledFleet plays a story on the virtual clock with a fleet that has settled.
-func withSettledFleet(t *testing.T, n int, story func(t *testing.T, v *VirtualFleet, log *logRecorder), change ...func(*membership.Settings)) {
+// withSettledFleet runs a test on the virtual clock with a fleet that has settled.
+func withSettledFleet(t *testing.T, n int, test func(t *testing.T, v *VirtualFleet, log *logRecorder), options ...func(*membership.Settings)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		set := DefaultSettings()
-		for _, c := range change {
-			c(&set)
+		settings := DefaultSettings()
+		for _, option := range options {
+			option(&settings)
 		}
-		v := NewVirtualFleet(n, 1, set)
+		v := NewVirtualFleet(n, 1, settings)
 		log := &logRecorder{}
 		v.Log = slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug, ReplaceAttr: env.ReplaceLogAttr}))
 		defer v.Close()
@@ -61,69 +62,77 @@
 			logViews(t, v)
 			t.Fatalf("the fleet did not settle within %v", took)
 		}
-		story(t, v, log)
+		test(t, v, log)
 	})
 }
 
-// logViews tells who sees whom.
+// logViews logs each running gateway's view and the members that don't agree with it.
 func logViews(t *testing.T, v *VirtualFleet) {
+	t.Helper()
 	for _, name := range v.Running() {
-		r, _ := v.Fleet(name).Report(true, "")
-		bad := ""
+		r, err := v.Fleet(name).Report(true, "")
+		if err != nil {
+			t.Errorf("%s: %v", name, err)
+			continue
+		}
+		disagreeing := ""
 		for _, m := range r.Members {
 			if !m.Agrees {
-				bad += " " + m.Name + "=" + m.State.String()
+				disagreeing += " " + m.Name + "=" + m.State.String()
 			}
 		}
-		t.Logf("%s live %d digest %s %s changed %d counts %+v: %s", name, r.Live, r.Digest, r.State, r.ChangedAgoMS, r.Counts, bad)
+		t.Logf("%s live %d digest %s %s changed %d counts %+v: %s", name, r.Live, r.Digest, r.State, r.ChangedAgoMS, r.Counts, disagreeing)
 	}
 }
 
-// waitSettled waits until all see what is and say so.
-func waitSettled(t *testing.T, v *VirtualFleet, what string, most time.Duration) {
+// waitSettled waits until all gateways have settled; what names the change in the failure.
+func waitSettled(t *testing.T, v *VirtualFleet, what string, timeout time.Duration) {
 	t.Helper()
-	if took, ok := v.WaitForAgreement(true, most); !ok {
-		t.Errorf("%s: not settled within %v", what, most)
+	if took, ok := v.WaitForAgreement(true, timeout); !ok {
+		t.Errorf("%s: not settled within %v", what, timeout)
 		logViews(t, v)
 	} else {
 		t.Logf("%s: settled within %v", what, took)
 	}
 }
 
-func memberRow(t *testing.T, v *VirtualFleet, on, name string) membership.MemberReport {
+// memberRow is a member in a gateway's report.
+func memberRow(t *testing.T, v *VirtualFleet, observer, name string) membership.MemberReport {
 	t.Helper()
-	r, err := v.Fleet(on).Report(true, name)
+	r, err := v.Fleet(observer).Report(true, name)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r.Members[0]
 }
 
+// TestCrashIsSuspectedThenKnownToAll: a crash is suspected by a failed probe, then known to all.
 func TestCrashIsSuspectedThenKnownToAll(t *testing.T) {
 	withSettledFleet(t, 12, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
 		v.Kill("n5")
 		waitSettled(t, v, "crash", 45*time.Second)
-		// The detector tells of a failed probe in its log alone: this fails if a new version words it otherwise.
+		// The detector reports a failed probe only in its log: this fails if a new version words it differently.
 		if !log.has("event=fleet_member", "name=n5", "state=suspect", "was=alive", "why=probe_failed") {
-			t.Error("nobody was told a suspect before it was dead")
+			t.Error("no gateway logged a suspicion before the death")
 		}
 		if v.FalseDeaths > 0 {
 			t.Errorf("%d false deaths", v.FalseDeaths)
 		}
-		said := memberRow(t, v, "n1", "n5").Evidence
-		if !slices.ContainsFunc(said, func(w membership.Evidence) bool { return w.What == "probe failed" && w.By != "" }) {
-			t.Errorf("who probed it is not told: %+v", said)
+		evidence := memberRow(t, v, "n1", "n5").Evidence
+		if !slices.ContainsFunc(evidence, func(e membership.Evidence) bool { return e.What == "probe failed" && e.By != "" }) {
+			t.Errorf("the prober is not in the evidence: %+v", evidence)
 		}
 	})
 }
 
+// TestMemberThatLeavesIsNotDead: a member that leaves is in state left and no longer counts.
 func TestMemberThatLeavesIsNotDead(t *testing.T) {
 	withSettledFleet(t, 12, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
 		v.Stop("n5")
 		waitSettled(t, v, "leave", 10*time.Second)
 		for _, name := range v.Running() {
 			if got := memberRow(t, v, name, "n5").State; got != view.Left {
-				t.Errorf("%s holds it %v", name, got)
+				t.Errorf("%s sees it as %v", name, got)
 			}
 		}
 		if s := v.Fleet("n1").State(); s.FleetSize != 11 {
@@ -132,6 +141,7 @@
 	})
 }
 
+// TestSplitIsKnownOnBothSidesAndHeals: the smaller side knows that it is a minority, and both sides settle again.
 func TestSplitIsKnownOnBothSidesAndHeals(t *testing.T) {
 	withSettledFleet(t, 12, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
 		small, large := v.names[:5], v.names[5:]
@@ -154,6 +164,7 @@
 	})
 }
 
+// TestSidesThatForgotEachOtherRejoinBySeeds: sides that have reaped each other rejoin by their seeds.
 func TestSidesThatForgotEachOtherRejoinBySeeds(t *testing.T) {
 	withSettledFleet(t, 6, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
 		v.Links.Split([][]string{v.names[:3], v.names[3:]})
@@ -166,16 +177,18 @@
 	}, func(s *membership.Settings) { s.ReapAfter = 30 * time.Second })
 }
 
+// TestOneDirectionCutMarksNobodyDead: others still receive from both ends of the cut link.
 func TestOneDirectionCutMarksNobodyDead(t *testing.T) {
 	withSettledFleet(t, 12, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
 		v.Links.Set([]string{"n4"}, []string{"n7"}, LinkFault{Cut: true})
 		time.Sleep(60 * time.Second)
 		if agree, _ := v.Agreement(); !agree || log.has("state=dead") {
-			t.Error("somebody was taken for dead, though others hear both")
+			t.Error("a gateway was marked dead, though others receive from both")
 		}
 	})
 }
 
+// TestLossOfOneInFiveMarksNobodyDead: the loss of one datagram in five causes no false death.
 func TestLossOfOneInFiveMarksNobodyDead(t *testing.T) {
 	withSettledFleet(t, 12, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
 		v.Links.Set(v.names, v.names, LinkFault{Loss: 0.2})
@@ -188,22 +201,24 @@
 	})
 }
 
+// TestRestartUnderSameNameReachesAllViews: a restart before anybody missed the member is known to all as a restart.
 func TestRestartUnderSameNameReachesAllViews(t *testing.T) {
 	withSettledFleet(t, 12, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
-		was := memberRow(t, v, "n1", "n5").Incarnation
+		before := memberRow(t, v, "n1", "n5").Incarnation
 		v.Kill("n5")
-		if err := v.Start("n5"); err != nil { // before anybody missed it, at incarnation 1, with nothing kept
+		if err := v.Start("n5"); err != nil { // before it is suspected, at incarnation 1, with nothing kept
 			t.Fatal(err)
 		}
 		waitSettled(t, v, "restart", 15*time.Second)
 		for _, name := range v.Running() {
-			if m := memberRow(t, v, name, "n5"); m.Incarnation == was || m.Deaths > 0 || name != "n5" && m.Restarts != 1 {
+			if m := memberRow(t, v, name, "n5"); m.Incarnation == before || m.Deaths > 0 || name != "n5" && m.Restarts != 1 {
 				t.Errorf("on %s: %+v", name, m)
 			}
 		}
 	})
 }
 
+// TestJoinStormSettles: a fleet settles that grows to three times its size at once.
 func TestJoinStormSettles(t *testing.T) {
 	withSettledFleet(t, 12, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
 		for i := range 24 {
@@ -217,6 +232,7 @@
 	})
 }
 
+// TestNameConflictLaterMemberWithdrawsAndReturns: the later one of two members of a name defers until the name is free.
 func TestNameConflictLaterMemberWithdrawsAndReturns(t *testing.T) {
 	withSettledFleet(t, 5, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
 		v.Add("twin", "n3")
@@ -229,24 +245,25 @@
 			t.Errorf("the twin does not yield: %s, %+v", r.State, r.Counts)
 		}
 		if !log.has("level=ERROR", "event=fleet_name_deferred", "name=n3") || !log.has("event=fleet_name_conflict") {
-			t.Error("the log does not tell of it")
+			t.Error("the conflict is not logged")
 		}
 		for _, name := range v.names {
 			if m := memberRow(t, v, name, "n3"); m.Addr != v.byName["n3"].addr || !m.State.IsLive() {
-				t.Errorf("%s does not hold the first one: %+v", name, m)
+				t.Errorf("%s does not see the first one: %+v", name, m)
 			}
 		}
 		v.Kill("n3") // now the name is free
 		time.Sleep(90 * time.Second)
 		for _, name := range []string{"n1", "n2", "n4", "n5"} {
 			if m := memberRow(t, v, name, "n3"); m.Addr != v.byName["twin"].addr || !m.State.IsLive() {
-				t.Errorf("%s does not hold the twin: %+v", name, m)
+				t.Errorf("%s does not see the twin: %+v", name, m)
 			}
 		}
 	})
 }
 
-func TestNameConflictEarlierMemberReclaimsItsName(t *testing.T) {
+// TestNameConflictEarlierMemberReclaimsName: a member that was only cut off gets its name back.
+func TestNameConflictEarlierMemberReclaimsName(t *testing.T) {
 	withSettledFleet(t, 5, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
 		v.Links.Split([][]string{{"n3"}, {"n1", "n2", "n4", "n5", "twin"}})
 		time.Sleep(60 * time.Second)
@@ -256,13 +273,13 @@
 		}
 		time.Sleep(10 * time.Second)
 		if m := memberRow(t, v, "n1", "n3"); m.Addr != v.byName["twin"].addr {
-			t.Fatalf("the one in its place is not taken: %+v", m)
+			t.Fatalf("the one in its place is not accepted: %+v", m)
 		}
 		v.Links.Heal()
 		time.Sleep(40 * time.Second)
 		for _, name := range v.names {
 			if m := memberRow(t, v, name, "n3"); m.Addr != v.byName["n3"].addr || !m.State.IsLive() {
-				t.Errorf("%s holds %+v", name, m)
+				t.Errorf("%s sees %+v", name, m)
 			}
 		}
 		if r, _ := v.Fleet("twin").Report(false, ""); r.State != "yielded" {
@@ -271,6 +288,7 @@
 	})
 }
 
+// TestOtherProtocolVersionIsRefusedAndLogged: a member of another protocol version is refused, with a log line.
 func TestOtherProtocolVersionIsRefusedAndLogged(t *testing.T) {
 	withSettledFleet(t, 3, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
 		c := memberlist.DefaultLANConfig()
@@ -289,11 +307,12 @@
 		m.Join([]string{v.byName["n1"].addr})
 		time.Sleep(5 * time.Second)
 		if agree, _ := v.Agreement(); !agree || !log.has("event=fleet_detector", "incompatible") {
-			t.Error("it was taken in, or refused in silence")
+			t.Error("it was accepted, or refused without a log line")
 		}
 	})
 }
 
+// TestFleetOfAnotherLabelIsIgnored: fleets of different labels do not see each other.
 func TestFleetOfAnotherLabelIsIgnored(t *testing.T) {
 	withSettledFleet(t, 3, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
 		v.base.Label = "other"
@@ -311,6 +330,7 @@
 	}, func(s *membership.Settings) { s.Label = "one" })
 }
 
+// TestFleetIsFoundFromDiskWithoutSeeds: a gateway without seeds rejoins by the members that it kept.
 func TestFleetIsFoundFromDiskWithoutSeeds(t *testing.T) {
 	withSettledFleet(t, 5, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
 		disk, err := env.OpenOSDirectory(t.TempDir())
@@ -319,7 +339,9 @@
 		}
 		v.Stop("n5")
 		v.SetDirectory("n5", disk)
-		v.Start("n5")
+		if err := v.Start("n5"); err != nil {
+			t.Fatal(err)
+		}
 		waitSettled(t, v, "with a disk", 10*time.Second)
 		time.Sleep(5 * time.Second) // it writes at most every 2 s
 		v.Kill("n5")
@@ -336,20 +358,23 @@
 	})
 }
 
+// TestFullViewRefusesMembersAndLogsIt: a member beyond MaxMembers is refused, with a log line.
 func TestFullViewRefusesMembersAndLogsIt(t *testing.T) {
 	withSettledFleet(t, 4, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
 		v.Add("m1", "")
-		v.Start("m1")
+		if err := v.Start("m1"); err != nil {
+			t.Fatal(err)
+		}
 		time.Sleep(10 * time.Second)
 		if agree, _ := v.Agreement(); !agree || !log.has("event=fleet_member_refused", "name=m1", "why=full") {
-			t.Error("a fifth is in a view of four, or was refused in silence")
+			t.Error("a fifth is in a view of four, or was refused without a log line")
 		}
 	}, func(s *membership.Settings) { s.MaxMembers = 4 })
 }
 
-var longRunHours = flag.Int("fleet.hours", 2, "length of the long day in hours; 24 take some 80 s")
+var longRunHours = flag.Int("fleet.hours", 2, "hours of the long run; 24 take some 80 s")
 
-// A day of the virtual clock, with a restart every ten minutes and a split every hour: nothing grows.
+// TestLongRunStaysWithinBounds: with a restart every ten minutes and a split every hour nothing grows.
 func TestLongRunStaysWithinBounds(t *testing.T) {
 	withSettledFleet(t, 6, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
 		v.Log = slog.New(slog.DiscardHandler)
@@ -369,8 +394,8 @@
 			}
 		}
 		for _, name := range v.names {
-			if n := v.Fleet(name).Usage(); n.Members > 6 || n.PendingLogLines > 64 || n.Contacted > 8 || n.LoggedConflicts > 8 {
-				t.Errorf("%s holds %+v", name, n)
+			if usage := v.Fleet(name).Usage(); usage.Members > 6 || usage.PendingLogLines > 64 || usage.Contacted > 8 || usage.LoggedConflicts > 8 {
+				t.Errorf("%s holds %+v", name, usage)
 			}
 		}
 	}, func(s *membership.Settings) { s.ReapAfter = 5 * time.Minute })
