--- a/internal/cli/list_test.go
+++ b/internal/cli/list_test.go
@@ -19,16 +19,7 @@
 	dir := t.TempDir()
 	folder := filepath.Join(dir, "list")
 	export := writeFile(t, dir, "export.json", exportedList)
-	t.Run("a missing directory ends with status 2 and is not created", func(t *testing.T) {
-		for _, command := range []string{"show", "check", "export", "forget"} {
-			if status, _, messages := runCLI("list", command, folder); status != program.ExitUsage || !strings.Contains(messages, "name the folder") {
-				t.Errorf("%s: %d, %s", command, status, messages)
-			}
-		}
-		if _, err := os.Stat(folder); err == nil {
-			t.Error("the directory was created")
-		}
-	})
+	t.Run("a missing directory ends with status 2 and is not created", func(t *testing.T) { testMissingDirectory(t, folder) })
 	t.Run("imported caches are not confirmed, draining ones are left out", func(t *testing.T) {
 		if status, out, messages := runCLI("list", "import", folder, export); status != program.ExitOK || !strings.Contains(out, "1 caches taken of 2") {
 			t.Fatalf("%d, %s, %s", status, out, messages)
@@ -78,3 +69,14 @@
 		}
 	})
 }
+
+func testMissingDirectory(t *testing.T, folder string) {
+	for _, command := range []string{"show", "check", "export", "forget"} {
+		if status, _, messages := runCLI("list", command, folder); status != program.ExitUsage || !strings.Contains(messages, "name the folder") {
+			t.Errorf("%s: %d, %s", command, status, messages)
+		}
+	}
+	if _, err := os.Stat(folder); err == nil {
+		t.Error("the directory was created")
+	}
+}
