--- a/internal/lab/scale/capacity.go
+++ b/internal/lab/scale/capacity.go
@@ -151,7 +151,7 @@
 		said, formatShort(c.PlanSize), formatShort(at), spread, c.YLabel, c.BudgetOf, formatShort(c.Budget), part, misses)
 }
 
-// CapacityHead is the head of the table of rows.
+// CapacityTableHead is the head of the table of rows.
 const CapacityTableHead = "| figure | sizes | line on log axes | at the plan's size | budget | used | first misses at |\n| --- | --- | --- | --- | --- | --- | --- |"
 
 // Draw makes an SVG file of the figure on log axes: each run a point, the fitted line, the budget, and the plan's size.
--- a/internal/lab/scale/net.go
+++ b/internal/lab/scale/net.go
@@ -38,7 +38,7 @@
 	Jitter             float64
 }
 
-// Usual is the latency that runs take where they do not name another; 30 to 105 ms one way between regions.
+// DefaultLatency is the latency that runs take where they do not name another; 30 to 105 ms one way between regions.
 var DefaultLatency = Latency{Site: 250 * time.Microsecond, Zone: time.Millisecond, Region: 4 * time.Millisecond, Far: 30 * time.Millisecond,
 	Hop: 15 * time.Millisecond, Jitter: 0.2}
 
