--- a/internal/config/configfile/validate.go
+++ b/internal/config/configfile/validate.go
@@ -83,7 +83,7 @@
 		{"silent_ms", &x.SilenceTimeoutMS, 1, 30_000, 3_600_000},
 		{"lookups", &x.Lookups, 1, 256, 100_000},
 		{"lookups_a_caller", &x.LookupsPerCaller, 1, 128, 100_000},
-		{"again_within_ms", &x.MaxRetryAfterMS, 1, 300, 60_000},
+		{"again_within_ms", &x.ReturnTimeoutMS, 1, 300, 60_000},
 		{"remember_ms", &x.RememberMS, 1, 5000, 600_000},
 	}); err != nil {
 		return err
--- a/internal/config/extproc.go
+++ b/internal/config/extproc.go
@@ -13,7 +13,7 @@
 	Weight               float64      `json:"weight"`            // of a caller's quota of admission; direct clients have 1
 	Lookups              int64        `json:"lookups"`           // open at once
 	LookupsPerCaller     int64        `json:"lookups_a_caller"`  // open at once, of one caller
-	MaxRetryAfterMS      int64        `json:"again_within_ms"`   // the longest retry-after that a caller gets
+	ReturnTimeoutMS      int64        `json:"again_within_ms"`   // within which a caller that is answered "ask again" requests its lookup again
 	RememberMS           int64        `json:"remember_ms"`       // the id of a lookup that ended is known for so long
 	Table                []LookupRule `json:"table"`             // what makes a lookup
 }
--- a/internal/extproc/extprocgrpc/listener.go
+++ b/internal/extproc/extprocgrpc/listener.go
@@ -110,7 +110,7 @@
 		Lookups: retry.Limits{
 			MaxLookups:    int(configuration.Lookups),
 			MaxPerCaller:  int(configuration.LookupsPerCaller),
-			ReturnTimeout: ms(configuration.MaxRetryAfterMS),
+			ReturnTimeout: ms(configuration.ReturnTimeoutMS),
 			Retention:     ms(configuration.RememberMS),
 		},
 		MaxStreams:        int(configuration.StreamsPerCaller),
--- a/internal/extproc/extprocgrpc/listener_test.go
+++ b/internal/extproc/extprocgrpc/listener_test.go
@@ -34,7 +34,7 @@
 	dependencies.Admission = admission.NewController(dependencies.Environment, 100, 1<<20)
 	configuration.StreamsPerConnection, configuration.StreamsPerCaller = 100, 100
 	configuration.Lookups, configuration.LookupsPerCaller = 100, 100
-	configuration.MaxRetryAfterMS, configuration.RememberMS, configuration.SilenceTimeoutMS = 300, 2000, 5000
+	configuration.ReturnTimeoutMS, configuration.RememberMS, configuration.SilenceTimeoutMS = 300, 2000, 5000
 	configuration.Weight = 1
 	configuration.Table = []config.LookupRule{{Path: "/call/{kind}/{object}/part-{part}", Kind: "path:kind", Object: "path:object", Part: "path:part", ID: "header:x-job-id"}}
 	l, err := Listen("n0", dependencies, configuration)
