--- a/internal/cli/extproccli/serve.go
+++ b/internal/cli/extproccli/serve.go
@@ -26,7 +26,7 @@
 		return program.UsageErrorf("ROUTER_CONFIG is not set: name the gateway's configuration file in it, see docs/external-processor.md (Start)")
 	}
 	if err := gateway.Run(environment, gateway.Hooks{NewServices: openServices}); err != nil {
-		environment.Log().Error("ended", "text", err.Error())
+		environment.Log().Error("ended", "error", err.Error())
 		return program.ReportedError{Err: err}
 	}
 	return nil
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -37,7 +37,7 @@
 		return program.UsageErrorf("ROUTER_CONFIG is not set: name the gateway's configuration file in it, see README.md (Start)")
 	}
 	if err := gateway.Run(environment, gateway.Hooks{}); err != nil {
-		environment.Log().Error("ended", "text", err.Error())
+		environment.Log().Error("ended", "error", err.Error())
 		return program.ReportedError{Err: err}
 	}
 	return nil
