--- a/internal/store/snapshot/snapshotter_test.go
+++ b/internal/store/snapshot/snapshotter_test.go
@@ -243,7 +243,8 @@
 }
 
 func TestASecondProcessIsLockedOut(t *testing.T) {
-	e, _ := newTestEnv(simenv.NewDirectory())
+	// A directory of the system: the simulated one is used by one goroutine at a time, and here the snapshotter writes meanwhile.
+	e, _ := newTestEnv(env.OSDirectory{Path: t.TempDir()})
 	startSnapshotter(t, e, wideLimits)
 	if _, _, err := Open(e, "/list", wideLimits); !errors.Is(err, wal.ErrLocked) {
 		t.Error(err)
