--- a/internal/lab/scenario/cache.go
+++ b/internal/lab/scenario/cache.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	edgeMaxCopies   = 120 // places for copies
-	parentMaxCopies = 600
-	edgeMaxFills    = 8 // fills at once
-	parentMaxFills  = 24
-	maxQueue        = 30 // sends that wait at a cache before it turns more away
-	maxBody         = 100000
+	edgeCapacity   = 120 // places for copies
+	parentCapacity = 600
+	edgeMaxFills   = 8 // fills at once
+	parentMaxFills = 24
+	maxQueue       = 30 // sends that wait at a cache before it turns more away
+	maxBody        = 100000
 )
 
 // cache is an edge cache, a parent or the origin.
@@ -308,7 +308,7 @@
 			return
 		}
 		if got != nil {
-			c.store(key, got, q.rank, edgeMaxCopies)
+			c.store(key, got, q.rank, edgeCapacity)
 		}
 		for _, w := range f.waiters {
 			w(got, note)
@@ -374,7 +374,7 @@
 	d.origin.serveFill(c, q, func(got *cachedCopy, note string) {
 		c.filling--
 		if got != nil && !lookupKinds[q.kindIndex].passOn {
-			c.store(q.key(), got, q.rank, parentMaxCopies)
+			c.store(q.key(), got, q.rank, parentCapacity)
 		}
 		if got == nil && note == "src_broke" {
 			note = "origin_failed"
--- a/internal/lab/scenario/caller.go
+++ b/internal/lab/scenario/caller.go
@@ -9,8 +9,9 @@
 	"foldslip/internal/lab/simenv"
 )
 
-// extprocCaller is a stand-in caller beside a gateway: it asks the gateway's door for each lookup, makes the send it is told, and
-// reports how it ended. Written from the door's contract (docs/external-processor.md). Its faults are what the days draw.
+// extprocCaller is a stand-in for another proxy beside a gateway: it asks the gateway's external processor about each
+// lookup, makes the request to the cache that it is answered, and reports the outcome. It is written from the contract
+// in docs/external-processor.md only. Plans draw its faults.
 type extprocCaller struct {
 	scenario   *Scenario
 	gateway    *gatewayActor
@@ -44,7 +45,7 @@
 	request       *attemptRequest
 	notModified   bool
 	brokeContract bool // its caller did what the contract does not allow: no answer is owed by it
-	retriedLate   bool // it was asked again long after it was told to
+	retriedLate   bool // it asked again long after the answer to do so
 }
 
 func newExtprocCaller(d *Scenario, g *gatewayActor, no int) *extprocCaller {
--- a/internal/lab/scenario/morning.go
+++ b/internal/lab/scenario/coldstart.go
@@ -13,26 +13,27 @@
 	"foldslip/internal/store/wal"
 )
 
-// ColdStart is a day that begins without the bulletin. What of the list is wrong is drawn from the day's seed.
+// ColdStart is the part of a plan in which gateways start while discovery is away. Which entries of the kept list are
+// wrong is drawn from the plan's seed.
 type ColdStart struct {
-	// From is what gateways start from: "list" (kept on disk), or for comparison "wait" (nothing, they wait for the bulletin),
-	// "trust" (the same list, taken as told this moment), "true" (the list as it is, taken so).
+	// StartFrom is what gateways start from: "list" (the one kept on disk), or for comparison "wait" (nothing: they
+	// wait for discovery), "trust" (the kept list, taken as received this moment), "true" (the list as it really is).
 	StartFrom        string  `json:"from"`
 	AgeSeconds       int     `json:"age_s"`   // of the list
 	WrongShare       float64 `json:"wrong"`   // share of its edges and parents that are no more what it says
-	AwayMS           int     `json:"away_ms"` // of the bulletin, from the start; 0: all day
+	AwayMS           int     `json:"away_ms"` // how long discovery is away, from the start; 0: to the end
 	Cold             bool    `json:"cold"`    // what is wrong is that they have just started, cold
 	Torn             bool    `json:"torn"`    // the last bytes of the list are torn
 	SkewSeconds      int     `json:"skew_s"`  // the clock that wrote it was wrong by
-	DrainUnannounced bool    `json:"behind"`  // the bulletin tells of the drain later than the list
-	NumbersRestarted bool    `json:"spans"`   // its numbers run beyond the bulletin's, which began anew
+	DrainUnannounced bool    `json:"behind"`  // discovery announces the drain later than the list has it
+	NumbersRestarted bool    `json:"spans"`   // the list's event numbers are beyond discovery's, which started again
 }
 
 const (
 	configPath      = "/etc/foldslip.jsonnet"
 	listDir         = "/var/lib/foldslip"
 	startedAtBegin  = time.Duration(1) // the start of what is cold when the day begins
-	syncedAfter     = 2 * time.Second  // what was told so long before a gateway's end is on its disk
+	syncedAfter     = 2 * time.Second  // what a gateway received this long before its end is on its disk
 	overloadRestart = 3 * time.Second  // a cache that was pushed over, until it starts anew
 	earlyPeriod     = 30 * time.Second // from the first lookup; the share satisfied meanwhile is what a list is for
 )
@@ -119,9 +120,9 @@
 
 // prefill gives a cache what one holds that has been up for long: what is asked for most.
 func (c *cache) prefill() {
-	d, most := c.scenario, edgeMaxCopies
+	d, most := c.scenario, edgeCapacity
 	if c.flavor == "parent" {
-		most = parentMaxCopies
+		most = parentCapacity
 	}
 	for i := range 60 {
 		for part := range 5 {
@@ -195,7 +196,7 @@
 	}
 }
 
-// initialList is what a gateway is told at its start of the list, in the place of the events so far.
+// initialList is the list of caches that a gateway receives at its start, in place of the events so far.
 func (d *Scenario) initialList() any {
 	m := d.Plan.ColdStart
 	members := []endpoint{}
@@ -226,8 +227,8 @@
 	p.Directories = map[string]*simenv.Directory{listDir: g.directory}
 }
 
-// restoreMachine takes a machine up again: its power may have gone with the process. What the life before was told of drains, long
-// enough before its end to have it on disk, holds for the next one.
+// restoreMachine brings a gateway's machine back; its power may have gone with the process. The drains that the previous
+// process received syncedAfter before its end, or earlier, are on disk and bind the next one.
 func (g *gatewayActor) restoreMachine(was *gatewayProcess) {
 	d := g.scenario
 	if was == nil || g.directory == nil || d.Plan.ColdStart.StartFrom != "list" {
--- a/internal/lab/scenario/mornings.go
+++ b/internal/lab/scenario/comparecoldstarts.go
@@ -16,11 +16,11 @@
 	satisfied  [4]int
 }
 
-// Ways are what gateways start from, compared: the kept list, waiting for the bulletin, the same list trusted wholly, and
-// the list as it is in truth.
+// StartSources are the values of ColdStart.StartFrom that are compared: the kept list, nothing until discovery answers,
+// the kept list trusted wholly, and the list as it really is.
 var StartSources = [4]string{"list", "wait", "trust", "true"}
 
-// ColdStartCells are the mornings that are compared.
+// ColdStartCells are the cold starts that are compared.
 func ColdStartCells() (cells []*ColdStartCell) {
 	for _, age := range []int{2, 60, 3600, 30 * 86400} {
 		for _, wrong := range []float64{0, 0.1, 0.5, 1} {
@@ -30,8 +30,8 @@
 	return cells
 }
 
-// CompareColdStarts plays each cell's days from each way with the same seeds, some at a time: the same caches are wrong in the same
-// manner, and the same is asked. No faults besides; the bulletin stays away.
+// CompareColdStarts runs each cell's scenarios from each of StartSources with the same seeds, jobs at a time: the same
+// caches are wrong in the same manner, and clients ask the same. There are no other faults, and discovery stays away.
 func CompareColdStarts(cells []*ColdStartCell, first, last uint64, jobs int, played func()) error {
 	var mu sync.Mutex
 	var fault error
--- a/internal/lab/scenario/twin.go
+++ b/internal/lab/scenario/differential.go
@@ -11,9 +11,9 @@
 	"foldslip/internal/policy"
 )
 
-// Twins: the same lookups and the same endings of their sends, at the same instants, once at a gateway and once at its door with a
-// stand-in caller. Messages take no time, so that whatever the module is told it is told in the same microsecond, and its
-// decisions can be compared one by one.
+// A differential run makes the same lookups, with the same outcomes of their requests at the same instants, once through
+// a gateway and once through its external processor with a stand-in caller. Messages take no time, so that the routing
+// module receives every call in the same microsecond in both, and its decisions can be compared one by one.
 
 // differentialScript is what happens in place of clients and caches.
 type differentialScript struct {
@@ -104,7 +104,7 @@
 	}
 }
 
-// decisionRecorder stands before the facade.
+// decisionRecorder wraps the module's executor and records its decisions.
 type decisionRecorder struct {
 	policy.Executor
 	script   *differentialScript
--- a/internal/lab/scenario/bulletin.go
+++ b/internal/lab/scenario/discovery.go
@@ -86,7 +86,7 @@
 	})
 }
 
-// stopFor takes the bulletin away for a time: connections break, new ones are refused.
+// stopFor makes the discovery server unreachable for a span: its connections break and new ones are refused.
 func (b *discoveryServer) stopFor(span time.Duration) {
 	b.down = true
 	b.host.StopServing("8500")
@@ -123,7 +123,7 @@
 	}
 }
 
-// watchConn is a gateway's connection to a bulletin.
+// watchConn is a gateway's connection to a discovery server.
 type watchConn struct {
 	server       *discoveryServer
 	end          *simenv.End
--- a/internal/lab/scenario/door.go
+++ b/internal/lab/scenario/extprocserver.go
@@ -20,8 +20,8 @@
 	"foldslip/internal/route"
 )
 
-// The door for other proxies on the virtual clock: the streams, the desk and the steps are the program's own (package door);
-// only the wire is the lab's, plain text in place of gRPC, whose library keeps time and goroutines of its own.
+// The external processor on the virtual clock: its streams and decisions are the program's own (package extproc). Only
+// the wire is the simulation's, plain text in place of gRPC, whose library has timers and goroutines of its own.
 
 const extprocPort = "18200"
 
@@ -190,7 +190,7 @@
 	return err
 }
 
-// extprocFault is a fault of the door, planted at its wire and its terms.
+// extprocFault is a fault injected into the external processor, at its wire or its limits.
 type extprocFault struct {
 	help   string
 	limits func(in *gateway.Dependencies, t *extproc.Limits)
--- a/internal/lab/scenario/gateway.go
+++ b/internal/lab/scenario/gateway.go
@@ -36,7 +36,7 @@
 	extproc         *extprocServer // where other proxies ask
 	startedAt       time.Duration
 	ready           bool
-	terminatedAt    time.Duration // when it was told to stop; 0: not yet
+	terminatedAt    time.Duration // when it was signalled to stop; 0: not yet
 	ended           bool
 	endedAt         time.Duration
 	notified        []time.Duration // by number of the event, 0: not yet
@@ -189,7 +189,7 @@
 	}
 }
 
-// recordDecisions takes every decision of the module into the digest, before whoever else looks on.
+// recordDecisions adds every decision of the module to the digest, ahead of any other interceptor.
 func (d *Scenario) recordDecisions(process string, between dispatch.Interceptor) dispatch.Interceptor {
 	return func(h policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
 		under := func(h policy.Executor) dispatch.Router {
--- a/internal/lab/scenario/plant.go
+++ b/internal/lab/scenario/injectedfaults.go
@@ -13,14 +13,14 @@
 	"foldslip/internal/policy"
 )
 
-// injectedFault is a fault of the gateway itself, planted at its seams (its ground, or between facade and module) to prove that
-// the referee sees it. Nothing of this is in the gateway's own code.
+// injectedFault is a fault of the gateway itself, injected at its interfaces (its environment, or between executor and
+// module) to prove that the checker sees it. None of this is in the gateway's own code.
 type injectedFault struct {
 	help   string
 	inject func(d *Scenario, l *gatewayProcess) (dispatch.Interceptor, func(env.Environment) env.Environment)
 }
 
-// InjectedFaults are the names of the faults that can be planted.
+// InjectedFaults returns the names of the faults that can be injected.
 func InjectedFaults() []string {
 	return append(sortedKeys(injectedFaults), sortedKeys(extprocFaults)...)
 }
@@ -108,7 +108,7 @@
 	env.Conn
 	write     func(c env.Conn, b []byte) (int, error)
 	read      func(b []byte) []byte // of the same length
-	beforeEnd func()                // before the far side's end is told
+	beforeEnd func()                // called before the peer's close is reported
 	close     func(c env.Conn) error
 }
 
@@ -137,7 +137,7 @@
 	return w.Conn.Close()
 }
 
-// moduleInterceptor stands before the module: it passes on what it is told, but for what a plant replaces.
+// moduleInterceptor wraps the routing module: it passes every call on, except for those that a fault replaces.
 type moduleInterceptor struct {
 	dispatch.Router
 	changeRows  func(rows []policy.Endpoint) []policy.Endpoint
@@ -172,7 +172,7 @@
 	}
 }
 
-// executorInterceptor stands before the facade: it does what the module asks for, but for what a plant replaces.
+// executorInterceptor wraps the module's executor: it passes every call on, except for those that a fault replaces.
 type executorInterceptor struct {
 	policy.Executor
 	fetch  func(h policy.Executor, lk *policy.Lookup, request policy.FetchRequest)
--- a/internal/lab/scenario/plan.go
+++ b/internal/lab/scenario/plan.go
@@ -1,8 +1,9 @@
-// Package scenario plays days of trouble: gateways of the real program, with parties that are state machines, on a virtual
-// world, under faults drawn from a seed, watched by a referee that sees the wires and the true state of every party.
+// Package scenario runs gateways of the real program in a simulation, with clients, caches and discovery that are state
+// machines, under faults drawn from a seed. A checker that sees the wires and the true state of every actor checks the
+// rules that the gateways must keep.
 //
-// A Plan is all that a day is made of; the same plan gives the same day, byte for byte. Play plays it, Shrink makes the
-// smallest plan that still breaks a rule. A day owns its world and everything in it, and leaves nothing behind.
+// A Plan determines a scenario entirely: the same plan gives the same run, byte for byte. Run runs it, Shrink finds the
+// smallest plan that still breaks a rule. A scenario owns its simulation and leaves nothing behind.
 package scenario
 
 import (
@@ -44,6 +45,7 @@
 	Variant    int    `json:"more,omitempty"`
 }
 
+// String is the fault in one line, as reports print it.
 func (f Fault) String() string {
 	return fmt.Sprintf("%d.%03d s %s who=%d for=%dms", f.AtMS/1000, f.AtMS%1000, f.Kind, f.Target, f.DurationMS)
 }
--- a/internal/lab/scenario/day.go
+++ b/internal/lab/scenario/scenario.go
@@ -25,8 +25,8 @@
 	parentWarmup         = 21 * time.Second
 	parentColdShare      = 0.064
 	parentOverloadFactor = 2.0
-	purgeGrace           = 300 * time.Millisecond // to heed a purge
-	drainGrace           = 2 * time.Second        // to heed a drain
+	purgeGrace           = 300 * time.Millisecond // to act on a purge
+	drainGrace           = 2 * time.Second        // to act on a drain
 	cancelGrace          = 100 * time.Millisecond // after a client left, its lookup is not sent on
 	socketSlack          = 50 * time.Millisecond  // more on sockets
 	notifiedAfter        = 7 * time.Second        // what is published counts as told by then, if the gateway could hear
@@ -81,11 +81,12 @@
 	Detail string        `json:"detail"`
 }
 
+// String is the violation in one line, as reports print it.
 func (b Violation) String() string {
 	return fmt.Sprintf("%.6f s: %s: %s", b.At.Seconds(), b.Rule, b.Detail)
 }
 
-// Result is what became of a day.
+// Result is the outcome of a scenario.
 type Result struct {
 	Plan         Plan           `json:"plan"`
 	Digest       string         `json:"digest"`
@@ -99,10 +100,10 @@
 	EarlyLookups EarlyLookups   `json:"early"` // the first 30 s
 }
 
-// Hooks is what may look on while a day is played.
+// Hooks observe a scenario while it runs.
 type Hooks struct {
 	Trace func(at time.Duration, line string)
-	// The rest is for stories that need a fault at one exact place of a lookup's way.
+	// The rest is for tests that need a fault at one exact moment of a lookup.
 	onStart    func(d *Scenario)
 	onDecision func(d *Scenario, l *gatewayProcess, to string)    // a send is decided and not yet written
 	onAttempt  func(d *Scenario, k *cacheConn, q *attemptRequest) // a send is on the wire
@@ -112,7 +113,7 @@
 	script     *differentialScript                                // lookups and their sends' endings, in place of clients and caches
 }
 
-// Run plays a day. A plan that Check refuses is not played.
+// Run runs a plan. One that Validate refuses is not run.
 func Run(p Plan, look Hooks) (Result, error) {
 	if err := p.Validate(); err != nil {
 		return Result{}, err
@@ -171,7 +172,7 @@
 	return r, nil
 }
 
-// record adds a line to the story, of which the last are kept.
+// record adds a line to the recent events, of which the last 60 are kept.
 func (d *Scenario) record(format string, a ...any) {
 	if len(d.recentEvents) >= 60 {
 		d.recentEvents = slices.Delete(d.recentEvents, 0, 1)
--- a/internal/lab/scenario/shrink.go
+++ b/internal/lab/scenario/shrink.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Shrink makes the smallest day that still breaks the rule which p breaks: faults, gateways, caches and time are taken
-// away as long as the rule breaks, and spans are halved. It tells how many days it played.
+// Shrink finds the smallest plan that still breaks the rule which p breaks: faults, gateways, caches and time are taken
+// away as long as the rule breaks, and durations are halved. It returns the number of plans it ran.
 func Shrink(p Plan, tell func(string)) (Plan, Result, int, error) {
 	best, err := Run(p, Hooks{})
 	if err != nil {
@@ -108,7 +108,7 @@
 // SortedNames are a table's names, in order.
 func SortedNames(of map[string]string) []string { return sortedKeys(of) }
 
-// InjectedFaultHelp is what each planted fault does.
+// InjectedFaultHelp returns what each injected fault does, by name.
 func InjectedFaultHelp() map[string]string {
 	help := map[string]string{}
 	for name, p := range injectedFaults {
