--- a/internal/cli/guards.go
+++ b/internal/cli/guards.go
@@ -44,16 +44,16 @@
 	group.SetLimit(runtime.GOMAXPROCS(0))
 	for seed := first; seed <= last; seed++ {
 		group.Go(func() error {
-			oracle, err := scenario.RunRouteTrial(seed, "none", true)
+			oracle, err := scenario.RunRouteChange(seed, "none", true)
 			if err != nil {
 				return err
 			}
-			for kind, bad := range scenario.RouteTrialKinds {
-				with, err := scenario.RunRouteTrial(seed, kind, true)
+			for kind, bad := range scenario.RouteChangeKinds {
+				with, err := scenario.RunRouteChange(seed, kind, true)
 				if err != nil {
 					return err
 				}
-				without, err := scenario.RunRouteTrial(seed, kind, false)
+				without, err := scenario.RunRouteChange(seed, kind, false)
 				if err != nil {
 					return err
 				}
--- a/internal/lab/scenario/bench_test.go
+++ b/internal/lab/scenario/bench_test.go
@@ -2,6 +2,7 @@
 
 import "testing"
 
+// BenchmarkScenario runs the plans of seeds 1 to 20.
 func BenchmarkScenario(b *testing.B) {
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
--- a/internal/lab/scenario/cache.go
+++ b/internal/lab/scenario/cache.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	edgeCapacity   = 120 // places for copies
+	edgeCapacity   = 120 // stored copies
 	parentCapacity = 600
 	edgeMaxFills   = 8 // fills at once
 	parentMaxFills = 24
-	maxQueue       = 30 // sends that wait at a cache before it turns more away
+	maxQueue       = 30 // requests in service before a cache sheds more
 	maxBody        = 100000
 )
 
@@ -27,23 +27,23 @@
 	host          *simenv.Host
 	size          float64
 	cell          int
-	startedAt     time.Duration // a late start; 0: long ago
+	startedAt     time.Duration // 0: long before the scenario
 	up            bool
 	phase         string // as published
-	hung          bool   // takes everything and answers nothing
+	hung          bool   // accepts everything and answers nothing
 	failsAll      bool   // answers everything with an error
 	stopsReading  bool   // reads nothing on its connections
 	slowdown      float64
-	copies        map[string]*cachedCopy
+	stored        map[string]*cachedCopy
 	uses          uint64
 	conns         []*cacheConn
 	running       int
 	filling       int
 	fills         map[string]*pendingFill
-	recentWork    []timedWork // sends lately, for rule 4
+	recentWork    []timedWork // in overloadWindow, for rule 4
 	effects       map[string]int
-	startEvent    int     // number of the event that tells its late start
-	appliedPurges []purge // purges that it has carried out itself
+	startEvent    int     // number of the event that publishes its start
+	appliedPurges []purge // that it knows by itself
 }
 
 type timedWork struct {
@@ -51,7 +51,7 @@
 	work time.Duration
 }
 
-// cachedCopy is a copy of a part that the origin gave out at born.
+// cachedCopy is a copy of a part that the origin served at createdAt.
 type cachedCopy struct {
 	version   string
 	createdAt time.Time
@@ -64,12 +64,12 @@
 	waiters []func(c *cachedCopy, note string)
 }
 
-func (d *Scenario) newCache(flavor, zone, ip string, size float64) *cache {
-	d.lastCacheID++
-	c := &cache{scenario: d, id: fmt.Sprintf("%s-%d", flavor, d.lastCacheID), zone: zone, flavor: flavor, size: size, cell: d.lastCacheID, slowdown: 1,
-		host: d.sim.Host(ip, flavor+"s"), copies: map[string]*cachedCopy{}, fills: map[string]*pendingFill{}, effects: map[string]int{},
+func (s *Scenario) newCache(flavor, zone, ip string, size float64) *cache {
+	s.lastCacheID++
+	c := &cache{scenario: s, id: fmt.Sprintf("%s-%d", flavor, s.lastCacheID), zone: zone, flavor: flavor, size: size, cell: s.lastCacheID, slowdown: 1,
+		host: s.sim.Host(ip, flavor+"s"), stored: map[string]*cachedCopy{}, fills: map[string]*pendingFill{}, effects: map[string]int{},
 		phase: "up"}
-	d.byID[c.id] = c
+	s.byID[c.id] = c
 	c.start(0)
 	return c
 }
@@ -85,29 +85,29 @@
 		UpSince: since}
 }
 
-// start starts the machine, cold where at is above 0.
+// start starts the machine; it is cold if at is above 0.
 func (c *cache) start(at time.Duration) {
 	c.up, c.hung, c.startedAt, c.startEvent = true, false, at, 0
 	c.host.Vanished = false
-	clear(c.copies)
+	clear(c.stored)
 	c.recentWork, c.running, c.filling = nil, 0, 0
 	c.fills = map[string]*pendingFill{}
 	c.host.Serve("10080", func(e *simenv.End) simenv.Handler {
-		k := &cacheConn{cache: c, end: e}
-		e.OnArrived = k.arrived
+		conn := &cacheConn{cache: c, end: e}
+		e.OnArrived = conn.arrived
 		if c.stopsReading {
 			e.Stalled, e.Window = true, 150
 		}
 		for _, g := range c.scenario.gateways {
 			if g.host == e.Peer {
-				k.process = g.current
+				conn.process = g.current
 			}
 		}
-		if k.process != nil {
-			k.process.conns[k] = true
+		if conn.process != nil {
+			conn.process.conns[conn] = true
 		}
-		c.conns = append(c.conns, k)
-		return k
+		c.conns = append(c.conns, conn)
+		return conn
 	})
 }
 
@@ -120,31 +120,31 @@
 	c.host.StopServing("10080")
 	c.host.Vanished = silent
 	conns := slices.Clone(c.conns)
-	if c.scenario.sim.Lockstep { // a gateway hears of the sends on one connection by their ids
+	if c.scenario.sim.Lockstep { // a gateway sees the attempts on one connection end in the order of their ids
 		slices.SortStableFunc(conns, func(a, b *cacheConn) int { return strings.Compare(a.attemptID, b.attemptID) })
 	}
-	if s := c.scenario.hooks.script; s != nil {
+	if script := c.scenario.hooks.script; script != nil {
 		open := 0
-		for _, k := range conns {
-			open += len(k.requests)
+		for _, conn := range conns {
+			open += len(conn.requests)
 		}
-		if open > 1 { // in which order they are told is nobody's promise
-			s.mayDiverge(c.scenario.sim.Now(), "broken together")
+		if open > 1 { // their order is not promised
+			script.mayDiverge(c.scenario.sim.Now(), "broken together")
 		}
 	}
-	for _, k := range conns {
+	for _, conn := range conns {
 		if !silent {
-			k.reset()
+			conn.reset()
 		}
-		if k.deliver != nil {
-			k.detach()
+		if conn.deliver != nil {
+			conn.detach()
 			continue
 		}
-		k.endAtCache(silent)
+		conn.endAtCache(silent)
 	}
 }
 
-// publishPhase publishes the cache's phase after the time that the list lags.
+// publishPhase publishes the cache's phase after a lag.
 func (c *cache) publishPhase(phase string, lag time.Duration) {
 	c.scenario.after(lag, func() {
 		c.phase = phase
@@ -155,10 +155,10 @@
 	})
 }
 
-// capacityShare is how much of its work a cold cache can do.
+// capacityShare is the share of its capacity that a cold cache has.
 func (c *cache) capacityShare(now time.Duration) float64 {
 	from, span := edgeColdShare, edgeWarmup
-	if c.flavor == "parent" {
+	if c.flavor == flavorParent {
 		from, span = parentColdShare, parentWarmup
 	}
 	if c.startedAt == 0 || now >= c.startedAt+span {
@@ -167,16 +167,15 @@
 	return from + (1-from)*float64(now-c.startedAt)/float64(span)
 }
 
-// checkColdLoad counts work that was sent to a cold cache; too much breaks rule 4.
-// Only sends of gateways that were told of the start count: one that vanishes in silence and comes back under its id
-// looks like one that hung, until the list says otherwise.
-func (c *cache) checkColdLoad(l *gatewayProcess, work time.Duration) {
+// checkColdLoad counts work that is sent to a cold cache; too much breaks rule 4. Only attempts of gateways that were
+// notified of the start count: before that, a cache that vanished and came back under its id looks like one that hung.
+func (c *cache) checkColdLoad(p *gatewayProcess, work time.Duration) {
 	now := c.scenario.sim.Now()
-	if c.startEvent == 0 || l == nil || l.notifiedAt(c.startEvent) == 0 && c.startedAt != startedAtBegin {
+	if c.startEvent == 0 || p == nil || p.notifiedAt(c.startEvent) == 0 && c.startedAt != startedAtBegin {
 		return
 	}
 	share := c.capacityShare(now)
-	if share >= 1 || c.flavor == "origin" {
+	if share >= 1 || c.flavor == flavorOrigin {
 		c.recentWork = nil
 		return
 	}
@@ -191,12 +190,12 @@
 	}
 	c.recentWork = kept
 	more := edgeOverloadFactor
-	if c.flavor == "parent" {
+	if c.flavor == flavorParent {
 		more = parentOverloadFactor
 	}
 	most := more * share * c.size * overloadWindow.Seconds()
-	if sum.Seconds() > most && c.scenario.Plan.ColdStart != nil && c.scenario.Plan.ColdStart.StartFrom != "list" {
-		c.scenario.earlyLookups.Overloads++ // it falls over, and comes back cold
+	if sum.Seconds() > most && c.scenario.Plan.ColdStart != nil && c.scenario.Plan.ColdStart.StartFrom != startFromList {
+		c.scenario.earlyLookups.Overloads++ // it fails, and restarts cold
 		c.stop(false)
 		c.scenario.after(overloadRestart, func() {
 			if !c.up {
@@ -211,85 +210,85 @@
 	}
 }
 
-// handle works on a send.
-func (c *cache) handle(q *attemptRequest) {
-	q.receivedAt = c.scenario.sim.Now()
+// handle answers a request.
+func (c *cache) handle(request *attemptRequest) {
+	request.receivedAt = c.scenario.sim.Now()
 	if c.scenario.hooks.script != nil {
-		c.scenario.hooks.script.answerAttempt(c, q)
+		c.scenario.hooks.script.answerAttempt(c, request)
 		return
 	}
 	switch {
 	case c.hung:
 		return
 	case c.failsAll || c.scenario.corruption.failsRequest(c):
-		c.scenario.after(2*time.Millisecond, func() { c.respond(q, "FAULT", "-") })
+		c.scenario.after(2*time.Millisecond, func() { c.respond(request, "FAULT", "-") })
 		return
 	case c.running >= maxQueue:
-		c.respond(q, "SHED", "-")
+		c.respond(request, "SHED", "-")
 		return
 	}
-	if lookupKinds[q.kindIndex].passOn {
-		c.passThrough(q)
+	if request.kindSettings().passesThrough {
+		c.passThrough(request)
 		return
 	}
-	if held := c.copies[q.key()]; held != nil && c.isFresh(held, q) {
+	if held := c.stored[request.key()]; held != nil && c.isFresh(held, request) {
 		c.uses++
-		held.lastUse, held.rank = c.uses, q.rank
+		held.lastUse, held.rank = c.uses, request.rank
 		note := "hit"
-		if k := lookupKinds[q.kindIndex]; k.fresh > 0 && c.scenario.sim.Unix().Sub(held.createdAt) > k.fresh {
+		if k := request.kindSettings(); k.maxAge > 0 && c.scenario.sim.Unix().Sub(held.createdAt) > k.maxAge {
 			note = "stale"
 		}
-		if strings.Contains(q.mode, "r") && note == "stale" && q.source != "" {
-			c.fill(q, func(*cachedCopy, string) {})
+		if strings.Contains(request.mode, "r") && note == "stale" && request.source != "" {
+			c.fill(request, func(*cachedCopy, string) {})
 		}
-		c.serve(q, held, note, 0)
+		c.serve(request, held, note, 0)
 		return
 	}
-	if q.source == "" {
-		c.scenario.after(500*time.Microsecond, func() { c.respond(q, "NONE", "-") })
+	if request.source == "" {
+		c.scenario.after(500*time.Microsecond, func() { c.respond(request, "NONE", "-") })
 		return
 	}
-	if f := c.fills[q.key()]; f != nil && strings.Contains(q.mode, "j") {
+	if f := c.fills[request.key()]; f != nil && strings.Contains(request.mode, "j") {
 		began := c.scenario.sim.Now()
 		f.waiters = append(f.waiters, func(got *cachedCopy, note string) {
 			if note == "filled" || note == "via_origin" {
 				note = "joined"
 			}
-			c.fillEnded(q, got, note, began)
+			c.fillEnded(request, got, note, began)
 		})
 		return
 	}
 	if c.filling >= edgeMaxFills {
-		c.respond(q, "SHED", "note=no_slot")
+		c.respond(request, "SHED", "note=no_slot")
 		return
 	}
 	began := c.scenario.sim.Now()
-	c.fill(q, func(got *cachedCopy, note string) { c.fillEnded(q, got, note, began) })
+	c.fill(request, func(got *cachedCopy, note string) { c.fillEnded(request, got, note, began) })
 }
 
-func (c *cache) fillEnded(q *attemptRequest, got *cachedCopy, note string, began time.Duration) {
+func (c *cache) fillEnded(request *attemptRequest, got *cachedCopy, note string, began time.Duration) {
 	if got == nil {
-		c.respond(q, "FAULT", "note="+note)
+		c.respond(request, "FAULT", "note="+note)
 		return
 	}
-	c.serve(q, got, note, c.scenario.sim.Now()-began)
+	c.serve(request, got, note, c.scenario.sim.Now()-began)
 }
 
-// isFresh tells whether a copy will do.
-func (c *cache) isFresh(held *cachedCopy, q *attemptRequest) bool {
+// isFresh reports whether a copy is fresh enough for a request.
+func (c *cache) isFresh(held *cachedCopy, request *attemptRequest) bool {
 	age := c.scenario.sim.Unix().Sub(held.createdAt)
-	if q.maxAge > 0 {
-		return age <= q.maxAge
+	if request.maxAge > 0 {
+		return age <= request.maxAge
 	}
-	k := lookupKinds[q.kindIndex]
-	return k.fresh == 0 || age <= k.fresh
+	k := request.kindSettings()
+	return k.maxAge == 0 || age <= k.maxAge
 }
 
-// fill gets a copy from the source that the gateway named.
-func (c *cache) fill(q *attemptRequest, done func(*cachedCopy, string)) {
-	d, from := c.scenario, c.scenario.byID[q.source]
+// fill gets a copy from the source that the request names.
+func (c *cache) fill(request *attemptRequest, done func(*cachedCopy, string)) {
+	s, from := c.scenario, c.scenario.byID[request.source]
 	f := &pendingFill{waiters: []func(*cachedCopy, string){done}}
-	key := q.key()
+	key := request.key()
 	if c.fills[key] == nil {
 		c.fills[key] = f
 	}
@@ -308,32 +307,32 @@
 			return
 		}
 		if got != nil {
-			c.store(key, got, q.rank, edgeCapacity)
+			c.store(key, got, request.rank, edgeCapacity)
 		}
 		for _, w := range f.waiters {
 			w(got, note)
 		}
 	}
-	d.after(6*time.Second, func() { end(nil, "src_broke") }) // a source that says nothing
-	if from == nil {                                         // of an old list
-		d.after(3*time.Millisecond, func() { end(nil, "src_refused") })
+	s.after(6*time.Second, func() { end(nil, "src_broke") }) // the source does not answer
+	if from == nil {                                         // the gateway has an old list
+		s.after(3*time.Millisecond, func() { end(nil, "src_refused") })
 		return
 	}
-	from.serveFill(c, q, func(got *cachedCopy, note string) {
+	from.serveFill(c, request, func(got *cachedCopy, note string) {
 		if got == nil {
 			end(nil, note)
 			return
 		}
-		d.after(time.Duration(float64(q.work)*from.slowdown/4), func() { end(got, note) }) // fills run faster than sends to clients
+		s.after(time.Duration(float64(request.work)*from.slowdown/4), func() { end(got, note) }) // fills are faster than answers to gateways
 	})
 }
 
-// serveFill is a source giving a copy to a cache; what is lost gets no call.
-func (c *cache) serveFill(to *cache, q *attemptRequest, done func(*cachedCopy, string)) {
-	d := c.scenario
+// serveFill serves a copy to another cache. If the request or the answer is lost, done is not called.
+func (c *cache) serveFill(to *cache, request *attemptRequest, done func(*cachedCopy, string)) {
+	s := c.scenario
 	if !c.up {
 		if !c.host.Vanished {
-			d.after(3*time.Millisecond, func() { done(nil, "src_broke") })
+			s.after(3*time.Millisecond, func() { done(nil, "src_broke") })
 		}
 		return
 	}
@@ -341,40 +340,40 @@
 		return
 	}
 	if c.failsAll {
-		d.after(3*time.Millisecond, func() { done(nil, "src_refused") })
+		s.after(3*time.Millisecond, func() { done(nil, "src_refused") })
 		return
 	}
-	if c.flavor == "origin" {
-		wait := time.Duration(float64(20*time.Millisecond)*c.slowdown) + time.Duration(d.randN(20))*time.Millisecond
-		d.after(wait, func() {
+	if c.flavor == flavorOrigin {
+		wait := time.Duration(float64(20*time.Millisecond)*c.slowdown) + time.Duration(s.randN(20))*time.Millisecond
+		s.after(wait, func() {
 			if !c.up {
 				done(nil, "origin_failed")
 				return
 			}
-			if lookupKinds[q.kindIndex].passOn {
-				c.effects[q.object]++
-				d.checker.effectRan(q, c.effects[q.object])
+			if request.kindSettings().passesThrough {
+				c.effects[request.object]++
+				s.checker.effectRan(request, c.effects[request.object])
 			}
-			done(d.originCopy(q), "via_origin")
+			done(s.originCopy(request), "via_origin")
 		})
 		return
 	}
-	c.checkColdLoad(q.conn.process, q.work)
-	if held := c.copies[q.key()]; held != nil && c.isFresh(held, q) && !lookupKinds[q.kindIndex].passOn {
+	c.checkColdLoad(request.conn.process, request.work)
+	if held := c.stored[request.key()]; held != nil && c.isFresh(held, request) && !request.kindSettings().passesThrough {
 		c.uses++
 		held.lastUse = c.uses
-		d.after(time.Duration(float64(2*time.Millisecond)*c.slowdown), func() { done(held, "filled") })
+		s.after(time.Duration(float64(2*time.Millisecond)*c.slowdown), func() { done(held, "filled") })
 		return
 	}
 	if c.filling >= parentMaxFills {
-		d.after(time.Millisecond, func() { done(nil, "src_refused") })
+		s.after(time.Millisecond, func() { done(nil, "src_refused") })
 		return
 	}
 	c.filling++
-	d.origin.serveFill(c, q, func(got *cachedCopy, note string) {
+	s.origin.serveFill(c, request, func(got *cachedCopy, note string) {
 		c.filling--
-		if got != nil && !lookupKinds[q.kindIndex].passOn {
-			c.store(q.key(), got, q.rank, parentCapacity)
+		if got != nil && !request.kindSettings().passesThrough {
+			c.store(request.key(), got, request.rank, parentCapacity)
 		}
 		if got == nil && note == "src_broke" {
 			note = "origin_failed"
@@ -383,115 +382,115 @@
 	})
 }
 
-// passThrough runs a lookup that is never kept at the origin; a cache's circle knows the deduplicated ones that ran.
-func (c *cache) passThrough(q *attemptRequest) {
-	if lookupKinds[q.kindIndex].effect == "deduplicated" {
-		if c.scenario.checker.deduplicated[c.zone+q.id] {
-			c.serve(q, c.scenario.originCopy(q), "hit", 0)
+// passThrough runs a lookup that is never cached at the origin; all caches of a zone know the deduplicated ones that ran.
+func (c *cache) passThrough(request *attemptRequest) {
+	if request.kindSettings().effect == effectDeduplicated {
+		if c.scenario.checker.deduplicated[c.zone+request.id] {
+			c.serve(request, c.scenario.originCopy(request), "hit", 0)
 			return
 		}
-		c.scenario.checker.deduplicated[c.zone+q.id] = true
+		c.scenario.checker.deduplicated[c.zone+request.id] = true
 	}
-	from := c.scenario.byID[q.source]
+	from := c.scenario.byID[request.source]
 	if from == nil {
 		from = c.scenario.origin
 	}
 	began := c.scenario.sim.Now()
-	from.serveFill(c, q, func(got *cachedCopy, note string) { c.fillEnded(q, got, note, began) })
+	from.serveFill(c, request, func(got *cachedCopy, note string) { c.fillEnded(request, got, note, began) })
 }
 
-// applyPurge drops what a purge makes old, as every cache does within the time that the settings promise.
+// applyPurge drops the copies that a purge makes stale, as every cache does within the time that the settings promise.
 func (c *cache) applyPurge(p purge) {
 	c.appliedPurges = append(c.appliedPurges, p)
-	for key, got := range c.copies { // each by itself: the order does not matter
-		if p.covers(key) && got.createdAt.Before(p.issued) {
-			delete(c.copies, key)
+	for key, got := range c.stored { // each by itself: the order does not matter
+		if p.coversKey(key) && got.createdAt.Before(p.issued) {
+			delete(c.stored, key)
 		}
 	}
 }
 
-// store keeps a copy; where places are out the lowest rank goes, within it the one used longest ago.
+// store stores a copy; past the capacity it evicts the lowest rank, and within it the least recently used.
 func (c *cache) store(key string, got *cachedCopy, rank, most int) {
 	for _, p := range c.appliedPurges {
-		if p.covers(key) && got.createdAt.Before(p.issued) {
+		if p.coversKey(key) && got.createdAt.Before(p.issued) {
 			return
 		}
 	}
 	c.uses++
 	kept := *got
 	kept.lastUse, kept.rank = c.uses, rank
-	c.copies[key] = &kept
-	if len(c.copies) <= most {
+	c.stored[key] = &kept
+	if len(c.stored) <= most {
 		return
 	}
 	var last *cachedCopy
 	var lastKey string
-	for k, o := range c.copies { // one and only one is least: uses are all different
+	for k, o := range c.stored { // exactly one is least: lastUse is unique
 		if last == nil || o.rank < last.rank || o.rank == last.rank && o.lastUse < last.lastUse {
 			last, lastKey = o, k
 		}
 	}
-	delete(c.copies, lastKey)
+	delete(c.stored, lastKey)
 }
 
-// serve sends a copy to the gateway, in the time that the cache's load makes of it.
-func (c *cache) serve(q *attemptRequest, got *cachedCopy, note string, waited time.Duration) {
-	d := c.scenario
+// serve answers a request with a copy, after a time that depends on the cache's load.
+func (c *cache) serve(request *attemptRequest, got *cachedCopy, note string, waited time.Duration) {
+	s := c.scenario
 	c.running++
-	able := c.size * c.capacityShare(d.sim.Now())
-	took := time.Duration(float64(q.work) * max(1, float64(c.running)/max(0.5, able)/3) * c.slowdown)
+	able := c.size * c.capacityShare(s.sim.Now())
+	took := time.Duration(float64(request.work) * max(1, float64(c.running)/max(0.5, able)/3) * c.slowdown)
 	if note == "joined" || note == "filled" || note == "via_origin" {
 		took /= 4
 	}
-	same := q.etag != "" && q.etag == got.version
+	same := request.etag != "" && request.etag == got.version
 	if same {
 		took /= 20
 	}
-	d.after(took, func() {
+	s.after(took, func() {
 		c.running--
-		if q.ended || !c.up || c.hung || d.sim.Now() > q.receivedAt+q.timeout {
+		if request.ended || !c.up || c.hung || s.sim.Now() > request.receivedAt+request.timeout {
 			return
 		}
 		fields := fmt.Sprintf("note=%s,waited=%.3f,ver=%s,born=%d", note, float64(waited.Microseconds())/1000, got.version,
 			got.createdAt.UnixMilli())
-		if lookupKinds[q.kindIndex].passOn && q.conn.deliver == nil { // what ran at the origin is no copy
+		if request.kindSettings().passesThrough && request.conn.deliver == nil { // the answer of an effect is not a copy
 			fields = fmt.Sprintf("note=%s,waited=%.3f", note, float64(waited.Microseconds())/1000)
 		}
 		if same {
-			d.checker.cacheAnswered(q, got, true)
-			c.respond(q, "VALID", fields)
+			s.checker.cacheAnswered(request, got, true)
+			c.respond(request, "VALID", fields)
 			return
 		}
-		body := got.body(q.key())
-		if d.corruption.corrupt(q, got, fields, body) {
+		body := got.body(request.key())
+		if s.corruption.corrupt(request, got, fields, body) {
 			return
 		}
-		if d.hooks.onAnswer != nil {
-			d.hooks.onAnswer(d, q)
+		if s.hooks.onAnswer != nil {
+			s.hooks.onAnswer(s, request)
 		}
-		d.checker.cacheAnswered(q, got, false)
-		q.ended = true
-		q.conn.send(q, fmt.Sprintf("%s HIT %s %d\r\n%s\r\n", q.id, fields, len(body), body))
+		s.checker.cacheAnswered(request, got, false)
+		request.ended = true
+		request.conn.send(request, fmt.Sprintf("%s HIT %s %d\r\n%s\r\n", request.id, fields, len(body), body))
 	})
 }
 
-// respond answers with a word that brings no bytes.
-func (c *cache) respond(q *attemptRequest, word, fields string) {
-	if q.ended || !c.up || c.hung {
+// respond answers with a status word and no body.
+func (c *cache) respond(request *attemptRequest, word, fields string) {
+	if request.ended || !c.up || c.hung {
 		return
 	}
-	q.ended = true
-	q.conn.send(q, fmt.Sprintf("%s %s %s 0\r\n\r\n", q.id, word, fields))
+	request.ended = true
+	request.conn.send(request, fmt.Sprintf("%s %s %s 0\r\n\r\n", request.id, word, fields))
 }
 
-// body is what a copy consists of: its name, its version, and as many bytes as it is long.
+// body is the bytes of a copy: its key and version, padded to its size.
 func (got *cachedCopy) body(key string) string {
 	head := key + " " + got.version + " " + strconv.FormatInt(got.createdAt.UnixMilli(), 10) + "|"
 	return head + strings.Repeat("x", max(0, got.size-len(head)))
 }
 
-// originCopy is the copy that the origin gives out now.
-func (d *Scenario) originCopy(q *attemptRequest) *cachedCopy {
-	return &cachedCopy{version: fmt.Sprintf("v%d-%s-%d", q.part, q.object, d.checker.version(q.object)),
-		createdAt: d.sim.Unix().Truncate(time.Millisecond), size: partBytes(q.object, q.part)}
+// originCopy is the copy that the origin serves now.
+func (s *Scenario) originCopy(request *attemptRequest) *cachedCopy {
+	return &cachedCopy{version: fmt.Sprintf("v%d-%s-%d", request.part, request.object, s.checker.version(request.object)),
+		createdAt: s.sim.Unix().Truncate(time.Millisecond), size: partBytes(request.object, request.part)}
 }
--- a/internal/lab/scenario/cacheconn.go
+++ b/internal/lab/scenario/cacheconn.go
@@ -1,5 +1,3 @@
-// A gateway's connection to a stand-in cache.
-
 package scenario
 
 import (
@@ -17,181 +15,176 @@
 	process        *gatewayProcess
 	in             []byte
 	requests       map[string]*attemptRequest
-	written        []byte // what the gateway has written and is not yet a whole line
+	written        []byte // written by the gateway and not yet a complete line
 	lineStartedAt  time.Duration
 	sentBytes      int // bytes to the gateway, and how many have arrived
 	arrivedBytes   int
 	pendingAnswers []pendingAnswer
-	attempts       []*attempt // sends that are out on it, as seen on the wire
+	attempts       []*attempt // in flight, as seen on the wire
 	closed         bool
-	torn           bool                                 // an answer broke off on it: it is of no more use
-	deliver        func(q *attemptRequest, text string) // where a proxy's one send waits, without a connection of its own
+	torn           bool                                 // an answer on it was cut off, so nothing more is sent
+	deliver        func(q *attemptRequest, text string) // for the one request of a proxy, which has no simulated connection: takes its answer
 	onReset        func()
-	attemptID      string // of that send
+	attemptID      string // of that request
 }
 
-// reset breaks it.
-func (k *cacheConn) reset() {
-	if k.deliver == nil {
-		k.end.Reset()
+// reset resets the connection.
+func (conn *cacheConn) reset() {
+	if conn.deliver == nil {
+		conn.end.Reset()
 		return
 	}
-	k.cache.scenario.after(k.cache.scenario.callerLatency(), k.onReset)
+	conn.cache.scenario.after(conn.cache.scenario.callerLatency(), conn.onReset)
 }
 
-// detach takes a proxy's send off its cache.
-func (k *cacheConn) detach() {
-	for i, o := range k.cache.conns {
-		if o == k {
-			k.cache.conns = append(k.cache.conns[:i:i], k.cache.conns[i+1:]...)
+// detach removes the connection from its cache's list.
+func (conn *cacheConn) detach() {
+	for i, o := range conn.cache.conns {
+		if o == conn {
+			conn.cache.conns = append(conn.cache.conns[:i:i], conn.cache.conns[i+1:]...)
 			break
 		}
 	}
 }
 
-func (k *cacheConn) Opened() {}
+func (conn *cacheConn) Opened() {}
 
-// endAtCache is the end at the cache's side; where it is silent the gateway cannot know.
-func (k *cacheConn) endAtCache(silent bool) {
-	for i, o := range k.cache.conns {
-		if o == k {
-			k.cache.conns = append(k.cache.conns[:i:i], k.cache.conns[i+1:]...)
-			break
-		}
-	}
-	for _, q := range k.requests {
-		q.ended = true
+// endAtCache ends the connection at the cache's side; if silent, the gateway cannot know.
+func (conn *cacheConn) endAtCache(silent bool) {
+	conn.detach()
+	for _, request := range conn.requests {
+		request.ended = true
 	}
-	k.requests = nil
+	conn.requests = nil
 	if !silent {
-		k.cache.scenario.checker.connectionEnded(k)
+		conn.cache.scenario.checker.connectionEnded(conn)
 	}
-	for _, s := range k.attempts {
-		s.inFlight = false
+	for _, a := range conn.attempts {
+		a.inFlight = false
 	}
 }
 
-func (k *cacheConn) Closed(bool) {
-	k.endAtCache(false)
-	k.end.Close()
-	if k.process != nil {
-		delete(k.process.conns, k)
+func (conn *cacheConn) Closed(bool) {
+	conn.endAtCache(false)
+	conn.end.Close()
+	if conn.process != nil {
+		delete(conn.process.conns, conn)
 	}
 }
 
-// Data is what reaches the cache.
-func (k *cacheConn) Data(b []byte) {
-	k.in = append(k.in, b...)
+// Data takes what reaches the cache.
+func (conn *cacheConn) Data(b []byte) {
+	conn.in = append(conn.in, b...)
 	for {
-		i := bytes.Index(k.in, []byte("\r\n"))
+		i := bytes.Index(conn.in, []byte("\r\n"))
 		if i < 0 {
 			return
 		}
-		line := string(k.in[:i])
+		line := string(conn.in[:i])
 		if id, undo := strings.CutPrefix(line, "undo "); undo {
-			k.in = k.in[i+2:]
-			if q := k.requests[id]; q != nil {
-				q.ended = true
-				delete(k.requests, id)
+			conn.in = conn.in[i+2:]
+			if request := conn.requests[id]; request != nil {
+				request.ended = true
+				delete(conn.requests, id)
 			}
 			continue
 		}
 		n := max(0, requestBodyLength(line))
-		if len(k.in) < i+n+4 {
+		if len(conn.in) < i+n+4 {
 			return
 		}
-		text := string(k.in[i+2 : i+2+n])
-		k.in = k.in[i+n+4:]
-		q, err := parseRequest(line, text)
+		text := string(conn.in[i+2 : i+2+n])
+		conn.in = conn.in[i+n+4:]
+		request, err := parseRequest(line, text)
 		if err != nil {
-			k.cache.scenario.checker.violated("protocol", "%s reads: %v", k.cache.id, err)
-			k.end.Reset()
-			k.endAtCache(false)
+			conn.cache.scenario.checker.violated("protocol", "%s reads: %v", conn.cache.id, err)
+			conn.end.Reset()
+			conn.endAtCache(false)
 			return
 		}
-		q.conn = k
-		q.work = partWork(q.object, q.part)
-		if k.requests == nil {
-			k.requests = map[string]*attemptRequest{}
+		request.conn = conn
+		request.work = partWork(request.object, request.part)
+		if conn.requests == nil {
+			conn.requests = map[string]*attemptRequest{}
 		}
-		k.requests[q.id] = q
-		k.cache.checkColdLoad(k.process, meanWork[q.kindIndex]) // what the rule counts for a send to a cold cache
-		k.cache.handle(q)
-		if k.end.IsClosed() {
+		conn.requests[request.id] = request
+		conn.cache.checkColdLoad(conn.process, meanWork[request.kindIndex]) // as rule 4 counts it
+		conn.cache.handle(request)
+		if conn.end.IsClosed() {
 			return
 		}
 	}
 }
 
-// send writes an answer, or what a fault makes of it.
-func (k *cacheConn) send(q *attemptRequest, text string) {
-	if k.torn {
-		delete(k.requests, q.id)
+// send writes an answer.
+func (conn *cacheConn) send(request *attemptRequest, text string) {
+	if conn.torn {
+		delete(conn.requests, request.id)
 		return
 	}
-	if k.requests[q.id] == q {
-		delete(k.requests, q.id)
+	if conn.requests[request.id] == request {
+		delete(conn.requests, request.id)
 	}
-	if k.deliver != nil {
-		k.deliver(q, text)
+	if conn.deliver != nil {
+		conn.deliver(request, text)
 		return
 	}
-	k.sentBytes += len(text)
-	k.cache.scenario.checker.answerWritten(q, k.sentBytes)
-	k.end.Send([]byte(text))
+	conn.sentBytes += len(text)
+	conn.cache.scenario.checker.answerWritten(request, conn.sentBytes)
+	conn.end.Send([]byte(text))
 }
 
-// pendingAnswer is a send whose answer has reached the gateway once so many bytes have.
+// pendingAnswer is an answer that has reached the gateway once endByte bytes have.
 type pendingAnswer struct {
 	endByte int
 	attempt *attempt
 }
 
-func (k *cacheConn) arrived(b []byte) {
-	k.arrivedBytes += len(b)
-	for len(k.pendingAnswers) > 0 && k.pendingAnswers[0].endByte <= k.arrivedBytes {
-		k.cache.scenario.checker.outcomeArrived(k.pendingAnswers[0].attempt)
-		k.pendingAnswers = k.pendingAnswers[1:]
+func (conn *cacheConn) arrived(b []byte) {
+	conn.arrivedBytes += len(b)
+	for len(conn.pendingAnswers) > 0 && conn.pendingAnswers[0].endByte <= conn.arrivedBytes {
+		conn.cache.scenario.checker.outcomeArrived(conn.pendingAnswers[0].attempt)
+		conn.pendingAnswers = conn.pendingAnswers[1:]
 	}
 }
 
-// Written is what the gateway has just written, on its wire.
-func (k *cacheConn) Written(n int, b []byte) {
+// Written follows what the gateway writes.
+func (conn *cacheConn) Written(n int, b []byte) {
 	if n < 0 {
-		k.closed = true
-		k.cache.scenario.checker.connectionEnded(k)
+		conn.closed = true
+		conn.cache.scenario.checker.connectionEnded(conn)
 		return
 	}
-	if len(k.written) == 0 {
-		k.lineStartedAt = k.cache.scenario.sim.Now()
+	if len(conn.written) == 0 {
+		conn.lineStartedAt = conn.cache.scenario.sim.Now()
 	}
-	k.written = append(k.written, b...)
+	conn.written = append(conn.written, b...)
 	for {
-		i := bytes.Index(k.written, []byte("\r\n"))
+		i := bytes.Index(conn.written, []byte("\r\n"))
 		if i < 0 {
 			return
 		}
-		line := string(k.written[:i])
+		line := string(conn.written[:i])
 		if id, undo := strings.CutPrefix(line, "undo "); undo {
-			k.written = k.written[i+2:]
-			k.cache.scenario.checker.attemptCancelled(k, id)
+			conn.written = conn.written[i+2:]
+			conn.cache.scenario.checker.attemptCancelled(conn, id)
 			continue
 		}
 		n := max(0, requestBodyLength(line))
-		if len(k.written) < i+n+4 {
+		if len(conn.written) < i+n+4 {
 			return
 		}
-		text := string(k.written[i+2 : i+2+n])
-		k.written = k.written[i+n+4:]
-		if q, err := parseRequest(line, text); err == nil {
-			k.cache.scenario.checker.attemptSent(k, q, k.lineStartedAt)
+		text := string(conn.written[i+2 : i+2+n])
+		conn.written = conn.written[i+n+4:]
+		if request, err := parseRequest(line, text); err == nil {
+			conn.cache.scenario.checker.attemptSent(conn, request, conn.lineStartedAt)
 		}
-		k.lineStartedAt = k.cache.scenario.sim.Now()
+		conn.lineStartedAt = conn.cache.scenario.sim.Now()
 	}
 }
 
-// sendStray writes an answer to nothing.
-func (k *cacheConn) sendStray(text string) {
-	k.sentBytes += len(text)
-	k.end.Send([]byte(text))
+// sendStray writes an answer that no request asked for.
+func (conn *cacheConn) sendStray(text string) {
+	conn.sentBytes += len(text)
+	conn.end.Send([]byte(text))
 }
--- a/internal/lab/scenario/cachefaults.go
+++ b/internal/lab/scenario/cachefaults.go
@@ -5,157 +5,177 @@
 	"time"
 )
 
-// successor is a new cache in the place of another, cold.
-func (d *Scenario) successor(c *cache, ip string) *cache {
-	n := d.newCache(c.flavor, c.zone, ip, c.size)
-	n.start(max(1, d.sim.Now()))
-	for i, o := range d.caches {
+// cacheFaultKinds are the faults of caches, parents and the origin.
+func cacheFaultKinds() []FaultKind {
+	return []FaultKind{
+		{"cache_kill", "a cache dies, is told gone later and a new one takes its place", 500, 3000, 3, false, ofUndisturbedCache((*Scenario).cacheKill)},
+		{"cache_back", "a cache dies and comes back cold under its id", 800, 6000, 2, false, ofUndisturbedCache((*Scenario).cacheBack)},
+		{"cache_vanish", "a cache vanishes in silence and comes back cold", 1500, 6000, 2, false, ofUndisturbedCache((*Scenario).cacheVanish)},
+		{"cache_hang", "a cache takes lookups and answers none", 1000, 6000, 2, false, ofUndisturbedCache((*Scenario).cacheHang)},
+		{"cache_drain", "a cache drains, goes and is replaced", 800, 5000, 3, false, ofUndisturbedCache((*Scenario).cacheDrain)},
+		{"cache_replace", "a cache is replaced under a new id at its old address", 300, 3000, 2, false, ofUndisturbedCache((*Scenario).cacheReplace)},
+		{"cache_slow", "a cache is slow", 2000, 8000, 2, false, (*Scenario).cacheSlow},
+		{"cache_errors", "a cache answers everything with an error", 1000, 6000, 2, false, (*Scenario).cacheErrors},
+		{"cold_mass", "half of the caches start cold at once", 1000, 1000, 1, false, (*Scenario).coldMass},
+		{"parent_kill", "a parent dies and comes back cold", 1000, 8000, 2, false, (*Scenario).parentKill},
+		{"parent_slow", "a parent is slow", 2000, 8000, 1, false, (*Scenario).parentSlow},
+		{"parent_hang", "a parent takes fills and gives none", 2000, 6000, 1, false, (*Scenario).parentHang},
+		{"origin_slow", "the origin is slow", 2000, 8000, 2, false, (*Scenario).originSlow},
+		{"origin_gone", "the origin is gone", 500, 4000, 1, false, (*Scenario).originGone},
+	}
+}
+
+// successor starts a new, cold cache in the place of another.
+func (s *Scenario) successor(c *cache, ip string) *cache {
+	n := s.newCache(c.flavor, c.zone, ip, c.size)
+	n.start(max(1, s.sim.Now()))
+	for i, o := range s.caches {
 		if o == c {
-			d.caches[i] = n
+			s.caches[i] = n
 		}
 	}
 	n.publishPhase("up", 0)
 	return n
 }
 
-func (d *Scenario) newIP(c *cache) string {
-	return fmt.Sprintf("10.1.%d.%d", 2+d.lastCacheID/200, 1+d.lastCacheID%200)
+func (s *Scenario) newIP(c *cache) string {
+	return fmt.Sprintf("10.1.%d.%d", 2+s.lastCacheID/200, 1+s.lastCacheID%200)
 }
 
-func (d *Scenario) publishDrain(c *cache, phase string, lag time.Duration) {
-	d.after(lag, func() {
-		if d.checker.drainEvents[c.id] == 0 {
-			d.checker.drainEvents[c.id] = len(d.events) + 1
+func (s *Scenario) publishDrain(c *cache, phase string, lag time.Duration) {
+	s.after(lag, func() {
+		if s.checker.drainEvents[c.id] == 0 {
+			s.checker.drainEvents[c.id] = len(s.events) + 1
 		}
 		c.publishPhase(phase, 0)
 	})
 }
 
-// isUndisturbed tells whether a cache is in its usual state, so that a fault can begin.
+// isUndisturbed reports whether a cache is in its usual state, so that a fault can begin.
 func (c *cache) isUndisturbed() bool { return c.up && c.phase == "up" && !c.hung }
 
-// ofUndisturbedCache makes a fault of a cache that begins only where the one drawn is in its usual state.
+// ofUndisturbedCache makes a fault of a cache that begins only if the target is undisturbed.
 func ofUndisturbedCache(begin func(*Scenario, *cache, Fault)) func(*Scenario, Fault) {
-	return func(d *Scenario, f Fault) {
-		if c := pick(d.caches, f.Target); c.isUndisturbed() {
-			begin(d, c, f)
+	return func(s *Scenario, f Fault) {
+		if c := pick(s.caches, f.Target); c.isUndisturbed() {
+			begin(s, c, f)
 		}
 	}
 }
 
-// restart is a machine that starts again, cold, under its id.
+// restart starts the cache again, cold, under its id.
 func (c *cache) restart() {
 	c.start(c.scenario.sim.Now())
 	c.publishPhase("up", 0)
 }
 
-func (d *Scenario) cacheKill(c *cache, f Fault) {
+func (s *Scenario) cacheKill(c *cache, f Fault) {
 	c.phase = "going"
 	c.stop(false)
-	d.publishDrain(c, "removed", f.duration())
-	d.after(f.duration()+time.Second, func() { d.successor(c, d.newIP(c)) })
+	s.publishDrain(c, "removed", f.duration())
+	s.after(f.duration()+time.Second, func() { s.successor(c, s.newIP(c)) })
 }
 
-func (d *Scenario) cacheBack(c *cache, f Fault) {
+func (s *Scenario) cacheBack(c *cache, f Fault) {
 	c.stop(false)
-	d.after(f.duration(), c.restart)
+	s.after(f.duration(), c.restart)
 }
 
-func (d *Scenario) cacheVanish(c *cache, f Fault) {
+func (s *Scenario) cacheVanish(c *cache, f Fault) {
 	c.stop(true)
-	d.after(f.duration(), c.restart)
+	s.after(f.duration(), c.restart)
 }
 
-func (d *Scenario) cacheHang(c *cache, f Fault) {
+func (s *Scenario) cacheHang(c *cache, f Fault) {
 	c.hung = true
-	d.after(f.duration(), func() { c.hung = false })
+	s.after(f.duration(), func() { c.hung = false })
 }
 
-func (d *Scenario) cacheDrain(c *cache, f Fault) {
+func (s *Scenario) cacheDrain(c *cache, f Fault) {
 	c.phase = "draining"
-	d.publishDrain(c, "draining", 0)
-	d.after(f.duration()+2500*time.Millisecond, func() {
+	s.publishDrain(c, "draining", 0)
+	s.after(f.duration()+2500*time.Millisecond, func() {
 		c.publishPhase("removed", 0)
-		d.after(100*time.Millisecond, func() { c.stop(false) })
-		d.after(400*time.Millisecond, func() { d.successor(c, d.newIP(c)) })
+		s.after(100*time.Millisecond, func() { c.stop(false) })
+		s.after(400*time.Millisecond, func() { s.successor(c, s.newIP(c)) })
 	})
 }
 
-func (d *Scenario) cacheReplace(c *cache, f Fault) {
+func (s *Scenario) cacheReplace(c *cache, f Fault) {
 	c.phase = "going"
-	d.publishDrain(c, "draining", 0)
-	d.after(f.duration(), func() {
+	s.publishDrain(c, "draining", 0)
+	s.after(f.duration(), func() {
 		c.stop(false)
 		c.publishPhase("removed", 0)
-		d.after(200*time.Millisecond, func() { d.successor(c, c.host.IP) })
+		s.after(200*time.Millisecond, func() { s.successor(c, c.host.IP) })
 	})
 }
 
-func (d *Scenario) cacheSlow(f Fault) {
-	c := pick(d.caches, f.Target)
+func (s *Scenario) cacheSlow(f Fault) {
+	c := pick(s.caches, f.Target)
 	c.slowdown = float64(2 + f.Variant%10)
-	d.after(f.duration(), func() { c.slowdown = 1 })
+	s.after(f.duration(), func() { c.slowdown = 1 })
 }
 
-func (d *Scenario) cacheErrors(f Fault) {
-	c := pick(d.caches, f.Target)
+func (s *Scenario) cacheErrors(f Fault) {
+	c := pick(s.caches, f.Target)
 	c.failsAll = true
-	d.after(f.duration(), func() { c.failsAll = false })
+	s.after(f.duration(), func() { c.failsAll = false })
 }
 
-func (d *Scenario) coldMass(f Fault) {
-	for i, c := range append([]*cache(nil), d.caches...) {
+func (s *Scenario) coldMass(f Fault) {
+	for i, c := range append([]*cache(nil), s.caches...) {
 		if i%2 == f.Target%2 && c.isUndisturbed() {
 			c.stop(false)
-			d.after(time.Duration(500+f.Variant%1500)*time.Millisecond, c.restart)
+			s.after(time.Duration(500+f.Variant%1500)*time.Millisecond, c.restart)
 		}
 	}
 }
 
-func (d *Scenario) parentKill(f Fault) {
-	p := pick(d.parents, f.Target)
+func (s *Scenario) parentKill(f Fault) {
+	p := pick(s.parents, f.Target)
 	if !p.up {
 		return
 	}
 	p.stop(false)
-	d.after(f.duration(), p.restart)
+	s.after(f.duration(), p.restart)
 }
 
-func (d *Scenario) parentSlow(f Fault) {
-	p := pick(d.parents, f.Target)
+func (s *Scenario) parentSlow(f Fault) {
+	p := pick(s.parents, f.Target)
 	p.slowdown = float64(5 + f.Variant%60)
-	d.after(f.duration(), func() { p.slowdown = 1 })
+	s.after(f.duration(), func() { p.slowdown = 1 })
 }
 
-func (d *Scenario) parentHang(f Fault) {
-	p := pick(d.parents, f.Target)
+func (s *Scenario) parentHang(f Fault) {
+	p := pick(s.parents, f.Target)
 	p.hung = true
-	d.after(f.duration(), func() { p.hung = false })
+	s.after(f.duration(), func() { p.hung = false })
 }
 
-func (d *Scenario) originSlow(f Fault) {
-	d.origin.slowdown = float64(5 + f.Variant%50)
-	d.after(f.duration(), func() { d.origin.slowdown = 1 })
+func (s *Scenario) originSlow(f Fault) {
+	s.origin.slowdown = float64(5 + f.Variant%50)
+	s.after(f.duration(), func() { s.origin.slowdown = 1 })
 }
 
-func (d *Scenario) originGone(f Fault) {
-	if !d.origin.up {
+func (s *Scenario) originGone(f Fault) {
+	if !s.origin.up {
 		return
 	}
-	d.origin.stop(false)
-	d.after(f.duration(), func() { d.origin.start(0) })
+	s.origin.stop(false)
+	s.after(f.duration(), func() { s.origin.start(0) })
 }
 
-func (d *Scenario) cacheStopsReading(c *cache, f Fault) {
+func (s *Scenario) cacheStopsReading(c *cache, f Fault) {
 	c.stopsReading = true
-	for _, k := range c.conns {
-		k.end.Stalled, k.end.Window = true, 150
+	for _, conn := range c.conns {
+		conn.end.Stalled, conn.end.Window = true, 150
 	}
-	d.after(f.duration(), func() {
+	s.after(f.duration(), func() {
 		c.stopsReading = false
-		for _, k := range append([]*cacheConn(nil), c.conns...) {
-			k.end.Window = 0
-			k.end.Resume()
+		for _, conn := range append([]*cacheConn(nil), c.conns...) {
+			conn.end.Window = 0
+			conn.end.Resume()
 		}
 	})
 }
--- a/internal/lab/scenario/cachesend.go
+++ b/internal/lab/scenario/cachesend.go
@@ -1,15 +1,17 @@
-// A send as it reaches a stand-in cache, read from its line.
-
 package scenario
 
 import (
+	"errors"
 	"fmt"
 	"strconv"
 	"strings"
 	"time"
 )
 
-// attemptRequest is a send as it reached the cache.
+// errRequest is the error of a line from a gateway that is not a request.
+var errRequest = errors.New("invalid request")
+
+// attemptRequest is the request of an attempt as a cache reads it from its line.
 type attemptRequest struct {
 	id, kind, object, source, etag, mode string
 	body                                 string
@@ -22,9 +24,11 @@
 	ended                                bool
 }
 
-func (q *attemptRequest) key() string { return q.object + "/" + strconv.Itoa(q.part) }
+func (request *attemptRequest) key() string { return partKey(request.object, request.part) }
+
+func (request *attemptRequest) kindSettings() *lookupKind { return &lookupKinds[request.kindIndex] }
 
-// requestBodyLength is how many bytes follow the line of a send; -1: it is none.
+// requestBodyLength is the number of bytes that follow the line of a request; -1 if the line is not one.
 func requestBodyLength(line string) int {
 	words := strings.Split(line, " ")
 	if len(words) != 4 || words[0] != "do" {
@@ -37,13 +41,13 @@
 	return int(n)
 }
 
-// parseRequest reads the line of a send, without the line's end, and the bytes that follow it.
-func parseRequest(line, bytes string) (*attemptRequest, error) {
+// parseRequest reads the line of a request, without the line's end, and the bytes that follow it.
+func parseRequest(line, body string) (*attemptRequest, error) {
 	words := strings.Split(line, " ")
 	if requestBodyLength(line) < 0 {
-		return nil, fmt.Errorf("%q is no send", line)
+		return nil, fmt.Errorf("%w: %q is no send", errRequest, line)
 	}
-	q := &attemptRequest{id: words[1], kindIndex: -1, body: bytes}
+	request := &attemptRequest{id: words[1], kindIndex: -1, body: body}
 	for _, f := range strings.Split(words[2], ",") {
 		name, v, _ := strings.Cut(f, "=")
 		n := 0
@@ -53,38 +57,38 @@
 			n, err = strconv.Atoi(v)
 		}
 		if err != nil || n < 0 {
-			return nil, fmt.Errorf("%q in a send cannot be read", f)
+			return nil, fmt.Errorf("%w: %q in a send cannot be read", errRequest, f)
 		}
 		switch name {
 		case "c":
-			q.kind = v
+			request.kind = v
 		case "k":
-			q.object = v
+			request.object = v
 		case "p":
-			q.part = n
+			request.part = n
 		case "w":
-			q.timeout = time.Duration(n) * time.Millisecond
+			request.timeout = time.Duration(n) * time.Millisecond
 		case "from":
-			q.source = v
+			request.source = v
 		case "rank":
-			q.rank = n
+			request.rank = n
 		case "oldest":
-			q.maxAge = time.Duration(n) * time.Millisecond
+			request.maxAge = time.Duration(n) * time.Millisecond
 		case "mode":
-			q.mode = v
+			request.mode = v
 		case "seen":
-			q.etag = v
+			request.etag = v
 		default:
-			return nil, fmt.Errorf("field %q of a send is unknown", name)
+			return nil, fmt.Errorf("%w: field %q of a send is unknown", errRequest, name)
 		}
 	}
 	for i, k := range lookupKinds {
-		if k.name == q.kind {
-			q.kindIndex = i
+		if k.name == request.kind {
+			request.kindIndex = i
 		}
 	}
-	if q.kindIndex < 0 || q.rank > 3 || q.timeout <= 0 || q.object == "" {
-		return nil, fmt.Errorf("%q has fields that cannot be used", line)
+	if request.kindIndex < 0 || request.rank > 3 || request.timeout <= 0 || request.object == "" {
+		return nil, fmt.Errorf("%w: %q has fields that cannot be used", errRequest, line)
 	}
-	return q, nil
+	return request, nil
 }
--- a/internal/lab/scenario/caller.go
+++ b/internal/lab/scenario/caller.go
@@ -23,284 +23,278 @@
 	malformedCount                                                                                                   uint64
 }
 
-// callerStream is one lookup at a proxy.
+// callerStream is one lookup at a proxy, and its stream to the gateway.
 type callerStream struct {
 	caller        *extprocCaller
 	generation    int
 	lookup        *lookup
 	end           *simenv.End
-	written       []byte // written by the gateway and not a whole message
+	written       []byte // written by the gateway and not yet a complete message
 	received      []byte
-	messageEnds   []int // bytes to be arrived at the gateway, for each message
+	messageEnds   []int // for each message, the bytes that will have arrived at the gateway with its last
 	phases        []int
 	sentBytes     int
 	arrivedBytes  int
-	owedSince     time.Duration // since when a reply is owed; -1: none
-	decidedAt     time.Duration // when the decision that goes ahead was written
+	owedSince     time.Duration // since when the gateway owes a reply; -1: it owes none
+	decidedAt     time.Duration // when the gateway wrote the decision to send
 	finals        int
 	ended         bool
-	duplicate     bool // asked a second time by a caller that should not
+	duplicate     bool // a second lookup under the same id, which callers must not make
 	conn          *cacheConn
 	attempt       *attempt
 	request       *attemptRequest
 	notModified   bool
-	brokeContract bool // its caller did what the contract does not allow: no answer is owed by it
+	brokeContract bool // its caller broke the contract, so that no answer is owed
 	retriedLate   bool // it asked again long after the answer to do so
 }
 
-func newExtprocCaller(d *Scenario, g *gatewayActor, no int) *extprocCaller {
-	return &extprocCaller{scenario: d, gateway: g, host: d.sim.Host(fmt.Sprintf("10.0.%d.%d", 100+no, g.index+1), "gateways"), streams: map[*callerStream]bool{}}
+func newExtprocCaller(s *Scenario, g *gatewayActor, no int) *extprocCaller {
+	return &extprocCaller{scenario: s, gateway: g, host: s.sim.Host(fmt.Sprintf("10.0.%d.%d", 100+no, g.index+1), groupGateways), streams: map[*callerStream]bool{}}
 }
 
-func (p *extprocCaller) oneIn(in int) bool { return in > 0 && p.scenario.randN(in) == 0 }
+func (caller *extprocCaller) oneIn(in int) bool { return in > 0 && caller.scenario.randN(in) == 0 }
 
-// sendLookup brings a lookup of a client to the gateway's door.
-func (p *extprocCaller) sendLookup(a *lookup) {
-	if a.conn == nil {
-		a.conn = &clientConn{clients: p.scenario.clients, gateway: p.gateway, process: a.process}
-	}
-	x := &callerStream{caller: p, lookup: a, generation: p.generation, owedSince: -1}
-	p.openStream(x)
-	if p.oneIn(p.duplicateOneIn) {
-		p.scenario.after(time.Duration(p.scenario.randN(300))*time.Millisecond, func() {
-			p.openStream(&callerStream{caller: p, lookup: a, generation: p.generation, owedSince: -1, duplicate: true})
+// sendLookup asks the gateway's external processor about a lookup of a client.
+func (caller *extprocCaller) sendLookup(l *lookup) {
+	if l.conn == nil {
+		l.conn = &clientConn{clients: caller.scenario.clients, gateway: caller.gateway, process: l.process}
+	}
+	stream := &callerStream{caller: caller, lookup: l, generation: caller.generation, owedSince: -1}
+	caller.openStream(stream)
+	if caller.oneIn(caller.duplicateOneIn) {
+		caller.scenario.after(time.Duration(caller.scenario.randN(300))*time.Millisecond, func() {
+			caller.openStream(&callerStream{caller: caller, lookup: l, generation: caller.generation, owedSince: -1, duplicate: true})
 		})
 	}
 }
 
-func (p *extprocCaller) openStream(x *callerStream) {
-	if x.generation != p.generation || x.lookup.process != p.gateway.current {
-		x.fail("gateway gone")
+func (caller *extprocCaller) openStream(stream *callerStream) {
+	if stream.generation != caller.generation || stream.lookup.process != caller.gateway.current {
+		stream.fail(outcomeGatewayGone)
 		return
 	}
-	p.streams[x] = true
-	x.end = p.host.Connect(p.gateway.ip+":"+extprocPort, x)
-	e := x.end
-	p.scenario.after(2*time.Second, func() {
-		if e == x.end && !e.IsAccepted() && !x.ended {
-			x.fail("no connection")
+	caller.streams[stream] = true
+	stream.end = caller.host.Connect(caller.gateway.ip+":"+extprocPort, stream)
+	e := stream.end
+	caller.scenario.after(2*time.Second, func() {
+		if e == stream.end && !e.IsAccepted() && !stream.ended {
+			stream.fail("no connection")
 		}
 	})
 }
 
-func (x *callerStream) Opened() {
-	if x.lookup.process != x.caller.gateway.current || x.ended {
-		x.fail("gateway gone")
+func (stream *callerStream) Opened() {
+	if stream.lookup.process != stream.caller.gateway.current || stream.ended {
+		stream.fail(outcomeGatewayGone)
 		return
 	}
-	x.lookup.conn.end = x.end
-	x.end.OnArrived = x.messageArrived
-	d, a := x.caller.scenario, x.lookup
+	stream.lookup.conn.end = stream.end
+	stream.end.OnArrived = stream.messageArrived
+	s, l := stream.caller.scenario, stream.lookup
 	head := func(id string) string {
 		text := fmt.Sprintf(":method: GET\n:path: /call/%s/%s/part-%d\nx-job-id: %s\nx-allow-ms: %g\nx-group: %d\nx-ram-kb: %g\n",
-			lookupKinds[a.kind].name, a.object, a.part, id, float64(max(0, a.deadline-x.elapsed())/time.Microsecond)/1000, a.group, partKB(a.object, a.part))
-		if a.etag != "" {
-			text += "x-tag: \"" + a.etag + "\"\n"
+			lookupKinds[l.kind].name, l.object, l.part, id, float64(max(0, l.deadline-stream.elapsed())/time.Microsecond)/1000, l.group, partKB(l.object, l.part))
+		if l.etag != "" {
+			text += "x-tag: \"" + l.etag + "\"\n"
 		}
 		return text
 	}
-	if x.caller.oneIn(x.caller.malformedOneIn) { // what no caller should
-		x.caller.malformedCount++
+	if stream.caller.oneIn(stream.caller.malformedOneIn) { // what no caller may send
+		stream.caller.malformedCount++
 		odd := []string{"P4\n:status: 200\n\n", "P2\n\n", "P77\n\n", "garbage\n\n", "P1\nx: " + strings.Repeat("y", 70000) + "\n\n"}
-		x.brokeContract = true
-		x.end.Send([]byte(odd[d.randN(len(odd))]))
-		if d.randN(2) == 0 {
-			x.send(1, head(a.id))
-			x.send(1, head(a.id))
+		stream.brokeContract = true
+		stream.end.Send([]byte(odd[s.randN(len(odd))]))
+		if s.randN(2) == 0 {
+			stream.send(1, head(l.id))
+			stream.send(1, head(l.id))
 		}
-		d.after(time.Second, func() { x.fail("caller broke off") })
+		s.after(time.Second, func() { stream.fail("caller broke off") })
 		return
 	}
-	x.end.Stalled = x.caller.oneIn(x.caller.stallOneIn)
-	x.send(1, head(a.id))
-	if x.caller.oneIn(x.caller.cancelOneIn) {
-		d.after(time.Duration(d.randN(600))*time.Millisecond, func() { x.fail("client left") })
+	stream.end.Stalled = stream.caller.oneIn(stream.caller.stallOneIn)
+	stream.send(1, head(l.id))
+	if stream.caller.oneIn(stream.caller.cancelOneIn) {
+		s.after(time.Duration(s.randN(600))*time.Millisecond, func() { stream.fail("client left") })
 	}
 }
 
 // elapsed is how long the lookup has been at the gateway.
-func (x *callerStream) elapsed() time.Duration {
-	if x.lookup.receivedAt == 0 {
+func (stream *callerStream) elapsed() time.Duration {
+	if stream.lookup.receivedAt == 0 {
 		return 0
 	}
-	return x.caller.scenario.sim.Now() - x.lookup.receivedAt
+	return stream.caller.scenario.sim.Now() - stream.lookup.receivedAt
 }
 
 // send sends a message.
-func (x *callerStream) send(phase int, fields string) {
+func (stream *callerStream) send(phase int, fields string) {
 	text := fmt.Sprintf("P%d\n%s\n", phase, fields)
-	x.sentBytes += len(text)
-	x.messageEnds, x.phases = append(x.messageEnds, x.sentBytes), append(x.phases, phase)
-	x.end.Send([]byte(text))
+	stream.sentBytes += len(text)
+	stream.messageEnds, stream.phases = append(stream.messageEnds, stream.sentBytes), append(stream.phases, phase)
+	stream.end.Send([]byte(text))
 }
 
-// messageArrived is bytes at the gateway; a message that is whole there is owed a reply in time.
-func (x *callerStream) messageArrived(b []byte) {
-	d, a := x.caller.scenario, x.lookup
-	x.arrivedBytes += len(b)
-	for len(x.messageEnds) > 0 && x.messageEnds[0] <= x.arrivedBytes {
-		phase := x.phases[0]
-		x.messageEnds, x.phases = x.messageEnds[1:], x.phases[1:]
-		if a.receivedAt == 0 {
-			a.receivedAt = d.sim.Now()
-			d.sim.Note(simenv.StepReceived, a.id, "", 0)
+// messageArrived is called with bytes that reach the gateway; a complete message is owed a reply in time.
+func (stream *callerStream) messageArrived(b []byte) {
+	s, l := stream.caller.scenario, stream.lookup
+	stream.arrivedBytes += len(b)
+	for len(stream.messageEnds) > 0 && stream.messageEnds[0] <= stream.arrivedBytes {
+		phase := stream.phases[0]
+		stream.messageEnds, stream.phases = stream.messageEnds[1:], stream.phases[1:]
+		if l.receivedAt == 0 {
+			l.receivedAt = s.sim.Now()
+			s.sim.Note(simenv.StepReceived, l.id, "", 0)
 		}
-		if phase == 4 && x.attempt != nil {
-			d.checker.attemptEnded(x.attempt)
-			x.conn.endAtCache(false)
+		if phase == 4 && stream.attempt != nil {
+			s.checker.attemptEnded(stream.attempt)
+			stream.conn.endAtCache(false)
 		}
-		x.owedSince = d.sim.Now()
-		since := x.owedSince
-		d.after(max(0, a.receivedAt+a.deadline-d.sim.Now())+socketSlack+time.Millisecond, func() {
-			if x.owedSince == since && !x.ended && !a.process.ended && !x.brokeContract && !x.end.Stalled && x.end.IsAccepted() &&
-				!(a.process.terminatedAt > 0 && since > a.process.terminatedAt+700*time.Millisecond) {
-				d.checker.violated("rule 1", "%s owes a caller the answer to %s (%s), phase %d, for %v of %v", a.process.process.Name, a.id, lookupKinds[a.kind].name, phase,
-					d.sim.Now()-since, a.deadline)
+		stream.owedSince = s.sim.Now()
+		since := stream.owedSince
+		s.after(max(0, l.receivedAt+l.deadline-s.sim.Now())+socketSlack+time.Millisecond, func() {
+			if stream.owedSince == since && !stream.ended && !l.process.ended && !stream.brokeContract && !stream.end.Stalled && stream.end.IsAccepted() &&
+				!(l.process.terminatedAt > 0 && since > l.process.terminatedAt+700*time.Millisecond) {
+				s.checker.violated("rule 1", "%s owes a caller the answer to %s (%s), phase %d, for %v of %v", l.process.process.Name, l.id, lookupKinds[l.kind].name, phase,
+					s.sim.Now()-since, l.deadline)
 			}
 		})
 	}
 }
 
-// Written is what the gateway writes, on its wire: one reply to a message, and nothing after the final one.
-func (x *callerStream) Written(n int, b []byte) {
-	if n < 0 || x.ended {
+// Written checks what the gateway writes: one reply to a message, and nothing after the final one.
+func (stream *callerStream) Written(n int, b []byte) {
+	if n < 0 || stream.ended {
 		return
 	}
-	d := x.caller.scenario
-	x.written = splitMessages(append(x.written, b...), func(first string, fields map[string]string) {
-		if x.brokeContract {
+	s := stream.caller.scenario
+	stream.written = splitMessages(append(stream.written, b...), func(first string, fields map[string]string) {
+		if stream.brokeContract {
 			return
 		}
 		if strings.HasPrefix(first, "E") {
-			return // the stream ends, and tells why
+			return // the stream ends with a reason
 		}
-		if x.owedSince < 0 || x.finals > 0 {
-			d.checker.violated("rule 1", "%s tells %q on the stream of %s, which nothing is owed for", x.lookup.process.process.Name, first, x.lookup.id)
+		if stream.owedSince < 0 || stream.finals > 0 {
+			s.checker.violated("rule 1", "%s tells %q on the stream of %s, which nothing is owed for", stream.lookup.process.process.Name, first, stream.lookup.id)
 			return
 		}
-		x.owedSince = -1
+		stream.owedSince = -1
 		if first == "C1" {
-			x.decidedAt = d.sim.Now()
+			stream.decidedAt = s.sim.Now()
 			return
 		}
-		x.finals++
-		if first == "C4" && x.attempt != nil && len(x.attempt.answers) > 0 {
-			d.checker.checkForwardedAnswer(x.lookup, x.attempt.answers[len(x.attempt.answers)-1])
+		stream.finals++
+		if first == "C4" && stream.attempt != nil && len(stream.attempt.answers) > 0 {
+			s.checker.checkForwardedAnswer(stream.lookup, stream.attempt.answers[len(stream.attempt.answers)-1])
 		}
 		if strings.HasPrefix(first, "F") {
 			wait, _ := strconv.Atoi(fields["x-wait-ms"])
-			x.checkFinal(first[1:], fields["x-foldslip-again"] == "1", time.Duration(wait)*time.Millisecond)
+			stream.checkFinal(first[1:], fields["x-foldslip-again"] == "1", time.Duration(wait)*time.Millisecond)
 		}
 	})
 }
 
 // checkFinal checks a final answer as the gateway writes it.
-func (x *callerStream) checkFinal(status string, again bool, wait time.Duration) {
-	d, a := x.caller.scenario, x.lookup
-	if again || x.duplicate || x.retriedLate || a.ended {
+func (stream *callerStream) checkFinal(status string, again bool, wait time.Duration) {
+	s, l := stream.caller.scenario, stream.lookup
+	if again || stream.duplicate || stream.retriedLate || l.ended {
 		return
 	}
-	now := d.sim.Now()
+	now := s.sim.Now()
 	code, _ := strconv.Atoi(status)
-	k := lookupKinds[a.kind]
-	budget := min(k.aim+time.Duration(k.stretch*float64(partWork(a.object, a.part))), k.deadline)
-	idle := now - max(a.lastInFlight, a.receivedAt)
-	out := false
-	for _, s := range a.attempts {
-		out = out || s.awaited
-	}
+	lastBusy := max(l.lastInFlight, l.receivedAt)
 	switch code {
 	case 502, 503, 409:
-		if !out && idle > 400*time.Millisecond && now-a.receivedAt > budget+300*time.Millisecond && now-a.receivedAt > a.deadline/2 {
-			d.checker.violated("held back", "%s was answered %d after %v of %v at the door, with nothing out for it for %v", a.id, code, now-a.receivedAt,
-				a.deadline, idle)
+		if l.isHeldBack(now, lastBusy) {
+			s.checker.violated(ruleHeldBack, "%s was answered %d after %v of %v at the door, with nothing out for it for %v", l.id, code, now-l.receivedAt,
+				l.deadline, now-lastBusy)
 		}
-		if code == 503 && wait <= 0 && len(a.attempts) > 0 {
-			d.checker.violated("held back", "%s was nacked at the door without a time to come back", a.id)
+		if code == 503 && wait <= 0 && len(l.attempts) > 0 {
+			s.checker.violated("held back", "%s was nacked at the door without a time to come back", l.id)
 		}
 	default:
-		d.checker.violated("rule 1", "%s was answered with status %d at the door", a.id, code)
+		s.checker.violated("rule 1", "%s was answered with status %d at the door", l.id, code)
 	}
 }
 
-// Data is what reaches the proxy.
-func (x *callerStream) Data(b []byte) {
-	x.received = splitMessages(append(x.received, b...), func(first string, fields map[string]string) {
-		if x.ended {
+// Data takes what reaches the proxy.
+func (stream *callerStream) Data(b []byte) {
+	stream.received = splitMessages(append(stream.received, b...), func(first string, fields map[string]string) {
+		if stream.ended {
 			return
 		}
 		switch {
 		case first == "C1":
-			x.decisionReceived(fields)
+			stream.decisionReceived(fields)
 		case first == "C4":
-			x.answerAccepted()
+			stream.answerAccepted()
 		case first[0] == 'F' && fields["x-foldslip-again"] == "1":
-			x.retry()
+			stream.retry()
 		case first[0] == 'F':
 			status, _ := strconv.Atoi(first[1:])
 			wait, _ := strconv.Atoi(fields["x-wait-ms"])
-			x.lookup.clientGone = x.lookup.clientGone || status == 409 // it goes on, or has ended, on another stream of a caller that asks twice
-			x.close(first[1:])
-			if x.lookup.onAnswer != nil && !x.duplicate {
-				x.lookup.onAnswer(status, time.Duration(wait)*time.Millisecond)
+			stream.lookup.clientGone = stream.lookup.clientGone || status == 409 // it goes on, or has ended, on another stream of a caller that asks twice
+			stream.close(first[1:])
+			if stream.lookup.onAnswer != nil && !stream.duplicate {
+				stream.lookup.onAnswer(status, time.Duration(wait)*time.Millisecond)
 			}
 		default:
-			x.fail("stream ended")
+			stream.fail("stream ended")
 		}
 	})
 }
 
-// decisionReceived is a decision: the send goes to its cache at once.
-func (x *callerStream) decisionReceived(f map[string]string) {
-	d, a := x.caller.scenario, x.lookup
+// decisionReceived makes the attempt that the gateway decided, at once.
+func (stream *callerStream) decisionReceived(f map[string]string) {
+	s, l := stream.caller.scenario, stream.lookup
 	part := func(name string) int { n, _ := strconv.ParseFloat(f["x-foldslip-"+name], 64); return int(n) }
 	ms, _ := strconv.ParseFloat(f["x-foldslip-wait-ms"], 64)
 	wait := time.Duration(ms*1000) * time.Microsecond
-	q := &attemptRequest{id: a.id, kind: lookupKinds[a.kind].name, kindIndex: a.kind, object: a.object, part: a.part, source: f["x-foldslip-source"],
+	request := &attemptRequest{id: l.id, kind: lookupKinds[l.kind].name, kindIndex: l.kind, object: l.object, part: l.part, source: f["x-foldslip-source"],
 		rank: part("rank"), maxAge: time.Duration(part("oldest-ms")) * time.Millisecond, mode: f["x-foldslip-mode"],
-		timeout: wait, etag: a.etag, work: partWork(a.object, a.part)}
-	c := d.byID[f["x-foldslip-cache"]]
+		timeout: wait, etag: l.etag, work: partWork(l.object, l.part)}
+	c := s.byID[f["x-foldslip-cache"]]
 	if c == nil || c.addr() != f["x-foldslip-addr"] {
-		d.checker.violated("protocol", "%s names cache %q at %q", a.process.process.Name, f["x-foldslip-cache"], f["x-foldslip-addr"])
+		s.checker.violated("protocol", "%s names cache %q at %q", l.process.process.Name, f["x-foldslip-cache"], f["x-foldslip-addr"])
 		return
 	}
-	x.conn = &cacheConn{cache: c, process: a.process, attemptID: a.id, deliver: x.cacheAnswered, onReset: func() { x.report("reset", nil, nil) }, requests: map[string]*attemptRequest{a.id: q}}
-	q.conn, x.request = x.conn, q
-	began := len(a.attempts)
-	d.checker.attemptSent(x.conn, q, x.decidedAt)
-	if len(a.attempts) == began {
-		return // a rule is broken, or its gateway is gone
+	stream.conn = &cacheConn{cache: c, process: l.process, attemptID: l.id, deliver: stream.cacheAnswered, onReset: func() { stream.report("reset", nil, nil) }, requests: map[string]*attemptRequest{l.id: request}}
+	request.conn, stream.request = stream.conn, request
+	began := len(l.attempts)
+	s.checker.attemptSent(stream.conn, request, stream.decidedAt)
+	if len(l.attempts) == began {
+		return // a rule is broken or the gateway has gone
 	}
-	x.attempt = a.attempts[began]
-	lag := d.callerLatency()
-	if x.caller.oneIn(x.caller.delayOneIn) {
-		lag = time.Duration(d.randN(1500)) * time.Millisecond
+	stream.attempt = l.attempts[began]
+	lag := s.callerLatency()
+	if stream.caller.oneIn(stream.caller.delayOneIn) {
+		lag = time.Duration(s.randN(1500)) * time.Millisecond
 	}
-	d.after(lag, func() {
-		if x.attempt == nil || !x.attempt.inFlight {
+	s.after(lag, func() {
+		if stream.attempt == nil || !stream.attempt.inFlight {
 			return
 		}
 		switch {
-		case !d.sim.IsSplit("gateways", c.flavor+"s") && !c.host.Vanished && !c.up:
-			x.report("unconnected", nil, nil)
+		case !s.sim.IsSplit(groupGateways, c.flavor+"s") && !c.host.Vanished && !c.up:
+			stream.report("unconnected", nil, nil)
 			return
-		case d.sim.IsSplit("gateways", c.flavor+"s") || c.host.Vanished:
+		case s.sim.IsSplit(groupGateways, c.flavor+"s") || c.host.Vanished:
 		default:
-			c.conns = append(c.conns, x.conn)
-			c.checkColdLoad(a.process, meanWork[a.kind])
-			c.handle(q)
+			c.conns = append(c.conns, stream.conn)
+			c.checkColdLoad(l.process, meanWork[l.kind])
+			c.handle(request)
 		}
 	})
-	d.after(q.timeout, func() {
-		if x.request == q && x.attempt != nil && x.attempt.inFlight {
-			x.report("timeout", nil, nil)
+	s.after(request.timeout, func() {
+		if stream.request == request && stream.attempt != nil && stream.attempt.inFlight {
+			stream.report("timeout", nil, nil)
 		}
 	})
 }
 
-// cacheAnswered is what the cache says to the send.
-func (x *callerStream) cacheAnswered(q *attemptRequest, text string) {
-	if x.request != q || x.attempt == nil || !x.attempt.inFlight {
+// cacheAnswered takes the answer of the cache to the attempt.
+func (stream *callerStream) cacheAnswered(request *attemptRequest, text string) {
+	if stream.request != request || stream.attempt == nil || !stream.attempt.inFlight {
 		return
 	}
 	head, body, _ := strings.Cut(text, "\r\n")
@@ -310,33 +304,33 @@
 		k, v, _ := strings.Cut(f, "=")
 		fields[k] = v
 	}
-	x.caller.scenario.after(x.caller.scenario.callerLatency(), func() {
-		if x.request == q && x.attempt != nil && x.attempt.inFlight {
+	stream.caller.scenario.after(stream.caller.scenario.callerLatency(), func() {
+		if stream.request == request && stream.attempt != nil && stream.attempt.inFlight {
 			word := map[string]string{"HIT": "hit", "VALID": "valid", "NONE": "none", "SHED": "shed", "FAULT": "fault"}[words[1]]
-			x.notModified = word == "valid"
+			stream.notModified = word == "valid"
 			_ = body
-			x.report(word, fields, q)
+			stream.report(word, fields, request)
 		}
 	})
 }
 
-// report tells the gateway how the send ended.
-func (x *callerStream) report(word string, f map[string]string, _ *attemptRequest) {
-	p, d := x.caller, x.caller.scenario
-	if x.request == nil || x.ended {
+// report sends the outcome of the attempt to the gateway.
+func (stream *callerStream) report(word string, f map[string]string, _ *attemptRequest) {
+	caller, s := stream.caller, stream.caller.scenario
+	if stream.request == nil || stream.ended {
 		return
 	}
-	x.request.ended = true
-	x.attempt.inFlight = false
-	x.conn.detach()
-	if p.oneIn(p.silentOneIn) {
-		x.brokeContract = true
-		d.after(6*time.Second, func() { x.fail("caller says nothing") })
+	stream.request.ended = true
+	stream.attempt.inFlight = false
+	stream.conn.detach()
+	if caller.oneIn(caller.silentOneIn) {
+		stream.brokeContract = true
+		s.after(6*time.Second, func() { stream.fail("caller says nothing") })
 		return
 	}
-	if p.oneIn(p.misreportOneIn) && lookupKinds[x.lookup.kind].effect == "idempotent" {
-		x.brokeContract = true
-		word = []string{"hit", "fault", "reset", "shed", "nonsense", "late"}[d.randN(6)]
+	if caller.oneIn(caller.misreportOneIn) && lookupKinds[stream.lookup.kind].effect == "idempotent" {
+		stream.brokeContract = true
+		word = []string{"hit", "fault", "reset", "shed", "nonsense", "late"}[s.randN(6)]
 	}
 	text := ":status: 200\nx-foldslip-end: " + word + "\n"
 	for _, k := range [][2]string{{"note", "note"}, {"waited", "waited-ms"}, {"ver", "ver"}, {"born", "born"}} {
@@ -344,107 +338,107 @@
 			text += "x-foldslip-" + k[1] + ": " + v + "\n"
 		}
 	}
-	x.send(4, text)
+	stream.send(4, text)
 }
 
-// answerAccepted passes the answer on.
-func (x *callerStream) answerAccepted() {
-	a := x.lookup
-	if x.attempt == nil || x.duplicate || x.brokeContract {
-		x.close("odd")
+// answerAccepted forwards the answer to the client.
+func (stream *callerStream) answerAccepted() {
+	l := stream.lookup
+	if stream.attempt == nil || stream.duplicate || stream.brokeContract {
+		stream.close("odd")
 		return
 	}
-	if n := len(x.attempt.answers); n > 0 {
-		got := x.attempt.answers[n-1]
-		status, body := 200, got.body(a.object+"/"+strconv.Itoa(a.part))
-		if x.notModified {
+	if n := len(stream.attempt.answers); n > 0 {
+		got := stream.attempt.answers[n-1]
+		status := 200
+		if stream.notModified {
 			status = 304
 		}
-		x.caller.scenario.checker.checkSatisfied(a, status, body, got.version)
-		if len(x.caller.scenario.clients.etags) < 4096 {
-			x.caller.scenario.clients.etags[a.object+"/"+strconv.Itoa(a.part)] = got.version
+		stream.caller.scenario.checker.checkSatisfied(l, clientAnswer{status: status, etag: got.version, body: got.body(l.key())})
+		if len(stream.caller.scenario.clients.etags) < 4096 {
+			stream.caller.scenario.clients.etags[l.key()] = got.version
 		}
-		x.close(strconv.Itoa(status))
+		stream.close(strconv.Itoa(status))
 		return
 	}
-	x.caller.scenario.checker.violated("rule 1", "%s accepts an answer to %s that no cache made", a.process.process.Name, a.id)
+	stream.caller.scenario.checker.violated("rule 1", "%s accepts an answer to %s that no cache made", l.process.process.Name, l.id)
 }
 
-// retry asks once more under the same id, on a stream of its own.
-func (x *callerStream) retry() {
-	next := &callerStream{caller: x.caller, lookup: x.lookup, generation: x.generation, owedSince: -1, duplicate: x.duplicate}
-	x.finish()
-	wait := time.Duration(x.caller.scenario.randN(3)) * x.caller.scenario.callerLatency()
-	if x.caller.oneIn(x.caller.lateRetryOneIn) {
-		wait = time.Duration(x.caller.scenario.randN(800)) * time.Millisecond
+// retry sends the lookup again under the same id on a new stream.
+func (stream *callerStream) retry() {
+	next := &callerStream{caller: stream.caller, lookup: stream.lookup, generation: stream.generation, owedSince: -1, duplicate: stream.duplicate}
+	stream.finish()
+	wait := time.Duration(stream.caller.scenario.randN(3)) * stream.caller.scenario.callerLatency()
+	if stream.caller.oneIn(stream.caller.lateRetryOneIn) {
+		wait = time.Duration(stream.caller.scenario.randN(800)) * time.Millisecond
 		next.retriedLate = wait > 50*time.Millisecond
 	}
-	x.caller.scenario.after(wait, func() { x.caller.openStream(next) })
+	stream.caller.scenario.after(wait, func() { stream.caller.openStream(next) })
 }
 
-// finish ends the stream at this side; what it had is over.
-func (x *callerStream) finish() {
-	x.ended = true
-	delete(x.caller.streams, x)
-	if x.end != nil {
-		x.end.Close()
+// finish ends the stream and its attempt at this side.
+func (stream *callerStream) finish() {
+	stream.ended = true
+	delete(stream.caller.streams, stream)
+	if stream.end != nil {
+		stream.end.Close()
 	}
 }
 
-func (x *callerStream) close(why string) {
-	x.finish()
-	if !x.duplicate {
-		x.lookup.conn.answeredAt = x.caller.scenario.sim.Now()
-		x.caller.scenario.checker.lookupEnded(x.lookup, why)
+func (stream *callerStream) close(why string) {
+	stream.finish()
+	if !stream.duplicate {
+		stream.lookup.conn.answeredAt = stream.caller.scenario.sim.Now()
+		stream.caller.scenario.checker.lookupEnded(stream.lookup, why)
 	}
 }
 
-// fail breaks the stream off.
-func (x *callerStream) fail(why string) {
-	if x.ended {
+// fail resets the stream and ends its lookup.
+func (stream *callerStream) fail(why string) {
+	if stream.ended {
 		return
 	}
-	x.ended = true
-	delete(x.caller.streams, x)
-	if x.end != nil {
-		x.end.Reset()
+	stream.ended = true
+	delete(stream.caller.streams, stream)
+	if stream.end != nil {
+		stream.end.Reset()
 	}
-	if x.request != nil {
-		x.request.ended = true
+	if stream.request != nil {
+		stream.request.ended = true
 	}
-	if x.attempt != nil {
-		x.caller.scenario.checker.attemptEnded(x.attempt)
-		x.conn.detach()
+	if stream.attempt != nil {
+		stream.caller.scenario.checker.attemptEnded(stream.attempt)
+		stream.conn.detach()
 	}
-	if !x.duplicate {
-		x.lookup.clientGone = true
-		x.caller.scenario.checker.lookupEnded(x.lookup, why)
+	if !stream.duplicate {
+		stream.lookup.clientGone = true
+		stream.caller.scenario.checker.lookupEnded(stream.lookup, why)
 	}
 }
 
-func (x *callerStream) Closed(bool) {
-	if !x.ended {
-		x.fail("stream ended")
+func (stream *callerStream) Closed(bool) {
+	if !stream.ended {
+		stream.fail("stream ended")
 	}
 }
 
-// restart is a caller that dies and comes back: its streams break off, and it knows nothing of them.
-func (p *extprocCaller) restart() {
-	p.generation++
-	for _, x := range p.orderedStreams() {
-		x.fail("caller gone")
+// restart makes the caller die and come back: its streams are reset, and it remembers none of them.
+func (caller *extprocCaller) restart() {
+	caller.generation++
+	for _, stream := range caller.orderedStreams() {
+		stream.fail("caller gone")
 	}
 }
 
-// orderedStreams are its streams, in an order that does not change from run to run.
-func (p *extprocCaller) orderedStreams() (all []*callerStream) {
+// orderedStreams are the streams in an order that is the same in every run.
+func (caller *extprocCaller) orderedStreams() (all []*callerStream) {
 	by := map[string]*callerStream{}
-	for x := range p.streams {
+	for stream := range caller.streams {
 		no := uint64(0)
-		if x.end != nil {
-			no = x.end.Number
+		if stream.end != nil {
+			no = stream.end.Number
 		}
-		by[fmt.Sprintf("%s %d %t", x.lookup.id, no, x.duplicate)] = x
+		by[fmt.Sprintf("%s %d %t", stream.lookup.id, no, stream.duplicate)] = stream
 	}
 	for _, k := range sortedKeys(by) {
 		all = append(all, by[k])
@@ -452,27 +446,27 @@
 	return all
 }
 
-// callerLatency is the time that a caller's send takes to its cache, and the answer back.
-func (d *Scenario) callerLatency() time.Duration {
-	if d.sim.Lockstep {
+// callerLatency draws the time of a caller's request to a cache, or of the answer back.
+func (s *Scenario) callerLatency() time.Duration {
+	if s.sim.Lockstep {
 		return 0
 	}
 	return 300 * time.Microsecond
 }
 
-// flood asks at the gateway's door as another caller does that knows no measure.
-func (p *extprocCaller) flood(asks int) {
-	other := newExtprocCaller(p.scenario, p.gateway, 3)
+// flood sends a number of lookups to the gateway at a rate that no caller should.
+func (caller *extprocCaller) flood(asks int) {
+	other := newExtprocCaller(caller.scenario, caller.gateway, 3)
 	for i := range asks {
-		p.scenario.after(time.Duration(i*4)*time.Millisecond, func() {
-			l := p.gateway.current
-			if l == nil || !l.ready || l.ended {
+		caller.scenario.after(time.Duration(i*4)*time.Millisecond, func() {
+			p := caller.gateway.current
+			if p == nil || !p.ready || p.ended {
 				return
 			}
-			a := &lookup{kind: 0, object: fmt.Sprintf("s%d", p.scenario.randN(60)), process: l, deadline: lookupKinds[0].deadline, id: fmt.Sprintf("%016x", p.scenario.sim.Rand.Uint64())}
-			a.group = groupOf(a.object)
-			p.scenario.checker.lookupSent(a)
-			other.sendLookup(a)
+			l := &lookup{kind: 0, object: fmt.Sprintf("s%d", caller.scenario.randN(60)), process: p, deadline: lookupKinds[0].deadline, id: fmt.Sprintf("%016x", caller.scenario.sim.Rand.Uint64())}
+			l.group = groupOf(l.object)
+			caller.scenario.checker.lookupSent(l)
+			other.sendLookup(l)
 		})
 	}
 }
--- a/internal/lab/scenario/stories_test.go
+++ b/internal/lab/scenario/cases_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// tell plays a story for some seeds; happened tells whether what it is about did happen.
+// runCase runs a case for three seeds; happened reports whether its subject occurred, as it must for one at least.
 func runCase(t *testing.T, faults []Fault, look func(seed uint64) (Hooks, func(r Result) bool)) {
 	t.Helper()
 	t.Parallel()
@@ -30,7 +30,7 @@
 		}
 	}
 	if met == 0 {
-		t.Error("what the story is about never happened")
+		t.Error("the subject of the case never occurred")
 	}
 }
 
@@ -38,37 +38,38 @@
 	return func(uint64) (Hooks, func(Result) bool) { return Hooks{}, happened }
 }
 
-// drainOnce drains the cache of a send at one place of the send's way, in the very instant.
-func drainOnce(place func(l *Hooks, drain func(d *Scenario, cache string))) func(uint64) (Hooks, func(Result) bool) {
+// drainOnce drains the cache of an attempt at one point of its way, at that instant.
+func drainOnce(place func(l *Hooks, drain func(s *Scenario, cache string))) func(uint64) (Hooks, func(Result) bool) {
 	return func(uint64) (Hooks, func(Result) bool) {
 		var l Hooks
 		drained := ""
-		place(&l, func(d *Scenario, id string) {
-			if c := d.byID[id]; drained == "" && d.sim.Now() > 4*time.Second && c != nil && c.flavor == "edge" && c.isUndisturbed() {
+		place(&l, func(s *Scenario, id string) {
+			if c := s.byID[id]; drained == "" && s.sim.Now() > 4*time.Second && c != nil && c.flavor == "edge" && c.isUndisturbed() {
 				drained = id
 				c.phase = "draining"
-				d.publishDrain(c, "draining", 0)
-				d.after(6*time.Second, func() { c.publishPhase("removed", 0); d.after(100*time.Millisecond, func() { c.stop(false) }) })
+				s.publishDrain(c, "draining", 0)
+				s.after(6*time.Second, func() { c.publishPhase("removed", 0); s.after(100*time.Millisecond, func() { c.stop(false) }) })
 			}
 		})
 		return l, func(Result) bool { return drained != "" }
 	}
 }
 
+// TestCases runs cases of faults at one exact point of a lookup.
 func TestCases(t *testing.T) {
 	t.Run("a drain told between a send's decision and its first byte", func(t *testing.T) {
 		runCase(t, nil, drainOnce(func(l *Hooks, drain func(*Scenario, string)) {
-			l.onDecision = func(d *Scenario, _ *gatewayProcess, to string) { drain(d, to) }
+			l.onDecision = func(s *Scenario, _ *gatewayProcess, to string) { drain(s, to) }
 		}))
 	})
 	t.Run("a drain told while the send is on the wire", func(t *testing.T) {
 		runCase(t, nil, drainOnce(func(l *Hooks, drain func(*Scenario, string)) {
-			l.onAttempt = func(d *Scenario, k *cacheConn, _ *attemptRequest) { drain(d, k.cache.id) }
+			l.onAttempt = func(s *Scenario, conn *cacheConn, _ *attemptRequest) { drain(s, conn.cache.id) }
 		}))
 	})
 	t.Run("a drain told while the answer is written", func(t *testing.T) {
 		runCase(t, nil, drainOnce(func(l *Hooks, drain func(*Scenario, string)) {
-			l.onAnswer = func(d *Scenario, q *attemptRequest) { drain(d, q.conn.cache.id) }
+			l.onAnswer = func(s *Scenario, request *attemptRequest) { drain(s, request.conn.cache.id) }
 		}))
 	})
 	t.Run("nearly half of the gateways die in the instant of a purge, with a slow origin", func(t *testing.T) {
@@ -79,10 +80,10 @@
 	t.Run("a purge told between an answer's first and last byte", func(t *testing.T) {
 		runCase(t, nil, func(uint64) (Hooks, func(Result) bool) {
 			n := 0
-			return Hooks{onAnswer: func(d *Scenario, q *attemptRequest) {
-				if partBytes(q.object, q.part) > 10000 && n < 20 {
+			return Hooks{onAnswer: func(s *Scenario, request *attemptRequest) {
+				if partBytes(request.object, request.part) > 10000 && n < 20 {
 					n++
-					d.after(300*time.Microsecond, func() { d.purge(q.object, 0) })
+					s.after(300*time.Microsecond, func() { s.purge(request.object, 0) })
 				}
 			}}, func(Result) bool { return n > 0 }
 		})
@@ -90,9 +91,9 @@
 	t.Run("a cache resets after the last byte of a send and before its answer", func(t *testing.T) {
 		runCase(t, nil, func(uint64) (Hooks, func(Result) bool) {
 			n := 0
-			return Hooks{onAttempt: func(d *Scenario, k *cacheConn, q *attemptRequest) {
+			return Hooks{onAttempt: func(s *Scenario, conn *cacheConn, request *attemptRequest) {
 				if n++; n%15 == 0 {
-					d.after(time.Millisecond, func() { k.end.Reset(); k.endAtCache(false) })
+					s.after(time.Millisecond, func() { conn.end.Reset(); conn.endAtCache(false) })
 				}
 			}}, func(r Result) bool { return r.Reasons["cache_closed reset"] > 5 }
 		})
@@ -100,9 +101,9 @@
 	t.Run("a client resets after the last byte of its lookup and before the answer", func(t *testing.T) {
 		runCase(t, nil, func(uint64) (Hooks, func(Result) bool) {
 			n := 0
-			return Hooks{onReceived: func(d *Scenario, a *lookup) {
+			return Hooks{onReceived: func(s *Scenario, a *lookup) {
 				if n++; n%9 == 0 {
-					d.after(0, func() { a.conn.close("client left") })
+					s.after(0, func() { a.conn.close("client left") })
 				}
 			}}, func(r Result) bool { return r.Outcomes["client left"] > 5 }
 		})
@@ -135,16 +136,16 @@
 }
 
 // runColdStart plays a morning for some seeds; more tells what must be so beside the rules.
-func runColdStart(t *testing.T, m ColdStart, faults []Fault, more func(r Result) string) {
+func runColdStart(t *testing.T, cold ColdStart, faults []Fault, more func(r Result) string) {
 	t.Helper()
 	t.Parallel()
 	for seed := uint64(1); seed <= 6; seed++ {
 		p := DrawPlan(seed, "calm")
-		m := m
-		if m.StartFrom == "" {
-			m.StartFrom = "list"
+		cold := cold
+		if cold.StartFrom == "" {
+			cold.StartFrom = "list"
 		}
-		p.Seconds, p.ColdStart, p.Faults = 30, &m, faults
+		p.Seconds, p.ColdStart, p.Faults = 30, &cold, faults
 		r, err := Run(p, Hooks{})
 		if err != nil {
 			t.Fatal(err)
@@ -159,6 +160,7 @@
 	}
 }
 
+// TestColdStarts runs cases of gateways that start while discovery is away.
 func TestColdStarts(t *testing.T) {
 	least := func(share float64) func(r Result) string {
 		return func(r Result) string {
--- a/internal/lab/scenario/checkattempts.go
+++ b/internal/lab/scenario/checkattempts.go
@@ -7,142 +7,169 @@
 	"foldslip/internal/lab/simenv"
 )
 
-// attempt is a send as it stood on a gateway's wire.
-type attempt struct {
-	lookup      *lookup
-	conn        *cacheConn
-	firstByteAt time.Duration // its first byte
-	inFlight    bool
-	awaited     bool // its answer has not reached the gateway, which has not given it up
-	answers     []*cachedCopy
-	notModified bool
-}
-
-// attemptSent is a send that a gateway has written whole.
-func (r *checker) attemptSent(k *cacheConn, q *attemptRequest, first time.Duration) {
-	d, l := r.scenario, k.process
-	a := r.lookups[q.id]
-	if l == nil || l.ended {
+// attemptSent checks an attempt that a gateway has written completely, and follows it. firstByteAt is when it began to write.
+func (c *checker) attemptSent(conn *cacheConn, request *attemptRequest, firstByteAt time.Duration) {
+	process := conn.process
+	if process == nil || process.ended {
 		return
 	}
-	if a == nil || a.process != l {
-		r.violated("protocol", "%s sends %s, which no client asked of it", l.process.Name, q.id)
+	l := c.lookups[request.id]
+	if !c.isOfLookup(process, request, l) {
 		return
 	}
-	if q.object != a.object || q.part != a.part || q.kind != lookupKinds[a.kind].name || q.etag != "" && q.etag != a.etag ||
-		q.body != a.body {
-		r.violated("protocol", "%s sends %s with other fields than its client's: %s %s/%d", l.process.Name, q.id, q.kind, q.object, q.part)
+	if !c.mayBeSent(conn, request, l, firstByteAt) {
 		return
 	}
-	if a.ended && !a.clientGone && first > a.conn.answeredAt {
-		r.violated("rule 1", "%s sends %s to %s after its final answer", l.process.Name, q.id, k.cache.id)
+	if c.scenario.Plan.changesRoutes() {
+		c.checkRoutes(l, conn.cache.id)
+	}
+	if !c.hasValidSource(process, request) {
+		return
 	}
-	// A client that left while its lookup waited: aim for never, and past this the users count it.
-	if a.clientGone && a.clientGoneAt > 0 && !a.conn.split && first > a.clientGoneAt+cancelGrace {
-		r.violated("gone client", "%s sends %s to %s %v after its client left", l.process.Name, q.id, k.cache.id, first-a.clientGoneAt)
+	a := &attempt{lookup: l, conn: conn, firstByteAt: firstByteAt, inFlight: true, awaited: true}
+	l.attempts = append(l.attempts, a)
+	conn.attempts = append(conn.attempts, a)
+	c.scenario.sim.Note(simenv.StepAttempt, request.id, "", int64(len(l.attempts)))
+	if c.scenario.hooks.onAttempt != nil {
+		c.scenario.hooks.onAttempt(c.scenario, conn, request)
 	}
-	for _, s := range a.attempts {
-		if s.inFlight {
-			r.violated("rule 2", "%s has %s out at %s and sends it to %s", l.process.Name, q.id, s.conn.cache.id, k.cache.id)
-			return
+}
+
+// isOfLookup checks that an attempt says what its client's lookup says.
+func (c *checker) isOfLookup(process *gatewayProcess, request *attemptRequest, l *lookup) bool {
+	if l == nil || l.process != process {
+		c.violated(ruleProtocol, "%s sends %s, which no client asked of it", process.name(), request.id)
+		return false
+	}
+	hasSameTag := request.etag == "" || request.etag == l.etag
+	if request.object != l.object || request.part != l.part || request.kind != l.kindSettings().name || !hasSameTag || request.body != l.body {
+		c.violated(ruleProtocol, "%s sends %s with other fields than its client's: %s %s/%d", process.name(), request.id, request.kind, request.object,
+			request.part)
+		return false
+	}
+	return true
+}
+
+// mayBeSent checks that a lookup may have one more attempt at a cache.
+func (c *checker) mayBeSent(conn *cacheConn, request *attemptRequest, l *lookup, firstByteAt time.Duration) bool {
+	process, cacheID := conn.process, conn.cache.id
+	if l.ended && !l.clientGone && firstByteAt > l.conn.answeredAt {
+		c.violated(ruleOneAnswer, "%s sends %s to %s after its final answer", process.name(), request.id, cacheID)
+	}
+	if l.clientGone && l.clientGoneAt > 0 && !l.conn.isSplit && firstByteAt > l.clientGoneAt+cancelGrace {
+		c.violated(ruleClientGone, "%s sends %s to %s %v after its client left", process.name(), request.id, cacheID, firstByteAt-l.clientGoneAt)
+	}
+	for _, other := range l.attempts {
+		if other.inFlight {
+			c.violated(ruleOneAttempt, "%s has %s out at %s and sends it to %s", process.name(), request.id, other.conn.cache.id, cacheID)
+			return false
 		}
 	}
-	if len(a.attempts) >= maxAttempts {
-		r.violated("protocol", "%s sends %s more than %d times", l.process.Name, q.id, maxAttempts)
+	if len(l.attempts) >= maxAttempts {
+		c.violated(ruleProtocol, "%s sends %s more than %d times", process.name(), request.id, maxAttempts)
 	}
-	for _, x := range [][2]string{{"sends to", k.cache.id}, {"names as source", q.source}} {
-		what, id := x[0], x[1]
-		if no := r.drainEvents[id]; no > 0 {
-			if told := l.notifiedAt(no); told > 0 && first > told+drainGrace+socketSlack {
-				r.violated("rule 3", "%s %s %s, told %v ago that it drains or is gone", l.process.Name, what, id, first-told)
-				return
-			}
-		}
+	if !c.isUndrained(process, "sends to", cacheID, firstByteAt) || !c.isUndrained(process, "names as source", request.source, firstByteAt) {
+		return false
 	}
-	if m := d.Plan.ColdStart; m != nil && !m.Torn && (l.notifiedAt(1) == 0 || m.DrainUnannounced && l.notifiedAt(2) == 0) && (l.actor.knownDraining[k.cache.id] || l.actor.knownDraining[q.source]) {
-		r.violated("rule 3", "%s sends to %s (source %q), of which its list on disk knows that it drains", l.process.Name, k.cache.id, q.source)
-		return
+	if process.reliesOnKeptList() && (process.actor.knownDraining[cacheID] || process.actor.knownDraining[request.source]) {
+		c.violated(ruleDrained, "%s sends to %s (source %q), of which its list on disk knows that it drains", process.name(), cacheID, request.source)
+		return false
 	}
-	if d.Plan.changesRoutes() {
-		r.checkRoutes(a, k.cache.id)
+	return true
+}
+
+// isUndrained checks that a gateway does not use a cache that it was notified drains or is gone, past the grace.
+func (c *checker) isUndrained(process *gatewayProcess, use, cacheID string, firstByteAt time.Duration) bool {
+	event := c.drainEvents[cacheID]
+	if event == 0 {
+		return true
 	}
-	if q.source != "" {
-		from := d.byID[q.source]
-		if from == nil && d.Plan.ColdStart == nil || from != nil && from.flavor == "edge" {
-			r.violated("protocol", "%s names %q as a source", l.process.Name, q.source)
-			return
-		}
+	notified := process.notifiedAt(event)
+	if notified == 0 || firstByteAt <= notified+drainGrace+socketSlack {
+		return true
 	}
-	s := &attempt{lookup: a, conn: k, firstByteAt: first, inFlight: true, awaited: true}
-	a.attempts = append(a.attempts, s)
-	k.attempts = append(k.attempts, s)
-	d.sim.Note(simenv.StepAttempt, q.id, "", int64(len(a.attempts)))
-	if d.hooks.onAttempt != nil {
-		d.hooks.onAttempt(d, k, q)
+	c.violated(ruleDrained, "%s %s %s, told %v ago that it drains or is gone", process.name(), use, cacheID, firstByteAt-notified)
+	return false
+}
+
+// hasValidSource checks that the source of an attempt is a parent or the origin; a kept list may name one that is no more.
+func (c *checker) hasValidSource(process *gatewayProcess, request *attemptRequest) bool {
+	if request.source == "" {
+		return true
+	}
+	source := c.scenario.byID[request.source]
+	isUnknown := source == nil && c.scenario.Plan.ColdStart == nil
+	if isUnknown || source != nil && source.flavor == flavorEdge {
+		c.violated(ruleProtocol, "%s names %q as a source", process.name(), request.source)
+		return false
 	}
+	return true
 }
 
-func (r *checker) attemptEnded(s *attempt) {
-	s.inFlight = false
-	r.outcomeArrived(s)
+// attemptEnded notes that an attempt has ended and that its gateway knows it.
+func (c *checker) attemptEnded(a *attempt) {
+	a.inFlight = false
+	c.outcomeArrived(a)
 }
 
-// outcomeArrived is the end of a send as its gateway has it.
-func (r *checker) outcomeArrived(s *attempt) {
-	if s.awaited {
-		s.awaited = false
-		s.lookup.lastInFlight = r.scenario.sim.Now()
+// outcomeArrived notes that a gateway knows the outcome of an attempt.
+func (c *checker) outcomeArrived(a *attempt) {
+	if a.awaited {
+		a.awaited = false
+		a.lookup.lastInFlight = c.now()
 	}
 }
 
-// attemptCancelled is a send that its gateway gives up.
-func (r *checker) attemptCancelled(k *cacheConn, id string) {
-	k.attempts = slices.DeleteFunc(k.attempts, func(s *attempt) bool {
-		if s.lookup.id == id {
-			r.attemptEnded(s)
+// attemptCancelled notes that a gateway has cancelled an attempt.
+func (c *checker) attemptCancelled(conn *cacheConn, id string) {
+	conn.attempts = slices.DeleteFunc(conn.attempts, func(a *attempt) bool {
+		if a.lookup.id != id {
+			return false
 		}
-		return s.lookup.id == id
+		c.attemptEnded(a)
+		return true
 	})
 }
 
-// answerWritten is a send whose end the cache is writing now; the gateway has it once so many bytes have arrived.
-func (r *checker) answerWritten(q *attemptRequest, end int) {
-	k := q.conn
-	k.attempts = slices.DeleteFunc(k.attempts, func(s *attempt) bool {
-		if s.lookup.id != q.id {
+// answerWritten notes that a cache writes the answer to an attempt now; the gateway has it once bytes up to endByte have arrived.
+func (c *checker) answerWritten(request *attemptRequest, endByte int) {
+	conn := request.conn
+	conn.attempts = slices.DeleteFunc(conn.attempts, func(a *attempt) bool {
+		if a.lookup.id != request.id {
 			return false
 		}
-		s.inFlight = false
-		k.pendingAnswers = append(k.pendingAnswers, pendingAnswer{end, s})
+		a.inFlight = false
+		conn.pendingAnswers = append(conn.pendingAnswers, pendingAnswer{endByte, a})
 		return true
 	})
 }
 
-// connectionEnded is the end of a connection, at either side: all that is open on it is given up.
-func (r *checker) connectionEnded(k *cacheConn) {
-	for _, s := range k.attempts {
-		r.attemptEnded(s)
+// connectionEnded notes that a connection has ended at either side: all attempts on it have ended.
+func (c *checker) connectionEnded(conn *cacheConn) {
+	for _, a := range conn.attempts {
+		c.attemptEnded(a)
 	}
-	for _, x := range k.pendingAnswers {
-		r.outcomeArrived(x.attempt)
+	for _, pending := range conn.pendingAnswers {
+		c.outcomeArrived(pending.attempt)
 	}
-	k.attempts, k.pendingAnswers = nil, nil
+	conn.attempts = nil
+	conn.pendingAnswers = nil
 }
 
-// cacheAnswered is a good answer that a cache makes for a send.
-func (r *checker) cacheAnswered(q *attemptRequest, got *cachedCopy, same bool) {
-	for _, s := range q.conn.attempts {
-		if s.lookup.id == q.id {
-			kept := *got
-			s.answers = append(s.answers, &kept)
-			s.notModified = s.notModified || same
+// cacheAnswered notes a copy that a cache answers an attempt with.
+func (c *checker) cacheAnswered(request *attemptRequest, answer *cachedCopy, notModified bool) {
+	for _, a := range request.conn.attempts {
+		if a.lookup.id == request.id {
+			copied := *answer
+			a.answers = append(a.answers, &copied)
+			a.notModified = a.notModified || notModified
 		}
 	}
 }
 
-// effectRan is a lookup that has run at the origin.
-func (r *checker) effectRan(q *attemptRequest, times int) {
-	if lookupKinds[q.kindIndex].effect != "idempotent" && times > 1 {
-		r.violated("rule 2", "the effect of %s (%s, %s) has run %d times", q.object, q.kind, q.id, times)
+// effectRan checks that the effect of a lookup has run at the origin as often as its kind may.
+func (c *checker) effectRan(request *attemptRequest, times int) {
+	if request.kindSettings().effect != effectIdempotent && times > 1 {
+		c.violated(ruleOneAttempt, "the effect of %s (%s, %s) has run %d times", request.object, request.kind, request.id, times)
 	}
 }
--- a/internal/lab/scenario/checkgateways.go
+++ b/internal/lab/scenario/checkgateways.go
@@ -2,106 +2,135 @@
 
 import "time"
 
-func (l *gatewayProcess) notifiedAt(no int) time.Duration {
-	if no < len(l.notified) {
-		return l.notified[no]
-	}
-	return 0
-}
+const (
+	idlesPerGatewayCheck = 4
+	idlesPerNotification = 256
+	notifiedAfter        = 7 * time.Second         // from its publication an event counts as known to a gateway that could receive it
+	reachableFor         = 4500 * time.Millisecond // that such a gateway must have been reachable
+	lookupsPerMB         = 8                       // of a gateway's memory limit
+)
 
-// gatewayKilled is the end of a life without a word.
-func (r *checker) gatewayKilled(l *gatewayProcess) {
-	for _, id := range sortedKeys(r.lookups) {
-		if a := r.lookups[id]; a.process == l && !a.ended {
-			r.lookupEnded(a, "gateway gone")
+// gatewayKilled ends what a killed process owed.
+func (c *checker) gatewayKilled(process *gatewayProcess) {
+	for _, id := range sortedKeys(c.lookups) {
+		if l := c.lookups[id]; l.process == process && !l.ended {
+			c.lookupEnded(l, outcomeGatewayGone)
 		}
 	}
 }
 
-// gatewayEnded is the end of a life by itself.
-func (r *checker) gatewayEnded(l *gatewayProcess, err error) {
-	l.ended, l.endedAt = true, r.scenario.sim.Now()
-	if err != nil || l.terminatedAt == 0 {
-		r.violated("crash", "%s ended by itself: %v", l.process.Name, err)
+// gatewayEnded checks a process that has ended by itself.
+func (c *checker) gatewayEnded(process *gatewayProcess, err error) {
+	process.ended = true
+	process.endedAt = c.now()
+	if err != nil || process.terminatedAt == 0 {
+		c.violated(ruleCrash, "%s ended by itself: %v", process.name(), err)
 		return
 	}
-	r.scenario.after(0, func() {
-		if n, timers, fds := l.process.Resources(); n > 0 || timers > 0 || fds > 0 {
-			r.violated("leak", "%s has ended and left %d goroutines (%s), %d timers, %d descriptors", l.process.Name, n, l.process.GoroutineNames(),
-				timers, fds)
-		}
-	})
-	for _, id := range sortedKeys(r.lookups) {
-		a := r.lookups[id]
-		if a.process != l || a.ended {
+	c.scenario.after(0, func() { c.checkReleased(process) })
+	for _, id := range sortedKeys(c.lookups) {
+		l := c.lookups[id]
+		if l.process != process || l.ended {
 			continue
 		}
-		if a.receivedAt > 0 && a.receivedAt < l.terminatedAt+700*time.Millisecond && a.conn.end.IsAccepted() && !a.conn.split {
-			r.violated("rule 1", "%s ended and left %s, taken %v after SIGTERM, without an answer", l.process.Name, a.id, a.receivedAt-l.terminatedAt)
+		if l.receivedAt > 0 && l.receivedAt < process.terminatedAt+terminateGrace && l.conn.end.IsAccepted() && !l.conn.isSplit {
+			c.violated(ruleOneAnswer, "%s ended and left %s, taken %v after SIGTERM, without an answer", process.name(), l.id, l.receivedAt-process.terminatedAt)
 		}
-		r.lookupEnded(a, "gateway gone")
+		c.lookupEnded(l, outcomeGatewayGone)
 	}
 }
 
-// checkIdle checks what must hold whenever all wait.
-func (r *checker) checkIdle() {
-	r.idleCount++
-	d := r.scenario
-	for _, g := range d.gateways {
-		l := g.current
-		if l == nil || l.ended || l.instance == nil {
-			continue
-		}
-		if r.idleCount%4 == 0 {
-			load := l.instance.Load()
-			handed, streams := 0, 0
-			if l.extproc != nil {
-				handed, streams = l.extproc.AttemptsOut(), l.extproc.openStreams()
-			}
-			if load.OpenAttempts != load.ConnAttempts+load.QueuedAttempts+handed {
-				r.violated("in flight", "%s: the module counts %d sends, its connections %d, %d wait to be written, %d are at callers", l.process.Name,
-					load.OpenAttempts, load.ConnAttempts, load.QueuedAttempts, handed)
-			}
-			if room := int(g.memoryMB * 8); load.Lookups > 4*room || load.ClientConns > g.descriptors/2+1 {
-				r.violated("bounds", "%s holds %d lookups (room %d), %d clients of %d descriptors", l.process.Name, load.Lookups, room,
-					load.ClientConns, g.descriptors)
-			}
-			out := 0
-			for k := range l.conns { // a sum: the order does not matter
-				out += len(k.attempts)
-			}
-			if out > load.ConnAttempts {
-				r.violated("in flight", "%s: %d sends are out on its wires, it counts %d", l.process.Name, out, load.ConnAttempts)
-			}
-			// Besides them: the listener, the connection to discovery, and one that is being accepted or closed.
-			if _, _, fds := l.process.Resources(); fds > load.ClientConns+load.CacheConns+streams+3+min(1, streams) && l.terminatedAt == 0 {
-				r.violated("leak", "%s holds %d descriptors for %d clients and %d connections to caches", l.process.Name, fds, load.ClientConns,
-					load.CacheConns)
+// checkReleased checks that a process that has ended left nothing.
+func (c *checker) checkReleased(process *gatewayProcess) {
+	goroutines, timers, descriptors := process.process.Resources()
+	if goroutines > 0 || timers > 0 || descriptors > 0 {
+		c.violated(ruleLeak, "%s has ended and left %d goroutines (%s), %d timers, %d descriptors", process.name(), goroutines,
+			process.process.GoroutineNames(), timers, descriptors)
+	}
+}
+
+// checkIdle checks what must hold whenever all goroutines wait.
+func (c *checker) checkIdle() {
+	c.idleCount++
+	if c.idleCount%idlesPerGatewayCheck == 0 {
+		for _, g := range c.scenario.gateways {
+			if process := g.current; process != nil && !process.ended && process.instance != nil {
+				c.checkCounts(g, process)
 			}
 		}
 	}
-	if r.idleCount%256 == 0 {
-		r.countAsNotified()
+	if c.idleCount%idlesPerNotification == 0 {
+		c.countAsNotified()
+	}
+}
+
+// checkCounts checks a gateway's own counts against its wires and its bounds.
+func (c *checker) checkCounts(g *gatewayActor, process *gatewayProcess) {
+	load := process.instance.Load()
+	atCallers, streams := 0, 0
+	if process.extproc != nil {
+		atCallers = process.extproc.AttemptsOut()
+		streams = process.extproc.openStreams()
+	}
+	if load.OpenAttempts != load.ConnAttempts+load.QueuedAttempts+atCallers {
+		c.violated(ruleInFlight, "%s: the module counts %d sends, its connections %d, %d wait to be written, %d are at callers", process.name(),
+			load.OpenAttempts, load.ConnAttempts, load.QueuedAttempts, atCallers)
+	}
+	if capacity := int(g.memoryMB * lookupsPerMB); load.Lookups > 4*capacity || load.ClientConns > g.descriptors/2+1 {
+		c.violated(ruleBounds, "%s holds %d lookups (room %d), %d clients of %d descriptors", process.name(), load.Lookups, capacity, load.ClientConns,
+			g.descriptors)
+	}
+	inFlight := 0
+	for conn := range process.conns { // a sum: the order does not matter
+		inFlight += len(conn.attempts)
+	}
+	if inFlight > load.ConnAttempts {
+		c.violated(ruleInFlight, "%s: %d sends are out on its wires, it counts %d", process.name(), inFlight, load.ConnAttempts)
+	}
+	// Beside these there are the listeners, the discovery watch, and one connection that is being accepted or closed.
+	const others = 3
+	_, _, descriptors := process.process.Resources()
+	if descriptors > load.ClientConns+load.CacheConns+streams+others+min(1, streams) && process.terminatedAt == 0 {
+		c.violated(ruleLeak, "%s holds %d descriptors for %d clients and %d connections to caches", process.name(), descriptors, load.ClientConns,
+			load.CacheConns)
 	}
 }
 
-// countAsNotified lets what was published long ago count as told to those that could hear it.
-func (r *checker) countAsNotified() {
-	d, now := r.scenario, r.scenario.sim.Now()
-	for _, g := range d.gateways {
-		l := g.current
-		if l == nil || l.ended {
+// countAsNotified has events that were published long ago count as known to gateways that could receive them.
+func (c *checker) countAsNotified() {
+	s, now := c.scenario, c.now()
+	for _, g := range s.gateways {
+		process := g.current
+		if process == nil || process.ended {
 			continue
 		}
-		b := d.discoveryServers[g.discoveryIndex]
-		if b.down || b.silent || b.lag > 0 || d.isSplit("gateways", "bulletin") || g.host.Vanished {
-			l.cutOffAt = now
+		server := s.discoveryServers[g.discoveryIndex]
+		if server.down || server.silent || server.lag > 0 || s.sim.IsSplit(groupGateways, groupDiscovery) || g.host.Vanished {
+			process.cutOffAt = now
 		}
-		for no := range d.events {
-			e := d.events[no]
-			if l.notifiedAt(e.Number) == 0 && now-e.publishedAt > notifiedAfter && now-max(l.startedAt, l.cutOffAt) > reachableFor {
-				l.markNotified(e.Number, now)
+		wasReachable := now-max(process.startedAt, process.cutOffAt) > reachableFor
+		for _, event := range s.events {
+			if process.notifiedAt(event.Number) == 0 && now-event.publishedAt > notifiedAfter && wasReachable {
+				process.markNotified(event.Number, now)
 			}
 		}
 	}
 }
+
+// checkEnd checks what must hold at the end of a run.
+func (c *checker) checkEnd() {
+	for _, g := range c.scenario.gateways {
+		if g.current != nil && !g.current.ended {
+			c.violated(ruleStop, "%s has not ended", g.current.name())
+		}
+	}
+	unanswered := 0
+	for _, l := range c.lookups {
+		if !l.ended && l.receivedAt > 0 {
+			unanswered++
+		}
+	}
+	if unanswered > 0 && len(c.violations) == 0 {
+		c.violated(ruleOneAnswer, "%d lookups were never answered", unanswered)
+	}
+}
--- a/internal/lab/scenario/client.go
+++ b/internal/lab/scenario/client.go
@@ -11,12 +11,15 @@
 	"foldslip/internal/lab/simenv"
 )
 
+// outcomeGatewayGone is the outcome of a lookup whose gateway ended, as reports spell it.
+const outcomeGatewayGone = "gateway gone"
+
 const (
 	idleTimeout = 4 * time.Second
-	answerSlack = 150 * time.Millisecond // past its time a client waits no longer
+	answerSlack = 150 * time.Millisecond // that a client waits past the deadline
 )
 
-// clientActor is the usual clients: they come by chance, ask for popular objects most, and share connections.
+// clientActor is the well-behaved clients: their lookups come at random, mostly of popular objects, on shared connections.
 type clientActor struct {
 	scenario    *Scenario
 	open        bool
@@ -24,128 +27,128 @@
 	pool        map[*gatewayActor][]*clientConn
 	lookupCount uint64
 	rateFactor  float64 // multiplies the plan's
-	hotObject   string  // an object that half of all ask for
-	cancelOneIn int     // one in so many clients leaves before its answer
+	hotObject   string  // of half of the large lookups
+	cancelOneIn int     // one client in so many closes before its answer; 0: none
 	keepsAll    bool
-	stallOneIn  int // one in so many stops reading
+	stallOneIn  int // one client in so many stops reading; 0: none
 	etags       map[string]string
 }
 
-func newClientActor(d *Scenario) *clientActor {
-	return &clientActor{scenario: d, host: d.sim.Host("10.200.0.1", "clients"), pool: map[*gatewayActor][]*clientConn{}, rateFactor: 1,
+func newClientActor(s *Scenario) *clientActor {
+	return &clientActor{scenario: s, host: s.sim.Host("10.200.0.1", groupClients), pool: map[*gatewayActor][]*clientConn{}, rateFactor: 1,
 		etags: map[string]string{}}
 }
 
-func (f *clientActor) start() {
-	f.open = true
-	for _, g := range f.scenario.gateways {
-		f.scheduleNext(g)
+func (a *clientActor) start() {
+	a.open = true
+	for _, g := range a.scenario.gateways {
+		a.scheduleNext(g)
 	}
 }
 
-// stop lets no more lookups come.
-func (f *clientActor) stop() { f.open = false }
+// stop ends the lookups.
+func (a *clientActor) stop() { a.open = false }
 
-// scheduleNext brings the next lookup to a gateway, after a time by chance.
-func (f *clientActor) scheduleNext(g *gatewayActor) {
-	gap := -math.Log(1-f.scenario.sim.Rand.Float64()) / (f.scenario.Plan.Rate * f.rateFactor)
-	f.scenario.after(time.Duration(gap*float64(time.Second)), func() {
-		if !f.open {
+// scheduleNext schedules the next lookup at a gateway, after an exponentially distributed time.
+func (a *clientActor) scheduleNext(g *gatewayActor) {
+	gap := -math.Log(1-a.scenario.sim.Rand.Float64()) / (a.scenario.Plan.Rate * a.rateFactor)
+	a.scenario.after(time.Duration(gap*float64(time.Second)), func() {
+		if !a.open {
 			return
 		}
-		f.drawLookup(g)
-		f.scheduleNext(g)
+		a.drawLookup(g)
+		a.scheduleNext(g)
 	})
 }
 
-// drawLookup draws what is asked for.
-func (f *clientActor) drawLookup(g *gatewayActor) {
-	d := f.scenario
-	n, kind := d.randN(100), 0
-	for n >= lookupKinds[kind].share {
-		n -= lookupKinds[kind].share
+// drawLookup draws a lookup and sends it to a gateway.
+func (a *clientActor) drawLookup(g *gatewayActor) {
+	s := a.scenario
+	n, kind := s.randN(100), 0
+	for n >= lookupKinds[kind].percent {
+		n -= lookupKinds[kind].percent
 		kind++
 	}
-	f.lookupCount++
-	a := &lookup{kind: kind}
-	few := int(60 * math.Pow(d.sim.Rand.Float64(), 2.5)) // the first are asked for most
+	a.lookupCount++
+	l := &lookup{kind: kind}
+	few := int(60 * math.Pow(s.sim.Rand.Float64(), 2.5)) // the first are the most popular
 	switch lookupKinds[kind].name {
 	case "segment":
-		a.object, a.part = fmt.Sprintf("s%d", few), d.randN(4)
+		l.object, l.part = fmt.Sprintf("s%d", few), s.randN(4)
 	case "page":
-		a.object = fmt.Sprintf("p%d", few)
+		l.object = fmt.Sprintf("p%d", few)
 	case "order":
-		a.object = fmt.Sprintf("o%d", f.lookupCount)
+		l.object = fmt.Sprintf("o%d", a.lookupCount)
 	case "till":
-		a.object = fmt.Sprintf("t%d", f.lookupCount)
+		l.object = fmt.Sprintf("t%d", a.lookupCount)
 	}
-	if f.hotObject != "" && kind == 0 && d.randN(2) == 0 {
-		a.object = f.hotObject
+	if a.hotObject != "" && kind == 0 && s.randN(2) == 0 {
+		l.object = a.hotObject
 	}
-	a.group = groupOf(a.object)
-	if d.randN(5) == 0 {
-		a.etag = f.etags[a.object+"/"+strconv.Itoa(a.part)]
+	l.group = groupOf(l.object)
+	if s.randN(5) == 0 {
+		l.etag = a.etags[l.key()]
 	}
-	f.tryGateway(g, a)
+	a.tryGateway(g, l)
 }
 
-// tryGateway asks a gateway, or another where that one is known to be away.
-func (f *clientActor) tryGateway(g *gatewayActor, a *lookup) {
-	d := f.scenario
-	for i := range d.gateways {
-		o := d.gateways[(g.index+i)%len(d.gateways)]
+// tryGateway sends a lookup to a gateway, or to another of its zone if that one is known to be down.
+func (a *clientActor) tryGateway(g *gatewayActor, l *lookup) {
+	s := a.scenario
+	for i := range s.gateways {
+		o := s.gateways[(g.index+i)%len(s.gateways)]
 		if o.zone == g.zone && o.current != nil && o.current.ready && !o.current.ended && (o.current.terminatedAt == 0 ||
-			d.sim.Now() < o.current.terminatedAt+300*time.Millisecond) {
-			f.send(o, a)
+			s.sim.Now() < o.current.terminatedAt+300*time.Millisecond) {
+			a.send(o, l)
 			return
 		}
 	}
-	d.checker.outcomes["no gateway"]++
+	s.checker.outcomes["no gateway"]++
 }
 
-func (f *clientActor) send(g *gatewayActor, a *lookup) {
-	d := f.scenario
-	a.process = g.current
-	a.id = fmt.Sprintf("%016x", d.sim.Rand.Uint64())
-	a.deadline = lookupKinds[a.kind].deadline
-	if d.randN(8) == 0 {
-		a.deadline = a.deadline / time.Duration(2+d.randN(4))
-	}
-	again, object := a.repeats, a
-	a.onAnswer = func(status int, wait time.Duration) {
-		if status != 503 && status != 429 || again >= 2 || !f.open {
+func (a *clientActor) send(g *gatewayActor, l *lookup) {
+	s := a.scenario
+	l.process = g.current
+	l.id = fmt.Sprintf("%016x", s.sim.Rand.Uint64())
+	l.deadline = l.kindSettings().deadline
+	if s.randN(8) == 0 {
+		l.deadline = l.deadline / time.Duration(2+s.randN(4))
+	}
+	again, object := l.repeats, l
+	l.onAnswer = func(status int, wait time.Duration) {
+		if status != 503 && status != 429 || again >= 2 || !a.open {
 			return
 		}
 		next := &lookup{kind: object.kind, object: object.object, part: object.part, group: object.group, repeats: again + 1, firstSentAt: object.firstSentAt}
-		d.after(max(wait, 30*time.Millisecond), func() { f.tryGateway(g, next) })
+		s.after(max(wait, 30*time.Millisecond), func() { a.tryGateway(g, next) })
 	}
-	d.checker.lookupSent(a)
-	if p := d.callers[g]; p != nil && (d.Plan.Profile != "both" || d.randN(2) == 0) {
-		p.sendLookup(a)
+	s.checker.lookupSent(l)
+	if caller := s.callers[g]; caller != nil && (s.Plan.Profile != "both" || s.randN(2) == 0) {
+		caller.sendLookup(l)
 		return
 	}
-	pool := f.pool[g]
+	pool := a.pool[g]
 	for i := len(pool) - 1; i >= 0; i-- {
 		if c := pool[i]; c.isIdle() && c.process == g.current {
-			c.send(a)
+			c.send(l)
 			return
 		}
 	}
-	if len(pool) >= g.descriptors/3 && !f.keepsAll {
-		d.checker.lookupEnded(a, "no connection")
+	if len(pool) >= g.descriptors/3 && !a.keepsAll {
+		s.checker.lookupEnded(l, "no connection")
 		return
 	}
-	c := &clientConn{clients: f, gateway: g, process: g.current, next: a}
-	f.pool[g] = append(pool, c)
-	c.end = f.host.Connect(g.addr(), c)
-	d.after(2*time.Second, func() {
+	c := &clientConn{clients: a, gateway: g, process: g.current, next: l}
+	a.pool[g] = append(pool, c)
+	c.end = a.host.Connect(g.addr(), c)
+	s.after(2*time.Second, func() {
 		if !c.up && !c.closed {
 			c.close("no connection")
 		}
 	})
 }
 
-// clientConn is a connection of a client; one lookup at a time.
+// clientConn is a connection of a client, with one lookup at a time.
 type clientConn struct {
 	clients       *clientActor
 	gateway       *gatewayActor
@@ -153,13 +156,13 @@
 	end           *simenv.End
 	up            bool
 	closed        bool
-	split         bool // the network lost something on it
+	isSplit       bool // the network lost something on it
 	misbehaves    bool // it does what clients should not
 	lookup        *lookup
-	next          *lookup // to be asked once it is up
+	next          *lookup // to be sent once it is up
 	sentBytes     int     // bytes towards the gateway, and how many of them reached it
 	arrivedBytes  int
-	written       []byte        // written by the gateway and not yet a whole answer
+	written       []byte        // written by the gateway and not yet a complete answer
 	firstByteAt   time.Duration // its first byte
 	gatewayClosed bool          // the gateway ended its side
 	answeredAt    time.Duration
@@ -172,12 +175,19 @@
 	return c.up && !c.closed && c.lookup == nil && !c.gatewayClosed && !c.keepsOpen && !c.misbehaves && c.clients.scenario.sim.Now() < c.lastUsed+idleTimeout
 }
 
+// isOwedAnswer reports whether the gateway must answer a lookup that has reached it on the connection.
+func (c *clientConn) isOwedAnswer(l *lookup) bool {
+	isLate := l.process.terminatedAt > 0 && l.receivedAt > l.process.terminatedAt+terminateGrace
+	return !l.process.ended && !c.isSplit && !isLate && c.end.IsAccepted() && !c.end.Stalled && !c.misbehaves
+}
+
+// isAnswering reports whether an answer has begun and is not whole.
 func (c *clientConn) isAnswering() bool { return len(c.written) > 0 }
 
 func (c *clientConn) Opened() {
 	c.up = true
-	if c.process != c.gateway.current { // the gateway has died meanwhile, and another life of it has taken the connection
-		c.close("gateway gone")
+	if c.process != c.gateway.current { // the gateway was restarted meanwhile, and its new process accepted the connection
+		c.close(outcomeGatewayGone)
 		return
 	}
 	c.end.OnArrived = func(b []byte) {
@@ -187,43 +197,43 @@
 		}
 	}
 	c.lastUsed = c.clients.scenario.sim.Now()
-	if a := c.next; a != nil {
+	if l := c.next; l != nil {
 		c.next = nil
-		c.send(a)
+		c.send(l)
 	}
 }
 
-// send asks.
-func (c *clientConn) send(a *lookup) {
-	d := c.clients.scenario
-	c.lookup, a.conn, a.sentAt = a, c, d.sim.Now()
+// send sends a lookup.
+func (c *clientConn) send(l *lookup) {
+	s := c.clients.scenario
+	c.lookup, l.conn = l, c
 	text := fmt.Sprintf("GET /call/%s/%s/part-%d HTTP/1.1\r\nHost: backend.local\r\nX-Job-Id: %s\r\nX-Allow-Ms: %d\r\nX-Group: %d\r\nX-Ram-Kb: %g\r\n",
-		lookupKinds[a.kind].name, a.object, a.part, a.id, a.deadline.Milliseconds(), a.group, partKB(a.object, a.part))
-	if a.etag != "" {
-		text += "If-None-Match: \"" + a.etag + "\"\r\n"
-	}
-	if lookupKinds[a.kind].passOn { // it writes: as many bytes as its id has them, some none
-		if n := int(hashString(a.id) % 9000); n > 1000 {
-			a.body = strings.Repeat(a.id+"\r\n", n/18)
-			text = fmt.Sprintf("PUT%sContent-Length: %d\r\n", text[3:], len(a.body))
+		l.kindSettings().name, l.object, l.part, l.id, l.deadline.Milliseconds(), l.group, partKB(l.object, l.part))
+	if l.etag != "" {
+		text += "If-None-Match: \"" + l.etag + "\"\r\n"
+	}
+	if l.kindSettings().passesThrough { // with a body whose length depends on the id; some have none
+		if n := int(hashString(l.id) % 9000); n > 1000 {
+			l.body = strings.Repeat(l.id+"\r\n", n/18)
+			text = fmt.Sprintf("PUT%sContent-Length: %d\r\n", text[3:], len(l.body))
 		}
 	}
-	text += "\r\n" + a.body
+	text += "\r\n" + l.body
 	c.sentBytes += len(text)
 	c.end.Send([]byte(text))
-	d.after(a.deadline+answerSlack+50*time.Millisecond, func() {
-		if c.lookup == a {
+	s.after(l.deadline+answerSlack+50*time.Millisecond, func() {
+		if c.lookup == l {
 			c.close("no answer in time")
 		}
 	})
-	if n := c.clients.cancelOneIn; n > 0 && d.randN(n) == 0 {
-		d.after(time.Duration(d.randN(600))*time.Millisecond, func() {
-			if c.lookup == a {
+	if n := c.clients.cancelOneIn; n > 0 && s.randN(n) == 0 {
+		s.after(time.Duration(s.randN(600))*time.Millisecond, func() {
+			if c.lookup == l {
 				c.close("client left")
 			}
 		})
 	}
-	if n := c.clients.stallOneIn; n > 0 && d.randN(n) == 0 {
+	if n := c.clients.stallOneIn; n > 0 && s.randN(n) == 0 {
 		c.end.Stalled = true
 	}
 }
@@ -245,20 +255,20 @@
 	c.abandon(why)
 }
 
-// abandon ends what was asked on it and forgets the connection.
+// abandon ends the lookup of the connection and removes the connection from the pool.
 func (c *clientConn) abandon(why string) {
-	a := c.lookup
-	if a == nil {
-		a = c.next
+	l := c.lookup
+	if l == nil {
+		l = c.next
 	}
 	c.lookup, c.next = nil, nil
-	if a != nil {
-		a.clientGone = true
-		a.clientGoneAt = c.clients.scenario.sim.Now()
-		if a.conn == nil {
-			a.conn = c
+	if l != nil {
+		l.clientGone = true
+		l.clientGoneAt = c.clients.scenario.sim.Now()
+		if l.conn == nil {
+			l.conn = c
 		}
-		c.clients.scenario.checker.lookupEnded(a, why)
+		c.clients.scenario.checker.lookupEnded(l, why)
 	}
 	pool := c.clients.pool[c.gateway]
 	for i, o := range pool {
@@ -278,7 +288,7 @@
 	c.abandon("connection ended")
 }
 
-// Data is what reaches the client: it is whole when as long as it says.
+// Data takes what reaches the client, and ends the lookup with its complete answer.
 func (c *clientConn) Data(b []byte) {
 	c.received = append(c.received, b...)
 	status, _, _, wait, size := readAnswer(c.received)
@@ -286,13 +296,13 @@
 		return
 	}
 	c.received = c.received[size:]
-	a := c.lookup
-	if a == nil {
+	l := c.lookup
+	if l == nil {
 		return
 	}
 	c.lookup, c.lastUsed = nil, c.clients.scenario.sim.Now()
-	if a.onAnswer != nil {
-		a.onAnswer(status, wait)
+	if l.onAnswer != nil {
+		l.onAnswer(status, wait)
 	}
 	if c.gatewayClosed || c.closed {
 		return
@@ -309,27 +319,27 @@
 	})
 }
 
-// Written is what the gateway writes to the client, on its wire; below 0 it ends the connection.
+// Written checks what the gateway writes to the client; n below 0 is the end of the connection.
 func (c *clientConn) Written(n int, b []byte) {
-	r := c.clients.scenario.checker
+	checker := c.clients.scenario.checker
 	now := c.clients.scenario.sim.Now()
 	if n < 0 {
 		c.gatewayClosed = true
-		a := c.lookup
-		if a == nil || a.ended || a.receivedAt == 0 || c.process.ended || c.misbehaves || c.split {
+		l := c.lookup
+		if l == nil || l.ended || l.receivedAt == 0 || c.process.ended || c.misbehaves || c.isSplit {
 			return
 		}
-		if c.process.terminatedAt > 0 && a.receivedAt > c.process.terminatedAt+600*time.Millisecond {
+		if c.process.terminatedAt > 0 && l.receivedAt > c.process.terminatedAt+600*time.Millisecond {
 			return
 		}
-		if len(c.written) == 0 && now-a.receivedAt >= socketSlack && !c.end.Stalled {
-			r.violated("rule 1", "%s ended the connection of %s, taken %v before, without an answer", c.process.process.Name, a.id, now-a.receivedAt)
+		if len(c.written) == 0 && now-l.receivedAt >= socketSlack && !c.end.Stalled {
+			checker.violated("rule 1", "%s ended the connection of %s, taken %v before, without an answer", c.process.process.Name, l.id, now-l.receivedAt)
 		}
-		r.lookupEnded(a, "connection ended")
+		checker.lookupEnded(l, "connection ended")
 		return
 	}
 	if c.closed {
-		return // it has left, and the gateway has not heard of it yet
+		return // the client has gone, and the gateway does not know yet
 	}
 	if len(c.written) == 0 {
 		c.firstByteAt = now
@@ -340,26 +350,26 @@
 		return
 	}
 	c.written = c.written[size:]
-	a := c.lookup
-	if a == nil || a.receivedAt == 0 || a.ended {
-		if a == nil && status == 503 || a != nil && !a.ended && status == 503 || c.misbehaves {
-			return // too many connections: told before anything is asked
+	l := c.lookup
+	if l == nil || l.receivedAt == 0 || l.ended {
+		if l == nil && status == 503 || l != nil && !l.ended && status == 503 || c.misbehaves {
+			return // too many connections: rejected before any lookup
 		}
-		r.violated("rule 1", "%s writes an answer %d that nothing is owed for", c.process.process.Name, status)
+		checker.violated("rule 1", "%s writes an answer %d that nothing is owed for", c.process.process.Name, status)
 		return
 	}
 	if len(c.written) > 0 {
-		r.violated("rule 1", "%s writes %d bytes after its answer to %s", c.process.process.Name, len(c.written), a.id)
+		checker.violated("rule 1", "%s writes %d bytes after its answer to %s", c.process.process.Name, len(c.written), l.id)
 		return
 	}
 	c.answeredAt = now
 	if status == 200 && len(c.clients.etags) < 4096 {
-		c.clients.etags[a.object+"/"+strconv.Itoa(a.part)] = tag
+		c.clients.etags[l.key()] = tag
 	}
-	r.clientAnswered(a, status, body, tag, wait)
+	checker.clientAnswered(l, clientAnswer{status: status, etag: tag, body: body, retryAfter: wait})
 }
 
-// readAnswer reads an answer at the front of b; size 0 asks for more bytes.
+// readAnswer parses an answer at the front of b; size 0 if it is not complete.
 func readAnswer(b []byte) (status int, tag, body string, wait time.Duration, size int) {
 	end := bytes.Index(b, []byte("\r\n\r\n"))
 	if end < 0 {
@@ -388,7 +398,7 @@
 	return status, tag, string(b[end+4 : end+4+length]), wait, end + 4 + length
 }
 
-// invalidClient is a connection that sends what it was made with and reads what comes.
+// invalidClient is a client that sends one invalid text and reads whatever comes.
 type invalidClient struct {
 	scenario *Scenario
 	end      *simenv.End
@@ -396,26 +406,26 @@
 	gateway  *gatewayActor
 }
 
-func (b *invalidClient) Opened() {
-	if len(b.text) > 0 {
-		b.end.Send(b.text)
+func (c *invalidClient) Opened() {
+	if len(c.text) > 0 {
+		c.end.Send(c.text)
 	}
 }
-func (b *invalidClient) Data([]byte)         {}
-func (b *invalidClient) Closed(bool)         { b.end.Close() }
-func (b *invalidClient) Written(int, []byte) {}
+func (c *invalidClient) Data([]byte)         {}
+func (c *invalidClient) Closed(bool)         { c.end.Close() }
+func (c *invalidClient) Written(int, []byte) {}
 
-// sendInvalid sends one thing that no client should.
-func (f *clientActor) sendInvalid(g *gatewayActor, n int) {
-	d := f.scenario
-	id := fmt.Sprintf("%016x", d.sim.Rand.Uint64())
+// sendInvalid sends one of the texts that no client should send.
+func (a *clientActor) sendInvalid(g *gatewayActor, n int) {
+	s := a.scenario
+	id := fmt.Sprintf("%016x", s.sim.Rand.Uint64())
 	head := "GET /call/segment/zz/part-0 HTTP/1.1\r\nHost: x\r\nX-Job-Id: " + id + "\r\n"
 	texts := []string{"", "\x00\xff\xfe", "GET / HTTP/1.1\r\nHost: x\r\n\r\n", "GET /call/none/x/part-0 HTTP/1.1\r\nHost: x\r\n\r\n",
 		head + "Content-Length: -4\r\n\r\n", head + "Content-Length: 99999999999999999999\r\n\r\n",
 		head + "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n", head + "X-Allow-Ms: nan\r\n\r\n",
 		"GET /call/segment/" + strings.Repeat("y", 20000), head[:40], "POST /call/segment/z/part-0 HTTP/1.1\r\nHost: x\r\n\r\n",
 		strings.Repeat("GET /ping HTTP/1.1\r\nHost: x\r\n\r\n", 100)}
-	b := &invalidClient{scenario: d, gateway: g, text: []byte(texts[n%len(texts)])}
-	b.end = d.sim.Host("10.201.0.1", "clients").Connect(g.addr(), b)
-	d.after(time.Duration(1+d.randN(8))*time.Second, func() { b.end.Reset() })
+	c := &invalidClient{scenario: s, gateway: g, text: []byte(texts[n%len(texts)])}
+	c.end = s.sim.Host("10.201.0.1", groupClients).Connect(g.addr(), c)
+	s.after(time.Duration(1+s.randN(8))*time.Second, func() { c.end.Reset() })
 }
--- a/internal/lab/scenario/clientfaults.go
+++ b/internal/lab/scenario/clientfaults.go
@@ -5,81 +5,96 @@
 	"time"
 )
 
-func (d *Scenario) purgeObject(f Fault) {
-	d.purge(pick([]string{"s0", "s1", "p0", "p1", "s2"}, f.Variant), 0)
+// clientFaultKinds are purges, and the faults of clients.
+func clientFaultKinds() []FaultKind {
+	return []FaultKind{
+		{"purge_object", "a popular object is purged", 100, 100, 3, false, (*Scenario).purgeObject},
+		{"purge_group", "a group is purged", 100, 100, 2, false, (*Scenario).purgeGroup},
+		{"purge_overlap", "objects and their groups are purged over and over", 500, 3000, 2, false, (*Scenario).purgeOverlap},
+		{"burst", "eight times as many lookups", 1000, 4000, 2, false, (*Scenario).burst},
+		{"hot_object", "half of the large lookups are for one object", 3000, 15000, 1, false, (*Scenario).hotObject},
+		{"bad_flood", "clients send what no client should, by the hundred", 500, 3000, 2, false, (*Scenario).badFlood},
+		{"clients_leave", "one client in three leaves before its answer", 2000, 8000, 2, false, (*Scenario).clientsCancel},
+		{"clients_greedy", "clients hold as many connections as they can get, while caches are slow", 2000, 6000, 1, false, (*Scenario).clientsGreedy},
+		{"clients_mute", "one client in six stops reading", 1000, 5000, 1, false, (*Scenario).clientsStall},
+	}
+}
+
+func (s *Scenario) purgeObject(f Fault) {
+	s.purge(pick([]string{"s0", "s1", "p0", "p1", "s2"}, f.Variant), 0)
 }
 
-func (d *Scenario) purgeGroup(f Fault) {
-	d.purge("", groupOf(pick([]string{"s0", "p0", "s1"}, f.Variant)))
+func (s *Scenario) purgeGroup(f Fault) {
+	s.purge("", groupOf(pick([]string{"s0", "p0", "s1"}, f.Variant)))
 }
 
-func (d *Scenario) purgeOverlap(f Fault) {
+func (s *Scenario) purgeOverlap(f Fault) {
 	for at := time.Duration(0); at < f.duration(); at += 120 * time.Millisecond {
-		d.after(at, func() {
-			if d.randN(3) == 0 {
-				d.purgeGroup(Fault{Variant: d.randN(100)})
+		s.after(at, func() {
+			if s.randN(3) == 0 {
+				s.purgeGroup(Fault{Variant: s.randN(100)})
 			} else {
-				d.purgeObject(Fault{Variant: d.randN(100)})
+				s.purgeObject(Fault{Variant: s.randN(100)})
 			}
 		})
 	}
 }
 
-func (d *Scenario) burst(f Fault) {
-	d.clients.rateFactor = 8
-	for _, g := range d.gateways { // a stream of their own, at once
+func (s *Scenario) burst(f Fault) {
+	s.clients.rateFactor = 8
+	for _, g := range s.gateways { // at once, besides the usual ones
 		for i := range 12 {
-			d.after(time.Duration(i)*10*time.Millisecond, func() {
-				if d.clients.open {
-					d.clients.drawLookup(g)
+			s.after(time.Duration(i)*10*time.Millisecond, func() {
+				if s.clients.open {
+					s.clients.drawLookup(g)
 				}
 			})
 		}
 	}
-	d.after(f.duration(), func() { d.clients.rateFactor = 1 })
+	s.after(f.duration(), func() { s.clients.rateFactor = 1 })
 }
 
-func (d *Scenario) hotObject(f Fault) {
-	d.clients.hotObject = fmt.Sprintf("s%d", 100+f.Variant%50)
-	d.after(f.duration(), func() { d.clients.hotObject = "" })
+func (s *Scenario) hotObject(f Fault) {
+	s.clients.hotObject = fmt.Sprintf("s%d", 100+f.Variant%50)
+	s.after(f.duration(), func() { s.clients.hotObject = "" })
 }
 
-func (d *Scenario) badFlood(f Fault) {
-	g := pick(d.gateways, f.Target)
+func (s *Scenario) badFlood(f Fault) {
+	g := pick(s.gateways, f.Target)
 	for at := time.Duration(0); at < f.duration(); at += 100 * time.Millisecond {
-		d.after(at, func() {
+		s.after(at, func() {
 			for range 15 {
-				d.clients.sendInvalid(g, d.randN(100))
+				s.clients.sendInvalid(g, s.randN(100))
 			}
 		})
 	}
 }
 
-func (d *Scenario) clientsCancel(f Fault) {
-	d.clients.cancelOneIn = 3
-	d.after(f.duration(), func() { d.clients.cancelOneIn = 0 })
+func (s *Scenario) clientsCancel(f Fault) {
+	s.clients.cancelOneIn = 3
+	s.after(f.duration(), func() { s.clients.cancelOneIn = 0 })
 }
 
-func (d *Scenario) clientsStall(f Fault) {
-	d.clients.stallOneIn = 6
-	d.after(f.duration(), func() { d.clients.stallOneIn = 0 })
+func (s *Scenario) clientsStall(f Fault) {
+	s.clients.stallOneIn = 6
+	s.after(f.duration(), func() { s.clients.stallOneIn = 0 })
 }
 
-func (d *Scenario) clientsGreedy(f Fault) {
-	d.clients.keepsAll = true
-	for _, c := range d.caches {
+func (s *Scenario) clientsGreedy(f Fault) {
+	s.clients.keepsAll = true
+	for _, c := range s.caches {
 		c.slowdown = 12
 	}
 	for i := range 200 {
-		d.after(time.Duration(i)*f.duration()/200, func() {
-			if d.clients.open {
-				d.clients.drawLookup(pick(d.gateways, i))
+		s.after(time.Duration(i)*f.duration()/200, func() {
+			if s.clients.open {
+				s.clients.drawLookup(pick(s.gateways, i))
 			}
 		})
 	}
-	d.after(f.duration(), func() {
-		d.clients.keepsAll = false
-		for _, c := range d.caches {
+	s.after(f.duration(), func() {
+		s.clients.keepsAll = false
+		for _, c := range s.caches {
 			c.slowdown = 1
 		}
 	})
--- a/internal/lab/scenario/coldstart.go
+++ b/internal/lab/scenario/coldstart.go
@@ -29,59 +29,67 @@
 	NumbersRestarted bool    `json:"spans"`   // the list's event numbers are beyond discovery's, which started again
 }
 
+// Values of ColdStart.StartFrom, as plans spell them.
+const (
+	startFromList  = "list"
+	startFromWait  = "wait"
+	startFromFresh = "trust"
+	startFromTrue  = "true"
+)
+
 const (
 	configPath      = "/etc/foldslip.jsonnet"
 	listDir         = "/var/lib/foldslip"
-	startedAtBegin  = time.Duration(1) // the start of what is cold when the day begins
+	startedAtBegin  = time.Duration(1) // start of a cache that is cold when the scenario starts
 	syncedAfter     = 2 * time.Second  // what a gateway received this long before its end is on its disk
-	overloadRestart = 3 * time.Second  // a cache that was pushed over, until it starts anew
-	earlyPeriod     = 30 * time.Second // from the first lookup; the share satisfied meanwhile is what a list is for
+	overloadRestart = 3 * time.Second  // from a cache's overload to its restart
+	earlyPeriod     = 30 * time.Second // from the first lookup; what a kept list is for shows in the share satisfied meanwhile
 )
 
-// EarlyLookups is what became of the lookups of a day's first 30 s; repeats count with the lookup they repeat.
+// EarlyLookups counts the lookups of a scenario's first 30 s; a repeat counts with the lookup that it repeats.
 type EarlyLookups struct {
 	Sent      int `json:"Asked"`
 	Satisfied int `json:"Satisfied"`
-	Overloads int `json:"Pushed"` // times that a cold cache or parent was sent more than it bears
+	Overloads int `json:"Pushed"` // times that a cold cache or parent was overloaded
 }
 
-func (m *ColdStart) validate() error {
+func (cold *ColdStart) validate() error {
 	switch {
-	case !slices.Contains([]string{"list", "wait", "trust", "true"}, m.StartFrom):
-		return fmt.Errorf("morning.from %q is unknown, expected list, wait, trust or true", m.StartFrom)
-	case m.AgeSeconds < 0 || m.AwayMS < 0 || m.WrongShare < 0 || m.WrongShare > 1:
-		return fmt.Errorf("morning: age_s and away_ms from 0, wrong 0 to 1")
+	case !slices.Contains([]string{startFromList, startFromWait, startFromFresh, startFromTrue}, cold.StartFrom):
+		return invalidPlan("morning.from %q is unknown, expected list, wait, trust or true", cold.StartFrom)
+	case cold.AgeSeconds < 0 || cold.AwayMS < 0 || cold.WrongShare < 0 || cold.WrongShare > 1:
+		return invalidPlan("morning: age_s and away_ms from 0, wrong 0 to 1")
 	}
 	return nil
 }
 
-// drawStartState makes what is true and what the list says.
-func (d *Scenario) drawStartState() {
-	m := d.Plan.ColdStart
+// drawStartState draws the true state of the caches and what the kept list says of them.
+func (s *Scenario) drawStartState() {
+	cold := s.Plan.ColdStart
 	var rows []kept.Endpoint
 	var left []kept.Endpoint
 	row := func(c *cache) kept.Endpoint {
 		return kept.Endpoint{ID: c.id, Addr: c.addr(), Zone: c.zone, MachineType: c.flavor, Cell: c.cell, Size: c.size}
 	}
-	for i := range len(d.caches) + len(d.parents) {
-		place := d.cacheSlot(i)
+	for i := range len(s.caches) + len(s.parents) {
+		place := s.cacheSlot(i)
 		c := *place
 		rows = append(rows, row(c))
-		if float64(d.randN(1000)) >= m.WrongShare*1000 {
+		if float64(s.randN(1000)) >= cold.WrongShare*1000 {
 			continue
 		}
-		n := d.randN(5)
-		if m.Cold {
+		n := s.randN(5)
+		if cold.Cold {
 			n = 0
 		}
 		switch n {
 		case 0: // the same machine, started anew and cold
 			c.startedAt, c.startEvent = startedAtBegin, 1
 		case 1: // another cache, just started, stands at its address
-			d.replaceIdentity(c)
+			s.replaceIdentity(c)
 			c.startedAt, c.startEvent = startedAtBegin, 1
 		default: // it is elsewhere under another id; its old address refuses, is silent, or takes all and answers nothing
-			*place = d.newCache(c.flavor, c.zone, fmt.Sprintf("10.5.%d.%d", i/200, i%200+1), c.size)
+			*place = s.newCache(c.flavor, c.zone, fmt.Sprintf("10.5.%d.%d", i/200, i%200+1), c.size)
 			switch n {
 			case 2:
 				c.stop(false)
@@ -92,21 +100,21 @@
 			}
 		}
 	}
-	for i := range len(d.caches) + len(d.parents) {
-		if c := *d.cacheSlot(i); c.startedAt == 0 {
+	for i := range len(s.caches) + len(s.parents) {
+		if c := *s.cacheSlot(i); c.startedAt == 0 {
 			c.prefill()
 		}
 	}
-	rows = append(rows, row(d.origin))
-	if d.randN(2) == 0 && len(d.caches) > 3 { // one drains, and both know it
-		c := d.caches[d.randN(len(d.caches))]
-		if c.startEvent == 0 && rows[slices.Index(d.caches, c)].ID == c.id {
+	rows = append(rows, row(s.origin))
+	if s.randN(2) == 0 && len(s.caches) > 3 { // one drains, and both know it
+		c := s.caches[s.randN(len(s.caches))]
+		if c.startEvent == 0 && rows[slices.Index(s.caches, c)].ID == c.id {
 			c.phase = "draining"
-			if m.DrainUnannounced {
+			if cold.DrainUnannounced {
 				c.phase = "up"
-				d.after(warmup+8*time.Second, func() { c.publishPhase("draining", 0) })
+				s.after(warmup+8*time.Second, func() { c.publishPhase("draining", 0) })
 			}
-			for _, g := range d.gateways {
+			for _, g := range s.gateways {
 				g.knownDraining[c.id] = true
 			}
 			gone := row(c)
@@ -114,66 +122,66 @@
 			left = append(left, gone)
 		}
 	}
-	d.writeKeptLists(rows, left)
-	d.keptList = rows
+	s.writeKeptLists(rows, left)
+	s.keptList = rows
 }
 
-// prefill gives a cache what one holds that has been up for long: what is asked for most.
+// prefill stores in a cache what one has that has been up for long: the most popular objects.
 func (c *cache) prefill() {
-	d, most := c.scenario, edgeCapacity
-	if c.flavor == "parent" {
+	s, most := c.scenario, edgeCapacity
+	if c.flavor == flavorParent {
 		most = parentCapacity
 	}
 	for i := range 60 {
 		for part := range 5 {
-			q := &attemptRequest{object: fmt.Sprintf("s%d", i), part: part}
+			request := &attemptRequest{object: fmt.Sprintf("s%d", i), part: part}
 			if part == 4 {
-				q = &attemptRequest{object: fmt.Sprintf("p%d", i)}
+				request = &attemptRequest{object: fmt.Sprintf("p%d", i)}
 			}
-			if len(c.copies) >= most {
+			if len(c.stored) >= most {
 				return
 			}
-			got := d.originCopy(q)
-			got.createdAt = got.createdAt.Add(-time.Duration(d.randN(8000)) * time.Millisecond)
-			c.store(q.key(), got, 1, most)
+			got := s.originCopy(request)
+			got.createdAt = got.createdAt.Add(-time.Duration(s.randN(8000)) * time.Millisecond)
+			c.store(request.key(), got, 1, most)
 		}
 	}
 }
 
-// cacheSlot is where an edge or a parent stands in the day's lists.
-func (d *Scenario) cacheSlot(i int) **cache {
-	if i < len(d.caches) {
-		return &d.caches[i]
+// cacheSlot is the place of an edge or a parent in the scenario's lists.
+func (s *Scenario) cacheSlot(i int) **cache {
+	if i < len(s.caches) {
+		return &s.caches[i]
 	}
-	return &d.parents[i-len(d.caches)]
+	return &s.parents[i-len(s.caches)]
 }
 
-// replaceIdentity makes a cache another one.
-func (d *Scenario) replaceIdentity(c *cache) {
-	delete(d.byID, c.id)
-	d.lastCacheID++
-	c.id = fmt.Sprintf("%s-%d", c.flavor, d.lastCacheID)
-	c.cell = d.lastCacheID
-	d.byID[c.id] = c
+// replaceIdentity makes a cache another one at the same address.
+func (s *Scenario) replaceIdentity(c *cache) {
+	delete(s.byID, c.id)
+	s.lastCacheID++
+	c.id = fmt.Sprintf("%s-%d", c.flavor, s.lastCacheID)
+	c.cell = s.lastCacheID
+	s.byID[c.id] = c
 }
 
-// writeKeptLists puts the list on each gateway's disk, as a gateway wrote it.
-func (d *Scenario) writeKeptLists(rows, left []kept.Endpoint) {
-	m := d.Plan.ColdStart
-	if m.StartFrom != "list" {
+// writeKeptLists writes the list to each gateway's disk as a gateway does.
+func (s *Scenario) writeKeptLists(rows, left []kept.Endpoint) {
+	cold := s.Plan.ColdStart
+	if cold.StartFrom != startFromList {
 		return
 	}
-	at := simenv.Epoch.Add(-time.Duration(m.AgeSeconds-m.SkewSeconds) * time.Second).UnixMilli()
+	at := simenv.Epoch.Add(-time.Duration(cold.AgeSeconds-cold.SkewSeconds) * time.Second).UnixMilli()
 	last := int64(1)
-	if m.NumbersRestarted {
+	if cold.NumbersRestarted {
 		last = 500
 	}
-	for _, g := range d.gateways {
-		s := kept.New()
-		s.Apply(kept.Update{At: at, DiscoveryAddr: d.discoveryServers[0].addr(), LastEvent: last, Complete: true, Endpoints: rows})
-		s.Apply(kept.Update{At: at, Endpoints: left, LastEvent: last})
-		s.CacheHours, s.Departures = 2000, 4
-		snap, err := s.Snapshot()
+	for _, g := range s.gateways {
+		list := kept.New()
+		list.Apply(kept.Update{At: at, DiscoveryAddr: s.discoveryServers[0].addr(), LastEvent: last, Complete: true, Endpoints: rows})
+		list.Apply(kept.Update{At: at, Endpoints: left, LastEvent: last})
+		list.CacheHours, list.Departures = 2000, 4
+		snap, err := list.Snapshot()
 		if err != nil {
 			panic(err) // of our own plain types
 		}
@@ -185,11 +193,11 @@
 		if err := errors.Join(rec.WriteSnapshot(snap), rec.Append(text), rec.Close()); err != nil {
 			panic(err)
 		}
-		if m.Torn {
+		if cold.Torn {
 			names, _ := g.directory.Names()
 			for _, n := range names {
 				if size := g.directory.Size(n); size > 30 {
-					g.directory.Corrupt(n, size-1-d.randN(10), d.randN(2) == 0)
+					g.directory.Corrupt(n, size-1-s.randN(10), s.randN(2) == 0)
 				}
 			}
 		}
@@ -197,17 +205,17 @@
 }
 
 // initialList is the list of caches that a gateway receives at its start, in place of the events so far.
-func (d *Scenario) initialList() any {
-	m := d.Plan.ColdStart
+func (s *Scenario) initialList() any {
+	cold := s.Plan.ColdStart
 	members := []endpoint{}
-	switch m.StartFrom {
-	case "trust":
-		for _, r := range d.keptList {
+	switch cold.StartFrom {
+	case startFromFresh:
+		for _, r := range s.keptList {
 			members = append(members, endpoint{ID: r.ID, HostPort: r.Addr, Locality: r.Zone, Flavor: r.MachineType, Cell: r.Cell, Phase: "up",
 				Size: r.Size})
 		}
-	case "true":
-		for _, c := range slices.Concat(d.caches, d.parents, []*cache{d.origin}) {
+	case startFromTrue:
+		for _, c := range slices.Concat(s.caches, s.parents, []*cache{s.origin}) {
 			members = append(members, c.endpoint(c.phase))
 		}
 	default:
@@ -216,9 +224,9 @@
 	return map[string]any{"no": 0, "items": []any{map[string]any{"no": 0, "roster": &endpointUpdate{Revision: 1, Complete: true, Endpoints: members}}}}
 }
 
-// setUpKeptList sets a gateway's process up.
+// setUpKeptList configures a gateway's process to keep its list on its disk.
 func (g *gatewayActor) setUpKeptList(p *simenv.Process) {
-	if g.scenario.Plan.ColdStart.StartFrom != "list" && g.scenario.Plan.ColdStart.StartFrom != "wait" {
+	if g.scenario.Plan.ColdStart.StartFrom != startFromList && g.scenario.Plan.ColdStart.StartFrom != startFromWait {
 		return
 	}
 	text, _ := json.Marshal(map[string]any{"list": map[string]any{"folder": listDir}})
@@ -230,14 +238,14 @@
 // restoreMachine brings a gateway's machine back; its power may have gone with the process. The drains that the previous
 // process received syncedAfter before its end, or earlier, are on disk and bind the next one.
 func (g *gatewayActor) restoreMachine(was *gatewayProcess) {
-	d := g.scenario
-	if was == nil || g.directory == nil || d.Plan.ColdStart.StartFrom != "list" {
+	s := g.scenario
+	if was == nil || g.directory == nil || s.Plan.ColdStart.StartFrom != startFromList {
 		return
 	}
-	if d.randN(2) == 0 {
-		g.directory.Crash(d.sim.Rand)
+	if s.randN(2) == 0 {
+		g.directory.Crash(s.sim.Rand)
 	}
-	for _, e := range d.events {
+	for _, e := range s.events {
 		told := was.notifiedAt(e.Number)
 		if e.Endpoints == nil || told == 0 || told+syncedAfter > was.endedAt {
 			continue
@@ -248,13 +256,16 @@
 	}
 }
 
-// stopDiscovery takes the bulletins away at the start.
-func (d *Scenario) stopDiscovery() {
-	span := time.Duration(d.Plan.ColdStart.AwayMS) * time.Millisecond
+// stopDiscovery makes both discovery servers unreachable from the start.
+func (s *Scenario) stopDiscovery() {
+	span := time.Duration(s.Plan.ColdStart.AwayMS) * time.Millisecond
 	if span == 0 {
 		span = time.Hour
 	}
-	for _, b := range d.discoveryServers {
-		b.stopFor(span)
+	for _, d := range s.discoveryServers {
+		d.stopFor(span)
 	}
 }
+
+// isEarly reports whether a lookup was first sent in the time that EarlyLookups counts.
+func (l *lookup) isEarly() bool { return l.firstSentAt < warmup+earlyPeriod }
--- a/internal/lab/scenario/comparecoldstarts.go
+++ b/internal/lab/scenario/comparecoldstarts.go
@@ -18,7 +18,7 @@
 
 // StartSources are the values of ColdStart.StartFrom that are compared: the kept list, nothing until discovery answers,
 // the kept list trusted wholly, and the list as it really is.
-var StartSources = [4]string{"list", "wait", "trust", "true"}
+var StartSources = [4]string{startFromList, startFromWait, startFromFresh, startFromTrue}
 
 // ColdStartCells are the cold starts that are compared.
 func ColdStartCells() (cells []*ColdStartCell) {
--- /dev/null
+++ b/internal/lab/scenario/decisions.go
@@ -0,0 +1,55 @@
+package scenario
+
+import (
+	"foldslip/internal/dispatch"
+	"foldslip/internal/lab/simenv"
+	"foldslip/internal/policy"
+)
+
+// recordDecisions adds every decision of the module to the digest, ahead of any other interceptor.
+func (s *Scenario) recordDecisions(process string, next dispatch.Interceptor) dispatch.Interceptor {
+	return func(h policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
+		digested := func(h policy.Executor) dispatch.Router {
+			return start(&decisionDigester{Executor: h, sim: s.sim, process: process})
+		}
+		if next == nil {
+			return digested(h)
+		}
+		return next(h, digested)
+	}
+}
+
+// decisionDigester adds the module's decisions to the digest.
+type decisionDigester struct {
+	policy.Executor
+	sim     *simenv.Simulation
+	process string
+}
+
+func (d *decisionDigester) note(lk *policy.Lookup, decision string, numbers ...policy.Micros) {
+	d.sim.Note(simenv.StepDecision, d.process+" "+lk.ID+" "+decision, "", int64(len(numbers)))
+	for _, m := range numbers {
+		d.sim.Note(simenv.StepDecision, "", "", int64(m))
+	}
+}
+
+func (d *decisionDigester) Fetch(lk *policy.Lookup, request policy.FetchRequest) {
+	d.note(lk, "fetch "+request.Cache.Name+" "+request.Source.Name, policy.Micros(request.Rank), policy.Micros(request.Mode), request.Timeout,
+		request.SilenceTimeout, request.MaxAge)
+	d.Executor.Fetch(lk, request)
+}
+
+func (d *decisionDigester) CancelAttempt(lk *policy.Lookup, attempt int) {
+	d.note(lk, "cancel", policy.Micros(attempt))
+	d.Executor.CancelAttempt(lk, attempt)
+}
+
+func (d *decisionDigester) Reject(lk *policy.Lookup, retryIn policy.Micros) {
+	d.note(lk, "reject", retryIn)
+	d.Executor.Reject(lk, retryIn)
+}
+
+func (d *decisionDigester) Fail(lk *policy.Lookup) {
+	d.note(lk, "fail")
+	d.Executor.Fail(lk)
+}
--- a/internal/lab/scenario/differential.go
+++ b/internal/lab/scenario/differential.go
@@ -15,92 +15,94 @@
 // a gateway and once through its external processor with a stand-in caller. Messages take no time, so that the routing
 // module receives every call in the same microsecond in both, and its decisions can be compared one by one.
 
-// differentialScript is what happens in place of clients and caches.
+// differentialScript determines the lookups and their outcomes, in place of clients and caches.
 type differentialScript struct {
 	seed         uint64
 	atExtproc    bool
-	decisions    []string // decisions, in the order in which they were made
+	decisions    []string // in the order in which they were made
 	decidedAt    []time.Duration
-	divergesAt   time.Duration // from here on the two may differ, by a term of the contract; -1: never
+	divergesAt   time.Duration // from here on the contract allows the two to differ; -1: never
 	divergence   string
 	lookups      int
 	attemptCount int
 }
 
-// play brings the lookups.
-func (s *differentialScript) play(d *Scenario) {
-	r := rand.New(rand.NewPCG(s.seed, 0x7477696e))
+// schedule has the script's lookups sent at their times.
+func (script *differentialScript) schedule(s *Scenario) {
+	r := rand.New(rand.NewPCG(script.seed, 0x7477696e))
 	at := warmup
-	for n := 0; at < warmup+time.Duration(d.Plan.Seconds)*time.Second; n++ {
+	for n := 0; at < warmup+time.Duration(s.Plan.Seconds)*time.Second; n++ {
 		at += time.Duration(1+r.IntN(60_000_000))*time.Nanosecond + time.Microsecond
-		g, a := d.gateways[r.IntN(len(d.gateways))], &lookup{kind: r.IntN(len(lookupKinds)), part: r.IntN(3), id: fmt.Sprintf("%016x", r.Uint64())}
-		a.object = fmt.Sprintf("%c%d", lookupKinds[a.kind].name[0], r.IntN(40))
-		if lookupKinds[a.kind].passOn {
-			a.object = fmt.Sprintf("%c%d", lookupKinds[a.kind].name[0], n)
+		g, l := s.gateways[r.IntN(len(s.gateways))], &lookup{kind: r.IntN(len(lookupKinds)), part: r.IntN(3), id: fmt.Sprintf("%016x", r.Uint64())}
+		l.object = fmt.Sprintf("%c%d", l.kindSettings().name[0], r.IntN(40))
+		if l.kindSettings().passesThrough {
+			l.object = fmt.Sprintf("%c%d", l.kindSettings().name[0], n)
 		}
-		a.group, a.deadline = groupOf(a.object), (lookupKinds[a.kind].deadline / time.Duration(1+r.IntN(4))).Truncate(time.Millisecond)
-		d.sim.After(at, func() {
-			a.process = g.current
-			if a.process == nil || !a.process.ready || a.process.ended {
+		l.group, l.deadline = groupOf(l.object), (l.kindSettings().deadline / time.Duration(1+r.IntN(4))).Truncate(time.Millisecond)
+		s.sim.After(at, func() {
+			l.process = g.current
+			if l.process == nil || !l.process.ready || l.process.ended {
 				return
 			}
-			s.lookups++
-			d.checker.lookupSent(a)
-			if p := d.callers[g]; p != nil {
-				p.sendLookup(a)
+			script.lookups++
+			s.checker.lookupSent(l)
+			if caller := s.callers[g]; caller != nil {
+				caller.sendLookup(l)
 				return
 			}
-			c := &clientConn{clients: d.clients, gateway: g, process: g.current, next: a}
-			c.end = d.clients.host.Connect(g.addr(), c)
+			c := &clientConn{clients: s.clients, gateway: g, process: g.current, next: l}
+			c.end = s.clients.host.Connect(g.addr(), c)
 		})
 	}
 }
 
-// answerAttempt ends a send as the script has it: by the lookup, the cache and how often it has been there.
-func (s *differentialScript) answerAttempt(c *cache, q *attemptRequest) {
-	s.attemptCount++
-	r := rand.New(rand.NewPCG(s.seed^hashString(q.id), hashString(c.id)))
+// answerAttempt answers a request as drawn from the lookup and the cache.
+func (script *differentialScript) answerAttempt(c *cache, request *attemptRequest) {
+	script.attemptCount++
+	r := rand.New(rand.NewPCG(script.seed^hashString(request.id), hashString(c.id)))
 	after := time.Duration(200+r.IntN(90_000)) * time.Microsecond
 	note, waited := "hit", 0.0
 	switch n := r.IntN(100); {
 	case n < 2:
-		return // never
+		return // no answer
 	case n < 6:
-		c.scenario.after(after, func() { c.respond(q, "NONE", "-") })
+		c.scenario.after(after, func() { c.respond(request, "NONE", "-") })
 		return
 	case n < 10:
-		c.scenario.after(after, func() { c.respond(q, "SHED", "-") })
+		c.scenario.after(after, func() { c.respond(request, "SHED", "-") })
 		return
 	case n < 13:
-		c.scenario.after(after, func() { c.respond(q, "FAULT", "note="+[]string{"src_broke", "origin_failed", "src_refused"}[n-10]) })
+		c.scenario.after(after, func() {
+			c.respond(request, "FAULT", "note="+[]string{"src_broke", "origin_failed", "src_refused"}[n-10])
+		})
 		return
-	case n < 30 && q.source != "":
+	case n < 30 && request.source != "":
 		note = []string{"filled", "via_origin", "joined"}[n%3]
 		after += time.Duration(r.IntN(300_000)) * time.Microsecond
 		waited = float64(after.Microseconds()) / 1000
 	}
-	got := c.scenario.originCopy(q)
+	got := c.scenario.originCopy(request)
 	got.createdAt = got.createdAt.Add(-time.Duration(r.IntN(4000)) * time.Millisecond)
 	c.scenario.after(after, func() {
-		if q.ended || !c.up || q.conn.deliver == nil && q.conn.requests[q.id] != q {
+		if request.ended || !c.up || request.conn.deliver == nil && request.conn.requests[request.id] != request {
 			return
 		}
 		fields := fmt.Sprintf("note=%s,waited=%.3f,ver=%s,born=%d", note, waited, got.version, got.createdAt.UnixMilli())
-		body := got.body(q.key())
-		c.scenario.checker.cacheAnswered(q, got, false)
-		q.ended = true
-		q.conn.send(q, fmt.Sprintf("%s HIT %s %d\r\n%s\r\n", q.id, fields, len(body), body))
+		body := got.body(request.key())
+		c.scenario.checker.cacheAnswered(request, got, false)
+		request.ended = true
+		request.conn.send(request, fmt.Sprintf("%s HIT %s %d\r\n%s\r\n", request.id, fields, len(body), body))
 	})
 }
 
-// interceptor notes every decision of the module.
-func (s *differentialScript) interceptor(d *Scenario) dispatch.Interceptor {
+// interceptor records every decision of the module.
+func (script *differentialScript) interceptor(s *Scenario) dispatch.Interceptor {
 	note := func(format string, a ...any) {
-		s.decisions = append(s.decisions, fmt.Sprintf("%d us ", d.sim.Now().Microseconds())+fmt.Sprintf(format, a...))
-		s.decidedAt = append(s.decidedAt, d.sim.Now())
+		script.decisions = append(script.decisions, fmt.Sprintf("%d us ", s.sim.Now().Microseconds())+fmt.Sprintf(format, a...))
+		script.decidedAt = append(script.decidedAt, s.sim.Now())
 	}
 	return func(h policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
-		return start(&decisionRecorder{Executor: h, script: s, scenario: d, note: note})
+		return start(&decisionRecorder{Executor: h, script: script, scenario: s, note: note})
 	}
 }
 
@@ -128,30 +130,31 @@
 	n.Executor.Fail(lk)
 }
 
-// CancelAttempt gives a send up. A gateway takes it back at its cache, a caller cannot be called back: the contract's term.
+// CancelAttempt records that the runs may differ from now on: a gateway cancels at the cache, but a caller cannot be called
+// back, as the contract says.
 func (n *decisionRecorder) CancelAttempt(lk *policy.Lookup, send int) {
 	n.script.mayDiverge(n.scenario.sim.Now(), "cancelled")
 	n.Executor.CancelAttempt(lk, send)
 }
 
-func (s *differentialScript) mayDiverge(at time.Duration, why string) {
-	if s.divergesAt < 0 {
-		s.divergesAt, s.divergence = at, why
+func (script *differentialScript) mayDiverge(at time.Duration, why string) {
+	if script.divergesAt < 0 {
+		script.divergesAt, script.divergence = at, why
 	}
 }
 
-// DifferentialResult is what became of a pair of twins.
+// DifferentialResult is the comparison of a differential run.
 type DifferentialResult struct {
 	Seed       uint64 `json:"seed"`
 	Lookups    int    `json:"lookups"`
 	Attempts   int    `json:"sends"`
 	Compared   int    `json:"compared"`            // decisions
-	Divergence string `json:"term,omitempty"`      // of the contract, from which on they may differ
+	Divergence string `json:"term,omitempty"`      // the case of the contract after which they may differ
 	Different  string `json:"different,omitempty"` // the first decision that differs before that
 	Broken     string `json:"broken,omitempty"`
 }
 
-// RunDifferential plays a seed at a gateway and at its door, and compares each decision of the module.
+// RunDifferential runs a seed through a gateway and through its external processor, and compares each decision of the module.
 func RunDifferential(seed uint64) (DifferentialResult, error) {
 	r := rand.New(rand.NewPCG(seed, 0x7477696e73))
 	p := Plan{Form: PlanForm, Seed: seed, Profile: "calm", Seconds: 20, Gateways: 1, Caches: 4 + r.IntN(5), Parents: 2, Rate: 1, MemoryMB: 64, Descriptors: 384}
@@ -163,25 +166,25 @@
 	var both [2]*differentialScript
 	pair := DifferentialResult{Seed: seed}
 	for i := range both {
-		s := &differentialScript{seed: seed, atExtproc: i == 1, divergesAt: -1}
-		both[i] = s
-		day, err := Run(p, Hooks{script: s})
+		script := &differentialScript{seed: seed, atExtproc: i == 1, divergesAt: -1}
+		both[i] = script
+		day, err := Run(p, Hooks{script: script})
 		if err != nil {
 			return pair, err
 		}
 		if len(day.Violations) > 0 {
 			pair.Broken = day.Violations[0].String()
 		}
-		if n := day.Reasons["cache_closed silent"]; n > 0 { // a gateway tells a silent connection by several sends, a caller sees one
+		if n := day.Reasons["cache_closed silent"]; n > 0 { // a gateway detects a silent connection by several attempts, a caller sees one
 			pair.Divergence = "silent"
 		}
 	}
 	a, b := both[0], both[1]
 	pair.Lookups, pair.Attempts = a.lookups, a.attemptCount
 	until := 1000 * time.Hour
-	for _, s := range both {
-		if s.divergesAt >= 0 {
-			until, pair.Divergence = min(until, s.divergesAt), s.divergence
+	for _, script := range both {
+		if script.divergesAt >= 0 {
+			until, pair.Divergence = min(until, script.divergesAt), script.divergence
 		}
 	}
 	for i := range max(len(a.decisions), len(b.decisions)) {
@@ -204,8 +207,8 @@
 	return pair, nil
 }
 
-// sameDecision tells whether two decisions are the same, at instants at most 1 us apart: a door and a gateway round the
-// instant of the same event each in its own way, and a sweep of one may so fall a microsecond before the other's.
+// sameDecision reports whether two decisions are the same at instants at most 1 us apart: a gateway and its external
+// processor round the instant of the same event differently, so that one's sweep may be a microsecond before the other's.
 func sameDecision(x, y string) bool {
 	var a, b int64
 	var restA, restB string
--- a/internal/lab/scenario/differential_test.go
+++ b/internal/lab/scenario/differential_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The same lookups are decided alike at a gateway and at its door, one decision after the other.
+// TestDifferentialRunsDecideAlike checks that a gateway and its external processor make the same decisions.
 func TestDifferentialRunsDecideAlike(t *testing.T) {
 	for seed := uint64(1); seed <= 30; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -21,7 +21,7 @@
 	}
 }
 
-// Decisions a microsecond apart are alike; others, or other decisions, are not.
+// TestSameDecision checks that decisions a microsecond apart are the same; others, or other decisions, are not.
 func TestSameDecision(t *testing.T) {
 	for x, want := range map[[2]string]bool{{"5 us nack a", "4 us nack a"}: true, {"5 us nack a", "3 us nack a"}: false,
 		{"5 us nack a", "5 us nack b"}: false, {"nothing", "5 us nack a"}: false, {"nothing", "nothing"}: true} {
--- a/internal/lab/scenario/discovery.go
+++ b/internal/lab/scenario/discovery.go
@@ -39,85 +39,85 @@
 	Issued int64  `json:"issued"`
 }
 
-// publish adds an event; both bulletins tell it.
-func (d *Scenario) publish(e discoveryEvent) {
-	e.Number, e.publishedAt = len(d.events)+1, d.sim.Now()
-	d.events = append(d.events, e)
-	d.sim.Note(simenv.StepPublish, "", "", int64(e.Number))
-	for _, b := range d.discoveryServers {
-		b.notifyWatches()
+// publish adds an event, which both discovery servers send.
+func (s *Scenario) publish(e discoveryEvent) {
+	e.Number, e.publishedAt = len(s.events)+1, s.sim.Now()
+	s.events = append(s.events, e)
+	s.sim.Note(simenv.StepPublish, "", "", int64(e.Number))
+	for _, d := range s.discoveryServers {
+		d.notifyWatches()
 	}
 }
 
-// discoveryServer tells gateways of numbered events.
+// discoveryServer sends numbered events to the gateways that watch it.
 type discoveryServer struct {
 	scenario   *Scenario
 	index      int
 	host       *simenv.Host
 	lag        time.Duration
-	silent     bool // stays open and says nothing
+	silent     bool // keeps connections open and sends nothing
 	down       bool
 	duplicates bool
-	skipsEvent bool // leaves the next event out, once a connection
+	skipsEvent bool // leaves the next event out, once for each connection
 	conns      []*watchConn
 }
 
-func newDiscoveryServer(d *Scenario, no int) *discoveryServer {
-	b := &discoveryServer{scenario: d, index: no, host: d.sim.Host(fmt.Sprintf("10.7.0.%d", no+1), "bulletin")}
-	b.serve()
-	b.heartbeat()
-	return b
+func newDiscoveryServer(s *Scenario, no int) *discoveryServer {
+	d := &discoveryServer{scenario: s, index: no, host: s.sim.Host(fmt.Sprintf("10.7.0.%d", no+1), groupDiscovery)}
+	d.serve()
+	d.heartbeat()
+	return d
 }
 
-func (b *discoveryServer) addr() string { return b.host.IP + ":8500" }
+func (d *discoveryServer) addr() string { return d.host.IP + ":8500" }
 
-func (b *discoveryServer) serve() {
-	b.down = false
-	b.host.Serve("8500", func(e *simenv.End) simenv.Handler {
-		c := &watchConn{server: b, end: e, after: -1}
-		for _, g := range b.scenario.gateways {
+func (d *discoveryServer) serve() {
+	d.down = false
+	d.host.Serve("8500", func(e *simenv.End) simenv.Handler {
+		c := &watchConn{server: d, end: e, after: -1}
+		for _, g := range d.scenario.gateways {
 			if g.host == e.Peer {
 				c.process = g.current
 			}
 		}
 		e.OnArrived = c.arrived
-		b.conns = append(b.conns, c)
+		d.conns = append(d.conns, c)
 		return c
 	})
 }
 
 // stopFor makes the discovery server unreachable for a span: its connections break and new ones are refused.
-func (b *discoveryServer) stopFor(span time.Duration) {
-	b.down = true
-	b.host.StopServing("8500")
-	for _, c := range append([]*watchConn(nil), b.conns...) {
+func (d *discoveryServer) stopFor(span time.Duration) {
+	d.down = true
+	d.host.StopServing("8500")
+	for _, c := range append([]*watchConn(nil), d.conns...) {
 		c.end.Reset()
 		c.Closed(true)
 	}
-	b.scenario.after(span, b.serve)
+	d.scenario.after(span, d.serve)
 }
 
-func (b *discoveryServer) heartbeat() {
-	for _, c := range b.conns {
-		if c.next > 0 && !b.silent {
+func (d *discoveryServer) heartbeat() {
+	for _, c := range d.conns {
+		if c.next > 0 && !d.silent {
 			c.send(strconv.Itoa(c.next-1) + "\n")
 		}
 	}
-	b.scenario.after(time.Second, b.heartbeat)
+	d.scenario.after(time.Second, d.heartbeat)
 }
 
-// notifyWatches tells what has not been told.
-func (b *discoveryServer) notifyWatches() {
-	if b == nil {
+// notifyWatches sends the events that are due to all connections.
+func (d *discoveryServer) notifyWatches() {
+	if d == nil {
 		return
 	}
 	tell := func() {
-		for _, c := range append([]*watchConn(nil), b.conns...) {
+		for _, c := range append([]*watchConn(nil), d.conns...) {
 			c.sendDue()
 		}
 	}
-	if b.lag > 0 {
-		b.scenario.after(b.lag, tell)
+	if d.lag > 0 {
+		d.scenario.after(d.lag, tell)
 	} else {
 		tell()
 	}
@@ -129,7 +129,7 @@
 	end          *simenv.End
 	process      *gatewayProcess
 	in           []byte
-	after        int // -1 until it is said
+	after        int // last event that the gateway has; -1 until it says so
 	next         int // event
 	sentBytes    int // bytes
 	arrivedBytes int // bytes that reached the gateway
@@ -143,10 +143,10 @@
 func (c *watchConn) Written(int, []byte) {}
 
 func (c *watchConn) Closed(bool) {
-	b := c.server
-	for i, o := range b.conns {
+	d := c.server
+	for i, o := range d.conns {
 		if o == c {
-			b.conns = append(b.conns[:i:i], b.conns[i+1:]...)
+			d.conns = append(d.conns[:i:i], d.conns[i+1:]...)
 			break
 		}
 	}
@@ -175,14 +175,14 @@
 }
 
 func (c *watchConn) sendDue() {
-	b := c.server
-	for c.next > 0 && !b.silent && c.next <= len(b.scenario.events) {
-		e := b.scenario.events[c.next-1]
-		if b.lag > 0 && b.scenario.sim.Now() < e.publishedAt+b.lag {
-			b.scenario.after(e.publishedAt+b.lag-b.scenario.sim.Now(), c.sendDue)
+	d := c.server
+	for c.next > 0 && !d.silent && c.next <= len(d.scenario.events) {
+		e := d.scenario.events[c.next-1]
+		if d.lag > 0 && d.scenario.sim.Now() < e.publishedAt+d.lag {
+			d.scenario.after(e.publishedAt+d.lag-d.scenario.sim.Now(), c.sendDue)
 			return
 		}
-		if b.skipsEvent && !c.skipped && c.next < len(b.scenario.events) {
+		if d.skipsEvent && !c.skipped && c.next < len(d.scenario.events) {
 			c.skipped = true
 			c.next++
 			continue
@@ -190,7 +190,7 @@
 		text := string(mustMarshal(e)) + "\n"
 		c.send(text)
 		c.marks = append(c.marks, sentMark{c.sentBytes, c.next})
-		if b.duplicates {
+		if d.duplicates {
 			c.send(text)
 		}
 		c.next++
@@ -204,7 +204,7 @@
 	c.end.Close()
 }
 
-// arrived notes which events have reached the gateway whole.
+// arrived notes which events have reached the gateway completely.
 func (c *watchConn) arrived(data []byte) {
 	c.arrivedBytes += len(data)
 	for len(c.marks) > 0 && c.marks[0].endByte <= c.arrivedBytes {
@@ -215,12 +215,12 @@
 	}
 }
 
-// markNotified notes that an event counts as told from then on.
-func (l *gatewayProcess) markNotified(no int, at time.Duration) {
-	for len(l.notified) <= no {
-		l.notified = append(l.notified, 0)
+// markNotified notes that a process counts as notified of an event from a time on.
+func (p *gatewayProcess) markNotified(no int, at time.Duration) {
+	for len(p.notified) <= no {
+		p.notified = append(p.notified, 0)
 	}
-	if l.notified[no] == 0 {
-		l.notified[no] = max(1, at)
+	if p.notified[no] == 0 {
+		p.notified[no] = max(1, at)
 	}
 }
--- a/internal/lab/scenario/discoveryfaults.go
+++ b/internal/lab/scenario/discoveryfaults.go
@@ -5,15 +5,28 @@
 	"time"
 )
 
-func (d *Scenario) discoveryLag(f Fault) {
-	b := d.discoveryServers[f.Target%2]
-	b.lag = time.Duration(200+f.Variant%2500) * time.Millisecond
-	d.after(f.duration(), func() { b.lag = 0; b.notifyWatches() })
+// discoveryFaultKinds are the faults of the discovery servers.
+func discoveryFaultKinds() []FaultKind {
+	return []FaultKind{
+		{"bulletin_lag", "the bulletin tells late", 2000, 8000, 2, false, (*Scenario).discoveryLag},
+		{"bulletin_break", "the bulletin breaks off in an event", 100, 100, 2, false, (*Scenario).discoveryBreak},
+		{"bulletin_stop", "the bulletin says nothing and stays open", 1000, 3500, 1, false, (*Scenario).discoveryStall},
+		{"bulletin_double", "the bulletin tells every event twice", 3000, 20000, 1, false, (*Scenario).discoveryDuplicate},
+		{"bulletin_spoilt", "the bulletin tells a line that cannot be read", 100, 100, 1, false, (*Scenario).discoveryGarbage},
+		{"bulletin_gap", "the bulletin leaves an event out", 500, 4000, 1, false, (*Scenario).discoveryGap},
+		{"bulletin_gone", "the bulletin is gone", 200, 3000, 1, false, (*Scenario).discoveryGone},
+	}
+}
+
+func (s *Scenario) discoveryLag(f Fault) {
+	d := s.discoveryServers[f.Target%2]
+	d.lag = time.Duration(200+f.Variant%2500) * time.Millisecond
+	s.after(f.duration(), func() { d.lag = 0; d.notifyWatches() })
 }
 
-func (d *Scenario) discoveryBreak(f Fault) {
-	for _, b := range d.discoveryServers {
-		for _, c := range append([]*watchConn(nil), b.conns...) {
+func (s *Scenario) discoveryBreak(f Fault) {
+	for _, d := range s.discoveryServers {
+		for _, c := range append([]*watchConn(nil), d.conns...) {
 			if c.next > 0 {
 				c.breakInEvent()
 			}
@@ -21,42 +34,42 @@
 	}
 }
 
-func (d *Scenario) discoveryStall(f Fault) {
-	b := d.discoveryServers[f.Target%2]
-	b.silent = true
-	d.after(f.duration(), func() { b.silent = false; b.notifyWatches() })
+func (s *Scenario) discoveryStall(f Fault) {
+	d := s.discoveryServers[f.Target%2]
+	d.silent = true
+	s.after(f.duration(), func() { d.silent = false; d.notifyWatches() })
 }
 
-func (d *Scenario) discoveryDuplicate(f Fault) {
-	for _, b := range d.discoveryServers {
-		b.duplicates = true
-		d.after(f.duration(), func() { b.duplicates = false })
+func (s *Scenario) discoveryDuplicate(f Fault) {
+	for _, d := range s.discoveryServers {
+		d.duplicates = true
+		s.after(f.duration(), func() { d.duplicates = false })
 	}
 }
 
-func (d *Scenario) discoveryGone(f Fault) {
-	if b := d.discoveryServers[f.Target%2]; !b.down {
-		b.stopFor(f.duration())
+func (s *Scenario) discoveryGone(f Fault) {
+	if d := s.discoveryServers[f.Target%2]; !d.down {
+		d.stopFor(f.duration())
 	}
 }
 
-func (d *Scenario) discoveryGarbage(f Fault) {
-	for _, b := range d.discoveryServers {
-		for _, c := range b.conns {
-			if c.next > 0 && !b.silent {
+func (s *Scenario) discoveryGarbage(f Fault) {
+	for _, d := range s.discoveryServers {
+		for _, c := range d.conns {
+			if c.next > 0 && !d.silent {
 				c.send(pick([]string{"{\"no\":}\n", "\x00\xff\n", "{\"no\":9999999,\"roster\":{}}\n", strings.Repeat("~", 3000) + "\n"}, f.Variant))
 			}
 		}
 	}
 }
 
-func (d *Scenario) discoveryGap(f Fault) {
-	for _, b := range d.discoveryServers {
-		b.skipsEvent = true
+func (s *Scenario) discoveryGap(f Fault) {
+	for _, d := range s.discoveryServers {
+		d.skipsEvent = true
 	}
-	d.after(f.duration(), func() {
-		for _, b := range d.discoveryServers {
-			b.skipsEvent = false
+	s.after(f.duration(), func() {
+		for _, d := range s.discoveryServers {
+			d.skipsEvent = false
 		}
 	})
 }
--- a/internal/lab/scenario/extprocserver.go
+++ b/internal/lab/scenario/extprocserver.go
@@ -25,14 +25,17 @@
 
 const extprocPort = "18200"
 
-// doorTable is the operator's table of a virtual day.
+// errTextMessage is the error of a message that the plain text wire cannot read.
+var errTextMessage = errors.New("a message that cannot be read")
+
+// doorTable is the operator's configuration of the external processor.
 var extprocRoutes = []route.Rule{{Path: "/call/{kind}/{object}/part-{part}", Kind: "path:kind", Object: "path:object", Part: "path:part",
 	Group: "header:x-group", KB: "header:x-ram-kb", ID: "header:x-job-id", AllowMS: "header:x-allow-ms", Tag: "header:x-tag"}}
 
 var extprocLimits = extproc.Limits{MaxStreams: 200, SilenceTimeout: 8 * time.Second, MessagesPerSecond: 400, BytesPerSecond: 200_000,
 	Lookups: retry.Limits{MaxLookups: 256, MaxPerCaller: 200, ReturnTimeout: 300 * time.Millisecond, Retention: 5 * time.Second}}
 
-// extprocServer is a service.Door on the lab's wire.
+// extprocServer is the gateway's external processor on the simulation's wire.
 type extprocServer struct {
 	*extproc.Server
 	environment env.Environment
@@ -45,8 +48,8 @@
 	scenario    *Scenario
 }
 
-func newExtprocServer(in gateway.Dependencies, at string, d *Scenario) (*extprocServer, error) {
-	terms, plant := extprocLimits, extprocFaults[d.Plan.InjectedFault]
+func newExtprocServer(in gateway.Dependencies, at string, s *Scenario) (*extprocServer, error) {
+	terms, plant := extprocLimits, extprocFaults[s.Plan.InjectedFault]
 	if plant.limits != nil {
 		plant.limits(&in, &terms)
 	}
@@ -59,10 +62,10 @@
 		return nil, err
 	}
 	return &extprocServer{Server: extproc.New(in.Environment, in.Settings, in.Dispatcher, in.Registry, in.Purges, in.Admission, table, terms), environment: in.Environment, listener: l,
-		conns: map[net.Conn]int{}, group: in.Environment.NewGroup(), fault: plant, scenario: d}, nil
+		conns: map[net.Conn]int{}, group: in.Environment.NewGroup(), fault: plant, scenario: s}, nil
 }
 
-// openStreams is how many streams there are.
+// openStreams is the number of open streams.
 func (p *extprocServer) openStreams() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -122,7 +125,7 @@
 	}
 }
 
-// textStream is a stream: messages are a first line with the phase, lines of headers, and an empty one.
+// textStream is a stream on the wire: a message is a line with the phase, lines of headers, and an empty line.
 type textStream struct {
 	conn   net.Conn
 	in     *bufio.Reader
@@ -136,7 +139,7 @@
 	}
 	phase, err := strconv.Atoi(strings.TrimSuffix(strings.TrimPrefix(first, "P"), "\n"))
 	if err != nil {
-		return extproc.Message{}, errors.New("a message that cannot be read")
+		return extproc.Message{}, errTextMessage
 	}
 	m, fields := extproc.Message{Phase: extproc.Phase(phase), Size: len(first)}, []string(nil)
 	for {
@@ -199,19 +202,19 @@
 }
 
 var extprocFaults = map[string]extprocFault{
-	"door_reply_lost": {help: "a reply is not written", send: func(d *Scenario, _ env.Environment, _ extproc.Reply, text string) string {
-		if d.randN(60) == 0 {
+	"door_reply_lost": {help: "a reply is not written", send: func(s *Scenario, _ env.Environment, _ extproc.Reply, text string) string {
+		if s.randN(60) == 0 {
 			return ""
 		}
 		return text
 	}},
-	"door_reply_twice": {help: "a reply is written twice", send: func(d *Scenario, _ env.Environment, _ extproc.Reply, text string) string {
-		if d.randN(60) == 0 {
+	"door_reply_twice": {help: "a reply is written twice", send: func(s *Scenario, _ env.Environment, _ extproc.Reply, text string) string {
+		if s.randN(60) == 0 {
 			return text + text
 		}
 		return text
 	}},
-	"door_end_kept_back": {help: "a final answer is written near the deadline", send: func(d *Scenario, g env.Environment, r extproc.Reply, text string) string {
+	"door_end_kept_back": {help: "a final answer is written near the deadline", send: func(s *Scenario, g env.Environment, r extproc.Reply, text string) string {
 		if r.Status == 503 && r.RetryAfter > 0 {
 			g.NewNotifier().Wait(1400 * time.Millisecond)
 		}
@@ -219,9 +222,9 @@
 	}},
 	"door_purges_unheard": {help: "births of answers are not held against purges", limits: func(in *gateway.Dependencies, _ *extproc.Limits) { in.Purges = nil }},
 	"door_forgetful":      {help: "an ended lookup is forgotten at once", limits: func(_ *gateway.Dependencies, t *extproc.Limits) { t.Lookups.Retention = 1 }},
-	"door_answer_never_ran": {help: "a send that brought its answer is taken for one that did not run", recv: func(d *Scenario, m *extproc.Message, fields []string) {
+	"door_answer_never_ran": {help: "a send that brought its answer is taken for one that did not run", recv: func(s *Scenario, m *extproc.Message, fields []string) {
 		for i, f := range fields {
-			if f == "x-foldslip-end: hit" && d.randN(40) == 0 {
+			if f == "x-foldslip-end: hit" && s.randN(40) == 0 {
 				fields[i] = "x-foldslip-end: shed"
 			}
 		}
@@ -229,15 +232,15 @@
 	"door_wait_untold": {help: "a nack does not say when to come back", send: func(_ *Scenario, _ env.Environment, r extproc.Reply, text string) string {
 		return strings.ReplaceAll(text, "x-wait-ms", "x-wait")
 	}},
-	"door_other_cache": {help: "a decision names another cache than the module's", send: func(d *Scenario, _ env.Environment, _ extproc.Reply, text string) string {
-		if d.randN(40) > 0 {
+	"door_other_cache": {help: "a decision names another cache than the module's", send: func(s *Scenario, _ env.Environment, _ extproc.Reply, text string) string {
+		if s.randN(40) > 0 {
 			return text
 		}
 		return strings.Replace(text, "x-foldslip-addr: 10.1.0.1:", "x-foldslip-addr: 10.1.0.2:", 1)
 	}},
 }
 
-// splitMessages cuts whole messages off the front of b.
+// splitMessages splits complete messages from the front of b.
 func splitMessages(b []byte, each func(first string, fields map[string]string)) []byte {
 	for {
 		i := strings.Index(string(b), "\n\n")
--- a/internal/lab/scenario/extprocserver_test.go
+++ b/internal/lab/scenario/extprocserver_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// runExtprocCase plays a story at the door for some seeds; happened tells whether what it is about did happen.
+// runExtprocCase does as runCase through the external processor.
 func runExtprocCase(t *testing.T, faults []Fault, look func() (Hooks, func(r Result) bool)) {
 	t.Helper()
 	t.Parallel()
@@ -23,7 +23,7 @@
 		}
 	}
 	if met == 0 {
-		t.Error("what the story is about never happened")
+		t.Error("the subject of the case never occurred")
 	}
 }
 
@@ -33,6 +33,7 @@
 	}
 }
 
+// TestExtprocCases runs cases of the external processor.
 func TestExtprocCases(t *testing.T) {
 	all := func(kind string) []Fault { return []Fault{{AtMS: 2000, Kind: kind, DurationMS: 9000}} }
 	t.Run("the caller gives up halfway through a request", func(t *testing.T) { runExtprocCase(t, all("caller_leaves"), endsAtLeast("client left", 5)) })
@@ -54,34 +55,34 @@
 			return Hooks{}, func(r Result) bool { return r.Reasons["stopping"] > 3 }
 		})
 	})
-	// What is told between a decision and its caller's send: the send goes out as decided, within the grace.
-	between := func(do func(d *Scenario, to string)) func() (Hooks, func(r Result) bool) {
+	// What a gateway learns between a decision and its caller's request: the request is sent as decided, within the grace.
+	between := func(do func(s *Scenario, to string)) func() (Hooks, func(r Result) bool) {
 		return func() (Hooks, func(r Result) bool) {
 			n := 0
-			return Hooks{onStart: func(d *Scenario) {
-					for _, p := range d.callers { // each by itself: the order does not matter
-						p.delayOneIn = 1
+			return Hooks{onStart: func(s *Scenario) {
+					for _, caller := range s.callers { // each by itself: the order does not matter
+						caller.delayOneIn = 1
 					}
-				}, onDecision: func(d *Scenario, _ *gatewayProcess, to string) {
-					if d.sim.Now() > 4*time.Second && n == 0 && d.byID[to].isUndisturbed() {
+				}, onDecision: func(s *Scenario, _ *gatewayProcess, to string) {
+					if s.sim.Now() > 4*time.Second && n == 0 && s.byID[to].isUndisturbed() {
 						n++
-						do(d, to)
+						do(s, to)
 					}
 				}},
 				func(Result) bool { return n > 0 }
 		}
 	}
 	t.Run("a drain between the decision and the caller's send", func(t *testing.T) {
-		runExtprocCase(t, nil, between(func(d *Scenario, to string) {
-			c := d.byID[to]
+		runExtprocCase(t, nil, between(func(s *Scenario, to string) {
+			c := s.byID[to]
 			c.phase = "draining"
-			d.publishDrain(c, "draining", 0)
+			s.publishDrain(c, "draining", 0)
 		}))
 	})
 	t.Run("a purge between the decision and the caller's send", func(t *testing.T) {
-		runExtprocCase(t, nil, between(func(d *Scenario, _ string) {
+		runExtprocCase(t, nil, between(func(s *Scenario, _ string) {
 			for _, o := range []string{"s0", "s1", "p0", "p1"} {
-				d.purge(o, 0)
+				s.purge(o, 0)
 			}
 		}))
 	})
--- a/internal/lab/scenario/forms_test.go
+++ b/internal/lab/scenario/forms_test.go
@@ -27,15 +27,15 @@
 func TestReportsKeepTheirForm(t *testing.T) {
 	readAndWrite(t, "result.json", &Result{})
 	readAndWrite(t, "pair.json", &DifferentialResult{})
-	readAndWrite(t, "trial.json", &RouteTrial{})
+	readAndWrite(t, "trial.json", &RouteChangeRun{})
 	readAndWrite(t, "cells.json", &[]ColdStartCell{})
 }
 
 // TestPlatformSideKeepsItsForm does so with what stands in for the platform: discovery events and the settings' text.
 func TestPlatformSideKeepsItsForm(t *testing.T) {
 	readAndWrite(t, "events.json", &[]discoveryEvent{})
-	d := &Scenario{Plan: Plan{Gateways: 3}, zoneCount: 2}
-	checkWritten(t, "settings.json", json.RawMessage(mustMarshal(d.settings(1))))
+	s := &Scenario{Plan: Plan{Gateways: 3}, zoneCount: 2}
+	checkWritten(t, "settings.json", json.RawMessage(mustMarshal(s.settings(1))))
 }
 
 // readAndWrite reads a file of testdata into value, which must know every key of it, and checks that value is written as the same bytes.
--- a/internal/lab/scenario/gateway.go
+++ b/internal/lab/scenario/gateway.go
@@ -11,7 +11,12 @@
 	"foldslip/internal/policy"
 )
 
-// gatewayActor is a place where a gateway runs, one life after another.
+const (
+	gatewayConfigPath = "/config.json"
+	restartDelay      = 50 * time.Millisecond // from a process's end to the start of the next
+)
+
+// gatewayActor is a machine on which a gateway runs, one process after another.
 type gatewayActor struct {
 	scenario       *Scenario
 	index, zone    int
@@ -24,8 +29,8 @@
 	current        *gatewayProcess
 	starts         int
 	directory      *simenv.Directory
-	routeSides     map[uint64]routeSide // configurations by version, on days of routes
-	knownDraining  map[string]bool      // caches that its list on disk knows to drain
+	routeSides     map[uint64]routeSide // configurations by version, where operators change routes
+	knownDraining  map[string]bool      // caches that drain according to its list on disk
 }
 
 // gatewayProcess is one process of a gateway, from its start to its end.
@@ -40,199 +45,218 @@
 	ended           bool
 	endedAt         time.Duration
 	notified        []time.Duration // by number of the event, 0: not yet
-	cutOffAt        time.Duration   // since when it could not hear, or until when
+	cutOffAt        time.Duration   // when it was last cut off from discovery
 	conns           map[*cacheConn]bool
 	activeRoutes    []activeRoutes // routes in force by time
 	routesCheckedAt time.Duration
 }
 
-func newGateway(d *Scenario, no int) *gatewayActor {
-	g := &gatewayActor{scenario: d, index: no, zone: no % d.zoneCount, name: fmt.Sprintf("n%d", no), ip: fmt.Sprintf("10.0.%d.%d", no%d.zoneCount, no+1),
-		memoryMB: d.Plan.MemoryMB, descriptors: d.Plan.Descriptors}
-	g.host, g.directory, g.knownDraining = d.sim.Host(g.ip, "gateways"), simenv.NewDirectory(), map[string]bool{}
-	return g
+func newGateway(s *Scenario, index int) *gatewayActor {
+	zone := index % s.zoneCount
+	ip := fmt.Sprintf("10.0.%d.%d", zone, index+1)
+	return &gatewayActor{
+		scenario:      s,
+		index:         index,
+		zone:          zone,
+		name:          fmt.Sprintf("n%d", index),
+		ip:            ip,
+		memoryMB:      s.Plan.MemoryMB,
+		descriptors:   s.Plan.Descriptors,
+		host:          s.sim.Host(ip, groupGateways),
+		directory:     simenv.NewDirectory(),
+		knownDraining: map[string]bool{},
+	}
 }
 
 func (g *gatewayActor) addr() string { return g.ip + ":10080" }
 
-// config is the text of its configuration file now.
+// config is the text of the configuration file now.
 func (g *gatewayActor) config() []byte {
-	items := append([]discoveryEvent{}, g.scenario.events...)
-	known := any(map[string]any{"no": len(g.scenario.events), "items": items})
-	if g.scenario.Plan.ColdStart != nil {
-		known = g.scenario.initialList()
-	}
-	text := map[string]any{"name": g.name, "listen": g.addr(), "seed": fmt.Sprintf("%016x", g.scenario.sim.Rand.Uint64()),
-		"limits":   map[string]any{"cores": 1, "memory_mb": g.memoryMB, "sockets": g.descriptors},
-		"bulletin": g.scenario.discoveryServers[g.discoveryIndex].addr(), "flow_bytes_per_s": 310000, "link_bytes_per_s": 1240000,
-		"settings": g.scenario.settings(g.zone)}
+	s := g.scenario
+	config := map[string]any{
+		"name":             g.name,
+		"listen":           g.addr(),
+		"seed":             fmt.Sprintf("%016x", s.sim.Rand.Uint64()),
+		"limits":           map[string]any{"cores": 1, "memory_mb": g.memoryMB, "sockets": g.descriptors},
+		"bulletin":         s.discoveryServers[g.discoveryIndex].addr(),
+		"flow_bytes_per_s": 310000,
+		"link_bytes_per_s": 1240000,
+		"settings":         s.settings(g.zone),
+	}
+	known := any(map[string]any{"no": len(s.events), "items": append([]discoveryEvent{}, s.events...)})
+	if s.Plan.ColdStart != nil {
+		known = s.initialList()
+	}
 	if known != nil {
-		text["known"] = known
+		config["known"] = known
 	}
-	return mustMarshal(text)
+	return mustMarshal(config)
 }
 
-// start begins a life, if none is under way.
+// start starts a process, unless one is running.
 func (g *gatewayActor) start() {
 	if g.current != nil && !g.current.ended {
 		return
 	}
-	d := g.scenario
-	if d.Plan.ColdStart != nil {
+	s := g.scenario
+	if s.Plan.ColdStart != nil {
 		g.restoreMachine(g.current)
 	}
 	g.starts++
-	l := &gatewayProcess{actor: g, startedAt: d.sim.Now(), notified: make([]time.Duration, len(d.events)+1), conns: map[*cacheConn]bool{}}
-	for i := range l.notified {
-		l.notified[i] = max(1, d.sim.Now()) // known from the start
+	p := g.newProcess()
+	g.current = p
+	g.host.Vanished = false
+	p.process = &simenv.Process{
+		Name:           fmt.Sprintf("%s.%d", g.name, g.starts),
+		MaxDescriptors: g.descriptors,
+		Skew:           g.skew,
+		Variables:      map[string]string{"ROUTER_CONFIG": gatewayConfigPath},
+		Files:          map[string][]byte{gatewayConfigPath: g.config()},
+		OnLogLine:      s.handleLogLine,
+		OnEnd:          func(_ *simenv.Process, err error) { s.checker.gatewayEnded(p, err) },
 	}
-	if d.Plan.ColdStart != nil {
-		l.notified, l.cutOffAt = nil, d.sim.Now()
+	if s.Plan.ColdStart != nil {
+		g.setUpKeptList(p.process)
 	}
-	g.current = l
-	g.host.Vanished = false
-	l.process = &simenv.Process{Name: fmt.Sprintf("%s.%d", g.name, g.starts), MaxDescriptors: g.descriptors, Skew: g.skew,
-		Variables: map[string]string{"ROUTER_CONFIG": "/config.json"},
-		Files:     map[string][]byte{"/config.json": g.config()}, OnLogLine: d.handleLogLine,
-		OnEnd: func(_ *simenv.Process, err error) { d.checker.gatewayEnded(l, err) }}
-	if d.Plan.ColdStart != nil {
-		g.setUpKeptList(l.process)
-	}
-	watch := gateway.Hooks{OnStarted: func(its *gateway.Gateway) {
-		if l.instance, l.ready = its, true; its.Routes() != nil {
-			l.recordRoutes()
-			l.activeRoutes[0].from = 0
-			d.after(0, l.watchRoutes)
-		}
-	}}
-	if d.Plan.changesRoutes() {
+	if s.Plan.changesRoutes() {
 		if g.routeSides == nil {
 			g.routeSides = map[uint64]routeSide{1: 0}
 		} else {
-			g.directory.Crash(d.sim.Rand)
-		}
-		g.setUpRoutes(l.process)
-	}
-	if d.callers != nil {
-		watch.NewServices = func(in gateway.Dependencies) ([]gateway.Service, error) {
-			var err error
-			if l.extproc, err = newExtprocServer(in, g.ip+":"+extprocPort, d); err != nil {
-				return nil, err
-			}
-			return []gateway.Service{l.extproc}, nil
+			g.directory.Crash(s.sim.Rand)
 		}
+		g.setUpRoutes(p.process)
 	}
-	var ground func(env.Environment) env.Environment
-	if d.hooks.onDecision != nil {
-		watch.Interceptor = func(h policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
-			return start(&executorInterceptor{Executor: h, fetch: func(h policy.Executor, lk *policy.Lookup, request policy.FetchRequest) {
-				h.Fetch(lk, request)
-				d.hooks.onDecision(d, l, request.Cache.Name)
-			}})
-		}
-	}
-	if d.hooks.script != nil {
-		watch.Interceptor = d.hooks.script.interceptor(d)
+	hooks := gateway.Hooks{OnStarted: p.started}
+	if s.callers != nil {
+		hooks.NewServices = p.newServices
 	}
-	if p := injectedFaults[d.Plan.InjectedFault]; p.inject != nil {
-		watch.Interceptor, ground = p.inject(d, l)
-	}
-	watch.Interceptor = d.recordDecisions(l.process.Name, watch.Interceptor)
-	d.sim.Start(g.host, l.process, func(under env.Environment) error {
-		if ground != nil {
-			under = ground(under)
+	var wrapEnvironment func(env.Environment) env.Environment
+	hooks.Interceptor, wrapEnvironment = p.interceptors()
+	s.sim.Start(g.host, p.process, func(under env.Environment) error {
+		if wrapEnvironment != nil {
+			under = wrapEnvironment(under)
 		}
-		return gateway.Run(under, watch)
+		return gateway.Run(under, hooks)
 	})
 }
 
-// kill ends the life at once; what it had taken is lost, and not owed.
-func (g *gatewayActor) kill() {
-	if l := g.current; l != nil && !l.ended {
-		l.ended, l.endedAt = true, g.scenario.sim.Now()
-		l.process.Kill()
-		g.scenario.checker.gatewayKilled(l)
+// newProcess makes the state of a process that starts now: it knows all events so far, except in a cold start.
+func (g *gatewayActor) newProcess() *gatewayProcess {
+	s := g.scenario
+	p := &gatewayProcess{actor: g, startedAt: s.now(), conns: map[*cacheConn]bool{}}
+	if s.Plan.ColdStart != nil {
+		p.cutOffAt = s.now()
+		return p
 	}
+	p.notified = make([]time.Duration, len(s.events)+1)
+	for i := range p.notified {
+		p.notified[i] = max(1, s.now())
+	}
+	return p
 }
 
-// terminate stops the gateway as the platform does, and starts it again if asked.
-func (g *gatewayActor) terminate(again bool) {
-	l := g.current
-	if l == nil || l.ended || l.terminatedAt > 0 {
-		return
+// started is called by the gateway once it serves.
+func (p *gatewayProcess) started(instance *gateway.Gateway) {
+	p.instance = instance
+	p.ready = true
+	if instance.Routes() != nil {
+		p.recordRoutes()
+		p.activeRoutes[0].from = 0
+		p.actor.scenario.after(0, p.watchRoutes)
 	}
-	d := g.scenario
-	l.terminatedAt = d.sim.Now()
-	l.process.Signal(env.Terminate)
-	longest := 3 * time.Second
-	for _, k := range lookupKinds {
-		longest = max(longest, k.deadline)
-	}
-	d.after(longest+700*time.Millisecond, func() {
-		if !l.ended {
-			d.checker.violated("stop", "%s still runs when the platform kills it, %s", l.process.Name, l.process.GoroutineNames())
-			l.ended = true
-			l.process.Kill()
-			d.checker.gatewayKilled(l)
-		}
-		if again {
-			d.after(50*time.Millisecond, g.start)
-		}
-	})
 }
 
-// reload puts a file in place of the configuration and says so.
-func (g *gatewayActor) reload(text []byte) {
-	if l := g.current; l != nil && !l.ended && l.ready && l.terminatedAt == 0 {
-		l.process.Files["/config.json"] = text
-		l.process.Signal(env.Reload)
+// newServices makes the gateway's external processor on the simulation's wire.
+func (p *gatewayProcess) newServices(dependencies gateway.Dependencies) ([]gateway.Service, error) {
+	var err error
+	p.extproc, err = newExtprocServer(dependencies, p.actor.ip+":"+extprocPort, p.actor.scenario)
+	if err != nil {
+		return nil, err
 	}
+	return []gateway.Service{p.extproc}, nil
 }
 
-// recordDecisions adds every decision of the module to the digest, ahead of any other interceptor.
-func (d *Scenario) recordDecisions(process string, between dispatch.Interceptor) dispatch.Interceptor {
-	return func(h policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
-		under := func(h policy.Executor) dispatch.Router {
-			return start(&decisionDigester{Executor: h, sim: d.sim, process: process})
-		}
-		if between == nil {
-			return under(h)
-		}
-		return between(h, under)
+// interceptors are what stands between the gateway and its module and environment: hooks, the script or an injected fault.
+func (p *gatewayProcess) interceptors() (dispatch.Interceptor, func(env.Environment) env.Environment) {
+	s := p.actor.scenario
+	var interceptor dispatch.Interceptor
+	var wrapEnvironment func(env.Environment) env.Environment
+	if s.hooks.onDecision != nil {
+		interceptor = p.callOnDecision
+	}
+	if s.hooks.script != nil {
+		interceptor = s.hooks.script.interceptor(s)
 	}
+	if fault := injectedFaults[s.Plan.InjectedFault]; fault.inject != nil {
+		interceptor, wrapEnvironment = fault.inject(s, p)
+	}
+	return s.recordDecisions(p.name(), interceptor), wrapEnvironment
 }
 
-// decisionDigester notes what the module decides.
-type decisionDigester struct {
-	policy.Executor
-	sim     *simenv.Simulation
-	process string
+// callOnDecision is the interceptor that calls the scenario's onDecision hook after each decision to send an attempt.
+func (p *gatewayProcess) callOnDecision(executor policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
+	s := p.actor.scenario
+	return start(&executorInterceptor{Executor: executor, fetch: func(executor policy.Executor, lk *policy.Lookup, request policy.FetchRequest) {
+		executor.Fetch(lk, request)
+		s.hooks.onDecision(s, p, request.Cache.Name)
+	}})
 }
 
-func (n *decisionDigester) note(lk *policy.Lookup, decision string, numbers ...policy.Micros) {
-	n.sim.Note(simenv.StepDecision, n.process+" "+lk.ID+" "+decision, "", int64(len(numbers)))
-	for _, m := range numbers {
-		n.sim.Note(simenv.StepDecision, "", "", int64(m))
+// kill kills the process; the lookups that it had received are lost, and no answer is owed.
+func (g *gatewayActor) kill() {
+	if p := g.current; p != nil && !p.ended {
+		p.ended = true
+		p.endedAt = g.scenario.now()
+		p.process.Kill()
+		g.scenario.checker.gatewayKilled(p)
 	}
 }
 
-func (n *decisionDigester) Fetch(lk *policy.Lookup, request policy.FetchRequest) {
-	n.note(lk, "fetch "+request.Cache.Name+" "+request.Source.Name, policy.Micros(request.Rank), policy.Micros(request.Mode), request.Timeout,
-		request.SilenceTimeout, request.MaxAge)
-	n.Executor.Fetch(lk, request)
+// terminate stops the gateway as the platform does, and starts it again if restarts is true.
+func (g *gatewayActor) terminate(restarts bool) {
+	p := g.current
+	if p == nil || p.ended || p.terminatedAt > 0 {
+		return
+	}
+	s := g.scenario
+	p.terminatedAt = s.now()
+	p.process.Signal(env.Terminate)
+	s.after(longestDeadline()+terminateGrace, func() {
+		if !p.ended {
+			s.checker.violated(ruleStop, "%s still runs when the platform kills it, %s", p.name(), p.process.GoroutineNames())
+			p.ended = true
+			p.process.Kill()
+			s.checker.gatewayKilled(p)
+		}
+		if restarts {
+			s.after(restartDelay, g.start)
+		}
+	})
 }
 
-func (n *decisionDigester) CancelAttempt(lk *policy.Lookup, send int) {
-	n.note(lk, "cancel", policy.Micros(send))
-	n.Executor.CancelAttempt(lk, send)
+// reload replaces the configuration file and has the gateway read it.
+func (g *gatewayActor) reload(text []byte) {
+	if p := g.current; p != nil && !p.ended && p.ready && p.terminatedAt == 0 {
+		p.process.Files[gatewayConfigPath] = text
+		p.process.Signal(env.Reload)
+	}
 }
 
-func (n *decisionDigester) Reject(lk *policy.Lookup, retryIn policy.Micros) {
-	n.note(lk, "reject", retryIn)
-	n.Executor.Reject(lk, retryIn)
+func (p *gatewayProcess) name() string { return p.process.Name }
+
+// notifiedAt is when the process was notified of an event; 0: not yet.
+func (p *gatewayProcess) notifiedAt(number int) time.Duration {
+	if number < len(p.notified) {
+		return p.notified[number]
+	}
+	return 0
 }
 
-func (n *decisionDigester) Fail(lk *policy.Lookup) {
-	n.note(lk, "fail")
-	n.Executor.Fail(lk)
+// reliesOnKeptList reports whether the process knows which caches drain from its kept list alone.
+func (p *gatewayProcess) reliesOnKeptList() bool {
+	cold := p.actor.scenario.Plan.ColdStart
+	if cold == nil || cold.Torn {
+		return false
+	}
+	return p.notifiedAt(1) == 0 || cold.DrainUnannounced && p.notifiedAt(2) == 0
 }
--- a/internal/lab/scenario/gatewayfaults.go
+++ b/internal/lab/scenario/gatewayfaults.go
@@ -5,43 +5,56 @@
 	"time"
 )
 
-func (d *Scenario) gatewayKill(f Fault) {
-	g := pick(d.gateways, f.Target)
+// gatewayFaultKinds are the faults of gateways.
+func gatewayFaultKinds() []FaultKind {
+	return []FaultKind{
+		{"gateway_kill", "a gateway is killed and started again after the span", 500, 5000, 3, false, (*Scenario).gatewayKill},
+		{"gateway_half", "nearly half of the gateways are killed at one instant", 500, 4000, 2, false, (*Scenario).gatewayHalf},
+		{"gateway_restart", "gateways are restarted one after another by SIGTERM", 1000, 1000, 2, false, (*Scenario).gatewayRestart},
+		{"reload_good", "SIGHUP with a file that names the other bulletin", 1000, 1000, 2, false, (*Scenario).reloadGood},
+		{"reload_half", "SIGHUP while the file is half written, and again with the whole of it after the span", 20, 800, 1, false, (*Scenario).reloadHalf},
+		{"reload_bad", "SIGHUP with a file that cannot be used", 1000, 1000, 1, false, (*Scenario).reloadBad},
+		{"clock_step", "clocks step by seconds: gateways started from then on have another time of day", 2000, 9000, 1, false, (*Scenario).clockStep},
+	}
+}
+
+func (s *Scenario) gatewayKill(f Fault) {
+	g := pick(s.gateways, f.Target)
 	g.kill()
-	d.after(f.duration(), g.start)
+	s.after(f.duration(), g.start)
 }
 
-func (d *Scenario) gatewayHalf(f Fault) {
-	n := max(1, (len(d.gateways)*48+50)/100)
+func (s *Scenario) gatewayHalf(f Fault) {
+	n := max(1, (len(s.gateways)*48+50)/100)
 	for i := range n {
-		g := d.gateways[(f.Target+i)%len(d.gateways)]
+		g := s.gateways[(f.Target+i)%len(s.gateways)]
 		g.kill()
-		d.after(f.duration()+time.Duration(i)*100*time.Millisecond, g.start)
+		s.after(f.duration()+time.Duration(i)*100*time.Millisecond, g.start)
 	}
 }
 
-func (d *Scenario) gatewayRestart(f Fault) {
-	for i, g := range d.gateways {
-		d.after(time.Duration(i)*6500*time.Millisecond, func() {
-			if d.sim.Now() < warmup+time.Duration(d.Plan.Seconds)*time.Second {
+func (s *Scenario) gatewayRestart(f Fault) {
+	for i, g := range s.gateways {
+		s.after(time.Duration(i)*6500*time.Millisecond, func() {
+			if s.sim.Now() < warmup+time.Duration(s.Plan.Seconds)*time.Second {
 				g.terminate(true)
 			}
 		})
 	}
 }
 
-func (d *Scenario) reloadGood(f Fault) {
-	for _, g := range d.gateways {
-		was := d.discoveryServers[g.discoveryIndex]
+func (s *Scenario) reloadGood(f Fault) {
+	for _, g := range s.gateways {
+		was := s.discoveryServers[g.discoveryIndex]
 		g.discoveryIndex = 1 - g.discoveryIndex
-		l := g.current
+		p := g.current
 		g.reload(g.config())
-		if l != nil {
-			l.cutOffAt = d.sim.Now()
+		if p != nil {
+			p.cutOffAt = s.sim.Now()
 		}
-		d.after(1500*time.Millisecond, func() {
+		s.after(1500*time.Millisecond, func() {
 			for _, c := range append([]*watchConn(nil), was.conns...) {
-				if c.process == l {
+				if c.process == p {
 					c.end.Close()
 				}
 			}
@@ -49,32 +62,32 @@
 	}
 }
 
-func (d *Scenario) reloadHalf(f Fault) {
-	g := pick(d.gateways, f.Target)
+func (s *Scenario) reloadHalf(f Fault) {
+	g := pick(s.gateways, f.Target)
 	text := g.config()
 	g.reload(text[:f.Variant%len(text)])
-	d.after(f.duration(), func() { g.reload(text) })
+	s.after(f.duration(), func() { g.reload(text) })
 }
 
-func (d *Scenario) reloadBad(f Fault) {
-	g := pick(d.gateways, f.Target)
+func (s *Scenario) reloadBad(f Fault) {
+	g := pick(s.gateways, f.Target)
 	bad := []string{"", "{}", "null", `{"listen":"x","bulletin":"y","known":{},"seed":"zz"}`,
 		strings.Replace(string(g.config()), `"classes":[`, `"classes":[7,`, 1)}
 	g.reload([]byte(pick(bad, f.Variant)))
-	d.after(50*time.Millisecond, func() {
-		if l := g.current; l != nil && !l.ended {
-			l.process.Files["/config.json"] = g.config()
+	s.after(50*time.Millisecond, func() {
+		if p := g.current; p != nil && !p.ended {
+			p.process.Files["/config.json"] = g.config()
 		}
 	})
 }
 
-func (d *Scenario) clockStep(f Fault) {
+func (s *Scenario) clockStep(f Fault) {
 	step := time.Duration(f.Variant%10000-5000) * time.Millisecond
-	for _, g := range d.gateways {
+	for _, g := range s.gateways {
 		g.skew += step
 	}
-	d.after(f.duration(), func() {
-		for _, g := range d.gateways {
+	s.after(f.duration(), func() {
+		for _, g := range s.gateways {
 			g.skew -= step
 		}
 	})
--- /dev/null
+++ b/internal/lab/scenario/gatewaylog.go
@@ -0,0 +1,43 @@
+package scenario
+
+import (
+	"log/slog"
+	"strings"
+
+	"foldslip/internal/lab/simenv"
+)
+
+// handleLogLine counts a line of a gateway's log by its event and reason, and records it if it tells much.
+func (s *Scenario) handleLogLine(p *simenv.Process, level slog.Level, line string) {
+	event, attributes, _ := strings.Cut(strings.TrimPrefix(line, "event="), " ")
+	key := event
+	if _, after, ok := strings.Cut(attributes, "reason="); ok {
+		reason, _, _ := strings.Cut(after, " ")
+		key += " " + reason
+	}
+	if event == "module" {
+		key += " " + noteMode(attributes)
+	}
+	s.reasons[key]++
+	if t := s.hooks.routeChangeRun; t != nil && event == "route_change_step" && strings.Contains(attributes, "stage=undone") && t.RolledBackAfter == 0 {
+		t.RolledBackAfter = s.now() - t.startedAt
+	}
+	if level >= slog.LevelWarn || event == "module" || event == "reloaded" {
+		s.record("%s %s", p.Name, line)
+	}
+	if event == "module_fault" {
+		s.checker.violated(ruleCrash, "%s: %s", p.Name, line)
+	}
+}
+
+// noteMode is the policy's note in a log line without its names and figures.
+func noteMode(attributes string) string {
+	note := strings.TrimPrefix(attributes, "note=")
+	for _, mode := range []string{"ejected: unreachable", "ejected: errors", "ejected: silent", "ejected: fills fail", "ejected: slow",
+		"readmitted after", "fills pressed", "overload true", "overload false"} {
+		if strings.Contains(note, mode) {
+			return mode
+		}
+	}
+	return "other"
+}
--- a/internal/lab/scenario/injectedfaults_test.go
+++ b/internal/lab/scenario/injectedfaults_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// foundAt is a seed of each planted fault at which the referee finds it, and by which rule; docs/faults.md has the table.
+// foundAt is a seed of each injected fault at which the checker finds it, and by which rule; docs/faults.md has the table.
 var foundAt = map[string]struct {
 	seed uint64
 	rule string
@@ -44,6 +44,7 @@
 	"door_wait_untold":      {2, "held back"},
 }
 
+// TestInjectedFaultsAreFound checks that each injected fault is found at its seed by its rule, and nothing without it.
 func TestInjectedFaultsAreFound(t *testing.T) {
 	for _, name := range InjectedFaults() {
 		t.Run(name, func(t *testing.T) {
@@ -62,7 +63,7 @@
 			p := DrawPlan(at.seed, days)
 			clean, err := Run(p, Hooks{})
 			if err != nil || len(clean.Violations) > 0 {
-				t.Fatal("with nothing planted:", clean.Violations, err)
+				t.Fatal("with nothing injected:", clean.Violations, err)
 			}
 			p.InjectedFault = name
 			r, err := Run(p, Hooks{})
--- a/internal/lab/scenario/objects.go
+++ b/internal/lab/scenario/objects.go
@@ -7,7 +7,24 @@
 	"time"
 )
 
-func groupOf(object string) int { return int(hashString(object) % 16) }
+// The name of an object is the initial of its lookups' kind and a number. All that is known of one is computed from its name.
+
+const (
+	purgeGroups = 16
+	largeKB     = 1200 // of one part in twelve of a segment
+	kbToBytes   = 12   // a cached part has so many bytes for each KB of its work, to keep runs small
+)
+
+// objectName is the name of an object of a kind.
+func objectName(kind, number int) string {
+	return fmt.Sprintf("%c%d", lookupKinds[kind].name[0], number)
+}
+
+// partKey is the key of a part in caches.
+func partKey(object string, part int) string { return object + "/" + strconv.Itoa(part) }
+
+// groupOf is the purge group of an object.
+func groupOf(object string) int { return int(hashString(object) % purgeGroups) }
 
 func hashString(s string) uint64 {
 	h := fnv.New64a()
@@ -15,38 +32,42 @@
 	return h.Sum64()
 }
 
-// partKB is the size of a part as lookups count it.
+// partKB is the size of a part as lookups say it.
 func partKB(object string, part int) float64 {
-	n := hashString(object + "/" + strconv.Itoa(part))
+	n := hashString(partKey(object, part))
+	isSegment := object[0] == 's'
 	switch {
-	case object[0] == 's' && n%12 == 0:
-		return 1200
-	case object[0] == 's':
+	case isSegment && n%12 == 0:
+		return largeKB
+	case isSegment:
 		return 100 + float64(n%400)
 	}
 	return 10 + float64(n%50)
 }
 
+// partBytes is the number of bytes of a cached part.
 func partBytes(object string, part int) int {
 	kb := partKB(object, part)
-	if kb >= 1200 && hashString(object)%2 == 0 {
+	if kb >= largeKB && hashString(object)%2 == 0 {
 		return maxBody
 	}
-	return int(kb * 12)
+	return int(kb * kbToBytes)
+}
+
+// partWork is the time that the transfer of a part takes at a cache.
+func partWork(object string, part int) time.Duration {
+	return time.Duration(partKB(object, part) / flowKBPerSecond * float64(time.Second))
 }
 
-// meanWork is the mean of workOf by kind.
+// meanWork is the mean of partWork by kind.
 var meanWork = func() (mean [4]time.Duration) {
-	for i, k := range lookupKinds {
+	const samples = 300
+	for kind := range lookupKinds {
 		sum := time.Duration(0)
-		for n := range 300 {
-			sum += partWork(fmt.Sprintf("%c%d", k.name[0], n), n%4)
+		for n := range samples {
+			sum += partWork(objectName(kind, n), n%4)
 		}
-		mean[i] = sum / 300
+		mean[kind] = sum / samples
 	}
 	return mean
 }()
-
-func partWork(object string, part int) time.Duration {
-	return time.Duration(partKB(object, part) / flowKBPerSecond * float64(time.Second))
-}
