--- a/internal/lab/scenario/routes.go
+++ b/internal/lab/scenario/routes.go
@@ -8,50 +8,51 @@
 	"foldslip/internal/route/pools"
 )
 
-// Days on which operators change the routes of gateways at any time: two configurations, left and right, of which neither leads to the
-// edges that the other has for itself. The referee knows when which was in force, and holds every send against it.
+// In scenarios of the profile "routes" operators change the routes of gateways at any time between two configurations, left
+// and right, each of which excludes some edges that the other includes. The checker knows which was active when, and
+// checks every attempt against it.
 
 const routesDir = "/routes"
 
-// routeSide is a configuration: left 0, right 1.
+// routeSide is a configuration: 0 is left, 1 is right.
 type routeSide int
 
-// activeRoutes is what was in force from a time on: for all objects base, for some of them next too.
+// activeRoutes are the configurations that are active from a time on: base for all objects, and next for some if it is staged.
 type activeRoutes struct {
-	from   time.Duration // from here on, at the earliest
-	seenAt time.Duration // when it was seen to be: what was before it counts up to here
+	from   time.Duration // the earliest time from which they may be active
+	seenAt time.Duration // when they were seen to be active: those before them count up to here
 	base   routeSide
 	next   routeSide // -1: none
 }
 
-// routesExclude tells whether a configuration leads lookups to no such cache. Caches that come during the day are everybody's.
-func (d *Scenario) routesExclude(s routeSide, id string) bool {
-	for i, was := range d.firstEdges {
+// routesExclude reports whether a configuration excludes a cache. Both include the caches that start later.
+func (s *Scenario) routesExclude(side routeSide, id string) bool {
+	for i, was := range s.firstEdges {
 		if was == id {
-			return i%3 == int(s)
+			return i%3 == int(side)
 		}
 	}
 	return false
 }
 
-func (d *Scenario) routesFor(s routeSide) pools.Config {
+func (s *Scenario) routesFor(side routeSide) pools.Config {
 	p := pools.Pool{Locations: []string{"town", "hill"}}
-	for _, id := range d.firstEdges {
-		if d.routesExclude(s, id) {
+	for _, id := range s.firstEdges {
+		if s.routesExclude(side, id) {
 			p.ExcludedNames = append(p.ExcludedNames, id)
 		}
 	}
-	return pools.Config{Pools: map[string]pools.Pool{"some": p}, Routes: []pools.Route{{Name: []string{"left", "right"}[s], Targets: []pools.Target{{Pool: "some"}}}}}
+	return pools.Config{Pools: map[string]pools.Pool{"some": p}, Routes: []pools.Route{{Name: []string{"left", "right"}[side], Targets: []pools.Target{{Pool: "some"}}}}}
 }
 
-// setUpRoutes sets a gateway's process up: its changes are kept on its disk.
+// setUpRoutes configures a gateway's process to keep its changes of routes on its disk.
 func (g *gatewayActor) setUpRoutes(p *simenv.Process) {
 	own := struct {
 		Folder string              `json:"folder"`
 		Guards *change.GuardLimits `json:"guards,omitempty"`
 		pools.Config
 	}{routesDir, nil, g.scenario.routesFor(0)}
-	if t := g.scenario.hooks.routeTrial; t != nil {
+	if t := g.scenario.hooks.routeChangeRun; t != nil {
 		own.Config = t.configBefore()
 		if !t.Guarded {
 			own.Guards = &change.GuardLimits{MinLookups: 1, Deviations: 1}
@@ -62,70 +63,70 @@
 	p.Directories = map[string]*simenv.Directory{routesDir: g.directory}
 }
 
-// recordRoutes notes what is in force at a gateway from now on.
-func (l *gatewayProcess) recordRoutes() {
-	_, f := l.instance.Routes().History()
-	now := activeRoutes{l.actor.scenario.sim.Now(), l.actor.scenario.sim.Now(), l.actor.routeSides[f.Base], -1}
+// recordRoutes notes which configurations are active at a gateway from now on.
+func (p *gatewayProcess) recordRoutes() {
+	_, f := p.instance.Routes().History()
+	now := activeRoutes{p.actor.scenario.sim.Now(), p.actor.scenario.sim.Now(), p.actor.routeSides[f.Base], -1}
 	if f.Next != 0 {
-		now.next = l.actor.routeSides[f.Next]
+		now.next = p.actor.routeSides[f.Next]
 	}
-	l.activeRoutes = append(l.activeRoutes, now)
+	p.activeRoutes = append(p.activeRoutes, now)
 }
 
-// checkRoutes tells whether a lookup that reached its gateway at a time may be sent to a cache, whatever of the two it was decided under:
-// one of those in force then or a moment later, the same for all its sends.
-func (r *checker) checkRoutes(a *lookup, id string) {
-	if r.scenario.hooks.routeTrial != nil {
+// checkRoutes checks that one configuration, active when a lookup reached its gateway or a moment later, allows all its
+// attempts so far and one more to a cache.
+func (c *checker) checkRoutes(l *lookup, id string) {
+	if c.scenario.hooks.routeChangeRun != nil {
 		return
 	}
-	if a.receivedAt == 0 { // the network lost track of when it came
+	if l.receivedAt == 0 { // unknown, after a split
 		return
 	}
-	if a.routeSides == nil {
-		a.process.refreshRoutes()
-		a.routeSides = &[2]bool{}
-		in := a.receivedAt + 20*time.Millisecond
-		for i, f := range a.process.activeRoutes {
-			if f.from <= in && (i+1 == len(a.process.activeRoutes) || a.process.activeRoutes[i+1].seenAt >= a.receivedAt) {
-				a.routeSides[f.base] = true
+	if l.routeSides == nil {
+		l.process.refreshRoutes()
+		l.routeSides = &[2]bool{}
+		in := l.receivedAt + 20*time.Millisecond
+		for i, f := range l.process.activeRoutes {
+			if f.from <= in && (i+1 == len(l.process.activeRoutes) || l.process.activeRoutes[i+1].seenAt >= l.receivedAt) {
+				l.routeSides[f.base] = true
 				if f.next >= 0 {
-					a.routeSides[f.next] = true
+					l.routeSides[f.next] = true
 				}
 			}
 		}
 	}
-	for s := range a.routeSides {
-		if a.routeSides[s] && r.scenario.routesExclude(routeSide(s), id) {
-			a.routeSides[s] = false
+	for side := range l.routeSides {
+		if l.routeSides[side] && c.scenario.routesExclude(routeSide(side), id) {
+			l.routeSides[side] = false
 		}
 	}
-	if !a.routeSides[0] && !a.routeSides[1] {
-		r.violated("routes", "%s sends %s to %s, to which no configuration leads all its sends that was in force when it came", a.process.process.Name, a.id, id)
+	if !l.routeSides[0] && !l.routeSides[1] {
+		c.violated(ruleRoutes, "%s sends %s to %s, to which no configuration leads all its sends that was in force when it came", l.process.name(), l.id, id)
 	}
 }
 
-// routeChange is an operator who changes the routes of a gateway, and confirms, undoes or forgets it.
-func (d *Scenario) routeChange(f Fault) {
-	g := pick(d.gateways, f.Target)
-	l := g.current
-	if l == nil || l.ended || !l.ready || l.terminatedAt > 0 || l.instance.Routes() == nil {
+// routeChange changes the routes of a gateway as an operator does, and confirms the change, rolls it back or forgets it.
+func (s *Scenario) routeChange(f Fault) {
+	g := pick(s.gateways, f.Target)
+	p := g.current
+	if p == nil || p.ended || !p.ready || p.terminatedAt > 0 || p.instance.Routes() == nil {
 		return
 	}
-	s := l.instance.Routes()
-	_, now := s.History()
+	routes := p.instance.Routes()
+	_, now := routes.History()
 	to := 1 - g.routeSides[now.Base]
 	took := func(step change.Step, err error) bool {
-		if l.ended {
+		if p.ended {
 			return false
 		}
 		if step.Version != 0 && step.Stage == change.Checked {
 			g.routeSides[step.Version] = to
 		}
-		l.recordRoutes()
-		d.record("%s routes %d %s %v", l.process.Name, step.Version, step.Stage, err)
+		p.recordRoutes()
+		s.record("%s routes %d %s %v", p.name(), step.Version, step.Stage, err)
 		return err == nil && step.Stage != change.RolledBack
 	}
-	step, err := s.Propose(now.Base, d.routesFor(to), "operator", "a day")
+	step, err := routes.Propose(now.Base, s.routesFor(to), "operator", "a day")
 	if step.Version != 0 {
 		g.routeSides[step.Version] = to
 	}
@@ -134,8 +135,8 @@
 	}
 	within := time.Duration(1000+f.Variant%3000) * time.Millisecond
 	rest := func(after time.Duration, do func() bool, then func()) {
-		d.after(after, func() {
-			if !l.ended && l.terminatedAt == 0 && do() && then != nil {
+		s.after(after, func() {
+			if !p.ended && p.terminatedAt == 0 && do() && then != nil {
 				then()
 			}
 		})
@@ -144,44 +145,42 @@
 		rest(time.Duration(f.DurationMS)*time.Millisecond, func() bool {
 			switch f.Variant % 3 {
 			case 0:
-				return took(s.Confirm(step.Version))
+				return took(routes.Confirm(step.Version))
 			case 1:
-				return took(s.RollBack(step.Version, "a day"))
+				return took(routes.RollBack(step.Version, "a day"))
 			}
-			return false // forgotten: undone by itself
+			return false // forgotten: the gateway rolls it back
 		}, nil)
 	}
 	apply := func() {
-		rest(time.Duration(100+f.Variant%700)*time.Millisecond, func() bool { return took(s.Apply(step.Version, within)) }, end)
+		rest(time.Duration(100+f.Variant%700)*time.Millisecond, func() bool { return took(routes.Apply(step.Version, within)) }, end)
 	}
 	if f.Variant%2 == 0 {
 		apply()
 		return
 	}
-	rest(10*time.Millisecond, func() bool { return took(s.Stage(step.Version, 0.1+float64(f.Variant%7)/10, within)) }, apply)
+	rest(10*time.Millisecond, func() bool { return took(routes.Stage(step.Version, 0.1+float64(f.Variant%7)/10, within)) }, apply)
 }
 
-// refreshRoutes notes what a gateway has put in force by itself since it was looked at.
-func (l *gatewayProcess) refreshRoutes() {
-	_, f := l.instance.Routes().History()
-	last := l.activeRoutes[len(l.activeRoutes)-1]
+// refreshRoutes notes which configurations a gateway has activated by itself since the last look.
+func (p *gatewayProcess) refreshRoutes() {
+	_, f := p.instance.Routes().History()
+	last := p.activeRoutes[len(p.activeRoutes)-1]
 	next := routeSide(-1)
 	if f.Next != 0 {
-		next = l.actor.routeSides[f.Next]
+		next = p.actor.routeSides[f.Next]
 	}
-	if l.actor.routeSides[f.Base] != last.base || next != last.next {
-		l.recordRoutes()
-		l.activeRoutes[len(l.activeRoutes)-1].from = l.routesCheckedAt
+	if p.actor.routeSides[f.Base] != last.base || next != last.next {
+		p.recordRoutes()
+		p.activeRoutes[len(p.activeRoutes)-1].from = p.routesCheckedAt
 	}
-	l.routesCheckedAt = l.actor.scenario.sim.Now()
+	p.routesCheckedAt = p.actor.scenario.sim.Now()
 }
 
-// watchRoutes looks every few milliseconds.
-func (l *gatewayProcess) watchRoutes() {
-	if !l.ended {
-		l.refreshRoutes()
-		l.actor.scenario.after(5*time.Millisecond, l.watchRoutes)
+// watchRoutes calls refreshRoutes every few milliseconds.
+func (p *gatewayProcess) watchRoutes() {
+	if !p.ended {
+		p.refreshRoutes()
+		p.actor.scenario.after(5*time.Millisecond, p.watchRoutes)
 	}
 }
-
-func (p Plan) changesRoutes() bool { return p.Profile == "routes" }
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,61 +1,34 @@
+// Package scenario runs scenarios of faults: gateways of the real program, with actors that are state machines, in a simulated environment,
+// under faults drawn from a seed, watched by a checker that sees the wires and the true state of every actor.
+//
+// A Plan is all that a scenario is made of; the same plan gives the same run, byte for byte. Run runs it, Shrink finds the smallest plan
+// that still violates a rule. A Scenario owns its simulation and everything in it, and leaves nothing behind; several may run at once.
 package scenario
 
 import (
 	"encoding/json"
 	"fmt"
-	"log/slog"
 	"slices"
-	"strings"
 	"time"
 
 	"foldslip/internal/lab/simenv"
-	kept "foldslip/internal/store/endpoints"
+	"foldslip/internal/store/endpoints"
 )
 
-// What the location is like. Times are in the units of the settings, microseconds.
 const (
-	warmup               = 1500 * time.Millisecond // from the start to the first lookup
-	flowKBPerSecond      = 2400.0                  // of one transfer, a second
-	edgeTransfers        = 1.5                     // transfers that an edge bears at once
-	parentTransfers      = 3.0
-	edgeWarmup           = 13 * time.Second
-	edgeColdShare        = 0.16
-	overloadWindow       = time.Second
-	edgeOverloadFactor   = 3.0
-	parentWarmup         = 21 * time.Second
-	parentColdShare      = 0.064
-	parentOverloadFactor = 2.0
-	purgeGrace           = 300 * time.Millisecond // to act on a purge
-	drainGrace           = 2 * time.Second        // to act on a drain
-	cancelGrace          = 100 * time.Millisecond // after a client left, its lookup is not sent on
-	socketSlack          = 50 * time.Millisecond  // more on sockets
-	notifiedAfter        = 7 * time.Second        // what is published counts as told by then, if the gateway could hear
-	reachableFor         = 4500 * time.Millisecond
-	maxAttempts          = 6
+	maxRecentEvents = 60
+	finishTime      = 6 * time.Second  // after the last lookup, before gateways are terminated
+	shutdownTime    = 16 * time.Second // after the last lookup, before the run ends
+	minTwoZones     = 5                // gateways from which on a location has two zones
 )
 
-// kinds of lookups, in the order of the settings.
-var lookupKinds = []struct {
-	name, effect, group string
-	aim, deadline       time.Duration
-	stretch             float64
-	fresh, grace        time.Duration
-	passOn              bool
-	share               int // of lookups, in a hundred
-}{
-	{"segment", "idempotent", "", 400 * time.Millisecond, 5 * time.Second, 1.6, 0, 0, false, 50},
-	{"page", "idempotent", "", 250 * time.Millisecond, 2500 * time.Millisecond, 2, 8 * time.Second, 2 * time.Second, false, 40},
-	{"order", "at_most_once", "", 600 * time.Millisecond, 3 * time.Second, 2, 0, 0, true, 6},
-	{"till", "deduplicated", "zone", 600 * time.Millisecond, 3 * time.Second, 2, 0, 0, true, 4},
-}
-
-// Scenario is a day while it is played.
+// Scenario is a scenario that is running.
 type Scenario struct {
 	Plan             Plan
 	sim              *simenv.Simulation
 	checker          *checker
 	gateways         []*gatewayActor
-	caches           []*cache // edges, as the list has them now
+	caches           []*cache // edges, as discovery has them now
 	parents          []*cache
 	origin           *cache
 	byID             map[string]*cache
@@ -64,14 +37,14 @@
 	clients          *clientActor
 	lastCacheID      int
 	zoneCount        int
-	recentEvents     []string
+	recentEvents     []string // for people
 	reasons          map[string]int
 	corruption       answerCorruption
 	hooks            Hooks
-	keptList         []kept.Endpoint
+	keptList         []endpoints.Endpoint // of a cold start
 	earlyLookups     EarlyLookups
-	callers          map[*gatewayActor]*extprocCaller
-	firstEdges       []string // ids of the edges at the day's start
+	callers          map[*gatewayActor]*extprocCaller // nil: clients send to gateways themselves
+	firstEdges       []string                         // ids of the edges at the start
 }
 
 // Violation is a rule that was broken.
@@ -81,12 +54,12 @@
 	Detail string        `json:"detail"`
 }
 
-// String is the violation in one line, as reports print it.
-func (b Violation) String() string {
-	return fmt.Sprintf("%.6f s: %s: %s", b.At.Seconds(), b.Rule, b.Detail)
+// String is the violation as commands print it.
+func (v Violation) String() string {
+	return fmt.Sprintf("%.6f s: %s: %s", v.At.Seconds(), v.Rule, v.Detail)
 }
 
-// Result is the outcome of a scenario.
+// Result is the outcome of a run.
 type Result struct {
 	Plan         Plan           `json:"plan"`
 	Digest       string         `json:"digest"`
@@ -94,201 +67,187 @@
 	Steps        uint64         `json:"steps"`
 	VirtualTime  time.Duration  `json:"virtual_ns"`
 	Lookups      int            `json:"lookups"`
-	Outcomes     map[string]int `json:"ends"`    // final answers by status, and what else became of lookups
-	Reasons      map[string]int `json:"reasons"` // reason codes and modes in the gateways' logs
-	RecentEvents []string       `json:"story,omitempty"`
-	EarlyLookups EarlyLookups   `json:"early"` // the first 30 s
+	Outcomes     map[string]int `json:"ends"`            // of lookups: the status of the final answer, or how else they ended
+	Reasons      map[string]int `json:"reasons"`         // reason codes and modes in the gateways' logs
+	RecentEvents []string       `json:"story,omitempty"` // the last before a violation
+	EarlyLookups EarlyLookups   `json:"early"`
 }
 
-// Hooks observe a scenario while it runs.
+// Hooks are called while a scenario runs.
 type Hooks struct {
+	// Trace gets a line a step.
 	Trace func(at time.Duration, line string)
-	// The rest is for tests that need a fault at one exact moment of a lookup.
-	onStart    func(d *Scenario)
-	onDecision func(d *Scenario, l *gatewayProcess, to string)    // a send is decided and not yet written
-	onAttempt  func(d *Scenario, k *cacheConn, q *attemptRequest) // a send is on the wire
-	onAnswer   func(d *Scenario, q *attemptRequest)               // a cache is about to write its answer
-	onReceived func(d *Scenario, a *lookup)                       // a lookup has reached its gateway
-	routeTrial *RouteTrial                                        // a change of routes that is tried on all gateways
-	script     *differentialScript                                // lookups and their sends' endings, in place of clients and caches
+
+	// The rest is for tests that need a fault at one exact point of a lookup's way.
+	onStart        func(s *Scenario)
+	onDecision     func(s *Scenario, p *gatewayProcess, cacheID string)     // an attempt is decided and not yet written
+	onAttempt      func(s *Scenario, c *cacheConn, request *attemptRequest) // an attempt is on the wire
+	onAnswer       func(s *Scenario, request *attemptRequest)               // a cache is about to write its answer
+	onReceived     func(s *Scenario, l *lookup)                             // a lookup has reached its gateway
+	routeChangeRun *RouteChangeRun
+	script         *differentialScript // lookups and outcomes of attempts, in place of clients and caches
 }
 
-// Run runs a plan. One that Validate refuses is not run.
-func Run(p Plan, look Hooks) (Result, error) {
-	if err := p.Validate(); err != nil {
+// Run runs a scenario. It returns the error of Plan.Validate for a plan that cannot be run.
+func Run(plan Plan, hooks Hooks) (Result, error) {
+	if err := plan.Validate(); err != nil {
 		return Result{}, err
 	}
-	d := &Scenario{Plan: p, sim: simenv.New(p.Seed), byID: map[string]*cache{}, reasons: map[string]int{}, zoneCount: 1, hooks: look}
-	defer d.sim.Close()
-	if p.Gateways > 4 {
-		d.zoneCount = 2
-	}
-	d.sim.Trace, d.sim.Lockstep = look.Trace, look.script != nil
-	d.checker = newChecker(d)
-	d.sim.OnIdle = d.checker.checkIdle
-	d.sim.OnCrash = func(proc *simenv.Process, text string) { d.checker.violated("crash", "%s: %s", proc.Name, text) }
-	d.createActors(look)
-	end := warmup + time.Duration(p.Seconds)*time.Second
-	for _, f := range p.Faults {
-		k := findFaultKind(f.Kind)
-		begin := func() {
-			d.record("fault %s", f)
-			k.begin(d, f)
-		}
-		if k.fromStart {
-			begin()
-			continue
-		}
-		d.sim.After(warmup+time.Duration(f.AtMS)*time.Millisecond, begin)
-	}
-	for _, g := range d.gateways {
-		g.start()
-	}
-	if look.script != nil {
-		look.script.play(d)
-	} else {
-		d.sim.After(warmup, d.clients.start)
-	}
-	if p.ColdStart != nil {
-		d.stopDiscovery()
-	}
-	if look.onStart != nil {
-		look.onStart(d)
-	}
-	d.sim.After(end, d.clients.stop)
-	d.sim.Run(end + 6*time.Second)
-	for _, g := range d.gateways {
+	s := newScenario(plan, hooks)
+	defer s.sim.Close()
+	s.createActors()
+	s.scheduleFaults()
+	s.startActors()
+	end := warmup + time.Duration(plan.Seconds)*time.Second
+	s.sim.After(end, s.clients.stop)
+	s.sim.Run(end + finishTime)
+	for _, g := range s.gateways {
 		g.terminate(false)
 	}
-	d.sim.Run(end + 16*time.Second)
-	if len(d.checker.violations) == 0 {
-		d.checker.checkEnd()
-	}
-	r := Result{Plan: p, Digest: fmt.Sprintf("%016x", d.sim.Digest()), Violations: d.checker.violations, Steps: d.sim.Steps,
-		VirtualTime: d.sim.Now(), Lookups: d.checker.lookupCount, Outcomes: d.checker.outcomes, Reasons: d.reasons, EarlyLookups: d.earlyLookups}
-	if len(r.Violations) > 0 {
-		r.RecentEvents = d.recentEvents
+	s.sim.Run(end + shutdownTime)
+	if len(s.checker.violations) == 0 {
+		s.checker.checkEnd()
 	}
-	return r, nil
+	return s.result(), nil
 }
 
-// record adds a line to the recent events, of which the last 60 are kept.
-func (d *Scenario) record(format string, a ...any) {
-	if len(d.recentEvents) >= 60 {
-		d.recentEvents = slices.Delete(d.recentEvents, 0, 1)
-	}
-	d.recentEvents = append(d.recentEvents, fmt.Sprintf("%10.6f ", d.sim.Now().Seconds())+fmt.Sprintf(format, a...))
-	d.sim.Note(simenv.StepReport, "", format, 0)
+func newScenario(plan Plan, hooks Hooks) *Scenario {
+	s := &Scenario{
+		Plan:      plan,
+		sim:       simenv.New(plan.Seed),
+		byID:      map[string]*cache{},
+		reasons:   map[string]int{},
+		zoneCount: 1,
+		hooks:     hooks,
+	}
+	if plan.Gateways >= minTwoZones {
+		s.zoneCount = 2
+	}
+	s.checker = newChecker(s)
+	s.sim.Trace = hooks.Trace
+	s.sim.Lockstep = hooks.script != nil
+	s.sim.OnIdle = s.checker.checkIdle
+	s.sim.OnCrash = func(p *simenv.Process, text string) { s.checker.violated(ruleCrash, "%s: %s", p.Name, text) }
+	return s
 }
 
-// handleLogLine is a line of a gateway's log.
-func (d *Scenario) handleLogLine(p *simenv.Process, level slog.Level, line string) {
-	name, rest, _ := strings.Cut(strings.TrimPrefix(line, "event="), " ")
-	key := name
-	if _, after, ok := strings.Cut(rest, "reason="); ok {
-		why, _, _ := strings.Cut(after, " ")
-		key += " " + why
+// createActors makes all actors and publishes the first endpoint list.
+func (s *Scenario) createActors() {
+	for i := range s.Plan.Parents {
+		s.parents = append(s.parents, s.newCache(flavorParent, hubZone, fmt.Sprintf("10.8.0.%d", i+1), parentTransfers))
+	}
+	s.origin = s.newCache(flavorOrigin, hubZone, "10.9.0.1", originTransfers)
+	for i := range s.Plan.Caches {
+		zone := i % s.zoneCount
+		edge := s.newCache(flavorEdge, zoneName(zone), fmt.Sprintf("10.1.%d.%d", zone, i+1), edgeTransfers)
+		s.caches = append(s.caches, edge)
+		s.firstEdges = append(s.firstEdges, edge.id)
 	}
-	if name == "module" {
-		key += " " + noteMode(rest)
+	for i := range s.discoveryServers {
+		s.discoveryServers[i] = newDiscoveryServer(s, i)
 	}
-	d.reasons[key]++
-	if t := d.hooks.routeTrial; t != nil && name == "route_change_step" && strings.Contains(rest, "stage=undone") && t.RolledBackAfter == 0 {
-		t.RolledBackAfter = d.sim.Now() - t.startedAt
+	for i := range s.Plan.Gateways {
+		s.gateways = append(s.gateways, newGateway(s, i))
 	}
-	if level >= slog.LevelWarn || name == "module" || name == "reloaded" {
-		d.record("%s %s", p.Name, line)
+	if s.Plan.usesExternalProcessor() || s.hooks.script != nil && s.hooks.script.atExtproc {
+		s.callers = map[*gatewayActor]*extprocCaller{}
+		for _, g := range s.gateways {
+			s.callers[g] = newExtprocCaller(s, g, 0)
+		}
 	}
-	if name == "module_fault" {
-		d.checker.violated("crash", "%s: %s", p.Name, line)
+	if s.Plan.ColdStart != nil {
+		s.drawStartState()
 	}
+	s.publish(discoveryEvent{Endpoints: &endpointUpdate{Revision: 1, Complete: true, Endpoints: s.publishedEndpoints()}})
+	s.clients = newClientActor(s)
 }
 
-// noteMode is a module's note without its names and figures.
-func noteMode(note string) string {
-	note = strings.TrimPrefix(note, "note=")
-	for _, m := range []string{"ejected: unreachable", "ejected: errors", "ejected: silent", "ejected: fills fail", "ejected: slow",
-		"readmitted after", "fills pressed", "overload true", "overload false"} {
-		if strings.Contains(note, m) {
-			return m
-		}
+// publishedEndpoints are all caches as discovery has them.
+func (s *Scenario) publishedEndpoints() []endpoint {
+	list := []endpoint{}
+	for _, c := range slices.Concat(s.caches, s.parents, []*cache{s.origin}) {
+		list = append(list, c.endpoint(c.phase))
 	}
-	return "other"
+	return list
 }
 
-// createActors makes the parties.
-func (d *Scenario) createActors(look Hooks) {
-	for i := range d.Plan.Parents {
-		d.parents = append(d.parents, d.newCache("parent", "hub", fmt.Sprintf("10.8.0.%d", i+1), parentTransfers))
-	}
-	d.origin = d.newCache("origin", "hub", "10.9.0.1", 1000)
-	for i := range d.Plan.Caches {
-		d.caches = append(d.caches, d.newCache("edge", zoneName(i%d.zoneCount), fmt.Sprintf("10.1.%d.%d", i%d.zoneCount, i+1), edgeTransfers))
-	}
-	for _, c := range d.caches {
-		d.firstEdges = append(d.firstEdges, c.id)
-	}
-	for i := range d.discoveryServers {
-		d.discoveryServers[i] = newDiscoveryServer(d, i)
+// scheduleFaults has the plan's faults begin at their times.
+func (s *Scenario) scheduleFaults() {
+	for _, fault := range s.Plan.Faults {
+		kind := findFaultKind(fault.Kind)
+		begin := func() {
+			s.record("fault %s", fault)
+			kind.begin(s, fault)
+		}
+		if kind.fromStart {
+			begin()
+			continue
+		}
+		s.sim.After(warmup+time.Duration(fault.AtMS)*time.Millisecond, begin)
 	}
-	for i := range d.Plan.Gateways {
-		d.gateways = append(d.gateways, newGateway(d, i))
+}
+
+func (s *Scenario) startActors() {
+	for _, g := range s.gateways {
+		g.start()
 	}
-	if d.Plan.usesExternalProcessor() || look.script != nil && look.script.atExtproc {
-		d.callers = map[*gatewayActor]*extprocCaller{}
-		for _, g := range d.gateways {
-			d.callers[g] = newExtprocCaller(d, g, 0)
-		}
+	if s.hooks.script != nil {
+		s.hooks.script.schedule(s)
+	} else {
+		s.sim.After(warmup, s.clients.start)
 	}
-	if d.Plan.ColdStart != nil {
-		d.drawStartState()
+	if s.Plan.ColdStart != nil {
+		s.stopDiscovery()
 	}
-	members := []endpoint{}
-	for _, c := range slices.Concat(d.caches, d.parents, []*cache{d.origin}) {
-		members = append(members, c.endpoint(c.phase))
+	if s.hooks.onStart != nil {
+		s.hooks.onStart(s)
 	}
-	d.publish(discoveryEvent{Endpoints: &endpointUpdate{Revision: 1, Complete: true, Endpoints: members}})
-	d.clients = newClientActor(d)
 }
 
-func zoneName(i int) string { return [...]string{"town", "hill"}[i] }
+func (s *Scenario) result() Result {
+	result := Result{
+		Plan:         s.Plan,
+		Digest:       fmt.Sprintf("%016x", s.sim.Digest()),
+		Violations:   s.checker.violations,
+		Steps:        s.sim.Steps,
+		VirtualTime:  s.sim.Now(),
+		Lookups:      s.checker.lookupCount,
+		Outcomes:     s.checker.outcomes,
+		Reasons:      s.reasons,
+		EarlyLookups: s.earlyLookups,
+	}
+	if len(result.Violations) > 0 {
+		result.RecentEvents = s.recentEvents
+	}
+	return result
+}
 
-// settings is the settings text that a gateway of a zone is given.
-func (d *Scenario) settings(zone int) map[string]any {
-	us := func(t time.Duration) int64 { return t.Microseconds() }
-	seats := []int{0, 0, 0}
-	for i := range d.Plan.Gateways {
-		seats[i%d.zoneCount]++
-	}
-	var classes []map[string]any
-	var fresh, grace, worth []float64
-	var pass []bool
-	for _, k := range lookupKinds {
-		classes = append(classes, map[string]any{"name": k.name, "aim": us(k.aim), "aim_stretch": k.stretch,
-			"deadline": us(k.deadline), "effect": k.effect, "group": k.group, "late_worth": 0.2, "points": 1.0, "window": 5000000})
-		fresh, grace = append(fresh, float64(us(k.fresh))), append(grace, float64(us(k.grace)))
-		worth, pass = append(worth, 0.7), append(pass, k.passOn)
+// record adds a line to the recent events.
+func (s *Scenario) record(format string, a ...any) {
+	if len(s.recentEvents) >= maxRecentEvents {
+		s.recentEvents = slices.Delete(s.recentEvents, 0, 1)
 	}
-	return map[string]any{"areas": []string{"town", "hill", "hub"}, "az": zone, "balancers": d.Plan.Gateways, "discovery": "push",
-		"weights": "nominal", "machine_types": []string{"edge", "parent", "origin"},
-		"ceilings": map[string]any{"cancelling": true, "connect_timeout": 400000, "keepalive": 30000000,
-			"max_retry_after": 2000000, "max_streams": 24, "retry_after": true, "second_copies": false, "try_limit": maxAttempts},
-		"rules":   map[string]any{"cold": us(edgeWarmup), "cold_from": edgeColdShare, "fall": us(overloadWindow), "fall_multiple": edgeOverloadFactor, "stop_sending_within": us(drainGrace)},
-		"classes": classes,
-		"specifics": map[string]any{"cleared_within": 6000000, "flow_kb_per_s": flowKBPerSecond, "grace_for": grace, "max_age": fresh,
-			"merges_fills": true, "obey_after": us(purgeGrace), "parent_breaks_at": parentOverloadFactor, "parent_kind": 1, "parent_ramp": us(parentWarmup),
-			"parent_starts_at": parentColdShare, "pass_on": pass, "seats_by_zone": seats, "source_kind": 2, "tells": "all",
-			"worth_when_old": worth}}
+	s.recentEvents = append(s.recentEvents, fmt.Sprintf("%10.6f ", s.sim.Now().Seconds())+fmt.Sprintf(format, a...))
+	s.sim.Note(simenv.StepReport, "", format, 0)
+}
+
+// randN draws a number below n.
+func (s *Scenario) randN(n int) int { return s.sim.Rand.IntN(n) }
+
+// randMillis draws a time below so many milliseconds.
+func (s *Scenario) randMillis(n int) time.Duration {
+	return time.Duration(s.randN(n)) * time.Millisecond
 }
 
+func (s *Scenario) now() time.Duration { return s.sim.Now() }
+
+func (s *Scenario) after(d time.Duration, f func()) { s.sim.After(d, f) }
+
+// mustMarshal encodes a value of plain types.
 func mustMarshal(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // of our own plain types
+		panic(err)
 	}
 	return b
 }
-
-func (d *Scenario) randN(most int) int { return d.sim.Rand.IntN(most) }
-
-func (d *Scenario) after(t time.Duration, f func()) { d.sim.After(t, f) }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The same plan gives the same day, byte for byte, whatever else goes on in the process.
+// TestEqualPlansGiveEqualRuns runs each plan three times, among others in the same process.
 func TestEqualPlansGiveEqualRuns(t *testing.T) {
 	var days sync.WaitGroup
 	for seed := uint64(1); seed <= 12; seed++ {
--- a/internal/lab/scenario/shrink.go
+++ b/internal/lab/scenario/shrink.go
@@ -8,15 +8,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
+// ErrNothingToShrink is the error of Shrink for a plan that breaks no rule.
+var ErrNothingToShrink = errors.New("this day breaks no rule: nothing to shrink")
+
 // Shrink finds the smallest plan that still breaks the rule which p breaks: faults, gateways, caches and time are taken
 // away as long as the rule breaks, and durations are halved. It returns the number of plans it ran.
-func Shrink(p Plan, tell func(string)) (Plan, Result, int, error) {
+func Shrink(p Plan, report func(string)) (Plan, Result, int, error) {
 	best, err := Run(p, Hooks{})
 	if err != nil {
 		return p, best, 0, err
 	}
 	if len(best.Violations) == 0 {
-		return p, best, 1, errors.New("this day breaks no rule: nothing to shrink")
+		return p, best, 1, ErrNothingToShrink
 	}
 	rule, tried := best.Violations[0].Rule, 1
 	try := func(q Plan) bool {
@@ -33,7 +36,7 @@
 	}
 	for again := true; again; {
 		again = false
-		// Nothing after the break matters.
+		// Nothing after the violation matters.
 		if last := int((best.Violations[0].At - warmup).Seconds()) + 1; last >= 1 && last < p.Seconds {
 			q := p
 			q.Seconds = last
@@ -61,18 +64,22 @@
 		}
 		for i := range p.Faults {
 			if p.Faults[i].DurationMS > 100 {
-				q := p
-				q.Faults = slices.Clone(p.Faults)
-				q.Faults[i].DurationMS /= 2
-				try(q)
+				try(withHalfDuration(p, i))
 			}
 		}
-		tell(fmt.Sprintf("%d days tried: %d faults, %d s, %d gateways, %d caches left", tried, len(p.Faults), p.Seconds, p.Gateways,
+		report(fmt.Sprintf("%d days tried: %d faults, %d s, %d gateways, %d caches left", tried, len(p.Faults), p.Seconds, p.Gateways,
 			p.Caches))
 	}
 	return p, best, tried, nil
 }
 
+// withHalfDuration is a plan with the duration of one fault halved.
+func withHalfDuration(p Plan, fault int) Plan {
+	p.Faults = slices.Clone(p.Faults)
+	p.Faults[fault].DurationMS /= 2
+	return p
+}
+
 // CombineDigests is a digest over digests.
 func CombineDigests(digests []string) string {
 	h := xxhash.New()
@@ -82,12 +89,13 @@
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-// UnmetPairs are the pairs of kinds that never met, of how many, and how often the rarest did.
-func UnmetPairs(days string, pairs map[string]int) (none []string, least, all int) {
+// UnmetPairs returns the pairs of kinds of a profile that never overlapped, how often the rarest pair did, and how many
+// pairs there are.
+func UnmetPairs(profile string, pairs map[string]int) (none []string, least, all int) {
 	least = -1
 	for i, a := range FaultKinds {
 		for _, b := range FaultKinds[i+1:] {
-			if !profileDraws(days, a.Name) || !profileDraws(days, b.Name) {
+			if !ProfileDraws(profile, a.Name) || !ProfileDraws(profile, b.Name) {
 				continue
 			}
 			key := min(a.Name, b.Name) + " " + max(a.Name, b.Name)
@@ -102,11 +110,8 @@
 	return none, max(least, 0), all
 }
 
-// ProfileDraws tells whether a kind of days draws a kind of fault.
-func ProfileDraws(days, kind string) bool { return profileDraws(days, kind) }
-
-// SortedNames are a table's names, in order.
-func SortedNames(of map[string]string) []string { return sortedKeys(of) }
+// SortedNames returns a table's names, in order.
+func SortedNames(table map[string]string) []string { return sortedKeys(table) }
 
 // InjectedFaultHelp returns what each injected fault does, by name.
 func InjectedFaultHelp() map[string]string {
