--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -6,6 +6,7 @@
 	"strconv"
 
 	"foldslip/internal/config"
+	"foldslip/internal/config/configfile"
 	"foldslip/internal/env"
 	"foldslip/internal/settings"
 	"foldslip/internal/upstream"
@@ -103,7 +104,7 @@
 	operators := &config.Config{}
 	if path := environment.Getenv(variableSettings); path != "" {
 		var err error
-		if operators, err = config.Read(path, environment.ReadFile); err != nil {
+		if operators, err = configfile.Read(path, environment.ReadFile); err != nil {
 			return nil, err
 		}
 		environment.ReleaseMemory() // the evaluator takes some 2 MB that nothing needs any more
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -149,7 +149,7 @@
 	go func() { g.ended <- g.cmd.Wait() }()
 	g.t.Cleanup(func() {
 		g.cmd.Process.Kill()
-		for _, fault := range []string{"DATA RACE", "event=module_fault", "event=policy_fault", "panic:"} {
+		for _, fault := range []string{"DATA RACE", "event=policy_fault", "panic:"} {
 			if strings.Contains(g.log.String(), fault) {
 				g.t.Errorf("%s in the log", fault)
 			}
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -72,7 +72,7 @@
 
 // applyRoutes puts the routes of a file in force.
 func applyRoutes(routes *rollout.Controller, routing *config.Routing) error {
-	step, err := routes.ApplyFile(routing.Config, confirmTimeout)
+	step, err := routes.ApplyFile(routing.RouteConfig, confirmTimeout)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/scenario/extprocserver.go
+++ b/internal/lab/scenario/extprocserver.go
@@ -29,7 +29,7 @@
 var errTextMessage = errors.New("a message that cannot be read")
 
 // doorTable is the operator's configuration of the external processor.
-var extprocRoutes = []route.Rule{{Path: "/call/{kind}/{object}/part-{part}", Kind: "path:kind", Object: "path:object", Part: "path:part",
+var extprocRoutes = []config.LookupRule{{Path: "/call/{kind}/{object}/part-{part}", Kind: "path:kind", Object: "path:object", Part: "path:part",
 	Group: "header:x-group", KB: "header:x-ram-kb", ID: "header:x-job-id", AllowMS: "header:x-allow-ms", Tag: "header:x-tag"}}
 
 var extprocLimits = extproc.Limits{MaxStreams: 200, SilenceTimeout: 8 * time.Second, MessagesPerSecond: 400, BytesPerSecond: 200_000,
@@ -61,7 +61,8 @@
 	if err != nil {
 		return nil, err
 	}
-	return &extprocServer{Server: extproc.New(in.Environment, in.Settings, in.Dispatcher, in.Registry, in.Purges, in.Admission, table, terms), environment: in.Environment, listener: l,
+	return &extprocServer{Server: extproc.New(extproc.Dependencies{Environment: in.Environment, Settings: in.Settings, Dispatcher: in.Dispatcher,
+		Caches: in.Registry, Purges: in.Purges, Admission: in.Admission}, table, terms), environment: in.Environment, listener: l,
 		conns: map[net.Conn]int{}, group: in.Environment.NewGroup(), fault: plant, scenario: s}, nil
 }
 
--- a/internal/lab/scenario/gatewaylog.go
+++ b/internal/lab/scenario/gatewaylog.go
@@ -15,17 +15,17 @@
 		reason, _, _ := strings.Cut(after, " ")
 		key += " " + reason
 	}
-	if event == "module" {
+	if event == "policy" {
 		key += " " + noteMode(attributes)
 	}
 	s.reasons[key]++
 	if t := s.hooks.routeChangeRun; t != nil && event == "route_change_step" && strings.Contains(attributes, "stage=undone") && t.RolledBackAfter == 0 {
 		t.RolledBackAfter = s.now() - t.startedAt
 	}
-	if level >= slog.LevelWarn || event == "module" || event == "reloaded" {
+	if level >= slog.LevelWarn || event == "policy" || event == "reloaded" {
 		s.record("%s %s", p.Name, line)
 	}
-	if event == "module_fault" {
+	if event == "policy_fault" {
 		s.checker.violated(ruleCrash, "%s: %s", p.Name, line)
 	}
 }
--- a/internal/lab/scenario/routechange.go
+++ b/internal/lab/scenario/routechange.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"time"
 
-	"foldslip/internal/route/pools"
+	"foldslip/internal/config"
 )
 
 // errRouteChange is the error of a change of routes that could not be made.
@@ -30,12 +30,12 @@
 var RouteChangeKinds = map[string]string{"half": "half of the caches are left out", "one": "all goes to one cache", "tight": "limits tenfold too small",
 	"renamed": "", "wide": "", "one_less": ""}
 
-func (r *RouteChangeRun) configBefore() pools.Config {
-	return pools.Config{Pools: map[string]pools.Pool{"all": {Locations: []string{"town", "hill"}, Limits: &pools.Limits{MaxOpen: 60}}},
-		Routes: []pools.Route{{Name: "all", Targets: []pools.Target{{Pool: "all"}}}}}
+func (r *RouteChangeRun) configBefore() config.RouteConfig {
+	return config.RouteConfig{Pools: map[string]config.Pool{"all": {Locations: []string{"town", "hill"}, Limits: &config.Limits{MaxOpen: 60}}},
+		Routes: []config.Route{{Name: "all", Targets: []config.Target{{Pool: "all"}}}}}
 }
 
-func (r *RouteChangeRun) configAfter() pools.Config {
+func (r *RouteChangeRun) configAfter() config.RouteConfig {
 	c := r.configBefore()
 	all := c.Pools["all"]
 	switch r.Kind {
@@ -44,13 +44,13 @@
 	case "one":
 		all.ExcludedNames = r.edgeIDs[1:]
 	case "tight":
-		all.Limits = &pools.Limits{MaxOpen: 2}
+		all.Limits = &config.Limits{MaxOpen: 2}
 	case "renamed":
 		delete(c.Pools, "all")
 		c.Pools["every"], c.Routes[0].Targets[0].Pool = all, "every"
 		return c
 	case "wide":
-		all.Limits = &pools.Limits{MaxOpen: 600}
+		all.Limits = &config.Limits{MaxOpen: 600}
 	case "one_less":
 		all.ExcludedNames = r.edgeIDs[:1]
 	}
--- a/internal/lab/scenario/routes.go
+++ b/internal/lab/scenario/routes.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
+	"foldslip/internal/config"
 	"foldslip/internal/config/change"
 	"foldslip/internal/lab/simenv"
-	"foldslip/internal/route/pools"
 )
 
 // In scenarios of the profile "routes" operators change the routes of gateways at any time between two configurations, left
@@ -35,14 +35,14 @@
 	return false
 }
 
-func (s *Scenario) routesFor(side routeSide) pools.Config {
-	p := pools.Pool{Locations: []string{"town", "hill"}}
+func (s *Scenario) routesFor(side routeSide) config.RouteConfig {
+	p := config.Pool{Locations: []string{"town", "hill"}}
 	for _, id := range s.firstEdges {
 		if s.routesExclude(side, id) {
 			p.ExcludedNames = append(p.ExcludedNames, id)
 		}
 	}
-	return pools.Config{Pools: map[string]pools.Pool{"some": p}, Routes: []pools.Route{{Name: []string{"left", "right"}[side], Targets: []pools.Target{{Pool: "some"}}}}}
+	return config.RouteConfig{Pools: map[string]config.Pool{"some": p}, Routes: []config.Route{{Name: []string{"left", "right"}[side], Targets: []config.Target{{Pool: "some"}}}}}
 }
 
 // setUpRoutes configures a gateway's process to keep its changes of routes on its disk.
@@ -50,10 +50,10 @@
 	own := struct {
 		Folder string              `json:"folder"`
 		Guards *change.GuardLimits `json:"guards,omitempty"`
-		pools.Config
+		config.RouteConfig
 	}{routesDir, nil, g.scenario.routesFor(0)}
 	if t := g.scenario.hooks.routeChangeRun; t != nil {
-		own.Config = t.configBefore()
+		own.RouteConfig = t.configBefore()
 		if !t.Guarded {
 			own.Guards = &change.GuardLimits{MinLookups: 1, Deviations: 1}
 		}
