--- /dev/null
+++ b/internal/lab/scenario/cachesend.go
@@ -0,0 +1,94 @@
+package scenario
+
+import (
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// errRequest is the error of a line from a gateway that is not a request.
+var errRequest = errors.New("invalid request")
+
+// attemptRequest is the request of an attempt as a cache reads it from its line.
+type attemptRequest struct {
+	id, kind, object, source, etag, mode string
+	body                                 string
+	part, rank                           int
+	timeout, maxAge                      time.Duration
+	conn                                 *cacheConn
+	kindIndex                            int
+	work                                 time.Duration
+	receivedAt                           time.Duration
+	ended                                bool
+}
+
+func (request *attemptRequest) key() string { return partKey(request.object, request.part) }
+
+func (request *attemptRequest) kindSettings() *lookupKind { return &lookupKinds[request.kindIndex] }
+
+// requestBodyLength is the number of bytes that follow the line of a request; -1 if the line is not one.
+func requestBodyLength(line string) int {
+	words := strings.Split(line, " ")
+	if len(words) != 4 || words[0] != "do" {
+		return -1
+	}
+	n, err := strconv.ParseUint(words[3], 10, 20)
+	if err != nil {
+		return -1
+	}
+	return int(n)
+}
+
+// parseRequest reads the line of a request, without the line's end, and the bytes that follow it.
+func parseRequest(line, body string) (*attemptRequest, error) {
+	words := strings.Split(line, " ")
+	if requestBodyLength(line) < 0 {
+		return nil, fmt.Errorf("%w: %q is no send", errRequest, line)
+	}
+	request := &attemptRequest{id: words[1], kindIndex: -1, body: body}
+	for _, f := range strings.Split(words[2], ",") {
+		name, v, _ := strings.Cut(f, "=")
+		n := 0
+		var err error
+		switch name {
+		case "p", "w", "rank", "oldest":
+			n, err = strconv.Atoi(v)
+		}
+		if err != nil || n < 0 {
+			return nil, fmt.Errorf("%w: %q in a send cannot be read", errRequest, f)
+		}
+		switch name {
+		case "c":
+			request.kind = v
+		case "k":
+			request.object = v
+		case "p":
+			request.part = n
+		case "w":
+			request.timeout = time.Duration(n) * time.Millisecond
+		case "from":
+			request.source = v
+		case "rank":
+			request.rank = n
+		case "oldest":
+			request.maxAge = time.Duration(n) * time.Millisecond
+		case "mode":
+			request.mode = v
+		case "seen":
+			request.etag = v
+		default:
+			return nil, fmt.Errorf("%w: field %q of a send is unknown", errRequest, name)
+		}
+	}
+	for i, k := range lookupKinds {
+		if k.name == request.kind {
+			request.kindIndex = i
+		}
+	}
+	if request.kindIndex < 0 || request.rank > 3 || request.timeout <= 0 || request.object == "" {
+		return nil, fmt.Errorf("%w: %q has fields that cannot be used", errRequest, line)
+	}
+	return request, nil
+}
