--- a/internal/lab/fleet/mixed_test.go
+++ b/internal/lab/fleet/mixed_test.go
@@ -47,8 +47,8 @@
 	return built
 }
 
-// waitForRow requests a gateway's view until its row of another gateway satisfies a predicate; what names it in the failure.
-func waitForRow(t *testing.T, observer *process, other, what string, isExpected func(membership.Report, membership.MemberReport) bool) {
+// waitForRow requests a gateway's view until its row of another gateway satisfies a predicate; change names it in the failure.
+func waitForRow(t *testing.T, observer *process, other, change string, isExpected func(membership.Report, membership.MemberReport) bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 15*time.Second)
 	defer cancel()
@@ -70,7 +70,7 @@
 		select {
 		case <-ctx.Done():
 			log, _ := os.ReadFile(observer.log.Name())
-			t.Fatalf("%s does not see that %s %s: %s\n%s", observer.name, other, what, lastSeen, log)
+			t.Fatalf("%s does not see that %s %s: %s\n%s", observer.name, other, change, lastSeen, log)
 		case <-time.After(viewInterval):
 		}
 	}
--- a/internal/lab/fleet/rig_test.go
+++ b/internal/lab/fleet/rig_test.go
@@ -66,30 +66,53 @@
 func settlingCases() []Scenario {
 	return []Scenario{
 		{Name: "a restart at once", Gateways: 6, KeepMembers: true, Caches: 2, Load: Load{PerSecond: 30}, EndMS: 4000, Steps: []Step{
-			{AtMS: 500, Action: "kill", PickCount: 1, PickName: "x", Settle: "none"}, {AtMS: 600, Action: "start", Targets: []string{"@x"}},
-			{AtMS: 5000, Action: "kill", Targets: []string{"@x"}, Settle: "none"}, {AtMS: 5100, Action: "start", Targets: []string{"@x"}, Forget: true}}},
-		{Name: "a crash", Gateways: 6, EndMS: 10000, Steps: []Step{{AtMS: 500, Action: "kill", PickCount: 1}}},
+			{AtMS: 500, Action: "kill", PickCount: 1, PickName: "x", Settle: "none"},
+			{AtMS: 600, Action: "start", Targets: []string{"@x"}},
+			{AtMS: 5000, Action: "kill", Targets: []string{"@x"}, Settle: "none"},
+			{AtMS: 5100, Action: "start", Targets: []string{"@x"}, Forget: true},
+		}},
+		{Name: "a crash", Gateways: 6, EndMS: 10000, Steps: []Step{
+			{AtMS: 500, Action: "kill", PickCount: 1},
+		}},
 		{Name: "standing still", Gateways: 6, Caches: 2, Load: Load{PerSecond: 30}, EndMS: 5000, Steps: []Step{
-			{AtMS: 500, Action: "pause", PickCount: 1, PickName: "x"}, {AtMS: 9000, Action: "resume", Targets: []string{"@x"}}}},
+			{AtMS: 500, Action: "pause", PickCount: 1, PickName: "x"},
+			{AtMS: 9000, Action: "resume", Targets: []string{"@x"}},
+		}},
 		{Name: "a split that heals", Gateways: 7, Caches: 2, Load: Load{PerSecond: 30}, EndMS: 8000, Steps: []Step{
-			{AtMS: 500, Action: "split", Sizes: []int64{3, 4}}, {AtMS: 12500, Action: "heal"}}},
+			{AtMS: 500, Action: "split", Sizes: []int64{3, 4}},
+			{AtMS: 12500, Action: "heal"},
+		}},
 		{Name: "a cut one way", Gateways: 6, EndMS: 3000, Steps: []Step{
-			{AtMS: 500, Action: "link", From: []string{"n2"}, To: []string{"n5"}, Cut: true}, {AtMS: 6000, Action: "heal"}}},
+			{AtMS: 500, Action: "link", From: []string{"n2"}, To: []string{"n5"}, Cut: true},
+			{AtMS: 6000, Action: "heal"},
+		}},
 		{Name: "a bridge between three sides", Gateways: 7, EndMS: 8000, Steps: []Step{
-			{AtMS: 500, Action: "split", Sizes: []int64{2, 2, 2}, Bridge: 1, Settle: "none"}, {AtMS: 8000, Action: "heal"}}},
+			{AtMS: 500, Action: "split", Sizes: []int64{2, 2, 2}, Bridge: 1, Settle: "none"},
+			{AtMS: 8000, Action: "heal"},
+		}},
 		{Name: "loss of one in five", Gateways: 6, EndMS: 5000, Steps: []Step{
 			{AtMS: 500, Action: "link", From: []string{"*"}, To: []string{"*"}, Loss: 0.2, DelayMS: 1, JitterMS: 4, Reorder: 0.02, Settle: "none"},
-			{AtMS: 8000, Action: "heal"}}},
+			{AtMS: 8000, Action: "heal"},
+		}},
 		{Name: "half restarting at once", Gateways: 6, KeepMembers: true, EndMS: 6000, Steps: []Step{
-			{AtMS: 500, Action: "kill", PickCount: 3, PickName: "x", Settle: "none"}, {AtMS: 700, Action: "start", Targets: []string{"@x"}}}},
+			{AtMS: 500, Action: "kill", PickCount: 3, PickName: "x", Settle: "none"},
+			{AtMS: 700, Action: "start", Targets: []string{"@x"}},
+		}},
 		{Name: "a storm of joins", Gateways: 15, LateGateways: 10, EndMS: 8000, Steps: []Step{
-			{AtMS: 500, Action: "start", Targets: []string{"n6", "n7", "n8", "n9", "n10", "n11", "n12", "n13", "n14", "n15"}}}},
+			{AtMS: 500, Action: "start", Targets: []string{"n6", "n7", "n8", "n9", "n10", "n11", "n12", "n13", "n14", "n15"}},
+		}},
 		{Name: "a clock an hour off", Gateways: 5, ClockOffsets: []ClockOffset{{"n3", 3_600_000}}, EndMS: 5000, Steps: []Step{
-			{AtMS: 500, Action: "kill", Targets: []string{"n3"}, Settle: "none"}, {AtMS: 700, Action: "start", Targets: []string{"n3"}}}},
+			{AtMS: 500, Action: "kill", Targets: []string{"n3"}, Settle: "none"},
+			{AtMS: 700, Action: "start", Targets: []string{"n3"}},
+		}},
 		{Name: "one that flaps", Gateways: 5, EndMS: 8000, Steps: []Step{
-			{AtMS: 500, Action: "kill", PickCount: 1, PickName: "x", Settle: "none", Repeat: 5, EveryMS: 1000}, {AtMS: 1000, Action: "start", Targets: []string{"@x"}, Settle: "none"},
-			{AtMS: 5600, Action: "mark"}}},
-		{Name: "leaving", Gateways: 6, EndMS: 5000, Steps: []Step{{AtMS: 500, Action: "stop", PickCount: 2}}},
+			{AtMS: 500, Action: "kill", PickCount: 1, PickName: "x", Settle: "none", Repeat: 5, EveryMS: 1000},
+			{AtMS: 1000, Action: "start", Targets: []string{"@x"}, Settle: "none"},
+			{AtMS: 5600, Action: "mark"},
+		}},
+		{Name: "leaving", Gateways: 6, EndMS: 5000, Steps: []Step{
+			{AtMS: 500, Action: "stop", PickCount: 2},
+		}},
 	}
 }
 
--- a/internal/lab/fleet/scale_test.go
+++ b/internal/lab/fleet/scale_test.go
@@ -86,11 +86,11 @@
 }
 
 // wait waits for agreement, or until all have settled, and returns the seconds that it took.
-func (m *sizeMeasurement) wait(what string, untilSettled bool, timeout time.Duration) float64 {
+func (m *sizeMeasurement) wait(change string, untilSettled bool, timeout time.Duration) float64 {
 	m.t.Helper()
 	took, ok := m.fleet.WaitForAgreement(untilSettled, timeout)
 	if !ok {
-		m.t.Errorf("%d gateways: %s not done within %v", m.size, what, timeout)
+		m.t.Errorf("%d gateways: %s not done within %v", m.size, change, timeout)
 	}
 	return took.Seconds()
 }
--- a/internal/lab/fleet/virtual_test.go
+++ b/internal/lab/fleet/virtual_test.go
@@ -85,14 +85,14 @@
 	}
 }
 
-// waitSettled waits until all gateways have settled; what names the change in the failure.
-func waitSettled(t *testing.T, v *VirtualFleet, what string, timeout time.Duration) {
+// waitSettled waits until all gateways have settled; change names what was done in the failure.
+func waitSettled(t *testing.T, v *VirtualFleet, change string, timeout time.Duration) {
 	t.Helper()
 	if took, ok := v.WaitForAgreement(true, timeout); !ok {
-		t.Errorf("%s: not settled within %v", what, timeout)
+		t.Errorf("%s: not settled within %v", change, timeout)
 		logViews(t, v)
 	} else {
-		t.Logf("%s: settled within %v", what, took)
+		t.Logf("%s: settled within %v", change, took)
 	}
 }
 
