--- a/internal/lab/frozen/frozen.go
+++ b/internal/lab/frozen/frozen.go
@@ -31,16 +31,39 @@
 	}
 }
 
-// JSON decodes a file of one JSON value into a pointer and checks that it encodes to the same bytes again. With complete set it also checks
-// that the file sets every exported field, so that no key can change unseen.
-func JSON(t *testing.T, name string, into any, complete bool) {
+// EqualIndented fails the test if a value's indented JSON differs from a file of the calling package's testdata.
+func EqualIndented(t *testing.T, name string, value any) {
+	t.Helper()
+	got, err := json.MarshalIndent(value, "", " ")
+	if err != nil {
+		t.Fatalf("%s: %v", name, err)
+	}
+	Equal(t, name, append(got, '\n'))
+}
+
+// IndentedJSON decodes a file of indented JSON, all of whose keys must be known, into a pointer and checks that it encodes to the same
+// bytes again.
+func IndentedJSON(t *testing.T, name string, into any) {
 	t.Helper()
-	text := Read(t, name)
-	decoder := json.NewDecoder(bytes.NewReader(text))
+	decode(t, name, into)
+	EqualIndented(t, name, into)
+}
+
+// decode decodes a file of one JSON value, all of whose keys must be known.
+func decode(t *testing.T, name string, into any) {
+	t.Helper()
+	decoder := json.NewDecoder(bytes.NewReader(Read(t, name)))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
+}
+
+// JSON decodes a file of one JSON value into a pointer and checks that it encodes to the same bytes again. With complete set it also checks
+// that the file sets every exported field, so that no key can change unseen.
+func JSON(t *testing.T, name string, into any, complete bool) {
+	t.Helper()
+	decode(t, name, into)
 	got, err := json.Marshal(into)
 	if err != nil {
 		t.Fatalf("%s: %v", name, err)
