--- a/internal/lab/scale/broadcast.go
+++ b/internal/lab/scale/broadcast.go
@@ -1,14 +1,11 @@
 package scale
 
 import (
-	"cmp"
-	"encoding/binary"
 	"fmt"
 	"math"
 	"math/rand/v2"
 	"runtime"
 	"slices"
-	"strings"
 	"syscall"
 	"time"
 
@@ -17,38 +14,6 @@
 	"foldslip/internal/fleet/broadcast"
 )
 
-// BroadcastOptions are of a run of the spreading of purges among gateways, on a virtual clock.
-type BroadcastOptions struct {
-	Gateways  int
-	Mechanism string // one of Mechanisms
-	Case      string // one of Cases
-	Source    string // one of Sources; "": the case's own
-	Rate      float64
-	Seed      uint64
-
-	Warmup, Duration, Settle time.Duration // before purges are told, while, and how long the last may take
-	FaultDuration            time.Duration // how long a cut, a zone's loss, deafness lasts; 0: the case's own
-	Restarts                 int           // of a release; 0: 1,900 of 3,900, or as many of the size
-
-	CrashSeenWithin, StartSeenWithin time.Duration // a crash and a start are seen by all within; 0: 4 log10(n) s, 1 s
-	WatchLag                         time.Duration // a watch tells within a tenth of it to all of it; 0: 0.3 s
-	Deadline                         time.Duration // the term of a purge; 0: 4.5 s
-	BytesPerSecond                   float64       // a second, in and out, of a gateway; 0: 15 KB
-
-	ClockSkew time.Duration // gateways' Unix clocks are off by up to so much either way
-
-	KeepPurges time.Duration // the new mechanism's; 0: its usual one
-
-	Measure  bool // processor and heap: only where nothing else runs in the process
-	Progress func(string, ...any)
-}
-
-// Mechanisms that can be run.
-func Mechanisms() []string { return []string{"old", "new"} }
-
-// Sources are who is told of purges: one gateway; one on either side of a cut, turn by turn; all; all but those that are deaf by the case.
-func Sources() []string { return []string{"one", "two", "all"} }
-
 const (
 	maxGateways   = 10_000
 	maxPurges     = 1 << 20
@@ -108,43 +73,6 @@
 
 type secondSample struct{ at, bytes int64 } // most bytes of a gateway in that second, in and out
 
-// setDefaults fills in what was left out.
-func (o *BroadcastOptions) setDefaults() error {
-	def := func(d *time.Duration, v time.Duration) {
-		if *d == 0 {
-			*d = v
-		}
-	}
-	def(&o.Warmup, 5*time.Second)
-	def(&o.Duration, time.Minute)
-	def(&o.Settle, time.Minute)
-	def(&o.CrashSeenWithin, time.Duration(4*math.Log10(float64(max(o.Gateways, 2)))*float64(time.Second)))
-	def(&o.StartSeenWithin, time.Second)
-	def(&o.WatchLag, 300*time.Millisecond)
-	def(&o.Deadline, 4500*time.Millisecond)
-	if o.BytesPerSecond == 0 {
-		o.BytesPerSecond = 15 << 10
-	}
-	switch {
-	case o.Gateways < 12 || o.Gateways > maxGateways:
-		return fmt.Errorf("%d gateways: expected 12 to %d", o.Gateways, maxGateways)
-	case !(o.Rate > 0) || o.Rate > 1000 || o.Rate*o.Duration.Seconds() > maxPurges:
-		return fmt.Errorf("%g purges a second for %v: expected up to 1,000 a second and %d in all", o.Rate, o.Duration, maxPurges)
-	case !slices.Contains(Mechanisms(), o.Mechanism):
-		return fmt.Errorf("mechanism %q: expected one of %s", o.Mechanism, strings.Join(Mechanisms(), ", "))
-	case o.Source != "" && !slices.Contains(Sources(), o.Source):
-		return fmt.Errorf("told %q: expected one of %s", o.Source, strings.Join(Sources(), ", "))
-	case o.Warmup < 0 || o.Duration <= 0 || o.Settle <= 0 || o.FaultDuration < 0 || o.Restarts < 0 || o.Warmup+o.Duration+o.Settle > 4*time.Hour:
-		return fmt.Errorf("times: expected more than 0, and 4 hours in all")
-	case findCase(o.Case) == nil:
-		return fmt.Errorf("case %q: expected one of %s", o.Case, strings.Join(Cases(), ", "))
-	}
-	return nil
-}
-
-// Validate tells what cannot be played.
-func (o BroadcastOptions) Validate() error { return o.setDefaults() }
-
 // Broadcast plays a run. Equal options give equal reports but for Core and Heap.
 func Broadcast(o BroadcastOptions) (*BroadcastReport, error) {
 	if err := o.setDefaults(); err != nil {
@@ -281,73 +209,6 @@
 	r.faultCase.play(r)
 }
 
-// issuePurge issues the next purge: of an object, each fiftieth of one of eight groups.
-func (r *broadcastRun) issuePurge() {
-	k, now := len(r.purges), r.net.Now()
-	p := issuedPurge{at: now, watchPurge: watchPurge{Object: fmt.Sprintf("%016x", mix(r.options.Seed^uint64(k)<<20)), Issued: epochMillis + now.Milliseconds()}}
-	if k%50 == 49 {
-		p.Object, p.Group = "", int64(k/50%8+1)
-	}
-	if r.options.Source == "two" {
-		p.side = r.side(r.sources[k%2])
-	} else if r.options.Source == "one" {
-		p.side = r.side(r.sources[0])
-	}
-	p.acrossCut = r.cutRegion != nil && r.options.Source != "all" && now >= r.cutAt-freshDuration && now < r.healAt
-	p.latencies = make([]uint32, len(r.gateways))
-	for i := range r.gateways {
-		switch {
-		case !r.net.IsUp(i):
-			p.latencies[i] = notCounted
-		case now < r.gateways[i].started+freshDuration && r.gateways[i].started > 0:
-			p.latencies[i] = notCounted
-			p.freshGateways = append(p.freshGateways, int32(i))
-		default:
-			p.outstanding++
-		}
-	}
-	r.result.FreshPairs += int64(len(p.freshGateways))
-	r.purges = append(r.purges, p)
-}
-
-// purgeReceived notes that a gateway knows of a purge.
-func (r *broadcastRun) purgeReceived(g *gateway, t watchPurge, own bool) {
-	k := int(math.Round((time.Duration(t.Issued-epochMillis)*time.Millisecond - r.options.Warmup).Seconds() * r.options.Rate))
-	for k = max(k-2, 0); k < len(r.purges) && r.purges[k].watchPurge != t; k++ {
-		if r.purges[k].Issued > t.Issued {
-			k = len(r.purges)
-			break
-		}
-	}
-	if k >= len(r.purges) {
-		r.result.UnknownPurges++
-		return
-	}
-	p, now := &r.purges[k], r.net.Now()
-	if !own {
-		r.result.Applied++
-	}
-	if p.latencies == nil {
-		return
-	}
-	lag := now - p.at
-	switch v := &p.latencies[g.index]; {
-	case *v == 0:
-		*v = uint32(min(lag.Microseconds()+1, notCounted-1))
-		p.outstanding--
-		if r.cut == nil && r.healAt > 0 && p.acrossCut && r.side(g.index) != p.side {
-			r.lastAcrossCut = max(r.lastAcrossCut, now)
-		}
-	case *v == notCounted:
-		if at := slices.Index(p.freshGateways, int32(g.index)); at >= 0 {
-			p.freshGateways = slices.Delete(p.freshGateways, at, at+1)
-			if r.result.FreshWorst = max(r.result.FreshWorst, lag.Seconds()); lag <= r.options.Deadline {
-				r.result.freshIn++
-			}
-		}
-	}
-}
-
 // kill ends a gateway; what it had not heard does not count.
 func (r *broadcastRun) kill(i int) {
 	if !r.net.IsUp(i) || r.protected.has(i) {
@@ -386,69 +247,6 @@
 	})
 }
 
-// finishPurges counts purges that all have heard, or all that are left.
-func (r *broadcastRun) finishPurges(all bool) {
-	for k := r.firstOpen; k < len(r.purges); k++ {
-		if p := &r.purges[k]; p.latencies != nil && (all || p.outstanding == 0 && len(p.freshGateways) == 0) {
-			r.countPurge(k)
-			p.latencies = nil
-		}
-		if k == r.firstOpen && r.purges[k].latencies == nil {
-			r.firstOpen++
-		}
-	}
-}
-
-// countPurge takes a purge into the figures.
-func (r *broadcastRun) countPurge(k int) {
-	p := &r.purges[k]
-	var worst uint32
-	who := 0
-	lost, lostFar, within := 0, 0, uint32(r.options.Deadline.Microseconds()+1)
-	sum := make([]byte, 0, 4*len(p.latencies)+8)
-	sum = binary.LittleEndian.AppendUint64(sum, uint64(k))
-	for i, v := range p.latencies {
-		sum = binary.LittleEndian.AppendUint32(sum, v)
-		far := p.acrossCut && r.side(i) != p.side
-		switch {
-		case v == notCounted:
-		case v == 0 && far:
-			lostFar++
-		case far:
-		case v == 0:
-			lost++
-			r.result.Pairs++
-		default:
-			r.result.Pairs++
-			if v <= within {
-				r.result.pairsIn++
-			}
-			if v > worst {
-				worst, who = v, i
-			}
-		}
-	}
-	r.digest.Write(sum)
-	r.result.Purges++
-	if worst > within {
-		r.result.Late = append(r.result.Late, LatePurge{(p.at - r.options.Warmup).Seconds(), who, float64(worst) / 1e6})
-		slices.SortStableFunc(r.result.Late, func(a, b LatePurge) int { return cmp.Compare(b.Latency, a.Latency) })
-		r.result.Late = r.result.Late[:min(len(r.result.Late), maxLateNamed)]
-	}
-	r.result.LostPairs += int64(lost)
-	r.result.LostAcrossCut += int64(lostFar)
-	r.result.LostFresh += int64(len(p.freshGateways))
-	if p.acrossCut {
-		r.result.AcrossCut++
-	}
-	if lost > 0 {
-		r.result.Lost++
-		r.everywhereAfter = append(r.everywhereAfter, math.Inf(1))
-	} else {
-		r.everywhereAfter = append(r.everywhereAfter, float64(worst)/1e6)
-	}
-}
-
 // sampleSecond looks at the last second's bytes.
 func (r *broadcastRun) sampleSecond() {
 	var most, behind int64
--- /dev/null
+++ b/internal/lab/scale/hollow_process.go
@@ -0,0 +1,69 @@
+package scale
+
+import (
+	"bufio"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"os/exec"
+	"sync"
+	"syscall"
+	"time"
+)
+
+// hollowProcess is the other side: a process that this one started.
+type hollowProcess struct {
+	cmd          *exec.Cmd
+	in           io.WriteCloser
+	out          *bufio.Reader
+	mu           sync.Mutex // one order at a time
+	first, count int
+}
+
+// startHollowProcess starts a process that runs Crowd.
+func startHollowProcess(cmd *exec.Cmd) (*hollowProcess, error) {
+	cmd.Stderr = os.Stderr
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	in, err := cmd.StdinPipe()
+	if err != nil {
+		return nil, err
+	}
+	out, err := cmd.StdoutPipe()
+	if err != nil {
+		return nil, err
+	}
+	if err := cmd.Start(); err != nil {
+		return nil, err
+	}
+	return &hollowProcess{cmd: cmd, in: in, out: bufio.NewReader(out)}, nil
+}
+
+func (c *hollowProcess) call(o command) (*reply, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if err := json.NewEncoder(c.in).Encode(o); err != nil {
+		return nil, fmt.Errorf("a process of hollow gateways: %w", err)
+	}
+	line, err := c.out.ReadBytes('\n')
+	if err != nil {
+		return nil, fmt.Errorf("a process of hollow gateways: %w", err)
+	}
+	var a reply
+	if err := json.Unmarshal(line, &a); err != nil {
+		return nil, err
+	}
+	if a.Error != "" {
+		return nil, errors.New(a.Error)
+	}
+	return &a, nil
+}
+
+// end ends the process: by the end of its input, and by its id where that does not do.
+func (c *hollowProcess) end() error {
+	c.in.Close()
+	late := time.AfterFunc(20*time.Second, func() { c.cmd.Process.Kill() })
+	defer late.Stop()
+	return c.cmd.Wait()
+}
--- /dev/null
+++ b/internal/lab/scale/hollow_server.go
@@ -0,0 +1,126 @@
+package scale
+
+import (
+	"bufio"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"runtime"
+	"runtime/pprof"
+	"sync/atomic"
+	"time"
+)
+
+// RunHollowProcess runs hollow gateways as told on in until it ends; foldslip-rig's hidden command.
+func RunHollowProcess(in io.Reader, out io.Writer) error {
+	c := &hollowServer{environment: NewEnvironment(NewSlowClock(0, 1)), arrivals: &ArrivalLog{}, gateways: map[int]*HollowGateway{}, lastEvents: map[int]*atomic.Int64{}}
+	defer c.stop()
+	lines := bufio.NewScanner(in)
+	lines.Buffer(nil, maxCommandBytes)
+	to := json.NewEncoder(out)
+	for lines.Scan() {
+		var o command
+		a, err := &reply{}, json.Unmarshal(lines.Bytes(), &o)
+		if err == nil {
+			err = c.handle(&o, a)
+		}
+		if err != nil {
+			a.Error = err.Error()
+		}
+		if err := to.Encode(a); err != nil {
+			return err
+		}
+	}
+	return lines.Err()
+}
+
+type hollowServer struct {
+	environment  *Environment
+	arrivals     *ArrivalLog
+	gateways     map[int]*HollowGateway
+	lastEvents   map[int]*atomic.Int64 // position of the last event that counts
+	startCommand command               // start
+	places       []Place
+	profile      *os.File // of the profile under way
+}
+
+func (c *hollowServer) handle(o *command, a *reply) error {
+	switch o.Action {
+	case "start":
+		c.startCommand, c.places, c.environment = *o, ScaledLayout(o.Gateways), NewEnvironment(NewSlowClock(o.Since, o.Stretch))
+		for i := range o.Count {
+			if err := c.start(o.First+i, o.Base, o.Known, o.Watch[i]); err != nil {
+				return err
+			}
+		}
+	case "halt":
+		was := c.gateways[o.First]
+		if was == nil {
+			return fmt.Errorf("gateway %d is not here", o.First)
+		}
+		return was.Stop()
+	case "restart":
+		if at := c.lastEvents[o.First]; at != nil { // what was told while it was down, the list that it starts with has taken in
+			for pos := at.Load() + 1; pos <= o.Base; pos++ {
+				c.arrivals.Record(pos, time.Time{})
+			}
+		}
+		return c.start(o.First, o.Base, o.Known, c.startCommand.Watch[o.First-c.startCommand.First])
+	case "usage":
+		if o.GC {
+			runtime.GC()
+		}
+		var m runtime.MemStats
+		runtime.ReadMemStats(&m)
+		g := c.environment
+		a.Usage = &Usage{Heap: m.HeapAlloc, Mallocs: m.Mallocs, AllocBytes: m.TotalAlloc, In: g.In.Load(), Out: g.Out.Load(), Reads: g.Reads.Load(),
+			Writes: g.Writes.Load(), Dials: g.Dials.Load(), EventCounts: g.LogCounts()}
+	case "arrivals":
+		var err error
+		a.Arrivals, err = c.arrivals.Since(o.From, o.To)
+		return err
+	case "profile":
+		if c.profile != nil {
+			pprof.StopCPUProfile()
+			err := c.profile.Close()
+			c.profile = nil
+			return err
+		}
+		var err error
+		if c.profile, err = os.Create(o.File); err != nil {
+			return err
+		}
+		return pprof.StartCPUProfile(c.profile)
+	case "stop":
+		return c.stop()
+	default:
+		return fmt.Errorf("%q is no order", o.Action)
+	}
+	return nil
+}
+
+func (c *hollowServer) start(i int, base int64, known json.RawMessage, watch string) (err error) {
+	at := &atomic.Int64{}
+	at.Store(base)
+	c.lastEvents[i] = at
+	c.gateways[i], err = StartHollowGateway(c.environment, HollowOptions{DiscoveryAddr: watch, Known: known, Settings: Settings(c.places, i, c.startCommand.Zones), Seed: uint64(i) + 1,
+		LookupsPerSecond: c.startCommand.Lookups, OnEvent: func(no int64) {
+			at.Store(base + no - 1)
+			c.arrivals.Record(base+no-1, c.environment.Now())
+		}})
+	return err
+}
+
+func (c *hollowServer) stop() error {
+	var errs []error
+	for _, h := range c.gateways { // all at once
+		h.lifetime.End()
+	}
+	for _, h := range c.gateways {
+		errs = append(errs, h.Stop())
+	}
+	clear(c.gateways)
+	return errors.Join(errs...)
+}
--- a/internal/lab/scale/net.go
+++ b/internal/lab/scale/net.go
@@ -1,7 +1,6 @@
 package scale
 
 import (
-	"fmt"
 	"math"
 	"math/rand/v2"
 	"time"
@@ -93,21 +92,6 @@
 	data     []byte
 }
 
-type eventKind uint8
-
-const (
-	datagramArrives eventKind = iota
-	timerFires
-	callIsDue
-)
-
-type networkEvent struct {
-	at       time.Duration
-	sequence uint64
-	kind     eventKind
-	index    int32 // slot of the datagram or call, or node
-}
-
 // NewNetwork makes a network; make gives the program of a node each time that the node starts. All nodes are down until Start.
 func NewNetwork(seed uint64, places []Place, lag Latency, make func(i int) Node) *Network {
 	n := &Network{places: places, latency: lag, newProgram: make, rng: rand.NewPCG(seed, 0x7363616c65)}
@@ -232,49 +216,6 @@
 	return uint64(max(p, 0) * (1 << 32) * (1 << 32))
 }
 
-// Cut is a fault between two groups: nothing of one reaches the other, either way.
-type Cut struct {
-	net  *Network
-	side []uint8 // by node: 1 in the first, 2 in the second
-}
-
-// Cut parts two groups of nodes until Heal; what is under way between them is lost. It panics past 64 cuts at once.
-func (n *Network) Cut(a, b []int) *Cut {
-	if len(n.cuts) >= maxCuts {
-		panic(fmt.Sprintf("scale.Net: more than %d cuts at once", maxCuts))
-	}
-	c := &Cut{net: n, side: make([]uint8, len(n.nodes))}
-	for _, i := range a {
-		c.side[i] |= 1
-	}
-	for _, i := range b {
-		c.side[i] |= 2
-	}
-	n.cuts = append(n.cuts, c)
-	return c
-}
-
-// Heal takes a cut off.
-func (c *Cut) Heal() {
-	for i, o := range c.net.cuts {
-		if o == c {
-			c.net.cuts = append(c.net.cuts[:i:i], c.net.cuts[i+1:]...)
-			return
-		}
-	}
-}
-
-// CanReach tells whether what one node sends can reach the other, as far as cuts go.
-func (n *Network) CanReach(from, to int) bool {
-	for _, c := range n.cuts {
-		f, t := c.side[from], c.side[to]
-		if f&1 != 0 && t&2 != 0 || f&2 != 0 && t&1 != 0 {
-			return false
-		}
-	}
-	return true
-}
-
 // DrawLatency draws how long a datagram between two nodes takes.
 func (n *Network) DrawLatency(from, to int) time.Duration {
 	a, b, l := &n.places[from], &n.places[to], &n.latency
@@ -426,60 +367,3 @@
 		}
 	}
 }
-
-func (n *Network) push(at time.Duration, what eventKind, who int32) {
-	n.sequence++
-	n.queue.push(networkEvent{at, n.sequence, what, who})
-}
-
-// eventHeap is a heap of four children a node, by time and then by order of pushing: fewer levels than two children, and the four
-// stand in two lines of the cache.
-type eventHeap []networkEvent
-
-func (a *networkEvent) before(b *networkEvent) bool {
-	return a.at < b.at || a.at == b.at && a.sequence < b.sequence
-}
-
-func (h *eventHeap) push(e networkEvent) {
-	q := append(*h, e)
-	i := len(q) - 1
-	for i > 0 {
-		up := (i - 1) / 4
-		if !e.before(&q[up]) {
-			break
-		}
-		q[i] = q[up]
-		i = up
-	}
-	q[i] = e
-	*h = q
-}
-
-func (h *eventHeap) pop() networkEvent {
-	q := *h
-	first, last := q[0], q[len(q)-1]
-	q = q[:len(q)-1]
-	*h = q
-	if len(q) == 0 {
-		return first
-	}
-	i := 0
-	for {
-		least := 4*i + 1
-		if least >= len(q) {
-			break
-		}
-		for c := least + 1; c < min(4*i+5, len(q)); c++ {
-			if q[c].before(&q[least]) {
-				least = c
-			}
-		}
-		if !q[least].before(&last) {
-			break
-		}
-		q[i] = q[least]
-		i = least
-	}
-	q[i] = last
-	return first
-}
--- /dev/null
+++ b/internal/lab/scale/net_cut.go
@@ -0,0 +1,48 @@
+package scale
+
+import (
+	"fmt"
+)
+
+// Cut is a fault between two groups: nothing of one reaches the other, either way.
+type Cut struct {
+	net  *Network
+	side []uint8 // by node: 1 in the first, 2 in the second
+}
+
+// Cut parts two groups of nodes until Heal; what is under way between them is lost. It panics past 64 cuts at once.
+func (n *Network) Cut(a, b []int) *Cut {
+	if len(n.cuts) >= maxCuts {
+		panic(fmt.Sprintf("scale.Net: more than %d cuts at once", maxCuts))
+	}
+	c := &Cut{net: n, side: make([]uint8, len(n.nodes))}
+	for _, i := range a {
+		c.side[i] |= 1
+	}
+	for _, i := range b {
+		c.side[i] |= 2
+	}
+	n.cuts = append(n.cuts, c)
+	return c
+}
+
+// Heal takes a cut off.
+func (c *Cut) Heal() {
+	for i, o := range c.net.cuts {
+		if o == c {
+			c.net.cuts = append(c.net.cuts[:i:i], c.net.cuts[i+1:]...)
+			return
+		}
+	}
+}
+
+// CanReach tells whether what one node sends can reach the other, as far as cuts go.
+func (n *Network) CanReach(from, to int) bool {
+	for _, c := range n.cuts {
+		f, t := c.side[from], c.side[to]
+		if f&1 != 0 && t&2 != 0 || f&2 != 0 && t&1 != 0 {
+			return false
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/internal/lab/scale/net_queue.go
@@ -0,0 +1,77 @@
+package scale
+
+import (
+	"time"
+)
+
+type eventKind uint8
+
+const (
+	datagramArrives eventKind = iota
+	timerFires
+	callIsDue
+)
+
+type networkEvent struct {
+	at       time.Duration
+	sequence uint64
+	kind     eventKind
+	index    int32 // slot of the datagram or call, or node
+}
+
+func (n *Network) push(at time.Duration, what eventKind, who int32) {
+	n.sequence++
+	n.queue.push(networkEvent{at, n.sequence, what, who})
+}
+
+// eventHeap is a heap of four children a node, by time and then by order of pushing: fewer levels than two children, and the four
+// stand in two lines of the cache.
+type eventHeap []networkEvent
+
+func (a *networkEvent) before(b *networkEvent) bool {
+	return a.at < b.at || a.at == b.at && a.sequence < b.sequence
+}
+
+func (h *eventHeap) push(e networkEvent) {
+	q := append(*h, e)
+	i := len(q) - 1
+	for i > 0 {
+		up := (i - 1) / 4
+		if !e.before(&q[up]) {
+			break
+		}
+		q[i] = q[up]
+		i = up
+	}
+	q[i] = e
+	*h = q
+}
+
+func (h *eventHeap) pop() networkEvent {
+	q := *h
+	first, last := q[0], q[len(q)-1]
+	q = q[:len(q)-1]
+	*h = q
+	if len(q) == 0 {
+		return first
+	}
+	i := 0
+	for {
+		least := 4*i + 1
+		if least >= len(q) {
+			break
+		}
+		for c := least + 1; c < min(4*i+5, len(q)); c++ {
+			if q[c].before(&q[least]) {
+				least = c
+			}
+		}
+		if !q[least].before(&last) {
+			break
+		}
+		q[i] = q[least]
+		i = least
+	}
+	q[i] = last
+	return first
+}
--- /dev/null
+++ b/internal/lab/scale/spreader_purgesync.go
@@ -0,0 +1,76 @@
+package scale
+
+import (
+	"math/rand/v2"
+
+	"foldslip/internal/fleet/purgesync"
+)
+
+// The old mechanism's times, as fleet/post sets them (read there: they are not changed by runs).
+const (
+	purgesyncTurn           = 250_000
+	purgesyncDigestInterval = 500_000
+	purgesyncKeep           = 60_000_000
+)
+
+// purgesyncSpreader is fleet/verdict as fleet/post carries it: a turn each 0.25 s, hellos to two gateways each 0.5 s, answers at once.
+type purgesyncSpreader struct {
+	gateway  *gateway
+	node     *purgesync.Replica
+	nextTurn int64
+	received uint64
+}
+
+func newPurgesyncSpreader(g *gateway, now int64) spreader {
+	chance := rand.New(rand.NewPCG(g.run.options.Seed, uint64(g.index)<<32|uint64(g.incarnation)))
+	return &purgesyncSpreader{gateway: g, node: purgesync.New(purgesync.Settings{DigestInterval: purgesyncDigestInterval, KeepFor: purgesyncKeep}, chance, now), nextTurn: now + chance.Int64N(purgesyncTurn)}
+}
+
+func (s *purgesyncSpreader) publish(last int64, numbers []int64, purges []watchPurge, now int64) {
+	for k, p := range purges {
+		s.node.RecordOwn(numbers[k], []purgesync.Purge{{Event: numbers[k], Object: p.Object, Group: p.Group, Issued: p.Issued}}, now)
+	}
+	s.node.RecordOwn(last, nil, now)
+}
+
+func (s *purgesyncSpreader) membersChanged(int64) {}
+
+func (s *purgesyncSpreader) receive(from int, b []byte, now int64) (heed []watchPurge) {
+	f, err := purgesync.ParseFrame(b)
+	if err != nil || !s.gateway.view.has(from) {
+		return nil
+	}
+	s.received += uint64(len(f.Purges))
+	for _, p := range s.node.Merge(f.Purges, now) {
+		heed = append(heed, watchPurge{p.Object, p.Group, p.Issued})
+	}
+	if f.IsDelta {
+		return heed
+	}
+	if more := s.node.Delta(f.Digest); len(more) > 0 {
+		s.gateway.send(from, purgesync.Frame{SenderKey: uint64(s.gateway.index), IsDelta: true, Digest: s.node.Digest(), Purges: more}.Append(nil))
+	}
+	return heed
+}
+
+func (s *purgesyncSpreader) step(now int64) {
+	if now < s.nextTurn {
+		return
+	}
+	s.nextTurn += purgesyncTurn
+	r := s.gateway.run
+	live := r.scratch[:0]
+	for j, name := range r.names {
+		if j != s.gateway.index && s.gateway.view.has(j) {
+			live = append(live, name)
+		}
+	}
+	r.scratch = live
+	for _, to := range s.node.DigestTargets(live, now) {
+		s.gateway.send(r.indexByName[to], purgesync.Frame{SenderKey: uint64(s.gateway.index), Digest: s.node.Digest()}.Append(nil))
+	}
+}
+
+func (s *purgesyncSpreader) nextStep() int64 { return s.nextTurn }
+func (s *purgesyncSpreader) tally() Tally    { return Tally{BatchesReceived: s.received} }
+func (s *purgesyncSpreader) isBehind() bool  { return false }
--- /dev/null
+++ b/internal/lab/scale/watch_play.go
@@ -0,0 +1,103 @@
+package scale
+
+import (
+	"fmt"
+	"math"
+	"sync"
+	"time"
+)
+
+// play tells events of the size for a time. What falls due while this process does not run is told at once after.
+func (w *watchRun) play(span time.Duration) {
+	o := &w.options
+	began := w.clock.Now()
+	gap := func(rate float64) time.Duration {
+		if rate <= 0 {
+			return math.MaxInt64
+		}
+		return time.Duration(float64(time.Second) / rate)
+	}
+	purge, change := gap(o.PurgesPerSecond), o.ChangeInterval
+	if change <= 0 {
+		change = math.MaxInt64
+	}
+	stop := make(chan struct{})
+	var restarts sync.WaitGroup
+	defer restarts.Wait()
+	defer close(stop)
+	if o.RestartsPerSecond > 0 && o.Gateways > o.Real {
+		restarts.Go(func() { w.restarts(w.clock.realDuration(gap(o.RestartsPerSecond)), stop) })
+	}
+	nextPurge, nextChange, said := purge, change, time.Duration(0)
+	for {
+		due := min(nextPurge, nextChange, span)
+		if wait := due - w.clock.Now().Sub(began); wait > 0 {
+			time.Sleep(w.clock.realDuration(wait))
+		}
+		now := w.clock.Now()
+		if due == span {
+			return
+		}
+		switch due {
+		case nextPurge:
+			w.late.RecordValue(max(1, min(int64(60e6), (now.Sub(began)-due).Microseconds())))
+			nextPurge += purge
+			object, group := fmt.Sprintf("%016x", w.rng.Uint64()|1), 0
+			if len(w.published)%8 == 7 {
+				object, group = "", w.rng.IntN(256)
+			}
+			w.published = append(w.published, publishedEvent{now, true})
+			w.discovery.Purge(object, group, now)
+		case nextChange:
+			nextChange += change
+			m := w.discovery.memberAt(w.nextDrain / 2)
+			if m.Phase = "draining"; w.nextDrain%2 == 1 {
+				m.Phase = "up"
+			}
+			w.nextDrain++
+			w.published = append(w.published, publishedEvent{at: now})
+			w.discovery.Change(m)
+		}
+		if at := now.Sub(began); w.clock.realDuration(at-said) >= 10*time.Second {
+			said = at
+			o.Progress("%d gateways, %.0f of %.0f s", o.Gateways, at.Seconds(), span.Seconds())
+		}
+	}
+}
+
+// restarts starts hollow gateways anew, one after the other, until it is told to stop.
+func (w *watchRun) restarts(every time.Duration, stop chan struct{}) {
+	next := time.NewTicker(every)
+	defer next.Stop()
+	for {
+		select {
+		case <-stop:
+			return
+		case <-next.C:
+		}
+		i := w.restartRand.IntN(w.options.Gateways - w.options.Real)
+		if err := w.restart(i); err != nil {
+			w.mu.Lock()
+			w.failed = fmt.Errorf("restart of gateway %d: %w", i, err)
+			w.mu.Unlock()
+			return
+		}
+	}
+}
+
+// restart starts one anew. It is told where its numbers count from, so that arrivals go on in the ledger.
+func (w *watchRun) restart(i int) error {
+	c := w.processes[i/w.options.PerProcess]
+	w.discovery.Leave(i)
+	if _, err := c.call(command{Action: "halt", First: i}); err != nil {
+		return err
+	}
+	known, base := w.discovery.Join(i, w.options.ListInConfig)
+	if _, err := c.call(command{Action: "restart", First: i, Base: base, Known: known}); err != nil {
+		return err
+	}
+	w.mu.Lock()
+	w.starts++
+	w.mu.Unlock()
+	return nil
+}
--- /dev/null
+++ b/internal/lab/scale/watch_report.go
@@ -0,0 +1,151 @@
+package scale
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+)
+
+// WatchReport is one run.
+type WatchReport struct {
+	Kind       string           `json:"what"`
+	StartedAt  time.Time        `json:"when"`
+	Gateways   int              `json:"gateways"`
+	Run        int              `json:"run"`
+	Stretch    float64          `json:"stretch"` // all times and rates here are those of a clock so many times slower than the machine's; see Pace
+	Seconds    float64          `json:"seconds"` // that figures count, as it came out
+	Purges     float64          `json:"purges_s"`
+	Caches     int              `json:"caches"`
+	Processes  int              `json:"processes"`
+	Ready      float64          `json:"ready_s"` // until all watched, from the first start
+	Events     int              `json:"told"`    // events in the window
+	LostEvents int              `json:"lost"`    // events in it that did not come to all hollow gateways within 30 s
+	LatePurges int              `json:"late"`    // purges that were everywhere only past the bound
+	Median     float64          `json:"everywhere_p50_ms"`
+	P99        float64          `json:"everywhere_p99_ms"`
+	Max        float64          `json:"everywhere_max_ms"`
+	Hollow     Cost             `json:"hollow"`
+	Real       Cost             `json:"real"`
+	Restarts   int              `json:"restarts"`
+	Reconnects int64            `json:"reconnects"`
+	LogCounts  map[string]int64 `json:"log,omitempty"` // log lines of hollow gateways in the window
+	Machine    Machine          `json:"machine"`
+	Violations []string         `json:"wrong,omitempty"`
+}
+
+// Cost is what one gateway spends, the mean of its kind.
+type Cost struct {
+	Gateways    int     `json:"gateways"`
+	Core        float64 `json:"core"`         // of one core
+	EventMicros float64 `json:"event_us"`     // processor time for each event heard, all it spends shared among them
+	In          float64 `json:"in_bytes_s"`   // payload
+	WireIn      float64 `json:"wire_in_b_s"`  // with TCP and IP, worked out; see Wire
+	WireOut     float64 `json:"wire_out_b_s"` // acknowledgements, worked out
+	Writes      float64 `json:"writes_s"`     // of the stand-in: segments at least
+	Resident    float64 `json:"resident_bytes"`
+	Heap        float64 `json:"heap_bytes,omitempty"` // hollow only, after a collection
+	Allocs      float64 `json:"allocs_s,omitempty"`   // hollow only
+	Alloc       float64 `json:"alloc_bytes_s,omitempty"`
+}
+
+// Machine is what else the machine did meanwhile, in its own time: figures beside other work are marked by it.
+type Machine struct {
+	Cores   int     `json:"cores"`
+	Busy    float64 `json:"busy_cores"`      // of the whole machine
+	Ours    float64 `json:"our_cores"`       // of the stand-in and all gateways
+	Starved float64 `json:"starved"`         // part of the time that threads of hollow gateways were ready to run in which they had no core
+	Late    float64 `json:"pace_late_p99ms"` // by how much the stand-in told purges late
+	LateMax float64 `json:"pace_late_max_ms"`
+}
+
+func (w *watchRun) costs(r *WatchReport, a, b resourceSnapshot) error {
+	took := b.at.Sub(a.at).Seconds()
+	span := took / w.options.Stretch
+	r.Seconds = span
+	cost := func(n int, cpu time.Duration, before, after [2]int64, events int64, resident float64) Cost {
+		if n == 0 {
+			return Cost{}
+		}
+		each := float64(n) * span
+		in, writes := after[0]-before[0], after[1]-before[1]
+		down, up := TCPOverhead(in, writes)
+		c := Cost{Gateways: n, Core: cpu.Seconds() / each, In: float64(in) / each, WireIn: float64(down) / each, WireOut: float64(up) / each,
+			Writes: float64(writes) / each, Resident: resident / float64(n)}
+		if events > 0 {
+			c.EventMicros = cpu.Seconds() * 1e6 / float64(events)
+		}
+		return c
+	}
+	var hollowRSS, realRSS int64
+	u, err := w.usage(true)
+	if err != nil {
+		return err
+	}
+	for _, c := range w.processes {
+		n, err := residentOf(c.cmd.Process.Pid)
+		if err != nil {
+			return err
+		}
+		hollowRSS += n
+	}
+	for _, p := range w.reals {
+		n, err := residentOf(p.cmd.Process.Pid)
+		if err != nil {
+			return err
+		}
+		realRSS += n
+	}
+	hollow := w.options.Gateways - w.options.Real
+	r.Hollow = cost(hollow, b.hollow-a.hollow, a.hollowIn, b.hollowIn, b.events[0]-a.events[0], float64(hollowRSS))
+	r.Real = cost(w.options.Real, b.real-a.real, a.realIn, b.realIn, b.events[1]-a.events[1], float64(realRSS))
+	if hollow > 0 {
+		r.Hollow.Heap = float64(u.Heap) / float64(hollow)
+		r.Hollow.Allocs = float64(b.usage.Mallocs-a.usage.Mallocs) / float64(hollow) / span
+		r.Hollow.Alloc = float64(b.usage.AllocBytes-a.usage.AllocBytes) / float64(hollow) / span
+	}
+	r.LogCounts = countsSince(b.usage.EventCounts, a.usage.EventCounts)
+	r.Reconnects = b.connects - a.connects - int64(w.starts)
+	r.Machine.Busy = (b.busy - a.busy).Seconds() / took
+	r.Machine.Ours = (b.cpu - a.cpu + b.hollow - a.hollow + b.real - a.real).Seconds() / took
+	if ran, waited := (b.hollow - a.hollow).Seconds(), (b.runQueueWait - a.runQueueWait).Seconds(); ran+waited > 0 {
+		r.Machine.Starved = max(0, waited/(ran+waited))
+	}
+	r.Machine.Late, r.Machine.LateMax = float64(w.late.ValueAtQuantile(99))/1000, float64(w.late.Max())/1000
+	return nil
+}
+
+// checkLimits says what must not be.
+func (w *watchRun) checkLimits(r *WatchReport) {
+	wrong := func(format string, a ...any) { r.Violations = append(r.Violations, fmt.Sprintf(format, a...)) }
+	if r.LostEvents > 0 {
+		wrong("%d of %d events did not come to all gateways", r.LostEvents, r.Events)
+	}
+	if r.LatePurges > 0 {
+		wrong("%d purges were everywhere only after more than %v, the last after %.0f ms; hollow gateways were without a core for %.0f%% of the time that they could run", r.LatePurges,
+			w.options.Deadline, r.Max, 100*r.Machine.Starved)
+	}
+	for _, k := range []struct {
+		name string
+		c    Cost
+	}{{"hollow", r.Hollow}, {"real", r.Real}} {
+		b := w.options.Budget
+		if b.Core > 0 && k.c.Core > b.Core {
+			wrong("a %s gateway spends %.2f%% of a core, %.2f%% are allowed", k.name, 100*k.c.Core, 100*b.Core)
+		}
+		if b.Resident > 0 && k.c.Resident > b.Resident {
+			wrong("a %s gateway takes %.1f MB, %.0f are allowed", k.name, k.c.Resident/(1<<20), b.Resident/(1<<20))
+		}
+		if b.BytesPerSecond > 0 && k.c.WireIn+k.c.WireOut > b.BytesPerSecond {
+			wrong("a %s gateway's watch takes %.1f KB/s with TCP, %.0f are allowed", k.name, (k.c.WireIn+k.c.WireOut)/1024, b.BytesPerSecond/1024)
+		}
+	}
+	if len(r.LogCounts) > 0 && r.Restarts == 0 {
+		var what []string
+		for k, n := range r.LogCounts {
+			what = append(what, fmt.Sprintf("%s %d", k, n))
+		}
+		slices.Sort(what)
+		wrong("hollow gateways logged: %s", strings.Join(what, ", "))
+	}
+}
