--- a/internal/lab/ci/style_test.go
+++ b/internal/lab/ci/style_test.go
@@ -20,7 +20,6 @@
 // unfinished are the packages that do not keep the rules of TestStyle yet. A package that does must leave the list: it only shrinks.
 var unfinished = []string{
 	"internal/lab/fleet",
-	"internal/lab/scale",
 	"internal/lab/scenario",
 }
 
--- a/internal/lab/scale/broadcast_plot.go
+++ b/internal/lab/scale/broadcast_plot.go
@@ -43,28 +43,76 @@
 	plotGlyphs = []draw.GlyphDrawer{draw.CircleGlyph{}, draw.TriangleGlyph{}, draw.SquareGlyph{}, draw.CrossGlyph{}, draw.PlusGlyph{}, draw.RingGlyph{}}
 )
 
-func plotBroadcast(path, title string, bound float64, runs []*BroadcastReport, of func(*BroadcastReport) float64) error {
-	type series struct{ mechanism, name string }
-	var names []series
-	points := map[series]map[int][]float64{}
-	least, most := 0.0, 0.0
+// plotSeries names a line of a plot.
+type plotSeries struct{ mechanism, faultCase string }
+
+// valuesBySize are the values of one series by number of gateways.
+type valuesBySize map[int][]float64
+
+// collectSeries gives the positive values of runs by series, the series in the order of the runs, and the least and greatest size.
+func collectSeries(runs []*BroadcastReport, value func(*BroadcastReport) float64) (order []plotSeries, values map[plotSeries]valuesBySize, minSize, maxSize float64) {
+	values = map[plotSeries]valuesBySize{}
 	for _, r := range runs {
-		s, v := series{r.Mechanism, r.Case}, of(r)
+		series, v := plotSeries{r.Mechanism, r.Case}, value(r)
 		if !(v > 0) {
 			continue
 		}
-		if points[s] == nil {
-			points[s] = map[int][]float64{}
-			names = append(names, s)
+		if values[series] == nil {
+			values[series] = valuesBySize{}
+			order = append(order, series)
 		}
-		points[s][r.Gateways] = append(points[s][r.Gateways], v)
-		if x := float64(r.Gateways); most == 0 {
-			least, most = x, x
+		values[series][r.Gateways] = append(values[series][r.Gateways], v)
+		if size := float64(r.Gateways); maxSize == 0 {
+			minSize, maxSize = size, size
 		} else {
-			least, most = min(least, x), max(most, x)
+			minSize, maxSize = min(minSize, size), max(maxSize, size)
+		}
+	}
+	return order, values, minSize, maxSize
+}
+
+// points gives a point for each value, and one for the median of each size, by size. It sorts the values.
+func (values valuesBySize) points() (all, medians plotter.XYs) {
+	for size, sorted := range values {
+		slices.Sort(sorted)
+		medians = append(medians, plotter.XY{X: float64(size), Y: sorted[(len(sorted)-1)/2]})
+		for _, v := range sorted {
+			all = append(all, plotter.XY{X: float64(size), Y: v})
 		}
 	}
-	if len(names) == 0 {
+	bySize := func(a, b plotter.XY) int { return int(a.X - b.X) }
+	slices.SortFunc(medians, bySize)
+	slices.SortFunc(all, bySize)
+	return all, medians
+}
+
+// addSeries draws one series in the style of an index.
+func addSeries(p *plot.Plot, series plotSeries, values valuesBySize, index int) error {
+	all, medians := values.points()
+	dots, err := plotter.NewScatter(all)
+	if err != nil {
+		return err
+	}
+	line, err := plotter.NewLine(medians)
+	if err != nil {
+		return err
+	}
+	dots.GlyphStyle.Color = plotColors[index%len(plotColors)]
+	dots.GlyphStyle.Shape = plotGlyphs[index%len(plotGlyphs)]
+	dots.GlyphStyle.Radius = vg.Points(2)
+	line.Color = dots.GlyphStyle.Color
+	if series.mechanism == "old" {
+		line.Dashes = []vg.Length{vg.Points(2), vg.Points(2)}
+	}
+	p.Add(dots, line)
+	p.Legend.Add(series.mechanism+", "+series.faultCase, line, dots)
+	return nil
+}
+
+// plotBroadcast draws one figure of runs by size into an SVG file; without positive values it writes none.
+func plotBroadcast(path, title string, bound float64, runs []*BroadcastReport, value func(*BroadcastReport) float64) error {
+	order, values, minSize, maxSize := collectSeries(runs, value)
+	if len(order) == 0 {
 		return nil
 	}
 	p := plot.New()
@@ -72,36 +120,16 @@
 	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
 	p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
 	p.Legend.Top, p.Legend.Left = true, true
-	for k, s := range names {
-		var marks, line plotter.XYs
-		for n, values := range points[s] {
-			slices.Sort(values)
-			line = append(line, plotter.XY{X: float64(n), Y: values[(len(values)-1)/2]})
-			for _, v := range values {
-				marks = append(marks, plotter.XY{X: float64(n), Y: v})
-			}
-		}
-		slices.SortFunc(line, func(a, b plotter.XY) int { return int(a.X - b.X) })
-		slices.SortFunc(marks, func(a, b plotter.XY) int { return int(a.X - b.X) })
-		dots, err := plotter.NewScatter(marks)
-		if err != nil {
-			return err
-		}
-		through, err := plotter.NewLine(line)
-		if err != nil {
+	for index, series := range order {
+		if err := addSeries(p, series, values[series], index); err != nil {
 			return err
 		}
-		dots.GlyphStyle.Color, dots.GlyphStyle.Shape, dots.GlyphStyle.Radius = plotColors[k%len(plotColors)], plotGlyphs[k%len(plotGlyphs)], vg.Points(2)
-		if through.Color = dots.GlyphStyle.Color; s.mechanism == "old" {
-			through.Dashes = []vg.Length{vg.Points(2), vg.Points(2)}
-		}
-		p.Add(dots, through)
-		p.Legend.Add(s.mechanism+", "+s.name, through, dots)
 	}
-	f := plotter.NewFunction(func(float64) float64 { return bound })
-	f.XMin, f.XMax, f.Color, f.Width = least, most, color.RGBA{R: 200, A: 255}, vg.Points(1.5)
-	p.Add(f)
-	p.Legend.Add(fmt.Sprintf("bound: %g", bound), f)
+	boundLine := plotter.NewFunction(func(float64) float64 { return bound })
+	boundLine.XMin, boundLine.XMax = minSize, maxSize
+	boundLine.Color, boundLine.Width = color.RGBA{R: 200, A: 255}, vg.Points(1.5)
+	p.Add(boundLine)
+	p.Legend.Add(fmt.Sprintf("bound: %g", bound), boundLine)
 	p.Y.Min, p.Y.Max = min(p.Y.Min, bound)/1.2, max(p.Y.Max, bound)*4 // room for the legend
 	if p.X.Min == p.X.Max {
 		p.X.Min, p.X.Max = p.X.Min/2, p.X.Max*2
--- a/internal/lab/scale/controls.go
+++ b/internal/lab/scale/controls.go
@@ -76,11 +76,14 @@
 	maxCatchUpBytes    = 64 << 10 // bytes at once
 )
 
-// ControlMachine is the program of a control machine's node: all it does is in Controls.
+// ControlMachine is the program of a control machine's node. It does nothing: ControlMachines models all of them.
 type ControlMachine struct{}
 
+// Datagram drops the datagram: watches are streams.
 func (ControlMachine) Datagram(time.Duration, int, []byte) {}
-func (ControlMachine) TimerFired(time.Duration)            {}
+
+// TimerFired does nothing.
+func (ControlMachine) TimerFired(time.Duration) {}
 
 // WithControlMachines adds places of control machines, spread over the zones, to those of gateways.
 func WithControlMachines(places []Place, machines int) []Place {
--- a/internal/lab/scale/discovery.go
+++ b/internal/lab/scale/discovery.go
@@ -22,6 +22,7 @@
 	maxWriteBytes    = 64 << 10        // bytes of one write, and of the buffer of each watch
 	defaultHeartbeat = time.Second     // a line with the last number alone
 	maxWatches       = 8192            // gateways
+	maxTurnEvents    = 64              // events looked up under the lock at once
 )
 
 // Discovery is the stand-in for the discovery watch of the whole fleet: one listener on loopback, one watch a gateway, events numbered
--- a/internal/lab/scale/discovery_serve.go
+++ b/internal/lab/scale/discovery_serve.go
@@ -81,74 +81,107 @@
 	}
 }
 
-// watch tells one watcher what it does not hold yet, for as long as it is the gateway's watch.
+// turn is what one pass of a watch has to send.
+type turn struct {
+	events   [][]byte // without their numbers
+	last     int64    // number of the gateway's last event; those up to it that are not in events are sent in later turns
+	replaced bool     // the gateway has another connection, or none: this watch ends
+	behind   bool     // an event that the watcher lacks is no longer kept
+}
+
+// nextTurn gives the events after a number, as many as buffer has room for.
+func (d *Discovery) nextTurn(w *watcher, conn net.Conn, base, after int64, buffer [][]byte) turn {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if w.conn != conn {
+		return turn{replaced: true}
+	}
+	next := turn{events: buffer[:0], last: d.last() - base + 1}
+	for number := after + 1; number <= next.last && len(next.events) < cap(buffer); number++ {
+		switch position := base + number - 1; {
+		case number == 1:
+			next.events = append(next.events, w.listEvent)
+		case position < d.first:
+			next.behind = true
+		default:
+			next.events = append(next.events, d.events[position-d.first])
+		}
+	}
+	return next
+}
+
+// appendEvents appends the lines of events whose numbers follow after, all or as many as maxWriteBytes takes, and returns the number of
+// the last one appended.
+func appendEvents(lines []byte, events [][]byte, after int64) ([]byte, int64) {
+	for _, event := range events {
+		after++
+		lines = append(strconv.AppendInt(append(lines, `{"no":`...), after, 10), ',')
+		lines = append(append(lines, event...), '\n')
+		if len(lines) > maxWriteBytes {
+			break
+		}
+	}
+	return lines, after
+}
+
+// appendHeartbeat appends a line with the number of the last event alone.
+func appendHeartbeat(lines []byte, last int64) []byte {
+	return append(strconv.AppendInt(append(lines, `{"no":`...), last, 10), "}\n"...)
+}
+
+// write sends lines and counts them. It reports whether the watch goes on.
+func (w *watcher) write(conn net.Conn, lines []byte) bool {
+	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	n, err := conn.Write(lines)
+	w.counts.BytesOut.Add(int64(n))
+	w.counts.Writes.Add(1)
+	if err == nil {
+		return true
+	}
+	if timeout := net.Error(nil); errors.As(err, &timeout) && timeout.Timeout() {
+		w.counts.DroppedSlow.Add(1)
+	}
+	return false
+}
+
+// watch sends one watcher the events that it lacks, for as long as the connection is the gateway's watch.
 func (d *Discovery) watch(w *watcher, conn net.Conn, base, after int64) {
-	pulse := time.NewTicker(d.heartbeat)
-	defer pulse.Stop()
-	var buf []byte
-	var held [64][]byte // events of one turn
-	for beat := false; ; {
-		d.mu.Lock()
-		if w.conn != conn {
-			d.mu.Unlock()
+	heartbeat := time.NewTicker(d.heartbeat)
+	defer heartbeat.Stop()
+	var lines []byte
+	var events [maxTurnEvents][]byte
+	heartbeatDue := false
+	for {
+		next := d.nextTurn(w, conn, base, after, events[:0])
+		if next.replaced {
 			return
 		}
-		last := d.last() - base + 1 // as the gateway counts
-		some := held[:0]
-		behind := false
-		for no := after + 1; no <= last && len(some) < len(held); no++ {
-			switch pos := base + no - 1; {
-			case no == 1:
-				some = append(some, w.listEvent)
-			case pos < d.first:
-				behind = true
-			default:
-				some = append(some, d.events[pos-d.first])
-			}
-		}
-		d.mu.Unlock()
-		if behind {
+		if next.behind {
 			w.counts.DroppedBehind.Add(1)
 			return
 		}
-		buf = buf[:0]
 		from := after
-		for _, e := range some { // all, or as many as the buffer takes
-			after++
-			buf = append(strconv.AppendInt(append(buf, `{"no":`...), after, 10), ',')
-			buf = append(append(buf, e...), '\n')
-			if len(buf) > maxWriteBytes {
-				break
-			}
-		}
-		told := after - from
-		if beat && after >= last {
-			buf = append(strconv.AppendInt(append(buf, `{"no":`...), after, 10), "}\n"...)
+		lines, after = appendEvents(lines[:0], next.events, after)
+		if heartbeatDue && after >= next.last {
+			lines = appendHeartbeat(lines, after)
 		}
-		beat = false
-		if len(buf) > 0 {
-			conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-			n, err := conn.Write(buf)
-			w.counts.BytesOut.Add(int64(n))
-			w.counts.Writes.Add(1)
-			if err != nil {
-				if late := net.Error(nil); errors.As(err, &late) && late.Timeout() {
-					w.counts.DroppedSlow.Add(1)
-				}
+		heartbeatDue = false
+		if len(lines) > 0 {
+			if !w.write(conn, lines) {
 				return
 			}
-			w.counts.Events.Add(told)
-			if cap(buf) > maxWriteBytes {
-				buf = nil // after a whole list
+			w.counts.Events.Add(after - from)
+			if cap(lines) > maxWriteBytes {
+				lines = nil // the buffer of a whole list is not kept
 			}
-			if after < last {
+			if after < next.last {
 				continue
 			}
 		}
 		select {
 		case <-w.wakeup:
-		case <-pulse.C:
-			beat = true
+		case <-heartbeat.C:
+			heartbeatDue = true
 		}
 	}
 }
