--- a/internal/lab/scale/arrivals.go
+++ b/internal/lab/scale/arrivals.go
@@ -1,7 +1,6 @@
 package scale
 
 import (
-	"errors"
 	"sync"
 	"time"
 )
@@ -42,7 +41,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if from < 1 || to < from || to > maxArrivals {
-		return nil, errors.New("positions that no ledger keeps")
+		return nil, ErrPositionNotKept
 	}
 	out := make([]Arrival, to-from+1)
 	if from <= int64(len(l.entries)) {
--- a/internal/lab/scale/broadcast_options.go
+++ b/internal/lab/scale/broadcast_options.go
@@ -1,7 +1,6 @@
 package scale
 
 import (
-	"fmt"
 	"math"
 	"slices"
 	"strings"
@@ -59,17 +58,17 @@
 	}
 	switch {
 	case o.Gateways < 12 || o.Gateways > maxGateways:
-		return fmt.Errorf("%d gateways: expected 12 to %d", o.Gateways, maxGateways)
+		return newOptionError("Gateways", "%d gateways: expected 12 to %d", o.Gateways, maxGateways)
 	case !(o.Rate > 0) || o.Rate > 1000 || o.Rate*o.Duration.Seconds() > maxPurges:
-		return fmt.Errorf("%g purges a second for %v: expected up to 1,000 a second and %d in all", o.Rate, o.Duration, maxPurges)
+		return newOptionError("Rate", "%g purges a second for %v: expected up to 1,000 a second and %d in all", o.Rate, o.Duration, maxPurges)
 	case !slices.Contains(Mechanisms(), o.Mechanism):
-		return fmt.Errorf("mechanism %q: expected one of %s", o.Mechanism, strings.Join(Mechanisms(), ", "))
+		return newOptionError("Mechanism", "mechanism %q: expected one of %s", o.Mechanism, strings.Join(Mechanisms(), ", "))
 	case o.Source != "" && !slices.Contains(Sources(), o.Source):
-		return fmt.Errorf("told %q: expected one of %s", o.Source, strings.Join(Sources(), ", "))
+		return newOptionError("Source", "told %q: expected one of %s", o.Source, strings.Join(Sources(), ", "))
 	case o.Warmup < 0 || o.Duration <= 0 || o.Settle <= 0 || o.FaultDuration < 0 || o.Restarts < 0 || o.Warmup+o.Duration+o.Settle > 4*time.Hour:
-		return fmt.Errorf("times: expected more than 0, and 4 hours in all")
+		return newOptionError("Duration", "times: expected more than 0, and 4 hours in all")
 	case findCase(o.Case) == nil:
-		return fmt.Errorf("case %q: expected one of %s", o.Case, strings.Join(Cases(), ", "))
+		return newOptionError("Case", "case %q: expected one of %s", o.Case, strings.Join(Cases(), ", "))
 	}
 	return nil
 }
--- a/internal/lab/scale/capacity.go
+++ b/internal/lab/scale/capacity.go
@@ -17,6 +17,8 @@
 	"foldslip/internal/lab/cost"
 )
 
+const maxFigures = 256 // files in a folder
+
 // CapacityFigure is a figure of docs/CAPACITY.md with the line fitted through it.
 type CapacityFigure struct {
 	*cost.Figure
@@ -167,7 +169,7 @@
 		least, most = min(least, at.Size), max(most, at.Size)
 		for _, v := range at.Values {
 			if !(v > 0) {
-				return fmt.Errorf("%s: %g cannot stand on a log axis", c.Name, v)
+				return &LogAxisError{Figure: c.Name, Value: v}
 			}
 			pts = append(pts, plotter.XY{X: at.Size, Y: v})
 		}
@@ -223,8 +225,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(paths) == 0 || len(paths) > 256 {
-		return nil, fmt.Errorf("%s: %d figures (*.json), expected 1 to 256", dir, len(paths))
+	if len(paths) == 0 || len(paths) > maxFigures {
+		return nil, &FigureCountError{dir, len(paths)}
 	}
 	for _, path := range paths {
 		c, err := ReadFitted(path)
--- a/internal/lab/scale/discovery.go
+++ b/internal/lab/scale/discovery.go
@@ -78,7 +78,7 @@
 // NewDiscovery serves on a port of its own.
 func NewDiscovery(o DiscoveryOptions) (*Discovery, error) {
 	if o.Gateways < 1 || o.Gateways > maxWatches {
-		return nil, fmt.Errorf("%d gateways watch, expected 1 to %d", o.Gateways, maxWatches)
+		return nil, newOptionError("Gateways", "%d gateways watch, expected 1 to %d", o.Gateways, maxWatches)
 	}
 	if o.KeepEvents <= 0 {
 		o.KeepEvents = 65536
--- a/internal/lab/scale/discovery_serve.go
+++ b/internal/lab/scale/discovery_serve.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"errors"
-	"fmt"
 	"net"
 	"strconv"
 	"time"
@@ -37,13 +36,13 @@
 		if line, _, whole := bytes.Cut(buf, []byte("\n")); whole {
 			word, ok := bytes.CutPrefix(bytes.TrimSpace(line), []byte("after "))
 			if !ok {
-				return 0, len(buf), fmt.Errorf("a watch began with %q", line)
+				return 0, len(buf), &watchRequestError{line}
 			}
 			after, err = strconv.ParseInt(string(word), 10, 64)
 			return after, len(buf), err
 		}
 		if err == nil && len(buf) == maxRequestBytes {
-			err = errors.New("a watch began with a line that is too long")
+			err = errWatchLineTooLong
 		}
 		if err != nil {
 			return 0, len(buf), err
@@ -53,7 +52,7 @@
 
 func (d *Discovery) serve(conn net.Conn) {
 	i := d.gatewayAt(conn.LocalAddr())
-	after, asked, err := int64(0), 0, errors.New("nobody's address")
+	after, asked, err := int64(0), 0, errUnknownAddress
 	if i >= 0 {
 		after, asked, err = readRequest(conn)
 	}
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -1,7 +1,6 @@
 package scale
 
 import (
-	"fmt"
 	"math"
 	"slices"
 
@@ -46,13 +45,13 @@
 	for _, n := range sizes {
 		for _, v := range by[n] {
 			if n <= 0 || !(v > 0) || math.IsInf(v, 0) {
-				return nil, fmt.Errorf("%s of %g at %d gateways cannot stand on log axes", figure, v, n)
+				return nil, &LogAxisError{Figure: figure, Value: v, Gateways: n, Fitted: true}
 			}
 			xs, ys = append(xs, math.Log10(float64(n))), append(ys, math.Log10(v))
 		}
 	}
 	if len(sizes) < 2 {
-		return nil, fmt.Errorf("%s: a line needs two sizes, there are %d", figure, len(sizes))
+		return nil, &TooFewSizesError{figure, len(sizes)}
 	}
 	a, b := stat.LinearRegression(xs, ys, nil, false)
 	f := &Fit{Figure: figure, Factor: math.Pow(10, a), Slope: b, R2: stat.RSquared(xs, ys, nil, a, b)}
--- a/internal/lab/scale/hollow_process.go
+++ b/internal/lab/scale/hollow_process.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -55,7 +54,7 @@
 		return nil, err
 	}
 	if a.Error != "" {
-		return nil, errors.New(a.Error)
+		return nil, &HollowReplyError{a.Error}
 	}
 	return &a, nil
 }
--- a/internal/lab/scale/hollow_server.go
+++ b/internal/lab/scale/hollow_server.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"encoding/json"
 	"errors"
-	"fmt"
 	"io"
 	"os"
 	"runtime"
@@ -58,7 +57,7 @@
 	case "halt":
 		was := c.gateways[o.First]
 		if was == nil {
-			return fmt.Errorf("gateway %d is not here", o.First)
+			return &UnknownGatewayError{o.First}
 		}
 		return was.Stop()
 	case "restart":
@@ -96,7 +95,7 @@
 	case "stop":
 		return c.stop()
 	default:
-		return fmt.Errorf("%q is no order", o.Action)
+		return &UnknownActionError{o.Action}
 	}
 	return nil
 }
--- a/internal/lab/scale/process_usage.go
+++ b/internal/lab/scale/process_usage.go
@@ -59,7 +59,7 @@
 			return kb << 10, err
 		}
 	}
-	return 0, fmt.Errorf("process %d: no RssAnon in its status", pid)
+	return 0, &ProcessMemoryError{pid}
 }
 
 // machineBusy is the processor time that the whole machine has spent on work since it began, on all cores.
--- a/internal/lab/scale/real.go
+++ b/internal/lab/scale/real.go
@@ -22,7 +22,8 @@
 
 const (
 	realPort     = 10080
-	realMemoryMB = 192 // told as its limit, as in the fleet's rig
+	realMemoryMB = 192 // its configured limit, as in the fleet's rig
+	stopTimeout  = 15 * time.Second
 )
 
 // startReal writes a gateway's configuration into a folder and starts it. Its listen address is one of its own, 127.66.x.y.
@@ -87,7 +88,7 @@
 func (r *realGateway) stop() error {
 	defer r.log.Close()
 	r.cmd.Process.Signal(syscall.SIGTERM)
-	late := time.NewTimer(15 * time.Second)
+	late := time.NewTimer(stopTimeout)
 	defer late.Stop()
 	select {
 	case err := <-r.ended:
@@ -95,6 +96,6 @@
 	case <-late.C:
 		r.cmd.Process.Kill()
 		<-r.ended
-		return fmt.Errorf("%s did not end within 15s of SIGTERM", r.cmd.Path)
+		return &StopTimeoutError{r.cmd.Path}
 	}
 }
--- a/internal/lab/scale/watch.go
+++ b/internal/lab/scale/watch.go
@@ -140,12 +140,12 @@
 			select {
 			case err := <-p.ended:
 				p.ended <- err
-				return fmt.Errorf("a real gateway ended by itself: %v; its log is %s", err, p.log.Name())
+				return &GatewayExitedError{err, p.log.Name()}
 			default:
 			}
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%d of %d gateways watch after a minute", w.discovery.Watching(), o.Gateways)
+			return &WatchStartError{w.discovery.Watching(), o.Gateways}
 		}
 	}
 	return nil
@@ -174,7 +174,7 @@
 			if last, ends, e := p.watchResult(); err == nil && e != nil {
 				err = e
 			} else if err == nil && w.allArrived && (last != told || ends > 0) {
-				err = fmt.Errorf("a real gateway held event %d of %d at its end, its watch ended %d times; its log is %s", last, told, ends, p.log.Name())
+				err = &MissedEventsError{Held: last, Published: told, Interruptions: ends, Log: p.log.Name()}
 			}
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/lab/scale/watch_options.go
+++ b/internal/lab/scale/watch_options.go
@@ -1,8 +1,6 @@
 package scale
 
 import (
-	"errors"
-	"fmt"
 	"os/exec"
 	"time"
 )
@@ -44,18 +42,18 @@
 func (o *WatchOptions) validate() error {
 	switch hollow := o.Gateways - o.Real; {
 	case o.Gateways < 1 || o.Gateways > maxWatches:
-		return fmt.Errorf("%d gateways, expected 1 to %d", o.Gateways, maxWatches)
+		return newOptionError("Gateways", "%d gateways, expected 1 to %d", o.Gateways, maxWatches)
 	case o.Real < 0 || o.Real > 200 || hollow < 0:
-		return fmt.Errorf("%d real gateways of %d, expected 0 to 200", o.Real, o.Gateways)
+		return newOptionError("Real", "%d real gateways of %d, expected 0 to 200", o.Real, o.Gateways)
 	case o.PurgesPerSecond < 0 || o.PurgesPerSecond > 10_000 || o.RestartsPerSecond < 0 || o.RestartsPerSecond > 100 || o.LookupsPerSecond < 0 || o.LookupsPerSecond > 1000:
-		return errors.New("purges up to 10,000, restarts up to 100 and lookups up to 1,000 a second")
+		return newOptionError("PurgesPerSecond", "purges up to 10,000, restarts up to 100 and lookups up to 1,000 a second")
 	case o.Duration <= 0 || o.Warmup < 0 || o.PurgesPerSecond*(o.Duration+o.Warmup).Seconds() > maxArrivals/2:
-		return fmt.Errorf("%g purges a second for %v are more than %d", o.PurgesPerSecond, o.Duration+o.Warmup, maxArrivals/2)
+		return newOptionError("PurgesPerSecond", "%g purges a second for %v are more than %d", o.PurgesPerSecond, o.Duration+o.Warmup, maxArrivals/2)
 	case o.Caches < 1 || o.Caches > 16384:
-		return fmt.Errorf("%d caches, expected 1 to 16384", o.Caches)
+		return newOptionError("Caches", "%d caches, expected 1 to 16384", o.Caches)
 	}
 	if o.Stretch = max(1, o.Stretch); o.Stretch > 1000 || o.Stretch > 1 && o.Real > 0 {
-		return fmt.Errorf("time stretched %g times, expected 1 to 1000, and 1 beside real gateways, whose clock is the machine's", o.Stretch)
+		return newOptionError("Stretch", "time stretched %g times, expected 1 to 1000, and 1 beside real gateways, whose clock is the machine's", o.Stretch)
 	}
 	if o.PerProcess <= 0 {
 		o.PerProcess = 500
