--- a/internal/cli/rigcli/scale_broadcast_table.go
+++ b/internal/cli/rigcli/scale_broadcast_table.go
@@ -85,7 +85,7 @@
 		fmt.Sprintf("%.0f", r.max(func(report *scale.BroadcastReport) float64 { return report.WorstSecond })),
 		fmt.Sprintf("%.1f", r.median(func(report *scale.BroadcastReport) float64 { return report.Datagrams.Median })),
 		fmt.Sprintf("%.2f", r.median(func(report *scale.BroadcastReport) float64 { return report.BatchesPerPurge })),
-		fmt.Sprintf("%.2f", r.median(func(report *scale.BroadcastReport) float64 { return report.CopiesPerBatch })),
+		fmt.Sprintf("%.2f", r.median(func(report *scale.BroadcastReport) float64 { return report.DeliveriesPerBatch })),
 		fmt.Sprintf("%.0f", r.max(func(report *scale.BroadcastReport) float64 { return float64(report.MaxBehind) })),
 		fmt.Sprintf("%.3f%%", 100*r.median(func(report *scale.BroadcastReport) float64 { return report.CoreShare })),
 		fmt.Sprintf("%.1f", r.median(func(report *scale.BroadcastReport) float64 { return report.Heap })/1024),
--- a/internal/lab/scale/broadcast.go
+++ b/internal/lab/scale/broadcast.go
@@ -18,7 +18,7 @@
 	maxGateways   = 10_000
 	maxPurges     = 1 << 20
 	maxLateNamed  = 5                // purges that a report names
-	restDuration  = 20 * time.Second // after all is heard
+	quietDuration = 20 * time.Second // after all is heard
 	freshDuration = 5 * time.Second  // a gateway counts as standing so long after its start; before, apart
 	notCounted    = math.MaxUint32
 	epochMillis   = int64(1_764_576_000_000) // Unix milliseconds of the Net's beginning
@@ -38,7 +38,7 @@
 	options       BroadcastOptions
 	faultCase     *faultCase
 	net           *Network
-	places        []Place
+	locations     []Location
 	names         []string
 	indexByName   map[string]int
 	scratch       []string
@@ -95,7 +95,7 @@
 		if done == 0 {
 			done = now
 		}
-		if now >= done+restDuration { // a while at rest: who knew that it lacked some knows that it does not
+		if now >= done+quietDuration { // a while at rest: who knew that it lacked some knows that it does not
 			break
 		}
 	}
@@ -119,9 +119,9 @@
 	if o.Source == "" {
 		o.Source = c.source
 	}
-	r := &broadcastRun{options: o, faultCase: c, places: broadcastLayout(o.Gateways), indexByName: map[string]int{}, memberLists: map[string][]broadcast.Member{}, rng: rand.New(rand.NewPCG(o.Seed, 0x62726f6164)), digest: xxhash.New(),
+	r := &broadcastRun{options: o, faultCase: c, locations: broadcastLayout(o.Gateways), indexByName: map[string]int{}, memberLists: map[string][]broadcast.Member{}, rng: rand.New(rand.NewPCG(o.Seed, 0x62726f6164)), digest: xxhash.New(),
 		result: &BroadcastReport{Kind: "broadcast", Gateways: o.Gateways, Mechanism: o.Mechanism, Case: o.Case, Source: o.Source, Rate: o.Rate, Seed: o.Seed, Seconds: o.Duration.Seconds()}}
-	r.net = NewNetwork(o.Seed, r.places, DefaultLatency, r.newGateway)
+	r.net = NewNetwork(o.Seed, r.locations, DefaultLatency, r.newGateway)
 	r.gateways, r.protected = make([]gateway, o.Gateways), newGatewaySet(o.Gateways)
 	for i := range r.gateways {
 		r.names = append(r.names, fmt.Sprintf("g%04d", i))
@@ -135,9 +135,9 @@
 	first := r.rng.IntN(o.Gateways)
 	r.sources = []int{first}
 	if o.Source == "two" {
-		there := NodesWhere(r.places, func(p Place) bool { return p.Region != r.places[first].Region })
+		there := NodesWhere(r.locations, func(p Location) bool { return p.Region != r.locations[first].Region })
 		if len(there) == 0 {
-			there = NodesWhere(r.places, func(p Place) bool { return p.Site != r.places[first].Site })
+			there = NodesWhere(r.locations, func(p Location) bool { return p.Site != r.locations[first].Site })
 		}
 		r.sources = append(r.sources, there[r.rng.IntN(len(there))])
 	}
@@ -184,29 +184,29 @@
 	issue = func() {
 		r.issuePurge()
 		if k := len(r.purges); k < count {
-			r.net.At(at(k), issue)
+			r.net.Schedule(at(k), issue)
 		}
 	}
-	r.net.At(at(0), issue)
+	r.net.Schedule(at(0), issue)
 	var sample func()
 	sample = func() {
 		r.sampleSecond()
-		r.net.At(r.net.Now()+time.Second, sample)
+		r.net.Schedule(r.net.Now()+time.Second, sample)
 	}
-	r.net.At(o.Warmup, func() {
+	r.net.Schedule(o.Warmup, func() {
 		for i := range r.gateways {
 			r.countersAtStart[i] = r.net.Counters(i)
 			r.lastCounters[i] = r.countersAtStart[i]
 		}
 		r.result.roles = r.roles()
-		r.net.At(o.Warmup+time.Second, sample)
+		r.net.Schedule(o.Warmup+time.Second, sample)
 	})
-	r.net.At(o.Warmup+o.Duration, func() {
+	r.net.Schedule(o.Warmup+o.Duration, func() {
 		for i := range r.gateways {
 			r.result.endedCounters = append(r.result.endedCounters, r.net.Counters(i))
 		}
 	})
-	r.faultCase.play(r)
+	r.faultCase.schedule(r)
 }
 
 // kill ends a gateway; what it had not heard does not count.
@@ -240,7 +240,7 @@
 	for _, i := range who {
 		r.kill(i)
 	}
-	r.net.At(r.net.Now()+after, func() {
+	r.net.Schedule(r.net.Now()+after, func() {
 		for _, i := range who {
 			r.net.Start(i)
 		}
--- a/internal/lab/scale/broadcast_faults.go
+++ b/internal/lab/scale/broadcast_faults.go
@@ -9,30 +9,30 @@
 type faultCase struct {
 	name, help string
 	source     string // who is told, unless asked for otherwise
-	play       func(r *broadcastRun)
+	schedule   func(r *broadcastRun)
 }
 
 // faultCases are all, in the order of tables.
 var faultCases = []*faultCase{
 	{"none", "no fault", "one", func(*broadcastRun) {}},
-	{"loss1", "each datagram is lost with a chance of 1%", "one", func(r *broadcastRun) { r.net.Loss(0.01) }},
-	{"loss5", "each datagram is lost with a chance of 5%", "one", func(r *broadcastRun) { r.net.Loss(0.05) }},
-	{"heads", "a most loaded gateway is killed each 8 s (the root, a region's head, a zone's head, in turn) and starts again 3 to 6 s later", "one", playHeads},
+	{"loss1", "each datagram is lost with a chance of 1%", "one", func(r *broadcastRun) { r.net.SetLoss(0.01) }},
+	{"loss5", "each datagram is lost with a chance of 5%", "one", func(r *broadcastRun) { r.net.SetLoss(0.05) }},
+	{"heads", "a most loaded gateway is killed each 8 s (the root, a region's head, a zone's head, in turn) and starts again 3 to 6 s later", "one", scheduleHeads},
 	{"rack", "half of a site's gateways are killed at once and start again 20 s later", "one", func(r *broadcastRun) {
-		site := r.otherGroup(func(p Place) int { return p.Site })
+		site := r.otherGroup(func(p Location) int { return p.Site })
 		r.takeDown(site[:(len(site)+1)/2], 20*time.Second)
 	}},
 	{"zone", "a zone's gateways are killed at once and start again a third of the time later", "one", func(r *broadcastRun) {
-		r.takeDown(r.otherGroup(func(p Place) int { return p.Zone }), r.options.Duration/3)
+		r.takeDown(r.otherGroup(func(p Location) int { return p.Zone }), r.options.Duration/3)
 	}},
-	{"cut", "a region is cut off (for half the time, or --fault) and healed; purges are told on both sides", "two", playCut},
-	{"release", "gateways are restarted one after the other, evenly over the time, each down for 2 s", "one", playRelease},
+	{"cut", "a region is cut off (for half the time, or --fault) and healed; purges are told on both sides", "two", scheduleCut},
+	{"release", "gateways are restarted one after the other, evenly over the time, each down for 2 s", "one", scheduleRelease},
 	{"control", "all are told by their own watches; those of one of 14 control machines tell nothing for 30 s (or --fault)", "all", func(r *broadcastRun) {
 		r.deafen(30*time.Second, func(i int) bool { return i%FullControls == 5 })
 	}},
 	{"region", "all are told by their own watches; those of a region tell nothing for half the time (or --fault)", "all", func(r *broadcastRun) {
-		region := r.places[r.sources[0]].Region
-		r.deafen(r.options.Duration/2, func(i int) bool { return r.places[i].Region == region })
+		region := r.locations[r.sources[0]].Region
+		r.deafen(r.options.Duration/2, func(i int) bool { return r.locations[i].Region == region })
 	}},
 	{"watches", "all are told by their own watches, no fault", "all", func(*broadcastRun) {}},
 }
@@ -91,16 +91,16 @@
 func (r *broadcastRun) isCut() bool { return r.cut != nil }
 
 // otherGroup is all that share a place's part, not the first teller's; the teller's own without itself where there is no other.
-func (r *broadcastRun) otherGroup(of func(Place) int) (who []int) {
-	most, own := 0, of(r.places[r.sources[0]])
-	for _, p := range r.places {
+func (r *broadcastRun) otherGroup(of func(Location) int) (who []int) {
+	most, own := 0, of(r.locations[r.sources[0]])
+	for _, p := range r.locations {
 		most = max(most, of(p)+1)
 	}
 	part := own
 	if most > 1 {
 		part = (own + 1 + r.rng.IntN(most-1)) % most
 	}
-	for i, p := range r.places {
+	for i, p := range r.locations {
 		if of(p) == part && !r.protected.has(i) {
 			who = append(who, i)
 		}
@@ -113,7 +113,7 @@
 	if r.options.FaultDuration > 0 {
 		down = r.options.FaultDuration
 	}
-	r.net.At(r.options.Warmup+r.options.Duration/4, func() { r.restart(who, down) })
+	r.net.Schedule(r.options.Warmup+r.options.Duration/4, func() { r.restart(who, down) })
 }
 
 // deafen has watches tell nothing for a time, from a quarter of the time on.
@@ -126,8 +126,8 @@
 	r.watchIsDeaf = func(i int, at time.Duration) bool { return at >= from && at < to && who(i) }
 }
 
-// playHeads kills heads of the tree that the new mechanism would build, whichever mechanism runs.
-func playHeads(r *broadcastRun) {
+// scheduleHeads kills heads of the tree that the new mechanism would build, whichever mechanism runs.
+func scheduleHeads(r *broadcastRun) {
 	turn := 0
 	var next func()
 	next = func() {
@@ -140,22 +140,22 @@
 			r.restart([]int{level[r.rng.IntN(len(level))]}, 3*time.Second+time.Duration(r.rng.Int64N(int64(3*time.Second))))
 		}
 		turn++
-		r.net.At(now+min(8*time.Second, r.options.Duration/4), next)
+		r.net.Schedule(now+min(8*time.Second, r.options.Duration/4), next)
 	}
-	r.net.At(r.options.Warmup+min(4*time.Second, r.options.Duration/8), next)
+	r.net.Schedule(r.options.Warmup+min(4*time.Second, r.options.Duration/8), next)
 }
 
-// playCut cuts off the region of the first teller.
-func playCut(r *broadcastRun) {
-	region := r.places[r.sources[0]].Region
-	in := NodesWhere(r.places, func(p Place) bool { return p.Region == region })
-	if len(in) == len(r.places) { // a fleet of one region: the site
-		site := r.places[r.sources[0]].Site
-		in = NodesWhere(r.places, func(p Place) bool { return p.Site == site })
+// scheduleCut cuts off the region of the first teller.
+func scheduleCut(r *broadcastRun) {
+	region := r.locations[r.sources[0]].Region
+	in := NodesWhere(r.locations, func(p Location) bool { return p.Region == region })
+	if len(in) == len(r.locations) { // a fleet of one region: the site
+		site := r.locations[r.sources[0]].Site
+		in = NodesWhere(r.locations, func(p Location) bool { return p.Site == site })
 	}
-	r.cutRegion = newGatewaySet(len(r.places))
+	r.cutRegion = newGatewaySet(len(r.locations))
 	var out []int
-	for i := range r.places {
+	for i := range r.locations {
 		if slices.Contains(in, i) {
 			r.cutRegion.put(i, true)
 		} else {
@@ -169,37 +169,37 @@
 	r.cutAt = r.options.Warmup + r.options.Duration/6
 	r.healAt = r.cutAt + span
 	tell := func(up bool) {
-		for i := range r.places {
+		for i := range r.locations {
 			r.views.record(membershipEvent{gateway: int32(i), up: up, cutSide: 3 - r.side(i)})
 		}
 	}
-	r.net.At(r.cutAt, func() {
+	r.net.Schedule(r.cutAt, func() {
 		r.cut = r.net.Cut(in, out)
 		tell(false)
 	})
-	r.net.At(r.healAt, func() {
+	r.net.Schedule(r.healAt, func() {
 		r.cut.Heal()
 		r.cut = nil
 		tell(true)
 	})
 }
 
-// playRelease restarts a part of the fleet, one after the other.
-func playRelease(r *broadcastRun) {
+// scheduleRelease restarts a part of the fleet, one after the other.
+func scheduleRelease(r *broadcastRun) {
 	count := r.options.Restarts
 	if count == 0 {
-		count = (len(r.places)*1900 + FullGateways - 1) / FullGateways
+		count = (len(r.locations)*1900 + FullGateways - 1) / FullGateways
 	}
-	order := r.rng.Perm(len(r.places))
+	order := r.rng.Perm(len(r.locations))
 	for k := range count {
 		i := order[k%len(order)]
-		r.net.At(r.options.Warmup+time.Duration(float64(r.options.Duration)*(float64(k)+0.5)/float64(count)), func() { r.restart([]int{i}, 2*time.Second) })
+		r.net.Schedule(r.options.Warmup+time.Duration(float64(r.options.Duration)*(float64(k)+0.5)/float64(count)), func() { r.restart([]int{i}, 2*time.Second) })
 	}
 }
 
 // broadcastLayout is the users' shape where there are enough gateways, and else three regions, five zones and nine sites, or as near as it
 // goes: a tree over places and the loss of one need some.
-func broadcastLayout(gateways int) []Place {
+func broadcastLayout(gateways int) []Location {
 	of := func(full, least, most int) int { return min(most, max(least, gateways*full/FullGateways)) }
 	sites := of(FullSites, 9, max(1, gateways/3))
 	zones := of(FullZones, 5, sites)
--- a/internal/lab/scale/broadcast_report.go
+++ b/internal/lab/scale/broadcast_report.go
@@ -77,16 +77,16 @@
 	CaughtUp      float64 `json:"caught_up"`  // from the heal until the last of these was heard on the other side
 	HealBytes     float64 `json:"heal_bytes"` // most of a gateway in a second after the heal, in and out
 
-	In              Distribution `json:"in"`
-	Out             Distribution `json:"out"`
-	Both            Distribution `json:"both"`
-	Datagrams       Distribution `json:"datagrams"` // in and out, a second
-	WorstSecond     float64      `json:"worst"`     // bytes of a gateway's worst second, in or out
-	Roles           []RoleCost   `json:"roles"`
-	BatchesPerPurge float64      `json:"said"`   // batches that a purge was put in, by whichever gateway
-	CopiesPerBatch  float64      `json:"copies"` // of such a batch that came to a gateway; old: of a purge
-	Totals          Tally        `json:"sums"`
-	Applied         int64        `json:"heeded"`
+	In                 Distribution `json:"in"`
+	Out                Distribution `json:"out"`
+	Both               Distribution `json:"both"`
+	Datagrams          Distribution `json:"datagrams"` // in and out, a second
+	WorstSecond        float64      `json:"worst"`     // bytes of a gateway's worst second, in or out
+	Roles              []RoleCost   `json:"roles"`
+	BatchesPerPurge    float64      `json:"said"`   // batches that a purge was put in, by whichever gateway
+	DeliveriesPerBatch float64      `json:"copies"` // of such a batch that came to a gateway; old: of a purge
+	Totals             Tally        `json:"sums"`
+	Applied            int64        `json:"heeded"`
 	// Gateways that know that they lack purges: the most at once, at the end, and gateway seconds in all.
 	MaxBehind        int64    `json:"behind_most"`
 	BehindAtEnd      int64    `json:"behind_end"`
@@ -164,9 +164,9 @@
 	}
 	if out.BatchesPerPurge = 1; out.Mechanism == "new" && out.Purges > 0 {
 		out.BatchesPerPurge = float64(out.Totals.Purges) / float64(out.Purges)
-		out.CopiesPerBatch = float64(out.Totals.BatchesReceived) / float64(max(1, out.Totals.Batches)) / float64(len(r.gateways))
+		out.DeliveriesPerBatch = float64(out.Totals.BatchesReceived) / float64(max(1, out.Totals.Batches)) / float64(len(r.gateways))
 	} else if out.Purges > 0 {
-		out.CopiesPerBatch = float64(out.Totals.BatchesReceived) / float64(out.Purges) / float64(len(r.gateways))
+		out.DeliveriesPerBatch = float64(out.Totals.BatchesReceived) / float64(out.Purges) / float64(len(r.gateways))
 	}
 	for _, role := range roles {
 		role.In, role.Out = role.In/float64(role.Gateways), role.Out/float64(role.Gateways)
--- a/internal/lab/scale/broadcast_test.go
+++ b/internal/lab/scale/broadcast_test.go
@@ -83,8 +83,8 @@
 // A gateway's list follows a crash after half of Detect to all of it, at its own time; one that starts again before is not missed.
 func TestMemberListsFollowAtTheirOwnTimes(t *testing.T) {
 	r := newIdleRun(t, 60)
-	r.net.At(time.Second, func() { r.restart([]int{7}, time.Hour) })
-	r.net.At(time.Second, func() { r.restart([]int{8}, 2*time.Second) })
+	r.net.Schedule(time.Second, func() { r.restart([]int{7}, time.Hour) })
+	r.net.Schedule(time.Second, func() { r.restart([]int{8}, 2*time.Second) })
 	sees := func(who int) (n int) {
 		for i := range r.gateways {
 			if i != 7 && i != 8 && r.gateways[i].view.has(who) {
--- a/internal/lab/scale/broadcast_tree.go
+++ b/internal/lab/scale/broadcast_tree.go
@@ -13,7 +13,7 @@
 const maxSharedLists = 64 // lists of the live that are kept for who has the same
 
 func (r *broadcastRun) member(i int) broadcast.Member {
-	p := r.places[i]
+	p := r.locations[i]
 	return broadcast.Member{Name: r.names[i], Locality: broadcast.Locality{Region: fmt.Sprintf("r%02d", p.Region), Zone: fmt.Sprintf("z%02d", p.Zone), Site: fmt.Sprintf("s%03d", p.Site)}}
 }
 
--- a/internal/lab/scale/capacity_test.go
+++ b/internal/lab/scale/capacity_test.go
@@ -18,7 +18,7 @@
 	return &CapacityFigure{Figure: f}
 }
 
-func TestExceedsBudgetAt(t *testing.T) {
+func TestBudgetIsExceededAtMeasuredOrExtrapolatedSize(t *testing.T) {
 	square := func(n float64) float64 { return n * n }
 	for _, of := range []struct {
 		c        *CapacityFigure
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestValueAtPlanSize(t *testing.T) {
+func TestValueBetweenSizesIsInterpolated(t *testing.T) {
 	c := figure(0, 50, func(n float64) float64 { return 3 * n }, 10, 100)
 	for _, of := range []struct {
 		size, value float64
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestFormatShort(t *testing.T) {
+func TestFormatShortKeepsThreeDigits(t *testing.T) {
 	for v, want := range map[float64]string{0: "0", 0.0538: "0.0538", 75.8234: "75.8", 999.4: "999", 1103: "1,100", 18234: "18,200", 1234567: "1,230,000", -4321: "-4,320"} {
 		if got := formatShort(v); got != want {
 			t.Errorf("%v is written %s", v, got)
--- a/internal/lab/scale/controls.go
+++ b/internal/lab/scale/controls.go
@@ -86,8 +86,8 @@
 func (ControlMachine) TimerFired(time.Duration) {}
 
 // WithControlMachines adds places of control machines, spread over the zones, to those of gateways.
-func WithControlMachines(places []Place, machines int) []Place {
-	var zones []Place
+func WithControlMachines(places []Location, machines int) []Location {
+	var zones []Location
 	for _, p := range places {
 		if len(zones) == 0 || zones[len(zones)-1].Zone != p.Zone {
 			zones = append(zones, p)
@@ -146,9 +146,9 @@
 	again = func() {
 		f()
 		at += checkInterval
-		c.net.At(at, again)
+		c.net.Schedule(at, again)
 	}
-	c.net.At(at, again)
+	c.net.Schedule(at, again)
 }
 
 func (c *ControlMachines) node(machine int) int { return c.options.Gateways + machine }
@@ -164,7 +164,7 @@
 			c.storeEvents(j, no)
 		} else if from >= 0 && c.canReach(c.node(from), c.node(j)) {
 			c.syncedAt[j] = max(c.syncedAt[j], now+c.net.DrawLatency(c.node(from), c.node(j)))
-			c.net.At(c.syncedAt[j], func() {
+			c.net.Schedule(c.syncedAt[j], func() {
 				if c.net.IsUp(c.node(j)) && c.lastEvent[j] == no-1 {
 					c.storeEvents(j, no)
 				}
@@ -221,7 +221,7 @@
 		push()
 	} else if !c.batchPending[j] {
 		c.batchPending[j] = true
-		c.net.At(c.net.now+c.options.BatchInterval, push)
+		c.net.Schedule(c.net.now+c.options.BatchInterval, push)
 	}
 }
 
@@ -267,7 +267,7 @@
 			pause = time.Duration(float64(bytes) / float64(c.options.CatchUpBytesPerSecond) * float64(time.Second))
 		}
 		w.catchingUp = true
-		c.net.At(now+pause, func() {
+		c.net.Schedule(now+pause, func() {
 			if w.epoch == epoch {
 				w.catchingUp = false
 				c.push(g)
@@ -289,7 +289,7 @@
 	}
 	w.sendingUntil = max(w.sendingUntil, at)
 	epoch := w.epoch
-	c.net.At(w.sendingUntil, func() {
+	c.net.Schedule(w.sendingUntil, func() {
 		if w.epoch != epoch || c.net.nodes[g].starts != w.starts || c.net.nodes[g].program == nil {
 			return
 		}
@@ -361,7 +361,7 @@
 	}
 	if due := w.lastLineAt + c.options.SilenceTimeout; due > c.net.now {
 		w.silenceTimerSet = true
-		c.net.At(due, func() {
+		c.net.Schedule(due, func() {
 			w.silenceTimerSet = false
 			c.checkSilence(g)
 		})
@@ -384,7 +384,7 @@
 	w.dialing = true
 	m := c.node(j)
 	again := func(after time.Duration) {
-		c.net.At(c.net.now+after+time.Duration(c.rng.Int64N(int64(pause)+1)), func() {
+		c.net.Schedule(c.net.now+after+time.Duration(c.rng.Int64N(int64(pause)+1)), func() {
 			if !another() {
 				c.dial(g, min(2*pause, maxBackoff))
 			}
@@ -394,7 +394,7 @@
 		again(dialTimeout)
 		return
 	}
-	c.net.At(c.net.now+c.net.DrawLatency(g, m)+c.net.DrawLatency(m, g)+c.net.DrawLatency(g, m), func() { // the handshake, and the line that asks
+	c.net.Schedule(c.net.now+c.net.DrawLatency(g, m)+c.net.DrawLatency(m, g)+c.net.DrawLatency(g, m), func() { // the handshake, and the line that asks
 		switch {
 		case another():
 		case !c.canReach(g, m):
--- a/internal/lab/scale/controls_test.go
+++ b/internal/lab/scale/controls_test.go
@@ -37,7 +37,7 @@
 	return newWatchedFleet(t, Layout(390, 30, 5, 3), 4, 20, o)
 }
 
-func newWatchedFleet(t *testing.T, places []Place, machines int, rate float64, o ControlOptions) *watchedFleet {
+func newWatchedFleet(t *testing.T, places []Location, machines int, rate float64, o ControlOptions) *watchedFleet {
 	o.Gateways, o.Machines = len(places), machines
 	w := &watchedFleet{nodes: make([]*watchingNode, len(places))}
 	w.Network = NewNetwork(1, WithControlMachines(places, machines), DefaultLatency, func(i int) Node {
@@ -56,9 +56,9 @@
 	var tell func()
 	tell = func() {
 		w.Publish()
-		w.Network.At(w.Network.Now()+every, tell)
+		w.Network.Schedule(w.Network.Now()+every, tell)
 	}
-	w.Network.At(5*time.Second, tell)
+	w.Network.Schedule(5*time.Second, tell)
 	return w
 }
 
@@ -85,7 +85,7 @@
 
 func TestEachWatchGetsEachEventInOrder(t *testing.T) {
 	w := newSmallFleet(t, ControlOptions{})
-	w.Loss(0.02)
+	w.SetLoss(0.02)
 	w.caughtUp(t, 60*time.Second, time.Second)
 	var most time.Duration
 	for no := int64(1); no <= w.LastEvent()-20; no++ {
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestWatchesOfALostControlMachineMove(t *testing.T) {
+func TestWatchesMoveOffLostControlMachine(t *testing.T) {
 	w := newSmallFleet(t, ControlOptions{})
 	w.FailControlMachine(20*time.Second, 60*time.Second, 2)
 	w.Run(20 * time.Second)
@@ -133,7 +133,7 @@
 	const cut = 3 * time.Minute // an hour of the plan is a matter of minutes on an idle machine
 	w := newSmallFleet(t, ControlOptions{CatchUpBytesPerSecond: 20_000, ListBytes: 1000})
 	w.CutRegion(20*time.Second, cut, 2)
-	cutOff := w.GatewaysWhere(func(p Place) bool { return p.Region == 2 })
+	cutOff := w.GatewaysWhere(func(p Location) bool { return p.Region == 2 })
 	w.Run(20 * time.Second)
 	at := w.LastEvent()
 	w.Run(cut)
@@ -157,8 +157,8 @@
 		"release":       func(w *watchedFleet) { w.Release(20*time.Second, 60*time.Second, 5*time.Second, 190) },
 		"days":          func(w *watchedFleet) { w.FailAtRates(10*time.Second, 70*time.Second, 20_000, 100_000) },
 		"standing still": func(w *watchedFleet) {
-			w.At(20*time.Second, func() { w.Pause(5) })
-			w.At(50*time.Second, func() { w.Resume(5) })
+			w.Schedule(20*time.Second, func() { w.Pause(5) })
+			w.Schedule(50*time.Second, func() { w.Resume(5) })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -192,7 +192,7 @@
 	const pace = 15 << 10
 	w := newWatchedFleet(t, Layout(FullGateways, FullSites, FullZones, FullRegions), FullControls, 100, ControlOptions{BatchInterval: 100 * time.Millisecond, CatchUpBytesPerSecond: pace, ListBytes: 1000})
 	w.CutRegion(10*time.Second, *cutDuration, 4)
-	region := w.GatewaysWhere(func(p Place) bool { return p.Region == 4 })
+	region := w.GatewaysWhere(func(p Location) bool { return p.Region == 4 })
 	w.Run(10*time.Second + *cutDuration)
 	missed := w.LastEvent() - w.Received(region[0])
 	if missed < int64(cutDuration.Seconds()*95) {
--- a/internal/lab/scale/discovery.go
+++ b/internal/lab/scale/discovery.go
@@ -143,8 +143,8 @@
 	return fmt.Appendf(nil, `{"no":1,"items":[{"no":1,%s]}`, w.listEvent), w.basePosition
 }
 
-// Leave ends a gateway: it is told nothing until it joins again.
-func (d *Discovery) Leave(gateway int) {
+// RemoveGateway ends a gateway: it is told nothing until it joins again.
+func (d *Discovery) RemoveGateway(gateway int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.watchers[gateway].joined = false
--- a/internal/lab/scale/discovery_test.go
+++ b/internal/lab/scale/discovery_test.go
@@ -63,7 +63,7 @@
 
 var issued = time.UnixMilli(1764576000123)
 
-func TestEachGatewaysEventsAreNumberedFromItsOwnStart(t *testing.T) {
+func TestEventNumbersBeginAnewAtEachGatewayStart(t *testing.T) {
 	d := newDiscovery(t, DiscoveryOptions{Gateways: 300, Members: Members(3, 1)})
 	known, _ := d.Join(2, true)
 	var held struct {
@@ -137,7 +137,7 @@
 	}
 }
 
-func TestOneWatchPerGatewayAndNoneForStrangersOrWhileRefused(t *testing.T) {
+func TestOneWatchPerGatewayAndNoneForUnknownOrRefused(t *testing.T) {
 	d := newDiscovery(t, DiscoveryOptions{Gateways: 2})
 	d.Join(0, true)
 	first := openWatch(t, d, 0, 1)
@@ -156,7 +156,7 @@
 	if got := openWatch(t, d, 0, 2).event(); !strings.Contains(got, "bb") {
 		t.Errorf("after it came back: %s", got)
 	}
-	d.Leave(0)
+	d.RemoveGateway(0)
 	openWatch(t, d, 0, 3).ended()
 	bad, err := net.Dial("tcp", d.Addr(0))
 	if err != nil {
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -22,12 +22,14 @@
 }
 
 // GatewaysWhere names the gateways whose place is as asked.
-func (f *FaultSchedule) GatewaysWhere(is func(Place) bool) []int {
-	return NodesWhere(f.Net.places[:f.Gateways], is)
+func (f *FaultSchedule) GatewaysWhere(is func(Location) bool) []int {
+	return NodesWhere(f.Net.locations[:f.Gateways], is)
 }
 
 // NodesWhere names gateways and control machines whose place is as asked.
-func (f *FaultSchedule) NodesWhere(is func(Place) bool) []int { return NodesWhere(f.Net.places, is) }
+func (f *FaultSchedule) NodesWhere(is func(Location) bool) []int {
+	return NodesWhere(f.Net.locations, is)
+}
 
 func (f *FaultSchedule) kill(nodes []int) {
 	for _, i := range nodes {
@@ -51,38 +53,38 @@
 
 // TakeDown kills nodes at a time and starts them after another.
 func (f *FaultSchedule) TakeDown(at, after time.Duration, nodes []int) {
-	f.Net.At(at, func() { f.kill(nodes) })
-	f.Net.At(at+after, func() { f.start(nodes) })
+	f.Net.Schedule(at, func() { f.kill(nodes) })
+	f.Net.Schedule(at+after, func() { f.start(nodes) })
 }
 
 // FailRack has all gateways of a site fail at once.
 func (f *FaultSchedule) FailRack(at, after time.Duration, site int) {
-	f.TakeDown(at, after, f.GatewaysWhere(func(p Place) bool { return p.Site == site }))
+	f.TakeDown(at, after, f.GatewaysWhere(func(p Location) bool { return p.Site == site }))
 }
 
 // FailZone has all of a zone fail at once, control machines too.
 func (f *FaultSchedule) FailZone(at, after time.Duration, zone int) {
-	f.TakeDown(at, after, f.NodesWhere(func(p Place) bool { return p.Zone == zone }))
+	f.TakeDown(at, after, f.NodesWhere(func(p Location) bool { return p.Zone == zone }))
 }
 
 // CutRegion cuts a region off from all others for a time; the control machines in it stay with it.
 func (f *FaultSchedule) CutRegion(at, after time.Duration, region int) {
 	var cut *Cut
-	f.Net.At(at, func() {
-		cut = f.Net.Cut(f.NodesWhere(func(p Place) bool { return p.Region == region }), f.NodesWhere(func(p Place) bool { return p.Region != region }))
+	f.Net.Schedule(at, func() {
+		cut = f.Net.Cut(f.NodesWhere(func(p Location) bool { return p.Region == region }), f.NodesWhere(func(p Location) bool { return p.Region != region }))
 	})
-	f.Net.At(at+after, func() { cut.Heal() })
+	f.Net.Schedule(at+after, func() { cut.Heal() })
 }
 
 // SplitRegions cuts every region from every other for a time. Past 11 regions that is one cut for each but the last.
 func (f *FaultSchedule) SplitRegions(at, after time.Duration) {
 	var cuts []*Cut
-	f.Net.At(at, func() {
+	f.Net.Schedule(at, func() {
 		for r := range f.Net.regions - 1 {
-			cuts = append(cuts, f.Net.Cut(f.NodesWhere(func(p Place) bool { return p.Region == r }), f.NodesWhere(func(p Place) bool { return p.Region > r })))
+			cuts = append(cuts, f.Net.Cut(f.NodesWhere(func(p Location) bool { return p.Region == r }), f.NodesWhere(func(p Location) bool { return p.Region > r })))
 		}
 	})
-	f.Net.At(at+after, func() {
+	f.Net.Schedule(at+after, func() {
 		for _, c := range cuts {
 			c.Heal()
 		}
--- a/internal/lab/scale/hollow_server.go
+++ b/internal/lab/scale/hollow_server.go
@@ -41,14 +41,14 @@
 	gateways     map[int]*HollowGateway
 	lastEvents   map[int]*atomic.Int64 // position of the last event that counts
 	startCommand command               // start
-	places       []Place
+	locations    []Location
 	profile      *os.File // of the profile under way
 }
 
 func (c *hollowServer) handle(o *command, a *reply) error {
 	switch o.Action {
 	case "start":
-		c.startCommand, c.places, c.environment = *o, ScaledLayout(o.Gateways), NewEnvironment(NewSlowClock(o.Since, o.Stretch))
+		c.startCommand, c.locations, c.environment = *o, ScaledLayout(o.Gateways), NewEnvironment(NewSlowClock(o.Since, o.Stretch))
 		for i := range o.Count {
 			if err := c.start(o.First+i, o.Base, o.Known, o.Watch[i]); err != nil {
 				return err
@@ -104,7 +104,7 @@
 	at := &atomic.Int64{}
 	at.Store(base)
 	c.lastEvents[i] = at
-	c.gateways[i], err = StartHollowGateway(c.environment, HollowOptions{DiscoveryAddr: watch, Known: known, Settings: Settings(c.places, i, c.startCommand.Zones), Seed: uint64(i) + 1,
+	c.gateways[i], err = StartHollowGateway(c.environment, HollowOptions{DiscoveryAddr: watch, Known: known, Settings: Settings(c.locations, i, c.startCommand.Zones), Seed: uint64(i) + 1,
 		LookupsPerSecond: c.startCommand.Lookups, OnEvent: func(no int64) {
 			at.Store(base + no - 1)
 			c.arrivals.Record(base+no-1, c.environment.Now())
--- a/internal/lab/scale/hollow_test.go
+++ b/internal/lab/scale/hollow_test.go
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestRunOverItsBudgetIsReported(t *testing.T) {
+func TestRunOverBudgetIsReported(t *testing.T) {
 	o := shortRun(t)
 	o.Real, o.Budget = 0, Budget{Core: 1e-9, Resident: 1, BytesPerSecond: 1}
 	r, err := Watch(o)
--- a/internal/lab/scale/layout.go
+++ b/internal/lab/scale/layout.go
@@ -18,9 +18,9 @@
 
 import "fmt"
 
-// Place is where a node stands. Sites, zones and regions are numbered through the whole fleet: a site is in one zone, a zone in one
+// Location is where a node stands. Sites, zones and regions are numbered through the whole fleet: a site is in one zone, a zone in one
 // region.
-type Place struct{ Site, Zone, Region int }
+type Location struct{ Site, Zone, Region int }
 
 // The users' plan (issue 39).
 const (
@@ -34,21 +34,21 @@
 
 // Layout gives gateways their places: as many at a site as at any other, or one more; the same for sites in zones and zones in regions.
 // It panics where a level has fewer than the one above it: such a fleet cannot be meant.
-func Layout(gateways, sites, zones, regions int) []Place {
+func Layout(gateways, sites, zones, regions int) []Location {
 	if regions < 1 || zones < regions || sites < zones || gateways < sites {
 		panic(fmt.Sprintf("scale.Layout: %d gateways, %d sites, %d zones, %d regions: each level needs one of the next at least", gateways, sites, zones, regions))
 	}
-	places := make([]Place, gateways)
+	places := make([]Location, gateways)
 	for i := range places {
 		site := i * sites / gateways
 		zone := site * zones / sites
-		places[i] = Place{Site: site, Zone: zone, Region: zone * regions / zones}
+		places[i] = Location{Site: site, Zone: zone, Region: zone * regions / zones}
 	}
 	return places
 }
 
 // ScaledLayout is a layout of the users' shape at another size: 13 gateways a site, 12 sites a zone, two zones a region, as near as it goes.
-func ScaledLayout(gateways int) []Place {
+func ScaledLayout(gateways int) []Location {
 	of := func(full int, most int) int { return min(most, max(1, gateways*full/FullGateways)) }
 	sites := of(FullSites, gateways)
 	zones := of(FullZones, sites)
@@ -56,7 +56,7 @@
 }
 
 // NodesWhere gives the nodes whose place is as asked.
-func NodesWhere(places []Place, is func(Place) bool) (nodes []int) {
+func NodesWhere(places []Location, is func(Location) bool) (nodes []int) {
 	for i, p := range places {
 		if is(p) {
 			nodes = append(nodes, i)
--- a/internal/lab/scale/net.go
+++ b/internal/lab/scale/net.go
@@ -54,10 +54,10 @@
 
 // Network is a network on a virtual clock. Equal seeds, calls and nodes give equal runs. Its owner is one goroutine.
 type Network struct {
-	places             []Place
+	locations          []Location
 	latency            Latency
 	regions            int
-	newProgram         func(i int) Node
+	startProgram       func(i int) Node
 	nodes              []nodeState
 	now                time.Duration
 	sequence           uint64
@@ -93,8 +93,8 @@
 }
 
 // NewNetwork makes a network; make gives the program of a node each time that the node starts. All nodes are down until Start.
-func NewNetwork(seed uint64, places []Place, lag Latency, make func(i int) Node) *Network {
-	n := &Network{places: places, latency: lag, newProgram: make, rng: rand.NewPCG(seed, 0x7363616c65)}
+func NewNetwork(seed uint64, places []Location, lag Latency, make func(i int) Node) *Network {
+	n := &Network{locations: places, latency: lag, startProgram: make, rng: rand.NewPCG(seed, 0x7363616c65)}
 	n.nodes = append(n.nodes, newNodeStates(len(places))...)
 	for _, p := range places {
 		n.regions = max(n.regions, p.Region+1)
@@ -116,8 +116,8 @@
 // Nodes is how many there are, up or down.
 func (n *Network) Nodes() int { return len(n.nodes) }
 
-// Place is where a node stands.
-func (n *Network) Place(i int) Place { return n.places[i] }
+// Location is where a node stands.
+func (n *Network) Location(i int) Location { return n.locations[i] }
 
 // IsUp tells whether a node runs; one that stands still does.
 func (n *Network) IsUp(i int) bool { return n.nodes[i].program != nil }
@@ -136,7 +136,7 @@
 // Start starts a node that is down, with a new program.
 func (n *Network) Start(i int) {
 	if v := &n.nodes[i]; v.program == nil {
-		v.program, v.paused = n.newProgram(i), false
+		v.program, v.paused = n.startProgram(i), false
 		v.starts++
 		n.SetTimer(i, n.now)
 	}
@@ -188,8 +188,8 @@
 	}
 }
 
-// At calls f at a time, for scenarios. It panics past mostCalls that wait.
-func (n *Network) At(at time.Duration, f func()) {
+// Schedule calls f at a time, for scenarios. It panics past mostCalls that wait.
+func (n *Network) Schedule(at time.Duration, f func()) {
 	slot := int32(len(n.calls))
 	if k := len(n.freeCalls); k > 0 {
 		slot, n.freeCalls = n.freeCalls[k-1], n.freeCalls[:k-1]
@@ -202,11 +202,11 @@
 	n.push(max(at, n.now), callIsDue, slot)
 }
 
-// Loss has each datagram be lost with a chance from now on, beside cuts.
-func (n *Network) Loss(p float64) { n.lossThreshold = threshold(p) }
+// SetLoss has each datagram be lost with a chance from now on, beside cuts.
+func (n *Network) SetLoss(p float64) { n.lossThreshold = threshold(p) }
 
-// Duplicate has each datagram come twice with a chance from now on.
-func (n *Network) Duplicate(p float64) { n.duplicateThreshold = threshold(p) }
+// SetDuplication has each datagram come twice with a chance from now on.
+func (n *Network) SetDuplication(p float64) { n.duplicateThreshold = threshold(p) }
 
 // threshold is a chance as a share of what the generator gives.
 func threshold(p float64) uint64 {
@@ -218,7 +218,7 @@
 
 // DrawLatency draws how long a datagram between two nodes takes.
 func (n *Network) DrawLatency(from, to int) time.Duration {
-	a, b, l := &n.places[from], &n.places[to], &n.latency
+	a, b, l := &n.locations[from], &n.locations[to], &n.latency
 	var d time.Duration
 	switch {
 	case a.Site == b.Site:
--- a/internal/lab/scale/net_test.go
+++ b/internal/lab/scale/net_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestLayoutIsTheUsersShape(t *testing.T) {
+func TestLayoutSpreadsGatewaysEvenly(t *testing.T) {
 	places := Layout(FullGateways, FullSites, FullZones, FullRegions)
 	sites, zones, regions := map[int]int{}, map[int]int{}, map[int]int{}
 	zoneOf, regionOf := map[int]int{}, map[int]int{}
@@ -62,7 +62,7 @@
 func (r *recorder) TimerFired(now time.Duration) { r.timersFired = append(r.timersFired, now) }
 
 // newRecorderNetwork makes a network of recorders, all started, without jitter.
-func newRecorderNetwork(places []Place) (*Network, []*recorder) {
+func newRecorderNetwork(places []Location) (*Network, []*recorder) {
 	lag := DefaultLatency
 	lag.Jitter = 0
 	all := make([]*recorder, len(places))
@@ -78,8 +78,8 @@
 	return n, all
 }
 
-func TestLatencyIsOfTheNearestThingShared(t *testing.T) {
-	places := []Place{{0, 0, 0}, {0, 0, 0}, {1, 0, 0}, {2, 1, 0}, {3, 2, 1}, {4, 3, 2}, {5, 4, 3}, {6, 5, 4}}
+func TestLatencyFollowsNearestSharedLocation(t *testing.T) {
+	places := []Location{{0, 0, 0}, {0, 0, 0}, {1, 0, 0}, {2, 1, 0}, {3, 2, 1}, {4, 3, 2}, {5, 4, 3}, {6, 5, 4}}
 	n, all := newRecorderNetwork(places)
 	for to := 1; to < len(places); to++ {
 		n.Send(0, to, []byte("x"))
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestEachDatagramIsCountedWithItsHeadOnBothSides(t *testing.T) {
+func TestDatagramBytesIncludeHeadersOnBothSides(t *testing.T) {
 	n, all := newRecorderNetwork(Layout(2, 1, 1, 1))
 	all[1].reply = true
 	n.Send(0, 1, make([]byte, 100))
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestCutsSplitTwoGroupsBothWaysUntilHealed(t *testing.T) {
+func TestCutBlocksBothDirectionsUntilHealed(t *testing.T) {
 	n, all := newRecorderNetwork(Layout(3, 3, 3, 3))
 	one, two := n.Cut([]int{0}, []int{1, 2}), n.Cut([]int{0}, []int{1})
 	send := func() (got [3]int) {
@@ -169,7 +169,7 @@
 	}
 }
 
-func TestPausedNodeReceivesItsInboxOnResume(t *testing.T) {
+func TestPausedNodeReceivesQueuedDatagramsOnResume(t *testing.T) {
 	n, all := newRecorderNetwork(Layout(2, 1, 1, 1))
 	n.SetTimer(1, time.Second)
 	n.Pause(1)
@@ -194,7 +194,7 @@
 	}
 }
 
-func TestTimerFiresWhenSetLast(t *testing.T) {
+func TestLastTimerSettingWins(t *testing.T) {
 	n, all := newRecorderNetwork(Layout(1, 1, 1, 1))
 	all[0].timersFired = nil
 	n.SetTimer(0, 5*time.Second)
@@ -215,10 +215,10 @@
 	n, _ := newRecorderNetwork(Layout(1, 1, 1, 1))
 	var got []int
 	for _, at := range []int{3, 1, 2, 1} {
-		n.At(time.Duration(at)*time.Second, func() { got = append(got, at) })
+		n.Schedule(time.Duration(at)*time.Second, func() { got = append(got, at) })
 	}
 	n.Run(2 * time.Second)
-	n.At(0, func() { got = append(got, 0) })
+	n.Schedule(0, func() { got = append(got, 0) })
 	n.Run(5 * time.Second)
 	if !slices.Equal(got, []int{1, 1, 2, 0, 3}) {
 		t.Errorf("%v", got)
@@ -264,10 +264,10 @@
 func TestEqualSeedsGiveEqualRuns(t *testing.T) {
 	play := func(seed uint64) uint64 {
 		n, digest := newTalkerNetwork(seed, 200, 50*time.Millisecond)
-		n.Loss(0.1)
-		n.Duplicate(0.05)
-		n.At(2*time.Second, func() { n.Kill(7); n.Pause(8); n.Cut([]int{1, 2}, []int{3}) })
-		n.At(4*time.Second, func() { n.Start(7); n.Resume(8) })
+		n.SetLoss(0.1)
+		n.SetDuplication(0.05)
+		n.Schedule(2*time.Second, func() { n.Kill(7); n.Pause(8); n.Cut([]int{1, 2}, []int{3}) })
+		n.Schedule(4*time.Second, func() { n.Start(7); n.Resume(8) })
 		n.Run(6 * time.Second)
 		return digest()
 	}
@@ -279,8 +279,8 @@
 
 func TestLossMatchesItsProbability(t *testing.T) {
 	n, _ := newTalkerNetwork(3, 100, 10*time.Millisecond)
-	n.Loss(0.1)
-	n.Duplicate(0.2)
+	n.SetLoss(0.1)
+	n.SetDuplication(0.2)
 	n.Run(10 * time.Second)
 	var out, in, lost int64
 	for i := range n.Nodes() {
--- a/internal/lab/scale/settings.go
+++ b/internal/lab/scale/settings.go
@@ -31,7 +31,7 @@
 // Settings are those of the platform, as every gateway of the fleet is told them: the example's figures with the users' zones, for a
 // gateway in one of them. Purges are to be heeded 0.3 s after they were told and are kept for 11 s (obey_after, cleared_within + 5 s),
 // changes are to be in force within the plan's 3 s (stop_sending_within), so that a watch is silent for 2.5 s before it is asked anew.
-func Settings(places []Place, gateway, zones int) json.RawMessage {
+func Settings(places []Location, gateway, zones int) json.RawMessage {
 	seats, names := make([]int, zones), make([]string, zones)
 	for _, p := range places {
 		if p.Zone < zones {
--- a/internal/lab/scale/watch.go
+++ b/internal/lab/scale/watch.go
@@ -15,9 +15,9 @@
 // watchRun is one run under way.
 type watchRun struct {
 	options     WatchOptions
-	places      []Place
+	locations   []Location
 	zones       int
-	since       int64
+	startMicros int64
 	clock       SlowClock
 	discovery   *Discovery
 	processes   []*hollowProcess
@@ -25,9 +25,9 @@
 	known       json.RawMessage
 	base        int64
 	published   []publishedEvent // by position, from 1: when each event was told
-	late        *hdrhistogram.Histogram
+	lateness    *hdrhistogram.Histogram
 	rng         *rand.Rand
-	nextDrain   int // next member to drain
+	nextChanged int // next member to drain
 	restartRand *rand.Rand
 	mu          sync.Mutex // guards what follows; both are read once play has returned
 	starts      int
@@ -47,9 +47,9 @@
 		return nil, err
 	}
 	since := time.Now().UnixMicro()
-	w := &watchRun{options: o, since: since, clock: NewSlowClock(since, o.Stretch), places: ScaledLayout(o.Gateways), late: hdrhistogram.New(1, 60e6, 3), rng: rand.New(rand.NewPCG(o.Seed, 0x7761746368)),
+	w := &watchRun{options: o, startMicros: since, clock: NewSlowClock(since, o.Stretch), locations: ScaledLayout(o.Gateways), lateness: hdrhistogram.New(1, 60e6, 3), rng: rand.New(rand.NewPCG(o.Seed, 0x7761746368)),
 		restartRand: rand.New(rand.NewPCG(o.Seed, 0x77686f6d))}
-	for _, p := range w.places {
+	for _, p := range w.locations {
 		w.zones = max(w.zones, p.Zone+1)
 	}
 	defer func() {
@@ -75,7 +75,7 @@
 		return nil, err
 	}
 	from := w.discovery.Last() + 1
-	w.late.Reset()
+	w.lateness.Reset()
 	w.play(o.Duration)
 	after, err := w.snapshot()
 	if err != nil {
@@ -113,7 +113,7 @@
 	}
 	for i := range o.Real { // the last ones
 		at := o.Gateways - o.Real + i
-		p, err := startReal(o.Program, filepath.Join(o.Dir, fmt.Sprintf("g%04d", at)), at, w.discovery.Addr(at), w.known, Settings(w.places, at, w.zones))
+		p, err := startReal(o.Program, filepath.Join(o.Dir, fmt.Sprintf("g%04d", at)), at, w.discovery.Addr(at), w.known, Settings(w.locations, at, w.zones))
 		if err != nil {
 			return err
 		}
@@ -126,7 +126,7 @@
 		}
 		w.processes = append(w.processes, c)
 		c.first, c.count = first, min(o.PerProcess, o.Gateways-o.Real-first)
-		start := command{Action: "start", First: first, Count: c.count, Base: w.base, Known: w.known, Gateways: o.Gateways, Zones: w.zones, Lookups: o.LookupsPerSecond, Since: w.since, Stretch: o.Stretch}
+		start := command{Action: "start", First: first, Count: c.count, Base: w.base, Known: w.known, Gateways: o.Gateways, Zones: w.zones, Lookups: o.LookupsPerSecond, Since: w.startMicros, Stretch: o.Stretch}
 		for i := range c.count {
 			start.Watch = append(start.Watch, w.discovery.Addr(first+i))
 		}
--- a/internal/lab/scale/watch_play.go
+++ b/internal/lab/scale/watch_play.go
@@ -40,7 +40,7 @@
 		}
 		switch due {
 		case nextPurge:
-			w.late.RecordValue(max(1, min(int64(60e6), (now.Sub(began)-due).Microseconds())))
+			w.lateness.RecordValue(max(1, min(int64(60e6), (now.Sub(began)-due).Microseconds())))
 			nextPurge += purge
 			object, group := fmt.Sprintf("%016x", w.rng.Uint64()|1), 0
 			if len(w.published)%8 == 7 {
@@ -50,11 +50,11 @@
 			w.discovery.Purge(object, group, now)
 		case nextChange:
 			nextChange += change
-			m := w.discovery.memberAt(w.nextDrain / 2)
-			if m.Phase = "draining"; w.nextDrain%2 == 1 {
+			m := w.discovery.memberAt(w.nextChanged / 2)
+			if m.Phase = "draining"; w.nextChanged%2 == 1 {
 				m.Phase = "up"
 			}
-			w.nextDrain++
+			w.nextChanged++
 			w.published = append(w.published, publishedEvent{at: now})
 			w.discovery.Change(m)
 		}
@@ -88,7 +88,7 @@
 // restart starts one anew. It is told where its numbers count from, so that arrivals go on in the ledger.
 func (w *watchRun) restart(i int) error {
 	c := w.processes[i/w.options.PerProcess]
-	w.discovery.Leave(i)
+	w.discovery.RemoveGateway(i)
 	if _, err := c.call(command{Action: "halt", First: i}); err != nil {
 		return err
 	}
--- a/internal/lab/scale/watch_report.go
+++ b/internal/lab/scale/watch_report.go
@@ -111,7 +111,7 @@
 	if ran, waited := (b.hollow - a.hollow).Seconds(), (b.runQueueWait - a.runQueueWait).Seconds(); ran+waited > 0 {
 		r.Machine.Starved = max(0, waited/(ran+waited))
 	}
-	r.Machine.Late, r.Machine.LateMax = float64(w.late.ValueAtQuantile(99))/1000, float64(w.late.Max())/1000
+	r.Machine.Late, r.Machine.LateMax = float64(w.lateness.ValueAtQuantile(99))/1000, float64(w.lateness.Max())/1000
 	return nil
 }
 
