--- a/internal/lab/scale/arrivals.go
+++ b/internal/lab/scale/arrivals.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// ArrivalLog keeps when each event came to the last of many gateways.
+// ArrivalLog records when each event reached the last of many gateways. It is safe for concurrent use and keeps maxArrivals events.
 type ArrivalLog struct {
 	mu       sync.Mutex
 	entries  []Arrival // by position, from 1
 	overflow int64     // arrivals of positions that are not kept
 }
 
-// Arrival is of one event: how many gateways it came to, and the Unix microseconds of the last.
+// Arrival is of one event: how many gateways it reached, and when it reached the last, in Unix microseconds.
 type Arrival struct {
 	Gateways   int32 `json:"n"`
 	LastMicros int64 `json:"t"`
 }
 
-// Record keeps that an event counts at one gateway more; a zero time stands for a gateway that was down when it was told.
+// Record counts the arrival of an event at one more gateway. A zero time stands for a gateway that was down when the event was
+// published.
 func (l *ArrivalLog) Record(position int64, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -36,7 +37,7 @@
 	}
 }
 
-// Since gives the arrivals of positions from one on up to another; those that never came are zero.
+// Since returns the arrivals of a range of positions; those of events that reached no gateway are zero. The error is ErrPositionNotKept.
 func (l *ArrivalLog) Since(from, to int64) ([]Arrival, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/scale/broadcast.go
+++ b/internal/lab/scale/broadcast.go
@@ -18,7 +18,7 @@
 	maxGateways   = 10_000
 	maxPurges     = 1 << 20
 	maxLateNamed  = 5                // purges that a report names
-	quietDuration = 20 * time.Second // after all is heard
+	idleDuration  = 20 * time.Second // after all is heard
 	freshDuration = 5 * time.Second  // a gateway counts as standing so long after its start; before, apart
 	notCounted    = math.MaxUint32
 	epochMillis   = int64(1_764_576_000_000) // Unix milliseconds of the Net's beginning
@@ -95,7 +95,7 @@
 		if done == 0 {
 			done = now
 		}
-		if now >= done+quietDuration { // a while at rest: who knew that it lacked some knows that it does not
+		if now >= done+idleDuration { // a while at rest: who knew that it lacked some knows that it does not
 			break
 		}
 	}
--- a/internal/lab/scale/discovery.go
+++ b/internal/lab/scale/discovery.go
@@ -16,41 +16,42 @@
 )
 
 const (
-	requestTimeout   = 5 * time.Second // for the line "after N" of a watch
-	maxRequestBytes  = 64              // bytes of it
-	writeTimeout     = 5 * time.Second // for a watcher to take what is written; a slower one is dropped
+	requestTimeout   = 5 * time.Second // for the line "after N" that begins a watch
+	maxRequestBytes  = 64              // bytes of that line
+	writeTimeout     = 5 * time.Second // for a write to a watcher; a slower one is dropped
 	maxWriteBytes    = 64 << 10        // bytes of one write, and of the buffer of each watch
-	defaultHeartbeat = time.Second     // a line with the last number alone
+	defaultHeartbeat = time.Second     // between lines with only the last number
 	maxWatches       = 8192            // gateways
 	maxTurnEvents    = 64              // events looked up under the lock at once
 )
 
-// Discovery is the stand-in for the discovery watch of the whole fleet: one listener on loopback, one watch a gateway, events numbered
-// from 1 at each start of each gateway. A gateway is known by the address that it dials, 127.64.x.y, so that programs with no more than
-// an address in their configuration can watch it too; the listener is bound to the loopback device.
+// Discovery is a stand-in for the discovery service of the whole fleet: one listener on loopback, one watch a gateway, events numbered
+// from 1 at each start of each gateway. A gateway is identified by the address that it dials, 127.64.x.y, so that programs that only
+// have an address in their configuration can use it too; the listener is bound to the loopback device.
 //
-// Bounds: Gateways watches, one goroutine and one buffer of 64 KB at most each; Keep events for those that come back. A watcher that is
-// behind them is dropped and counted, as is one that takes nothing for 5 s.
+// Its methods are safe for concurrent use. Bounds: Gateways watches, each with one goroutine and one buffer of 64 KB at most, and
+// KeepEvents events for watchers that return. A watcher that lacks older ones is dropped and counted, as is one that reads nothing for
+// writeTimeout.
 type Discovery struct {
 	listener   net.Listener
 	port       uint16
 	wait       sync.WaitGroup
 	heartbeat  time.Duration
-	handshakes chan struct{} // a place each for connections that have not asked yet
+	handshakes chan struct{} // a slot for each connection whose request has not been read
 
 	mu          sync.Mutex
 	maxEvents   int
 	members     []standin.Endpoint
-	indexByID   map[string]int // place in members by id
-	encodedList []byte         // the list as an event without its number; nil: to be made anew
+	indexByID   map[string]int // index in members by id
+	encodedList []byte         // the list as an event without its number; nil: to be encoded
 	first       int64          // position of events[0]; positions go on over all starts, numbers are a gateway's own
 	events      [][]byte       // events without their numbers
 	watchers    []*watcher
-	isRefused   func(gateway int) bool // whose watches are refused; nil: nobody's
+	isRefused   func(gateway int) bool // nil: none
 	closed      bool
 }
 
-// watcher is what a gateway hears, over its connections.
+// watcher is the state of one gateway's watch, over all its connections.
 type watcher struct {
 	joined       bool
 	basePosition int64  // position of the event that is its number 1
@@ -60,22 +61,22 @@
 	counts       WatchCounts
 }
 
-// WatchCounts are of one gateway's watch since the stand-in began. Bytes are payload; see Wire for what TCP adds.
+// WatchCounts are of one gateway's watch since the stand-in was started. Bytes are payload; see TCPOverhead.
 type WatchCounts struct {
 	BytesOut, Writes, Events   atomic.Int64
 	BytesIn, Connects          atomic.Int64
 	DroppedBehind, DroppedSlow atomic.Int64 // times that it was dropped
 }
 
-// DiscoveryOptions bound a stand-in.
+// DiscoveryOptions configure a stand-in.
 type DiscoveryOptions struct {
 	Gateways   int // 1 to 8192
-	KeepEvents int // events kept for watchers that come back; 65,536 if 0 (ten minutes of 100 a second)
+	KeepEvents int // events kept for watchers that return; 65,536 if 0 (ten minutes of 100 a second)
 	Members    []standin.Endpoint
-	Heartbeat  time.Duration // between lines with the last number alone; a second if 0
+	Heartbeat  time.Duration // between lines with only the last number; a second if 0
 }
 
-// NewDiscovery serves on a port of its own.
+// NewDiscovery starts a stand-in on a free port; Close ends it. Its error is an *OptionError or that of the listener.
 func NewDiscovery(o DiscoveryOptions) (*Discovery, error) {
 	if o.Gateways < 1 || o.Gateways > maxWatches {
 		return nil, newOptionError("Gateways", "%d gateways watch, expected 1 to %d", o.Gateways, maxWatches)
@@ -110,12 +111,12 @@
 	return d, nil
 }
 
-// Addr is where a gateway finds the stand-in.
+// Addr is the address that a gateway has to dial.
 func (d *Discovery) Addr(gateway int) string {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 64, byte(gateway >> 8), byte(gateway)}), d.port).String()
 }
 
-// gatewayAt is the gateway that dialled an address; -1: none.
+// gatewayAt is the gateway of a dialled address; -1: none.
 func (d *Discovery) gatewayAt(a net.Addr) int {
 	t, ok := a.(*net.TCPAddr)
 	if !ok {
@@ -128,22 +129,22 @@
 	return -1
 }
 
-// Join starts a gateway: its events are numbered from 1 anew, and the first is the whole list. It returns what the gateway's
-// configuration holds under `known`, and the position from which its numbers count. Told says that the list stands there already;
-// otherwise it comes over the watch.
-func (d *Discovery) Join(gateway int, told bool) (known json.RawMessage, base int64) {
+// Join starts a gateway: its events are numbered from 1 again, and the first is the whole list. It returns the value of `known` in the
+// gateway's configuration, and the position from which its numbers count. With listInConfig that value holds the list; otherwise the
+// list is sent over the watch.
+func (d *Discovery) Join(gateway int, listInConfig bool) (known json.RawMessage, base int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	w := d.watchers[gateway]
 	w.disconnect()
 	w.joined, w.basePosition, w.listEvent = true, d.last(), d.listUpdate()
-	if !told {
+	if !listInConfig {
 		return json.RawMessage(`{"no":0,"items":[]}`), w.basePosition
 	}
 	return fmt.Appendf(nil, `{"no":1,"items":[{"no":1,%s]}`, w.listEvent), w.basePosition
 }
 
-// RemoveGateway ends a gateway: it is told nothing until it joins again.
+// RemoveGateway ends a gateway's watch; it is refused until the gateway joins again.
 func (d *Discovery) RemoveGateway(gateway int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -151,7 +152,7 @@
 	d.watchers[gateway].disconnect()
 }
 
-// disconnect ends a watch, under the lock.
+// disconnect closes the watch's connection. The lock is held.
 func (w *watcher) disconnect() {
 	if w.conn != nil {
 		w.conn.Close()
@@ -167,7 +168,7 @@
 	}
 }
 
-// listUpdate is the whole list as an event, under the lock: shared by all that join before it changes.
+// listUpdate is the whole list as an event, shared by all that join before it changes. The lock is held.
 func (d *Discovery) listUpdate() []byte {
 	if d.encodedList == nil {
 		d.encodedList = []byte(standin.EndpointList(true, d.members...)[1:])
@@ -175,17 +176,17 @@
 	return d.encodedList
 }
 
-// last is the position of the last event.
+// last is the position of the last event. The lock is held.
 func (d *Discovery) last() int64 { return d.first + int64(len(d.events)) - 1 }
 
-// Last is the position of the last event told.
+// Last is the position of the last event published.
 func (d *Discovery) Last() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.last()
 }
 
-// Purge tells of a purge of an object, or of a group where the name is empty, and returns its position.
+// Purge publishes a purge of an object, or of a group if the object is empty, and returns its position.
 func (d *Discovery) Purge(object string, group int, issued time.Time) int64 {
 	var b []byte
 	if object != "" {
@@ -198,7 +199,7 @@
 	return d.publish(b)
 }
 
-// Change tells of changed, new or removed members of the list, and returns its position.
+// Change publishes changed, new or removed members of the list, and returns the event's position.
 func (d *Discovery) Change(members ...standin.Endpoint) int64 {
 	b := []byte(standin.EndpointList(false, members...)[1:])
 	d.mu.Lock()
@@ -226,17 +227,17 @@
 	return d.publish(b)
 }
 
-// memberAt is one of the list as it is, by any number.
+// memberAt is a member of the present list by index, modulo its length.
 func (d *Discovery) memberAt(i int) standin.Endpoint {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.members[i%len(d.members)]
 }
 
-// publish adds an event, under the lock.
+// publish adds an event and wakes all watches. The lock is held.
 func (d *Discovery) publish(event []byte) int64 {
 	d.events = append(d.events, event)
-	if len(d.events) >= 2*d.maxEvents { // twice, so that each is moved once
+	if len(d.events) >= 2*d.maxEvents { // at twice the bound, so that each event is copied once
 		gone := len(d.events) - d.maxEvents
 		d.first += int64(gone)
 		d.events = append([][]byte(nil), d.events[gone:]...)
@@ -249,20 +250,20 @@
 	return d.last()
 }
 
-// RefuseWatches ends the watches of some gateways and refuses them until Cut is called again: their control machine is lost, or they are cut off
-// from all. Nil refuses nobody.
-func (d *Discovery) RefuseWatches(who func(gateway int) bool) {
+// RefuseWatches ends the watches of some gateways and refuses them until it is called again, as if their control machine were lost or
+// they were cut off. Nil refuses none.
+func (d *Discovery) RefuseWatches(isRefused func(gateway int) bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.isRefused = who
+	d.isRefused = isRefused
 	for i, w := range d.watchers {
-		if who != nil && who(i) {
+		if isRefused != nil && isRefused(i) {
 			w.disconnect()
 		}
 	}
 }
 
-// Watching is how many gateways watch now.
+// Watching is the number of gateways that have a watch.
 func (d *Discovery) Watching() (n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -274,10 +275,10 @@
 	return n
 }
 
-// Counts are those of a gateway's watch.
+// Counts returns the counters of a gateway's watch, which go on counting.
 func (d *Discovery) Counts(gateway int) *WatchCounts { return &d.watchers[gateway].counts }
 
-// Close ends the stand-in and all watches.
+// Close ends all watches and waits for their goroutines.
 func (d *Discovery) Close() {
 	d.listener.Close()
 	d.mu.Lock()
--- a/internal/lab/scale/discovery_serve.go
+++ b/internal/lab/scale/discovery_serve.go
@@ -8,6 +8,7 @@
 	"time"
 )
 
+// accept serves connections until Close.
 func (d *Discovery) accept() {
 	for {
 		conn, err := d.listener.Accept()
@@ -18,7 +19,7 @@
 			}
 			return
 		}
-		d.handshakes <- struct{}{} // at most askWithin until a place is free
+		d.handshakes <- struct{}{} // waits for a slot, requestTimeout at most
 		d.wait.Go(func() {
 			d.serve(conn)
 			conn.Close()
@@ -26,19 +27,19 @@
 	}
 }
 
-// readRequest reads the number of the last event that a watcher holds.
+// readRequest reads the number of the last event that a watcher has. It also returns the number of bytes read.
 func readRequest(conn net.Conn) (after int64, n int, err error) {
 	conn.SetReadDeadline(time.Now().Add(requestTimeout))
 	buf := make([]byte, 0, maxRequestBytes)
 	for {
 		k, err := conn.Read(buf[len(buf):maxRequestBytes])
 		buf = buf[:len(buf)+k]
-		if line, _, whole := bytes.Cut(buf, []byte("\n")); whole {
-			word, ok := bytes.CutPrefix(bytes.TrimSpace(line), []byte("after "))
+		if line, _, complete := bytes.Cut(buf, []byte("\n")); complete {
+			number, ok := bytes.CutPrefix(bytes.TrimSpace(line), []byte("after "))
 			if !ok {
 				return 0, len(buf), &watchRequestError{line}
 			}
-			after, err = strconv.ParseInt(string(word), 10, 64)
+			after, err = strconv.ParseInt(string(number), 10, 64)
 			return after, len(buf), err
 		}
 		if err == nil && len(buf) == maxRequestBytes {
@@ -50,11 +51,13 @@
 	}
 }
 
+// serve begins a watch on a connection, in place of the watch that its gateway may have.
 func (d *Discovery) serve(conn net.Conn) {
 	i := d.gatewayAt(conn.LocalAddr())
-	after, asked, err := int64(0), 0, errUnknownAddress
+	after, requestBytes := int64(0), 0
+	err := errUnknownAddress
 	if i >= 0 {
-		after, asked, err = readRequest(conn)
+		after, requestBytes, err = readRequest(conn)
 	}
 	<-d.handshakes
 	if err != nil {
@@ -71,7 +74,7 @@
 	base := w.basePosition
 	d.mu.Unlock()
 	w.counts.Connects.Add(1)
-	w.counts.BytesIn.Add(int64(asked))
+	w.counts.BytesIn.Add(int64(requestBytes))
 	d.watch(w, conn, base, after)
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -185,8 +188,8 @@
 	}
 }
 
-// TCPOverhead is what TCP over IPv4 adds to a watch, as arithmetic: 52 bytes (20 and 20, and 12 of timestamps) for each segment of up to 1,448
-// bytes, and for each acknowledgement the other way, one for two segments. A write is one segment at least.
+// TCPOverhead is an estimate of a watch's bytes with TCP over IPv4: 52 bytes of headers (20 and 20, and 12 of timestamps) for each segment of
+// up to 1,448 bytes, and for each acknowledgement in the other direction, one for two segments. A write is at least one segment.
 func TCPOverhead(payload, writes int64) (down, up int64) {
 	segments := max(writes, (payload+1447)/1448)
 	return payload + 52*segments, 52 * (segments + 1) / 2
--- a/internal/lab/scale/environment.go
+++ b/internal/lab/scale/environment.go
@@ -11,27 +11,28 @@
 	"foldslip/internal/env"
 )
 
-// Environment is the system's ground with its connections counted, its log kept as counts of events, and its time at a pace.
+// Environment is the system's environment with counted connections, a log that only counts events, and a slow clock. It is safe for
+// concurrent use.
 type Environment struct {
 	*env.System
 	clock SlowClock
 	log   *slog.Logger
-	// In and Out are payload bytes, Reads and Writes calls that moved any, Dials connections that came up.
+	// In and Out are payload bytes, Reads and Writes calls that moved any, Dials connections established.
 	In, Out, Reads, Writes, Dials atomic.Int64
 	counter                       *eventCounter
 }
 
-// NewEnvironment makes one; many hollow gateways may share it.
-func NewEnvironment(pace SlowClock) *Environment {
-	g := &Environment{System: &env.System{}, clock: pace, counter: &eventCounter{counts: map[string]int64{}}}
+// NewEnvironment makes an environment; many hollow gateways may share it.
+func NewEnvironment(clock SlowClock) *Environment {
+	g := &Environment{System: &env.System{}, clock: clock, counter: &eventCounter{counts: map[string]int64{}}}
 	g.log = slog.New(g.counter)
 	return g
 }
 
-// Log takes the log's lines; see Logged.
+// Log is a logger whose lines are counted; see LogCounts.
 func (g *Environment) Log() *slog.Logger { return g.log }
 
-// LogCounts is how often each event was logged.
+// LogCounts returns how often each event was logged.
 func (g *Environment) LogCounts() map[string]int64 {
 	g.counter.mu.Lock()
 	defer g.counter.mu.Unlock()
@@ -42,15 +43,15 @@
 	return out
 }
 
-// Now is the time at the ground's pace.
+// Now is the slow clock's time.
 func (g *Environment) Now() time.Time { return g.clock.Now() }
 
-// AfterFunc waits at the ground's pace.
+// AfterFunc calls f after a time of the slow clock.
 func (g *Environment) AfterFunc(d time.Duration, f func()) env.Timer {
 	return g.System.AfterFunc(g.clock.realDuration(d), f)
 }
 
-// NewNotifier waits at the ground's pace.
+// NewNotifier makes a notifier whose timeouts are times of the slow clock.
 func (g *Environment) NewNotifier() env.Notifier {
 	if g.clock.factor == 1 {
 		return g.System.NewNotifier()
@@ -58,9 +59,9 @@
 	return slowNotifier{g.System.NewNotifier(), g.clock}
 }
 
-// Dial connects as the system does.
-func (g *Environment) Dial(life *env.Lifetime, addr string, within time.Duration) (net.Conn, error) {
-	conn, err := g.System.Dial(life, addr, g.clock.realDuration(within))
+// Dial connects as the system does, with a timeout of the slow clock, and counts the bytes of the connection.
+func (g *Environment) Dial(lifetime *env.Lifetime, addr string, timeout time.Duration) (net.Conn, error) {
+	conn, err := g.System.Dial(lifetime, addr, g.clock.realDuration(timeout))
 	if err != nil {
 		return nil, err
 	}
@@ -94,27 +95,29 @@
 	return n, err
 }
 
-// eventCounter is a log that keeps how often each event came, 64 of them told apart.
+const maxEventKinds = 64 // events and reasons that are counted
+
+// eventCounter is a log handler that counts lines by event and reason, maxEventKinds of them at most.
 type eventCounter struct {
 	mu     sync.Mutex
 	counts map[string]int64
 }
 
-func (t *eventCounter) Enabled(context.Context, slog.Level) bool { return true }
-func (t *eventCounter) WithAttrs([]slog.Attr) slog.Handler       { return t }
-func (t *eventCounter) WithGroup(string) slog.Handler            { return t }
-func (t *eventCounter) Handle(_ context.Context, r slog.Record) error {
-	what := r.Message
+func (c *eventCounter) Enabled(context.Context, slog.Level) bool { return true }
+func (c *eventCounter) WithAttrs([]slog.Attr) slog.Handler       { return c }
+func (c *eventCounter) WithGroup(string) slog.Handler            { return c }
+func (c *eventCounter) Handle(_ context.Context, r slog.Record) error {
+	event := r.Message
 	r.Attrs(func(a slog.Attr) bool {
 		if a.Key == "reason" {
-			what += " " + a.Value.String()
+			event += " " + a.Value.String()
 		}
 		return true
 	})
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if _, known := t.counts[what]; known || len(t.counts) < 64 {
-		t.counts[what]++
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if _, known := c.counts[event]; known || len(c.counts) < maxEventKinds {
+		c.counts[event]++
 	}
 	return nil
 }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	purgeSlack  = 5 * time.Second // as in package service
-	maxArrivals = 1 << 20         // positions that a Ledger keeps
+	purgeSlack  = 5 * time.Second // as in package gateway
+	maxArrivals = 1 << 20         // positions that an ArrivalLog keeps
 )
 
-// HollowGateway is one gateway without its load: the reader of the discovery watch, the caches, the purges and the router behind its facade, on
-// real TCP, put together as service.Run does. It has no door, no connections to caches, no list on disk, no routes and no part in a
-// fleet. Its goroutines end with Stop.
+// HollowGateway is one gateway without traffic: the discovery watch, the cache registry, the purges and the dispatcher on real TCP, put
+// together as gateway.Run does. It serves no clients and has no connections to caches, no snapshot, no routes and no fleet membership.
+// Its goroutines end with Stop.
 type HollowGateway struct {
 	Router   *dispatch.Dispatcher
 	Caches   *cacheregistry.Registry
@@ -31,27 +31,27 @@
 	group    env.Group
 }
 
-// HollowOptions is what a hollow gateway is told.
+// HollowOptions configure a hollow gateway.
 type HollowOptions struct {
 	DiscoveryAddr    string          // address of the discovery watch
 	Known            json.RawMessage // as in a gateway's configuration
 	Settings         json.RawMessage
 	Seed             uint64
-	LookupsPerSecond float64 // a second, answered at once by nobody; 0: none
-	// Event, if set, is told the number of each event that counts; it must not wait.
+	LookupsPerSecond float64 // of which each is satisfied at once; 0: none
+	// OnEvent, if not nil, is called with the number of each event that was applied; it must not block.
 	OnEvent func(no int64)
 }
 
-// StartHollowGateway starts one on a ground.
+// StartHollowGateway starts a hollow gateway in an environment.
 func StartHollowGateway(g env.Environment, s HollowOptions) (*HollowGateway, error) {
-	terms, err := settings.Parse(s.Settings)
+	parsed, err := settings.Parse(s.Settings)
 	if err != nil {
 		return nil, err
 	}
 	h := &HollowGateway{Caches: &cacheregistry.Registry{}, lifetime: env.NewLifetime(nil), group: g.NewGroup()}
-	h.Purges = &purgelog.Log{Clock: g, Grace: time.Duration(terms.PurgeGrace) * time.Microsecond, Retention: time.Duration(terms.Router.PurgeSettleTime)*time.Microsecond + purgeSlack}
-	h.Router = dispatch.New(g, s.Seed, terms.Router, nil)
-	watch := discovery.NewWatch(discovery.Config{Environment: g, Addr: s.DiscoveryAddr, Settings: terms, Dispatcher: h.Router, Registry: h.Caches, Purges: h.Purges})
+	h.Purges = &purgelog.Log{Clock: g, Grace: time.Duration(parsed.PurgeGrace) * time.Microsecond, Retention: time.Duration(parsed.Router.PurgeSettleTime)*time.Microsecond + purgeSlack}
+	h.Router = dispatch.New(g, s.Seed, parsed.Router, nil)
+	watch := discovery.NewWatch(discovery.Config{Environment: g, Addr: s.DiscoveryAddr, Settings: parsed, Dispatcher: h.Router, Registry: h.Caches, Purges: h.Purges})
 	if err := watch.LoadKnown(s.Known); err != nil {
 		return nil, err
 	}
@@ -61,12 +61,12 @@
 	h.group.Go("bulletin", func() error { return watch.Run(h.lifetime) })
 	h.group.Go("tick", func() error { return h.runTimers(g) })
 	if s.LookupsPerSecond > 0 {
-		h.group.Go("lookups", func() error { return h.runLookups(g, terms, s) })
+		h.group.Go("lookups", func() error { return h.runLookups(g, parsed, s) })
 	}
 	return h, nil
 }
 
-// runTimers brings the router its timers, as service does.
+// runTimers calls the dispatcher when its timers are due, as package gateway does.
 func (h *HollowGateway) runTimers(g env.Environment) error {
 	end := g.NewNotifier()
 	defer h.lifetime.OnEnd(end.Notify)()
@@ -75,14 +75,14 @@
 	return nil
 }
 
-// runLookups has lookups decided: each is picked and told satisfied at once, so that only the decision costs.
-func (h *HollowGateway) runLookups(g env.Environment, terms *settings.Settings, s HollowOptions) error {
+// runLookups submits lookups at the given rate. Each attempt ends satisfied at once, so that only decisions cost.
+func (h *HollowGateway) runLookups(g env.Environment, parsed *settings.Settings, s HollowOptions) error {
 	end := g.NewNotifier()
 	defer h.lifetime.OnEnd(end.Notify)()
 	chance := rand.New(rand.NewPCG(s.Seed, 0x6c6f6f6b))
 	for n := 0; !end.Wait(time.Duration(chance.ExpFloat64() / s.LookupsPerSecond * float64(time.Second))); n++ {
 		l := h.Router.Submit(dispatch.Request{ID: fmt.Sprintf("%016x", n), Object: fmt.Sprintf("%016x", chance.Uint64N(1000)), SizeKB: 449,
-			Deadline: g.Now().Add(terms.LatencyBudget(0, 449))})
+			Deadline: g.Now().Add(parsed.LatencyBudget(0, 449))})
 		for l != nil {
 			step := h.Router.WaitStep(l)
 			if step.Kind == dispatch.StepFetch {
--- a/internal/lab/scale/hollow_command.go
+++ b/internal/lab/scale/hollow_command.go
@@ -4,10 +4,10 @@
 	"encoding/json"
 )
 
-// A crowd is a process of its own with hollow gateways in it, so that what it spends is theirs alone. It is told by lines of JSON on its
-// standard input and answers each with one on its standard output, until the input ends.
+// Hollow gateways run in processes of their own, so that what a process spends is theirs alone. Each reads commands, a line of JSON
+// each, from its standard input and replies to each with a line on its standard output, until the input ends.
 
-// command is a line to a crowd.
+// command is a line to a process of hollow gateways.
 type command struct {
 	Action   string          `json:"do"` // start, halt, restart, usage, arrivals, profile, stop
 	First    int             `json:"first,omitempty"`
@@ -18,7 +18,7 @@
 	Gateways int             `json:"gateways,omitempty"`
 	Zones    int             `json:"zones,omitempty"`
 	Lookups  float64         `json:"lookups,omitempty"`
-	Since    int64           `json:"since,omitempty"` // of the pace
+	Since    int64           `json:"since,omitempty"` // Unix microseconds at which the slow clock was right
 	Stretch  float64         `json:"stretch,omitempty"`
 	GC       bool            `json:"gc,omitempty"`
 	From     int64           `json:"from,omitempty"`
@@ -26,14 +26,14 @@
 	File     string          `json:"file,omitempty"`
 }
 
-// reply is a crowd's line.
+// reply is a line from a process of hollow gateways.
 type reply struct {
 	Error    string    `json:"error,omitempty"`
 	Usage    *Usage    `json:"usage,omitempty"`
 	Arrivals []Arrival `json:"arrivals,omitempty"`
 }
 
-// Usage is what a crowd has spent since it began; see runtime.MemStats.
+// Usage is what a process of hollow gateways has used since it began; see runtime.MemStats.
 type Usage struct {
 	Heap        uint64           `json:"Heap"`
 	Mallocs     uint64           `json:"Mallocs"`
@@ -44,7 +44,7 @@
 	Writes      int64            `json:"Writes"`
 	Dials       int64            `json:"Dials"`
 	LogLines    int64            `json:"Log"`
-	EventCounts map[string]int64 `json:"Closed"` // ends of watches and faults by reason
+	EventCounts map[string]int64 `json:"Closed"` // log lines by event and reason
 }
 
 const maxCommandBytes = 4 << 20 // bytes of a line: a whole list is some 300 KB
--- a/internal/lab/scale/hollow_process.go
+++ b/internal/lab/scale/hollow_process.go
@@ -12,16 +12,18 @@
 	"time"
 )
 
-// hollowProcess is the other side: a process that this one started.
+const endTimeout = 20 * time.Second
+
+// hollowProcess is a process of hollow gateways, as seen by the run that started it.
 type hollowProcess struct {
 	cmd          *exec.Cmd
 	in           io.WriteCloser
 	out          *bufio.Reader
-	mu           sync.Mutex // one order at a time
+	mu           sync.Mutex // one command at a time
 	first, count int
 }
 
-// startHollowProcess starts a process that runs Crowd.
+// startHollowProcess starts a process that calls RunHollowProcess.
 func startHollowProcess(cmd *exec.Cmd) (*hollowProcess, error) {
 	cmd.Stderr = os.Stderr
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -39,6 +41,7 @@
 	return &hollowProcess{cmd: cmd, in: in, out: bufio.NewReader(out)}, nil
 }
 
+// call sends a command and waits for its reply.
 func (c *hollowProcess) call(o command) (*reply, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -59,10 +62,10 @@
 	return &a, nil
 }
 
-// end ends the process: by the end of its input, and by its id where that does not do.
+// end closes the process's input and waits for it; after endTimeout it is killed.
 func (c *hollowProcess) end() error {
 	c.in.Close()
-	late := time.AfterFunc(20*time.Second, func() { c.cmd.Process.Kill() })
+	late := time.AfterFunc(endTimeout, func() { c.cmd.Process.Kill() })
 	defer late.Stop()
 	return c.cmd.Wait()
 }
--- a/internal/lab/scale/hollow_server.go
+++ b/internal/lab/scale/hollow_server.go
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// RunHollowProcess runs hollow gateways as told on in until it ends; foldslip-rig's hidden command.
+// RunHollowProcess runs hollow gateways by the commands read from in, and writes replies to out, until in ends. It is foldslip-rig's
+// hidden command.
 func RunHollowProcess(in io.Reader, out io.Writer) error {
 	c := &hollowServer{environment: NewEnvironment(NewSlowClock(0, 1)), arrivals: &ArrivalLog{}, gateways: map[int]*HollowGateway{}, lastEvents: map[int]*atomic.Int64{}}
 	defer c.stop()
@@ -35,14 +36,15 @@
 	return lines.Err()
 }
 
+// hollowServer runs the hollow gateways of this process. It is used by one goroutine.
 type hollowServer struct {
 	environment  *Environment
 	arrivals     *ArrivalLog
 	gateways     map[int]*HollowGateway
-	lastEvents   map[int]*atomic.Int64 // position of the last event that counts
-	startCommand command               // start
+	lastEvents   map[int]*atomic.Int64 // position of the last event that was applied
+	startCommand command               // the last one
 	locations    []Location
-	profile      *os.File // of the profile under way
+	profile      *os.File // processor profile in progress; nil: none
 }
 
 func (c *hollowServer) handle(o *command, a *reply) error {
@@ -61,7 +63,7 @@
 		}
 		return was.Stop()
 	case "restart":
-		if at := c.lastEvents[o.First]; at != nil { // what was told while it was down, the list that it starts with has taken in
+		if at := c.lastEvents[o.First]; at != nil { // events published while it was down are part of the list that it starts with
 			for pos := at.Load() + 1; pos <= o.Base; pos++ {
 				c.arrivals.Record(pos, time.Time{})
 			}
@@ -114,7 +116,7 @@
 
 func (c *hollowServer) stop() error {
 	var errs []error
-	for _, h := range c.gateways { // all at once
+	for _, h := range c.gateways { // all at once, before waiting for any
 		h.lifetime.End()
 	}
 	for _, h := range c.gateways {
--- a/internal/lab/scale/net.go
+++ b/internal/lab/scale/net.go
@@ -7,52 +7,53 @@
 )
 
 const (
-	// MostDatagram is the longest that goes over Net in one piece: an Ethernet frame of 1,500 bytes less IPv4 and UDP.
+	// MaxDatagram is the longest payload that a Network carries: an Ethernet frame of 1,500 bytes less the IPv4 and UDP headers.
 	MaxDatagram = 1472
-	// DatagramHead is what IPv4 and UDP add to each datagram, in bytes.
+	// DatagramHeaderBytes is what IPv4 and UDP add to each datagram, in bytes.
 	DatagramHeaderBytes = 28
 
-	maxInFlight   = 1 << 21 // datagrams between nodes, about 20 s of 100,000 a second
-	maxInboxBytes = 212992  // bytes that wait for a node that stands still: Linux's usual net.core.rmem_default
+	maxInFlight   = 1 << 21 // datagrams in flight, about 20 s of 100,000 a second
+	maxInboxBytes = 212992  // bytes queued for a paused node: Linux's default of net.core.rmem_default
 	maxCuts       = 64
-	maxCalls      = 1 << 20 // of At that wait
+	maxCalls      = 1 << 20 // scheduled calls
 	never         = time.Duration(math.MaxInt64)
 )
 
-// Node is the program of one node: a pure module and what feeds it. Its methods are called one at a time, by whoever runs the Net, and
-// may call the Net's.
+// Node is the program of one node: a pure module and what feeds it. Its methods are called one at a time, on the goroutine that runs
+// the Network, and may call the Network's methods.
 type Node interface {
-	// Datagram brings bytes from another node; they are the Net's again after the call.
+	// Datagram delivers bytes from another node. They are valid during the call only.
 	Datagram(now time.Duration, from int, b []byte)
-	// Wake is called at the time that WakeAt named last.
+	// TimerFired is called at the time that SetTimer set last.
 	TimerFired(now time.Duration)
 }
 
-// Latency is one way between two nodes, by the nearest thing they share. Regions stand on a ring. Each datagram takes up to Jitter
-// (a part of 1) longer, so that those sent close together can change places. The users' pages tell no latencies: Usual is an
-// assumption, in the range of what providers publish of their sites.
+// Latency is the one-way delay between two nodes, by the smallest location they share. Regions stand on a ring. Each datagram takes up
+// to Jitter (a fraction) longer, so that datagrams sent close together can be reordered. No latencies of the fleet are known:
+// DefaultLatency is an assumption, in the range that providers publish of their sites.
 type Latency struct {
 	Site, Zone, Region time.Duration
 	Far, Hop           time.Duration // regions: Far, and Hop for each step on the ring after the first
 	Jitter             float64
 }
 
-// DefaultLatency is the latency that runs take where they do not name another; 30 to 105 ms one way between regions.
+// DefaultLatency is used where a run sets no other; 30 to 105 ms one way between regions.
 var DefaultLatency = Latency{Site: 250 * time.Microsecond, Zone: time.Millisecond, Region: 4 * time.Millisecond, Far: 30 * time.Millisecond,
 	Hop: 15 * time.Millisecond, Jitter: 0.2}
 
-// Counters are of one node, since the Net began, over all its starts. Bytes are with DatagramHead each.
+// Counters are of one node since the Network was made, over all its starts. Bytes include DatagramHeaderBytes of each datagram.
 type Counters struct {
 	Out, In                         int64 // datagrams
 	BytesOut, BytesIn               int64
-	MaxOutPerSecond, MaxInPerSecond int64 // bytes in the worst second of the virtual clock, of whole seconds
-	StreamOut                       int64 // of BytesOut and BytesIn: watches of control machines, with TCP's heads
+	MaxOutPerSecond, MaxInPerSecond int64 // bytes in the busiest whole second of the virtual clock
+	StreamOut                       int64 // the part of BytesOut and BytesIn that control machines' watches make up, with TCP headers
 	StreamIn                        int64
-	Lost                            int64 // sent by this node and not delivered: loss, a cut, who was down, a full inbox
-	Refused                         int64 // longer than MostDatagram, or past what can be under way: a fault of the program or the scenario
+	Lost                            int64 // sent by this node and not delivered: loss, a cut, a receiver that is down or whose inbox is full
+	Refused                         int64 // longer than MaxDatagram, or beyond the bound of datagrams in flight: a defect of the program or the scenario
 }
 
-// Network is a network on a virtual clock. Equal seeds, calls and nodes give equal runs. Its owner is one goroutine.
+// Network is a network on a virtual clock. Equal seeds, calls and nodes give equal runs. It is not safe for concurrent use: one
+// goroutine owns it.
 type Network struct {
 	locations          []Location
 	latency            Latency
@@ -77,12 +78,12 @@
 	program    Node // nil: down
 	paused     bool
 	starts     int
-	timerAt    time.Duration // asked for by WakeAt; never: not
-	queuedAt   time.Duration // of the event in the queue that counts; never: none
+	timerAt    time.Duration // set by SetTimer; never: no timer
+	queuedAt   time.Duration // time of the queued event that may fire the timer; never: none
 	inbox      []datagram
 	inboxBytes int // bytes in the inbox
 	counters   Counters
-	second     int64 // the whole second that nowOut and nowIn are of
+	second     int64 // the whole second that secondOut and secondIn count
 	secondOut  int64
 	secondIn   int64
 }
@@ -92,12 +93,12 @@
 	data     []byte
 }
 
-// NewNetwork makes a network; make gives the program of a node each time that the node starts. All nodes are down until Start.
-func NewNetwork(seed uint64, places []Location, lag Latency, make func(i int) Node) *Network {
-	n := &Network{locations: places, latency: lag, startProgram: make, rng: rand.NewPCG(seed, 0x7363616c65)}
-	n.nodes = append(n.nodes, newNodeStates(len(places))...)
-	for _, p := range places {
-		n.regions = max(n.regions, p.Region+1)
+// NewNetwork makes a network; startProgram makes the program of a node each time the node starts. All nodes are down until Start.
+func NewNetwork(seed uint64, locations []Location, latency Latency, startProgram func(i int) Node) *Network {
+	n := &Network{locations: locations, latency: latency, startProgram: startProgram, rng: rand.NewPCG(seed, 0x7363616c65)}
+	n.nodes = append(n.nodes, newNodeStates(len(locations))...)
+	for _, location := range locations {
+		n.regions = max(n.regions, location.Region+1)
 	}
 	return n
 }
@@ -110,19 +111,19 @@
 	return all
 }
 
-// Now is the virtual time since the Net began.
+// Now is the virtual time since the Network was made.
 func (n *Network) Now() time.Duration { return n.now }
 
-// Nodes is how many there are, up or down.
+// Nodes is the number of nodes, up or down.
 func (n *Network) Nodes() int { return len(n.nodes) }
 
-// Location is where a node stands.
+// Location is where a node runs.
 func (n *Network) Location(i int) Location { return n.locations[i] }
 
-// IsUp tells whether a node runs; one that stands still does.
+// IsUp reports whether a node runs; a paused one does.
 func (n *Network) IsUp(i int) bool { return n.nodes[i].program != nil }
 
-// Counters gives the counters of a node.
+// Counters returns the counters of a node.
 func (n *Network) Counters(i int) Counters {
 	v := &n.nodes[i]
 	c := v.counters
@@ -130,7 +131,7 @@
 	return c
 }
 
-// Steps is how many events were played.
+// Steps is the number of events processed.
 func (n *Network) Steps() int64 { return n.steps }
 
 // Start starts a node that is down, with a new program.
@@ -142,7 +143,7 @@
 	}
 }
 
-// Kill ends a node at once; nothing of it is kept, and what is under way to it is lost unless it starts before that arrives.
+// Kill ends a node at once. Its state is gone, and datagrams in flight to it are lost unless it starts before they arrive.
 func (n *Network) Kill(i int) {
 	v := &n.nodes[i]
 	for _, d := range v.inbox {
@@ -151,10 +152,10 @@
 	v.program, v.paused, v.timerAt, v.inbox, v.inboxBytes = nil, false, never, nil, 0
 }
 
-// Pause has a node stand still: what comes waits, up to the bytes of a socket's buffer.
+// Pause stops a node: datagrams that arrive are queued, up to the size of a socket's buffer.
 func (n *Network) Pause(i int) { n.nodes[i].paused = n.nodes[i].program != nil }
 
-// Resume lets it go on, with all that waits at once.
+// Resume continues a paused node and delivers its queued datagrams at once.
 func (n *Network) Resume(i int) {
 	v := &n.nodes[i]
 	if !v.paused {
@@ -175,8 +176,8 @@
 	}
 }
 
-// SetTimer has a node called at a time, or now if that has passed; it takes the place of what was asked before. A time of never (the
-// greatest Duration) asks for nothing.
+// SetTimer sets the time of a node's next TimerFired call, or now if that has passed, in place of the time set before. The greatest
+// Duration means no call.
 func (n *Network) SetTimer(i int, at time.Duration) {
 	v := &n.nodes[i]
 	if v.timerAt = max(at, n.now); at == never {
@@ -188,27 +189,27 @@
 	}
 }
 
-// Schedule calls f at a time, for scenarios. It panics past mostCalls that wait.
+// Schedule calls f at a time, for scenarios. It panics if more than maxCalls calls are scheduled.
 func (n *Network) Schedule(at time.Duration, f func()) {
 	slot := int32(len(n.calls))
 	if k := len(n.freeCalls); k > 0 {
 		slot, n.freeCalls = n.freeCalls[k-1], n.freeCalls[:k-1]
 		n.calls[slot] = f
 	} else if len(n.calls) >= maxCalls {
-		panic("scale.Net: too many calls wait")
+		panic("scale.Network: too many scheduled calls")
 	} else {
 		n.calls = append(n.calls, f)
 	}
 	n.push(max(at, n.now), callIsDue, slot)
 }
 
-// SetLoss has each datagram be lost with a chance from now on, beside cuts.
+// SetLoss sets the probability that a datagram is lost from now on, besides cuts.
 func (n *Network) SetLoss(p float64) { n.lossThreshold = threshold(p) }
 
-// SetDuplication has each datagram come twice with a chance from now on.
+// SetDuplication sets the probability that a datagram is delivered twice from now on.
 func (n *Network) SetDuplication(p float64) { n.duplicateThreshold = threshold(p) }
 
-// threshold is a chance as a share of what the generator gives.
+// threshold is a probability as a part of the generator's range.
 func threshold(p float64) uint64 {
 	if p >= 1 {
 		return math.MaxUint64
@@ -216,7 +217,7 @@
 	return uint64(max(p, 0) * (1 << 32) * (1 << 32))
 }
 
-// DrawLatency draws how long a datagram between two nodes takes.
+// DrawLatency draws the latency of a datagram between two nodes, jitter included.
 func (n *Network) DrawLatency(from, to int) time.Duration {
 	a, b, l := &n.locations[from], &n.locations[to], &n.latency
 	var d time.Duration
@@ -237,7 +238,7 @@
 	return d + time.Duration(float64(d)*l.Jitter*float64(n.rng.Uint64()>>11)/(1<<53))
 }
 
-// Send sends a datagram; b is copied. What a node that is down or stands still sends goes nowhere and does not count.
+// Send sends a datagram; b is copied. Datagrams of a node that is down or paused are dropped and not counted.
 func (n *Network) Send(from, to int, b []byte) {
 	v := &n.nodes[from]
 	if v.program == nil || v.paused {
@@ -277,7 +278,7 @@
 	n.push(n.now+n.DrawLatency(from, to), datagramArrives, slot)
 }
 
-// rollSecond closes the second before, if another has begun.
+// rollSecond closes the counters of the previous second if another has begun.
 func (v *nodeState) rollSecond(now time.Duration) {
 	if s := int64(now / time.Second); s != v.second {
 		v.counters.MaxOutPerSecond, v.counters.MaxInPerSecond = max(v.counters.MaxOutPerSecond, v.secondOut), max(v.counters.MaxInPerSecond, v.secondIn)
@@ -285,7 +286,7 @@
 	}
 }
 
-// countStream counts bytes that go over a connection.
+// countStream counts bytes of a TCP connection.
 func (n *Network) countStream(from, to int, out, in int64) {
 	a, b := &n.nodes[from], &n.nodes[to]
 	a.counters.BytesOut += out
@@ -298,7 +299,7 @@
 	b.secondIn += in
 }
 
-// Run plays all that happens up to a time, which it then is.
+// Run processes all events up to a time and sets the clock to it.
 func (n *Network) Run(until time.Duration) {
 	for len(n.queue) > 0 && n.queue[0].at <= until {
 		e := n.queue.pop()
@@ -320,7 +321,7 @@
 }
 
 func (n *Network) arrive(slot int32) {
-	d := n.inFlight[slot] // the slot stays taken while its bytes are looked at
+	d := n.inFlight[slot] // the slot stays in use until its bytes have been handled
 	v := &n.nodes[d.to]
 	switch {
 	case v.program == nil || len(n.cuts) > 0 && !n.CanReach(int(d.from), int(d.to)):
@@ -350,7 +351,7 @@
 
 func (n *Network) fireTimer(i int) {
 	v := &n.nodes[i]
-	if v.queuedAt != n.now { // an earlier one took its place
+	if v.queuedAt != n.now { // replaced by an earlier one
 		return
 	}
 	v.queuedAt = never
@@ -359,7 +360,7 @@
 	case v.timerAt > n.now:
 		v.queuedAt = v.timerAt
 		n.push(v.timerAt, timerFires, int32(i))
-	case v.paused: // Resume looks at due
+	case v.paused: // Resume sets it again
 	default:
 		v.timerAt = never
 		if v.program != nil {
--- a/internal/lab/scale/net_cut.go
+++ b/internal/lab/scale/net_cut.go
@@ -4,16 +4,16 @@
 	"fmt"
 )
 
-// Cut is a fault between two groups: nothing of one reaches the other, either way.
+// Cut is a fault between two groups of nodes: no datagram passes in either direction.
 type Cut struct {
 	net  *Network
 	side []uint8 // by node: 1 in the first, 2 in the second
 }
 
-// Cut parts two groups of nodes until Heal; what is under way between them is lost. It panics past 64 cuts at once.
+// Cut separates two groups of nodes until Heal; datagrams in flight between them are lost. It panics if there are more than maxCuts.
 func (n *Network) Cut(a, b []int) *Cut {
 	if len(n.cuts) >= maxCuts {
-		panic(fmt.Sprintf("scale.Net: more than %d cuts at once", maxCuts))
+		panic(fmt.Sprintf("scale.Network: more than %d cuts at once", maxCuts))
 	}
 	c := &Cut{net: n, side: make([]uint8, len(n.nodes))}
 	for _, i := range a {
@@ -26,7 +26,7 @@
 	return c
 }
 
-// Heal takes a cut off.
+// Heal removes the cut.
 func (c *Cut) Heal() {
 	for i, o := range c.net.cuts {
 		if o == c {
@@ -36,7 +36,7 @@
 	}
 }
 
-// CanReach tells whether what one node sends can reach the other, as far as cuts go.
+// CanReach reports whether no cut separates two nodes.
 func (n *Network) CanReach(from, to int) bool {
 	for _, c := range n.cuts {
 		f, t := c.side[from], c.side[to]
--- a/internal/lab/scale/net_queue.go
+++ b/internal/lab/scale/net_queue.go
@@ -19,13 +19,13 @@
 	index    int32 // slot of the datagram or call, or node
 }
 
-func (n *Network) push(at time.Duration, what eventKind, who int32) {
+func (n *Network) push(at time.Duration, kind eventKind, index int32) {
 	n.sequence++
-	n.queue.push(networkEvent{at, n.sequence, what, who})
+	n.queue.push(networkEvent{at, n.sequence, kind, index})
 }
 
-// eventHeap is a heap of four children a node, by time and then by order of pushing: fewer levels than two children, and the four
-// stand in two lines of the cache.
+// eventHeap is a heap with four children a node, by time and then by order of insertion: it has fewer levels than a binary heap, and the
+// four children lie in two cache lines.
 type eventHeap []networkEvent
 
 func (a *networkEvent) before(b *networkEvent) bool {
--- a/internal/lab/scale/process_usage.go
+++ b/internal/lab/scale/process_usage.go
@@ -13,8 +13,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// cpuOf is the processor time that a process has used, by all its threads: the kernel's clock of that process, in nanoseconds, of
-// which getrusage tells the same sum only for oneself.
+// cpuOf is the processor time that all threads of a process have used, from the kernel's clock of that process (getrusage serves only
+// the calling process).
 func cpuOf(pid int) (time.Duration, error) {
 	const ofProcess = 2 // CPUCLOCK_SCHED of the whole process
 	var t unix.Timespec
@@ -24,7 +24,7 @@
 	return time.Duration(t.Nano()), nil
 }
 
-// runQueueWaitOf is how long a process's threads that there are now have stood ready to run without a core, since they began.
+// runQueueWaitOf is how long the present threads of a process have been runnable without a core since they began.
 func runQueueWaitOf(pid int) (sum time.Duration, err error) {
 	tasks, err := os.ReadDir(fmt.Sprintf("/proc/%d/task", pid))
 	if err != nil {
@@ -33,7 +33,7 @@
 	for _, t := range tasks {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/task/%s/schedstat", pid, t.Name()))
 		if errors.Is(err, os.ErrNotExist) {
-			continue // it ended meanwhile
+			continue // the thread has ended
 		}
 		if err != nil {
 			return 0, err
@@ -47,7 +47,7 @@
 	return sum, nil
 }
 
-// residentOf is the anonymous memory of a process in bytes.
+// residentOf is the anonymous resident memory of a process in bytes.
 func residentOf(pid int) (int64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -62,7 +62,7 @@
 	return 0, &ProcessMemoryError{pid}
 }
 
-// machineBusy is the processor time that the whole machine has spent on work since it began, on all cores.
+// machineBusy is the processor time that all cores of the machine have been busy since it started.
 func machineBusy() (time.Duration, error) {
 	text, err := os.ReadFile("/proc/stat")
 	if err != nil {
@@ -71,7 +71,7 @@
 	line, _, _ := strings.Cut(string(text), "\n")
 	var sum int64
 	for i, word := range strings.Fields(line) {
-		if i == 0 || i == 4 || i == 5 || i > 8 { // its name, idle, iowait, and guests, who are in user
+		if i == 0 || i == 4 || i == 5 || i > 8 { // the label, idle, iowait, and guests, which user includes
 			continue
 		}
 		n, err := strconv.ParseInt(word, 10, 64)
@@ -85,7 +85,7 @@
 
 func cores() int { return runtime.NumCPU() }
 
-// countsSince is how much of each reason came between two usages.
+// countsSince is the increase of each count between two usages; unchanged ones are left out.
 func countsSince(after, before map[string]int64) map[string]int64 {
 	out := maps.Clone(after)
 	for k, n := range before {
--- a/internal/lab/scale/watch.go
+++ b/internal/lab/scale/watch.go
@@ -12,7 +12,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// watchRun is one run under way.
+// watchRun is one run in progress. Watch owns it; only restarts runs beside Watch.
 type watchRun struct {
 	options     WatchOptions
 	locations   []Location
@@ -24,24 +24,26 @@
 	reals       []*realGateway
 	known       json.RawMessage
 	base        int64
-	published   []publishedEvent // by position, from 1: when each event was told
+	published   []publishedEvent // by position, from 1
 	lateness    *hdrhistogram.Histogram
 	rng         *rand.Rand
-	nextChanged int // next member to drain
+	nextChanged int // half of it: the next cache to drain or bring back
 	restartRand *rand.Rand
 	mu          sync.Mutex // guards what follows; both are read once play has returned
 	starts      int
 	failed      error
 
-	allArrived bool // all that was told is at all hollow gateways
+	allArrived bool // all events have reached all hollow gateways
 }
 
+// publishedEvent is an event of the stand-in: a purge, or a change of the list.
 type publishedEvent struct {
 	at      time.Time
 	isPurge bool
 }
 
-// Watch plays one run. An error is of the rig or the machine; what gateways did wrong stands in the report.
+// Watch plays one run and blocks until it has ended. An error is an *OptionError, or a failure of the rig or the machine; what gateways
+// did wrong is listed in the report's Violations.
 func Watch(o WatchOptions) (r *WatchReport, err error) {
 	if err := o.validate(); err != nil {
 		return nil, err
@@ -100,6 +102,7 @@
 	return r, nil
 }
 
+// setUp starts the stand-in and all gateways, and waits until all of them watch.
 func (w *watchRun) setUp() error {
 	o := &w.options
 	var err error
@@ -151,7 +154,7 @@
 	return nil
 }
 
-// close ends all that the run started.
+// close ends all processes and the stand-in. Its error tells of processes that failed and of real gateways that missed events.
 func (w *watchRun) close() error {
 	var wait sync.WaitGroup
 	var mu sync.Mutex
@@ -164,17 +167,17 @@
 			errs = append(errs, err)
 		})
 	}
-	var told int64 // as a gateway counts that has the list as number 1
+	var published int64 // as a gateway counts that has the list as number 1
 	if w.discovery != nil {
-		told = w.discovery.Last() - w.base + 1
+		published = w.discovery.Last() - w.base + 1
 	}
 	for _, p := range w.reals {
 		wait.Go(func() {
 			err := p.stop()
 			if last, ends, e := p.watchResult(); err == nil && e != nil {
 				err = e
-			} else if err == nil && w.allArrived && (last != told || ends > 0) {
-				err = &MissedEventsError{Held: last, Published: told, Interruptions: ends, Log: p.log.Name()}
+			} else if err == nil && w.allArrived && (last != published || ends > 0) {
+				err = &MissedEventsError{Held: last, Published: published, Interruptions: ends, Log: p.log.Name()}
 			}
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/lab/scale/watch_measure.go
+++ b/internal/lab/scale/watch_measure.go
@@ -8,7 +8,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// resourceSnapshot is what all have spent up to an instant.
+// resourceSnapshot is what all processes have spent up to an instant.
 type resourceSnapshot struct {
 	at           time.Time
 	cpu          time.Duration // of this process
@@ -23,6 +23,7 @@
 	connects     int64
 }
 
+// snapshot reads what all have spent so far.
 func (w *watchRun) snapshot() (s resourceSnapshot, err error) {
 	s.at = time.Now()
 	if s.cpu, err = cpuOf(os.Getpid()); err != nil {
@@ -85,7 +86,7 @@
 	return sum, nil
 }
 
-// toggleProfile begins the processor profile, or ends it.
+// toggleProfile begins the processor profile if there is to be one, or ends it.
 func (w *watchRun) toggleProfile() error {
 	if w.options.Profile == "" || len(w.processes) == 0 {
 		return nil
@@ -98,7 +99,7 @@
 	return err
 }
 
-// arrivals waits for what was told in the window to come everywhere, 30 s at most.
+// arrivals waits for the events of the window to reach all hollow gateways, for 30 s at most, and reports their latencies.
 func (w *watchRun) arrivals(r *WatchReport, from, to int64) error {
 	if r.Events = int(to - from + 1); r.Events <= 0 || len(w.processes) == 0 {
 		return nil
@@ -127,17 +128,17 @@
 			break
 		}
 	}
-	took := hdrhistogram.New(1, 120e6, 3)
+	latencies := hdrhistogram.New(1, 120e6, 3)
 	for i, a := range all {
-		m := w.published[from-1+int64(i)]
-		if !m.isPurge || a.Gateways < hollow {
+		event := w.published[from-1+int64(i)]
+		if !event.isPurge || a.Gateways < hollow {
 			continue
 		}
-		us := max(1, a.LastMicros-m.at.UnixMicro())
-		if took.RecordValue(min(us, 120e6)); time.Duration(us)*time.Microsecond > w.options.Deadline {
+		us := max(1, a.LastMicros-event.at.UnixMicro())
+		if latencies.RecordValue(min(us, 120e6)); time.Duration(us)*time.Microsecond > w.options.Deadline {
 			r.LatePurges++
 		}
 	}
-	r.Median, r.P99, r.Max = float64(took.ValueAtQuantile(50))/1000, float64(took.ValueAtQuantile(99))/1000, float64(took.Max())/1000
+	r.Median, r.P99, r.Max = float64(latencies.ValueAtQuantile(50))/1000, float64(latencies.ValueAtQuantile(99))/1000, float64(latencies.Max())/1000
 	return nil
 }
--- a/internal/lab/scale/watch_options.go
+++ b/internal/lab/scale/watch_options.go
@@ -5,40 +5,41 @@
 	"time"
 )
 
-// WatchOptions are of a run of gateways that each hear the discovery watch.
+// WatchOptions configure a run of gateways that each follow the discovery watch.
 type WatchOptions struct {
-	Gateways          int           // hollow ones and real ones together
-	Real              int           // of them processes of the program
-	PerProcess        int           // hollow ones in a process; 500 if 0
-	PurgesPerSecond   float64       // a second, evenly; each eighth names a group, the others an object each
-	ChangeInterval    time.Duration // one cache more drains or is up again, so often; 0: none
-	RestartsPerSecond float64       // hollow gateways started anew, a second
-	LookupsPerSecond  float64       // a second, of each hollow gateway
+	Gateways          int           // hollow and real ones
+	Real              int           // of Gateways, those that are processes of the program
+	PerProcess        int           // hollow gateways in a process; 500 if 0
+	PurgesPerSecond   float64       // evenly spaced; each eighth is of a group, the others of an object each
+	ChangeInterval    time.Duration // between changes, each of one cache that drains or is up again; 0: none
+	RestartsPerSecond float64       // of hollow gateways
+	LookupsPerSecond  float64       // of each hollow gateway
 	Caches            int           // in the list
-	ListInConfig      bool          // the list stands in the configuration; otherwise it comes over the watch
-	Warmup            time.Duration // before the figures count: purges are kept for 11 s
-	Duration          time.Duration // in which they count
-	Deadline          time.Duration // a purge is to be everywhere by then
-	Stretch           float64       // time runs so many times slower for stand-in and gateways; 1 if 0, and 1 where Real is not 0. See Pace
+	ListInConfig      bool          // the list is part of the configuration; otherwise it comes over the watch
+	Warmup            time.Duration // before the measurement: purges are kept for 11 s
+	Duration          time.Duration // of the measurement
+	Deadline          time.Duration // within which a purge has to reach all gateways
+	Stretch           float64       // factor by which the clock of stand-in and gateways is slowed; 1 if 0, and 1 where Real is not 0. See SlowClock
 	Seed              uint64
 	Dir               string // for configurations and logs of real gateways
-	Program           string // the gateway's, where Real is not 0
-	Profile           string // file for the processor profile of the first process of hollow gateways
+	Program           string // path of the gateway's program, where Real is not 0
+	Profile           string // file for the processor profile of the first process of hollow gateways; "": none
 	HollowCommand     func() *exec.Cmd
-	Progress          func(format string, a ...any) // progress
+	Progress          func(format string, a ...any) // called with progress messages; may be nil
 	Budget            Budget
 }
 
-// Budget is what a gateway may spend on control; 0: not asked.
+// Budget bounds what a gateway may spend on control; 0: no bound.
 type Budget struct {
 	Core           float64 // of one core
 	Resident       float64 // bytes
-	BytesPerSecond float64 // a second, in and out, with what TCP adds
+	BytesPerSecond float64 // in and out, with the overhead of TCP
 }
 
-// FullBudget is the users' own: 2.1% of a core, 128 MB and 15 KB/s.
+// FullBudget is the plan's: 2.1% of a core, 128 MB and 15 KB/s.
 var FullBudget = Budget{0.021, 128 << 20, 15 << 10}
 
+// validate fills in defaults. Its error is an *OptionError.
 func (o *WatchOptions) validate() error {
 	switch hollow := o.Gateways - o.Real; {
 	case o.Gateways < 1 || o.Gateways > maxWatches:
--- a/internal/lab/scale/watch_play.go
+++ b/internal/lab/scale/watch_play.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// play tells events of the size for a time. What falls due while this process does not run is told at once after.
+// play publishes events at the rates of the options for a time. Events that fall due while this process does not run are published
+// at once afterwards.
 func (w *watchRun) play(span time.Duration) {
 	o := &w.options
 	began := w.clock.Now()
@@ -65,7 +66,7 @@
 	}
 }
 
-// restarts starts hollow gateways anew, one after the other, until it is told to stop.
+// restarts restarts hollow gateways, one after the other, until stop is closed or one fails.
 func (w *watchRun) restarts(every time.Duration, stop chan struct{}) {
 	next := time.NewTicker(every)
 	defer next.Stop()
@@ -85,7 +86,8 @@
 	}
 }
 
-// restart starts one anew. It is told where its numbers count from, so that arrivals go on in the ledger.
+// restart restarts one hollow gateway and gives it the position from which its event numbers count, so that arrivals are recorded by
+// the positions of the whole run.
 func (w *watchRun) restart(i int) error {
 	c := w.processes[i/w.options.PerProcess]
 	w.discovery.RemoveGateway(i)
--- a/internal/lab/scale/watch_report.go
+++ b/internal/lab/scale/watch_report.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// WatchReport is one run.
+// WatchReport is the result of one run.
 type WatchReport struct {
 	Kind       string           `json:"what"`
 	StartedAt  time.Time        `json:"when"`
 	Gateways   int              `json:"gateways"`
 	Run        int              `json:"run"`
-	Stretch    float64          `json:"stretch"` // all times and rates here are those of a clock so many times slower than the machine's; see Pace
-	Seconds    float64          `json:"seconds"` // that figures count, as it came out
+	Stretch    float64          `json:"stretch"` // times and rates are those of a clock this many times slower than the machine's; see SlowClock
+	Seconds    float64          `json:"seconds"` // of the measurement, as measured
 	Purges     float64          `json:"purges_s"`
 	Caches     int              `json:"caches"`
 	Processes  int              `json:"processes"`
-	Ready      float64          `json:"ready_s"` // until all watched, from the first start
+	Ready      float64          `json:"ready_s"` // from the first start until all watched
 	Events     int              `json:"told"`    // events in the window
-	LostEvents int              `json:"lost"`    // events in it that did not come to all hollow gateways within 30 s
-	LatePurges int              `json:"late"`    // purges that were everywhere only past the bound
+	LostEvents int              `json:"lost"`    // of them, those that did not reach all hollow gateways within 30 s
+	LatePurges int              `json:"late"`    // purges that reached the last gateway after the deadline
 	Median     float64          `json:"everywhere_p50_ms"`
 	P99        float64          `json:"everywhere_p99_ms"`
 	Max        float64          `json:"everywhere_max_ms"`
@@ -34,34 +34,35 @@
 	Violations []string         `json:"wrong,omitempty"`
 }
 
-// Cost is what one gateway spends, the mean of its kind.
+// Cost is what one gateway spends: the mean of all of its kind.
 type Cost struct {
 	Gateways    int     `json:"gateways"`
 	Core        float64 `json:"core"`         // of one core
-	EventMicros float64 `json:"event_us"`     // processor time for each event heard, all it spends shared among them
+	EventMicros float64 `json:"event_us"`     // all processor time divided by the events received
 	In          float64 `json:"in_bytes_s"`   // payload
-	WireIn      float64 `json:"wire_in_b_s"`  // with TCP and IP, worked out; see Wire
-	WireOut     float64 `json:"wire_out_b_s"` // acknowledgements, worked out
-	Writes      float64 `json:"writes_s"`     // of the stand-in: segments at least
+	WireIn      float64 `json:"wire_in_b_s"`  // with TCP and IP, computed; see TCPOverhead
+	WireOut     float64 `json:"wire_out_b_s"` // acknowledgements, computed
+	Writes      float64 `json:"writes_s"`     // by the stand-in: a lower bound of segments
 	Resident    float64 `json:"resident_bytes"`
 	Heap        float64 `json:"heap_bytes,omitempty"` // hollow only, after a collection
 	Allocs      float64 `json:"allocs_s,omitempty"`   // hollow only
 	Alloc       float64 `json:"alloc_bytes_s,omitempty"`
 }
 
-// Machine is what else the machine did meanwhile, in its own time: figures beside other work are marked by it.
+// Machine is what the whole machine did meanwhile, by its own clock: it shows figures that were measured beside other work.
 type Machine struct {
 	Cores   int     `json:"cores"`
 	Busy    float64 `json:"busy_cores"`      // of the whole machine
 	Ours    float64 `json:"our_cores"`       // of the stand-in and all gateways
-	Starved float64 `json:"starved"`         // part of the time that threads of hollow gateways were ready to run in which they had no core
-	Late    float64 `json:"pace_late_p99ms"` // by how much the stand-in told purges late
+	Starved float64 `json:"starved"`         // part of the time in which threads of hollow gateways were runnable that they had no core
+	Late    float64 `json:"pace_late_p99ms"` // by how much the stand-in published purges late
 	LateMax float64 `json:"pace_late_max_ms"`
 }
 
+// costs reports what gateways and the machine spent between two snapshots.
 func (w *watchRun) costs(r *WatchReport, a, b resourceSnapshot) error {
-	took := b.at.Sub(a.at).Seconds()
-	span := took / w.options.Stretch
+	elapsed := b.at.Sub(a.at).Seconds()
+	span := elapsed / w.options.Stretch
 	r.Seconds = span
 	cost := func(n int, cpu time.Duration, before, after [2]int64, events int64, resident float64) Cost {
 		if n == 0 {
@@ -106,8 +107,8 @@
 	}
 	r.LogCounts = countsSince(b.usage.EventCounts, a.usage.EventCounts)
 	r.Reconnects = b.connects - a.connects - int64(w.starts)
-	r.Machine.Busy = (b.busy - a.busy).Seconds() / took
-	r.Machine.Ours = (b.cpu - a.cpu + b.hollow - a.hollow + b.real - a.real).Seconds() / took
+	r.Machine.Busy = (b.busy - a.busy).Seconds() / elapsed
+	r.Machine.Ours = (b.cpu - a.cpu + b.hollow - a.hollow + b.real - a.real).Seconds() / elapsed
 	if ran, waited := (b.hollow - a.hollow).Seconds(), (b.runQueueWait - a.runQueueWait).Seconds(); ran+waited > 0 {
 		r.Machine.Starved = max(0, waited/(ran+waited))
 	}
@@ -115,14 +116,14 @@
 	return nil
 }
 
-// checkLimits says what must not be.
+// checkLimits adds the violations of limits to the report.
 func (w *watchRun) checkLimits(r *WatchReport) {
-	wrong := func(format string, a ...any) { r.Violations = append(r.Violations, fmt.Sprintf(format, a...)) }
+	violation := func(format string, a ...any) { r.Violations = append(r.Violations, fmt.Sprintf(format, a...)) }
 	if r.LostEvents > 0 {
-		wrong("%d of %d events did not come to all gateways", r.LostEvents, r.Events)
+		violation("%d of %d events did not come to all gateways", r.LostEvents, r.Events)
 	}
 	if r.LatePurges > 0 {
-		wrong("%d purges were everywhere only after more than %v, the last after %.0f ms; hollow gateways were without a core for %.0f%% of the time that they could run", r.LatePurges,
+		violation("%d purges were everywhere only after more than %v, the last after %.0f ms; hollow gateways were without a core for %.0f%% of the time that they could run", r.LatePurges,
 			w.options.Deadline, r.Max, 100*r.Machine.Starved)
 	}
 	for _, k := range []struct {
@@ -131,21 +132,21 @@
 	}{{"hollow", r.Hollow}, {"real", r.Real}} {
 		b := w.options.Budget
 		if b.Core > 0 && k.c.Core > b.Core {
-			wrong("a %s gateway spends %.2f%% of a core, %.2f%% are allowed", k.name, 100*k.c.Core, 100*b.Core)
+			violation("a %s gateway spends %.2f%% of a core, %.2f%% are allowed", k.name, 100*k.c.Core, 100*b.Core)
 		}
 		if b.Resident > 0 && k.c.Resident > b.Resident {
-			wrong("a %s gateway takes %.1f MB, %.0f are allowed", k.name, k.c.Resident/(1<<20), b.Resident/(1<<20))
+			violation("a %s gateway takes %.1f MB, %.0f are allowed", k.name, k.c.Resident/(1<<20), b.Resident/(1<<20))
 		}
 		if b.BytesPerSecond > 0 && k.c.WireIn+k.c.WireOut > b.BytesPerSecond {
-			wrong("a %s gateway's watch takes %.1f KB/s with TCP, %.0f are allowed", k.name, (k.c.WireIn+k.c.WireOut)/1024, b.BytesPerSecond/1024)
+			violation("a %s gateway's watch takes %.1f KB/s with TCP, %.0f are allowed", k.name, (k.c.WireIn+k.c.WireOut)/1024, b.BytesPerSecond/1024)
 		}
 	}
 	if len(r.LogCounts) > 0 && r.Restarts == 0 {
-		var what []string
+		var lines []string
 		for k, n := range r.LogCounts {
-			what = append(what, fmt.Sprintf("%s %d", k, n))
+			lines = append(lines, fmt.Sprintf("%s %d", k, n))
 		}
-		slices.Sort(what)
-		wrong("hollow gateways logged: %s", strings.Join(what, ", "))
+		slices.Sort(lines)
+		violation("hollow gateways logged: %s", strings.Join(lines, ", "))
 	}
 }
