--- a/internal/lab/scale/controls.go
+++ b/internal/lab/scale/controls.go
@@ -7,73 +7,75 @@
 	"time"
 )
 
-// EventReceiver is a Node that hears the discovery watch: events come to it in order, each once.
+// EventReceiver is a Node that follows the discovery watch: events are delivered to it in order, each once.
 type EventReceiver interface {
-	// Told brings the events numbered first to last.
+	// EventsArrived delivers the events numbered first to last.
 	EventsArrived(now time.Duration, first, last int64)
 }
 
-// ControlOptions are of the control machines on a Net.
+// ControlOptions configure the control machines of a Network.
 type ControlOptions struct {
-	Gateways              int           // nodes 0 up to it; the machines are the nodes after
+	Gateways              int           // nodes 0 to Gateways-1; the machines are the nodes after them
 	Machines              int           // 14 if 0
-	MaxWatches            int           // watches that one machine takes; a third more than an even share if 0
-	EventBytes            int           // bytes of an event; 72 if 0
-	ListBytes             int           // bytes of the whole list that a start hears; 270,000 if 0
-	CatchUpBytesPerSecond int           // bytes a second at which one watch is told what it missed; 0: at once
-	BatchInterval         time.Duration // a machine tells its watches so often, all there is then; 0: each event at once
-	SilenceTimeout        time.Duration // without a line a gateway asks elsewhere; 2.5 s if 0, as package wire has it
+	MaxWatches            int           // of one machine; a third more than an even share if 0
+	EventBytes            int           // 72 if 0
+	ListBytes             int           // of the whole list, which a gateway receives when it starts; 270,000 if 0
+	CatchUpBytesPerSecond int           // rate at which one watch receives the events it missed; 0: unlimited
+	BatchInterval         time.Duration // a machine sends events to its watches this often; 0: each event at once
+	SilenceTimeout        time.Duration // after which a gateway dials another machine; 2.5 s if 0, as in package discovery
 	HasWatch              func(gateway int) bool
 	Seed                  uint64
 }
 
-// ControlMachines are the control machines of a fleet on a Net, as a model of TCP watches: what a machine holds comes to each of its gateways in
-// order, a loss delays it by 200 ms, a cut or a dead machine is noticed by silence, and a gateway then asks the next machine after the
-// number of the last event that it holds. An event is told to the first machine that is up and reaches the others as cuts allow; one
-// that is behind asks for the rest every second.
+// ControlMachines are the control machines of a fleet on a Network, a model of TCP watches: the events of a machine reach each of its
+// gateways in order, a loss delays them by retransmitAfter, a cut or a dead machine is noticed by silence, and a gateway then requests
+// from the next machine the events after its last one. An event is published to the first machine that is up, and from it to the others
+// that it can reach; a machine that is behind fetches the rest each checkInterval.
 //
-// Machines and gateways are started and killed through the Net; a gateway that starts hears the whole list first.
+// Machines and gateways are started and killed through the Network, whose goroutine owns this state. A gateway that starts receives the
+// whole list first.
 type ControlMachines struct {
 	net          *Network
 	options      ControlOptions
 	rng          *rand.Rand
-	lastEvent    []int64         // by machine: the last event
-	watchCount   []int           // by machine: its watches
-	syncedAt     []time.Duration // by machine: when what it was told before is there
-	batchPending []bool          // by machine: its watches are to be told
+	lastEvent    []int64         // by machine: the last event it has
+	watchCount   []int           // by machine: the number of its watches
+	syncedAt     []time.Duration // by machine: when all events sent to it have arrived
+	batchPending []bool          // by machine: a batch to its watches is scheduled
 	watches      []watch
 	publishedAt  []time.Duration // by event, from 1
-	lastArrival  []time.Duration // by event: when it came to a gateway latest
-	Moves        int64           // watches that went to another machine
-	Denied       int64           // asked a machine that was full
+	lastArrival  []time.Duration // by event: when it last reached a gateway
+	Moves        int64           // watches that moved to another machine
+	Denied       int64           // requests to a machine that was full
 }
 
-// watch is one gateway's.
+// watch is one gateway's watch.
 type watch struct {
-	starts                   int // of the gateway, for which it was set up
-	machineStart             int // starts of the machine
+	starts                   int // starts of the gateway when the watch was set up
+	machineStart             int // starts of the machine when the connection was set up
 	hasList                  bool
 	machine                  int // -1: none
-	epoch                    int // of the connection; what is under way of an earlier one is lost
+	epoch                    int // of the connection; data in flight of an earlier one is lost
 	sent                     int64
 	received                 int64
-	sendingUntil             time.Duration // when what was sent before is over
-	lastLineAt               time.Duration // when a line came last
-	dialing, silenceTimerSet bool          // machines are asked one after the other; a silence runs out
-	catchingUp               bool          // a turn of catching up is under way
+	sendingUntil             time.Duration // when all data sent before has arrived
+	lastLineAt               time.Duration // when the last line arrived
+	dialing, silenceTimerSet bool          // an attempt to connect is under way; a check for silence is scheduled
+	catchingUp               bool          // the next part of the missed events is scheduled
 	attempts                 int
-	waiting                  []func() // what has come to a gateway that stands still, in its socket
+	waiting                  []func() // deliveries to a paused gateway, in its socket
 }
 
 const (
 	segmentHeaderBytes = 52 // bytes of IPv4 and TCP with timestamps
-	heartbeatBytes     = 12 // bytes of a line with the last number alone
+	heartbeatBytes     = 12 // bytes of a line with only the last number
 	retransmitAfter    = 200 * time.Millisecond
 	checkInterval      = time.Second
 	dialTimeout        = 500 * time.Millisecond
 	minBackoff         = 50 * time.Millisecond
 	maxBackoff         = 800 * time.Millisecond
 	maxCatchUpBytes    = 64 << 10 // bytes at once
+	catchUpThreshold   = 64       // events after which a watch is catching up
 )
 
 // ControlMachine is the program of a control machine's node. It does nothing: ControlMachines models all of them.
@@ -85,7 +87,7 @@
 // TimerFired does nothing.
 func (ControlMachine) TimerFired(time.Duration) {}
 
-// WithControlMachines adds places of control machines, spread over the zones, to those of gateways.
+// WithControlMachines appends the locations of control machines, spread over the zones, to those of gateways.
 func WithControlMachines(places []Location, machines int) []Location {
 	var zones []Location
 	for _, p := range places {
@@ -103,13 +105,14 @@
 	return out
 }
 
-// NewControlMachines puts control machines on a Net whose last nodes they are. It looks after all gateways from then on.
+// NewControlMachines starts control machines as the last nodes of a Network, and follows all gateways from then on. It panics if the
+// Network has too few nodes.
 func NewControlMachines(n *Network, o ControlOptions) *ControlMachines {
 	if o.Machines == 0 {
 		o.Machines = FullControls
 	}
 	if o.Gateways < 1 || o.Machines < 1 || n.Nodes() < o.Gateways+o.Machines {
-		panic(fmt.Sprintf("scale.NewControls: %d gateways and %d machines on %d nodes", o.Gateways, o.Machines, n.Nodes()))
+		panic(fmt.Sprintf("scale.NewControlMachines: %d gateways and %d machines on %d nodes", o.Gateways, o.Machines, n.Nodes()))
 	}
 	usual := func(v *int, d int) {
 		if *v == 0 {
@@ -153,7 +156,7 @@
 
 func (c *ControlMachines) node(machine int) int { return c.options.Gateways + machine }
 
-// Publish tells one more event and returns its number.
+// Publish publishes one more event and returns its number.
 func (c *ControlMachines) Publish() int64 {
 	now := c.net.Now()
 	c.publishedAt, c.lastArrival = append(c.publishedAt, now), append(c.lastArrival, 0)
@@ -174,25 +177,25 @@
 	return no
 }
 
-// LastEvent is the number of the last event told.
+// LastEvent is the number of the last event published.
 func (c *ControlMachines) LastEvent() int64 { return int64(len(c.publishedAt) - 1) }
 
-// PublishedAt is when an event was told.
+// PublishedAt is when an event was published.
 func (c *ControlMachines) PublishedAt(no int64) time.Duration { return c.publishedAt[no] }
 
-// LastArrival is when an event came to a gateway by its watch latest, so far.
+// LastArrival is when an event last reached a gateway so far.
 func (c *ControlMachines) LastArrival(no int64) time.Duration { return c.lastArrival[no] }
 
-// Received is the last event that a gateway holds by its watch.
+// Received is the last event that a gateway has received.
 func (c *ControlMachines) Received(gateway int) int64 { return c.watches[gateway].received }
 
-// Machine is the one that a gateway watches; -1: none.
+// Machine is the machine of a gateway's watch; -1: none.
 func (c *ControlMachines) Machine(gateway int) int { return c.watches[gateway].machine }
 
-// Watches is how many gateways watch each machine.
+// Watches is the number of watches of each machine.
 func (c *ControlMachines) Watches() []int { return slices.Clone(c.watchCount) }
 
-// source is the machine that events are told to: the first that runs; -1: none does.
+// source is the machine that events are published to, the first that runs; -1: none does.
 func (c *ControlMachines) source() int {
 	for j := range c.lastEvent {
 		if c.net.IsUp(c.node(j)) {
@@ -206,7 +209,7 @@
 	return c.net.IsUp(a) && c.net.IsUp(b) && c.net.CanReach(a, b)
 }
 
-// storeEvents has a machine hold events up to a number, and tells its watches.
+// storeEvents gives a machine the events up to a number, and sends them to its watches.
 func (c *ControlMachines) storeEvents(j int, no int64) {
 	c.lastEvent[j] = max(c.lastEvent[j], no)
 	push := func() {
@@ -225,7 +228,7 @@
 	}
 }
 
-// syncMachine has a machine that is behind ask the others for the rest.
+// syncMachine lets a machine that is behind fetch events from the others.
 func (c *ControlMachines) syncMachine(j int) {
 	if !c.net.IsUp(c.node(j)) {
 		return
@@ -237,7 +240,7 @@
 	}
 }
 
-// push sends a gateway what its machine holds and it was not sent.
+// push sends a gateway the events that its machine has and has not sent yet.
 func (c *ControlMachines) push(g int) {
 	w := &c.watches[g]
 	if w.catchingUp || w.sent >= c.lastEvent[w.machine] || !c.isConnected(g) {
@@ -245,9 +248,9 @@
 	}
 	now := c.net.now
 	first, last := w.sent+1, c.lastEvent[w.machine]
-	behind := last-first >= 64 // more than what was told just now
-	if most := int64(maxCatchUpBytes / c.options.EventBytes); behind && last-first >= most {
-		last = first + most - 1
+	behind := last-first >= catchUpThreshold // more than those of the moment
+	if limit := int64(maxCatchUpBytes / c.options.EventBytes); behind && last-first >= limit {
+		last = first + limit - 1
 	}
 	w.sent = last
 	bytes := (last - first + 1) * int64(c.options.EventBytes)
@@ -256,8 +259,8 @@
 		for no := first; no <= last; no++ {
 			c.lastArrival[no] = max(c.lastArrival[no], c.net.now)
 		}
-		if its, ok := c.net.nodes[g].program.(EventReceiver); ok {
-			its.EventsArrived(c.net.now, first, last)
+		if receiver, ok := c.net.nodes[g].program.(EventReceiver); ok {
+			receiver.EventsArrived(c.net.now, first, last)
 		}
 	})
 	if behind {
@@ -276,8 +279,8 @@
 	}
 }
 
-// send has bytes come to a gateway after all that was sent before, if the connection still stands then.
-func (c *ControlMachines) send(g int, bytes int64, come func()) {
+// send calls deliver when bytes reach a gateway, after all bytes sent before, if the connection still exists then.
+func (c *ControlMachines) send(g int, bytes int64, deliver func()) {
 	w := &c.watches[g]
 	m := c.node(w.machine)
 	segments := (bytes + 1447) / 1448
@@ -293,29 +296,29 @@
 		if w.epoch != epoch || c.net.nodes[g].starts != w.starts || c.net.nodes[g].program == nil {
 			return
 		}
-		if !c.isConnected(g) { // lost with the connection; the number it holds says so when it asks anew
+		if !c.isConnected(g) { // lost with the connection; the gateway's next request names its last event
 			c.endWatch(g)
 			return
 		}
-		w.waiting = append(w.waiting, come)
+		w.waiting = append(w.waiting, deliver)
 		c.deliverWaiting(g)
 	})
 }
 
-// deliverWaiting brings a gateway what waits for it, unless it stands still.
+// deliverWaiting delivers what waits for a gateway, unless it is paused.
 func (c *ControlMachines) deliverWaiting(g int) {
 	w := &c.watches[g]
 	if len(w.waiting) == 0 || c.net.nodes[g].paused {
 		return
 	}
-	some := w.waiting
+	deliveries := w.waiting
 	w.waiting, w.lastLineAt = nil, c.net.now
-	for _, come := range some {
-		come()
+	for _, deliver := range deliveries {
+		deliver()
 	}
 }
 
-// isConnected tells whether a gateway's connection can bring anything.
+// isConnected reports whether a gateway's connection can deliver anything.
 func (c *ControlMachines) isConnected(g int) bool {
 	w := &c.watches[g]
 	m := c.node(w.machine)
@@ -332,7 +335,7 @@
 	}
 }
 
-// checkWatch is a gateway's every second: it begins a watch, counts the line with the last number, and notices silence.
+// checkWatch runs for each gateway each checkInterval: it begins a watch, counts the heartbeat and notices silence.
 func (c *ControlMachines) checkWatch(g int) {
 	w, v := &c.watches[g], &c.net.nodes[g]
 	switch {
@@ -353,7 +356,7 @@
 	}
 }
 
-// checkSilence has a gateway ask elsewhere once its watch has brought nothing for too long.
+// checkSilence lets a gateway dial another machine once its watch has been silent for too long.
 func (c *ControlMachines) checkSilence(g int) {
 	w, v := &c.watches[g], &c.net.nodes[g]
 	if w.dialing || w.silenceTimerSet || w.starts != v.starts || v.program == nil || v.paused || w.machine >= 0 && c.isConnected(g) {
@@ -372,41 +375,41 @@
 	c.dial(g, minBackoff)
 }
 
-// dial asks machine after machine, each gateway in an order of its own.
+// dial tries the next machine, each gateway in an order of its own, and another after a growing pause.
 func (c *ControlMachines) dial(g int, pause time.Duration) {
 	w := &c.watches[g]
 	starts, epoch := w.starts, w.epoch
-	another := func() bool {
+	obsolete := func() bool {
 		return w.starts != starts || w.epoch != epoch || w.machine >= 0 || c.net.nodes[g].starts != starts || c.net.nodes[g].program == nil
 	}
 	j := (g*c.options.Machines/c.options.Gateways + w.attempts*(1+g%(c.options.Machines/2+1))) % c.options.Machines
 	w.attempts++
 	w.dialing = true
 	m := c.node(j)
-	again := func(after time.Duration) {
+	retry := func(after time.Duration) {
 		c.net.Schedule(c.net.now+after+time.Duration(c.rng.Int64N(int64(pause)+1)), func() {
-			if !another() {
+			if !obsolete() {
 				c.dial(g, min(2*pause, maxBackoff))
 			}
 		})
 	}
 	if !c.canReach(g, m) {
-		again(dialTimeout)
+		retry(dialTimeout)
 		return
 	}
-	c.net.Schedule(c.net.now+c.net.DrawLatency(g, m)+c.net.DrawLatency(m, g)+c.net.DrawLatency(g, m), func() { // the handshake, and the line that asks
+	c.net.Schedule(c.net.now+c.net.DrawLatency(g, m)+c.net.DrawLatency(m, g)+c.net.DrawLatency(g, m), func() { // the handshake and the request
 		switch {
-		case another():
+		case obsolete():
 		case !c.canReach(g, m):
-			again(dialTimeout)
+			retry(dialTimeout)
 		case c.watchCount[j] >= c.options.MaxWatches:
 			c.Denied++
-			again(0)
+			retry(0)
 		default:
 			c.watchCount[j]++
 			w.machine, w.machineStart, w.attempts, w.dialing, w.lastLineAt = j, c.net.nodes[m].starts, 0, false, c.net.now
 			w.sendingUntil = c.net.now
-			if !w.hasList { // a start: the list stands for all that was told before
+			if !w.hasList { // after a start: the list stands for all earlier events
 				upTo := c.lastEvent[j]
 				w.sent = upTo
 				c.send(g, int64(c.options.ListBytes), func() { w.received, w.hasList = upTo, true })
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// FaultSchedule plays what the users' plan names on a Net: 6 machines fail a day, 1,900 gateways are started anew a day and in releases, a rack
-// fails each week, a zone once a year, regions lose each other for an hour, a control machine is lost. Each method puts its calls on the
-// Net's queue and returns; the times are of the Net's clock.
+// FaultSchedule schedules the faults of the plan on a Network: 6 machines fail a day, 1,900 gateways restart a day and in releases, a rack
+// fails each week, a zone once a year, regions are cut off from each other for an hour, a control machine is lost. Each method schedules
+// its calls on the Network and returns; times are of the Network's clock.
 type FaultSchedule struct {
 	Net      *Network
-	Gateways int // nodes 0 up to it; those after are control machines
+	Gateways int // nodes 0 to Gateways-1; those after them are control machines
 	Rand     *rand.Rand
-	// Kill and Start end and start a gateway; the Net's own if nil.
+	// Kill and Start end and start a gateway; nil: as the Network does.
 	Kill, Start func(i int)
 }
 
-// NewFaultSchedule makes one; its chance is seeded.
+// NewFaultSchedule makes a schedule with a random source of a seed.
 func NewFaultSchedule(n *Network, gateways int, seed uint64) *FaultSchedule {
 	return &FaultSchedule{Net: n, Gateways: gateways, Rand: rand.New(rand.NewPCG(seed, 0x6661756c74))}
 }
 
-// GatewaysWhere names the gateways whose place is as asked.
+// GatewaysWhere gives the gateways whose location matches.
 func (f *FaultSchedule) GatewaysWhere(is func(Location) bool) []int {
 	return NodesWhere(f.Net.locations[:f.Gateways], is)
 }
 
-// NodesWhere names gateways and control machines whose place is as asked.
+// NodesWhere gives the gateways and control machines whose location matches.
 func (f *FaultSchedule) NodesWhere(is func(Location) bool) []int {
 	return NodesWhere(f.Net.locations, is)
 }
@@ -51,23 +51,23 @@
 	}
 }
 
-// TakeDown kills nodes at a time and starts them after another.
+// TakeDown kills nodes at a time and starts them again later.
 func (f *FaultSchedule) TakeDown(at, after time.Duration, nodes []int) {
 	f.Net.Schedule(at, func() { f.kill(nodes) })
 	f.Net.Schedule(at+after, func() { f.start(nodes) })
 }
 
-// FailRack has all gateways of a site fail at once.
+// FailRack takes down all gateways of a site at once.
 func (f *FaultSchedule) FailRack(at, after time.Duration, site int) {
 	f.TakeDown(at, after, f.GatewaysWhere(func(p Location) bool { return p.Site == site }))
 }
 
-// FailZone has all of a zone fail at once, control machines too.
+// FailZone takes down all nodes of a zone at once, control machines too.
 func (f *FaultSchedule) FailZone(at, after time.Duration, zone int) {
 	f.TakeDown(at, after, f.NodesWhere(func(p Location) bool { return p.Zone == zone }))
 }
 
-// CutRegion cuts a region off from all others for a time; the control machines in it stay with it.
+// CutRegion cuts a region, with its control machines, off from all others for a time.
 func (f *FaultSchedule) CutRegion(at, after time.Duration, region int) {
 	var cut *Cut
 	f.Net.Schedule(at, func() {
@@ -76,7 +76,7 @@
 	f.Net.Schedule(at+after, func() { cut.Heal() })
 }
 
-// SplitRegions cuts every region from every other for a time. Past 11 regions that is one cut for each but the last.
+// SplitRegions cuts every region off from every other for a time. It takes a cut for each region but the last.
 func (f *FaultSchedule) SplitRegions(at, after time.Duration) {
 	var cuts []*Cut
 	f.Net.Schedule(at, func() {
@@ -91,22 +91,22 @@
 	})
 }
 
-// Release starts so many gateways anew, evenly over a time and site after site, each down for a while.
-func (f *FaultSchedule) Release(at, over, down time.Duration, many int) {
-	many = min(many, f.Gateways)
-	for k := range many {
-		f.TakeDown(at+over*time.Duration(k)/time.Duration(many), down, []int{k * f.Gateways / many})
+// Release restarts a number of gateways, evenly over a time and site by site, each down for a while.
+func (f *FaultSchedule) Release(at, over, down time.Duration, count int) {
+	count = min(count, f.Gateways)
+	for k := range count {
+		f.TakeDown(at+over*time.Duration(k)/time.Duration(count), down, []int{k * f.Gateways / count})
 	}
 }
 
-// FailAtRates has single gateways fail and start anew at the rates of the plan, from a time for so long: failures for half an hour each,
-// restarts for 5 s.
+// FailAtRates takes down single gateways at random times at rates a day, from a time on for a span: failures last half an hour, restarts
+// five seconds.
 func (f *FaultSchedule) FailAtRates(at, span time.Duration, failures, restarts float64) {
-	play := func(aDay float64, down time.Duration) {
-		if aDay <= 0 {
+	play := func(perDay float64, down time.Duration) {
+		if perDay <= 0 {
 			return
 		}
-		gap := 24 * float64(time.Hour) / aDay
+		gap := 24 * float64(time.Hour) / perDay
 		for t := at + time.Duration(f.Rand.ExpFloat64()*gap); t < at+span; t += time.Duration(f.Rand.ExpFloat64() * gap) {
 			f.TakeDown(t, down, []int{f.Rand.IntN(f.Gateways)})
 		}
@@ -115,7 +115,7 @@
 	play(restarts, 5*time.Second)
 }
 
-// FailControlMachine has a control machine fail: its watches move.
+// FailControlMachine takes down a control machine; its watches move.
 func (f *FaultSchedule) FailControlMachine(at, after time.Duration, machine int) {
 	f.TakeDown(at, after, []int{f.Gateways + machine})
 }
--- a/internal/lab/scale/real.go
+++ b/internal/lab/scale/real.go
@@ -13,7 +13,7 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// realGateway is a process of the gateway's program beside the hollow ones, told the same by the same stand-in.
+// realGateway is a process of the gateway's program beside the hollow ones, with a watch on the same stand-in.
 type realGateway struct {
 	cmd   *exec.Cmd
 	log   *os.File
@@ -26,7 +26,7 @@
 	stopTimeout  = 15 * time.Second
 )
 
-// startReal writes a gateway's configuration into a folder and starts it. Its listen address is one of its own, 127.66.x.y.
+// startReal writes a gateway's configuration into a folder and starts it, with a listen address of its own, 127.66.x.y.
 func startReal(program, dir string, i int, watch string, known, settings json.RawMessage) (*realGateway, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -57,8 +57,8 @@
 	return r, nil
 }
 
-// watchResult is what the log of a gateway that has ended says of its watch: the number of the last event that it held, and how often the
-// watch ended before the stop.
+// watchResult reads from the log of a gateway that has ended the number of the last event that it received, and how often its watch
+// ended before the gateway was stopped.
 func (r *realGateway) watchResult() (last int64, ends int, err error) {
 	file, err := os.Open(r.log.Name())
 	if err != nil {
@@ -84,7 +84,7 @@
 	return last, ends, d.Err()
 }
 
-// stop asks the process to stop and waits; one that does not is killed, and that is an error.
+// stop sends SIGTERM and waits. A process that does not end within stopTimeout is killed, and that is an error.
 func (r *realGateway) stop() error {
 	defer r.log.Close()
 	r.cmd.Process.Signal(syscall.SIGTERM)
--- a/internal/lab/scale/settings.go
+++ b/internal/lab/scale/settings.go
@@ -7,14 +7,14 @@
 	"foldslip/example/standin"
 )
 
-// Members is a list of caches of the users' shape: edges evenly over zones z00, z01, ..., two parents in each zone where it has more
-// than three, and one origin, the last. Their addresses are on loopback, and nobody listens there.
+// Members is a list of caches like that of the fleet: edges evenly over zones z00, z01, ..., two parents in each zone where it has more
+// than three, and one origin, the last. Their addresses are on loopback, where nobody listens.
 func Members(caches, zones int) []standin.Endpoint {
 	all := make([]standin.Endpoint, caches)
 	for i := range all {
 		zone := i * zones / caches
 		flavor := "edge"
-		if of := caches / zones; of > 3 && i-(zone*caches+zones-1)/zones < 2 {
+		if perZone := caches / zones; perZone > 3 && i-(zone*caches+zones-1)/zones < 2 {
 			flavor = "parent"
 		}
 		if i == caches-1 && caches > 1 {
@@ -28,21 +28,21 @@
 
 func zoneName(zone int) string { return fmt.Sprintf("z%02d", zone) }
 
-// Settings are those of the platform, as every gateway of the fleet is told them: the example's figures with the users' zones, for a
-// gateway in one of them. Purges are to be heeded 0.3 s after they were told and are kept for 11 s (obey_after, cleared_within + 5 s),
-// changes are to be in force within the plan's 3 s (stop_sending_within), so that a watch is silent for 2.5 s before it is asked anew.
-func Settings(places []Location, gateway, zones int) json.RawMessage {
-	seats, names := make([]int, zones), make([]string, zones)
-	for _, p := range places {
+// Settings are the platform's settings text for one gateway of the fleet: the example's figures with the zones of the locations. Purges
+// apply 0.3 s after they were published and are kept for 11 s (obey_after, cleared_within + 5 s), changes apply within 3 s
+// (stop_sending_within), so that a watch times out after 2.5 s of silence.
+func Settings(locations []Location, gateway, zones int) json.RawMessage {
+	gatewaysByZone, names := make([]int, zones), make([]string, zones)
+	for _, p := range locations {
 		if p.Zone < zones {
-			seats[p.Zone]++
+			gatewaysByZone[p.Zone]++
 		}
 	}
 	for z := range names {
 		names[z] = zoneName(z)
 	}
 	text, _ := json.Marshal(map[string]any{ // of strings and numbers: cannot fail
-		"areas": names, "az": places[gateway].Zone, "balancers": len(places), "discovery": "push", "weights": "off",
+		"areas": names, "az": locations[gateway].Zone, "balancers": len(locations), "discovery": "push", "weights": "off",
 		"machine_types": []string{"edge", "parent", "origin"},
 		"ceilings": map[string]any{"cancelling": true, "connect_timeout": 400000, "keepalive": 30000000, "max_retry_after": 2000000,
 			"max_streams": 100, "retry_after": true, "second_copies": true, "try_limit": 6},
@@ -51,7 +51,7 @@
 			"late_worth": 0.15, "points": 2.0}},
 		"specifics": map[string]any{"cleared_within": 6000000, "flow_kb_per_s": 4800.0, "grace_for": []int{0}, "max_age": []int{0}, "merges_fills": true,
 			"obey_after": 300000, "origin_fall": 3000000, "parent_breaks_at": 2.0, "parent_kind": 1, "parent_ramp": 21000000,
-			"parent_starts_at": 0.064, "pass_on": []bool{false}, "seats_by_zone": seats, "source_kind": 2, "tells": "all",
+			"parent_starts_at": 0.064, "pass_on": []bool{false}, "seats_by_zone": gatewaysByZone, "source_kind": 2, "tells": "all",
 			"worth_when_old": []float64{0.7}}})
 	return text
 }
