--- a/internal/lab/scale/broadcast.go
+++ b/internal/lab/scale/broadcast.go
@@ -17,23 +17,25 @@
 const (
 	maxGateways   = 10_000
 	maxPurges     = 1 << 20
-	maxLateNamed  = 5                // purges that a report names
-	idleDuration  = 20 * time.Second // after all is heard
-	freshDuration = 5 * time.Second  // a gateway counts as standing so long after its start; before, apart
-	notCounted    = math.MaxUint32
-	epochMillis   = int64(1_764_576_000_000) // Unix milliseconds of the Net's beginning
+	maxLateNamed  = 5                        // purges that a report names
+	idleDuration  = 20 * time.Second         // that a run goes on after all purges have arrived
+	freshDuration = 5 * time.Second          // after its start, within which a gateway is counted as fresh
+	notCounted    = math.MaxUint32           // latency of a gateway that was down or fresh when the purge was issued
+	epochMillis   = int64(1_764_576_000_000) // Unix milliseconds at the start of the Network's clock
 )
 
+// issuedPurge is a purge and who has received it.
 type issuedPurge struct {
 	watchPurge
 	at            time.Duration
-	latencies     []uint32 // by gateway: microseconds and 1; 0: not heard; excluded: not asked for. nil: done
-	outstanding   int      // of them that have not heard
-	acrossCut     bool     // told on one side of a cut while it was there: the other side counts from the heal
+	latencies     []uint32 // by gateway: microseconds plus 1; 0: not received; or notCounted. nil: the purge is finished
+	outstanding   int      // gateways that count and have not received it
+	acrossCut     bool     // published on one side of a cut while it lasted: the other side counts from its heal
 	side          int8
-	freshGateways []int32 // gateways that started shortly before
+	freshGateways []int32 // fresh gateways that have not received it
 }
 
+// broadcastRun is one run. The goroutine that runs its Network owns it.
 type broadcastRun struct {
 	options       BroadcastOptions
 	faultCase     *faultCase
@@ -42,27 +44,27 @@
 	names         []string
 	indexByName   map[string]int
 	scratch       []string
-	allMembers    []broadcast.Member            // all
-	sortedMembers []broadcast.Member            // all, in the tree's order
-	memberLists   map[string][]broadcast.Member // lists of the live, by who is in them
+	allMembers    []broadcast.Member            // by gateway
+	sortedMembers []broadcast.Member            // in the tree's order
+	memberLists   map[string][]broadcast.Member // lists of live gateways, by the set of them
 	listKey       []byte
 	gateways      []gateway
 	views         *views
 	newSpreader   func(*gateway, int64) spreader
 	rng           *rand.Rand
 	purges        []issuedPurge
-	firstOpen     int // the first purge that is not done
+	firstOpen     int // the first purge that is not finished
 	sources       []int
-	protected     gatewaySet // not killed: tellers
+	protected     gatewaySet // gateways that are not killed: the sources of purges
 	watchIsDeaf   func(i int, at time.Duration) bool
-	cutRegion     gatewaySet // of the cut: the region; nil: none
+	cutRegion     gatewaySet // the gateways of the region that is cut off; nil: no cut
 	cut           *Cut
 	cutAt         time.Duration
 	healAt        time.Duration
-	lastAcrossCut time.Duration // when the last purge was heard on the far side after a heal
+	lastAcrossCut time.Duration // when the last purge reached the other side after the heal
 
 	result          *BroadcastReport
-	everywhereAfter []float64 // seconds to everywhere
+	everywhereAfter []float64 // by finished purge: seconds until it reached the last gateway
 	digest          *xxhash.Digest
 	seconds         []secondSample
 	countersAtStart []Counters
@@ -71,9 +73,11 @@
 	worstOut        []int64
 }
 
-type secondSample struct{ at, bytes int64 } // most bytes of a gateway in that second, in and out
+// secondSample is the greatest number of bytes, in and out, of any gateway in a second of the virtual clock.
+type secondSample struct{ at, bytes int64 }
 
-// Broadcast plays a run. Equal options give equal reports but for Core and Heap.
+// Broadcast plays a run on the caller's goroutine. Equal options give equal reports but for CoreShare and Heap. Its error is an
+// *OptionError.
 func Broadcast(o BroadcastOptions) (*BroadcastReport, error) {
 	if err := o.setDefaults(); err != nil {
 		return nil, err
@@ -95,7 +99,7 @@
 		if done == 0 {
 			done = now
 		}
-		if now >= done+idleDuration { // a while at rest: who knew that it lacked some knows that it does not
+		if now >= done+idleDuration { // enough for gateways to learn that they lack none
 			break
 		}
 	}
@@ -113,7 +117,7 @@
 	return r.result, nil
 }
 
-// newBroadcastRun sets up a run whose options are whole.
+// newBroadcastRun sets up a run with valid options.
 func newBroadcastRun(o BroadcastOptions) *broadcastRun {
 	c := findCase(o.Case)
 	if o.Source == "" {
@@ -135,11 +139,11 @@
 	first := r.rng.IntN(o.Gateways)
 	r.sources = []int{first}
 	if o.Source == "two" {
-		there := NodesWhere(r.locations, func(p Location) bool { return p.Region != r.locations[first].Region })
-		if len(there) == 0 {
-			there = NodesWhere(r.locations, func(p Location) bool { return p.Site != r.locations[first].Site })
+		others := NodesWhere(r.locations, func(p Location) bool { return p.Region != r.locations[first].Region })
+		if len(others) == 0 {
+			others = NodesWhere(r.locations, func(p Location) bool { return p.Site != r.locations[first].Site })
 		}
-		r.sources = append(r.sources, there[r.rng.IntN(len(there))])
+		r.sources = append(r.sources, others[r.rng.IntN(len(others))])
 	}
 	for _, i := range r.sources {
 		r.protected.put(i, true)
@@ -149,7 +153,7 @@
 	return r
 }
 
-// caseOverAt is when the case has no more to play.
+// caseOverAt is when the fault case has ended.
 func (r *broadcastRun) caseOverAt() time.Duration {
 	if r.healAt > 0 {
 		return r.healAt + time.Second
@@ -157,7 +161,7 @@
 	return 0
 }
 
-// heapBytes is what the gateways' spreaders hold, by taking them away.
+// heapBytes is the heap of a gateway's spreader, measured by dropping all of them.
 func (r *broadcastRun) heapBytes() float64 {
 	use := func() float64 {
 		var m runtime.MemStats
@@ -174,7 +178,7 @@
 	return (full - empty) / float64(len(r.gateways))
 }
 
-// schedule sets up purges, samples and the case.
+// schedule schedules purges, samples and the fault case.
 func (r *broadcastRun) schedule() {
 	o := &r.options
 	count := int(o.Rate * o.Duration.Seconds())
@@ -209,7 +213,7 @@
 	r.faultCase.schedule(r)
 }
 
-// kill ends a gateway; what it had not heard does not count.
+// kill ends a gateway; purges that it has not received no longer count for it.
 func (r *broadcastRun) kill(i int) {
 	if !r.net.IsUp(i) || r.protected.has(i) {
 		return
@@ -235,19 +239,19 @@
 	}
 }
 
-// restart kills some and starts them again after a time.
-func (r *broadcastRun) restart(who []int, after time.Duration) {
-	for _, i := range who {
+// restart kills gateways and starts them again after a time.
+func (r *broadcastRun) restart(gateways []int, after time.Duration) {
+	for _, i := range gateways {
 		r.kill(i)
 	}
 	r.net.Schedule(r.net.Now()+after, func() {
-		for _, i := range who {
+		for _, i := range gateways {
 			r.net.Start(i)
 		}
 	})
 }
 
-// sampleSecond looks at the last second's bytes.
+// sampleSecond records the bytes of the last second.
 func (r *broadcastRun) sampleSecond() {
 	var most, behind int64
 	for i := range r.gateways {
--- a/internal/lab/scale/broadcast_faults.go
+++ b/internal/lab/scale/broadcast_faults.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// faultCase is a scenario: what happens while purges are told.
+// faultCase is a fault that happens while purges are published.
 type faultCase struct {
 	name, help string
-	source     string // who is told, unless asked for otherwise
+	source     string // one of Sources, unless the options name another
 	schedule   func(r *broadcastRun)
 }
 
-// faultCases are all, in the order of tables.
+// faultCases are all cases, in the order of tables.
 var faultCases = []*faultCase{
 	{"none", "no fault", "one", func(*broadcastRun) {}},
 	{"loss1", "each datagram is lost with a chance of 1%", "one", func(r *broadcastRun) { r.net.SetLoss(0.01) }},
@@ -37,7 +37,7 @@
 	{"watches", "all are told by their own watches, no fault", "all", func(*broadcastRun) {}},
 }
 
-// Cases are the names of scenarios of Broadcast.
+// Cases are the names of the fault cases of Broadcast.
 func Cases() (names []string) {
 	for _, c := range faultCases {
 		names = append(names, c.name)
@@ -45,7 +45,7 @@
 	return names
 }
 
-// CaseHelp tells what a case is.
+// CaseHelp describes a case; "" for an unknown one.
 func CaseHelp(name string) string {
 	if c := findCase(name); c != nil {
 		return c.help
@@ -62,22 +62,22 @@
 	return nil
 }
 
-// hasWatch tells whether a gateway has a discovery watch at all.
+// hasWatch reports whether a gateway has a discovery watch.
 func (r *broadcastRun) hasWatch(i int) bool {
 	return r.options.Source == "all" || slices.Contains(r.sources, i)
 }
 
-// isWatchEvent tells whether a purge is an event of a gateway's watch.
+// isWatchEvent reports whether a purge is an event of a gateway's watch.
 func (r *broadcastRun) isWatchEvent(i, k int) bool {
 	return r.options.Source == "all" || r.sources[k%len(r.sources)] == i
 }
 
-// watchDelivers tells whether the watch tells the gateway of it.
+// watchDelivers reports whether a gateway's watch, which may be silent, delivers a purge.
 func (r *broadcastRun) watchDelivers(i, k int) bool {
 	return r.watchIsDeaf == nil || !r.watchIsDeaf(i, r.purges[k].at)
 }
 
-// side is which side of the cut a gateway is on: 1 the region, 2 the others; 0 without a cut.
+// side is the side of the cut that a gateway is on: 1 the region, 2 the others; 0 if there is no cut.
 func (r *broadcastRun) side(i int) int8 {
 	switch {
 	case r.cutRegion == nil:
@@ -90,43 +90,44 @@
 
 func (r *broadcastRun) isCut() bool { return r.cut != nil }
 
-// otherGroup is all that share a place's part, not the first teller's; the teller's own without itself where there is no other.
-func (r *broadcastRun) otherGroup(of func(Location) int) (who []int) {
-	most, own := 0, of(r.locations[r.sources[0]])
+// otherGroup gives the gateways of a random site, zone or region (as group says) other than that of the first source; if there is only
+// one, the gateways of it. Sources are left out.
+func (r *broadcastRun) otherGroup(group func(Location) int) (gateways []int) {
+	groups, own := 0, group(r.locations[r.sources[0]])
 	for _, p := range r.locations {
-		most = max(most, of(p)+1)
+		groups = max(groups, group(p)+1)
 	}
-	part := own
-	if most > 1 {
-		part = (own + 1 + r.rng.IntN(most-1)) % most
+	chosen := own
+	if groups > 1 {
+		chosen = (own + 1 + r.rng.IntN(groups-1)) % groups
 	}
 	for i, p := range r.locations {
-		if of(p) == part && !r.protected.has(i) {
-			who = append(who, i)
+		if group(p) == chosen && !r.protected.has(i) {
+			gateways = append(gateways, i)
 		}
 	}
-	return who
+	return gateways
 }
 
-// takeDown kills some when a quarter of the time is over, for a time (or what was asked for).
-func (r *broadcastRun) takeDown(who []int, down time.Duration) {
+// takeDown kills gateways after a quarter of the duration, for a time or that of the options.
+func (r *broadcastRun) takeDown(gateways []int, down time.Duration) {
 	if r.options.FaultDuration > 0 {
 		down = r.options.FaultDuration
 	}
-	r.net.Schedule(r.options.Warmup+r.options.Duration/4, func() { r.restart(who, down) })
+	r.net.Schedule(r.options.Warmup+r.options.Duration/4, func() { r.restart(gateways, down) })
 }
 
-// deafen has watches tell nothing for a time, from a quarter of the time on.
-func (r *broadcastRun) deafen(span time.Duration, who func(int) bool) {
+// deafen silences watches after a quarter of the duration, for a time or that of the options.
+func (r *broadcastRun) deafen(span time.Duration, isDeaf func(int) bool) {
 	if r.options.FaultDuration > 0 {
 		span = r.options.FaultDuration
 	}
 	from := r.options.Warmup + r.options.Duration/4
 	to := min(from+span, r.options.Warmup+r.options.Duration)
-	r.watchIsDeaf = func(i int, at time.Duration) bool { return at >= from && at < to && who(i) }
+	r.watchIsDeaf = func(i int, at time.Duration) bool { return at >= from && at < to && isDeaf(i) }
 }
 
-// scheduleHeads kills heads of the tree that the new mechanism would build, whichever mechanism runs.
+// scheduleHeads kills, from time to time, an inner node of the tree that the new mechanism builds, whichever mechanism runs.
 func scheduleHeads(r *broadcastRun) {
 	turn := 0
 	var next func()
@@ -145,21 +146,21 @@
 	r.net.Schedule(r.options.Warmup+min(4*time.Second, r.options.Duration/8), next)
 }
 
-// scheduleCut cuts off the region of the first teller.
+// scheduleCut cuts off the region of the first source, and heals the cut.
 func scheduleCut(r *broadcastRun) {
 	region := r.locations[r.sources[0]].Region
-	in := NodesWhere(r.locations, func(p Location) bool { return p.Region == region })
-	if len(in) == len(r.locations) { // a fleet of one region: the site
+	inside := NodesWhere(r.locations, func(p Location) bool { return p.Region == region })
+	if len(inside) == len(r.locations) { // only one region: cut off the site
 		site := r.locations[r.sources[0]].Site
-		in = NodesWhere(r.locations, func(p Location) bool { return p.Site == site })
+		inside = NodesWhere(r.locations, func(p Location) bool { return p.Site == site })
 	}
 	r.cutRegion = newGatewaySet(len(r.locations))
-	var out []int
+	var outside []int
 	for i := range r.locations {
-		if slices.Contains(in, i) {
+		if slices.Contains(inside, i) {
 			r.cutRegion.put(i, true)
 		} else {
-			out = append(out, i)
+			outside = append(outside, i)
 		}
 	}
 	span := r.options.Duration / 2
@@ -168,23 +169,23 @@
 	}
 	r.cutAt = r.options.Warmup + r.options.Duration/6
 	r.healAt = r.cutAt + span
-	tell := func(up bool) {
+	recordForAll := func(up bool) {
 		for i := range r.locations {
 			r.views.record(membershipEvent{gateway: int32(i), up: up, cutSide: 3 - r.side(i)})
 		}
 	}
 	r.net.Schedule(r.cutAt, func() {
-		r.cut = r.net.Cut(in, out)
-		tell(false)
+		r.cut = r.net.Cut(inside, outside)
+		recordForAll(false)
 	})
 	r.net.Schedule(r.healAt, func() {
 		r.cut.Heal()
 		r.cut = nil
-		tell(true)
+		recordForAll(true)
 	})
 }
 
-// scheduleRelease restarts a part of the fleet, one after the other.
+// scheduleRelease restarts a part of the fleet, one gateway after the other.
 func scheduleRelease(r *broadcastRun) {
 	count := r.options.Restarts
 	if count == 0 {
@@ -197,11 +198,11 @@
 	}
 }
 
-// broadcastLayout is the users' shape where there are enough gateways, and else three regions, five zones and nine sites, or as near as it
-// goes: a tree over places and the loss of one need some.
+// broadcastLayout is the layout of the planned fleet scaled to a size, but with three regions, five zones and nine sites at least where
+// there are enough gateways: the tree and the fault cases need several of each.
 func broadcastLayout(gateways int) []Location {
-	of := func(full, least, most int) int { return min(most, max(least, gateways*full/FullGateways)) }
-	sites := of(FullSites, 9, max(1, gateways/3))
-	zones := of(FullZones, 5, sites)
-	return Layout(gateways, sites, zones, of(FullRegions, 3, zones))
+	scaled := func(full, lower, upper int) int { return min(upper, max(lower, gateways*full/FullGateways)) }
+	sites := scaled(FullSites, 9, max(1, gateways/3))
+	zones := scaled(FullZones, 5, sites)
+	return Layout(gateways, sites, zones, scaled(FullRegions, 3, zones))
 }
--- a/internal/lab/scale/broadcast_gateway.go
+++ b/internal/lab/scale/broadcast_gateway.go
@@ -5,31 +5,33 @@
 	"time"
 )
 
-// gateway is a hollow one: its part of the spreading of purges, its list of the live, its discovery watch.
+// gateway is a simulated gateway: its spreader of purges, its list of live gateways and its discovery watch.
 type gateway struct {
 	run         *broadcastRun
 	index       int
-	incarnation int32 // its starts, from 1
+	incarnation int32 // number of its start, from 1
 	started     time.Duration
 	spreader    spreader
 	view        gatewaySet
 	joined      bool
 	viewedAt    time.Duration
 	nextView    time.Duration
-	nextWatch   time.Duration // never: no watch
-	watchLag    time.Duration // of its watch
-	nextPurge   int           // purges that its watch came to
-	lastEvent   int64         // of the last event of its watch
+	nextWatch   time.Duration // never: it has no watch
+	watchLag    time.Duration // delay of its watch
+	nextPurge   int           // number of purges that its watch has read
+	lastEvent   int64         // number of the last event of its watch
 }
 
 const (
-	watchInterval  = 50 * time.Millisecond // what a watch tells is read so often
-	clockStart     = int64(1_000_000)      // microseconds of a gateway's clock when the Net begins: 0 means "never" in places
-	maxWatchEvents = 1000                  // events that a watch tells at once
+	watchInterval  = 50 * time.Millisecond // between reads of a watch
+	clockStart     = int64(1_000_000)      // microseconds of a gateway's clock when the Network's clock is 0: some fields mean "never" by 0
+	maxWatchEvents = 1000                  // events read from a watch at once
 )
 
+// clockMicros is a gateway's clock at a time of the Network's clock.
 func clockMicros(now time.Duration) int64 { return clockStart + now.Microseconds() }
 
+// newGateway starts a gateway: at time 0 with all gateways in its list, later with the list of another.
 func (r *broadcastRun) newGateway(i int) Node {
 	g := &r.gateways[i]
 	now := r.net.Now()
@@ -47,11 +49,13 @@
 		r.views.record(membershipEvent{gateway: int32(i), incarnation: g.incarnation, up: true})
 	}
 	g.viewedAt = now
-	chance := func(what uint64) float64 { return hashUnit(r.options.Seed, uint64(i)<<32|uint64(g.incarnation), what) }
-	g.nextView = now + time.Duration(chance(1)*float64(viewInterval))
+	random := func(purpose uint64) float64 {
+		return hashUnit(r.options.Seed, uint64(i)<<32|uint64(g.incarnation), purpose)
+	}
+	g.nextView = now + time.Duration(random(1)*float64(viewInterval))
 	if r.hasWatch(i) {
-		g.nextWatch = now + time.Duration(chance(2)*float64(watchInterval))
-		g.watchLag = r.options.WatchLag/10 + time.Duration(chance(3)*0.9*float64(r.options.WatchLag))
+		g.nextWatch = now + time.Duration(random(2)*float64(watchInterval))
+		g.watchLag = r.options.WatchLag/10 + time.Duration(random(3)*0.9*float64(r.options.WatchLag))
 		g.nextPurge = len(r.purges)
 	}
 	g.spreader = r.newSpreader(g, clockMicros(now))
@@ -61,7 +65,7 @@
 
 func (g *gateway) send(to int, b []byte) { g.run.net.Send(g.index, to, b) }
 
-// Datagram brings one of another gateway.
+// Datagram delivers a datagram of another gateway.
 func (g *gateway) Datagram(now time.Duration, from int, b []byte) {
 	for _, p := range g.spreader.receive(from, b, clockMicros(now)) {
 		g.run.purgeReceived(g, p, false)
@@ -69,7 +73,7 @@
 	g.setTimer()
 }
 
-// TimerFired does what is due.
+// TimerFired updates the list of live gateways, reads the watch and steps the spreader, as far as each is due.
 func (g *gateway) TimerFired(now time.Duration) {
 	if now >= g.nextView {
 		if g.run.views.update(g, g.viewedAt, now) {
@@ -97,7 +101,7 @@
 	g.run.net.SetTimer(g.index, min(g.nextView, g.nextWatch, due))
 }
 
-// readWatch takes what the own watch tells by now: events are numbered from 1 at the gateway's start, also those that it does not hear.
+// readWatch reads the events that the watch has by now. They are numbered from 1 at the gateway's start; those of a silent watch count.
 func (g *gateway) readWatch(now time.Duration) {
 	r := g.run
 	var numbers []int64
--- a/internal/lab/scale/broadcast_options.go
+++ b/internal/lab/scale/broadcast_options.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// BroadcastOptions are of a run of the spreading of purges among gateways, on a virtual clock.
+// BroadcastOptions configure a run that simulates how purges spread among gateways, on a virtual clock.
 type BroadcastOptions struct {
 	Gateways  int
 	Mechanism string // one of Mechanisms
@@ -16,43 +16,44 @@
 	Rate      float64
 	Seed      uint64
 
-	Warmup, Duration, Settle time.Duration // before purges are told, while, and how long the last may take
-	FaultDuration            time.Duration // how long a cut, a zone's loss, deafness lasts; 0: the case's own
-	Restarts                 int           // of a release; 0: 1,900 of 3,900, or as many of the size
+	Warmup, Duration, Settle time.Duration // before purges are published, while they are, and for the last ones to arrive
+	FaultDuration            time.Duration // of a cut, a zone's loss or silent watches; 0: the case's default
+	Restarts                 int           // of a release; 0: 1,900 of 3,900 gateways, in proportion
 
-	CrashSeenWithin, StartSeenWithin time.Duration // a crash and a start are seen by all within; 0: 4 log10(n) s, 1 s
-	WatchLag                         time.Duration // a watch tells within a tenth of it to all of it; 0: 0.3 s
-	Deadline                         time.Duration // the term of a purge; 0: 4.5 s
-	BytesPerSecond                   float64       // a second, in and out, of a gateway; 0: 15 KB
+	CrashSeenWithin, StartSeenWithin time.Duration // within which all members see a crash and a start; 0: 4 log10(n) s, 1 s
+	WatchLag                         time.Duration // a watch delivers after a tenth of it to all of it; 0: 0.3 s
+	Deadline                         time.Duration // for a purge to reach all gateways; 0: 4.5 s
+	BytesPerSecond                   float64       // bound of a gateway, in and out; 0: 15 KB
 
-	ClockSkew time.Duration // gateways' Unix clocks are off by up to so much either way
+	ClockSkew time.Duration // greatest error of gateways' Unix clocks, in either direction
 
-	KeepPurges time.Duration // the new mechanism's; 0: its usual one
+	KeepPurges time.Duration // retention of the new mechanism; 0: its default
 
-	Measure  bool // processor and heap: only where nothing else runs in the process
-	Progress func(string, ...any)
+	Measure  bool                 // processor time and heap; only if nothing else runs in the process
+	Progress func(string, ...any) // called with progress messages; may be nil
 }
 
-// Mechanisms that can be run.
+// Mechanisms are the names of the mechanisms: old is purgesync, new is broadcast.
 func Mechanisms() []string { return []string{"old", "new"} }
 
-// Sources are who is told of purges: one gateway; one on either side of a cut, turn by turn; all; all but those that are deaf by the case.
+// Sources name which gateways purges are published to: one; one on either side of a cut, in turn; all, except for watches that a case
+// silences.
 func Sources() []string { return []string{"one", "two", "all"} }
 
-// setDefaults fills in what was left out.
+// setDefaults fills in defaults. Its error is an *OptionError.
 func (o *BroadcastOptions) setDefaults() error {
-	def := func(d *time.Duration, v time.Duration) {
+	setDefault := func(d *time.Duration, v time.Duration) {
 		if *d == 0 {
 			*d = v
 		}
 	}
-	def(&o.Warmup, 5*time.Second)
-	def(&o.Duration, time.Minute)
-	def(&o.Settle, time.Minute)
-	def(&o.CrashSeenWithin, time.Duration(4*math.Log10(float64(max(o.Gateways, 2)))*float64(time.Second)))
-	def(&o.StartSeenWithin, time.Second)
-	def(&o.WatchLag, 300*time.Millisecond)
-	def(&o.Deadline, 4500*time.Millisecond)
+	setDefault(&o.Warmup, 5*time.Second)
+	setDefault(&o.Duration, time.Minute)
+	setDefault(&o.Settle, time.Minute)
+	setDefault(&o.CrashSeenWithin, time.Duration(4*math.Log10(float64(max(o.Gateways, 2)))*float64(time.Second)))
+	setDefault(&o.StartSeenWithin, time.Second)
+	setDefault(&o.WatchLag, 300*time.Millisecond)
+	setDefault(&o.Deadline, 4500*time.Millisecond)
 	if o.BytesPerSecond == 0 {
 		o.BytesPerSecond = 15 << 10
 	}
@@ -73,5 +74,5 @@
 	return nil
 }
 
-// Validate tells what cannot be played.
+// Validate checks the options. Its error is an *OptionError.
 func (o BroadcastOptions) Validate() error { return o.setDefaults() }
--- a/internal/lab/scale/broadcast_purges.go
+++ b/internal/lab/scale/broadcast_purges.go
@@ -38,11 +38,11 @@
 	r.purges = append(r.purges, p)
 }
 
-// purgeReceived notes that a gateway knows of a purge.
-func (r *broadcastRun) purgeReceived(g *gateway, t watchPurge, own bool) {
-	k := int(math.Round((time.Duration(t.Issued-epochMillis)*time.Millisecond - r.options.Warmup).Seconds() * r.options.Rate))
-	for k = max(k-2, 0); k < len(r.purges) && r.purges[k].watchPurge != t; k++ {
-		if r.purges[k].Issued > t.Issued {
+// purgeReceived records that a gateway received a purge, by its own watch or from another gateway.
+func (r *broadcastRun) purgeReceived(g *gateway, purge watchPurge, own bool) {
+	k := int(math.Round((time.Duration(purge.Issued-epochMillis)*time.Millisecond - r.options.Warmup).Seconds() * r.options.Rate))
+	for k = max(k-2, 0); k < len(r.purges) && r.purges[k].watchPurge != purge; k++ {
+		if r.purges[k].Issued > purge.Issued {
 			k = len(r.purges)
 			break
 		}
@@ -76,7 +76,7 @@
 	}
 }
 
-// finishPurges counts purges that all have heard, or all that are left.
+// finishPurges takes purges into the figures that have reached all gateways, or all that are left.
 func (r *broadcastRun) finishPurges(all bool) {
 	for k := r.firstOpen; k < len(r.purges); k++ {
 		if p := &r.purges[k]; p.latencies != nil && (all || p.outstanding == 0 && len(p.freshGateways) == 0) {
@@ -89,44 +89,45 @@
 	}
 }
 
-// countPurge takes a purge into the figures.
+// countPurge takes one purge into the figures and the digest.
 func (r *broadcastRun) countPurge(k int) {
 	p := &r.purges[k]
 	var worst uint32
-	who := 0
-	lost, lostFar, within := 0, 0, uint32(r.options.Deadline.Microseconds()+1)
+	last := 0
+	lost, lostAcrossCut := 0, 0
+	deadline := uint32(r.options.Deadline.Microseconds() + 1) // as latencies count
 	sum := make([]byte, 0, 4*len(p.latencies)+8)
 	sum = binary.LittleEndian.AppendUint64(sum, uint64(k))
 	for i, v := range p.latencies {
 		sum = binary.LittleEndian.AppendUint32(sum, v)
-		far := p.acrossCut && r.side(i) != p.side
+		acrossCut := p.acrossCut && r.side(i) != p.side
 		switch {
 		case v == notCounted:
-		case v == 0 && far:
-			lostFar++
-		case far:
+		case v == 0 && acrossCut:
+			lostAcrossCut++
+		case acrossCut:
 		case v == 0:
 			lost++
 			r.result.Pairs++
 		default:
 			r.result.Pairs++
-			if v <= within {
+			if v <= deadline {
 				r.result.pairsIn++
 			}
 			if v > worst {
-				worst, who = v, i
+				worst, last = v, i
 			}
 		}
 	}
 	r.digest.Write(sum)
 	r.result.Purges++
-	if worst > within {
-		r.result.Late = append(r.result.Late, LatePurge{(p.at - r.options.Warmup).Seconds(), who, float64(worst) / 1e6})
+	if worst > deadline {
+		r.result.Late = append(r.result.Late, LatePurge{(p.at - r.options.Warmup).Seconds(), last, float64(worst) / 1e6})
 		slices.SortStableFunc(r.result.Late, func(a, b LatePurge) int { return cmp.Compare(b.Latency, a.Latency) })
 		r.result.Late = r.result.Late[:min(len(r.result.Late), maxLateNamed)]
 	}
 	r.result.LostPairs += int64(lost)
-	r.result.LostAcrossCut += int64(lostFar)
+	r.result.LostAcrossCut += int64(lostAcrossCut)
 	r.result.LostFresh += int64(len(p.freshGateways))
 	if p.acrossCut {
 		r.result.AcrossCut++
--- a/internal/lab/scale/broadcast_tree.go
+++ b/internal/lab/scale/broadcast_tree.go
@@ -7,28 +7,29 @@
 	"foldslip/internal/fleet/broadcast"
 )
 
-// spreaders make a mechanism's part of a gateway.
+// spreaders make a gateway's spreader, by mechanism.
 var spreaders = map[string]func(g *gateway, now int64) spreader{"old": newPurgesyncSpreader, "new": newBroadcastSpreader}
 
-const maxSharedLists = 64 // lists of the live that are kept for who has the same
+const maxSharedLists = 64 // lists of live gateways that are kept for sharing
 
+// member is a gateway as the broadcast mechanism knows it.
 func (r *broadcastRun) member(i int) broadcast.Member {
 	p := r.locations[i]
 	return broadcast.Member{Name: r.names[i], Locality: broadcast.Locality{Region: fmt.Sprintf("r%02d", p.Region), Zone: fmt.Sprintf("z%02d", p.Zone), Site: fmt.Sprintf("s%03d", p.Site)}}
 }
 
-// members gives a list of the live; gateways that see the same share one, as no process of theirs would, so that 3,900 fit.
+// members gives the list of the gateways in a view. Gateways with equal views share a list, so that 3,900 fit in memory.
 func (r *broadcastRun) members(view gatewaySet) []broadcast.Member {
 	key := r.listKey[:0]
 	for _, word := range view {
 		key = binary.LittleEndian.AppendUint64(key, word)
 	}
 	r.listKey = key
-	if list, is := r.memberLists[string(key)]; is {
+	if list, ok := r.memberLists[string(key)]; ok {
 		return list
 	}
 	var list []broadcast.Member
-	for _, m := range r.sortedMembers { // in the tree's order: a list that is not is copied
+	for _, m := range r.sortedMembers { // in the tree's order, so that the broadcast node does not copy the list to sort it
 		if view.has(r.indexByName[m.Name]) {
 			list = append(list, m)
 		}
@@ -40,9 +41,9 @@
 	return list
 }
 
-// treeOrder gives the gateways that are up in the order of the new mechanism's tree, and of each how high it stands: 0 the root, 1 a region's
-// head, 2 a zone's, 3 a site's, 4 another.
-func (r *broadcastRun) treeOrder() (who []int, level []int) {
+// treeOrder gives the gateways that are up in the order of the new mechanism's tree, and the level of each: 0 the root, 1 a region's
+// head, 2 a zone's, 3 a site's, 4 any other.
+func (r *broadcastRun) treeOrder() (gateways []int, levels []int) {
 	var list []broadcast.Member
 	for i := range r.gateways {
 		if r.net.IsUp(i) {
@@ -51,39 +52,40 @@
 	}
 	broadcast.SortMembers(list)
 	for k, m := range list {
-		l := 4
+		level := 4
 		if k == 0 {
-			l = 0
+			level = 0
 		} else if before := list[k-1].Locality; before.Region != m.Locality.Region {
-			l = 1
+			level = 1
 		} else if before.Zone != m.Locality.Zone {
-			l = 2
+			level = 2
 		} else if before.Site != m.Locality.Site {
-			l = 3
+			level = 3
 		}
-		who, level = append(who, r.indexByName[m.Name]), append(level, l)
+		gateways = append(gateways, r.indexByName[m.Name])
+		levels = append(levels, level)
 	}
-	return who, level
+	return gateways, levels
 }
 
-// heads are the most loaded gateways by the true list of the live: root, regions' heads, zones' heads.
+// heads gives the inner nodes of the tree over all live gateways, but for sources: the root, regions' heads and zones' heads.
 func (r *broadcastRun) heads() (out [3][]int) {
-	who, level := r.treeOrder()
-	for k, l := range level {
-		if l < 3 && !r.protected.has(who[k]) {
-			out[l] = append(out[l], who[k])
+	gateways, levels := r.treeOrder()
+	for k, level := range levels {
+		if level < 3 && !r.protected.has(gateways[k]) {
+			out[level] = append(out[level], gateways[k])
 		}
 	}
 	return out
 }
 
-// roles name each gateway's place in the tree.
+// roles gives each gateway's role in the tree, or that it is a source.
 func (r *broadcastRun) roles() []string {
 	out := make([]string, len(r.gateways))
-	who, level := r.treeOrder()
-	for k, i := range who {
-		out[i] = [...]string{"root", "region head", "zone head", "site head", "other"}[level[k]]
-		if s, is := r.gateways[i].spreader.(*broadcastSpreader); is && level[k] == 4 && len(s.node.Stats().Children) == 0 {
+	gateways, levels := r.treeOrder()
+	for k, i := range gateways {
+		out[i] = [...]string{"root", "region head", "zone head", "site head", "other"}[levels[k]]
+		if s, ok := r.gateways[i].spreader.(*broadcastSpreader); ok && levels[k] == 4 && len(s.node.Stats().Children) == 0 {
 			out[i] = "leaf"
 		}
 	}
--- a/internal/lab/scale/broadcast_views.go
+++ b/internal/lab/scale/broadcast_views.go
@@ -5,48 +5,49 @@
 	"time"
 )
 
-// gatewaySet is a set of gateways.
+// gatewaySet is a set of gateways, a bit each.
 type gatewaySet []uint64
 
 func newGatewaySet(n int) gatewaySet { return make(gatewaySet, (n+63)/64) }
 
 func (s gatewaySet) has(i int) bool { return s[i>>6]>>(i&63)&1 != 0 }
 
-// put sets one and tells whether that changed it.
-func (s gatewaySet) put(i int, in bool) bool {
-	if s.has(i) == in {
+// put adds or removes a gateway and reports whether that changed the set.
+func (s gatewaySet) put(i int, member bool) bool {
+	if s.has(i) == member {
 		return false
 	}
 	s[i>>6] ^= 1 << (i & 63)
 	return true
 }
 
-// membershipEvent is a thing that the membership protocol tells: a gateway is gone, or is there. Each other gateway is told of it at a time of
+// membershipEvent is a change that the membership protocol reports: a gateway is down, or up. Each other gateway sees it at a time of
 // its own, so that lists differ for a while.
 type membershipEvent struct {
 	at          time.Duration
 	gateway     int32
-	incarnation int32 // of the gateway when it happened: a later start takes the place of it
+	incarnation int32 // of the gateway at the time: a later start supersedes the event
 	up          bool
-	cutSide     int8 // 0: for all; 1, 2: for the gateways at that side of the cut (who is at the other)
+	cutSide     int8 // 0: for all; 1, 2: for the gateways on that side of the cut
 }
 
-// views stand in for the gateways' membership (SWIM): a crash is seen within Detect, each gateway at a time of its own in the second half
-// of that; a start within Seen. A gateway that starts again sooner is not seen dead. A start begins with the list of another gateway, as
-// memberlist's join gives it.
+// views stands in for the gateways' membership (SWIM): a crash is seen within CrashSeenWithin, by each gateway at a time of its own in
+// the second half of that; a start within StartSeenWithin. A gateway that starts again sooner is not seen dead. A gateway starts with
+// the list of another one, as memberlist's join does.
 type views struct {
 	run     *broadcastRun
-	pending []membershipEvent // of the last Detect and a turn, by time
+	pending []membershipEvent // that some gateway may not have seen, by time
 }
 
-const viewInterval = 250 * time.Millisecond // a gateway looks at its list so often (fleet/post's turn)
+const viewInterval = 250 * time.Millisecond // between updates of a gateway's list, as in fleet/gossip
 
+// record adds an event of the present time.
 func (v *views) record(s membershipEvent) {
 	s.at = v.run.net.Now()
 	v.pending = append(v.pending, s)
 }
 
-// prune drops what all gateways were told of.
+// prune drops events that all gateways have seen.
 func (v *views) prune(now time.Duration) {
 	old, keep := 0, max(v.run.options.CrashSeenWithin, 2*v.run.options.StartSeenWithin)+2*viewInterval
 	for old < len(v.pending) && v.pending[old].at < now-keep {
@@ -65,10 +66,10 @@
 	return x ^ x>>31
 }
 
-// hashUnit is a chance from 0 to 1 that depends on nothing but its arguments.
+// hashUnit is a pseudo-random number from 0 to 1 that depends on its arguments alone.
 func hashUnit(a, b, c uint64) float64 { return float64(mix(a^mix(b^mix(c)))>>11) / (1 << 53) }
 
-// update brings a gateway's list from one time to another and tells whether it changed.
+// update applies the events that a gateway sees between two times, and reports whether its list changed.
 func (v *views) update(g *gateway, from, to time.Duration) (changed bool) {
 	o := &v.run.options
 	v.prune(to)
@@ -89,7 +90,7 @@
 			continue
 		}
 		if up := v.run.net.IsUp(int(s.gateway)); s.cutSide == 0 && (s.up != up || s.incarnation != v.run.gateways[s.gateway].incarnation) {
-			continue // the membership protocol's incarnation: a later word takes its place
+			continue // superseded by a later start or crash
 		}
 		if s.cutSide != 0 && s.up == v.run.isCut() {
 			continue
@@ -99,7 +100,7 @@
 	return changed
 }
 
-// join gives a gateway that starts the list of another.
+// join gives a starting gateway the list of another that it can reach.
 func (v *views) join(g *gateway) {
 	clear(g.view)
 	for k := range v.run.gateways {
--- a/internal/lab/scale/layout.go
+++ b/internal/lab/scale/layout.go
@@ -49,10 +49,10 @@
 
 // ScaledLayout is the layout of the planned fleet at another size: 13 gateways a site, 12 sites a zone and two zones a region, as nearly as the size allows.
 func ScaledLayout(gateways int) []Location {
-	of := func(full int, most int) int { return min(most, max(1, gateways*full/FullGateways)) }
-	sites := of(FullSites, gateways)
-	zones := of(FullZones, sites)
-	return Layout(gateways, sites, zones, of(FullRegions, zones))
+	scaled := func(full, upper int) int { return min(upper, max(1, gateways*full/FullGateways)) }
+	sites := scaled(FullSites, gateways)
+	zones := scaled(FullZones, sites)
+	return Layout(gateways, sites, zones, scaled(FullRegions, zones))
 }
 
 // NodesWhere gives the nodes whose location matches.
