--- a/internal/lab/scale/broadcast_plot.go
+++ b/internal/lab/scale/broadcast_plot.go
@@ -13,25 +13,26 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-const neverSeconds = 1000 // seconds: where a plot has what some gateway never heard
+const neverSeconds = 1000 // seconds: stands for never in a plot
 
-// PlotBroadcast draws the time to everywhere and the bytes of the most loaded gateway against size as SVG files, on log axes with their
-// bounds: a line through the medians of each case and mechanism, and a mark for each run.
-func PlotBroadcast(dir string, runs []*BroadcastReport, within time.Duration, bytes float64) error {
+// PlotBroadcast draws two SVG files in a folder, on log axes against the number of gateways, each with its bound: the time until a purge
+// is everywhere, and the bytes of the most loaded gateway. A line goes through the medians of each case and mechanism, with a mark for
+// each run. Runs without a positive value are left out.
+func PlotBroadcast(dir string, runs []*BroadcastReport, deadline time.Duration, bytesPerSecond float64) error {
 	for _, f := range []struct {
 		name, title string
 		bound       float64
-		of          func(*BroadcastReport) float64
+		value       func(*BroadcastReport) float64
 	}{
-		{"broadcast-p99", fmt.Sprintf("until a purge is everywhere, p99, s (%d: never)", neverSeconds), within.Seconds(), func(r *BroadcastReport) float64 {
+		{"broadcast-p99", fmt.Sprintf("until a purge is everywhere, p99, s (%d: never)", neverSeconds), deadline.Seconds(), func(r *BroadcastReport) float64 {
 			if r.P99 < 0 {
 				return neverSeconds
 			}
 			return r.P99
 		}},
-		{"broadcast-bytes", "bytes a second of the most loaded gateway, in and out", bytes, func(r *BroadcastReport) float64 { return r.Both.Max }},
+		{"broadcast-bytes", "bytes a second of the most loaded gateway, in and out", bytesPerSecond, func(r *BroadcastReport) float64 { return r.Both.Max }},
 	} {
-		if err := plotBroadcast(filepath.Join(dir, f.name+".svg"), f.title, f.bound, runs, f.of); err != nil {
+		if err := plotBroadcast(filepath.Join(dir, f.name+".svg"), f.title, f.bound, runs, f.value); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/scale/broadcast_report.go
+++ b/internal/lab/scale/broadcast_report.go
@@ -7,44 +7,45 @@
 	"slices"
 )
 
-// Distribution is of a figure over gateways.
+// Distribution sums up a figure over all gateways.
 type Distribution struct {
 	Median float64 `json:"median"`
 	P99    float64 `json:"p99"`
 	Max    float64 `json:"most"`
 }
 
-func distributionOf(all []float64) (s Distribution) {
+func distributionOf(all []float64) Distribution {
 	if len(all) == 0 {
-		return s
+		return Distribution{}
 	}
 	all = slices.Sorted(slices.Values(all))
 	return Distribution{quantile(all, 0.5), quantile(all, 0.99), all[len(all)-1]}
 }
 
-// quantile of sorted figures: the least that so many are no more than.
+// quantile is the smallest of sorted values that a fraction q of them do not exceed.
 func quantile(sorted []float64, q float64) float64 {
 	return sorted[max(0, int(math.Ceil(q*float64(len(sorted))))-1)]
 }
 
-// RoleCost is of the gateways with a place in the tree.
+// RoleCost is the traffic of the gateways of one role in the tree.
 type RoleCost struct {
 	Role     string  `json:"role"`
 	Gateways int     `json:"gateways"`
-	In       float64 `json:"in"` // bytes a second of the mean one
+	In       float64 `json:"in"` // bytes a second, mean
 	Out      float64 `json:"out"`
-	Max      float64 `json:"most"` // in and out, of the one with most
+	Max      float64 `json:"most"` // bytes a second in and out, of the gateway with most
 }
 
-// LatePurge is a purge that was late somewhere.
+// LatePurge is a purge that reached some gateway after the deadline.
 type LatePurge struct {
 	Issued  float64 `json:"issued"`  // seconds after purges began
-	Gateway int     `json:"gateway"` // the last that heard it
+	Gateway int     `json:"gateway"` // the last one to receive it
 	Latency float64 `json:"took"`
 }
 
-// BroadcastReport is what a run gave. Times are in seconds, -1: never. "Everywhere" is at each gateway that stood (was up and had been
-// for 5 s) when the purge was issued and did not end before it heard; bytes are a second, with IP and UDP, while purges are told.
+// BroadcastReport is the result of a run. Times are in seconds, -1: never. "Everywhere" is at each gateway that had been up for
+// freshDuration when the purge was issued and did not end before it received it; bytes are a second, with IP and UDP headers, while
+// purges are published.
 type BroadcastReport struct {
 	Kind      string  `json:"what"`
 	Gateways  int     `json:"gateways"`
@@ -56,47 +57,47 @@
 	Seconds   float64 `json:"seconds"`
 
 	Purges          int     `json:"purges"`
-	InTimeShare     float64 `json:"share"`   // of purges that were everywhere within the term
-	InTimePairShare float64 `json:"by_pair"` // of pairs of a purge and a gateway
+	InTimeShare     float64 `json:"share"`   // of purges that were everywhere within the deadline
+	InTimePairShare float64 `json:"by_pair"` // of pairs of a purge and a gateway, within the deadline
 	P50             float64 `json:"p50"`     // until a purge was everywhere
 	P99             float64 `json:"p99"`
 	P999            float64 `json:"p999"`
 	Max             float64 `json:"most"`
 
-	Late []LatePurge `json:"late,omitempty"` // the latest that were late
+	Late []LatePurge `json:"late,omitempty"` // the latest ones
 
 	Pairs         int64   `json:"pairs"`
-	Lost          int64   `json:"lost"` // purges that some gateway had not heard when the run ended
+	Lost          int64   `json:"lost"` // purges that some gateway had not received when the run ended
 	LostPairs     int64   `json:"lost_pairs"`
-	FreshPairs    int64   `json:"fresh_pairs"` // of a purge and a gateway that had started less than 5 s before
-	FreshShare    float64 `json:"fresh_share"` // of them, within the term
+	FreshPairs    int64   `json:"fresh_pairs"` // pairs of a purge and a fresh gateway
+	FreshShare    float64 `json:"fresh_share"` // of them, within the deadline
 	FreshWorst    float64 `json:"fresh_worst"`
 	LostFresh     int64   `json:"lost_fresh"`
-	AcrossCut     int     `json:"far"` // purges told on one side of a cut, from 5 s before it
+	AcrossCut     int     `json:"far"` // purges published on one side of a cut, from freshDuration before it
 	LostAcrossCut int64   `json:"lost_far"`
-	CaughtUp      float64 `json:"caught_up"`  // from the heal until the last of these was heard on the other side
-	HealBytes     float64 `json:"heal_bytes"` // most of a gateway in a second after the heal, in and out
+	CaughtUp      float64 `json:"caught_up"`  // from the heal until the last of these reached the other side
+	HealBytes     float64 `json:"heal_bytes"` // greatest of a gateway in a second after the heal, in and out
 
 	In                 Distribution `json:"in"`
 	Out                Distribution `json:"out"`
 	Both               Distribution `json:"both"`
 	Datagrams          Distribution `json:"datagrams"` // in and out, a second
-	WorstSecond        float64      `json:"worst"`     // bytes of a gateway's worst second, in or out
+	WorstSecond        float64      `json:"worst"`     // bytes of the busiest second of a gateway, in or out
 	Roles              []RoleCost   `json:"roles"`
-	BatchesPerPurge    float64      `json:"said"`   // batches that a purge was put in, by whichever gateway
-	DeliveriesPerBatch float64      `json:"copies"` // of such a batch that came to a gateway; old: of a purge
+	BatchesPerPurge    float64      `json:"said"`   // batches that contained a purge, of all gateways
+	DeliveriesPerBatch float64      `json:"copies"` // times that such a batch reached a gateway; old: that a purge did
 	Totals             Tally        `json:"sums"`
 	Applied            int64        `json:"heeded"`
-	// Gateways that know that they lack purges: the most at once, at the end, and gateway seconds in all.
+	// Gateways that know that they lack purges: the most at once, at the end, and the sum of their seconds.
 	MaxBehind        int64    `json:"behind_most"`
 	BehindAtEnd      int64    `json:"behind_end"`
 	BehindTime       float64  `json:"behind_time"`
 	UnreadableFrames int64    `json:"unread"`  // frames that could not be read
-	UnknownPurges    int64    `json:"unknown"` // purges heeded that nobody issued
+	UnknownPurges    int64    `json:"unknown"` // purges applied that were never issued
 	RefusedDatagrams int64    `json:"refused"` // datagrams that were too long
 	Kills            int      `json:"kills"`
-	CoreShare        float64  `json:"core"` // processor seconds a second of a gateway, the stand-ins' and the network's with it; 0: not measured
-	Heap             float64  `json:"heap"` // bytes a gateway
+	CoreShare        float64  `json:"core"` // part of a core for a gateway, with the simulation's own; 0: not measured
+	Heap             float64  `json:"heap"` // bytes of a gateway's spreader; 0: not measured
 	Digest           string   `json:"digest"`
 	Violations       []string `json:"wrong"`
 
@@ -105,6 +106,7 @@
 	endedCounters    []Counters
 }
 
+// secondsOrNever is -1 for an infinite time.
 func secondsOrNever(s float64) float64 {
 	if math.IsInf(s, 1) {
 		return -1
@@ -112,7 +114,7 @@
 	return s
 }
 
-// share is of parts in all, 1 where there are none.
+// share is part/all, and 1 if all is 0.
 func share(part, all int64) float64 {
 	if all == 0 {
 		return 1
@@ -120,17 +122,17 @@
 	return float64(part) / float64(all)
 }
 
-// fillReport fills in what is worked out at the end.
+// fillReport computes the figures of the report when the run has ended.
 func (r *broadcastRun) fillReport() {
 	out, o := r.result, &r.options
 	slices.Sort(r.everywhereAfter)
-	within := 0
+	inTime := 0
 	for _, s := range r.everywhereAfter {
 		if s <= o.Deadline.Seconds() {
-			within++
+			inTime++
 		}
 	}
-	out.InTimeShare, out.InTimePairShare, out.FreshShare = share(int64(within), int64(len(r.everywhereAfter))), share(out.pairsIn, out.Pairs), share(out.freshIn, out.FreshPairs)
+	out.InTimeShare, out.InTimePairShare, out.FreshShare = share(int64(inTime), int64(len(r.everywhereAfter))), share(out.pairsIn, out.Pairs), share(out.freshIn, out.FreshPairs)
 	if len(r.everywhereAfter) > 0 {
 		out.P50, out.P99, out.P999, out.Max = secondsOrNever(quantile(r.everywhereAfter, 0.5)), secondsOrNever(quantile(r.everywhereAfter, 0.99)), secondsOrNever(quantile(r.everywhereAfter, 0.999)), secondsOrNever(r.everywhereAfter[len(r.everywhereAfter)-1])
 	}
@@ -142,13 +144,13 @@
 			out.HealBytes = max(out.HealBytes, float64(s.bytes))
 		}
 	}
-	var in, sent, both, grams []float64
+	var in, sent, both, datagrams []float64
 	roles := map[string]*RoleCost{}
 	for i := range r.gateways {
 		a, b, sec := r.countersAtStart[i], r.endCounters(i), o.Duration.Seconds()
 		x, y := float64(b.BytesIn-a.BytesIn)/sec, float64(b.BytesOut-a.BytesOut)/sec
 		in, sent, both = append(in, x), append(sent, y), append(both, x+y)
-		grams = append(grams, float64(b.In-a.In+b.Out-a.Out)/sec)
+		datagrams = append(datagrams, float64(b.In-a.In+b.Out-a.Out)/sec)
 		role := roles[out.roles[i]]
 		if role == nil {
 			role = &RoleCost{Role: out.roles[i]}
@@ -175,12 +177,13 @@
 	slices.SortFunc(out.Roles, func(a, b RoleCost) int {
 		return cmp.Or(cmp.Compare(a.Gateways, b.Gateways), cmp.Compare(a.Role, b.Role))
 	})
-	out.In, out.Out, out.Both, out.Datagrams = distributionOf(in), distributionOf(sent), distributionOf(both), distributionOf(grams)
-	fmt.Fprint(r.digest, in, sent, grams, out.Applied, out.BehindTime, r.net.Steps())
+	out.In, out.Out, out.Both, out.Datagrams = distributionOf(in), distributionOf(sent), distributionOf(both), distributionOf(datagrams)
+	fmt.Fprint(r.digest, in, sent, datagrams, out.Applied, out.BehindTime, r.net.Steps())
 	out.Digest = fmt.Sprintf("%016x", r.digest.Sum64())
 	out.checkLimits(o)
 }
 
+// endCounters returns a gateway's counters at the end of the time in which purges were published.
 func (r *broadcastRun) endCounters(i int) Counters {
 	if i < len(r.result.endedCounters) {
 		return r.result.endedCounters[i]
@@ -188,19 +191,19 @@
 	return r.net.Counters(i)
 }
 
-// checkLimits tells what must not be.
+// checkLimits adds the violations of limits to the report.
 func (b *BroadcastReport) checkLimits(o *BroadcastOptions) {
-	wrong := func(is bool, format string, a ...any) {
-		if is {
+	violation := func(violated bool, format string, a ...any) {
+		if violated {
 			b.Violations = append(b.Violations, fmt.Sprintf(format, a...))
 		}
 	}
-	wrong(b.LostPairs > 0, "%d of %d purges were not heard by some gateways (%d pairs)", b.Lost, b.Purges, b.LostPairs)
-	wrong(b.LostAcrossCut > 0, "%d pairs of a purge and a gateway beyond the cut were not heard after the heal", b.LostAcrossCut)
-	wrong(b.LostFresh > 0, "%d of %d pairs of a purge and a gateway just started were not heard", b.LostFresh, b.FreshPairs)
-	wrong(b.InTimeShare < 1, "everywhere within %v: %.4f of the purges", o.Deadline, b.InTimeShare)
-	wrong(b.Both.Max > o.BytesPerSecond, "%.0f bytes a second of a gateway, %.0f were allowed", b.Both.Max, o.BytesPerSecond)
-	wrong(b.UnknownPurges > 0, "%d purges heeded that nobody issued", b.UnknownPurges)
-	wrong(b.UnreadableFrames > 0, "%d frames could not be read", b.UnreadableFrames)
-	wrong(b.RefusedDatagrams > 0, "%d datagrams were too long", b.RefusedDatagrams)
+	violation(b.LostPairs > 0, "%d of %d purges were not heard by some gateways (%d pairs)", b.Lost, b.Purges, b.LostPairs)
+	violation(b.LostAcrossCut > 0, "%d pairs of a purge and a gateway beyond the cut were not heard after the heal", b.LostAcrossCut)
+	violation(b.LostFresh > 0, "%d of %d pairs of a purge and a gateway just started were not heard", b.LostFresh, b.FreshPairs)
+	violation(b.InTimeShare < 1, "everywhere within %v: %.4f of the purges", o.Deadline, b.InTimeShare)
+	violation(b.Both.Max > o.BytesPerSecond, "%.0f bytes a second of a gateway, %.0f were allowed", b.Both.Max, o.BytesPerSecond)
+	violation(b.UnknownPurges > 0, "%d purges heeded that nobody issued", b.UnknownPurges)
+	violation(b.UnreadableFrames > 0, "%d frames could not be read", b.UnreadableFrames)
+	violation(b.RefusedDatagrams > 0, "%d datagrams were too long", b.RefusedDatagrams)
 }
--- a/internal/lab/scale/capacity.go
+++ b/internal/lab/scale/capacity.go
@@ -17,53 +17,56 @@
 	"foldslip/internal/lab/cost"
 )
 
-const maxFigures = 256 // files in a folder
+const (
+	maxFigures       = 256  // files in a folder
+	maxExtrapolation = 1000 // times the largest size measured
+)
 
-// CapacityFigure is a figure of docs/CAPACITY.md with the line fitted through it.
+// CapacityFigure is a figure of docs/CAPACITY.md with the line that was fitted to it.
 type CapacityFigure struct {
 	*cost.Figure
 	Fit *Fit // nil where there are fewer than two sizes
 }
 
-// ReadFitted reads a figure and fits it. Values of 0 or less, which the clock of a short run can give, are an error.
+// ReadFitted reads a figure and fits a line to it. Values of 0 or less, which a short run can give, are a *LogAxisError.
 func ReadFitted(path string) (*CapacityFigure, error) {
 	f, err := cost.Read(path)
 	if err != nil {
 		return nil, err
 	}
-	by := map[int][]float64{}
+	bySize := map[int][]float64{}
 	for _, p := range f.Points {
-		by[int(p.Size)] = append(by[int(p.Size)], p.Values...)
+		bySize[int(p.Size)] = append(bySize[int(p.Size)], p.Values...)
 	}
 	c := &CapacityFigure{Figure: f}
-	if len(by) > 1 {
-		if c.Fit, err = FitLine(f.Name, by); err != nil {
+	if len(bySize) > 1 {
+		if c.Fit, err = FitLine(f.Name, bySize); err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
 	}
 	return c, nil
 }
 
-// MaxDeviation is the greatest factor by which the means lie off the line, either way; 1 where there is none.
+// MaxDeviation is the greatest factor by which a mean lies above or below the line; 1 if there is no line.
 func (c *CapacityFigure) MaxDeviation() float64 {
-	off := 1.0
+	deviation := 1.0
 	if c.Fit != nil {
 		for _, at := range c.Fit.Points {
-			off = max(off, at.Deviation, 1/at.Deviation)
+			deviation = max(deviation, at.Deviation, 1/at.Deviation)
 		}
 	}
-	return off
+	return deviation
 }
 
-// ExceedsBudgetAt is the size at which the figure first passes its budget, and whether that was measured; 0: at no size that was measured, nor on the
-// straight line through the last two sizes (on log axes) up to a thousand times the largest.
+// ExceedsBudgetAt is the size at which the figure first exceeds its budget, and whether that was measured; otherwise it was extrapolated
+// on the straight line through the last two sizes, on log axes. It is 0 if there is no such size up to maxExtrapolation times the largest.
 func (c *CapacityFigure) ExceedsBudgetAt() (size float64, measured bool) {
 	if c.Budget <= 0 || len(c.Points) == 0 {
 		return 0, false
 	}
 	points := slices.Clone(c.Points)
 	slices.SortFunc(points, func(a, b cost.Point) int { return int(math.Copysign(1, a.Size-b.Size)) })
-	cross := func(a, b cost.Point) float64 {
+	crossing := func(a, b cost.Point) float64 {
 		ya, _, _ := a.Median()
 		yb, _, _ := b.Median()
 		slope := math.Log(yb/ya) / math.Log(b.Size/a.Size)
@@ -77,18 +80,19 @@
 			if i == 0 {
 				return p.Size, true
 			}
-			return cross(points[i-1], p), true
+			return crossing(points[i-1], p), true
 		}
 	}
 	if n := len(points); n > 1 {
-		if size = cross(points[n-2], points[n-1]); size <= 1000*points[n-1].Size {
+		if size = crossing(points[n-2], points[n-1]); size <= maxExtrapolation*points[n-1].Size {
 			return size, false
 		}
 	}
 	return 0, false
 }
 
-// Value is the median at a size: as measured, else on the straight line (on log axes) between the sizes beside it, or through the last two.
+// Value is the median at a size, and whether it was measured; otherwise it lies on the straight line, on log axes, between the sizes
+// beside it or through the last two.
 func (c *CapacityFigure) Value(size float64) (value float64, measured bool) {
 	points := slices.Clone(c.Points)
 	slices.SortFunc(points, func(a, b cost.Point) int { return int(math.Copysign(1, a.Size-b.Size)) })
@@ -98,14 +102,14 @@
 			return y, p.Size == size
 		}
 		if p.Size > size && i > 0 || i == len(points)-1 {
-			last, _, _ := points[i-1].Median()
-			return last * math.Pow(size/points[i-1].Size, math.Log(y/last)/math.Log(p.Size/points[i-1].Size)), false
+			before, _, _ := points[i-1].Median()
+			return before * math.Pow(size/points[i-1].Size, math.Log(y/before)/math.Log(p.Size/points[i-1].Size)), false
 		}
 	}
 	return 0, false
 }
 
-// formatShort writes a figure with three digits that count, thousands apart.
+// formatShort formats a value with three significant digits and commas between thousands.
 func formatShort(v float64) string {
 	if math.Abs(v) < 1000 {
 		return strconv.FormatFloat(v, 'g', 3, 64)
@@ -118,45 +122,46 @@
 	return text
 }
 
-// MarkdownRow is the figure's row of a table in Markdown.
+// MarkdownRow is the figure's row of a Markdown table; its head is CapacityTableHead. M marks a measured value, X an extrapolated one.
 func (c *CapacityFigure) MarkdownRow() string {
 	at, measured := c.Value(c.PlanSize)
 	spread := ""
 	for _, p := range c.Points {
 		if p.Size == c.PlanSize {
-			_, least, most := p.Median()
-			spread = fmt.Sprintf(" (%s to %s)", formatShort(least), formatShort(most))
+			_, lowest, highest := p.Median()
+			spread = fmt.Sprintf(" (%s to %s)", formatShort(lowest), formatShort(highest))
 		}
 	}
-	said := "M"
+	origin := "M"
 	if !measured {
-		said = "X"
+		origin = "X"
 	}
-	shape, misses, part := "", "none", ""
+	line, misses, used := "", "none", ""
 	if c.Fit != nil {
-		shape = fmt.Sprintf("%.3g n^%.2f, off by %.2f at most", c.Fit.Factor, c.Fit.Slope, c.MaxDeviation())
+		line = fmt.Sprintf("%.3g n^%.2f, off by %.2f at most", c.Fit.Factor, c.Fit.Slope, c.MaxDeviation())
 		if c.Fit.Curved {
-			shape += ", curved"
+			line += ", curved"
 		}
 	}
-	if size, seen := c.ExceedsBudgetAt(); size > 0 {
-		if misses = formatShort(size); !seen {
+	if size, measured := c.ExceedsBudgetAt(); size > 0 {
+		if misses = formatShort(size); !measured {
 			misses += " (X)"
 		}
 	}
 	if c.Budget > 0 {
-		if part = formatShort(at/c.Budget*100) + "%"; at > c.Budget {
-			part = "**" + part + "**"
+		if used = formatShort(at/c.Budget*100) + "%"; at > c.Budget {
+			used = "**" + used + "**"
 		}
 	}
-	return fmt.Sprintf("| %s | %s to %s %s | %s | %s at %s: %s%s %s | %s: %s | %s | %s |", c.Name, formatShort(c.Points[0].Size), formatShort(c.Points[len(c.Points)-1].Size), c.XLabel, shape,
-		said, formatShort(c.PlanSize), formatShort(at), spread, c.YLabel, c.BudgetOf, formatShort(c.Budget), part, misses)
+	return fmt.Sprintf("| %s | %s to %s %s | %s | %s at %s: %s%s %s | %s: %s | %s | %s |", c.Name, formatShort(c.Points[0].Size), formatShort(c.Points[len(c.Points)-1].Size), c.XLabel, line,
+		origin, formatShort(c.PlanSize), formatShort(at), spread, c.YLabel, c.BudgetOf, formatShort(c.Budget), used, misses)
 }
 
-// CapacityTableHead is the head of the table of rows.
+// CapacityTableHead is the head of the table of MarkdownRow.
 const CapacityTableHead = "| figure | sizes | line on log axes | at the plan's size | budget | used | first misses at |\n| --- | --- | --- | --- | --- | --- | --- |"
 
-// Draw makes an SVG file of the figure on log axes: each run a point, the fitted line, the budget, and the plan's size.
+// Draw writes an SVG file of the figure into a folder, on log axes: a point for each run, the fitted line, the budget and the planned
+// size. Values of 0 or less are a *LogAxisError.
 func (c *CapacityFigure) Draw(dir string) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Title, c.XLabel, c.YLabel
@@ -219,7 +224,7 @@
 	return p.Save(16*vg.Centimeter, 10*vg.Centimeter, filepath.Join(dir, c.Name+".svg"))
 }
 
-// ReadCapacityFigures reads all figures of a folder, by name.
+// ReadCapacityFigures reads all figures of a folder, sorted by name. A folder with none, or with too many, is a *FigureCountError.
 func ReadCapacityFigures(dir string) (all []*CapacityFigure, err error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -8,9 +8,9 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Fit is a line through figures on log axes: figure = Factor * size^Slope. A slope near 0 is a cost that does not grow with the fleet, 1
-// one that grows with it. Whether the line is the right shape is told by how far the means at the sizes lie off it, against how far
-// runs of one size lie apart (the lack-of-fit test of regression): Curved where chance gives that less than once in a hundred.
+// Fit is a line through values on log axes: value = Factor * size^Slope. A slope near 0 is a cost that does not grow with the fleet, 1
+// one that grows in proportion. Whether a line is the right shape is decided by the lack-of-fit test of regression, which compares how
+// far the means at the sizes lie off the line with how far runs of one size lie apart: Curved if P is below curvedBelowP.
 type Fit struct {
 	Figure string     `json:"figure"`
 	Factor float64    `json:"factor"`
@@ -21,7 +21,7 @@
 	Curved bool       `json:"curved"`
 }
 
-// FitPoint is one size: the geometric mean of its runs, their least and most, and by what factor the mean lies off the line.
+// FitPoint is one size: the geometric mean of its runs, their minimum and maximum, and the factor between the mean and the line.
 type FitPoint struct {
 	Size      int     `json:"size"`
 	Runs      int     `json:"runs"`
@@ -31,19 +31,20 @@
 	Deviation float64 `json:"off"`
 }
 
-// curvedBelow is the chance below which a line is not taken for the shape of the figures.
+// curvedBelowP is the significance level below which values are taken not to lie on a line.
 const curvedBelowP = 0.01
 
-// FitLine fits figures by size; those of 0 or less cannot stand on a log axis, and are an error.
-func FitLine(figure string, by map[int][]float64) (*Fit, error) {
+// FitLine fits a line to the values of a figure by size. Values of 0 or less are a *LogAxisError, fewer than two sizes are a
+// *TooFewSizesError.
+func FitLine(figure string, bySize map[int][]float64) (*Fit, error) {
 	var sizes []int
 	var xs, ys []float64
-	for n := range by {
+	for n := range bySize {
 		sizes = append(sizes, n)
 	}
 	slices.Sort(sizes)
 	for _, n := range sizes {
-		for _, v := range by[n] {
+		for _, v := range bySize[n] {
 			if n <= 0 || !(v > 0) || math.IsInf(v, 0) {
 				return nil, &LogAxisError{Figure: figure, Value: v, Gateways: n, Fitted: true}
 			}
@@ -57,17 +58,17 @@
 	f := &Fit{Figure: figure, Factor: math.Pow(10, a), Slope: b, R2: stat.RSquared(xs, ys, nil, a, b)}
 	var pure, lack float64 // sums of squares
 	for _, n := range sizes {
-		logs := make([]float64, len(by[n]))
-		for i, v := range by[n] {
+		logs := make([]float64, len(bySize[n]))
+		for i, v := range bySize[n] {
 			logs[i] = math.Log10(v)
 		}
 		mean := stat.Mean(logs, nil)
 		for _, v := range logs {
 			pure += (v - mean) * (v - mean)
 		}
-		off := mean - a - b*math.Log10(float64(n))
-		lack += float64(len(logs)) * off * off
-		f.Points = append(f.Points, FitPoint{Size: n, Runs: len(logs), Mean: math.Pow(10, mean), Min: slices.Min(by[n]), Max: slices.Max(by[n]), Deviation: math.Pow(10, off)})
+		residual := mean - a - b*math.Log10(float64(n))
+		lack += float64(len(logs)) * residual * residual
+		f.Points = append(f.Points, FitPoint{Size: n, Runs: len(logs), Mean: math.Pow(10, mean), Min: slices.Min(bySize[n]), Max: slices.Max(bySize[n]), Deviation: math.Pow(10, residual)})
 	}
 	if k, all := len(sizes), len(xs); k > 2 && all > k {
 		p := 0.0
@@ -82,5 +83,5 @@
 	return f, nil
 }
 
-// Value is what the line says at a size.
+// Value is the line's value at a size.
 func (f *Fit) Value(size float64) float64 { return f.Factor * math.Pow(size, f.Slope) }
--- a/internal/lab/scale/plots.go
+++ b/internal/lab/scale/plots.go
@@ -13,16 +13,16 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// SizePlot is one thing that runs measure, by size.
+// SizePlot is a figure of runs by number of gateways.
 type SizePlot struct {
-	Name       string // of the file, without its ending
+	Name       string // of the file, without extension
 	Title      string
-	Budget     float64 // a line across; 0: none
+	Budget     float64 // drawn as a horizontal line; 0: none
 	BySize     map[int][]float64
-	RealBySize map[int][]float64 // the same of real gateways; may be empty
+	RealBySize map[int][]float64 // values of real gateways; may be empty
 }
 
-// WatchPlots are those of runs of Watch, each run a point.
+// WatchPlots gives the plots of the results of Watch, with a value for each run.
 func WatchPlots(runs []*WatchReport, budget Budget) []SizePlot {
 	all := []SizePlot{
 		{Name: "core", Title: "processor, part of a core", Budget: budget.Core},
@@ -33,20 +33,20 @@
 		{Name: "everywhere-p99", Title: "until a purge is everywhere, 99th percentile, ms"},
 		{Name: "everywhere-max", Title: "until a purge is everywhere, the last, ms"},
 	}
-	of := func(c Cost) []float64 { return []float64{c.Core, c.EventMicros, c.WireIn + c.WireOut, c.Resident} }
+	costValues := func(c Cost) []float64 { return []float64{c.Core, c.EventMicros, c.WireIn + c.WireOut, c.Resident} }
 	for i := range all {
 		all[i].BySize, all[i].RealBySize = map[int][]float64{}, map[int][]float64{}
 	}
 	for _, r := range runs {
 		if r.Hollow.Gateways > 0 {
-			for i, v := range append(of(r.Hollow), r.Median, r.P99, r.Max) {
+			for i, v := range append(costValues(r.Hollow), r.Median, r.P99, r.Max) {
 				if v > 0 {
 					all[i].BySize[r.Gateways] = append(all[i].BySize[r.Gateways], v)
 				}
 			}
 		}
 		if r.Real.Gateways > 0 {
-			for i, v := range of(r.Real) {
+			for i, v := range costValues(r.Real) {
 				if v > 0 {
 					all[i].RealBySize[r.Gateways] = append(all[i].RealBySize[r.Gateways], v)
 				}
@@ -56,7 +56,7 @@
 	return all
 }
 
-// decadeTicks are 1, 2 and 5 of each decade, so that a range within one has labels too.
+// decadeTicks labels 1, 2 and 5 times each power of ten, so that a range within one decade has labels too.
 func decadeTicks(least, most float64) (all []plot.Tick) {
 	for e := math.Floor(math.Log10(least)); e <= math.Log10(most); e++ {
 		for _, m := range []float64{1, 2, 5} {
@@ -68,7 +68,8 @@
 	return all
 }
 
-// Plot draws a figure against size on log axes as an SVG file, with its line and its budget.
+// Plot writes an SVG file into a folder: the values against size on log axes, the fitted line if fit is not nil, and the budget.
+// Without values it writes none.
 func (g *SizePlot) Plot(dir string, fit *Fit) error {
 	if len(g.BySize) == 0 {
 		return nil
@@ -125,6 +126,6 @@
 	if g.Budget > 0 {
 		line("budget", red, func(float64) float64 { return g.Budget })
 	}
-	p.X.Min, p.X.Max, p.Y.Min, p.Y.Max = p.X.Min/1.5, p.X.Max*1.5, p.Y.Min/2, p.Y.Max*4 // room for two labels at least, and for the legend
+	p.X.Min, p.X.Max, p.Y.Min, p.Y.Max = p.X.Min/1.5, p.X.Max*1.5, p.Y.Min/2, p.Y.Max*4 // room for at least two labels and the legend
 	return p.Save(20*vg.Centimeter, 12*vg.Centimeter, filepath.Join(dir, g.Name+".svg"))
 }
--- a/internal/lab/scale/spreader_broadcast.go
+++ b/internal/lab/scale/spreader_broadcast.go
@@ -6,7 +6,7 @@
 	"foldslip/internal/fleet/broadcast"
 )
 
-// broadcastSpreader is fleet/broadcast.
+// broadcastSpreader is fleet/broadcast on the simulated network.
 type broadcastSpreader struct {
 	gateway *gateway
 	node    *broadcast.Node
@@ -14,14 +14,14 @@
 
 func newBroadcastSpreader(g *gateway, now int64) spreader {
 	r := g.run
-	set := broadcast.DefaultSettings
+	settings := broadcast.DefaultSettings
 	if r.options.KeepPurges > 0 {
-		set.KeepFor = r.options.KeepPurges.Microseconds()
+		settings.KeepFor = r.options.KeepPurges.Microseconds()
 	}
-	set.StartUnixMillis = epochMillis - clockStart/1000 + int64(2*(hashUnit(r.options.Seed, uint64(g.index), 4)-0.5)*float64(r.options.ClockSkew.Milliseconds()))
-	chance := rand.New(rand.NewPCG(r.options.Seed, uint64(g.index)<<32|uint64(g.incarnation)))
-	stamp := mix(r.options.Seed ^ uint64(g.index)<<32 ^ uint64(g.incarnation))
-	return &broadcastSpreader{gateway: g, node: broadcast.New(set, r.member(g.index), stamp, chance, now)}
+	settings.StartUnixMillis = epochMillis - clockStart/1000 + int64(2*(hashUnit(r.options.Seed, uint64(g.index), 4)-0.5)*float64(r.options.ClockSkew.Milliseconds()))
+	random := rand.New(rand.NewPCG(r.options.Seed, uint64(g.index)<<32|uint64(g.incarnation)))
+	incarnation := mix(r.options.Seed ^ uint64(g.index)<<32 ^ uint64(g.incarnation))
+	return &broadcastSpreader{gateway: g, node: broadcast.New(settings, r.member(g.index), incarnation, random, now)}
 }
 
 func (s *broadcastSpreader) publish(_ int64, _ []int64, purges []watchPurge, now int64) {
@@ -38,16 +38,16 @@
 	s.send()
 }
 
-func (s *broadcastSpreader) receive(from int, b []byte, now int64) (heed []watchPurge) {
-	got, err := s.node.HandleFrame(s.gateway.run.names[from], b, now)
+func (s *broadcastSpreader) receive(from int, b []byte, now int64) (purges []watchPurge) {
+	received, err := s.node.HandleFrame(s.gateway.run.names[from], b, now)
 	if err != nil {
 		s.gateway.run.result.UnreadableFrames++
 	}
-	for _, p := range got {
-		heed = append(heed, watchPurge(p))
+	for _, p := range received {
+		purges = append(purges, watchPurge(p))
 	}
 	s.send()
-	return heed
+	return purges
 }
 
 func (s *broadcastSpreader) step(now int64) {
@@ -55,9 +55,10 @@
 	s.send()
 }
 
+// send sends the messages that the node has queued.
 func (s *broadcastSpreader) send() {
-	for _, l := range s.node.TakeMessages() {
-		s.gateway.send(s.gateway.run.indexByName[l.To], l.Frame)
+	for _, message := range s.node.TakeMessages() {
+		s.gateway.send(s.gateway.run.indexByName[message.To], message.Frame)
 	}
 }
 
--- a/internal/lab/scale/spreader_purgesync.go
+++ b/internal/lab/scale/spreader_purgesync.go
@@ -6,14 +6,15 @@
 	"foldslip/internal/fleet/purgesync"
 )
 
-// The old mechanism's times, as fleet/post sets them (read there: they are not changed by runs).
+// Times of the old mechanism in microseconds, as fleet/gossip sets them.
 const (
 	purgesyncTurn           = 250_000
 	purgesyncDigestInterval = 500_000
 	purgesyncKeep           = 60_000_000
 )
 
-// purgesyncSpreader is fleet/verdict as fleet/post carries it: a turn each 0.25 s, hellos to two gateways each 0.5 s, answers at once.
+// purgesyncSpreader is fleet/purgesync as fleet/gossip transports it: a turn each 0.25 s, digests to two gateways each 0.5 s, deltas at
+// once.
 type purgesyncSpreader struct {
 	gateway  *gateway
 	node     *purgesync.Replica
@@ -22,8 +23,8 @@
 }
 
 func newPurgesyncSpreader(g *gateway, now int64) spreader {
-	chance := rand.New(rand.NewPCG(g.run.options.Seed, uint64(g.index)<<32|uint64(g.incarnation)))
-	return &purgesyncSpreader{gateway: g, node: purgesync.New(purgesync.Settings{DigestInterval: purgesyncDigestInterval, KeepFor: purgesyncKeep}, chance, now), nextTurn: now + chance.Int64N(purgesyncTurn)}
+	random := rand.New(rand.NewPCG(g.run.options.Seed, uint64(g.index)<<32|uint64(g.incarnation)))
+	return &purgesyncSpreader{gateway: g, node: purgesync.New(purgesync.Settings{DigestInterval: purgesyncDigestInterval, KeepFor: purgesyncKeep}, random, now), nextTurn: now + random.Int64N(purgesyncTurn)}
 }
 
 func (s *purgesyncSpreader) publish(last int64, numbers []int64, purges []watchPurge, now int64) {
@@ -35,22 +36,22 @@
 
 func (s *purgesyncSpreader) membersChanged(int64) {}
 
-func (s *purgesyncSpreader) receive(from int, b []byte, now int64) (heed []watchPurge) {
+func (s *purgesyncSpreader) receive(from int, b []byte, now int64) (purges []watchPurge) {
 	f, err := purgesync.ParseFrame(b)
 	if err != nil || !s.gateway.view.has(from) {
 		return nil
 	}
 	s.received += uint64(len(f.Purges))
 	for _, p := range s.node.Merge(f.Purges, now) {
-		heed = append(heed, watchPurge{p.Object, p.Group, p.Issued})
+		purges = append(purges, watchPurge{p.Object, p.Group, p.Issued})
 	}
 	if f.IsDelta {
-		return heed
+		return purges
 	}
 	if more := s.node.Delta(f.Digest); len(more) > 0 {
 		s.gateway.send(from, purgesync.Frame{SenderKey: uint64(s.gateway.index), IsDelta: true, Digest: s.node.Digest(), Purges: more}.Append(nil))
 	}
-	return heed
+	return purges
 }
 
 func (s *purgesyncSpreader) step(now int64) {
