--- a/internal/lab/scale/broadcast_test.go
+++ b/internal/lab/scale/broadcast_test.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// runShort is a run of the short form: 60 gateways, 15 virtual seconds of purges.
+// runShort plays a short run: 60 gateways, 15 virtual seconds of purges.
 func runShort(t *testing.T, mechanism, name string, seed uint64) *BroadcastReport {
 	t.Helper()
 	o := BroadcastOptions{Gateways: 60, Mechanism: mechanism, Case: name, Rate: 100, Seed: seed, Warmup: 2 * time.Second, Duration: 15 * time.Second, Settle: 45 * time.Second,
 		ClockSkew: 50 * time.Millisecond}
 	if mechanism == "old" {
-		o.Settle = 10 * time.Second // it never has all, and would take the whole of it
+		o.Settle = 10 * time.Second // it never delivers all, and would use all of the time
 	}
 	r, err := Broadcast(o)
 	if err != nil {
@@ -27,8 +27,8 @@
 	return r
 }
 
-// Under each fault all gateways that stood, those beyond a cut and those just started hear of all purges, in time where the plan says so,
-// and no gateway spends more than it may.
+// Under each fault all gateways that were up, those beyond a cut and fresh ones receive all purges, within the deadline where there is
+// one, and no gateway exceeds its budget.
 func TestBroadcastLosesNothingUnderAnyFault(t *testing.T) {
 	for _, name := range Cases() {
 		t.Run(name, func(t *testing.T) {
@@ -44,7 +44,8 @@
 	}
 }
 
-// The same faults show what the old mechanism misses: the harness can tell. With each gateway's own watch working it has nothing to do.
+// The same faults show what the old mechanism loses, so that the simulation can tell. It has nothing to do while each gateway's own
+// watch works.
 func TestPurgesyncMissesWhatCapacityPageSays(t *testing.T) {
 	for _, name := range Cases() {
 		r := runShort(t, "old", name, 1)
@@ -80,7 +81,8 @@
 	}
 }
 
-// A gateway's list follows a crash after half of Detect to all of it, at its own time; one that starts again before is not missed.
+// A gateway's list follows a crash after half of CrashSeenWithin at the earliest, each at its own time; a gateway that starts again sooner is not
+// removed.
 func TestMemberListsFollowAtTheirOwnTimes(t *testing.T) {
 	r := newIdleRun(t, 60)
 	r.net.Schedule(time.Second, func() { r.restart([]int{7}, time.Hour) })
--- a/internal/lab/scale/discovery_test.go
+++ b/internal/lab/scale/discovery_test.go
@@ -13,7 +13,9 @@
 	"foldslip/example/standin"
 )
 
+// newDiscovery starts a stand-in that is closed at the end of the test.
 func newDiscovery(t *testing.T, o DiscoveryOptions) *Discovery {
+	t.Helper()
 	d, err := NewDiscovery(o)
 	if err != nil {
 		t.Fatal(err)
@@ -22,14 +24,16 @@
 	return d
 }
 
-// testWatch is a watch of a test: it asks and reads lines.
+// testWatch is the client side of a watch.
 type testWatch struct {
 	net.Conn
 	in *bufio.Reader
 	t  *testing.T
 }
 
+// openWatch requests the events after a number.
 func openWatch(t *testing.T, d *Discovery, gateway int, after int64) *testWatch {
+	t.Helper()
 	conn, err := net.Dial("tcp", d.Addr(gateway))
 	if err != nil {
 		t.Fatal(err)
@@ -40,13 +44,13 @@
 	return &testWatch{conn, bufio.NewReader(conn), t}
 }
 
-// event reads up to the next event, past lines with the last number alone.
-func (l *testWatch) event() (text string) {
-	l.t.Helper()
+// event reads the next event, skipping heartbeats.
+func (w *testWatch) event() (text string) {
+	w.t.Helper()
 	for {
-		line, err := l.in.ReadString('\n')
+		line, err := w.in.ReadString('\n')
 		if err != nil {
-			l.t.Fatal(err)
+			w.t.Fatal(err)
 		}
 		if strings.Contains(line, ",") {
 			return strings.TrimSpace(line)
@@ -54,16 +58,17 @@
 	}
 }
 
-func (l *testWatch) ended() {
-	l.t.Helper()
-	if _, err := io.Copy(io.Discard, l.in); err != nil && !strings.Contains(err.Error(), "reset") {
-		l.t.Fatal(err)
+// requireEnded reads until the stand-in closes the connection.
+func (w *testWatch) requireEnded() {
+	w.t.Helper()
+	if _, err := io.Copy(io.Discard, w.in); err != nil && !strings.Contains(err.Error(), "reset") {
+		w.t.Fatal(err)
 	}
 }
 
 var issued = time.UnixMilli(1764576000123)
 
-func TestEventNumbersBeginAnewAtEachGatewayStart(t *testing.T) {
+func TestEventNumbersRestartAtEachGatewayStart(t *testing.T) {
 	d := newDiscovery(t, DiscoveryOptions{Gateways: 300, Members: Members(3, 1)})
 	known, _ := d.Join(2, true)
 	var held struct {
@@ -83,13 +88,13 @@
 		t.Errorf("the second: %s", got)
 	}
 	d.Purge("", 17, issued)
-	for who, l := range map[int64]*testWatch{3: a, 2: b} {
-		if got := l.event(); got != fmt.Sprintf(`{"no":%d,"recall":{"lot":17,"issued":1764576000123}}`, who) {
-			t.Errorf("told %s, expected number %d", got, who)
+	for number, watch := range map[int64]*testWatch{3: a, 2: b} {
+		if got := watch.event(); got != fmt.Sprintf(`{"no":%d,"recall":{"lot":17,"issued":1764576000123}}`, number) {
+			t.Errorf("received %s, expected number %d", got, number)
 		}
 	}
 	d.Join(2, true) // a restart
-	a.ended()
+	a.requireEnded()
 	a = openWatch(t, d, 2, 1)
 	d.Purge("00000000000000bb", 0, issued)
 	if got := a.event(); !strings.HasPrefix(got, `{"no":2,`) || !strings.Contains(got, "bb") {
@@ -113,7 +118,7 @@
 	for i := range 100 {
 		d.Purge(fmt.Sprintf("%016x", 150+i), 0, issued)
 	}
-	openWatch(t, d, 1, 1).ended()
+	openWatch(t, d, 1, 1).requireEnded()
 	if got := d.Counts(1).DroppedBehind.Load(); got != 1 {
 		t.Errorf("dropped %d times for being behind", got)
 	}
@@ -145,19 +150,19 @@
 	first.event()
 	second := openWatch(t, d, 0, 1)
 	second.event()
-	first.ended()
-	openWatch(t, d, 1, 1).ended() // has not joined
-	openWatch(t, d, 7, 1).ended() // is none of ours
+	first.requireEnded()
+	openWatch(t, d, 1, 1).requireEnded() // has not joined
+	openWatch(t, d, 7, 1).requireEnded() // no such gateway
 	d.RefuseWatches(func(i int) bool { return i == 0 })
-	second.ended()
-	openWatch(t, d, 0, 2).ended()
+	second.requireEnded()
+	openWatch(t, d, 0, 2).requireEnded()
 	d.RefuseWatches(nil)
 	d.Purge("00000000000000bb", 0, issued)
 	if got := openWatch(t, d, 0, 2).event(); !strings.Contains(got, "bb") {
 		t.Errorf("after it came back: %s", got)
 	}
 	d.RemoveGateway(0)
-	openWatch(t, d, 0, 3).ended()
+	openWatch(t, d, 0, 3).requireEnded()
 	bad, err := net.Dial("tcp", d.Addr(0))
 	if err != nil {
 		t.Fatal(err)
@@ -165,7 +170,7 @@
 	fmt.Fprintf(bad, "%s\n", strings.Repeat("x", maxRequestBytes))
 	bad.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if n, err := bad.Read(make([]byte, 1)); n != 0 || err == nil {
-		t.Error("a watch that asked for nothing was told something")
+		t.Error("a watch without a valid request received something")
 	}
 	bad.Close()
 }
@@ -173,9 +178,9 @@
 func TestJoinGetsCurrentList(t *testing.T) {
 	members := Members(3, 1)
 	d := newDiscovery(t, DiscoveryOptions{Gateways: 1, Members: members})
-	gone := members[1]
-	gone.Phase = "removed"
-	d.Change(gone)
+	removed := members[1]
+	removed.Phase = "removed"
+	d.Change(removed)
 	drains := members[2]
 	drains.Phase = "draining"
 	d.Change(drains, standin.Endpoint{ID: "new", HostPort: "127.0.0.1:1", Locality: "z00", Flavor: "edge", Phase: "up", Size: 1})
--- a/internal/lab/scale/hollow_test.go
+++ b/internal/lab/scale/hollow_test.go
@@ -13,7 +13,7 @@
 
 // TestMain builds the gateway's program, and lets this binary be a process of hollow gateways.
 func TestMain(m *testing.M) {
-	if os.Getenv("SCALE_CROWD") != "" {
+	if os.Getenv("SCALE_HOLLOW_PROCESS") != "" {
 		if err := RunHollowProcess(os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -37,18 +37,21 @@
 	os.Exit(code)
 }
 
+// hollowProcessCommand starts this test binary as a process of hollow gateways; see TestMain.
 func hollowProcessCommand() *exec.Cmd {
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "SCALE_CROWD=1")
+	cmd.Env = append(os.Environ(), "SCALE_HOLLOW_PROCESS=1")
 	return cmd
 }
 
-// shortRun is a run that a test can wait for.
+// shortRun configures a run that is short enough for a test.
 func shortRun(t *testing.T) WatchOptions {
+	t.Helper()
 	return WatchOptions{Gateways: 8, Real: 2, PerProcess: 4, PurgesPerSecond: 50, ChangeInterval: 300 * time.Millisecond, Caches: 100, ListInConfig: true, Warmup: 500 * time.Millisecond,
 		Duration: 2 * time.Second, Deadline: 30 * time.Second, Seed: 1, Dir: t.TempDir(), Program: program, HollowCommand: hollowProcessCommand}
 }
 
+// runWatch plays a run that must have no violations.
 func runWatch(t *testing.T, o WatchOptions) *WatchReport {
 	t.Helper()
 	r, err := Watch(o)
@@ -64,36 +67,36 @@
 func TestHollowGatewayAppliesWatchEvents(t *testing.T) {
 	d := newDiscovery(t, DiscoveryOptions{Gateways: 1, Members: Members(100, 25)})
 	known, _ := d.Join(0, true)
-	heard := make(chan int64, 10)
+	received := make(chan int64, 10)
 	h, err := StartHollowGateway(NewEnvironment(NewSlowClock(0, 1)), HollowOptions{DiscoveryAddr: d.Addr(0), Known: known, Settings: Settings(ScaledLayout(1), 0, 25), Seed: 1, LookupsPerSecond: 200,
-		OnEvent: func(no int64) { heard <- no }})
+		OnEvent: func(no int64) { received <- no }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if n := h.Caches.Len(); n != 100 {
-		t.Errorf("%d caches from the list told at the start", n)
+		t.Errorf("%d caches from the known list", n)
 	}
 	at := time.Now()
 	d.Purge("00000000000000aa", 0, at)
-	gone := Members(100, 25)[5]
-	gone.Phase = "removed"
-	d.Change(gone)
+	removed := Members(100, 25)[5]
+	removed.Phase = "removed"
+	d.Change(removed)
 	for want := int64(2); want <= 3; want++ {
 		select {
-		case no := <-heard:
+		case no := <-received:
 			if no != want {
-				t.Errorf("heard number %d, want %d", no, want)
+				t.Errorf("received number %d, want %d", no, want)
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatal("not heard")
+			t.Fatal("no event received")
 		}
 	}
 	if n := h.Caches.Len(); n != 99 {
-		t.Errorf("%d caches after one has gone", n)
+		t.Errorf("%d caches after one was removed", n)
 	}
 	time.Sleep(h.Purges.Grace + 10*time.Millisecond)
 	if issued, _ := h.Purges.InForce("00000000000000aa", 0); issued.UnixMilli() != at.UnixMilli() {
-		t.Errorf("heeds a purge of %v, was told one of %v", issued, at)
+		t.Errorf("applies a purge of %v, published was one of %v", issued, at)
 	}
 	if err := h.Stop(); err != nil {
 		t.Error(err)
@@ -147,8 +150,8 @@
 	o.Gateways, o.Real, o.Stretch, o.PurgesPerSecond, o.Warmup, o.Duration = 4, 0, 4, 50, 100*time.Millisecond, time.Second
 	began := time.Now()
 	r := runWatch(t, o)
-	if took := time.Since(began); took < 4400*time.Millisecond {
-		t.Errorf("a second and a tenth took %v", took)
+	if elapsed := time.Since(began); elapsed < 4400*time.Millisecond {
+		t.Errorf("a second and a tenth took %v", elapsed)
 	}
 	each := r.Hollow.In * r.Seconds / float64(r.Events)
 	if r.Events < 50 || r.Events > 56 || each < 65 || each > 110 || r.LostEvents != 0 {
--- a/internal/lab/scale/net_test.go
+++ b/internal/lab/scale/net_test.go
@@ -39,12 +39,12 @@
 	}
 	for _, n := range []int{1, 2, 12, 13, 50, 200, 1000, 2000} {
 		if got := len(ScaledLayout(n)); got != n {
-			t.Errorf("Sized(%d) has %d", n, got)
+			t.Errorf("ScaledLayout(%d) has %d", n, got)
 		}
 	}
 }
 
-// recorder keeps what comes to it.
+// recorder is a node that records datagrams and timers.
 type recorder struct {
 	net         *Network
 	index       int
@@ -61,17 +61,17 @@
 }
 func (r *recorder) TimerFired(now time.Duration) { r.timersFired = append(r.timersFired, now) }
 
-// newRecorderNetwork makes a network of recorders, all started, without jitter.
-func newRecorderNetwork(places []Location) (*Network, []*recorder) {
-	lag := DefaultLatency
-	lag.Jitter = 0
-	all := make([]*recorder, len(places))
+// newRecorderNetwork makes a network of started recorders, without jitter.
+func newRecorderNetwork(locations []Location) (*Network, []*recorder) {
+	latency := DefaultLatency
+	latency.Jitter = 0
+	all := make([]*recorder, len(locations))
 	var n *Network
-	n = NewNetwork(1, places, lag, func(i int) Node {
+	n = NewNetwork(1, locations, latency, func(i int) Node {
 		all[i] = &recorder{net: n, index: i}
 		return all[i]
 	})
-	for i := range places {
+	for i := range locations {
 		n.Start(i)
 	}
 	n.Run(0)
@@ -146,7 +146,7 @@
 	all[1].got = nil
 	n.Run(n.Now() + time.Second)
 	if len(all[1].got) != 0 || n.Counters(0).Lost != 4 {
-		t.Errorf("under way at a cut: got %v, lost %d", all[1].got, n.Counters(0).Lost)
+		t.Errorf("in flight at a cut: got %v, lost %d", all[1].got, n.Counters(0).Lost)
 	}
 }
 
@@ -162,10 +162,10 @@
 	n.Send(0, 1, []byte("heard"))
 	n.Run(10 * time.Second)
 	if len(was.got) != 0 || len(was.timersFired) != 1 || len(all[0].got) != 0 {
-		t.Errorf("the killed one got %q and woke at %v; its peer got %q", was.got, was.timersFired, all[0].got)
+		t.Errorf("the killed one got %q and had timers at %v; its peer got %q", was.got, was.timersFired, all[0].got)
 	}
 	if all[1] == was || len(all[1].got) != 1 || !slices.Equal(all[1].timersFired, []time.Duration{time.Second}) || n.Counters(0).Lost != 1 {
-		t.Errorf("the new one got %q and woke at %v, lost %d", all[1].got, all[1].timersFired, n.Counters(0).Lost)
+		t.Errorf("the new one got %q and had timers at %v, lost %d", all[1].got, all[1].timersFired, n.Counters(0).Lost)
 	}
 }
 
@@ -181,7 +181,7 @@
 	n.Run(10 * time.Second)
 	n.Send(1, 0, []byte("a still one sends nothing"))
 	if len(all[1].got) != 0 || len(all[1].timersFired) != 1 {
-		t.Fatal("it did not stand still")
+		t.Fatal("a paused node received datagrams or timers")
 	}
 	n.Resume(1)
 	n.Run(11 * time.Second)
@@ -190,7 +190,7 @@
 		t.Errorf("got %d and lost %d of %d; its peer got %d", len(all[1].got), n.Counters(0).Lost, sent, len(all[0].got))
 	}
 	if !slices.Equal(all[1].timersFired, []time.Duration{0, 10 * time.Second}) {
-		t.Errorf("woken at %v", all[1].timersFired)
+		t.Errorf("timers fired at %v", all[1].timersFired)
 	}
 }
 
@@ -207,7 +207,7 @@
 	n.SetTimer(0, never)
 	n.Run(8 * time.Second)
 	if want := []time.Duration{3 * time.Second, 5 * time.Second}; !slices.Equal(all[0].timersFired, want) {
-		t.Errorf("woken at %v, want %v", all[0].timersFired, want)
+		t.Errorf("timers fired at %v, want %v", all[0].timersFired, want)
 	}
 }
 
@@ -225,7 +225,7 @@
 	}
 }
 
-// talker sends to chance peers at a rate, and passes a part of what it hears on.
+// talker is a node that sends to pseudo-random peers at a rate, and hashes what it receives.
 type talker struct {
 	net    *Network
 	index  int
@@ -234,13 +234,13 @@
 	buf    [120]byte
 }
 
-func (k *talker) Datagram(now time.Duration, from int, b []byte) {
-	k.digest = (k.digest ^ uint64(now) ^ uint64(from)<<48 ^ uint64(len(b))<<40) * 0x9e3779b97f4a7c15
+func (n *talker) Datagram(now time.Duration, from int, b []byte) {
+	n.digest = (n.digest ^ uint64(now) ^ uint64(from)<<48 ^ uint64(len(b))<<40) * 0x9e3779b97f4a7c15
 }
-func (k *talker) TimerFired(now time.Duration) {
-	x := (uint64(k.index)*0x9e3779b97f4a7c15 + uint64(now)) * 0xbf58476d1ce4e5b9
-	k.net.Send(k.index, int(x>>33)%k.net.Nodes(), k.buf[:])
-	k.net.SetTimer(k.index, now+k.every)
+func (n *talker) TimerFired(now time.Duration) {
+	x := (uint64(n.index)*0x9e3779b97f4a7c15 + uint64(now)) * 0xbf58476d1ce4e5b9
+	n.net.Send(n.index, int(x>>33)%n.net.Nodes(), n.buf[:])
+	n.net.SetTimer(n.index, now+n.every)
 }
 
 func newTalkerNetwork(seed uint64, nodes int, every time.Duration) (*Network, func() uint64) {
@@ -254,8 +254,8 @@
 		n.Start(i)
 	}
 	return n, func() (sum uint64) {
-		for _, k := range all {
-			sum = sum*31 + k.digest
+		for _, node := range all {
+			sum = sum*31 + node.digest
 		}
 		return sum
 	}
@@ -277,7 +277,7 @@
 	}
 }
 
-func TestLossMatchesItsProbability(t *testing.T) {
+func TestLossMatchesProbability(t *testing.T) {
 	n, _ := newTalkerNetwork(3, 100, 10*time.Millisecond)
 	n.SetLoss(0.1)
 	n.SetDuplication(0.2)
@@ -295,7 +295,7 @@
 	}
 }
 
-// Real time of one virtual second at the users' size with some 100,000 datagrams in it.
+// Real time of one virtual second at the size of the whole fleet, with some 100,000 datagrams.
 func BenchmarkSecondOfFullFleet(b *testing.B) {
 	n, _ := newTalkerNetwork(1, FullGateways, 39*time.Millisecond)
 	n.Run(time.Second)
