--- a/internal/cli/faults_guards.go
+++ b/internal/cli/faults_guards.go
@@ -41,7 +41,7 @@
 // guardTrial is one change of one seed, with guards, without them, and the same seed without a change.
 type guardTrial struct {
 	kind, bad                string
-	guarded, without, oracle *scenario.RouteTrial
+	guarded, without, oracle *scenario.RouteChangeRun
 }
 
 // Run tries good and bad changes of routes with and without guards.
@@ -71,16 +71,16 @@
 
 // run tries each kind of change with one seed.
 func (g *guardTrials) run(seed uint64) error {
-	oracle, err := scenario.RunRouteTrial(seed, "none", true)
+	oracle, err := scenario.RunRouteChange(seed, "none", true)
 	if err != nil {
 		return err
 	}
-	for kind, bad := range scenario.RouteTrialKinds {
-		guarded, err := scenario.RunRouteTrial(seed, kind, true)
+	for kind, bad := range scenario.RouteChangeKinds {
+		guarded, err := scenario.RunRouteChange(seed, kind, true)
 		if err != nil {
 			return err
 		}
-		without, err := scenario.RunRouteTrial(seed, kind, false)
+		without, err := scenario.RunRouteChange(seed, kind, false)
 		if err != nil {
 			return err
 		}
