--- a/internal/lab/scale/broadcast.go
+++ b/internal/lab/scale/broadcast.go
@@ -1,14 +1,11 @@
 package scale
 
 import (
-	"cmp"
-	"encoding/binary"
 	"fmt"
 	"math"
 	"math/rand/v2"
 	"runtime"
 	"slices"
-	"strings"
 	"syscall"
 	"time"
 
@@ -17,87 +14,57 @@
 	"foldslip/internal/fleet/broadcast"
 )
 
-// BroadcastOptions are of a run of the spreading of purges among gateways, on a virtual clock.
-type BroadcastOptions struct {
-	Gateways  int
-	Mechanism string // one of Mechanisms
-	Case      string // one of Cases
-	Source    string // one of Sources; "": the case's own
-	Rate      float64
-	Seed      uint64
-
-	Warmup, Duration, Settle time.Duration // before purges are told, while, and how long the last may take
-	FaultDuration            time.Duration // how long a cut, a zone's loss, deafness lasts; 0: the case's own
-	Restarts                 int           // of a release; 0: 1,900 of 3,900, or as many of the size
-
-	CrashSeenWithin, StartSeenWithin time.Duration // a crash and a start are seen by all within; 0: 4 log10(n) s, 1 s
-	WatchLag                         time.Duration // a watch tells within a tenth of it to all of it; 0: 0.3 s
-	Deadline                         time.Duration // the term of a purge; 0: 4.5 s
-	BytesPerSecond                   float64       // a second, in and out, of a gateway; 0: 15 KB
-
-	ClockSkew time.Duration // gateways' Unix clocks are off by up to so much either way
-
-	KeepPurges time.Duration // the new mechanism's; 0: its usual one
-
-	Measure  bool // processor and heap: only where nothing else runs in the process
-	Progress func(string, ...any)
-}
-
-// Mechanisms that can be run.
-func Mechanisms() []string { return []string{"old", "new"} }
-
-// Sources are who is told of purges: one gateway; one on either side of a cut, turn by turn; all; all but those that are deaf by the case.
-func Sources() []string { return []string{"one", "two", "all"} }
-
 const (
 	maxGateways   = 10_000
 	maxPurges     = 1 << 20
-	maxLateNamed  = 5                // purges that a report names
-	restDuration  = 20 * time.Second // after all is heard
-	freshDuration = 5 * time.Second  // a gateway counts as standing so long after its start; before, apart
-	notCounted    = math.MaxUint32
-	epochMillis   = int64(1_764_576_000_000) // Unix milliseconds of the Net's beginning
+	maxLateNamed  = 5                        // purges that a report names
+	idleDuration  = 20 * time.Second         // that a run goes on after all purges have arrived
+	freshDuration = 5 * time.Second          // after its start, within which a gateway is counted as fresh
+	notCounted    = math.MaxUint32           // latency of a gateway that was down or fresh when the purge was issued
+	epochMillis   = int64(1_764_576_000_000) // Unix milliseconds at the start of the Network's clock
 )
 
+// issuedPurge is a purge and who has received it.
 type issuedPurge struct {
 	watchPurge
 	at            time.Duration
-	latencies     []uint32 // by gateway: microseconds and 1; 0: not heard; excluded: not asked for. nil: done
-	outstanding   int      // of them that have not heard
-	acrossCut     bool     // told on one side of a cut while it was there: the other side counts from the heal
+	latencies     []uint32 // by gateway: microseconds plus 1; 0: not received; or notCounted. nil: the purge is finished
+	outstanding   int      // gateways that count and have not received it
+	acrossCut     bool     // published on one side of a cut while it lasted: the other side counts from its heal
 	side          int8
-	freshGateways []int32 // gateways that started shortly before
+	freshGateways []int32 // fresh gateways that have not received it
 }
 
+// broadcastRun is one run. The goroutine that runs its Network owns it.
 type broadcastRun struct {
 	options       BroadcastOptions
 	faultCase     *faultCase
 	net           *Network
-	places        []Place
+	locations     []Location
 	names         []string
 	indexByName   map[string]int
 	scratch       []string
-	allMembers    []broadcast.Member            // all
-	sortedMembers []broadcast.Member            // all, in the tree's order
-	memberLists   map[string][]broadcast.Member // lists of the live, by who is in them
+	allMembers    []broadcast.Member            // by gateway
+	sortedMembers []broadcast.Member            // in the tree's order
+	memberLists   map[string][]broadcast.Member // lists of live gateways, by the set of them
 	listKey       []byte
 	gateways      []gateway
 	views         *views
 	newSpreader   func(*gateway, int64) spreader
 	rng           *rand.Rand
 	purges        []issuedPurge
-	firstOpen     int // the first purge that is not done
+	firstOpen     int // the first purge that is not finished
 	sources       []int
-	protected     gatewaySet // not killed: tellers
+	protected     gatewaySet // gateways that are not killed: the sources of purges
 	watchIsDeaf   func(i int, at time.Duration) bool
-	cutRegion     gatewaySet // of the cut: the region; nil: none
+	cutRegion     gatewaySet // the gateways of the region that is cut off; nil: no cut
 	cut           *Cut
 	cutAt         time.Duration
 	healAt        time.Duration
-	lastAcrossCut time.Duration // when the last purge was heard on the far side after a heal
+	lastAcrossCut time.Duration // when the last purge reached the other side after the heal
 
 	result          *BroadcastReport
-	everywhereAfter []float64 // seconds to everywhere
+	everywhereAfter []float64 // by finished purge: seconds until it reached the last gateway
 	digest          *xxhash.Digest
 	seconds         []secondSample
 	countersAtStart []Counters
@@ -106,46 +73,11 @@
 	worstOut        []int64
 }
 
-type secondSample struct{ at, bytes int64 } // most bytes of a gateway in that second, in and out
-
-// setDefaults fills in what was left out.
-func (o *BroadcastOptions) setDefaults() error {
-	def := func(d *time.Duration, v time.Duration) {
-		if *d == 0 {
-			*d = v
-		}
-	}
-	def(&o.Warmup, 5*time.Second)
-	def(&o.Duration, time.Minute)
-	def(&o.Settle, time.Minute)
-	def(&o.CrashSeenWithin, time.Duration(4*math.Log10(float64(max(o.Gateways, 2)))*float64(time.Second)))
-	def(&o.StartSeenWithin, time.Second)
-	def(&o.WatchLag, 300*time.Millisecond)
-	def(&o.Deadline, 4500*time.Millisecond)
-	if o.BytesPerSecond == 0 {
-		o.BytesPerSecond = 15 << 10
-	}
-	switch {
-	case o.Gateways < 12 || o.Gateways > maxGateways:
-		return fmt.Errorf("%d gateways: expected 12 to %d", o.Gateways, maxGateways)
-	case !(o.Rate > 0) || o.Rate > 1000 || o.Rate*o.Duration.Seconds() > maxPurges:
-		return fmt.Errorf("%g purges a second for %v: expected up to 1,000 a second and %d in all", o.Rate, o.Duration, maxPurges)
-	case !slices.Contains(Mechanisms(), o.Mechanism):
-		return fmt.Errorf("mechanism %q: expected one of %s", o.Mechanism, strings.Join(Mechanisms(), ", "))
-	case o.Source != "" && !slices.Contains(Sources(), o.Source):
-		return fmt.Errorf("told %q: expected one of %s", o.Source, strings.Join(Sources(), ", "))
-	case o.Warmup < 0 || o.Duration <= 0 || o.Settle <= 0 || o.FaultDuration < 0 || o.Restarts < 0 || o.Warmup+o.Duration+o.Settle > 4*time.Hour:
-		return fmt.Errorf("times: expected more than 0, and 4 hours in all")
-	case findCase(o.Case) == nil:
-		return fmt.Errorf("case %q: expected one of %s", o.Case, strings.Join(Cases(), ", "))
-	}
-	return nil
-}
-
-// Validate tells what cannot be played.
-func (o BroadcastOptions) Validate() error { return o.setDefaults() }
+// secondSample is the greatest number of bytes, in and out, of any gateway in a second of the virtual clock.
+type secondSample struct{ at, bytes int64 }
 
-// Broadcast plays a run. Equal options give equal reports but for Core and Heap.
+// Broadcast plays a run on the caller's goroutine. Equal options give equal reports but for CoreShare and Heap. Its error is an
+// *OptionError.
 func Broadcast(o BroadcastOptions) (*BroadcastReport, error) {
 	if err := o.setDefaults(); err != nil {
 		return nil, err
@@ -167,7 +99,7 @@
 		if done == 0 {
 			done = now
 		}
-		if now >= done+restDuration { // a while at rest: who knew that it lacked some knows that it does not
+		if now >= done+idleDuration { // enough for gateways to learn that they lack none
 			break
 		}
 	}
@@ -185,15 +117,15 @@
 	return r.result, nil
 }
 
-// newBroadcastRun sets up a run whose options are whole.
+// newBroadcastRun sets up a run with valid options.
 func newBroadcastRun(o BroadcastOptions) *broadcastRun {
 	c := findCase(o.Case)
 	if o.Source == "" {
 		o.Source = c.source
 	}
-	r := &broadcastRun{options: o, faultCase: c, places: broadcastLayout(o.Gateways), indexByName: map[string]int{}, memberLists: map[string][]broadcast.Member{}, rng: rand.New(rand.NewPCG(o.Seed, 0x62726f6164)), digest: xxhash.New(),
+	r := &broadcastRun{options: o, faultCase: c, locations: broadcastLayout(o.Gateways), indexByName: map[string]int{}, memberLists: map[string][]broadcast.Member{}, rng: rand.New(rand.NewPCG(o.Seed, 0x62726f6164)), digest: xxhash.New(),
 		result: &BroadcastReport{Kind: "broadcast", Gateways: o.Gateways, Mechanism: o.Mechanism, Case: o.Case, Source: o.Source, Rate: o.Rate, Seed: o.Seed, Seconds: o.Duration.Seconds()}}
-	r.net = NewNetwork(o.Seed, r.places, DefaultLatency, r.newGateway)
+	r.net = NewNetwork(o.Seed, r.locations, DefaultLatency, r.newGateway)
 	r.gateways, r.protected = make([]gateway, o.Gateways), newGatewaySet(o.Gateways)
 	for i := range r.gateways {
 		r.names = append(r.names, fmt.Sprintf("g%04d", i))
@@ -207,11 +139,11 @@
 	first := r.rng.IntN(o.Gateways)
 	r.sources = []int{first}
 	if o.Source == "two" {
-		there := NodesWhere(r.places, func(p Place) bool { return p.Region != r.places[first].Region })
-		if len(there) == 0 {
-			there = NodesWhere(r.places, func(p Place) bool { return p.Site != r.places[first].Site })
+		others := NodesWhere(r.locations, func(p Location) bool { return p.Region != r.locations[first].Region })
+		if len(others) == 0 {
+			others = NodesWhere(r.locations, func(p Location) bool { return p.Site != r.locations[first].Site })
 		}
-		r.sources = append(r.sources, there[r.rng.IntN(len(there))])
+		r.sources = append(r.sources, others[r.rng.IntN(len(others))])
 	}
 	for _, i := range r.sources {
 		r.protected.put(i, true)
@@ -221,7 +153,7 @@
 	return r
 }
 
-// caseOverAt is when the case has no more to play.
+// caseOverAt is when the fault case has ended.
 func (r *broadcastRun) caseOverAt() time.Duration {
 	if r.healAt > 0 {
 		return r.healAt + time.Second
@@ -229,7 +161,7 @@
 	return 0
 }
 
-// heapBytes is what the gateways' spreaders hold, by taking them away.
+// heapBytes is the heap of a gateway's spreader, measured by dropping all of them.
 func (r *broadcastRun) heapBytes() float64 {
 	use := func() float64 {
 		var m runtime.MemStats
@@ -246,7 +178,7 @@
 	return (full - empty) / float64(len(r.gateways))
 }
 
-// schedule sets up purges, samples and the case.
+// schedule schedules purges, samples and the fault case.
 func (r *broadcastRun) schedule() {
 	o := &r.options
 	count := int(o.Rate * o.Duration.Seconds())
@@ -256,99 +188,32 @@
 	issue = func() {
 		r.issuePurge()
 		if k := len(r.purges); k < count {
-			r.net.At(at(k), issue)
+			r.net.Schedule(at(k), issue)
 		}
 	}
-	r.net.At(at(0), issue)
+	r.net.Schedule(at(0), issue)
 	var sample func()
 	sample = func() {
 		r.sampleSecond()
-		r.net.At(r.net.Now()+time.Second, sample)
+		r.net.Schedule(r.net.Now()+time.Second, sample)
 	}
-	r.net.At(o.Warmup, func() {
+	r.net.Schedule(o.Warmup, func() {
 		for i := range r.gateways {
 			r.countersAtStart[i] = r.net.Counters(i)
 			r.lastCounters[i] = r.countersAtStart[i]
 		}
 		r.result.roles = r.roles()
-		r.net.At(o.Warmup+time.Second, sample)
+		r.net.Schedule(o.Warmup+time.Second, sample)
 	})
-	r.net.At(o.Warmup+o.Duration, func() {
+	r.net.Schedule(o.Warmup+o.Duration, func() {
 		for i := range r.gateways {
 			r.result.endedCounters = append(r.result.endedCounters, r.net.Counters(i))
 		}
 	})
-	r.faultCase.play(r)
-}
-
-// issuePurge issues the next purge: of an object, each fiftieth of one of eight groups.
-func (r *broadcastRun) issuePurge() {
-	k, now := len(r.purges), r.net.Now()
-	p := issuedPurge{at: now, watchPurge: watchPurge{Object: fmt.Sprintf("%016x", mix(r.options.Seed^uint64(k)<<20)), Issued: epochMillis + now.Milliseconds()}}
-	if k%50 == 49 {
-		p.Object, p.Group = "", int64(k/50%8+1)
-	}
-	if r.options.Source == "two" {
-		p.side = r.side(r.sources[k%2])
-	} else if r.options.Source == "one" {
-		p.side = r.side(r.sources[0])
-	}
-	p.acrossCut = r.cutRegion != nil && r.options.Source != "all" && now >= r.cutAt-freshDuration && now < r.healAt
-	p.latencies = make([]uint32, len(r.gateways))
-	for i := range r.gateways {
-		switch {
-		case !r.net.IsUp(i):
-			p.latencies[i] = notCounted
-		case now < r.gateways[i].started+freshDuration && r.gateways[i].started > 0:
-			p.latencies[i] = notCounted
-			p.freshGateways = append(p.freshGateways, int32(i))
-		default:
-			p.outstanding++
-		}
-	}
-	r.result.FreshPairs += int64(len(p.freshGateways))
-	r.purges = append(r.purges, p)
-}
-
-// purgeReceived notes that a gateway knows of a purge.
-func (r *broadcastRun) purgeReceived(g *gateway, t watchPurge, own bool) {
-	k := int(math.Round((time.Duration(t.Issued-epochMillis)*time.Millisecond - r.options.Warmup).Seconds() * r.options.Rate))
-	for k = max(k-2, 0); k < len(r.purges) && r.purges[k].watchPurge != t; k++ {
-		if r.purges[k].Issued > t.Issued {
-			k = len(r.purges)
-			break
-		}
-	}
-	if k >= len(r.purges) {
-		r.result.UnknownPurges++
-		return
-	}
-	p, now := &r.purges[k], r.net.Now()
-	if !own {
-		r.result.Applied++
-	}
-	if p.latencies == nil {
-		return
-	}
-	lag := now - p.at
-	switch v := &p.latencies[g.index]; {
-	case *v == 0:
-		*v = uint32(min(lag.Microseconds()+1, notCounted-1))
-		p.outstanding--
-		if r.cut == nil && r.healAt > 0 && p.acrossCut && r.side(g.index) != p.side {
-			r.lastAcrossCut = max(r.lastAcrossCut, now)
-		}
-	case *v == notCounted:
-		if at := slices.Index(p.freshGateways, int32(g.index)); at >= 0 {
-			p.freshGateways = slices.Delete(p.freshGateways, at, at+1)
-			if r.result.FreshWorst = max(r.result.FreshWorst, lag.Seconds()); lag <= r.options.Deadline {
-				r.result.freshIn++
-			}
-		}
-	}
+	r.faultCase.schedule(r)
 }
 
-// kill ends a gateway; what it had not heard does not count.
+// kill ends a gateway; purges that it has not received no longer count for it.
 func (r *broadcastRun) kill(i int) {
 	if !r.net.IsUp(i) || r.protected.has(i) {
 		return
@@ -374,82 +239,19 @@
 	}
 }
 
-// restart kills some and starts them again after a time.
-func (r *broadcastRun) restart(who []int, after time.Duration) {
-	for _, i := range who {
+// restart kills gateways and starts them again after a time.
+func (r *broadcastRun) restart(gateways []int, after time.Duration) {
+	for _, i := range gateways {
 		r.kill(i)
 	}
-	r.net.At(r.net.Now()+after, func() {
-		for _, i := range who {
+	r.net.Schedule(r.net.Now()+after, func() {
+		for _, i := range gateways {
 			r.net.Start(i)
 		}
 	})
 }
 
-// finishPurges counts purges that all have heard, or all that are left.
-func (r *broadcastRun) finishPurges(all bool) {
-	for k := r.firstOpen; k < len(r.purges); k++ {
-		if p := &r.purges[k]; p.latencies != nil && (all || p.outstanding == 0 && len(p.freshGateways) == 0) {
-			r.countPurge(k)
-			p.latencies = nil
-		}
-		if k == r.firstOpen && r.purges[k].latencies == nil {
-			r.firstOpen++
-		}
-	}
-}
-
-// countPurge takes a purge into the figures.
-func (r *broadcastRun) countPurge(k int) {
-	p := &r.purges[k]
-	var worst uint32
-	who := 0
-	lost, lostFar, within := 0, 0, uint32(r.options.Deadline.Microseconds()+1)
-	sum := make([]byte, 0, 4*len(p.latencies)+8)
-	sum = binary.LittleEndian.AppendUint64(sum, uint64(k))
-	for i, v := range p.latencies {
-		sum = binary.LittleEndian.AppendUint32(sum, v)
-		far := p.acrossCut && r.side(i) != p.side
-		switch {
-		case v == notCounted:
-		case v == 0 && far:
-			lostFar++
-		case far:
-		case v == 0:
-			lost++
-			r.result.Pairs++
-		default:
-			r.result.Pairs++
-			if v <= within {
-				r.result.pairsIn++
-			}
-			if v > worst {
-				worst, who = v, i
-			}
-		}
-	}
-	r.digest.Write(sum)
-	r.result.Purges++
-	if worst > within {
-		r.result.Late = append(r.result.Late, LatePurge{(p.at - r.options.Warmup).Seconds(), who, float64(worst) / 1e6})
-		slices.SortStableFunc(r.result.Late, func(a, b LatePurge) int { return cmp.Compare(b.Latency, a.Latency) })
-		r.result.Late = r.result.Late[:min(len(r.result.Late), maxLateNamed)]
-	}
-	r.result.LostPairs += int64(lost)
-	r.result.LostAcrossCut += int64(lostFar)
-	r.result.LostFresh += int64(len(p.freshGateways))
-	if p.acrossCut {
-		r.result.AcrossCut++
-	}
-	if lost > 0 {
-		r.result.Lost++
-		r.everywhereAfter = append(r.everywhereAfter, math.Inf(1))
-	} else {
-		r.everywhereAfter = append(r.everywhereAfter, float64(worst)/1e6)
-	}
-}
-
-// sampleSecond looks at the last second's bytes.
+// sampleSecond records the bytes of the last second.
 func (r *broadcastRun) sampleSecond() {
 	var most, behind int64
 	for i := range r.gateways {
--- /dev/null
+++ b/internal/lab/scale/discovery_serve.go
@@ -0,0 +1,196 @@
+package scale
+
+import (
+	"bytes"
+	"errors"
+	"net"
+	"strconv"
+	"time"
+)
+
+// accept serves connections until Close.
+func (d *Discovery) accept() {
+	for {
+		conn, err := d.listener.Accept()
+		if err != nil {
+			if !errors.Is(err, net.ErrClosed) {
+				time.Sleep(10 * time.Millisecond) // out of descriptors
+				continue
+			}
+			return
+		}
+		d.handshakes <- struct{}{} // waits for a slot, requestTimeout at most
+		d.wait.Go(func() {
+			d.serve(conn)
+			conn.Close()
+		})
+	}
+}
+
+// readRequest reads the number of the last event that a watcher has. It also returns the number of bytes read.
+func readRequest(conn net.Conn) (after int64, n int, err error) {
+	conn.SetReadDeadline(time.Now().Add(requestTimeout))
+	buf := make([]byte, 0, maxRequestBytes)
+	for {
+		k, err := conn.Read(buf[len(buf):maxRequestBytes])
+		buf = buf[:len(buf)+k]
+		if line, _, complete := bytes.Cut(buf, []byte("\n")); complete {
+			number, ok := bytes.CutPrefix(bytes.TrimSpace(line), []byte("after "))
+			if !ok {
+				return 0, len(buf), &watchRequestError{line}
+			}
+			after, err = strconv.ParseInt(string(number), 10, 64)
+			return after, len(buf), err
+		}
+		if err == nil && len(buf) == maxRequestBytes {
+			err = errWatchLineTooLong
+		}
+		if err != nil {
+			return 0, len(buf), err
+		}
+	}
+}
+
+// serve begins a watch on a connection, in place of the watch that its gateway may have.
+func (d *Discovery) serve(conn net.Conn) {
+	i := d.gatewayAt(conn.LocalAddr())
+	after, requestBytes := int64(0), 0
+	err := errUnknownAddress
+	if i >= 0 {
+		after, requestBytes, err = readRequest(conn)
+	}
+	<-d.handshakes
+	if err != nil {
+		return
+	}
+	w := d.watchers[i]
+	d.mu.Lock()
+	if d.closed || !w.joined || after < 0 || d.isRefused != nil && d.isRefused(i) {
+		d.mu.Unlock()
+		return
+	}
+	w.disconnect() // a gateway has one watch
+	w.conn = conn
+	base := w.basePosition
+	d.mu.Unlock()
+	w.counts.Connects.Add(1)
+	w.counts.BytesIn.Add(int64(requestBytes))
+	d.watch(w, conn, base, after)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if w.conn == conn {
+		w.conn = nil
+	}
+}
+
+// turn is what one pass of a watch has to send.
+type turn struct {
+	events   [][]byte // without their numbers
+	last     int64    // number of the gateway's last event; those up to it that are not in events are sent in later turns
+	replaced bool     // the gateway has another connection, or none: this watch ends
+	behind   bool     // an event that the watcher lacks is no longer kept
+}
+
+// nextTurn gives the events after a number, as many as buffer has room for.
+func (d *Discovery) nextTurn(w *watcher, conn net.Conn, base, after int64, buffer [][]byte) turn {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if w.conn != conn {
+		return turn{replaced: true}
+	}
+	next := turn{events: buffer[:0], last: d.last() - base + 1}
+	for number := after + 1; number <= next.last && len(next.events) < cap(buffer); number++ {
+		switch position := base + number - 1; {
+		case number == 1:
+			next.events = append(next.events, w.listEvent)
+		case position < d.first:
+			next.behind = true
+		default:
+			next.events = append(next.events, d.events[position-d.first])
+		}
+	}
+	return next
+}
+
+// appendEvents appends the lines of events whose numbers follow after, all or as many as maxWriteBytes takes, and returns the number of
+// the last one appended.
+func appendEvents(lines []byte, events [][]byte, after int64) ([]byte, int64) {
+	for _, event := range events {
+		after++
+		lines = append(strconv.AppendInt(append(lines, `{"no":`...), after, 10), ',')
+		lines = append(append(lines, event...), '\n')
+		if len(lines) > maxWriteBytes {
+			break
+		}
+	}
+	return lines, after
+}
+
+// appendHeartbeat appends a line with the number of the last event alone.
+func appendHeartbeat(lines []byte, last int64) []byte {
+	return append(strconv.AppendInt(append(lines, `{"no":`...), last, 10), "}\n"...)
+}
+
+// write sends lines and counts them. It reports whether the watch goes on.
+func (w *watcher) write(conn net.Conn, lines []byte) bool {
+	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	n, err := conn.Write(lines)
+	w.counts.BytesOut.Add(int64(n))
+	w.counts.Writes.Add(1)
+	if err == nil {
+		return true
+	}
+	if timeout := net.Error(nil); errors.As(err, &timeout) && timeout.Timeout() {
+		w.counts.DroppedSlow.Add(1)
+	}
+	return false
+}
+
+// watch sends one watcher the events that it lacks, for as long as the connection is the gateway's watch.
+func (d *Discovery) watch(w *watcher, conn net.Conn, base, after int64) {
+	heartbeat := time.NewTicker(d.heartbeat)
+	defer heartbeat.Stop()
+	var lines []byte
+	var events [maxTurnEvents][]byte
+	heartbeatDue := false
+	for {
+		next := d.nextTurn(w, conn, base, after, events[:0])
+		if next.replaced {
+			return
+		}
+		if next.behind {
+			w.counts.DroppedBehind.Add(1)
+			return
+		}
+		from := after
+		lines, after = appendEvents(lines[:0], next.events, after)
+		if heartbeatDue && after >= next.last {
+			lines = appendHeartbeat(lines, after)
+		}
+		heartbeatDue = false
+		if len(lines) > 0 {
+			if !w.write(conn, lines) {
+				return
+			}
+			w.counts.Events.Add(after - from)
+			if cap(lines) > maxWriteBytes {
+				lines = nil // the buffer of a whole list is not kept
+			}
+			if after < next.last {
+				continue
+			}
+		}
+		select {
+		case <-w.wakeup:
+		case <-heartbeat.C:
+			heartbeatDue = true
+		}
+	}
+}
+
+// TCPOverhead is an estimate of a watch's bytes with TCP over IPv4: 52 bytes of headers (20 and 20, and 12 of timestamps) for each segment of
+// up to 1,448 bytes, and for each acknowledgement in the other direction, one for two segments. A write is at least one segment.
+func TCPOverhead(payload, writes int64) (down, up int64) {
+	segments := max(writes, (payload+1447)/1448)
+	return payload + 52*segments, 52 * (segments + 1) / 2
+}
--- /dev/null
+++ b/internal/lab/scale/hollow_process.go
@@ -0,0 +1,71 @@
+package scale
+
+import (
+	"bufio"
+	"encoding/json"
+	"fmt"
+	"io"
+	"os"
+	"os/exec"
+	"sync"
+	"syscall"
+	"time"
+)
+
+const endTimeout = 20 * time.Second
+
+// hollowProcess is a process of hollow gateways, as seen by the run that started it.
+type hollowProcess struct {
+	cmd          *exec.Cmd
+	in           io.WriteCloser
+	out          *bufio.Reader
+	mu           sync.Mutex // one command at a time
+	first, count int
+}
+
+// startHollowProcess starts a process that calls RunHollowProcess.
+func startHollowProcess(cmd *exec.Cmd) (*hollowProcess, error) {
+	cmd.Stderr = os.Stderr
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	in, err := cmd.StdinPipe()
+	if err != nil {
+		return nil, err
+	}
+	out, err := cmd.StdoutPipe()
+	if err != nil {
+		return nil, err
+	}
+	if err := cmd.Start(); err != nil {
+		return nil, err
+	}
+	return &hollowProcess{cmd: cmd, in: in, out: bufio.NewReader(out)}, nil
+}
+
+// call sends a command and waits for its reply.
+func (c *hollowProcess) call(o command) (*reply, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if err := json.NewEncoder(c.in).Encode(o); err != nil {
+		return nil, fmt.Errorf("a process of hollow gateways: %w", err)
+	}
+	line, err := c.out.ReadBytes('\n')
+	if err != nil {
+		return nil, fmt.Errorf("a process of hollow gateways: %w", err)
+	}
+	var a reply
+	if err := json.Unmarshal(line, &a); err != nil {
+		return nil, err
+	}
+	if a.Error != "" {
+		return nil, &HollowReplyError{a.Error}
+	}
+	return &a, nil
+}
+
+// end closes the process's input and waits for it; after endTimeout it is killed.
+func (c *hollowProcess) end() error {
+	c.in.Close()
+	late := time.AfterFunc(endTimeout, func() { c.cmd.Process.Kill() })
+	defer late.Stop()
+	return c.cmd.Wait()
+}
--- a/internal/lab/scale/net_test.go
+++ b/internal/lab/scale/net_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestLayoutIsTheUsersShape(t *testing.T) {
+func TestLayoutSpreadsGatewaysEvenly(t *testing.T) {
 	places := Layout(FullGateways, FullSites, FullZones, FullRegions)
 	sites, zones, regions := map[int]int{}, map[int]int{}, map[int]int{}
 	zoneOf, regionOf := map[int]int{}, map[int]int{}
@@ -39,12 +39,12 @@
 	}
 	for _, n := range []int{1, 2, 12, 13, 50, 200, 1000, 2000} {
 		if got := len(ScaledLayout(n)); got != n {
-			t.Errorf("Sized(%d) has %d", n, got)
+			t.Errorf("ScaledLayout(%d) has %d", n, got)
 		}
 	}
 }
 
-// recorder keeps what comes to it.
+// recorder is a node that records datagrams and timers.
 type recorder struct {
 	net         *Network
 	index       int
@@ -61,25 +61,25 @@
 }
 func (r *recorder) TimerFired(now time.Duration) { r.timersFired = append(r.timersFired, now) }
 
-// newRecorderNetwork makes a network of recorders, all started, without jitter.
-func newRecorderNetwork(places []Place) (*Network, []*recorder) {
-	lag := DefaultLatency
-	lag.Jitter = 0
-	all := make([]*recorder, len(places))
+// newRecorderNetwork makes a network of started recorders, without jitter.
+func newRecorderNetwork(locations []Location) (*Network, []*recorder) {
+	latency := DefaultLatency
+	latency.Jitter = 0
+	all := make([]*recorder, len(locations))
 	var n *Network
-	n = NewNetwork(1, places, lag, func(i int) Node {
+	n = NewNetwork(1, locations, latency, func(i int) Node {
 		all[i] = &recorder{net: n, index: i}
 		return all[i]
 	})
-	for i := range places {
+	for i := range locations {
 		n.Start(i)
 	}
 	n.Run(0)
 	return n, all
 }
 
-func TestLatencyIsOfTheNearestThingShared(t *testing.T) {
-	places := []Place{{0, 0, 0}, {0, 0, 0}, {1, 0, 0}, {2, 1, 0}, {3, 2, 1}, {4, 3, 2}, {5, 4, 3}, {6, 5, 4}}
+func TestLatencyFollowsNearestSharedLocation(t *testing.T) {
+	places := []Location{{0, 0, 0}, {0, 0, 0}, {1, 0, 0}, {2, 1, 0}, {3, 2, 1}, {4, 3, 2}, {5, 4, 3}, {6, 5, 4}}
 	n, all := newRecorderNetwork(places)
 	for to := 1; to < len(places); to++ {
 		n.Send(0, to, []byte("x"))
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestEachDatagramIsCountedWithItsHeadOnBothSides(t *testing.T) {
+func TestDatagramBytesIncludeHeadersOnBothSides(t *testing.T) {
 	n, all := newRecorderNetwork(Layout(2, 1, 1, 1))
 	all[1].reply = true
 	n.Send(0, 1, make([]byte, 100))
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestCutsSplitTwoGroupsBothWaysUntilHealed(t *testing.T) {
+func TestCutBlocksBothDirectionsUntilHealed(t *testing.T) {
 	n, all := newRecorderNetwork(Layout(3, 3, 3, 3))
 	one, two := n.Cut([]int{0}, []int{1, 2}), n.Cut([]int{0}, []int{1})
 	send := func() (got [3]int) {
@@ -146,7 +146,7 @@
 	all[1].got = nil
 	n.Run(n.Now() + time.Second)
 	if len(all[1].got) != 0 || n.Counters(0).Lost != 4 {
-		t.Errorf("under way at a cut: got %v, lost %d", all[1].got, n.Counters(0).Lost)
+		t.Errorf("in flight at a cut: got %v, lost %d", all[1].got, n.Counters(0).Lost)
 	}
 }
 
@@ -162,14 +162,14 @@
 	n.Send(0, 1, []byte("heard"))
 	n.Run(10 * time.Second)
 	if len(was.got) != 0 || len(was.timersFired) != 1 || len(all[0].got) != 0 {
-		t.Errorf("the killed one got %q and woke at %v; its peer got %q", was.got, was.timersFired, all[0].got)
+		t.Errorf("the killed one got %q and had timers at %v; its peer got %q", was.got, was.timersFired, all[0].got)
 	}
 	if all[1] == was || len(all[1].got) != 1 || !slices.Equal(all[1].timersFired, []time.Duration{time.Second}) || n.Counters(0).Lost != 1 {
-		t.Errorf("the new one got %q and woke at %v, lost %d", all[1].got, all[1].timersFired, n.Counters(0).Lost)
+		t.Errorf("the new one got %q and had timers at %v, lost %d", all[1].got, all[1].timersFired, n.Counters(0).Lost)
 	}
 }
 
-func TestPausedNodeReceivesItsInboxOnResume(t *testing.T) {
+func TestPausedNodeReceivesQueuedDatagramsOnResume(t *testing.T) {
 	n, all := newRecorderNetwork(Layout(2, 1, 1, 1))
 	n.SetTimer(1, time.Second)
 	n.Pause(1)
@@ -181,7 +181,7 @@
 	n.Run(10 * time.Second)
 	n.Send(1, 0, []byte("a still one sends nothing"))
 	if len(all[1].got) != 0 || len(all[1].timersFired) != 1 {
-		t.Fatal("it did not stand still")
+		t.Fatal("a paused node received datagrams or timers")
 	}
 	n.Resume(1)
 	n.Run(11 * time.Second)
@@ -190,11 +190,11 @@
 		t.Errorf("got %d and lost %d of %d; its peer got %d", len(all[1].got), n.Counters(0).Lost, sent, len(all[0].got))
 	}
 	if !slices.Equal(all[1].timersFired, []time.Duration{0, 10 * time.Second}) {
-		t.Errorf("woken at %v", all[1].timersFired)
+		t.Errorf("timers fired at %v", all[1].timersFired)
 	}
 }
 
-func TestTimerFiresWhenSetLast(t *testing.T) {
+func TestLastTimerSettingWins(t *testing.T) {
 	n, all := newRecorderNetwork(Layout(1, 1, 1, 1))
 	all[0].timersFired = nil
 	n.SetTimer(0, 5*time.Second)
@@ -207,7 +207,7 @@
 	n.SetTimer(0, never)
 	n.Run(8 * time.Second)
 	if want := []time.Duration{3 * time.Second, 5 * time.Second}; !slices.Equal(all[0].timersFired, want) {
-		t.Errorf("woken at %v, want %v", all[0].timersFired, want)
+		t.Errorf("timers fired at %v, want %v", all[0].timersFired, want)
 	}
 }
 
@@ -215,17 +215,17 @@
 	n, _ := newRecorderNetwork(Layout(1, 1, 1, 1))
 	var got []int
 	for _, at := range []int{3, 1, 2, 1} {
-		n.At(time.Duration(at)*time.Second, func() { got = append(got, at) })
+		n.Schedule(time.Duration(at)*time.Second, func() { got = append(got, at) })
 	}
 	n.Run(2 * time.Second)
-	n.At(0, func() { got = append(got, 0) })
+	n.Schedule(0, func() { got = append(got, 0) })
 	n.Run(5 * time.Second)
 	if !slices.Equal(got, []int{1, 1, 2, 0, 3}) {
 		t.Errorf("%v", got)
 	}
 }
 
-// talker sends to chance peers at a rate, and passes a part of what it hears on.
+// talker is a node that sends to pseudo-random peers at a rate, and hashes what it receives.
 type talker struct {
 	net    *Network
 	index  int
@@ -234,13 +234,13 @@
 	buf    [120]byte
 }
 
-func (k *talker) Datagram(now time.Duration, from int, b []byte) {
-	k.digest = (k.digest ^ uint64(now) ^ uint64(from)<<48 ^ uint64(len(b))<<40) * 0x9e3779b97f4a7c15
+func (n *talker) Datagram(now time.Duration, from int, b []byte) {
+	n.digest = (n.digest ^ uint64(now) ^ uint64(from)<<48 ^ uint64(len(b))<<40) * 0x9e3779b97f4a7c15
 }
-func (k *talker) TimerFired(now time.Duration) {
-	x := (uint64(k.index)*0x9e3779b97f4a7c15 + uint64(now)) * 0xbf58476d1ce4e5b9
-	k.net.Send(k.index, int(x>>33)%k.net.Nodes(), k.buf[:])
-	k.net.SetTimer(k.index, now+k.every)
+func (n *talker) TimerFired(now time.Duration) {
+	x := (uint64(n.index)*0x9e3779b97f4a7c15 + uint64(now)) * 0xbf58476d1ce4e5b9
+	n.net.Send(n.index, int(x>>33)%n.net.Nodes(), n.buf[:])
+	n.net.SetTimer(n.index, now+n.every)
 }
 
 func newTalkerNetwork(seed uint64, nodes int, every time.Duration) (*Network, func() uint64) {
@@ -254,8 +254,8 @@
 		n.Start(i)
 	}
 	return n, func() (sum uint64) {
-		for _, k := range all {
-			sum = sum*31 + k.digest
+		for _, node := range all {
+			sum = sum*31 + node.digest
 		}
 		return sum
 	}
@@ -264,10 +264,10 @@
 func TestEqualSeedsGiveEqualRuns(t *testing.T) {
 	play := func(seed uint64) uint64 {
 		n, digest := newTalkerNetwork(seed, 200, 50*time.Millisecond)
-		n.Loss(0.1)
-		n.Duplicate(0.05)
-		n.At(2*time.Second, func() { n.Kill(7); n.Pause(8); n.Cut([]int{1, 2}, []int{3}) })
-		n.At(4*time.Second, func() { n.Start(7); n.Resume(8) })
+		n.SetLoss(0.1)
+		n.SetDuplication(0.05)
+		n.Schedule(2*time.Second, func() { n.Kill(7); n.Pause(8); n.Cut([]int{1, 2}, []int{3}) })
+		n.Schedule(4*time.Second, func() { n.Start(7); n.Resume(8) })
 		n.Run(6 * time.Second)
 		return digest()
 	}
@@ -277,10 +277,10 @@
 	}
 }
 
-func TestLossMatchesItsProbability(t *testing.T) {
+func TestLossMatchesProbability(t *testing.T) {
 	n, _ := newTalkerNetwork(3, 100, 10*time.Millisecond)
-	n.Loss(0.1)
-	n.Duplicate(0.2)
+	n.SetLoss(0.1)
+	n.SetDuplication(0.2)
 	n.Run(10 * time.Second)
 	var out, in, lost int64
 	for i := range n.Nodes() {
@@ -295,7 +295,7 @@
 	}
 }
 
-// Real time of one virtual second at the users' size with some 100,000 datagrams in it.
+// Real time of one virtual second at the size of the whole fleet, with some 100,000 datagrams.
 func BenchmarkSecondOfFullFleet(b *testing.B) {
 	n, _ := newTalkerNetwork(1, FullGateways, 39*time.Millisecond)
 	n.Run(time.Second)
