--- a/internal/lab/fleet/forms_test.go
+++ b/internal/lab/fleet/forms_test.go
@@ -1,8 +1,6 @@
 package fleet
 
 import (
-	"bytes"
-	"encoding/json"
 	"net/netip"
 	"os"
 	"path/filepath"
@@ -10,12 +8,13 @@
 	"testing"
 
 	"foldslip/internal/config"
+	"foldslip/internal/lab/frozen"
 )
 
 // TestReportsKeepTheirForm reads a report and a scenario with every field set and writes the same bytes again.
 func TestReportsKeepTheirForm(t *testing.T) {
-	readAndWrite(t, "report.json", &Report{})
-	readAndWrite(t, "scenario.json", &Scenario{})
+	frozen.IndentedJSON(t, "report.json", &Report{})
+	frozen.IndentedJSON(t, "scenario.json", &Scenario{})
 }
 
 // TestShippedScenariosReadAsBefore compares all scenarios that come with the rig, as they are read, with what they were read as.
@@ -28,7 +27,7 @@
 		}
 		all = append(all, s)
 	}
-	checkWritten(t, "shipped.json", all)
+	frozen.EqualIndented(t, "shipped.json", all)
 }
 
 // TestGatewayFilesKeepTheirForm compares the two files that a gateway of the rig is started with.
@@ -64,34 +63,3 @@
 		t.Errorf("a gateway is started with %s", args)
 	}
 }
-
-// readAndWrite reads a file of testdata into value, which must know every key of it, and checks that value is written as the same bytes.
-func readAndWrite(t *testing.T, name string, value any) {
-	t.Helper()
-	want, err := os.ReadFile(filepath.Join("testdata", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	decoder := json.NewDecoder(bytes.NewReader(want))
-	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(value); err != nil {
-		t.Fatalf("%s: %v", name, err)
-	}
-	checkWritten(t, name, value)
-}
-
-// checkWritten checks that value is written as a file of testdata, byte for byte.
-func checkWritten(t *testing.T, name string, value any) {
-	t.Helper()
-	want, err := os.ReadFile(filepath.Join("testdata", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	got, err := json.MarshalIndent(value, "", " ")
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got = append(got, '\n'); !bytes.Equal(got, want) {
-		t.Errorf("%s is written as\n%s", name, got)
-	}
-}
