--- a/internal/lab/scenario/lookup.go
+++ b/internal/lab/scenario/lookup.go
@@ -26,11 +26,6 @@
 	routeSides   *[2]bool // routes that all its attempts so far may have been decided under; nil: no attempt yet
 }
 
-// newLookup makes a lookup of an object.
-func newLookup(kind int, object string, part int) *lookup {
-	return &lookup{kind: kind, object: object, part: part, group: groupOf(object)}
-}
-
 func (l *lookup) kindSettings() *lookupKind { return &lookupKinds[l.kind] }
 
 func (l *lookup) key() string { return partKey(l.object, l.part) }
