--- a/internal/policy/cost_test.go
+++ b/internal/policy/cost_test.go
@@ -141,7 +141,7 @@
 
 // The counts at the size of the large fleet: objects looked up once a second and once a minute at one gateway, among 564 lookups a second of
 // which each other one names an object of its own.
-func TestCountsAtTheSize(t *testing.T) {
+func TestLookupCountsAtFleetSize(t *testing.T) {
 	f, _ := newFixture(t, nil)
 	const perSecond = 564
 	was := f.router.nextDecayAt
--- a/internal/policy/edge.go
+++ b/internal/policy/edge.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	crowdedShare  = 0.4  // of their latency budgets that hits take at a crowded cache
-	initialLimit  = 16.0 // open attempts at a cache, and open fills, before anything is known
-	minOpen       = 2.0  // attempts or fills, by all routers together, below which a limit is not cut
-	spillShare    = 0.7  // of its limit, below which another cache takes a crowded one's lookups
-	rejectedCut   = 0.75 // of a cache's limit that is left when it rejects an attempt
-	limitGrowth   = 1.1  // of a limit that is nearly reached
-	limitInterval = 200 * millisecond
+	maxHitBudgetShare = 0.4  // of their latency budgets that hits take at a crowded cache
+	initialLimit      = 16.0 // open attempts at a cache, and open fills, before anything is known
+	minOpen           = 2.0  // attempts or fills, by all routers together, below which a limit is not cut
+	spillShare        = 0.7  // of its limit, below which another cache takes a crowded one's lookups
+	rejectedCut       = 0.75 // of a cache's limit that is left when it rejects an attempt
+	limitGrowth       = 1.1  // of a limit that is nearly reached
+	limitInterval     = 200 * millisecond
 
 	// A usual hit, which is added to those measured: one slow hit says little.
 	usualHitLatency = 40 * millisecond
 	usualHitBudget  = 160 * millisecond
 
-	maxFailures   = 2 // connections in a row that fail before a cache is ejected
-	resetAttempts = 2 // attempts of a lookup up to which a reset does not move it: what its cache holds is worth a second one
+	maxFailures        = 2 // connections in a row that fail before a cache is ejected
+	attemptsBeforeMove = 2 // attempts of a lookup up to which a reset does not move it: what its cache holds is worth a second one
 )
 
 // chooseEdge picks the first cache in the rendezvous order of the lookup's part that may have it and has capacity.
@@ -82,20 +82,20 @@
 	}
 	switch {
 	case report.Outcome == OutcomeSatisfied || report.Outcome == OutcomeMiss || report.Detail.isFillFailure():
-		r.noteEdgeAnswer(attempt, report)
+		r.observeEdgeAnswer(attempt, report)
 	case report.Outcome == OutcomeRejected:
-		r.noteEdgeRejection(cache, lookup)
+		r.observeEdgeRejection(cache, lookup)
 	case report.Outcome == OutcomeConnectFailed || report.Outcome == OutcomeReset:
-		r.noteEdgeDisconnection(attempt, report)
+		r.observeEdgeDisconnection(attempt, report)
 	case report.isUnexplained(OutcomeError):
-		r.noteEdgeError(cache, lookup)
+		r.observeEdgeError(cache, lookup)
 	case report.Outcome == OutcomeCancelled && cache.probe == attempt:
 		r.countFailures(cache, 1, 1, "probe failed")
 	}
 }
 
-// noteEdgeAnswer learns from an answer that shows a working cache.
-func (r *Router) noteEdgeAnswer(attempt *Attempt, report AttemptReport) {
+// observeEdgeAnswer learns from an answer that shows a working cache.
+func (r *Router) observeEdgeAnswer(attempt *Attempt, report AttemptReport) {
 	cache, lookup := attempt.edge, attempt.lookup
 	r.noteSuccess(cache, attempt)
 	if report.Outcome == OutcomeSatisfied {
@@ -109,8 +109,8 @@
 	cache.pausedUntil = r.nextTurn(cache.attemptLimit, report.Latency)
 }
 
-// noteEdgeRejection lowers the limit of a cache that is full, so that attempts do not storm it where hits are not reported.
-func (r *Router) noteEdgeRejection(cache *Cache, lookup *Lookup) {
+// observeEdgeRejection lowers the limit of a cache that is full, so that attempts do not storm it where hits are not reported.
+func (r *Router) observeEdgeRejection(cache *Cache, lookup *Lookup) {
 	cache.lastSuccessAt = r.now
 	if lookup.missedAt == cache { // it answered that it has no copy: only the fill was rejected
 		return
@@ -119,12 +119,12 @@
 	cache.attemptLimit = max(minOpen/r.zoneRouterCount(), rejectedCut*min(cache.attemptLimit, float64(cache.openCount+1)))
 }
 
-// noteEdgeDisconnection counts a connection that was refused or broke. A reset alone does not mean that the cache died.
-func (r *Router) noteEdgeDisconnection(attempt *Attempt, report AttemptReport) {
+// observeEdgeDisconnection counts a connection that was refused or broke. A reset alone does not mean that the cache died.
+func (r *Router) observeEdgeDisconnection(attempt *Attempt, report AttemptReport) {
 	cache, lookup := attempt.edge, attempt.lookup
 	isRefused := report.Outcome == OutcomeConnectFailed
 	cache.restartsCold = cache.restartsCold || isRefused
-	if isRefused || len(lookup.attempts) > resetAttempts {
+	if isRefused || len(lookup.attempts) > attemptsBeforeMove {
 		lookup.failedEdge = cache
 	}
 	if attempt.startedAt >= cache.lastFailureAt { // a connection that breaks under many attempts is one failure
@@ -134,9 +134,9 @@
 	}
 }
 
-// noteEdgeError counts an unexplained error. Errors are quick and would attract more lookups to a cache that fails them all. They are
+// observeEdgeError counts an unexplained error. Errors are quick and would attract more lookups to a cache that fails them all. They are
 // counted apart from failed connections, and many in a row are needed: where every cache fails some, moving or ejecting helps nobody.
-func (r *Router) noteEdgeError(cache *Cache, lookup *Lookup) {
+func (r *Router) observeEdgeError(cache *Cache, lookup *Lookup) {
 	cache.errorsInRow++
 	if cache.errorsInRow >= errorsToAvoid {
 		lookup.failedEdge = cache
@@ -152,8 +152,8 @@
 	cache.limitUpdatedAt = r.now
 	usedShare := (cache.hitLatency.read(r.now) + float64(usualHitLatency)) / (cache.hitBudget.read(r.now) + float64(usualHitBudget))
 	switch {
-	case usedShare > crowdedShare:
-		cache.attemptLimit = max(minOpen/r.zoneRouterCount(), min(cache.attemptLimit, float64(cache.openCount+1)*crowdedShare/usedShare))
+	case usedShare > maxHitBudgetShare:
+		cache.attemptLimit = max(minOpen/r.zoneRouterCount(), min(cache.attemptLimit, float64(cache.openCount+1)*maxHitBudgetShare/usedShare))
 	case float64(cache.openCount+1) >= cache.attemptLimit*spillShare:
 		cache.attemptLimit *= limitGrowth
 	}
--- a/internal/policy/inherit_test.go
+++ b/internal/policy/inherit_test.go
@@ -45,7 +45,7 @@
 }
 
 // A start that only the new list has is not starved by what the earlier router knew of the cache: nothing.
-func TestInheritOfAStartNotKnownBefore(t *testing.T) {
+func TestInheritKeepsUnknownSlowStart(t *testing.T) {
 	old, _ := newFixture(t, nil)
 	f, caches := newFixture(t, nil)
 	f.updateEndpoint(caches[0], Ready, f.now)
