--- a/internal/policy/cache.go
+++ b/internal/policy/cache.go
@@ -1,45 +1,45 @@
 package policy
 
-// Cache is a server that a Router sends attempts to or has fills made from: an edge cache, a parent or the origin. Its owner makes it
-// with NewCache and lists it with Router.UpdateEndpoints; it belongs to one Router.
+// Cache is a server that serves lookups or fills: an edge cache, a parent or the origin. The Router's owner creates
+// it with NewCache and lists it with Router.UpdateEndpoints. A Cache belongs to one Router.
 type Cache struct {
 	Name     string
 	nameHash uint64
-	Endpoint // as last listed; State is Gone while it is not listed
+	Endpoint // latest row of the endpoint list; State is Gone while the cache is not listed
 
 	// Outlier ejection (outlier.go).
-	ejected       bool // it gets probes only
+	ejected       bool // receives only probes
 	ejectedAt     Micros
-	restartsCold  bool     // it died: its slow start begins when it is readmitted
-	isOnlySlow    bool     // ejected for its latency alone
-	nextProbeAt   Micros   // while ejected
-	probe         *Attempt // under way
-	failuresInRow int      // connections refused or broken; of a parent, failed fills
-	errorsInRow   int      // unexplained errors
-	lastFailureAt Micros   // attempts that started earlier count as the same failure
-	lastSuccessAt Micros   // last good answer; of a parent, last good fill; 0: none yet
-	overdueCount  int      // attempts overdue since lastSuccessAt, as of the last sweep
-	overdueNoFill int      // those of them that asked for no fill
+	restartsCold  bool     // is assumed to have died, so that a slow start begins when it is readmitted
+	isOnlySlow    bool     // was ejected only for its latency
+	nextProbeAt   Micros   // earliest start of the next probe of an ejected cache
+	probe         *Attempt // open probe, or nil
+	failuresInRow int      // consecutive refused or broken connections; for a parent, consecutive failed fills
+	errorsInRow   int      // consecutive unexplained errors
+	lastFailureAt Micros   // attempts that started before this time count as the same failure
+	lastSuccessAt Micros   // last response of a working cache; for a parent, last successful fill; 0 if none
+	overdueCount  int      // attempts that were overdue at the last sweep and started after lastSuccessAt
+	overdueNoFill int      // attempts in overdueCount that asked for no fill
 	latency       latencyWindow
 
 	// Slow start (slowstart.go).
-	warmingSince   Micros        // 0: it is warm
-	slowStartSent  slidingWindow // work charged to it while it warms
-	slowStartScale float64       // of what it is sent while it warms, 0 to 1
+	warmingSince   Micros        // start of the slow start, or 0 if the cache is warm
+	slowStartSent  slidingWindow // work that was charged to the slow start budget
+	slowStartScale float64       // factor of the slow start budget, from 0 to 1
 	scaleUpdatedAt Micros
-	carriedWork    decayingSum // transfer time carried for this router
+	carriedWork    decayingSum // transfer time that the cache carried for this router
 
-	// Limit of open attempts (edge.go).
+	// Concurrency limit (edge.go).
 	openCount      int
-	attempts       []*Attempt // the open ones
+	attempts       []*Attempt // open attempts
 	attemptLimit   float64
 	limitUpdatedAt Micros
-	pausedUntil    Micros // where the limit is below one
-	hitLatency     decayingSum
+	pausedUntil    Micros      // earliest start of the next attempt, which is delayed if the limit is below one
+	hitLatency     decayingSum // latencies of hits
 	hitBudget      decayingSum // latency budgets of the same hits
 }
 
-// NewCache makes the cache of a name, which is not listed yet.
+// NewCache returns a cache that is not listed yet.
 func NewCache(name string) *Cache {
 	return &Cache{Name: name, nameHash: hashString(name), attemptLimit: initialLimit, Endpoint: Endpoint{State: Gone}}
 }
--- a/internal/policy/cost_test.go
+++ b/internal/policy/cost_test.go
@@ -9,8 +9,9 @@
 
 var costs = cost.NewProbes("./internal/policy")
 
-// endpointList is a list of n caches as one gateway of the large fleet sees it: edge caches of its zone, two parents in each of 25 zones, an
-// origin, and edge caches of other zones.
+// endpointList returns an endpoint list of n caches as one gateway of the large fleet sees it. The list holds an
+// origin, two parents in each of 25 zones, the given number of edge caches in the gateway's zone, and edge caches of
+// other zones.
 func endpointList(n, edges int) (endpoints []Endpoint) {
 	for i := range n {
 		endpoint := Endpoint{Cache: NewCache(fmt.Sprintf("s-%08x", uint32(i)*2654435761)), Cell: i, Zone: 1 + i%24, Weight: 1}
@@ -27,32 +28,33 @@
 	return endpoints
 }
 
-// newLargeFixture starts a router with such a list.
+// newLargeFixture creates a router with a list made by endpointList.
 func newLargeFixture(t *testing.T, n, edges int) (*fixture, []Endpoint) {
 	t.Helper()
 	f, _ := newFixture(t, nil)
 	endpoints := endpointList(n, edges)
 	f.router.UpdateEndpoints(f.now, UpdateFull, endpoints)
 	if len(f.router.caches) != n || len(f.router.edges) != edges || len(f.router.parents) != 50 || f.router.origin == nil {
-		t.Fatalf("%d caches, %d edges, %d parents", len(f.router.caches), len(f.router.edges), len(f.router.parents))
+		t.Fatalf("%d caches, %d edge caches of the zone, %d parents; want all listed caches, 50 parents and an origin",
+			len(f.router.caches), len(f.router.edges), len(f.router.parents))
 	}
 	return f, endpoints
 }
 
-// A change of one cache, by the length of the list.
+// TestCostListed measures the processor time of a change of one cache, by the length of the endpoint list.
 func TestCostListed(t *testing.T) {
 	costs.Measure(t, cost.Figure{Name: "logic-change", Title: "policy.Router.UpdateEndpoints: processor time of a change of one cache", XLabel: "caches in the list", YLabel: "us of a core",
 		Budget: 1000, BudgetOf: "a change, 0.1% of a core at one a second", PlanSize: 1800}, []int{225, 450, 900, 1800, 3600, 7200, 14400}, func(n int) float64 {
 		f, endpoints := newLargeFixture(t, n, 6)
 		return costs.MicrosPerCall(func(i int) {
 			endpoint := endpoints[60+i%100]
-			endpoint.State = EndpointState(i / 100 % 2) // drains, then is ready again
+			endpoint.State = EndpointState(i / 100 % 2) // alternates between Ready and Draining
 			f.router.UpdateEndpoints(f.now, UpdateDelta, []Endpoint{endpoint})
 		})
 	})
 }
 
-// A list: its heap, with caches and endpoints.
+// TestCostListHeap measures the heap of an endpoint list, including the caches and endpoints, by its length.
 func TestCostListHeap(t *testing.T) {
 	costs.Measure(t, cost.Figure{Name: "logic-list-heap", Title: "policy.Router: heap of the list", XLabel: "caches in the list", YLabel: "bytes", Budget: 4 << 20, BudgetOf: "the list, 4 MB of 128", PlanSize: 1800},
 		[]int{225, 450, 900, 1800, 3600, 7200}, func(n int) float64 {
@@ -64,8 +66,10 @@
 		})
 }
 
-// The sweep, each 10 ms, by the edge caches of the own zone: with nothing open, and with what 564 lookups a second of 200 ms hold open. Six
-// edge caches of which nothing is known yet take 96 at once: 17 are queued and tried again in each sweep.
+// TestCostSweep measures the processor time of a sweep, which runs every 10 ms, by the number of edge caches in the
+// zone. It measures a sweep without open lookups, and one with the 113 lookups that are open at 564 lookups a second
+// of 200 ms each. At their initial limits, 6 edge caches accept 96 of them. The other 17 are queued and routed again
+// in each sweep.
 func TestCostSweep(t *testing.T) {
 	for _, open := range []int{0, 113} {
 		costs.Measure(t, cost.Figure{Name: fmt.Sprint("logic-sweep-", open), Title: fmt.Sprintf("policy.Router.TimerFired: processor time of a sweep, %d lookups open", open),
@@ -75,14 +79,16 @@
 				f.router.StartLookup(f.now, Arrival{ID: fmt.Sprint(i), Object: fmt.Sprint("object-", i), Group: 3, SizeKB: 449, Deadline: f.now + 3600*second})
 			}
 			if queued := max(0, open-int(initialLimit)*edges); len(f.router.openAttempts) != open-queued || len(f.router.queued) != queued {
-				t.Fatalf("%d open, %d queued of %d: expected %d queued", len(f.router.openAttempts), len(f.router.queued), open, queued)
+				t.Fatalf("%d attempts open and %d lookups queued of %d lookups, want %d queued",
+					len(f.router.openAttempts), len(f.router.queued), open, queued)
 			}
 			return costs.MicrosPerCall(func(int) { f.router.TimerFired(f.now, timerSweep) })
 		})
 	}
 }
 
-// Purges: one more beside so many, and their heap.
+// TestCostPurged measures the processor time of one purge and the heap of all purges, by the number of recorded
+// purges.
 func TestCostPurged(t *testing.T) {
 	sizes := []int{1100, 6700, 60000, 360000}
 	costs.Measure(t, cost.Figure{Name: "logic-purged", Title: "policy.Router.ApplyPurge: processor time of one purge", XLabel: "purges", YLabel: "us of a core", Budget: 40,
@@ -103,19 +109,20 @@
 					f.router.ApplyPurge(f.now, fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15), 0, 0)
 				}
 				if len(f.router.purges) != n {
-					t.Errorf("%d purges of %d", len(f.router.purges), n)
+					t.Errorf("%d purges are recorded, want %d", len(f.router.purges), n)
 				}
 				return f.router
 			})
 		})
 }
 
-// The table of counts: its heap, and the halving of all of it, once a minute. It is never larger than maxCounts for longer than a sweep.
+// TestCostCounts measures the heap of the lookup counts and the processor time of halving all of them, which happens
+// once a minute. There are never more than maxCounts of them for longer than a sweep interval.
 func TestCostCounts(t *testing.T) {
 	sizes := []int{7500, 15000, 30000, maxCounts}
 	fill := func(f *fixture, n int) {
 		for i := range n {
-			f.router.lookupCounts[mixHash(uint64(i), 1)] = 0x1p1000 // none is gone before the thousandth halving
+			f.router.lookupCounts[mixHash(uint64(i), 1)] = 0x1p1000 // large enough to last for 1,000 halvings
 		}
 	}
 	costs.Measure(t, cost.Figure{Name: "logic-counts-heap", Title: "policy.Router: heap of the counts", XLabel: "counts", YLabel: "bytes", Budget: 4 << 20, BudgetOf: "counts, 4 MB of 128", PlanSize: maxCounts},
@@ -133,39 +140,41 @@
 			}
 		})
 		if len(f.router.lookupCounts) != n {
-			t.Errorf("%d counts of %d are left", len(f.router.lookupCounts), n)
+			t.Errorf("%d counts are left, want %d", len(f.router.lookupCounts), n)
 		}
 		return us
 	})
 }
 
-// The counts at the size of the large fleet: objects looked up once a second and once a minute at one gateway, among 564 lookups a second of
-// which each other one names an object of its own.
+// TestLookupCountsAtFleetSize checks the lookup counts of one gateway of the large fleet, at 564 lookups a second.
+// One object is looked up once a second and another one once a minute. Each of the remaining lookups is for a
+// different object. The counts of these objects must not exceed maxCounts, which would halve all counts early.
 func TestLookupCountsAtFleetSize(t *testing.T) {
 	f, _ := newFixture(t, nil)
 	const perSecond = 564
-	was := f.router.nextDecayAt
+	firstDecayAt := f.router.nextDecayAt
 	for s, n := 0, 0; s < 300; s++ {
 		for range perSecond - 2 {
 			f.router.lookupCounts[mixHash(uint64(n), 7)]++
 			n++
 		}
-		f.router.lookupCounts[1]++ // each second
+		f.router.lookupCounts[1]++ // once a second
 		if s%60 == 30 {
 			f.router.lookupCounts[2]++ // once a minute
 		}
 		f.advance(second)
 		if len(f.router.lookupCounts) > maxCounts {
-			t.Fatalf("%d counts", len(f.router.lookupCounts))
+			t.Fatalf("%d counts, want at most maxCounts", len(f.router.lookupCounts))
 		}
 	}
-	if f.router.nextDecayAt != was+5*countDecayInterval {
-		t.Errorf("halved %v later than five times a minute: the table was full before its time", f.router.nextDecayAt-was)
+	if f.router.nextDecayAt != firstDecayAt+5*countDecayInterval {
+		t.Errorf("the next halving moved by %d us in 5 minutes: the counts were full and halved early",
+			f.router.nextDecayAt-firstDecayAt)
 	}
-	if got := f.router.lookupCounts[1]; got < 58 || got > 60.1 { // 120 just before a halving, half of it after
-		t.Errorf("an object of one lookup a second has %.1f after a halving", got)
+	if got := f.router.lookupCounts[1]; got < 58 || got > 60.1 { // 120 just before a halving and 60 just after it
+		t.Errorf("an object with one lookup a second has a count of %.1f after a halving, want 58 to 60.1", got)
 	}
 	if got, kept := f.router.lookupCounts[2]; kept {
-		t.Errorf("an object of one lookup a minute has %.1f after a halving: it stands out", got)
+		t.Errorf("an object with one lookup a minute has a count of %.1f after a halving, want none", got)
 	}
 }
--- a/internal/policy/decay.go
+++ b/internal/policy/decay.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// measurementHalfLife is that of everything that is measured over time.
+// measurementHalfLife is the half-life of every decayingSum.
 const measurementHalfLife = 1 * second
 
-// decayingSum is a sum that halves every measurementHalfLife. Its value is brought up to date when it is read.
+// decayingSum is a sum that halves every measurementHalfLife. The decay is applied when the sum is read.
 type decayingSum struct {
 	value     float64
 	updatedAt Micros
@@ -21,18 +21,19 @@
 
 func (s *decayingSum) add(now Micros, v float64) { s.value = s.read(now) + v }
 
-// rate is the sum as an amount for each microsecond.
+// rate returns the recent mean of the amount added per microsecond.
 func (s *decayingSum) rate(now Micros) float64 {
 	return s.read(now) * math.Ln2 / float64(measurementHalfLife)
 }
 
-// windowSlots is the number of slots that cover a window.
+// windowSlots is the number of slots in a window.
 const windowSlots = 4
 
-// slidingWindow sums up what was added within a window of time: of never less than the window, and of at most a slot more.
+// slidingWindow sums the values that were added within a window of time. The sum covers at least the whole window and
+// at most one slot more.
 type slidingWindow struct {
 	slots  [windowSlots + 1]float64
-	newest Micros // number of the newest slot since the epoch
+	newest Micros // number of the newest slot, counted from the Unix epoch
 }
 
 func (w *slidingWindow) read(now, window Micros) (total float64) {
@@ -53,7 +54,7 @@
 	w.slots[w.newest%(windowSlots+1)] += v
 }
 
-// subtract takes back what was added at an instant, if the window still holds it.
+// subtract removes a value that was added at an instant, if the window still covers that instant.
 func (w *slidingWindow) subtract(at, now, window Micros, v float64) {
 	w.read(now, window)
 	if slot := at * windowSlots / window; slot >= w.newest-windowSlots {
--- a/internal/policy/edge.go
+++ b/internal/policy/edge.go
@@ -7,23 +7,38 @@
 )
 
 const (
-	maxHitBudgetShare = 0.4  // of their latency budgets that hits take at a crowded cache
-	initialLimit      = 16.0 // open attempts at a cache, and open fills, before anything is known
-	minOpen           = 2.0  // attempts or fills, by all routers together, below which a limit is not cut
-	spillShare        = 0.7  // of its limit, below which another cache takes a crowded one's lookups
-	rejectedCut       = 0.75 // of a cache's limit that is left when it rejects an attempt
-	limitGrowth       = 1.1  // of a limit that is nearly reached
-	limitInterval     = 200 * millisecond
+	// maxHitBudgetShare is the share of their latency budgets that hits may take. A cache whose hits take more has
+	// its limit cut.
+	maxHitBudgetShare = 0.4
+	// initialLimit is the concurrency limit of a cache, and the limit of open fills, before any measurement.
+	initialLimit = 16.0
+	// minOpen is the number of open attempts, and of open fills for each edge cache, below which the limits of all
+	// routers together are not cut.
+	minOpen = 2.0
+	// spillShare is the share of its limit up to which a cache accepts lookups that spill over from a full one. A
+	// limit counts as nearly reached from this share on.
+	spillShare = 0.7
+	// rejectedCut is the factor by which a cache's limit is cut when the cache rejects an attempt.
+	rejectedCut = 0.75
+	// limitGrowth is the factor by which a limit grows that is nearly reached.
+	limitGrowth = 1.1
+	// limitInterval is the minimum time between two adjustments of a cache's limit by its hits.
+	limitInterval = 200 * millisecond
 
-	// A usual hit, which is added to those measured: one slow hit says little.
+	// The latency and the latency budget of one usual hit are added to the measured sums, because a single slow hit
+	// is weak evidence.
 	usualHitLatency = 40 * millisecond
 	usualHitBudget  = 160 * millisecond
 
-	maxFailures        = 2 // connections in a row that fail before a cache is ejected
-	attemptsBeforeMove = 2 // attempts of a lookup up to which a reset does not move it: what its cache holds is worth a second one
+	// maxFailures is the number of consecutive connection failures after which a cache is ejected.
+	maxFailures = 2
+	// attemptsBeforeMove is the number of attempts up to which a connection reset leaves a lookup at its cache. The
+	// copies that the cache holds are worth a second attempt.
+	attemptsBeforeMove = 2
 )
 
-// chooseEdge picks the first cache in the rendezvous order of the lookup's part that may have it and has capacity.
+// chooseEdge chooses the first cache in the rendezvous order of the lookup's part that is a candidate and has
+// capacity. If a candidate lacks capacity the lookup may be queued; if there is no candidate it is given up.
 func (r *Router) chooseEdge(attempt *Attempt) stageResult {
 	lookup := attempt.lookup
 	mustWait := false
@@ -35,7 +50,7 @@
 			mustWait = true
 		case r.isFull(cache, limitShare):
 			if limitShare < 1 {
-				return holdLookup // a third cache would only fill what these two hold
+				return holdLookup // a third cache would only fill copies that these two already hold
 			}
 			mustWait = true
 			limitShare = spillShare
@@ -47,14 +62,14 @@
 		}
 	}
 	if mustWait || lookup.failedEdge != nil {
-		lookup.failedEdge = nil // it may have capacity again
+		lookup.failedEdge = nil // the failed cache may have capacity again
 		return holdLookup
 	}
 	r.giveUp(lookup)
 	return endLookup
 }
 
-// isCandidate tells whether an edge cache may have the lookup at all.
+// isCandidate reports whether an edge cache may receive the lookup, regardless of its capacity.
 func (r *Router) isCandidate(cache *Cache, lookup *Lookup) bool {
 	return cache.State == Ready &&
 		cache != lookup.failedEdge &&
@@ -63,16 +78,17 @@
 		r.mayReceive(cache, lookup)
 }
 
-// isFull tells whether a cache has reached a share of its limit of open attempts, not counting fills, or waits for its turn.
+// isFull reports whether a cache has no capacity for another attempt. That is the case when its open attempts, not
+// counting fills, have reached limitShare of its concurrency limit, and while it is paused.
 func (r *Router) isFull(cache *Cache, limitShare float64) bool {
 	return float64(cache.openCount)-r.countOpenFills(cache.attempts) >= limitShare*cache.attemptLimit || r.now < cache.pausedUntil
 }
 
-// noteEdgeOutcome learns about the edge cache from the end of an attempt.
+// noteEdgeOutcome updates the state of the edge cache from the report of an attempt's end.
 func (r *Router) noteEdgeOutcome(attempt *Attempt, report AttemptReport) {
 	cache, lookup := attempt.edge, attempt.lookup
 	cache.openCount--
-	// A fill's latency is its source's. Where hits are not reported as such, all attempts count.
+	// The latency of a fill is attributed to its source. If caches do not report hits, every attempt counts.
 	if r.measuresLatency(attempt, report) && (report.isHit() || !r.settings.ReportsHits) {
 		r.recordLatency(cache, r.edges, latencySample{
 			latency: float64(report.Latency),
@@ -94,7 +110,7 @@
 	}
 }
 
-// observeEdgeAnswer learns from an answer that shows a working cache.
+// observeEdgeAnswer updates the state of the edge cache from a response that shows a working cache.
 func (r *Router) observeEdgeAnswer(attempt *Attempt, report AttemptReport) {
 	cache, lookup := attempt.edge, attempt.lookup
 	r.noteSuccess(cache, attempt)
@@ -109,17 +125,19 @@
 	cache.pausedUntil = r.nextTurn(cache.attemptLimit, report.Latency)
 }
 
-// observeEdgeRejection lowers the limit of a cache that is full, so that attempts do not storm it where hits are not reported.
+// observeEdgeRejection cuts the limit of a cache that rejected an attempt, so that further attempts do not overload
+// it where hits are not reported.
 func (r *Router) observeEdgeRejection(cache *Cache, lookup *Lookup) {
 	cache.lastSuccessAt = r.now
-	if lookup.missedAt == cache { // it answered that it has no copy: only the fill was rejected
+	if lookup.missedAt == cache { // the cache reported a miss before, so only the fill was rejected
 		return
 	}
 	lookup.failedEdge = cache
 	cache.attemptLimit = max(minOpen/r.zoneRouterCount(), rejectedCut*min(cache.attemptLimit, float64(cache.openCount+1)))
 }
 
-// observeEdgeDisconnection counts a connection that was refused or broke. A reset alone does not mean that the cache died.
+// observeEdgeDisconnection counts a connection that was refused or broke. A reset alone is no evidence that the cache
+// has died.
 func (r *Router) observeEdgeDisconnection(attempt *Attempt, report AttemptReport) {
 	cache, lookup := attempt.edge, attempt.lookup
 	isRefused := report.Outcome == OutcomeConnectFailed
@@ -127,15 +145,16 @@
 	if isRefused || len(lookup.attempts) > attemptsBeforeMove {
 		lookup.failedEdge = cache
 	}
-	if attempt.startedAt >= cache.lastFailureAt { // a connection that breaks under many attempts is one failure
+	if attempt.startedAt >= cache.lastFailureAt { // a connection that breaks under many attempts counts as one failure
 		cache.lastFailureAt = r.now
 		cache.failuresInRow++
 		r.countFailures(cache, cache.failuresInRow, maxFailures, "unreachable")
 	}
 }
 
-// observeEdgeError counts an unexplained error. Errors are quick and would attract more lookups to a cache that fails them all. They are
-// counted apart from failed connections, and many in a row are needed: where every cache fails some, moving or ejecting helps nobody.
+// observeEdgeError counts an unexplained error. Errors are quick, so a cache that fails every lookup would attract
+// more of them. Errors are counted separately from failed connections. Many consecutive errors are required, because
+// moving lookups or ejecting a cache does not help when every cache fails some lookups.
 func (r *Router) observeEdgeError(cache *Cache, lookup *Lookup) {
 	cache.errorsInRow++
 	if cache.errorsInRow >= errorsToAvoid {
@@ -144,7 +163,8 @@
 	r.countFailures(cache, cache.errorsInRow, errorsToEject, "errors")
 }
 
-// adjustLimit moves a cache's limit of open attempts: down while its hits are slow, up while it is nearly reached.
+// adjustLimit adjusts a cache's concurrency limit. It cuts the limit while hits are slow, and otherwise raises a
+// limit that is nearly reached.
 func (r *Router) adjustLimit(cache *Cache) {
 	if r.now < cache.limitUpdatedAt+limitInterval {
 		return
@@ -159,12 +179,14 @@
 	}
 }
 
-// nextTurn is when the next attempt may start where the limit of each of many routers is below one.
+// nextTurn returns the earliest start of the next attempt or fill. A limit below one, as when many routers share one
+// cache, spaces attempts out in time; at any other limit the result is the current time.
 func (r *Router) nextTurn(limit float64, latency Micros) Micros {
 	return r.now + Micros(float64(latency)*max(0, 1/limit-1))
 }
 
-// rendezvousOrder is the order of caches for a hash (highest random weight): a change of the list moves only what it must.
+// rendezvousOrder returns the caches sorted by rendezvous hashing (highest random weight) of a hash. A cache that
+// joins or leaves the list moves only the lookups of that cache.
 func (r *Router) rendezvousOrder(hash uint64, caches []*Cache) []*Cache {
 	distance := func(c *Cache) float64 {
 		uniform := (float64(mixHash(hash, c.nameHash)>>11) + 0.5) / (1 << 53)
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// resubscribeDelay is the wait before the endpoint list is asked for again after a failure.
+// resubscribeDelay is the wait before the router subscribes to the endpoint list again after a failure.
 const resubscribeDelay = 1 * second
 
 // Endpoint is one row of the endpoint list.
@@ -14,44 +14,46 @@
 	Zone, Kind int
 	Cell       int
 	State      EndpointState
-	Weight     float64 // see Settings.WeightIsCapacity and WeightIsSize
-	StartedAt  Micros  // 0: long ago
+	Weight     float64 // see Settings.WeightIsCapacity and Settings.WeightIsSize
+	StartedAt  Micros  // 0 if the cache has been running for a long time
 	Confidence Confidence
 }
 
 // EndpointState is the state of a cache in the endpoint list.
 type EndpointState int
 
-// The states of a cache. Only a ready one gets attempts and fills.
+// The states of a cache. Only a ready cache receives attempts and fills.
 const (
 	Ready EndpointState = iota
 	Draining
 	Gone
 )
 
-// Confidence is how far an endpoint is relied on. In a list kept from an earlier run it is less than Confirmed; StartedAt of such an
-// endpoint is the gateway's guess and replaces the earlier one in whichever direction it moves.
+// Confidence is the degree to which a row of the endpoint list is trusted. Rows that are restored from an earlier run
+// are usually below Confirmed. The StartedAt of such a row is an estimate of the gateway. If the old or the new row
+// is below Confirmed, the new StartedAt replaces the old one even if it is earlier.
 type Confidence int
 
 // The levels of confidence.
 const (
-	Confirmed   Confidence = iota // by the discovery watch
+	Confirmed   Confidence = iota // confirmed by the discovery watch
 	OnProbation                   // most likely up
-	Suspect                       // it gets probes only, until one succeeds
+	Suspect                       // receives only probes until one succeeds
 )
 
-// UpdateKind is what an update of the endpoint list brings.
+// UpdateKind is the kind of an update of the endpoint list.
 type UpdateKind int
 
 // The kinds of updates.
 const (
-	UpdateDelta  UpdateKind = iota // the endpoints that changed
-	UpdateFull                     // all endpoints
-	UpdateCached                   // all endpoints, as kept from an earlier run
-	UpdateFailed                   // nothing: the list could not be had
+	UpdateDelta  UpdateKind = iota // carries the endpoints that changed
+	UpdateFull                     // carries all endpoints
+	UpdateCached                   // carries all endpoints, restored from an earlier run
+	UpdateFailed                   // carries nothing because the list could not be fetched
 )
 
-// UpdateEndpoints takes the endpoint list or changes of it.
+// UpdateEndpoints applies an update of the endpoint list. After a failed update the router subscribes to the list
+// again.
 func (r *Router) UpdateEndpoints(now Micros, kind UpdateKind, endpoints []Endpoint) {
 	r.now = now
 	if kind == UpdateFailed {
@@ -61,7 +63,7 @@
 	listed := map[*Cache]bool{}
 	for _, endpoint := range endpoints {
 		cache := endpoint.Cache
-		if cache.State == Gone && !listed[cache] { // exactly those that are not in r.caches
+		if cache.State == Gone && !listed[cache] { // a cache that is not in r.caches yet
 			r.caches = append(r.caches, cache)
 		}
 		listed[cache] = true
@@ -76,7 +78,8 @@
 	r.groupCaches()
 }
 
-// updateEndpoint takes one endpoint's new row.
+// updateEndpoint applies the new row of one endpoint. It begins a slow start if the row has a new start time, and
+// ejects a cache that has become suspect.
 func (r *Router) updateEndpoint(endpoint Endpoint) {
 	cache := endpoint.Cache
 	isGuess := cache.Confidence != Confirmed || endpoint.Confidence != Confirmed
@@ -91,7 +94,8 @@
 	cache.Endpoint = endpoint
 }
 
-// groupCaches sorts the listed caches by hash and divides them into edges of this router's zone, parents and the origin.
+// groupCaches sorts the listed caches by hash and divides them into the edge caches of this router's zone, the
+// parents and the origin.
 func (r *Router) groupCaches() {
 	slices.SortFunc(r.caches, func(a, b *Cache) int { return cmp.Compare(a.nameHash, b.nameHash) })
 	r.edges, r.parents, r.origin = nil, nil, nil
--- a/internal/policy/executor.go
+++ b/internal/policy/executor.go
@@ -8,46 +8,49 @@
 	second             = 1000 * millisecond
 )
 
-// Executor carries out what a Router decides. The Router calls it from within calls of its own methods, at the instant of that
-// call and under whatever lock its owner holds: an implementation must neither wait nor call the Router.
+// Executor carries out the decisions of a Router. The Router calls it from its own methods, at the time of that call
+// and under any lock that the Router's owner holds. An implementation must therefore neither block nor call the
+// Router.
 type Executor interface {
-	// Fetch starts an attempt of a lookup. Attempts of a lookup are numbered from 0 in the order of these calls.
+	// Fetch starts an attempt of a lookup. The attempts of a lookup are numbered from 0 in the order of these calls.
 	Fetch(lookup *Lookup, request FetchRequest)
-	// CancelAttempt stops waiting for an attempt, whose outcome is reported as that of any other.
+	// CancelAttempt cancels an attempt. Its outcome is reported like that of any other attempt.
 	CancelAttempt(lookup *Lookup, attempt int)
-	// Reject ends a lookup: its client may repeat it without harm, after retryAfter if that is not 0.
+	// Reject ends a lookup that the client may safely repeat. If retryAfter is not 0, the client should wait that
+	// long before the repeat.
 	Reject(lookup *Lookup, retryAfter Micros)
-	// Fail ends a lookup and promises nothing about a repeat.
+	// Fail ends a lookup without stating whether a repeat is safe.
 	Fail(lookup *Lookup)
-	// SetTimer asks for one call of Router.TimerFired with this token after a delay.
+	// SetTimer requests one call of Router.TimerFired with this token after the delay.
 	SetTimer(delay Micros, token int64)
-	// SubscribeEndpoints asks for changes of the endpoint list from now on, or for no more of them.
+	// SubscribeEndpoints starts or stops the subscription to changes of the endpoint list.
 	SubscribeEndpoints(on bool)
-	// Log writes one line for operators.
+	// Log writes one line to the operators' log.
 	Log(line string)
 }
 
-// FetchRequest is what a cache is asked for in one attempt.
+// FetchRequest holds the parameters of one attempt's request to a cache.
 type FetchRequest struct {
 	Cache  *Cache
-	Source *Cache // where a miss is filled from; Cache itself: a miss is not filled
-	Rank   int    // how long a copy is worth keeping, 1 to 3; 0: it is not kept
+	Source *Cache // source that fills a miss; equal to Cache if a miss is not to be filled
+	Rank   int    // value of a cached copy, from 1 to 3; 0 if the response is not to be cached
 	Mode   FetchMode
-	// Timeout is how long the lookup has left for an answer.
+	// Timeout is the time that remains until the lookup's deadline.
 	Timeout Micros
-	// SilenceTimeout bounds the silence of a connection that has answered before: once two attempts have waited on it this long
-	// and nothing was heard since, it is closed, and every attempt on it ends with OutcomeReset.
+	// SilenceTimeout bounds the silence of a connection that has answered before. Once two attempts have waited this
+	// long on a connection without any response, the connection is closed and every attempt on it ends with
+	// OutcomeReset.
 	SilenceTimeout Micros
-	MaxAge         Micros // of the copy; 0: the object kind's own
+	MaxAge         Micros // maximum age of the copy; 0 leaves it to the object kind
 }
 
-// FetchMode says how a cache treats a miss. Its flags may be combined.
+// FetchMode controls how a cache treats a miss. Its flags can be combined.
 type FetchMode int
 
 // The flags of a FetchMode. Their values are part of the simulator's protocol.
 const (
-	ModeCoalesce      FetchMode = 1 // wait for a fill of the same object that is under way
-	ModeCachedOnly    FetchMode = 2 // the source gives only what it has cached
-	ModeSourceNoStore FetchMode = 4 // the source does not cache what it fetches
+	ModeCoalesce      FetchMode = 1 // wait for an open fill of the same object instead of starting another
+	ModeCachedOnly    FetchMode = 2 // the source returns only a cached copy
+	ModeSourceNoStore FetchMode = 4 // the source does not cache the object that it fetches
 	ModeRevalidate    FetchMode = 8 // serve a stale copy and refresh it in the background
 )
--- a/internal/policy/fixture_test.go
+++ b/internal/policy/fixture_test.go
@@ -7,18 +7,18 @@
 	"testing"
 )
 
-// fixture is a router whose executor records what it is asked for.
+// fixture is a router and its executor, which records the calls that it receives.
 type fixture struct {
 	t        *testing.T
 	router   *Router
 	now      Micros
 	attempts []startedAttempt
-	calls    []string // what else it was asked for, in order
-	timers   int
-	scope    *Scope // of the next lookup
+	calls    []string // recorded calls other than Fetch, SetTimer and Log, in order
+	timers   int      // number of SetTimer calls
+	scope    *Scope   // scope of the next lookup
 }
 
-// startedAttempt is one call of Fetch.
+// startedAttempt records one call of Fetch.
 type startedAttempt struct {
 	FetchRequest
 	lookup *Lookup
@@ -27,7 +27,7 @@
 
 func (f *fixture) Fetch(lookup *Lookup, request FetchRequest) {
 	if lookup.ended {
-		f.t.Fatalf("an attempt of %s starts after its end", lookup.ID)
+		f.t.Fatalf("an attempt of lookup %s started after the lookup had ended", lookup.ID)
 	}
 	f.attempts = append(f.attempts, startedAttempt{request, lookup, len(lookup.attempts) - 1})
 }
@@ -41,7 +41,8 @@
 func (f *fixture) SubscribeEndpoints(bool)             { f.record("subscribe") }
 func (f *fixture) Log(string)                          {}
 
-// newFixture starts a router with three edge caches, two parents and an origin, in this order; change, if not nil, adapts its settings.
+// newFixture creates a router with three edge caches, two parents and an origin, and returns the caches in this
+// order. If change is not nil, it modifies the settings.
 func newFixture(t *testing.T, change func(*Settings)) (*fixture, []*Cache) {
 	t.Helper()
 	settings := &Settings{
@@ -71,7 +72,7 @@
 	return f, caches
 }
 
-// lookUp starts a lookup of 100 ms of transfer time.
+// lookUp starts a lookup of 100 KB, which takes 100 ms of transfer time.
 func (f *fixture) lookUp(kind int, object string) *Lookup {
 	return f.lookUpSized(kind, object, 100)
 }
@@ -85,18 +86,18 @@
 
 func (f *fixture) lastAttempt() startedAttempt { return f.attempts[len(f.attempts)-1] }
 
-// endAttempt reports the end of an attempt. A satisfied one ends its lookup.
+// endAttempt reports the end of an attempt. A satisfied attempt ends its lookup.
 func (f *fixture) endAttempt(a startedAttempt, outcome AttemptOutcome, detail OutcomeDetail, latency Micros) {
 	f.router.AttemptEnded(f.now, a.lookup, AttemptReport{Attempt: a.number, Outcome: outcome, Detail: detail, Latency: latency, SourceWait: latency,
 		LookupEnded: outcome == OutcomeSatisfied})
 }
 
-// isOpen tells whether the end of an attempt has not been reported.
+// isOpen reports whether an attempt is open, which means that its end has not been reported.
 func (f *fixture) isOpen(a startedAttempt) bool {
 	return slices.Contains(f.router.openAttempts, a.lookup.attempts[a.number])
 }
 
-// advance lets time pass in sweeps.
+// advance moves the time forward by a duration and fires the sweep timer at each sweep interval.
 func (f *fixture) advance(duration Micros) {
 	for end := f.now + duration; f.now < end; {
 		f.now += sweepInterval
@@ -104,19 +105,19 @@
 	}
 }
 
-// updateEndpoint lists a cache in another state.
+// updateEndpoint updates the state and start time of a cache in the endpoint list.
 func (f *fixture) updateEndpoint(c *Cache, state EndpointState, startedAt Micros) {
 	endpoint := c.Endpoint
 	endpoint.Cache, endpoint.State, endpoint.StartedAt = c, state, startedAt
 	f.router.UpdateEndpoints(f.now, UpdateDelta, []Endpoint{endpoint})
 }
 
-// lastCallIs tells whether the last call beside those of Fetch was such a one: reject, fail, cancel or subscribe.
+// lastCallIs reports whether the last recorded call has the given name: reject, fail, cancel or subscribe.
 func (f *fixture) lastCallIs(name string) bool {
 	return len(f.calls) > 0 && strings.HasPrefix(f.calls[len(f.calls)-1], name)
 }
 
-// withoutReports changes settings to those of caches that report neither hits nor first bytes.
+// withoutReports changes the settings to caches that report neither hits nor first bytes.
 func withoutReports(settings *Settings) {
 	settings.ReportsFirstByte = false
 	settings.ReportsHits = false
--- a/internal/policy/random.go
+++ b/internal/policy/random.go
@@ -1,6 +1,7 @@
 package policy
 
-// randomSource is a multiply-with-carry generator. Its draws are part of what a seed plays, on every platform.
+// randomSource is a multiply-with-carry generator. A seed yields the same draws on every platform, so that runs can
+// be reproduced.
 type randomSource struct{ state, carry uint32 }
 
 func newRandomSource(seed uint64) randomSource {
@@ -14,7 +15,8 @@
 	return s.state
 }
 
-// hashString and mixHash give the same at every router: their order of caches has to agree. The first is FNV-1a, mixed.
+// hashString returns the FNV-1a hash of a string, passed through mixHash. hashString and mixHash must return the same
+// values at every router, because all routers have to agree on the rendezvous order of caches.
 func hashString(s string) uint64 {
 	hash := uint64(14695981039346656037)
 	for i := 0; i < len(s); i++ {
@@ -23,7 +25,7 @@
 	return mixHash(hash, 0)
 }
 
-// mixHash combines two values (the finalizer of splitmix64).
+// mixHash combines two values into a hash, using the finalizer of splitmix64.
 func mixHash(a, b uint64) uint64 {
 	z := a ^ b*0x9e3779b97f4a7c15
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -3,9 +3,10 @@
 import "slices"
 
 const (
-	// maxErrorAttempts is the number of attempts after which an unexplained error ends a lookup: no cache can serve it.
+	// maxErrorAttempts is the number of attempts after which an unexplained error ends a lookup. Such a lookup is
+	// likely to fail at every cache.
 	maxErrorAttempts = 3
-	// dedupMargin is kept free at the end of a deduplication window, for the way to the cache.
+	// dedupMargin is reserved at the end of a deduplication window for the request's transit to the cache.
 	dedupMargin = 50 * millisecond
 )
 
@@ -34,8 +35,9 @@
 	}
 }
 
-// mayRunOn enforces rule 2: it tells whether a cache may get the lookup while maxOpen attempts are open. An attempt asks when it is
-// decided, and again with its first byte, as its connection may come late.
+// mayRunOn enforces rule 2, which forbids concurrent attempts and repeated side effects. It reports whether a cache
+// may receive the lookup, provided that at most maxOpen attempts of it are open. It is called when an attempt is
+// decided, and again before the first byte is sent, because the attempt may have waited for its connection.
 func (r *Router) mayRunOn(lookup *Lookup, cache *Cache, maxOpen int) bool {
 	if lookup.openAttempts > maxOpen {
 		return false
@@ -48,12 +50,13 @@
 		lookup.kind.DedupScope.covers(lookup.firstRunOn, cache)
 }
 
-// covers tells whether b recognizes the deduplicated lookups of a.
+// covers reports whether cache b recognizes a deduplicated lookup that ran on cache a.
 func (s DedupScope) covers(a, b *Cache) bool {
 	return s == AllCaches || a.Zone == b.Zone && (s == SameZone || a.Cell == b.Cell)
 }
 
-// giveUp ends a lookup at once: rejected where rule 2 allows its client to repeat it, else failed.
+// giveUp ends a lookup immediately. The lookup is rejected if a repeat by its client is safe under rule 2, which
+// forbids repeated side effects; otherwise it fails.
 func (r *Router) giveUp(lookup *Lookup) {
 	if lookup.isSafeToRepeat() {
 		r.executor.Reject(lookup, r.settings.MaxRetryAfter)
@@ -63,7 +66,8 @@
 	r.finishLookup(lookup)
 }
 
-// isSafeToRepeat enforces rule 2: a repeat by the client, which comes until the deadline, is harmless.
+// isSafeToRepeat reports whether the client may repeat the lookup at any time until its deadline without breaking
+// rule 2, which forbids repeated side effects.
 func (l *Lookup) isSafeToRepeat() bool {
 	switch {
 	case l.kind.Effect == Idempotent:
@@ -74,7 +78,7 @@
 	return l.kind.Effect == Deduplicated && l.kind.DedupScope == AllCaches && l.arrivedAt+l.kind.DedupWindow >= l.deadline
 }
 
-// finishLookup closes a lookup and cancels the attempts that are still open for it.
+// finishLookup marks a lookup as ended, cancels its open attempts and removes it from the queue.
 func (r *Router) finishLookup(lookup *Lookup) {
 	lookup.ended = true
 	for _, attempt := range r.openAttempts {
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -1,16 +1,33 @@
-// Package policy makes the decisions of one router: which edge cache a lookup goes to, where a miss is filled from, how a copy is cached,
-// when an attempt is retried, cancelled or given up, and which lookups are rejected.
+// Package policy makes the routing decisions of one gateway. A Router chooses the edge cache for each lookup, the
+// source that fills a miss and how a copy is cached. It decides when an attempt is retried or cancelled, and which
+// lookups are rejected.
 //
-// A Router is a state machine without clock, I/O or goroutines. Its owner reports each event with the time at which it happened (a lookup
-// arrived, an attempt ended, the endpoint list changed, a timer fired), one call at a time, and carries out what the Router asks of
-// its Executor. Routers with equal settings, seeds and events decide equally: random draws, sums of floats and iterations have a fixed order.
+// A Router is a state machine without a clock, I/O or goroutines. Its owner reports each event together with the time
+// at which it happened: a lookup arrived, an attempt ended, the endpoint list changed or a timer fired. The owner
+// makes one call at a time and carries out the actions that the Router requests through its Executor. Routers with
+// equal settings, seeds and events make equal decisions, because random draws, floating-point sums and iterations
+// happen in a fixed order.
 //
-// A lookup passes the stages checkTime, chooseCaching, chooseEdge, chooseSource and startAttempt with the draft of an Attempt, which each of
-// them completes. A stage lets it proceed, queues the lookup or ends it. The report of an attempt's end passes the same stages in reverse.
+// A Router owns the listed caches, its lookups and attempts, the lookup counts and the recorded purges. Each sweep
+// prunes the lookup counts if there are more than maxCounts of them. A purge is dropped once no cache can hold a copy
+// from before it. When settings change, the owner makes a new Router, which copies the state that is still valid with
+// InheritFrom.
 //
-// Decisions by file: retry.go (whether a lookup may run again, rule 2), caching.go (age and rank of copies, rule 5), edge.go (edge cache
-// and its limit), source.go (source of fills), fills.go (limit of fills), slowstart.go (rule 4), outlier.go (ejection and probes), silence.go
-// (caches that do not answer), queue.go (load shedding), endpoints.go (the endpoint list).
+// A lookup passes through the stages checkTime, chooseCaching, chooseEdge, chooseSource and startAttempt, which fill
+// in its next Attempt. Each stage lets the lookup proceed, queues it or ends it. The report of an attempt's end passes
+// through the same stages in reverse order.
+//
+// The decisions are divided among the files as follows:
+//   - retry.go: whether a lookup may run again (rule 2, which forbids concurrent attempts and repeated side effects)
+//   - caching.go: age and rank of copies (rule 5, which forbids copies older than a purge)
+//   - edge.go: choice of the edge cache and its concurrency limit
+//   - source.go: choice of the source of fills
+//   - fills.go: limit of open fills
+//   - slowstart.go: slow start (rule 4, which limits the load on warming caches)
+//   - outlier.go: outlier ejection and probes
+//   - silence.go: caches that do not answer
+//   - queue.go: load shedding
+//   - endpoints.go: the endpoint list
 package policy
 
 import (
@@ -18,46 +35,49 @@
 	"maps"
 )
 
+// sweepInterval is the period of the sweep timer.
 const sweepInterval = 10 * millisecond
 
-// Tokens of the Router's timers.
+// Tokens that identify the Router's timers.
 const (
 	timerSweep int64 = iota
 	timerResubscribe
 )
 
-// Router decides for one gateway. Make it with NewRouter.
+// Router makes the routing decisions of one gateway. Use NewRouter to create one.
 type Router struct {
-	// FleetSize is the number of routers as the fleet counts its members; 0: it does not. Its owner may set it between calls.
+	// FleetSize is the number of routers according to the fleet's membership, or 0 if membership is not in use. The
+	// owner may set it between calls.
 	FleetSize int
 
 	executor Executor
 	settings *Settings
 	stages   []stage
 	random   randomSource
-	now      Micros // of the call under way
+	now      Micros // time of the current call
 	kinds    []kindState
 
-	caches  []*Cache // that are listed, by nameHash; the next three divide them
-	edges   []*Cache // of this router's zone
-	parents []*Cache
-	origin  *Cache // nil: none is listed
+	caches  []*Cache // all listed caches, sorted by nameHash
+	edges   []*Cache // listed edge caches of this router's zone
+	parents []*Cache // listed parents
+	origin  *Cache   // nil if no origin is listed
 
-	lookupCounts map[uint64]float64 // recent lookups by Lookup.partHash
-	nextDecayAt  Micros             // of lookupCounts
-	purges       map[uint64]Micros  // instant of the latest purge, by group or Lookup.objectHash
+	lookupCounts map[uint64]float64 // decayed number of recent lookups, by Lookup.partHash
+	nextDecayAt  Micros             // time of the next decay of lookupCounts
+	purges       map[uint64]Micros  // time of the latest purge, by group or Lookup.objectHash
 
 	openAttempts []*Attempt
 	queued       []*Lookup
 	overloaded   bool
 	fills        fillLimit
 
-	// What a warm edge cache and a warm parent carry for this router, in transfers at full pace.
+	// The mean load that a warm edge cache and a warm parent carry for this router, in concurrent transfers at full
+	// pace.
 	edgeCapacity   float64
 	parentCapacity float64
 }
 
-// stageResult is what a stage does with a lookup.
+// stageResult is the decision of a stage about a lookup.
 type stageResult int
 
 const (
@@ -66,13 +86,14 @@
 	endLookup
 )
 
-// stage is a step of a lookup's way to an attempt and of a report's way back.
+// stage is one step in the routing of a lookup. decide decides about the lookup and may fill in a part of its next
+// attempt. observe processes the report of an attempt's end; it is nil if the stage does not use reports.
 type stage struct {
 	decide  func(*Router, *Attempt) stageResult
-	observe func(*Router, *Attempt, AttemptReport) // nil: the stage learns nothing from reports
+	observe func(*Router, *Attempt, AttemptReport)
 }
 
-// NewRouter makes a router that has no caches yet; UpdateEndpoints brings them. Its random draws follow from the seed.
+// NewRouter returns a router without caches; UpdateEndpoints adds them. The seed determines its random draws.
 func NewRouter(now Micros, seed uint64, settings *Settings, executor Executor) *Router {
 	r := &Router{
 		executor:     executor,
@@ -101,9 +122,11 @@
 	return r
 }
 
-// InheritFrom takes over what still holds when a router with other settings replaces an earlier one: purges (rule 5), counts of
-// lookups, and of each cache that both list by name its slow start (rule 4) and its ejection. Limits, latencies and fills start
-// afresh, as what they were measured against may have changed. Call it after the first UpdateEndpoints.
+// InheritFrom copies the state that stays valid when a router with new settings replaces an earlier one. It copies
+// the purges, which rule 5 needs to exclude older copies, and the lookup counts. For each cache that both routers
+// list by name it copies the slow start, which rule 4 needs to limit the load on warming caches, and the ejection.
+// Concurrency limits, latencies and fill statistics are not copied, because the settings that they were measured
+// under may have changed. InheritFrom must be called after the first UpdateEndpoints.
 func (r *Router) InheritFrom(earlier *Router) {
 	maps.Copy(r.lookupCounts, earlier.lookupCounts)
 	for key, at := range earlier.purges {
@@ -121,9 +144,10 @@
 	r.logf("inherited: %d counts, %d purges, %d caches", len(earlier.lookupCounts), len(earlier.purges), len(byName))
 }
 
+// inheritFrom copies the slow start and the ejection of the earlier router's cache of the same name.
 func (c *Cache) inheritFrom(old *Cache) {
 	c.warmingSince = max(c.warmingSince, old.warmingSince)
-	if old.warmingSince != 0 { // otherwise the earlier router knows nothing of this start
+	if old.warmingSince != 0 { // otherwise the earlier router did not know of this slow start
 		c.slowStartSent = old.slowStartSent
 		c.slowStartScale = old.slowStartScale
 		c.scaleUpdatedAt = old.scaleUpdatedAt
@@ -135,7 +159,7 @@
 	c.isOnlySlow = old.isOnlySlow
 }
 
-// StartLookup takes a lookup, starts its first attempt, queues it or ends it.
+// StartLookup creates the lookup of a request, counts it and starts its first attempt, queues it or ends it.
 func (r *Router) StartLookup(now Micros, arrival Arrival) *Lookup {
 	r.now = now
 	lookup := r.newLookup(arrival)
@@ -158,7 +182,8 @@
 		scope:       arrival.Scope,
 	}
 	if pace := r.settings.TransferKBPerSecond; pace > 0 {
-		lookup.work = Micros(min(arrival.SizeKB/pace*float64(second), float64(kind.Deadline))) // whatever size is claimed
+		// The kind's deadline bounds the work, because the client can claim any size.
+		lookup.work = Micros(min(arrival.SizeKB/pace*float64(second), float64(kind.Deadline)))
 	}
 	lookup.budgetEnd = r.now + min(lookup.latencyBudget(), arrival.Deadline-r.now)
 	kind.arrivedWork.add(r.now, float64(lookup.work))
@@ -168,7 +193,8 @@
 	return lookup
 }
 
-// AttemptEnded takes the report of an attempt's end. A report of an attempt that the lookup never had is ignored.
+// AttemptEnded processes the report of an attempt's end. It ignores a report whose attempt number the lookup does not
+// have.
 func (r *Router) AttemptEnded(now Micros, lookup *Lookup, report AttemptReport) {
 	r.now = now
 	if report.Attempt < 0 || report.Attempt >= len(lookup.attempts) {
@@ -184,13 +210,14 @@
 	r.sendQueued()
 }
 
-// ClientGone ends a lookup whose client closed its connection or gave up.
+// ClientGone ends a lookup whose client closed the connection or gave up.
 func (r *Router) ClientGone(now Micros, lookup *Lookup) {
 	r.now = now
 	r.finishLookup(lookup)
 }
 
-// GiveUp ends a lookup that its gateway can serve no further: rejected, or failed if it may have had an effect.
+// GiveUp ends a lookup that the gateway cannot serve any further. The lookup is rejected if its client may safely
+// repeat it; otherwise it fails.
 func (r *Router) GiveUp(now Micros, lookup *Lookup) {
 	r.now = now
 	if !lookup.ended {
@@ -198,15 +225,16 @@
 	}
 }
 
-// MayStartAttempt tells whether an attempt that was decided some time ago may still start, as far as rule 2 goes: the lookup's window
-// may have passed, or its cache may have moved out of its scope. If not, it is to be reported with OutcomeNotSent. True for an attempt
-// that the lookup never had.
+// MayStartAttempt reports whether rule 2, which forbids concurrent attempts and repeated side effects, still allows
+// an attempt to start that was decided earlier. In the meantime the lookup's deduplication window may have passed, or
+// the attempt's cache may have left the deduplication scope. An attempt that may not start must be reported with
+// OutcomeNotSent. The result is true for an attempt number that the lookup does not have.
 func (r *Router) MayStartAttempt(now Micros, lookup *Lookup, attempt int) bool {
 	r.now = now
 	return attempt >= len(lookup.attempts) || r.mayRunOn(lookup, lookup.attempts[attempt].edge, 1)
 }
 
-// TimerFired is called when a timer that was set with Executor.SetTimer expires.
+// TimerFired handles the expiry of a timer that was set with Executor.SetTimer.
 func (r *Router) TimerFired(now Micros, token int64) {
 	r.now = now
 	if token == timerResubscribe {
@@ -223,22 +251,24 @@
 	}
 }
 
-// InFlight is the number of attempts whose end has not been reported.
+// InFlight returns the number of attempts whose end has not been reported.
 func (r *Router) InFlight() int { return len(r.openAttempts) }
 
-// Health visits each listed cache with the instant of its last good answer (0: none yet) and whether it is ejected.
+// Health calls visit for each listed cache with the time of its last response that showed it to work (0 if there was
+// none) and its ejection state.
 func (r *Router) Health(visit func(cache *Cache, lastSuccess Micros, ejected bool)) {
 	for _, c := range r.caches {
 		visit(c, c.lastSuccessAt, c.ejected)
 	}
 }
 
-// routerCount is the number of routers: as in the settings, or more where the fleet counts more.
+// routerCount returns the number of routers, which is the larger of the configured number and FleetSize.
 func (r *Router) routerCount() float64 {
 	return float64(max(r.settings.Gateways, r.FleetSize, 1))
 }
 
-// zoneRouterCount is the number of routers in this router's zone, which need not be whole.
+// zoneRouterCount returns the number of routers in this router's zone. If FleetSize exceeds the configured number of
+// routers, the zone's number grows in proportion and may be fractional.
 func (r *Router) zoneRouterCount() float64 {
 	if r.settings.Zone < len(r.settings.ZoneGateways) {
 		inZone := float64(max(r.settings.ZoneGateways[r.settings.Zone], 1))
--- a/internal/policy/scope_test.go
+++ b/internal/policy/scope_test.go
@@ -5,20 +5,21 @@
 	"testing"
 )
 
-// A scope narrows what a lookup is sent to and filled from, and nothing else.
+// TestScope checks that a scope restricts the caches and sources of its lookup. It must neither change the home cache
+// of an object within the scope nor affect other lookups.
 func TestScope(t *testing.T) {
-	t.Run("only the caches and parents in it", func(t *testing.T) {
+	t.Run("only the caches and parents of the scope are used", func(t *testing.T) {
 		f, caches := newFixture(t, nil)
 		for i := range 40 {
 			f.scope = &Scope{Caches: map[string]bool{"c1": true, "c2": true}, Sources: map[string]bool{"c4": true}}
 			f.lookUp(0, fmt.Sprint(i))
 			if s := f.lastAttempt(); len(f.attempts) != i+1 || s.Cache == caches[0] || s.Source != caches[4] {
-				t.Fatalf("%s from %s", s.Cache.Name, s.Source.Name)
+				t.Fatalf("an attempt at %s with source %s, outside the scope", s.Cache.Name, s.Source.Name)
 			}
 			f.endAttempt(f.lastAttempt(), OutcomeSatisfied, DetailHit, 100*millisecond)
 		}
 	})
-	t.Run("the home of the object where that is in it", func(t *testing.T) {
+	t.Run("the home cache of the object is used if it is in the scope", func(t *testing.T) {
 		f, _ := newFixture(t, nil)
 		for i := range 40 {
 			f.lookUp(0, fmt.Sprint(i))
@@ -27,12 +28,12 @@
 			f.scope = &Scope{Caches: map[string]bool{home.Name: true, "c1": true}}
 			f.lookUp(0, fmt.Sprint(i))
 			if f.lastAttempt().Cache != home {
-				t.Fatalf("%s, not %s", f.lastAttempt().Cache.Name, home.Name)
+				t.Fatalf("the attempt went to %s instead of the home cache %s", f.lastAttempt().Cache.Name, home.Name)
 			}
 			f.endAttempt(f.lastAttempt(), OutcomeSatisfied, DetailHit, 100*millisecond)
 		}
 	})
-	t.Run("it is of one lookup only", func(t *testing.T) {
+	t.Run("a scope applies to one lookup only", func(t *testing.T) {
 		f, _ := newFixture(t, nil)
 		f.scope = &Scope{Caches: map[string]bool{"c1": true}}
 		f.lookUp(0, "a")
@@ -46,19 +47,19 @@
 			t.Error(len(seen))
 		}
 	})
-	t.Run("no cache in it: rejected at once", func(t *testing.T) {
+	t.Run("a scope without caches rejects the lookup immediately", func(t *testing.T) {
 		f, _ := newFixture(t, nil)
 		f.scope = &Scope{Caches: map[string]bool{}}
 		f.lookUp(0, "a")
 		if len(f.attempts) != 0 || !f.lastCallIs("reject") {
-			t.Errorf("%v", f.calls)
+			t.Errorf("calls %v, want a reject", f.calls)
 		}
 	})
 }
 
-// A scope bounds retries and the age of copies too.
+// TestScopeBounds checks the bounds that a scope sets on retries and on the age of copies.
 func TestScopeBounds(t *testing.T) {
-	t.Run("no budget for a retry: given up at once", func(t *testing.T) {
+	t.Run("an exhausted retry budget ends the lookup immediately", func(t *testing.T) {
 		for _, effect := range []Effect{Idempotent, SideEffecting} {
 			f, _ := newFixture(t, func(s *Settings) { s.Kinds[0].Effect = effect })
 			asked := 0
@@ -71,11 +72,12 @@
 				}
 			}
 			if len(f.attempts) != 2 || asked != 2 || !f.lastCallIs("reject") {
-				t.Errorf("%d attempts, asked %d times, %v", len(f.attempts), asked, f.calls)
+				t.Errorf("%d attempts, AllowRetry called %d times, calls %v; want 2, 2 and a reject",
+					len(f.attempts), asked, f.calls)
 			}
 		}
 	})
-	t.Run("a max age of its own, where that is stricter", func(t *testing.T) {
+	t.Run("the maximum age of the scope applies if it is lower than that of the object kind", func(t *testing.T) {
 		f, _ := newFixture(t, nil)
 		for _, x := range []struct {
 			kind         int
@@ -84,7 +86,7 @@
 			f.scope = &Scope{MaxAge: x.MaxAge}
 			f.lookUp(x.kind, "a")
 			if got := f.lastAttempt().MaxAge; got != x.want {
-				t.Errorf("%+v: %d", x, got)
+				t.Errorf("%+v: the attempt has a maximum age of %d us", x, got)
 			}
 		}
 	})
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -1,27 +1,28 @@
 package policy
 
-// Settings describe the deployment to a router when it starts. They must not change while a Router uses them.
+// Settings describes the deployment to a router. It must not change while a Router uses it.
 type Settings struct {
-	Gateways     int   // routers in the whole deployment
-	Zone         int   // this router's own
-	ZoneGateways []int // routers by zone
-	ParentKind   int   // Endpoint.Kind of parents; -1: there are none
-	OriginKind   int   // Endpoint.Kind of the origin; -1: there is none
+	Gateways     int   // number of routers in the whole deployment
+	Zone         int   // zone of this router
+	ZoneGateways []int // number of routers by zone
+	ParentKind   int   // Endpoint.Kind of parents; -1 if there are none
+	OriginKind   int   // Endpoint.Kind of the origin; -1 if there is none
 
-	CoalescesFills   bool // a cache can let a lookup wait for a fill under way
-	ReportsFirstByte bool // reports tell how long the source took to begin
-	ReportsHits      bool // reports tell a hit from a fill
-	WeightIsCapacity bool // an endpoint's weight is the size of its link, in transfers at full pace
-	WeightIsSize     bool // weights tell the sizes of caches against one another, if only roughly
+	CoalescesFills   bool // caches can let a lookup wait for an open fill of the same object
+	ReportsFirstByte bool // reports carry the wait for the first byte of the source
+	ReportsHits      bool // reports distinguish hits from fills
+	WeightIsCapacity bool // Endpoint.Weight is the capacity of the cache's link, in concurrent transfers at full pace
+	WeightIsSize     bool // Endpoint.Weight is the size of the cache relative to other caches, possibly estimated
 
-	TransferKBPerSecond   float64 // pace of one transfer; 0: not known
-	MaxAttempts           int     // of one lookup
-	CanCancel             bool    // an attempt can be cancelled
-	MaxRetryAfter         Micros  // longest Retry-After that clients respect; 0: they can't be told one
-	SubscribesToEndpoints bool    // the endpoint list has to be asked for
+	TransferKBPerSecond   float64 // pace of one transfer; 0 if unknown
+	MaxAttempts           int     // maximum number of attempts of one lookup
+	CanCancel             bool    // attempts can be cancelled
+	MaxRetryAfter         Micros  // longest Retry-After that clients respect; 0 if rejections carry no Retry-After
+	SubscribesToEndpoints bool    // the router has to subscribe to the endpoint list
 
-	// A cache that has just started bears SlowStartShare of what a warm one bears, growing evenly to all of it over SlowStartTime,
-	// and breaks when it is sent more than BreakMultiple of that within a BreakWindow. The same for parents.
+	// The capacity of a cache that has just started is SlowStartShare of its warm capacity and grows linearly to all
+	// of it over SlowStartTime. The cache breaks when the work sent to it within a BreakWindow exceeds BreakMultiple
+	// times its capacity. The Parent fields describe parents in the same way.
 	SlowStartShare       float64
 	SlowStartTime        Micros
 	BreakMultiple        float64
@@ -30,34 +31,34 @@
 	ParentSlowStartTime  Micros
 	ParentBreakMultiple  float64
 
-	PurgeSettleTime Micros // after a purge, no older copy is left in any cache
+	PurgeSettleTime Micros // time after a purge by which no cache holds an older copy
 	Kinds           []ObjectKind
 }
 
-// ObjectKind is what differs between kinds of objects.
+// ObjectKind holds the settings of one kind of objects.
 type ObjectKind struct {
-	LatencyBudget    Micros  // an answer within it has the full utility
-	BudgetStretch    float64 // the budget grows by this multiple of the lookup's transfer time
-	Deadline         Micros  // from a lookup's arrival; bounds the budget too
-	Utility          float64 // of an answer within the budget
-	LateUtilityShare float64 // of the utility, for an answer past the budget
+	LatencyBudget    Micros  // a response within the latency budget has the full utility
+	BudgetStretch    float64 // multiple of a lookup's transfer time that is added to its latency budget
+	Deadline         Micros  // time from the arrival of a lookup to its deadline; also bounds the latency budget
+	Utility          float64 // utility of a response within the latency budget
+	LateUtilityShare float64 // share of the utility that a response after the latency budget has
 	Effect           Effect
 	DedupScope       DedupScope
-	DedupWindow      Micros // how long the scope recognizes a deduplicated lookup
-	MaxAge           Micros // of a fresh copy; 0: fresh until purged
-	StaleGrace       Micros // how much longer a stale copy may be served
+	DedupWindow      Micros // time during which the caches of the scope recognize a deduplicated lookup
+	MaxAge           Micros // maximum age of a fresh copy; 0 if a copy stays fresh until it is purged
+	StaleGrace       Micros // time past MaxAge during which a stale copy may be served
 	StaleUtility     float64
-	PassThrough      bool // never cached, runs at the origin
+	PassThrough      bool // runs at the origin and is never cached
 }
 
-// Effect is what a repeat of a lookup does.
+// Effect classifies lookups by the effect of a repeat.
 type Effect int
 
 // The effects of a repeat.
 const (
-	Idempotent    Effect = iota // nothing
-	Deduplicated                // nothing, where and as long as caches recognize it: DedupScope, DedupWindow
-	SideEffecting               // it may run twice
+	Idempotent    Effect = iota // a repeat has no further effect
+	Deduplicated                // a repeat has no further effect at the caches of DedupScope within DedupWindow
+	SideEffecting               // a repeat may take effect again
 )
 
 // DedupScope is the set of caches that recognize each other's deduplicated lookups.
