--- a/internal/policy/edge.go
+++ b/internal/policy/edge.go
@@ -84,8 +84,8 @@
 	return float64(cache.openCount)-r.countOpenFills(cache.attempts) >= limitShare*cache.attemptLimit || r.now < cache.pausedUntil
 }
 
-// noteEdgeOutcome updates the state of the edge cache from the report of an attempt's end.
-func (r *Router) noteEdgeOutcome(attempt *Attempt, report AttemptReport) {
+// observeEdgeOutcome updates the state of the edge cache from the report of an attempt's end.
+func (r *Router) observeEdgeOutcome(attempt *Attempt, report AttemptReport) {
 	cache, lookup := attempt.edge, attempt.lookup
 	cache.openCount--
 	// The latency of a fill is attributed to its source. If caches do not report hits, every attempt counts.
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -111,7 +111,7 @@
 	r.stages = []stage{
 		{(*Router).checkTime, (*Router).decideNext},
 		{(*Router).chooseCaching, nil},
-		{(*Router).chooseEdge, (*Router).noteEdgeOutcome},
+		{(*Router).chooseEdge, (*Router).observeEdgeOutcome},
 		{(*Router).chooseSource, (*Router).noteSourceOutcome},
 		{(*Router).startAttempt, (*Router).closeAttempt},
 	}
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -104,7 +104,7 @@
 		for range 2 {
 			f.now += 100 * millisecond
 			s := &Attempt{lookup: f.lookUp(0, "a"), edge: caches[0], source: caches[0], startedAt: f.now}
-			f.router.noteEdgeOutcome(s, AttemptReport{Outcome: OutcomeConnectFailed})
+			f.router.observeEdgeOutcome(s, AttemptReport{Outcome: OutcomeConnectFailed})
 		}
 		if !caches[0].ejected {
 			t.Fatal("two refused connections and not ejected")
