--- a/internal/policy/coldfleet_limit_test.go
+++ b/internal/policy/coldfleet_limit_test.go
@@ -12,8 +12,8 @@
 	tally          tally
 	warmCapacity   float64 // what the routers together take for that of a warm cache; 0: not known yet
 	tokens         float64 // in the bucket
-	offered        float64 // demand not played yet, in lookups
-	poissonOffered float64 // the same for arrivals at random
+	centralBacklog float64 // demand not played yet, in lookups
+	poissonBacklog float64 // the same for arrivals at random
 	central        []sentWork
 	poisson        []sentWork
 }
@@ -72,7 +72,7 @@
 }
 
 func (l *limitChecker) playCentral(lookups float64) {
-	for l.offered += lookups; l.offered > 0; l.offered -= l.run.random.ExpFloat64() {
+	for l.centralBacklog += lookups; l.centralBacklog > 0; l.centralBacklog -= l.run.random.ExpFloat64() {
 		work := l.drawWork()
 		if l.tokens < work {
 			continue
@@ -86,7 +86,7 @@
 }
 
 func (l *limitChecker) playPoisson(lookups float64) {
-	for l.poissonOffered += lookups; l.poissonOffered > 0; l.poissonOffered -= l.run.random.ExpFloat64() {
+	for l.poissonBacklog += lookups; l.poissonBacklog > 0; l.poissonBacklog -= l.run.random.ExpFloat64() {
 		l.poisson = append(l.poisson, sentWork{at: l.run.now, work: l.drawWork()})
 	}
 }
--- a/internal/policy/coldfleet_router_test.go
+++ b/internal/policy/coldfleet_router_test.go
@@ -63,8 +63,8 @@
 	w := h.run
 	edge, source := request.Cache, request.Source
 	attempt := &runningAttempt{router: h.router, lookup: lookup, number: len(lookup.attempts) - 1}
-	if (edge == h.cold || source == h.cold) && w.isCutOff(h) {
-		w.after(300*millisecond, func() { h.endAttempt(attempt, h.cutOffReport(edge)) })
+	if (edge == h.cold || source == h.cold) && w.isPartitioned(h) {
+		w.after(300*millisecond, func() { h.endAttempt(attempt, h.partitionReport(edge)) })
 		return
 	}
 	if edge == h.cold { // the mean of its kind counts
@@ -118,8 +118,8 @@
 	return max(report.Latency, freeAt-w.now)
 }
 
-// cutOffReport is how an attempt ends that names the cold cache from where that is not reached.
-func (h *fleetRouter) cutOffReport(edge *Cache) AttemptReport {
+// partitionReport is how an attempt ends that names the cold cache from where that is not reached.
+func (h *fleetRouter) partitionReport(edge *Cache) AttemptReport {
 	if edge == h.cold {
 		return AttemptReport{Outcome: OutcomeConnectFailed, Latency: 300 * millisecond}
 	}
--- a/internal/policy/coldfleet_run_test.go
+++ b/internal/policy/coldfleet_run_test.go
@@ -45,19 +45,19 @@
 	links                  map[string]float64
 	linkFreeAt             map[string]Micros // when a cache has sent all that it was asked for
 
-	meanWork         [2]float64 // by object kind, in microseconds
-	sigma            float64    // of the log of sizes
-	hitShare         float64
-	load             float64 // of what warm caches bear
-	meanInterval     float64 // between the fleet's lookups, in microseconds
-	arrivalPace      float64 // of the usual arrivals: 3 in a burst
-	drainsOthers     bool    // the other edge caches go when the cold one starts
-	firstStart       Micros  // of the cold cache; 0: not yet
-	lastStart        Micros
-	sent             []sentWork // to the cold cache
-	hard             hardCase
-	zipf             *rand.Zipf
-	weightsOfRouters float64
+	meanWork     [2]float64 // by object kind, in microseconds
+	sigma        float64    // of the log of sizes
+	hitShare     float64
+	load         float64 // of what warm caches bear
+	meanInterval float64 // between the fleet's lookups, in microseconds
+	arrivalPace  float64 // of the usual arrivals: 3 in a burst
+	drainsOthers bool    // the other edge caches go when the cold one starts
+	firstStart   Micros  // of the cold cache; 0: not yet
+	lastStart    Micros
+	sent         []sentWork // to the cold cache
+	hard         hardCase
+	zipf         *rand.Zipf
+	totalWeight  float64
 }
 
 // sentWork is work that reached the cold cache.
@@ -156,7 +156,7 @@
 		w.after(Micros(w.random.Int64N(int64(sweepInterval))), h.start)
 	}
 	for _, h := range w.routers {
-		w.weightsOfRouters += h.weight
+		w.totalWeight += h.weight
 	}
 }
 
@@ -165,7 +165,7 @@
 	w.meanInterval = w.meanOfKinds() / (w.edgeCapacity * w.load * float64(w.edgeCount-1))
 	w.zipf = rand.NewZipf(w.random, 1.1, 1, 2000)
 	for _, h := range w.routers {
-		w.after(sweepInterval+Micros(w.random.ExpFloat64()*w.meanInterval*w.weightsOfRouters/h.weight), h.arrive)
+		w.after(sweepInterval+Micros(w.random.ExpFloat64()*w.meanInterval*w.totalWeight/h.weight), h.arrive)
 	}
 }
 
@@ -176,7 +176,7 @@
 	kb := w.meanWork[kind] / float64(millisecond) * math.Exp(w.sigma*w.random.NormFloat64()-w.sigma*w.sigma/2)
 	h.router.StartLookup(w.now, Arrival{Kind: kind, Object: fmt.Sprint("o", w.zipf.Uint64()), Part: w.random.IntN(12), Group: 3, SizeKB: kb,
 		Deadline: w.now + w.settings.Kinds[kind].Deadline})
-	w.after(Micros(w.random.ExpFloat64()*w.meanInterval*w.weightsOfRouters/h.weight/w.arrivalPace), h.arrive)
+	w.after(Micros(w.random.ExpFloat64()*w.meanInterval*w.totalWeight/h.weight/w.arrivalPace), h.arrive)
 }
 
 // scheduleStart has the cache start after 5 s, of which each router learns within a second. Some routers restart meanwhile.
@@ -192,7 +192,7 @@
 	})
 	if w.hardMultiple > 0 {
 		w.hard.scheduleRestart(w)
-		w.after(5*second, w.loseZone)
+		w.after(5*second, w.schedulePartitionRestarts)
 	}
 }
 
--- a/internal/policy/fills.go
+++ b/internal/policy/fills.go
@@ -11,7 +11,7 @@
 	fillCutInterval   = 200 * millisecond
 
 	// An attempt open for longer than this and hitWorkMultiple of its transfer time is taken for a fill.
-	longestHit      = 50 * millisecond
+	maxHitLatency   = 50 * millisecond
 	hitWorkMultiple = 2
 )
 
@@ -30,8 +30,8 @@
 	return open < f.limit && now >= f.nextAt
 }
 
-// noteFill learns from an attempt that named a source whether there are too many fills for what is behind them.
-func (r *Router) noteFill(attempt *Attempt, report AttemptReport) {
+// observeFill learns from an attempt that named a source whether there are too many fills for what is behind them.
+func (r *Router) observeFill(attempt *Attempt, report AttemptReport) {
 	lookup := attempt.lookup
 	budget := lookup.latencyBudget()
 	r.fills.nextAt = r.nextTurn(r.fills.limit, min(report.Latency, budget))
@@ -84,7 +84,7 @@
 // countOpenFills counts those attempts that are fills or open for too long to be hits.
 func (r *Router) countOpenFills(attempts []*Attempt) (count float64) {
 	for _, a := range attempts {
-		if a.source != a.edge && (a.lookup.missedAt != nil || r.now-a.startedAt > longestHit+hitWorkMultiple*a.lookup.work) {
+		if a.source != a.edge && (a.lookup.missedAt != nil || r.now-a.startedAt > maxHitLatency+hitWorkMultiple*a.lookup.work) {
 			count++
 		}
 	}
--- a/internal/policy/fills_test.go
+++ b/internal/policy/fills_test.go
@@ -64,11 +64,11 @@
 func TestFillLimit(t *testing.T) {
 	t.Run("routers of one zone together raise the limit as one, and cut it when fills are late", func(t *testing.T) {
 		grown := map[int]float64{}
-		for _, seats := range []int{1, 4} {
-			f, _ := newFixture(t, func(s *Settings) { s.ZoneGateways = []int{seats} })
+		for _, gateways := range []int{1, 4} {
+			f, _ := newFixture(t, func(s *Settings) { s.ZoneGateways = []int{gateways} })
 			f.lookUp(0, "a")
 			f.endAttempt(f.lastAttempt(), OutcomeSatisfied, DetailFilled, 100*millisecond)
-			grown[seats] = f.router.fills.limit - initialLimit
+			grown[gateways] = f.router.fills.limit - initialLimit
 			f.lookUp(0, "b")
 			f.now += 2 * second
 			f.endAttempt(f.lastAttempt(), OutcomeSatisfied, DetailFilled, 2*second)
--- a/internal/policy/hardfleet_test.go
+++ b/internal/policy/hardfleet_test.go
@@ -11,16 +11,16 @@
 	coldCapacity float64 // of the cold cache once it is warm, in transfers at once
 	shareFactor  float64 // the cold cache's real share over the one that the settings name
 	restartAfter Micros  // of the cold cache, after its first start; 0: it does not restart
-	silence      Micros  // by which a third of the routers learn later of a start
-	cut          cutZone
+	listDelay    Micros  // by which a third of the routers learn later of a start
+	partition    networkPartition
 	requested    requestLimiter
 }
 
-// cutZone is the first routers, which do not reach the cold cache between two instants after its start.
-type cutZone struct {
+// networkPartition is the first routers, which do not reach the cold cache between two instants after its start.
+type networkPartition struct {
 	routers     int
 	from, until Micros
-	lost        bool // its routers restart at the end, knowing nothing
+	restarts    bool // its routers restart at the end, knowing nothing
 }
 
 // requestLimiter is the central limiter that knows the link of a cold parent, before the fills that the fleet really asks for: those of
@@ -57,26 +57,26 @@
 	w.hard.requested.admit(w.now, rate, depth, float64(lookup.work), judged)
 }
 
-// isCutOff tells whether a router does not reach the cold cache now.
-func (w *coldFleetRun) isCutOff(h *fleetRouter) bool {
-	cut, since := &w.hard.cut, w.now-w.firstStart
-	return w.hardMultiple > 0 && w.firstStart > 0 && h.index < cut.routers && since >= cut.from && since < cut.until
+// isPartitioned tells whether a router does not reach the cold cache now.
+func (w *coldFleetRun) isPartitioned(h *fleetRouter) bool {
+	partition, since := &w.hard.partition, w.now-w.firstStart
+	return w.hardMultiple > 0 && w.firstStart > 0 && h.index < partition.routers && since >= partition.from && since < partition.until
 }
 
 // learnDelay is how long after a start a router learns of it.
 func (w *coldFleetRun) learnDelay(h *fleetRouter) Micros {
 	delay := Micros(w.random.Int64N(int64(second)))
 	if w.hardMultiple > 0 && h.index%3 == 2 {
-		delay += w.hard.silence
+		delay += w.hard.listDelay
 	}
 	return delay
 }
 
-// loseZone restarts the routers of a lost zone at the end of its cut.
-func (w *coldFleetRun) loseZone() {
+// schedulePartitionRestarts restarts the routers of a lost zone at the end of its cut.
+func (w *coldFleetRun) schedulePartitionRestarts() {
 	for _, h := range w.routers {
-		if w.hard.cut.lost && h.index < w.hard.cut.routers {
-			w.after(w.hard.cut.until, h.start)
+		if w.hard.partition.restarts && h.index < w.hard.partition.routers {
+			w.after(w.hard.partition.until, h.start)
 		}
 	}
 }
@@ -90,11 +90,11 @@
 		w.hard.restartAfter = Micros(w.between(2, 4) * float64(second))
 	}
 	if w.random.Float64() < 0.3 {
-		w.hard.silence = Micros(w.between(1, 3) * float64(second))
+		w.hard.listDelay = Micros(w.between(1, 3) * float64(second))
 	}
 	if w.random.Float64() < 0.3 {
 		from, lasts := w.between(1, 3), w.between(1, 3)
-		w.hard.cut = cutZone{routers: int(w.between(0.2, 0.5) * float64(w.routerCount)), lost: w.random.IntN(2) == 0,
+		w.hard.partition = networkPartition{routers: int(w.between(0.2, 0.5) * float64(w.routerCount)), restarts: w.random.IntN(2) == 0,
 			from: Micros(from * float64(second)), until: Micros((from + lasts) * float64(second))}
 	}
 	if w.random.IntN(2) == 0 {
@@ -107,13 +107,13 @@
 func (f *hardCase) drawLinks(w *coldFleetRun) float64 {
 	f.links = map[string]*sharedLink{}
 	for _, c := range w.sortedLinks() {
-		most := 2.5
+		maxFactor := 2.5
 		if c == cacheName(w.coldIndex) && w.random.IntN(2) == 0 {
-			most = 0.6 // in half of the runs the cold one is a small one
+			maxFactor = 0.6 // in half of the runs the cold one is a small one
 		}
-		capacity := w.links[c] * math.Exp(w.between(math.Log(0.3), math.Log(most)))
+		capacity := w.links[c] * math.Exp(w.between(math.Log(0.3), math.Log(maxFactor)))
 		capacity = max(1, capacity)
-		l := &sharedLink{run: w, at: w.now, capacity: func() float64 { return capacity }}
+		l := &sharedLink{run: w, updatedAt: w.now, capacity: func() float64 { return capacity }}
 		if c == cacheName(w.coldIndex) {
 			f.coldCapacity = capacity
 			l.capacity = func() float64 {
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -26,8 +26,8 @@
 	cache.failuresInRow = 0
 	cache.errorsInRow = 0
 	if cache.ejected && cache.probe == attempt {
-		longOut := r.now-cache.ejectedAt > coldAfterOutage
-		if cache.restartsCold || cache.warmingSince == 0 && cache.Kind == r.settings.ParentKind && longOut {
+		wasEjectedLong := r.now-cache.ejectedAt > coldAfterOutage
+		if cache.restartsCold || cache.warmingSince == 0 && cache.Kind == r.settings.ParentKind && wasEjectedLong {
 			cache.beginSlowStart(r.now, r.now)
 		}
 		cache.ejected = false
--- a/internal/policy/outlier_test.go
+++ b/internal/policy/outlier_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// withBudget sets the latency budget of kind 0.
-func withBudget(budget Micros) func(*Settings) {
+// withLatencyBudget sets the latency budget of kind 0.
+func withLatencyBudget(budget Micros) func(*Settings) {
 	return func(settings *Settings) { settings.Kinds[0].LatencyBudget = budget }
 }
 
-// bringHits brings hits of 1 KB until every edge cache has enough samples or the first one is ejected. The first takes the latency slow, the
+// serveHits brings hits of 1 KB until every edge cache has enough samples or the first one is ejected. The first takes the latency slow, the
 // others usual. It returns the first.
-func (f *fixture) bringHits(caches []*Cache, slow, usual Micros) *Cache {
+func (f *fixture) serveHits(caches []*Cache, slow, usual Micros) *Cache {
 	slowCache := caches[0]
 	isMeasured := func() bool {
 		return caches[0].latency.count >= 2*latencySamples && caches[1].latency.count >= 2*latencySamples
@@ -36,7 +36,7 @@
 func newFixtureWithSlowCache(t *testing.T) (*fixture, *Cache) {
 	t.Helper()
 	f, caches := newFixture(t, nil)
-	slow := f.bringHits(caches, 100*millisecond, 5*millisecond)
+	slow := f.serveHits(caches, 100*millisecond, 5*millisecond)
 	if !slow.ejected || !slow.isOnlySlow {
 		t.Fatal("not ejected as slow")
 	}
@@ -47,18 +47,18 @@
 func TestLatencyThresholds(t *testing.T) {
 	t.Run("microseconds a KB are not slow, whatever their ratio", func(t *testing.T) {
 		f, caches := newFixture(t, nil)
-		if c := f.bringHits(caches, 50, 2); c.ejected {
+		if c := f.serveHits(caches, 50, 2); c.ejected {
 			t.Error("ejected for 48 us a KB of a budget of 400 ms")
 		}
 	})
 	t.Run("under a small and a large latency budget the same share of it is slow", func(t *testing.T) {
 		for _, b := range []Micros{10 * millisecond, 400 * millisecond, 4 * second} {
-			f, caches := newFixture(t, withBudget(b))
-			if c := f.bringHits(caches, b/20, b/100); c.ejected {
+			f, caches := newFixture(t, withLatencyBudget(b))
+			if c := f.serveHits(caches, b/20, b/100); c.ejected {
 				t.Errorf("budget %d us: ejected for 4%% of it", b)
 			}
-			f, caches = newFixture(t, withBudget(b))
-			if c := f.bringHits(caches, b/5, b/100); !c.ejected {
+			f, caches = newFixture(t, withLatencyBudget(b))
+			if c := f.serveHits(caches, b/5, b/100); !c.ejected {
 				t.Errorf("budget %d us: not ejected for 19%% of it", b)
 			}
 		}
--- a/internal/policy/queue.go
+++ b/internal/policy/queue.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	overloadQueueTime = 40 * millisecond // of the oldest queued lookup, from which on there is overload
-	overloadExitShare = 4                // part of that at which overload ends
-	answerSlack       = 20 * millisecond // kept free at the end of a latency budget
-	densityFloor      = 10 * millisecond // work that every lookup costs beside its transfer
-	fillStretchFloor  = 100 * millisecond
+	overloadQueueTime   = 40 * millisecond // of the oldest queued lookup, from which on there is overload
+	overloadExitDivisor = 4                // part of that at which overload ends
+	answerSlack         = 20 * millisecond // kept free at the end of a latency budget
+	densityFloor        = 10 * millisecond // work that every lookup costs beside its transfer
+	fillStretchFloor    = 100 * millisecond
 )
 
 // sendQueued sends queued lookups on, those with the most utility for their work first, and gives up those that are past helping.
@@ -43,7 +43,7 @@
 	for _, lookup := range queued {
 		longest = max(longest, r.now-lookup.arrivedAt)
 	}
-	if !r.overloaded && longest > overloadQueueTime || r.overloaded && longest < overloadQueueTime/overloadExitShare {
+	if !r.overloaded && longest > overloadQueueTime || r.overloaded && longest < overloadQueueTime/overloadExitDivisor {
 		r.overloaded = !r.overloaded
 		r.logf("overload %v: oldest of %d queued waited %d us", r.overloaded, len(queued), longest)
 	}
--- a/internal/policy/sharedlink_test.go
+++ b/internal/policy/sharedlink_test.go
@@ -7,24 +7,24 @@
 
 // sharedLink divides its capacity, in transfers at full pace, evenly among the transfers on it.
 type sharedLink struct {
-	run      *coldFleetRun
-	capacity func() float64
-	doneEach float64 // work that a transfer on it from the first on would have got by now, in microseconds
-	at       Micros
-	active   sharedTransfers
-	version  int // of the awaited completion
+	run         *coldFleetRun
+	capacity    func() float64
+	virtualTime float64 // work that a transfer on it from the first on would have got by now, in microseconds
+	updatedAt   Micros
+	active      sharedTransfers
+	version     int // of the awaited completion
 }
 
 // sharedTransfer is one transfer on a sharedLink.
 type sharedTransfer struct {
-	until float64 // it is complete once doneEach is this much
-	ended func()
+	virtualFinish float64 // it is complete once doneEach is this much
+	ended         func()
 }
 
 type sharedTransfers []sharedTransfer
 
 func (s sharedTransfers) Len() int           { return len(s) }
-func (s sharedTransfers) Less(i, j int) bool { return s[i].until < s[j].until }
+func (s sharedTransfers) Less(i, j int) bool { return s[i].virtualFinish < s[j].virtualFinish }
 func (s sharedTransfers) Swap(i, j int)      { s[i], s[j] = s[j], s[i] }
 func (s *sharedTransfers) Push(x any)        { *s = append(*s, x.(sharedTransfer)) }
 func (s *sharedTransfers) Pop() any {
@@ -38,14 +38,14 @@
 
 // advance brings doneEach up to now, at the pace that held since.
 func (l *sharedLink) advance() {
-	l.doneEach += float64(l.run.now-l.at) * l.pace()
-	l.at = l.run.now
+	l.virtualTime += float64(l.run.now-l.updatedAt) * l.pace()
+	l.updatedAt = l.run.now
 }
 
 // start adds a transfer; ended is called at its end.
 func (l *sharedLink) start(work Micros, ended func()) {
 	l.advance()
-	heap.Push(&l.active, sharedTransfer{l.doneEach + float64(max(work, 1)), ended})
+	heap.Push(&l.active, sharedTransfer{l.virtualTime + float64(max(work, 1)), ended})
 	l.awaitCompletion()
 }
 
@@ -56,14 +56,14 @@
 	if len(l.active) == 0 {
 		return
 	}
-	delay := Micros(math.Ceil((l.active[0].until - l.doneEach) / l.pace()))
+	delay := Micros(math.Ceil((l.active[0].virtualFinish - l.virtualTime) / l.pace()))
 	l.run.after(min(max(delay, 1), 50*millisecond), func() {
 		if l.version != version {
 			return
 		}
 		l.advance()
 		var complete []func()
-		for len(l.active) > 0 && l.active[0].until <= l.doneEach+0.5 {
+		for len(l.active) > 0 && l.active[0].virtualFinish <= l.virtualTime+0.5 {
 			complete = append(complete, heap.Pop(&l.active).(sharedTransfer).ended)
 		}
 		l.awaitCompletion()
--- a/internal/policy/silence.go
+++ b/internal/policy/silence.go
@@ -20,7 +20,7 @@
 			r.eject(cache, fmt.Sprintf("silent, %d overdue", cache.overdueCount))
 		}
 	}
-	r.cancelStuck()
+	r.cancelStuckAttempts()
 }
 
 // countOverdue counts for each cache the attempts that it owes an answer. It returns the fills that all parents owe.
@@ -52,11 +52,11 @@
 	return overdueFills
 }
 
-// cancelStuck cancels the overdue attempts at ejected caches whose lookups have time left for another one.
-func (r *Router) cancelStuck() {
+// cancelStuckAttempts cancels the overdue attempts at ejected caches whose lookups have time left for another one.
+func (r *Router) cancelStuckAttempts() {
 	for _, attempt := range r.openAttempts {
 		lookup := attempt.lookup
-		isStuck := attempt.waitsFor(attempt.edge) || attempt.waitsFor(attempt.source)
+		isStuck := attempt.isStuckAt(attempt.edge) || attempt.isStuckAt(attempt.source)
 		hasTime := lookup.deadline-r.now > lookup.work && len(lookup.attempts) < r.settings.MaxAttempts
 		if isStuck && r.now >= attempt.overdueAt && hasTime && lookup.kind.Effect == Idempotent {
 			r.cancelAttempt(attempt)
@@ -64,7 +64,7 @@
 	}
 }
 
-// waitsFor tells whether a cache is ejected and has been silent since the attempt started.
-func (a *Attempt) waitsFor(cache *Cache) bool {
+// isStuckAt tells whether a cache is ejected and has been silent since the attempt started.
+func (a *Attempt) isStuckAt(cache *Cache) bool {
 	return cache.ejected && cache.lastSuccessAt < a.startedAt
 }
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -5,14 +5,14 @@
 const (
 	coldAfterOutage = 3 * second // a parent ejected for longer may have restarted
 
-	allowedShare   = 0.98 // of the rule's line
-	maxAtOnce      = 2.0  // of what a cache likely bears within a window: more would only come late
-	minBreakWindow = 100 * millisecond
+	allowedShare        = 0.98 // of the rule's line
+	maxCapacityMultiple = 2.0  // of what a cache likely bears within a window: more would only come late
+	minBreakWindow      = 100 * millisecond
 
 	// What a warm cache of the group carries shows what a cold one bears: surely sureShare of it. A weight that is a capacity counts with
 	// listedShare.
-	sureShare   = 0.5
-	listedShare = 0.8
+	conservativeShare = 0.5
+	listedWeightShare = 0.8
 
 	// Where what is left of a budget is too small for a lookup, the lookup is admitted at random, with the probability that keeps the mean.
 	randomAdmitMaxShare       = 0.35 // of what a parent bears, for the work of a lookup admitted so
@@ -72,9 +72,9 @@
 	}
 	// Admission at random keeps the mean where the budget of each of many routers is small. Not with crumbs, which would leave all to chance; and at a
 	// parent not for a fill that a few routers with luck at once would break it with. An edge cache has no substitute for what it holds.
-	isCrumb := left < min(randomAdmitMinWorkShare*work, randomAdmitMinBudgetShare*budget.total*budget.routerShare)
-	couldBreakParent := cache.Kind == r.settings.ParentKind && work > randomAdmitMaxShare*budget.breakMultiple*budget.bears
-	if isCrumb || couldBreakParent {
+	isTooLittle := left < min(randomAdmitMinWorkShare*work, randomAdmitMinBudgetShare*budget.total*budget.routerShare)
+	couldBreakParent := cache.Kind == r.settings.ParentKind && work > randomAdmitMaxShare*budget.breakMultiple*budget.capacity
+	if isTooLittle || couldBreakParent {
 		return false
 	}
 	cache.slowStartSent.add(r.now, window, left)
@@ -85,7 +85,7 @@
 type slowStartBudget struct {
 	total         float64 // by all routers
 	routerShare   float64 // of the total, for this router
-	bears         float64 // work that the cache bears
+	capacity      float64 // work that the cache bears
 	breakMultiple float64 // of that, at which it breaks
 }
 
@@ -96,15 +96,15 @@
 	if cache.Kind == r.settings.ParentKind {
 		carried, multiple, routerShare = r.parentCapacity, r.settings.ParentBreakMultiple, 1/r.routerCount()
 	}
-	likely, sure := carried/routerShare, sureShare*carried/routerShare
+	likely, conservative := carried/routerShare, conservativeShare*carried/routerShare
 	if r.settings.WeightIsCapacity {
-		likely, sure = listedShare*cache.Weight, listedShare*cache.Weight
+		likely, conservative = listedWeightShare*cache.Weight, listedWeightShare*cache.Weight
 	}
 	window := float64(r.breakWindow())
-	seen := cache.carriedWork.rate(r.now) / routerShare
-	bears := max(share*max(1, sure), seen) * window
-	total := min(allowedShare*multiple*bears, maxAtOnce*max(share*likely*window, bears)) * cache.slowStartScale
-	return slowStartBudget{total: total, routerShare: routerShare, bears: bears, breakMultiple: multiple}
+	observed := cache.carriedWork.rate(r.now) / routerShare
+	capacity := max(share*max(1, conservative), observed) * window
+	total := min(allowedShare*multiple*capacity, maxCapacityMultiple*max(share*likely*window, capacity)) * cache.slowStartScale
+	return slowStartBudget{total: total, routerShare: routerShare, capacity: capacity, breakMultiple: multiple}
 }
 
 // breakWindow is the window over which rule 4 counts.
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -130,19 +130,19 @@
 			f.advance(10 * millisecond)
 		}
 		f.updateEndpoint(caches[0], Ready, f.now) // it starts, cold
-		to := 0
+		coldAttempts := 0
 		for i := range 100 {
 			f.lookUp(0, fmt.Sprint("c", i))
 			if f.lastAttempt().Cache == caches[0] {
-				to++
+				coldAttempts++
 			}
 			f.endAttempt(f.lastAttempt(), OutcomeSatisfied, DetailNone, 100*millisecond)
 			f.advance(10 * millisecond)
 		}
 		// Each warm cache bore some 33 attempts of 100 ms a second from this router, as from each of the 250: in any second
 		// the rule allows all together twice the cold share (0.2) of that, so this router's part is 13 attempts.
-		if to > 13 {
-			t.Fatalf("%d of 100 attempts at a cold cache in its first second", to)
+		if coldAttempts > 13 {
+			t.Fatalf("%d of 100 attempts at a cold cache in its first second", coldAttempts)
 		}
 	})
 }
--- a/internal/policy/source.go
+++ b/internal/policy/source.go
@@ -12,7 +12,7 @@
 func (r *Router) chooseSource(attempt *Attempt) stageResult {
 	lookup := attempt.lookup
 	fillsLimited := r.fills.limitedUntil > r.now
-	if r.mustLookFirst(attempt, fillsLimited) {
+	if r.mustCheckCacheFirst(attempt, fillsLimited) {
 		if lookup.missedAt == nil || lookup.acceptsStale {
 			attempt.source = attempt.edge
 			if !fillsLimited {
@@ -28,10 +28,10 @@
 	return proceed
 }
 
-// mustLookFirst tells whether an edge cache is to be asked for its copy alone before a fill is started: while fills are limited, so that hits
+// mustCheckCacheFirst tells whether an edge cache is to be asked for its copy alone before a fill is started: while fills are limited, so that hits
 // go on, or while the cache owes overdue answers. Not at a cache in its slow start, where such an attempt counts as much as the
 // fill that follows it (rule 4), and most of them miss.
-func (r *Router) mustLookFirst(attempt *Attempt, fillsLimited bool) bool {
+func (r *Router) mustCheckCacheFirst(attempt *Attempt, fillsLimited bool) bool {
 	lookup, edge := attempt.lookup, attempt.edge
 	if lookup.passThrough {
 		return false
@@ -69,17 +69,17 @@
 		}
 		return
 	}
-	r.noteFill(attempt, report)
+	r.observeFill(attempt, report)
 	if report.Outcome == OutcomeRejected {
 		lookup.notBefore = r.now + rejectedPause
 	}
 	if source != r.origin {
-		r.noteParentOutcome(attempt, report)
+		r.observeParentOutcome(attempt, report)
 	}
 }
 
-// noteParentOutcome learns about a parent that an attempt named as its source.
-func (r *Router) noteParentOutcome(attempt *Attempt, report AttemptReport) {
+// observeParentOutcome learns about a parent that an attempt named as its source.
+func (r *Router) observeParentOutcome(attempt *Attempt, report AttemptReport) {
 	lookup, parent := attempt.lookup, attempt.source
 	isFilled := report.Outcome == OutcomeSatisfied && report.isFill()
 	if report.isHit() { // no fill reached it
