--- a/internal/policy/caching.go
+++ b/internal/policy/caching.go
@@ -6,12 +6,13 @@
 )
 
 const (
-	countDecayInterval = 60 * second // lookup counts halve
-	maxCounts          = 60000       // lookup counts past which they halve early
-	topSizeBand        = 6           // log2 of KB per lookup up to which a copy gets the top rank
+	countDecayInterval = 60 * second // time between two halvings of the lookup counts
+	maxCounts          = 60000       // number of lookup counts above which they are halved early
+	topSizeBand        = 6           // highest log2 of KB per lookup at which a copy gets the top rank
 )
 
-// chooseCaching sets the rank, mode and age of the copy. Every fill is cached, by rank; purges bound the age.
+// chooseCaching sets the rank, the fetch mode and the maximum age of the copy.
+// Every fill is cached under its rank. Recent purges lower the maximum age.
 func (r *Router) chooseCaching(attempt *Attempt) stageResult {
 	lookup := attempt.lookup
 	if lookup.passThrough {
@@ -32,8 +33,9 @@
 	return proceed
 }
 
-// boundByPurges enforces rule 5: it lowers the age of a copy to exclude those from before a purge, from the purge's arrival on and until no
-// such copy can be left.
+// boundByPurges enforces rule 5, which forbids copies older than a purge. It returns
+// the maximum age of a copy, lowered to the time since the latest purge. The bound
+// applies from the arrival of the purge until no cache can hold an older copy.
 func (r *Router) boundByPurges(lookup *Lookup, maxAge Micros) Micros {
 	purgedAt := max(r.purges[lookup.objectHash], r.purges[uint64(lookup.group)])
 	sincePurge := max(millisecond, r.now-purgedAt)
@@ -43,7 +45,8 @@
 	return maxAge
 }
 
-// cacheRank is the rank of a copy for a number of recent lookups: LRU-SP's bands by log2 of size over count, folded into three.
+// cacheRank returns the rank of a copy for a number of recent lookups. Ranks
+// are the LRU-SP bands (log2 of size over count), merged into three.
 func (l *Lookup) cacheRank(count float64) int {
 	switch {
 	case count < 2:
@@ -54,17 +57,19 @@
 	return 2
 }
 
-// ApplyPurge takes the purge of an object, or of a group where object is empty, that was made age ago.
+// ApplyPurge records the purge of an object, or of a group if
+// object is empty. The purge was issued age microseconds ago.
 func (r *Router) ApplyPurge(now Micros, object string, group int, age Micros) {
 	r.now = now
-	key := uint64(group) // far below any hash
+	key := uint64(group) // group numbers are far smaller than any hash
 	if object != "" {
 		key = hashString(object)
 	}
 	r.purges[key] = max(r.purges[key], now-age)
 }
 
-// decayCounts halves the counts of lookups, and drops those below one and the purges that no copy can be older than.
+// decayCounts halves the lookup counts and deletes those that fall below one. It
+// also deletes settled purges, because no cache can still hold an older copy.
 func (r *Router) decayCounts() {
 	r.nextDecayAt = r.now + countDecayInterval
 	for part, count := range r.lookupCounts {
--- a/internal/policy/coldfleet_limit_test.go
+++ b/internal/policy/coldfleet_limit_test.go
@@ -5,20 +5,20 @@
 // checkStep is the simulated time between two steps of a limitChecker.
 const checkStep = 10 * millisecond
 
-// limitChecker watches what a run's cold cache is sent, and plays two ideals at the rate of a central limiter beside it: a bucket before three
-// times its rate of demand, and arrivals at random.
+// limitChecker measures the work sent to the cold cache of a run. It also simulates two references at the
+// rate of a central limiter: a token bucket with a demand of three times its rate, and random arrivals.
 type limitChecker struct {
 	run            *coldFleetRun
 	tally          tally
-	warmCapacity   float64 // what the routers together take for that of a warm cache; 0: not known yet
-	tokens         float64 // in the bucket
-	centralBacklog float64 // demand not played yet, in lookups
-	poissonBacklog float64 // the same for arrivals at random
+	warmCapacity   float64 // sum of the routers' estimates of the capacity of a warm cache; 0: not known yet
+	tokens         float64 // tokens in the bucket, in microseconds of work
+	centralBacklog float64 // demand on the bucket that is not simulated yet, in lookups
+	poissonBacklog float64 // random arrivals that are not simulated yet, in lookups
 	central        []sentWork
 	poisson        []sentWork
 }
 
-// step plays the ideals for checkStep, checks a window every 50 ms and schedules the next step.
+// step simulates the references for checkStep, checks a window every 50 ms and schedules the next step.
 func (l *limitChecker) step() {
 	w := l.run
 	now := w.now
@@ -40,10 +40,12 @@
 	}
 }
 
-// countsUse tells whether use counts at an instant: all routers know of the start and had time for their first lookups.
+// countsUse reports whether work sent at an instant counts as use. From 2 s after the
+// start, all routers know of the start and have had time for their first lookups.
 func (l *limitChecker) countsUse(at Micros) bool { return at >= l.run.lastStart+2*second }
 
-// updateCapacity takes the routers' own estimates, before restarts and drains blur them. The limiter of a hard case knows the link.
+// updateCapacity sets the capacity of a warm cache from the routers' own estimates, until restarts and
+// drains distort them. In a hard case it sets the true capacity, because the limiter knows the link.
 func (l *limitChecker) updateCapacity() {
 	w := l.run
 	if l.warmCapacity == 0 || w.routers[0].router != nil && w.now < w.lastStart+second {
@@ -61,7 +63,7 @@
 	}
 }
 
-// drawWork draws the work of one lookup at the cold cache.
+// drawWork draws the work of one lookup or fill at the cold cache.
 func (l *limitChecker) drawWork() float64 {
 	w := l.run
 	kind := w.random.IntN(2)
@@ -91,7 +93,7 @@
 	}
 }
 
-// checkWindow counts the window that ends now.
+// checkWindow counts the window that ends now, and for the fleet and both references whether it is over the limit.
 func (l *limitChecker) checkWindow(now Micros) {
 	l.tally.windows++
 	for _, of := range []struct {
@@ -104,8 +106,9 @@
 	}
 }
 
-// isOverLimit tells whether the work of the window that ends now is more than that of N + 2 x root of N + 2 mean lookups, N being what the
-// settings allow. A window with much work of routers that do not know of the start does not count.
+// isOverLimit reports whether the work of the window that ends now exceeds that of N + 2*sqrt(N) + 2
+// mean lookups, where N is the number that the settings allow. A window is not over the limit if a
+// third of its work or more is from routers that do not know of the start yet.
 func (l *limitChecker) isOverLimit(sent []sentWork, now Micros) bool {
 	w := l.run
 	mean := w.meanOfKinds()
@@ -121,7 +124,7 @@
 	return sum > limit && unaware < sum/3
 }
 
-// result is the run's tally.
+// result returns the tally of the run.
 func (l *limitChecker) result() tally {
 	l.tally.requested = l.run.hard.requested.sent
 	for _, s := range l.run.sent {
--- a/internal/policy/coldfleet_router_test.go
+++ b/internal/policy/coldfleet_router_test.go
@@ -1,17 +1,17 @@
 package policy
 
-// fleetRouter is one router of a run and its own view of the caches. It is the executor of the router.
+// fleetRouter is one router of a run with its own view of the caches. It is also the Executor of that router.
 type fleetRouter struct {
 	run        *coldFleetRun
 	index      int
-	weight     float64 // of its lookups among those of all routers
-	router     *Router // nil while it starts
+	weight     float64 // share of the fleet's lookups, relative to coldFleetRun.totalWeight
+	router     *Router // nil until NewRouter returns
 	caches     []*Cache
 	cold       *Cache
 	knowsStart bool
 }
 
-// start starts the router, or restarts it: it forgets everything but the endpoint list.
+// start starts or restarts the router. A restart loses all state except the endpoint list.
 func (h *fleetRouter) start() {
 	w := h.run
 	h.router = nil
@@ -41,7 +41,8 @@
 	h.router.UpdateEndpoints(w.now, UpdateCached, endpoints)
 }
 
-// learnStart lists the start of the cold cache, and that the other edge caches are gone if they are.
+// learnStart updates the router's endpoint list with the start of the cold
+// cache, and removes the other edge caches if the run drains them.
 func (h *fleetRouter) learnStart() {
 	h.knowsStart = true
 	kind := 0
@@ -67,7 +68,7 @@
 		w.after(300*millisecond, func() { h.endAttempt(attempt, h.partitionReport(edge)) })
 		return
 	}
-	if edge == h.cold { // the mean of its kind counts
+	if edge == h.cold { // counted as the mean work of the object kind
 		w.sent = append(w.sent, sentWork{w.now, w.meanWork[w.kindIndex(h, lookup)], h.cold.StartedAt != w.lastStart})
 	}
 	report := h.drawReport(lookup, request)
@@ -82,7 +83,8 @@
 	w.after(report.Latency, func() { h.endAttempt(attempt, report) })
 }
 
-// drawReport draws whether an attempt hits. Its latency is without waiting for others on the link.
+// drawReport draws at random whether an attempt hits and returns
+// its report. The latency does not include queueing on the link.
 func (h *fleetRouter) drawReport(lookup *Lookup, request FetchRequest) AttemptReport {
 	w := h.run
 	edge, source := request.Cache, request.Source
@@ -103,7 +105,8 @@
 	return AttemptReport{Outcome: OutcomeSatisfied, Detail: DetailFilled, Latency: 2 * latency}
 }
 
-// transferLatency puts a transfer behind the others on its link: no cache carries more than its link, warm ones neither.
+// transferLatency queues a transfer behind the others on its link and returns
+// its latency. No cache, warm or cold, exceeds the capacity of its link.
 func (w *coldFleetRun) transferLatency(lookup *Lookup, request FetchRequest, report AttemptReport) Micros {
 	sender := request.Cache
 	if report.Detail == DetailFilled && request.Source != request.Cache {
@@ -118,7 +121,7 @@
 	return max(report.Latency, freeAt-w.now)
 }
 
-// partitionReport is how an attempt ends that names the cold cache from where that is not reached.
+// partitionReport returns the report of an attempt that needs the cold cache while its router cannot reach it.
 func (h *fleetRouter) partitionReport(edge *Cache) AttemptReport {
 	if edge == h.cold {
 		return AttemptReport{Outcome: OutcomeConnectFailed, Latency: 300 * millisecond}
@@ -126,17 +129,17 @@
 	return AttemptReport{Outcome: OutcomeError, Detail: DetailSourceBroke, Latency: 300 * millisecond}
 }
 
-// runningAttempt is an attempt of a router, which may restart before it ends.
+// runningAttempt is an attempt in flight. Its router may restart before the attempt ends.
 type runningAttempt struct {
 	router *Router
 	lookup *Lookup
 	number int
 }
 
-// endedMode marks an attempt whose end was reported.
+// endedMode is the mode of an attempt whose end has been reported.
 const endedMode FetchMode = -1
 
-// endAttempt reports the end of an attempt, once.
+// endAttempt reports the end of an attempt, at most once and only to the router that started it.
 func (h *fleetRouter) endAttempt(attempt *runningAttempt, report AttemptReport) {
 	drafted := attempt.lookup.attempts[attempt.number]
 	if h.router != attempt.router || drafted.mode == endedMode {
@@ -164,7 +167,7 @@
 func (h *fleetRouter) SetTimer(delay Micros, token int64) {
 	router := h.router
 	h.run.after(delay, func() {
-		if router == nil { // set from within NewRouter
+		if router == nil { // the timer was set during NewRouter
 			router = h.router
 		}
 		if h.router == router {
--- a/internal/policy/coldfleet_run_test.go
+++ b/internal/policy/coldfleet_run_test.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 )
 
-// simEvent is something that happens at an instant of simulated time.
+// simEvent is a callback that is due at an instant of simulated time.
 type simEvent struct {
 	at Micros
 	do func()
@@ -25,36 +25,37 @@
 	return last
 }
 
-// coldFleetRun is one run: many routers before a cache that has just started, and the work that they send it in any BreakWindow. Settings and
-// traffic are drawn from the seed, within what operators' sites name. All caches of a group are of one size; where an edge cache is cold the
-// others of its zone are gone, so that it has all demand. Left out: what routers send that do not know of the start, as the rule leaves it out,
-// and attempts that fail. The hard cases (hardfleet_test.go) differ.
+// coldFleetRun is one simulated run: many routers share a cache in slow start, and the run records the work that they
+// send to it. Settings and traffic are drawn at random from the seed, within the ranges of operators' sites. All caches
+// of a group have the same capacity. If an edge cache is cold, the other edge caches of its zone are gone, so that it
+// gets all the demand. Attempts do not fail. A window with much work of routers that do not know of the start yet does
+// not count, as rule 4 does not count that work either. The hard cases (hardfleet_test.go) differ.
 type coldFleetRun struct {
 	coldFleetCase
-	random   *rand.Rand // the run's only one: a seed plays the same each time
+	random   *rand.Rand // the only random source of the run, so that a seed is reproducible
 	settings *Settings
 	now      Micros
 	events   simEvents
 	routers  []*fleetRouter
 
 	edgeCount, parentCount int
-	edgeCapacity           float64 // of a warm edge cache, in transfers at once
-	coldCapacity           float64 // of the cold cache, once it is warm
-	coldIndex              int     // of the cold cache among the caches
-	breakMultiple          float64 // of the cold cache's kind
+	edgeCapacity           float64 // capacity of a warm edge cache, in concurrent transfers at full pace
+	coldCapacity           float64 // capacity of the cold cache once it is warm
+	coldIndex              int     // index of the cold cache among the caches
+	breakMultiple          float64 // break multiple of the cold cache's kind
 	links                  map[string]float64
-	linkFreeAt             map[string]Micros // when a cache has sent all that it was asked for
+	linkFreeAt             map[string]Micros // instant at which all queued transfers of a cache are complete
 
-	meanWork     [2]float64 // by object kind, in microseconds
-	sigma        float64    // of the log of sizes
+	meanWork     [2]float64 // mean work of a lookup by object kind, in microseconds
+	sigma        float64    // standard deviation of the logarithm of sizes
 	hitShare     float64
-	load         float64 // of what warm caches bear
-	meanInterval float64 // between the fleet's lookups, in microseconds
-	arrivalPace  float64 // of the usual arrivals: 3 in a burst
-	drainsOthers bool    // the other edge caches go when the cold one starts
-	firstStart   Micros  // of the cold cache; 0: not yet
+	load         float64 // demand as a share of the capacity of the warm edge caches
+	meanInterval float64 // mean time between lookups of the fleet, in microseconds
+	arrivalPace  float64 // multiple of the usual arrival rate; 3 in a burst
+	drainsOthers bool    // the other edge caches leave the list when the cold one starts
+	firstStart   Micros  // first start of the cold cache; 0: not started yet
 	lastStart    Micros
-	sent         []sentWork // to the cold cache
+	sent         []sentWork // work sent to the cold cache
 	hard         hardCase
 	zipf         *rand.Zipf
 	totalWeight  float64
@@ -64,7 +65,7 @@
 type sentWork struct {
 	at      Micros
 	work    float64
-	unaware bool // by a router that does not know of the latest start
+	unaware bool // sent by a router that does not know of the latest start
 }
 
 func cacheName(i int) string { return fmt.Sprint("c", i) }
@@ -73,10 +74,11 @@
 	heap.Push(&w.events, simEvent{w.now + delay, do})
 }
 
-// between draws a number.
+// between draws a uniformly distributed number between a and b.
 func (w *coldFleetRun) between(a, b float64) float64 { return a + (b-a)*w.random.Float64() }
 
-// newColdFleetRun draws a run. The order of the draws is the seed's meaning: it must not change.
+// newColdFleetRun draws a run from a seed. The order of the draws
+// must not change, because it determines the run of each seed.
 func newColdFleetRun(c coldFleetCase, seed uint64) *coldFleetRun {
 	w := &coldFleetRun{coldFleetCase: c, random: rand.New(rand.NewPCG(seed, uint64(c.routerCount)))}
 	w.edgeCount = 4 + w.random.IntN(6)
@@ -92,7 +94,7 @@
 	w.addRouters()
 	w.scheduleArrivals()
 	w.scheduleStart()
-	if seed%2 == 0 { // all cached copies are purged, and a burst comes: every router has demand at once
+	if seed%2 == 0 { // a purge of all copies and a burst, so that every router has demand at the same time
 		w.after(8*second, func() { w.hitShare, w.arrivalPace = 0, 3 })
 		w.after(9500*millisecond, func() { w.arrivalPace = 1 })
 	}
@@ -121,11 +123,11 @@
 	}
 }
 
-// drawLinks gives each cache its link.
+// drawLinks sets the link capacity of each cache.
 func (w *coldFleetRun) drawLinks() {
 	w.breakMultiple, w.coldIndex = w.settings.BreakMultiple, w.edgeCount-1
 	w.coldCapacity = w.edgeCapacity
-	if w.coldParent { // parents have some capacity above the fills that they get
+	if w.coldParent { // parents have 1.2 to 1.5 times the capacity that their fills need
 		w.breakMultiple, w.coldIndex = w.settings.ParentBreakMultiple, w.edgeCount+w.parentCount-1
 		w.coldCapacity = w.between(1.2, 1.5) * (1 - w.hitShare) * w.edgeCapacity * 0.7 * float64(w.edgeCount) / float64(w.parentCount)
 	}
@@ -141,7 +143,8 @@
 	}
 }
 
-// addRouters makes the routers, which start within a sweep of each other. One has several times the mean of lookups.
+// addRouters adds the routers, which start within one sweep interval.
+// The first one gets several times the mean number of lookups.
 func (w *coldFleetRun) addRouters() {
 	for i := range w.routerCount {
 		h := &fleetRouter{run: w, index: i, weight: w.random.ExpFloat64() + 0.2}
@@ -160,7 +163,8 @@
 	}
 }
 
-// scheduleArrivals starts the lookups, at random and at a load that the warm caches bear. Some objects are far hotter than others.
+// scheduleArrivals schedules the first random arrival at each router. The load is w.load of
+// the capacity of the warm caches. The popularity of objects follows a Zipf distribution.
 func (w *coldFleetRun) scheduleArrivals() {
 	w.meanInterval = w.meanOfKinds() / (w.edgeCapacity * w.load * float64(w.edgeCount-1))
 	w.zipf = rand.NewZipf(w.random, 1.1, 1, 2000)
@@ -169,7 +173,7 @@
 	}
 }
 
-// arrive starts a lookup at a router and schedules the next one.
+// arrive starts a lookup at a router and schedules the next arrival.
 func (h *fleetRouter) arrive() {
 	w := h.run
 	kind := w.random.IntN(2)
@@ -179,7 +183,8 @@
 	w.after(Micros(w.random.ExpFloat64()*w.meanInterval*w.totalWeight/h.weight/w.arrivalPace), h.arrive)
 }
 
-// scheduleStart has the cache start after 5 s, of which each router learns within a second. Some routers restart meanwhile.
+// scheduleStart schedules the start of the cold cache after 5 s. Each router
+// learns of it within a second. Some routers restart 2 to 6 s after the start.
 func (w *coldFleetRun) scheduleStart() {
 	w.after(5*second, func() {
 		w.lastStart, w.firstStart = w.now, w.now
@@ -196,7 +201,7 @@
 	}
 }
 
-// play plays up to 6 s of the slow start.
+// play runs the simulation until 6 s after the start of the cold cache and returns the tally.
 func (w *coldFleetRun) play() tally {
 	checker := &limitChecker{run: w, tally: tally{runs: 1}}
 	w.after(5*second+millisecond, func() {
@@ -214,10 +219,10 @@
 	return checker.result()
 }
 
-// meanOfKinds is the mean work of a lookup of either kind.
+// meanOfKinds returns the mean work of a lookup over both object kinds.
 func (w *coldFleetRun) meanOfKinds() float64 { return (w.meanWork[0] + w.meanWork[1]) / 2 }
 
-// coldShare is the share of its capacity that the cold cache has at an instant by the rule.
+// coldShare returns the share of its full capacity that the cold cache has at an instant according to the settings.
 func (w *coldFleetRun) coldShare(at Micros) float64 {
 	initial, duration := w.settings.SlowStartShare, w.settings.SlowStartTime
 	if w.coldParent {
--- a/internal/policy/coldfleet_test.go
+++ b/internal/policy/coldfleet_test.go
@@ -8,23 +8,24 @@
 	"testing"
 )
 
-var coldSeeds = flag.Int("cold.seeds", 0, "seeds of each fleet before a cold cache; 1000 take some minutes (0: a short run that judges)")
+var coldSeeds = flag.Int("cold.seeds", 0, "number of seeds per case of TestColdFleet; 1000 take some minutes (0: a short run)")
 
-// The central limiter that a fleet is held against: a bucket that fills at limiterRate of what the cache surely bears, as deep as
-// limiterBurst of the rule's multiple above 1.
+// A fleet is compared with a central limiter, which is a token bucket. Its rate is
+// limiterRate times the guaranteed capacity of the cold cache. Its depth is that rate over
+// a break window, times limiterBurst, times the part of the break multiple above 1.
 const limiterRate, limiterBurst = 1.4, 0.4
 
-// coldFleetCase is one case: many routers before one edge cache or parent that has just started.
+// coldFleetCase is one case of TestColdFleet: a number of routers that share one edge cache or parent in slow start.
 type coldFleetCase struct {
 	routerCount   int
-	coldParent    bool    // a parent has started; else an edge cache
-	knowsThird    bool    // the settings name a third of the routers
-	countsMembers bool    // and Router.FleetSize all of them
-	hardMultiple  float64 // the rule's multiple in a hard case (hardfleet_test.go); 0: none
+	coldParent    bool    // a parent is cold, otherwise an edge cache
+	knowsThird    bool    // the settings count only a third of the routers
+	countsMembers bool    // Router.FleetSize counts all routers
+	hardMultiple  float64 // break multiple of a hard case (hardfleet_test.go); 0: not a hard case
 }
 
 func (c coldFleetCase) String() string {
-	kind, variant := "edge", "told"
+	kind, variant := "edge", "all known"
 	if c.coldParent {
 		kind = "parent"
 	}
@@ -32,22 +33,23 @@
 	case c.hardMultiple > 0:
 		variant = fmt.Sprintf("unequal, multiple %g", c.hardMultiple)
 	case c.countsMembers:
-		variant = "told a third, view on"
+		variant = "a third known, members counted"
 	case c.knowsThird:
-		variant = "told a third"
+		variant = "a third known"
 	}
 	return fmt.Sprintf("%s %d routers %s", kind, c.routerCount, variant)
 }
 
-// tally adds up runs: windows (one every 50 ms) and those of them over the rule's limit, of the fleet and of two ideals at the same rate: one
-// central bucket before the same kind of demand, and arrivals at random (Poisson). Work is in microseconds.
+// tally sums up runs. It counts the windows, one every 50 ms, and the windows whose work exceeds the limit of
+// rule 4 (the load on a warming cache). It counts those of the fleet and of two references at the same rate: a
+// central limiter with the same kind of demand, and random (Poisson) arrivals. Work is in microseconds.
 type tally struct {
 	windows, overLimit, centralOver, poissonOver int
-	runs, runsOver                               int     // runs with any window over the limit
-	sent                                         float64 // by the fleet
-	allowed                                      float64 // by the central bucket's rate
-	centralSent                                  float64 // by the central bucket
-	requested                                    float64 // by a limiter before the fills that a hard case's parent is really asked for
+	runs, runsOver                               int     // runs, and runs with any window of the fleet over the limit
+	sent                                         float64 // work sent by the fleet
+	allowed                                      float64 // work at the central limiter's rate, or the demand if less
+	centralSent                                  float64 // work sent by the central limiter
+	requested                                    float64 // work admitted by requestLimiter in a hard case
 }
 
 func (t *tally) add(o tally) {
@@ -65,16 +67,16 @@
 
 func (t tally) String() string {
 	percent := func(n, of int) float64 { return 100 * float64(n) / float64(max(of, 1)) }
-	text := fmt.Sprintf("windows over %7.4f%%  central %7.4f%%  chance %7.4f%%  runs over %5.2f%%  used %.2f, central %.2f",
+	text := fmt.Sprintf("windows over %7.4f%%  central %7.4f%%  random %7.4f%%  runs over %5.2f%%  used %.2f, central %.2f",
 		percent(t.overLimit, t.windows), percent(t.centralOver, t.windows), percent(t.poissonOver, t.windows), percent(t.runsOver, t.runs),
 		t.sent/max(t.allowed, 1), t.centralSent/max(t.allowed, 1))
 	if t.requested > 0 {
-		text += fmt.Sprintf("  of what is really asked %.2f", t.sent/t.requested)
+		text += fmt.Sprintf("  of requested fills %.2f", t.sent/t.requested)
 	}
 	return text
 }
 
-// runs plays seeds from 1 on, a few at a time.
+// runs plays the given number of seeds, starting at 1, with up to 4 in parallel.
 func (c coldFleetCase) runs(seeds int) tally {
 	var all tally
 	var mu sync.Mutex
@@ -98,7 +100,7 @@
 	return all
 }
 
-// coldFleetCases are the cases of TestColdFleet, and how many seeds of each are played.
+// coldFleetCases returns the cases of TestColdFleet and the number of seeds per case.
 func coldFleetCases() (cases []coldFleetCase, seeds int) {
 	cases, seeds = []coldFleetCase{{routerCount: 30}, {routerCount: 30, coldParent: true}}, 20
 	hardCounts, multiples := []int{12, 30}, []float64{2, 4}
@@ -123,8 +125,9 @@
 	return cases, seeds
 }
 
-// TestColdFleet checks rule 4 for the sum of all routers: no more windows over the limit than arrivals at random give at the central limiter's
-// rate, and at thirty routers before an edge cache 0.8 of that rate used.
+// TestColdFleet checks rule 4, which limits the load on a cache in slow start, for the sum of all
+// routers. The fleet must not have more windows over the limit than random arrivals at the rate of
+// the central limiter. Thirty routers with a cold edge cache must use 0.8 of that rate.
 func TestColdFleet(t *testing.T) {
 	cases, seeds := coldFleetCases()
 	for _, c := range cases {
@@ -132,20 +135,22 @@
 			got := c.runs(seeds)
 			t.Log(got)
 			if got.overLimit > got.poissonOver {
-				t.Errorf("%d windows over the limit, at random %d", got.overLimit, got.poissonOver)
+				t.Errorf("%d windows are over the limit, want at most the %d of random arrivals", got.overLimit, got.poissonOver)
 			}
 			if used := got.sent / got.allowed; c.routerCount == 30 && c.hardMultiple == 0 && !c.coldParent && used < 0.8 {
-				t.Errorf("%.2f of the rate used, want 0.8", used)
+				t.Errorf("%.2f of the rate was used, want 0.8", used)
 			}
 		})
 	}
 }
 
-// useSeeds is how many seeds TestColdFleetUse judges by: runs with large links make up most of the sums, and twenty seeds hold only a few.
+// useSeeds is the number of seeds of TestColdFleetUse. Runs with large links
+// make up most of the sums, and twenty seeds contain only a few of them.
 const useSeeds = 100
 
-// TestColdFleetUse checks that a fleet that does not know the link of a cold cache does not starve it: 0.8 at an edge cache and 0.5 at a
-// parent of what a central limiter that knows the link would send, where there is demand.
+// TestColdFleetUse checks that a fleet does not starve a cold cache whose link capacity it
+// does not know. Where there is demand, the fleet must send an edge cache 0.8, and a
+// parent 0.5, of the work that a central limiter with knowledge of the link would send.
 func TestColdFleetUse(t *testing.T) {
 	for _, c := range []coldFleetCase{
 		{routerCount: 30, hardMultiple: 2},
@@ -160,7 +165,7 @@
 			}
 			t.Log(got)
 			if used := got.sent / got.allowed; used < want {
-				t.Errorf("%.2f of the rate used, want %.1f", used, want)
+				t.Errorf("%.2f of the rate was used, want %.1f", used, want)
 			}
 		})
 	}
--- a/internal/policy/fills.go
+++ b/internal/policy/fills.go
@@ -3,34 +3,37 @@
 import "math"
 
 const (
-	fillLimitTime     = 8 * second // after a fill was late or found no slot
-	lateFillShare     = 0.1        // of recent fills past the allowance: so many late ones cut the limit
-	lateFillAllowance = 40         // recent fills up to which every late one counts
-	fillLimitGrowth   = 2.0        // of a router alone, for each round of as many fills as the limit
-	fillLimitCut      = 0.9        // of the limit that is left
+	fillLimitTime     = 8 * second // how long the limit applies after late fills or a missing fill slot
+	lateFillShare     = 0.1        // late fills that cut the limit, as a share of recent fills above lateFillAllowance
+	lateFillAllowance = 40         // number of recent fills up to which any late fill cuts the limit
+	fillLimitGrowth   = 2.0        // growth of the limit of a single router per round of as many fills as the limit
+	fillLimitCut      = 0.9        // factor by which a cut lowers the limit
 	fillCutInterval   = 200 * millisecond
 
-	// An attempt open for longer than this and hitWorkMultiple of its transfer time is taken for a fill.
+	// An attempt counts as a fill once it has been open for longer than
+	// maxHitLatency plus hitWorkMultiple times its transfer time.
 	maxHitLatency   = 50 * millisecond
 	hitWorkMultiple = 2
 )
 
-// fillLimit bounds the fills of this router that are open at once. It applies for some time after fills were late or found no slot.
+// fillLimit bounds the number of concurrent fills of this router. It
+// applies for fillLimitTime after fills were late or found no fill slot.
 type fillLimit struct {
 	limit        float64
 	cutAt        Micros
-	nextAt       Micros      // earliest start of the next fill, where the limit is below one
-	limitedUntil Micros      // the limit applies until then
-	recent       decayingSum // fills
-	recentLate   decayingSum
+	nextAt       Micros      // earliest start of the next fill if the limit is below one
+	limitedUntil Micros      // instant at which the limit ceases to apply
+	recent       decayingSum // number of recent fills
+	recentLate   decayingSum // number of recent late fills
 }
 
-// allow tells whether one more fill may start beside so many open ones.
+// allow reports whether another fill may start while open fills are in flight.
 func (f *fillLimit) allow(now Micros, open float64) bool {
 	return open < f.limit && now >= f.nextAt
 }
 
-// observeFill learns from an attempt that named a source whether there are too many fills for what is behind them.
+// observeFill updates the fill limit when an attempt with a source
+// ends. It cuts the limit if the sources are overloaded with fills.
 func (r *Router) observeFill(attempt *Attempt, report AttemptReport) {
 	lookup := attempt.lookup
 	budget := lookup.latencyBudget()
@@ -52,13 +55,13 @@
 	}
 }
 
-// adjustFillLimit raises the limit after a fill in time, and cuts it once too many were late.
+// adjustFillLimit raises the limit after a fill within its latency budget and cuts it once too many fills are late.
 func (r *Router) adjustFillLimit(report AttemptReport, budget Micros) {
 	isAnswered := report.Outcome == OutcomeSatisfied
 	switch {
-	case isAnswered && report.Latency <= budget: // all routers of the zone together raise it as one alone would
+	case isAnswered && report.Latency <= budget: // the sum of the limits in a zone grows at the rate of a single router
 		r.fills.limit += fillLimitGrowth / r.fills.limit / r.zoneRouterCount() / r.zoneRouterCount()
-	case isAnswered && !report.isFill(): // late, but maybe a hit with a slow transfer
+	case isAnswered && !report.isFill(): // late, but possibly a hit with a slow transfer
 	default:
 		r.fills.recentLate.add(r.now, 1)
 		if r.fills.recentLate.value > lateFillShare*(r.fills.recent.value-lateFillAllowance) {
@@ -67,12 +70,12 @@
 	}
 }
 
-// cutFillLimit lowers the limit of open fills and puts it in force.
+// cutFillLimit lowers the limit of concurrent fills and applies it for fillLimitTime.
 func (r *Router) cutFillLimit() {
 	if r.now >= r.fills.cutAt+fillCutInterval {
 		r.fills.cutAt = r.now
 		floor := minOpen * float64(max(len(r.edges), 1)) / r.zoneRouterCount()
-		floor += math.Sqrt(floor) * (1 - 1/r.zoneRouterCount()) // not all routers are busy at once
+		floor += math.Sqrt(floor) * (1 - 1/r.zoneRouterCount()) // not all routers use their share at the same time
 		r.fills.limit = max(floor, fillLimitCut*min(r.fills.limit, r.countOpenFills(r.openAttempts)+1))
 	}
 	if r.fills.limitedUntil < r.now {
@@ -81,7 +84,7 @@
 	r.fills.limitedUntil = r.now + fillLimitTime
 }
 
-// countOpenFills counts those attempts that are fills or open for too long to be hits.
+// countOpenFills counts the attempts that are fills. An attempt open for too long to be a hit counts as a fill.
 func (r *Router) countOpenFills(attempts []*Attempt) (count float64) {
 	for _, a := range attempts {
 		if a.source != a.edge && (a.lookup.missedAt != nil || r.now-a.startedAt > maxHitLatency+hitWorkMultiple*a.lookup.work) {
--- a/internal/policy/fills_test.go
+++ b/internal/policy/fills_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// Fills are limited after one found no slot.
+// A fill that finds no fill slot puts the limit of concurrent fills in force.
 func TestFillsWithoutSlots(t *testing.T) {
-	t.Run("hits go on and misses are filled a few at a time", func(t *testing.T) {
+	t.Run("hits are still served and misses are filled within the limit", func(t *testing.T) {
 		f, _ := newFixture(t, nil)
 		f.lookUp(0, "a")
 		f.endAttempt(f.lastAttempt(), OutcomeRejected, DetailNoFillSlot, millisecond)
@@ -15,11 +15,11 @@
 		f.lookUp(0, "b")
 		copyOnly := f.lastAttempt()
 		if copyOnly.Source != copyOnly.Cache {
-			t.Fatalf("not asked for its copy alone but filled from %s", copyOnly.Source.Name)
+			t.Fatalf("the attempt has source %s, want an attempt without a fill", copyOnly.Source.Name)
 		}
 		f.endAttempt(copyOnly, OutcomeMiss, DetailNone, millisecond)
 		if fill := f.lastAttempt(); fill.lookup != copyOnly.lookup || fill.Source == fill.Cache {
-			t.Fatal("the miss was not filled")
+			t.Fatal("the miss was not followed by a fill")
 		}
 		n := len(f.attempts)
 		for i := range 20 {
@@ -29,15 +29,15 @@
 			}
 		}
 		if len(f.attempts) != n+20 {
-			t.Fatalf("%d attempts for 20 lookups", len(f.attempts)-n)
+			t.Fatalf("got %d attempts for 20 lookups, want 20", len(f.attempts)-n)
 		}
 		for _, s := range f.attempts[n:] {
 			if s.Source != s.Cache {
-				t.Fatal("a second fill started")
+				t.Fatal("a second fill started above the limit of 1")
 			}
 		}
 	})
-	t.Run("a lookup that missed asks no second cache for its copy alone", func(t *testing.T) {
+	t.Run("a lookup that missed makes no second attempt without a fill", func(t *testing.T) {
 		f, caches := newFixture(t, nil)
 		f.lookUp(0, "a")
 		f.endAttempt(f.lastAttempt(), OutcomeRejected, DetailNoFillSlot, millisecond)
@@ -54,15 +54,15 @@
 				copyOnlyAttempts[s.lookup]++
 			}
 			if copyOnlyAttempts[s.lookup] > 1 {
-				t.Fatal("asked for its copy alone twice")
+				t.Fatal("a lookup made two attempts without a fill")
 			}
 		}
 	})
 }
 
-// The limit of fills follows how many are late.
+// The fill limit grows with fills in time and is cut when too many are late.
 func TestFillLimit(t *testing.T) {
-	t.Run("routers of one zone together raise the limit as one, and cut it when fills are late", func(t *testing.T) {
+	t.Run("the sum of the limits in a zone grows as that of a single router, and a late fill cuts the limit", func(t *testing.T) {
 		grown := map[int]float64{}
 		for _, gateways := range []int{1, 4} {
 			f, _ := newFixture(t, func(s *Settings) { s.ZoneGateways = []int{gateways} })
@@ -73,14 +73,14 @@
 			f.now += 2 * second
 			f.endAttempt(f.lastAttempt(), OutcomeSatisfied, DetailFilled, 2*second)
 			if f.router.fills.limit >= initialLimit || f.router.fills.limitedUntil <= f.now {
-				t.Fatalf("a late fill left the limit at %.1f", f.router.fills.limit)
+				t.Fatalf("after a late fill the limit is %.1f, want it cut and in force", f.router.fills.limit)
 			}
 		}
 		if grown[4] <= 0 || grown[1] < 3.9*grown[4] {
 			t.Fatal(grown)
 		}
 	})
-	t.Run("among hundreds of fills a few late ones do not limit, a tenth does", func(t *testing.T) {
+	t.Run("among hundreds of fills a few late ones do not put the limit in force, a fifth does", func(t *testing.T) {
 		f, _ := newFixture(t, nil)
 		pace := 3 * millisecond
 		fill := func(n, lateEach int) bool {
@@ -96,29 +96,29 @@
 			return f.router.fills.limitedUntil > f.now
 		}
 		if fill(400, 1000) || fill(400, 25) {
-			t.Fatal("limited by a few late fills")
+			t.Fatal("fills are limited after a few late ones")
 		}
 		if !fill(400, 5) {
-			t.Fatal("not limited by a fifth of late fills")
+			t.Fatal("fills are not limited although a fifth of them were late")
 		}
-		f.now, pace = f.now+fillLimitTime, 18*millisecond // some eighty recent ones
+		f.now, pace = f.now+fillLimitTime, 18*millisecond // about 80 recent fills
 		if fill(200, 1000) || fill(200, 40) {
-			t.Fatal("limited by one late fill in forty")
+			t.Fatal("fills are limited although only one in forty was late")
 		}
 	})
 }
 
-// Where caches report nothing but success, an attempt may be a fill.
+// If caches report nothing but success, any attempt may be a fill.
 func TestFillLimitWithoutReports(t *testing.T) {
-	t.Run("attempts that end overdue and unanswered limit fills, late answers do not", func(t *testing.T) {
+	t.Run("unanswered overdue attempts put the limit in force, late answers do not", func(t *testing.T) {
 		f, _ := newFixture(t, withoutReports)
 		for i := range 100 {
 			f.lookUp(0, fmt.Sprint("o", i))
-			f.endAttempt(f.lastAttempt(), OutcomeSatisfied, DetailNone, 2*second) // a slow transfer of a hit, maybe
+			f.endAttempt(f.lastAttempt(), OutcomeSatisfied, DetailNone, 2*second) // possibly a hit with a slow transfer
 			f.advance(10 * millisecond)
 		}
 		if f.router.fills.limitedUntil > f.now {
-			t.Fatal("fills are limited by late answers")
+			t.Fatal("late answers put the fill limit in force")
 		}
 		n := len(f.attempts)
 		for i := range 10 {
@@ -129,7 +129,7 @@
 			f.endAttempt(s, OutcomeTimeout, DetailNone, 2*second)
 		}
 		if f.router.fills.limitedUntil <= f.now {
-			t.Fatal("fills are not limited")
+			t.Fatal("unanswered overdue attempts did not put the fill limit in force")
 		}
 	})
 }
--- a/internal/policy/hardfleet_test.go
+++ b/internal/policy/hardfleet_test.go
@@ -2,33 +2,41 @@
 
 import "math"
 
-// hardCase is what a hard case of TestColdFleet adds to a run: caches from 0.3 to 2.5 of the mean, the cold one among them at any place; links
-// of 1 to 40 transfers that all transfers on them share; a load of 0.4 to 1.3 of the zone's capacity; and each in three of ten runs a cold
-// cache that restarts while it warms up, routers whose lists are silent for seconds over the start, and routers (a zone) that are cut off
-// from the cold cache, and in half of these runs restart at the end. A cold cache has its share of its link, at least that of the settings.
+// hardCase holds the additional state of a hard case of TestColdFleet:
+//   - The capacity of each cache is 0.3 to 2.5 of the mean. The cold cache can be of any size.
+//   - All transfers on a link share its capacity. The mean capacity of an edge cache is 2 to 40
+//     transfers. No link has less than 1.
+//   - The load is 0.4 to 1.3 of the capacity of the zone.
+//   - In three of ten runs the cold cache restarts during slow start.
+//   - In three of ten runs the endpoint lists of some routers are some seconds late.
+//   - In three of ten runs a network partition separates some routers (a zone) from the cold cache. In half of these
+//     runs the routers restart at its end.
+//
+// The capacity of the cold cache is a share of its link. That share is at least the one in the settings.
 type hardCase struct {
 	links        map[string]*sharedLink
-	coldCapacity float64 // of the cold cache once it is warm, in transfers at once
-	shareFactor  float64 // the cold cache's real share over the one that the settings name
-	restartAfter Micros  // of the cold cache, after its first start; 0: it does not restart
-	listDelay    Micros  // by which a third of the routers learn later of a start
+	coldCapacity float64 // capacity of the cold cache once it is warm, in concurrent transfers at full pace
+	shareFactor  float64 // real capacity share of the cold cache divided by the share in the settings
+	restartAfter Micros  // time from the first start of the cold cache to its restart; 0: no restart
+	listDelay    Micros  // additional delay after which a third of the routers learn of a start
 	partition    networkPartition
 	requested    requestLimiter
 }
 
-// networkPartition is the first routers, which do not reach the cold cache between two instants after its start.
+// networkPartition is a period in which the routers with the lowest indexes cannot reach the cold cache.
 type networkPartition struct {
-	routers     int
-	from, until Micros
-	restarts    bool // its routers restart at the end, knowing nothing
+	routers     int    // number of routers
+	from, until Micros // time since the first start of the cold cache
+	restarts    bool   // the routers restart at its end and lose all state except the endpoint list
 }
 
-// requestLimiter is the central limiter that knows the link of a cold parent, before the fills that the fleet really asks for: those of
-// objects whose home is this parent. Its figure is logged and judges nothing: demand is taken by its formula.
+// requestLimiter is a central limiter that knows the link of a cold parent. Its demand is the
+// fills that the fleet actually requests of objects whose home is this parent. The work that
+// it admits is only logged. The tests use the demand of hardCase.demand instead.
 type requestLimiter struct {
 	tokens float64
 	at     Micros
-	sent   float64 // work that it admits while a run is judged, in microseconds
+	sent   float64 // work admitted in the measured period, in microseconds
 }
 
 func (l *requestLimiter) admit(now Micros, rate, depth, work float64, judged bool) {
@@ -43,7 +51,7 @@
 	}
 }
 
-// recordRequestedFill brings the limiter a fill whose home is the cold parent.
+// recordRequestedFill passes a fill to the requestLimiter if the home of its object is the cold parent.
 func (w *coldFleetRun) recordRequestedFill(h *fleetRouter, lookup *Lookup) {
 	if w.hardMultiple == 0 || !w.coldParent || w.lastStart == 0 {
 		return
@@ -57,13 +65,13 @@
 	w.hard.requested.admit(w.now, rate, depth, float64(lookup.work), judged)
 }
 
-// isPartitioned tells whether a router does not reach the cold cache now.
+// isPartitioned reports whether a router cannot reach the cold cache now.
 func (w *coldFleetRun) isPartitioned(h *fleetRouter) bool {
 	partition, since := &w.hard.partition, w.now-w.firstStart
 	return w.hardMultiple > 0 && w.firstStart > 0 && h.index < partition.routers && since >= partition.from && since < partition.until
 }
 
-// learnDelay is how long after a start a router learns of it.
+// learnDelay draws the delay after which a router learns of a start.
 func (w *coldFleetRun) learnDelay(h *fleetRouter) Micros {
 	delay := Micros(w.random.Int64N(int64(second)))
 	if w.hardMultiple > 0 && h.index%3 == 2 {
@@ -72,7 +80,7 @@
 	return delay
 }
 
-// schedulePartitionRestarts restarts the routers of a lost zone at the end of its cut.
+// schedulePartitionRestarts schedules the restarts of the partitioned routers at the end of the partition.
 func (w *coldFleetRun) schedulePartitionRestarts() {
 	for _, h := range w.routers {
 		if w.hard.partition.restarts && h.index < w.hard.partition.routers {
@@ -81,7 +89,7 @@
 	}
 }
 
-// drawHard draws what a hard case adds but for its links, and returns the load.
+// drawHard draws the properties of a hard case except its links and returns the load.
 func (w *coldFleetRun) drawHard() float64 {
 	w.edgeCapacity = math.Exp(w.between(math.Log(2), math.Log(40)))
 	w.settings.BreakMultiple, w.settings.ParentBreakMultiple = w.hardMultiple, w.hardMultiple
@@ -103,13 +111,14 @@
 	return w.between(0.4, 1.3)
 }
 
-// drawLinks gives each cache a link of its own, from 0.3 to 2.5 of its group's mean, and returns the capacity of the cold one's.
+// drawLinks adds a link for each cache with 0.3 to 2.5 of the mean capacity
+// of its group. It returns the capacity of the cold cache's link.
 func (f *hardCase) drawLinks(w *coldFleetRun) float64 {
 	f.links = map[string]*sharedLink{}
 	for _, c := range w.sortedLinks() {
 		maxFactor := 2.5
 		if c == cacheName(w.coldIndex) && w.random.IntN(2) == 0 {
-			maxFactor = 0.6 // in half of the runs the cold one is a small one
+			maxFactor = 0.6 // in half of the runs the cold cache is a small one
 		}
 		capacity := w.links[c] * math.Exp(w.between(math.Log(0.3), math.Log(maxFactor)))
 		capacity = max(1, capacity)
@@ -128,7 +137,7 @@
 	return f.coldCapacity
 }
 
-// sortedLinks names the caches in their order: edges, then parents.
+// sortedLinks returns the names of the caches in order, edge caches before parents.
 func (w *coldFleetRun) sortedLinks() (names []string) {
 	for i := range len(w.links) {
 		names = append(names, cacheName(i))
@@ -136,7 +145,7 @@
 	return names
 }
 
-// scheduleRestart has the cold cache restart while it warms up, of which each router learns within a second.
+// scheduleRestart schedules a restart of the cold cache during slow start. The routers learn of it after learnDelay.
 func (f *hardCase) scheduleRestart(w *coldFleetRun) {
 	if f.restartAfter == 0 {
 		return
@@ -149,8 +158,9 @@
 	})
 }
 
-// demand is what the fleet asks of the cold cache, in transfers, where arrivals bring that much work: the last edge cache of a zone gets its
-// share of the objects, a parent its part of the misses. It is unbounded in the other cases.
+// demand returns the fleet's demand on the cold cache, in concurrent transfers, given the demand of all
+// arrivals. The last edge cache of a zone gets the share of the objects that it has reached in its slow
+// start. A parent gets its share of the misses. In other than hard cases the demand is unbounded.
 func (f *hardCase) demand(w *coldFleetRun, at Micros, arriving float64) float64 {
 	switch {
 	case w.hardMultiple == 0:
@@ -161,7 +171,8 @@
 	return w.coldShare(at) * arriving * w.arrivalPace
 }
 
-// transfer carries the answer of a satisfied attempt over its cache's link, and a fill over the source's too.
+// transfer simulates the transfer of a satisfied attempt over the
+// link of its edge cache. A fill also uses the link of its source.
 func (f *hardCase) transfer(h *fleetRouter, attempt *runningAttempt, request FetchRequest, detail OutcomeDetail) {
 	w := h.run
 	startedAt := w.now
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -6,21 +6,25 @@
 )
 
 const (
-	errorsToAvoid = 3  // in a row, after which lookups move on to another cache
-	errorsToEject = 10 // in a row: chance makes as many nowhere that fails one attempt in four
+	errorsToAvoid = 3 // number of consecutive errors after which lookups move to another cache
+	// errorsToEject is the number of consecutive errors that ejects a cache. A cache that fails one attempt in four
+	// hardly reaches it by chance.
+	errorsToEject = 10
 
-	latencySamples = 10 // of a cache, over which its mean latency is taken
+	latencySamples = 10 // number of latest samples in the mean latency of a cache
 	probeInterval  = 1 * second
-	probeMaxWork   = 1.5 // of the kind's mean transfer time, for a lookup that may be a probe
+	probeMaxWork   = 1.5 // largest transfer time of a probe, in multiples of the mean of its object kind
 
-	// A cache is ejected as slow when its mean latency is past slowMultiple of the mean of the others of its group, and past that
-	// mean by slowFirstByteFloor (latency to the first byte) or by slowBudgetShare of a latency budget (else).
+	// A cache is ejected as slow if its mean latency exceeds slowMultiple times the mean of the other
+	// caches of its group and also exceeds that mean by a floor. The floor is slowFirstByteFloor for
+	// latency to the first byte, otherwise slowBudgetShare of the latency budget.
 	slowMultiple       = 3.0
 	slowFirstByteFloor = 250 * millisecond
 	slowBudgetShare    = 0.1
 )
 
-// noteSuccess notes a good answer. A good probe readmits an ejected cache; one that died begins its slow start then.
+// noteSuccess records a successful attempt and resets the failure counts of the cache. A successful probe
+// readmits an ejected cache. If the cache may have restarted while it was ejected, it begins a slow start.
 func (r *Router) noteSuccess(cache *Cache, attempt *Attempt) {
 	cache.lastSuccessAt = r.now
 	cache.failuresInRow = 0
@@ -37,7 +41,9 @@
 	cache.restartsCold = cache.restartsCold && cache.ejected
 }
 
-// countFailures takes the number of failures of one sort in a row. Enough of them eject the cache; a failed probe puts off the next one.
+// countFailures ejects the cache if its number of consecutive failures of one kind
+// has reached the limit. If the cache is ejected already, the failure delays its next
+// probe, and slowness no longer counts as the only reason of the ejection.
 func (r *Router) countFailures(cache *Cache, inRow, limit int, reason string) {
 	if cache.ejected {
 		cache.nextProbeAt = r.now + probeInterval
@@ -47,7 +53,8 @@
 	}
 }
 
-// eject puts a cache out of use but for probes, the first of them at a random time so that routers do not probe together.
+// eject removes a cache from routing except for probes. The time of the
+// first probe is random, so that routers do not probe simultaneously.
 func (r *Router) eject(cache *Cache, reason string) {
 	cache.ejected = true
 	cache.ejectedAt = r.now
@@ -56,8 +63,9 @@
 	r.logf("%s ejected: %s", cache.Name, reason)
 }
 
-// mayReceive tells whether ejection lets a cache have the lookup. An ejected cache gets one probe at a time, of no unusual size.
-// One that is only slow gets any lookup that has no other edge cache to go to: better slow than none.
+// mayReceive reports whether the ejection state of a cache permits the lookup. An ejected cache gets
+// one probe at a time, of at most probeMaxWork. A cache that was ejected only for its latency also gets
+// every lookup that has no other usable edge cache, since a slow answer is better than none.
 func (r *Router) mayReceive(cache *Cache, lookup *Lookup) bool {
 	if !cache.ejected {
 		return true
@@ -68,15 +76,15 @@
 	return cache.probe == nil && r.now >= cache.nextProbeAt && float64(lookup.work) <= probeMaxWork*lookup.kind.meanWork(r.now)
 }
 
-// hasUsableEdge tells whether some edge cache is in use that the lookup's scope allows.
+// hasUsableEdge reports whether the lookup's scope allows at least one edge cache that is ready and not ejected.
 func (r *Router) hasUsableEdge(lookup *Lookup) bool {
 	return slices.ContainsFunc(r.edges, func(c *Cache) bool {
 		return !c.ejected && c.State == Ready && lookup.scope.allowsEdge(c)
 	})
 }
 
-// measuresLatency tells whether an attempt's latency says something about its cache: it was answered, or it ended overdue without an answer,
-// as the attempts of a slow cache do.
+// measuresLatency reports whether the latency of an attempt is a valid sample for its cache. This holds if the
+// attempt was satisfied, or if it timed out or was cancelled after it was overdue, as happens at a slow cache.
 func (r *Router) measuresLatency(attempt *Attempt, report AttemptReport) bool {
 	if report.Outcome == OutcomeSatisfied {
 		return true
@@ -87,13 +95,13 @@
 // latencySample is one measured latency, in microseconds.
 type latencySample struct {
 	latency float64
-	size    float64 // what it is counted over: KB, or 1 for a first byte
-	floor   float64 // a mean must exceed the others' by this, over size, to be slow
+	size    float64 // divisor of the latency: KB, or 1 for latency to the first byte
+	floor   float64 // latency above the others' mean, to be divided by size, up to which a cache is not slow
 }
 
-// latencyWindow holds the latest samples of a cache.
+// latencyWindow holds the latest latencySamples samples of a cache.
 type latencyWindow struct {
-	count   int // samples since it was emptied
+	count   int // number of samples since the last reset
 	latency [latencySamples]float64
 	size    [latencySamples]float64
 }
@@ -105,7 +113,7 @@
 	w.count++
 }
 
-// mean is the latency for each unit of size.
+// mean returns the latency per unit of size.
 func (w *latencyWindow) mean() float64 {
 	latency, size := 0.0, 0.0
 	for i := range w.size {
@@ -115,14 +123,15 @@
 	return latency / max(size, 1)
 }
 
-// recordLatency adds a sample of a cache, and ejects the cache if it is slow beside the others of its group, while half of them are in use.
+// recordLatency adds a latency sample of a cache. It ejects the cache if it is slow compared with
+// the other caches of its group, unless more than half of the group would then be ejected.
 func (r *Router) recordLatency(cache *Cache, group []*Cache, sample latencySample) {
 	cache.latency.add(sample)
 	if cache.latency.count < latencySamples || cache.ejected {
 		return
 	}
-	others, measured := 0.0, 0.0 // the others' mean; those without a sample count as average
-	ejected := 1                 // with this one
+	others, measured := 0.0, 0.0 // mean latency of the other caches that have samples, and their number
+	ejected := 1                 // number of ejected caches, including this one
 	for _, other := range group {
 		if other.ejected {
 			ejected++
--- a/internal/policy/outlier_test.go
+++ b/internal/policy/outlier_test.go
@@ -10,8 +10,8 @@
 	return func(settings *Settings) { settings.Kinds[0].LatencyBudget = budget }
 }
 
-// serveHits brings hits of 1 KB until every edge cache has enough samples or the first one is ejected. The first takes the latency slow, the
-// others usual. It returns the first.
+// serveHits answers lookups of 1 KB with hits until the first two caches have enough samples or the first
+// one is ejected. The first cache answers after slow, the others after usual. It returns the first cache.
 func (f *fixture) serveHits(caches []*Cache, slow, usual Micros) *Cache {
 	slowCache := caches[0]
 	isMeasured := func() bool {
@@ -32,38 +32,39 @@
 	return slowCache
 }
 
-// newFixtureWithSlowCache starts a router that has ejected its first edge cache for its latency alone.
+// newFixtureWithSlowCache returns a router that has ejected its first edge cache only for its latency.
 func newFixtureWithSlowCache(t *testing.T) (*fixture, *Cache) {
 	t.Helper()
 	f, caches := newFixture(t, nil)
 	slow := f.serveHits(caches, 100*millisecond, 5*millisecond)
 	if !slow.ejected || !slow.isOnlySlow {
-		t.Fatal("not ejected as slow")
+		t.Fatal("the first cache was not ejected as slow")
 	}
 	return f, slow
 }
 
-// A ratio alone says nothing where latencies are next to nothing.
+// Very small latencies can differ by a large factor without any harm. A cache is
+// therefore slow only if its latency also exceeds that of the others by a floor.
 func TestLatencyThresholds(t *testing.T) {
-	t.Run("microseconds a KB are not slow, whatever their ratio", func(t *testing.T) {
+	t.Run("a latency of microseconds per KB is not slow, whatever the ratio", func(t *testing.T) {
 		f, caches := newFixture(t, nil)
 		if c := f.serveHits(caches, 50, 2); c.ejected {
-			t.Error("ejected for 48 us a KB of a budget of 400 ms")
+			t.Error("a cache was ejected for 48 us per KB under a latency budget of 400 ms")
 		}
 	})
-	t.Run("under a small and a large latency budget the same share of it is slow", func(t *testing.T) {
+	t.Run("the latency at which a cache is slow scales with the latency budget", func(t *testing.T) {
 		for _, b := range []Micros{10 * millisecond, 400 * millisecond, 4 * second} {
 			f, caches := newFixture(t, withLatencyBudget(b))
 			if c := f.serveHits(caches, b/20, b/100); c.ejected {
-				t.Errorf("budget %d us: ejected for 4%% of it", b)
+				t.Errorf("latency budget %d us: the cache was ejected for 4%% of it", b)
 			}
 			f, caches = newFixture(t, withLatencyBudget(b))
 			if c := f.serveHits(caches, b/5, b/100); !c.ejected {
-				t.Errorf("budget %d us: not ejected for 19%% of it", b)
+				t.Errorf("latency budget %d us: the cache was not ejected for 19%% of it", b)
 			}
 		}
 	})
-	t.Run("no more than half of a zone's caches are ejected when one more is slow", func(t *testing.T) {
+	t.Run("a slow cache is not ejected if that would leave less than half of the zone's caches", func(t *testing.T) {
 		f, caches := newFixture(t, nil)
 		f.router.eject(caches[1], "unreachable")
 		f.router.eject(caches[2], "unreachable")
@@ -72,27 +73,27 @@
 			f.router.recordLatency(caches[0], f.router.edges, latencySample{latency: float64(second), size: 1})
 		}
 		if caches[0].ejected {
-			t.Error("the last one is ejected for its latency")
+			t.Error("the last cache in use was ejected for its latency")
 		}
 	})
 }
 
-// A cache that is only slow is used where no other is left.
+// A cache that was ejected only for its latency is used if no other usable cache is left.
 func TestLastUsableCache(t *testing.T) {
-	t.Run("where a scope leaves only one that is slow, lookups go to it, several at a time", func(t *testing.T) {
+	t.Run("concurrent lookups go to the slow cache if their scope allows no other", func(t *testing.T) {
 		f, slow := newFixtureWithSlowCache(t)
 		for i := range 3 {
 			f.scope = &Scope{Caches: map[string]bool{slow.Name: true}}
 			if lookup := f.lookUpSized(0, fmt.Sprint("only", i), 1); lookup.ended || f.lastAttempt().lookup != lookup || f.lastAttempt().Cache != slow {
-				t.Fatalf("lookup %d is rejected: %v", i, f.calls)
+				t.Fatalf("lookup %d did not go to the slow cache: calls %v", i, f.calls)
 			}
 		}
 	})
-	t.Run("while others are left it gets probes alone", func(t *testing.T) {
+	t.Run("while other caches are usable, the slow cache gets only probes", func(t *testing.T) {
 		f, slow := newFixtureWithSlowCache(t)
 		for i := range 30 {
 			if f.lookUpSized(0, fmt.Sprint("any", i), 1); f.lastAttempt().Cache == slow {
-				t.Fatal("it gets a lookup before its probe is due")
+				t.Fatal("the slow cache got a lookup before its probe was due")
 			}
 		}
 	})
@@ -101,20 +102,20 @@
 		"fails its probe":    func(f *fixture, c *Cache) { f.router.countFailures(c, 1, 1, "probe failed") },
 		"is unreachable too": func(f *fixture, c *Cache) { f.router.eject(c, "unreachable") },
 	} {
-		t.Run("one that is slow and "+name+" is not used, though no other is left", func(t *testing.T) {
+		t.Run("a slow cache that "+name+" is not used, even if no other is left", func(t *testing.T) {
 			f, slow := newFixtureWithSlowCache(t)
 			fail(f, slow)
 			f.scope = &Scope{Caches: map[string]bool{slow.Name: true}}
 			if lookup := f.lookUpSized(0, "only", 1); !lookup.ended {
-				t.Error("it goes there")
+				t.Error("the lookup went to the ejected cache")
 			}
 		})
 	}
 }
 
-// A cache far slower than its like is ejected.
+// A cache that is far slower than the other edge caches of its zone is ejected.
 func TestSlowCaches(t *testing.T) {
-	t.Run("a cache far slower than the others of its zone is ejected", func(t *testing.T) {
+	t.Run("without reports of hits, a cache with ten times the latency is ejected", func(t *testing.T) {
 		f, caches := newFixture(t, withoutReports)
 		slow := caches[0]
 		for i := range 200 {
@@ -128,15 +129,15 @@
 			f.advance(10 * millisecond)
 		}
 		if !slow.ejected {
-			t.Fatal("the slow cache is in use")
+			t.Fatal("the slow cache was not ejected")
 		}
 		for _, c := range caches[1:3] {
 			if c.ejected {
-				t.Fatalf("%s is ejected", c.Name)
+				t.Fatalf("%s was ejected although it is not slow", c.Name)
 			}
 		}
 	})
-	t.Run("where hits are reported, slow fills do not eject the cache that takes them", func(t *testing.T) {
+	t.Run("with reports of hits, slow fills do not eject the edge cache", func(t *testing.T) {
 		f, caches := newFixture(t, nil)
 		for i := range 200 {
 			f.lookUp(0, fmt.Sprint("o", i))
@@ -148,14 +149,14 @@
 			f.advance(10 * millisecond)
 		}
 		if caches[0].ejected {
-			t.Fatal("a cache is ejected for the time of its fills")
+			t.Fatal("an edge cache was ejected for the latency of its fills")
 		}
 	})
 }
 
-// The same for parents.
+// A parent that is far slower than the others is ejected.
 func TestSlowParents(t *testing.T) {
-	t.Run("where fills are not reported, a parent four times slower than the other is ejected", func(t *testing.T) {
+	t.Run("without reports of fills, a parent with four times the latency is ejected", func(t *testing.T) {
 		f, caches := newFixture(t, withoutReports)
 		slow := caches[3]
 		for i := range 200 {
@@ -169,7 +170,7 @@
 			f.advance(10 * millisecond)
 		}
 		if !slow.ejected || caches[4].ejected {
-			t.Fatalf("slow parent ejected %v, the other %v", slow.ejected, caches[4].ejected)
+			t.Fatalf("slow parent ejected: %v, other parent ejected: %v, want only the slow one", slow.ejected, caches[4].ejected)
 		}
 	})
 }
--- a/internal/policy/queue.go
+++ b/internal/policy/queue.go
@@ -6,14 +6,16 @@
 )
 
 const (
-	overloadQueueTime   = 40 * millisecond // of the oldest queued lookup, from which on there is overload
-	overloadExitDivisor = 4                // part of that at which overload ends
-	answerSlack         = 20 * millisecond // kept free at the end of a latency budget
-	densityFloor        = 10 * millisecond // work that every lookup costs beside its transfer
-	fillStretchFloor    = 100 * millisecond
+	overloadQueueTime   = 40 * millisecond // queue time of the oldest lookup above which the router is overloaded
+	overloadExitDivisor = 4                // overload ends below overloadQueueTime divided by this
+	answerSlack         = 20 * millisecond // reserve at the end of a latency budget
+	densityFloor        = 10 * millisecond // fixed work of each lookup in addition to its transfer
+	// fillStretchFloor is added to both terms of the stretch ratio, so that few or small fills give a ratio of about 1.
+	fillStretchFloor = 100 * millisecond
 )
 
-// sendQueued sends queued lookups on, those with the most utility for their work first, and gives up those that are past helping.
+// sendQueued routes the queued lookups in descending order of utility
+// density. It gives up lookups that can no longer be answered in time.
 func (r *Router) sendQueued() {
 	queued := r.queued
 	r.queued = nil
@@ -24,7 +26,7 @@
 	for _, lookup := range queued {
 		slack := lookup.budgetEnd - r.now - answerSlack - lookup.kind.expectedLatency(r.now, lookup)
 		isLate := slack < 0 || r.overloaded && workAhead > max(1, zoneCapacity)*float64(slack)
-		// Before a miss is given up, a copy within its grace will do.
+		// Before a miss is given up, one attempt accepts a stale copy within its grace period.
 		lookup.acceptsStale = isLate && !lookup.acceptsStale && lookup.missedAt != nil && lookup.kind.StaleGrace > 0
 		if isLate && !lookup.acceptsStale {
 			r.giveUp(lookup)
@@ -37,7 +39,7 @@
 	}
 }
 
-// updateOverload begins and ends overload by the time that the oldest queued lookup has waited.
+// updateOverload enters or leaves overload according to the age of the oldest queued lookup.
 func (r *Router) updateOverload(queued []*Lookup) {
 	longest := Micros(0)
 	for _, lookup := range queued {
@@ -49,8 +51,9 @@
 	}
 }
 
-// expectedLatency is how long the answer will take: of a fill the wait for its source, whatever the size, and its transfer, stretched as
-// those of recent fills.
+// expectedLatency returns the expected time to the answer. For a hit this is the transfer
+// time. For a fill it is the mean wait for the first byte of the source, which does not
+// depend on the size, plus the transfer time multiplied by the stretch of recent fills.
 func (k *kindState) expectedLatency(now Micros, lookup *Lookup) Micros {
 	if lookup.missedAt == nil {
 		return lookup.work
@@ -60,7 +63,8 @@
 	return Micros(wait/(k.fillCount.read(now)+1) + float64(lookup.work)*stretch)
 }
 
-// utilityDensity is the utility for each microsecond of work. A client's repeat most likely comes too late for more than the late share.
+// utilityDensity returns the utility per microsecond of work. The answer to a client's repeated request most
+// likely exceeds the latency budget, so a repeat counts with the share of the utility for late answers.
 func (l *Lookup) utilityDensity() float64 {
 	utility := l.kind.Utility
 	if l.isRepeat {
--- a/internal/policy/queue_test.go
+++ b/internal/policy/queue_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// A queued miss is given up once its answer would come too late.
+// A queued miss is given up once its answer is expected after the end of its latency budget.
 func TestQueuedMisses(t *testing.T) {
-	t.Run("a large miss waits for its source as long as a small one, not in proportion", func(t *testing.T) {
+	t.Run("the wait for the source does not grow with the size of a miss", func(t *testing.T) {
 		f, caches := newFixture(t, nil)
 		for i := range 20 {
 			lookup := f.lookUpSized(0, fmt.Sprint("o", i), 20)
@@ -17,10 +17,10 @@
 		large := f.lookUpSized(0, "large", 200)
 		large.missedAt = caches[0]
 		if latency := large.kind.expectedLatency(f.now, large); latency < 280*millisecond || latency > 320*millisecond {
-			t.Errorf("expected to take %d us", latency)
+			t.Errorf("got an expected latency of %d us, want 280 to 320 ms", latency)
 		}
 	})
-	t.Run("a queued miss is given up once recent fills take longer than it has left", func(t *testing.T) {
+	t.Run("a queued miss is given up if recent fills take longer than its remaining budget", func(t *testing.T) {
 		for _, latency := range []Micros{100 * millisecond, 400 * millisecond} {
 			f, _ := newFixture(t, nil)
 			for i := range 5 {
@@ -33,15 +33,15 @@
 			f.endAttempt(f.lastAttempt(), OutcomeMiss, DetailNone, millisecond)
 			f.advance(250 * millisecond)
 			if lookup.Ended() != (latency > 100*millisecond) {
-				t.Fatalf("fills of %d: ended %v", latency, lookup.Ended())
+				t.Fatalf("recent fills of %d us: ended %v, want true only for the slow fills", latency, lookup.Ended())
 			}
 		}
 	})
 }
 
-// A stale copy is better than none.
+// Before a miss is given up, a stale copy within its grace period is accepted.
 func TestStaleObjects(t *testing.T) {
-	t.Run("before a miss is given up one attempt takes a copy within its grace, past no purge", func(t *testing.T) {
+	t.Run("one attempt accepts a copy within its grace period, unless a purge excludes it", func(t *testing.T) {
 		for _, purged := range []bool{false, true} {
 			f, _ := newFixture(t, func(s *Settings) { s.Kinds[1].StaleGrace = 20 * second })
 			x := f.lookUp(1, "x")
@@ -58,18 +58,18 @@
 			s := f.lastAttempt()
 			if len(f.attempts) != n+1 || s.lookup != lookup || s.Source != s.Cache || purged && s.MaxAge > second ||
 				!purged && s.MaxAge != 28*second {
-				t.Fatalf("%d attempts, the last for copies of %d", len(f.attempts)-n, s.MaxAge)
+				t.Fatalf("got %d further attempts, the last with a maximum age of %d us, want 1 without a fill and with the right maximum age", len(f.attempts)-n, s.MaxAge)
 			}
 			if f.endAttempt(s, OutcomeMiss, DetailNone, millisecond); !lookup.Ended() || len(f.attempts) != n+1 {
-				t.Fatal("neither answered nor given up")
+				t.Fatal("the lookup was not given up after the stale attempt missed")
 			}
 		}
 	})
 }
 
-// Queued lookups are ordered by utility for their work.
+// Queued lookups are ordered by utility per work.
 func TestRepeatsWaitBehindNewLookups(t *testing.T) {
-	t.Run("a repeat has less utility for its work", func(t *testing.T) {
+	t.Run("a repeat has less utility per work than a new lookup", func(t *testing.T) {
 		f, _ := newFixture(t, func(s *Settings) { s.Kinds[0].LateUtilityShare = 0.2 })
 		old := f.router.StartLookup(f.now, Arrival{ID: "old", Object: "a", Group: 3, SizeKB: 100, Deadline: f.now + 3*second, IsRepeat: true})
 		fresh := f.router.StartLookup(f.now, Arrival{ID: "new", Object: "b", Group: 3, SizeKB: 100, Deadline: f.now + 3*second})
--- a/internal/policy/sharedlink_test.go
+++ b/internal/policy/sharedlink_test.go
@@ -5,19 +5,19 @@
 	"math"
 )
 
-// sharedLink divides its capacity, in transfers at full pace, evenly among the transfers on it.
+// sharedLink is a simulated link that divides its capacity evenly among its transfers.
 type sharedLink struct {
 	run         *coldFleetRun
-	capacity    func() float64
-	virtualTime float64 // work that a transfer on it from the first on would have got by now, in microseconds
+	capacity    func() float64 // number of transfers at full pace
+	virtualTime float64        // work done by updatedAt for a transfer active since the start, in microseconds
 	updatedAt   Micros
 	active      sharedTransfers
-	version     int // of the awaited completion
+	version     int // version of the scheduled completion; an event with an older version is ignored
 }
 
 // sharedTransfer is one transfer on a sharedLink.
 type sharedTransfer struct {
-	virtualFinish float64 // it is complete once doneEach is this much
+	virtualFinish float64 // virtual time at which the transfer is complete
 	ended         func()
 }
 
@@ -33,23 +33,24 @@
 	return last
 }
 
-// pace is the share of full pace that each transfer gets.
+// pace returns the share of full pace at which each transfer progresses.
 func (l *sharedLink) pace() float64 { return min(1, l.capacity()/float64(max(len(l.active), 1))) }
 
-// advance brings doneEach up to now, at the pace that held since.
+// advance updates the virtual time at the current pace. Call it before a change of the active transfers.
 func (l *sharedLink) advance() {
 	l.virtualTime += float64(l.run.now-l.updatedAt) * l.pace()
 	l.updatedAt = l.run.now
 }
 
-// start adds a transfer; ended is called at its end.
+// start adds a transfer and calls ended when it is complete.
 func (l *sharedLink) start(work Micros, ended func()) {
 	l.advance()
 	heap.Push(&l.active, sharedTransfer{l.virtualTime + float64(max(work, 1)), ended})
 	l.awaitCompletion()
 }
 
-// awaitCompletion looks again at the next completion, or in 50 ms, as the capacity of a cold cache grows.
+// awaitCompletion schedules an update of the link at the next completion, but
+// after 50 ms at the latest, because the capacity of a cold cache grows.
 func (l *sharedLink) awaitCompletion() {
 	l.version++
 	version := l.version
--- a/internal/policy/silence.go
+++ b/internal/policy/silence.go
@@ -3,14 +3,18 @@
 import "fmt"
 
 const (
-	silentAttempts   = 2 // overdue attempts without a fill that eject a cache
-	silentFills      = 3 // overdue fills that eject a parent, if they are more than two thirds of all
-	overdueFillGrace = 200 * millisecond
+	silentAttempts = 2 // number of overdue attempts without a fill that ejects a cache
+	// silentFills is the number of overdue fills that ejects a parent, if it has more than two thirds
+	// of all overdue fills.
+	silentFills      = 3
+	overdueFillGrace = 200 * millisecond // an overdue fill counts against its parent only after this additional time
 )
 
-// ejectSilent tells silent caches from slow ones, ejects them and cancels the attempts that are stuck there. A full link makes fills late:
-// while a cache owes answers, lookups ask for its copy alone (mustLookFirst), and silentAttempts of these unanswered eject it. A parent is
-// ejected for silentFills, while others answer and owe few.
+// ejectSilent ejects caches that do not answer and cancels the attempts that are stuck there. A late fill alone
+// does not eject an edge cache, because a saturated link delays fills too. While a cache has overdue attempts,
+// lookups first send it an attempt without a fill (mustCheckCacheFirst), and silentAttempts of these overdue
+// eject it. Overdue pass-through attempts count as well. A parent is ejected after silentFills overdue fills,
+// provided that another parent has completed fills since and most of the overdue fills are at this one.
 func (r *Router) ejectSilent() {
 	overdueFills := r.countOverdue()
 	for _, cache := range r.caches {
@@ -23,9 +27,10 @@
 	r.cancelStuckAttempts()
 }
 
-// countOverdue counts for each cache the attempts that it owes an answer. It returns the fills that all parents owe.
+// countOverdue updates the number of overdue attempts of each
+// cache. It returns the number of overdue fills at all parents.
 func (r *Router) countOverdue() (overdueFills int) {
-	newestFill := Micros(0) // of any parent
+	newestFill := Micros(0) // instant of the latest successful fill from any parent
 	for _, cache := range r.caches {
 		cache.overdueCount = 0
 		cache.overdueNoFill = 0
@@ -37,7 +42,7 @@
 		edge, source := attempt.edge, attempt.source
 		switch {
 		case r.now < attempt.overdueAt:
-		case edge.lastSuccessAt < attempt.startedAt: // silent since
+		case edge.lastSuccessAt < attempt.startedAt: // no answer since the attempt started
 			edge.overdueCount++
 			if source == edge || attempt.lookup.passThrough {
 				edge.overdueNoFill++
@@ -52,7 +57,8 @@
 	return overdueFills
 }
 
-// cancelStuckAttempts cancels the overdue attempts at ejected caches whose lookups have time left for another one.
+// cancelStuckAttempts cancels overdue attempts of idempotent lookups at
+// ejected caches, if the lookup has time left for another attempt.
 func (r *Router) cancelStuckAttempts() {
 	for _, attempt := range r.openAttempts {
 		lookup := attempt.lookup
@@ -64,7 +70,7 @@
 	}
 }
 
-// isStuckAt tells whether a cache is ejected and has been silent since the attempt started.
+// isStuckAt reports whether a cache is ejected and has given no good answer since the attempt started.
 func (a *Attempt) isStuckAt(cache *Cache) bool {
 	return cache.ejected && cache.lastSuccessAt < a.startedAt
 }
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -1,34 +1,37 @@
 package policy
 
-// Slow start enforces rule 4: what a cache that has just started may be sent. Work is transfer time at full pace, in microseconds.
+// This file enforces rule 4, which limits the load admitted to a cache during slow
+// start. Load is measured as work: transfer time at full pace, in microseconds.
 
 const (
-	coldAfterOutage = 3 * second // a parent ejected for longer may have restarted
+	coldAfterOutage = 3 * second // a parent that was ejected for longer may have restarted
 
-	allowedShare        = 0.98 // of the rule's line
-	maxCapacityMultiple = 2.0  // of what a cache likely bears within a window: more would only come late
+	allowedShare        = 0.98 // share of the limit of rule 4 that the routers use
+	maxCapacityMultiple = 2.0  // budget limit as a multiple of the likely capacity; more would only be answered late
 	minBreakWindow      = 100 * millisecond
 
-	// What a warm cache of the group carries shows what a cold one bears: surely sureShare of it. A weight that is a capacity counts with
-	// listedShare.
+	// The load of the warm caches of a group is an estimate of the capacity of a cold one. The conservative estimate is
+	// conservativeShare of it. If endpoint weights are capacities, both estimates are listedWeightShare of the weight.
 	conservativeShare = 0.5
 	listedWeightShare = 0.8
 
-	// Where what is left of a budget is too small for a lookup, the lookup is admitted at random, with the probability that keeps the mean.
-	randomAdmitMaxShare       = 0.35 // of what a parent bears, for the work of a lookup admitted so
-	randomAdmitMinWorkShare   = 0.25 // of the lookup's work, that must be left,
-	randomAdmitMinBudgetShare = 0.9  // or of the whole budget, if that is less
+	// If the remaining budget is smaller than the work of a lookup, the lookup is admitted at random. The probability
+	// is the remaining budget divided by the work, so that the mean of the admitted work equals the remaining budget.
+	randomAdmitMaxShare       = 0.35 // largest work of such a lookup at a parent, as a share of the work that breaks it
+	randomAdmitMinWorkShare   = 0.25 // smallest remaining budget, as a share of the lookup's work
+	randomAdmitMinBudgetShare = 0.9  // alternative minimum, as a share of the whole budget; the smaller one applies
 
-	// A cache whose transfers take more than slowTransferMultiple of their time at full pace is sent less, down to minSlowStartScale.
+	// The budget of a cache shrinks, down to minSlowStartScale, while its transfers
+	// take more than slowTransferMultiple times their duration at full pace.
 	slowTransferMultiple = 2.0
 	minSlowStartScale    = 0.125
-	paceFloor            = 10 * millisecond // work that every transfer costs beside its own
+	paceFloor            = 10 * millisecond // fixed work of each transfer in addition to its size
 	maxScaleStep         = 0.5
 
-	capacityTime = 2 * second // over which capacities are averaged
+	capacityTime = 2 * second // averaging time of the capacities of warm caches
 )
 
-// beginSlowStart starts the slow start of a cache that started at an instant.
+// beginSlowStart begins the slow start of a cache that started at startedAt.
 func (c *Cache) beginSlowStart(startedAt, now Micros) {
 	c.warmingSince = startedAt
 	c.slowStartScale = 1
@@ -36,7 +39,8 @@
 	c.carriedWork = decayingSum{}
 }
 
-// slowStartShare is the share of its capacity that a cache surely has by now; 1 once it is warm.
+// slowStartShare returns the guaranteed share of its full capacity that a
+// cache has reached in its slow start. It returns 1 for a warm cache.
 func (r *Router) slowStartShare(cache *Cache) float64 {
 	initial, duration := r.settings.SlowStartShare, r.settings.SlowStartTime
 	if cache.Kind == r.settings.ParentKind {
@@ -49,13 +53,15 @@
 	return initial + (1-initial)*float64(max(0, r.now-cache.warmingSince))/float64(duration)
 }
 
-// isWarmFor tells whether a cache has its part of the objects back by now. Objects return one by one, always the same ones first.
+// isWarmFor reports whether a part is routed to a cache again during its
+// slow start. Parts return one by one, in the same order each time.
 func (r *Router) isWarmFor(cache *Cache, partHash uint64) bool {
 	return cache.warmingSince == 0 || float64(mixHash(partHash, cache.nameHash+1)>>40)/(1<<24) < r.slowStartShare(cache)
 }
 
-// admitSlowStart enforces rule 4 for this router's part of what a cache may be sent in any window. It tells whether the cache, if it is
-// in its slow start, may be sent so much work, and charges its budget; the attempt notes the charge.
+// admitSlowStart enforces rule 4 (the limit on the load of warming caches) for this router's share of the
+// budget in any break window. It reports whether the cache admits the work: always if it is warm, within its
+// budget during slow start. It charges the budget and stores the charge in attempt.slowStartCharge.
 func (r *Router) admitSlowStart(attempt *Attempt, cache *Cache, work float64) bool {
 	share := r.slowStartShare(cache)
 	attempt.slowStartCharge = 0
@@ -70,8 +76,10 @@
 		cache.slowStartSent.add(r.now, window, work)
 		return true
 	}
-	// Admission at random keeps the mean where the budget of each of many routers is small. Not with crumbs, which would leave all to chance; and at a
-	// parent not for a fill that a few routers with luck at once would break it with. An edge cache has no substitute for what it holds.
+	// Random admission keeps the mean of the admitted work when each of many routers has a small budget. It is
+	// not used when the remaining budget is very small, because nearly all admissions would then be left to
+	// chance. Nor is it used at a parent for a large fill, because a few routers that admit one at the same time
+	// would break the parent. Edge caches have no such limit, as no other cache holds their copies.
 	isTooLittle := left < min(randomAdmitMinWorkShare*work, randomAdmitMinBudgetShare*budget.total*budget.routerShare)
 	couldBreakParent := cache.Kind == r.settings.ParentKind && work > randomAdmitMaxShare*budget.breakMultiple*budget.capacity
 	if isTooLittle || couldBreakParent {
@@ -81,16 +89,18 @@
 	return float64(r.random.next())/(1<<32) < left/work
 }
 
-// slowStartBudget is the work that a cache in its slow start may be sent within a window.
+// slowStartBudget is the work that may be sent to a cache in slow start within a break window.
 type slowStartBudget struct {
-	total         float64 // by all routers
-	routerShare   float64 // of the total, for this router
-	capacity      float64 // work that the cache bears
-	breakMultiple float64 // of that, at which it breaks
+	total         float64 // work from all routers
+	routerShare   float64 // share of the total for this router
+	capacity      float64 // conservative estimate of the work that the cache can transfer
+	breakMultiple float64 // multiple of the capacity above which the cache breaks
 }
 
-// slowStartBudget works out the budget of a cache that has a share of its capacity. The capacity is likely what the list says, else what warm
-// caches of its group carry for this router, times the routers. It is surely a part of that, what the cache was seen to carry, or one transfer.
+// slowStartBudget returns the budget of a cache that has reached a share of its full capacity. The likely full
+// capacity is derived from the endpoint weight if weights are capacities, otherwise from the load that the
+// warm caches of its group carry for this router, multiplied by the number of routers. The conservative
+// estimate is a part of the latter, at least one transfer, and at least the load that the cache has carried.
 func (r *Router) slowStartBudget(cache *Cache, share float64) slowStartBudget {
 	carried, multiple, routerShare := r.edgeCapacity, r.settings.BreakMultiple, 1/r.zoneRouterCount()
 	if cache.Kind == r.settings.ParentKind {
@@ -107,11 +117,12 @@
 	return slowStartBudget{total: total, routerShare: routerShare, capacity: capacity, breakMultiple: multiple}
 }
 
-// breakWindow is the window over which rule 4 counts.
+// breakWindow returns the length of the window over which rule 4 sums the work sent to a warming cache.
 func (r *Router) breakWindow() Micros { return max(r.settings.BreakWindow, minBreakWindow) }
 
-// observePace learns from a transfer of a cache in its slow start. A slow one shows a link that is shared by more than it carries, to all
-// routers alike: the scale moves with time, so that a router that sees few transfers learns as fast as the others.
+// observePace adjusts the budget scale of a cache in slow start after a transfer. A slow transfer shows
+// that the link of the cache is saturated, and every router sees this. The size of a step depends on the
+// time since the last one, so that a router with few transfers adapts as fast as the others.
 func (r *Router) observePace(cache *Cache, latency, work Micros) {
 	if cache.warmingSince == 0 {
 		return
@@ -123,7 +134,7 @@
 	cache.scaleUpdatedAt = r.now
 }
 
-// observeCapacity follows the mean of what the warm caches of a group carry for this router.
+// observeCapacity updates the moving average of the load that a warm cache of a group carries for this router.
 func (r *Router) observeCapacity(group []*Cache, mean *float64) {
 	carried, count := 0.0, 0.0
 	for _, c := range group {
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-// dueAttempt is an attempt with the time at which its answer comes.
+// dueAttempt is an attempt and the instant at which it is answered.
 type dueAttempt struct {
 	startedAttempt
 	at Micros
 }
 
-// What a cold cache is sent (rule 4).
+// Rule 4 limits the load admitted to a cold cache.
 func TestSlowStartBudget(t *testing.T) {
-	t.Run("no more than its budget in any window", func(t *testing.T) {
+	t.Run("a cold cache gets no more than its budget in any window", func(t *testing.T) {
 		f, caches := newFixture(t, nil)
 		f.updateEndpoint(caches[0], Ready, f.now)
 		sent := 0
@@ -23,15 +23,15 @@
 			if len(f.attempts) > 0 && f.lastAttempt().Cache == caches[0] {
 				sent++
 			}
-			if len(f.attempts) > 0 && f.lastAttempt().Cache != caches[0] { // a link that small has answered none of them by then
+			if len(f.attempts) > 0 && f.lastAttempt().Cache != caches[0] { // the small link has answered none by then
 				f.endAttempt(f.lastAttempt(), OutcomeSatisfied, DetailHit, 100*millisecond)
 			}
 		}
-		if cap := 3; sent > cap { // 0.3 of one transfer twice over, by two routers, is 3 lookups of 100 ms a second
-			t.Fatalf("%d attempts to a cold cache", sent)
+		if cap := 3; sent > cap { // 0.3 of one transfer times 2, over 2 routers: 3 lookups of 100 ms per second
+			t.Fatalf("%d attempts at a cold cache", sent)
 		}
 	})
-	t.Run("a budget too small for any lookup admits at random, and keeps its mean", func(t *testing.T) {
+	t.Run("a budget too small for any lookup admits at random and keeps the mean", func(t *testing.T) {
 		f, caches := newFixture(t, func(s *Settings) { s.ZoneGateways, s.Gateways = []int{20}, 20 })
 		f.updateEndpoint(caches[0], Ready, f.now)
 		sent := 0
@@ -42,19 +42,20 @@
 				sent++
 			}
 		}
-		// 4 s at 0.2 to 0.52 of one transfer, a twentieth each: 0.7 lookups of 100 ms on the mean
+		// In 4 s the cache has 0.2 to 0.52 of one transfer, and each
+		// router a twentieth of that: 0.7 lookups of 100 ms on average.
 		if sent > 4 {
-			t.Fatalf("%d attempts", sent)
+			t.Fatalf("%d lookups were admitted, want at most 4", sent)
 		}
 	})
-	t.Run("a lookup is sent once, with its fill, also while fills are limited", func(t *testing.T) {
+	t.Run("a cold cache gets no attempt without a fill, even while fills are limited", func(t *testing.T) {
 		f, caches := newFixture(t, func(s *Settings) { s.SlowStartShare = 0.9 })
 		f.updateEndpoint(caches[0], Ready, f.now)
 		f.router.cutFillLimit()
 		for i := range 50 {
 			f.lookUp(0, fmt.Sprint(i))
 			if s := f.lastAttempt(); s.Cache == caches[0] && s.Source == s.Cache {
-				t.Fatal("a cold cache is asked for its copy alone, which counts as much as the fill that follows")
+				t.Fatal("a cold cache got an attempt without a fill, which is charged as much as the fill that follows")
 			}
 			f.endAttempt(f.lastAttempt(), OutcomeSatisfied, DetailFilled, 100*millisecond)
 			f.advance(20 * millisecond)
@@ -62,9 +63,9 @@
 	})
 }
 
-// A cold cache is sent more as it shows what it bears.
+// The load admitted to a cold cache grows with the load that it has carried.
 func TestSlowStartPace(t *testing.T) {
-	t.Run("a slow cache is sent less, one at full pace up to the multiple of what it carried", func(t *testing.T) {
+	t.Run("a slow cache gets less, a cache at full pace up to the break multiple of its carried load", func(t *testing.T) {
 		sent := map[Micros]int{}
 		for _, latency := range []Micros{100 * millisecond, 400 * millisecond} {
 			f, caches := newFixture(t, nil)
@@ -85,19 +86,19 @@
 					sent[latency]++
 				}
 				if most := 3 + 2*(carried+1); sent[latency] > most {
-					t.Fatalf("%d attempts to a cold cache that has answered %d", sent[latency], carried)
+					t.Fatalf("%d attempts at a cold cache that has answered %d", sent[latency], carried)
 				}
 			}
 		}
 		if sent[400*millisecond] > 12 || sent[100*millisecond] < 2*sent[400*millisecond] {
-			t.Fatalf("%v attempts in 4 s, by latency", sent)
+			t.Fatalf("attempts in 4 s by latency in us: %v, want at most 12 at 400 ms and at least twice as many at 100 ms", sent)
 		}
 	})
 }
 
-// When a slow start begins.
+// A cache that dies and is readmitted begins a new slow start.
 func TestSlowStartBegins(t *testing.T) {
-	t.Run("a cache that dies while it warms up starts again", func(t *testing.T) {
+	t.Run("a cache that dies during slow start begins it anew", func(t *testing.T) {
 		f, caches := newFixture(t, nil)
 		f.updateEndpoint(caches[0], Ready, f.now-5*second)
 		first := caches[0].warmingSince
@@ -107,29 +108,29 @@
 			f.router.noteEdgeOutcome(s, AttemptReport{Outcome: OutcomeConnectFailed})
 		}
 		if !caches[0].ejected {
-			t.Fatal("two refused connections and not ejected")
+			t.Fatal("a cache was not ejected after two refused connections")
 		}
 		f.now += 2 * second
 		caches[0].probe = &Attempt{lookup: f.lookUp(0, "b"), edge: caches[0], source: caches[0], startedAt: f.now}
 		f.router.noteSuccess(caches[0], caches[0].probe)
 		if caches[0].warmingSince <= first {
-			t.Fatalf("warming since %d, before its death since %d", caches[0].warmingSince, first)
+			t.Fatalf("slow start began at %d, want later than that before the failure, %d", caches[0].warmingSince, first)
 		}
 	})
 }
 
-// Many routers share a cold cache.
+// With many routers, each one sends only its share of the budget of a cold cache.
 func TestSlowStartAmongManyRouters(t *testing.T) {
-	t.Run("a router of 250 sends its small part", func(t *testing.T) {
+	t.Run("one router of 250 stays within its share", func(t *testing.T) {
 		f, caches := newFixture(t, func(c *Settings) {
 			c.Gateways, c.ZoneGateways, c.ReportsHits, c.ReportsFirstByte = 250, []int{250}, false, false
 		})
-		for i := range 200 { // warm caches carry what they get
+		for i := range 200 { // the router observes the load that warm caches carry
 			f.lookUp(0, fmt.Sprint("w", i))
 			f.endAttempt(f.lastAttempt(), OutcomeSatisfied, DetailNone, 100*millisecond)
 			f.advance(10 * millisecond)
 		}
-		f.updateEndpoint(caches[0], Ready, f.now) // it starts, cold
+		f.updateEndpoint(caches[0], Ready, f.now) // the cache starts cold
 		coldAttempts := 0
 		for i := range 100 {
 			f.lookUp(0, fmt.Sprint("c", i))
@@ -139,17 +140,19 @@
 			f.endAttempt(f.lastAttempt(), OutcomeSatisfied, DetailNone, 100*millisecond)
 			f.advance(10 * millisecond)
 		}
-		// Each warm cache bore some 33 attempts of 100 ms a second from this router, as from each of the 250: in any second
-		// the rule allows all together twice the cold share (0.2) of that, so this router's part is 13 attempts.
+		// Each warm cache carried about 33 attempts of 100 ms per second from this router, and as many
+		// from each of the 250 routers. In any second, rule 4 allows all routers together the break
+		// multiple (2) times the cold share (0.2) of that load. This router's share is 13 attempts.
 		if coldAttempts > 13 {
-			t.Fatalf("%d of 100 attempts at a cold cache in its first second", coldAttempts)
+			t.Fatalf("%d of 100 attempts went to a cold cache in its first second, want at most 13", coldAttempts)
 		}
 	})
 }
 
-// A lookup that names a cold parent and turns out to be a hit at its edge cache never reached that parent. It gives back what the parent's
-// budget was charged, in the slot where it was charged: not more (a fill admitted at random is charged less than its work), nor later,
-// when the charge has left the window and giving it back would make budget out of nothing.
+// An attempt that hits at its edge cache never reaches the cold parent whose budget it was charged to, so the
+// charge is refunded. The refund must equal the charge, which is less than the work for a fill admitted at
+// random. It must go to the window slot of the charge. A charge that has left the window must not be refunded,
+// because that would create budget. The test checks that the charged work never falls below zero.
 func TestHitsGiveBackTheirCharge(t *testing.T) {
 	for _, late := range []Micros{20 * millisecond, 900 * millisecond, 3 * second} {
 		t.Run(fmt.Sprintf("hits after %d ms", late/millisecond), func(t *testing.T) {
@@ -174,12 +177,12 @@
 				}
 				for _, p := range parents {
 					if charged := p.slowStartSent.read(f.now, f.router.breakWindow()); charged < -1 {
-						t.Fatalf("%d us after the start: %.0f us of work charged to %s", f.now-100*second, charged, p.Name)
+						t.Fatalf("%d us after the start, %.0f us of work are charged to %s, want no negative value", f.now-100*second, charged, p.Name)
 					}
 				}
 			}
 			if admittedAtRandom == 0 {
-				t.Fatal("no fill was admitted at random: the test shows nothing")
+				t.Fatal("no fill was admitted at random, so the test covered nothing")
 			}
 		})
 	}
--- a/internal/policy/source.go
+++ b/internal/policy/source.go
@@ -1,14 +1,15 @@
 package policy
 
 const (
-	// rejectedPause is the wait of a lookup whose fill was rejected.
+	// rejectedPause is the delay before the next attempt of a lookup whose fill was rejected.
 	rejectedPause = 30 * millisecond
-	// maxFillFailures is the number of fills in a row that fail before a parent is ejected.
+	// maxFillFailures is the number of consecutive failed fills that ejects a parent.
 	maxFillFailures = 3
 )
 
-// chooseSource names the source that a miss is filled from: the object's home among all listed parents, or the next one that is usable.
-// What runs at the origin names the origin, as parents hold nothing of it and would cost it time.
+// chooseSource sets the source from which a miss is filled: the first usable parent in
+// the rendezvous order of the object. A pass-through lookup uses the origin directly,
+// because parents cache nothing for it and would only add latency.
 func (r *Router) chooseSource(attempt *Attempt) stageResult {
 	lookup := attempt.lookup
 	fillsLimited := r.fills.limitedUntil > r.now
@@ -16,7 +17,7 @@
 		if lookup.missedAt == nil || lookup.acceptsStale {
 			attempt.source = attempt.edge
 			if !fillsLimited {
-				attempt.mode &^= ModeCoalesce // a quick miss shows that a cache with overdue fills is alive
+				attempt.mode &^= ModeCoalesce // an immediate miss shows that a cache with overdue fills is alive
 			}
 			return proceed
 		}
@@ -28,9 +29,10 @@
 	return proceed
 }
 
-// mustCheckCacheFirst tells whether an edge cache is to be asked for its copy alone before a fill is started: while fills are limited, so that hits
-// go on, or while the cache owes overdue answers. Not at a cache in its slow start, where such an attempt counts as much as the
-// fill that follows it (rule 4), and most of them miss.
+// mustCheckCacheFirst reports whether the edge cache must get an attempt without a fill before a fill starts. This
+// holds while fills are limited, so that hits are still served, while the cache has overdue attempts, and for a lookup
+// that accepts a stale copy. The limit of fills does not require it at a cache in slow start. There, rule 4 (the limit
+// on the load of warming caches) counts such an attempt as much as the fill that follows it, and most of them miss.
 func (r *Router) mustCheckCacheFirst(attempt *Attempt, fillsLimited bool) bool {
 	lookup, edge := attempt.lookup, attempt.edge
 	if lookup.passThrough {
@@ -39,7 +41,8 @@
 	return fillsLimited && edge.warmingSince == 0 || edge.overdueCount > 0 || lookup.acceptsStale
 }
 
-// fillSource is the source of an attempt's fill. Where neither a parent nor the origin is usable it is the edge cache: no fill.
+// fillSource returns the source of an attempt's fill. If neither a parent nor the
+// origin is usable, it returns the edge cache, and the miss is not filled.
 func (r *Router) fillSource(attempt *Attempt) *Cache {
 	lookup := attempt.lookup
 	originReady := r.origin != nil && r.origin.State == Ready
@@ -60,7 +63,7 @@
 	return attempt.edge
 }
 
-// noteSourceOutcome learns about the source of a fill, and about fills as a whole, from the end of an attempt.
+// noteSourceOutcome updates the state of the source and of the fill limit when an attempt ends.
 func (r *Router) noteSourceOutcome(attempt *Attempt, report AttemptReport) {
 	lookup, source := attempt.lookup, attempt.source
 	if source == attempt.edge {
@@ -78,14 +81,15 @@
 	}
 }
 
-// observeParentOutcome learns about a parent that an attempt named as its source.
+// observeParentOutcome updates the latency, the failures and the
+// slow start of the parent that was the source of an attempt.
 func (r *Router) observeParentOutcome(attempt *Attempt, report AttemptReport) {
 	lookup, parent := attempt.lookup, attempt.source
 	isFilled := report.Outcome == OutcomeSatisfied && report.isFill()
-	if report.isHit() { // no fill reached it
+	if report.isHit() { // the parent got no fill, so its charge is refunded
 		parent.slowStartSent.subtract(attempt.startedAt, r.now, r.breakWindow(), attempt.slowStartCharge)
 	}
-	// Where reports don't tell fills, all attempts that named the parent count, hits among them.
+	// If reports do not distinguish hits from fills, all attempts with this source count, including hits.
 	if r.measuresLatency(attempt, report) && (isFilled || !r.settings.ReportsHits) {
 		r.recordLatency(parent, r.parents, r.fillSample(lookup, report))
 	}
@@ -107,7 +111,8 @@
 	}
 }
 
-// mayBeParentFault tells whether the cache or the parent may be at fault, so that the next attempt changes both.
+// mayBeParentFault reports whether either the edge cache or the parent may have caused the
+// failure. The next attempt then avoids the parent and does not join a fill in progress.
 func mayBeParentFault(parent *Cache, report AttemptReport) bool {
 	return report.isUnexplained(OutcomeRejected) ||
 		report.isUnexplained(OutcomeError) ||
@@ -115,7 +120,8 @@
 		report.Outcome == OutcomeCancelled && parent.ejected
 }
 
-// fillSample is a parent's latency: to its first byte where that is reported, else for each KB.
+// fillSample returns a latency sample of a parent: the time to the
+// first byte if caches report it, otherwise the latency per KB.
 func (r *Router) fillSample(lookup *Lookup, report AttemptReport) latencySample {
 	if r.settings.ReportsFirstByte {
 		return latencySample{latency: float64(report.SourceWait), size: 1, floor: float64(slowFirstByteFloor)}
