--- a/internal/policy/edge.go
+++ b/internal/policy/edge.go
@@ -113,7 +113,7 @@
 // observeEdgeAnswer updates the state of the edge cache from a response that shows a working cache.
 func (r *Router) observeEdgeAnswer(attempt *Attempt, report AttemptReport) {
 	cache, lookup := attempt.edge, attempt.lookup
-	r.noteSuccess(cache, attempt)
+	r.recordSuccess(cache, attempt)
 	if report.Outcome == OutcomeSatisfied {
 		r.observePace(cache, report.Latency-report.SourceWait, lookup.work)
 	}
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -23,9 +23,9 @@
 	slowBudgetShare    = 0.1
 )
 
-// noteSuccess records a successful attempt and resets the failure counts of the cache. A successful probe
+// recordSuccess records a successful attempt and resets the failure counts of the cache. A successful probe
 // readmits an ejected cache. If the cache may have restarted while it was ejected, it begins a slow start.
-func (r *Router) noteSuccess(cache *Cache, attempt *Attempt) {
+func (r *Router) recordSuccess(cache *Cache, attempt *Attempt) {
 	cache.lastSuccessAt = r.now
 	cache.failuresInRow = 0
 	cache.errorsInRow = 0
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -112,7 +112,7 @@
 		{(*Router).checkTime, (*Router).decideNext},
 		{(*Router).chooseCaching, nil},
 		{(*Router).chooseEdge, (*Router).observeEdgeOutcome},
-		{(*Router).chooseSource, (*Router).noteSourceOutcome},
+		{(*Router).chooseSource, (*Router).observeSourceOutcome},
 		{(*Router).startAttempt, (*Router).closeAttempt},
 	}
 	if settings.SubscribesToEndpoints {
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -112,7 +112,7 @@
 		}
 		f.now += 2 * second
 		caches[0].probe = &Attempt{lookup: f.lookUp(0, "b"), edge: caches[0], source: caches[0], startedAt: f.now}
-		f.router.noteSuccess(caches[0], caches[0].probe)
+		f.router.recordSuccess(caches[0], caches[0].probe)
 		if caches[0].warmingSince <= first {
 			t.Fatalf("slow start began at %d, want later than that before the failure, %d", caches[0].warmingSince, first)
 		}
--- a/internal/policy/source.go
+++ b/internal/policy/source.go
@@ -63,8 +63,8 @@
 	return attempt.edge
 }
 
-// noteSourceOutcome updates the state of the source and of the fill limit when an attempt ends.
-func (r *Router) noteSourceOutcome(attempt *Attempt, report AttemptReport) {
+// observeSourceOutcome updates the state of the source and of the fill limit when an attempt ends.
+func (r *Router) observeSourceOutcome(attempt *Attempt, report AttemptReport) {
 	lookup, source := attempt.lookup, attempt.source
 	if source == attempt.edge {
 		if report.Outcome == OutcomeMiss {
@@ -95,7 +95,7 @@
 	}
 	switch {
 	case isFilled:
-		r.noteSuccess(parent, attempt)
+		r.recordSuccess(parent, attempt)
 		r.observePace(parent, report.Latency-report.SourceWait, lookup.work)
 		parent.carriedWork.add(r.now, float64(min(lookup.work, report.Latency)))
 	case report.Detail == DetailSourceRefused || report.Detail == DetailSourceBroke:
