--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -76,7 +76,7 @@
 }
 
 // recoverFault, when deferred, keeps a panic of the router from ending the gateway: the lookup concerned runs into its deadline.
-func (d *Dispatcher) recoverFault() {
+func (d *Dispatcher) recoverRouterPanic() {
 	if p := recover(); p != nil {
 		d.environment.Log().Error("policy_fault", "text", fmt.Sprint(p), "stack", string(debug.Stack()))
 	}
@@ -94,7 +94,7 @@
 func (d *Dispatcher) Tick(endpoints []policy.Endpoint, isFull bool, purges []Purge) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	defer d.recoverFault()
+	defer d.recoverRouterPanic()
 	now := d.now()
 	if isFull {
 		d.router.UpdateEndpoints(now, policy.UpdateFull, endpoints)
@@ -132,7 +132,7 @@
 func (d *Dispatcher) RestoreEndpoints(endpoints []policy.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	defer d.recoverFault()
+	defer d.recoverRouterPanic()
 	d.router.UpdateEndpoints(d.now(), policy.UpdateCached, endpoints)
 }
 
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -175,11 +175,11 @@
 }
 
 // A lookup ends once, whatever meets: the cache's answer, the client's end, the clock, the end of the gateway.
-func TestOneEnd(t *testing.T) {
+func TestLookupEndsOnce(t *testing.T) {
 	d := newDispatcher(nil)
 	for i := range 300 {
 		lookup := submit(d, fmt.Sprint(i))
-		var all sync.WaitGroup
+		var calls sync.WaitGroup
 		for _, call := range []func(){
 			func() { d.AttemptEnded(lookup, 0, policy.OutcomeSatisfied, policy.DetailHit, 0) },
 			func() { d.ClientGone(lookup) },
@@ -190,10 +190,10 @@
 				}
 			},
 		} {
-			all.Go(call)
+			calls.Go(call)
 		}
 		ends := 0
-		all.Wait()
+		calls.Wait()
 		for len(lookup.steps) > 0 {
 			if s := d.WaitStep(lookup); s.Kind >= StepSatisfied {
 				ends++
--- a/internal/dispatch/executor.go
+++ b/internal/dispatch/executor.go
@@ -6,8 +6,8 @@
 type executor Dispatcher
 
 // Fetch adds the step that starts an attempt.
-func (e *executor) Fetch(routed *policy.Lookup, request policy.FetchRequest) {
-	lookup := e.lookups[routed.ID]
+func (e *executor) Fetch(policyLookup *policy.Lookup, request policy.FetchRequest) {
+	lookup := e.lookups[policyLookup.ID]
 	attempt := len(lookup.startedAt)
 	lookup.startedAt = append(lookup.startedAt, (*Dispatcher)(e).now())
 	lookup.openAttempts++
@@ -23,25 +23,25 @@
 }
 
 // CancelAttempt adds the step that cancels an attempt.
-func (e *executor) CancelAttempt(routed *policy.Lookup, attempt int) {
-	if lookup := e.lookups[routed.ID]; lookup != nil {
+func (e *executor) CancelAttempt(policyLookup *policy.Lookup, attempt int) {
+	if lookup := e.lookups[policyLookup.ID]; lookup != nil {
 		lookup.pushStep(Step{Kind: StepCancel, Attempt: attempt})
 	}
 }
 
 // Reject ends a lookup that its client may repeat.
-func (e *executor) Reject(routed *policy.Lookup, retryAfter policy.Micros) {
-	e.finish(routed, Step{Kind: StepRejected, RetryAfter: retryAfter})
+func (e *executor) Reject(policyLookup *policy.Lookup, retryAfter policy.Micros) {
+	e.finish(policyLookup, Step{Kind: StepRejected, RetryAfter: retryAfter})
 }
 
 // Fail ends a lookup that its client may not repeat.
-func (e *executor) Fail(routed *policy.Lookup) { e.finish(routed, Step{Kind: StepFailed}) }
+func (e *executor) Fail(policyLookup *policy.Lookup) { e.finish(policyLookup, Step{Kind: StepFailed}) }
 
 // finish ends a lookup for the router, which may do so amid a call about another one.
-func (e *executor) finish(routed *policy.Lookup, step Step) {
-	if lookup := e.lookups[routed.ID]; lookup != nil {
+func (e *executor) finish(policyLookup *policy.Lookup, step Step) {
+	if lookup := e.lookups[policyLookup.ID]; lookup != nil {
 		lookup.finish(step)
-		(*Dispatcher)(e).forgetEnded(routed.ID, lookup)
+		(*Dispatcher)(e).forgetEnded(policyLookup.ID, lookup)
 	}
 }
 
--- a/internal/dispatch/lookup.go
+++ b/internal/dispatch/lookup.go
@@ -52,7 +52,7 @@
 // Lookup is a lookup that the router holds. It is used with the methods of its Dispatcher.
 type Lookup struct {
 	Deadline     time.Time
-	routed       *policy.Lookup
+	policyLookup *policy.Lookup
 	steps        []Step
 	stepsReady   env.Notifier // nil where onReady is set
 	onReady      func()
@@ -78,14 +78,14 @@
 	}
 	d.lookups[request.ID] = lookup
 	defer func() {
-		if lookup.routed == nil { // a fault of the router
+		if lookup.policyLookup == nil { // a fault of the router
 			delete(d.lookups, request.ID)
 			lookup = nil
 		}
 	}()
-	defer d.recoverFault()
+	defer d.recoverRouterPanic()
 	now := d.now()
-	lookup.routed = d.router.StartLookup(now, policy.Arrival{
+	lookup.policyLookup = d.router.StartLookup(now, policy.Arrival{
 		ID:       request.ID,
 		Kind:     request.Kind,
 		Object:   request.Object,
@@ -144,12 +144,12 @@
 // a connection or behind what a cache does not read: the lookup may have ended or run out of time, and the cache or its source may drain
 // or be gone (rule 3 counts an attempt from its first byte). The router checks rule 2; if it panics the attempt is withdrawn.
 func (d *Dispatcher) maySend(lookup *Lookup, step Step) (ok bool) {
-	defer d.recoverFault()
+	defer d.recoverRouterPanic()
 	return !lookup.ended &&
 		d.environment.Now().Before(lookup.Deadline) &&
 		step.Cache.State == policy.Ready &&
 		step.Source.State == policy.Ready &&
-		d.router.MayStartAttempt(d.now(), lookup.routed, step.Attempt)
+		d.router.MayStartAttempt(d.now(), lookup.policyLookup, step.Attempt)
 }
 
 // AttemptEnded reports the end of an attempt; sourceWait is how long the cache waited for the first byte of its source. It returns true if the
@@ -170,11 +170,11 @@
 	if used {
 		lookup.finish(Step{Kind: StepSatisfied, Attempt: attempt})
 	}
-	defer d.recoverFault()
+	defer d.recoverRouterPanic()
 	if d.onOutcome != nil && attempt < len(lookup.targets) {
 		d.onOutcome(lookup.targets[attempt].edge, lookup.targets[attempt].source, outcome, detail)
 	}
-	d.router.AttemptEnded(now, lookup.routed, policy.AttemptReport{
+	d.router.AttemptEnded(now, lookup.policyLookup, policy.AttemptReport{
 		Attempt:     attempt,
 		Outcome:     outcome,
 		Detail:      detail,
@@ -182,7 +182,7 @@
 		SourceWait:  sourceWait,
 		LookupEnded: lookup.ended,
 	})
-	d.forgetEnded(lookup.routed.ID, lookup)
+	d.forgetEnded(lookup.policyLookup.ID, lookup)
 	return used
 }
 
@@ -200,9 +200,9 @@
 		return
 	}
 	lookup.finish(Step{Kind: kind})
-	defer d.recoverFault()
-	d.router.ClientGone(d.now(), lookup.routed)
-	d.forgetEnded(lookup.routed.ID, lookup)
+	defer d.recoverRouterPanic()
+	d.router.ClientGone(d.now(), lookup.policyLookup)
+	d.forgetEnded(lookup.policyLookup.ID, lookup)
 }
 
 // GiveUp has the router end a lookup, if it has not ended: rejected, or failed where it may have had its effect.
@@ -210,8 +210,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !lookup.ended {
-		defer d.recoverFault()
-		d.router.GiveUp(d.now(), lookup.routed)
+		defer d.recoverRouterPanic()
+		d.router.GiveUp(d.now(), lookup.policyLookup)
 	}
 }
 
