--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -75,13 +75,13 @@
 }
 
 // oneKind is an object kind.
-const oneKind = `{"name":"a","aim":400000,"deadline":900000,"effect":"idempotent"}`
+const validKind = `{"name":"a","aim":400000,"deadline":900000,"effect":"idempotent"}`
 
 // Rough sizes weigh the homes of objects, as nominal ones do; only nominal ones are capacities of links.
 func TestWeights(t *testing.T) {
 	for weights, want := range map[string][2]bool{"nominal": {true, true}, "rough": {true, false},
 		"none": {false, false}, "live": {false, false}} {
-		got, err := Parse([]byte(`{"classes":[` + oneKind + `],"weights":"` + weights + `"}`))
+		got, err := Parse([]byte(`{"classes":[` + validKind + `],"weights":"` + weights + `"}`))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -95,7 +95,7 @@
 func TestReports(t *testing.T) {
 	for tells, want := range map[string][2]bool{"all": {true, true}, "hit": {true, false}, "off": {false, false},
 		"": {true, false}} {
-		got, err := Parse([]byte(`{"classes":[` + oneKind + `],"specifics":{"tells":"` + tells + `"}}`))
+		got, err := Parse([]byte(`{"classes":[` + validKind + `],"specifics":{"tells":"` + tells + `"}}`))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -108,7 +108,7 @@
 // An unknown value for what caches report or what weights mean is an error, not a signal turned off.
 func TestUnknownValues(t *testing.T) {
 	for _, bad := range []string{`"specifics":{"tells":"some"}`, `"weights":"exact"`} {
-		if _, err := Parse([]byte(`{"classes":[` + oneKind + `],` + bad + `}`)); err == nil {
+		if _, err := Parse([]byte(`{"classes":[` + validKind + `],` + bad + `}`)); err == nil {
 			t.Errorf("%s is accepted", bad)
 		}
 	}
