--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -55,7 +55,7 @@
 		return nil
 	}
 	if from == fromSession {
-		if isNext, err := e.checkNumber(w.LastEvent, w.unusable.missing(w.LastEvent)); !isNext {
+		if isNext, err := e.checkNumber(w.LastEvent, w.unusable.allowedGap(w.LastEvent)); !isNext {
 			return err
 		}
 	}
@@ -64,7 +64,7 @@
 
 // handleNumber compares the number of the last event there is with the last one held.
 func (w *Watch) handleNumber(number int64) error {
-	if number > w.LastEvent+w.unusable.missing(w.LastEvent) {
+	if number > w.LastEvent+w.unusable.allowedGap(w.LastEvent) {
 		return numberError(errGap, number, w.LastEvent)
 	}
 	if number > w.LastEvent { // there is such an event, and it cannot be used
--- a/internal/discovery/cost_test.go
+++ b/internal/discovery/cost_test.go
@@ -35,7 +35,7 @@
 	parsed := parseSettings(t, `{"areas":[`+manyZones()+`],"az":0,"machine_types":["std","parent","origin"],"classes":[{"name":"a","aim":4,"deadline":9,`+
 		`"effect":"idempotent"}],"specifics":{"cleared_within":6000000,"parent_kind":1,"source_kind":2}}`)
 	clock := &fixedClock{env.NewSystem(io.Discard, 0), time.Unix(1_764_576_000, 0)}
-	w := newWatchOf(clock, parsed, &purgelog.Log{Retention: retention, Grace: time.Second, Clock: clock})
+	w := newWatchWith(clock, parsed, &purgelog.Log{Retention: retention, Grace: time.Second, Clock: clock})
 	if err := w.handleLine(endpointsEvent(1, true, mixedEndpoints(n)...), fromSession); err != nil {
 		t.Fatal(err)
 	}
@@ -71,8 +71,8 @@
 	return fmt.Appendf(nil, `{"no":%d,"recall":{"item":"%016x","issued":%d}}`, number, uint64(number)*0x9e3779b97f4a7c15, at.UnixMilli())
 }
 
-// nextPurge handles a purge 10 ms after the last.
-func (c *fixedClock) nextPurge(t testing.TB, w *Watch) {
+// handleNextPurge handles a purge 10 ms after the last.
+func (c *fixedClock) handleNextPurge(t testing.TB, w *Watch) {
 	t.Helper()
 	c.now = c.now.Add(10 * time.Millisecond)
 	if err := w.handleLine(purgeEvent(w.LastEvent+1, c.now), fromSession); err != nil {
@@ -86,9 +86,9 @@
 		BudgetOf: "a purge, 0.8% of a core at 100/s", PlanSize: 1100}, []int{100, 600, 1100, 2200, 4400, 20000}, func(kept int) float64 {
 		w, clock := newLoadedWatch(t, 1800, time.Duration(kept)*10*time.Millisecond)
 		for range kept {
-			clock.nextPurge(t, w)
+			clock.handleNextPurge(t, w)
 		}
-		return costs.MicrosPerCall(func(int) { clock.nextPurge(t, w) })
+		return costs.MicrosPerCall(func(int) { clock.handleNextPurge(t, w) })
 	})
 }
 
@@ -98,7 +98,7 @@
 		Budget: 1000, BudgetOf: "a change, 0.1% of a core at one a second", PlanSize: 1800}, []int{225, 450, 900, 1800, 3600, 7200, 14400}, func(n int) float64 {
 		w, _ := newLoadedWatch(t, n, usualRetention)
 		return costs.MicrosPerCall(func(i int) {
-			line := endpointsEvent(w.LastEvent+1, false, mixedEndpoint(60+i/2%100, phaseInTurn(i)))
+			line := endpointsEvent(w.LastEvent+1, false, mixedEndpoint(60+i/2%100, alternatingPhase(i)))
 			if err := w.handleLine(line, fromSession); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/discovery/event.go
+++ b/internal/discovery/event.go
@@ -85,11 +85,11 @@
 
 // checkNumber reports whether the event is the next one after the last held, but for so many whose numbers may be missing; false without an
 // error if it is held already.
-func (e *event) checkNumber(last, missing int64) (isNext bool, err error) {
+func (e *event) checkNumber(last, allowedGap int64) (isNext bool, err error) {
 	switch number := *e.Number; {
 	case number <= last:
 		return false, nil
-	case number > last+1+missing:
+	case number > last+1+allowedGap:
 		return false, fmt.Errorf("%w: %d follows %d", errGap, number, last)
 	}
 	return true, nil
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -33,8 +33,8 @@
 	return parsed
 }
 
-// newWatchOf returns a watch with a dispatcher and a registry of its own.
-func newWatchOf(environment env.Environment, parsed *settings.Settings, purges *purgelog.Log) *Watch {
+// newWatchWith returns a watch with a dispatcher and a registry of its own.
+func newWatchWith(environment env.Environment, parsed *settings.Settings, purges *purgelog.Log) *Watch {
 	return NewWatch(Config{Environment: environment, Settings: parsed, Dispatcher: dispatch.New(environment, 1, parsed.Router, nil),
 		Registry: &cacheregistry.Registry{}, Purges: purges})
 }
@@ -45,7 +45,7 @@
 	system := env.NewSystem(io.Discard, 0)
 	parsed := parseSettings(t, `{"areas":["east"],"machine_types":["std"],"classes":[{"name":"a","aim":4,"deadline":9,"effect":"idempotent"}],`+
 		`"specifics":{"cleared_within":6000000}}`)
-	w := newWatchOf(system, parsed, &purgelog.Log{Retention: time.Minute, Clock: system})
+	w := newWatchWith(system, parsed, &purgelog.Log{Retention: time.Minute, Clock: system})
 	w.LastEvent = 40
 	return w
 }
@@ -61,5 +61,5 @@
 		uint32(i)*2654435761, 1+i/65536, i/256%256, i%256, zone, machineType, i%300, phase)
 }
 
-// phaseInTurn alternates between a drain and its end.
-func phaseInTurn(i int) string { return [...]string{phaseDraining, phaseUp}[i%2] }
+// alternatingPhase alternates between a drain and its end.
+func alternatingPhase(i int) string { return [...]string{phaseDraining, phaseUp}[i%2] }
--- a/internal/discovery/size_test.go
+++ b/internal/discovery/size_test.go
@@ -53,20 +53,20 @@
 	line := endpointsEvent(1, true, list...)
 	for run := range *listRuns {
 		system := env.NewSystem(io.Discard, 0)
-		w := newWatchOf(system, parsed, &purgelog.Log{Retention: time.Minute, Clock: system})
+		w := newWatchWith(system, parsed, &purgelog.Log{Retention: time.Minute, Clock: system})
 		complete := microsPer(1, func() { handleOrFail(t, w, line) })
 		if w.registry.Len() != *listSize {
 			t.Fatalf("%d caches registered of %d", w.registry.Len(), *listSize)
 		}
 		var change float64
 		for i := range changesMeasured {
-			changed := endpointsEvent(int64(i+2), false, endpointJSON(i/2, i/2%25, "std", phaseInTurn(i)))
+			changed := endpointsEvent(int64(i+2), false, endpointJSON(i/2, i/2%25, "std", alternatingPhase(i)))
 			change += microsPer(changesMeasured, func() { handleOrFail(t, w, changed) })
 		}
 		dispatcher := dispatch.New(system, uint64(run+1), parsed.Router, nil)
-		completeAlone, changeAlone := dispatcherAlone(dispatcher)
+		dispatcherComplete, dispatcherChange := measureDispatcher(dispatcher)
 		t.Logf("%d caches, run %d: %d bytes (%.0f a cache, %.1f s at 15 KB/s), taken in %.0f us of a core, of it the router %.0f; a change of one %.0f us, of it the router %.0f",
-			*listSize, run+1, len(line), float64(len(line))/float64(*listSize), float64(len(line))/15e3, complete, completeAlone, change, changeAlone)
+			*listSize, run+1, len(line), float64(len(line))/float64(*listSize), float64(len(line))/15e3, complete, dispatcherComplete, change, dispatcherChange)
 	}
 }
 
@@ -77,8 +77,8 @@
 	}
 }
 
-// dispatcherAlone measures a dispatcher with the same list and changes, in microseconds of a core each.
-func dispatcherAlone(dispatcher *dispatch.Dispatcher) (complete, change float64) {
+// measureDispatcher measures a dispatcher with the same list and changes, in microseconds of a core each.
+func measureDispatcher(dispatcher *dispatch.Dispatcher) (complete, change float64) {
 	var list []policy.Endpoint
 	for i := range *listSize {
 		list = append(list, policy.Endpoint{Cache: policy.NewCache(fmt.Sprintf("s-%08x", uint32(i)*2654435761)), Zone: i % 25, Cell: i % 300, Weight: 4})
--- a/internal/discovery/unusable.go
+++ b/internal/discovery/unusable.go
@@ -19,7 +19,7 @@
 }
 
 // add takes a line and reports whether it came before.
-func (u *unusableLines) add(line []byte, lastEvent int64) (cameBefore bool) {
+func (u *unusableLines) add(line []byte, lastEvent int64) (seenBefore bool) {
 	if u.after != lastEvent {
 		*u = unusableLines{after: lastEvent}
 	}
@@ -32,8 +32,8 @@
 	return true
 }
 
-// missing is how many numbers may be missing after the last event held.
-func (u *unusableLines) missing(lastEvent int64) int64 {
+// allowedGap is how many numbers may be missing after the last event held.
+func (u *unusableLines) allowedGap(lastEvent int64) int64 {
 	if u.after != lastEvent {
 		return 0
 	}
--- a/internal/discovery/unusable_test.go
+++ b/internal/discovery/unusable_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// sessionLines gives a watch lines of sessions, and returns the reasons why sessions ended. After each a new one begins.
-func sessionLines(w *Watch, lines ...string) (reasons []string) {
+// handleSessionLines gives a watch lines of sessions, and returns the reasons why sessions ended. After each a new one begins.
+func handleSessionLines(w *Watch, lines ...string) (reasons []string) {
 	for _, line := range lines {
 		if reason := w.handleSessionLine([]byte(line)); reason != "" {
 			reasons = append(reasons, reason)
@@ -32,11 +32,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newTestWatch(t)
-			sessionLines(w, damaged...)
+			handleSessionLines(w, damaged...)
 			if w.LastEvent != 40 {
 				t.Errorf("event %d counts as held, and none came", w.LastEvent)
 			}
-			if reasons := sessionLines(w, purgeLine(41), "41"); len(reasons) > 0 || w.LastEvent != 41 {
+			if reasons := handleSessionLines(w, purgeLine(41), "41"); len(reasons) > 0 || w.LastEvent != 41 {
 				t.Errorf("sessions ended: %v, last event %d", reasons, w.LastEvent)
 			}
 			if issuedAt, _ := w.purges.InForce("o41", 0); issuedAt.IsZero() {
@@ -50,15 +50,15 @@
 func TestUnusableEventsDoNotHoldUpOthers(t *testing.T) {
 	const first, second = `{"no":41,"roster":{"members":[{"id":"","phase":"up"}]}}`, `{"no":42,"roster":"none"}`
 	w := newTestWatch(t)
-	if reasons := sessionLines(w, first, first, second, first, second, purgeLine(43)); len(reasons) != 2 || w.LastEvent != 43 {
+	if reasons := handleSessionLines(w, first, first, second, first, second, purgeLine(43)); len(reasons) != 2 || w.LastEvent != 43 {
 		t.Errorf("sessions ended: %v, last event %d", reasons, w.LastEvent)
 	}
 	w = newTestWatch(t)
-	if reasons := sessionLines(w, first, first, "41"); len(reasons) != 1 || w.LastEvent != 41 {
+	if reasons := handleSessionLines(w, first, first, "41"); len(reasons) != 1 || w.LastEvent != 41 {
 		t.Errorf("the number of the last event there is: sessions ended: %v, last event %d", reasons, w.LastEvent)
 	}
 	w = newTestWatch(t)
-	if reasons := sessionLines(w, first, first, purgeLine(43)); len(reasons) != 2 || reasons[1] != "gap" || w.LastEvent != 40 {
+	if reasons := handleSessionLines(w, first, first, purgeLine(43)); len(reasons) != 2 || reasons[1] != "gap" || w.LastEvent != 40 {
 		t.Errorf("an event after one that is missing: sessions ended: %v, last event %d", reasons, w.LastEvent)
 	}
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -73,12 +73,12 @@
 	purges         *purgelog.Log
 	unusable       unusableLines
 	silentSessions int          // in a row, without a line
-	wakeup         env.Notifier // hasMoved is set, or the watch ends
+	wakeup         env.Notifier // addrChanged is set, or the watch ends
 
-	mu       sync.Mutex
-	addr     string
-	session  *env.Lifetime // of the session under way; nil: none yet
-	hasMoved bool          // the address has changed since the last session began
+	mu          sync.Mutex
+	addr        string
+	session     *env.Lifetime // of the session under way; nil: none yet
+	addrChanged bool          // the address has changed since the last session began
 }
 
 // NewWatch returns a watch that holds no event yet.
@@ -100,7 +100,7 @@
 	w.mu.Lock()
 	session := w.session
 	w.addr = addr
-	w.hasMoved = true
+	w.addrChanged = true
 	w.mu.Unlock()
 	w.wakeup.Notify()
 	if session != nil {
@@ -127,12 +127,12 @@
 		if w.Jitter != nil {
 			pause = w.Jitter(delay)
 		}
-		hasMoved := w.waitRetry(lifetime, pause)
+		addrChanged := w.waitRetry(lifetime, pause)
 		if lifetime.Ended() {
 			return nil
 		}
 		delay = min(2*delay, maxRetryDelay)
-		if hasMoved {
+		if addrChanged {
 			delay = minRetryDelay
 		}
 	}
@@ -156,7 +156,7 @@
 func (w *Watch) beginSession(lifetime *env.Lifetime) (addr string, session *env.Lifetime) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.hasMoved = false
+	w.addrChanged = false
 	w.session = env.NewLifetime(lifetime)
 	return w.addr, w.session
 }
@@ -165,10 +165,10 @@
 func (w *Watch) waitRetry(lifetime *env.Lifetime, delay time.Duration) bool {
 	for end := w.env.Now().Add(delay); !lifetime.Ended(); {
 		w.mu.Lock()
-		hasMoved := w.hasMoved
+		addrChanged := w.addrChanged
 		w.mu.Unlock()
-		if hasMoved || !w.wakeup.Wait(max(0, end.Sub(w.env.Now()))) {
-			return hasMoved
+		if addrChanged || !w.wakeup.Wait(max(0, end.Sub(w.env.Now()))) {
+			return addrChanged
 		}
 	}
 	return false
