--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,8 +1,11 @@
-// Package dispatch lets many goroutines use one policy.Router. A Dispatcher owns the router, the lock around it, its timers and its clock;
-// the network side submits lookups, takes their steps (start an attempt, cancel one, end the lookup), reports how attempts ended, and
-// calls Tick for time, endpoint updates and purges. It makes no decision of its own.
+// Package dispatch serializes access to a policy.Router, so that many goroutines can use it. The network side
+// submits lookups, takes their steps (start an attempt, cancel an attempt, end the lookup) and reports the
+// outcome of each attempt. It calls Tick to fire timers and to apply endpoint updates and purges. A
+// Dispatcher makes no decisions of its own.
 //
-// All methods may be called from any goroutine. The lock is never held over a wait.
+// It owns the router, the router's lock, its timers and its clock. It holds a lookup until the lookup has
+// ended and the end of each of its attempts has been reported. All methods are safe for concurrent use.
+// No method waits while it holds the lock.
 package dispatch
 
 import (
@@ -15,7 +18,7 @@
 	"foldslip/internal/policy"
 )
 
-// Router is what a Dispatcher reports events to, each with the instant at which it happened. *policy.Router is one.
+// Router receives the events of a Dispatcher, each with the time at which it happened. *policy.Router implements it.
 type Router interface {
 	UpdateEndpoints(now policy.Micros, kind policy.UpdateKind, endpoints []policy.Endpoint)
 	StartLookup(now policy.Micros, arrival policy.Arrival) *policy.Lookup
@@ -29,25 +32,27 @@
 	Health(visit func(cache *policy.Cache, lastSuccess policy.Micros, ejected bool))
 }
 
-// Interceptor stands between a Dispatcher and its router and sees what passes: it starts the router with an executor of its own before
-// the given one, and the Dispatcher reports events to what it returns.
+// Interceptor wraps a router, so that it can observe or change the events that the router receives and
+// the calls that it makes. It calls start with an executor that wraps the given one, and returns the
+// Router to which the Dispatcher reports events.
 type Interceptor func(executor policy.Executor, start func(policy.Executor) Router) Router
 
-// OutcomeObserver is notified of each attempt's end. It is called under the Dispatcher's lock: it must not wait, nor call the Dispatcher.
+// OutcomeObserver is called with the outcome of each attempt. It is called under the Dispatcher's lock, so it
+// must neither block nor call the Dispatcher.
 type OutcomeObserver func(edge, source *policy.Cache, outcome policy.AttemptOutcome, detail policy.OutcomeDetail)
 
-// Dispatcher is a router behind a lock. Make it with New.
+// Dispatcher guards a router with a lock. Create it with New.
 type Dispatcher struct {
 	environment  env.Environment
 	startedAt    time.Time
-	startMicros  policy.Micros // startedAt by the Unix clock; from there on the monotonic clock counts
-	mu           sync.Mutex    // of what follows
+	startMicros  policy.Micros // startedAt in Unix time; later times add the monotonic time since startedAt
+	mu           sync.Mutex    // guards the fields below
 	router       Router
-	policyRouter *policy.Router // the one behind router, if that is an interceptor's
+	policyRouter *policy.Router // router itself, or the router that it wraps if there is an interceptor
 	lookups      map[string]*Lookup
-	queued       int // attempts whose steps have not been taken
+	queued       int // number of attempts whose fetch step has not been taken
 	timers       []timer
-	onOutcome    OutcomeObserver // nil: nobody observes
+	onOutcome    OutcomeObserver // nil if there is no observer
 }
 
 type timer struct {
@@ -55,7 +60,7 @@
 	token int64
 }
 
-// New starts a router. interceptor may be nil.
+// New returns a Dispatcher with a new router. interceptor may be nil.
 func New(environment env.Environment, seed uint64, settings *policy.Settings, interceptor Interceptor) *Dispatcher {
 	d := &Dispatcher{environment: environment, startedAt: environment.Now(), lookups: map[string]*Lookup{}}
 	d.startMicros = d.startedAt.UnixMicro()
@@ -75,22 +80,24 @@
 	return d.startMicros + d.environment.Now().Sub(d.startedAt).Microseconds()
 }
 
-// recoverFault, when deferred, keeps a panic of the router from ending the gateway: the lookup concerned runs into its deadline.
+// recoverRouterPanic is deferred around calls of the router. It logs a panic of the router, which would otherwise end
+// the gateway. The affected lookup then fails at its deadline.
 func (d *Dispatcher) recoverRouterPanic() {
 	if p := recover(); p != nil {
 		d.environment.Log().Error("policy_fault", "text", fmt.Sprint(p), "stack", string(debug.Stack()))
 	}
 }
 
-// Purge says that copies of an object, or of a group where Object is empty, from before IssuedAt are out of date.
+// Purge invalidates the copies of an object that are older than IssuedAt. If Object is empty,
+// it invalidates those of a group.
 type Purge struct {
 	Object   string
 	Group    int
 	IssuedAt time.Time
 }
 
-// Tick lets timers fire and applies an endpoint update and purges. isFull tells that endpoints are the complete list, not changes of it.
-// It returns how long to wait before the next call.
+// Tick applies an endpoint update and purges, and fires the timers that are due. If isFull is true, endpoints is the
+// complete list, otherwise it holds changes to the list. Tick returns the delay until the next call is due.
 func (d *Dispatcher) Tick(endpoints []policy.Endpoint, isFull bool, purges []Purge) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -114,7 +121,7 @@
 	return time.Duration(next-d.now()) * time.Microsecond
 }
 
-// takeDueTimers removes the timers that have expired.
+// takeDueTimers removes and returns the timers that are due.
 func (d *Dispatcher) takeDueTimers(now policy.Micros) (due []timer) {
 	pending := d.timers[:0]
 	for _, t := range d.timers {
@@ -128,7 +135,7 @@
 	return due
 }
 
-// RestoreEndpoints gives the router the endpoint list that was kept from an earlier run.
+// RestoreEndpoints passes the router the endpoint list that was stored by an earlier run of the gateway.
 func (d *Dispatcher) RestoreEndpoints(endpoints []policy.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -136,21 +143,22 @@
 	d.router.UpdateEndpoints(d.now(), policy.UpdateCached, endpoints)
 }
 
-// ObserveOutcomes sets the one observer of attempts' ends.
+// ObserveOutcomes replaces the observer of attempt outcomes. A nil observer ends the observation.
 func (d *Dispatcher) ObserveOutcomes(observer OutcomeObserver) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.onOutcome = observer
 }
 
-// SetFleetSize tells the router the number of routers as the fleet counts its members.
+// SetFleetSize sets the number of routers according to the fleet membership.
 func (d *Dispatcher) SetFleetSize(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.policyRouter.FleetSize = n
 }
 
-// Health names the caches that gave a good answer since an instant, and those that are ejected, in the order of the list.
+// Health returns the names of the caches that have answered successfully since the given time, and the names of the
+// ejected caches. Both lists are in the order of the router's caches.
 func (d *Dispatcher) Health(since time.Time) (answered, ejected []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -166,14 +174,15 @@
 	return answered, ejected
 }
 
-// OpenLookups counts the lookups that have no result yet or an attempt whose end has not been reported.
+// OpenLookups returns the number of lookups that have no result yet or have an attempt whose end has not been reported.
 func (d *Dispatcher) OpenLookups() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.lookups)
 }
 
-// InFlight counts the attempts that the router takes for open, and those of them whose steps have not been taken yet.
+// InFlight returns the number of attempts that are in flight for the router, and the number of attempts
+// whose fetch step has not been taken yet.
 func (d *Dispatcher) InFlight() (attempts, queued int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/dispatch/executor.go
+++ b/internal/dispatch/executor.go
@@ -2,7 +2,8 @@
 
 import "foldslip/internal/policy"
 
-// executor turns what the router decides into steps of lookups. It is called from within the router's methods, under the lock.
+// executor implements policy.Executor. It turns the router's decisions into steps of lookups. The router calls it from
+// within its own methods, so the Dispatcher's lock is held.
 type executor Dispatcher
 
 // Fetch adds the step that starts an attempt.
@@ -14,7 +15,7 @@
 	e.queued++
 	if e.onOutcome != nil {
 		to := target{request.Cache, request.Source}
-		for len(lookup.targets) < attempt { // attempts from before outcomes were observed
+		for len(lookup.targets) < attempt { // pads the entries of attempts that started without an observer
 			lookup.targets = append(lookup.targets, to)
 		}
 		lookup.targets = append(lookup.targets, to)
@@ -29,15 +30,15 @@
 	}
 }
 
-// Reject ends a lookup that its client may repeat.
+// Reject ends a lookup as rejected. Its client may repeat it.
 func (e *executor) Reject(policyLookup *policy.Lookup, retryAfter policy.Micros) {
 	e.finish(policyLookup, Step{Kind: StepRejected, RetryAfter: retryAfter})
 }
 
-// Fail ends a lookup that its client may not repeat.
+// Fail ends a lookup as failed. A repeat by its client may not be safe.
 func (e *executor) Fail(policyLookup *policy.Lookup) { e.finish(policyLookup, Step{Kind: StepFailed}) }
 
-// finish ends a lookup for the router, which may do so amid a call about another one.
+// finish ends a lookup for the router. The router may do so during a call for another lookup.
 func (e *executor) finish(policyLookup *policy.Lookup, step Step) {
 	if lookup := e.lookups[policyLookup.ID]; lookup != nil {
 		lookup.finish(step)
@@ -45,13 +46,13 @@
 	}
 }
 
-// SetTimer notes a timer for Tick.
+// SetTimer adds a timer, which Tick fires.
 func (e *executor) SetTimer(delay policy.Micros, token int64) {
 	e.timers = append(e.timers, timer{(*Dispatcher)(e).now() + delay, token})
 }
 
-// SubscribeEndpoints does nothing: the discovery watch runs from the start.
+// SubscribeEndpoints does nothing, because the discovery watch runs from the start of the gateway.
 func (e *executor) SubscribeEndpoints(bool) {}
 
-// Log writes a line of the router's.
+// Log logs a message of the router.
 func (e *executor) Log(line string) { e.environment.Log().Info("policy", "note", line) }
--- a/internal/dispatch/lookup.go
+++ b/internal/dispatch/lookup.go
@@ -9,63 +9,64 @@
 	"foldslip/internal/policy"
 )
 
-// DeadlineSlack is the time past its deadline after which a lookup that nothing has ended is failed, within the slack that its answer has:
-// by WaitStep, or by a caller of NextStep with FailOverdue.
+// DeadlineSlack is the time after its deadline at which a lookup without a result fails. It is within the slack that is
+// allowed for an answer. WaitStep fails such a lookup. A caller of NextStep has to call FailOverdue.
 const DeadlineSlack = 20 * time.Millisecond
 
-// StepKind is what is to be done for a lookup.
+// StepKind is the kind of a Step.
 type StepKind int
 
-// The kinds of steps. Those from StepSatisfied on end the lookup: there is exactly one of them, and no StepFetch after it.
+// The kinds of steps. StepSatisfied and the kinds after it end the lookup. A lookup has exactly one step of
+// these kinds, and no StepFetch follows it.
 const (
 	StepFetch     StepKind = 1 + iota // start an attempt
 	StepCancel                        // cancel an attempt
-	StepSatisfied                     // the answer is what an attempt brought
-	StepRejected                      // the client may repeat the lookup
+	StepSatisfied                     // the answer of an attempt is the result
+	StepRejected                      // the lookup is rejected; the client may repeat it
 	StepFailed
-	StepClientGone // nothing is owed
+	StepClientGone // no answer is sent, as the client is gone
 )
 
-// Step is one thing to do for a lookup.
+// Step is one action that the network side carries out for a lookup.
 type Step struct {
 	Kind                StepKind
-	Attempt             int           // number of the attempt, where Kind is about one
-	policy.FetchRequest               // of StepFetch
-	RetryAfter          policy.Micros // of StepRejected; 0: none
+	Attempt             int           // number of the attempt; set for StepFetch, StepCancel and StepSatisfied
+	policy.FetchRequest               // set for StepFetch
+	RetryAfter          policy.Micros // set for StepRejected; 0: no delay is suggested
 }
 
-// Request is a lookup as the network side submits it.
+// Request describes a lookup that the network side submits.
 type Request struct {
-	ID       string // unique among open lookups
+	ID       string // must be unique among open lookups
 	Kind     int    // index of the object kind in the settings
 	Object   string
 	Part     int
 	Group    int
 	SizeKB   float64
 	Deadline time.Time
-	Scope    *policy.Scope // nil: any cache
-	// OnReady, if set, is called under the Dispatcher's lock whenever the lookup has a step for NextStep. It must not wait. Without it, use
-	// WaitStep.
+	Scope    *policy.Scope // nil: every cache is allowed
+	// OnReady, if set, is called under the Dispatcher's lock whenever a step is added, which NextStep then returns. It
+	// must not block. If it is nil, use WaitStep.
 	OnReady func()
 }
 
-// Lookup is a lookup that the router holds. It is used with the methods of its Dispatcher.
+// Lookup is a submitted lookup. It is passed to the methods of its Dispatcher.
 type Lookup struct {
 	Deadline     time.Time
 	policyLookup *policy.Lookup
 	steps        []Step
-	stepsReady   env.Notifier // nil where onReady is set
+	stepsReady   env.Notifier // nil if onReady is set
 	onReady      func()
-	startedAt    []policy.Micros // of attempts, by number
-	targets      []target        // likewise, once outcomes are observed
+	startedAt    []policy.Micros // start times by attempt number
+	targets      []target        // targets by attempt number; filled only while there is an observer of outcomes
 	openAttempts int
 	ended        bool
 }
 
-// target is where an attempt went.
+// target holds the edge cache of an attempt and the source from which a miss is filled.
 type target struct{ edge, source *policy.Cache }
 
-// Submit hands a lookup to the router. It returns nil if the router did not take it, most likely because one with this id is open.
+// Submit passes a lookup to the router. It returns nil if a lookup with this id is open or if the router panicked.
 func (d *Dispatcher) Submit(request Request) (lookup *Lookup) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -78,7 +79,7 @@
 	}
 	d.lookups[request.ID] = lookup
 	defer func() {
-		if lookup.policyLookup == nil { // a fault of the router
+		if lookup.policyLookup == nil { // the router panicked
 			delete(d.lookups, request.ID)
 			lookup = nil
 		}
@@ -99,8 +100,9 @@
 	return lookup
 }
 
-// WaitStep waits for the lookup's next step. A lookup that nothing has ended shortly after its deadline fails: that enforces rule 1
-// against a fault of the router and against an attempt whose end is never reported.
+// WaitStep waits for the lookup's next step and returns it. A lookup that has no result by DeadlineSlack after its
+// deadline fails. This enforces rule 1, which gives each lookup exactly one result, even if the router panics or
+// the end of an attempt is never reported.
 func (d *Dispatcher) WaitStep(lookup *Lookup) Step {
 	for {
 		if step, ok := d.NextStep(lookup); ok {
@@ -113,7 +115,8 @@
 	}
 }
 
-// NextStep takes the lookup's next step, if there is one. An attempt that may not start any more is none: it ends here, as not sent.
+// NextStep removes and returns the lookup's next step, if there is one. It skips the fetch step of an attempt that may
+// no longer start, and reports that attempt as policy.OutcomeNotSent.
 func (d *Dispatcher) NextStep(lookup *Lookup) (step Step, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -132,17 +135,19 @@
 	return Step{}, false
 }
 
-// MaySend tells whether an attempt whose step was taken some time ago may still start; if not, its end is to be reported as
-// policy.OutcomeNotSent.
+// MaySend reports whether an attempt may still start whose step was taken some time ago. If not, the caller must report
+// the attempt's end as policy.OutcomeNotSent.
 func (d *Dispatcher) MaySend(lookup *Lookup, step Step) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.maySend(lookup, step)
 }
 
-// maySend checks again what may have changed between a decision and the attempt's first byte, while it waits for its lookup's goroutine, for
-// a connection or behind what a cache does not read: the lookup may have ended or run out of time, and the cache or its source may drain
-// or be gone (rule 3 counts an attempt from its first byte). The router checks rule 2; if it panics the attempt is withdrawn.
+// maySend reports whether an attempt that the router decided on earlier may still start. The attempt may have waited
+// for its lookup's goroutine, for a connection, or behind data that the cache was slow to read. In the meantime the
+// lookup may have ended or passed its deadline, and the cache or its source may be draining or gone. Rule 3, which
+// forbids new attempts to such caches, counts an attempt from its first byte. The router checks rule 2, which limits
+// where and when a lookup may run again. If the router panics, maySend returns false.
 func (d *Dispatcher) maySend(lookup *Lookup, step Step) (ok bool) {
 	defer d.recoverRouterPanic()
 	return !lookup.ended &&
@@ -152,8 +157,9 @@
 		d.router.MayStartAttempt(d.now(), lookup.policyLookup, step.Attempt)
 }
 
-// AttemptEnded reports the end of an attempt; sourceWait is how long the cache waited for the first byte of its source. It returns true if the
-// attempt's answer is the lookup's, and false if there is none or it came too late.
+// AttemptEnded reports the end of an attempt to the router. sourceWait is the time that the cache waited for the first
+// byte of its source. It returns true if the attempt's answer is the result of the lookup. It returns false if the
+// attempt has no answer or if the lookup had already ended.
 func (d *Dispatcher) AttemptEnded(lookup *Lookup, attempt int, outcome policy.AttemptOutcome, detail policy.OutcomeDetail,
 	sourceWait policy.Micros) (used bool) {
 	d.mu.Lock()
@@ -161,7 +167,7 @@
 	return d.endAttempt(lookup, attempt, outcome, detail, sourceWait)
 }
 
-// endAttempt is AttemptEnded under the lock.
+// endAttempt implements AttemptEnded. The caller holds the lock.
 func (d *Dispatcher) endAttempt(lookup *Lookup, attempt int, outcome policy.AttemptOutcome, detail policy.OutcomeDetail,
 	sourceWait policy.Micros) (used bool) {
 	now := d.now()
@@ -186,13 +192,13 @@
 	return used
 }
 
-// ClientGone ends a lookup whose client closed its connection or gave up.
+// ClientGone ends a lookup whose client closed its connection or cancelled the lookup.
 func (d *Dispatcher) ClientGone(lookup *Lookup) { d.endLookup(lookup, StepClientGone) }
 
-// FailOverdue fails a lookup that nothing has ended by DeadlineSlack past its deadline.
+// FailOverdue fails a lookup. Call it for a lookup that has no result by DeadlineSlack after its deadline.
 func (d *Dispatcher) FailOverdue(lookup *Lookup) { d.endLookup(lookup, StepFailed) }
 
-// endLookup ends a lookup, if it has not ended, without asking the router.
+// endLookup ends a lookup that has not ended. The router is notified and does not decide on the result.
 func (d *Dispatcher) endLookup(lookup *Lookup, kind StepKind) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -205,7 +211,8 @@
 	d.forgetEnded(lookup.policyLookup.ID, lookup)
 }
 
-// GiveUp has the router end a lookup, if it has not ended: rejected, or failed where it may have had its effect.
+// GiveUp lets the router end a lookup that has not ended. The router rejects the lookup if a repeat
+// is safe. Otherwise it fails the lookup.
 func (d *Dispatcher) GiveUp(lookup *Lookup) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -215,7 +222,7 @@
 	}
 }
 
-// Stop gives up every open lookup, in the order of their ids; the gateway is about to end.
+// Stop gives up every open lookup, in the order of their ids. It is called when the gateway stops.
 func (d *Dispatcher) Stop() {
 	d.mu.Lock()
 	open := make([]*Lookup, 0, len(d.lookups))
@@ -225,18 +232,18 @@
 	d.mu.Unlock()
 	for _, lookup := range open {
 		d.GiveUp(lookup)
-		d.endLookup(lookup, StepFailed) // only after a fault of the router
+		d.endLookup(lookup, StepFailed) // has an effect only if the router panicked
 	}
 }
 
-// forgetEnded removes a lookup that has ended and has no open attempts.
+// forgetEnded removes a lookup from the Dispatcher if it has ended and has no open attempts.
 func (d *Dispatcher) forgetEnded(id string, lookup *Lookup) {
 	if lookup.ended && lookup.openAttempts <= 0 {
 		delete(d.lookups, id)
 	}
 }
 
-// finish adds the step that ends the lookup, if it has not ended.
+// finish ends a lookup that has not ended, and adds the step for it.
 func (l *Lookup) finish(step Step) {
 	if !l.ended {
 		l.ended = true
