--- a/internal/settings/frozen_test.go
+++ b/internal/settings/frozen_test.go
@@ -8,7 +8,8 @@
 	"foldslip/internal/lab/frozen"
 )
 
-// TestFrozenSettings reads settings texts as the platform sends them: testdata/NAME.txt holds what an earlier build understood.
+// TestFrozenSettings parses settings texts in the form that the platform sends. testdata/NAME.txt holds
+// the values that an earlier build parsed.
 func TestFrozenSettings(t *testing.T) {
 	for _, name := range []string{"full", "bare", "words", "silent"} {
 		t.Run(name, func(t *testing.T) {
@@ -21,19 +22,21 @@
 	}
 }
 
-// TestFrozenRefusals compares the errors for settings that are refused, one a line of testdata/refused.txt: they reach the platform.
+// TestFrozenRefusals compares the errors for invalid settings, one text per line of testdata/refused.txt. The error
+// texts must not change, because they reach the platform.
 func TestFrozenRefusals(t *testing.T) {
 	texts := frozen.Read(t, "refused.txt")
 	var got strings.Builder
 	for text := range strings.Lines(string(texts)) {
 		_, err := Parse([]byte(text))
-		reason, _, _ := strings.Cut(fmt.Sprint(err), " json: ") // the library's part names Go types
+		reason, _, _ := strings.Cut(fmt.Sprint(err), " json: ") // the library's text contains names of Go types
 		fmt.Fprintln(&got, reason)
 	}
 	frozen.Equal(t, "refused.errors.txt", []byte(got.String()))
 }
 
-// describe lists every value that was read, under labels that don't follow the names of fields.
+// describe lists every parsed value. Its labels are independent of the field names, so that a
+// renamed field does not change the list.
 func describe(got *Settings) string {
 	var b strings.Builder
 	line := func(label string, value any) { fmt.Fprintf(&b, "%s: %v\n", label, value) }
--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// FuzzParse expects that the platform's settings are refused with an error or read, whatever they hold.
+// FuzzParse checks that Parse returns either settings or an error for any text.
 func FuzzParse(f *testing.F) {
 	for _, name := range []string{"bare", "full", "silent", "words"} {
 		text, err := os.ReadFile("testdata/" + name + ".json")
@@ -16,7 +16,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if parsed, err := Parse(text); (err == nil) != (parsed != nil) {
-			t.Fatalf("%v, %v", parsed, err)
+			t.Fatalf("Parse returned settings %v and error %v, expected exactly one of them", parsed, err)
 		}
 	})
 }
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -11,10 +11,11 @@
 	"foldslip/internal/policy"
 )
 
-// This file alone knows the keys and values of the platform's settings text and maps them to this program's names.
+// The keys and values of the platform's settings text occur only in this file, which maps them
+// to the names that the other packages use.
 
-// What holds where the text does not say. Everything else that is missing counts as its strictest value: attempts can't be cancelled, and
-// purges and drains apply at once.
+// Defaults of settings that are missing from the text. Other missing settings have their strictest value: attempts
+// cannot be cancelled, and purges and drains must be applied at once.
 const (
 	defaultConnectTimeout policy.Micros = 1e6
 	defaultIdleTimeout    policy.Micros = 30e6
@@ -22,24 +23,25 @@
 	defaultMaxAttempts                  = math.MaxInt32
 )
 
-// ErrNoClasses says that the text names no object kinds.
+// ErrNoClasses reports that the text contains no object kinds.
 var ErrNoClasses = errors.New("classes is empty, expected one entry a class")
 
-// ValueError says that a value of the text is missing or not understood, and what was expected.
+// ValueError reports that a value of the text is missing or invalid.
 type ValueError struct {
-	Key     string // or the entry that holds it
-	Problem string
+	Key     string // key of the value, or the entry that contains it
+	Problem string // what is wrong with the value and what was expected
 }
 
-// Error names the key and what was expected.
+// Error returns the key and the problem.
 func (e *ValueError) Error() string { return e.Key + ": " + e.Problem }
 
 func invalid(key, format string, args ...any) error {
 	return &ValueError{Key: key, Problem: fmt.Sprintf(format, args...)}
 }
 
-// platformText is the settings text. Times are in microseconds, indexes count from 0. Other keys are skipped, as the protocol asks; so are the
-// platform's limits on hedges, health probes and messages among gateways, as the gateway sends none of these.
+// platformText is the settings text. Times are in microseconds, and indexes start at 0. Other keys are ignored, as the
+// protocol requires. The platform's limits on hedges, health probes and messages between gateways are ignored too,
+// because the gateway sends none of these.
 type platformText struct {
 	Areas        []string       `json:"areas"`
 	MachineTypes []string       `json:"machine_types"`
@@ -53,7 +55,7 @@
 	Specifics    platformCaches `json:"specifics"`
 }
 
-// platformLimits are limits of connections and clients.
+// platformLimits holds the limits for connections to caches, for attempts and for retries by clients.
 type platformLimits struct {
 	CanCancel        bool    `json:"cancelling"`
 	ClientsRetry     bool    `json:"retry_after"`
@@ -64,7 +66,7 @@
 	MaxStreams       int     `json:"max_streams"`
 }
 
-// platformRules are figures of the rules for caches that have just started, and for drains.
+// platformRules holds the parameters of the rules for slow start and for drains.
 type platformRules struct {
 	SlowStartTime  float64 `json:"cold"`
 	SlowStartShare float64 `json:"cold_from"`
@@ -73,7 +75,7 @@
 	DrainGrace     float64 `json:"stop_sending_within"`
 }
 
-// platformKind is an object kind.
+// platformKind describes an object kind.
 type platformKind struct {
 	Name          string  `json:"name"`
 	LatencyBudget float64 `json:"aim"`
@@ -87,7 +89,8 @@
 	IsStream      bool    `json:"stream"`
 }
 
-// platformCaches are what this deployment's caches do. Its lists have an entry for each object kind.
+// platformCaches describes the caches of this deployment. MaxAge, StaleGrace, StaleUtility and
+// PassThrough are indexed by object kind.
 type platformCaches struct {
 	ZoneGateways         []int     `json:"seats_by_zone"`
 	ParentKind           *int      `json:"parent_kind"`
@@ -106,8 +109,8 @@
 	PurgeGrace           float64   `json:"obey_after"`
 }
 
-// Parse reads a settings text. A value that a rule depends on and that is missing or not understood is an error that names it: guessing it
-// would break the rule unnoticed.
+// Parse parses a settings text. If a value that a rule depends on is missing or invalid, it returns an error that names
+// the value. A default for such a value could break the rule without being noticed.
 func Parse(text []byte) (*Settings, error) {
 	var in platformText
 	if err := json.Unmarshal(text, &in); err != nil {
@@ -143,8 +146,9 @@
 	return out, nil
 }
 
-// check checks what concerns no single object kind. What caches report and what weights mean decides which signals the router measures: an
-// unknown word must not turn them off unnoticed.
+// check validates the values that do not belong to an object kind. The reports of caches and the meaning of
+// weights determine which signals the router measures. An unknown word for them is an error, so that it
+// does not silently turn these signals off.
 func (in *platformText) check() error {
 	if !slices.Contains([]string{"", "all", "hit", "off", "none"}, in.Specifics.Reports) {
 		return invalid("specifics.tells", "%q, expected all, hit or off", in.Specifics.Reports)
@@ -175,7 +179,7 @@
 	return nil
 }
 
-// routerSettings are the router's settings but for the object kinds.
+// routerSettings returns the settings of the router without the object kinds.
 func (in *platformText) routerSettings() *policy.Settings {
 	out := &policy.Settings{
 		Gateways:              in.Gateways,
@@ -213,7 +217,7 @@
 	return out
 }
 
-// objectKind reads an object kind.
+// objectKind returns the i-th object kind, or an error if a value of it is missing or invalid.
 func (in *platformText) objectKind(i int) (kind policy.ObjectKind, err error) {
 	class := in.Classes[i]
 	where := fmt.Sprintf("classes[%d] %s", i, class.Name)
@@ -274,7 +278,7 @@
 	return 0, invalid(where, "group %q, expected all, zone or cell", word)
 }
 
-// elementAt is an element of a list, or the zero value where the list is too short.
+// elementAt returns the i-th element of a list, or the zero value if the list is too short.
 func elementAt[T any](list []T, i int) T {
 	var zero T
 	if i >= len(list) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings text that the platform gives a gateway when it starts. Settings and what they hold are not changed
-// afterwards, so that any goroutine may read them.
+// Package settings parses the settings text that a gateway receives from the platform at startup. Settings, and the
+// values that they refer to, are not modified after Parse returns, so they may be read from any goroutine.
 package settings
 
 import (
@@ -8,20 +8,21 @@
 	"foldslip/internal/policy"
 )
 
-// Settings are what the platform tells of the deployment: what the router decides by, and what the network side needs besides.
+// Settings describe the deployment. They hold the settings of the router and those of the network side.
 type Settings struct {
 	Router         *policy.Settings
-	Kinds          []string // names of object kinds, by number
-	Zones          []string // likewise
-	MachineTypes   []string // likewise
+	Kinds          []string // names of the object kinds, by index
+	Zones          []string // names of the zones, by index
+	MachineTypes   []string // names of the machine types, by index
 	ConnectTimeout policy.Micros
-	IdleTimeout    policy.Micros // after which a connection to a cache is closed
-	MaxStreams     int           // open attempts on one connection to a cache
-	PurgeGrace     policy.Micros // time to apply a purge
-	DrainGrace     policy.Micros // time to stop sending to a cache that drains or is gone
+	IdleTimeout    policy.Micros // an idle connection to a cache is closed after this time
+	MaxStreams     int           // maximum number of open attempts on one connection to a cache
+	PurgeGrace     policy.Micros // time within which the gateway must apply a purge
+	DrainGrace     policy.Micros // time within which the gateway must stop sending to a cache that is draining or gone
 }
 
-// LatencyBudget is the latency budget of a lookup of a kind and size.
+// LatencyBudget returns the latency budget of a lookup of the given object kind and size in KB.
+// The deadline of the kind bounds it.
 func (s *Settings) LatencyBudget(kind int, kb float64) time.Duration {
 	k := s.Router.Kinds[kind]
 	work := 0.0
