--- a/internal/linebuffer/linebuffer.go
+++ b/internal/linebuffer/linebuffer.go
@@ -1,4 +1,5 @@
-// Package linebuffer provides the read buffer of one connection, from which a protocol's messages are parsed in place.
+// Package linebuffer provides a read buffer for one connection. Messages of a protocol are
+// parsed in place, without copying them.
 package linebuffer
 
 import (
@@ -9,24 +10,25 @@
 // minSize is the size in bytes of a buffer's first allocation.
 const minSize = 2 << 10
 
-// ErrTooLong reports that a message is longer than its connection may send.
+// ErrTooLong reports that a message exceeds the maximum size given to Fill.
 var ErrTooLong = errors.New("message too long")
 
-// Buffer holds what has been read from a connection and not been consumed yet. It grows as messages need and is compacted in place. The
-// zero value is an empty buffer. Its owner is the goroutine that reads the connection; it is not safe for concurrent use.
+// Buffer holds the bytes that have been read from a connection and not been consumed yet. It grows up to the maximum
+// size given to Fill, does not shrink, and is compacted in place. The zero value is an empty buffer. A Buffer is owned
+// by the goroutine that reads the connection and is not safe for concurrent use.
 type Buffer struct {
 	bytes      []byte
-	begin, end int // of the unconsumed bytes
+	begin, end int // bytes[begin:end] are the unconsumed bytes
 }
 
 // Bytes returns the unconsumed bytes. They are valid until the next Fill.
 func (b *Buffer) Bytes() []byte { return b.bytes[b.begin:b.end] }
 
-// Discard consumes bytes from the front.
+// Discard consumes the first n of the unconsumed bytes.
 func (b *Buffer) Discard(n int) { b.begin += n }
 
-// Fill reads once from a source. It returns ErrTooLong where the buffer already holds maxSize unconsumed bytes, and an error of the source
-// only if that read brought no bytes.
+// Fill reads once from a source and appends the bytes to the buffer. It returns ErrTooLong if the buffer already holds
+// maxSize unconsumed bytes. It returns an error of the source only if the read returned no bytes.
 func (b *Buffer) Fill(source io.Reader, maxSize int) error {
 	if b.begin > 0 && (b.begin == b.end || b.end == len(b.bytes)) {
 		b.compact()
@@ -45,13 +47,13 @@
 	return err
 }
 
-// compact moves the unconsumed bytes to the front.
+// compact moves the unconsumed bytes to the start of the buffer.
 func (b *Buffer) compact() {
 	b.end = copy(b.bytes, b.bytes[b.begin:b.end])
 	b.begin = 0
 }
 
-// grow doubles the buffer, up to maxSize.
+// grow doubles the size of the buffer, to at least minSize and at most maxSize.
 func (b *Buffer) grow(maxSize int) {
 	grown := make([]byte, min(maxSize, max(minSize, 2*len(b.bytes))))
 	copy(grown, b.bytes[:b.end])
--- a/internal/linebuffer/linebuffer_test.go
+++ b/internal/linebuffer/linebuffer_test.go
@@ -9,9 +9,10 @@
 	"testing/iotest"
 )
 
+// TestBuffer checks the growth, the compaction and the size limit of a buffer.
 func TestBuffer(t *testing.T) {
 	text := strings.Repeat("0123456789", 900)
-	t.Run("grows for a long message, is compacted for the next", func(t *testing.T) {
+	t.Run("grows for a long message and is compacted for the next", func(t *testing.T) {
 		var b Buffer
 		source := iotest.HalfReader(strings.NewReader(text))
 		for len(b.Bytes()) < 5000 {
@@ -30,16 +31,17 @@
 			}
 		}
 		if got := string(b.Bytes()); got != text[4990:] || !strings.HasPrefix(got, rest) || len(b.bytes) != size {
-			t.Errorf("%d bytes in a buffer of %d, %d before", len(got), len(b.bytes), size)
+			t.Errorf("%d unconsumed bytes in a buffer of size %d, expected the rest of the text and size %d",
+				len(got), len(b.bytes), size)
 		}
 	})
-	t.Run("refuses what is longer than allowed", func(t *testing.T) {
+	t.Run("rejects a message that exceeds the maximum size", func(t *testing.T) {
 		var b Buffer
 		var err error
 		for source := strings.NewReader(text); err == nil; err = b.Fill(source, 4096) {
 		}
 		if !errors.Is(err, ErrTooLong) || !bytes.Equal(b.Bytes(), []byte(text[:4096])) {
-			t.Errorf("%v with %d bytes", err, len(b.Bytes()))
+			t.Errorf("error %v with %d bytes held, expected ErrTooLong and the first 4096 bytes", err, len(b.Bytes()))
 		}
 	})
 }
