--- a/internal/frontend/accept_test.go
+++ b/internal/frontend/accept_test.go
@@ -15,8 +15,8 @@
 	"foldslip/internal/lab/testbed"
 )
 
-// Connections wait to be accepted, a request on each, when the gateway wants no more: they are accepted and answered, and then the
-// listener closes.
+// Connections with a request wait in the accept backlog when the gateway stops accepting. They are accepted and
+// answered before the listener closes.
 func TestBacklogWhenTheListenerCloses(t *testing.T) {
 	gates := &testbed.GatedEnv{AcceptGate: make(chan bool)}
 	bed := testbed.New(t, gates, true, 50)
@@ -36,16 +36,17 @@
 	bed.Server.Wait()
 	if client, err := net.Dial("tcp", bed.Listener.Addr().String()); err == nil {
 		client.Close()
-		t.Error("the listener is still open")
+		t.Error("the listener still accepts connections, expected it to be closed")
 	}
 }
 
-// Clients wait to be accepted while there is no descriptor for them, send their request and leave: none of it begins.
+// Clients connect, send a request and disconnect before they are accepted, because Accept first waits and then fails
+// for lack of a descriptor. None of their lookups starts.
 func TestClientsGoneBeforeTheyAreAccepted(t *testing.T) {
 	gates := &testbed.GatedEnv{AcceptGate: make(chan bool), IdleReadGate: make(chan bool)}
 	defer close(gates.IdleReadGate)
 	bed := testbed.New(t, gates, true, 50)
-	warm := bed.SendRequest("segment") // its cache's connection is up, so that an attempt would go out at once
+	warm := bed.SendRequest("segment") // opens the connection to its cache, so that a later attempt would be sent at once
 	gates.AcceptGate <- true
 	bed.NextReceived().Hit(time.Now(), "hit", "ok")
 	bed.ExpectStatus(warm, 200)
@@ -64,17 +65,18 @@
 	bed.WaitNoConns()
 	bed.WaitOpenLookups(0)
 	if len(bed.Received) > 0 {
-		t.Errorf("%d were sent", len(bed.Received))
+		t.Errorf("%d lookups of disconnected clients were sent, expected none", len(bed.Received))
 	}
 }
 
-// exhaustedListener never has a descriptor for a new connection: as with the kernel's listeners, the one that waits is found again.
+// exhaustedListener is a listener whose Accept finds no descriptor for a new connection. As with the kernel's
+// listeners, the connection stays pending and the next Accept finds it again.
 type exhaustedListener struct {
 	net.Listener
 	hasPending bool
 }
 
-// Accept fails, as accept4 does without a descriptor.
+// Accept waits for a pending connection and fails with EMFILE, as accept4 does without a descriptor.
 func (l *exhaustedListener) Accept() (net.Conn, error) {
 	if !l.hasPending {
 		conn, err := l.Listener.Accept()
@@ -87,13 +89,14 @@
 	return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 }
 
-// An accept that finds no descriptor evicts the client that has been idle longest; one with a lookup stays.
+// An Accept that finds no descriptor evicts the client that has been idle longest. A client with an open lookup keeps
+// its connection.
 func TestAcceptWithoutDescriptors(t *testing.T) {
 	gates := &testbed.GatedEnv{}
 	bed := testbed.New(t, gates, true, 9)
 	busy := bed.SendRequest("segment")
 	request := bed.NextReceived()
-	idle := bed.Connect() // a client that may stay idle for 20 s
+	idle := bed.Connect() // may stay idle for 20 s, the idle timeout
 	fmt.Fprintf(idle, "GET /ping HTTP/1.1\r\nHost: x\r\n\r\n")
 	in := bufio.NewReader(idle)
 	pong, err := http.ReadResponse(in, nil)
@@ -115,10 +118,10 @@
 		t.Fatal(err)
 	}
 	defer client.Close()
-	if _, err := io.ReadAll(in); err != nil { // closed by the server, long before its time
+	if _, err := io.ReadAll(in); err != nil { // the server closes the connection long before the idle timeout
 		t.Error(err)
 	}
-	bed.WaitFor("client that stays alone", func() bool { return bed.Server.ConnCount() == 1 })
+	bed.WaitFor("eviction of the idle client", func() bool { return bed.Server.ConnCount() == 1 })
 	request.Hit(time.Now(), "hit", "ok")
 	bed.ExpectStatus(busy, 200)
 }
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -13,62 +13,65 @@
 )
 
 const (
-	// idleTimeout bounds a connection without a request.
+	// idleTimeout bounds the time that a connection stays open without a request.
 	idleTimeout = 20 * time.Second
-	// requestTimeout bounds a request from its first byte to its last.
+	// requestTimeout bounds the time from the first byte of a request to its last.
 	requestTimeout = 2 * time.Second
-	// firstRequestTimeout bounds the time from connecting to the first request's last byte.
+	// firstRequestTimeout bounds the time from accepting a connection to the last byte of its first request.
 	firstRequestTimeout = 2500 * time.Millisecond
-	// finalReadTimeout is for a request that came just before this side ends its connection.
+	// finalReadTimeout bounds the last read before the server closes a connection. A request that has just arrived is
+	// still read.
 	finalReadTimeout = 5 * time.Millisecond
-	// evictionReadTimeout is the same, while a new connection waits for the place of this one.
+	// evictionReadTimeout replaces finalReadTimeout while a new connection waits for the slot of this one.
 	evictionReadTimeout = 200 * time.Microsecond
-	// lingerTimeout and maxLingerBytes bound what is read, and dropped, after a last response.
-	lingerTimeout  = 200 * time.Millisecond
+	// lingerTimeout bounds the lingering close after a rejected request.
+	lingerTimeout = 200 * time.Millisecond
+	// maxLingerBytes bounds the bytes that a lingering close reads and discards.
 	maxLingerBytes = 256 << 10
 )
 
-// Why a connection ended, for the log; the first two are also why this side wants it to end.
+// Reasons for closing a connection, as the log event client_closed reports them. The first three are also the values of
+// clientConn.endReason.
 const (
 	reasonStopping      = "stopping"  // the gateway drains
-	reasonEvicted       = "displaced" // for a new connection
-	reasonKept          = "made_room" // was to be evicted, but a request came
-	reasonStopped       = "stopped"   // the gateway ends
-	reasonFull          = "full"
+	reasonEvicted       = "displaced" // evicted to free its slot or its descriptor
+	reasonKept          = "made_room" // a request arrived during the eviction; closed after its response
+	reasonStopped       = "stopped"   // closed by Server.Close
+	reasonFull          = "full"      // the server has no free slot
 	reasonBadRequest    = "bad_request"
-	reasonNoCapacity    = "no_room" // for a request's body
-	reasonClientAsked   = "asked"   // "Connection: close"
+	reasonNoCapacity    = "no_room" // admission has no bytes left for a request's body
+	reasonClientAsked   = "asked"   // closed after a response with "Connection: close"
 	reasonClientClosed  = "closed_by_client"
 	reasonReset         = "reset"
 	reasonIdle          = "idle"
-	reasonResponseStuck = "answer_not_taken"
+	reasonResponseStuck = "answer_not_taken" // the write deadline of a response passed
 )
 
-// clientConn is one connection of a client. Its goroutine (run) reads requests and owns input, mayBeGone and isFinalRead. While a lookup
-// is open a second goroutine (respond) writes its response. What else changes is guarded by mu, but for responses, which belongs to the
-// goroutine that has taken responded.
+// clientConn is a client's connection. The goroutine of run reads requests and owns input, mayBeGone and isFinalRead.
+// While a lookup is open, a second goroutine runs respond, which writes the response. The field responses belongs to
+// the goroutine that has taken the notification of responded. The fields below mu are guarded by it.
 type clientConn struct {
 	server *Server
 	conn   net.Conn
-	number int64 // in the order of accepting
+	number int64 // sequence number in the order of accepting
 
-	responded env.Notifier // pending while no request is being answered
-	responses int
+	responded env.Notifier // holds a notification while no request is being answered
+	responses int          // number of responses written
 
 	input       linebuffer.Buffer
-	mayBeGone   bool // the client's end may be behind what has not been read yet
-	isFinalRead bool // the read deadline has passed once, and reading goes on for a moment
+	mayBeGone   bool // the client may have disconnected behind input that has not been read yet
+	isFinalRead bool // the read deadline has passed once, and one more short read is allowed
 
 	mu           sync.Mutex
-	isBusy       bool    // from a request's last byte to its response's
-	lookup       *lookup // that it is busy with; nil: none
-	requestBegun bool    // bytes of a request are there
-	inputClosed  bool    // nothing it sends is taken any more, and it ends: it sent no request, or has its last response
-	isPipelined  bool    // a next request is there while one is being answered
-	endReason    string  // why this side ends it once nothing is there; "": it does not
-	closeReason  string  // "": it is open
+	isBusy       bool    // from the last byte of a request to the last byte of its response
+	lookup       *lookup // the open lookup; nil: none
+	requestBegun bool    // bytes of the next request have been read
+	inputClosed  bool    // no further request is accepted: the client sent an invalid request or has its last response
+	isPipelined  bool    // the next request has arrived while one is being answered
+	endReason    string  // why the server closes the connection once it is idle; "": it does not
+	closeReason  string  // why the connection was closed; "": it is open
 	idleSince    time.Time
-	wasSatisfied bool // one of its lookups was
+	wasSatisfied bool // a lookup on this connection was satisfied
 }
 
 func newClientConn(s *Server, conn net.Conn) *clientConn {
@@ -77,8 +80,9 @@
 	return c
 }
 
-// run reads requests until the connection ends. While a lookup is open it goes on reading, to notice that the client leaves. isFull: the
-// server has no place for the connection.
+// run reads requests until the connection closes. It keeps reading while a lookup is open, to notice when the client
+// disconnects. If isFull is set, the server has no slot for the connection, and run only responds that it has too many
+// connections.
 func (c *clientConn) run(isFull bool) {
 	startedAt := c.server.env.Now()
 	if isFull {
@@ -94,19 +98,19 @@
 		c.server.evicted.Notify()
 	}
 	c.server.mu.Unlock()
-	c.responded.Wait(-1) // the goroutine that responds has ended
+	c.responded.Wait(-1) // until the goroutine that responds has ended
 	c.server.env.Log().Info("client_closed", "addr", c.conn.RemoteAddr().String(), "reason", c.closeReason, "answers", c.responses,
 		"age_ms", c.server.env.Now().Sub(startedAt).Milliseconds())
 }
 
-// close ends the connection; the first reason counts.
+// close closes the connection. Only the reason of the first call is kept.
 func (c *clientConn) close(reason string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closeLocked(reason)
 }
 
-// closeLocked is close under the connection's lock.
+// closeLocked is close for a caller that holds c.mu.
 func (c *clientConn) closeLocked(reason string) {
 	if c.closeReason == "" {
 		c.closeReason = reason
@@ -114,27 +118,29 @@
 	}
 }
 
-// endWhenIdle ends the connection once nothing is open on it, unless a next request is there: its reader looks once more. To close it here
-// would drop a request that has come completely and has not been read yet. Under the connection's lock.
+// endWhenIdle closes the connection once it is idle and no further request is pending. It sets the read deadline so
+// that the reader reads once more. Closing the connection here would drop a request that has arrived in full and has
+// not been read yet. The caller holds c.mu.
 func (c *clientConn) endWhenIdle(reason string) {
 	if c.closeReason != "" || c.endReason != "" {
 		return
 	}
 	c.endReason = reason
-	if !c.isBusy && !c.inputClosed { // one whose input is closed ends by itself
+	if !c.isBusy && !c.inputClosed { // a connection whose input is closed closes by itself
 		c.conn.SetReadDeadline(c.server.env.Now())
 	}
 }
 
-// isEnding reports whether this side wants the connection to end.
+// isEnding reports whether the server wants to close the connection.
 func (c *clientConn) isEnding() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.endReason != ""
 }
 
-// closeInput has the reader end the connection after the last response, once the client has had time to take it. To close it at once, over
-// what the client still sends, would have the system reset the connection and drop what the client has not taken.
+// closeInput makes the reader close the connection after the last response, once the client has had time to read it. If
+// the server closed the connection while the client still sends, the kernel would reset it and drop response bytes that
+// the client has not read.
 func (c *clientConn) closeInput() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -147,8 +153,9 @@
 	return c.inputClosed
 }
 
-// lingeringClose ends this side's half of the connection and reads on for that long at most, so that what the client still sends does not
-// undo the response it was sent. The connection may be evicted meanwhile, or closed at the end of a drain.
+// lingeringClose closes the connection for writing and discards input until the timeout. Bytes that the client still
+// sends then do not reset the connection before the client has read the response. The connection may be evicted
+// meanwhile, or closed at the end of a drain.
 func (c *clientConn) lingeringClose(timeout time.Duration) {
 	if conn, ok := c.conn.(env.Conn); ok && conn.CloseWrite() == nil {
 		conn.SetReadDeadline(c.server.env.Now().Add(timeout))
@@ -156,7 +163,9 @@
 	}
 }
 
-// readFailed ends the connection after a failed read: the client has left or was silent, or this side ends it. An open lookup is cancelled.
+// readFailed closes the connection after a failed read and cancels its open lookup. A read fails if the client has
+// disconnected, was silent until the read deadline or sent too many bytes, or if the server wants to close the
+// connection.
 func (c *clientConn) readFailed(err error) {
 	isTimeout := errors.Is(err, os.ErrDeadlineExceeded)
 	if isTimeout && c.isInputClosed() {
@@ -174,13 +183,13 @@
 		reason = reasonIdle
 	}
 	c.mu.Lock()
-	open := c.lookup
+	openLookup := c.lookup
 	if isTimeout && c.endReason != "" {
 		reason = c.endReason
 	}
 	c.closeLocked(reason)
 	c.mu.Unlock()
-	if open != nil {
-		c.server.dispatcher.ClientGone(open.Dispatched)
+	if openLookup != nil {
+		c.server.dispatcher.ClientGone(openLookup.Dispatched)
 	}
 }
--- a/internal/frontend/conn_test.go
+++ b/internal/frontend/conn_test.go
@@ -15,7 +15,8 @@
 	"foldslip/internal/lab/testbed"
 )
 
-// A client that has sent a next request ahead and leaves: the open lookup is given up at once, the next never begins.
+// A client sends a second request ahead and disconnects. The open lookup is cancelled at once and the second lookup
+// never starts.
 func TestPipeliningClientThatLeaves(t *testing.T) {
 	bed := testbed.New(t, &testbed.GatedEnv{}, true, 50)
 	client := bed.Connect()
@@ -29,17 +30,17 @@
 		select {
 		case id := <-edge.Cancelled:
 			if id != request.ID {
-				t.Errorf("%s cancelled, expected %s", id, request.ID)
+				t.Errorf("lookup %s was cancelled, expected %s", id, request.ID)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatal("not cancelled")
+			t.Fatal("the lookup was not cancelled within 10 s")
 		}
 	}
 	bed.WaitOpenLookups(0)
 	bed.ExpectNothingReceived()
 }
 
-// Requests that are sent ahead are answered in turn, as long as the client stays.
+// Requests that a client sends ahead are answered in order while the client stays connected.
 func TestPipeliningClientThatStays(t *testing.T) {
 	bed := testbed.New(t, &testbed.GatedEnv{}, true, 50)
 	client := bed.Connect()
@@ -53,39 +54,41 @@
 			t.Fatal(err)
 		}
 		if body, _ := io.ReadAll(got.Body); string(body) != want {
-			t.Errorf("got %q, expected %q", body, want)
+			t.Errorf("got body %q, expected %q", body, want)
 		}
 	}
 }
 
-// A request has come completely and has not been read when this side wants to end the connection: it is read and answered.
+// A request has arrived in full and has not been read when the server wants to close its connection. It is read and
+// answered.
 func TestRequestPendingWhenItsConnectionEnds(t *testing.T) {
 	for name, end := range map[string]func(bed *testbed.Testbed){
-		"a drain":                 func(bed *testbed.Testbed) { bed.Server.Drain() },
-		"a new one, at the bound": func(bed *testbed.Testbed) { bed.Connect() },
+		"a drain":                          func(bed *testbed.Testbed) { bed.Server.Drain() },
+		"an eviction for a new connection": func(bed *testbed.Testbed) { bed.Connect() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			gates := &testbed.GatedEnv{ReadGate: make(chan bool), ReadWaiting: make(chan bool, 99)}
 			bed := testbed.New(t, gates, true, 1)
 			client := bed.Connect()
-			<-gates.ReadWaiting // its goroutine is about to read
+			<-gates.ReadWaiting // the connection's goroutine is about to read
 			io.WriteString(client, bed.RequestText("segment"))
-			time.Sleep(20 * time.Millisecond) // for the bytes to be in the socket
+			time.Sleep(20 * time.Millisecond) // lets the bytes arrive at the socket
 			end(bed)
-			bed.WaitFor("a connection that is to end", bed.Server.HasEndingConn)
+			bed.WaitFor("connection that the server wants to close", bed.Server.HasEndingConn)
 			close(gates.ReadGate)
 			bed.NextReceived().Hit(time.Now(), "hit", "ok")
 			if body := bed.ExpectStatus(client, 200); body != "ok" {
-				t.Errorf("got %q", body)
+				t.Errorf("got body %q, expected ok", body)
 			}
 			if _, err := client.Read(make([]byte, 1)); err != io.EOF {
-				t.Errorf("the connection is left open: %v", err)
+				t.Errorf("the connection is not closed after the response: %v", err)
 			}
 		})
 	}
 }
 
-// A drain between two requests of a connection, the first answered and the next read: that is answered too.
+// A drain starts between two requests of a connection: the first is answered and the second has been read. The second
+// is answered too.
 func TestDrainBetweenTwoRequestsOfAConnection(t *testing.T) {
 	gates := &testbed.GatedEnv{ReadGate: make(chan bool), ReadWaiting: make(chan bool, 99)}
 	bed := testbed.New(t, gates, true, 50)
@@ -94,7 +97,7 @@
 	gates.ReadGate <- true
 	first := bed.NextReceived()
 	<-gates.ReadWaiting
-	<-gates.ReadWaiting // with the next request read, its goroutine is about to read on
+	<-gates.ReadWaiting // the second request is read, and the goroutine is about to read again
 	first.Hit(time.Now(), "hit", "first")
 	in := bufio.NewReader(client)
 	got, err := http.ReadResponse(in, nil)
@@ -110,17 +113,18 @@
 		t.Fatal(err)
 	}
 	if body, _ := io.ReadAll(got.Body); string(body) != "second" || !got.Close {
-		t.Errorf("got %q, closes %v", body, got.Close)
+		t.Errorf("got body %q, connection closes %v; expected second, true", body, got.Close)
 	}
 }
 
-// A response with Connection: close to a client that reads it late and sends something more meanwhile comes completely. A close over what
-// the client still sends would have the system reset the connection and drop what the client has not taken.
+// A response with Connection: close arrives in full at a client that reads it late and sends more bytes meanwhile. If
+// the server closed the connection while the client still sends, the kernel would reset it and drop response bytes that
+// the client has not read.
 func TestResponseTailArrivesAfterAClose(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", 15000)
 	for _, drains := range []bool{false, true} {
 		for _, sendsAhead := range []bool{false, true} {
-			t.Run(fmt.Sprint("a drain ", drains, ", bytes sent ahead ", sendsAhead), func(t *testing.T) {
+			t.Run(fmt.Sprint("drain ", drains, ", bytes sent ahead ", sendsAhead), func(t *testing.T) {
 				bed := testbed.New(t, &testbed.GatedEnv{}, true, 50)
 				dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) (err error) {
 					raw.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
@@ -147,46 +151,49 @@
 				}
 				request.Hit(time.Now(), "hit", body)
 				bed.WaitOpenLookups(0)
-				bed.WaitFor("a response that is out", func() bool { return !bed.Server.HasBusyConn() })
-				for range 3 { // the first byte after a close is answered by a reset
+				bed.WaitFor("completely written response", func() bool { return !bed.Server.HasBusyConn() })
+				for range 3 { // after a full close, the kernel answers the first byte with a reset
 					io.WriteString(client, "more\r\n")
 					time.Sleep(20 * time.Millisecond)
 				}
 				if got := bed.ExpectStatus(client, 200); got != body {
-					t.Errorf("%d bytes of %d", len(got), len(body))
+					t.Errorf("got a body of %d bytes, expected all %d bytes unchanged", len(got), len(body))
 				}
 				client.Close()
-				bed.WaitFor("an end of its lingering close", func() bool { return bed.Server.ConnCount() == 0 })
+				bed.WaitFor("end of the lingering close", func() bool { return bed.Server.ConnCount() == 0 })
 			})
 		}
 	}
 }
 
-// A client that has its last response and stays open: its connection ends within a second, and a new client gets its place at once.
+// A client stays connected after a response with Connection: close. Its connection closes within a second, and a new
+// client gets its slot at once.
 func TestClientThatStaysOpenAfterAClose(t *testing.T) {
 	bed := testbed.New(t, &testbed.GatedEnv{}, true, 1)
 	client := bed.SendRequest("segment", "Connection: close\r\n")
 	bed.NextReceived().Hit(time.Now(), "hit", "ok")
 	bed.ExpectStatus(client, 200)
 	if _, err := client.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("not ended on this side: %v", err)
+		t.Errorf("the server has not closed its side of the connection: %v", err)
 	}
 	startedAt := time.Now()
 	next := bed.SendRequest("segment")
 	bed.NextReceived().Hit(time.Now(), "hit", "ok")
 	bed.ExpectStatus(next, 200)
 	if elapsed := time.Since(startedAt); elapsed > frontend.ResponseWriteSlack/2 {
-		t.Errorf("the next client waited %v", elapsed)
+		t.Errorf("the next client waited %v for the slot", elapsed)
 	}
 	next.Close()
-	bed.WaitFor("an end of the next one", func() bool { return bed.Server.ConnCount() == 0 }) // else it may be in the way of the last
+	// The second connection may otherwise still hold the only slot.
+	bed.WaitFor("close of the second connection", func() bool { return bed.Server.ConnCount() == 0 })
 	last := bed.SendRequest("segment", "Connection: close\r\n")
 	bed.NextReceived().Hit(time.Now(), "hit", "ok")
 	bed.ExpectStatus(last, 200)
-	bed.WaitFor("an end of its lingering close", func() bool { return bed.Server.ConnCount() == 0 })
+	bed.WaitFor("end of the lingering close", func() bool { return bed.Server.ConnCount() == 0 })
 }
 
-// A client sends more ahead than this side reads, and leaves: its end is behind what nobody has read. None of its lookups begins.
+// A client sends more bytes ahead than the server reads, and disconnects. The disconnect is behind bytes that the
+// server has not read. None of the client's further lookups starts.
 func TestClientPipeliningPastTheLimitThatLeaves(t *testing.T) {
 	gates := &testbed.GatedEnv{IdleReadGate: make(chan bool)}
 	bed := testbed.New(t, gates, true, 50)
@@ -200,15 +207,18 @@
 	written := make(chan bool)
 	go func() {
 		io.WriteString(client, pipelined.String())
-		client.(*net.TCPConn).CloseWrite() // an end behind all that; a close with responses unread is a reset, which is noticed at once
+		// The end of the input is behind the requests. A close with unread responses would send a reset, which the
+		// server notices at once.
+		client.(*net.TCPConn).CloseWrite()
 		close(written)
 	}()
 	select {
 	case <-written:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the socket does not take what is sent ahead")
+		t.Fatal("the pipelined requests were not written to the socket within 5 s")
 	}
-	// It has left before any of that is read; after each read while a lookup is open, a next one has time to begin.
+	// The client has disconnected before any of these requests is read. The pause after each read while a lookup is
+	// open gives the next lookup time to start.
 	stop := make(chan bool)
 	stopped := make(chan bool)
 	go func() {
@@ -228,12 +238,13 @@
 	close(gates.IdleReadGate)
 	bed.WaitOpenLookups(0)
 	if len(bed.Received) > 0 {
-		t.Errorf("%d were sent after %s", len(bed.Received), request.ID)
+		t.Errorf("%d lookups were sent after %s, expected none", len(bed.Received), request.ID)
 	}
 	bed.ExpectNothingReceived()
 }
 
-// The same client stays: what is past the bound is refused, each request gets a response, and once it has caught up it is served again.
+// A client sends more bytes ahead than the server reads, and stays connected. Requests past the bound are rejected,
+// each request gets a response, and once the client has caught up it is served again.
 func TestClientPipeliningPastTheLimitThatStays(t *testing.T) {
 	bed := testbed.New(t, &testbed.GatedEnv{}, true, 50)
 	client := bed.Connect()
@@ -271,11 +282,11 @@
 		byStatus[status()]++
 	}
 	if byStatus[503] == 0 || byStatus[503]+byStatus[200] != requests {
-		t.Errorf("%d requests, responses %v", requests, byStatus)
+		t.Errorf("%d requests got responses %v by status, expected only 200 and at least one 503", requests, byStatus)
 	}
 	time.Sleep(20 * time.Millisecond)
 	io.WriteString(client, bed.RequestText("segment"))
 	if got := status(); got != 200 {
-		t.Errorf("once it has caught up: %d", got)
+		t.Errorf("status %d once the client has caught up, expected 200", got)
 	}
 }
--- a/internal/frontend/evict.go
+++ b/internal/frontend/evict.go
@@ -2,11 +2,11 @@
 
 import "cmp"
 
-// maxEvictIdleWaits bounds how often EvictIdle waits finalReadTimeout for the connection to end.
+// maxEvictIdleWaits bounds how often EvictIdle waits finalReadTimeout for the evicted connection to close.
 const maxEvictIdleWaits = 2
 
-// EvictIdle ends a connection that waits for nothing, in the order of evictLongestIdle, so that its descriptor is free for something else;
-// false if each has a lookup. It waits for that for a short while.
+// EvictIdle evicts an idle connection, in the order of evictLongestIdle, to free its descriptor. It waits a short time
+// for the connection to close. It returns false if no connection is idle.
 func (s *Server) EvictIdle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -22,9 +22,9 @@
 	return true
 }
 
-// evictLongestIdle ends the connection that has been idle longest: first among those that never had a lookup satisfied, and of these first
-// one without a part of a request. That guards clients at work against silent connections by the hundreds. It returns false if no
-// connection is idle. Under the server's lock.
+// evictLongestIdle evicts the connection that has been idle longest. Connections that never had a satisfied lookup go
+// first, and of these the ones that have not sent a part of a request. This order protects active clients against
+// hundreds of silent connections. evictLongestIdle returns false if no connection is idle. The caller holds s.mu.
 func (s *Server) evictLongestIdle() bool {
 	c := s.longestIdle()
 	if c == nil {
@@ -32,10 +32,10 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.isBusy { // a request came this moment
+	if c.isBusy { // a request has just arrived
 		return false
 	}
-	if c.inputClosed { // nothing it sends is taken any more; it may be slow to take its response
+	if c.inputClosed { // no further request is accepted; the client may be slow to read its response
 		c.closeLocked(reasonEvicted)
 		delete(s.conns, c)
 		return true
@@ -45,7 +45,7 @@
 	return true
 }
 
-// longestIdle returns the connection that is evicted next, nil if none is idle. Under the server's lock.
+// longestIdle returns the connection to evict next, or nil if no connection is idle. The caller holds s.mu.
 func (s *Server) longestIdle() *clientConn {
 	var longest *clientConn
 	var lowestRank int
@@ -62,12 +62,14 @@
 	return longest
 }
 
-// isEvictable reports whether the connection is idle and not ending already. Under its lock.
+// isEvictable reports whether the connection is idle and may be evicted. A connection that the server already wants to
+// close is evictable only if its input is closed. The caller holds c.mu.
 func (c *clientConn) isEvictable() bool {
 	return !c.isBusy && (c.endReason == "" || c.inputClosed) && c.closeReason == ""
 }
 
-// evictionRank is lower for a connection that is evicted earlier. Under its lock.
+// evictionRank returns the rank of the connection in the eviction order. Lower ranks are evicted first. The caller
+// holds c.mu.
 func (c *clientConn) evictionRank() int {
 	rank := 0
 	if c.requestBegun {
--- a/internal/frontend/export_test.go
+++ b/internal/frontend/export_test.go
@@ -4,30 +4,30 @@
 	"foldslip/internal/admission"
 )
 
-// What tests outside the package look at or set.
+// Constants exported for tests outside the package.
 const (
 	MaxPipelinedBytes  = maxPipelinedBytes
 	ResponseWriteSlack = responseWriteSlack
 )
 
-// Admission returns what bounds the lookups and their bytes.
+// Admission returns the controller that bounds the open lookups and the reserved bytes.
 func (s *Server) Admission() *admission.Controller { return s.admission }
 
-// SetFull leaves capacity for so many lookups and bytes, with one lookup admitted already.
+// SetFull replaces the admission controller with one that allows limit lookups and limit bytes, and admits one lookup.
 func (s *Server) SetFull(limit int) {
 	s.admission = admission.NewController(s.env, limit, int64(limit))
 	s.gate = s.admission.Gate(gateName, gateWeight)
 	s.gate.TryAdmit()
 }
 
-// AcceptedCount returns how many connections have been accepted.
+// AcceptedCount returns the number of connections that have been accepted.
 func (s *Server) AcceptedCount() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.acceptedCount
 }
 
-// HasEndingConn reports whether there is a connection that the server wants to end.
+// HasEndingConn reports whether the server wants to close any of its connections.
 func (s *Server) HasEndingConn() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,7 +39,7 @@
 	return false
 }
 
-// HasBusyConn reports whether there is a connection with a request that has no response yet.
+// HasBusyConn reports whether any connection has a request without a response.
 func (s *Server) HasBusyConn() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/frontend/frozen_responses_test.go
+++ b/internal/frontend/frozen_responses_test.go
@@ -13,13 +13,14 @@
 	"foldslip/internal/lab/testbed"
 )
 
-// The files under testdata/frozen were written by the build at 58d6067. Responses to clients stay to the byte.
+// The files under testdata/frozen were written by the build at 58d6067. Responses to clients must stay the same byte
+// for byte.
 
-// Over loopback: what a cache brought, what never became a lookup, and how lookups end badly.
+// Compares responses over loopback: objects from caches, requests that never become a lookup, and lookups that fail.
 func TestFrozenResponses(t *testing.T) {
 	var all bytes.Buffer
 	bed := testbed.New(t, &testbed.GatedEnv{}, true, 50)
-	// exchange sends a request and keeps what comes back until the gateway closes the connection.
+	// exchange sends a request and records the bytes received until the gateway closes the connection.
 	exchange := func(name, request string, answer func(request standin.Request)) {
 		t.Helper()
 		client := bed.Connect()
@@ -68,7 +69,7 @@
 	frozen.Equal(t, "frozen/answers-to-clients", all.Bytes())
 }
 
-// Past the bounds on lookups and on bytes.
+// Compares the responses to requests past the bounds on open lookups and on bytes.
 func TestFrozenRefusals(t *testing.T) {
 	var all bytes.Buffer
 	bed := testbed.New(t, &testbed.GatedEnv{}, true, 9)
--- a/internal/frontend/frozen_test.go
+++ b/internal/frontend/frozen_test.go
@@ -6,9 +6,10 @@
 	"foldslip/internal/lab/frozen"
 )
 
-// The files under testdata/frozen were written by the build at 58d6067. Heads of responses stay to the byte.
+// The files under testdata/frozen were written by the build at 58d6067. Response heads must stay the same byte for
+// byte.
 
-// Heads of answers to clients by status, with and without the end of the connection.
+// Compares the response heads of all statuses, with and without Connection: close.
 func TestFrozenHeads(t *testing.T) {
 	var b []byte
 	for _, status := range []int{200, 304, 400, 404, 405, 409, 431, 502, 503, 505} {
--- a/internal/frontend/header.go
+++ b/internal/frontend/header.go
@@ -14,9 +14,9 @@
 	maxSizeKB        = 1e9
 )
 
-// headerField is a header field that the server reads; others are skipped.
+// headerField is a header field that the server reads. Other header fields are ignored.
 type headerField struct {
-	isSingle bool // it may come once only
+	isSingle bool // the field may occur only once
 	parse    func(r *Request, value string) error
 }
 
@@ -33,7 +33,7 @@
 	headerConnection:       {parse: (*Request).parseConnection},
 }
 
-// parseField parses one header field. seen holds the single fields that have come.
+// parseField parses one header field. seen holds the fields with isSingle that have occurred.
 func (r *Request) parseField(name, value string, seen map[string]bool) error {
 	field, isKnown := headerFields[name]
 	if !isKnown {
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// parseIfNoneMatch takes one strong or weak tag that a cache's line can carry; anything else counts as none.
+// parseIfNoneMatch parses one strong or weak ETag that a request line to a cache can carry. It ignores any other value.
 func (r *Request) parseIfNoneMatch(value string) error {
 	tag := strings.TrimPrefix(value, "W/")
 	if len(tag) > 2 && tag[0] == '"' && tag[len(tag)-1] == '"' && upstream.IsName(tag[1:len(tag)-1]) {
@@ -116,7 +116,7 @@
 	return badRequest("the length of a body is told by Content-Length alone")
 }
 
-// parseConnection takes the last of the options close and keep-alive.
+// parseConnection parses the connection options. If both close and keep-alive occur, the last one applies.
 func (r *Request) parseConnection(value string) error {
 	for _, option := range strings.Split(strings.ToLower(value), ",") {
 		switch strings.TrimSpace(option) {
--- a/internal/frontend/lookup.go
+++ b/internal/frontend/lookup.go
@@ -15,19 +15,20 @@
 	*upstream.Lookup
 	request   Request
 	kind      int
-	ticket    *rollout.Ticket // nil: it came by no route
+	ticket    *rollout.Ticket // nil: the server has no routes
 	arrivedAt time.Time
 }
 
-// endTicket tells the route how the lookup ended.
+// endTicket reports the lookup's result to its route.
 func (l *lookup) endTicket(result dispatch.StepKind, isLate bool) {
 	if l.ticket != nil {
 		l.ticket.End(result == dispatch.StepSatisfied && !isLate, result == dispatch.StepRejected, isLate || result == dispatch.StepFailed)
 	}
 }
 
-// startResponse answers a request: at once, or for a lookup from a goroutine of its own. The connection's responded is taken until the
-// response is out.
+// startResponse answers a request. A request without a lookup is answered before startResponse returns; a lookup is
+// answered by a goroutine of its own. The caller has taken the notification of responded. responded is notified again
+// once the response is written.
 func (c *clientConn) startResponse(request Request, arrivedAt time.Time) {
 	closes := request.ClosesConn || c.isEnding()
 	l, response := c.server.newLookup(request, arrivedAt)
@@ -60,7 +61,8 @@
 	})
 }
 
-// newLookup returns a request's lookup, and the response if it needs no lookup: a ping, or a request for something that is not there.
+// newLookup returns a request's lookup. It also returns a response if no lookup is needed: for a ping, and for a
+// request that cannot be a lookup.
 func (s *Server) newLookup(request Request, arrivedAt time.Time) (*lookup, *textResponse) {
 	kind, isKnown := s.kindByName[request.Kind]
 	passThrough := isKnown && s.settings.Router.Kinds[kind].PassThrough
@@ -81,7 +83,7 @@
 	return &lookup{Lookup: upstream.NewLookup(request.Request, passThrough, s.admission), request: request, kind: kind, arrivedAt: arrivedAt}, response
 }
 
-// ping says whether the gateway is ready.
+// ping returns the response to a ping, which reports whether the gateway is ready.
 func (s *Server) ping() *textResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,7 +93,8 @@
 	return unavailable("not ready")
 }
 
-// timeAllowed is what a client allows, at most what its object kind does.
+// timeAllowed returns the time that the client allows, bounded by the deadline of the object kind. A negative time
+// means that the client does not give one; the deadline then applies.
 func (s *Server) timeAllowed(kind int, allowed time.Duration) time.Duration {
 	maxAllowed := time.Duration(s.settings.Router.Kinds[kind].Deadline) * time.Microsecond
 	if allowed < 0 || allowed > maxAllowed {
@@ -100,7 +103,8 @@
 	return allowed
 }
 
-// submit admits a lookup and gives it to the dispatcher; a response if it cannot. The caller releases the gate once a submitted lookup has ended.
+// submit admits a lookup and submits it to the dispatcher. It returns a response if the lookup is rejected, and nil
+// otherwise. The caller releases the gate once a submitted lookup has ended.
 func (s *Server) submit(l *lookup) *textResponse {
 	if l.request.TimeAllowed <= 0 {
 		return unavailable("no time left")
@@ -138,7 +142,7 @@
 	return nil
 }
 
-// respond carries out a lookup's steps up to its end and writes the response.
+// respond carries out a lookup's steps until the lookup ends, and writes the response.
 func (c *clientConn) respond(l *lookup) {
 	s := c.server
 	step := s.runSteps(l)
@@ -150,13 +154,15 @@
 	switch {
 	case closes && step.Kind == dispatch.StepSatisfied:
 		c.closeInput()
-	case closes: // a head alone is out at once; what is given up before the kill must not linger up to Close
+	case closes:
+		// This response has no body and is sent at once, so that it needs no lingering close. A lookup that is given up
+		// shortly before the platform kills the process must not keep its connection open until Server.Close.
 		c.close(reasonClientAsked)
 	}
 	c.awaitNextRequest()
 }
 
-// runSteps carries out a lookup's steps up to the one that ends it, and returns that.
+// runSteps carries out a lookup's steps and returns the step that ends the lookup.
 func (s *Server) runSteps(l *lookup) dispatch.Step {
 	for {
 		step := s.dispatcher.WaitStep(l.Dispatched)
--- a/internal/frontend/lookup_test.go
+++ b/internal/frontend/lookup_test.go
@@ -13,8 +13,8 @@
 	"foldslip/internal/lab/testbed"
 )
 
-// A lookup with a body: the bytes are passed on complete and unchanged, what ran at the origin has no ETag, and the bytes reserved for it
-// are released.
+// A lookup has a body. The body reaches the cache complete and unchanged, the response of a lookup that ran at the
+// origin has no ETag, and the bytes reserved for the body are released.
 func TestLookupWithBody(t *testing.T) {
 	bed := testbed.New(t, &testbed.GatedEnv{}, true, 50)
 	body := strings.Repeat("\r\n0\r\n\r\nHTTP/1.1 200 OK\r\n\x00", 4000)
@@ -26,7 +26,7 @@
 	}
 	request := bed.NextReceived()
 	if string(request.Body) != body || request.Fields["rank"] != "" || request.Fields["i"] != "u7" {
-		t.Fatalf("%d bytes of %d, %v", len(request.Body), len(body), request.Fields)
+		t.Fatalf("the cache got %d body bytes of %d, fields %v", len(request.Body), len(body), request.Fields)
 	}
 	request.Conn.Send(request.ID + " HIT - 4\r\ndone\r\n")
 	response, err := http.ReadResponse(bufio.NewReader(client), nil)
@@ -34,40 +34,40 @@
 		t.Fatal(err)
 	}
 	if got, _ := io.ReadAll(response.Body); string(got) != "done" || response.Header.Get("ETag") != "" || response.StatusCode != 200 {
-		t.Errorf("status %d, %q, tag %q", response.StatusCode, got, response.Header.Get("ETag"))
+		t.Errorf("got status %d, body %q, ETag %q; expected 200, done and no ETag", response.StatusCode, got, response.Header.Get("ETag"))
 	}
 	waitBytesReleased(bed)
-	t.Run("not for an object kind that is cached", func(t *testing.T) {
+	t.Run("a body for an object kind that is cached is rejected", func(t *testing.T) {
 		client := bed.Connect()
 		io.WriteString(client, strings.Replace(bed.RequestText("segment", "Content-Length: 2\r\n"), "GET", "PUT", 1)+"no")
 		bed.ExpectStatus(client, 405)
 	})
-	t.Run("past the bound on bytes it is rejected", func(t *testing.T) {
+	t.Run("a body past the bound on bytes is rejected", func(t *testing.T) {
 		client := bed.Connect()
 		bed.Server.Admission().ReserveBytes(testbed.MaxBytes)
 		defer bed.Server.Admission().ReleaseBytes(testbed.MaxBytes)
 		io.WriteString(client, strings.Replace(bed.RequestText("order", "Content-Length: 200000\r\n"), "GET", "PUT", 1))
 		bed.ExpectStatus(client, 503)
 	})
-	t.Run("half of it and the end: nothing is sent, the bytes are released", func(t *testing.T) {
+	t.Run("a client that disconnects within the body: nothing is sent, the bytes are released", func(t *testing.T) {
 		client := bed.Connect()
 		io.WriteString(client, strings.Replace(bed.RequestText("order", "Content-Length: 200000\r\n"), "GET", "PUT", 1)+"half")
 		client.Close()
 		waitBytesReleased(bed)
 		bed.ExpectNothingReceived()
 	})
-	t.Run("a copy without a version is none for a kind that is cached", func(t *testing.T) {
+	t.Run("a copy without a version is not accepted for an object kind that is cached", func(t *testing.T) {
 		client := bed.SendRequest("segment")
 		request := bed.NextReceived()
 		request.Conn.Send(request.ID + " HIT - 4\r\ndone\r\n")
 		bed.NextReceived().Hit(time.Now(), "hit", "complete")
 		if body := bed.ExpectStatus(client, 200); body != "complete" {
-			t.Errorf("got %q", body)
+			t.Errorf("got body %q, expected complete", body)
 		}
 	})
 }
 
-// waitBytesReleased waits until no bytes are reserved with admission.
+// waitBytesReleased waits until admission holds no reserved bytes.
 func waitBytesReleased(bed *testbed.Testbed) {
 	bed.WaitFor("release of all bytes", func() bool {
 		if !bed.Server.Admission().ReserveBytes(testbed.MaxBytes) {
@@ -78,8 +78,8 @@
 	})
 }
 
-// A lookup that the policy holds back, here after its cache rejected it (a backoff of 30 ms), is forwarded while its client waits, never
-// after.
+// The policy delays a lookup, here by a backoff of 30 ms after its cache rejected it. The lookup is forwarded if its
+// client still waits, and never after the client has disconnected.
 func TestQueuedLookupWhoseClientLeaves(t *testing.T) {
 	for _, leaves := range []bool{false, true} {
 		t.Run(fmt.Sprint("leaves ", leaves), func(t *testing.T) {
@@ -101,8 +101,9 @@
 	}
 }
 
-// An attempt ends after its client left, in a way that would have another one follow at once. Where the settings allow no cancelling the
-// cache goes on, with a fill too: its outcome is taken and nothing follows.
+// An attempt ends after its client has disconnected, with an outcome that would otherwise start another attempt at
+// once. The settings of this test do not allow cancelling, so the cache continues the attempt and any fill. The gateway
+// processes the outcome and starts no further attempt.
 func TestAttemptEndingAfterItsClientLeft(t *testing.T) {
 	for name, end := range map[string]func(request standin.Request, reset func()){
 		"a miss":            func(request standin.Request, _ func()) { request.Respond("NONE", "-") },
--- a/internal/frontend/protocol.go
+++ b/internal/frontend/protocol.go
@@ -1,7 +1,7 @@
 package frontend
 
-// The words of the clients' protocol. Header fields are compared in lower case, as HTTP has it; those of responses are written as they stand
-// here.
+// Strings of the protocol with clients. Request header fields are compared in lower case, because HTTP ignores the case
+// of their names. Response header fields are written as defined here.
 const (
 	headerHost             = "host"
 	headerConnection       = "connection"
@@ -36,8 +36,8 @@
 	statusMethodNotAllowed   = 405
 	statusConflict           = 409
 	statusHeadTooLarge       = 431
-	statusBadGateway         = 502 // the lookup failed; nothing is promised
-	statusServiceUnavailable = 503 // nothing has run; the client may retry
+	statusBadGateway         = 502 // the lookup failed and may have had an effect
+	statusServiceUnavailable = 503 // the lookup had no effect; the client may retry
 	statusVersionUnsupported = 505
 )
 
--- a/internal/frontend/read.go
+++ b/internal/frontend/read.go
@@ -9,36 +9,38 @@
 )
 
 const (
-	// maxPipelinedBytes is what a client may send before its response. Past it nobody notices that it leaves, and its next lookup does not
-	// begin.
+	// maxPipelinedBytes bounds the bytes that a client may send ahead of a response. Past the bound the server cannot
+	// notice that the client disconnects, so the next lookup of the client does not start.
 	maxPipelinedBytes = 64 << 10
-	// emptyReadsToBeSure: a timeout alone does not say that nothing is there, the read may have come after it.
+	// emptyReadsToBeSure is the number of consecutive read timeouts after which no input is pending. A single timeout
+	// does not show that: if the deadline passes before the read begins, the read returns without looking at the
+	// socket.
 	emptyReadsToBeSure = 2
 )
 
-// readRequests reads and handles requests until the connection ends.
+// readRequests reads and handles requests until the connection closes.
 func (c *clientConn) readRequests() {
 	c.setFirstDeadline()
 	for {
 		request, size, err := parseRequest(c.input.Bytes())
 		var invalid *RequestError
-		goesOn := false
+		canContinue := false
 		switch {
 		case errors.Is(err, errIncomplete):
-			goesOn = c.readMore()
+			canContinue = c.readMore()
 		case errors.As(err, &invalid):
 			c.refuse(invalid)
 		default:
 			c.input.Discard(size)
-			goesOn = c.handle(request)
+			canContinue = c.handle(request)
 		}
-		if !goesOn {
+		if !canContinue {
 			return
 		}
 	}
 }
 
-// setFirstDeadline gives the first request its time.
+// setFirstDeadline sets the read deadline of the first request.
 func (c *clientConn) setFirstDeadline() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,8 +51,9 @@
 	c.conn.SetReadDeadline(deadline)
 }
 
-// readMore reads once; false if the connection has ended. When the time runs out it reads on for a moment, once: a request may have come at
-// the same time, and a timeout does not say that nothing is there, as a read that has waited does.
+// readMore reads once and returns false if the connection has closed. When the read deadline has passed, it allows one
+// more short read, because a request may have arrived at the same time. If the deadline passes before the read begins,
+// the timeout does not show that no input is pending.
 func (c *clientConn) readMore() bool {
 	if len(c.input.Bytes()) > 0 {
 		c.limitRequestTime()
@@ -68,19 +71,19 @@
 	return true
 }
 
-// setFinalDeadline gives the last read its time.
+// setFinalDeadline sets the read deadline of the last read.
 func (c *clientConn) setFinalDeadline() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	timeout := finalReadTimeout
-	if c.endReason == reasonEvicted { // others wait behind it to be accepted
+	if c.endReason == reasonEvicted { // new connections wait to be accepted
 		timeout = evictionReadTimeout
 	}
 	c.conn.SetReadDeadline(c.server.env.Now().Add(timeout))
 }
 
-// limitRequestTime gives a request that has begun its time, unless the one before it is still being answered. The first has its time from
-// connecting on.
+// limitRequestTime sets the read deadline of a request that has begun, unless the previous request is still being
+// answered. The deadline of the first request counts from accepting the connection and is already set.
 func (c *clientConn) limitRequestTime() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,14 +94,14 @@
 	c.requestBegun = true
 }
 
-// refuse answers what is no request, and ends the connection.
+// refuse responds to an invalid request and closes the connection.
 func (c *clientConn) refuse(invalid *RequestError) {
 	if !c.awaitTurn() {
 		return
 	}
 	c.mu.Lock()
 	c.inputClosed = true
-	if c.endReason == reasonEvicted { // others wait for its place
+	if c.endReason == reasonEvicted { // new connections wait for its slot
 		c.closeLocked(reasonEvicted)
 	}
 	c.mu.Unlock()
@@ -108,7 +111,8 @@
 	c.close(reasonBadRequest)
 }
 
-// handle reads a request's body, waits for its turn and answers it; false if the connection ends.
+// handle reads a request's body, waits until the previous request has its response, and answers the request. It returns
+// false if the connection closes.
 func (c *clientConn) handle(request Request) bool {
 	if request.BodyLength > 0 && !c.readBody(&request) {
 		return false
@@ -127,8 +131,8 @@
 	return true
 }
 
-// readBody reads the bytes that follow a head into a block of their own, so that the connection's buffer stays small. They are reserved
-// with admission until the lookup has ended. It returns false if the connection ends.
+// readBody reads the body that follows a head into a buffer of its own, so that the buffer of the connection stays
+// small. The bytes are reserved with admission until the lookup has ended. It returns false if the connection closes.
 func (c *clientConn) readBody(request *Request) bool {
 	c.limitRequestTime()
 	if !c.server.admission.ReserveBytes(request.BodyLength) {
@@ -155,8 +159,9 @@
 	return true
 }
 
-// awaitTurn waits until the request before has its response, and takes responded; false if the client has left meanwhile. It reads on: a
-// client that sends ahead and leaves is noticed, and its lookup does not begin.
+// awaitTurn waits until the previous request has its response and takes the notification of responded. It keeps reading
+// while it waits. If a client sends a request ahead and disconnects, the server then notices it and does not start the
+// lookup. It returns false if the client has disconnected or the connection closes.
 func (c *clientConn) awaitTurn() bool {
 	for c.notePipelined() {
 		err := c.input.Fill(c.conn, maxPipelinedBytes)
@@ -170,7 +175,7 @@
 			return false
 		}
 	}
-	c.responded.Wait(-1) // one request at a time
+	c.responded.Wait(-1) // requests are answered one at a time
 	if c.isInputClosed() {
 		c.responded.Notify()
 		c.readFailed(os.ErrDeadlineExceeded)
@@ -183,7 +188,8 @@
 	return true
 }
 
-// notePipelined reports whether the request before is still being answered. If so, awaitNextRequest will have the reader look up.
+// notePipelined reports whether the previous request is still being answered. If so, it sets isPipelined, which makes
+// awaitNextRequest wake the reader.
 func (c *clientConn) notePipelined() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -194,19 +200,21 @@
 	return c.isPipelined
 }
 
-// giveUpLookup has the dispatcher give up the open lookup, if there is one: it is not known any more whether the client is there.
+// giveUpLookup makes the dispatcher give up the open lookup, if there is one, because the server can no longer notice
+// whether the client disconnects.
 func (c *clientConn) giveUpLookup() {
 	c.mu.Lock()
-	open := c.lookup
+	openLookup := c.lookup
 	c.mu.Unlock()
-	if open != nil {
-		c.server.dispatcher.GiveUp(open.Dispatched)
+	if openLookup != nil {
+		c.server.dispatcher.GiveUp(openLookup.Dispatched)
 	}
 }
 
-// checkGone reads what is there, up to maxPipelinedBytes, to notice the client's end if it is behind that; false if the client has left.
-// Without it, lookups of a client that sent far ahead and left, or that left before it was accepted, would begin long after. Past the bound
-// nothing is known, and what comes is refused.
+// checkGone reads pending input, up to maxPipelinedBytes, to notice a disconnect behind it. It returns false if the
+// client has disconnected. Without this check, a lookup could start long after its client had sent many requests and
+// disconnected, or after its client had disconnected before the connection was accepted. If the input exceeds the
+// bound, or the check takes longer than requestTimeout, mayBeGone stays set and the lookup is rejected.
 func (c *clientConn) checkGone() bool {
 	startedAt := c.server.env.Now()
 	for emptyReads := 0; emptyReads < emptyReadsToBeSure; {
@@ -230,7 +238,8 @@
 	return true
 }
 
-// beginRequest marks the connection busy, unless it has just been closed. One that was to be evicted stays until this is answered.
+// beginRequest marks the connection busy. It returns false if the connection has just been closed. A connection that is
+// being evicted stays open until this request is answered.
 func (c *clientConn) beginRequest() bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -248,7 +257,8 @@
 	return c.isBusy
 }
 
-// awaitNextRequest ends a request. When this side wants to end the connection it does so, unless a next request is there.
+// awaitNextRequest marks the connection idle and sets the read deadline of the next request. If the server wants to
+// close the connection, the reader closes it unless a further request is pending.
 func (c *clientConn) awaitNextRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -258,7 +268,7 @@
 	c.idleSince = now
 	timeout := idleTimeout
 	switch {
-	case c.isPipelined || c.endReason != "" || c.inputClosed: // the reader looks up at once
+	case c.isPipelined || c.endReason != "" || c.inputClosed: // the reader wakes at once
 		timeout = 0
 	case c.requestBegun:
 		timeout = requestTimeout
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -17,22 +17,22 @@
 	maxIdempotencyKeyBytes = 128
 	maxObjectNameBytes     = 256
 
-	// timeNotGiven is the time allowed of a request that does not say.
+	// timeNotGiven is the time allowed of a request without X-Allow-Ms.
 	timeNotGiven = time.Duration(-1)
 )
 
-// Request is one request of a client.
+// Request is a client's request.
 type Request struct {
 	upstream.Request
 	Method      string
 	SizeKB      float64
-	TimeAllowed time.Duration // timeNotGiven: the request does not say
+	TimeAllowed time.Duration // timeNotGiven if the request has no X-Allow-Ms
 	IsPing      bool
 	ClosesConn  bool
-	BodyLength  int // of the bytes that follow the head; only with PUT
+	BodyLength  int // length of the body in bytes; 0 unless the method is PUT
 }
 
-// RequestError reports a request that cannot be used, with the response that its client gets.
+// RequestError reports an invalid request. It holds the status and the text of the response to the client.
 type RequestError struct {
 	Status int
 	Text   string
@@ -43,11 +43,12 @@
 
 func badRequest(text string) *RequestError { return &RequestError{statusBadRequest, text} }
 
-// errIncomplete asks for more bytes.
-var errIncomplete = errors.New("not whole yet")
+// errIncomplete reports that more bytes are needed.
+var errIncomplete = errors.New("request head is incomplete")
 
-// parseRequest parses the head of a request at the front of b and returns the head's length; BodyLength bytes follow it. Its error is
-// errIncomplete, which asks for more bytes, or a *RequestError.
+// parseRequest parses the head of the request at the front of b and returns the length of the head. The body of
+// BodyLength bytes follows the head. The error is errIncomplete if more bytes are needed, and a *RequestError
+// otherwise.
 func parseRequest(b []byte) (Request, int, error) {
 	request := Request{TimeAllowed: timeNotGiven}
 	length := headLength(b)
@@ -76,7 +77,8 @@
 	return request, length, nil
 }
 
-// checkIncomplete returns errIncomplete for a head that has not come completely, unless it is bound to be refused.
+// checkIncomplete returns errIncomplete for a head that has not arrived in full. If the bytes received so far are
+// already invalid, it returns a *RequestError.
 func checkIncomplete(b []byte) error {
 	if len(b) >= maxHeadBytes {
 		return &RequestError{statusHeadTooLarge, "the head is too long"}
@@ -90,7 +92,7 @@
 	return errIncomplete
 }
 
-// headLength returns the length of a head with its empty line, or -1.
+// headLength returns the length of a head including its empty line, or -1 if the head is incomplete.
 func headLength(b []byte) int {
 	for lineStart := 0; ; {
 		i := bytes.IndexByte(b[lineStart:], '\n')
@@ -153,7 +155,7 @@
 
 func isControl(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f }
 
-// parseTarget parses /ping or /call/KIND/OBJECT/part-N; a target without a part means part 0.
+// parseTarget parses /ping or /call/KIND/OBJECT/part-N. Without part-N the part is 0.
 func (r *Request) parseTarget(target string) error {
 	path := pathOf(target)
 	if path == pathPing {
@@ -193,7 +195,7 @@
 	return path
 }
 
-// unescape resolves the percent escapes of a path segment.
+// unescape decodes the percent escapes of a path segment. It returns false if an escape is invalid.
 func unescape(s string) (string, bool) {
 	if !strings.Contains(s, "%") {
 		return s, true
@@ -217,7 +219,7 @@
 	return string(unescaped), true
 }
 
-// isToken reports whether b is a token of HTTP, as methods and field names are.
+// isToken reports whether b is an HTTP token. Methods and field names are tokens.
 func isToken(b []byte) bool {
 	for _, c := range b {
 		if !(c >= '0' && c <= '9' || c >= 'A' && c <= 'Z' || c >= 'a' && c <= 'z' ||
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -11,18 +11,18 @@
 	"foldslip/internal/upstream"
 )
 
-// responseWriteSlack is the time past a lookup's deadline in which the client may take the last byte.
+// responseWriteSlack is the time that a client has, past its lookup's deadline, to read the last byte of the response.
 const responseWriteSlack = time.Second
 
-// textResponse is a response that is written without a lookup.
+// textResponse is a response that needs no lookup.
 type textResponse struct {
 	status     int
 	text       string
-	retryAfter time.Duration // 0: not said
-	closes     bool          // the connection
+	retryAfter time.Duration // 0: the response has no X-Wait-Ms
+	closes     bool          // the connection closes after the response
 }
 
-// unavailable is the response to what was rejected before it became a lookup.
+// unavailable returns the response to a request that is rejected before its lookup starts.
 func unavailable(text string) *textResponse {
 	return &textResponse{status: statusServiceUnavailable, text: text}
 }
@@ -40,7 +40,7 @@
 	c.write(append(append(b, r.text...), '\n'), c.server.env.Now())
 }
 
-// writeResult writes how a lookup ended. A lookup whose client has gone gets no response.
+// writeResult writes the response to a lookup that has ended. If the client has disconnected, it writes nothing.
 func (c *clientConn) writeResult(l *lookup, step dispatch.Step, closes bool) {
 	switch step.Kind {
 	case dispatch.StepSatisfied:
@@ -59,19 +59,19 @@
 	}
 }
 
-// writeObject passes on what an attempt brought: the bytes complete and unchanged, or that the client's copy is the current one. The head
-// goes into the buffer before the bytes, so that both are one write.
+// writeObject writes the object that an attempt returned, complete and unchanged, or reports that the client's copy is
+// current. The head is copied into the buffer in front of the object, so that both are sent with one write.
 func (c *clientConn) writeObject(object *upstream.Object, deadline time.Time, closes bool) {
 	h := head{status: statusOK, bodyLength: len(object.Buffer) - upstream.HeadReserve, closes: closes}
 	if object.NotModified {
 		h.status = statusNotModified
 	}
-	if object.ETag != "" { // of a copy; what ran at the origin has none
+	if object.ETag != "" { // a lookup that ran at the origin has none
 		h.fields = responseETag + "\"" + object.ETag + "\"\r\n"
 	}
 	var reserve [upstream.HeadReserve]byte
 	text := appendHead(reserve[:0], h)
-	if len(text) > upstream.HeadReserve { // only with an unusually long tag
+	if len(text) > upstream.HeadReserve { // only with an unusually long ETag
 		c.write(append(text, object.Buffer[upstream.HeadReserve:]...), deadline)
 		return
 	}
@@ -80,7 +80,8 @@
 	c.write(object.Buffer[start:], deadline)
 }
 
-// write writes a response. A client that is too slow to take it loses the connection, and sees that the response is not complete.
+// write writes a response. If the client is too slow to read it, the connection closes and the client sees an
+// incomplete response.
 func (c *clientConn) write(b []byte, deadline time.Time) {
 	c.conn.SetWriteDeadline(deadline.Add(responseWriteSlack))
 	if _, err := c.conn.Write(b); err != nil {
@@ -98,7 +99,7 @@
 type head struct {
 	status     int
 	bodyLength int
-	fields     string // further header fields, with their line ends
+	fields     string // further header fields, each with its line end
 	closes     bool
 }
 
@@ -114,7 +115,7 @@
 	return append(b, "\r\n"...)
 }
 
-// retryAfterField says when the client may try again.
+// retryAfterField returns the header field that tells the client after how many milliseconds it may retry.
 func retryAfterField(ms int64) string {
 	return responseRetryAfter + strconv.FormatInt(ms, 10) + "\r\n"
 }
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -1,10 +1,12 @@
-// Package frontend is the gateway's side toward its clients: an HTTP/1.1 server with its connections, a strict and bounded parser of
-// requests, and the responses. It hands each lookup to the dispatcher, carries out the dispatcher's steps with the pool of connections to
-// caches, and writes the response. It decides nothing of a lookup itself.
+// Package frontend is the gateway's HTTP/1.1 server for clients. It manages the client connections, parses requests
+// strictly and within bounds, and writes the responses. It submits each lookup to the dispatcher and carries out the
+// dispatcher's steps with the pool of connections to caches. It makes no decision about a lookup itself.
 //
-// Each connection has a goroutine that reads and, while a lookup is open on it, one that responds. Bounds: Config.MaxConns connections, of
-// which idle ones give way to new ones; maxHeadBytes of a request's head; maxPipelinedBytes read ahead of a response; the lookups and the
-// bytes of bodies and objects that admission allows.
+// A Server owns its connections and closes them when it is drained or closed. Each connection has a goroutine that
+// reads and, while a lookup is open on it, a second goroutine that responds. A server has at most Config.MaxConns
+// connections and evicts idle connections for new ones. A request's head has at most maxHeadBytes. At most
+// maxPipelinedBytes are read ahead of a response. Admission bounds the open lookups and the bytes of bodies and
+// objects.
 package frontend
 
 import (
@@ -28,59 +30,61 @@
 const (
 	acceptRetryDelay  = 10 * time.Millisecond
 	acceptLogInterval = time.Second
-	// acceptStallWindow: so long after accepting had to wait, new connections are checked for their client's end before a lookup begins.
+	// acceptStallWindow is the time after a delay in accepting in which new connections are checked for a disconnect
+	// before their first lookup starts.
 	acceptStallWindow = time.Second
-	// maxEvictionWaits bounds how often a new connection waits finalReadTimeout for an evicted one to end.
+	// maxEvictionWaits bounds how often a new connection waits finalReadTimeout for an evicted connection to close.
 	maxEvictionWaits = 8
-	// evictionReserveDivisor: one over this of the connections is for those that are being evicted.
+	// evictionReserveDivisor sets the share of the connections that is reserved for those being evicted: MaxConns
+	// divided by this number.
 	evictionReserveDivisor = 8
-	// gateName is the claimant that direct clients are for admission.
+	// gateName is the name under which admission counts the lookups of direct clients.
 	gateName   = "clients"
 	gateWeight = 1
 )
 
-// Config is what a server works with.
+// Config holds the dependencies and the connection limit of a Server.
 type Config struct {
 	Environment env.Environment
 	Settings    *settings.Settings
 	Dispatcher  *dispatch.Dispatcher
 	Pool        *upstream.Pool
 	Admission   *admission.Controller
-	Routes      *rollout.Controller // nil: a lookup may go anywhere
+	Routes      *rollout.Controller // nil: a lookup may use any cache
 	MaxConns    int
 }
 
-// Server serves clients. Its methods are safe for concurrent use, but that Serve is called once. A goroutine may take the server's lock and
-// then a connection's, never the other way round.
+// Server serves clients. Its methods are safe for concurrent use, except that Serve may be called only once. A
+// goroutine that needs both the server's lock and a connection's lock acquires the server's lock first.
 type Server struct {
 	env             env.Environment
 	settings        *settings.Settings
 	dispatcher      *dispatch.Dispatcher
 	pool            *upstream.Pool
 	admission       *admission.Controller
-	gate            *admission.Gate // of direct clients
+	gate            *admission.Gate // admits the lookups of direct clients
 	routes          *rollout.Controller
 	maxConns        int
-	evictionReserve int // of maxConns, for those that are being evicted
+	evictionReserve int // part of maxConns for connections that are being evicted
 	kindByName      map[string]int
 
-	group           env.Group    // of the connections' goroutines
+	group           env.Group    // the goroutines of the connections
 	acceptDone      env.Notifier // notified when Serve has returned
-	evicted         env.Notifier // notified when a connection that was being evicted has ended, or stays
-	acceptStalledAt time.Time    // when accepting last had to wait; of Serve's goroutine
+	evicted         env.Notifier // notified when the eviction of a connection has ended or a request has stopped it
+	acceptStalledAt time.Time    // when accepting last had to wait; owned by Serve's goroutine
 
 	mu            sync.Mutex
 	conns         map[*clientConn]bool
-	evicting      int // connections that are read once more before they end
+	evicting      int // number of connections that are being evicted
 	acceptedCount int64
 	isDraining    bool
 	isReady       bool
 }
 
-// deadlineListener is a listener whose Accept can be told to stop waiting.
+// deadlineListener is a listener whose Accept returns once a deadline has passed.
 type deadlineListener interface{ SetDeadline(time.Time) error }
 
-// NewServer returns a server that is not ready and does not listen yet.
+// NewServer returns a server that is not ready and does not accept connections yet.
 func NewServer(config Config) *Server {
 	s := &Server{
 		env:             config.Environment,
@@ -104,17 +108,17 @@
 	return s
 }
 
-// ConnCount returns how many connections there are.
+// ConnCount returns the number of open connections.
 func (s *Server) ConnCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// SetReady has pings answered with 200 from now on.
+// SetReady makes the server answer pings with 200.
 func (s *Server) SetReady() { s.setReady(true) }
 
-// SetNotReady has pings answered with 503 from now on.
+// SetNotReady makes the server answer pings with 503.
 func (s *Server) SetNotReady() { s.setReady(false) }
 
 func (s *Server) setReady(isReady bool) {
@@ -123,7 +127,7 @@
 	s.isReady = isReady
 }
 
-// Serve accepts clients until the listener closes or the lifetime ends; see StopAccepting.
+// Serve accepts connections until the listener is closed or the lifetime ends. See StopAccepting.
 func (s *Server) Serve(lifetime *env.Lifetime, listener net.Listener) error {
 	defer s.acceptDone.Notify()
 	stop := s.env.NewNotifier()
@@ -136,8 +140,9 @@
 		case err == nil:
 			s.accepted(conn)
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			// No more are wanted. Closing the listener resets the connections that wait to be accepted, with the requests that may be on
-			// them: so it closes only once a last look has found none.
+			// StopAccepting has set the deadline. Closing the listener would reset the connections in the backlog, and
+			// requests on them would be lost. The listener is closed only once Accept has found no connection within a
+			// further finalReadTimeout.
 			if countAtLastTimeout == s.acceptedCount {
 				listener.Close()
 				return nil
@@ -158,8 +163,9 @@
 	}
 }
 
-// waitToAccept waits before accepting is tried again, unless a connection could be evicted for its descriptor; false: the server stops.
-// The connections that come next may have waited with a request on them, and their clients may have gone.
+// waitToAccept waits before Accept is called again, unless an idle connection could be evicted to free a descriptor. It
+// returns false if the server stops. The next connections may have waited in the backlog with a request, and their
+// clients may have disconnected; waitToAccept sets acceptStalledAt so that this is checked.
 func (s *Server) waitToAccept(err error, stop env.Notifier) bool {
 	isFreed := env.IsDescriptorExhausted(err) && s.EvictIdle()
 	if !isFreed && stop.Wait(acceptRetryDelay) {
@@ -169,7 +175,8 @@
 	return true
 }
 
-// accepted makes room for a new connection and starts it. If there is none for it, its client gets a response that says so.
+// accepted evicts idle connections to make room for a new connection, and starts it. If there is no room, the client
+// gets a 503 response.
 func (s *Server) accepted(netConn net.Conn) {
 	c := newClientConn(s, netConn)
 	s.mu.Lock()
@@ -188,22 +195,23 @@
 	if !isFull {
 		s.conns[c] = true
 	}
-	if s.isDraining { // it came just as the listener closes, and its request may be there
+	if s.isDraining { // accepted during a drain; its request may have arrived already
 		c.endReason = reasonStopping
 	}
 	s.mu.Unlock()
 	s.group.Go("client", func() error { c.run(isFull); return nil })
 }
 
-// StopAccepting accepts the connections that are waiting and closes the listener; it does not wait for that.
+// StopAccepting makes Serve accept the connections in the backlog and then close the listener. It does not wait for
+// Serve to return.
 func (s *Server) StopAccepting(listener net.Listener) {
 	if l, ok := listener.(deadlineListener); !ok || l.SetDeadline(s.env.Now()) != nil {
 		listener.Close()
 	}
 }
 
-// Drain closes the connections without a lookup, and each other one once it has its response. A request that is there already, read or not,
-// is taken and answered first.
+// Drain closes the idle connections, and each other connection after its response. A request that has already arrived
+// is answered first, whether it has been read or not.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -215,7 +223,7 @@
 	}
 }
 
-// Close closes all connections at once.
+// Close closes all connections immediately.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -224,13 +232,14 @@
 	}
 }
 
-// Wait waits for all connections to end, once the listener is closed.
+// Wait waits until Serve has returned and all connections have closed.
 func (s *Server) Wait() {
 	s.acceptDone.Wait(-1)
 	s.group.Wait()
 }
 
-// connsInOrder returns the connections in the order they came, so that simulated runs repeat exactly. Under the server's lock.
+// connsInOrder returns the connections in the order of accepting, so that simulated runs are reproducible. The caller
+// holds s.mu.
 func (s *Server) connsInOrder() []*clientConn {
 	return slices.SortedFunc(maps.Keys(s.conns), func(a, b *clientConn) int { return cmp.Compare(a.number, b.number) })
 }
