--- a/client/client.go
+++ b/client/client.go
@@ -1,11 +1,12 @@
-// Package client is the client of a gateway's external processor, for programs that carry out the attempts of their lookups themselves:
+// Package client is a client of a gateway's external processor, for programs that carry out the attempts of their
+// lookups themselves:
 //
 //	gateway := client.New(conn)
 //	result, err := gateway.Lookup(ctx, client.Request{Path: "/call/segment/7f3a/part-3", Header: header}, attempt)
 //
-// Lookup keeps the contract of docs/external-processor.md: one stream an attempt, each attempt carried out once and reported, and a
-// new stream with the same lookup id for as long as the gateway asks for one. Nothing is retained between lookups; a Client may be
-// used by many goroutines.
+// Lookup follows the contract of docs/external-processor.md. It opens one stream per attempt, carries out each attempt
+// once and reports its outcome. As long as the gateway requests another attempt, it opens a new stream with the same
+// lookup id. A Client keeps no state between lookups and is safe for concurrent use.
 package client
 
 import (
@@ -18,7 +19,7 @@
 	"google.golang.org/grpc"
 )
 
-// maxAttempts ends a lookup at a gateway that never ends it. A gateway's own limit is far lower.
+// maxAttempts bounds the attempts of a lookup, in case a gateway never ends it. The limit of a gateway is far lower.
 const maxAttempts = 64
 
 // Client sends lookups to one gateway.
@@ -26,18 +27,20 @@
 	processor extprocv3.ExternalProcessorClient
 }
 
-// New returns a client over a connection, which the caller closes.
+// New returns a client that uses conn. The caller closes conn.
 func New(conn grpc.ClientConnInterface) *Client {
 	return &Client{processor: extprocv3.NewExternalProcessorClient(conn)}
 }
 
-// AttemptFunc carries out one attempt and returns its outcome. It must not send the request twice, and must return when ctx ends.
+// AttemptFunc carries out one attempt and returns its outcome. It must send the request at most once and must return
+// when ctx ends.
 type AttemptFunc func(ctx context.Context, decision Decision) AttemptOutcome
 
-// Lookup requests decisions for one lookup, carries them out with attempt, and returns the lookup's result.
+// Lookup requests the decisions for one lookup, carries them out with attempt, and returns the lookup's result.
 //
-// An error is one of the connection or of the gateway (ProtocolError), never a result: Result.Attempts then lists the attempts that
-// were made and may have had effects.
+// A rejected or failed lookup is a Result, not an error. An error means that the connection failed, or that the gateway
+// violated the contract (*ProtocolError). After an error, Result.Attempts lists the attempts that were made and may
+// have had an effect.
 func (c *Client) Lookup(ctx context.Context, request Request, attempt AttemptFunc) (Result, error) {
 	var result Result
 	for len(result.Attempts) < maxAttempts {
@@ -46,10 +49,11 @@
 			return result, err
 		}
 	}
-	return result, &ProtocolError{Detail: fmt.Sprintf("more than %d attempts of one lookup", maxAttempts)}
+	return result, &ProtocolError{Detail: fmt.Sprintf("no result after %d attempts of one lookup", maxAttempts)}
 }
 
-// runStream runs one stream: a request, at most one attempt, and its report. It reports whether the gateway wants another stream.
+// runStream opens a stream, sends the request, carries out at most one attempt and reports its outcome. It returns true
+// if the gateway requests another stream.
 func (c *Client) runStream(ctx context.Context, request Request, attempt AttemptFunc, result *Result) (again bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -82,15 +86,16 @@
 		return result.readEnd(immediate), nil
 	}
 	if response.GetResponseHeaders() == nil {
-		return false, &ProtocolError{Detail: fmt.Sprintf("a report is answered with %T", response.Response)}
+		return false, &ProtocolError{Detail: fmt.Sprintf("the answer to a report is %T, expected response headers or an immediate response",
+			response.Response)}
 	}
 	stream.CloseSend()
 	result.setSatisfied(outcome)
 	return false, nil
 }
 
-// exchange sends a message and returns the next one received. A stream that the gateway has ended accepts no message; Recv then
-// returns the reason, so io.EOF from Send is passed over.
+// exchange sends a message and returns the next one received. If the gateway has ended the stream, Send returns io.EOF;
+// that error is ignored because Recv then returns the reason.
 func exchange(stream extprocv3.ExternalProcessor_ProcessClient, message *extprocv3.ProcessingRequest) (*extprocv3.ProcessingResponse, error) {
 	if err := stream.Send(message); err != nil && !errors.Is(err, io.EOF) {
 		return nil, err
@@ -98,7 +103,7 @@
 	return stream.Recv()
 }
 
-// runAttempt carries out an attempt within its timeout.
+// runAttempt carries out an attempt with the timeout of its decision.
 func runAttempt(ctx context.Context, attempt AttemptFunc, decision Decision) AttemptOutcome {
 	ctx, cancel := context.WithTimeout(ctx, decision.Timeout)
 	defer cancel()
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -7,7 +7,8 @@
 	extprocv3 "github.com/envoyproxy/go-control-plane/envoy/service/ext_proc/v3"
 )
 
-// TestProtocolErrors checks that answers outside the contract can be told from failures of the connection.
+// TestProtocolErrors checks that an answer that violates the contract returns a *ProtocolError, so that callers can
+// distinguish it from a failed connection.
 func TestProtocolErrors(t *testing.T) {
 	for name, mutation := range map[string]*extprocv3.HeaderMutation{
 		"no headers":           set(),
@@ -19,7 +20,7 @@
 				RequestHeaders: &extprocv3.HeadersResponse{Response: &extprocv3.CommonResponse{HeaderMutation: mutation}}}})
 			var protocolError *ProtocolError
 			if !errors.As(err, &protocolError) || protocolError.Detail == "" {
-				t.Errorf("%v is no ProtocolError", err)
+				t.Errorf("got error %v, expected a *ProtocolError with a detail", err)
 			}
 		})
 	}
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -12,7 +12,7 @@
 	"foldslip/client"
 )
 
-// A program that carries out its attempts over HTTP looks an object up at the gateway beside it.
+// A program looks up an object at the gateway on the same host and carries out its attempts over HTTP.
 func ExampleClient_Lookup() {
 	conn, err := grpc.NewClient("unix:/run/foldslip/door", grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
@@ -27,11 +27,11 @@
 	fetch := func(ctx context.Context, decision client.Decision) client.AttemptOutcome {
 		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+decision.Addr+"/7f3a9c21e0b4d655/part-3", nil)
 		if err != nil {
-			return client.AttemptOutcome{Word: client.WordLate} // never sent
+			return client.AttemptOutcome{Word: client.WordLate} // the request was never sent
 		}
 		response, err := http.DefaultClient.Do(request)
 		if err != nil {
-			return client.AttemptOutcome{Word: client.WordReset} // may have run
+			return client.AttemptOutcome{Word: client.WordReset} // the request may have run
 		}
 		defer response.Body.Close()
 		createdAt, _ := time.Parse(http.TimeFormat, response.Header.Get("Last-Modified"))
--- a/client/frozen_test.go
+++ b/client/frozen_test.go
@@ -17,7 +17,7 @@
 	"foldslip/internal/lab/frozen"
 )
 
-// TestFrozenMessages compares the messages that the client sends with those that an earlier build sent.
+// TestFrozenMessages compares the messages that the client sends with those of an earlier build.
 func TestFrozenMessages(t *testing.T) {
 	var got strings.Builder
 	for _, message := range []*extprocv3.HttpHeaders{
@@ -30,7 +30,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var lines bytes.Buffer // the library varies its spaces
+		var lines bytes.Buffer // protojson varies its white space
 		if err := json.Indent(&lines, text, "", " "); err != nil {
 			t.Fatal(err)
 		}
@@ -39,7 +39,7 @@
 	frozen.Equal(t, "messages.txt", []byte(got.String()))
 }
 
-// set returns a mutation that sets headers, given as names and values in turn.
+// set returns a mutation that sets headers. pairs holds names and values in turn.
 func set(pairs ...string) *extprocv3.HeaderMutation {
 	mutation := &extprocv3.HeaderMutation{}
 	for i := 0; i < len(pairs); i += 2 {
@@ -49,7 +49,7 @@
 	return mutation
 }
 
-// TestFrozenAnswers reads the answers of a gateway as an earlier build read them.
+// TestFrozenAnswers compares the decoded answers of a gateway with those that an earlier build decoded.
 func TestFrozenAnswers(t *testing.T) {
 	var got strings.Builder
 	for _, mutation := range []*extprocv3.HeaderMutation{
@@ -83,8 +83,8 @@
 	frozen.Equal(t, "answers.txt", []byte(got.String()))
 }
 
-// TestFrozenDecisionJSON holds the keys that foldslip-extproc ask --json prints of each decision; the file is what the build at 58d6067
-// printed of the same values.
+// TestFrozenDecisionJSON compares the JSON form of a decision, which foldslip-extproc ask --json prints, with what the
+// build at 58d6067 printed for the same values.
 func TestFrozenDecisionJSON(t *testing.T) {
 	text, err := json.Marshal(Decision{Attempt: 3, Cache: "c0", Addr: "10.0.0.1:1", Source: "c1", Rank: 2, MaxAge: 25 * time.Millisecond,
 		Timeout: 1234567 * time.Microsecond, Mode: "j+h", Route: "films", Version: 7})
--- a/client/headers.go
+++ b/client/headers.go
@@ -12,7 +12,8 @@
 	extprocv3 "github.com/envoyproxy/go-control-plane/envoy/service/ext_proc/v3"
 )
 
-// headerPrefix begins the names of the protocol's headers. This file alone maps them to the package's names.
+// headerPrefix is the prefix of the protocol's header names. Only this file maps header names to the names of this
+// package.
 const headerPrefix = "x-foldslip-"
 
 // headerList builds the headers of a message.
@@ -26,7 +27,7 @@
 	return &extprocv3.HttpHeaders{Headers: &corev3.HeaderMap{Headers: l.headers}, EndOfStream: true}
 }
 
-// requestHeaders encodes a request: pseudo-headers, then headers by name.
+// requestHeaders encodes a request: first the pseudo-headers, then the headers sorted by name.
 func requestHeaders(request Request) *extprocv3.HttpHeaders {
 	method := request.Method
 	if method == "" {
@@ -104,18 +105,19 @@
 		return decision, numbers.err
 	}
 	if decision.Cache == "" || decision.Timeout <= 0 {
-		return decision, &ProtocolError{Detail: "an answer that is neither a decision nor an end"}
+		return decision, &ProtocolError{Detail: fmt.Sprintf("decision with cache %q and timeout %v, expected both to be set",
+			decision.Cache, decision.Timeout)}
 	}
 	return decision, nil
 }
 
-// numberParser parses numbers and retains the first error.
+// numberParser parses numbers and keeps the first error.
 type numberParser struct{ err error }
 
 func (p *numberParser) parse(value string) float64 {
 	number, err := strconv.ParseFloat(value, 64)
 	if err != nil && p.err == nil {
-		p.err = &ProtocolError{Detail: fmt.Sprintf("%q where a number is expected", value)}
+		p.err = &ProtocolError{Detail: fmt.Sprintf("header value %q, expected a number", value)}
 	}
 	return number
 }
@@ -124,7 +126,8 @@
 	return time.Duration(p.parse(value) * float64(time.Millisecond))
 }
 
-// readEnd decodes an immediate response, which ends the lookup unless it requests another stream: it then returns true.
+// readEnd decodes an immediate response. It returns true if the gateway requests another stream; otherwise the lookup
+// has ended.
 func (r *Result) readEnd(response *extprocv3.ImmediateResponse) (again bool) {
 	r.Status = int(response.GetStatus().GetCode())
 	r.Text = strings.TrimSpace(string(response.Body))
@@ -135,7 +138,7 @@
 			*r = Result{Attempts: r.Attempts}
 			return true
 		case "x-wait-ms":
-			milliseconds, _ := strconv.ParseInt(value, 10, 64) // a value that is no number means no delay
+			milliseconds, _ := strconv.ParseInt(value, 10, 64) // an invalid value means no delay
 			r.RetryAfter = time.Duration(milliseconds) * time.Millisecond
 		}
 	}
--- a/client/lookup.go
+++ b/client/lookup.go
@@ -5,32 +5,33 @@
 	"time"
 )
 
-// Request is a client's request as the gateway's table of requests reads it. The lookup's id is in one of the headers.
+// Request is a client's request, which the gateway maps to a lookup. One of the headers carries the lookup id.
 type Request struct {
-	Method string // "" is GET
+	Method string // "" means GET
 	Path   string
 	Header http.Header
 }
 
-// Decision is an attempt to carry out: once, now, at that cache. The JSON keys are those that foldslip-extproc ask has always printed.
+// Decision is an attempt that the caller must carry out once, without delay, at the given cache. The JSON keys are
+// those that foldslip-extproc ask --json prints; they must not change.
 type Decision struct {
-	Attempt int           `json:"N"` // of the lookup's attempts, from 0
-	Cache   string        // its name
-	Addr    string        // its address and port
-	Source  string        // the cache that it fills a miss from; "": it does not fill
-	Rank    int           // the cache's place in the ranking for the object
-	MaxAge  time.Duration `json:"Oldest"` // of an acceptable copy; 0: as the kind of object has it
-	Timeout time.Duration `json:"Wait"`   // of the attempt
-	Mode    string        // flags of the caches' protocol
-	Route   string        // that selected the cache; "": there are no routes
-	Version uint64        // of the routes; 0: there are none
+	Attempt int           `json:"N"` // number of the attempt within its lookup, from 0
+	Cache   string        // name of the cache
+	Addr    string        // address and port of the cache
+	Source  string        // name of the cache or origin that a miss is filled from; "": a miss is not filled
+	Rank    int           // position of the cache in the ranking for the object
+	MaxAge  time.Duration `json:"Oldest"` // maximum age of an acceptable copy; 0: the maximum of the object kind
+	Timeout time.Duration `json:"Wait"`   // maximum duration of the attempt
+	Mode    string        // flags of the protocol with caches
+	Route   string        // name of the route that selected the cache; "": there are no routes
+	Version uint64        // version of the routes; 0: there are no routes
 }
 
 // Values of AttemptOutcome.Word, as the external processing protocol spells them.
 const (
 	WordHit         = "hit"         // the object was received
 	WordValid       = "valid"       // the client's copy is still valid
-	WordNone        = "none"        // the cache has no copy and was not to fetch one
+	WordNone        = "none"        // the cache has no copy and was told not to fill
 	WordShed        = "shed"        // the cache rejected the request
 	WordFault       = "fault"       // the cache answered with an error
 	WordLate        = "late"        // the request was never sent
@@ -39,41 +40,44 @@
 	WordReset       = "reset"       // the connection broke; the request may have run
 )
 
-// AttemptOutcome is how an attempt ended. The zero value is an attempt that may have run and brought nothing.
+// AttemptOutcome describes how an attempt ended. The zero value means that the attempt may have run and returned
+// nothing.
 type AttemptOutcome struct {
-	Word       string        // one of the words above; "" is WordFault
-	Note       string        // the cache's note on its answer
-	SourceWait time.Duration // time the cache waited for its source
-	CreatedAt  time.Time     // of the copy; without it the gateway accepts no answer while a purge may have left old copies
-	ETag       string        // of the copy
+	Word       string        // one of the constants above; "" means WordFault
+	Note       string        // the note of the cache's answer
+	SourceWait time.Duration // time that the cache waited for its source
+	// CreatedAt is when the copy was created. Without it, the gateway accepts no answer while a purge may have left
+	// outdated copies.
+	CreatedAt time.Time
+	ETag      string // ETag of the copy
 }
 
 // ResultKind is how a lookup ended.
 type ResultKind int
 
-// How a lookup ended.
+// Kinds of results.
 const (
-	Satisfied ResultKind = 1 + iota // return what the last attempt brought
-	Rejected                        // nothing ran: the client may retry, after Result.RetryAfter if it is not 0
-	Failed                          // an attempt may have run
-	Refused                         // not a lookup, or one that is open elsewhere or has ended: see Result.Status
+	Satisfied ResultKind = 1 + iota // the last attempt returned the object, or confirmed the client's copy
+	Rejected                        // the lookup had no effect; the client may retry after Result.RetryAfter
+	Failed                          // an attempt may have run and had an effect
+	Refused                         // not a lookup, or the lookup is open elsewhere or has ended; see Result.Status
 )
 
-// String returns the name that commands print; a rejected lookup is printed by its name on the wire.
+// String returns the name that commands print. Rejected is printed under its name on the wire, nacked.
 func (k ResultKind) String() string {
 	return [...]string{"unknown", "satisfied", "nacked", "failed", "refused"}[k]
 }
 
-// Result is the end of a lookup.
+// Result is the result of a lookup.
 type Result struct {
 	Kind       ResultKind
 	Status     int           // HTTP status for the client
-	Text       string        // for the client
-	RetryAfter time.Duration // of a rejected lookup; 0: none was given
+	Text       string        // response text for the client
+	RetryAfter time.Duration // delay before a rejected lookup may be retried; 0: none was given
 	Attempts   []Decision    // the attempts that were made, in order
 }
 
-// setSatisfied ends the lookup with the outcome of its last attempt.
+// setSatisfied sets the result to satisfied. The status follows from the outcome of the last attempt.
 func (r *Result) setSatisfied(last AttemptOutcome) {
 	r.Kind = Satisfied
 	r.Status = http.StatusOK
@@ -83,13 +87,13 @@
 	r.Text = ""
 }
 
-// ProtocolError is an answer of the gateway that breaks the contract of docs/external-processor.md. The gateway's version and the
-// client's may not fit.
+// ProtocolError reports an answer of the gateway that violates the contract of docs/external-processor.md. A possible
+// cause is that the gateway and the client have incompatible versions.
 type ProtocolError struct {
-	Detail string // what was received
+	Detail string // how the answer violates the contract
 }
 
-// Error returns what was received.
+// Error returns a description of the violation.
 func (e *ProtocolError) Error() string {
-	return "gateway broke the external processing contract: " + e.Detail
+	return "gateway violated the external processing contract: " + e.Detail
 }
