--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -33,18 +33,18 @@
 // Reasons for closing a connection, as the log event client_closed reports them. The first three are also the values of
 // clientConn.endReason.
 const (
-	reasonStopping      = "stopping"  // the gateway drains
-	reasonEvicted       = "displaced" // evicted to free its slot or its descriptor
-	reasonKept          = "made_room" // a request arrived during the eviction; closed after its response
-	reasonStopped       = "stopped"   // closed by Server.Close
-	reasonFull          = "full"      // the server has no free slot
-	reasonBadRequest    = "bad_request"
-	reasonNoCapacity    = "no_room" // admission has no bytes left for a request's body
-	reasonClientAsked   = "asked"   // closed after a response with "Connection: close"
-	reasonClientClosed  = "closed_by_client"
-	reasonReset         = "reset"
-	reasonIdle          = "idle"
-	reasonResponseStuck = "answer_not_taken" // the write deadline of a response passed
+	reasonDraining         = "stopping"  // the gateway drains
+	reasonEvicted          = "displaced" // evicted to free its slot or its descriptor
+	reasonEvictionDeferred = "made_room" // a request arrived during the eviction; closed after its response
+	reasonStopped          = "stopped"   // closed by Server.Close
+	reasonFull             = "full"      // the server has no free slot
+	reasonBadRequest       = "bad_request"
+	reasonNoCapacity       = "no_room" // admission has no bytes left for a request's body
+	reasonLastResponse     = "asked"   // closed after a response with "Connection: close"
+	reasonClientClosed     = "closed_by_client"
+	reasonReset            = "reset"
+	reasonIdle             = "idle"
+	reasonWriteTimeout     = "answer_not_taken" // the write deadline of a response passed
 )
 
 // clientConn is a client's connection. The goroutine of run reads requests and owns input, mayBeGone and isFinalRead.
@@ -62,16 +62,16 @@
 	mayBeGone   bool // the client may have disconnected behind input that has not been read yet
 	isFinalRead bool // the read deadline has passed once, and one more short read is allowed
 
-	mu           sync.Mutex
-	isBusy       bool    // from the last byte of a request to the last byte of its response
-	lookup       *lookup // the open lookup; nil: none
-	requestBegun bool    // bytes of the next request have been read
-	inputClosed  bool    // no further request is accepted: the client sent an invalid request or has its last response
-	isPipelined  bool    // the next request has arrived while one is being answered
-	endReason    string  // why the server closes the connection once it is idle; "": it does not
-	closeReason  string  // why the connection was closed; "": it is open
-	idleSince    time.Time
-	wasSatisfied bool // a lookup on this connection was satisfied
+	mu                 sync.Mutex
+	isBusy             bool    // from the last byte of a request to the last byte of its response
+	lookup             *lookup // the open lookup; nil: none
+	requestBegun       bool    // bytes of the next request have been read
+	inputClosed        bool    // no further request is accepted, after an invalid request or the last response
+	isPipelined        bool    // the next request has arrived while one is being answered
+	endReason          string  // why the server closes the connection once it is idle; "": it does not
+	closeReason        string  // why the connection was closed; "": it is open
+	idleSince          time.Time
+	hadSatisfiedLookup bool // a lookup on this connection was satisfied
 }
 
 func newClientConn(s *Server, conn net.Conn) *clientConn {
@@ -170,7 +170,7 @@
 	isTimeout := errors.Is(err, os.ErrDeadlineExceeded)
 	if isTimeout && c.isInputClosed() {
 		c.lingeringClose(responseWriteSlack)
-		c.close(reasonClientAsked)
+		c.close(reasonLastResponse)
 		return
 	}
 	reason := reasonReset
--- a/internal/frontend/evict.go
+++ b/internal/frontend/evict.go
@@ -75,7 +75,7 @@
 	if c.requestBegun {
 		rank++
 	}
-	if c.wasSatisfied {
+	if c.hadSatisfiedLookup {
 		rank += 2
 	}
 	return rank
--- a/internal/frontend/header.go
+++ b/internal/frontend/header.go
@@ -29,7 +29,7 @@
 	headerIdempotencyKey:   {isSingle: true, parse: (*Request).parseIdempotencyKey},
 	headerIfNoneMatch:      {isSingle: true, parse: (*Request).parseIfNoneMatch},
 	headerContentLength:    {isSingle: true, parse: (*Request).parseContentLength},
-	headerTransferEncoding: {parse: (*Request).refuseTransferEncoding},
+	headerTransferEncoding: {parse: (*Request).rejectTransferEncoding},
 	headerConnection:       {parse: (*Request).parseConnection},
 }
 
@@ -112,7 +112,7 @@
 	return nil
 }
 
-func (r *Request) refuseTransferEncoding(string) error {
+func (r *Request) rejectTransferEncoding(string) error {
 	return badRequest("the length of a body is told by Content-Length alone")
 }
 
--- a/internal/frontend/lookup.go
+++ b/internal/frontend/lookup.go
@@ -157,7 +157,7 @@
 	case closes:
 		// This response has no body and is sent at once, so that it needs no lingering close. A lookup that is given up
 		// shortly before the platform kills the process must not keep its connection open until Server.Close.
-		c.close(reasonClientAsked)
+		c.close(reasonLastResponse)
 	}
 	c.awaitNextRequest()
 }
--- a/internal/frontend/protocol.go
+++ b/internal/frontend/protocol.go
@@ -16,7 +16,7 @@
 
 	responseRetryAfter  = "X-Wait-Ms: "
 	responseETag        = "ETag: "
-	responseContentText = "Content-Type: text/plain\r\n"
+	responseContentType = "Content-Type: text/plain\r\n"
 	responseAllow       = "Allow: GET\r\n"
 	responseClose       = "Connection: close\r\n"
 
--- a/internal/frontend/read.go
+++ b/internal/frontend/read.go
@@ -12,10 +12,10 @@
 	// maxPipelinedBytes bounds the bytes that a client may send ahead of a response. Past the bound the server cannot
 	// notice that the client disconnects, so the next lookup of the client does not start.
 	maxPipelinedBytes = 64 << 10
-	// emptyReadsToBeSure is the number of consecutive read timeouts after which no input is pending. A single timeout
+	// requiredEmptyReads is the number of consecutive read timeouts after which no input is pending. A single timeout
 	// does not show that: if the deadline passes before the read begins, the read returns without looking at the
 	// socket.
-	emptyReadsToBeSure = 2
+	requiredEmptyReads = 2
 )
 
 // readRequests reads and handles requests until the connection closes.
@@ -29,7 +29,7 @@
 		case errors.Is(err, errIncomplete):
 			canContinue = c.readMore()
 		case errors.As(err, &invalid):
-			c.refuse(invalid)
+			c.rejectInvalid(invalid)
 		default:
 			c.input.Discard(size)
 			canContinue = c.handle(request)
@@ -94,8 +94,8 @@
 	c.requestBegun = true
 }
 
-// refuse responds to an invalid request and closes the connection.
-func (c *clientConn) refuse(invalid *RequestError) {
+// rejectInvalid responds to an invalid request and closes the connection.
+func (c *clientConn) rejectInvalid(invalid *RequestError) {
 	if !c.awaitTurn() {
 		return
 	}
@@ -163,7 +163,7 @@
 // while it waits. If a client sends a request ahead and disconnects, the server then notices it and does not start the
 // lookup. It returns false if the client has disconnected or the connection closes.
 func (c *clientConn) awaitTurn() bool {
-	for c.notePipelined() {
+	for c.markPipelined() {
 		err := c.input.Fill(c.conn, maxPipelinedBytes)
 		if errors.Is(err, linebuffer.ErrTooLong) {
 			c.mayBeGone = true
@@ -181,16 +181,16 @@
 		c.readFailed(os.ErrDeadlineExceeded)
 		return false
 	}
-	if c.mayBeGone && !c.checkGone() {
+	if c.mayBeGone && !c.checkConnected() {
 		c.responded.Notify()
 		return false
 	}
 	return true
 }
 
-// notePipelined reports whether the previous request is still being answered. If so, it sets isPipelined, which makes
+// markPipelined reports whether the previous request is still being answered. If so, it sets isPipelined, which makes
 // awaitNextRequest wake the reader.
-func (c *clientConn) notePipelined() bool {
+func (c *clientConn) markPipelined() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.isPipelined = c.isBusy
@@ -211,13 +211,13 @@
 	}
 }
 
-// checkGone reads pending input, up to maxPipelinedBytes, to notice a disconnect behind it. It returns false if the
-// client has disconnected. Without this check, a lookup could start long after its client had sent many requests and
-// disconnected, or after its client had disconnected before the connection was accepted. If the input exceeds the
+// checkConnected reads pending input, up to maxPipelinedBytes, to notice a disconnect behind it. It returns false if
+// the client has disconnected. Without this check, a lookup could start long after its client had sent many requests
+// and disconnected, or after its client had disconnected before the connection was accepted. If the input exceeds the
 // bound, or the check takes longer than requestTimeout, mayBeGone stays set and the lookup is rejected.
-func (c *clientConn) checkGone() bool {
+func (c *clientConn) checkConnected() bool {
 	startedAt := c.server.env.Now()
-	for emptyReads := 0; emptyReads < emptyReadsToBeSure; {
+	for emptyReads := 0; emptyReads < requiredEmptyReads; {
 		c.conn.SetReadDeadline(c.server.env.Now().Add(finalReadTimeout))
 		err := c.input.Fill(c.conn, maxPipelinedBytes)
 		isTooLong := errors.Is(err, linebuffer.ErrTooLong)
@@ -246,7 +246,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.endReason == reasonEvicted {
-		c.endReason = reasonKept
+		c.endReason = reasonEvictionDeferred
 		c.server.evicting--
 		c.server.evicted.Notify()
 	}
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -17,8 +17,8 @@
 	maxIdempotencyKeyBytes = 128
 	maxObjectNameBytes     = 256
 
-	// timeNotGiven is the time allowed of a request without X-Allow-Ms.
-	timeNotGiven = time.Duration(-1)
+	// timeUnspecified is the time allowed of a request without X-Allow-Ms.
+	timeUnspecified = time.Duration(-1)
 )
 
 // Request is a client's request.
@@ -26,7 +26,7 @@
 	upstream.Request
 	Method      string
 	SizeKB      float64
-	TimeAllowed time.Duration // timeNotGiven if the request has no X-Allow-Ms
+	TimeAllowed time.Duration // timeUnspecified if the request has no X-Allow-Ms
 	IsPing      bool
 	ClosesConn  bool
 	BodyLength  int // length of the body in bytes; 0 unless the method is PUT
@@ -50,7 +50,7 @@
 // BodyLength bytes follows the head. The error is errIncomplete if more bytes are needed, and a *RequestError
 // otherwise.
 func parseRequest(b []byte) (Request, int, error) {
-	request := Request{TimeAllowed: timeNotGiven}
+	request := Request{TimeAllowed: timeUnspecified}
 	length := headLength(b)
 	if length < 0 {
 		return request, 0, checkIncomplete(b)
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -29,7 +29,7 @@
 
 // writeText writes a response with a line of text.
 func (c *clientConn) writeText(r textResponse) {
-	fields := responseContentText
+	fields := responseContentType
 	if r.retryAfter > 0 {
 		fields += retryAfterField((r.retryAfter + time.Millisecond - 1).Milliseconds())
 	}
@@ -45,7 +45,7 @@
 	switch step.Kind {
 	case dispatch.StepSatisfied:
 		c.mu.Lock()
-		c.wasSatisfied = true
+		c.hadSatisfiedLookup = true
 		c.mu.Unlock()
 		c.writeObject(l.TakeObject(step.Attempt), l.Dispatched.Deadline, closes)
 	case dispatch.StepRejected:
@@ -87,7 +87,7 @@
 	if _, err := c.conn.Write(b); err != nil {
 		reason := reasonReset
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			reason = reasonResponseStuck
+			reason = reasonWriteTimeout
 		}
 		c.close(reason)
 		return
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -138,7 +138,7 @@
 		conn, err := listener.Accept()
 		switch {
 		case err == nil:
-			s.accepted(conn)
+			s.addConn(conn)
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			// StopAccepting has set the deadline. Closing the listener would reset the connections in the backlog, and
 			// requests on them would be lost. The listener is closed only once Accept has found no connection within a
@@ -175,9 +175,9 @@
 	return true
 }
 
-// accepted evicts idle connections to make room for a new connection, and starts it. If there is no room, the client
+// addConn evicts idle connections to make room for a new connection, and starts it. If there is no room, the client
 // gets a 503 response.
-func (s *Server) accepted(netConn net.Conn) {
+func (s *Server) addConn(netConn net.Conn) {
 	c := newClientConn(s, netConn)
 	s.mu.Lock()
 	s.acceptedCount++
@@ -196,7 +196,7 @@
 		s.conns[c] = true
 	}
 	if s.isDraining { // accepted during a drain; its request may have arrived already
-		c.endReason = reasonStopping
+		c.endReason = reasonDraining
 	}
 	s.mu.Unlock()
 	s.group.Go("client", func() error { c.run(isFull); return nil })
@@ -218,7 +218,7 @@
 	s.isDraining = true
 	for _, c := range s.connsInOrder() {
 		c.mu.Lock()
-		c.endWhenIdle(reasonStopping)
+		c.endWhenIdle(reasonDraining)
 		c.mu.Unlock()
 	}
 }
