--- a/client/client.go
+++ b/client/client.go
@@ -68,7 +68,7 @@
 		return false, err
 	}
 	if immediate := response.GetImmediateResponse(); immediate != nil {
-		return result.readEnd(immediate), nil
+		return result.readImmediate(immediate), nil
 	}
 	decision, err := parseDecision(response)
 	if err != nil {
@@ -83,7 +83,7 @@
 		return false, err
 	}
 	if immediate := response.GetImmediateResponse(); immediate != nil {
-		return result.readEnd(immediate), nil
+		return result.readImmediate(immediate), nil
 	}
 	if response.GetResponseHeaders() == nil {
 		return false, &ProtocolError{Detail: fmt.Sprintf("the answer to a report is %T, expected response headers or an immediate response",
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -11,9 +11,9 @@
 // distinguish it from a failed connection.
 func TestProtocolErrors(t *testing.T) {
 	for name, mutation := range map[string]*extprocv3.HeaderMutation{
-		"no headers":           set(),
-		"no timeout":           set("x-foldslip-cache", "c0"),
-		"timeout not a number": set("x-foldslip-cache", "c0", "x-foldslip-wait-ms", "soon"),
+		"no headers":           setHeaders(),
+		"no timeout":           setHeaders("x-foldslip-cache", "c0"),
+		"timeout not a number": setHeaders("x-foldslip-cache", "c0", "x-foldslip-wait-ms", "soon"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := parseDecision(&extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_RequestHeaders{
--- a/client/frozen_test.go
+++ b/client/frozen_test.go
@@ -39,8 +39,8 @@
 	frozen.Equal(t, "messages.txt", []byte(got.String()))
 }
 
-// set returns a mutation that sets headers. pairs holds names and values in turn.
-func set(pairs ...string) *extprocv3.HeaderMutation {
+// setHeaders returns a mutation that sets headers. pairs holds names and values in turn.
+func setHeaders(pairs ...string) *extprocv3.HeaderMutation {
 	mutation := &extprocv3.HeaderMutation{}
 	for i := 0; i < len(pairs); i += 2 {
 		header := &corev3.HeaderValue{Key: pairs[i], RawValue: []byte(pairs[i+1])}
@@ -53,12 +53,12 @@
 func TestFrozenAnswers(t *testing.T) {
 	var got strings.Builder
 	for _, mutation := range []*extprocv3.HeaderMutation{
-		set("x-foldslip-cache", "c0", "x-foldslip-addr", "10.0.0.1:1", "x-foldslip-send", "3", "x-foldslip-source", "c1", "x-foldslip-rank", "2", "x-foldslip-oldest-ms", "25",
+		setHeaders("x-foldslip-cache", "c0", "x-foldslip-addr", "10.0.0.1:1", "x-foldslip-send", "3", "x-foldslip-source", "c1", "x-foldslip-rank", "2", "x-foldslip-oldest-ms", "25",
 			"x-foldslip-mode", "j+h", "x-foldslip-route", "films", "x-foldslip-version", "7", "x-foldslip-wait-ms", "1234.567", "x-other", "1"),
-		set("x-foldslip-cache", "c0", "x-foldslip-wait-ms", "1"),
-		set("x-foldslip-cache", "c0"),
-		set("x-foldslip-cache", "c0", "x-foldslip-wait-ms", "soon"),
-		set(),
+		setHeaders("x-foldslip-cache", "c0", "x-foldslip-wait-ms", "1"),
+		setHeaders("x-foldslip-cache", "c0"),
+		setHeaders("x-foldslip-cache", "c0", "x-foldslip-wait-ms", "soon"),
+		setHeaders(),
 	} {
 		decision, err := parseDecision(&extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_RequestHeaders{RequestHeaders: &extprocv3.HeadersResponse{
 			Response: &extprocv3.CommonResponse{HeaderMutation: mutation}}}})
@@ -66,14 +66,14 @@
 			decision.Addr, decision.Source, decision.Rank, decision.MaxAge, decision.Timeout, decision.Mode, decision.Route, decision.Version, err == nil)
 	}
 	for _, response := range []*extprocv3.ImmediateResponse{
-		{Status: &typev3.HttpStatus{Code: 503}, Body: []byte("nacked\n"), Headers: set("x-wait-ms", "1500")},
-		{Status: &typev3.HttpStatus{Code: 503}, Body: []byte("ask again\n"), Headers: set("x-foldslip-again", "1")},
+		{Status: &typev3.HttpStatus{Code: 503}, Body: []byte("nacked\n"), Headers: setHeaders("x-wait-ms", "1500")},
+		{Status: &typev3.HttpStatus{Code: 503}, Body: []byte("ask again\n"), Headers: setHeaders("x-foldslip-again", "1")},
 		{Status: &typev3.HttpStatus{Code: 502}, Body: []byte("failed\n")},
 		{Status: &typev3.HttpStatus{Code: 409}, Body: []byte("this lookup has been answered\n")},
 		{},
 	} {
 		result := Result{Attempts: []Decision{{}}}
-		again := result.readEnd(response)
+		again := result.readImmediate(response)
 		fmt.Fprintf(&got, "again %v result %d %v status %d text %q wait %v sends %d\n", again, result.Kind, result.Kind, result.Status, result.Text,
 			result.RetryAfter, len(result.Attempts))
 	}
--- a/client/headers.go
+++ b/client/headers.go
@@ -126,9 +126,9 @@
 	return time.Duration(p.parse(value) * float64(time.Millisecond))
 }
 
-// readEnd decodes an immediate response. It returns true if the gateway requests another stream; otherwise the lookup
-// has ended.
-func (r *Result) readEnd(response *extprocv3.ImmediateResponse) (again bool) {
+// readImmediate decodes an immediate response. It returns true if the gateway requests another stream; otherwise the
+// lookup has ended.
+func (r *Result) readImmediate(response *extprocv3.ImmediateResponse) (again bool) {
 	r.Status = int(response.GetStatus().GetCode())
 	r.Text = strings.TrimSpace(string(response.Body))
 	for _, option := range response.GetHeaders().GetSetHeaders() {
