--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -10,11 +10,12 @@
 	"foldslip/internal/upstream"
 )
 
-// An attempt waits for its connection to come up while something ends. Nothing of it has gone out, so nothing of it goes out any more,
-// also where the settings allow no cancelling.
+// These cases guard against attempts that are sent too late: while an attempt waits for its connection to come
+// up, its client disconnects, its deadline passes, its cache drains or its source goes away. No byte of the
+// attempt has been written, so it can be withdrawn or changed, even if the settings do not allow cancelling.
 func TestAttemptsWaitingForTheirConnection(t *testing.T) {
 	for _, cancelling := range []bool{true, false} {
-		t.Run(fmt.Sprint("their client leaves, cancelling ", cancelling), func(t *testing.T) {
+		t.Run(fmt.Sprint("client disconnects, cancelling ", cancelling), func(t *testing.T) {
 			gates := &testbed.GatedEnv{DialGate: make(chan bool)}
 			bed := testbed.New(t, gates, cancelling, 50)
 			client := bed.SendRequest("segment")
@@ -25,7 +26,7 @@
 			bed.ExpectNothingReceived()
 		})
 	}
-	t.Run("their time runs out: rejected, also one with side effects, as it has not run", func(t *testing.T) {
+	t.Run("deadline passes: rejected, even with side effects, because it has not run", func(t *testing.T) {
 		gates := &testbed.GatedEnv{DialGate: make(chan bool)}
 		bed := testbed.New(t, gates, false, 50)
 		client := bed.SendRequest("order", "X-Allow-Ms: 150\r\n")
@@ -33,7 +34,7 @@
 		close(gates.DialGate)
 		bed.ExpectNothingReceived()
 	})
-	t.Run("their cache drains: sent to the other", func(t *testing.T) {
+	t.Run("cache drains: sent to the other edge", func(t *testing.T) {
 		gates := &testbed.GatedEnv{DialGate: make(chan bool)}
 		bed := testbed.New(t, gates, true, 50)
 		client := bed.SendRequest("segment")
@@ -43,12 +44,12 @@
 		close(gates.DialGate)
 		request := bed.NextReceived()
 		if at := request.Conn.LocalAddr().String(); at != bed.Registry.Find(other).Addr {
-			t.Errorf("sent to %s, which drains", at)
+			t.Errorf("attempt was sent to %s, which is draining", at)
 		}
 		request.Hit(time.Now(), "hit", "ok")
 		bed.ExpectStatus(client, 200)
 	})
-	t.Run("their source is gone: not named", func(t *testing.T) {
+	t.Run("source is gone: not named in the request line", func(t *testing.T) {
 		gates := &testbed.GatedEnv{DialGate: make(chan bool)}
 		bed := testbed.New(t, gates, true, 50)
 		client := bed.SendRequest("segment")
@@ -57,12 +58,12 @@
 		close(gates.DialGate)
 		request := bed.NextReceived()
 		if request.Fields["from"] != "" {
-			t.Errorf("filled from %q, which is gone", request.Fields["from"])
+			t.Errorf("request line names source %q, which is gone", request.Fields["from"])
 		}
 		request.Hit(time.Now(), "hit", "ok")
 		bed.ExpectStatus(client, 200)
 	})
-	t.Run("the time left is that when it goes out, not when it was decided", func(t *testing.T) {
+	t.Run("request line states the time left when it is written", func(t *testing.T) {
 		gates := &testbed.GatedEnv{DialGate: make(chan bool)}
 		bed := testbed.New(t, gates, true, 50)
 		client := bed.SendRequest("segment", "X-Allow-Ms: 5000\r\n")
@@ -71,16 +72,17 @@
 		close(gates.DialGate)
 		request := bed.NextReceived()
 		if w := request.Fields["w"]; len(w) > 4 || w > "4945" {
-			t.Errorf("w=%s, sent at least 60 ms into 5000", w)
+			t.Errorf("w=%s, expected less than 4945 ms, at least 60 ms after the start of 5000 ms", w)
 		}
 		request.Hit(time.Now(), "hit", "ok")
 		bed.ExpectStatus(client, 200)
 	})
 }
 
-// A deduplicated lookup that may have run is retried inside its window of 2 s, and the connection for that is late to come up. Past the
-// window the retry would have its effect a second time: it does not go out, and as repeats of the client would not be known either, the
-// lookup fails. Inside the window it goes out.
+// A deduplicated lookup that may have run is retried within its deduplication window of 2 s, and the
+// connection for the retry comes up late. Past the window, a retry would have its effect a second time.
+// It is not sent, and the lookup fails, because caches would not recognize a repeat by the client
+// either. Within the window the retry is sent.
 func TestRetryWaitingPastItsDedupWindow(t *testing.T) {
 	for _, late := range []bool{true, false} {
 		t.Run(fmt.Sprint("late ", late), func(t *testing.T) {
@@ -89,7 +91,7 @@
 			client := bed.SendRequest("berth")
 			gates.DialGate <- true
 			first := bed.NextReceived()
-			startedAt := time.Now() // the first attempt was decided before
+			startedAt := time.Now() // the first attempt was decided earlier
 			first.Reset()
 			bed.WaitFor("a retry", func() bool {
 				open, queued := bed.Dispatcher.InFlight()
@@ -109,7 +111,8 @@
 	}
 }
 
-// An attempt waits behind one that its cache does not take, and the cache drains: what has begun goes on, what has not goes elsewhere.
+// An attempt waits behind another one that its cache does not accept, and the cache begins to drain. The
+// attempt whose line has begun to be written stays at the cache; the other one goes to the other edge.
 func TestAttemptQueuedBehindABlockedCache(t *testing.T) {
 	gates := &testbed.GatedEnv{WriteGate: make(chan bool), WriteWaiting: make(chan bool, 99)}
 	bed := testbed.New(t, gates, true, 50)
@@ -129,11 +132,12 @@
 	bed.ExpectStatus(first, 200)
 	bed.ExpectStatus(second, 200)
 	if attempts[bed.Registry.Find(home).Addr] != 1 || attempts[bed.Registry.Find(other).Addr] != 1 {
-		t.Errorf("attempts by cache: %v", attempts)
+		t.Errorf("attempts by cache: %v, expected 1 at each", attempts)
 	}
 }
 
-// A response older than a purge in force has run: a lookup with side effects is not sent a second time for it.
+// An attempt whose response is older than a purge in force has run. A lookup with side effects must not
+// be sent a second time because of it.
 func TestOutdatedResponseCountsAsRun(t *testing.T) {
 	bed := testbed.New(t, &testbed.GatedEnv{}, true, 50)
 	client := bed.SendRequest("order")
@@ -143,11 +147,12 @@
 	request.Hit(time.Now().Add(-time.Minute), "hit", "old")
 	bed.ExpectStatus(client, 502)
 	if len(bed.Received) > 0 {
-		t.Error("sent again")
+		t.Error("the lookup was sent a second time")
 	}
 }
 
-// Two clients want one object, which the cache fills once for both: the first leaves, the second gets its response.
+// Two clients request one object, which the cache fills once for both. The first client disconnects. The
+// second must still get its response.
 func TestLookupQueuedBehindOneWhoseClientLeaves(t *testing.T) {
 	for _, cancelling := range []bool{true, false} {
 		t.Run(fmt.Sprint("cancelling ", cancelling), func(t *testing.T) {
@@ -157,23 +162,23 @@
 			second := bed.SendRequest("segment")
 			secondRequest := bed.NextReceived()
 			first.Close()
-			bed.WaitFor("one client", func() bool { return bed.Server.ConnCount() == 1 })
+			bed.WaitFor("disconnect of the first client", func() bool { return bed.Server.ConnCount() == 1 })
 			if !cancelling {
 				firstRequest.Hit(time.Now(), "filled", "ok")
 			}
 			secondRequest.Hit(time.Now(), "joined", "ok")
 			if body := bed.ExpectStatus(second, 200); body != "ok" {
-				t.Errorf("got %q", body)
+				t.Errorf("body %q, expected \"ok\"", body)
 			}
 			if len(bed.Received) > 0 {
-				t.Error("sent again")
+				t.Error("the lookup was sent a second time")
 			}
 		})
 	}
 }
 
-// A line of which the connection has taken no byte has not begun: its client leaves, and it does not go out when the cache reads on. The
-// line behind it does.
+// A line of which the connection has accepted no byte has not begun to be written. If its client
+// disconnects, the line must not be sent when the cache reads again. The line behind it is sent.
 func TestAttemptOfWhichNothingWasWritten(t *testing.T) {
 	for _, cancelling := range []bool{true, false} {
 		t.Run(fmt.Sprint("cancelling ", cancelling), func(t *testing.T) {
@@ -181,15 +186,15 @@
 			bed := testbed.New(t, gates, cancelling, 50)
 			leaving := bed.SendRequest("segment")
 			bed.WaitOpenAttempts(1)
-			time.Sleep(20 * time.Millisecond)     // for the connection to be up and its line to have been tried
-			staying := bed.SendRequest("segment") // behind it
+			time.Sleep(20 * time.Millisecond)     // until the connection is up and a first write of the line has been tried
+			staying := bed.SendRequest("segment") // queued behind it
 			bed.WaitOpenAttempts(2)
 			leaving.Close()
 			bed.WaitOpenLookups(1)
 			close(gates.Unblock)
 			request := bed.NextReceived()
 			if request.ID != fmt.Sprintf("%016x", bed.LastID) {
-				t.Fatalf("%s was sent, its client has gone", request.ID)
+				t.Fatalf("lookup %s was sent although its client has disconnected", request.ID)
 			}
 			request.Hit(time.Now(), "hit", "ok")
 			bed.ExpectStatus(staying, 200)
@@ -198,7 +203,8 @@
 	}
 }
 
-// A cache that goes on taking nothing has its connection ended, as one that stops within a line.
+// The connection to a cache that accepts no bytes of a line is closed after the write timeout, as is one
+// whose cache stops accepting bytes within a line.
 func TestCacheThatStaysBlocked(t *testing.T) {
 	gates := &testbed.GatedEnv{Unblock: make(chan bool)}
 	bed := testbed.New(t, gates, true, 50)
@@ -206,20 +212,20 @@
 	bed.WaitOpenAttempts(1)
 	startedAt := time.Now()
 	isClosed := bed.Pool.FirstConnIsClosed()
-	bed.WaitFor("end of the connection", isClosed)
+	bed.WaitFor("closed connection", isClosed)
 	if elapsed := time.Since(startedAt); elapsed < upstream.WriteTimeout/2 || elapsed > 3*upstream.WriteTimeout {
-		t.Errorf("ended after %v", elapsed)
+		t.Errorf("connection closed after %v, expected about the write timeout", elapsed)
 	}
 	close(gates.Unblock)
 	client.Close()
 }
 
-// homeEdge is the edge that the testbed's open lookup has an attempt at, and the other one.
+// homeEdge returns the edge that has an attempt of the testbed's open lookup, and the other edge.
 func homeEdge(t *testing.T, bed *testbed.Testbed) (home, other string) {
 	t.Helper()
 	switch home = bed.Pool.FirstCache(); home {
 	case "":
-		t.Fatal("no attempt waits")
+		t.Fatal("there is no connection to any edge")
 	case "edge0":
 		return home, "edge1"
 	}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -17,44 +17,45 @@
 )
 
 const (
-	// lateResponseWindow is how long a response to an attempt that was given up may still come.
+	// lateResponseWindow is how long after an attempt was given up a response to it may still arrive.
 	lateResponseWindow = 10 * time.Second
-	// silentAttemptsToClose is how many attempts must be silent before their connection counts as dead: one may be slow by itself.
+	// silentAttemptsToClose is the number of unanswered silent attempts that closes their connection. A
+	// single attempt may be slow by itself.
 	silentAttemptsToClose = 2
 )
 
-// cacheConn is one connection to a cache, from its dialling on. Its goroutine (run) owns input; what else changes is guarded by mu, but
-// for the atomic fields.
+// cacheConn is one connection to a cache, from the start of its dial. The goroutine of run owns input.
+// mu guards all other fields that change, except the atomic ones.
 type cacheConn struct {
 	pool       *Pool
 	key        string
 	cache      *cacheregistry.Cache
-	evictFirst *cacheConn // closed before this one is dialled, for its descriptor; nil: none
+	evictFirst *cacheConn // closed before this connection is dialled, to free its descriptor; may be nil
 
 	input linebuffer.Buffer
 
-	evicted       atomic.Bool  // closed so that something else has its descriptor
-	writeTimedOut atomic.Bool  // lines did not go out in time
-	wakeup        env.Notifier // of writeLoop: lines wait, or the connection has ended
+	evicted       atomic.Bool  // closed to free its descriptor
+	writeTimedOut atomic.Bool  // the cache did not accept queued lines in time
+	wakeup        env.Notifier // wakes writeLoop when lines are queued or the connection has ended
 
 	mu             sync.Mutex
 	conn           net.Conn             // nil while dialling
-	closed         bool                 // takes no attempts, for good
-	suspect        bool                 // most likely dead: takes no attempts, and is closed once it has none
-	lastResponseAt time.Time            // or when it came up
+	closed         bool                 // accepts no attempts any more
+	suspect        bool                 // probably dead: accepts no attempts, and is closed once it has none open
+	lastResponseAt time.Time            // time of the last response, or of the connect if there was none
 	attempts       map[string]*attempt  // by lookup id
-	givenUpAt      map[string]time.Time // by lookup id: a response may still come
-	givenUp        []givenUpAttempt     // not reported yet, in the order of their lines
-	responses      int                  // to open attempts
-	strayResponses int                  // to no open attempt: given up, answered already, or another\'s
+	givenUpAt      map[string]time.Time // by lookup id: when an attempt was given up whose response may still arrive
+	givenUp        []givenUpAttempt     // outcomes not reported yet, by line number
+	responses      int                  // responses to open attempts
+	strayResponses int                  // responses to no open attempt: given up, answered already, or an unknown id
 
 	outgoing
 }
 
-// connLoad is what pickConn weighs of a connection.
+// connLoad is the state of a connection that pickConn compares.
 type connLoad struct {
 	attempts      int
-	mayAnswerLate bool // a response to an earlier attempt of the same lookup may still come
+	mayAnswerLate bool // a response to an earlier attempt of the same lookup may still arrive
 	isUsable      bool
 }
 
@@ -70,7 +71,7 @@
 	}
 }
 
-// load returns how loaded the connection is for an attempt of a lookup.
+// load returns the connection's load as it matters to an attempt of a lookup.
 func (c *cacheConn) load(lookupID string) connLoad {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,13 +79,14 @@
 	return connLoad{attempts: len(c.attempts), mayAnswerLate: mayAnswerLate, isUsable: !c.closed && !c.suspect}
 }
 
-// isIdle reports whether the connection is up and owes nothing. Under its lock.
+// isIdle reports whether the connection is up and has no open attempts and no outcomes to report. The
+// caller holds the connection's lock.
 func (c *cacheConn) isIdle() bool {
 	return c.conn != nil && !c.closed && len(c.attempts) == 0 && len(c.givenUp) == 0
 }
 
-// add puts an attempt on the connection: its line goes out at once, or when the connection is up. It returns false if the connection takes
-// none any more.
+// add assigns an attempt to the connection. The attempt's line is queued at once, or when the connection
+// is up. add returns false if the connection accepts no attempts any more.
 func (c *cacheConn) add(a *attempt) bool {
 	c.mu.Lock()
 	if c.closed || c.suspect {
@@ -104,7 +106,9 @@
 	return true
 }
 
-// remove takes an attempt off the connection; the caller that gets true reports its outcome. givenUp: a response may still come. Under its lock.
+// remove removes an attempt from the connection. It returns false if the attempt was removed before; a
+// caller that gets true reports the attempt's outcome. givenUp says that a response may still arrive.
+// The caller holds the connection's lock.
 func (c *cacheConn) remove(a *attempt, givenUp bool) bool {
 	id := a.lookup.ID
 	if c.attempts[id] != a {
@@ -123,7 +127,8 @@
 	return true
 }
 
-// expectLateResponse remembers that a response to a lookup's attempt may still come, and forgets those for which it is too late.
+// expectLateResponse records that a response to an attempt of a lookup may still arrive, and deletes the
+// records that are older than lateResponseWindow. The caller holds the connection's lock.
 func (c *cacheConn) expectLateResponse(lookupID string) {
 	now := c.pool.env.Now()
 	for id, at := range c.givenUpAt {
@@ -134,14 +139,16 @@
 	c.givenUpAt[lookupID] = now
 }
 
-// isUnanswered reports whether an attempt is silent, and the connection has brought nothing at all since it was sent. Under its lock.
+// isUnanswered reports whether an attempt is silent and no response has arrived on the connection since
+// the attempt was sent. The caller holds the connection's lock.
 func (c *cacheConn) isUnanswered(a *attempt) bool {
 	return a.isSilent && !c.lastResponseAt.After(a.sentAt)
 }
 
-// noteSilence is called when an attempt has been silent for its silence timeout. With silentAttemptsToClose of them, and no response since,
-// the connection ends; not if it has never brought any, since the cache itself may be slow. This guards against a peer that falls silent
-// and leaves its connection open.
+// noteSilence is called when an attempt's silence timeout has passed without a response. It closes the
+// connection if at least silentAttemptsToClose of its attempts are unanswered. It does not close a
+// connection that has never received a response, because the cache itself may be slow. This guards
+// against a peer that stops responding and leaves its connection open.
 func (c *cacheConn) noteSilence(a *attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -158,21 +165,22 @@
 	}
 }
 
-// closeIfSuspectAndIdle ends a suspect connection that has no attempts left. Lines of attempts that were given up and that the network could
-// not deliver yet are dropped: the cache would begin them when the network is back, all at once, for nobody. Under its lock.
+// closeIfSuspectAndIdle closes a suspect connection that has no attempts left. Closing drops the lines of
+// given-up attempts that the network has not delivered. Otherwise the cache would execute them all at once when
+// the network recovers, although no lookup waits for them any more. The caller holds the connection's lock.
 func (c *cacheConn) closeIfSuspectAndIdle() {
 	if c.suspect && len(c.attempts) == 0 && c.conn != nil {
 		env.Abort(c.conn)
 	}
 }
 
-// closeEvicted ends a connection that was taken out of the pool; its descriptor is free then.
+// closeEvicted closes a connection that was removed from the pool, which frees its descriptor.
 func (c *cacheConn) closeEvicted() {
 	c.evicted.Store(true)
 	c.conn.Close()
 }
 
-// closeToAttempts lets the connection take no more attempts, if it has none.
+// closeToAttempts makes the connection refuse further attempts if it has no open ones, and reports whether it did.
 func (c *cacheConn) closeToAttempts() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -186,7 +194,8 @@
 	return c.suspect
 }
 
-// takeReportable takes the attempts that were given up and whose lines are out; all of them if the connection has ended. Under its lock.
+// takeReportable removes and returns the given-up attempts whose lines have been written, or all of them
+// if the connection has ended. The caller holds the connection's lock.
 func (c *cacheConn) takeReportable(ended bool) []givenUpAttempt {
 	n := 0
 	for n < len(c.givenUp) && (ended || c.givenUp[n].lineNumber <= c.linesWritten) {
@@ -200,14 +209,16 @@
 	return reportable
 }
 
-// reportGivenUp reports attempts that takeReportable gave, without the lock.
+// reportGivenUp reports the outcomes of attempts that takeReportable returned. The caller must not hold
+// the connection's lock.
 func (c *cacheConn) reportGivenUp(reportable []givenUpAttempt) {
 	for _, g := range reportable {
 		c.pool.reportOutcome(g.attempt, g.outcome, policy.DetailNone, 0)
 	}
 }
 
-// run dials, reads until the connection ends, and reports the attempts that were open on it.
+// run dials, reads responses until the connection ends, and reports the outcomes of the attempts that
+// are still open then.
 func (c *cacheConn) run() {
 	startedAt := c.pool.env.Now()
 	if c.evictFirst != nil {
@@ -225,14 +236,14 @@
 	c.flush()
 	c.pool.group.Go("cache_writer", func() error { c.writeLoop(conn); return nil })
 	reason := c.readResponses(conn)
-	conn.Close() // before it no longer counts
+	conn.Close() // before finish lowers the pool's count of connections
 	c.finish(policy.OutcomeReset, reason, startedAt)
 }
 
-// dialFailed ends a connection that did not come up.
+// dialFailed ends a connection whose dial failed.
 func (c *cacheConn) dialFailed(err error, startedAt time.Time) {
 	switch {
-	case env.IsDescriptorExhausted(err): // says nothing of the cache
+	case env.IsDescriptorExhausted(err): // not a fault of the cache
 		c.finish(policy.OutcomeRejected, "no_descriptor", startedAt)
 	case errors.Is(err, syscall.ECONNREFUSED):
 		c.finish(policy.OutcomeConnectFailed, "refused", startedAt)
@@ -241,7 +252,7 @@
 	}
 }
 
-// connected queues the attempts that waited for the connection.
+// connected marks the connection as up and queues the attempts that waited for it.
 func (c *cacheConn) connected(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -253,8 +264,8 @@
 	}
 }
 
-// finish takes a connection that has ended out of the pool and reports the attempts that were open on it: as not sent if the connection was
-// reset before an attempt's line had begun, else with the outcome.
+// finish removes an ended connection from the pool and reports the given outcome for the attempts that are open on
+// it. If the connection was reset, an attempt whose line had not begun to be written is reported as not sent instead.
 func (c *cacheConn) finish(outcome policy.AttemptOutcome, reason string, startedAt time.Time) {
 	c.pool.mu.Lock()
 	c.pool.remove(c)
@@ -288,7 +299,7 @@
 		"answers", c.responses, "strays", c.strayResponses, "age_ms", c.pool.env.Now().Sub(startedAt).Milliseconds())
 }
 
-// closeReason says for the log why reading a connection failed.
+// closeReason returns the reason that the log gives for a failed read.
 func (c *cacheConn) closeReason(err error) string {
 	switch {
 	case c.pool.lifetime.Ended():
--- a/internal/upstream/eviction_test.go
+++ b/internal/upstream/eviction_test.go
@@ -8,19 +8,21 @@
 	"foldslip/internal/lab/testbed"
 )
 
-// With one connection to caches allowed, two edges get attempts in turn: the idle connection is closed.
+// With a limit of one connection to caches, attempts go to two edges in turn. The idle connection is
+// closed each time, so that the limit holds.
 func TestIdleCacheConnIsEvicted(t *testing.T) {
 	bed := testbed.New(t, &testbed.GatedEnv{}, true, 9)
 	bed.Pool.SetConnLimits(1, 9)
 	bed.ReachEachEdge()
 	bed.ReachEachEdge()
 	if _, conns := bed.Pool.Load(); conns != 1 {
-		t.Errorf("%d connections to caches of 1", conns)
+		t.Errorf("%d connections to caches, expected 1", conns)
 	}
 }
 
-// With one connection to caches allowed and an attempt on it, an attempt to the other edge ends as rejected and proves nothing of that
-// edge; one to the same edge shares the connection, also past its streams.
+// With a limit of one connection to caches, which has an open attempt, an attempt to the other edge is
+// rejected. The rejection must not count against that edge. An attempt to the same edge shares the
+// connection, even beyond its maximum number of streams.
 func TestNoIdleCacheConn(t *testing.T) {
 	bed := testbed.New(t, &testbed.GatedEnv{}, true, 9)
 	bed.Pool.SetConnLimits(1, 1)
@@ -30,23 +32,23 @@
 	for i, edge := range bed.Edges {
 		hasConn := bed.Pool.CanPick(bed.Registry.Find(fmt.Sprint("edge", i)), "1")
 		if (edge.Addr == busy) != hasConn {
-			t.Errorf("edge %d, busy %v: connection %v", i, edge.Addr == busy, hasConn)
+			t.Errorf("edge %d: has the only connection: %v, but can be picked: %v", i, edge.Addr == busy, hasConn)
 		}
 	}
 	if _, conns := bed.Pool.Load(); conns != 1 {
-		t.Errorf("%d connections to caches of 1", conns)
+		t.Errorf("%d connections to caches, expected 1", conns)
 	}
-	for n := range 20 { // by their names some belong to the other edge
+	for n := range 20 { // the names of some objects choose the other edge first
 		client := bed.Connect()
 		bed.LastID++
 		fmt.Fprintf(client, "GET /call/segment/o%d HTTP/1.1\r\nHost: x\r\nX-Job-Id: %016x\r\n\r\n", n, bed.LastID)
-		bed.WaitFor("attempt of it", func() bool {
+		bed.WaitFor("attempt of the lookup", func() bool {
 			bed.Dispatcher.Tick(nil, false, nil) // a rejected attempt is retried at a tick
 			return len(bed.Received) > 0
 		})
 		next := bed.NextReceived()
 		if next.Conn.LocalAddr().String() != busy {
-			t.Fatal("a second connection")
+			t.Fatal("an attempt was sent on a second connection")
 		}
 		next.Hit(time.Now(), "hit", "ok")
 		bed.ExpectStatus(client, 200)
@@ -55,6 +57,6 @@
 	request.Hit(time.Now(), "hit", "first")
 	bed.ExpectStatus(first, 200)
 	if _, ejected := bed.Dispatcher.Health(time.Now()); len(ejected) > 0 {
-		t.Error("ejected:", ejected)
+		t.Error("expected no ejected cache, got", ejected)
 	}
 }
--- a/internal/upstream/export_test.go
+++ b/internal/upstream/export_test.go
@@ -6,24 +6,25 @@
 	"foldslip/internal/cacheregistry"
 )
 
-// What tests outside the package look at or set.
+// This file gives the tests in package upstream_test access to internal state.
 
-// WriteTimeout is how long a cache may take none of the bytes that wait for it.
+// WriteTimeout is how long a cache may accept none of the bytes that are queued for it.
 const WriteTimeout = writeTimeout
 
-// SetConnLimits leaves so many connections to caches, and so many attempts on each before a second is wanted.
+// SetConnLimits sets the maximum number of connections to caches, and the number of attempts on a
+// connection from which on a further connection is preferred.
 func (p *Pool) SetConnLimits(conns, streams int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.maxConns, p.settings.MaxStreams = conns, streams
 }
 
-// CanPick tells whether an attempt of a lookup would have a connection to a cache.
+// CanPick reports whether the pool has a connection to a cache for an attempt of a lookup, opening one if necessary.
 func (p *Pool) CanPick(cache *cacheregistry.Cache, id string) bool {
 	return p.pickConn(cache, id) != nil
 }
 
-// AttemptsWithoutConn counts the attempts whose connection is not up.
+// AttemptsWithoutConn returns the number of attempts whose connection is not up.
 func (p *Pool) AttemptsWithoutConn() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -39,7 +40,7 @@
 	return n
 }
 
-// FirstCache is the id of a cache that there is a connection to; "": none.
+// FirstCache returns the id of a cache that has a connection, or an empty string.
 func (p *Pool) FirstCache() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -49,7 +50,8 @@
 	return ""
 }
 
-// FirstConnIsClosed tells of one connection that there is now whether it has closed.
+// FirstConnIsClosed chooses one of the current connections and returns a function that reports whether
+// it has been closed.
 func (p *Pool) FirstConnIsClosed() func() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/frozen_test.go
+++ b/internal/upstream/frozen_test.go
@@ -10,10 +10,10 @@
 	"foldslip/internal/policy"
 )
 
-// The files under testdata/frozen were written by the build at 58d6067. What the gateway writes to caches, and what it reads of them, stays
-// to the byte whatever the code that does it is called.
+// The files under testdata/frozen were written by the build at 58d6067. They fix to the byte what the
+// gateway writes to caches and how it reads their responses, independently of names in the code.
 
-// Each field of a request line alone, all of them together, and the line that gives a request up.
+// The file holds request lines with each field alone, one with all fields, and a cancel line.
 func TestFrozenLinesToCaches(t *testing.T) {
 	const id = "00000000000000aa"
 	plain := Request{ID: id, Kind: "segment", Object: "7f3a"}
@@ -50,14 +50,14 @@
 	frozen.Equal(t, "frozen/lines-to-caches", b)
 }
 
-// Each kind of answer and each note, and answers that cannot be used.
+// The file holds responses with each outcome word and each note, and responses that cannot be used.
 func TestFrozenAnswersOfCaches(t *testing.T) {
 	text := frozen.Read(t, "frozen/answers")
 	var read bytes.Buffer
 	for len(text) > 0 {
 		r, size, err := parseResponse(text)
 		if errors.Is(err, errIncomplete) || size == 0 {
-			t.Fatalf("cannot be read on from %q: %v", text, err)
+			t.Fatalf("response at %q has no length: %v", text, err)
 		}
 		createdAt := int64(0)
 		if !r.createdAt.IsZero() {
--- a/internal/upstream/lookup.go
+++ b/internal/upstream/lookup.go
@@ -7,52 +7,56 @@
 	"foldslip/internal/dispatch"
 )
 
-// HeadReserve is how many bytes are left free before an object's bytes, so that a head can be written before them
-// without copying them.
+// HeadReserve is the number of bytes that are left free before an object's bytes. A response head can be
+// written there, so that the object need not be copied.
 const HeadReserve = 256
 
-// Request is what a lookup asks caches for, as its request lines carry it. It does not change once it is made.
+// Request is what a lookup asks caches for, as its request lines carry it. It is not modified after its creation.
 type Request struct {
 	ID     string // 16 hex digits, unique among the gateway's open lookups
 	Kind   string
 	Object string
 	Part   int
-	Group  int    // of objects that are purged together
-	ETag   string // of the copy that the client holds; "": none
-	// IdempotencyKey is by what caches know a lookup again, also when its client repeats it under another id; "": by nothing.
+	Group  int    // purge group: its objects can be purged together
+	ETag   string // of the copy that the client holds; empty: none
+	// IdempotencyKey lets caches recognize a lookup, even when its client repeats it under another id.
+	// Empty: they cannot recognize it.
 	IdempotencyKey string
 	Body           []byte
 }
 
-// Lookup is an open lookup as the pool needs it: its request, its attempts, and the objects that they brought. Its owner, a goroutine of
-// the front end, calls Release once the lookup has ended. What is read from the connections to caches is stored from their goroutines.
+// Lookup is an open lookup as the pool sees it: its request, its attempts and the objects received for
+// it. A goroutine of the front end owns it and calls Release once the lookup has ended. The goroutines
+// that read from connections to caches store objects in it.
 type Lookup struct {
 	Request
-	PassThrough bool             // runs at the origin: what it brings is no copy
-	Dispatched  *dispatch.Lookup // set before its first attempt
+	PassThrough bool             // runs at the origin, so that its responses are not copies of an object
+	Dispatched  *dispatch.Lookup // set before the first attempt
 
-	attempts []*attempt // the owner's: all of them, in the order of their start
+	attempts []*attempt // all attempts in the order of their start; used only by the owner
 
 	admission     *admission.Controller
 	mu            sync.Mutex
-	objects       map[int]*Object // by attempt
-	reservedBytes int             // of admission, for the body and the objects
+	objects       map[int]*Object // by attempt number
+	reservedBytes int             // reserved with admission for the body and the objects
 	released      bool
 }
 
-// Object is what an attempt brought for its lookup.
+// Object is the object that an attempt received.
 type Object struct {
-	Buffer      []byte // HeadReserve bytes, then the object's
-	ETag        string // "": it is no copy, but what ran at the origin
-	NotModified bool   // the client's copy is the current one
+	Buffer      []byte // HeadReserve free bytes, then the object's bytes
+	ETag        string // empty if the response came from a lookup that ran at the origin, which returns no copy
+	NotModified bool   // the client's copy is current
 }
 
-// NewLookup returns a lookup. The bytes of its body are reserved with the controller already; Release gives them back.
+// NewLookup returns a lookup for a request. The caller has already reserved the bytes of its body with
+// the controller; Release returns them.
 func NewLookup(request Request, passThrough bool, controller *admission.Controller) *Lookup {
 	return &Lookup{Request: request, PassThrough: passThrough, admission: controller, reservedBytes: len(request.Body)}
 }
 
-// store keeps what an attempt brought. It does not if the lookup has ended, or if admission has no bytes left for it.
+// store keeps the object that an attempt received. It keeps nothing if the lookup has ended or if
+// admission has no bytes left for the object. ended reports whether the lookup has ended.
 func (l *Lookup) store(attempt int, r response) (stored, ended bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,7 +74,7 @@
 	return true, false
 }
 
-// TakeObject returns what an attempt brought and lets go of what others did.
+// TakeObject returns the object that an attempt received, and drops the objects of the other attempts.
 func (l *Lookup) TakeObject(attempt int) *Object {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -79,7 +83,7 @@
 	return object
 }
 
-// Release gives back the bytes that the lookup holds. Nothing is stored for it from now on.
+// Release returns the lookup's reserved bytes to admission. Nothing is stored for the lookup afterwards.
 func (l *Lookup) Release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,10 +1,12 @@
-// Package upstream is the gateway's side toward the caches: a pool of connections, each of which carries many attempts at once, the
-// request lines that go out on them and the responses that come back in any order. It decides nothing: the dispatcher says which cache
-// an attempt goes to, and learns how each attempt ended.
+// Package upstream sends attempts to the caches and receives their responses. It makes no routing
+// decisions: the dispatcher says which cache an attempt goes to, and is told the outcome of each attempt.
 //
-// Bounds: Config.MaxConns connections in all, maxConnsPerCache to one cache, maxQueuedBytes of lines that wait on one connection,
-// maxResponseBytes of a response. Each connection has a goroutine that reads and one that writes what did not go out at once; both end
-// with the connection, and all connections with the pool's lifetime.
+// The package owns a pool of connections. Each connection carries many attempts at once, and the responses
+// arrive in any order. The pool opens at most Config.MaxConns connections in total and maxConnsPerCache to one
+// cache. At most maxQueuedBytes of lines wait on one connection, and a response has at most maxResponseBytes.
+//
+// Each connection has one goroutine that reads responses and one that writes the lines that could not be
+// written at once. Both end with the connection. All connections end with the pool's lifetime.
 package upstream
 
 import (
@@ -21,10 +23,11 @@
 	"foldslip/internal/settings"
 )
 
-// maxConnsPerCache bounds the connections to one cache; a second one is opened only when the first is full.
+// maxConnsPerCache is the maximum number of connections to one cache. A further connection is opened
+// only if those that exist have no free stream for the attempt.
 const maxConnsPerCache = 4
 
-// Config is what a pool works with.
+// Config holds the dependencies and limits of a Pool.
 type Config struct {
 	Environment env.Environment
 	Lifetime    *env.Lifetime // all connections end with it
@@ -32,11 +35,11 @@
 	Dispatcher  *dispatch.Dispatcher
 	Registry    *cacheregistry.Registry
 	Purges      *purgelog.Log
-	MaxConns    int // to all caches together, those being dialled included
+	MaxConns    int // to all caches together, including those being dialled
 }
 
-// Pool holds the connections to caches. It is safe for concurrent use. A goroutine may take the pool's lock and then a connection's, never
-// the other way round.
+// Pool holds the connections to caches. It is safe for concurrent use. A goroutine that holds the pool's
+// lock may acquire a connection's lock, but not the other way round.
 type Pool struct {
 	env        env.Environment
 	lifetime   *env.Lifetime
@@ -50,12 +53,12 @@
 	conns     map[string][]*cacheConn // by connKey
 	connCount int
 
-	addedAttempts atomic.Int64 // since the start
-	openAttempts  atomic.Int64 // whose outcome has not been reported
-	group         env.Group    // of the connections' goroutines
+	addedAttempts atomic.Int64 // attempts added to connections since the start
+	openAttempts  atomic.Int64 // attempts whose outcome has not been reported
+	group         env.Group    // runs the connections' goroutines
 }
 
-// NewPool returns a pool without connections.
+// NewPool returns a pool that has no connections.
 func NewPool(config Config) *Pool {
 	return &Pool{
 		env:        config.Environment,
@@ -70,10 +73,10 @@
 	}
 }
 
-// Wait waits for all connections to end, which they do soon after the pool's lifetime.
+// Wait blocks until all connections have ended, which happens soon after the end of the pool's lifetime.
 func (p *Pool) Wait() { p.group.Wait() }
 
-// Load returns how many attempts are open, and how many connections there are or are being dialled.
+// Load returns the number of open attempts and the number of connections, including those being dialled.
 func (p *Pool) Load() (attempts, conns int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,8 +86,8 @@
 	return int(p.openAttempts.Load()), conns
 }
 
-// EvictIdle closes the connection that has been idle longest, so that its descriptor is free for something else; false if each has an
-// attempt.
+// EvictIdle closes the connection that has been idle longest, to free its descriptor for another use. It
+// returns false if no connection is idle.
 func (p *Pool) EvictIdle() bool {
 	p.mu.Lock()
 	conn := p.takeLongestIdle()
@@ -96,12 +99,16 @@
 	return true
 }
 
-// connKey is by what connections are held: a cache that moves to another address has new ones.
+// connKey returns the key of a cache's connections in the pool. The key includes the address, so that a
+// cache that moves to another address gets new connections.
 func connKey(cache *cacheregistry.Cache) string { return cache.ID + " " + cache.Addr }
 
-// pickConn returns a connection to a cache for an attempt of a lookup. It prefers one with room for another stream on which no response to
-// an earlier attempt of that lookup may still come, then a new one, then the one with the fewest attempts. Where there are as many
-// connections as there may be, a new one takes the place of the one idle longest; nil if each has an attempt and none is to this cache.
+// pickConn returns a connection to a cache for an attempt of a lookup. It prefers a connection that has
+// a free stream and on which no response to an earlier attempt of the same lookup may still arrive.
+// Otherwise it opens a new connection, unless the cache has maxConnsPerCache usable connections or the
+// pool has MaxConns. At either limit it returns the cache's usable connection with the fewest attempts.
+// If the pool has MaxConns connections and none of the usable ones is to this cache, a new connection
+// replaces the one that has been idle longest. pickConn returns nil if no connection is idle then.
 func (p *Pool) pickConn(cache *cacheregistry.Cache, lookupID string) *cacheConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -125,7 +132,8 @@
 		return leastLoaded
 	}
 	var evicted *cacheConn
-	if p.connCount >= p.maxConns { // guards the descriptors of the watch, the operators and the clients against many caches
+	// The limit keeps descriptors free for discovery, operators and clients when there are many caches.
+	if p.connCount >= p.maxConns {
 		if leastLoaded != nil {
 			return leastLoaded
 		}
@@ -136,8 +144,8 @@
 	return p.openConn(cache, evicted)
 }
 
-// openConn adds a connection and dials it in a goroutine of its own, once the evicted one (nil: none) has been closed for its descriptor.
-// Under the pool's lock.
+// openConn adds a connection to the pool and dials it in a goroutine of its own. If evicted is not nil,
+// it is closed before the dial to free its descriptor. The caller holds the pool's lock.
 func (p *Pool) openConn(cache *cacheregistry.Cache, evicted *cacheConn) *cacheConn {
 	conn := newCacheConn(p, cache, evicted)
 	p.connCount++
@@ -146,8 +154,9 @@
 	return conn
 }
 
-// takeLongestIdle takes the idle connection whose last response is the oldest out of the pool; nil if each has an attempt or is not up.
-// The caller closes it. Under the pool's lock.
+// takeLongestIdle removes the idle connection whose last response is the oldest from the pool and
+// returns it. The caller closes it. It returns nil if no connection is idle, or if the chosen connection
+// receives an attempt meanwhile. The caller holds the pool's lock.
 func (p *Pool) takeLongestIdle() *cacheConn {
 	var longest *cacheConn
 	var since time.Time
@@ -167,7 +176,8 @@
 	return longest
 }
 
-// remove takes a connection out of the pool; a second time does nothing. Under the pool's lock.
+// remove removes a connection from the pool. It does nothing if the connection was removed before. The
+// caller holds the pool's lock.
 func (p *Pool) remove(conn *cacheConn) {
 	before := len(p.conns[conn.key])
 	remaining := slices.DeleteFunc(p.conns[conn.key], func(c *cacheConn) bool { return c == conn })
--- a/internal/upstream/protocol.go
+++ b/internal/upstream/protocol.go
@@ -12,8 +12,8 @@
 	"foldslip/internal/policy"
 )
 
-// The words of the protocol between gateways and caches. They stand on the wire as the platform defines them; elsewhere the package and
-// its users speak the terms of package policy.
+// The words of the protocol between gateways and caches. The platform defines their wire form. Elsewhere
+// this package and its users use the terms of package policy.
 const (
 	commandFetch  = "do"
 	commandCancel = "undo"
@@ -48,7 +48,7 @@
 	fieldCreatedAt  = "born" // milliseconds of Unix time
 )
 
-// detailByWord are the words of the field "note".
+// detailByWord maps the values of the field "note" to outcome details.
 var detailByWord = map[string]policy.OutcomeDetail{
 	"hit":           policy.DetailHit,
 	"filled":        policy.DetailFilled,
@@ -62,7 +62,7 @@
 	"origin_failed": policy.DetailOriginFailed,
 }
 
-// modeWords are the fetch modes in the order in which a request line names them.
+// modeWords lists the fetch modes in the order in which a request line names them.
 var modeWords = [...]struct {
 	mode policy.FetchMode
 	word string
@@ -74,7 +74,7 @@
 }
 
 const (
-	// MaxObjectBytes is how many bytes a response may bring, and a request may carry.
+	// MaxObjectBytes is the maximum number of body bytes of a response and of a request.
 	MaxObjectBytes = 240000
 
 	maxLineBytes     = 4 << 10
@@ -84,17 +84,17 @@
 	idLength         = 16 // hex digits
 )
 
-// requestLine is what one attempt asks a cache for.
+// requestLine holds the contents of the line that requests one attempt from a cache.
 type requestLine struct {
 	Request
-	timeout policy.Micros // what is left of the attempt's time when the line is written
-	source  string        // that a miss is filled from; "": the cache itself, no fill
-	rank    int           // of the copy that the cache is to keep; 0: none
-	maxAge  policy.Micros // 0: as the object kind has it
+	timeout policy.Micros // time until the attempt's deadline when the line is made
+	source  string        // cache or origin from which a miss is filled; empty: the cache does not fill
+	rank    int           // rank of the copy that the cache is to store; 0: none
+	maxAge  policy.Micros // maximum age of a copy; 0: the default of the object kind
 	mode    policy.FetchMode
 }
 
-// appendTo appends the line and the bytes that the client sent.
+// appendTo appends the request line and the request's body to b.
 func (l *requestLine) appendTo(b []byte) []byte {
 	b = fmt.Appendf(b, commandFetch+" %s "+fieldKind+"=%s,"+fieldObject+"=%s,"+fieldPart+"=%d,"+fieldTimeout+"=%d", l.ID, l.Kind, l.Object, l.Part,
 		max(1, (l.timeout+999)/1000))
@@ -124,56 +124,60 @@
 	return append(append(b, l.Body...), "\r\n"...)
 }
 
-// appendCancelLine appends the line that gives up what was asked for under an id.
+// appendCancelLine appends the line that cancels the request with an id.
 func appendCancelLine(b []byte, id string) []byte {
 	return fmt.Appendf(b, commandCancel+" %s\r\n", id)
 }
 
-// errIncomplete asks for more bytes.
-var errIncomplete = errors.New("not whole yet")
+// errIncomplete reports that the buffer holds only a part of a response and that more bytes must be read.
+var errIncomplete = errors.New("incomplete response, more bytes needed")
 
-// invalidResponseError says what is wrong with a response.
+// invalidResponseError describes why a response cannot be used.
 type invalidResponseError string
 
 func (e invalidResponseError) Error() string { return string(e) }
 
-// response is what a cache answered to an attempt.
+// response is the response of a cache to an attempt.
 type response struct {
-	id           string
-	outcome      policy.AttemptOutcome
-	notModified  bool // the client's copy is the current one
-	detail       policy.OutcomeDetail
-	sourceWait   policy.Micros
-	etag         string
-	createdAt    time.Time
-	hasNoVersion bool   // names no version or creation time: no copy, only what a lookup that ran at the origin brought
-	body         []byte // within the buffer that was parsed
+	id          string
+	outcome     policy.AttemptOutcome
+	notModified bool // the client's copy is current
+	detail      policy.OutcomeDetail
+	sourceWait  policy.Micros
+	etag        string
+	createdAt   time.Time
+	// hasNoVersion is set if the response names no version or no creation time. It is then not a copy,
+	// but only the result of a lookup that ran at the origin.
+	hasNoVersion bool
+	body         []byte // part of the buffer that was parsed
 }
 
-// parseResponse parses the response at the front of b and returns its length; errIncomplete asks for more bytes. A response that is
-// framed well and cannot be used comes with its id and length beside the error; otherwise the length is 0 with an error.
+// parseResponse parses the response at the front of b and returns it with its length. It returns
+// errIncomplete if more bytes are needed. A response that is framed correctly but cannot be used is
+// returned with its id and length beside the error. With any other error the length is 0.
 func parseResponse(b []byte) (response, int, error) {
 	var r response
 	lineEnd := bytes.IndexByte(b, '\n')
 	if lineEnd < 0 {
 		if len(b) > maxLineBytes {
-			return r, 0, invalidResponseError("the line is too long")
+			return r, 0, invalidResponseError(fmt.Sprintf("response line is longer than %d bytes", maxLineBytes))
 		}
 		return r, 0, errIncomplete
 	}
 	if lineEnd > maxLineBytes || lineEnd == 0 || b[lineEnd-1] != '\r' {
-		return r, 0, invalidResponseError("the line is too long or does not end in CR LF")
+		return r, 0, invalidResponseError(fmt.Sprintf("response line of %d bytes is longer than %d bytes or does not end in CR LF", lineEnd, maxLineBytes))
 	}
 	words := strings.Split(string(b[:lineEnd-1]), " ")
 	if len(words) != 4 || words[0] == "" {
-		return r, 0, invalidResponseError("the line has not four words")
+		return r, 0, invalidResponseError(fmt.Sprintf("response line has %d words, expected 4 with an id first", len(words)))
 	}
-	if !IsID(words[0]) { // most likely the front of a response that broke off, and this one behind it
+	// Most likely a response was cut off within its id, and the next response follows on the same line.
+	if !IsID(words[0]) {
 		return r, 0, invalidResponseError("the id is not 16 hex digits")
 	}
 	length, err := strconv.ParseUint(words[3], 10, 31)
 	if err != nil || length > MaxObjectBytes {
-		return r, 0, invalidResponseError("the length cannot be read")
+		return r, 0, invalidResponseError(fmt.Sprintf("response length is not a number from 0 to %d", MaxObjectBytes))
 	}
 	bodyStart := lineEnd + 1
 	bodyEnd := bodyStart + int(length)
@@ -181,14 +185,14 @@
 		return r, 0, errIncomplete
 	}
 	if b[bodyEnd] != '\r' || b[bodyEnd+1] != '\n' {
-		return r, 0, invalidResponseError("the bytes do not end in CR LF")
+		return r, 0, invalidResponseError(fmt.Sprintf("response body of %d bytes is not followed by CR LF", length))
 	}
 	r.id = words[0]
 	r.body = b[bodyStart:bodyEnd]
 	return r, bodyEnd + 2, r.parseContent(words[1], words[2])
 }
 
-// parseContent parses the word and the fields of a response whose id and body are set.
+// parseContent parses the outcome word and the fields of a response whose id and body are set.
 func (r *response) parseContent(word, fields string) error {
 	switch word {
 	case responseObject:
@@ -205,19 +209,19 @@
 	case responseNotSent:
 		r.outcome = policy.OutcomeNotSent
 	default:
-		return invalidResponseError("the word is unknown")
+		return invalidResponseError(fmt.Sprintf("unknown outcome word %q in response", word))
 	}
 	if err := r.parseFields(fields); err != nil {
 		return err
 	}
 	r.hasNoVersion = r.outcome == policy.OutcomeSatisfied && (r.etag == "" || r.createdAt.IsZero())
 	if r.notModified && (r.hasNoVersion || len(r.body) > 0) {
-		return invalidResponseError("VALID without ver or born, or with bytes")
+		return invalidResponseError("VALID response must have fields ver and born and no body")
 	}
 	return nil
 }
 
-// parseFields parses the fields that the gateway needs and skips all others.
+// parseFields parses the fields that the gateway uses and ignores all others.
 func (r *response) parseFields(fields string) error {
 	if fields == noFields {
 		return nil
@@ -225,7 +229,7 @@
 	for _, field := range strings.Split(fields, ",") {
 		name, value, ok := strings.Cut(field, "=")
 		if !ok || name == "" {
-			return invalidResponseError("the fields cannot be read")
+			return invalidResponseError(fmt.Sprintf("response field %q does not have the form name=value", field))
 		}
 		if err := r.parseField(name, value); err != nil {
 			return err
@@ -241,25 +245,26 @@
 	case fieldSourceWait:
 		ms, err := strconv.ParseFloat(value, 64)
 		if err != nil || !(ms >= 0 && ms < maxSourceWaitMS) {
-			return invalidResponseError("waited cannot be read")
+			return invalidResponseError(fmt.Sprintf("response field waited is %q, expected milliseconds from 0 to below %g", value, maxSourceWaitMS))
 		}
 		r.sourceWait = policy.Micros(math.Round(ms * 1000))
 	case fieldVersion:
 		if !IsName(value) {
-			return invalidResponseError("ver cannot be read")
+			return invalidResponseError(fmt.Sprintf("response field ver is %q, expected a name", value))
 		}
 		r.etag = value
 	case fieldCreatedAt:
 		ms, err := strconv.ParseFloat(value, 64)
 		if err != nil || !(ms > 0 && ms < maxCreatedAtMS) {
-			return invalidResponseError("born cannot be read")
+			return invalidResponseError(fmt.Sprintf("response field born is %q, expected milliseconds above 0 and below %g", value, maxCreatedAtMS))
 		}
 		r.createdAt = time.UnixMicro(int64(ms * 1000))
 	}
 	return nil
 }
 
-// IsName reports whether s can stand as a name in a line to a cache: printable, without the characters that divide one.
+// IsName reports whether s can be used as a name in a line to a cache. A name is not empty and not "-". It consists
+// of printable ASCII characters without spaces, commas and equals signs, which separate the parts of a line.
 func IsName(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; c <= ' ' || c >= 0x7f || c == ',' || c == '=' {
@@ -269,7 +274,7 @@
 	return s != "" && s != noFields
 }
 
-// IsID reports whether s is the id of a lookup: 16 hex digits.
+// IsID reports whether s is a valid id of a lookup: 16 hex digits.
 func IsID(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; !(c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F') {
--- a/internal/upstream/receive.go
+++ b/internal/upstream/receive.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// stalledResponseTimeout bounds the pause within a response: one that stops short would hold up all other attempts on its connection.
+	// stalledResponseTimeout is the maximum pause within a response. A response that stops in the middle
+	// would block all other attempts on its connection.
 	stalledResponseTimeout = 250 * time.Millisecond
-	// This share of the caches' own idle timeout passes before the gateway closes an idle connection: no attempt then meets a cache that
-	// closes at the same time.
+	// idleTimeoutTenths is the part of the caches' own idle timeout, in tenths, after which the gateway closes an
+	// idle connection. The gateway closes first, so that no attempt is sent while the cache closes the connection.
 	idleTimeoutTenths = 8
 )
 
 const (
-	errNoVersion   = invalidResponseError("a copy without ver or born")
-	errUnknownCopy = invalidResponseError("VALID for a copy that the client does not hold")
+	errNoVersion   = invalidResponseError("copy without field ver or born")
+	errUnknownCopy = invalidResponseError("VALID response for a copy that the client does not hold")
 )
 
-// readResponses reads responses until the connection ends, and returns why it did.
+// readResponses reads responses until the connection ends, and returns the reason why it ended.
 func (c *cacheConn) readResponses(conn net.Conn) (closeReason string) {
 	for {
 		r, size, err := parseResponse(c.input.Bytes())
@@ -42,7 +43,8 @@
 	}
 }
 
-// readMore reads once. It returns a reason if the connection ends, as an idle one without attempts does.
+// readMore reads once from the connection. It returns a reason if the connection ends. An idle
+// connection without open attempts ends.
 func (c *cacheConn) readMore(conn net.Conn) (closeReason string) {
 	hasBegun := len(c.input.Bytes()) > 0
 	timeout := time.Duration(c.pool.settings.IdleTimeout) * time.Microsecond * idleTimeoutTenths / 10
@@ -62,14 +64,16 @@
 	return c.closeReason(err)
 }
 
-// handleResponse gives a response to its lookup. It returns a reason if the connection must end. A response to no open attempt (given up,
-// answered already, or another's) is complete and harms nothing: the attempts around it go on.
+// handleResponse delivers a response to its lookup. It returns a reason if the connection must be
+// closed. A response to no open attempt (the attempt was given up or already answered, or the id is
+// unknown) is ignored. Such a response is complete, so the other attempts on the connection go on.
 func (c *cacheConn) handleResponse(r response, invalid error) (closeReason string) {
 	a := c.attemptFor(r.id)
 	if a == nil {
 		return ""
 	}
-	if invalid == nil && r.hasNoVersion && !a.lookup.PassThrough { // guards clients against bytes that no cache vouches for
+	// An object without a version or a creation time is not a copy. Only a lookup that runs at the origin may get it.
+	if invalid == nil && r.hasNoVersion && !a.lookup.PassThrough {
 		invalid = errNoVersion
 	}
 	if invalid != nil {
@@ -80,10 +84,10 @@
 	removed := c.remove(a, false)
 	c.mu.Unlock()
 	if !removed {
-		return "" // given up this moment
+		return "" // the attempt was given up in the meantime
 	}
 	if r.notModified && r.etag != a.lookup.ETag {
-		r.outcome = policy.OutcomeError // says nothing of the copy that the client holds
+		r.outcome = policy.OutcomeError // the response does not confirm the copy that the client holds
 		c.logInvalidResponse(errUnknownCopy)
 	}
 	c.rejectOutdated(a, &r)
@@ -94,7 +98,7 @@
 	return ""
 }
 
-// attemptFor returns the open attempt that a response is for and counts the response; nil if there is none.
+// attemptFor counts a response and returns the open attempt that it belongs to, or nil if there is none.
 func (c *cacheConn) attemptFor(id string) *attempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,9 +113,11 @@
 	return a
 }
 
-// rejectOutdated gives a copy that is older than a purge in force the outcome of a timeout, whenever its attempt was sent (rule 5). To the
-// policy it is as if no response had come: where the object kind allows it, it sends another attempt with the purge in mind. The attempt
-// has run, so it must not count as not sent: a lookup with side effects would run a second time (rule 2).
+// rejectOutdated changes the outcome of a copy that is older than a purge in force to a timeout, no
+// matter when its attempt was sent. It enforces rule 5, which forbids copies that are older than a
+// purge. To the policy this is the same as no response: if the object kind allows it, the policy sends
+// another attempt that takes the purge into account. The attempt has run and must not be reported as not
+// sent. Otherwise a lookup with side effects would run a second time, which rule 2 forbids.
 func (c *cacheConn) rejectOutdated(a *attempt, r *response) {
 	issuedAt, receivedAt := c.pool.purges.InForce(a.lookup.Object, a.lookup.Group)
 	if r.outcome != policy.OutcomeSatisfied || r.hasNoVersion || !r.createdAt.Before(issuedAt) {
@@ -124,13 +130,13 @@
 	r.detail = policy.DetailNone
 }
 
-// storeObject keeps what a response brought for its lookup, and changes the outcome where it cannot.
+// storeObject stores the object of a response in its lookup, and changes the outcome if that is not possible.
 func storeObject(a *attempt, r *response) {
 	switch stored, ended := a.lookup.store(a.step.Attempt, *r); {
 	case ended:
-		r.outcome = policy.OutcomeTimeout // the lookup has just ended: no fault of the cache
+		r.outcome = policy.OutcomeTimeout // the lookup has just ended; this is not a fault of the cache
 	case !stored:
-		r.outcome = policy.OutcomeError // objects that clients are slow to take fill the capacity; the attempt may have run
+		r.outcome = policy.OutcomeError // objects that clients read slowly use up the byte capacity; the attempt may have run
 	}
 }
 
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -13,37 +13,39 @@
 )
 
 const (
-	// writeTimeout bounds how long a cache may take none of the bytes that wait for it.
+	// writeTimeout is how long a cache may accept none of the bytes that are queued for it.
 	writeTimeout = time.Second
-	// maxQueuedBytes bounds the bytes of lines that wait for a cache to take those before them.
+	// maxQueuedBytes is the maximum number of bytes of lines that are queued for a cache because it has
+	// not accepted earlier ones.
 	maxQueuedBytes = 64<<10 + MaxObjectBytes
-	// writeRetryDelay is the pause before a line of which the connection took nothing is tried again.
+	// writeRetryDelay is the pause before the next try to write a line of which the connection has accepted no byte.
 	writeRetryDelay = 5 * time.Millisecond
 )
 
-// outgoing are the lines that wait to be written on a connection. It is guarded by the connection's lock, except that the goroutine that
-// has set writing may write without it.
+// outgoing holds the lines that are queued to be written on a connection. The connection's lock guards
+// it. The goroutine that has set writing may write to the connection without holding the lock.
 type outgoing struct {
 	queue        []*line
 	queuedBytes  int
-	linesQueued  int64                // so far: the number of the last line
-	linesBegun   int64                // the number of the last line that began to be written
-	linesWritten int64                // the number of the last line that is out
-	partialLine  []byte               // the rest of the last line that began
-	lastLine     *line                // that nextLine took from the queue; nil: it gave a partial line
-	writing      bool                 // one goroutine at a time writes
-	writeNow     env.NonBlockingWrite // nil: the connection has none
+	linesQueued  int64                // number of the last line that was queued
+	linesBegun   int64                // number of the last line that began to be written
+	linesWritten int64                // number of the last line that was written completely
+	partialLine  []byte               // rest of the last line that began to be written
+	lastLine     *line                // line that nextLine last took from the queue; nil: it returned a partial line
+	writing      bool                 // a goroutine is writing; only one does so at a time
+	writeNow     env.NonBlockingWrite // nil: the connection does not support it
 }
 
-// line is a line to a cache.
+// line is a request line or a cancel line to a cache.
 type line struct {
-	number  int64    // on its connection, from 1
+	number  int64    // position on its connection, from 1
 	text    []byte   // nil once it is withdrawn
-	attempt *attempt // that it starts; nil: a cancel line
+	attempt *attempt // attempt that the line requests; nil: a cancel line
 }
 
-// queueAttempt queues an attempt's line once the connection is up. The line says how much time is left by now, and its silence timeout
-// begins: a connection that was late to come up has not been silent for that. Under the connection's lock.
+// queueAttempt queues an attempt's line once the connection is up. The line states the time that is left
+// now. The silence timeout starts now too, because the wait for the connection does not count as
+// silence. The caller holds the connection's lock.
 func (c *cacheConn) queueAttempt(a *attempt) {
 	a.sentAt = c.pool.env.Now()
 	step := a.step
@@ -62,7 +64,8 @@
 	c.queueLine(&a.line)
 }
 
-// queueLine queues a line. A cache that takes so few that they pile up has its connection ended. Under the connection's lock.
+// queueLine queues a line. It closes the connection if more than maxQueuedBytes are queued because the
+// cache accepts too little. The caller holds the connection's lock.
 func (c *cacheConn) queueLine(l *line) {
 	c.linesQueued++
 	l.number = c.linesQueued
@@ -74,8 +77,9 @@
 	}
 }
 
-// nextLine returns what is to be written next, nil if there is nothing. It takes one line at a time, so that those behind a cache that
-// takes nothing can still be withdrawn. Under the connection's lock.
+// nextLine returns the next text to write, or nil if there is none. It takes one line at a time from the
+// queue, so that the lines behind one that the cache does not accept can still be withdrawn. The caller
+// holds the connection's lock.
 func (c *cacheConn) nextLine() []byte {
 	c.lastLine = nil
 	if text := c.partialLine; text != nil {
@@ -94,14 +98,16 @@
 			c.lastLine = next
 			return next.text
 		}
-		c.linesWritten = c.linesBegun // all before it is out
+		c.linesWritten = c.linesBegun // all lines before it have been written
 	}
 	return nil
 }
 
-// withdraw takes back an attempt that was decided some time ago and may not go out any more: its window has passed (rule 2), its cache
-// drains (rule 3), its lookup has ended or its client has gone. Nothing of it has gone out, so it is reported as not sent, and the policy
-// says what comes next. Under the connection's lock.
+// withdraw withdraws an attempt that was decided earlier and may not be sent any more. The reasons are
+// that its deduplication window has passed (rule 2, which forbids a second effect), that its cache is
+// draining or gone (rule 3, which forbids attempts to such a cache), that its lookup has ended, or that
+// its client has disconnected. Nothing of the attempt has been written, so it is reported as not sent,
+// and the policy decides on the next step. The caller holds the connection's lock.
 func (c *cacheConn) withdraw(l *line) {
 	a := l.attempt
 	delete(c.attempts, a.lookup.ID)
@@ -113,9 +119,11 @@
 	l.text = nil
 }
 
-// noteWritten notes how many bytes of what nextLine gave the connection took at once; it returns whether that was all of them. A line of
-// which it took nothing has not begun and goes back to the queue, so that nextLine asks again whether it may go out: a cache may take
-// nothing for long after a client has gone, a lookup has ended or the cache has begun to drain. Under the connection's lock.
+// noteWritten records that the connection accepted the first n bytes of a text that nextLine returned.
+// It returns true if these are all bytes of the text. A line of which no byte was accepted has not begun
+// and goes back to the queue, so that nextLine checks again whether it may be sent. This is necessary
+// because a cache may accept nothing for a long time after the client has disconnected, the lookup has
+// ended or the cache has begun to drain. The caller holds the connection's lock.
 func (c *cacheConn) noteWritten(text []byte, n int) bool {
 	if n == 0 && c.lastLine != nil {
 		c.requeueLast()
@@ -130,8 +138,8 @@
 	return true
 }
 
-// requeueLast puts the line that nextLine gave back to the front of the queue. If its attempt has been given up meanwhile, neither it nor
-// its cancel line need go out. Under the connection's lock.
+// requeueLast puts the line that nextLine returned back at the front of the queue. If its attempt has been given
+// up meanwhile, neither the line nor its cancel line needs to be sent. The caller holds the connection's lock.
 func (c *cacheConn) requeueLast() {
 	last := c.lastLine
 	if a := last.attempt; a != nil && c.attempts[a.lookup.ID] != a {
@@ -150,8 +158,8 @@
 	c.lastLine = nil
 }
 
-// flush writes what is queued, as far as the connection takes it at once; writeLoop goes on with the rest. So a goroutine is woken only for
-// lines to a cache that is slow to read, not for each attempt.
+// flush writes the queued text that the connection accepts without blocking; writeLoop writes the rest.
+// This way a goroutine is woken only for lines to a cache that reads slowly, not for each attempt.
 func (c *cacheConn) flush() {
 	c.mu.Lock()
 	if c.writing || c.closed || c.writeNow == nil {
@@ -179,22 +187,22 @@
 	c.reportGivenUp(reportable)
 }
 
-// claim is what writeLoop is to do next.
+// claim is the next task of writeLoop.
 type claim struct {
-	text     []byte // nil: nothing now
-	isNew    bool   // the text is a line of which nothing has been written
+	text     []byte // nil: there is nothing to write now
+	isNew    bool   // the text is a line of which no byte has been written
 	closed   bool   // the connection has ended
 	writeNow env.NonBlockingWrite
 }
 
-// stall is how long a connection has taken nothing.
+// stall records since when a connection has accepted no bytes.
 type stall struct {
-	since      time.Time // zero: it is not stalled
-	linesBegun int64     // when it began
+	since      time.Time // zero: the connection is not stalled
+	linesBegun int64     // outgoing.linesBegun at the start of the stall
 }
 
-// writeLoop writes what flush left until the connection ends; what does not go out in time ends it. Attempts that are open then are
-// reported by finish.
+// writeLoop writes the text that flush left, until the connection ends. It closes the connection if the
+// text cannot be written in time. finish reports the attempts that are open then.
 func (c *cacheConn) writeLoop(conn net.Conn) {
 	var stalled stall
 	for {
@@ -207,7 +215,9 @@
 			c.wakeup.Wait(-1)
 			continue
 		}
-		if next.isNew && next.writeNow != nil { // a Write that waits would begin whenever the cache reads on, whatever has changed by then
+		// A blocking Write would begin the line as soon as the cache reads again, even if the line may
+		// not be sent any more by then.
+		if next.isNew && next.writeNow != nil {
 			if !c.writeWithoutWaiting(next, &stalled) {
 				c.writeTimedOut.Store(true)
 				env.Abort(conn)
@@ -223,7 +233,8 @@
 	}
 }
 
-// claimLine takes what is to be written next, unless flush is writing, and reports attempts whose lines are out.
+// claimLine returns what writeLoop is to write next, unless flush is writing. It also reports attempts
+// whose lines have been written.
 func (c *cacheConn) claimLine() claim {
 	c.mu.Lock()
 	var next claim
@@ -240,8 +251,8 @@
 	return next
 }
 
-// writeWithoutWaiting writes what the connection takes of a line at once. It returns false if the connection has taken nothing for
-// writeTimeout.
+// writeWithoutWaiting writes as many bytes of a line as the connection accepts without blocking. It
+// returns false if the connection has accepted nothing for writeTimeout.
 func (c *cacheConn) writeWithoutWaiting(next claim, stalled *stall) bool {
 	n := next.writeNow(next.text)
 	c.mu.Lock()
@@ -263,11 +274,12 @@
 	return true
 }
 
-// writeWaiting writes text and waits for the connection to take it; false if it does not in time.
+// writeWaiting writes text and blocks until the connection has accepted it. It returns false if the
+// write fails or exceeds writeTimeout.
 func (c *cacheConn) writeWaiting(conn net.Conn, text []byte) bool {
 	conn.SetWriteDeadline(c.pool.env.Now().Add(writeTimeout))
 	_, err := conn.Write(text)
-	conn.SetWriteDeadline(time.Time{}) // one that has passed would stop flush too
+	conn.SetWriteDeadline(time.Time{}) // an expired deadline would also stop flush
 	c.mu.Lock()
 	c.writing = false
 	if err == nil {
