--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -1,9 +1,9 @@
-// Package admission bounds the lookups that are open at once and the bytes of their answers. The open lookups are divided among claimants
-// (the gateway's direct clients, each caller of another entry point, each tenant of a limit) by max-min fairness. Nothing waits: a lookup is
-// admitted at once or not at all.
+// Package admission limits the number of open lookups and the bytes of their bodies and objects. It divides the
+// open lookups among claimants by max-min fairness. A claimant is the gateway's direct clients, a caller of
+// another entry point, or a tenant of a limit. Lookups are not queued: each is admitted or rejected at once.
 //
-// Quotas is the division alone: it does no I/O, keeps no clock and is not safe for concurrent use. Controller owns one, with a lock and the
-// bound on bytes, for the whole gateway.
+// Quotas divides a capacity among claimants. It does no I/O, reads no clock and is not safe for
+// concurrent use. Controller holds the Quotas of the whole gateway, with a lock and the limit on bytes.
 package admission
 
 import (
@@ -13,11 +13,11 @@
 	"foldslip/internal/env"
 )
 
-// Controller admits the gateway's lookups. It is safe for concurrent use.
+// Controller admits the gateway's lookups and reserves their bytes. It is safe for concurrent use.
 type Controller struct {
 	Clock env.Environment
 
-	mu            sync.Mutex // of quotas
+	mu            sync.Mutex // guards quotas
 	quotas        *Quotas
 	maxBytes      int64
 	reservedBytes atomic.Int64
@@ -29,19 +29,20 @@
 	claimant   *Claimant
 }
 
-// NewController allows so many lookups at once and so many bytes of answers.
+// NewController returns a controller that admits at most maxLookups open lookups and reserves at most maxBytes bytes.
 func NewController(clock env.Environment, maxLookups int, maxBytes int64) *Controller {
 	return &Controller{Clock: clock, quotas: NewQuotas(maxLookups), maxBytes: maxBytes}
 }
 
-// Gate returns the gate of a claimant by name. The first claimant of a controller is never forgotten.
+// Gate returns the gate of the claimant with a name. The first claimant of a controller is never removed.
 func (c *Controller) Gate(name string, weight float64) *Gate {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return &Gate{c, c.quotas.Claimant(c.Clock.Now(), name, weight)}
 }
 
-// TryAdmit admits a lookup if its claimant may have one more. Release must follow.
+// TryAdmit admits a lookup if its claimant's quota allows one more. The caller must call Release for
+// each admitted lookup.
 func (g *Gate) TryAdmit() bool {
 	g.controller.mu.Lock()
 	defer g.controller.mu.Unlock()
@@ -55,14 +56,15 @@
 	g.controller.quotas.Release(g.controller.Clock.Now(), g.claimant)
 }
 
-// Open returns the number of lookups that are admitted and not released, of all claimants.
+// Open returns the number of admitted lookups of all claimants that have not been released.
 func (c *Controller) Open() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.quotas.Open()
 }
 
-// ReserveBytes reserves bytes for an answer and reports whether there were as many. ReleaseBytes must follow.
+// ReserveBytes reserves bytes for a body or an object and reports whether as many were free. The caller
+// must return them with ReleaseBytes.
 func (c *Controller) ReserveBytes(bytes int) bool {
 	if c.reservedBytes.Add(int64(bytes)) <= c.maxBytes {
 		return true
@@ -71,5 +73,5 @@
 	return false
 }
 
-// ReleaseBytes gives reserved bytes back.
+// ReleaseBytes returns reserved bytes.
 func (c *Controller) ReleaseBytes(bytes int) { c.reservedBytes.Add(-int64(bytes)) }
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -12,15 +12,15 @@
 	c := NewController(env.NewSystem(io.Discard, slog.LevelInfo), 1, 100)
 	gate := c.Gate("clients", 1)
 	if !gate.TryAdmit() || gate.TryAdmit() {
-		t.Error("a capacity of one lookup, but not one admitted")
+		t.Error("capacity of 1 lookup: expected the first to be admitted and the second to be rejected")
 	}
 	if gate.Release(); !gate.TryAdmit() {
-		t.Error("nothing admitted after a release")
+		t.Error("expected a lookup to be admitted after a release")
 	}
 	if !c.ReserveBytes(60) || c.ReserveBytes(60) || !c.ReserveBytes(40) {
-		t.Error("a capacity of 100 bytes, but not 60 and 40 reserved")
+		t.Error("capacity of 100 bytes: expected 60 to be reserved, 60 more rejected and 40 more reserved")
 	}
 	if c.ReleaseBytes(60); !c.ReserveBytes(60) {
-		t.Error("nothing reserved after a release")
+		t.Error("expected 60 bytes to be reserved after a release")
 	}
 }
--- a/internal/admission/quotas.go
+++ b/internal/admission/quotas.go
@@ -7,47 +7,50 @@
 	"time"
 )
 
-// MaxClaimants is how many claimants are distinguished. Past it newcomers share one.
+// MaxClaimants is the number of claimants with quotas of their own. Beyond it, new claimants share one.
 const MaxClaimants = 1024
 
 const (
-	demandHalfLife = time.Second      // of a claimant's demand beyond what it has open
-	levelLifetime  = time.Millisecond // of the fair level, before it is computed anew
-	idleDemand     = 0.5              // lookups; a claimant with none open and less demand may be forgotten
+	demandHalfLife = time.Second      // of a claimant's demand beyond its open lookups
+	levelLifetime  = time.Millisecond // how long a computed fair level is used
+	idleDemand     = 0.5              // lookups; a claimant with none open and less demand may be removed
 )
 
-// Unlimited is the capacity of quotas that admit every lookup and count what is open.
+// Unlimited is the capacity of Quotas that admit every lookup and only count the open ones.
 const Unlimited = math.MaxInt
 
-// overflowName is the claimant that newcomers share when there are MaxClaimants.
+// overflowName is the name of the claimant that new claimants share once there are MaxClaimants.
 const overflowName = "others"
 
-// Quotas divides a capacity of open lookups among claimants by max-min fairness. A claimant alone may have all of it. Among several, the
-// recent demand of each is met up to a common level times its weight; above that level a claimant gets only what no other has a claim to. So
-// a flood of one takes idle capacity and no more, and a newcomer's claim grows with each rejection until what others release is its own.
+// Quotas divides a capacity of open lookups among claimants by max-min fairness. A single claimant may
+// use the whole capacity. Among several, the recent demand of each is met up to a common level times its
+// weight. Above that level a claimant gets only capacity that no other claimant is entitled to.
+// Therefore a flood of one claimant uses only idle capacity. The demand of a new claimant grows with
+// each rejection, until the capacity that others release goes to it.
 type Quotas struct {
 	capacity, open int
 	claimants      []*Claimant
-	level          float64 // the fair level as of levelAt
+	level          float64 // fair level, computed at levelAt
 	levelAt        time.Time
 }
 
-// Claimant is one party with open lookups. It is owned by its Quotas.
+// Claimant is one party that opens lookups. It is owned by its Quotas.
 type Claimant struct {
 	Name      string
 	Weight    float64
 	Requested uint64 // lookups requested since the start
-	Rejected  uint64 // of these
+	Rejected  uint64 // requested lookups that were rejected
 	open      int
-	demand    float64 // open lookups wanted as of demandAt, the highest of recent time
+	demand    float64 // maximum of recently wanted open lookups, as of demandAt
 	demandAt  time.Time
 }
 
-// NewQuotas divides a capacity of so many open lookups.
+// NewQuotas returns Quotas that divide a capacity of open lookups.
 func NewQuotas(capacity int) *Quotas { return &Quotas{capacity: capacity} }
 
-// Claimant returns the claimant of a name and adds it if it is not known. Past MaxClaimants the idle ones are forgotten, but never the
-// first; if none is idle, newcomers share one claimant of weight 1.
+// Claimant returns the claimant with a name and adds it if there is none. When there are MaxClaimants,
+// it first removes the idle ones, except the first claimant. If none is idle, it returns a claimant of
+// weight 1 that all new claimants share.
 func (q *Quotas) Claimant(now time.Time, name string, weight float64) *Claimant {
 	if c := q.find(name); c != nil {
 		return c
@@ -76,13 +79,13 @@
 }
 
 func (q *Quotas) forgetIdle(now time.Time) {
-	permanent := q.claimants[0].Name // the gateway's own clients
+	permanent := q.claimants[0].Name // the claimant of the gateway's own clients
 	q.claimants = slices.DeleteFunc(q.claimants, func(c *Claimant) bool {
 		return c.open == 0 && c.currentDemand(now) < idleDemand && c.Name != permanent
 	})
 }
 
-// TryAcquire opens a lookup of a claimant if its quota allows one more.
+// TryAcquire opens a lookup of a claimant if its quota allows one more, and reports whether it did.
 func (q *Quotas) TryAcquire(now time.Time, c *Claimant) bool {
 	c.Requested++
 	c.demand = max(c.currentDemand(now), float64(c.open+1))
@@ -105,7 +108,7 @@
 	q.open--
 }
 
-// Resize sets the capacity. Where more lookups are open, none is admitted until enough have ended.
+// Resize sets the capacity. If more lookups are open than the new capacity, none is admitted until enough have ended.
 func (q *Quotas) Resize(capacity int) {
 	if capacity != q.capacity {
 		q.capacity = capacity
@@ -119,7 +122,8 @@
 // Open returns the number of open lookups of the claimant.
 func (c *Claimant) Open() int { return c.open }
 
-// currentDemand returns how many lookups the claimant wanted open at once in recent time.
+// currentDemand returns how many open lookups the claimant has wanted recently. Demand beyond its open
+// lookups decays with demandHalfLife.
 func (c *Claimant) currentDemand(now time.Time) float64 {
 	open := float64(c.open)
 	if c.demand <= open {
@@ -128,7 +132,8 @@
 	return open + (c.demand-open)*math.Exp2(-now.Sub(c.demandAt).Seconds()/demandHalfLife.Seconds())
 }
 
-// admits reports whether a claimant may open one more lookup: below the fair level always, above it from what no other claims.
+// admits reports whether a claimant may open one more lookup. Below the fair level it always may. Above
+// the level it may only use capacity that no other claimant is entitled to.
 func (q *Quotas) admits(now time.Time, c *Claimant) bool {
 	free := q.capacity - q.open
 	switch {
@@ -154,8 +159,9 @@
 	return float64(free) > claims
 }
 
-// fairLevel returns how many open lookups a claimant of weight 1 gets if it wants more: the level at which the demands, each cut at the
-// level times its weight, add up to the capacity. It is infinite where the capacity meets all demand.
+// fairLevel returns the number of open lookups that a claimant of weight 1 gets if its demand is higher.
+// It is the level at which the demands, each limited to the level times the claimant's weight, add up to
+// the capacity. It is infinite if the capacity meets all demands.
 func (q *Quotas) fairLevel(now time.Time) float64 {
 	left := float64(q.capacity)
 	weights := 0.0
@@ -182,7 +188,7 @@
 	return left / weights
 }
 
-// Each calls a function for each claimant, by name.
+// Each calls visit for each claimant, in the order of their names.
 func (q *Quotas) Each(visit func(c *Claimant)) {
 	sorted := slices.Clone(q.claimants)
 	slices.SortFunc(sorted, func(a, b *Claimant) int { return strings.Compare(a.Name, b.Name) })
--- a/internal/admission/quotas_property_test.go
+++ b/internal/admission/quotas_property_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestQuotasCountWhatIsHeld guards against open lookups that are lost or counted below zero while claimants come and go and the capacity
-// changes, and against more admitted than the capacity.
+// TestQuotasCountWhatIsHeld guards against counts of open lookups that are too high or too low, and
+// against more admitted lookups than the capacity, while claimants come and go and the capacity changes.
 func TestQuotasCountWhatIsHeld(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(0, 6).Draw(t, "capacity")
@@ -23,7 +23,7 @@
 					break
 				}
 				if held = append(held, claimant); len(held) > capacity {
-					t.Fatalf("%d admitted of %d", len(held), capacity)
+					t.Fatalf("%d lookups admitted with a capacity of %d", len(held), capacity)
 				}
 			case 2:
 				if len(held) > 0 {
@@ -44,7 +44,7 @@
 	})
 }
 
-// checkCounts expects the quotas and each claimant to count what is held.
+// checkCounts fails the test unless the counts of open lookups, in total and for each claimant, match the held ones.
 func checkCounts(t *rapid.T, quotas *Quotas, held []*Claimant) {
 	byClaimant := map[*Claimant]int{}
 	for _, claimant := range held {
@@ -54,10 +54,10 @@
 	quotas.Each(func(c *Claimant) {
 		total += c.Open()
 		if c.Open() != byClaimant[c] {
-			t.Fatalf("%s: %d open, %d held", c.Name, c.Open(), byClaimant[c])
+			t.Fatalf("claimant %s counts %d open lookups, expected %d", c.Name, c.Open(), byClaimant[c])
 		}
 	})
 	if quotas.Open() != len(held) || total != len(held) {
-		t.Fatalf("%d open, %d of known claimants, %d held", quotas.Open(), total, len(held))
+		t.Fatalf("%d lookups open, %d of all claimants together, expected %d", quotas.Open(), total, len(held))
 	}
 }
--- a/internal/admission/quotas_test.go
+++ b/internal/admission/quotas_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// loadSource sends lookups at random and holds each for a while.
+// loadSource sends lookups at random times, each of which stays open for lookupTime.
 type loadSource struct {
-	rate     float64 // a second
+	rate     float64 // lookups per second
 	admitted int
 	open     int
 }
 
 const lookupTime = 400 * time.Millisecond
 
-// simulateLoad plays a minute of virtual time; acquire reports whether a source's lookup is admitted.
+// simulateLoad simulates a minute of load in virtual time. acquire reports whether a lookup of a source is admitted.
 func simulateLoad(sources []*loadSource, acquire func(now time.Time, source int) bool, release func(now time.Time, source int)) {
 	random := rand.New(rand.NewPCG(1, 2))
 	type end struct {
@@ -43,7 +43,8 @@
 	}
 }
 
-// jainIndex returns Jain's index of fairness over what each got of what it was due: 1 is fair, 1/n is all to one.
+// jainIndex returns Jain's fairness index of the shares that the sources got of what they were due. It
+// is 1 if all shares are equal and 1/n if one of n sources got everything.
 func jainIndex(got []float64) float64 {
 	sum, squares := 0.0, 0.0
 	for _, g := range got {
@@ -53,10 +54,12 @@
 	return sum * sum / (float64(len(got)) * squares)
 }
 
-// measureFlood floods a capacity of a hundred lookups from one of four sources. It returns Jain's index and the part of the capacity used.
+// measureFlood floods a capacity of a hundred lookups from one of four sources. It returns Jain's index
+// and the used part of the capacity.
 func measureFlood(isFair bool) (index, used float64) {
 	const capacity = 100
-	sources := []*loadSource{{rate: 60}, {rate: 20}, {rate: 60}, {rate: 4000}} // due: 24, 8, 24 open lookups and the rest
+	// The sources are due 24, 8 and 24 open lookups, and the last one the rest.
+	sources := []*loadSource{{rate: 60}, {rate: 20}, {rate: 60}, {rate: 4000}}
 	quotas, open := NewQuotas(capacity), 0
 	var claimants []*Claimant
 	for i := range sources {
@@ -86,19 +89,20 @@
 	return jainIndex(got), float64(total) / (60 * capacity / 0.4)
 }
 
-// A flood of one source among usual ones: max-min quotas against first come, first served.
+// One source floods the capacity while three others send their usual load. Max-min quotas must divide
+// the capacity more fairly than first come, first served, and leave little of it idle.
 func TestOneFloodingClaimantTakesOnlyIdleCapacity(t *testing.T) {
 	plain, plainUsed := measureFlood(false)
 	fair, used := measureFlood(true)
-	t.Logf("Jain's index %.3f against %.3f first come, first served; capacity used %.3f against %.3f", fair, plain, used, plainUsed)
+	t.Logf("max-min quotas: Jain's index %.3f, first come, first served: %.3f; capacity used: %.3f and %.3f", fair, plain, used, plainUsed)
 	if fair < 0.97 || fair < plain+0.1 || used < 0.85*plainUsed {
-		t.Errorf("index %.3f (%.3f), used %.3f (%.3f)", fair, plain, used, plainUsed)
+		t.Errorf("Jain's index %.3f (first come, first served: %.3f), capacity used %.3f (first come, first served: %.3f)", fair, plain, used, plainUsed)
 	}
 }
 
 func timeAt(ms int) time.Time { return time.Unix(0, 0).Add(time.Duration(ms) * time.Millisecond) }
 
-// acquireAll opens as many lookups of a claimant as are admitted and returns their number.
+// acquireAll opens lookups of a claimant until one is rejected, and returns the number opened.
 func acquireAll(q *Quotas, c *Claimant, ms int) (n int) {
 	for q.TryAcquire(timeAt(ms), c) {
 		n++
@@ -107,13 +111,13 @@
 }
 
 func TestQuotas(t *testing.T) {
-	t.Run("one alone has the whole capacity", func(t *testing.T) {
+	t.Run("a single claimant gets the whole capacity", func(t *testing.T) {
 		q := NewQuotas(10)
 		if n := acquireAll(q, q.Claimant(timeAt(0), "clients", 1), 0); n != 10 {
-			t.Errorf("%d of 10", n)
+			t.Errorf("%d lookups admitted, expected 10", n)
 		}
 	})
-	t.Run("a newcomer at full capacity gets what is released until it has its half", func(t *testing.T) {
+	t.Run("at full capacity a new claimant gets released lookups until it has half", func(t *testing.T) {
 		q := NewQuotas(10)
 		first, second := q.Claimant(timeAt(0), "clients", 1), q.Claimant(timeAt(0), "edge", 1)
 		acquireAll(q, first, 0)
@@ -125,16 +129,16 @@
 			}
 		}
 		if first.Open() != 5 || second.Open() != 5 {
-			t.Errorf("%d and %d", first.Open(), second.Open())
+			t.Errorf("%d and %d lookups open, expected 5 and 5", first.Open(), second.Open())
 		}
 	})
-	t.Run("quotas go by weight", func(t *testing.T) {
+	t.Run("quotas are proportional to weights", func(t *testing.T) {
 		q := NewQuotas(12)
 		first, second := q.Claimant(timeAt(0), "clients", 3), q.Claimant(timeAt(0), "edge", 1)
 		for ms := range 200 {
 			q.TryAcquire(timeAt(ms), first)
 			q.TryAcquire(timeAt(ms), second)
-			for _, c := range []*Claimant{first, second} { // each releases one in turn
+			for _, c := range []*Claimant{first, second} { // each releases one lookup
 				if c.Open() > 0 && ms%2 == 0 {
 					q.Release(timeAt(ms), c)
 				}
@@ -143,31 +147,31 @@
 			q.TryAcquire(timeAt(ms), first)
 		}
 		if first.Open() != 9 || second.Open() != 3 {
-			t.Errorf("%d and %d", first.Open(), second.Open())
+			t.Errorf("%d and %d lookups open, expected 9 and 3", first.Open(), second.Open())
 		}
 	})
-	t.Run("demand of long ago is no claim", func(t *testing.T) {
+	t.Run("old demand does not reserve capacity", func(t *testing.T) {
 		q := NewQuotas(10)
 		first, second := q.Claimant(timeAt(0), "clients", 1), q.Claimant(timeAt(0), "edge", 1)
 		for range acquireAll(q, second, 0) {
 			q.Release(timeAt(1), second)
 		}
 		if n := acquireAll(q, first, 20_000); n != 10 {
-			t.Errorf("%d of 10", n)
+			t.Errorf("%d lookups admitted, expected 10", n)
 		}
 	})
 }
 
 func TestClaimants(t *testing.T) {
-	t.Run("a thousand are told apart", func(t *testing.T) {
+	t.Run("a thousand claimants are distinguished", func(t *testing.T) {
 		q := NewQuotas(10)
 		for i := range 1000 {
 			if c := q.Claimant(timeAt(0), fmt.Sprint("c", i), 1); c.Name != fmt.Sprint("c", i) {
-				t.Fatalf("claimant %d is taken for %s", i, c.Name)
+				t.Fatalf("claimant %d has the name %s", i, c.Name)
 			}
 		}
 	})
-	t.Run("their number is bounded, and the gateway's own clients stay", func(t *testing.T) {
+	t.Run("the number of claimants is bounded, and the gateway's own clients are never removed", func(t *testing.T) {
 		q := NewQuotas(10)
 		q.Claimant(timeAt(0), "clients", 1)
 		for i := range 3 * MaxClaimants {
@@ -179,7 +183,7 @@
 			hasClients = hasClients || c.Name == "clients"
 		})
 		if n > MaxClaimants+1 || !hasClients || q.Open() != 10 {
-			t.Errorf("%d claimants, %d open", n, q.Open())
+			t.Errorf("%d claimants and %d open lookups, expected at most MaxClaimants+1, one of them clients, and 10 open lookups", n, q.Open())
 		}
 	})
 }
