--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -153,7 +153,7 @@
 
 // Two clients request one object, which the cache fills once for both. The first client disconnects. The
 // second must still get its response.
-func TestLookupQueuedBehindOneWhoseClientLeaves(t *testing.T) {
+func TestCoalescedLookupAfterFirstClientLeaves(t *testing.T) {
 	for _, cancelling := range []bool{true, false} {
 		t.Run(fmt.Sprint("cancelling ", cancelling), func(t *testing.T) {
 			bed := testbed.New(t, &testbed.GatedEnv{}, cancelling, 50)
@@ -179,7 +179,7 @@
 
 // A line of which the connection has accepted no byte has not begun to be written. If its client
 // disconnects, the line must not be sent when the cache reads again. The line behind it is sent.
-func TestAttemptOfWhichNothingWasWritten(t *testing.T) {
+func TestUnwrittenAttemptIsWithdrawn(t *testing.T) {
 	for _, cancelling := range []bool{true, false} {
 		t.Run(fmt.Sprint("cancelling ", cancelling), func(t *testing.T) {
 			gates := &testbed.GatedEnv{Unblock: make(chan bool)}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -145,11 +145,11 @@
 	return a.isSilent && !c.lastResponseAt.After(a.sentAt)
 }
 
-// noteSilence is called when an attempt's silence timeout has passed without a response. It closes the
+// handleSilence is called when an attempt's silence timeout has passed without a response. It closes the
 // connection if at least silentAttemptsToClose of its attempts are unanswered. It does not close a
 // connection that has never received a response, because the cache itself may be slow. This guards
 // against a peer that stops responding and leaves its connection open.
-func (c *cacheConn) noteSilence(a *attempt) {
+func (c *cacheConn) handleSilence(a *attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	a.isSilent = true
@@ -180,8 +180,8 @@
 	c.conn.Close()
 }
 
-// closeToAttempts makes the connection refuse further attempts if it has no open ones, and reports whether it did.
-func (c *cacheConn) closeToAttempts() bool {
+// markClosedIfIdle makes the connection refuse further attempts if it has no open ones, and reports whether it did.
+func (c *cacheConn) markClosedIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = len(c.attempts) == 0
@@ -194,9 +194,9 @@
 	return c.suspect
 }
 
-// takeReportable removes and returns the given-up attempts whose lines have been written, or all of them
+// popReportable removes and returns the given-up attempts whose lines have been written, or all of them
 // if the connection has ended. The caller holds the connection's lock.
-func (c *cacheConn) takeReportable(ended bool) []givenUpAttempt {
+func (c *cacheConn) popReportable(ended bool) []givenUpAttempt {
 	n := 0
 	for n < len(c.givenUp) && (ended || c.givenUp[n].lineNumber <= c.linesWritten) {
 		n++
@@ -209,7 +209,7 @@
 	return reportable
 }
 
-// reportGivenUp reports the outcomes of attempts that takeReportable returned. The caller must not hold
+// reportGivenUp reports the outcomes of attempts that popReportable returned. The caller must not hold
 // the connection's lock.
 func (c *cacheConn) reportGivenUp(reportable []givenUpAttempt) {
 	for _, g := range reportable {
@@ -283,7 +283,7 @@
 		}
 	}
 	c.queue = nil
-	reportable := c.takeReportable(true)
+	reportable := c.popReportable(true)
 	c.mu.Unlock()
 
 	c.wakeup.Notify()
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -90,7 +90,7 @@
 // returns false if no connection is idle.
 func (p *Pool) EvictIdle() bool {
 	p.mu.Lock()
-	conn := p.takeLongestIdle()
+	conn := p.removeLongestIdle()
 	p.mu.Unlock()
 	if conn == nil {
 		return false
@@ -137,7 +137,7 @@
 		if leastLoaded != nil {
 			return leastLoaded
 		}
-		if evicted = p.takeLongestIdle(); evicted == nil {
+		if evicted = p.removeLongestIdle(); evicted == nil {
 			return nil
 		}
 	}
@@ -154,10 +154,10 @@
 	return conn
 }
 
-// takeLongestIdle removes the idle connection whose last response is the oldest from the pool and
+// removeLongestIdle removes the idle connection whose last response is the oldest from the pool and
 // returns it. The caller closes it. It returns nil if no connection is idle, or if the chosen connection
 // receives an attempt meanwhile. The caller holds the pool's lock.
-func (p *Pool) takeLongestIdle() *cacheConn {
+func (p *Pool) removeLongestIdle() *cacheConn {
 	var longest *cacheConn
 	var since time.Time
 	for _, ofCache := range p.conns {
@@ -169,7 +169,7 @@
 			conn.mu.Unlock()
 		}
 	}
-	if longest == nil || !longest.closeToAttempts() {
+	if longest == nil || !longest.markClosedIfIdle() {
 		return nil
 	}
 	p.remove(longest)
--- a/internal/upstream/receive.go
+++ b/internal/upstream/receive.go
@@ -58,7 +58,7 @@
 		return ""
 	case errors.Is(err, os.ErrDeadlineExceeded) && hasBegun:
 		return "stalled"
-	case errors.Is(err, os.ErrDeadlineExceeded) && !c.closeToAttempts():
+	case errors.Is(err, os.ErrDeadlineExceeded) && !c.markClosedIfIdle():
 		return ""
 	}
 	return c.closeReason(err)
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -60,7 +60,7 @@
 		request.source = step.Source.Name
 	}
 	a.line.text = request.appendTo(nil)
-	a.silenceTimer = c.pool.env.AfterFunc(time.Duration(step.SilenceTimeout)*time.Microsecond, func() { c.noteSilence(a) })
+	a.silenceTimer = c.pool.env.AfterFunc(time.Duration(step.SilenceTimeout)*time.Microsecond, func() { c.handleSilence(a) })
 	c.queueLine(&a.line)
 }
 
@@ -119,12 +119,12 @@
 	l.text = nil
 }
 
-// noteWritten records that the connection accepted the first n bytes of a text that nextLine returned.
+// recordWrite records that the connection accepted the first n bytes of a text that nextLine returned.
 // It returns true if these are all bytes of the text. A line of which no byte was accepted has not begun
 // and goes back to the queue, so that nextLine checks again whether it may be sent. This is necessary
 // because a cache may accept nothing for a long time after the client has disconnected, the lookup has
 // ended or the cache has begun to drain. The caller holds the connection's lock.
-func (c *cacheConn) noteWritten(text []byte, n int) bool {
+func (c *cacheConn) recordWrite(text []byte, n int) bool {
 	if n == 0 && c.lastLine != nil {
 		c.requeueLast()
 		return false
@@ -174,12 +174,12 @@
 		c.mu.Unlock()
 		n := c.writeNow(text)
 		c.mu.Lock()
-		if !c.noteWritten(text, n) {
+		if !c.recordWrite(text, n) {
 			break
 		}
 	}
 	c.writing = false
-	reportable := c.takeReportable(false)
+	reportable := c.popReportable(false)
 	if c.partialLine != nil || len(c.queue) > 0 || c.closed {
 		c.wakeup.Notify()
 	}
@@ -187,8 +187,8 @@
 	c.reportGivenUp(reportable)
 }
 
-// claim is the next task of writeLoop.
-type claim struct {
+// writeTask is the next task of writeLoop.
+type writeTask struct {
 	text     []byte // nil: there is nothing to write now
 	isNew    bool   // the text is a line of which no byte has been written
 	closed   bool   // the connection has ended
@@ -206,7 +206,7 @@
 func (c *cacheConn) writeLoop(conn net.Conn) {
 	var stalled stall
 	for {
-		next := c.claimLine()
+		next := c.nextTask()
 		if next.closed {
 			return
 		}
@@ -218,7 +218,7 @@
 		// A blocking Write would begin the line as soon as the cache reads again, even if the line may
 		// not be sent any more by then.
 		if next.isNew && next.writeNow != nil {
-			if !c.writeWithoutWaiting(next, &stalled) {
+			if !c.writeNonBlocking(next, &stalled) {
 				c.writeTimedOut.Store(true)
 				env.Abort(conn)
 				return
@@ -226,18 +226,18 @@
 			continue
 		}
 		stalled.since = time.Time{}
-		if !c.writeWaiting(conn, next.text) {
+		if !c.writeBlocking(conn, next.text) {
 			env.Abort(conn)
 			return
 		}
 	}
 }
 
-// claimLine returns what writeLoop is to write next, unless flush is writing. It also reports attempts
+// nextTask returns what writeLoop is to write next, unless flush is writing. It also reports attempts
 // whose lines have been written.
-func (c *cacheConn) claimLine() claim {
+func (c *cacheConn) nextTask() writeTask {
 	c.mu.Lock()
-	var next claim
+	var next writeTask
 	if !c.writing {
 		next.text = c.nextLine()
 	}
@@ -245,18 +245,18 @@
 	next.isNew = c.lastLine != nil
 	next.closed = c.closed
 	next.writeNow = c.writeNow
-	reportable := c.takeReportable(false)
+	reportable := c.popReportable(false)
 	c.mu.Unlock()
 	c.reportGivenUp(reportable)
 	return next
 }
 
-// writeWithoutWaiting writes as many bytes of a line as the connection accepts without blocking. It
+// writeNonBlocking writes as many bytes of a line as the connection accepts without blocking. It
 // returns false if the connection has accepted nothing for writeTimeout.
-func (c *cacheConn) writeWithoutWaiting(next claim, stalled *stall) bool {
+func (c *cacheConn) writeNonBlocking(next writeTask, stalled *stall) bool {
 	n := next.writeNow(next.text)
 	c.mu.Lock()
-	c.noteWritten(next.text, n)
+	c.recordWrite(next.text, n)
 	c.writing = false
 	if n > 0 || c.linesBegun != stalled.linesBegun {
 		*stalled = stall{linesBegun: c.linesBegun}
@@ -274,9 +274,9 @@
 	return true
 }
 
-// writeWaiting writes text and blocks until the connection has accepted it. It returns false if the
+// writeBlocking writes text and blocks until the connection has accepted it. It returns false if the
 // write fails or exceeds writeTimeout.
-func (c *cacheConn) writeWaiting(conn net.Conn, text []byte) bool {
+func (c *cacheConn) writeBlocking(conn net.Conn, text []byte) bool {
 	conn.SetWriteDeadline(c.pool.env.Now().Add(writeTimeout))
 	_, err := conn.Write(text)
 	conn.SetWriteDeadline(time.Time{}) // an expired deadline would also stop flush
@@ -285,7 +285,7 @@
 	if err == nil {
 		c.linesWritten = c.linesBegun
 	}
-	reportable := c.takeReportable(false)
+	reportable := c.popReportable(false)
 	c.mu.Unlock()
 	c.reportGivenUp(reportable)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
