--- a/internal/admission/quotas.go
+++ b/internal/admission/quotas.go
@@ -56,7 +56,7 @@
 		return c
 	}
 	if len(q.claimants) >= MaxClaimants {
-		q.forgetIdle(now)
+		q.removeIdle(now)
 	}
 	if len(q.claimants) >= MaxClaimants {
 		if c := q.find(overflowName); c != nil {
@@ -78,7 +78,7 @@
 	return nil
 }
 
-func (q *Quotas) forgetIdle(now time.Time) {
+func (q *Quotas) removeIdle(now time.Time) {
 	permanent := q.claimants[0].Name // the claimant of the gateway's own clients
 	q.claimants = slices.DeleteFunc(q.claimants, func(c *Claimant) bool {
 		return c.open == 0 && c.currentDemand(now) < idleDemand && c.Name != permanent
--- a/internal/admission/quotas_property_test.go
+++ b/internal/admission/quotas_property_test.go
@@ -6,9 +6,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestQuotasCountWhatIsHeld guards against counts of open lookups that are too high or too low, and
+// TestQuotasCountOpenLookups guards against counts of open lookups that are too high or too low, and
 // against more admitted lookups than the capacity, while claimants come and go and the capacity changes.
-func TestQuotasCountWhatIsHeld(t *testing.T) {
+func TestQuotasCountOpenLookups(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(0, 6).Draw(t, "capacity")
 		quotas := NewQuotas(capacity)
@@ -36,7 +36,7 @@
 				quotas.Resize(capacity)
 			case 4:
 				if len(quotas.claimants) > 0 {
-					quotas.forgetIdle(timeAt(now))
+					quotas.removeIdle(timeAt(now))
 				}
 			}
 			checkCounts(t, quotas, held)
