--- a/internal/config/configfile/configfile.go
+++ b/internal/config/configfile/configfile.go
@@ -32,7 +32,7 @@
 	if err := Evaluate(file, readFile, &c); err != nil {
 		return nil, err
 	}
-	return &c, inFile(file, validate(&c))
+	return &c, withFile(file, validate(&c))
 }
 
 // Evaluate evaluates a template and decodes the result into a pointer to a struct. A name that the struct does not have is an error: a setting
@@ -52,11 +52,11 @@
 	if err != nil {
 		return config.Error{File: file, Text: oneLine(err.Error()), Remedy: "mend the template there"}
 	}
-	return inFile(file, decode([]byte(result), into))
+	return withFile(file, decode([]byte(result), into))
 }
 
-// inFile adds the file to an error of a value.
-func inFile(file string, err error) error {
+// withFile adds the file to an error of a value.
+func withFile(file string, err error) error {
 	var valueErr config.Error
 	if errors.As(err, &valueErr) {
 		valueErr.File = file
--- a/internal/config/configfile/fleet.go
+++ b/internal/config/configfile/fleet.go
@@ -13,8 +13,8 @@
 	maxLabelBytes = 64
 )
 
-// named is a setting that is a text.
-type named struct{ name, value string }
+// textSetting is a setting that is a text.
+type textSetting struct{ name, value string }
 
 func validateFleet(f *config.Fleet) error {
 	if err := validateNumbers("fleet", []intSetting{
@@ -53,7 +53,7 @@
 
 // validateFleetAddrs checks this gateway's addresses and those of its seeds.
 func validateFleetAddrs(f *config.Fleet) error {
-	for _, setting := range []named{{"listen", f.Listen}, {"advertise", f.Advertise}} {
+	for _, setting := range []textSetting{{"listen", f.Listen}, {"advertise", f.Advertise}} {
 		addr, err := netip.ParseAddrPort(setting.value)
 		if err != nil || addr.Port() == 0 || addr.Addr().IsUnspecified() {
 			return invalid("fleet."+setting.name, fmt.Sprintf("%q", setting.value), "expected an IP of this machine and a port, as 10.0.0.4:7946")
@@ -76,7 +76,7 @@
 
 // validateLocality checks that region, zone and site are set together.
 func validateLocality(f *config.Fleet) error {
-	locality := []named{{"region", f.Region}, {"zone", f.Zone}, {"site", f.Site}}
+	locality := []textSetting{{"region", f.Region}, {"zone", f.Zone}, {"site", f.Site}}
 	isSet := false
 	for _, setting := range locality {
 		if len(setting.value) > config.MaxLocalityBytes {
@@ -93,7 +93,7 @@
 }
 
 func validateFleetPaths(f *config.Fleet) error {
-	for _, setting := range []named{{"key_file", f.KeyFile}, {"seed_file", f.SeedFile}, {"folder", f.Folder}, {"socket", f.Socket}} {
+	for _, setting := range []textSetting{{"key_file", f.KeyFile}, {"seed_file", f.SeedFile}, {"folder", f.Folder}, {"socket", f.Socket}} {
 		if setting.value == "" {
 			continue
 		}
--- a/internal/config/configfile/validate.go
+++ b/internal/config/configfile/validate.go
@@ -130,8 +130,8 @@
 		name, path string
 		isOptional bool
 	}{{"cert", x.TLS.Cert, false}, {"key", x.TLS.Key, false}, {"client_ca", x.TLS.ClientCA, true}} {
-		isLeftOut := file.path == "" && file.isOptional
-		if !path.IsAbs(file.path) && !isLeftOut {
+		isOmitted := file.path == "" && file.isOptional
+		if !path.IsAbs(file.path) && !isOmitted {
 			return invalid("external_processor.tls."+file.name, fmt.Sprintf("%q", file.path), "name a file in PEM from the root")
 		}
 	}
--- a/internal/limit/adaptive.go
+++ b/internal/limit/adaptive.go
@@ -7,8 +7,8 @@
 
 const (
 	minLimit         = 4 // open lookups, whatever the latency
-	startShare       = 4 // the limit starts at the ceiling divided by this
-	smoothing        = 0.1
+	initialDivisor   = 4 // the limit starts at the ceiling divided by this
+	smoothingFactor  = 0.1
 	queueFreeRatio   = 1.5    // of the mean latency to the lowest one, up to which there is no queue
 	minGradient      = 0.5    // the limit shrinks to no less of itself for one sample's sake
 	upwardDrift      = 0.0005 // of the difference, for each sample
@@ -37,7 +37,7 @@
 
 // NewAdaptive starts at a quarter of the ceiling.
 func NewAdaptive(ceiling int) *Adaptive {
-	return &Adaptive{ceiling: ceiling, limit: max(minLimit, float64(ceiling)/startShare)}
+	return &Adaptive{ceiling: ceiling, limit: max(minLimit, float64(ceiling)/initialDivisor)}
 }
 
 // SetCeiling sets another ceiling.
@@ -88,9 +88,9 @@
 		a.meanLatency = seconds
 		a.minLatency = seconds
 	}
-	a.meanLatency += smoothing * (seconds - a.meanLatency)
+	a.meanLatency += smoothingFactor * (seconds - a.meanLatency)
 	if seconds < a.minLatency {
-		a.minLatency += smoothing * (seconds - a.minLatency)
+		a.minLatency += smoothingFactor * (seconds - a.minLatency)
 	} else {
 		a.minLatency += upwardDrift * (seconds - a.minLatency)
 	}
--- a/internal/limit/fleet_test.go
+++ b/internal/limit/fleet_test.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// TestALimitThatWasTheFleetsBringsNoBurst guards against a full bucket where a limit of the fleet without a lease becomes this gateway's.
-func TestALimitThatWasTheFleetsBringsNoBurst(t *testing.T) {
+// TestAFleetWideLimitBecomesLocalWithoutABurst guards against a full bucket where a limit of the fleet without a lease becomes this gateway's.
+func TestAFleetWideLimitBecomesLocalWithoutABurst(t *testing.T) {
 	s := NewSet(timeAt(0), map[string]Spec{"p": {LookupsPerSecond: 10, FleetWide: true}})
 	s = s.Carry(timeAt(0), map[string]Spec{"p": {LookupsPerSecond: 10}})
 	if _, reason, _ := admit(s.Find("p"), 0); reason != LookupRateExceeded {
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -159,7 +159,7 @@
 		l.fleet.rejectedForOpen++
 		return nil, l.reject(OpenExceeded), l.openRetryAfter()
 	}
-	if reason, retryAfter := l.takeRates(now, bytes); reason != Allowed {
+	if reason, retryAfter := l.takeTokens(now, bytes); reason != Allowed {
 		permit.releaseOpen(now)
 		return nil, l.reject(reason), retryAfter
 	}
@@ -181,8 +181,8 @@
 	return l.quotas.TryAcquire(now, permit.claimant)
 }
 
-// takeRates takes a lookup and its bytes from their buckets, both or neither.
-func (l *Limit) takeRates(now time.Time, bytes int) (Reason, time.Duration) {
+// takeTokens takes a lookup and its bytes from their buckets, both or neither.
+func (l *Limit) takeTokens(now time.Time, bytes int) (Reason, time.Duration) {
 	if l.bytes != nil && (l.bytes.Burst() == 0 || l.bytes.TokensAt(now) < float64(min(bytes, l.bytes.Burst()))) {
 		return ByteRateExceeded, bucketRetryAfter(now, l.bytes, bytes)
 	}
@@ -231,12 +231,12 @@
 
 // Release ends the lookup: isSuccess if its response came, isOverload if it was late or failed for want of capacity. Only the first call counts.
 func (p *Permit) Release(now time.Time, isSuccess, isOverload bool) {
-	openWithIt := p.limit.quotas.Open()
+	openLookups := p.limit.quotas.Open()
 	if !p.releaseOpen(now) {
 		return
 	}
 	if p.adaptive != nil && p.adaptive == p.limit.adaptive {
-		p.adaptive.Observe(now, Sample{Latency: now.Sub(p.admittedAt), Open: openWithIt, IsSuccess: isSuccess, IsOverload: isOverload})
+		p.adaptive.Observe(now, Sample{Latency: now.Sub(p.admittedAt), Open: openLookups, IsSuccess: isSuccess, IsOverload: isOverload})
 	}
 }
 
--- a/internal/limit/permit_property_test.go
+++ b/internal/limit/permit_property_test.go
@@ -132,9 +132,9 @@
 	}
 }
 
-// TestPermitsGoBackToTheirLenderUnderAnyChanges guards against a permit released into quotas that did not lend it (a panic, open lookups
+// TestPermitsReturnToTheirQuotasUnderAnyChanges guards against a permit released into quotas that did not lend it (a panic, open lookups
 // below zero, more admitted than the limit) after changes, undos and leases in any order.
-func TestPermitsGoBackToTheirLenderUnderAnyChanges(t *testing.T) {
+func TestPermitsReturnToTheirQuotasUnderAnyChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newPermitModel()
 		m.change(t)
@@ -169,9 +169,9 @@
 	})
 }
 
-// TestALimitLosesOpenWhileAPermitIsHeld guards against the panic (nil quotas) at the release of a permit whose limit no longer bounds open
+// TestMaxOpenIsRemovedWhileAPermitIsHeld guards against the panic (nil quotas) at the release of a permit whose limit no longer bounds open
 // lookups.
-func TestALimitLosesOpenWhileAPermitIsHeld(t *testing.T) {
+func TestMaxOpenIsRemovedWhileAPermitIsHeld(t *testing.T) {
 	set := NewSet(timeAt(0), map[string]Spec{"p": {MaxOpen: 3}})
 	permit, reason, _ := admit(set.Find("p"), 0)
 	if reason != Allowed {
@@ -184,9 +184,9 @@
 	}
 }
 
-// TestAnUndoneChangeOfAnOpenLimitCountsHeldLookups guards against -1 open lookups, and a fourth admitted under a limit of 3, after a change
+// TestAnUndoneChangeOfMaxOpenCountsOpenLookups guards against -1 open lookups, and a fourth admitted under a limit of 3, after a change
 // that took the limit away (or its name) was undone while one was open.
-func TestAnUndoneChangeOfAnOpenLimitCountsHeldLookups(t *testing.T) {
+func TestAnUndoneChangeOfMaxOpenCountsOpenLookups(t *testing.T) {
 	limited := map[string]Spec{"p": {MaxOpen: 3}}
 	for name, without := range map[string]map[string]Spec{
 		"limit without open": {"p": {LookupsPerSecond: 3}},
--- a/internal/limit/retrybudget.go
+++ b/internal/limit/retrybudget.go
@@ -14,16 +14,16 @@
 // RetryBudget bounds retries to a ratio of first attempts. Each first attempt saves that part of a retry, each retry takes one, and what is
 // saved decays. So an outage cannot multiply what is sent, nor is its end met by a second peak of retries that were saved up in it.
 type RetryBudget struct {
-	ratio   float64
-	saved   float64
-	savedAt time.Time // when saved decayed last
-	floor   float64   // left of the few a second
-	floorAt time.Time // when floor grew last
+	ratio      float64
+	saved      float64
+	decayedAt  time.Time // when saved decayed last
+	guaranteed float64   // left of the few a second
+	refilledAt time.Time // when floor grew last
 }
 
 // NewRetryBudget allows so many retries for each first attempt.
 func NewRetryBudget(ratio float64) *RetryBudget {
-	return &RetryBudget{ratio: ratio, floor: minRetriesPerSecond}
+	return &RetryBudget{ratio: ratio, guaranteed: minRetriesPerSecond}
 }
 
 // SetRatio sets another ratio. What is saved stays.
@@ -41,8 +41,8 @@
 	switch {
 	case b.saved >= 1:
 		b.saved--
-	case b.ratio > 0 && b.floor >= 1:
-		b.floor--
+	case b.ratio > 0 && b.guaranteed >= 1:
+		b.guaranteed--
 	default:
 		return false
 	}
@@ -51,16 +51,16 @@
 
 // update brings what is saved and the floor up to a time. A time that runs backwards changes nothing.
 func (b *RetryBudget) update(now time.Time) {
-	if elapsed := now.Sub(b.savedAt); elapsed > 0 && !b.savedAt.IsZero() {
+	if elapsed := now.Sub(b.decayedAt); elapsed > 0 && !b.decayedAt.IsZero() {
 		b.saved *= math.Exp2(-elapsed.Seconds() / budgetHalfLife.Seconds())
 	}
-	if b.savedAt.IsZero() || now.After(b.savedAt) {
-		b.savedAt = now
+	if b.decayedAt.IsZero() || now.After(b.decayedAt) {
+		b.decayedAt = now
 	}
-	if elapsed := now.Sub(b.floorAt); elapsed > 0 {
-		if !b.floorAt.IsZero() {
-			b.floor = min(minRetriesPerSecond, b.floor+minRetriesPerSecond*elapsed.Seconds())
+	if elapsed := now.Sub(b.refilledAt); elapsed > 0 {
+		if !b.refilledAt.IsZero() {
+			b.guaranteed = min(minRetriesPerSecond, b.guaranteed+minRetriesPerSecond*elapsed.Seconds())
 		}
-		b.floorAt = now
+		b.refilledAt = now
 	}
 }
--- a/internal/limit/set.go
+++ b/internal/limit/set.go
@@ -18,7 +18,7 @@
 func (s *Set) Carry(now time.Time, specs map[string]Spec) *Set {
 	next := &Set{byName: make(map[string]*Limit, len(specs)), draining: map[string]*Limit{}}
 	for name, spec := range specs {
-		if l := s.known(name); l != nil {
+		if l := s.findOrDraining(name); l != nil {
 			l.setSpec(now, spec)
 			next.byName[name] = l
 			continue
@@ -30,8 +30,8 @@
 	return next
 }
 
-// known returns the limit of a name, also one that drains, nil if there is none.
-func (s *Set) known(name string) *Limit {
+// findOrDraining returns the limit of a name, also one that drains, nil if there is none.
+func (s *Set) findOrDraining(name string) *Limit {
 	if l := s.byName[name]; l != nil {
 		return l
 	}
--- a/internal/retry/any_order_test.go
+++ b/internal/retry/any_order_test.go
@@ -9,8 +9,8 @@
 	"foldslip/internal/policy"
 )
 
-// orderModel plays callers and a router at random, and checks what the Coordinator does.
-type orderModel struct {
+// coordinatorModel plays callers and a router at random, and checks what the Coordinator does.
+type coordinatorModel struct {
 	coordinator *Coordinator
 	now         int // milliseconds
 	streams     []*Stream
@@ -21,15 +21,15 @@
 
 // modelLookup is what the model knows of a lookup.
 type modelLookup struct {
-	nextAttempt int          // number of the router's next attempt
-	open        map[int]bool // attempts that the router takes for open
-	out         *Stream      // whose caller makes an attempt
-	ended       bool         // by the router
-	answered    bool         // with its end
+	nextAttempt   int          // number of the router's next attempt
+	open          map[int]bool // attempts that the router takes for open
+	attemptStream *Stream      // whose caller makes an attempt
+	ended         bool         // by the router
+	answered      bool         // with its end
 }
 
 // apply carries out commands as the dispatcher and the callers do, and checks them.
-func (m *orderModel) apply(t *rapid.T, commands Commands) {
+func (m *coordinatorModel) apply(t *rapid.T, commands Commands) {
 	for _, report := range commands.Reports {
 		m.applyReport(t, report)
 	}
@@ -40,10 +40,10 @@
 		state := m.states[m.requested[answer.Stream]]
 		switch answer.Kind {
 		case AnswerAttempt:
-			if state.answered || state.out != nil || !state.open[answer.Step.Attempt] {
-				t.Fatalf("attempt %d is answered: lookup answered %v, an attempt out %v", answer.Step.Attempt, state.answered, state.out != nil)
+			if state.answered || state.attemptStream != nil || !state.open[answer.Step.Attempt] {
+				t.Fatalf("attempt %d is answered: lookup answered %v, an attempt out %v", answer.Step.Attempt, state.answered, state.attemptStream != nil)
 			}
-			state.out = answer.Stream
+			state.attemptStream = answer.Stream
 		case AnswerAccepted, AnswerReject, AnswerFail:
 			if state != nil {
 				state.answered = true
@@ -52,13 +52,13 @@
 	}
 }
 
-func (m *orderModel) applyReport(t *rapid.T, report Report) {
+func (m *coordinatorModel) applyReport(t *rapid.T, report Report) {
 	state := m.states[report.Lookup]
 	if !state.open[report.Attempt] {
 		t.Fatalf("attempt %d ends twice or never started", report.Attempt)
 	}
 	delete(state.open, report.Attempt)
-	state.out = nil
+	state.attemptStream = nil
 	if report.Outcome == policy.OutcomeSatisfied && !state.ended {
 		state.ended = true
 		m.apply(t, m.coordinator.ApplyStep(at(m.now), report.Lookup, dispatch.Step{Kind: dispatch.StepSatisfied, Attempt: report.Attempt}))
@@ -66,7 +66,7 @@
 }
 
 // drawStream draws a stream, perhaps a new one.
-func (m *orderModel) drawStream(t *rapid.T, mayBeNew bool) *Stream {
+func (m *coordinatorModel) drawStream(t *rapid.T, mayBeNew bool) *Stream {
 	if len(m.streams) > 0 && (!mayBeNew || rapid.Bool().Draw(t, "old")) {
 		return rapid.SampledFrom(m.streams).Draw(t, "stream")
 	}
@@ -79,7 +79,7 @@
 }
 
 // request has a caller request one of a few lookups.
-func (m *orderModel) request(t *rapid.T) {
+func (m *coordinatorModel) request(t *rapid.T) {
 	stream := m.drawStream(t, true)
 	id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")
 	if stream.lookup == nil {
@@ -97,7 +97,7 @@
 }
 
 // step has the router start an attempt or end a lookup.
-func (m *orderModel) step(t *rapid.T) {
+func (m *coordinatorModel) step(t *rapid.T) {
 	if len(m.lookups) == 0 {
 		t.Skip()
 	}
@@ -118,24 +118,24 @@
 }
 
 // report has a caller report the end of an attempt, whether it makes one or not.
-func (m *orderModel) report(t *rapid.T) {
+func (m *coordinatorModel) report(t *rapid.T) {
 	stream := m.drawStream(t, false)
 	outcome := rapid.SampledFrom([]policy.AttemptOutcome{policy.OutcomeSatisfied, policy.OutcomeMiss, policy.OutcomeError, 99}).Draw(t, "outcome")
 	m.apply(t, m.coordinator.ReportOutcome(stream, outcome, policy.DetailNone, 0))
 }
 
-func (m *orderModel) endStream(t *rapid.T) {
+func (m *coordinatorModel) endStream(t *rapid.T) {
 	m.apply(t, m.coordinator.StreamEnded(at(m.now), m.drawStream(t, false)))
 }
 
-func (m *orderModel) pass(t *rapid.T) {
+func (m *coordinatorModel) advanceTime(t *rapid.T) {
 	m.now += rapid.IntRange(1, 400).Draw(t, "ms")
 	commands, _ := m.coordinator.Tick(at(m.now))
 	m.apply(t, commands)
 }
 
 // checkBounds checks the counts and bounds of lookups.
-func (m *orderModel) checkBounds(t *rapid.T) {
+func (m *coordinatorModel) checkBounds(t *rapid.T) {
 	open := 0
 	for _, lookup := range m.coordinator.lookups {
 		if lookup.phase != phaseEnded {
@@ -149,7 +149,7 @@
 }
 
 // drain ends all streams and lookups and checks that all is freed.
-func (m *orderModel) drain(t *rapid.T) {
+func (m *coordinatorModel) drain(t *rapid.T) {
 	c := m.coordinator
 	for _, stream := range m.streams {
 		m.apply(t, c.StreamEnded(at(m.now), stream))
@@ -172,15 +172,15 @@
 
 // Whatever callers and router do in whatever order: a lookup's attempts are answered one at a time, each ends once and by its number, none is
 // answered after the end, the end is answered once to one stream, and all is freed.
-func TestAnyOrder(t *testing.T) {
+func TestCoordinatorInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &orderModel{coordinator: New(testLimits), states: map[*Lookup]*modelLookup{}, requested: map[*Stream]*Lookup{}}
+		m := &coordinatorModel{coordinator: New(testLimits), states: map[*Lookup]*modelLookup{}, requested: map[*Stream]*Lookup{}}
 		t.Repeat(map[string]func(*rapid.T){
 			"request":    m.request,
 			"step":       m.step,
 			"report":     m.report,
 			"end stream": m.endStream,
-			"time":       m.pass,
+			"time":       m.advanceTime,
 			"":           m.checkBounds,
 		})
 		m.drain(t)
--- a/internal/retry/coordinator.go
+++ b/internal/retry/coordinator.go
@@ -71,7 +71,7 @@
 // AttemptsOut is the number of attempts that are at their callers, or decided and not requested yet.
 func (c *Coordinator) AttemptsOut() (count int) {
 	for _, lookup := range c.lookups {
-		if lookup.phase == phaseAttempting || lookup.hasAttemptDecided() {
+		if lookup.phase == phaseAttempting || lookup.hasDecidedAttempt() {
 			count++
 		}
 	}
@@ -166,7 +166,7 @@
 		}
 	case step.Kind == dispatch.StepCancel:
 		// A caller can't be called back: its attempt ends with its report or its stream. One that is not at its caller yet is withdrawn.
-		if lookup.hasAttemptDecided() && lookup.step.Attempt == step.Attempt {
+		if lookup.hasDecidedAttempt() && lookup.step.Attempt == step.Attempt {
 			lookup.phase = phaseDeciding
 			commands.report(lookup, step.Attempt, policy.OutcomeNotSent)
 		}
@@ -174,7 +174,7 @@
 		// The end of the lookup while an attempt is open, as when the gateway stops: nobody reports that attempt any more.
 		if lookup.phase == phaseAttempting {
 			commands.report(lookup, lookup.attempt, policy.OutcomeCancelled)
-		} else if lookup.hasAttemptDecided() {
+		} else if lookup.hasDecidedAttempt() {
 			commands.report(lookup, lookup.step.Attempt, policy.OutcomeNotSent)
 		}
 		lookup.step = step
@@ -317,7 +317,7 @@
 
 // abandon ends a lookup whose client is gone.
 func (c *Coordinator) abandon(now time.Time, lookup *Lookup, commands *Commands) {
-	if lookup.hasAttemptDecided() {
+	if lookup.hasDecidedAttempt() {
 		commands.report(lookup, lookup.step.Attempt, policy.OutcomeNotSent)
 	}
 	commands.Gone = append(commands.Gone, lookup)
--- a/internal/retry/coordinator_test.go
+++ b/internal/retry/coordinator_test.go
@@ -42,8 +42,8 @@
 // fetch is the step that starts an attempt.
 func fetch(n int) dispatch.Step { return dispatch.Step{Kind: dispatch.StepFetch, Attempt: n} }
 
-// openAttempting opens a lookup whose first attempt is at its caller.
-func openAttempting(t *testing.T) (*Coordinator, *Stream, *Lookup) {
+// startAttempt opens a lookup whose first attempt is at its caller.
+func startAttempt(t *testing.T) (*Coordinator, *Stream, *Lookup) {
 	t.Helper()
 	c, stream := New(testLimits), &Stream{Caller: "edge"}
 	lookup, commands := c.Request(at(0), stream, "a", at(1000))
@@ -55,7 +55,7 @@
 // An attempt, and what follows its report.
 func TestAttempts(t *testing.T) {
 	t.Run("its report, the answer", func(t *testing.T) {
-		c, stream, lookup := openAttempting(t)
+		c, stream, lookup := startAttempt(t)
 		want(t, c.ReportOutcome(stream, policy.OutcomeSatisfied, policy.DetailHit, 0), fmt.Sprintf("report 0 %d;", policy.OutcomeSatisfied))
 		want(t, c.ApplyStep(at(10), lookup, dispatch.Step{Kind: dispatch.StepSatisfied}), "accepted;")
 		if c.OpenLookups() != 0 {
@@ -63,7 +63,7 @@
 		}
 	})
 	t.Run("one that missed: the next attempt goes to the next request, on another stream", func(t *testing.T) {
-		c, stream, lookup := openAttempting(t)
+		c, stream, lookup := startAttempt(t)
 		want(t, c.ReportOutcome(stream, policy.OutcomeMiss, policy.DetailNone, 0), fmt.Sprintf("report 0 %d;", policy.OutcomeMiss))
 		want(t, c.ApplyStep(at(10), lookup, fetch(1)), "ask again;")
 		next := &Stream{Caller: "edge"}
@@ -72,7 +72,7 @@
 		want(t, c.StreamEnded(at(21), stream), "")
 	})
 	t.Run("one that failed, and the lookup's end: answered to the stream that waits", func(t *testing.T) {
-		c, stream, lookup := openAttempting(t)
+		c, stream, lookup := startAttempt(t)
 		c.ReportOutcome(stream, policy.OutcomeError, policy.DetailNone, 0)
 		want(t, c.ApplyStep(at(11), lookup, dispatch.Step{Kind: dispatch.StepRejected, RetryAfter: 5000}), "reject;")
 		_, commands := c.Request(at(20), stream, "a", at(1000)) // the same stream may go on, and has the same answer
@@ -94,7 +94,7 @@
 		}
 	})
 	t.Run("the same lookup twice", func(t *testing.T) {
-		c, stream, lookup := openAttempting(t)
+		c, stream, lookup := startAttempt(t)
 		_, commands := c.Request(at(2), stream, "a", at(1000))
 		want(t, commands, "out of order;")
 		_, commands = c.Request(at(2), &Stream{Caller: "edge"}, "a", at(1000))
@@ -131,7 +131,7 @@
 // A caller that ends its stream, or says nothing more.
 func TestCallerGone(t *testing.T) {
 	t.Run("amid an attempt: it may have run", func(t *testing.T) {
-		c, stream, lookup := openAttempting(t)
+		c, stream, lookup := startAttempt(t)
 		want(t, c.StreamEnded(at(10), stream), fmt.Sprintf("report 0 %d;", policy.OutcomeCancelled))
 		want(t, c.ApplyStep(at(11), lookup, fetch(1)), "")
 		commands, next := c.Tick(at(100))
@@ -153,7 +153,7 @@
 		want(t, c.ApplyStep(at(2), lookup, dispatch.Step{Kind: dispatch.StepClientGone}), "")
 	})
 	t.Run("it never reports: timed out at the lookup's deadline", func(t *testing.T) {
-		c, _, lookup := openAttempting(t)
+		c, _, lookup := startAttempt(t)
 		commands, _ := c.Tick(at(999))
 		want(t, commands, "")
 		commands, _ = c.Tick(at(1000))
@@ -165,13 +165,13 @@
 // A cancelled attempt.
 func TestCancels(t *testing.T) {
 	t.Run("at its caller: it ends with its report", func(t *testing.T) {
-		c, stream, lookup := openAttempting(t)
+		c, stream, lookup := startAttempt(t)
 		want(t, c.ApplyStep(at(5), lookup, dispatch.Step{Kind: dispatch.StepCancel, Attempt: 0}), "") // it is at the caller
 		want(t, c.ReportOutcome(stream, policy.OutcomeSatisfied, policy.DetailHit, 0), fmt.Sprintf("report 0 %d;", policy.OutcomeSatisfied))
 		want(t, c.ApplyStep(at(6), lookup, dispatch.Step{Kind: dispatch.StepSatisfied}), "accepted;")
 	})
 	t.Run("not requested yet: withdrawn", func(t *testing.T) {
-		c, stream, lookup := openAttempting(t)
+		c, stream, lookup := startAttempt(t)
 		c.ReportOutcome(stream, policy.OutcomeMiss, policy.DetailNone, 0)
 		c.ApplyStep(at(5), lookup, fetch(1))
 		want(t, c.ApplyStep(at(6), lookup, dispatch.Step{Kind: dispatch.StepCancel, Attempt: 1}), fmt.Sprintf("report 1 %d;", policy.OutcomeNotSent))
@@ -184,10 +184,10 @@
 // A lookup that ends amid an attempt, as when the gateway stops.
 func TestEndAmidAttempt(t *testing.T) {
 	t.Run("the attempt's end is reported, and the lookup's end answered", func(t *testing.T) {
-		c, stream, lookup := openAttempting(t)
+		c, stream, lookup := startAttempt(t)
 		want(t, c.ApplyStep(at(5), lookup, dispatch.Step{Kind: dispatch.StepFailed}), fmt.Sprintf("report 0 %d;fail;", policy.OutcomeCancelled))
 		want(t, c.ReportOutcome(stream, policy.OutcomeSatisfied, policy.DetailHit, 0), "out of order;")
-		c, stream, lookup = openAttempting(t)
+		c, stream, lookup = startAttempt(t)
 		c.ReportOutcome(stream, policy.OutcomeMiss, policy.DetailNone, 0)
 		c.ApplyStep(at(5), lookup, fetch(1))
 		want(t, c.ApplyStep(at(6), lookup, dispatch.Step{Kind: dispatch.StepFailed}), fmt.Sprintf("report 1 %d;", policy.OutcomeNotSent))
@@ -197,7 +197,7 @@
 // Reports against the contract.
 func TestInvalidReports(t *testing.T) {
 	t.Run("of nothing, twice, or of no known kind", func(t *testing.T) {
-		c, stream, _ := openAttempting(t)
+		c, stream, _ := startAttempt(t)
 		want(t, c.ReportOutcome(&Stream{Caller: "edge"}, policy.OutcomeSatisfied, policy.DetailHit, 0), "out of order;")
 		want(t, c.ReportOutcome(stream, 99, 77, -5), fmt.Sprintf("report 0 %d;", policy.OutcomeError))
 		want(t, c.ReportOutcome(stream, policy.OutcomeSatisfied, policy.DetailHit, 0), "out of order;")
--- a/internal/retry/lookup.go
+++ b/internal/retry/lookup.go
@@ -69,8 +69,8 @@
 // IsHandled tells whether somebody is about to take the lookup's steps.
 func (l *Lookup) IsHandled() bool { return l.handlers.Load() > 0 }
 
-// hasAttemptDecided tells whether an attempt waits for its caller's request.
-func (l *Lookup) hasAttemptDecided() bool {
+// hasDecidedAttempt tells whether an attempt waits for its caller's request.
+func (l *Lookup) hasDecidedAttempt() bool {
 	return l.phase == phaseDecided && l.step.Kind == dispatch.StepFetch
 }
 
