--- a/internal/limit/adaptive.go
+++ b/internal/limit/adaptive.go
@@ -6,57 +6,58 @@
 )
 
 const (
-	minLimit         = 4 // open lookups, whatever the latency
-	initialDivisor   = 4 // the limit starts at the ceiling divided by this
-	smoothingFactor  = 0.1
-	queueFreeRatio   = 1.5    // of the mean latency to the lowest one, up to which there is no queue
-	minGradient      = 0.5    // the limit shrinks to no less of itself for one sample's sake
-	upwardDrift      = 0.0005 // of the difference, for each sample
-	overloadFactor   = 0.9    // of the limit, after an overload
+	minLimit         = 4      // open lookups that are allowed at any latency, unless the ceiling is lower
+	initialDivisor   = 4      // the initial limit is the ceiling divided by this
+	smoothingFactor  = 0.1    // weight of a new sample in meanLatency, and in minLatency if the sample is lower
+	queueFreeRatio   = 1.5    // mean latency over lowest latency; up to this ratio there is no queue
+	minGradient      = 0.5    // lower bound of the gradient, so that one slow sample targets no less than half the limit
+	upwardDrift      = 0.0005 // part of the difference by which minLatency rises with each slower sample
+	overloadFactor   = 0.9    // multiplies the limit after an overload
 	minReduceSpacing = 10 * time.Millisecond
 )
 
-// Adaptive finds how many lookups open at once a pool can take, by their latency: the published gradient of the lowest recent latency over the
-// present one. While the latency stays low the limit grows by its square root, which leaves room for a queue; as it rises the limit shrinks in
-// proportion. An overload cuts it by a tenth, at most once in a latency.
+// Adaptive is a concurrency limit that adapts to the latency of lookups. It uses the published gradient algorithm: the
+// gradient is the lowest recent latency over the mean recent latency. While the latency stays low, the limit grows
+// towards itself plus its square root, which leaves room for a queue. As the latency rises, the limit shrinks in
+// proportion. An overload reduces the limit by a tenth, at most once per mean latency.
 type Adaptive struct {
 	ceiling     int
 	limit       float64
-	minLatency  float64 // seconds; drifts upwards, so that a lasting change is learnt
-	meanLatency float64 // seconds, of recent lookups
+	minLatency  float64 // seconds; drifts upwards, so that a lasting rise of the latency is learnt
+	meanLatency float64 // seconds; moving average over recent lookups
 	reducedAt   time.Time
 }
 
-// Sample is a lookup that has ended.
+// Sample describes a lookup that has ended.
 type Sample struct {
 	Latency    time.Duration
-	Open       int  // lookups that were open with it, itself included
-	IsSuccess  bool // others show nothing of the latency
-	IsOverload bool // it was late or failed for want of capacity
+	Open       int  // open lookups when it ended, including itself
+	IsSuccess  bool // the latency is only meaningful for successful lookups
+	IsOverload bool // the lookup was late or failed for lack of capacity
 }
 
-// NewAdaptive starts at a quarter of the ceiling.
+// NewAdaptive returns an adaptive limit that starts at a quarter of the ceiling, but not below minLimit.
 func NewAdaptive(ceiling int) *Adaptive {
 	return &Adaptive{ceiling: ceiling, limit: max(minLimit, float64(ceiling)/initialDivisor)}
 }
 
-// SetCeiling sets another ceiling.
+// SetCeiling changes the ceiling and lowers the limit to it if needed.
 func (a *Adaptive) SetCeiling(ceiling int) {
 	a.ceiling = ceiling
 	a.limit = min(a.limit, float64(ceiling))
 }
 
-// Limit returns how many lookups may be open.
+// Limit returns the number of lookups that may be open at once.
 func (a *Adaptive) Limit() int {
 	return min(a.ceiling, max(min(minLimit, a.ceiling), int(a.limit)))
 }
 
-// Latency returns the mean latency of recent lookups, 0 before the first.
+// Latency returns the mean latency of recent lookups, or 0 if none has been observed.
 func (a *Adaptive) Latency() time.Duration {
 	return time.Duration(a.meanLatency * float64(time.Second))
 }
 
-// Observe takes a lookup that ended.
+// Observe updates the limit from a lookup that has ended.
 func (a *Adaptive) Observe(now time.Time, sample Sample) {
 	if sample.IsOverload {
 		a.reduce(now)
@@ -68,14 +69,15 @@
 	}
 	a.observeLatency(seconds)
 	if float64(sample.Open) < a.limit/2 {
-		return // too few to learn what more would do
+		return // too few open lookups to tell how latency behaves at the limit
 	}
 	gradient := min(1, max(minGradient, queueFreeRatio*a.minLatency/a.meanLatency))
 	target := a.limit*gradient + math.Sqrt(a.limit)
 	a.limit = min(float64(a.ceiling), max(minLimit, a.limit+(target-a.limit)/a.limit))
 }
 
-// reduce cuts the limit, unless it has just been cut: overloads come in groups.
+// reduce lowers the limit after an overload. It does nothing within one mean latency (at least minReduceSpacing) of the
+// previous reduction, because overloads occur in groups.
 func (a *Adaptive) reduce(now time.Time) {
 	if now.Sub(a.reducedAt) >= max(a.Latency(), minReduceSpacing) {
 		a.reducedAt = now
--- a/internal/limit/adaptive_test.go
+++ b/internal/limit/adaptive_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// lookupEnd is the end of an open lookup.
+// lookupEnd is the scheduled end of an open lookup.
 type lookupEnd struct {
-	at     time.Duration
+	at     time.Duration // since the start of the simulation
 	permit *Permit
-	inTime bool
+	inTime bool // it ends by its deadline
 }
 
-// pendingEnds is a heap of ends, the earliest first.
+// pendingEnds is a heap of lookup ends, ordered by time.
 type pendingEnds []lookupEnd
 
 func (e pendingEnds) Len() int           { return len(e) }
@@ -28,8 +28,9 @@
 	return last
 }
 
-// simulatePool plays a minute of lookups at a pool of caches that is a queue: it works on 16 at once, each for 20 ms; what takes over 200 ms
-// is late. From 20 s to 40 s the rate is double of what the pool can take, and from 30 s on it works at half its speed. It returns the part of
+// simulatePool simulates one minute of lookups at a pool of caches, which is modelled as a queue with 16 workers. Each
+// lookup takes a worker 20 ms, and a lookup is late after 200 ms. From 20 s to 40 s the rate of lookups is double the
+// pool's capacity, and from 30 s on each lookup takes a worker twice as long. It returns the fraction of requested
 // lookups that were satisfied in time.
 func simulatePool(spec Spec) float64 {
 	const (
@@ -75,27 +76,30 @@
 	return float64(satisfied) / float64(requested)
 }
 
-// An overloaded pool that then slows down: an adaptive limit against none and against a fixed one that was right before.
+// TestAdaptive compares an adaptive limit with no limit and with a fixed limit at a pool that is overloaded and then
+// slows down. It guards against an adaptive limit that does not follow the pool's falling capacity.
 func TestAdaptive(t *testing.T) {
 	none, fixed, adaptive := simulatePool(Spec{}), simulatePool(Spec{MaxOpen: 400}), simulatePool(Spec{MaxOpen: 400, Adaptive: true})
 	t.Logf("satisfied in time: %.3f with an adaptive limit, %.3f with a fixed one, %.3f with none", adaptive, fixed, none)
 	if adaptive < fixed+0.1 || adaptive < none+0.1 {
-		t.Errorf("%.3f, %.3f, %.3f", adaptive, fixed, none)
+		t.Errorf("satisfied in time: %.3f with an adaptive limit, want at least 0.1 more than %.3f (fixed) and %.3f (none)",
+			adaptive, fixed, none)
 	}
 }
 
-// simulateOutage plays 40 s of 200 lookups a second at a parent that is out from 10 s to 20 s. Each lookup retries up to three times, 300 ms
-// apart, as far as a budget allows. It returns the attempts for each lookup, and the highest rate after the outage over the usual one.
+// simulateOutage simulates 40 s of 200 lookups per second at a parent that is down from 10 s to 20 s. Each lookup
+// retries up to three times, 300 ms apart, as far as the budget allows. A nil budget allows every retry. It returns the
+// attempts per lookup, and the highest rate of attempts after the outage relative to the usual rate.
 func simulateOutage(budget *RetryBudget) (attemptsPerLookup, peak float64) {
 	const (
-		duration   = 40_000 // ms, as the times below
+		duration   = 40_000 // milliseconds, as all times in this function
 		retryDelay = 300
 		maxRetries = 3
 		isFirst    = -1
 	)
 	attempts, lookups := 0, 0
 	var bySecond [duration / 1000]int
-	retriesLeft := make([][]int, duration) // of the lookups that retry at a time
+	retriesLeft := make([][]int, duration) // by millisecond: the retries left of each lookup that is due
 	for ms := range duration {
 		isOut := ms > 10_000 && ms < 20_000
 		due := retriesLeft[ms]
@@ -126,12 +130,15 @@
 	return float64(attempts) / float64(lookups), peak
 }
 
-// A parent's outage of ten seconds: attempts for each lookup, and the peak after it, with a budget and with three retries each.
+// TestRetryBudgetInAnOutage compares a retry budget with three unconditional retries per lookup in an outage of a parent
+// that lasts ten seconds. It guards against retries that multiply the load during the outage or peak after it.
 func TestRetryBudgetInAnOutage(t *testing.T) {
 	plain, plainPeak := simulateOutage(nil)
 	budgeted, peak := simulateOutage(NewRetryBudget(0.1))
-	t.Logf("attempts a lookup %.2f with a budget, %.2f without; the peak after the outage %.2f and %.2f of the usual", budgeted, plain, peak, plainPeak)
+	t.Logf("attempts per lookup: %.2f with a budget, %.2f without; peak after the outage: %.2f and %.2f of the usual rate",
+		budgeted, plain, peak, plainPeak)
 	if budgeted > 1.1 || peak > 1.15 || plain < 1.5 {
-		t.Errorf("%.2f (%.2f), %.2f (%.2f)", budgeted, plain, peak, plainPeak)
+		t.Errorf("attempts per lookup %.2f (want at most 1.1), %.2f without a budget (want at least 1.5); peak %.2f (want at most 1.15), %.2f",
+			budgeted, plain, peak, plainPeak)
 	}
 }
--- a/internal/limit/fleet.go
+++ b/internal/limit/fleet.go
@@ -6,31 +6,33 @@
 	"golang.org/x/time/rate"
 )
 
-// minFleetByteBurst is what a gateway's part of a fleet's byte rate may be over at once: no object is larger.
+// minFleetByteBurst is the smallest burst, in bytes, of a gateway's part of a fleet-wide byte rate. No object is larger,
+// so any object fits into the bucket.
 const minFleetByteBurst = 240_000
 
-// Amounts are the parts of a fleet's limits that this gateway may admit.
+// Amounts are this gateway's parts of a fleet-wide limit.
 type Amounts struct {
 	LookupsPerSecond float64
 	BytesPerSecond   float64
 	MaxOpen          int
 }
 
-// Lease is what this gateway may admit until a time, and after it if no other lease has come by then: a process that stood still must not go
-// on with what it had borrowed.
+// Lease grants this gateway its parts of a fleet-wide limit until ExpiresAt. If no newer lease has been set by then, the
+// fallback applies: a process that was paused must not continue to use what it had borrowed.
 type Lease struct {
 	Granted   Amounts
 	Fallback  Amounts
 	ExpiresAt time.Time
 }
 
-// Usage is what was requested and admitted of a fleet's limits since the limit was made, and what is open.
+// Usage counts the requested and admitted lookups and bytes of a fleet-wide limit since its creation, and its open
+// lookups.
 type Usage struct {
 	RequestedLookups uint64
 	AdmittedLookups  uint64
 	RequestedBytes   uint64
 	AdmittedBytes    uint64
-	RequestedOpen    int // at once, now
+	RequestedOpen    int // open lookups, and those rejected with OpenExceeded since the previous call of Limit.Usage
 	Open             int
 }
 
@@ -44,16 +46,16 @@
 	u.AdmittedBytes += uint64(max(0, bytes))
 }
 
-// fleetState is what a limit of the whole fleet has beside the others.
+// fleetState is the additional state of a fleet-wide limit.
 type fleetState struct {
 	lease           Lease
-	isExpired       bool // the lease's fallback holds
+	isExpired       bool // the lease has expired and its fallback applies
 	usage           Usage
-	rejectedForOpen int // lookups, since Usage was called
+	rejectedForOpen int // lookups rejected with OpenExceeded since the last call of Usage
 }
 
-// setFleetSpec changes to limits of the whole fleet: nothing is admitted before a lease grants it. Limits that are not the fleet's hold as
-// they are.
+// setFleetSpec makes the limit fleet-wide or changes a fleet-wide limit. Its rates and MaxOpen admit nothing until a
+// lease grants it. The retry ratio is not divided among gateways and applies at once.
 func (l *Limit) setFleetSpec(now time.Time, spec Spec) {
 	wasFleetWide := l.spec.FleetWide
 	var lease Lease
@@ -69,8 +71,9 @@
 	l.SetLease(now, lease)
 }
 
-// leasedBucket returns the bucket of a fleet's rate, nil for no limit. One that was not the fleet's is replaced by an empty one: what another
-// process of this name used is not there again.
+// leasedBucket returns the token bucket of a fleet-wide rate, or nil if the rate is no limit. A bucket that was not
+// fleet-wide is replaced by an empty one. Otherwise this process could admit a burst that an earlier process of the same
+// gateway has already used.
 func leasedBucket(before *rate.Limiter, wasFleetWide bool, perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return nil
@@ -81,7 +84,7 @@
 	return before
 }
 
-// SetLease sets what this gateway may admit. It does nothing for limits that are not the fleet's.
+// SetLease sets the lease that this gateway admits lookups by. It does nothing if the limit is not fleet-wide.
 func (l *Limit) SetLease(now time.Time, lease Lease) {
 	if !l.spec.FleetWide {
 		return
@@ -91,7 +94,7 @@
 	l.setAmounts(now, lease.Granted)
 }
 
-// expireLease changes to the lease's fallback when it has expired.
+// expireLease applies the lease's fallback if the lease has expired.
 func (l *Limit) expireLease(now time.Time) {
 	if !l.fleet.isExpired && !now.Before(l.fleet.lease.ExpiresAt) {
 		l.fleet.isExpired = true
@@ -105,7 +108,7 @@
 	l.quotas.Resize(openCapacity(l.spec, amounts.MaxOpen))
 }
 
-// setRate changes a bucket's rate and keeps its tokens.
+// setRate changes the rate and the burst of a bucket and keeps its tokens, up to the new burst.
 func setRate(now time.Time, bucket *rate.Limiter, perSecond, minBurst float64) {
 	if bucket == nil || float64(bucket.Limit()) == perSecond {
 		return
@@ -118,7 +121,8 @@
 	bucket.SetBurstAt(now, burst)
 }
 
-// Usage returns what was requested and admitted, for those who share a fleet's limit.
+// Usage returns the usage of a fleet-wide limit and restarts the count of lookups rejected with OpenExceeded. The usage
+// is the basis of this gateway's demand when gateways lend each other parts of the limit.
 func (l *Limit) Usage() Usage {
 	usage := l.fleet.usage
 	if l.spec.MaxOpen > 0 {
--- a/internal/limit/fleet_test.go
+++ b/internal/limit/fleet_test.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// admitted requests so many lookups and returns how many were admitted.
+// admitted requests the given number of lookups and returns the number admitted. Each rejection must come with a
+// retry-after of at most a minute.
 func admitted(t *testing.T, l *Limit, now time.Time, requests int) (n int) {
 	t.Helper()
 	for range requests {
 		if _, reason, retryAfter := l.Admit(now, "t", 1, 0); reason == Allowed {
 			n++
 		} else if retryAfter <= 0 || retryAfter > time.Minute {
-			t.Fatalf("retry after %v", retryAfter)
+			t.Fatalf("rejected with a retry-after of %v, want more than 0 and at most 1m", retryAfter)
 		}
 	}
 	return n
@@ -26,23 +27,23 @@
 			ExpiresAt: now.Add(3 * time.Second)})
 	}
 	if admitted(t, l, now, 5) != 0 {
-		t.Error("something is admitted before there is a lease")
+		t.Error("lookups were admitted before the first lease")
 	}
 	renewLease()
 	if admitted(t, l, now, 5) != 0 {
-		t.Error("a lease begins with a burst: a process before may have had it")
+		t.Error("the first lease admitted a burst, which an earlier process of this gateway may have used already")
 	}
 	now = now.Add(250 * time.Millisecond)
 	if n := admitted(t, l, now, 50); n != 5 {
-		t.Errorf("%d of 5 in a quarter second", n)
+		t.Errorf("%d lookups were admitted in 250 ms, want 5", n)
 	}
 	renewLease()
-	now = now.Add(time.Hour) // it stood still past its lease, and a lookup comes before another
+	now = now.Add(time.Hour) // the process was paused past its lease, and a lookup arrives before the next lease
 	if n := admitted(t, l, now, 50); n != 2 {
-		t.Errorf("%d were admitted after the lease, not the burst of its fallback", n)
+		t.Errorf("%d lookups were admitted after the lease expired, want the fallback's burst of 2", n)
 	}
 	if usage := l.Usage(); usage.RequestedLookups != 110 || usage.AdmittedLookups != 7 {
-		t.Errorf("%+v", usage)
+		t.Errorf("usage %+v, want 110 lookups requested and 7 admitted", usage)
 	}
 }
 
@@ -53,12 +54,13 @@
 	first, _, _ := l.Admit(now, "t", 1, 0)
 	second, _, _ := l.Admit(now, "t", 1, 0)
 	if _, reason, _ := l.Admit(now, "t", 1, 0); first == nil || second == nil || reason != OpenExceeded {
-		t.Errorf("%v %v %v", first, second, reason)
+		t.Errorf("permits %v and %v, reason %q; want two permits and a third lookup rejected with %q",
+			first, second, reason, OpenExceeded)
 	}
 	now = now.Add(2 * time.Second)
 	first.Release(now, true, false)
 	if _, reason, _ := l.Admit(now, "t", 1, 0); reason != OpenExceeded {
-		t.Error("a lookup is admitted after the lease")
+		t.Errorf("reason %q after the lease expired, want %q", reason, OpenExceeded)
 	}
 }
 
@@ -67,29 +69,30 @@
 	s := NewSet(now, map[string]Spec{"x": {LookupsPerSecond: 100}})
 	s = s.Carry(now, map[string]Spec{"x": {LookupsPerSecond: 100, FleetWide: true}})
 	if _, reason, _ := s.Find("x").Admit(now, "t", 1, 0); reason != LookupRateExceeded {
-		t.Error("admitted before a lease")
+		t.Errorf("reason %q before the first lease, want %q", reason, LookupRateExceeded)
 	}
 	s = s.Carry(now, map[string]Spec{"x": {LookupsPerSecond: 100, FleetWide: true, BytesPerSecond: 1000}})
 	s.Find("x").SetLease(now, Lease{Granted: Amounts{LookupsPerSecond: 50, BytesPerSecond: 500}, ExpiresAt: now.Add(time.Minute)})
 	s = s.Carry(now, map[string]Spec{"x": {LookupsPerSecond: 200, FleetWide: true}})
 	now = now.Add(100 * time.Millisecond)
 	if _, reason, _ := s.Find("x").Admit(now, "t", 1, 0); reason != Allowed {
-		t.Error("the lease is lost with a change of the limit", reason)
+		t.Errorf("reason %q after a change of the limit, want the lease to stay in force", reason)
 	}
 	s = s.Carry(now, map[string]Spec{"x": {LookupsPerSecond: 10}})
 	if s.Find("x").Spec().FleetWide {
-		t.Error("still the fleet's")
+		t.Error("the limit is still fleet-wide")
 	}
 }
 
-// TestAFleetWideLimitBecomesLocalWithoutABurst guards against a full bucket where a limit of the fleet without a lease becomes this gateway's.
+// TestAFleetWideLimitBecomesLocalWithoutABurst guards against a full token bucket after a fleet-wide limit that never had
+// a lease becomes a limit of this gateway alone.
 func TestAFleetWideLimitBecomesLocalWithoutABurst(t *testing.T) {
 	s := NewSet(timeAt(0), map[string]Spec{"p": {LookupsPerSecond: 10, FleetWide: true}})
 	s = s.Carry(timeAt(0), map[string]Spec{"p": {LookupsPerSecond: 10}})
 	if _, reason, _ := admit(s.Find("p"), 0); reason != LookupRateExceeded {
-		t.Error("a bucket that was empty is full after the change")
+		t.Errorf("reason %q, want %q: the bucket was empty before the change", reason, LookupRateExceeded)
 	}
 	if _, reason, _ := admit(s.Find("p"), 100); reason != Allowed {
-		t.Error(reason)
+		t.Errorf("reason %q after 100 ms, want the lookup admitted", reason)
 	}
 }
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -1,9 +1,12 @@
-// Package limit bounds what a pool, a route or a tenant may have: lookups and bytes a second, lookups open at once, and retries. It does no I/O
-// and keeps no clock: time goes in, and whether a lookup is admitted or when to retry comes out. Nothing waits here. State is carried over from
-// one configuration to the next where the limited thing is the same (Set.Carry), so that no change refills a bucket or forgets what is open.
+// Package limit enforces the limits of pools, routes and tenants: lookups and bytes per second, concurrently open
+// lookups, and retries. It does no I/O, reads no clock and never blocks. Callers pass in the time; the package returns
+// whether a lookup is admitted and, if it is not, when to retry.
 //
-// Nothing in it is safe for concurrent use; the rollout controller holds its lock. It is bounded by the configuration, one Limit for each
-// thing that it names, and by admission.MaxClaimants for each.
+// Set.Carry carries the state of a limit over to the next configuration that has a limit of the same name. A change of
+// the configuration therefore neither refills a token bucket nor loses count of open lookups.
+//
+// The package is not safe for concurrent use; the rollout controller calls it under its lock. Memory is bounded by the
+// configuration, which has one Limit for each name, and by admission.MaxClaimants claimants for each Limit.
 package limit
 
 import (
@@ -15,20 +18,20 @@
 	"foldslip/internal/admission"
 )
 
-// Spec is the limits of one thing. Zero is no limit.
+// Spec configures the limits of one pool, route or tenant. A zero field means no limit.
 type Spec struct {
 	LookupsPerSecond float64
 	BytesPerSecond   float64
-	MaxOpen          int     // lookups open at once
-	Adaptive         bool    // MaxOpen is a ceiling, and fewer are allowed as responses slow down
-	RetryRatio       float64 // retries for each first attempt; below 0: none
-	FleetWide        bool    // the rates and MaxOpen are of all gateways together; this one admits what a Lease grants
+	MaxOpen          int     // concurrently open lookups
+	Adaptive         bool    // MaxOpen is a ceiling; the limit in force falls as latency rises
+	RetryRatio       float64 // retries per first attempt; below 0 none are allowed
+	FleetWide        bool    // the rates and MaxOpen hold for all gateways together; a Lease grants this gateway its part
 }
 
-// Reason is why a lookup is rejected.
+// Reason tells why a lookup or a retry is rejected.
 type Reason string
 
-// Reasons are sent to clients and logged by these words.
+// The values of Reason are sent to clients and written to logs.
 const (
 	Allowed            Reason = ""
 	LookupRateExceeded Reason = "lookups_a_second"
@@ -38,44 +41,45 @@
 )
 
 const (
-	// BurstWindow is how long a second's worth may be saved up.
+	// BurstWindow is the time over which a rate limit may accumulate tokens. It determines the burst.
 	BurstWindow = time.Second / 2
 
 	minLookupBurst = 1
 	minByteBurst   = 1 << 20
 
-	defaultRetryAfter = 100 * time.Millisecond // for open lookups, where latency is not measured
+	defaultRetryAfter = 100 * time.Millisecond // for OpenExceeded when no latency has been measured
 	minRetryAfter     = time.Millisecond
 )
 
-// Limit is the state of one thing's limits.
+// Limit is the state of the limits of one pool, route or tenant.
 type Limit struct {
 	Name       string
-	Rejections map[Reason]uint64
-
-	spec     Spec
-	lookups  *rate.Limiter     // nil: no limit
-	bytes    *rate.Limiter     // nil: no limit
-	quotas   *admission.Quotas // open lookups, divided among tenants; the same for the life of the limit, as permits go back to it
-	adaptive *Adaptive         // nil: MaxOpen is fixed
-	retries  *RetryBudget
+	Rejections map[Reason]uint64 // rejected lookups and retries by reason
+
+	spec    Spec
+	lookups *rate.Limiter // nil: no limit
+	bytes   *rate.Limiter // nil: no limit
+	// quotas divides the open lookups among tenants. It is never replaced, because permits are released into it.
+	quotas   *admission.Quotas
+	adaptive *Adaptive    // nil: MaxOpen is fixed
+	retries  *RetryBudget // nil: no limit
 	fleet    fleetState
 }
 
-// New returns the limit of a thing.
+// New returns a Limit with the given specification and full token buckets, or empty ones if the limit is fleet-wide.
 func New(now time.Time, name string, spec Spec) *Limit {
 	l := &Limit{Name: name, Rejections: map[Reason]uint64{}, quotas: admission.NewQuotas(admission.Unlimited)}
 	l.setSpec(now, spec)
 	return l
 }
 
-// Spec returns the limits that hold.
+// Spec returns the present specification.
 func (l *Limit) Spec() Spec { return l.spec }
 
-// Open returns how many lookups are open, also where they are not limited.
+// Open returns the number of open lookups. They are counted even if their number is not limited.
 func (l *Limit) Open() int { return l.quotas.Open() }
 
-// setSpec changes the limits and keeps what has been used.
+// setSpec changes the limits. Tokens that have been used stay used, and open lookups stay counted.
 func (l *Limit) setSpec(now time.Time, spec Spec) {
 	if spec.FleetWide {
 		l.setFleetSpec(now, spec)
@@ -100,7 +104,7 @@
 	}
 }
 
-// openCapacity returns how many lookups may be open where a limit on them allows maxOpen now.
+// openCapacity returns maxOpen if the specification limits open lookups, and admission.Unlimited if it does not.
 func openCapacity(spec Spec, maxOpen int) int {
 	if spec.MaxOpen <= 0 {
 		return admission.Unlimited
@@ -119,8 +123,9 @@
 	}
 }
 
-// resizeBucket returns a token bucket of another rate, nil for no limit. The part of the old one that had been used is used of the new one; one
-// that could hold nothing (of a fleet's limit without a lease) counts as used up.
+// resizeBucket returns a token bucket with the given rate, or nil if the rate is no limit. The new bucket is as full as
+// the old one, in proportion to its burst. An old bucket of zero burst, which a fleet-wide limit without a lease has,
+// counts as empty.
 func resizeBucket(now time.Time, before *rate.Limiter, perSecond, minBurst float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return nil
@@ -140,15 +145,16 @@
 	return resized
 }
 
-// Permit is a lookup that was admitted. Release must be called at its end.
+// Permit is held by an admitted lookup. The caller must call Release when the lookup ends.
 type Permit struct {
 	limit      *Limit
-	claimant   *admission.Claimant // of the limit's quotas; nil: it was released
-	adaptive   *Adaptive           // that admitted it; nil: none did
+	claimant   *admission.Claimant // the tenant's claimant in limit.quotas; nil after the release
+	adaptive   *Adaptive           // the adaptive limit in force at admission; nil: none
 	admittedAt time.Time
 }
 
-// Admit admits a lookup of a tenant. If it is rejected there is no permit, but a reason and the time after which to retry.
+// Admit requests admission for a lookup of a tenant. It returns a permit if the lookup is admitted. Otherwise it returns
+// a nil permit, the reason for the rejection and the time after which to retry.
 func (l *Limit) Admit(now time.Time, tenant string, weight float64, bytes int) (*Permit, Reason, time.Duration) {
 	if l.spec.FleetWide {
 		l.expireLease(now)
@@ -172,7 +178,7 @@
 	return permit, Allowed, 0
 }
 
-// acquireOpen takes one of the tenant's quota of open lookups.
+// acquireOpen acquires one open lookup from the tenant's quota and reports whether the quota allowed it.
 func (l *Limit) acquireOpen(now time.Time, permit *Permit, tenant string, weight float64) bool {
 	if l.adaptive != nil {
 		l.quotas.Resize(l.adaptive.Limit())
@@ -181,7 +187,8 @@
 	return l.quotas.TryAcquire(now, permit.claimant)
 }
 
-// takeTokens takes a lookup and its bytes from their buckets, both or neither.
+// takeTokens takes one lookup and its bytes from their token buckets. If either bucket has too few tokens, it takes
+// nothing and returns the reason and the time after which to retry.
 func (l *Limit) takeTokens(now time.Time, bytes int) (Reason, time.Duration) {
 	if l.bytes != nil && (l.bytes.Burst() == 0 || l.bytes.TokensAt(now) < float64(min(bytes, l.bytes.Burst()))) {
 		return ByteRateExceeded, bucketRetryAfter(now, l.bytes, bytes)
@@ -195,16 +202,17 @@
 	return Allowed, 0
 }
 
-// bucketRetryAfter returns when a bucket will have so many tokens.
+// bucketRetryAfter returns the time until the bucket holds the given number of tokens, or is full if that is less.
 func bucketRetryAfter(now time.Time, bucket *rate.Limiter, tokens int) time.Duration {
-	if bucket.Limit() <= 0 { // no lease has granted any of the fleet's limit
+	if bucket.Limit() <= 0 { // the limit is fleet-wide, and the lease grants nothing of its rate
 		return time.Second
 	}
 	missing := float64(min(tokens, bucket.Burst())) - bucket.TokensAt(now)
 	return max(minRetryAfter, time.Duration(missing/float64(bucket.Limit())*float64(time.Second)))
 }
 
-// openRetryAfter returns when an open lookup is likely to have ended: after the recent latency.
+// openRetryAfter returns the time after which an open lookup has probably ended. That is the mean recent latency, or
+// defaultRetryAfter if none has been measured.
 func (l *Limit) openRetryAfter() time.Duration {
 	if l.adaptive != nil {
 		if latency := l.adaptive.Latency(); latency > 0 {
@@ -219,7 +227,7 @@
 	return reason
 }
 
-// releaseOpen gives the open lookup back and reports whether it was held.
+// releaseOpen returns the open lookup to the tenant's quota. It reports false if it was released before.
 func (p *Permit) releaseOpen(now time.Time) bool {
 	if p.claimant == nil {
 		return false
@@ -229,7 +237,8 @@
 	return true
 }
 
-// Release ends the lookup: isSuccess if its response came, isOverload if it was late or failed for want of capacity. Only the first call counts.
+// Release ends the lookup. isSuccess means that its response arrived. isOverload means that the lookup was late or
+// failed for lack of capacity. Only the first call has an effect.
 func (p *Permit) Release(now time.Time, isSuccess, isOverload bool) {
 	openLookups := p.limit.quotas.Open()
 	if !p.releaseOpen(now) {
@@ -240,7 +249,8 @@
 	}
 }
 
-// AllowRetry reports, by Allowed, whether a lookup may send one more attempt now.
+// AllowRetry decides whether a lookup may send one more attempt now. Without a limit on retries it returns Allowed.
+// Otherwise it takes one retry from the budget, or returns RetriesExceeded if none is left.
 func (l *Limit) AllowRetry(now time.Time) Reason {
 	if l.retries == nil {
 		return Allowed
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -9,60 +9,62 @@
 
 func timeAt(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
 
-// admit requests a lookup of 100 bytes.
+// admit requests admission for a lookup of 100 bytes.
 func admit(l *Limit, ms int) (*Permit, Reason, time.Duration) {
 	return l.Admit(timeAt(ms), "t", 1, 100)
 }
 
 func TestLimit(t *testing.T) {
-	t.Run("lookups past their rate are rejected with a retry-after, and admitted then", func(t *testing.T) {
+	t.Run("lookups above the rate are rejected and admitted after the retry-after", func(t *testing.T) {
 		l := New(timeAt(0), "p", Spec{LookupsPerSecond: 10})
 		for range 5 {
 			if _, reason, _ := admit(l, 0); reason != Allowed {
-				t.Fatal(reason)
+				t.Fatalf("reason %q within the burst, want the lookup admitted", reason)
 			}
 		}
 		_, reason, retryAfter := admit(l, 0)
 		if reason != LookupRateExceeded || retryAfter != 100*time.Millisecond {
-			t.Fatal(reason, retryAfter)
+			t.Fatalf("reason %q, retry-after %v; want %q and 100ms", reason, retryAfter, LookupRateExceeded)
 		}
 		if _, reason, _ := admit(l, 100); reason != Allowed {
-			t.Error(reason)
+			t.Errorf("reason %q after the retry-after, want the lookup admitted", reason)
 		}
 	})
-	t.Run("bytes past their rate take no open lookup and no lookup of the rate", func(t *testing.T) {
+	t.Run("a lookup above the byte rate uses no open lookup and no lookup of the rate", func(t *testing.T) {
 		l := New(timeAt(0), "p", Spec{BytesPerSecond: 1 << 22, MaxOpen: 1, LookupsPerSecond: 100})
 		permit, reason, _ := l.Admit(timeAt(0), "t", 1, 2<<20)
 		if reason != Allowed {
-			t.Fatal(reason)
+			t.Fatalf("reason %q within the byte burst, want the lookup admitted", reason)
 		}
 		permit.Release(timeAt(1), true, false)
 		if _, reason, retryAfter := l.Admit(timeAt(1), "t", 1, 1<<20); reason != ByteRateExceeded || retryAfter < 200*time.Millisecond || l.Open() != 0 {
-			t.Error(reason, retryAfter, l.Open())
+			t.Errorf("reason %q, retry-after %v, %d open; want %q, at least 200ms, 0 open",
+				reason, retryAfter, l.Open(), ByteRateExceeded)
 		}
 	})
-	t.Run("a permit is released once", func(t *testing.T) {
+	t.Run("a second release of a permit has no effect", func(t *testing.T) {
 		l := New(timeAt(0), "p", Spec{MaxOpen: 1})
 		permit, _, _ := admit(l, 0)
 		if _, reason, retryAfter := admit(l, 0); reason != OpenExceeded || retryAfter <= 0 {
-			t.Error(reason, retryAfter)
+			t.Errorf("reason %q, retry-after %v; want %q and a positive retry-after", reason, retryAfter, OpenExceeded)
 		}
 		permit.Release(timeAt(1), true, false)
 		permit.Release(timeAt(1), true, false)
 		if l.Open() != 0 {
-			t.Error(l.Open())
+			t.Errorf("%d open after the release, want 0", l.Open())
 		}
 	})
-	t.Run("a ratio below 0 allows no retry", func(t *testing.T) {
+	t.Run("a negative ratio allows no retry", func(t *testing.T) {
 		l := New(timeAt(0), "p", Spec{RetryRatio: -1})
 		if reason := l.AllowRetry(timeAt(0)); reason != RetriesExceeded || l.Rejections[RetriesExceeded] != 1 {
-			t.Error(reason)
+			t.Errorf("reason %q, %d retries counted as rejected; want %q and 1",
+				reason, l.Rejections[RetriesExceeded], RetriesExceeded)
 		}
 	})
 }
 
 func TestCarry(t *testing.T) {
-	t.Run("a change refills no bucket, however often", func(t *testing.T) {
+	t.Run("repeated changes refill no token bucket", func(t *testing.T) {
 		s := NewSet(timeAt(0), map[string]Spec{"p": {LookupsPerSecond: 10}})
 		admitted := 0
 		for range 50 {
@@ -75,20 +77,20 @@
 			s = s.Carry(timeAt(0), map[string]Spec{"p": {LookupsPerSecond: 10}})
 		}
 		if admitted != 5 {
-			t.Errorf("%d lookups of a burst of 5", admitted)
+			t.Errorf("%d lookups were admitted, want the burst of 5", admitted)
 		}
 	})
-	t.Run("a larger limit brings its part of what is left, not all", func(t *testing.T) {
+	t.Run("a larger limit keeps the used proportion of the bucket", func(t *testing.T) {
 		s := NewSet(timeAt(0), map[string]Spec{"p": {LookupsPerSecond: 100}})
 		for range 50 {
 			s.Find("p").Admit(timeAt(0), "t", 1, 0)
 		}
 		s = s.Carry(timeAt(0), map[string]Spec{"p": {LookupsPerSecond: 1000}})
 		if _, reason, _ := s.Find("p").Admit(timeAt(0), "t", 1, 0); reason != LookupRateExceeded {
-			t.Error("an empty bucket is full after the change")
+			t.Errorf("reason %q, want %q: the bucket was empty before the change", reason, LookupRateExceeded)
 		}
 	})
-	t.Run("open lookups stay open, also past a smaller limit; a limit of another name begins anew", func(t *testing.T) {
+	t.Run("open lookups stay counted under a smaller limit, and a limit with another name starts at zero", func(t *testing.T) {
 		s := NewSet(timeAt(0), map[string]Spec{"p": {MaxOpen: 3}})
 		var permits []*Permit
 		for range 3 {
@@ -97,17 +99,19 @@
 		}
 		s = s.Carry(timeAt(1), map[string]Spec{"p": {MaxOpen: 2}, "q": {MaxOpen: 1}})
 		if _, reason, _ := s.Find("p").Admit(timeAt(1), "t", 1, 0); reason != OpenExceeded || s.Find("p").Open() != 3 || s.Find("q").Open() != 0 {
-			t.Error(reason, s.Find("p").Open())
+			t.Errorf("reason %q, %d open under p, %d under q; want %q, 3 and 0",
+				reason, s.Find("p").Open(), s.Find("q").Open(), OpenExceeded)
 		}
 		permits[0].Release(timeAt(2), true, false)
 		permits[1].Release(timeAt(2), true, false)
 		if _, reason, _ := s.Find("p").Admit(timeAt(2), "t", 1, 0); reason != Allowed {
-			t.Error(reason)
+			t.Errorf("reason %q with 1 open of 2, want the lookup admitted", reason)
 		}
 	})
 }
 
-// Changes, admissions and releases in any order: never more is open than the largest limit that there was, and nothing stays open.
+// TestOpenLookupsInAnyOrder applies changes, admissions and releases in a random order. It guards against more open
+// lookups than the largest limit so far, and against lookups that stay counted after their release.
 func TestOpenLookupsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maxOpen, now := 4, 0
@@ -121,7 +125,7 @@
 				if permit, reason, retryAfter := s.Find("p").Admit(timeAt(now), tenant, 1, 10); reason == Allowed {
 					permits = append(permits, permit)
 				} else if retryAfter <= 0 {
-					t.Fatal("no retry-after")
+					t.Fatalf("rejected with %q and a retry-after of %v, want more than 0", reason, retryAfter)
 				}
 			case 2:
 				if len(permits) > 0 {
@@ -134,19 +138,19 @@
 				s = s.Carry(timeAt(now), map[string]Spec{"p": {MaxOpen: n, Adaptive: rapid.Bool().Draw(t, "adaptive"), LookupsPerSecond: 1000, RetryRatio: 0.2}})
 			}
 			if s.Find("p").Open() != len(permits) || len(permits) > maxOpen {
-				t.Fatalf("%d open, %d counted, %d at most", len(permits), s.Find("p").Open(), maxOpen)
+				t.Fatalf("%d lookups are open, %d are counted, and %d are allowed", len(permits), s.Find("p").Open(), maxOpen)
 			}
 		}
 		for _, permit := range permits {
 			permit.Release(timeAt(now), true, false)
 		}
 		if s.Find("p").Open() != 0 {
-			t.Fatal("something stays open")
+			t.Fatalf("%d lookups are counted as open after all were released", s.Find("p").Open())
 		}
 	})
 }
 
-// The cost of a limit to a lookup, of one gateway and of the fleet.
+// BenchmarkAdmit measures the cost of admission and release under a limit of one gateway and under a fleet-wide limit.
 func BenchmarkAdmit(b *testing.B) {
 	for name, isFleetWide := range map[string]bool{"gateway": false, "fleet": true} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/limit/permit_property_test.go
+++ b/internal/limit/permit_property_test.go
@@ -8,18 +8,19 @@
 	"pgregory.net/rapid"
 )
 
-// permitModel is what a limit should hold while changes, undos, leases, admissions and releases come in any order.
+// permitModel is the expected state of a limit under changes, undone changes, leases, admissions and releases in any
+// order.
 type permitModel struct {
 	now      time.Time
 	set      *Set
 	spec     Spec
-	exists   bool // the configuration has the limit
+	exists   bool // the present configuration has the limit
 	lease    Lease
 	held     []heldPermit
 	released []*Permit
 }
 
-// heldPermit is a permit and the largest limit that was in force since it was taken.
+// heldPermit is a permit with the largest limit of open lookups in force since its admission.
 type heldPermit struct {
 	permit  *Permit
 	largest int
@@ -32,7 +33,7 @@
 	return &permitModel{now: now, set: NewSet(now, nil)}
 }
 
-// inForce is how many lookups the limit may have open now at the most.
+// inForce returns the limit of open lookups that is in force now.
 func (m *permitModel) inForce() int {
 	switch {
 	case !m.exists || m.spec.MaxOpen <= 0:
@@ -45,7 +46,7 @@
 	return m.lease.Fallback.MaxOpen
 }
 
-// change brings the next configuration, in which the limit may be absent.
+// change applies a random configuration, in which the limit may be absent.
 func (m *permitModel) change(t *rapid.T) {
 	wasFleetWide := m.exists && m.spec.FleetWide
 	m.exists = rapid.IntRange(0, 4).Draw(t, "exists") > 0
@@ -68,6 +69,7 @@
 	m.raiseLargest()
 }
 
+// setLease sets a random lease if the limit exists and is fleet-wide.
 func (m *permitModel) setLease(t *rapid.T) {
 	l := m.set.Find(modelLimit)
 	if l == nil || !m.spec.FleetWide {
@@ -82,12 +84,14 @@
 	m.raiseLargest()
 }
 
+// raiseLargest updates the largest limit of each held permit.
 func (m *permitModel) raiseLargest() {
 	for i := range m.held {
 		m.held[i].largest = max(m.held[i].largest, m.inForce())
 	}
 }
 
+// admit requests admission for a lookup and checks the result against the limit in force.
 func (m *permitModel) admit(t *rapid.T) {
 	l := m.set.Find(modelLimit)
 	if l == nil {
@@ -96,15 +100,16 @@
 	permit, reason, retryAfter := l.Admit(m.now, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "tenant"), 1, 10)
 	switch {
 	case reason != Allowed && retryAfter <= 0:
-		t.Fatalf("rejected (%s) without a retry-after", reason)
+		t.Fatalf("rejected with %q without a retry-after", reason)
 	case reason != Allowed:
 		return
 	case len(m.held) >= m.inForce():
-		t.Fatalf("a lookup is admitted where %d are open and %d may be", len(m.held), m.inForce())
+		t.Fatalf("a lookup was admitted with %d open and a limit of %d", len(m.held), m.inForce())
 	}
 	m.held = append(m.held, heldPermit{permit, m.inForce()})
 }
 
+// release releases a random held permit.
 func (m *permitModel) release(t *rapid.T) {
 	if len(m.held) == 0 {
 		return
@@ -115,25 +120,27 @@
 	m.held = append(m.held[:i], m.held[i+1:]...)
 }
 
-// releaseAgain releases a permit a second time, which must do nothing.
+// releaseAgain releases a permit a second time, which must have no effect.
 func (m *permitModel) releaseAgain(t *rapid.T) {
 	if len(m.released) > 0 {
 		rapid.SampledFrom(m.released).Draw(t, "released").Release(m.now, true, true)
 	}
 }
 
+// check compares the limit's count of open lookups with the held permits and their limits.
 func (m *permitModel) check(t *rapid.T) {
 	l := m.set.Find(modelLimit)
 	if l != nil && l.Open() != len(m.held) {
-		t.Fatalf("%d open, %d held", l.Open(), len(m.held))
+		t.Fatalf("%d lookups are counted as open, but %d permits are held", l.Open(), len(m.held))
 	}
 	if len(m.held) > 0 && len(m.held) > m.held[0].largest {
-		t.Fatalf("%d open, the limit was %d at most since the oldest was admitted", len(m.held), m.held[0].largest)
+		t.Fatalf("%d lookups are open, but the limit was at most %d since the oldest was admitted", len(m.held), m.held[0].largest)
 	}
 }
 
-// TestPermitsReturnToTheirQuotasUnderAnyChanges guards against a permit released into quotas that did not lend it (a panic, open lookups
-// below zero, more admitted than the limit) after changes, undos and leases in any order.
+// TestPermitsReturnToTheirQuotasUnderAnyChanges guards against permits that are released into quotas other than those
+// that admitted them. That can follow changes, undone changes and leases in any order. It shows as a panic, as a
+// negative count of open lookups, or as more admitted lookups than the limit allows.
 func TestPermitsReturnToTheirQuotasUnderAnyChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newPermitModel()
@@ -164,60 +171,62 @@
 			held.permit.Release(m.now, true, false)
 		}
 		if open := m.set.Find(modelLimit).Open(); open != 0 {
-			t.Fatalf("%d open after all were released", open)
+			t.Fatalf("%d lookups are counted as open after all were released", open)
 		}
 	})
 }
 
-// TestMaxOpenIsRemovedWhileAPermitIsHeld guards against the panic (nil quotas) at the release of a permit whose limit no longer bounds open
-// lookups.
+// TestMaxOpenIsRemovedWhileAPermitIsHeld guards against a panic on nil quotas at the release of a permit whose limit no
+// longer bounds open lookups.
 func TestMaxOpenIsRemovedWhileAPermitIsHeld(t *testing.T) {
 	set := NewSet(timeAt(0), map[string]Spec{"p": {MaxOpen: 3}})
 	permit, reason, _ := admit(set.Find("p"), 0)
 	if reason != Allowed {
-		t.Fatal(reason)
+		t.Fatalf("reason %q for the first lookup, want it admitted", reason)
 	}
 	set = set.Carry(timeAt(1), map[string]Spec{"p": {LookupsPerSecond: 3}})
 	permit.Release(timeAt(2), true, false)
 	if open := set.Find("p").Open(); open != 0 {
-		t.Errorf("%d open after the release", open)
+		t.Errorf("%d open after the release, want 0", open)
 	}
 }
 
-// TestAnUndoneChangeOfMaxOpenCountsOpenLookups guards against -1 open lookups, and a fourth admitted under a limit of 3, after a change
-// that took the limit away (or its name) was undone while one was open.
+// TestAnUndoneChangeOfMaxOpenCountsOpenLookups guards against losing count of an open lookup when a change removes the
+// limit or its MaxOpen and is then undone. Such a loss led to a count of -1, and to a fourth lookup admitted under a
+// limit of 3.
 func TestAnUndoneChangeOfMaxOpenCountsOpenLookups(t *testing.T) {
 	limited := map[string]Spec{"p": {MaxOpen: 3}}
 	for name, without := range map[string]map[string]Spec{
-		"limit without open": {"p": {LookupsPerSecond: 3}},
-		"no such limit":      {},
-		"of the fleet":       {"p": {MaxOpen: 3, FleetWide: true}},
-		"twice":              {"q": {}},
+		"limit without MaxOpen": {"p": {LookupsPerSecond: 3}},
+		"limit removed":         {},
+		"limit made fleet-wide": {"p": {MaxOpen: 3, FleetWide: true}},
+		"limit renamed":         {"q": {}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := NewSet(timeAt(0), limited)
 			held, _, _ := admit(s.Find("p"), 0)
 			s = s.Carry(timeAt(1), without).Carry(timeAt(2), without).Carry(timeAt(3), limited)
 			if open := s.Find("p").Open(); open != 1 {
-				t.Errorf("%d open after the undo, one is held", open)
+				t.Errorf("%d open after the change was undone, want 1", open)
 			}
 			for range 2 {
 				if _, reason, _ := admit(s.Find("p"), 4); reason != Allowed {
-					t.Fatal(reason)
+					t.Fatalf("reason %q with fewer than 3 open, want the lookup admitted", reason)
 				}
 			}
 			if _, reason, _ := admit(s.Find("p"), 4); reason != OpenExceeded {
-				t.Error("a fourth lookup is open under a limit of 3")
+				t.Errorf("reason %q for a fourth lookup under a limit of 3, want %q", reason, OpenExceeded)
 			}
 			held.Release(timeAt(5), true, false)
 			if open := s.Find("p").Open(); open != 2 {
-				t.Errorf("%d open, two are held", open)
+				t.Errorf("%d open after the release, want 2", open)
 			}
 		})
 	}
 }
 
-// TestAnAdaptiveLimitLearnsFromItsOwnLookupsOnly guards against samples of lookups that another limit admitted, or that ended twice.
+// TestAnAdaptiveLimitLearnsFromItsOwnLookupsOnly guards against samples of lookups that were admitted by another
+// adaptive limit or by a fixed one, and against a second sample from a permit that is released twice.
 func TestAnAdaptiveLimitLearnsFromItsOwnLookupsOnly(t *testing.T) {
 	adaptive := map[string]Spec{"p": {MaxOpen: 40, Adaptive: true}}
 	s := NewSet(timeAt(0), adaptive)
@@ -229,13 +238,13 @@
 	early.Release(timeAt(100), true, true)
 	fixed.Release(timeAt(100), true, true)
 	if *s.Find("p").adaptive != before {
-		t.Error("it learnt from a lookup that another limit admitted")
+		t.Error("the adaptive limit learnt from a lookup that it did not admit")
 	}
 	own, _, _ := admit(s.Find("p"), 100)
 	own.Release(timeAt(200), false, true)
 	once := *s.Find("p").adaptive
 	own.Release(timeAt(900), false, true)
 	if once == before || *s.Find("p").adaptive != once {
-		t.Error("a lookup of its own is not learnt from once")
+		t.Error("the adaptive limit did not learn exactly once from a lookup that it admitted")
 	}
 }
--- a/internal/limit/retrybudget.go
+++ b/internal/limit/retrybudget.go
@@ -6,36 +6,38 @@
 )
 
 const (
-	budgetHalfLife      = 2 * time.Second // of what is saved
-	minRetriesPerSecond = 2.0             // allowed always, so that a few lookups may retry
-	maxSaved            = 1000            // retries, however many lookups come
+	budgetHalfLife      = 2 * time.Second // of the saved retries
+	minRetriesPerSecond = 2.0             // allowed at any ratio above 0, so that retries work at a low rate of lookups
+	maxSaved            = 1000            // upper bound of the saved retries
 )
 
-// RetryBudget bounds retries to a ratio of first attempts. Each first attempt saves that part of a retry, each retry takes one, and what is
-// saved decays. So an outage cannot multiply what is sent, nor is its end met by a second peak of retries that were saved up in it.
+// RetryBudget limits retries to a ratio of first attempts. Each first attempt saves that fraction of a retry, and each
+// retry takes one. An outage therefore cannot multiply the load. Saved retries decay, so that retries saved during an
+// outage do not cause a second peak at its end.
 type RetryBudget struct {
 	ratio      float64
 	saved      float64
-	decayedAt  time.Time // when saved decayed last
-	guaranteed float64   // left of the few a second
-	refilledAt time.Time // when floor grew last
+	decayedAt  time.Time // when saved was last decayed
+	guaranteed float64   // retries left of minRetriesPerSecond
+	refilledAt time.Time // when guaranteed was last refilled
 }
 
-// NewRetryBudget allows so many retries for each first attempt.
+// NewRetryBudget returns a budget that allows the given ratio of retries to first attempts.
 func NewRetryBudget(ratio float64) *RetryBudget {
 	return &RetryBudget{ratio: ratio, guaranteed: minRetriesPerSecond}
 }
 
-// SetRatio sets another ratio. What is saved stays.
+// SetRatio changes the ratio. Saved retries are kept.
 func (b *RetryBudget) SetRatio(ratio float64) { b.ratio = ratio }
 
-// RecordFirstAttempt takes that a lookup sent its first attempt.
+// RecordFirstAttempt credits the budget for the first attempt of a lookup.
 func (b *RetryBudget) RecordFirstAttempt(now time.Time) {
 	b.update(now)
 	b.saved = min(maxSaved, b.saved+b.ratio)
 }
 
-// TryTake takes a retry if there is one left. With a ratio of 0 there is none.
+// TryTake takes one retry from the budget and reports whether there was one. With a ratio of 0 it always reports false,
+// unless retries are left that were saved at an earlier ratio.
 func (b *RetryBudget) TryTake(now time.Time) bool {
 	b.update(now)
 	switch {
@@ -49,7 +51,8 @@
 	return true
 }
 
-// update brings what is saved and the floor up to a time. A time that runs backwards changes nothing.
+// update decays the saved retries and refills the guaranteed ones up to the given time. A time before the last update
+// changes nothing.
 func (b *RetryBudget) update(now time.Time) {
 	if elapsed := now.Sub(b.decayedAt); elapsed > 0 && !b.decayedAt.IsZero() {
 		b.saved *= math.Exp2(-elapsed.Seconds() / budgetHalfLife.Seconds())
--- a/internal/limit/set.go
+++ b/internal/limit/set.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// Set is the limits of a configuration, by name.
+// Set holds the limits of a configuration by name.
 type Set struct {
 	byName map[string]*Limit
-	// draining are limits that a change took away while lookups were open under them. They limit nothing, and count until the lookups have
-	// ended, so that an undo of the change finds them open. There are at most as many as open lookups.
+	// draining holds limits that a change removed while lookups were open under them. They reject nothing, but they
+	// count their open lookups until these have ended. If the change is undone, the open lookups are still counted.
+	// There are at most as many draining limits as open lookups.
 	draining map[string]*Limit
 }
 
 // NewSet returns the limits of the first configuration.
 func NewSet(now time.Time, specs map[string]Spec) *Set { return (&Set{}).Carry(now, specs) }
 
-// Carry returns the limits of the next configuration. A limit of the same name is the same one, so that a permit of the set before can be
-// released at any time, and a lookup that is open stays counted whatever changes come before its end.
+// Carry returns the limits of the next configuration. A name that both configurations have keeps its Limit, so a permit
+// from the previous set can be released at any time. An open lookup stays counted across any number of changes.
 func (s *Set) Carry(now time.Time, specs map[string]Spec) *Set {
 	next := &Set{byName: make(map[string]*Limit, len(specs)), draining: map[string]*Limit{}}
 	for name, spec := range specs {
@@ -30,7 +31,7 @@
 	return next
 }
 
-// findOrDraining returns the limit of a name, also one that drains, nil if there is none.
+// findOrDraining returns the limit with the given name, active or draining, or nil if there is none.
 func (s *Set) findOrDraining(name string) *Limit {
 	if l := s.byName[name]; l != nil {
 		return l
@@ -38,7 +39,8 @@
 	return s.draining[name]
 }
 
-// drain keeps those of the set before that this one does not have and that lookups are open under.
+// drain adds to the draining limits those of the previous set that this set does not have and that still have open
+// lookups. It removes their limits.
 func (s *Set) drain(now time.Time, before map[string]*Limit) {
 	for name, l := range before {
 		if s.byName[name] == nil && l.Open() > 0 {
@@ -48,7 +50,7 @@
 	}
 }
 
-// EachFleetWide calls a function for each limit of the whole fleet, in no order.
+// EachFleetWide calls visit for each fleet-wide limit, in no particular order.
 func (s *Set) EachFleetWide(visit func(name string, l *Limit)) {
 	for name, l := range s.byName {
 		if l.spec.FleetWide {
@@ -57,5 +59,5 @@
 	}
 }
 
-// Find returns the limit of a name, nil if there is none.
+// Find returns the limit with the given name, or nil if there is none. It does not find draining limits.
 func (s *Set) Find(name string) *Limit { return s.byName[name] }
