--- a/internal/retry/any_order_test.go
+++ b/internal/retry/any_order_test.go
@@ -9,26 +9,26 @@
 	"foldslip/internal/policy"
 )
 
-// coordinatorModel plays callers and a router at random, and checks what the Coordinator does.
+// coordinatorModel acts as callers and as a router in random order and checks the Coordinator's commands.
 type coordinatorModel struct {
 	coordinator *Coordinator
 	now         int // milliseconds
 	streams     []*Stream
 	lookups     []*Lookup
 	states      map[*Lookup]*modelLookup
-	requested   map[*Stream]*Lookup // latest request of each stream
+	requested   map[*Stream]*Lookup // the lookup that each stream requested last
 }
 
-// modelLookup is what the model knows of a lookup.
+// modelLookup is the model's state of a lookup.
 type modelLookup struct {
-	nextAttempt   int          // number of the router's next attempt
-	open          map[int]bool // attempts that the router takes for open
-	attemptStream *Stream      // whose caller makes an attempt
-	ended         bool         // by the router
-	answered      bool         // with its end
+	nextAttempt   int          // number of the next attempt that the router starts
+	open          map[int]bool // attempts that the router started and whose end it has not received
+	attemptStream *Stream      // the stream whose caller makes an attempt; nil: none
+	ended         bool         // the router has ended it
+	answered      bool         // its final answer was sent
 }
 
-// apply carries out commands as the dispatcher and the callers do, and checks them.
+// apply checks commands and carries them out as the dispatcher and the callers do.
 func (m *coordinatorModel) apply(t *rapid.T, commands Commands) {
 	for _, report := range commands.Reports {
 		m.applyReport(t, report)
@@ -41,7 +41,8 @@
 		switch answer.Kind {
 		case AnswerAttempt:
 			if state.answered || state.attemptStream != nil || !state.open[answer.Step.Attempt] {
-				t.Fatalf("attempt %d is answered: lookup answered %v, an attempt out %v", answer.Step.Attempt, state.answered, state.attemptStream != nil)
+				t.Fatalf("attempt %d was sent to a caller: final answer sent %v, another attempt in flight %v, attempt open %v",
+					answer.Step.Attempt, state.answered, state.attemptStream != nil, state.open[answer.Step.Attempt])
 			}
 			state.attemptStream = answer.Stream
 		case AnswerAccepted, AnswerReject, AnswerFail:
@@ -52,10 +53,11 @@
 	}
 }
 
+// applyReport checks that the reported attempt is open and ends it. A satisfied attempt ends the lookup.
 func (m *coordinatorModel) applyReport(t *rapid.T, report Report) {
 	state := m.states[report.Lookup]
 	if !state.open[report.Attempt] {
-		t.Fatalf("attempt %d ends twice or never started", report.Attempt)
+		t.Fatalf("the end of attempt %d was reported, but it never started or has already ended", report.Attempt)
 	}
 	delete(state.open, report.Attempt)
 	state.attemptStream = nil
@@ -65,7 +67,7 @@
 	}
 }
 
-// drawStream draws a stream, perhaps a new one.
+// drawStream draws a stream. If mayBeNew is set, it may create one.
 func (m *coordinatorModel) drawStream(t *rapid.T, mayBeNew bool) *Stream {
 	if len(m.streams) > 0 && (!mayBeNew || rapid.Bool().Draw(t, "old")) {
 		return rapid.SampledFrom(m.streams).Draw(t, "stream")
@@ -78,7 +80,7 @@
 	return stream
 }
 
-// request has a caller request one of a few lookups.
+// request lets a caller request one of three lookups.
 func (m *coordinatorModel) request(t *rapid.T) {
 	stream := m.drawStream(t, true)
 	id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")
@@ -96,7 +98,7 @@
 	m.apply(t, commands)
 }
 
-// step has the router start an attempt or end a lookup.
+// step lets the router start an attempt or end a lookup.
 func (m *coordinatorModel) step(t *rapid.T) {
 	if len(m.lookups) == 0 {
 		t.Skip()
@@ -117,24 +119,26 @@
 	m.apply(t, m.coordinator.ApplyStep(at(m.now), lookup, fetch(attempt)))
 }
 
-// report has a caller report the end of an attempt, whether it makes one or not.
+// report lets a caller report the outcome of an attempt, whether or not it is making one.
 func (m *coordinatorModel) report(t *rapid.T) {
 	stream := m.drawStream(t, false)
 	outcome := rapid.SampledFrom([]policy.AttemptOutcome{policy.OutcomeSatisfied, policy.OutcomeMiss, policy.OutcomeError, 99}).Draw(t, "outcome")
 	m.apply(t, m.coordinator.ReportOutcome(stream, outcome, policy.DetailNone, 0))
 }
 
+// endStream ends a stream.
 func (m *coordinatorModel) endStream(t *rapid.T) {
 	m.apply(t, m.coordinator.StreamEnded(at(m.now), m.drawStream(t, false)))
 }
 
+// advanceTime advances the time and calls Tick.
 func (m *coordinatorModel) advanceTime(t *rapid.T) {
 	m.now += rapid.IntRange(1, 400).Draw(t, "ms")
 	commands, _ := m.coordinator.Tick(at(m.now))
 	m.apply(t, commands)
 }
 
-// checkBounds checks the counts and bounds of lookups.
+// checkBounds checks the count of open lookups and the bounds on open and ended ones.
 func (m *coordinatorModel) checkBounds(t *rapid.T) {
 	open := 0
 	for _, lookup := range m.coordinator.lookups {
@@ -144,11 +148,12 @@
 	}
 	c := m.coordinator
 	if open != c.openCount || len(c.lookups) > 2*testLimits.MaxLookups || c.ended.Len() > testLimits.MaxLookups {
-		t.Fatalf("%d open, counted %d, %d known", open, c.openCount, len(c.lookups))
+		t.Fatalf("%d lookups are open, %d are counted, %d are held, %d of them ended",
+			open, c.openCount, len(c.lookups), c.ended.Len())
 	}
 }
 
-// drain ends all streams and lookups and checks that all is freed.
+// drain ends all streams and lookups and checks that the Coordinator frees all of its state.
 func (m *coordinatorModel) drain(t *rapid.T) {
 	c := m.coordinator
 	for _, stream := range m.streams {
@@ -166,12 +171,14 @@
 		}
 	}
 	if c.openCount != 0 || len(c.lookups) != 0 || len(c.openByCaller) != 0 {
-		t.Fatalf("%d open, %d known, %v", c.openCount, len(c.lookups), c.openByCaller)
+		t.Fatalf("after the end of all lookups %d are open, %d are held, and the counts by caller are %v",
+			c.openCount, len(c.lookups), c.openByCaller)
 	}
 }
 
-// Whatever callers and router do in whatever order: a lookup's attempts are answered one at a time, each ends once and by its number, none is
-// answered after the end, the end is answered once to one stream, and all is freed.
+// TestCoordinatorInvariants lets callers and a router act in random order. It guards against two attempts of a lookup at
+// once, an attempt whose end is reported twice or under a wrong number, an attempt that is sent to a caller after the
+// final answer, and state that is never freed.
 func TestCoordinatorInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &coordinatorModel{coordinator: New(testLimits), states: map[*Lookup]*modelLookup{}, requested: map[*Stream]*Lookup{}}
--- a/internal/retry/coordinator.go
+++ b/internal/retry/coordinator.go
@@ -1,14 +1,20 @@
-// Package retry joins the streams of one lookup whose attempts are made by another proxy, the caller: it requests the lookup, makes the attempt
-// that it is answered, reports its end, and requests the lookup again for the next attempt. The Coordinator does no I/O and decides nothing:
-// requests, steps of the dispatcher, reports, ends of streams and the time go in, Commands come out.
+// Package retry coordinates lookups whose attempts are made by another proxy, the caller. One lookup may span several
+// streams of its caller.
 //
-// A caller requests a lookup by its id, makes the one attempt that it is answered, reports its end on the same stream, and requests the lookup
-// again under the same id when it is answered to. Whatever a caller does: a lookup has one final answer, no attempt is answered after
-// it, never two at once, their number is limited, and all is freed in time. Only the caller can ensure that an attempt is made once, at
-// that cache, and that its report is true. If a stream ends amid an attempt, the attempt may have run.
+// A caller requests a lookup by its id and is answered with an attempt. It makes this one attempt and reports the outcome
+// on the same stream. If the report is answered with AnswerAskAgain, the caller requests the lookup again under the same
+// id for the next attempt.
 //
-// A Coordinator is not safe for concurrent use: its owner calls it under a lock. Bounds: Limits.MaxLookups open, and as many remembered after
-// their end, each for Limits.Retention.
+// The Coordinator does no I/O and makes no routing decisions. Its input is requests, steps of the dispatcher, reports,
+// ends of streams and the time. Its output is Commands.
+//
+// The following holds whatever a caller does. A lookup has one final answer. No attempt is sent to a caller after it, and
+// a caller never has two attempts of one lookup at once. The number of attempts is limited, and all state is freed in
+// time. Only the caller can ensure that an attempt is made once and at the given cache, and that its report is true. If
+// a stream ends during an attempt, the attempt may have run.
+//
+// A Coordinator is not safe for concurrent use; its owner calls it under a lock. It holds at most Limits.MaxLookups open
+// lookups, and as many ended ones, each for Limits.Retention.
 package retry
 
 import (
@@ -22,13 +28,13 @@
 
 // Limits are the bounds of a Coordinator.
 type Limits struct {
-	MaxLookups    int           // open at once, past which they are answered AnswerFull
-	MaxPerCaller  int           // of these
-	ReturnTimeout time.Duration // within which a caller has to request a lookup again when it is answered to
-	Retention     time.Duration // for which an ended lookup is remembered, so that a repeat is not taken for a new one
+	MaxLookups    int           // open lookups of all callers; further ones are answered with AnswerFull
+	MaxPerCaller  int           // open lookups of one caller; further ones are answered with AnswerFull
+	ReturnTimeout time.Duration // time for a caller to request an open lookup again
+	Retention     time.Duration // time for which an ended lookup is remembered, so that a repeated request is not a new one
 }
 
-// What callers do against the contract, as Anomalies names it. The names stand in logs.
+// The kinds of contract violations by callers that Anomalies counts. The values appear in logs.
 const (
 	anomalyRequestOnBusyStream = "ask_on_busy_stream"
 	anomalyRequestAfterAnswer  = "ask_after_answer"
@@ -40,19 +46,19 @@
 	anomalyNeverReturned       = "never_asked_again"
 )
 
-// Coordinator holds the lookups of all callers. Make it with New.
+// Coordinator holds the lookups of all callers. New creates it.
 type Coordinator struct {
 	limits       Limits
-	lookups      map[string]*Lookup // open and remembered, by Lookup.Key
+	lookups      map[string]*Lookup // open and ended lookups by Lookup.Key
 	openCount    int
 	openByCaller map[string]int
-	ended        list.List // remembered *Lookup, oldest first
+	ended        list.List // ended *Lookup values that are remembered, oldest first
 	timeouts     timeoutHeap
 	sequence     uint64
 	anomalies    map[string]int
 }
 
-// New makes a Coordinator without lookups.
+// New returns a Coordinator without lookups.
 func New(limits Limits) *Coordinator {
 	return &Coordinator{
 		limits:       limits,
@@ -62,13 +68,13 @@
 	}
 }
 
-// OpenLookups is the number of open lookups.
+// OpenLookups returns the number of open lookups.
 func (c *Coordinator) OpenLookups() int { return c.openCount }
 
-// Anomalies counts what callers did against the contract, by its name.
+// Anomalies returns the number of contract violations by callers, by kind.
 func (c *Coordinator) Anomalies() map[string]int { return maps.Clone(c.anomalies) }
 
-// AttemptsOut is the number of attempts that are at their callers, or decided and not requested yet.
+// AttemptsOut returns the number of attempts that callers are making, plus those that are decided and not yet requested.
 func (c *Coordinator) AttemptsOut() (count int) {
 	for _, lookup := range c.lookups {
 		if lookup.phase == phaseAttempting || lookup.hasDecidedAttempt() {
@@ -78,7 +84,7 @@
 	return count
 }
 
-// LookupOf is the lookup whose attempt a stream's caller makes; nil if it makes none.
+// LookupOf returns the lookup whose attempt the caller is making on the stream, or nil if it is making none.
 func (c *Coordinator) LookupOf(stream *Stream) *Lookup {
 	lookup := stream.lookup
 	if lookup != nil && lookup.phase == phaseAttempting && lookup.stream == stream {
@@ -87,18 +93,20 @@
 	return nil
 }
 
-// Knows tells whether a lookup of a stream's caller is open or remembered.
+// Knows reports whether the stream's caller has a lookup with the given id that is open, or ended and remembered.
 func (c *Coordinator) Knows(stream *Stream, id string) bool {
 	return c.lookups[lookupKey(stream, id)] != nil
 }
 
 func lookupKey(stream *Stream, id string) string { return stream.Caller + " " + id }
 
-// Request takes a caller's request for a lookup, for the first time or again. A lookup that is returned is new: the owner submits it to the
-// dispatcher and sets Dispatched, or calls Discard.
+// Request handles a caller's first or repeated request for a lookup. It returns a lookup only if the lookup is new. The
+// owner must then submit it to the dispatcher and set Dispatched, or call Discard.
 func (c *Coordinator) Request(now time.Time, stream *Stream, id string, deadline time.Time) (*Lookup, Commands) {
 	var commands Commands
-	if stream.ended { // the request was read just before the stream's end: nobody would receive an answer or end the lookup
+	if stream.ended {
+		// The request was read just before the stream's end. An answer would reach no one, and no later end of the
+		// stream would end the lookup.
 		return nil, commands
 	}
 	if stream.lookup != nil {
@@ -129,13 +137,13 @@
 	return lookup
 }
 
-// requestAgain takes a request for a lookup that is open or remembered.
+// requestAgain handles a request for a lookup that is open or remembered.
 func (c *Coordinator) requestAgain(now time.Time, lookup *Lookup, stream *Stream, commands *Commands) {
 	switch {
 	case lookup.phase == phaseEnded && lookup.result == AnswerAccepted:
 		c.anomalies[anomalyRequestAfterAnswer]++
 		commands.answer(stream, AnswerAlreadyGiven)
-	case lookup.phase == phaseEnded: // to repeat such an end is harmless
+	case lookup.phase == phaseEnded: // a rejection or a failure may be answered repeatedly
 		commands.Answers = append(commands.Answers, Answer{Stream: stream, Kind: lookup.result, RetryAfter: lookup.retryAfter})
 	case lookup.stream != nil:
 		c.anomalies[anomalyOpenElsewhere]++
@@ -148,7 +156,7 @@
 	}
 }
 
-// Discard drops a new lookup that the dispatcher did not take.
+// Discard removes a new lookup that was not submitted to the dispatcher or that the dispatcher did not accept.
 func (c *Coordinator) Discard(lookup *Lookup) {
 	lookup.detach()
 	c.countEnd(lookup)
@@ -157,21 +165,23 @@
 	delete(c.lookups, lookup.Key)
 }
 
-// ApplyStep takes the dispatcher's next step of a lookup.
+// ApplyStep handles the dispatcher's next step for a lookup.
 func (c *Coordinator) ApplyStep(now time.Time, lookup *Lookup, step dispatch.Step) (commands Commands) {
 	switch {
 	case lookup.phase == phaseEnded:
-		if step.Kind == dispatch.StepFetch { // decided before the lookup ended
+		if step.Kind == dispatch.StepFetch { // the attempt was decided before the lookup ended
 			commands.report(lookup, step.Attempt, policy.OutcomeNotSent)
 		}
 	case step.Kind == dispatch.StepCancel:
-		// A caller can't be called back: its attempt ends with its report or its stream. One that is not at its caller yet is withdrawn.
+		// An attempt that its caller is making cannot be cancelled. It ends with the caller's report or with the stream.
+		// An attempt that the caller has not requested yet is withdrawn.
 		if lookup.hasDecidedAttempt() && lookup.step.Attempt == step.Attempt {
 			lookup.phase = phaseDeciding
 			commands.report(lookup, step.Attempt, policy.OutcomeNotSent)
 		}
 	default:
-		// The end of the lookup while an attempt is open, as when the gateway stops: nobody reports that attempt any more.
+		// The lookup may end while an attempt is open, for example when the gateway stops. A report of that attempt is
+		// no longer accepted, so the Coordinator reports its end.
 		if lookup.phase == phaseAttempting {
 			commands.report(lookup, lookup.attempt, policy.OutcomeCancelled)
 		} else if lookup.hasDecidedAttempt() {
@@ -185,7 +195,8 @@
 	return commands
 }
 
-// deliver answers the lookup's stream with what has been decided. Without a stream, the caller has some time to request it.
+// deliver answers the lookup's stream with the decided step. If the lookup has no stream, a decided attempt waits up to
+// Limits.ReturnTimeout for the caller's request.
 func (c *Coordinator) deliver(now time.Time, lookup *Lookup, commands *Commands) {
 	if lookup.phase != phaseDecided {
 		return
@@ -194,7 +205,7 @@
 		c.deliverEnd(now, lookup, commands)
 		return
 	}
-	if lookup.stream != nil && lookup.reportPending { // the next attempt needs a request of its own
+	if lookup.stream != nil && lookup.reportPending { // the caller must request the next attempt
 		commands.answer(lookup.stream, AnswerAskAgain)
 		lookup.detach()
 	}
@@ -207,7 +218,7 @@
 	commands.Answers = append(commands.Answers, Answer{Stream: lookup.stream, Kind: AnswerAttempt, Step: lookup.step, Lookup: lookup})
 }
 
-// deliverEnd answers the lookup's stream, if there is one, with the lookup's end.
+// deliverEnd answers the lookup's stream, if it has one, with the lookup's result and ends the lookup.
 func (c *Coordinator) deliverEnd(now time.Time, lookup *Lookup, commands *Commands) {
 	result := resultOf(lookup.step.Kind)
 	lookup.retryAfter = time.Duration(lookup.step.RetryAfter) * time.Microsecond
@@ -218,7 +229,7 @@
 	c.finish(now, lookup, result)
 }
 
-// resultOf is the answer to the client for a step that ends its lookup.
+// resultOf returns the final answer for a step that ends a lookup.
 func resultOf(step dispatch.StepKind) AnswerKind {
 	switch step {
 	case dispatch.StepSatisfied:
@@ -229,7 +240,8 @@
 	return AnswerFail
 }
 
-// ReportOutcome takes a caller's report of the end of its attempt. It is answered once the router has decided what follows.
+// ReportOutcome handles a caller's report of the outcome of its attempt. The report is answered when the router has
+// decided the next step.
 func (c *Coordinator) ReportOutcome(stream *Stream, outcome policy.AttemptOutcome, detail policy.OutcomeDetail,
 	sourceWait policy.Micros) (commands Commands) {
 	lookup := c.LookupOf(stream)
@@ -238,7 +250,7 @@
 		commands.answer(stream, AnswerOutOfOrder)
 		return commands
 	}
-	if !isReportable(outcome, detail) { // the attempt may have run
+	if !isReportable(outcome, detail) { // counts as an error, because the attempt may have run
 		c.anomalies[anomalyUnknownReport]++
 		outcome, detail = policy.OutcomeError, policy.DetailNone
 	}
@@ -255,13 +267,13 @@
 	return commands
 }
 
-// isReportable tells whether a caller may report this.
+// isReportable reports whether a caller may report the outcome and the detail.
 func isReportable(outcome policy.AttemptOutcome, detail policy.OutcomeDetail) bool {
 	return outcome >= policy.OutcomeSatisfied && outcome <= policy.OutcomeMiss && outcome != policy.OutcomeCancelled &&
 		detail >= policy.DetailNone && detail <= policy.DetailOriginFailed
 }
 
-// StreamEnded takes the end of a stream, for whatever reason.
+// StreamEnded handles the end of a stream, whatever its reason.
 func (c *Coordinator) StreamEnded(now time.Time, stream *Stream) (commands Commands) {
 	lookup := stream.lookup
 	stream.ended = true
@@ -270,20 +282,21 @@
 	}
 	lookup.detach()
 	switch lookup.phase {
-	case phaseAttempting: // it may have reached its cache, and says nothing of that
+	case phaseAttempting: // the attempt may have reached its cache, and no report of it will arrive
 		c.anomalies[anomalyEndedAmidAttempt]++
 		lookup.phase = phaseDeciding
 		lookup.returnBy = now.Add(c.limits.ReturnTimeout)
 		commands.report(lookup, lookup.attempt, policy.OutcomeCancelled)
-	case phaseDeciding, phaseDecided: // nobody waits for the first answer any more
+	case phaseDeciding, phaseDecided: // the caller no longer waits for the answer
 		c.abandon(now, lookup, &commands)
 	}
 	c.timeouts.schedule(lookup)
 	return commands
 }
 
-// Tick brings the time: lookups that their callers did not request again are ended, attempts that were not reported by the lookup's deadline
-// have timed out, and lookups that ended long ago are forgotten. It returns when to come next.
+// Tick handles the timeouts that are due. It ends lookups that their callers did not request again, times out attempts
+// that were not reported by the lookup's deadline, names overdue lookups, and forgets lookups that ended
+// Limits.Retention ago. It returns the time of the next call, which is at most one second later.
 func (c *Coordinator) Tick(now time.Time) (commands Commands, next time.Time) {
 	for e := c.ended.Front(); e != nil && !e.Value.(*Lookup).forgetAt.After(now); e = c.ended.Front() {
 		c.forget(e.Value.(*Lookup))
@@ -298,14 +311,14 @@
 	return commands, next
 }
 
-// handleTimeout looks after a lookup whose time has come.
+// handleTimeout handles the timeout of one lookup.
 func (c *Coordinator) handleTimeout(now time.Time, lookup *Lookup, commands *Commands) {
 	switch {
 	case lookup.phase == phaseAttempting:
 		c.anomalies[anomalyNeverReported]++
 		lookup.phase = phaseDeciding
 		commands.report(lookup, lookup.attempt, policy.OutcomeTimeout)
-	case lookup.stream != nil: // enforces rule 1 against a fault of the router
+	case lookup.stream != nil: // enforces rule 1 (a lookup gets one answer in time) if the router fails to end the lookup
 		lookup.overdue = true
 		commands.Overdue = append(commands.Overdue, lookup)
 	default:
@@ -324,7 +337,8 @@
 	c.finish(now, lookup, AnswerFail)
 }
 
-// finish ends a lookup and remembers it for a while.
+// finish ends a lookup and remembers it for Limits.Retention. Beyond Limits.MaxLookups ended lookups it forgets the
+// oldest.
 func (c *Coordinator) finish(now time.Time, lookup *Lookup, result AnswerKind) {
 	if lookup.phase == phaseEnded {
 		return
@@ -339,7 +353,7 @@
 	}
 }
 
-// countEnd takes a lookup out of the counts of open ones.
+// countEnd removes a lookup from the counts of open lookups.
 func (c *Coordinator) countEnd(lookup *Lookup) {
 	c.openCount--
 	c.openByCaller[lookup.caller]--
@@ -348,7 +362,7 @@
 	}
 }
 
-// forget removes a lookup that has ended.
+// forget removes a lookup that has ended and was remembered.
 func (c *Coordinator) forget(lookup *Lookup) {
 	c.ended.Remove(lookup.endedElement)
 	delete(c.lookups, lookup.Key)
--- a/internal/retry/coordinator_test.go
+++ b/internal/retry/coordinator_test.go
@@ -14,10 +14,10 @@
 	testLimits = Limits{MaxLookups: 4, MaxPerCaller: 3, ReturnTimeout: 200 * time.Millisecond, Retention: 2 * time.Second}
 )
 
-// at is so many milliseconds after the start.
+// at returns the time the given number of milliseconds after testStart.
 func at(ms int) time.Time { return testStart.Add(time.Duration(ms) * time.Millisecond) }
 
-// describe lists commands, in their order.
+// describe formats commands in their order.
 func describe(commands Commands) string {
 	text := ""
 	for _, x := range commands.Reports {
@@ -35,14 +35,14 @@
 func want(t *testing.T, commands Commands, text string) {
 	t.Helper()
 	if got := describe(commands); got != text {
-		t.Fatalf("%q, expected %q", got, text)
+		t.Fatalf("commands %q, want %q", got, text)
 	}
 }
 
-// fetch is the step that starts an attempt.
+// fetch returns the step that starts the attempt with the given number.
 func fetch(n int) dispatch.Step { return dispatch.Step{Kind: dispatch.StepFetch, Attempt: n} }
 
-// startAttempt opens a lookup whose first attempt is at its caller.
+// startAttempt opens a lookup and sends its first attempt to its caller.
 func startAttempt(t *testing.T) (*Coordinator, *Stream, *Lookup) {
 	t.Helper()
 	c, stream := New(testLimits), &Stream{Caller: "edge"}
@@ -52,17 +52,17 @@
 	return c, stream, lookup
 }
 
-// An attempt, and what follows its report.
+// TestAttempts covers the answers that follow the report of an attempt.
 func TestAttempts(t *testing.T) {
-	t.Run("its report, the answer", func(t *testing.T) {
+	t.Run("a satisfied attempt: the lookup is accepted", func(t *testing.T) {
 		c, stream, lookup := startAttempt(t)
 		want(t, c.ReportOutcome(stream, policy.OutcomeSatisfied, policy.DetailHit, 0), fmt.Sprintf("report 0 %d;", policy.OutcomeSatisfied))
 		want(t, c.ApplyStep(at(10), lookup, dispatch.Step{Kind: dispatch.StepSatisfied}), "accepted;")
 		if c.OpenLookups() != 0 {
-			t.Error(c.OpenLookups())
+			t.Errorf("%d lookups are open, want 0", c.OpenLookups())
 		}
 	})
-	t.Run("one that missed: the next attempt goes to the next request, on another stream", func(t *testing.T) {
+	t.Run("an attempt that missed: the next request gets the next attempt, on another stream", func(t *testing.T) {
 		c, stream, lookup := startAttempt(t)
 		want(t, c.ReportOutcome(stream, policy.OutcomeMiss, policy.DetailNone, 0), fmt.Sprintf("report 0 %d;", policy.OutcomeMiss))
 		want(t, c.ApplyStep(at(10), lookup, fetch(1)), "ask again;")
@@ -71,29 +71,29 @@
 		want(t, commands, "attempt;")
 		want(t, c.StreamEnded(at(21), stream), "")
 	})
-	t.Run("one that failed, and the lookup's end: answered to the stream that waits", func(t *testing.T) {
+	t.Run("an attempt that failed and a rejected lookup: the waiting stream gets the rejection", func(t *testing.T) {
 		c, stream, lookup := startAttempt(t)
 		c.ReportOutcome(stream, policy.OutcomeError, policy.DetailNone, 0)
 		want(t, c.ApplyStep(at(11), lookup, dispatch.Step{Kind: dispatch.StepRejected, RetryAfter: 5000}), "reject;")
-		_, commands := c.Request(at(20), stream, "a", at(1000)) // the same stream may go on, and has the same answer
+		_, commands := c.Request(at(20), stream, "a", at(1000)) // the stream can request again and gets the same answer
 		want(t, commands, "reject;")
 		if commands.Answers[0].RetryAfter != 5*time.Millisecond {
-			t.Error(commands.Answers[0].RetryAfter)
+			t.Errorf("retry-after %v, want 5ms", commands.Answers[0].RetryAfter)
 		}
 	})
 }
 
-// Requests for lookups, new ones and others.
+// TestRequests covers requests for new lookups and for lookups that exist.
 func TestRequests(t *testing.T) {
-	t.Run("one read just before its stream's end and taken just after it opens nothing", func(t *testing.T) {
+	t.Run("a request that is handled after its stream's end opens no lookup", func(t *testing.T) {
 		c, stream := New(testLimits), &Stream{Caller: "edge"}
 		want(t, c.StreamEnded(at(1), stream), "")
 		lookup, commands := c.Request(at(1), stream, "a", at(1000))
 		if want(t, commands, ""); lookup != nil || c.OpenLookups() != 0 {
-			t.Error("it is open, and its client is gone")
+			t.Errorf("a lookup was opened after its stream's end; %d are open, want 0", c.OpenLookups())
 		}
 	})
-	t.Run("the same lookup twice", func(t *testing.T) {
+	t.Run("a lookup that exists is not opened again", func(t *testing.T) {
 		c, stream, lookup := startAttempt(t)
 		_, commands := c.Request(at(2), stream, "a", at(1000))
 		want(t, commands, "out of order;")
@@ -101,19 +101,19 @@
 		want(t, commands, "open elsewhere;")
 		other, commands := c.Request(at(2), &Stream{Caller: "kiosk"}, "a", at(1000))
 		if want(t, commands, ""); other == nil || other == lookup {
-			t.Error("another caller's lookup is another lookup")
+			t.Error("a lookup of another caller with the same id did not open a lookup of its own")
 		}
-		c.Discard(other) // the router has that id open
+		c.Discard(other) // as when the router has a lookup with that id open
 		c.ReportOutcome(stream, policy.OutcomeSatisfied, policy.DetailHit, 0)
 		c.ApplyStep(at(3), lookup, dispatch.Step{Kind: dispatch.StepSatisfied})
 		_, commands = c.Request(at(4), &Stream{Caller: "edge"}, "a", at(1000))
 		want(t, commands, "already given;")
 		c.Tick(at(2004))
 		if again, _ := c.Request(at(2005), &Stream{Caller: "edge"}, "a", at(3000)); again == nil {
-			t.Error("what ended long ago is not forgotten")
+			t.Error("an ended lookup is still remembered after the retention")
 		}
 	})
-	t.Run("no more than so many are open, of one caller and of all", func(t *testing.T) {
+	t.Run("the open lookups of one caller and of all callers are limited", func(t *testing.T) {
 		c := New(testLimits)
 		for i := range 3 {
 			c.Request(at(0), &Stream{Caller: "edge"}, fmt.Sprint(i), at(1000))
@@ -121,38 +121,40 @@
 		_, commands := c.Request(at(0), &Stream{Caller: "edge"}, "x", at(1000))
 		want(t, commands, "full;")
 		if lookup, _ := c.Request(at(0), &Stream{Caller: "kiosk"}, "x", at(1000)); lookup == nil {
-			t.Error("one caller takes what is another's")
+			t.Error("a caller at its limit keeps another caller from opening a lookup")
 		}
 		_, commands = c.Request(at(0), &Stream{Caller: "third"}, "y", at(1000))
 		want(t, commands, "full;")
 	})
 }
 
-// A caller that ends its stream, or says nothing more.
+// TestCallerGone covers callers that end their stream or stop sending.
 func TestCallerGone(t *testing.T) {
-	t.Run("amid an attempt: it may have run", func(t *testing.T) {
+	t.Run("the stream ends during an attempt, which may have run", func(t *testing.T) {
 		c, stream, lookup := startAttempt(t)
 		want(t, c.StreamEnded(at(10), stream), fmt.Sprintf("report 0 %d;", policy.OutcomeCancelled))
 		want(t, c.ApplyStep(at(11), lookup, fetch(1)), "")
 		commands, next := c.Tick(at(100))
 		want(t, commands, "")
 		if next != at(211) {
-			t.Error(next.Sub(testStart))
+			t.Errorf("next tick at %v, want 211ms", next.Sub(testStart))
 		}
 		commands, _ = c.Tick(at(211))
 		want(t, commands, fmt.Sprintf("report 1 %d;gone;", policy.OutcomeNotSent))
 		if c.OpenLookups() != 0 || c.Anomalies()[anomalyEndedAmidAttempt] != 1 || c.Anomalies()[anomalyNeverReturned] != 1 {
-			t.Error(c.OpenLookups(), c.Anomalies())
+			t.Errorf("%d open, anomalies %v; want 0 open, one %s and one %s",
+				c.OpenLookups(), c.Anomalies(), anomalyEndedAmidAttempt, anomalyNeverReturned)
 		}
 	})
-	t.Run("before the first answer: the client is gone", func(t *testing.T) {
+	t.Run("the stream ends before the first answer", func(t *testing.T) {
 		c, stream := New(testLimits), &Stream{Caller: "edge"}
 		lookup, _ := c.Request(at(0), stream, "a", at(1000))
 		want(t, c.StreamEnded(at(1), stream), "gone;")
-		want(t, c.ApplyStep(at(2), lookup, fetch(0)), fmt.Sprintf("report 0 %d;", policy.OutcomeNotSent)) // decided before that
+		// The router decided the attempt before it learnt of the stream's end.
+		want(t, c.ApplyStep(at(2), lookup, fetch(0)), fmt.Sprintf("report 0 %d;", policy.OutcomeNotSent))
 		want(t, c.ApplyStep(at(2), lookup, dispatch.Step{Kind: dispatch.StepClientGone}), "")
 	})
-	t.Run("it never reports: timed out at the lookup's deadline", func(t *testing.T) {
+	t.Run("an attempt without a report times out at the lookup's deadline", func(t *testing.T) {
 		c, _, lookup := startAttempt(t)
 		commands, _ := c.Tick(at(999))
 		want(t, commands, "")
@@ -162,15 +164,16 @@
 	})
 }
 
-// A cancelled attempt.
+// TestCancels covers cancelled attempts.
 func TestCancels(t *testing.T) {
-	t.Run("at its caller: it ends with its report", func(t *testing.T) {
+	t.Run("an attempt that the caller is making ends with its report", func(t *testing.T) {
 		c, stream, lookup := startAttempt(t)
-		want(t, c.ApplyStep(at(5), lookup, dispatch.Step{Kind: dispatch.StepCancel, Attempt: 0}), "") // it is at the caller
+		// The caller is making the attempt, so it cannot be withdrawn.
+		want(t, c.ApplyStep(at(5), lookup, dispatch.Step{Kind: dispatch.StepCancel, Attempt: 0}), "")
 		want(t, c.ReportOutcome(stream, policy.OutcomeSatisfied, policy.DetailHit, 0), fmt.Sprintf("report 0 %d;", policy.OutcomeSatisfied))
 		want(t, c.ApplyStep(at(6), lookup, dispatch.Step{Kind: dispatch.StepSatisfied}), "accepted;")
 	})
-	t.Run("not requested yet: withdrawn", func(t *testing.T) {
+	t.Run("an attempt that was not requested yet is withdrawn", func(t *testing.T) {
 		c, stream, lookup := startAttempt(t)
 		c.ReportOutcome(stream, policy.OutcomeMiss, policy.DetailNone, 0)
 		c.ApplyStep(at(5), lookup, fetch(1))
@@ -181,9 +184,9 @@
 	})
 }
 
-// A lookup that ends amid an attempt, as when the gateway stops.
+// TestEndAmidAttempt covers lookups that end during an attempt, as happens when the gateway stops.
 func TestEndAmidAttempt(t *testing.T) {
-	t.Run("the attempt's end is reported, and the lookup's end answered", func(t *testing.T) {
+	t.Run("the end of the attempt is reported and the end of the lookup is answered", func(t *testing.T) {
 		c, stream, lookup := startAttempt(t)
 		want(t, c.ApplyStep(at(5), lookup, dispatch.Step{Kind: dispatch.StepFailed}), fmt.Sprintf("report 0 %d;fail;", policy.OutcomeCancelled))
 		want(t, c.ReportOutcome(stream, policy.OutcomeSatisfied, policy.DetailHit, 0), "out of order;")
@@ -194,9 +197,9 @@
 	})
 }
 
-// Reports against the contract.
+// TestInvalidReports covers reports that violate the contract.
 func TestInvalidReports(t *testing.T) {
-	t.Run("of nothing, twice, or of no known kind", func(t *testing.T) {
+	t.Run("without an attempt, twice, or with an unknown outcome", func(t *testing.T) {
 		c, stream, _ := startAttempt(t)
 		want(t, c.ReportOutcome(&Stream{Caller: "edge"}, policy.OutcomeSatisfied, policy.DetailHit, 0), "out of order;")
 		want(t, c.ReportOutcome(stream, 99, 77, -5), fmt.Sprintf("report 0 %d;", policy.OutcomeError))
--- a/internal/retry/lookup.go
+++ b/internal/retry/lookup.go
@@ -12,69 +12,70 @@
 	"foldslip/internal/route/rollout"
 )
 
-// phase is how far a lookup is.
+// phase is the state of a lookup.
 type phase int
 
 const (
 	phaseDeciding   phase = iota // the router decides the next step
-	phaseAttempting              // an attempt is at its caller
-	phaseDecided                 // an attempt or an end is decided, and its caller has to request it
-	phaseEnded                   // remembered for Limits.Retention
+	phaseAttempting              // the caller is making an attempt
+	phaseDecided                 // the next step is decided and waits for the caller's request
+	phaseEnded                   // the lookup has ended and is remembered for Limits.Retention
 )
 
-// Lookup is a lookup from its first request to some time after its end. What its owner notes with it the Coordinator does not read.
+// Lookup is the state of a lookup from its first request until it is forgotten after its end.
 type Lookup struct {
-	Key string // its caller and id
+	Key string // caller and id
 
-	// Noted by the owner.
+	// Set by the owner. The Coordinator does not read these fields.
 	Dispatched *dispatch.Lookup
 	Object     string
 	Group      int
-	ETag       string // of the copy that the client holds
+	ETag       string // of the client's copy
 	Request    *route.Lookup
 	Quota      *admission.Gate
-	Ticket     *rollout.Ticket // nil: it came by no route
+	Ticket     *rollout.Ticket // nil: the gateway has no routes
 	ArrivedAt  time.Time
 	Trace      any
 
 	handlers      atomic.Int32
 	caller        string
-	sequence      uint64 // lookups of one instant go in the order in which they came
+	sequence      uint64 // order of arrival; orders lookups with the same timeout
 	deadline      time.Time
 	phase         phase
-	stream        *Stream       // that waits for an answer, or makes the attempt; nil: none
-	reportPending bool          // stream waits for what follows its report
-	step          dispatch.Step // decided, in phaseDecided
-	attempt       int           // at the caller, in phaseAttempting
-	returnBy      time.Time     // its caller has to request it again by then; zero: it need not
-	overdue       bool          // Commands.Overdue named it
-
-	// Of a lookup that has ended.
+	stream        *Stream       // the stream that waits for an answer or whose caller makes the attempt; nil: none
+	reportPending bool          // stream has reported an outcome and waits for the answer
+	step          dispatch.Step // the decided step in phaseDecided
+	attempt       int           // the number of the caller's attempt in phaseAttempting
+	returnBy      time.Time     // the caller must request the lookup again by this time; zero: no time limit
+	overdue       bool          // the lookup was in Commands.Overdue
+
+	// Set when the lookup has ended.
 	result       AnswerKind
 	retryAfter   time.Duration
 	forgetAt     time.Time
 	endedElement *list.Element
 
-	// Of one that is looked after by time.
-	timeoutAt time.Time // zero: it need not be
-	heapIndex int       // from 1; 0: it is not in the heap
+	// Set by the timeout heap.
+	timeoutAt time.Time // zero: no timeout is pending
+	heapIndex int       // index in the heap, starting at 1; 0: not in the heap
 }
 
-// BeginHandling notes that somebody is about to take the lookup's steps, until EndHandling. Both may be called from any goroutine.
+// BeginHandling marks the lookup as handled until the matching EndHandling: the caller of BeginHandling is about to take
+// the lookup's next steps from the dispatcher. BeginHandling, EndHandling and IsHandled are safe for concurrent use.
 func (l *Lookup) BeginHandling() { l.handlers.Add(1) }
 
-// EndHandling takes one BeginHandling back.
+// EndHandling undoes one call of BeginHandling.
 func (l *Lookup) EndHandling() { l.handlers.Add(-1) }
 
-// IsHandled tells whether somebody is about to take the lookup's steps.
+// IsHandled reports whether the lookup is marked as handled.
 func (l *Lookup) IsHandled() bool { return l.handlers.Load() > 0 }
 
-// hasDecidedAttempt tells whether an attempt waits for its caller's request.
+// hasDecidedAttempt reports whether a decided attempt waits for the caller's request.
 func (l *Lookup) hasDecidedAttempt() bool {
 	return l.phase == phaseDecided && l.step.Kind == dispatch.StepFetch
 }
 
-// detach frees the lookup's stream for another lookup.
+// detach separates the lookup from its stream, which can then carry another lookup.
 func (l *Lookup) detach() {
 	if l.stream != nil {
 		l.stream.lookup = nil
@@ -83,7 +84,7 @@
 	l.reportPending = false
 }
 
-// nextTimeout is when the lookup has to be looked after; zero if it need not be.
+// nextTimeout returns when the lookup's present state times out, or the zero time if it does not.
 func (l *Lookup) nextTimeout() time.Time {
 	switch {
 	case l.phase == phaseEnded:
@@ -97,7 +98,8 @@
 	return time.Time{}
 }
 
-// timeoutHeap orders lookups by when they have to be looked after: the cost of a Tick is that of the lookups that are due, however many are open.
+// timeoutHeap is a heap of lookups ordered by their timeouts. It makes the cost of Coordinator.Tick depend on the number
+// of lookups that are due, not on the number of open lookups.
 type timeoutHeap []*Lookup
 
 func (h timeoutHeap) Len() int { return len(h) }
@@ -114,14 +116,14 @@
 	h[i].heapIndex, h[j].heapIndex = i+1, j+1
 }
 
-// Push is heap.Push's.
+// Push implements heap.Interface.
 func (h *timeoutHeap) Push(x any) {
 	lookup := x.(*Lookup)
 	*h = append(*h, lookup)
 	lookup.heapIndex = len(*h)
 }
 
-// Pop is heap.Pop's.
+// Pop implements heap.Interface.
 func (h *timeoutHeap) Pop() any {
 	last := len(*h) - 1
 	lookup := (*h)[last]
@@ -131,7 +133,7 @@
 	return lookup
 }
 
-// schedule sets when a lookup is looked after, by its state.
+// schedule sets the timeout of a lookup from its present state and updates the heap.
 func (h *timeoutHeap) schedule(lookup *Lookup) {
 	lookup.timeoutAt = lookup.nextTimeout()
 	isQueued := lookup.heapIndex > 0
--- a/internal/retry/messages.go
+++ b/internal/retry/messages.go
@@ -7,20 +7,22 @@
 	"foldslip/internal/policy"
 )
 
-// Stream is one stream of a caller, which carries one lookup's attempt at a time. Its owner makes it; the Coordinator reads and changes it.
+// Stream is a stream from a caller. It carries one lookup at a time. The owner creates it, and the Coordinator reads and
+// changes it.
 type Stream struct {
 	Caller string
-	Owner  any     // for the owner: where answers on this stream go
-	lookup *Lookup // whose answer the stream waits for, or whose attempt it makes
+	Owner  any     // set by the owner, which delivers answers with it; the Coordinator does not read it
+	lookup *Lookup // the lookup whose answer the stream waits for or whose attempt its caller makes; nil: none
 	ended  bool
 }
 
-// Commands are what a Coordinator wants done, in this order. The zero value is nothing.
+// Commands are the actions that the owner of a Coordinator must carry out, in the order of the fields. The zero value has
+// no actions.
 type Commands struct {
-	Reports []Report  // report these ends of attempts to the dispatcher
-	Gone    []*Lookup // their clients are gone: end them at the dispatcher
-	Overdue []*Lookup // nothing has ended them by their deadline: fail them at the dispatcher
-	Answers []Answer  // send these to streams
+	Reports []Report  // ends of attempts to report to the dispatcher
+	Gone    []*Lookup // lookups whose clients are gone, to be ended at the dispatcher
+	Overdue []*Lookup // lookups that have not ended by their deadline, to be failed at the dispatcher
+	Answers []Answer  // answers to send
 }
 
 func (c *Commands) report(lookup *Lookup, attempt int, outcome policy.AttemptOutcome) {
@@ -33,7 +35,7 @@
 	}
 }
 
-// Report is the end of an attempt of a lookup.
+// Report describes the end of an attempt of a lookup.
 type Report struct {
 	Lookup     *Lookup
 	Attempt    int
@@ -42,32 +44,32 @@
 	SourceWait policy.Micros
 }
 
-// Answer is what a stream's caller is answered.
+// Answer is an answer to the caller on a stream.
 type Answer struct {
 	Stream     *Stream
 	Kind       AnswerKind
-	Step       dispatch.Step // of AnswerAttempt
-	Lookup     *Lookup       // of AnswerAttempt
-	RetryAfter time.Duration // of AnswerReject; 0: none
+	Step       dispatch.Step // for AnswerAttempt
+	Lookup     *Lookup       // for AnswerAttempt
+	RetryAfter time.Duration // for AnswerReject; 0: none
 }
 
-// AnswerKind is the kind of an answer.
+// AnswerKind is the kind of an Answer.
 type AnswerKind int
 
 // The kinds of answers.
 const (
-	AnswerAttempt       AnswerKind = 1 + iota // make this attempt
-	AnswerAccepted                            // the attempt's answer is the lookup's: pass it on
-	AnswerAskAgain                            // the lookup goes on: request it again under the same id
-	AnswerReject                              // the lookup's end: the client may repeat it
-	AnswerFail                                // the lookup's end
+	AnswerAttempt       AnswerKind = 1 + iota // the caller makes this attempt
+	AnswerAccepted                            // the lookup is satisfied: the caller passes on the response to its attempt
+	AnswerAskAgain                            // the lookup is still open: the caller requests it again under the same id
+	AnswerReject                              // the lookup is rejected: the client may repeat it
+	AnswerFail                                // the lookup has failed
 	AnswerOpenElsewhere                       // the lookup is open on another stream
-	AnswerAlreadyGiven                        // the lookup was answered before
+	AnswerAlreadyGiven                        // the lookup was answered before with AnswerAccepted
 	AnswerFull                                // too many lookups are open
-	AnswerOutOfOrder                          // a message out of order: the stream ends
+	AnswerOutOfOrder                          // the caller's message was out of order: the stream ends
 )
 
 var answerNames = [...]string{"none", "attempt", "accepted", "ask again", "reject", "fail", "open elsewhere", "already given", "full", "out of order"}
 
-// String names the kind for people.
+// String returns the name of the kind.
 func (k AnswerKind) String() string { return answerNames[k] }
