--- a/internal/config/frozen_test.go
+++ b/internal/config/frozen_test.go
@@ -6,7 +6,8 @@
 	"foldslip/internal/lab/frozen"
 )
 
-// The files under testdata were written by the build before the names of Go changed.
+// TestConfigurationFormIsUnchanged guards against renamed Go identifiers that change the JSON form of the configuration.
+// An earlier build, with other Go names, wrote the files under testdata.
 func TestConfigurationFormIsUnchanged(t *testing.T) {
 	frozen.JSON(t, "settings.json", &Config{}, true)
 	frozen.JSON(t, "empty.json", &Config{}, false)
