--- a/internal/config/configfile/configfile.go
+++ b/internal/config/configfile/configfile.go
@@ -1,5 +1,6 @@
-// Package configfile reads the operators' configuration file, a Jsonnet template, and checks it. It does no I/O but by the reader that it is
-// given, and retains nothing of the evaluator. Its errors are config.Error values.
+// Package configfile reads and validates the operators' configuration file, which is a Jsonnet template. All I/O goes
+// through the ReadFile function that the caller passes. The package keeps no state between calls. Problems in a
+// configuration are returned as config.Error values.
 package configfile
 
 import (
@@ -22,11 +23,11 @@
 	maxStackDepth = 200
 )
 
-// ReadFile reads a file by its path.
+// ReadFile returns the contents of the file at a path.
 type ReadFile func(path string) ([]byte, error)
 
-// Read evaluates the template in a file, fills in defaults and checks the values. Imports are read by the same reader, relative to the file
-// that names them.
+// Read evaluates the template in a file, fills in defaults and validates the values. Imported files are read by readFile
+// too. A relative import path is resolved against the importing file.
 func Read(file string, readFile ReadFile) (*config.Config, error) {
 	var c config.Config
 	if err := Evaluate(file, readFile, &c); err != nil {
@@ -35,27 +36,28 @@
 	return &c, withFile(file, validate(&c))
 }
 
-// Evaluate evaluates a template and decodes the result into a pointer to a struct. A name that the struct does not have is an error: a setting
-// that is spelt wrong must not be off unnoticed.
+// Evaluate evaluates a template and decodes the result into a pointer to a struct. A name that the struct does not have
+// is an error, because a misspelt setting would otherwise be off without notice.
 func Evaluate(file string, readFile ReadFile, into any) error {
 	template, err := readFile(file)
 	if err != nil {
-		return config.Error{File: file, Text: err.Error(), Remedy: "name a file that can be read"}
+		return config.Error{File: file, Text: err.Error(), Remedy: "name a readable file"}
 	}
 	if len(template) > maxFileBytes {
-		return config.Error{File: file, Text: fmt.Sprintf("%d bytes", len(template)), Remedy: fmt.Sprintf("at most %d can be read", maxFileBytes)}
+		return config.Error{File: file, Text: fmt.Sprintf("has %d bytes", len(template)),
+			Remedy: fmt.Sprintf("expected at most %d bytes", maxFileBytes)}
 	}
 	vm := jsonnet.MakeVM()
 	vm.MaxStack = maxStackDepth
 	vm.Importer(&importer{readFile: readFile, contents: map[string]jsonnet.Contents{file: jsonnet.MakeContents(string(template))}})
 	result, err := vm.EvaluateFile(file)
 	if err != nil {
-		return config.Error{File: file, Text: oneLine(err.Error()), Remedy: "mend the template there"}
+		return config.Error{File: file, Text: oneLine(err.Error()), Remedy: "correct the template at that position"}
 	}
 	return withFile(file, decode([]byte(result), into))
 }
 
-// withFile adds the file to an error of a value.
+// withFile sets the file of a config.Error. It returns other errors unchanged.
 func withFile(file string, err error) error {
 	var valueErr config.Error
 	if errors.As(err, &valueErr) {
@@ -65,22 +67,23 @@
 	return err
 }
 
+// oneLine replaces each run of white space by one space.
 func oneLine(s string) string { return strings.Join(strings.Fields(s), " ") }
 
-// importer reads the files that a template names, each once.
+// importer reads the files that a template imports, each file once.
 type importer struct {
 	readFile ReadFile
 	contents map[string]jsonnet.Contents // by path
 }
 
-// tooManyImportsError ends an evaluation. The evaluator gives its text.
+// tooManyImportsError ends an evaluation. The evaluator includes its text in the error that it returns.
 type tooManyImportsError struct{}
 
 func (tooManyImportsError) Error() string {
-	return fmt.Sprintf("more than %d files are imported", maxImports)
+	return fmt.Sprintf("the template imports more than %d files", maxImports)
 }
 
-// Import reads a file for the evaluator.
+// Import implements jsonnet.Importer.
 func (i *importer) Import(importedFrom, importedPath string) (jsonnet.Contents, string, error) {
 	at := importedPath
 	if !path.IsAbs(importedPath) && importedFrom != "" {
@@ -100,7 +103,7 @@
 	return i.contents[at], at, nil
 }
 
-// decode decodes what a template evaluated to.
+// decode checks the names in the JSON result of an evaluation and decodes it.
 func decode(text []byte, into any) error {
 	var tree any
 	if err := json.Unmarshal(text, &tree); err != nil {
@@ -112,13 +115,15 @@
 	if err := json.NewDecoder(bytes.NewReader(text)).Decode(into); err != nil {
 		var typeErr *json.UnmarshalTypeError
 		if errors.As(err, &typeErr) {
-			return config.Error{Path: typeErr.Field, Text: "is " + typeErr.Value, Remedy: "expected " + kindName(typeErr.Type)}
+			return config.Error{Path: typeErr.Field, Text: "is " + typeErr.Value,
+				Remedy: "expected " + kindName(typeErr.Type)}
 		}
 		return config.Error{Text: err.Error()}
 	}
 	return nil
 }
 
+// kindName describes the JSON values that a type accepts.
 func kindName(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.String:
--- a/internal/config/configfile/fleet.go
+++ b/internal/config/configfile/fleet.go
@@ -13,7 +13,7 @@
 	maxLabelBytes = 64
 )
 
-// textSetting is a setting that is a text.
+// textSetting is a string setting with its name.
 type textSetting struct{ name, value string }
 
 func validateFleet(f *config.Fleet) error {
@@ -30,8 +30,8 @@
 		return err
 	}
 	if f.ProbeTimeoutMS >= f.ProbeMS {
-		return invalid("fleet.probe_timeout_ms", fmt.Sprintf("is %d of a probe_ms of %d", f.ProbeTimeoutMS, f.ProbeMS),
-			"leave time for others to probe in this gateway's place: at most half")
+		return invalid("fleet.probe_timeout_ms", fmt.Sprintf("is %d with a probe_ms of %d", f.ProbeTimeoutMS, f.ProbeMS),
+			"choose at most half of probe_ms, which leaves other members time for indirect probes")
 	}
 	if f.Advertise == "" {
 		f.Advertise = f.Listen
@@ -40,7 +40,8 @@
 		return err
 	}
 	if f.BroadcastsPurges && f.SharesPurges {
-		return invalid("fleet.broadcast", "is set beside fleet.purges", "set one: broadcast; purges stays for fleets of a few gateways")
+		return invalid("fleet.broadcast", "is set together with fleet.purges",
+			"set only one: broadcast, or purges in a fleet of a few gateways")
 	}
 	if err := validateLocality(f); err != nil {
 		return err
@@ -51,47 +52,54 @@
 	return validateFleetPaths(f)
 }
 
-// validateFleetAddrs checks this gateway's addresses and those of its seeds.
+// validateFleetAddrs checks the addresses of this gateway and of its seeds. A gateway that other machines can reach must
+// have a key file.
 func validateFleetAddrs(f *config.Fleet) error {
 	for _, setting := range []textSetting{{"listen", f.Listen}, {"advertise", f.Advertise}} {
 		addr, err := netip.ParseAddrPort(setting.value)
 		if err != nil || addr.Port() == 0 || addr.Addr().IsUnspecified() {
-			return invalid("fleet."+setting.name, fmt.Sprintf("%q", setting.value), "expected an IP of this machine and a port, as 10.0.0.4:7946")
+			return invalid("fleet."+setting.name, fmt.Sprintf("is %q", setting.value),
+				"expected an IP address of this machine and a port, such as 10.0.0.4:7946")
 		}
 		if !addr.Addr().IsLoopback() && f.KeyFile == "" {
 			return invalid("fleet."+setting.name, fmt.Sprintf("%s can be reached from other machines", setting.value),
-				"name a key_file that all gateways of the fleet have")
+				"set key_file to a key that all gateways of the fleet share")
 		}
 	}
 	if len(f.Seeds) > maxSeeds {
-		return invalid("fleet.seeds", fmt.Sprintf("has %d", len(f.Seeds)), fmt.Sprintf("%d are enough; more can stand in seed_file", maxSeeds))
+		return invalid("fleet.seeds", fmt.Sprintf("has %d seeds", len(f.Seeds)),
+			fmt.Sprintf("expected at most %d; list more in seed_file", maxSeeds))
 	}
 	for i, seed := range f.Seeds {
 		if addr, err := netip.ParseAddrPort(seed); err != nil || addr.Port() == 0 {
-			return invalid(fmt.Sprintf("fleet.seeds[%d]", i), fmt.Sprintf("%q", seed), "expected an IP and a port, as 10.0.0.4:7946")
+			return invalid(fmt.Sprintf("fleet.seeds[%d]", i), fmt.Sprintf("is %q", seed),
+				"expected an IP address and a port, such as 10.0.0.4:7946")
 		}
 	}
 	return nil
 }
 
-// validateLocality checks that region, zone and site are set together.
+// validateLocality checks that region, zone and site are either all set or all empty, and checks their lengths.
 func validateLocality(f *config.Fleet) error {
 	locality := []textSetting{{"region", f.Region}, {"zone", f.Zone}, {"site", f.Site}}
 	isSet := false
 	for _, setting := range locality {
 		if len(setting.value) > config.MaxLocalityBytes {
-			return invalid("fleet."+setting.name, fmt.Sprintf("has %d bytes", len(setting.value)), fmt.Sprintf("at most %d", config.MaxLocalityBytes))
+			return invalid("fleet."+setting.name, fmt.Sprintf("has %d bytes", len(setting.value)),
+				fmt.Sprintf("at most %d", config.MaxLocalityBytes))
 		}
 		isSet = isSet || setting.value != ""
 	}
 	for _, setting := range locality {
 		if setting.value == "" && isSet {
-			return invalid("fleet."+setting.name, "is missing", "name region, zone and site of this gateway, or none of them")
+			return invalid("fleet."+setting.name, "is missing",
+				"name region, zone and site of this gateway, or none of them")
 		}
 	}
 	return nil
 }
 
+// validateFleetPaths checks that the paths that are set are absolute, and checks the length of the socket's path.
 func validateFleetPaths(f *config.Fleet) error {
 	for _, setting := range []textSetting{{"key_file", f.KeyFile}, {"seed_file", f.SeedFile}, {"folder", f.Folder}, {"socket", f.Socket}} {
 		if setting.value == "" {
@@ -99,7 +107,8 @@
 		}
 		isTooLong := setting.name == "socket" && len(setting.value) > maxSocketPathBytes
 		if !path.IsAbs(setting.value) || isTooLong {
-			return invalid("fleet."+setting.name, fmt.Sprintf("%q", setting.value), "name it from the root (a socket in 100 bytes)")
+			return invalid("fleet."+setting.name, fmt.Sprintf("is %q", setting.value),
+				"expected an absolute path; that of a socket has at most 100 bytes")
 		}
 	}
 	return nil
--- a/internal/config/configfile/frozen_test.go
+++ b/internal/config/configfile/frozen_test.go
@@ -8,7 +8,8 @@
 	"foldslip/internal/lab/frozen"
 )
 
-// The file under testdata was written by the build before the names of Go changed.
+// TestTheDeployFileGivesTheSameConfiguration guards against changes that make the deployed file read as another
+// configuration. An earlier build, with other Go names, wrote the file under testdata.
 func TestTheDeployFileGivesTheSameConfiguration(t *testing.T) {
 	c, err := Read("../../../deploy/foldslip.jsonnet", os.ReadFile)
 	if err != nil {
--- a/internal/config/configfile/names.go
+++ b/internal/config/configfile/names.go
@@ -10,7 +10,8 @@
 	"foldslip/internal/config"
 )
 
-// checkNames returns an error for the first name in a decoded tree that the type of its place does not have.
+// checkNames returns an error for the first name in a decoded JSON tree that the corresponding type does not have. It
+// also returns an error for a value that is not an object but corresponds to a struct type.
 func checkNames(path string, tree any, t reflect.Type) error {
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
@@ -32,7 +33,7 @@
 	if t.Kind() != reflect.Struct || isAbsent {
 		return nil
 	}
-	return config.Error{Path: path, Text: "is no object", Remedy: "expected { name: value, ... }"}
+	return config.Error{Path: path, Text: "is not an object", Remedy: "expected { name: value, ... }"}
 }
 
 func checkElements(path string, elements []any, t reflect.Type) error {
--- a/internal/config/configfile/validate.go
+++ b/internal/config/configfile/validate.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	maxSocketPathBytes = 100 // of a Unix socket
+	maxSocketPathBytes = 100 // of the path of a Unix socket
 
 	minStoreBytes     = 64 << 10
 	defaultStoreBytes = 8 << 20
 	maxStoreBytes     = 16 << 20
 
-	minStoreWrites     = 0.1 // a second
+	minStoreWrites     = 0.1 // writes per second
 	defaultStoreWrites = 2
 	maxStoreWrites     = 100
 
@@ -28,12 +28,12 @@
 	maxWeight     = 100
 )
 
-// invalid returns an error of a value. The file is added by the caller of validate.
+// invalid returns a config.Error for an invalid value. Read adds the file.
 func invalid(path, text, remedy string) error {
 	return config.Error{Path: path, Text: text, Remedy: remedy}
 }
 
-// validate fills in defaults and returns an error for the first value that cannot be.
+// validate fills in defaults and returns an error for the first invalid value.
 func validate(c *config.Config) error {
 	if c.ExternalProcessor != nil {
 		if err := validateExternalProcessor(c.ExternalProcessor); err != nil {
@@ -56,21 +56,22 @@
 	return nil
 }
 
-// intSetting is a whole number with its bounds. 0 stands for the default.
+// intSetting is an integer setting with its bounds and its default. The value 0 is replaced by the default.
 type intSetting struct {
 	name                   string
 	value                  *int64
 	min, defaultValue, max int64
 }
 
-// validateNumbers fills in defaults and checks bounds, in order.
+// validateNumbers fills in the defaults of integer settings and returns an error for the first one out of bounds.
 func validateNumbers(section string, numbers []intSetting) error {
 	for _, n := range numbers {
 		if *n.value == 0 {
 			*n.value = n.defaultValue
 		}
 		if *n.value < n.min || *n.value > n.max {
-			return invalid(section+"."+n.name, fmt.Sprintf("is %d", *n.value), fmt.Sprintf("expected %d to %d", n.min, n.max))
+			return invalid(section+"."+n.name, fmt.Sprintf("is %d", *n.value),
+				fmt.Sprintf("expected %d to %d", n.min, n.max))
 		}
 	}
 	return nil
@@ -95,7 +96,8 @@
 		x.Weight = defaultWeight
 	}
 	if x.Weight < minWeight || x.Weight > maxWeight {
-		return invalid("external_processor.weight", fmt.Sprintf("is %g", x.Weight), "expected 0.01 to 100; direct clients have 1")
+		return invalid("external_processor.weight", fmt.Sprintf("is %g", x.Weight),
+			"expected 0.01 to 100; direct clients have a weight of 1")
 	}
 	if x.Trace != nil {
 		if err := validateTrace(x.Trace); err != nil {
@@ -103,25 +105,28 @@
 		}
 	}
 	if x.MessagesPerSecond < 0 || x.BytesPerSecond < 0 {
-		return invalid("external_processor.messages_a_second", "or bytes_a_second is below 0", "0 allows any number")
+		return invalid("external_processor.messages_a_second", "this rate or bytes_a_second is negative",
+			"expected 0 or more; 0 means no limit")
 	}
 	return validateTable(x.Table)
 }
 
-// validateListen checks where the entry point listens, and that only callers of this machine come without a certificate.
+// validateListen checks the listen address of the entry point and its TLS files. A listener that other machines can
+// reach must require client certificates.
 func validateListen(x *config.ExternalProcessor) error {
 	const (
 		name   = "external_processor.listen"
-		remedy = "expected an address and a port, as 127.0.0.1:18200, or unix:/run/foldslip/door"
+		remedy = "expected an IP address and a port, such as 127.0.0.1:18200, or a Unix socket, such as unix:/run/foldslip/door"
 	)
 	if socket, isUnix := strings.CutPrefix(x.Listen, "unix:"); isUnix {
 		if !isSocketPath(socket) {
-			return invalid(name, fmt.Sprintf("%q", x.Listen), remedy)
+			return invalid(name, fmt.Sprintf("is %q", x.Listen), remedy)
 		}
 	} else if addr, err := netip.ParseAddrPort(x.Listen); err != nil {
-		return invalid(name, fmt.Sprintf("%q", x.Listen), remedy)
+		return invalid(name, fmt.Sprintf("is %q", x.Listen), remedy)
 	} else if !addr.Addr().IsLoopback() && (x.TLS == nil || x.TLS.ClientCA == "") {
-		return invalid(name, fmt.Sprintf("%s can be reached from other machines", x.Listen), "set tls with client_ca, or listen on loopback or a Unix socket")
+		return invalid(name, fmt.Sprintf("%s can be reached from other machines", x.Listen),
+			"set tls with client_ca, or listen on a loopback address or a Unix socket")
 	}
 	if x.TLS == nil {
 		return nil
@@ -132,7 +137,8 @@
 	}{{"cert", x.TLS.Cert, false}, {"key", x.TLS.Key, false}, {"client_ca", x.TLS.ClientCA, true}} {
 		isOmitted := file.path == "" && file.isOptional
 		if !path.IsAbs(file.path) && !isOmitted {
-			return invalid("external_processor.tls."+file.name, fmt.Sprintf("%q", file.path), "name a file in PEM from the root")
+			return invalid("external_processor.tls."+file.name, fmt.Sprintf("is %q", file.path),
+				"expected the absolute path of a PEM file")
 		}
 	}
 	return nil
@@ -144,7 +150,8 @@
 
 func validateTrace(t *config.Trace) error {
 	if addr, err := netip.ParseAddrPort(t.Endpoint); err != nil || !addr.Addr().IsLoopback() {
-		return invalid("external_processor.trace.endpoint", fmt.Sprintf("%q", t.Endpoint), "expected a collector on this machine, as 127.0.0.1:4317")
+		return invalid("external_processor.trace.endpoint", fmt.Sprintf("is %q", t.Endpoint),
+			"expected the loopback address and the port of a collector, such as 127.0.0.1:4317")
 	}
 	if t.SampleRatio < 0 || t.SampleRatio > 1 {
 		return invalid("external_processor.trace.share", fmt.Sprintf("is %g", t.SampleRatio), "expected 0 to 1")
@@ -152,7 +159,8 @@
 	return nil
 }
 
-// validateTable checks the rules but their kinds, which the platform's settings name.
+// validateTable checks the lookup rules. It does not check their object kinds, which only the platform's settings
+// define.
 func validateTable(rules []config.LookupRule) error {
 	var ruleErr route.RuleError
 	if _, err := route.Compile(rules, nil); errors.As(err, &ruleErr) && ruleErr.Field != "kind" {
@@ -161,23 +169,28 @@
 	return nil
 }
 
-// validateRouting checks routes and pools but their kinds, which the platform's settings name.
+// validateRouting checks routes and pools. It does not check their object kinds, which only the platform's settings
+// define.
 func validateRouting(r *config.Routing, hasFleet bool) error {
 	if r.Folder != "" && !path.IsAbs(r.Folder) {
-		return invalid("routing.folder", fmt.Sprintf("%q is relative", r.Folder), "name it from the root, as /var/lib/foldslip-routes")
+		return invalid("routing.folder", fmt.Sprintf("%q is a relative path", r.Folder),
+			"expected an absolute path, such as /var/lib/foldslip-routes")
 	}
 	if g := r.GuardLimits; g != nil && (g.MinLookups < 1 || g.Deviations < 1 || min(g.Satisfied, g.Rejected, g.Late, g.Fills) < 0) {
-		return invalid("routing.guards", "a figure is out of bounds", "lookups and deviations from 1, the others from 0 (0: not looked at)")
+		return invalid("routing.guards", "a value is out of bounds",
+			"expected lookups and deviations of at least 1, and the others of at least 0; 0 turns a check off")
 	}
 	if r.Socket != "" && !isSocketPath(r.Socket) {
-		return invalid("routing.socket", fmt.Sprintf("%q", r.Socket), "name it from the root in 100 bytes, as /run/foldslip/operator")
+		return invalid("routing.socket", fmt.Sprintf("is %q", r.Socket),
+			"expected an absolute path of at most 100 bytes, such as /run/foldslip/operator")
 	}
 	table, problems := pools.Compile(r.RouteConfig, nil)
 	if len(problems) > 0 && problems[0].IsError {
 		return invalid("routing."+problems[0].Path, problems[0].Text, problems[0].Remedy)
 	}
 	if !hasFleet && table != nil && table.HasFleetLimits() {
-		return invalid("routing", "a limit is the fleet's (fleet: true), and this gateway knows no fleet", "set fleet, see docs/fleet.md, or leave fleet: true out")
+		return invalid("routing", "a limit has fleet: true, but the fleet section is missing",
+			"add the fleet section (see docs/fleet.md), or remove fleet: true")
 	}
 	return nil
 }
@@ -191,11 +204,13 @@
 	}
 	switch {
 	case s.Folder == "":
-		return invalid("list.folder", "is missing", "name a folder of this gateway's own on a lasting disk")
+		return invalid("list.folder", "is missing", "name a folder on a persistent disk, not shared with another gateway")
 	case !path.IsAbs(s.Folder):
-		return invalid("list.folder", fmt.Sprintf("%q is relative", s.Folder), "name it from the root, as /var/lib/foldslip")
+		return invalid("list.folder", fmt.Sprintf("%q is a relative path", s.Folder),
+			"expected an absolute path, such as /var/lib/foldslip")
 	case s.MaxBytes < minStoreBytes || s.MaxBytes > maxStoreBytes:
-		return invalid("list.bytes", fmt.Sprintf("is %d", s.MaxBytes), "expected 65536 to 16777216; 10,000 caches take some 1,300,000")
+		return invalid("list.bytes", fmt.Sprintf("is %d", s.MaxBytes),
+			"expected 65536 to 16777216; a list of 10,000 caches takes about 1,300,000")
 	case s.WritesPerSecond < minStoreWrites || s.WritesPerSecond > maxStoreWrites:
 		return invalid("list.writes_per_second", fmt.Sprintf("is %g", s.WritesPerSecond), "expected 0.1 to 100")
 	}
