--- a/internal/retry/any_order_test.go
+++ b/internal/retry/any_order_test.go
@@ -9,27 +9,27 @@
 	"foldslip/internal/policy"
 )
 
-// orderModel plays callers and a router at random, and checks what the Coordinator does.
-type orderModel struct {
+// coordinatorModel acts as callers and as a router in random order and checks the Coordinator's commands.
+type coordinatorModel struct {
 	coordinator *Coordinator
 	now         int // milliseconds
 	streams     []*Stream
 	lookups     []*Lookup
 	states      map[*Lookup]*modelLookup
-	requested   map[*Stream]*Lookup // latest request of each stream
+	requested   map[*Stream]*Lookup // the lookup that each stream requested last
 }
 
-// modelLookup is what the model knows of a lookup.
+// modelLookup is the model's state of a lookup.
 type modelLookup struct {
-	nextAttempt int          // number of the router's next attempt
-	open        map[int]bool // attempts that the router takes for open
-	out         *Stream      // whose caller makes an attempt
-	ended       bool         // by the router
-	answered    bool         // with its end
+	nextAttempt   int          // number of the next attempt that the router starts
+	open          map[int]bool // attempts that the router started and whose end it has not received
+	attemptStream *Stream      // the stream whose caller makes an attempt; nil: none
+	ended         bool         // the router has ended it
+	answered      bool         // its final answer was sent
 }
 
-// apply carries out commands as the dispatcher and the callers do, and checks them.
-func (m *orderModel) apply(t *rapid.T, commands Commands) {
+// apply checks commands and carries them out as the dispatcher and the callers do.
+func (m *coordinatorModel) apply(t *rapid.T, commands Commands) {
 	for _, report := range commands.Reports {
 		m.applyReport(t, report)
 	}
@@ -40,10 +40,11 @@
 		state := m.states[m.requested[answer.Stream]]
 		switch answer.Kind {
 		case AnswerAttempt:
-			if state.answered || state.out != nil || !state.open[answer.Step.Attempt] {
-				t.Fatalf("attempt %d is answered: lookup answered %v, an attempt out %v", answer.Step.Attempt, state.answered, state.out != nil)
+			if state.answered || state.attemptStream != nil || !state.open[answer.Step.Attempt] {
+				t.Fatalf("attempt %d was sent to a caller: final answer sent %v, another attempt in flight %v, attempt open %v",
+					answer.Step.Attempt, state.answered, state.attemptStream != nil, state.open[answer.Step.Attempt])
 			}
-			state.out = answer.Stream
+			state.attemptStream = answer.Stream
 		case AnswerAccepted, AnswerReject, AnswerFail:
 			if state != nil {
 				state.answered = true
@@ -52,21 +53,22 @@
 	}
 }
 
-func (m *orderModel) applyReport(t *rapid.T, report Report) {
+// applyReport checks that the reported attempt is open and ends it. A satisfied attempt ends the lookup.
+func (m *coordinatorModel) applyReport(t *rapid.T, report Report) {
 	state := m.states[report.Lookup]
 	if !state.open[report.Attempt] {
-		t.Fatalf("attempt %d ends twice or never started", report.Attempt)
+		t.Fatalf("the end of attempt %d was reported, but it never started or has already ended", report.Attempt)
 	}
 	delete(state.open, report.Attempt)
-	state.out = nil
+	state.attemptStream = nil
 	if report.Outcome == policy.OutcomeSatisfied && !state.ended {
 		state.ended = true
 		m.apply(t, m.coordinator.ApplyStep(at(m.now), report.Lookup, dispatch.Step{Kind: dispatch.StepSatisfied, Attempt: report.Attempt}))
 	}
 }
 
-// drawStream draws a stream, perhaps a new one.
-func (m *orderModel) drawStream(t *rapid.T, mayBeNew bool) *Stream {
+// drawStream draws a stream. If mayBeNew is set, it may create one.
+func (m *coordinatorModel) drawStream(t *rapid.T, mayBeNew bool) *Stream {
 	if len(m.streams) > 0 && (!mayBeNew || rapid.Bool().Draw(t, "old")) {
 		return rapid.SampledFrom(m.streams).Draw(t, "stream")
 	}
@@ -78,8 +80,8 @@
 	return stream
 }
 
-// request has a caller request one of a few lookups.
-func (m *orderModel) request(t *rapid.T) {
+// request lets a caller request one of three lookups.
+func (m *coordinatorModel) request(t *rapid.T) {
 	stream := m.drawStream(t, true)
 	id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")
 	if stream.lookup == nil {
@@ -96,8 +98,8 @@
 	m.apply(t, commands)
 }
 
-// step has the router start an attempt or end a lookup.
-func (m *orderModel) step(t *rapid.T) {
+// step lets the router start an attempt or end a lookup.
+func (m *coordinatorModel) step(t *rapid.T) {
 	if len(m.lookups) == 0 {
 		t.Skip()
 	}
@@ -117,25 +119,27 @@
 	m.apply(t, m.coordinator.ApplyStep(at(m.now), lookup, fetch(attempt)))
 }
 
-// report has a caller report the end of an attempt, whether it makes one or not.
-func (m *orderModel) report(t *rapid.T) {
+// report lets a caller report the outcome of an attempt, whether or not it is making one.
+func (m *coordinatorModel) report(t *rapid.T) {
 	stream := m.drawStream(t, false)
 	outcome := rapid.SampledFrom([]policy.AttemptOutcome{policy.OutcomeSatisfied, policy.OutcomeMiss, policy.OutcomeError, 99}).Draw(t, "outcome")
 	m.apply(t, m.coordinator.ReportOutcome(stream, outcome, policy.DetailNone, 0))
 }
 
-func (m *orderModel) endStream(t *rapid.T) {
+// endStream ends a stream.
+func (m *coordinatorModel) endStream(t *rapid.T) {
 	m.apply(t, m.coordinator.StreamEnded(at(m.now), m.drawStream(t, false)))
 }
 
-func (m *orderModel) pass(t *rapid.T) {
+// advanceTime advances the time and calls Tick.
+func (m *coordinatorModel) advanceTime(t *rapid.T) {
 	m.now += rapid.IntRange(1, 400).Draw(t, "ms")
 	commands, _ := m.coordinator.Tick(at(m.now))
 	m.apply(t, commands)
 }
 
-// checkBounds checks the counts and bounds of lookups.
-func (m *orderModel) checkBounds(t *rapid.T) {
+// checkBounds checks the count of open lookups and the bounds on open and ended ones.
+func (m *coordinatorModel) checkBounds(t *rapid.T) {
 	open := 0
 	for _, lookup := range m.coordinator.lookups {
 		if lookup.phase != phaseEnded {
@@ -144,12 +148,13 @@
 	}
 	c := m.coordinator
 	if open != c.openCount || len(c.lookups) > 2*testLimits.MaxLookups || c.ended.Len() > testLimits.MaxLookups {
-		t.Fatalf("%d open, counted %d, %d known", open, c.openCount, len(c.lookups))
+		t.Fatalf("%d lookups are open, %d are counted, %d are held, %d of them ended",
+			open, c.openCount, len(c.lookups), c.ended.Len())
 	}
 }
 
-// drain ends all streams and lookups and checks that all is freed.
-func (m *orderModel) drain(t *rapid.T) {
+// drain ends all streams and lookups and checks that the Coordinator frees all of its state.
+func (m *coordinatorModel) drain(t *rapid.T) {
 	c := m.coordinator
 	for _, stream := range m.streams {
 		m.apply(t, c.StreamEnded(at(m.now), stream))
@@ -166,21 +171,23 @@
 		}
 	}
 	if c.openCount != 0 || len(c.lookups) != 0 || len(c.openByCaller) != 0 {
-		t.Fatalf("%d open, %d known, %v", c.openCount, len(c.lookups), c.openByCaller)
+		t.Fatalf("after the end of all lookups %d are open, %d are held, and the counts by caller are %v",
+			c.openCount, len(c.lookups), c.openByCaller)
 	}
 }
 
-// Whatever callers and router do in whatever order: a lookup's attempts are answered one at a time, each ends once and by its number, none is
-// answered after the end, the end is answered once to one stream, and all is freed.
-func TestAnyOrder(t *testing.T) {
+// TestCoordinatorInvariants lets callers and a router act in random order. It guards against two attempts of a lookup at
+// once, an attempt whose end is reported twice or under a wrong number, an attempt that is sent to a caller after the
+// final answer, and state that is never freed.
+func TestCoordinatorInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &orderModel{coordinator: New(testLimits), states: map[*Lookup]*modelLookup{}, requested: map[*Stream]*Lookup{}}
+		m := &coordinatorModel{coordinator: New(testLimits), states: map[*Lookup]*modelLookup{}, requested: map[*Stream]*Lookup{}}
 		t.Repeat(map[string]func(*rapid.T){
 			"request":    m.request,
 			"step":       m.step,
 			"report":     m.report,
 			"end stream": m.endStream,
-			"time":       m.pass,
+			"time":       m.advanceTime,
 			"":           m.checkBounds,
 		})
 		m.drain(t)
