--- a/internal/config/change/guard.go
+++ b/internal/config/change/guard.go
@@ -32,13 +32,13 @@
 // good change is hardly ever rolled back and a bad one soon. It keeps no clock and is not safe for concurrent use.
 type Guard struct {
 	limits  GuardLimits
-	base    side // without the change
-	changed side
+	base    decayingCounts // without the change
+	changed decayingCounts
 }
 
 // NewGuard begins to watch.
 func NewGuard(now time.Time, limits GuardLimits) *Guard {
-	return &Guard{limits: limits, base: side{decayedAt: now}, changed: side{decayedAt: now}}
+	return &Guard{limits: limits, base: decayingCounts{decayedAt: now}, changed: decayingCounts{decayedAt: now}}
 }
 
 // BeginChange watches another change. What went on before stays known.
@@ -100,21 +100,21 @@
 	return worse > c.limit && worse > deviations*deviation
 }
 
-// side is the counts of one side, which decay so that what went on long ago weighs little. They decay as lookups are added: what nobody adds
+// decayingCounts is the counts of one side, which decay so that what went on long ago weighs little. They decay as lookups are added: what nobody adds
 // to stays as it was.
-type side struct {
+type decayingCounts struct {
 	counts
 	decayedAt time.Time
 }
 
 type counts struct{ lookups, satisfied, rejected, late, filled float64 }
 
-func (s *side) observe(now time.Time, outcome Outcome) {
-	if elapsed := now.Sub(s.decayedAt); elapsed > decayInterval {
-		s.decay(math.Exp2(-elapsed.Seconds() / guardHalfLife.Seconds()))
-		s.decayedAt = now
+func (d *decayingCounts) observe(now time.Time, outcome Outcome) {
+	if elapsed := now.Sub(d.decayedAt); elapsed > decayInterval {
+		d.decay(math.Exp2(-elapsed.Seconds() / guardHalfLife.Seconds()))
+		d.decayedAt = now
 	}
-	s.add(outcome)
+	d.add(outcome)
 }
 
 func (c *counts) add(outcome Outcome) {
--- a/internal/config/change/versions_test.go
+++ b/internal/config/change/versions_test.go
@@ -124,7 +124,7 @@
 	requireError(t, err, "in force")
 }
 
-func TestCallsThatCannotBeCarriedOut(t *testing.T) {
+func TestInvalidCallsAreRefused(t *testing.T) {
 	v, _ := New([]byte("one"), "ada")
 	_, err := v.Propose(1, []byte("two"), "", "sale")
 	requireError(t, err, "author")
@@ -158,7 +158,7 @@
 	}
 }
 
-func TestLogsThatCannotBe(t *testing.T) {
+func TestRecoverRefusesInvalidLogs(t *testing.T) {
 	first := Step{Version: 1, Stage: Confirmed, Text: []byte("one")}
 	proposal := func(version, parent uint64) Step {
 		return Step{Version: version, Parent: parent, Stage: Proposed, Text: []byte("x"), Author: "a", Reason: "b"}
@@ -178,22 +178,22 @@
 	}
 }
 
-// playback plays random steps and holds what was logged.
-type playback struct {
+// stepRecorder plays random steps and holds what was logged.
+type stepRecorder struct {
 	versions  *Versions
 	steps     []Step
 	confirmed []uint64 // after each step
 	ms        int
 }
 
-func (p *playback) log(step Step, err error) {
+func (p *stepRecorder) record(step Step, err error) {
 	if err == nil {
 		p.steps = append(p.steps, step)
 		p.confirmed = append(p.confirmed, p.versions.confirmed)
 	}
 }
 
-func (p *playback) randomStep(t *rapid.T) {
+func (p *stepRecorder) randomStep(t *rapid.T) {
 	v := p.versions
 	p.ms += rapid.IntRange(0, 400).Draw(t, "ms")
 	now := timeAt(p.ms)
@@ -201,27 +201,27 @@
 	timeout := time.Duration(rapid.IntRange(1, 1000).Draw(t, "timeout")) * time.Millisecond
 	steps, _ := v.Tick(now)
 	for _, step := range steps {
-		p.log(step, nil)
+		p.record(step, nil)
 	}
 	switch rapid.IntRange(0, 7).Draw(t, "kind") {
 	case 0, 1:
-		p.log(v.Propose(v.confirmed, []byte(fmt.Sprint("text ", number+1)), "bo", "sale"))
+		p.record(v.Propose(v.confirmed, []byte(fmt.Sprint("text ", number+1)), "bo", "sale"))
 	case 2:
-		p.log(v.Check(number, []Finding{{IsError: rapid.IntRange(0, 5).Draw(t, "error") == 0}}))
+		p.record(v.Check(number, []Finding{{IsError: rapid.IntRange(0, 5).Draw(t, "error") == 0}}))
 	case 3:
-		p.log(v.Stage(now, number, rapid.Float64Range(0.01, 0.99).Draw(t, "share"), timeout))
+		p.record(v.Stage(now, number, rapid.Float64Range(0.01, 0.99).Draw(t, "share"), timeout))
 	case 4:
-		p.log(v.Apply(now, number, timeout))
+		p.record(v.Apply(now, number, timeout))
 	case 5:
-		p.log(v.Confirm(now, number))
+		p.record(v.Confirm(now, number))
 	case 6:
 		before := v.Active()
-		p.log(v.RollBack(number, "no"))
+		p.record(v.RollBack(number, "no"))
 		if active := v.Active(); v.inProgress == nil && active != (Active{Base: v.confirmed}) {
 			t.Fatalf("after a rollback %+v, before it %+v", active, before)
 		}
 	case 7:
-		p.log(v.ProposeEarlier(rapid.Uint64Range(1, number).Draw(t, "earlier"), "bo", "back"))
+		p.record(v.ProposeEarlier(rapid.Uint64Range(1, number).Draw(t, "earlier"), "bo", "back"))
 	}
 	active := v.Active()
 	isApplied := v.inProgress != nil && v.inProgress.stage == Applied && active.Base == v.inProgress.number
@@ -235,7 +235,7 @@
 func TestStepsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v, first := New([]byte("one"), "ada")
-		p := &playback{versions: v, steps: []Step{first}, confirmed: []uint64{1}}
+		p := &stepRecorder{versions: v, steps: []Step{first}, confirmed: []uint64{1}}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			p.randomStep(t)
 		}
