--- a/internal/route/pools/compile.go
+++ b/internal/route/pools/compile.go
@@ -28,7 +28,7 @@
 // error among the problems there is no table.
 func Compile(routes config.RouteConfig, kinds []string) (*Table, []Problem) {
 	c := &compiler{config: routes, kinds: kinds, table: &Table{root: &node{}, limits: map[string]limit.Spec{}}, poolsByName: map[string]*pool{},
-		routeIndex: map[string]int{}, sharesTaken: map[place]float64{}, completeRoute: map[place]int{}}
+		routeIndex: map[string]int{}, assignedShares: map[matchKey]float64{}, fullRoute: map[matchKey]int{}}
 	c.compile()
 	if slices.ContainsFunc(c.problems, func(p Problem) bool { return p.IsError }) {
 		return nil, c.problems
@@ -44,14 +44,14 @@
 	table    *Table
 	problems []Problem
 
-	poolsByName   map[string]*pool
-	routeIndex    map[string]int // by name, of the first of that name
-	sharesTaken   map[place]float64
-	completeRoute map[place]int // index of the first route that takes all objects of a place
+	poolsByName    map[string]*pool
+	routeIndex     map[string]int // by name, of the first of that name
+	assignedShares map[matchKey]float64
+	fullRoute      map[matchKey]int // index of the first route that takes all objects of a place
 }
 
-// place is what routes compete for.
-type place struct {
+// matchKey is what routes compete for.
+type matchKey struct {
 	pattern     string
 	kind, group int
 }
@@ -135,7 +135,7 @@
 	r := &route{Route: written, index: index, kind: anyValue, group: anyValue, hashTo: 1}
 	c.checkName(path, r)
 	c.resolveMatch(path, r)
-	c.checkFigures(path, r)
+	c.checkOptions(path, r)
 	c.resolveTargets(path, r)
 	c.addLimits(path, "route "+r.Name, r.Limits)
 	c.assignShare(path, r)
@@ -168,7 +168,7 @@
 	}
 }
 
-func (c *compiler) checkFigures(path string, r *route) {
+func (c *compiler) checkOptions(path string, r *route) {
 	if r.Share < 0 || r.Share > 1 {
 		c.reject(path+".share", fmt.Sprintf("%g", r.Share), "0 (all) to 1")
 	}
@@ -205,21 +205,21 @@
 
 // assignShare gives the route its part of the objects of its place.
 func (c *compiler) assignShare(path string, r *route) {
-	at := place{r.Object, r.kind, r.group}
-	other, isTaken := c.completeRoute[at]
-	if isTaken {
+	key := matchKey{r.Object, r.kind, r.group}
+	other, isFull := c.fullRoute[key]
+	if isFull {
 		c.warn(path, fmt.Sprintf("is never reached: routes[%d] takes all of the same", other), "leave one out, or give the first a share")
 	}
 	switch {
 	case r.hasShare():
-		r.hashFrom = c.sharesTaken[at]
-		r.hashTo = c.sharesTaken[at] + r.Share
-		c.sharesTaken[at] = r.hashTo
+		r.hashFrom = c.assignedShares[key]
+		r.hashTo = c.assignedShares[key] + r.Share
+		c.assignedShares[key] = r.hashTo
 		if r.hashTo > 1+shareTolerance {
 			c.reject(path+".share", fmt.Sprintf("the shares of one pattern add up to %.3g", r.hashTo), "1 at most")
 		}
-	case !isTaken:
-		c.completeRoute[at] = r.index
+	case !isFull:
+		c.fullRoute[key] = r.index
 	}
 }
 
--- a/internal/route/pools/pools_test.go
+++ b/internal/route/pools/pools_test.go
@@ -255,12 +255,12 @@
 	for _, n := range []int{3, 10, 50} {
 		all := weightedPools(t, n, 1)
 		removed := fmt.Sprint("p", n-1)
-		lost, strangers := countMoved(all, weightedPools(t, n-1, 1), func(from, _ string) bool { return from == removed })
-		gained, others := countMoved(all, weightedPools(t, n, 2), func(_, to string) bool { return to == "p0" })
+		lost, unexpectedLost := countMoved(all, weightedPools(t, n-1, 1), func(from, _ string) bool { return from == removed })
+		gained, unexpectedGained := countMoved(all, weightedPools(t, n, 2), func(_, to string) bool { return to == "p0" })
 		wantGained := 2/float64(n+1) - 1/float64(n)
 		t.Logf("a pool of %d removed: %.4f of the objects move, 1/n is %.4f; a weight doubled: %.4f, at least %.4f", n, lost, 1/float64(n), gained, wantGained)
-		if strangers > 0 || others > 0 || math.Abs(lost*float64(n)-1) > 0.15 || math.Abs(gained-wantGained) > 0.15/float64(n) {
-			t.Errorf("%d moved between pools that stay, %d to others than the heavier", strangers, others)
+		if unexpectedLost > 0 || unexpectedGained > 0 || math.Abs(lost*float64(n)-1) > 0.15 || math.Abs(gained-wantGained) > 0.15/float64(n) {
+			t.Errorf("%d moved between pools that stay, %d to others than the heavier", unexpectedLost, unexpectedGained)
 		}
 	}
 }
