--- a/internal/route/rollout/steps.go
+++ b/internal/route/rollout/steps.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		return change.Step{}, err
 	}
-	step, err := c.takeStep(func(time.Time) (change.Step, error) { return c.versions.Propose(parent, text, author, reason) })
+	step, err := c.runStep(func(time.Time) (change.Step, error) { return c.versions.Propose(parent, text, author, reason) })
 	if err != nil {
 		return step, err
 	}
@@ -30,7 +30,7 @@
 
 // ProposeEarlier proposes an earlier version's configuration, and checks it.
 func (c *Controller) ProposeEarlier(version uint64, author, reason string) (change.Step, error) {
-	step, err := c.takeStep(func(time.Time) (change.Step, error) { return c.versions.ProposeEarlier(version, author, reason) })
+	step, err := c.runStep(func(time.Time) (change.Step, error) { return c.versions.ProposeEarlier(version, author, reason) })
 	if err != nil {
 		return step, err
 	}
@@ -39,12 +39,12 @@
 
 // Check checks the change in progress against the list of caches as it is now.
 func (c *Controller) Check(version uint64) (change.Step, error) {
-	return c.takeStep(func(time.Time) (change.Step, error) { return c.versions.Check(version, c.findings(version)) })
+	return c.runStep(func(time.Time) (change.Step, error) { return c.versions.Check(version, c.findings(version)) })
 }
 
 // Stage makes the change active for a share of the objects. It is checked once more before, as the list may have changed.
 func (c *Controller) Stage(version uint64, share float64, timeout time.Duration) (change.Step, error) {
-	return c.takeStep(func(now time.Time) (change.Step, error) {
+	return c.runStep(func(now time.Time) (change.Step, error) {
 		if step, isRolledBack := c.recheck(version); isRolledBack {
 			return step, nil
 		}
@@ -54,7 +54,7 @@
 
 // Apply makes the change active for all, checked once more.
 func (c *Controller) Apply(version uint64, timeout time.Duration) (change.Step, error) {
-	return c.takeStep(func(now time.Time) (change.Step, error) {
+	return c.runStep(func(now time.Time) (change.Step, error) {
 		if step, isRolledBack := c.recheck(version); isRolledBack {
 			return step, nil
 		}
@@ -64,16 +64,16 @@
 
 // Confirm makes an applied change the confirmed version.
 func (c *Controller) Confirm(version uint64) (change.Step, error) {
-	return c.takeStep(func(now time.Time) (change.Step, error) { return c.versions.Confirm(now, version) })
+	return c.runStep(func(now time.Time) (change.Step, error) { return c.versions.Confirm(now, version) })
 }
 
 // RollBack ends the change in progress.
 func (c *Controller) RollBack(version uint64, reason string) (change.Step, error) {
-	return c.takeStep(func(time.Time) (change.Step, error) { return c.versions.RollBack(version, reason) })
+	return c.runStep(func(time.Time) (change.Step, error) { return c.versions.RollBack(version, reason) })
 }
 
-// takeStep takes a step: decide is called under the lock, what it decides is written and synced, and then becomes active.
-func (c *Controller) takeStep(decide func(now time.Time) (change.Step, error)) (change.Step, error) {
+// runStep takes a step: decide is called under the lock, what it decides is written and synced, and then becomes active.
+func (c *Controller) runStep(decide func(now time.Time) (change.Step, error)) (change.Step, error) {
 	c.stepMu.Lock()
 	defer c.stepMu.Unlock()
 	c.mu.Lock()
