--- a/internal/config/change/change.go
+++ b/internal/config/change/change.go
@@ -1,16 +1,22 @@
-// Package change makes changes of configuration transactions: a change is proposed against a parent version, checked, staged for a share of
-// the lookups, applied to all, and confirmed, or else rolled back. The package does no I/O and keeps no clock: calls and the time go in, steps
-// for the log and the active versions come out. One change at a time is in progress; a second one is refused with the number of the first.
+// Package change manages changes of a configuration as transactions. A change is proposed against a parent version,
+// checked, optionally staged for a share of the lookups, applied to all lookups, and then confirmed or rolled back.
+// The package does no I/O and reads no clock: callers pass in the time, and receive the steps to log and the active
+// versions. Only one change is in progress at a time. A second proposal is refused with the number of the first.
 //
-// What holds, whatever comes in which order:
-//   - each lookup is decided under one complete version, the one before a change or the change, by the hash of its object
-//     (Active.VersionFor), so that an object stays with its version while the share does not move;
-//   - a change that is not confirmed within its time is rolled back by itself, and so is one whose guard trips;
-//   - after a restart the last confirmed version is active, and a change that was in progress counts as rolled back (Recover). Versions are
-//     complete and named by number, and a log cut at any step has either the step or not, so there is never a mix;
-//   - a rollback makes the very version active again that was confirmed before, not one computed from a difference.
+// The following holds for calls in any order:
+//   - Each lookup is decided under one complete version: the version before the change or
+//     the change itself. The hash of the object selects the version (Active.VersionFor),
+//     so an object stays with its version while the share is constant.
+//   - A change that is not confirmed before its deadline is rolled
+//     back automatically. So is a change whose guard trips.
+//   - After a restart the last confirmed version is active, and a change that was in progress is rolled
+//     back (Recover). Every version is stored completely and identified by its number, and a log that
+//     was cut at a step holds either all of the step or nothing of it, so versions are never mixed.
+//   - A rollback makes the version active again that was confirmed before
+//     the change. It does not compute a version from a difference.
 //
-// Times that changes are compared by come from a clock that never runs backwards, so a step of the time of day moves no deadline.
+// Deadlines must be compared on a clock that never runs backwards,
+// so that a step of the time of day does not move them.
 package change
 
 import (
@@ -18,61 +24,65 @@
 	"time"
 )
 
-// Stage is how far a version has come.
+// Stage is the progress of a version.
 type Stage string
 
-// The words are stored and shown to operators.
+// The values are stored in the log and shown to operators.
 const (
 	Proposed   Stage = "proposed"
 	Checked    Stage = "checked"
 	Staged     Stage = "staged"  // active for a share of the lookups
-	Applied    Stage = "applied" // active for all, until confirmed
+	Applied    Stage = "applied" // active for all lookups, not confirmed yet
 	Confirmed  Stage = "confirmed"
 	RolledBack Stage = "undone"
-	Archived   Stage = "kept" // an earlier version in a snapshot; its FinalStage says what became of it
+	Archived   Stage = "kept" // an earlier version in a snapshot; Step.FinalStage holds its last stage
 )
 
-// Step is one step of a version, as it is logged.
+// Step is one step of a version in its logged form.
 type Step struct {
-	Version    uint64    `json:"no" cbor:"1,keyasint"`
-	Parent     uint64    `json:"parent" cbor:"2,keyasint"` // version that the change is of
-	Stage      Stage     `json:"stage" cbor:"3,keyasint"`
-	At         time.Time `json:"at" cbor:"4,keyasint"` // the time of day, for people only
-	Author     string    `json:"author,omitempty" cbor:"5,keyasint,omitempty"`
-	Reason     string    `json:"reason,omitempty" cbor:"6,keyasint,omitempty"`
-	Text       []byte    `json:"text,omitempty" cbor:"7,keyasint,omitempty"` // the complete configuration, with Proposed only
+	Version uint64    `json:"no" cbor:"1,keyasint"`
+	Parent  uint64    `json:"parent" cbor:"2,keyasint"` // version against which the change was proposed
+	Stage   Stage     `json:"stage" cbor:"3,keyasint"`
+	At      time.Time `json:"at" cbor:"4,keyasint"` // time of day, for display only
+	Author  string    `json:"author,omitempty" cbor:"5,keyasint,omitempty"`
+	Reason  string    `json:"reason,omitempty" cbor:"6,keyasint,omitempty"`
+	// Text is the complete configuration. It is set in Proposed and Archived steps, and in the Confirmed step of the
+	// first version or of a snapshot.
+	Text       []byte    `json:"text,omitempty" cbor:"7,keyasint,omitempty"`
 	Share      float64   `json:"share,omitempty" cbor:"8,keyasint,omitempty"`
-	TimeoutMS  int64     `json:"within_ms,omitempty" cbor:"9,keyasint,omitempty"` // for the next step to come
+	TimeoutMS  int64     `json:"within_ms,omitempty" cbor:"9,keyasint,omitempty"` // time within which the next step must follow
 	Findings   []Finding `json:"findings,omitempty" cbor:"10,keyasint,omitempty"`
-	FinalStage Stage     `json:"was,omitempty" cbor:"11,keyasint,omitempty"`
+	FinalStage Stage     `json:"was,omitempty" cbor:"11,keyasint,omitempty"` // last stage of an archived version
 }
 
-// Finding is what a check has found. One that is an error ends the change.
+// Finding is a result of a check. A finding that is an error rolls the change back.
 type Finding struct {
 	IsError bool   `json:"error" cbor:"1,keyasint"`
-	Path    string `json:"path" cbor:"2,keyasint"` // of the setting
+	Path    string `json:"path" cbor:"2,keyasint"` // path of the setting
 	Text    string `json:"text" cbor:"3,keyasint"`
 	Remedy  string `json:"remedy" cbor:"4,keyasint"`
 }
 
-// Error is a call that cannot be carried out: what is wrong, and what to do. Nothing has changed.
+// Error reports a call that was refused, with the problem and its remedy. A refused call changes nothing.
 type Error struct{ Text, Remedy string }
 
-// Error joins both.
+// Error returns the text and the remedy.
 func (e Error) Error() string { return e.Text + "; " + e.Remedy }
 
 func newError(remedy, format string, a ...any) error {
 	return Error{fmt.Sprintf(format, a...), remedy}
 }
 
-// Active is which versions lookups are decided under: Base for all objects but a Share of them, which have Next. Next 0: Base for all.
+// Active holds the versions under which lookups are decided. Next applies to a Share
+// of the objects and Base to all others. If Next is 0, Base applies to all objects.
 type Active struct {
 	Base  uint64  `json:"Base"`
 	Next  uint64  `json:"Next"`
 	Share float64 `json:"Share"`
 }
 
-// VersionFor returns the version under which an object's lookups are decided. The hash is of the object alone.
+// VersionFor returns the version under which the lookups of an
+// object are decided. The hash must depend on the object alone.
 func (a Active) VersionFor(hash uint64) uint64 {
 	if a.Next != 0 && float64(hash>>11)/(1<<53) < a.Share {
 		return a.Next
@@ -80,7 +90,7 @@
 	return a.Base
 }
 
-// VersionInfo describes a version to operators.
+// VersionInfo describes a version for operators.
 type VersionInfo struct {
 	Version        uint64 `json:"no"`
 	Parent         uint64 `json:"parent"`
--- a/internal/config/change/frozen_test.go
+++ b/internal/config/change/frozen_test.go
@@ -8,7 +8,7 @@
 	"foldslip/internal/lab/frozen"
 )
 
-// requireSameForm checks that a CBOR file decodes into a pointer and encodes to the same bytes again.
+// requireSameForm checks that a CBOR file decodes into the value behind a pointer and encodes to the same bytes again.
 func requireSameForm(t *testing.T, name string, into any) {
 	t.Helper()
 	if err := cbor.Unmarshal(frozen.Read(t, name), into); err != nil {
@@ -21,7 +21,8 @@
 	frozen.Equal(t, name, got)
 }
 
-// The files under testdata were written by the build before the names of Go changed.
+// The files under testdata were written by a build from before the Go identifiers
+// were renamed. The tests check that the renaming did not change the encoded forms.
 func TestStepFormsAreUnchanged(t *testing.T) {
 	var step Step
 	requireSameForm(t, "step.cbor", &step)
@@ -39,7 +40,7 @@
 	}
 	for i, step := range steps {
 		if step.Stage != want[i] {
-			t.Errorf("step %d is %q, want %q", i, step.Stage, want[i])
+			t.Errorf("step %d has stage %q, want %q", i, step.Stage, want[i])
 		}
 	}
 }
--- a/internal/config/change/guard.go
+++ b/internal/config/change/guard.go
@@ -7,44 +7,48 @@
 )
 
 const (
-	guardHalfLife = 20 * time.Second // of the counts of either side
-	decayInterval = time.Second      // at least, between decays of a side
+	guardHalfLife = 20 * time.Second // half-life of the decaying counts
+	decayInterval = time.Second      // minimum time between two decays of the same counts
 )
 
-// GuardLimits are how much worse a change may be before it is rolled back. Differences are shares of lookups; 0 is not watched.
+// GuardLimits sets how much worse than the baseline a change may be before it is rolled back. Satisfied,
+// Rejected, Late and Fills are differences between shares of lookups; an outcome with limit 0 is not compared.
 type GuardLimits struct {
-	Satisfied  float64 `json:"satisfied"`  // fewer satisfied
-	Rejected   float64 `json:"nacked"`     // more rejected
-	Late       float64 `json:"late"`       // more late
-	Fills      float64 `json:"fills"`      // more fills
-	MinLookups int     `json:"lookups"`    // lookups of the change before it is assessed
-	Deviations float64 `json:"deviations"` // standard deviations that the difference has to pass
+	Satisfied  float64 `json:"satisfied"`  // largest decrease of the satisfied lookups
+	Rejected   float64 `json:"nacked"`     // largest increase of the rejected lookups
+	Late       float64 `json:"late"`       // largest increase of the late lookups
+	Fills      float64 `json:"fills"`      // largest increase of the lookups with a fill
+	MinLookups int     `json:"lookups"`    // lookups under the change before it is assessed
+	Deviations float64 `json:"deviations"` // number of standard deviations that a difference must exceed
 }
 
-// DefaultGuardLimits hold where the operators' configuration names none.
+// DefaultGuardLimits are the limits that apply if the operators' configuration sets none.
 var DefaultGuardLimits = GuardLimits{Satisfied: 0.02, Rejected: 0.02, Late: 0.03, Fills: 0.1, MinLookups: 100, Deviations: 4}
 
-// Outcome is how a lookup ended.
+// Outcome describes how a lookup ended.
 type Outcome struct{ Satisfied, Rejected, Late, Filled bool }
 
-// Guard watches a change against what goes on beside it, if it is staged, or went on before it, if it is applied. It compares the two sides'
-// counts as proportions: a side is worse when the difference passes both a bound that matters and what random variation explains, so that a
-// good change is hardly ever rolled back and a bad one soon. It keeps no clock and is not safe for concurrent use.
+// Guard compares the outcomes of lookups under a change with a baseline. The baseline of a staged change is
+// the lookups beside it that are decided under the confirmed version. The baseline of an applied change is
+// the lookups before it. The guard compares proportions of lookups. A change is worse if a difference
+// exceeds both its limit and the random variation of the counts, so that a good change is hardly ever
+// rolled back and a bad one is rolled back soon. A Guard reads no clock and is not safe for concurrent use.
 type Guard struct {
 	limits  GuardLimits
-	base    decayingCounts // without the change
-	changed decayingCounts
+	base    decayingCounts // lookups of the baseline
+	changed decayingCounts // lookups under the change
 }
 
-// NewGuard begins to watch.
+// NewGuard returns a Guard without observations.
 func NewGuard(now time.Time, limits GuardLimits) *Guard {
 	return &Guard{limits: limits, base: decayingCounts{decayedAt: now}, changed: decayingCounts{decayedAt: now}}
 }
 
-// BeginChange watches another change. What went on before stays known.
+// BeginChange resets the counts for a new change. The baseline is retained.
 func (g *Guard) BeginChange() { g.changed.counts = counts{} }
 
-// AcceptChange takes what a change brought as the base from now on, if it was enough to assess.
+// AcceptChange makes the counts of the change the new baseline if they hold
+// enough lookups to be assessed. It then resets the counts of the change.
 func (g *Guard) AcceptChange() {
 	if g.changed.lookups >= float64(g.limits.MinLookups) {
 		g.base.counts = g.changed.counts
@@ -52,7 +56,7 @@
 	g.changed.counts = counts{}
 }
 
-// Observe takes a lookup that ended, under the change or not.
+// Observe counts a lookup that ended, either under the change or in the baseline.
 func (g *Guard) Observe(now time.Time, isUnderChange bool, outcome Outcome) {
 	if isUnderChange {
 		g.changed.observe(now, outcome)
@@ -61,7 +65,7 @@
 	}
 }
 
-// Tripped returns why the change is to be rolled back, or "".
+// Tripped returns the reason for rolling the change back, or "" if there is none.
 func (g *Guard) Tripped() string {
 	base, changed := g.base.counts, g.changed.counts
 	if changed.lookups < float64(g.limits.MinLookups) || base.lookups < 1 {
@@ -74,22 +78,23 @@
 		{"filled", base.filled, changed.filled, g.limits.Fills, 1},
 	} {
 		if c.isWorse(base.lookups, changed.lookups, g.limits.Deviations) {
-			return fmt.Sprintf("%s %.3f of %.0f lookups under the change, %.3f of %.0f beside or before it", c.name, c.changed/changed.lookups,
-				changed.lookups, c.base/base.lookups, base.lookups)
+			return fmt.Sprintf("%s: %.3f of %.0f lookups under the change, %.3f of %.0f lookups in the baseline", c.name,
+				c.changed/changed.lookups, changed.lookups, c.base/base.lookups, base.lookups)
 		}
 	}
 	return ""
 }
 
-// comparison is one kind of outcome on the two sides.
+// comparison compares one kind of outcome under the change with the baseline.
 type comparison struct {
-	name          string // as operators read it
+	name          string // shown to operators
 	base, changed float64
-	limit         float64 // of the difference; 0: it is not watched
-	sign          float64 // of a difference that is worse
+	limit         float64 // of the difference; 0 if the outcome is not compared
+	sign          float64 // of a difference for the worse: 1 or -1
 }
 
-// isWorse reports whether the difference of the proportions passes both the limit and so many of its standard deviations.
+// isWorse reports whether the difference of the proportions exceeds
+// both the limit and the given number of its standard deviations.
 func (c comparison) isWorse(baseLookups, changedLookups, deviations float64) bool {
 	if c.limit <= 0 {
 		return false
@@ -100,8 +105,8 @@
 	return worse > c.limit && worse > deviations*deviation
 }
 
-// decayingCounts is the counts of one side, which decay so that what went on long ago weighs little. They decay as lookups are added: what nobody adds
-// to stays as it was.
+// decayingCounts are counts of outcomes that decay, so that lookups of long ago carry little
+// weight. The counts decay only when a lookup is added. Without new lookups they stay as they are.
 type decayingCounts struct {
 	counts
 	decayedAt time.Time
--- a/internal/config/change/guard_test.go
+++ b/internal/config/change/guard_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// timeToTrip plays two minutes of lookups, a share of them under the change, with the parts of each side that are satisfied. It returns when
-// the guard trips, or -1.
+// timeToTrip simulates two minutes of lookups, one every 10 ms. The parameter share is the share of
+// lookups under the change. The parameters base and changed are the shares of satisfied lookups in the
+// baseline and under the change. It returns the time at which the guard trips, or -1 if it does not trip.
 func timeToTrip(random *rand.Rand, share, base, changed float64) time.Duration {
 	guard := NewGuard(timeAt(0), DefaultGuardLimits)
 	for ms := 0; ms < 120_000; ms += 10 {
@@ -45,9 +46,9 @@
 		}
 	}
 	slices.Sort(times)
-	t.Logf("of %d good changes %d rolled back; of %d bad ones %d, half within %v, nine in ten within %v, at ten lookups a second under the change",
+	t.Logf("of %d good changes %d rolled back; of %d bad changes %d, half within %v, 90%% within %v, with ten lookups a second under the change",
 		good, falseTrips, bad, len(times), times[len(times)/2], times[len(times)*9/10])
 	if falseTrips > 2 || len(times) < bad*95/100 {
-		t.Errorf("%d false, %d of %d rolled back", falseTrips, len(times), bad)
+		t.Errorf("%d good changes rolled back, want at most 2; %d of %d bad changes rolled back, want at least 95%%", falseTrips, len(times), bad)
 	}
 }
--- a/internal/config/change/recover.go
+++ b/internal/config/change/recover.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Recover rebuilds versions from logged steps, in their order, and returns the steps to add to the log: a change that was in progress when the
-// process ended is rolled back. Steps that follow from none before them are an error.
+// Recover rebuilds the versions from logged steps, which must be in their original order. A
+// change that was in progress when the process ended is rolled back, and Recover returns the
+// step of that rollback for the log. A step that cannot follow the steps before it is an error.
 func Recover(steps []Step) (*Versions, []Step, error) {
 	v, steps, err := recoverVersions(steps)
 	if err != nil {
@@ -15,7 +16,7 @@
 	}
 	for i, step := range steps {
 		if err := v.replay(step); err != nil {
-			return nil, nil, newError("forget the record, or restore it", "step %d of the record (version %d, %s): %v", i+2, step.Version, step.Stage, err)
+			return nil, nil, newError("delete the log, or restore it", "change log: step %d (version %d, %s): %v", i+2, step.Version, step.Stage, err)
 		}
 	}
 	if v.inProgress == nil {
@@ -24,7 +25,8 @@
 	return v, []Step{v.rollBack("the process ended before it was confirmed", nil)}, nil
 }
 
-// recoverVersions takes the archived versions and the confirmed one, with which a log begins, and returns the steps after them.
+// recoverVersions rebuilds the archived versions and the confirmed version,
+// with which every log begins. It returns the steps that follow them.
 func recoverVersions(steps []Step) (v *Versions, rest []Step, err error) {
 	v = &Versions{}
 	for len(steps) > 0 && steps[0].Stage == Archived {
@@ -32,7 +34,7 @@
 		steps = steps[1:]
 	}
 	if len(steps) == 0 || steps[0].Stage != Confirmed || len(steps[0].Text) == 0 {
-		return nil, nil, newError("forget the record, or restore it", "the record does not begin with a confirmed version")
+		return nil, nil, newError("delete the log, or restore it", "change log: it does not begin with a confirmed version")
 	}
 	v.confirmed = steps[0].Version
 	v.versions = append(v.versions, versionOf(steps[0], Confirmed))
@@ -45,7 +47,8 @@
 	return &version{number: step.Version, parent: step.Parent, stage: stage, author: step.Author, reason: step.Reason, text: step.Text}
 }
 
-// replay takes one logged step. Its times mean nothing after a restart.
+// replay applies one logged step. Deadlines from before a restart
+// have no meaning, so every step is replayed at the same time.
 func (v *Versions) replay(step Step) error {
 	start := time.Unix(0, 0)
 	timeout := time.Duration(step.TimeoutMS) * time.Millisecond
@@ -53,7 +56,7 @@
 	switch step.Stage {
 	case Proposed:
 		if step.Version <= v.lastNumber {
-			return newError("", "its number is not above %d", v.lastNumber)
+			return newError("", "the version number is not above %d", v.lastNumber)
 		}
 		v.lastNumber = step.Version - 1
 		_, err = v.Propose(step.Parent, step.Text, step.Author, step.Reason)
@@ -68,12 +71,13 @@
 	case RolledBack:
 		_, err = v.RollBack(step.Version, step.Reason)
 	default:
-		err = newError("", "no such stage")
+		err = newError("", "the stage is unknown")
 	}
 	return err
 }
 
-// Snapshot returns the shortest steps from which Recover rebuilds the versions, the confirmed one after the archived ones.
+// Snapshot returns the shortest sequence of steps from which Recover rebuilds the versions:
+// the archived versions, the confirmed version and then the steps of the change in progress.
 func (v *Versions) Snapshot() (steps []Step) {
 	for _, version := range v.versions {
 		if version.number != v.confirmed && version != v.inProgress {
@@ -102,7 +106,7 @@
 	return steps
 }
 
-// step returns a step with the complete version.
+// step returns a step that holds the complete version.
 func (v *version) step(stage Stage) Step {
 	return Step{Version: v.number, Parent: v.parent, Stage: stage, Author: v.author, Reason: v.reason, Text: v.text}
 }
--- a/internal/config/change/size_test.go
+++ b/internal/config/change/size_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Changes are one gateway's, and nothing carries a step to another: of n gateways a change that one of them applies is active at that one
-// alone, within 3 s and at any time after. docs/CAPACITY.md has a table that says so; where this fails, the table has to be made anew.
+// A change belongs to one gateway, and no step is sent to another gateway. A change that one of n
+// gateways applies is active at that gateway alone, after 3 s and at any later time. docs/CAPACITY.md
+// has a table with this result. If this test fails, the table has to be generated again.
 func TestSizeVersionsPerGateway(t *testing.T) {
 	start := time.Unix(1_764_576_000, 0)
 	for _, n := range []int{2, 12, 100} {
@@ -35,7 +36,7 @@
 		}
 		t.Logf("gateways %d: active at %d after 3 s; a second change while the first waits: %v", n, active, fmt.Sprint(second))
 		if active != 1 || second == nil {
-			t.Errorf("%d gateways: active at %d, a second change: %v", n, active, second)
+			t.Errorf("%d gateways: the change is active at %d, want 1; error of the second proposal: %v, want one", n, active, second)
 		}
 	}
 }
--- a/internal/config/change/versions.go
+++ b/internal/config/change/versions.go
@@ -10,7 +10,7 @@
 const (
 	maxTextBytes         = 1 << 20
 	maxAuthorReasonBytes = 500
-	maxVersions          = 64 // retained with their text; older ones are forgotten, never the confirmed one
+	maxVersions          = 64 // versions retained with their text; the oldest are dropped, but never the confirmed one
 	maxTimeout           = 24 * time.Hour
 )
 
@@ -27,26 +27,26 @@
 	return VersionInfo{Version: v.number, Parent: v.parent, Stage: v.stage, Author: v.author, Reason: v.reason, RollbackReason: v.rollbackReason}
 }
 
-// Versions are the versions of one configuration, and the change in progress. They are bounded by maxVersions of maxTextBytes and not safe
-// for concurrent use.
+// Versions holds the versions of one configuration and the change in progress. It is
+// bounded by maxVersions versions of maxTextBytes each. It is not safe for concurrent use.
 type Versions struct {
-	versions   []*version // by number
+	versions   []*version // in ascending order of their numbers
 	lastNumber uint64
 	confirmed  uint64
-	inProgress *version // nil: no change is in progress
-	share      float64  // of the change in progress, while it is staged
+	inProgress *version // nil if no change is in progress
+	share      float64  // share of the objects for which the change in progress is staged
 	deadline   time.Time
 	timeout    time.Duration
 }
 
-// New begins with a first version, which is confirmed, and returns its step.
+// New returns Versions with one confirmed version, and the step of that version for the log.
 func New(text []byte, author string) (*Versions, Step) {
 	first := &version{number: 1, stage: Confirmed, author: author, reason: "first", text: slices.Clone(text)}
 	v := &Versions{versions: []*version{first}, lastNumber: 1, confirmed: 1}
 	return v, Step{Version: 1, Stage: Confirmed, Author: author, Reason: first.reason, Text: slices.Clone(text)}
 }
 
-// Active returns the versions that are active now.
+// Active returns the active versions.
 func (v *Versions) Active() Active {
 	active := Active{Base: v.confirmed}
 	if v.inProgress != nil {
@@ -61,7 +61,7 @@
 	return active
 }
 
-// Text returns a version's configuration, nil if it is not retained. The caller must not change it.
+// Text returns the configuration of a version, or nil if the version is not retained. The caller must not modify it.
 func (v *Versions) Text(number uint64) []byte {
 	if found := v.find(number); found != nil {
 		return found.text
@@ -77,18 +77,20 @@
 	return v.versions[i]
 }
 
-// Propose begins a change of the version that its author has seen.
+// Propose begins a change. The parent is the version that the author of the
+// change has seen. A parent that is not the confirmed version is refused.
 func (v *Versions) Propose(parent uint64, text []byte, author, reason string) (Step, error) {
 	switch {
 	case v.inProgress != nil:
 		return Step{}, newError(fmt.Sprintf("confirm or undo version %d first", v.inProgress.number), "version %d of %s is under way (%s)",
 			v.inProgress.number, v.inProgress.author, v.inProgress.stage)
 	case parent != v.confirmed:
-		return Step{}, newError("look at what has changed since, and propose against it", "version %d is in force, the change is of %d", v.confirmed, parent)
+		return Step{}, newError("review what has changed since, and propose against the confirmed version",
+			"version %d is confirmed, the change was proposed against version %d", v.confirmed, parent)
 	case len(text) == 0 || len(text) > maxTextBytes:
-		return Step{}, newError(fmt.Sprintf("1 to %d", maxTextBytes), "%d bytes", len(text))
+		return Step{}, newError(fmt.Sprintf("expected 1 to %d bytes", maxTextBytes), "the configuration has %d bytes", len(text))
 	case author == "" || reason == "" || len(author)+len(reason) > maxAuthorReasonBytes:
-		return Step{}, newError(fmt.Sprintf("name both, in %d bytes at most", maxAuthorReasonBytes), "author or reason is missing or too long")
+		return Step{}, newError(fmt.Sprintf("give both, in at most %d bytes together", maxAuthorReasonBytes), "author or reason is missing or too long")
 	}
 	v.lastNumber++
 	proposed := &version{number: v.lastNumber, parent: parent, stage: Proposed, author: author, reason: reason, text: slices.Clone(text)}
@@ -98,20 +100,20 @@
 	return Step{Version: proposed.number, Parent: parent, Stage: Proposed, Author: author, Reason: reason, Text: slices.Clone(text)}, nil
 }
 
-// ProposeEarlier proposes the text of an earlier version as a change of the confirmed one. It is checked, staged and confirmed like any other,
-// since what it refers to may have changed.
+// ProposeEarlier proposes the text of an earlier version as a change of the confirmed version. The change has
+// to be checked, applied and confirmed like any other, because the caches that it refers to may have changed.
 func (v *Versions) ProposeEarlier(number uint64, author, reason string) (Step, error) {
 	earlier := v.find(number)
 	switch {
 	case earlier == nil:
-		return Step{}, newError("see history", "version %d is not kept", number)
+		return Step{}, newError("choose a version from the history", "version %d is not retained", number)
 	case earlier.number == v.confirmed:
-		return Step{}, newError("name another", "version %d is in force", number)
+		return Step{}, newError("choose another version", "version %d is already confirmed", number)
 	}
 	return v.Propose(v.confirmed, earlier.text, author, reason)
 }
 
-// dropOldest forgets the oldest versions past the bound.
+// dropOldest drops the oldest versions above maxVersions, but never the confirmed one or the change in progress.
 func (v *Versions) dropOldest() {
 	for len(v.versions) > maxVersions {
 		i := slices.IndexFunc(v.versions, func(candidate *version) bool { return candidate.number != v.confirmed && candidate != v.inProgress })
@@ -119,20 +121,21 @@
 	}
 }
 
-// requireStage checks that a version is in progress and at one of these stages.
+// requireStage returns an error unless the version is in progress and at one of the stages.
 func (v *Versions) requireStage(number uint64, stages ...Stage) error {
 	switch {
 	case v.inProgress == nil:
-		return newError("propose it", "version %d is not under way, none is", number)
+		return newError("propose a change first", "version %d is not under way, none is", number)
 	case v.inProgress.number != number:
-		return newError("name that one", "version %d is not under way, %d is", number, v.inProgress.number)
+		return newError("give the number of the version under way", "version %d is not under way, %d is", number, v.inProgress.number)
 	case !slices.Contains(stages, v.inProgress.stage):
 		return newError(fmt.Sprintf("expected one of %v", stages), "version %d is %s", number, v.inProgress.stage)
 	}
 	return nil
 }
 
-// Check notes what the checks have found. An error among the findings rolls the change back, and the step says so.
+// Check records the findings of the checks. If one of them is an error, the
+// change is rolled back and the returned step has the stage RolledBack.
 func (v *Versions) Check(number uint64, findings []Finding) (Step, error) {
 	if err := v.requireStage(number, Proposed, Checked); err != nil {
 		return Step{}, err
@@ -147,19 +150,20 @@
 	return Step{Version: number, Parent: v.inProgress.parent, Stage: Checked, Findings: findings}, nil
 }
 
-// Stage makes a checked change active for a share of the objects, or moves the share of one that is staged. Without a further step within the
-// timeout it is rolled back.
+// Stage makes a checked change active for a share of the objects, or changes the share of a
+// staged change. The change is rolled back if no further step follows within the timeout.
 func (v *Versions) Stage(now time.Time, number uint64, share float64, timeout time.Duration) (Step, error) {
 	if err := v.requireStage(number, Checked, Staged); err != nil {
 		return Step{}, err
 	}
 	if !(share > 0 && share < 1) {
-		return Step{}, newError("above 0 and below 1; apply is for all", "share %g", share)
+		return Step{}, newError("expected above 0 and below 1; to change all objects use apply", "share %g is out of range", share)
 	}
 	return v.activate(now, Staged, share, timeout)
 }
 
-// Apply makes a checked or staged change active for all objects. Without a confirmation within the timeout it is rolled back.
+// Apply makes a checked or staged change active for all objects. The
+// change is rolled back if it is not confirmed within the timeout.
 func (v *Versions) Apply(now time.Time, number uint64, timeout time.Duration) (Step, error) {
 	if err := v.requireStage(number, Checked, Staged); err != nil {
 		return Step{}, err
@@ -169,7 +173,7 @@
 
 func (v *Versions) activate(now time.Time, stage Stage, share float64, timeout time.Duration) (Step, error) {
 	if timeout <= 0 || timeout > maxTimeout {
-		return Step{}, newError("above 0, at most a day", "%v to go on", timeout)
+		return Step{}, newError("expected above 0 and at most a day", "timeout %v is out of range", timeout)
 	}
 	v.inProgress.stage = stage
 	v.share = share
@@ -178,13 +182,14 @@
 	return Step{Version: v.inProgress.number, Parent: v.inProgress.parent, Stage: stage, Share: share, TimeoutMS: timeout.Milliseconds()}, nil
 }
 
-// Confirm makes an applied change the confirmed version. Past its time the change is rolled back instead, and the step says so.
+// Confirm makes an applied change the confirmed version. Once the deadline has passed,
+// Confirm rolls the change back instead and the returned step has the stage RolledBack.
 func (v *Versions) Confirm(now time.Time, number uint64) (Step, error) {
 	if err := v.requireStage(number, Applied); err != nil {
 		return Step{}, err
 	}
 	if !now.Before(v.deadline) {
-		return v.rollBack("not confirmed within its time", nil), nil
+		return v.rollBack("not confirmed before its deadline", nil), nil
 	}
 	confirmed := v.inProgress
 	confirmed.stage = Confirmed
@@ -193,7 +198,7 @@
 	return Step{Version: confirmed.number, Parent: confirmed.parent, Stage: Confirmed}, nil
 }
 
-// RollBack ends the change in progress. What was confirmed before it is active again.
+// RollBack rolls the change in progress back. The confirmed version is active again.
 func (v *Versions) RollBack(number uint64, reason string) (Step, error) {
 	if err := v.requireStage(number, Proposed, Checked, Staged, Applied); err != nil {
 		return Step{}, err
@@ -209,7 +214,8 @@
 	return Step{Version: ended.number, Parent: ended.parent, Stage: RolledBack, Reason: reason, Findings: findings}
 }
 
-// Tick takes the time: a change past its deadline is rolled back. It returns the deadline of the change in progress, zero if there is none.
+// Tick rolls the change in progress back if its deadline has passed, and returns the step of the
+// rollback. Otherwise it returns the deadline, which is zero if no change is staged or applied.
 func (v *Versions) Tick(now time.Time) (steps []Step, deadline time.Time) {
 	if v.inProgress == nil || v.inProgress.stage != Staged && v.inProgress.stage != Applied {
 		return nil, time.Time{}
@@ -224,7 +230,7 @@
 	return []Step{v.rollBack(fmt.Sprintf("%s within %v", missing, v.timeout), nil)}, time.Time{}
 }
 
-// History returns the versions that are retained, oldest first.
+// History returns the retained versions, oldest first.
 func (v *Versions) History() (history []VersionInfo) {
 	for _, version := range v.versions {
 		history = append(history, version.info())
@@ -235,7 +241,7 @@
 // Confirmed returns the version that was confirmed last.
 func (v *Versions) Confirmed() uint64 { return v.confirmed }
 
-// InProgress returns the change in progress, nil if there is none.
+// InProgress returns the change in progress, or nil if there is none.
 func (v *Versions) InProgress() *VersionInfo {
 	if v.inProgress == nil {
 		return nil
--- a/internal/config/change/versions_test.go
+++ b/internal/config/change/versions_test.go
@@ -13,7 +13,7 @@
 
 func timeAt(ms int) time.Time { return time.Unix(5000, 0).Add(time.Duration(ms) * time.Millisecond) }
 
-// newCheckedChange returns versions with a version 2 that has been checked.
+// newCheckedChange returns Versions with version 1 confirmed and version 2 in progress and checked.
 func newCheckedChange(t *testing.T) *Versions {
 	t.Helper()
 	v, _ := New([]byte("one"), "ada")
@@ -26,12 +26,12 @@
 	return v
 }
 
-// requireError checks that an error is one of this package with a text in it and a remedy.
+// requireError checks that err is an Error of this package that contains the text and has a remedy.
 func requireError(t *testing.T, err error, text string) {
 	t.Helper()
 	var callErr Error
 	if !errors.As(err, &callErr) || !strings.Contains(callErr.Error(), text) || callErr.Remedy == "" {
-		t.Errorf("%v", err)
+		t.Errorf("error %v is not an Error with the expected text and a remedy", err)
 	}
 }
 
@@ -59,7 +59,7 @@
 	}
 	requireActive(t, v, Active{Base: 2})
 	if steps, deadline := v.Tick(timeAt(1e9)); steps != nil || !deadline.IsZero() {
-		t.Error("a confirmed version is rolled back")
+		t.Error("Tick rolled a confirmed version back or returned a deadline for it")
 	}
 }
 
@@ -72,7 +72,7 @@
 	v.Apply(timeAt(0), 2, time.Minute)
 	v.Confirm(timeAt(1), 2)
 	_, err := v.Propose(1, []byte("x"), "cy", "other")
-	requireError(t, err, "version 2 is in force, the change is of 1")
+	requireError(t, err, "version 2 is confirmed, the change was proposed against version 1")
 }
 
 func TestAChangePastTheDeadlineIsRolledBack(t *testing.T) {
@@ -94,7 +94,7 @@
 }
 
 func TestChecks(t *testing.T) {
-	t.Run("an error ends the change, a remark does not", func(t *testing.T) {
+	t.Run("an error rolls the change back, a warning does not", func(t *testing.T) {
 		v, _ := New([]byte("one"), "ada")
 		v.Propose(1, []byte("two"), "bo", "sale")
 		step, err := v.Check(2, []Finding{{IsError: true, Path: "pools.x", Text: "names c4, which drains", Remedy: "name another"}})
@@ -104,7 +104,7 @@
 		_, err = v.Stage(timeAt(0), 2, 0.1, time.Minute)
 		requireError(t, err, "none is")
 	})
-	t.Run("a cache that begins to drain between check and apply ends it there", func(t *testing.T) {
+	t.Run("a cache that begins to drain between check and apply rolls the change back", func(t *testing.T) {
 		v := newCheckedChange(t)
 		if step, err := v.Check(2, []Finding{{IsError: true, Path: "pools.x", Text: "c4 drains", Remedy: "name another"}}); err != nil || step.Stage != RolledBack {
 			t.Fatal(step, err)
@@ -121,7 +121,7 @@
 		t.Fatal(step, err)
 	}
 	_, err = v.ProposeEarlier(1, "bo", "x")
-	requireError(t, err, "in force")
+	requireError(t, err, "version 1 is already confirmed")
 }
 
 func TestInvalidCallsAreRefused(t *testing.T) {
@@ -166,19 +166,19 @@
 	for name, steps := range map[string][]Step{
 		"empty":                                {},
 		"without a confirmed version":          {{Version: 1, Stage: Proposed}},
-		"a confirmation of nothing":            {first, {Version: 2, Stage: Confirmed}},
-		"a proposal of a version that is none": {first, proposal(2, 9)},
-		"a stage that is none":                 {first, {Version: 2, Stage: "other"}},
-		"a number that was there":              {first, proposal(1, 1)},
+		"a confirmation without a proposal":    {first, {Version: 2, Stage: Confirmed}},
+		"a proposal against an unknown parent": {first, proposal(2, 9)},
+		"an unknown stage":                     {first, {Version: 2, Stage: "other"}},
+		"a repeated version number":            {first, proposal(1, 1)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, _, err := Recover(steps)
-			requireError(t, err, "record")
+			requireError(t, err, "change log: ")
 		})
 	}
 }
 
-// stepRecorder plays random steps and holds what was logged.
+// stepRecorder makes random calls and records the steps that they return, as a log does.
 type stepRecorder struct {
 	versions  *Versions
 	steps     []Step
@@ -218,7 +218,7 @@
 		before := v.Active()
 		p.record(v.RollBack(number, "no"))
 		if active := v.Active(); v.inProgress == nil && active != (Active{Base: v.confirmed}) {
-			t.Fatalf("after a rollback %+v, before it %+v", active, before)
+			t.Fatalf("active after a rollback: %+v, want the confirmed version; before it: %+v", active, before)
 		}
 	case 7:
 		p.record(v.ProposeEarlier(rapid.Uint64Range(1, number).Draw(t, "earlier"), "bo", "back"))
@@ -226,12 +226,13 @@
 	active := v.Active()
 	isApplied := v.inProgress != nil && v.inProgress.stage == Applied && active.Base == v.inProgress.number
 	if active.Base != v.confirmed && !isApplied || v.Text(active.Base) == nil {
-		t.Fatalf("%+v with %d confirmed", active, v.confirmed)
+		t.Fatalf("active: %+v, want a retained version that is confirmed (%d) or applied", active, v.confirmed)
 	}
 }
 
-// Whatever is called in whatever order: the log, cut anywhere, gives the version that was confirmed by then and nothing of a change in
-// progress; a snapshot gives the same; and a rollback makes active just what was.
+// TestStepsInAnyOrder makes random calls. Recovery from the log, cut after any step, restores
+// the version that was confirmed by then and nothing of a change in progress. Recovery from a
+// snapshot restores the same. A rollback makes the confirmed version active again.
 func TestStepsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v, first := New([]byte("one"), "ada")
@@ -243,14 +244,14 @@
 		want := p.confirmed[cut-1]
 		recovered, more, err := Recover(p.steps[:cut])
 		if err != nil || recovered.Active() != (Active{Base: want}) || string(recovered.Text(recovered.confirmed)) != string(v.Text(want)) {
-			t.Fatalf("%+v of %d steps, %d were confirmed: %v", recovered, cut, want, err)
+			t.Fatalf("recovered %+v from %d steps, want version %d active: %v", recovered, cut, want, err)
 		}
 		if _, none, err := Recover(append(slices.Clone(p.steps[:cut]), more...)); err != nil || none != nil {
-			t.Fatalf("%v, %v", none, err)
+			t.Fatalf("a second recovery returned steps %v, error %v, want neither", none, err)
 		}
 		short, _, err := Recover(v.Snapshot())
 		if err != nil || short.Active() != (Active{Base: v.confirmed}) || len(short.History()) != len(v.History()) || short.lastNumber != v.lastNumber {
-			t.Fatalf("%v: %+v", err, short)
+			t.Fatalf("recovery from a snapshot: error %v, versions %+v", err, short)
 		}
 	})
 }
