--- a/internal/route/match.go
+++ b/internal/route/match.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	maxWordBytes   = 200 // of an id, object or tag
+	maxWordBytes   = 200 // largest length of an id, an object name or a tag
 	maxKB          = 1e9
 	maxGroup       = 255
 	maxTimeAllowed = time.Hour
-	maxTimeMS      = 1e12 // a longer time is no time
+	maxTimeMS      = 1e12 // a request with this many milliseconds or more is rejected
 )
 
-// timeNotSet is the TimeAllowed of a lookup whose request names none.
+// timeNotSet is the TimeAllowed of a lookup whose request sets no time.
 const timeNotSet = -1
 
-// Lookup is a lookup as a proxy requests it.
+// Lookup holds the fields of a lookup that a proxy requests.
 type Lookup struct {
 	ID          string
 	Object      string
-	Tag         string // of the copy that the client has; "": none that is one strong tag
-	Kind        int    // index of the settings' object kinds
+	Tag         string // entity tag of the client's copy; "" unless the request has exactly one strong tag
+	Kind        int    // index among the object kinds of the platform's settings
 	Part        int
 	Group       int
 	KB          float64
-	TimeAllowed time.Duration // -1: not set
+	TimeAllowed time.Duration // -1 if the request sets no time
 }
 
-// RequestError is a request that is no lookup, with the HTTP status that says so.
+// RequestError reports a request that is not a valid lookup. Status is the HTTP status for the client.
 type RequestError struct {
 	Status int
 	Text   string
@@ -40,11 +40,12 @@
 // Error returns the text, which is sent to the client.
 func (e *RequestError) Error() string { return e.Text }
 
-// Attributes reads what a proxy reports of a request: a header by its name in lower case, an attribute as "attr:NAME", metadata as
-// "meta:SPACE/NAME". It returns the value and how often it is there.
+// Attributes returns the value of a request attribute that the proxy reports, and how many times the attribute occurs.
+// A header is named in lower case, another attribute "attr:NAME" and an entry of the metadata "meta:SPACE/NAME".
 type Attributes func(name string) (value string, times int)
 
-// Match reads a request. The query is no part of a lookup; a proxy that sends one on does so on its own account. Errors are *RequestErrors.
+// Match returns the lookup that a request asks for. It ignores the query, which is not part of a
+// lookup: whether to forward the query is up to the proxy. Its errors are of type *RequestError.
 func (t *Table) Match(method, path string, attributes Attributes) (Lookup, error) {
 	if method != http.MethodGet {
 		return Lookup{TimeAllowed: timeNotSet}, &RequestError{http.StatusMethodNotAllowed, "only GET is known"}
@@ -67,14 +68,14 @@
 	return lookup, nil
 }
 
-// reader reads the fields of one request. Nothing of it may be returned, so that it and the values stay on the stack.
+// reader reads the fields of one request. Match returns no pointer into it, so that it and its values stay on the stack.
 type reader struct {
-	values     []string // of the path's variables
+	values     []string // values of the path variables
 	attributes Attributes
-	firstErr   *RequestError // Status 0: none
+	firstErr   *RequestError // Status is 0 if there is no error
 }
 
-// fail notes an error, unless there is one.
+// fail records an error unless one is recorded already.
 func (r *reader) fail(status int, text string) {
 	if r.firstErr.Status == 0 {
 		r.firstErr.Status = status
@@ -94,7 +95,7 @@
 	return l
 }
 
-// value returns the value of a source, "" if it is unset or missing.
+// value returns the value of a source, or "" if the source is unset or the request lacks it.
 func (r *reader) value(s source) string {
 	switch s.kind {
 	case fixed:
@@ -166,7 +167,8 @@
 	return min(time.Duration(ms*float64(time.Millisecond)), maxTimeAllowed)
 }
 
-// tag returns one strong tag without its quotes. Another costs the bytes of the copy, no more.
+// tag returns a single strong entity tag without its quotes. It returns "" for any other value,
+// such as a weak tag or a list; the only cost is that the bytes of the copy are sent again.
 func (r *reader) tag(s source) string {
 	value := r.value(s)
 	bare := strings.Trim(value, `"`)
@@ -176,7 +178,8 @@
 	return ""
 }
 
-// isWord reports whether a text can be one word of a line to a cache.
+// isWord reports whether s can be one word of a protocol line to a cache: 1 to
+// maxWordBytes printable ASCII characters other than space, comma and equals sign.
 func isWord(s string) bool {
 	if s == "" || len(s) > maxWordBytes {
 		return false
--- a/internal/route/rule.go
+++ b/internal/route/rule.go
@@ -9,22 +9,22 @@
 	"foldslip/internal/config"
 )
 
-// anyKind is the fixed kind of a rule whose kind comes from the request.
+// anyKind is the fixedKind of a rule that reads the object kind from the request.
 const anyKind = -1
 
-// rule is a compiled rule.
+// rule is a compiled lookup rule. It holds the source of each field of a lookup.
 type rule struct {
-	index     int
-	fixedKind int // anyKind: it comes from the request
+	index     int // among the configured rules
+	fixedKind int // index of the object kind, or anyKind if it is read from the request
 
 	kind, object, part, group, kb, id, timeAllowed, tag source
 }
 
-// source is where a field comes from.
+// source says where the value of a field is read from.
 type source struct {
 	kind     sourceKind
-	text     string // the fixed value, or the attribute's name
-	variable int    // index among the path's variables
+	text     string // fixed value or name of the attribute
+	variable int    // index of the path variable
 }
 
 type sourceKind int
@@ -36,7 +36,7 @@
 	pathVariable
 )
 
-// compileRule resolves where each field of a rule comes from.
+// compileRule resolves the source of each field of a rule and records which attributes the rule reads.
 func (t *Table) compileRule(index int, written config.LookupRule, variables []string) (*rule, error) {
 	r := &rule{index: index, fixedKind: anyKind}
 	for _, field := range []struct {
@@ -54,7 +54,7 @@
 		{"tag", written.Tag, &r.tag, false},
 	} {
 		if field.text == "" && field.isRequired {
-			return nil, RuleError{index, field.name, "is missing", "header:NAME, path:NAME, attr:NAME, meta:SPACE/NAME or a fixed value"}
+			return nil, RuleError{index, field.name, "is missing", "set header:NAME, path:NAME, attr:NAME, meta:SPACE/NAME or a fixed value"}
 		}
 		s, err := parseSource(field.text, variables)
 		if err != nil {
@@ -68,15 +68,15 @@
 	return r, t.checkFixed(r)
 }
 
-// checkFixed checks the fields that have fixed values, and resolves a fixed kind.
+// checkFixed validates the fields with fixed values and resolves a fixed object kind to its index.
 func (t *Table) checkFixed(r *rule) error {
 	if r.id.kind == fixed {
-		return RuleError{r.index, "id", "is fixed", "each lookup has an id of its own: header:NAME"}
+		return RuleError{r.index, "id", "is a fixed value", "each lookup needs its own id: read it from the request, as header:NAME"}
 	}
 	if r.kind.kind == fixed {
 		kind, isKnown := t.kinds[r.kind.text]
 		if !isKnown {
-			return RuleError{r.index, "kind", fmt.Sprintf("%q is no object kind", r.kind.text), "see the settings' classes"}
+			return RuleError{r.index, "kind", fmt.Sprintf("%q is not an object kind", r.kind.text), "use one of the classes in the platform's settings"}
 		}
 		r.fixedKind = kind
 	}
@@ -85,16 +85,16 @@
 			continue
 		}
 		if _, err := parseCount(s.text, math.MaxInt32); err != nil {
-			return RuleError{r.index, "part", fmt.Sprintf("%q is no whole number", s.text), "from 0"}
+			return RuleError{r.index, "part", fmt.Sprintf("%q is not a whole number", s.text), "expected a whole number from 0"}
 		}
 	}
 	return nil
 }
 
-// sourceError is a source that cannot be used.
+// sourceError describes an invalid source and its remedy.
 type sourceError struct{ text, remedy string }
 
-// parseSource parses where a field comes from. Variables are those of the path's template.
+// parseSource parses the source of a field. The variables are those of the path template, in their order.
 func parseSource(text string, variables []string) (source, *sourceError) {
 	if text == "" {
 		return source{}, nil
@@ -105,11 +105,11 @@
 	case prefix == "attr" && name != "", prefix == "meta" && strings.Contains(name, "/"):
 		return source{kind: attribute, text: text}, nil
 	case prefix == "meta":
-		return source{}, &sourceError{fmt.Sprintf("%q has no space", text), "write meta:SPACE/NAME"}
+		return source{}, &sourceError{fmt.Sprintf("%q names no metadata namespace", text), "write meta:SPACE/NAME"}
 	case prefix == "path":
 		i := slices.Index(variables, name)
 		if i < 0 {
-			return source{}, &sourceError{fmt.Sprintf("the path has no {%s}", name), "name one of " + strings.Join(variables, ", ")}
+			return source{}, &sourceError{fmt.Sprintf("the path has no variable {%s}", name), "use one of the path's variables: " + strings.Join(variables, ", ")}
 		}
 		return source{kind: pathVariable, variable: i}, nil
 	}
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -1,9 +1,11 @@
-// Package route decides which requests of another proxy are lookups and reads their fields, by a table that the operator writes: path
-// templates and where each field comes from. It does no I/O. A Table is compiled once, never changes and is safe for concurrent use.
+// Package route decides which requests of another proxy are lookups and reads the fields of those lookups.
+// It uses a table of rules that the operator configures. A rule has a path template and the source of each
+// field. The package does no I/O. A Table is compiled once, is immutable and is safe for concurrent use.
 //
-// A template is segments between slashes; a segment may have one {name} with fixed text before and after it. Fixed segments go before
-// templates, and longer fixed text before shorter. A path is matched by one walk down a tree, which goes back where a branch does not lead to
-// an end; it is bounded by the segments, of which a path has maxSegments at most.
+// A path template consists of segments separated by slashes. A segment may contain one variable {name} with fixed
+// text before and after it. Segments of fixed text take precedence over segments with a variable, and longer
+// fixed text takes precedence over shorter. A path is matched by a depth-first search of a tree, which backtracks
+// from branches without a match. The depth of the search is the number of segments, at most maxSegments.
 package route
 
 import (
@@ -21,37 +23,38 @@
 	maxRules     = 5000
 )
 
-// RuleError is a rule that cannot be used, and what to do.
+// RuleError reports an invalid rule: the index of the rule, the field, the problem and its remedy.
 type RuleError struct {
-	Rule   int // its index
+	Rule   int // index of the rule
 	Field  string
 	Text   string
 	Remedy string
 }
 
-// Error names the rule, the field, the text and the remedy.
+// Error returns the rule, the field, the problem and the remedy.
 func (e RuleError) Error() string {
-	return fmt.Sprintf("lookups[%d].%s: %s; %s", e.Rule, e.Field, e.Text, e.Remedy)
+	return fmt.Sprintf("table[%d].%s: %s; %s", e.Rule, e.Field, e.Text, e.Remedy)
 }
 
-// Table is a compiled table.
+// Table is a compiled table of lookup rules.
 type Table struct {
 	root       *node
-	kinds      map[string]int
-	attributes []string
+	kinds      map[string]int // index of each object kind
+	attributes []string       // names of the attributes that the rules read, sorted
 }
 
-// Compile checks and compiles rules. Kinds are the object kinds of the platform's settings, in their order. Its errors are RuleErrors.
+// Compile validates and compiles rules. Kinds are the object kinds of the
+// platform's settings, in their order. Its errors are of type RuleError.
 func Compile(rules []config.LookupRule, kinds []string) (*Table, error) {
 	t := &Table{root: &node{}, kinds: map[string]int{}}
 	for i, kind := range kinds {
 		t.kinds[kind] = i
 	}
 	if len(rules) == 0 {
-		return nil, RuleError{0, "path", "there is no rule", "tell at least one"}
+		return nil, RuleError{0, "path", "the table has no rules", "add at least one rule"}
 	}
 	if len(rules) > maxRules {
-		return nil, RuleError{maxRules, "path", fmt.Sprintf("%d rules", len(rules)), fmt.Sprintf("at most %d", maxRules)}
+		return nil, RuleError{maxRules, "path", fmt.Sprintf("the table has %d rules", len(rules)), fmt.Sprintf("at most %d are allowed", maxRules)}
 	}
 	for i, r := range rules {
 		if err := t.addRule(i, r); err != nil {
@@ -64,17 +67,18 @@
 	return t, nil
 }
 
-// Attributes returns the names of what the table reads beside the path, as Attributes takes them: a caller must report these.
+// Attributes returns the names of the request attributes that the rules read, in the form
+// that a function of type Attributes is called with. A caller must report these attributes.
 func (t *Table) Attributes() []string { return t.attributes }
 
-// addRule compiles a rule and puts it into the tree.
+// addRule compiles a rule and inserts it into the tree.
 func (t *Table) addRule(index int, written config.LookupRule) error {
 	end, variables, err := t.insertPath(index, written.Path)
 	if err != nil {
 		return err
 	}
 	if end.rule != nil {
-		return RuleError{index, "path", fmt.Sprintf("%q matches the same as lookups[%d]", written.Path, end.rule.index), "remove one"}
+		return RuleError{index, "path", fmt.Sprintf("%q matches the same paths as table[%d]", written.Path, end.rule.index), "remove one of them"}
 	}
 	compiled, err := t.compileRule(index, written, variables)
 	if err != nil {
@@ -84,11 +88,12 @@
 	return nil
 }
 
-// insertPath finds or makes the node of a path template, and returns the names of its variables in their order.
+// insertPath returns the node of a path template, which it creates if
+// needed, and the names of the template's variables in their order.
 func (t *Table) insertPath(index int, path string) (end *node, variables []string, err error) {
 	segments, isReadable := splitPath(path)
 	if !isReadable {
-		return nil, nil, RuleError{index, "path", fmt.Sprintf("%q", path),
+		return nil, nil, RuleError{index, "path", fmt.Sprintf("%q is not a path template", path),
 			fmt.Sprintf("expected /a/{b}/c, at most %d segments and %d bytes", maxSegments, maxPathBytes)}
 	}
 	end = t.root
@@ -96,14 +101,14 @@
 		before, rest, hasVariable := strings.Cut(text, "{")
 		if !hasVariable {
 			if strings.Contains(text, "}") {
-				return nil, nil, RuleError{index, "path", fmt.Sprintf("%q closes what it does not open", text), "write {name}"}
+				return nil, nil, RuleError{index, "path", fmt.Sprintf("segment %q has a } without a {", text), "write a variable as {name}"}
 			}
 			end = end.fixedChild(text)
 			continue
 		}
 		name, after, isClosed := strings.Cut(rest, "}")
 		if !isClosed || name == "" || strings.ContainsAny(name+after, "{}") || slices.Contains(variables, name) {
-			return nil, nil, RuleError{index, "path", fmt.Sprintf("%q", text), "one {name} a segment, each name once"}
+			return nil, nil, RuleError{index, "path", fmt.Sprintf("segment %q has an invalid variable", text), "use at most one {name} per segment, and each name once"}
 		}
 		variables = append(variables, name)
 		end = end.variableChild(before, after)
@@ -111,14 +116,14 @@
 	return end, variables, nil
 }
 
-// node is a place in the tree of templates.
+// node is a node of the tree of path templates. The edges to its children are segments.
 type node struct {
-	fixed    map[string]*node
-	branches []*branch // with a variable; the most fixed text first
-	rule     *rule     // nil: no template ends here
+	fixed    map[string]*node // children by segments of fixed text
+	branches []*branch        // children by segments with a variable, in order of precedence
+	rule     *rule            // rule whose template ends here, or nil
 }
 
-// branch is a segment with a variable between two fixed texts.
+// branch is a segment with a variable between two fixed texts, either of which may be empty.
 type branch struct {
 	before, after string
 	next          *node
@@ -143,7 +148,8 @@
 	return n.branches[i].next
 }
 
-// sort puts the branch with most fixed text first, so that the order of rules does not matter.
+// sort orders the branches by precedence, with the longest fixed
+// text first, so that the order of the rules does not matter.
 func (n *node) sort() {
 	for _, child := range n.fixed {
 		child.sort()
@@ -157,7 +163,7 @@
 	}
 }
 
-// find returns the rule of a path and the values of its variables, nil if there is none.
+// find returns the rule that matches the segments and the values of the path variables, or nil if no rule matches.
 func (n *node) find(segments []string, values []string) (*rule, []string) {
 	if len(segments) == 0 {
 		return n.rule, values
@@ -179,7 +185,8 @@
 	return nil, nil
 }
 
-// splitPath splits a path into its segments. What two programs could read in two ways is refused: empty and dot segments, escapes.
+// splitPath splits a path into its segments. It refuses a path that is too long, and a path that
+// two programs could interpret differently because of empty segments, dot segments or escapes.
 func splitPath(path string) (segments []string, isReadable bool) {
 	if len(path) > maxPathBytes || !strings.HasPrefix(path, "/") {
 		return nil, false
