--- a/internal/route/pools/check.go
+++ b/internal/route/pools/check.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// Check checks a table against the present caches: pools that are empty or whose caches all drain, names that no cache has.
+// Check validates the table against a list of caches. It reports pools that are not used, that are empty
+// or whose caches drain, and names that are not in the list or belong to the wrong type of machine.
 func (t *Table) Check(caches []Cache) (problems []Problem) {
 	byName := map[string]Cache{}
 	for _, c := range caches {
@@ -28,22 +29,23 @@
 
 func (p *pool) path() string { return "pools." + p.name }
 
-// checkNames checks the caches and sources that the pool names.
+// checkNames validates the caches and sources that the pool names.
 func (p *pool) checkNames(byName map[string]Cache) (problems []Problem) {
 	for _, name := range slices.Concat(p.Names, p.Sources) {
 		switch c, isListed := byName[name]; {
 		case !isListed:
-			problems = append(problems, Problem{true, p.path(), name + " is not in the list", "leave it out, or wait until it is listed"})
+			problems = append(problems, Problem{true, p.path(), name + " is not in the list", "remove it, or wait until it is listed"})
 		case c.IsDraining:
-			problems = append(problems, Problem{true, p.path(), name + " drains", "leave it out: it will get no lookups"})
+			problems = append(problems, Problem{true, p.path(), name + " is draining", "remove it: it will receive no lookups"})
 		case c.IsSource != slices.Contains(p.Sources, name):
-			problems = append(problems, Problem{true, p.path(), name + " is of another kind than it is named for", "names are caches, sources are parents or the origin"})
+			problems = append(problems, Problem{true, p.path(), name + " is the wrong type of machine", "list edge caches under names, and parents or the origin under sources"})
 		}
 	}
 	return problems
 }
 
-// checkCaches checks that the pool is used and that there are caches in it which do not drain.
+// checkCaches checks that a route leads to the pool and that the pool
+// has caches that are not draining. It returns the first problem.
 func (p *pool) checkCaches(caches []Cache, isUsed bool) (problem Problem, isFound bool) {
 	all, draining := 0, 0
 	for _, c := range caches {
@@ -57,13 +59,13 @@
 	}
 	switch {
 	case !isUsed:
-		return Problem{false, p.path(), "no route leads there", "leave it out"}, true
+		return Problem{false, p.path(), "no route leads to the pool", "remove it"}, true
 	case all == 0:
 		return Problem{true, p.path(), "no cache is in it", "look at its locations and labels"}, true
 	case all == draining:
-		return Problem{true, p.path(), "all its caches drain", "wait for others, or name them"}, true
+		return Problem{true, p.path(), "all its caches are draining", "wait for other caches, or name them"}, true
 	case draining > 0:
-		return Problem{false, p.path(), fmt.Sprintf("%d of its %d caches drain", draining, all), "see that the others bear it"}, true
+		return Problem{false, p.path(), fmt.Sprintf("%d of its %d caches are draining", draining, all), "make sure that the others can carry the load"}, true
 	}
 	return Problem{}, false
 }
--- a/internal/route/pools/cost_test.go
+++ b/internal/route/pools/cost_test.go
@@ -11,7 +11,7 @@
 
 var costs = cost.NewProbes("./internal/route/pools")
 
-// The table of routes: its heap, and what compiling it takes, as each change does.
+// TestCostTable measures the heap of a table and the processor time of compiling it, which every change does.
 func TestCostTable(t *testing.T) {
 	sizes := []int{10, 100, 1000, 5000}
 	table := func(n int) *Table {
@@ -27,7 +27,7 @@
 		BudgetOf: "a change, 0.2% of a core at one in 6.2 s", PlanSize: 1000}, sizes, func(n int) float64 { return costs.MicrosPerCall(func(int) { table(n) }) })
 }
 
-// A new list of caches under a table of 1,000 routes and 100 pools.
+// TestCostView measures the processor time of a View for a new list of caches, with 1,000 routes and 100 pools.
 func TestCostView(t *testing.T) {
 	costs.Measure(t, cost.Figure{Name: "routes-see", Title: "route/pools: processor time of a view for a new list, 100 pools", XLabel: "caches in the list", YLabel: "us of a core", Budget: 2000,
 		BudgetOf: "a change, 0.2% of a core at one a second", PlanSize: 1800}, []int{225, 450, 900, 1800, 3600}, func(n int) float64 {
@@ -51,7 +51,7 @@
 	})
 }
 
-// Bytes of a configuration as JSON: what a change costs to send in full.
+// TestCostConfigText measures the size of a configuration as JSON, which is the cost of sending a change in full.
 func TestCostConfigText(t *testing.T) {
 	costs.Measure(t, cost.Figure{Name: "routes-text", Title: "route/pools: bytes of a configuration as JSON", XLabel: "routes", YLabel: "bytes", Budget: 6200,
 		BudgetOf: "a change, 1 KB/s at one in 6.2 s", PlanSize: 1000}, []int{10, 100, 1000, 5000}, func(n int) float64 {
--- a/internal/route/pools/frozen_test.go
+++ b/internal/route/pools/frozen_test.go
@@ -7,7 +7,8 @@
 	"foldslip/internal/lab/frozen"
 )
 
-// The files under testdata were written by the build before the names of Go changed.
+// The files under testdata were written by a build from before the Go identifiers
+// were renamed. The tests check that the renaming did not change the encoded forms.
 func TestConfigurationFormIsUnchanged(t *testing.T) {
 	frozen.JSON(t, "config.json", &config.RouteConfig{}, true)
 	frozen.JSON(t, "empty-config.json", &config.RouteConfig{}, false)
--- a/internal/route/pools/plan.go
+++ b/internal/route/pools/plan.go
@@ -5,7 +5,7 @@
 	"maps"
 )
 
-// LoadSample is a lookup of a captured load.
+// LoadSample is one lookup of a captured load.
 type LoadSample struct {
 	Kind   int     `json:"Kind"`
 	Group  int     `json:"Group"`
@@ -13,27 +13,27 @@
 	Bytes  float64 `json:"Bytes"`
 }
 
-// Impact is what a change moves of a load.
+// Impact describes how much of a captured load a change moves to other caches.
 type Impact struct {
 	Lookups      int            `json:"Lookups"`
 	Objects      int            `json:"Objects"`
 	MovedObjects int            `json:"Moved"`
-	Bytes        float64        `json:"Bytes"` // of the objects, each counted once at its largest
+	Bytes        float64        `json:"Bytes"` // of all objects; an object counts once, with its largest sample
 	MovedBytes   float64        `json:"MovedBytes"`
-	ColdObjects  int            `json:"Cold"` // moved to caches none of which had them
-	MovedByPool  map[string]int `json:"To"`   // objects, by new pool
+	ColdObjects  int            `json:"Cold"` // moved objects whose new pool has no cache of the old one
+	MovedByPool  map[string]int `json:"To"`   // moved objects by new pool
 }
 
-// noPool is the name in MovedByPool for objects that no route narrows.
+// noPool is the key in MovedByPool for objects that match no route after the change.
 const noPool = "all"
 
-// plannedObject is an object of a load.
+// plannedObject is an object of the captured load.
 type plannedObject struct {
 	isMoved bool
-	bytes   float64 // the most of its samples
+	bytes   float64 // largest size among its samples
 }
 
-// Plan returns what a change from this view to another moves of a load, before it is applied.
+// Plan returns the impact of a change from this view to the next one on a captured load. It does not apply the change.
 func (v *View) Plan(next *View, load []LoadSample) Impact {
 	impact := Impact{MovedByPool: map[string]int{}}
 	objects := map[string]*plannedObject{}
@@ -56,7 +56,7 @@
 	return impact
 }
 
-// planObject counts an object at its first sample and reports whether it moves.
+// planObject counts an object at its first sample and reports whether the object moves.
 func (v *View) planObject(next *View, sample LoadSample, impact *Impact) (isMoved bool) {
 	impact.Objects++
 	before := v.Route(sample.Kind, sample.Group, sample.Object).Scope
--- a/internal/route/pools/pools_test.go
+++ b/internal/route/pools/pools_test.go
@@ -16,7 +16,7 @@
 
 func groupNumber(n int64) *int64 { return &n }
 
-// targets leads to pools of equal weight.
+// targets returns targets of equal weight for the named pools.
 func targets(pools ...string) (targets []config.Target) {
 	for _, p := range pools {
 		targets = append(targets, config.Target{Pool: p})
@@ -29,7 +29,7 @@
 var testCaches = []Cache{{Name: "c1", Location: "town", Labels: []string{"big"}}, {Name: "c2", Location: "town", Labels: []string{"big", "new"}}, {Name: "c3", Location: "town"},
 	{Name: "c9", Location: "hill"}, {Name: "p1", Location: "hub", IsSource: true}}
 
-// compileView compiles a configuration and returns its view of the test's caches.
+// compileView compiles a configuration and resolves it against testCaches.
 func compileView(t testing.TB, c config.RouteConfig) *View {
 	t.Helper()
 	table, problems := Compile(c, kinds)
@@ -55,14 +55,14 @@
 		{0, 0, "video-77", "videos", "c2"}, {0, 4, "x", "a-group", "c9"}, {0, 4, "video-1", "videos", "c2"}, {0, 0, "video", "rest", "c1 c2 c3"}} {
 		d := v.Route(test.kind, test.group, test.object)
 		if d.Route != test.route || strings.Join(sortedKeys(d.Scope.Caches), " ") != test.caches {
-			t.Errorf("%+v: %s, %v", test, d.Route, d.Scope.Caches)
+			t.Errorf("%+v: got route %s with caches %v", test, d.Route, d.Scope.Caches)
 		}
 	}
 	if decision := v.Route(0, 0, "video-1"); decision.MaxAgeMS != 500 || decision.Tenant != "" {
-		t.Errorf("%+v", decision)
+		t.Errorf("%+v, want a maximum age of 500 ms and no tenant", decision)
 	}
 	if d := compileView(t, config.RouteConfig{Pools: testPools, Routes: []config.Route{{Name: "v", Object: "v*", Targets: targets("a")}}}).Route(0, 0, "x"); d.Scope != nil || d.Route != "" {
-		t.Errorf("no route leads there, but %+v", d)
+		t.Errorf("no route matches the lookup, but the decision is %+v", d)
 	}
 }
 
@@ -74,21 +74,21 @@
 		name, path, text string
 		change           func(c *config.RouteConfig)
 	}{
-		{"a pool that is none", "routes[0].to[0]", "no pool", func(c *config.RouteConfig) { c.Routes[0].Targets = targets("x") }},
-		{"a route without a pool", "routes[0].to", "nowhere", func(c *config.RouteConfig) { c.Routes[0].Targets = nil }},
-		{"a kind that is none", "routes[0].kind", "no object kind", func(c *config.RouteConfig) { c.Routes[0].Kind = "film" }},
-		{"a star amid a pattern", "routes[0].object", "a*b", func(c *config.RouteConfig) { c.Routes[0].Object = "a*b" }},
-		{"two routes of one name", "routes[1].name", "routes[0]", func(c *config.RouteConfig) { c.Routes = append(c.Routes, c.Routes[0]) }},
-		{"shares past all", "routes[1].share", "1.2", func(c *config.RouteConfig) {
+		{"an unknown pool", "routes[0].to[0]", "is not a pool", func(c *config.RouteConfig) { c.Routes[0].Targets = targets("x") }},
+		{"a route without a pool", "routes[0].to", "no pools", func(c *config.RouteConfig) { c.Routes[0].Targets = nil }},
+		{"an unknown kind", "routes[0].kind", "is not an object kind", func(c *config.RouteConfig) { c.Routes[0].Kind = "film" }},
+		{"a star inside a pattern", "routes[0].object", "a*b", func(c *config.RouteConfig) { c.Routes[0].Object = "a*b" }},
+		{"two routes with one name", "routes[1].name", "routes[0]", func(c *config.RouteConfig) { c.Routes = append(c.Routes, c.Routes[0]) }},
+		{"shares with a sum above 1", "routes[1].share", "1.2", func(c *config.RouteConfig) {
 			c.Routes[0].Share = 0.6
 			c.Routes = append(c.Routes, config.Route{Name: "s", Share: 0.6, Targets: targets("a")})
 		}},
-		{"a pool without a condition", "pools.z", "of no cache", func(c *config.RouteConfig) { c.Pools["z"] = config.Pool{} }},
-		{"a cache named and excluded", "pools.z.without", "names too", func(c *config.RouteConfig) {
+		{"a pool without a condition", "pools.z", "selects no caches", func(c *config.RouteConfig) { c.Pools["z"] = config.Pool{} }},
+		{"a cache named and excluded", "pools.z.without", "in names and in without", func(c *config.RouteConfig) {
 			c.Pools["z"] = config.Pool{Names: []string{"c"}, ExcludedNames: []string{"c"}}
 		}},
-		{"a tenant that is none", "routes[0].tenant", "no tenant", func(c *config.RouteConfig) { c.Routes[0].Tenant = "x" }},
-		{"an adaptive limit without a ceiling", "pools.a.limits.adaptive", "open", func(c *config.RouteConfig) {
+		{"an unknown tenant", "routes[0].tenant", "is not a tenant", func(c *config.RouteConfig) { c.Routes[0].Tenant = "x" }},
+		{"an adaptive limit without a ceiling", "pools.a.limits.adaptive", "open is not set", func(c *config.RouteConfig) {
 			c.Pools["a"] = config.Pool{Locations: []string{"town"}, Limits: &config.Limits{Adaptive: true}}
 		}},
 	} {
@@ -97,15 +97,15 @@
 			test.change(&c)
 			table, problems := Compile(c, kinds)
 			if table != nil || len(problems) == 0 || problems[0].Path != test.path || !strings.Contains(problems[0].Text, test.text) || problems[0].Remedy == "" {
-				t.Errorf("%+v", problems)
+				t.Errorf("problems %+v, the first does not have the expected path, text and a remedy", problems)
 			}
 		})
 	}
-	t.Run("a route that is never reached is a remark", func(t *testing.T) {
+	t.Run("a route that is never reached is a warning", func(t *testing.T) {
 		c := valid()
 		c.Routes = append(c.Routes, config.Route{Name: "s", Targets: targets("a")})
 		if table, problems := Compile(c, kinds); table == nil || len(problems) != 1 || problems[0].IsError || !strings.Contains(problems[0].Text, "never reached") {
-			t.Errorf("%+v", problems)
+			t.Errorf("problems %+v, want one warning", problems)
 		}
 	})
 }
@@ -126,26 +126,27 @@
 		pool       config.Pool
 		caches     []Cache
 	}{
-		{"names a draining cache", "c1 drains", true, config.Pool{Names: []string{"c1"}}, draining},
+		{"names a draining cache", "c1 is draining", true, config.Pool{Names: []string{"c1"}}, draining},
 		{"names a cache that is not listed", "c7 is not in the list", true, config.Pool{Names: []string{"c7"}}, draining},
 		{"is empty", "no cache", true, config.Pool{Locations: []string{"hill"}}, draining},
-		{"all its caches drain", "all its caches drain", true, config.Pool{Locations: []string{"town"}}, draining[:1]},
-		{"some of its caches drain", "1 of its 2", false, config.Pool{Locations: []string{"town"}}, draining},
-		{"names a parent as a cache", "another kind", true, config.Pool{Names: []string{"p1"}}, draining},
+		{"all its caches are draining", "all its caches are draining", true, config.Pool{Locations: []string{"town"}}, draining[:1]},
+		{"some of its caches are draining", "1 of its 2", false, config.Pool{Locations: []string{"town"}}, draining},
+		{"names a parent as a cache", "wrong type of machine", true, config.Pool{Names: []string{"p1"}}, draining},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			problems := check(t, test.pool, test.caches)
 			if len(problems) == 0 || !strings.Contains(problems[0].Text, test.text) || problems[0].IsError != test.isError {
-				t.Errorf("%+v", problems)
+				t.Errorf("problems %+v, the first does not have the expected text and severity", problems)
 			}
 		})
 	}
 	if problems := check(t, config.Pool{Locations: []string{"town"}}, draining[1:]); len(problems) != 0 {
-		t.Errorf("%+v", problems)
+		t.Errorf("problems of a valid pool: %+v", problems)
 	}
 }
 
-// rank orders the routes that match a lookup, the highest first: longest pattern, most specific, with a share, first in the configuration.
+// rank returns the precedence of a route among those that match a lookup. The highest has the longest
+// pattern, then is the most specific, then has a share, then is the first in the configuration.
 func rank(r *route) []int {
 	pattern, isPrefix := strings.CutSuffix(r.Object, "*")
 	length := 2 * len(pattern)
@@ -159,7 +160,7 @@
 	return []int{length, r.specificity(), share, -r.index}
 }
 
-// scanRoutes finds a route by trying each. It is the reference for the tree.
+// scanRoutes finds the route of a lookup by trying each route. It is the reference for Table.find.
 func (t *Table) scanRoutes(kind, group int, object string, hash uint64) (best *route) {
 	at := fraction(hash)
 	for _, r := range t.routes {
@@ -177,7 +178,7 @@
 	return best
 }
 
-// randomRoutes are up to thirty routes whose patterns are short enough to overlap.
+// randomRoutes returns up to 30 routes whose patterns are short enough to overlap.
 func randomRoutes(t *rapid.T) (routes []config.Route) {
 	object := rapid.StringMatching(`[ab]{0,4}`)
 	for i := range rapid.IntRange(1, 30).Draw(t, "routes") {
@@ -208,13 +209,13 @@
 			object := rapid.StringMatching(`[abc]{0,6}`).Draw(t, "object")
 			hash := rapid.Uint64().Draw(t, "hash")
 			if got, want := table.find(kind, group, object, hash), table.scanRoutes(kind, group, object, hash); got != want {
-				t.Fatalf("%d %d %q: %v in the tree, %v by a scan", kind, group, object, got, want)
+				t.Fatalf("kind %d, group %d, object %q: the tree finds %v, a scan finds %v", kind, group, object, got, want)
 			}
 		}
 	})
 }
 
-// weightedPools is a view of one route to n pools of weight 1, the first of which has another weight.
+// weightedPools returns the View of one route to n pools. The first pool has the given weight, the others weight 1.
 func weightedPools(t *testing.T, n int, firstWeight float64) *View {
 	t.Helper()
 	c := config.RouteConfig{Pools: map[string]config.Pool{}, Routes: []config.Route{{Name: "r"}}}
@@ -232,8 +233,8 @@
 
 const movedObjectsSample = 20000
 
-// countMoved returns the share of objects that move between two views, and how many of them isExpected does not expect to, by the pools before
-// and after.
+// countMoved returns the share of objects whose pool differs between two views, and the
+// number of them for which isExpected, called with the pools before and after, returns false.
 func countMoved(before, after *View, isExpected func(from, to string) bool) (share float64, unexpected int) {
 	moved := 0
 	for i := range movedObjectsSample {
@@ -250,7 +251,8 @@
 	return float64(moved) / movedObjectsSample, unexpected
 }
 
-// A pool of n that comes or goes moves 1/n of the objects; a pool whose weight changes moves what it gains or loses.
+// Weighted rendezvous hashing must move few objects. Removing one of n pools moves the 1/n of the objects
+// that were in it. A change of a pool's weight moves only the objects that the pool gains or loses.
 func TestAChangeOfPoolsMovesFewObjects(t *testing.T) {
 	for _, n := range []int{3, 10, 50} {
 		all := weightedPools(t, n, 1)
@@ -258,9 +260,9 @@
 		lost, unexpectedLost := countMoved(all, weightedPools(t, n-1, 1), func(from, _ string) bool { return from == removed })
 		gained, unexpectedGained := countMoved(all, weightedPools(t, n, 2), func(_, to string) bool { return to == "p0" })
 		wantGained := 2/float64(n+1) - 1/float64(n)
-		t.Logf("a pool of %d removed: %.4f of the objects move, 1/n is %.4f; a weight doubled: %.4f, at least %.4f", n, lost, 1/float64(n), gained, wantGained)
+		t.Logf("one of %d pools removed: %.4f of the objects move, expected 1/n = %.4f; one weight doubled: %.4f move, expected %.4f", n, lost, 1/float64(n), gained, wantGained)
 		if unexpectedLost > 0 || unexpectedGained > 0 || math.Abs(lost*float64(n)-1) > 0.15 || math.Abs(gained-wantGained) > 0.15/float64(n) {
-			t.Errorf("%d moved between pools that stay, %d to others than the heavier", unexpectedLost, unexpectedGained)
+			t.Errorf("shares out of bounds or unexpected moves: %d objects between pools that stay, %d to other pools than the heavier", unexpectedLost, unexpectedGained)
 		}
 	}
 }
@@ -311,7 +313,7 @@
 	}
 }
 
-// BenchmarkView is what a change of the list costs with 5,000 routes, 1,000 pools and 2,000 caches.
+// BenchmarkView measures the cost of a new cache list with 5,000 routes, 1,000 pools and 2,000 caches.
 func BenchmarkView(b *testing.B) {
 	c := manyRoutes(5000)
 	var caches []Cache
--- a/internal/route/pools/table.go
+++ b/internal/route/pools/table.go
@@ -1,13 +1,18 @@
-// Package pools decides which caches a lookup may be sent to: routes (by object kind, group, pattern of the object, share of objects) lead to
-// pools (caches by location, label or name), and narrow what the policy chooses from. Which of them gets a lookup, whether it is retried and
-// what is rejected stays the policy's decision. The package does no I/O.
+// Package pools decides which caches a lookup may be sent to. A route selects lookups by object kind,
+// group, object pattern and share of the objects, and leads them to pools. A pool selects caches by
+// location, label or name. Routes only narrow the set of caches: the policy still decides which of
+// them receives a lookup, whether the lookup is retried and what is rejected. The package does no I/O.
 //
-// A Table is compiled from a configuration once and never changes. A View is a table with the present list of caches; another is made when the
-// list changes. Both are safe for concurrent use. A lookup is decided under one View.
+// A Table is compiled once from a configuration and is immutable. A View is a
+// Table resolved against one list of caches; a new View is created when the list
+// changes. Both are safe for concurrent use. A lookup is decided under one View.
 //
-// Patterns are an object's name, or its beginning and a star. They are held in a radix tree, so that finding a lookup's route costs the length
-// of its object's name, however many routes there are. The longest pattern wins, then a route that names kind and group, then kind, then group,
-// then neither; among those of one place, those with a share go first, in their order.
+// An object pattern is the name of an object, or the beginning of a name and a star. The patterns
+// are held in a radix tree, so that the cost of finding a lookup's route depends on the length of
+// the object's name and not on the number of routes. The longest matching pattern takes precedence.
+// Among routes with the same pattern, a route that names kind and group comes first, then one that
+// names the kind, then one that names the group, then one that names neither. Among routes that are
+// equal in this respect, those with a share come first, in the order of the configuration.
 package pools
 
 import (
@@ -17,7 +22,8 @@
 	"foldslip/internal/limit"
 )
 
-// Problem is what is wrong with a configuration: where, what, and what to do. One that is no error is a warning.
+// Problem describes a fault of a configuration: the path of the setting,
+// the fault and its remedy. A Problem that is not an error is a warning.
 type Problem struct {
 	IsError bool   `json:"Error"`
 	Path    string `json:"Path"`
@@ -25,18 +31,18 @@
 	Remedy  string `json:"Remedy"`
 }
 
-// anyValue is the kind or group of a route that names none.
+// anyValue is the kind or the group of a route that matches every kind or every group.
 const anyValue = -1
 
-// Table is a compiled configuration.
+// Table is a compiled configuration of pools and routes.
 type Table struct {
 	pools  []*pool
 	routes []*route
 	root   *node
-	limits map[string]limit.Spec // by "pool NAME", "route NAME", "tenant NAME"
+	limits map[string]limit.Spec // by "pool NAME", "route NAME" and "tenant NAME"
 }
 
-// HasFleetLimits reports whether any limit is the whole fleet's.
+// HasFleetLimits reports whether any limit applies to the whole fleet.
 func (t *Table) HasFleetLimits() bool {
 	for _, l := range t.limits {
 		if l.FleetWide {
@@ -46,21 +52,22 @@
 	return false
 }
 
-// Limits returns the limits by name, for limit.Set.
+// Limits returns the limits by name, for a limit.Set.
 func (t *Table) Limits() map[string]limit.Spec { return t.limits }
 
 type route struct {
 	config.Route
 	index            int
-	kind, group      int // anyValue: any
+	kind, group      int // anyValue if the route matches all of them
 	pools            []*pool
-	hashFrom, hashTo float64 // the objects that it takes, by their place in [0, 1)
+	hashFrom, hashTo float64 // range of the hash fractions of the route's objects: [hashFrom, hashTo) of [0, 1)
 }
 
-// hasShare reports whether the route takes only a part of its objects.
+// hasShare reports whether the route matches only a share of the objects of its pattern.
 func (r *route) hasShare() bool { return r.Share > 0 && r.Share < 1 }
 
-// specificity orders routes of one pattern: kind and group, kind, group, neither.
+// specificity returns the precedence of the route among the routes of one pattern.
+// From the highest: a route that names kind and group, the kind, the group, neither.
 func (r *route) specificity() (n int) {
 	if r.kind >= 0 {
 		n += 2
@@ -80,7 +87,7 @@
 	excluded map[string]bool
 }
 
-// buildTree puts the routes into the tree by their patterns.
+// buildTree inserts the routes into the tree by their patterns.
 func (t *Table) buildTree() {
 	for _, r := range t.routes {
 		pattern, isPrefix := strings.CutSuffix(r.Object, "*")
--- a/internal/route/pools/tree.go
+++ b/internal/route/pools/tree.go
@@ -9,15 +9,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// node is a place in the radix tree: the bytes that lead to it from the node above, and the routes whose patterns end there.
+// node is a node of the radix tree. It holds the bytes that lead to
+// it from the node above, and the routes whose patterns end at it.
 type node struct {
 	prefix       string
-	children     []*node  // by first byte, rising
-	prefixRoutes []*route // of patterns with a star
-	exactRoutes  []*route // of complete names
+	children     []*node  // in ascending order of the first byte of their prefixes
+	prefixRoutes []*route // routes whose pattern ends in a star or is empty
+	exactRoutes  []*route // routes whose pattern is a complete object name
 }
 
-// insert finds or makes the node of a pattern.
+// insert returns the node of a pattern, which it creates if needed.
 func (n *node) insert(pattern string) *node {
 	if pattern == "" {
 		return n
@@ -37,7 +38,7 @@
 	return child.insert(pattern[common:])
 }
 
-// splitNode returns a node above n that takes the first bytes of its prefix.
+// splitNode returns a new node above n and moves the first bytes of n's prefix to it.
 func splitNode(n *node, length int) *node {
 	above := &node{prefix: n.prefix[:length], children: []*node{n}}
 	n.prefix = n.prefix[length:]
@@ -55,7 +56,7 @@
 	return slices.BinarySearchFunc(n.children, first, func(child *node, first byte) int { return cmp.Compare(child.prefix[0], first) })
 }
 
-// sort puts the routes of each node in the order in which they are tried.
+// sort orders the routes of each node by precedence.
 func (n *node) sort() {
 	slices.SortStableFunc(n.prefixRoutes, compareRoutes)
 	slices.SortStableFunc(n.exactRoutes, compareRoutes)
@@ -64,7 +65,8 @@
 	}
 }
 
-// compareRoutes orders the routes of one pattern: the most specific first, then those with a share, then by their index.
+// compareRoutes orders the routes of one pattern by precedence: more
+// specific routes first, then routes with a share, then by index.
 func compareRoutes(a, b *route) int {
 	if order := cmp.Compare(b.specificity(), a.specificity()); order != 0 {
 		return order
@@ -78,7 +80,7 @@
 	return cmp.Compare(a.index, b.index)
 }
 
-// find returns the route of a lookup, nil if there is none: it may go anywhere.
+// find returns the route of a lookup, or nil if no route matches. Such a lookup may be sent to any cache.
 func (t *Table) find(kind, group int, object string, hash uint64) *route {
 	var best *route
 	n, rest := t.root, object
@@ -112,8 +114,8 @@
 	return nil
 }
 
-// choosePool returns the pool of a route for an object, by weighted rendezvous hashing: a pool that comes or goes, or whose weight changes,
-// moves only the objects that it gains or loses.
+// choosePool returns the pool of a route for an object by weighted rendezvous hashing. Adding or
+// removing a pool or changing its weight moves only the objects that this pool gains or loses.
 func (r *route) choosePool(hash uint64) *pool {
 	if len(r.pools) == 1 {
 		return r.pools[0]
@@ -134,13 +136,14 @@
 	return best
 }
 
-// Hash is an object's place in all shares: two configurations that give it the same share agree on it.
+// Hash returns the hash of an object's name. It is the object's position in all
+// shares, so two configurations with the same share select the same objects.
 func Hash(object string) uint64 { return xxhash.Sum64String(object) }
 
 // fraction maps a hash to [0, 1).
 func fraction(hash uint64) float64 { return float64(hash>>11) / (1 << 53) }
 
-// mix hashes two hashes into one.
+// mix combines two hashes into one.
 func mix(a, b uint64) uint64 {
 	x := a ^ b*0x9e3779b97f4a7c15
 	x ^= x >> 32
--- a/internal/route/pools/view.go
+++ b/internal/route/pools/view.go
@@ -2,42 +2,44 @@
 
 import "slices"
 
-// Cache is a cache of the endpoint list.
+// Cache describes an endpoint of the endpoint list: an edge cache or a source.
 type Cache struct {
 	Name       string
 	Location   string
 	Labels     []string
-	IsSource   bool // a parent or the origin: no lookup is sent to it
+	IsSource   bool // a parent or the origin, to which no lookup is sent
 	IsDraining bool
 }
 
-// Scope is what a lookup may be sent to, and filled from. A nil map allows all. Neither map changes.
+// Scope limits the caches that a lookup may be sent to and the sources that
+// it may be filled from. A nil map allows all. The maps are immutable.
 type Scope struct {
 	Pool    string
 	Caches  map[string]bool
 	Sources map[string]bool
 }
 
-// Decision is the route of a lookup, and what it brings.
+// Decision is the result of routing a lookup.
 type Decision struct {
-	Route    string // "": none, and the lookup may go anywhere
+	Route    string // name of the route; "" if no route matches
 	Tenant   string
-	MaxAgeMS int64  // 0: as the kind has it
-	Scope    *Scope // nil: all caches
+	MaxAgeMS int64  // largest age of a copy in milliseconds; 0 for the limit of the object kind
+	Scope    *Scope // nil if the lookup may be sent to any cache, as without a route
 }
 
-// View is a table with the present caches.
+// View is a Table resolved against a list of caches.
 type View struct {
-	Version uint64 // of the configuration
+	Version uint64 // version of the configuration
 	table   *Table
-	scopes  []*Scope // by pool
+	scopes  []*Scope // by index of the pool
 }
 
-// cacheIndex finds the caches of a list that may be in pools: a pool looks at few of them.
+// cacheIndex indexes a list of caches by location and by name, so that
+// a pool with locations or names need not examine the whole list.
 type cacheIndex struct {
 	all        []Cache
-	byLocation map[string][]Cache // without sources, as byName
-	byName     map[string]Cache
+	byLocation map[string][]Cache // without sources
+	byName     map[string]Cache   // without sources
 }
 
 func newCacheIndex(caches []Cache) *cacheIndex {
@@ -51,7 +53,8 @@
 	return index
 }
 
-// View returns a view with a list of caches. A cache that drains is still in its pools: what it is sent is the policy's to decide.
+// View resolves the table against a list of caches. A draining cache
+// stays in its pools, because the policy decides what it is sent.
 func (t *Table) View(version uint64, caches []Cache) *View {
 	v := &View{Version: version, table: t}
 	index := newCacheIndex(caches)
@@ -61,7 +64,7 @@
 	return v
 }
 
-// scope returns the scope of the pool with the present caches.
+// scope returns the scope of the pool for the caches of the index.
 func (p *pool) scope(index *cacheIndex) *Scope {
 	s := &Scope{Pool: p.name, Caches: map[string]bool{}}
 	addFrom := func(caches []Cache) {
@@ -102,7 +105,7 @@
 	return !slices.ContainsFunc(p.Labels, func(label string) bool { return !slices.Contains(c.Labels, label) })
 }
 
-// Route decides where a lookup may go.
+// Route returns the routing decision for a lookup.
 func (v *View) Route(kind, group int, object string) Decision {
 	hash := Hash(object)
 	r := v.table.find(kind, group, object, hash)
