--- a/internal/route/rollout/controller.go
+++ b/internal/route/rollout/controller.go
@@ -1,9 +1,12 @@
-// Package rollout owns the active routes, pools and limits: it holds the changes of their configuration (package config/change), the views
-// that lookups are decided under (package route/pools) and the limits (package limit), and writes each step to disk.
+// Package rollout owns the active routes, pools and limits of a gateway. It holds the versions of
+// their configuration (package config/change), the views under which lookups are decided (package
+// route/pools) and the limits (package limit), and it writes each step of a change to disk.
 //
-// The pure packages decide: which step a change may take, which route a lookup has, what a limit rejects. This one brings them the time, the
-// list of caches and the disk. A lookup is decided under the one version that it found in an atomic pointer, and carries its number. A step
-// counts once it is on disk and becomes active after that, so that a restart never finds less than was active as confirmed.
+// Those packages do no I/O and make the decisions: which step a change may take next, which route
+// a lookup has, what a limit rejects. This package supplies the time, the endpoint list and the
+// disk. A lookup loads the active views from an atomic pointer, is decided under one version and
+// carries the number of that version. A step other than a rollback becomes active only after it
+// has been written to disk, so that a restart never loses a version that was active as confirmed.
 package rollout
 
 import (
@@ -27,38 +30,39 @@
 )
 
 const (
-	logName     = "routes" // of the log's files
-	maxLogBytes = 8 << 20  // of a generation; past it a snapshot is written
+	logName     = "routes" // name of the log, with which its file names begin
+	maxLogBytes = 8 << 20  // size of a log generation above which a snapshot begins a new one
 
-	settingsAuthor = "settings" // of the first version
+	settingsAuthor = "settings" // author of the first version
 )
 
-// Controller owns the active routes. It lives as long as the process, is bounded by change, pools and limit, and is safe for concurrent use.
+// Controller owns the active routes, pools and limits. It lives as long as the process. Its
+// size is bounded by the packages change, pools and limit. It is safe for concurrent use.
 type Controller struct {
 	env    env.Environment
 	kinds  []string // object kinds of the platform's settings
-	log    *wal.Log // nil: nothing is stored
+	log    *wal.Log // nil if nothing is stored
 	active atomic.Pointer[activeViews]
 
-	stepMu sync.Mutex // held over a complete step, its write included: steps come one after another; taken before mu
+	stepMu sync.Mutex // serializes steps, held for a whole step including its write; locked before mu
 
-	mu        sync.Mutex // of what follows; never held over a write
+	mu        sync.Mutex // guards the fields below; held while a snapshot is written, but not while a step is appended
 	endpoints map[string]pools.Cache
 	versions  *change.Versions
-	tables    map[uint64]*pools.Table // of the versions that are active
+	tables    map[uint64]*pools.Table // tables of the active versions
 	limits    *limit.Set
 	guard     *change.Guard
 }
 
-// activeViews is what lookups are decided under at one time. It never changes.
+// activeViews holds the active versions and their views, under which lookups are decided. It is immutable.
 type activeViews struct {
 	change.Active
 	base *pools.View
-	next *pools.View // nil: base holds for all
+	next *pools.View // nil if base applies to all objects
 }
 
-// Open begins with the routes that the log in a directory holds, or with the first configuration if there is none. Without a directory
-// nothing is stored. Run or Close must follow.
+// Open returns a Controller with the versions that the log in the directory holds, or with the first configuration
+// if the log is empty. If the directory is nil, nothing is stored. The caller must call Run or Close.
 func Open(e env.Environment, directory env.Directory, first config.RouteConfig, kinds []string) (*Controller, error) {
 	c := &Controller{env: e, kinds: kinds, guard: change.NewGuard(e.Now(), change.DefaultGuardLimits), endpoints: map[string]pools.Cache{},
 		tables: map[uint64]*pools.Table{}}
@@ -82,7 +86,7 @@
 func (c *Controller) openLog(directory env.Directory, first []byte) error {
 	log, contents, err := wal.Open(directory, logName)
 	if err != nil {
-		return fmt.Errorf("the record of routes: %w", err)
+		return fmt.Errorf("open the log of routes: %w", err)
 	}
 	c.log = log
 	if err := c.restore(contents, first); err != nil {
@@ -92,11 +96,12 @@
 	return nil
 }
 
-// restore takes the versions of a log, or the first one if it is empty, and begins a generation. A change in progress is rolled back.
+// restore rebuilds the versions from the contents of the log, or creates the first version if the log
+// is empty. It then begins a new generation of the log. A change that was in progress is rolled back.
 func (c *Controller) restore(contents wal.Contents, first []byte) error {
 	steps, err := decodeSteps(contents)
 	if err != nil {
-		return fmt.Errorf("the record of routes: %w", err)
+		return fmt.Errorf("decode the log of routes: %w", err)
 	}
 	if len(steps) == 0 {
 		c.versions, _ = change.New(first, settingsAuthor)
@@ -144,14 +149,16 @@
 	}
 }
 
-// SetGuardLimits sets what rolls a change back by itself. It must be called before Run.
+// SetGuardLimits sets the limits at which the guard rolls a change back. It must be called before Run.
 func (c *Controller) SetGuardLimits(limits change.GuardLimits) {
 	c.guard = change.NewGuard(c.env.Now(), limits)
 }
 
-const edgeMachineType = "edge" // in the platform's settings; caches of other types are sources
+// edgeMachineType is the machine type of edge caches in the platform's settings. Endpoints of other types are sources.
+const edgeMachineType = "edge"
 
-// UpdateEndpoints takes what discovery reported, before the dispatcher gets it.
+// UpdateEndpoints applies an update of the endpoint list from
+// discovery. It is called before the dispatcher receives the update.
 func (c *Controller) UpdateEndpoints(update endpoints.Update) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -179,7 +186,7 @@
 	return sorted
 }
 
-// rebuildViews makes the views of the active versions with the present caches. The lock is held.
+// rebuildViews publishes the views of the active versions for the current endpoint list. The caller holds c.mu.
 func (c *Controller) rebuildViews() {
 	views := &activeViews{Active: c.versions.Active()}
 	caches := c.sortedCaches()
@@ -190,7 +197,8 @@
 	c.active.Store(views)
 }
 
-// activate makes the versions active that the changes name. The lock is held, or nobody else has the controller yet.
+// activate compiles the active versions, installs the limits of the base version and
+// publishes the views. The caller holds c.mu, or the controller is not shared yet.
 func (c *Controller) activate() error {
 	active := c.versions.Active()
 	for _, version := range []uint64{active.Base, active.Next} {
@@ -208,7 +216,8 @@
 	}
 	maps.DeleteFunc(c.tables, func(version uint64, _ *pools.Table) bool { return version != active.Base && version != active.Next })
 	before := c.active.Load()
-	if c.limits == nil || before == nil || before.Base != active.Base { // a staged share stays under the limits of before
+	// Only a new base version brings new limits. A staged share of the objects stays under the earlier limits.
+	if c.limits == nil || before == nil || before.Base != active.Base {
 		c.activateLimits(c.tables[active.Base].Limits())
 	}
 	c.rebuildViews()
@@ -223,8 +232,8 @@
 	}
 }
 
-// UnusableVersionError reports a version that should be active and doesn't compile, as under other platform settings. Propose another, or
-// forget the log.
+// UnusableVersionError reports a version that has to become active and does not compile, for example because
+// the platform's settings have changed. The remedy is to propose another version or to delete the log.
 type UnusableVersionError struct {
 	Version uint64
 	Problem pools.Problem
@@ -232,7 +241,7 @@
 
 // Error names the version and the problem.
 func (e *UnusableVersionError) Error() string {
-	return fmt.Sprintf("version %d of the routes cannot be used: %s: %s", e.Version, e.Problem.Path, e.Problem.Text)
+	return fmt.Sprintf("version %d of the routes does not compile: %s: %s", e.Version, e.Problem.Path, e.Problem.Text)
 }
 
 func (c *Controller) compile(text []byte) (*pools.Table, []pools.Problem, error) {
@@ -240,7 +249,7 @@
 	decoder := json.NewDecoder(strings.NewReader(string(text)))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&routes); err != nil {
-		return nil, nil, change.Error{Text: "the configuration cannot be read: " + err.Error(), Remedy: "see docs/configuration.md"}
+		return nil, nil, change.Error{Text: "the configuration cannot be decoded: " + err.Error(), Remedy: "see docs/configuration.md"}
 	}
 	table, problems := pools.Compile(routes, c.kinds)
 	return table, problems, nil
--- a/internal/route/rollout/controller_test.go
+++ b/internal/route/rollout/controller_test.go
@@ -21,7 +21,7 @@
 
 var kinds = []string{"segment", "page"}
 
-// testEnv is the system's environment with a clock that the test moves.
+// testEnv is the system environment with a clock that the test sets.
 type testEnv struct {
 	env.Environment
 	now time.Time
@@ -36,7 +36,7 @@
 var testEndpoints = endpoints.Update{Complete: true, Endpoints: []endpoints.Endpoint{{ID: "c1", Zone: "town", MachineType: "edge"}, {ID: "c2", Zone: "town", MachineType: "edge"},
 	{ID: "c3", Zone: "hill", MachineType: "edge"}, {ID: "p1", Zone: "hub", MachineType: "parent"}}}
 
-// Where lookups go, by version and caches: version 1 has the routes to town, version 2 those to hill.
+// These keys of routedLookups name a version and its caches. Version 1 has the routes to town, version 2 those to hill.
 const (
 	firstTown  = "1 c1+c2"
 	secondHill = "2 c3"
@@ -58,7 +58,8 @@
 
 const routedCount = 1000
 
-// routedLookups admits routedCount lookups of different objects and counts them by version and the caches to which they may go.
+// routedLookups admits routedCount lookups of different objects and
+// counts them by their version and the caches that they may be sent to.
 func routedLookups(t *testing.T, c *Controller) map[string]int {
 	t.Helper()
 	routed := map[string]int{}
@@ -74,15 +75,15 @@
 	return routed
 }
 
-// requireRouted checks that all lookups go to one place.
+// requireRouted checks that all lookups are decided under one version and may be sent to the same caches.
 func requireRouted(t *testing.T, c *Controller, want string) {
 	t.Helper()
 	if got := routedLookups(t, c); got[want] != routedCount {
-		t.Fatalf("%v, want all at %s", got, want)
+		t.Fatalf("lookups by version and caches: %v, want all at %s", got, want)
 	}
 }
 
-// requireStep returns a function that checks that a call made a step.
+// requireStep returns a function that checks that a call returned no error, and returns the call's step.
 func requireStep(t *testing.T) func(change.Step, error) change.Step {
 	return func(step change.Step, err error) change.Step {
 		t.Helper()
@@ -109,14 +110,14 @@
 	requireRouted(t, c, firstTown)
 }
 
-// A change that names a cache which drains, or begins to drain between check and apply, is rolled back.
+// A change is rolled back if it names a cache that begins to drain between check and apply, or one that is draining.
 func TestAChangeThatNamesADrainingCache(t *testing.T) {
 	c := openController(t, newTestEnv(), nil, routesTo("town"))
 	named := routesTo("town")
 	named.Pools["main"] = config.Pool{Names: []string{"c3"}}
 	requireStep(t)(c.Propose(1, named, "ada", "sale"))
 	c.UpdateEndpoints(endpoints.Update{Endpoints: []endpoints.Endpoint{{ID: "c3", Zone: "hill", MachineType: "edge", Phase: endpoints.Draining}}})
-	if step := requireStep(t)(c.Apply(2, time.Minute)); step.Stage != change.RolledBack || !strings.Contains(step.Reason, "c3 drains") {
+	if step := requireStep(t)(c.Apply(2, time.Minute)); step.Stage != change.RolledBack || !strings.Contains(step.Reason, "c3 is draining") {
 		t.Fatal(step)
 	}
 	if step := requireStep(t)(c.Propose(1, named, "ada", "sale")); step.Stage != change.RolledBack {
@@ -148,7 +149,7 @@
 	requireRouted(t, c, firstTown)
 }
 
-// The guard rolls a bad change back, staged or applied, and leaves a good one.
+// The guard must roll a bad change back, whether staged or applied, and must not roll a good change back.
 func TestTheGuardRollsBadChangesBack(t *testing.T) {
 	for _, isBad := range []bool{true, false} {
 		for _, isStaged := range []bool{true, false} {
@@ -206,7 +207,8 @@
 	requireRouted(t, c, firstTown)
 }
 
-// What is admitted is released, rejections say when to retry, and a change refills nothing.
+// The permits of admitted lookups are released at their end, a rejection says
+// when to retry, and a change of the configuration does not release permits.
 func TestLimits(t *testing.T) {
 	routes := routesTo("town")
 	routes.Tenants = map[string]config.Limits{"kiosks": {LookupsPerSecond: 20}}
@@ -225,13 +227,13 @@
 		t.Fatal(reason, retryAfter)
 	}
 	if open[0].Scope().AllowRetry() {
-		t.Error("a retry is allowed, though there are to be none")
+		t.Error("a retry is allowed with a retry ratio of -1, which allows none")
 	}
 	routes.Routes[0].MaxAgeMS = 100
 	requireStep(t)(c.Propose(1, routes, "ada", "ages"))
 	requireStep(t)(c.Apply(2, time.Minute))
 	if _, reason, _ := c.Admit(0, 0, "o", 10); reason != limit.OpenExceeded {
-		t.Fatal("a change releases open lookups")
+		t.Fatal("a change of the configuration released open lookups")
 	}
 	for _, ticket := range open {
 		ticket.End(true, false, false)
@@ -244,12 +246,12 @@
 		admitted++
 	}
 	if admitted > 4 {
-		t.Errorf("%d more", admitted)
+		t.Errorf("%d lookups admitted, want at most 4", admitted)
 	}
 }
 
-// changeUntilFailure has routes to hill and town proposed, applied and confirmed in turn until a step fails. It returns the location that was
-// confirmed last, and the one whose confirmation was in progress, if any.
+// changeUntilFailure proposes, applies and confirms or rolls back routes to hill and town in turn until a step fails.
+// It returns the location that was confirmed last and, if a confirmation failed, the location that it was to confirm.
 func changeUntilFailure(c *Controller, random *rand.Rand) (confirmed, confirming string) {
 	confirmed = "town"
 	head := uint64(1)
@@ -282,7 +284,8 @@
 	return confirmed, ""
 }
 
-// Killed at any write of any step: what comes up is, complete, what was confirmed by the last step that was stored.
+// A process is killed at any write of any step. After its restart the routes of the last stored confirmation
+// are active, completely and for all objects. The confirmation that was in progress may or may not be stored.
 func TestAProcessKilledAtAnyStep(t *testing.T) {
 	caches := map[string]string{"town": "c1+c2", "hill": "c3"}
 	stored := 0
@@ -302,7 +305,7 @@
 		for key := range got {
 			_, names, _ := strings.Cut(key, " ")
 			if len(got) != 1 || names != caches[confirmed] && names != caches[confirming] {
-				t.Fatalf("seed %d: %v, confirmed %s, maybe %q", seed, got, confirmed, confirming)
+				t.Fatalf("seed %d: lookups %v, want all by the routes to %s, or to %q if their confirmation was stored", seed, got, confirmed, confirming)
 			}
 			if names != caches[confirmed] {
 				stored++
@@ -310,5 +313,5 @@
 		}
 		restarted.Close()
 	}
-	t.Logf("500 kills; in %d the confirmation in progress was stored", stored)
+	t.Logf("500 kills; the confirmation in progress was stored in %d of them", stored)
 }
--- a/internal/route/rollout/file.go
+++ b/internal/route/rollout/file.go
@@ -10,11 +10,12 @@
 	"foldslip/internal/route/pools"
 )
 
-const fileAuthor = "file" // of changes by the operators' file
+const fileAuthor = "file" // author of changes that come from the operators' file
 
-// ApplyFile takes the operators' file, read anew. Other routes than the active ones are proposed, checked and applied, and wait for their
-// confirmation: by hand, or by the same file once more. If the file has the confirmed routes while a change of it waits, that change is rolled
-// back.
+// ApplyFile applies the routes of the operators' file after it was reloaded. Routes other than the
+// confirmed ones are proposed, checked and applied. The change then waits for its confirmation, by
+// hand or by another reload of the same file, and is rolled back after the timeout. If the file holds
+// the confirmed routes while an earlier change from the file waits, that change is rolled back.
 func (c *Controller) ApplyFile(routes config.RouteConfig, timeout time.Duration) (change.Step, error) {
 	text, err := json.Marshal(routes)
 	if err != nil {
@@ -25,10 +26,11 @@
 	case file.isRepeated:
 		return c.Confirm(file.waiting)
 	case file.isConfirmed && file.isWaiting:
-		return c.RollBack(file.waiting, "the file has the routes of before again")
+		return c.RollBack(file.waiting, "the file holds the confirmed routes again")
 	case file.isConfirmed:
 		return change.Step{Version: file.confirmed, Stage: change.Confirmed}, nil
-	case file.isWaiting: // the file has changed once more; one that cannot be used leaves the change that waits as it is
+	case file.isWaiting:
+		// The file has changed again. A file with errors leaves the waiting change as it is.
 		if err := c.checkFile(routes); err != nil {
 			return change.Step{}, err
 		}
@@ -36,20 +38,20 @@
 			return step, err
 		}
 	}
-	step, err := c.Propose(file.confirmed, routes, fileAuthor, "the file was read anew")
+	step, err := c.Propose(file.confirmed, routes, fileAuthor, "the file was reloaded")
 	if err != nil || step.Stage != change.Checked {
 		return step, err
 	}
 	return c.Apply(step.Version, timeout)
 }
 
-// fileState is how the operators' file stands to the versions.
+// fileState describes how the operators' file compares with the confirmed version and the change in progress.
 type fileState struct {
-	confirmed   uint64
-	isConfirmed bool   // the file has the confirmed routes
-	isWaiting   bool   // an earlier change by the file waits for its confirmation
-	waiting     uint64 // its version
-	isRepeated  bool   // the file has the routes of that change
+	confirmed   uint64 // confirmed version
+	isConfirmed bool   // the file holds the confirmed routes
+	isWaiting   bool   // an earlier change from the file is in progress
+	waiting     uint64 // version of that change
+	isRepeated  bool   // the file holds the routes of that change
 }
 
 func (c *Controller) compareFile(text []byte) (state fileState) {
@@ -65,7 +67,7 @@
 	return state
 }
 
-// checkFile returns the first error of a configuration.
+// checkFile checks routes against the endpoint list and returns the first error.
 func (c *Controller) checkFile(routes config.RouteConfig) error {
 	table, problems := pools.Compile(routes, c.kinds)
 	if table != nil {
--- a/internal/route/rollout/file_test.go
+++ b/internal/route/rollout/file_test.go
@@ -8,7 +8,7 @@
 	"foldslip/internal/config/change"
 )
 
-// applyFile applies a file with routes to a location and checks the stage that comes of it.
+// applyFile applies a file with routes to a location and checks the stage of the returned step.
 func applyFile(t *testing.T, c *Controller, location string, want change.Stage) change.Step {
 	t.Helper()
 	step, err := c.ApplyFile(routesTo(location), time.Minute)
@@ -19,7 +19,7 @@
 }
 
 func TestApplyFile(t *testing.T) {
-	t.Run("read anew it is applied, read once more confirmed, and after that nothing", func(t *testing.T) {
+	t.Run("a reload applies the file, a second one confirms it, a third changes nothing", func(t *testing.T) {
 		e := newTestEnv()
 		c := openController(t, e, nil, routesTo("town"))
 		applyFile(t, c, "hill", change.Applied)
@@ -32,7 +32,7 @@
 		c.Tick()
 		requireRouted(t, c, secondHill)
 	})
-	t.Run("rolled back if it is as before again, or not confirmed in time", func(t *testing.T) {
+	t.Run("rolled back if the file holds the confirmed routes again, or if not confirmed in time", func(t *testing.T) {
 		e := newTestEnv()
 		c := openController(t, e, nil, routesTo("town"))
 		applyFile(t, c, "hill", change.Applied)
@@ -43,7 +43,7 @@
 		c.Tick()
 		requireRouted(t, c, firstTown)
 	})
-	t.Run("changed once more before it was confirmed: the first is rolled back, the second waits", func(t *testing.T) {
+	t.Run("a file that changes again before its confirmation replaces the first change", func(t *testing.T) {
 		c := openController(t, newTestEnv(), nil, routesTo("town"))
 		applyFile(t, c, "hill", change.Applied)
 		other := routesTo("hill")
@@ -52,14 +52,14 @@
 			t.Fatal(step)
 		}
 	})
-	t.Run("a change by hand in progress is left alone, and named", func(t *testing.T) {
+	t.Run("a change by hand in progress stays, and the error names its author", func(t *testing.T) {
 		c := openController(t, newTestEnv(), nil, routesTo("town"))
 		requireStep(t)(c.Propose(1, routesTo("hill"), "ada", "sale"))
 		if _, err := c.ApplyFile(routesTo("hill"), time.Minute); err == nil || !strings.Contains(err.Error(), "ada") {
 			t.Error(err)
 		}
 	})
-	t.Run("routes that cannot be used change nothing", func(t *testing.T) {
+	t.Run("routes with errors change nothing", func(t *testing.T) {
 		c := openController(t, newTestEnv(), nil, routesTo("town"))
 		if step := applyFile(t, c, "nowhere", change.RolledBack); len(step.Findings) == 0 {
 			t.Error(step)
--- a/internal/route/rollout/frozen_test.go
+++ b/internal/route/rollout/frozen_test.go
@@ -11,7 +11,8 @@
 	"foldslip/internal/lab/frozen"
 )
 
-// recordedDirectory takes every step of changes in an empty directory, so that the file of its first generation holds each kind of step.
+// recordedDirectory runs steps of several changes with a log in an empty directory,
+// so that the file of the log's first generation holds each kind of step.
 func recordedDirectory(t *testing.T) env.OSDirectory {
 	t.Helper()
 	directory, err := env.OpenOSDirectory(t.TempDir())
@@ -51,7 +52,8 @@
 	return text
 }
 
-// The files under testdata were written by the build before the names of Go changed.
+// The files under testdata were written by a build from before the Go identifiers
+// were renamed. The tests check that the renaming did not change the stored forms.
 func TestStoredStepFormsAreUnchanged(t *testing.T) {
 	frozen.Equal(t, "routes-1.rec", readFile(t, recordedDirectory(t), "routes-1.rec"))
 }
--- a/internal/route/rollout/fuzz_test.go
+++ b/internal/route/rollout/fuzz_test.go
@@ -9,7 +9,7 @@
 	"foldslip/internal/store/wal"
 )
 
-// FuzzRecover expects that stored steps of changes are refused or recovered, whatever they hold.
+// FuzzRecover checks that stored steps of changes are either recovered or refused, whatever they hold.
 func FuzzRecover(f *testing.F) {
 	encoded, err := cbor.Marshal([]change.Step{{}})
 	if err != nil {
@@ -22,7 +22,7 @@
 			return
 		}
 		if versions, _, err := change.Recover(steps); (err == nil) != (versions != nil) {
-			t.Fatalf("%v, %v", versions, err)
+			t.Fatalf("Recover returned versions %v and error %v, want exactly one of them", versions, err)
 		}
 	})
 }
--- a/internal/route/rollout/limits_property_test.go
+++ b/internal/route/rollout/limits_property_test.go
@@ -10,9 +10,9 @@
 	"foldslip/internal/limit"
 )
 
-// drawLimits draws limits of a pool, a route or a tenant; nil: none.
+// drawLimits draws the limits of a pool, a route or a tenant. It returns nil for no limits.
 func drawLimits(t *rapid.T, name string) *config.Limits {
-	if rapid.Bool().Draw(t, name+" is not limited") {
+	if rapid.Bool().Draw(t, name+" has no limits") {
 		return nil
 	}
 	maxOpen := rapid.Int64Range(0, 4).Draw(t, name+" open")
@@ -23,7 +23,7 @@
 	}
 }
 
-// drawRoutes draws limits for the one pool, route and tenant.
+// drawRoutes returns routes with one pool, one route and at most one tenant, and draws their limits.
 func drawRoutes(t *rapid.T) config.RouteConfig {
 	routes := routesTo("town")
 	routes.Pools["main"] = config.Pool{Locations: []string{"town"}, Limits: drawLimits(t, "pool")}
@@ -35,7 +35,8 @@
 	return routes
 }
 
-// changeRoutes has drawn routes proposed and applied, and rolled back or confirmed.
+// changeRoutes proposes and applies drawn routes, and then rolls
+// them back or confirms them. It returns the confirmed version.
 func changeRoutes(t *rapid.T, c *Controller, head uint64) (newHead uint64) {
 	step, err := c.Propose(head, drawRoutes(t), "ada", "limits")
 	if err != nil {
@@ -44,7 +45,7 @@
 	if _, err := c.Apply(step.Version, time.Minute); err != nil {
 		t.Fatal(err)
 	}
-	if rapid.Bool().Draw(t, "is undone") {
+	if rapid.Bool().Draw(t, "is rolled back") {
 		if _, err := c.RollBack(step.Version, "no"); err != nil {
 			t.Fatal(err)
 		}
@@ -56,7 +57,8 @@
 	return step.Version
 }
 
-// checkOpenCounts expects every limit in force to count the tickets that were admitted under it, and none below zero.
+// checkOpenCounts checks that the number of open lookups of every active limit equals
+// the number of held tickets that were admitted under it, and so is never below zero.
 func checkOpenCounts(t *rapid.T, c *Controller, held []*Ticket) {
 	for _, name := range []string{"tenant kiosks", "route all", "pool main"} {
 		l := c.limits.Find(name)
@@ -72,13 +74,13 @@
 			}
 		}
 		if l.Open() != permits {
-			t.Fatalf("%s: %d open, %d tickets are held under it", name, l.Open(), permits)
+			t.Fatalf("%s: %d open lookups, want the %d held tickets", name, l.Open(), permits)
 		}
 	}
 }
 
-// TestTicketsAreCountedUnderAnyChanges guards against a panic or open lookups below zero of a pool, a route or a tenant whose limits change
-// and change back while lookups are open.
+// TestTicketsAreCountedUnderAnyChanges guards against a panic and against a count of open lookups below zero. Both can
+// occur when the limits of a pool, a route or a tenant change and change back while lookups are open.
 func TestTicketsAreCountedUnderAnyChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		testEnv := newTestEnv()
--- a/internal/route/rollout/steps.go
+++ b/internal/route/rollout/steps.go
@@ -14,8 +14,9 @@
 
 const tickInterval = 100 * time.Millisecond
 
-// Propose begins a change of the version that its author has seen, and checks it: the step that it returns has the findings. With an error
-// among them the change is over.
+// Propose begins a change and checks it. The parent is the version that the author
+// of the change has seen, and must be the confirmed version. The returned step holds
+// the findings of the check. If one of them is an error, the change is rolled back.
 func (c *Controller) Propose(parent uint64, routes config.RouteConfig, author, reason string) (change.Step, error) {
 	text, err := json.Marshal(routes)
 	if err != nil {
@@ -28,7 +29,7 @@
 	return c.Check(step.Version)
 }
 
-// ProposeEarlier proposes an earlier version's configuration, and checks it.
+// ProposeEarlier proposes the configuration of an earlier version as a new change and checks it.
 func (c *Controller) ProposeEarlier(version uint64, author, reason string) (change.Step, error) {
 	step, err := c.runStep(func(time.Time) (change.Step, error) { return c.versions.ProposeEarlier(version, author, reason) })
 	if err != nil {
@@ -37,12 +38,13 @@
 	return c.Check(step.Version)
 }
 
-// Check checks the change in progress against the list of caches as it is now.
+// Check checks the change in progress against the current endpoint list.
 func (c *Controller) Check(version uint64) (change.Step, error) {
 	return c.runStep(func(time.Time) (change.Step, error) { return c.versions.Check(version, c.findings(version)) })
 }
 
-// Stage makes the change active for a share of the objects. It is checked once more before, as the list may have changed.
+// Stage makes the change active for a share of the objects. It first checks the change
+// again, because the endpoint list may have changed, and rolls the change back at an error.
 func (c *Controller) Stage(version uint64, share float64, timeout time.Duration) (change.Step, error) {
 	return c.runStep(func(now time.Time) (change.Step, error) {
 		if step, isRolledBack := c.recheck(version); isRolledBack {
@@ -52,7 +54,7 @@
 	})
 }
 
-// Apply makes the change active for all, checked once more.
+// Apply makes the change active for all objects. It first checks the change again, as Stage does.
 func (c *Controller) Apply(version uint64, timeout time.Duration) (change.Step, error) {
 	return c.runStep(func(now time.Time) (change.Step, error) {
 		if step, isRolledBack := c.recheck(version); isRolledBack {
@@ -67,12 +69,12 @@
 	return c.runStep(func(now time.Time) (change.Step, error) { return c.versions.Confirm(now, version) })
 }
 
-// RollBack ends the change in progress.
+// RollBack rolls the change in progress back.
 func (c *Controller) RollBack(version uint64, reason string) (change.Step, error) {
 	return c.runStep(func(time.Time) (change.Step, error) { return c.versions.RollBack(version, reason) })
 }
 
-// runStep takes a step: decide is called under the lock, what it decides is written and synced, and then becomes active.
+// runStep runs one step. It calls decide under c.mu, writes and syncs the returned step and then makes it active.
 func (c *Controller) runStep(decide func(now time.Time) (change.Step, error)) (change.Step, error) {
 	c.stepMu.Lock()
 	defer c.stepMu.Unlock()
@@ -87,8 +89,9 @@
 	return step, c.commit(step, before)
 }
 
-// commit writes a step that the versions have taken and makes it active. Without a write the versions go back to those before, but a rollback
-// stays: the log then holds less than is active, never more.
+// commit writes a step that c.versions has already applied, and makes it active. If the write fails, the versions
+// are restored from the snapshot before the step. A rollback takes effect even if its write fails: the log then
+// holds less than is active, but never more.
 func (c *Controller) commit(step change.Step, before []change.Step) error {
 	writeErr := c.writeStep(step)
 	c.mu.Lock()
@@ -131,8 +134,9 @@
 	return nil
 }
 
-// notifyGuard notifies the guard of a step. It watches always, so that it knows how things were before a change is applied to all; a change that
-// was staged first has its own side watched from there on. The lock is held.
+// notifyGuard notifies the guard of a step. The guard observes lookups at all times, so
+// that it has a baseline from before a change is applied to all objects. Lookups under
+// a change that is staged first are observed from that stage on. The caller holds c.mu.
 func (c *Controller) notifyGuard(step change.Step) {
 	switch step.Stage {
 	case change.Proposed, change.RolledBack:
@@ -142,11 +146,11 @@
 	}
 }
 
-// findings checks a version. The lock is held.
+// findings checks a version against the endpoint list and returns the findings. The caller holds c.mu.
 func (c *Controller) findings(version uint64) (findings []change.Finding) {
 	table, problems, err := c.compile(c.versions.Text(version))
 	if err != nil {
-		return []change.Finding{{IsError: true, Text: err.Error(), Remedy: "mend it there"}}
+		return []change.Finding{{IsError: true, Text: err.Error(), Remedy: "correct the configuration"}}
 	}
 	if table != nil {
 		problems = append(problems, table.Check(c.sortedCaches())...)
@@ -157,7 +161,7 @@
 	return findings
 }
 
-// recheck checks a change before its next step, and rolls it back at the first error. The lock is held.
+// recheck checks a change again before its next step and rolls it back at the first error. The caller holds c.mu.
 func (c *Controller) recheck(version uint64) (step change.Step, isRolledBack bool) {
 	for _, f := range c.findings(version) {
 		if !f.IsError {
@@ -171,21 +175,22 @@
 	return change.Step{}, false
 }
 
-// History returns the versions that are retained, and those that are active.
+// History returns the retained versions and the active ones.
 func (c *Controller) History() ([]change.VersionInfo, change.Active) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.versions.History(), c.versions.Active()
 }
 
-// Text returns a version's configuration, nil if it is not retained.
+// Text returns the configuration of a version, or nil if the version is not retained.
 func (c *Controller) Text(version uint64) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.versions.Text(version)
 }
 
-// Plan returns what a configuration would move of a load, and its problems. With an error among them there is no plan.
+// Plan returns the impact that a configuration would have on a captured load, and the
+// problems of the configuration. The impact is empty if the configuration does not compile.
 func (c *Controller) Plan(routes config.RouteConfig, load []pools.LoadSample) (pools.Impact, []pools.Problem) {
 	table, problems := pools.Compile(routes, c.kinds)
 	if table == nil {
@@ -197,7 +202,8 @@
 	return c.active.Load().base.Plan(table.View(0, caches), load), append(problems, table.Check(caches)...)
 }
 
-// Run rolls back what is not confirmed in time and what the guard finds worse, until the lifetime ends. It closes the log.
+// Run rolls back changes that are not confirmed in time or that
+// trip the guard, until the lifetime ends. It then closes the log.
 func (c *Controller) Run(lifetime *env.Lifetime) error {
 	ended := c.env.NewNotifier()
 	defer lifetime.OnEnd(ended.Notify)()
@@ -208,7 +214,7 @@
 	return nil
 }
 
-// Tick takes the time: it rolls back what is due.
+// Tick rolls the change in progress back if its deadline has passed or if it trips the guard.
 func (c *Controller) Tick() {
 	c.stepMu.Lock()
 	defer c.stepMu.Unlock()
@@ -221,11 +227,11 @@
 	c.mu.Unlock()
 	for _, step := range steps {
 		step.At = now
-		c.commit(step, nil) // a rollback stays without a write, which commit logs
+		c.commit(step, nil) // a rollback takes effect even if its write fails; commit logs that failure
 	}
 }
 
-// rollBackIfTripped rolls back a staged or applied change that the guard finds worse. The lock is held.
+// rollBackIfTripped rolls a staged or applied change back if it trips the guard. The caller holds c.mu.
 func (c *Controller) rollBackIfTripped() []change.Step {
 	active := c.versions.Active()
 	watched := active.Base
--- a/internal/route/rollout/ticket.go
+++ b/internal/route/rollout/ticket.go
@@ -11,23 +11,24 @@
 
 const (
 	bytesPerKB     = 1000
-	maxLimitedKB   = 1e6 // a larger size counts as this one
+	maxLimitedKB   = 1e6 // a larger object counts with this size
 	microsPerMilli = 1000
 )
 
-// Ticket is a lookup that was admitted, with the version and the route that it was decided under. End must be called once.
+// Ticket represents an admitted lookup, with the version and the
+// route under which it was decided. End must be called exactly once.
 type Ticket struct {
 	Version uint64
 	pools.Decision
 
 	controller    *Controller
 	permits       []*limit.Permit
-	limits        []*limit.Limit // of the permits
-	isUnderChange bool           // decided under the staged version
+	limits        []*limit.Limit // limits that granted the permits, in the same order
+	isUnderChange bool           // the lookup was decided under the staged version
 }
 
-// Admit decides a lookup's route and admits it under the limits of its tenant, route and pool. If one of them rejects it there is no ticket,
-// but a reason and the time after which to retry.
+// Admit decides the route of a lookup and admits the lookup under the limits of its tenant, route and pool. If
+// one of the limits rejects the lookup, Admit returns no ticket but the reason and the time after which to retry.
 func (c *Controller) Admit(kind, group int, object string, kb float64) (*Ticket, limit.Reason, time.Duration) {
 	views := c.active.Load()
 	view := views.base
@@ -58,8 +59,8 @@
 	return t, limit.Allowed, 0
 }
 
-// reject gives back what a lookup has got before a limit rejected it. The guard gets it as rejected: a limit that is too small is a bad change
-// too. The lock is held.
+// reject releases the permits that a lookup was granted before a limit rejected it. The guard observes the lookup
+// as rejected, because a change with too small a limit is a bad change too. The caller holds the controller's mu.
 func (t *Ticket) reject(now time.Time) {
 	for _, permit := range t.permits {
 		permit.Release(now, false, false)
@@ -71,12 +72,13 @@
 	t.controller.guard.Observe(now, t.isUnderChange || t.controller.isUnconfirmed(t.Version), outcome)
 }
 
-// isUnconfirmed reports whether a version is active for all and not confirmed.
+// isUnconfirmed reports whether a version is active for all objects and not confirmed.
 func (c *Controller) isUnconfirmed(version uint64) bool {
 	return c.active.Load().Base == version && c.versions.Confirmed() != version
 }
 
-// Scope returns what the policy may choose from, nil if it is anything.
+// Scope returns the caches, the sources and the retries that the policy may
+// choose, or nil if the lookup has no route and the choice is not limited.
 func (t *Ticket) Scope() *policy.Scope {
 	if t.Decision.Scope == nil {
 		return nil
@@ -88,7 +90,8 @@
 	return scope
 }
 
-// allowRetry asks each limit's retry budget for one more attempt. The policy calls it, under the dispatcher's lock.
+// allowRetry asks the retry budget of each limit for one more attempt and
+// reports whether all allow it. The policy calls it under the dispatcher's lock.
 func (t *Ticket) allowRetry() bool {
 	t.controller.mu.Lock()
 	defer t.controller.mu.Unlock()
@@ -101,7 +104,8 @@
 	return true
 }
 
-// End ends the lookup: satisfied in time, rejected, or late or failed.
+// End ends the lookup and releases its permits. The arguments say whether
+// the lookup was satisfied in time, was rejected, or was late or failed.
 func (t *Ticket) End(isSatisfied, isRejected, isLate bool) {
 	t.controller.mu.Lock()
 	defer t.controller.mu.Unlock()
@@ -112,15 +116,16 @@
 	t.observe(now, change.Outcome{Satisfied: isSatisfied, Rejected: isRejected, Late: isLate})
 }
 
-// FleetLimits calls a function for each active limit of the fleet, under the lock.
+// FleetLimits calls visit for each active limit of the fleet. It holds the controller's lock during the calls.
 func (c *Controller) FleetLimits(visit func(name string, spec limit.Spec, usage limit.Usage)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.limits.EachFleetWide(func(name string, l *limit.Limit) { visit(name, l.Spec(), l.Usage()) })
 }
 
-// ApplyLeases sets what this gateway may admit of the fleet's limits, by their names. Leases are in the machine's time, from which the
-// environment's may differ.
+// ApplyLeases sets the leases of fleet-wide limits by the names of the limits. A lease
+// is the part of a limit that this gateway may admit. A lease expires by the machine's
+// time, from which the environment's time may differ, so ApplyLeases converts it.
 func (c *Controller) ApplyLeases(leases map[string]limit.Lease) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
