--- a/internal/config/change/versions_test.go
+++ b/internal/config/change/versions_test.go
@@ -182,7 +182,7 @@
 type stepRecorder struct {
 	versions  *Versions
 	steps     []Step
-	confirmed []uint64 // after each step
+	confirmed []uint64 // confirmed version after each step
 	ms        int
 }
 
--- a/internal/route/pools/pools_test.go
+++ b/internal/route/pools/pools_test.go
@@ -273,7 +273,7 @@
 	impact := before.Plan(after, []LoadSample{{0, 0, "v1", 100}, {0, 0, "v1", 100}, {0, 0, "x", 50}, {0, 0, "v2", 10}})
 	if impact.Lookups != 4 || impact.Objects != 3 || impact.MovedObjects != 2 || impact.Bytes != 160 || impact.MovedBytes != 110 || impact.ColdObjects != 2 ||
 		impact.MovedByPool["b"] != 2 {
-		t.Errorf("%+v", impact)
+		t.Errorf("wrong impact: %+v", impact)
 	}
 }
 
