--- a/internal/fleet/broadcast/graft.go
+++ b/internal/fleet/broadcast/graft.go
@@ -70,8 +70,8 @@
 	return peer == n.tree.parent || slices.Contains(n.tree.children, peer) || slices.Contains(n.grafts, peer)
 }
 
-// forgetDistant forgets what is known of peers that are no longer near in the tree.
-func (n *Node) forgetDistant() {
+// dropDistantPeers forgets what is known of peers that are no longer near in the tree.
+func (n *Node) dropDistantPeers() {
 	maps.DeleteFunc(n.lastSeen, func(peer string, _ int64) bool { return !n.tree.isNear(peer) })
 	maps.DeleteFunc(n.activeNeighbours, func(peer string, _ bool) bool { return !n.isNeighbour(peer) })
 }
--- a/internal/fleet/broadcast/inject.go
+++ b/internal/fleet/broadcast/inject.go
@@ -23,7 +23,7 @@
 )
 
 // delay is a time to wait, at random up to spread longer, in microseconds.
-type delay struct{ wait, spread int64 }
+type delay struct{ wait, jitter int64 }
 
 // injectDelay is how long a purge of the own watch waits, by tier. The root waits for Settings.BatchDelay.
 var injectDelay = [...]delay{
@@ -54,7 +54,7 @@
 	if tier == root || n.isInjecting {
 		return n.settings.BatchDelay
 	}
-	wait := max(n.settings.BatchDelay, injectDelay[tier].wait) + n.rng.Int64N(injectDelay[tier].spread)
+	wait := max(n.settings.BatchDelay, injectDelay[tier].wait) + n.rng.Int64N(injectDelay[tier].jitter)
 	if tier == regionHead {
 		wait += int64(min(n.tree.regionIndex-1, maxRegionStaggers)) * regionStagger
 	}
@@ -117,7 +117,7 @@
 	for _, p := range due {
 		n.waiting[p] = n.injectAt
 	}
-	n.stats.HeldByRate++
+	n.stats.InjectionsPostponed++
 }
 
 // resetOrigin makes this gateway another origin, after a rest: nobody is to request batches that nobody keeps any more.
@@ -174,19 +174,19 @@
 func (n *Node) handleBatch(from string, b batch, now int64) (learned []Purge) {
 	n.stats.BatchesReceived++
 	isNewBatch := b.id.origin != n.originID && n.recordBatch(b.id, from, now)
-	hasFreshPurge := false
+	hasNewPurge := false
 	duplicates := 0
 	for _, p := range b.purges {
 		n.dropWaiting(p, b)
 		switch n.keep(p, now) {
-		case fresh:
+		case newlyKept:
 			learned = append(learned, p)
-			hasFreshPurge = true
-		case unknown:
+			hasNewPurge = true
+		case notKept:
 			learned = append(learned, p)
 		}
 		before := n.kept.raiseSpread(p, spreadByPeer)
-		if before == spreadByNobody || !isNewBatch {
+		if before == spreadByNone || !isNewBatch {
 			continue
 		}
 		duplicates++
@@ -197,7 +197,7 @@
 	if duplicates > len(b.purges)/2 {
 		n.suppressedUntil = now + suppressionTime
 	}
-	if !isNewBatch && !hasFreshPurge {
+	if !isNewBatch && !hasNewPurge {
 		n.stats.DuplicateBatches++
 		return learned
 	}
--- a/internal/fleet/broadcast/keptpurges.go
+++ b/internal/fleet/broadcast/keptpurges.go
@@ -27,16 +27,16 @@
 // keptSecond holds the purges of a second of issue time.
 type keptSecond struct {
 	purges []keptPurge // by id
-	ids    uint64      // their sum
+	idSum  uint64      // their sum
 }
 
 // spreadBy is how a purge got among the gateways, as far as this one knows.
 type spreadBy uint8
 
 const (
-	spreadByNobody spreadBy = iota // or by reconciliation
-	spreadByPeer                   // in a batch of another gateway
-	spreadBySelf                   // in a batch of this gateway
+	spreadByNone spreadBy = iota // or by reconciliation
+	spreadByPeer                 // in a batch of another gateway
+	spreadBySelf                 // in a batch of this gateway
 )
 
 // keptPurges is a set of purges by second of issue. It is a join: a purge stays until it is too old, or among the oldest of too many.
@@ -102,7 +102,7 @@
 func (k *keptPurges) raiseSpread(p Purge, to spreadBy) (before spreadBy) {
 	s, index, found := k.find(p, k.idOf(p))
 	if !found {
-		return spreadByNobody
+		return spreadByNone
 	}
 	before = s.purges[index].spreadBy
 	s.purges[index].spreadBy = max(before, to)
@@ -127,7 +127,7 @@
 		k.seconds[second] = s
 	}
 	s.purges = slices.Insert(s.purges, index, kept)
-	s.ids += id
+	s.idSum += id
 	k.minutes[second/minute] = k.minutes[second/minute].plus(purgeSum{1, id})
 	k.count++
 	k.newest = max(k.newest, p.Issued)
@@ -192,11 +192,11 @@
 	}
 	delete(k.seconds, second)
 	k.count -= len(s.purges)
-	left := k.minutes[second/minute].minus(s.sum())
-	if left.count == 0 {
+	remaining := k.minutes[second/minute].minus(s.sum())
+	if remaining.count == 0 {
 		delete(k.minutes, second/minute)
 	} else {
-		k.minutes[second/minute] = left
+		k.minutes[second/minute] = remaining
 	}
 	return len(s.purges)
 }
@@ -233,7 +233,7 @@
 	return purgeSum{}
 }
 
-func (s *keptSecond) sum() purgeSum { return purgeSum{uint64(len(s.purges)), s.ids} }
+func (s *keptSecond) sum() purgeSum { return purgeSum{uint64(len(s.purges)), s.idSum} }
 
 // withPrefix returns the purges of a second whose ids begin with a prefix of so many bits.
 func (k *keptPurges) withPrefix(second int64, bits uint8, prefix uint32) []keptPurge {
--- a/internal/fleet/broadcast/lazypush.go
+++ b/internal/fleet/broadcast/lazypush.go
@@ -32,8 +32,8 @@
 		}
 	}
 	ofSite := n.lazyPushCount%4 < 2
-	if other := n.randomPeer(ofSite); other != "" && !n.isNeighbour(other) && len(announced) > 0 {
-		n.send(other, frame, now)
+	if peer := n.randomPeer(ofSite); peer != "" && !n.isNeighbour(peer) && len(announced) > 0 {
+		n.send(peer, frame, now)
 	}
 }
 
@@ -41,7 +41,7 @@
 func (n *Node) recentProgress(now int64) []originProgress {
 	recent := make([]originProgress, 0, maxOriginsPerFrame)
 	for _, id := range n.sortedOrigins() {
-		if o := n.origins[id]; now-o.lastNewsAt <= originAnnounceTime && len(recent) < maxOriginsPerFrame {
+		if o := n.origins[id]; now-o.lastNewSeqAt <= originAnnounceTime && len(recent) < maxOriginsPerFrame {
 			recent = append(recent, o.progress(id))
 		}
 	}
@@ -54,7 +54,7 @@
 	if isNeighbour {
 		wait = neighbourDelay
 	}
-	due := now + wait.wait + n.rng.Int64N(wait.spread)
+	due := now + wait.wait + n.rng.Int64N(wait.jitter)
 	for _, progress := range announced {
 		highest := progress.highest()
 		if highest == 0 || highest > maxSeq {
@@ -78,7 +78,7 @@
 	highest := progress.highest()
 	if highest > o.highest {
 		o.highest = highest
-		o.lastNewsAt = now
+		o.lastNewSeqAt = now
 	}
 	if highest > o.contiguous+receiveWindow { // so far behind that only the newest are requested
 		n.giveUpBatches(o.slideTo(highest-receiveWindow), now)
--- a/internal/fleet/broadcast/node.go
+++ b/internal/fleet/broadcast/node.go
@@ -89,7 +89,7 @@
 	}
 	n.tree = buildTree(sortedMembers(members), n.self)
 	n.grafts = n.grafts[:0]
-	n.forgetDistant()
+	n.dropDistantPeers()
 }
 
 // RecordOwn takes purges that the own discovery watch brought. The caller applies them.
@@ -101,7 +101,7 @@
 			n.stats.ImplausiblePurges++
 		case len(p.Object) > maxObjectNameBytes:
 			n.stats.LongNames++
-		case n.keep(p, now) != known:
+		case n.keep(p, now) != alreadyKept:
 			unseen = append(unseen, p)
 		}
 	}
@@ -110,29 +110,29 @@
 	}
 }
 
-// novelty is whether a purge was known before.
-type novelty int
+// keepResult is whether a purge was known before.
+type keepResult int
 
 const (
-	known   novelty = iota // kept before
-	fresh                  // kept now
-	unknown                // cannot be kept: it may have come before
+	alreadyKept keepResult = iota // kept before
+	newlyKept                     // kept now
+	notKept                       // cannot be kept: it may have come before
 )
 
 // keep keeps a purge if it can be kept.
-func (n *Node) keep(p Purge, now int64) novelty {
+func (n *Node) keep(p Purge, now int64) keepResult {
 	if p.Issued/1000 < n.horizon(now) || p.Issued > n.maxKeptIssue(now) {
 		n.stats.NotKept++
-		return unknown
+		return notKept
 	}
 	newest := n.kept.newest
 	if !n.kept.add(p) {
-		return known
+		return alreadyKept
 	}
 	if n.kept.newest != newest {
 		n.newestAt = now
 	}
-	return fresh
+	return newlyKept
 }
 
 // HandleFrame takes a frame of a peer, keeps no reference to it, and returns the purges that are to be applied because they were not known.
--- a/internal/fleet/broadcast/origin.go
+++ b/internal/fleet/broadcast/origin.go
@@ -17,10 +17,10 @@
 
 // origin is what was received of one gateway's batches.
 type origin struct {
-	contiguous uint64 // all batches up to it were received, or given up
-	received   uint64 // bit i: the batch contiguous+1+i was received
-	highest    uint64 // highest sequence that is known to exist
-	lastNewsAt int64  // when a sequence was last new
+	contiguous   uint64 // all batches up to it were received, or given up
+	received     uint64 // bit i: the batch contiguous+1+i was received
+	highest      uint64 // highest sequence that is known to exist
+	lastNewSeqAt int64  // when a sequence was last new
 }
 
 // progress is what lazy push says of an origin.
@@ -65,7 +65,7 @@
 	if len(n.origins) >= maxOrigins {
 		n.dropOrigin(n.idlestOrigin())
 	}
-	o := &origin{contiguous: seq - min(seq, repairHistory), lastNewsAt: now}
+	o := &origin{contiguous: seq - min(seq, repairHistory), lastNewSeqAt: now}
 	n.origins[id] = o
 	return o
 }
@@ -74,8 +74,8 @@
 func (n *Node) idlestOrigin() (idlest uint64) {
 	oldest := never
 	for id, o := range n.origins {
-		if o.lastNewsAt < oldest || o.lastNewsAt == oldest && id < idlest {
-			oldest = o.lastNewsAt
+		if o.lastNewSeqAt < oldest || o.lastNewSeqAt == oldest && id < idlest {
+			oldest = o.lastNewSeqAt
 			idlest = id
 		}
 	}
@@ -90,7 +90,7 @@
 // dropIdleOrigins drops origins past originLifetime, other than this gateway.
 func (n *Node) dropIdleOrigins(now int64) {
 	for _, id := range n.sortedOrigins() {
-		if now-n.origins[id].lastNewsAt > originLifetime && id != n.originID {
+		if now-n.origins[id].lastNewSeqAt > originLifetime && id != n.originID {
 			n.dropOrigin(id)
 		}
 	}
--- a/internal/fleet/broadcast/reconcile.go
+++ b/internal/fleet/broadcast/reconcile.go
@@ -97,16 +97,16 @@
 // stepSession repeats a request that has timed out, or ends the session where the peer does not answer.
 func (n *Node) stepSession(now int64) {
 	s := n.session
-	late := slices.IndexFunc(s.open, func(r sessionRequest) bool { return now >= r.due })
-	if late >= 0 {
-		request := &s.open[late]
+	overdue := slices.IndexFunc(s.open, func(r sessionRequest) bool { return now >= r.due })
+	if overdue >= 0 {
+		request := &s.open[overdue]
 		request.attempts++
 		if request.attempts >= maxRequestAttempts {
 			n.endSession(false, now)
 			return
 		}
 		s.pending = append(s.pending, *request)
-		s.open = slices.Delete(s.open, late, late+1)
+		s.open = slices.Delete(s.open, overdue, overdue+1)
 	}
 	if !s.isAnswered && now-s.startedAt >= answerTimeout {
 		n.endSession(false, now)
@@ -260,7 +260,7 @@
 	s.open = slices.Delete(s.open, i, i+1)
 	horizon := n.horizon(now)
 	for _, p := range answer.purges {
-		if p.Issued/1000 == request.second && request.second >= horizon && n.keep(p, now) == fresh {
+		if p.Issued/1000 == request.second && request.second >= horizon && n.keep(p, now) == newlyKept {
 			delete(n.waiting, p)
 			learned = append(learned, p)
 		}
--- a/internal/fleet/broadcast/repair.go
+++ b/internal/fleet/broadcast/repair.go
@@ -11,8 +11,8 @@
 	maxStoredBatches     = 512        // kept for repair
 	batchLifetime        = 30_000_000 // microseconds for which a batch is kept for repair
 	gapDelay             = 60_000     // microseconds before a gap is requested: a batch sent later may arrive earlier
-	gapSpread            = 40_000
-	crossingTime         = 200_000 // microseconds after a batch was forwarded to a neighbour: a request that comes sooner crossed it
+	gapJitter            = 40_000
+	inTransitTime        = 200_000 // microseconds after a batch was forwarded to a neighbour: a request that comes sooner crossed it
 	repairJitter         = 100_000
 )
 
@@ -42,12 +42,12 @@
 	if o.has(id.seq) || id.seq > o.highest+maxSeqJump && o.highest > 0 {
 		return false
 	}
-	o.lastNewsAt = now
+	o.lastNewSeqAt = now
 	n.giveUpBatches(o.add(id.seq), now)
 	n.repairs = slices.DeleteFunc(n.repairs, func(r pendingRepair) bool {
 		return r.id == id || r.id.origin == id.origin && r.id.seq <= o.contiguous
 	})
-	due := now + gapDelay + n.rng.Int64N(gapSpread) // all gaps in one frame
+	due := now + gapDelay + n.rng.Int64N(gapJitter) // all gaps in one frame
 	for seq := o.contiguous + 1; seq < id.seq; seq++ {
 		if !o.has(seq) {
 			n.scheduleRepair(batchID{id.origin, seq}, from, due, now)
@@ -98,7 +98,7 @@
 
 // requestRepairs sends the requests that are due, and gives up batches after their last attempt.
 func (n *Node) requestRepairs(now int64) {
-	n.dropHopelessRepairs(now)
+	n.dropExhaustedRepairs(now)
 	randomPeers := [2]string{n.randomPeer(false), n.randomPeer(true)} // all repeated requests go to one peer, in one frame
 	jitter := n.rng.Int64N(repairJitter)
 	requests := map[string][]batchID{}
@@ -128,9 +128,9 @@
 	}
 }
 
-// dropHopelessRepairs gives up batches whose last attempt failed, and with them the older ones of their origin, and drops repairs of
+// dropExhaustedRepairs gives up batches whose last attempt failed, and with them the older ones of their origin, and drops repairs of
 // batches that have arrived.
-func (n *Node) dropHopelessRepairs(now int64) {
+func (n *Node) dropExhaustedRepairs(now int64) {
 	n.repairs = slices.DeleteFunc(n.repairs, func(r pendingRepair) bool {
 		if r.due > now || r.attempts < maxRepairAttempts {
 			return false
@@ -153,8 +153,8 @@
 		if stored == nil {
 			continue
 		}
-		isUnderWay := from != stored.from && n.isNeighbour(from) && now-stored.at < crossingTime
-		if !isUnderWay {
+		isInTransit := from != stored.from && n.isNeighbour(from) && now-stored.at < inTransitTime
+		if !isInTransit {
 			n.resendBatch(from, stored, now)
 		}
 	}
--- a/internal/fleet/broadcast/stats.go
+++ b/internal/fleet/broadcast/stats.go
@@ -8,32 +8,32 @@
 	Waiting  int      `json:"Waiting"`  // purges of the own watch that wait for injection
 	Behind   Lag      `json:"Behind"`
 
-	Learned           uint64 `json:"Heeded"`     // purges that a peer sent first
-	Grafts            int    `json:"Grafts"`     // edges that bypass silent neighbours
-	BatchesSent       uint64 `json:"Batches"`    // injected by this gateway
-	PurgesSent        uint64 `json:"Said"`       // purges in them
-	BatchesReceived   uint64 `json:"Copies"`     // new ones and duplicates
-	DuplicateBatches  uint64 `json:"Again"`      // of the received ones
-	RepairRequests    uint64 `json:"Wants"`      // frames sent
-	Repairs           uint64 `json:"Repairs"`    // batches sent again
-	GivenUp           uint64 `json:"GivenUp"`    // batches left to reconciliation
-	ReconcilePasses   uint64 `json:"Passes"`     // begun
-	UnfinishedPasses  uint64 `json:"Unanswered"` // passes that a peer did not answer to the end
-	PurgesReceived    uint64 `json:"ItemsIn"`    // new purges by reconciliation
-	PurgesServed      uint64 `json:"ItemsOut"`   // purges to peers by reconciliation
-	UnreadableFrames  uint64 `json:"Unreadable"`
-	ImplausiblePurges uint64 `json:"Wrong"`   // purges of the own watch with an impossible issue time
-	LongNames         uint64 `json:"Long"`    // purges with names over maxObjectNameBytes: not sent, peers get them of their own watches
-	HeldByRate        uint64 `json:"Held"`    // times that injection waited for the rate
-	NotBatched        uint64 `json:"Unsaid"`  // purges of the own watch left to reconciliation: too many wait, or too old
-	NotKept           uint64 `json:"Unkept"`  // purges too old, or too far ahead of the clock, to be kept
-	Dropped           uint64 `json:"Dropped"` // kept purges that were displaced by others
-	Shed              uint64 `json:"Shed"`    // copies of batches that were not forwarded, for the rate
-	RefusedRequests   uint64 `json:"Refused"` // requests of peers that were not answered, for the rate
-	FramesIn          uint64 `json:"FramesIn"`
-	FramesOut         uint64 `json:"FramesOut"`
-	BytesIn           uint64 `json:"BytesIn"` // headers of UDP and IP included
-	BytesOut          uint64 `json:"BytesOut"`
+	Learned             uint64 `json:"Heeded"`     // purges that a peer sent first
+	Grafts              int    `json:"Grafts"`     // edges that bypass silent neighbours
+	BatchesSent         uint64 `json:"Batches"`    // injected by this gateway
+	PurgesSent          uint64 `json:"Said"`       // purges in them
+	BatchesReceived     uint64 `json:"Copies"`     // new ones and duplicates
+	DuplicateBatches    uint64 `json:"Again"`      // of the received ones
+	RepairRequests      uint64 `json:"Wants"`      // frames sent
+	Repairs             uint64 `json:"Repairs"`    // batches sent again
+	GivenUp             uint64 `json:"GivenUp"`    // batches left to reconciliation
+	ReconcilePasses     uint64 `json:"Passes"`     // begun
+	UnfinishedPasses    uint64 `json:"Unanswered"` // passes that a peer did not answer to the end
+	PurgesReceived      uint64 `json:"ItemsIn"`    // new purges by reconciliation
+	PurgesServed        uint64 `json:"ItemsOut"`   // purges to peers by reconciliation
+	UnreadableFrames    uint64 `json:"Unreadable"`
+	ImplausiblePurges   uint64 `json:"Wrong"`   // purges of the own watch with an impossible issue time
+	LongNames           uint64 `json:"Long"`    // purges with names over maxObjectNameBytes: not sent, peers get them of their own watches
+	InjectionsPostponed uint64 `json:"Held"`    // times that injection waited for the rate
+	NotBatched          uint64 `json:"Unsaid"`  // purges of the own watch left to reconciliation: too many wait, or too old
+	NotKept             uint64 `json:"Unkept"`  // purges too old, or too far ahead of the clock, to be kept
+	Dropped             uint64 `json:"Dropped"` // kept purges that were displaced by others
+	Shed                uint64 `json:"Shed"`    // copies of batches that were not forwarded, for the rate
+	RefusedRequests     uint64 `json:"Refused"` // requests of peers that were not answered, for the rate
+	FramesIn            uint64 `json:"FramesIn"`
+	FramesOut           uint64 `json:"FramesOut"`
+	BytesIn             uint64 `json:"BytesIn"` // headers of UDP and IP included
+	BytesOut            uint64 `json:"BytesOut"`
 }
 
 // Lag is what this gateway knows that it lacks. Its own watch remains the authority, and nothing is rejected for a lag.
--- a/internal/fleet/broadcast/sumframes.go
+++ b/internal/fleet/broadcast/sumframes.go
@@ -5,14 +5,14 @@
 // Frames of reconciliation.
 
 // purgeSum is the sum of a set of purges: equal sets have equal sums, and others hardly ever do.
-type purgeSum struct{ count, ids uint64 }
+type purgeSum struct{ count, idSum uint64 }
 
-func (s purgeSum) plus(o purgeSum) purgeSum  { return purgeSum{s.count + o.count, s.ids + o.ids} }
-func (s purgeSum) minus(o purgeSum) purgeSum { return purgeSum{s.count - o.count, s.ids - o.ids} }
+func (s purgeSum) plus(o purgeSum) purgeSum  { return purgeSum{s.count + o.count, s.idSum + o.idSum} }
+func (s purgeSum) minus(o purgeSum) purgeSum { return purgeSum{s.count - o.count, s.idSum - o.idSum} }
 
 func (s purgeSum) append(b []byte) []byte {
 	b = binary.AppendUvarint(b, s.count)
-	return binary.LittleEndian.AppendUint64(b, s.ids)
+	return binary.LittleEndian.AppendUint64(b, s.idSum)
 }
 
 func (r *frameReader) sum() purgeSum { return purgeSum{r.uvarint(1 << 32), r.uint64()} }
