--- a/internal/fleet/broadcast/frame.go
+++ b/internal/fleet/broadcast/frame.go
@@ -6,25 +6,25 @@
 	"math/bits"
 )
 
-// Kind is the first byte of a frame and tells it from the other messages of gateways.
+// Kind is the first byte of a frame. It distinguishes broadcast frames from other messages between gateways.
 const Kind byte = 5
 
-// The second byte of a frame is its type. Numbers are varints of encoding/binary where not said otherwise; all of a frame must be
-// readable.
+// Types of frames, sent as the second byte of a frame. Numbers are unsigned varints of encoding/binary unless a size
+// is given. A frame is rejected if any part of it is malformed or if bytes follow its end.
 const (
-	frameBatch         = iota // 8 bytes origin, sequence, tier of the origin (a byte), purges
-	frameLazyPush             // number of origins, for each: 8 bytes origin, contiguous sequence, bitmap of the sequences after it
-	frameRepairRequest        // number of batches, for each: 8 bytes origin, sequence
-	frameSum                  // from, to (seconds), count, 8 bytes sum
-	frameSums                 // from, step (seconds), number of sums, for each: count, 8 bytes sum
+	frameBatch         = iota // origin (8 bytes), sequence number, tier of the origin (1 byte), purges
+	frameLazyPush             // number of origins, for each: origin (8 bytes), contiguous sequence, bitmap of later ones
+	frameRepairRequest        // number of batches, for each: origin (8 bytes), sequence number
+	frameSum                  // from and to (seconds), count, sum of IDs (8 bytes)
+	frameSums                 // from and step (seconds), number of sums, for each: count, sum of IDs (8 bytes)
 	frameSumsRequest          // first second of a minute
-	framePullRequest          // second, bits and value of the prefix, number of ids, 4 bytes each
-	framePurges               // second, bits and value of the prefix, 1 complete or 0 a part, purges
+	framePullRequest          // second, length (1 byte) and value of the prefix, number of IDs, for each: 4 bytes
+	framePurges               // second, length (1 byte) and value of the prefix, 1 if complete or 0 if partial, purges
 )
 
 const (
 	frameHeaderSize    = 2    // kind and type
-	maxFrameBytes      = 1100 // one datagram of at most 1,200 with what carries it
+	maxFrameBytes      = 1100 // leaves room for the enclosing headers in a datagram of at most 1,200 bytes
 	datagramOverhead   = 28   // bytes of the headers of IPv4 and UDP
 	maxObjectNameBytes = 255
 	maxIssued          = 1e14 // Unix milliseconds: the year 5138
@@ -38,16 +38,16 @@
 	maxPrefixBits      = 32
 )
 
-// ErrFrame is the error of a frame that cannot be read.
-var ErrFrame = errors.New("not a readable frame of the broadcast")
+// ErrFrame reports that a frame is malformed.
+var ErrFrame = errors.New("malformed broadcast frame")
 
-// frameReader reads a frame; after the first error it returns zeros.
+// frameReader decodes a frame. After the first error it returns zero values.
 type frameReader struct {
 	rest   []byte
 	failed bool
 }
 
-// isComplete reports whether all of the frame was read without an error.
+// isComplete reports whether the whole frame was decoded without an error.
 func (r *frameReader) isComplete() bool { return !r.failed && len(r.rest) == 0 }
 
 func (r *frameReader) fail() {
@@ -55,7 +55,7 @@
 	r.rest = nil
 }
 
-// uvarint reads a number up to a limit. There is one way to write each: others are not read.
+// uvarint decodes a number of at most limit. It accepts only the shortest encoding of a number.
 func (r *frameReader) uvarint(limit uint64) uint64 {
 	v, size := binary.Uvarint(r.rest)
 	if size <= 0 || v > limit || size > 1 && r.rest[size-1] == 0 {
@@ -92,13 +92,13 @@
 
 func (r *frameReader) second() int64 { return int64(r.uvarint(maxSeconds)) }
 
-// frameHeader is the beginning of a frame, with room for the rest.
+// frameHeader returns the header of a frame, to which the caller appends the rest.
 func frameHeader(frameType byte) []byte { return []byte{Kind, frameType} }
 
-// batchID identifies a batch among all.
+// batchID identifies a batch among the batches of all origins.
 type batchID struct {
 	origin uint64
-	seq    uint64 // from 1
+	seq    uint64 // sequence number; the first is 1
 }
 
 func (id batchID) append(b []byte) []byte {
@@ -112,21 +112,23 @@
 	return id
 }
 
-// batch is a batch of purges as it was received.
+// batch is a received batch of purges.
 type batch struct {
 	id         batchID
 	originTier tier
-	purges     []Purge // by issue, at least one
+	purges     []Purge // sorted by issue, at least one
 	frame      []byte
 }
 
-// encodeBatch encodes as many of the first purges as fit a frame, and returns how many. They must be sorted by issue.
+// encodeBatch encodes as many of the first purges as fit a frame and returns their number. The purges must be sorted
+// by issue.
 func encodeBatch(id batchID, originTier tier, purges []Purge) (frame []byte, fitting int) {
 	b := id.append(frameHeader(frameBatch))
 	return appendPurges(append(b, byte(originTier)), purges)
 }
 
-// batch reads a batch. One without purges is not read: no gateway sends one, and handleBatch goes by the last purge's age.
+// batch decodes a batch. It rejects a batch without purges: no gateway sends one, and handleBatch reads the last
+// purge.
 func (r *frameReader) batch(frame []byte) batch {
 	b := batch{id: r.batchID(), originTier: r.tier(), purges: r.purges(), frame: frame}
 	r.failed = r.failed || len(b.purges) == 0
@@ -142,26 +144,25 @@
 	return tier(b[0])
 }
 
-// originProgress is how far a gateway has received the batches of an origin.
+// originProgress describes which batches of an origin a gateway has received.
 type originProgress struct {
 	origin     uint64
-	contiguous uint64 // all batches up to this sequence
-	after      uint64 // bit i: the batch contiguous+1+i
+	contiguous uint64 // all batches up to this sequence number were received or given up
+	after      uint64 // bit i: batch contiguous+1+i was received
 }
 
-// has reports whether the batch of a sequence was received.
+// has reports whether the batch with a sequence number was received.
 func (p originProgress) has(seq uint64) bool {
 	return seq <= p.contiguous || seq <= p.contiguous+receiveWindow && p.after>>(seq-p.contiguous-1)&1 == 1
 }
 
-// highest is the highest sequence that was received.
+// highest returns the highest sequence number that was received.
 func (p originProgress) highest() uint64 {
 	window := p.after & (1<<receiveWindow - 1)
 	return p.contiguous + uint64(bits.Len64(window))
 }
 
-// encodeLazyPush encodes at most maxOriginsPerFrame origins. The bitmap is sent reversed: where few bits are set they are the first ones,
-// and the number is short.
+// encodeLazyPush encodes at most maxOriginsPerFrame origins. The bits of the bitmap are sent in reverse order.
 func encodeLazyPush(origins []originProgress) []byte {
 	b := binary.AppendUvarint(frameHeader(frameLazyPush), uint64(len(origins)))
 	for _, progress := range origins {
@@ -179,7 +180,7 @@
 	return origins
 }
 
-// encodeRepairRequest encodes at most maxRepairsPerFrame batches.
+// encodeRepairRequest encodes a request for at most maxRepairsPerFrame batches.
 func encodeRepairRequest(ids []batchID) []byte {
 	b := binary.AppendUvarint(frameHeader(frameRepairRequest), uint64(len(ids)))
 	for _, id := range ids {
--- a/internal/fleet/broadcast/inject.go
+++ b/internal/fleet/broadcast/inject.go
@@ -7,25 +7,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Injection. The watches of all gateways bring the same purges, so each gateway waits by its place in the tree before it injects them, and
-// drops what others injected meanwhile (suppression by timers, as in SRM): the root at once, the heads of regions after it one by one, then
-// heads of zones, of sites, and all others. A gateway that had to inject, because none before it did, goes on without waiting until another
-// injects the same purges first. Where two inject the same, which happens while a dead head parts the tree, the one further up goes on and
-// the other waits again.
+// Injection sends the purges of the own watch along the tree. The watches of all gateways deliver the same purges, so
+// each gateway first waits for a delay that depends on its place in the tree, and drops the purges that others inject
+// in the meantime (suppression by timers, as in SRM). The root injects at once, then the heads of regions one by one,
+// then the heads of zones, the heads of sites, and all others. A gateway that had to inject because no gateway before
+// it did continues without waiting, until another one injects the same purges first. Two gateways may inject the same
+// purges while a dead head splits the tree. Then the one further up continues, and the other waits again.
 const (
-	maxWaiting            = 4096
-	injectBytesPerSecond  = 2500 // of own batches
+	maxWaiting            = 4096 // purges that wait for injection
+	injectBytesPerSecond  = 2500 // rate of own batches
 	injectBurstBytes      = 8000
-	maxForwardDebtSeconds = 3         // of the rate limit, past which batches are not forwarded
-	suppressionTime       = 1_500_000 // microseconds after a batch that others had injected already, in which nobody begins to inject
-	regionStagger         = 60_000    // microseconds between heads of regions
-	maxRegionStaggers     = 9
+	maxForwardDebtSeconds = 3 // debt in seconds of the rate limit, beyond which batches are not forwarded
+	// After a batch of which most purges had been broadcast before, a gateway does not start to inject for this many
+	// microseconds.
+	suppressionTime   = 1_500_000
+	regionStagger     = 60_000 // microseconds between the delays of successive heads of regions
+	maxRegionStaggers = 9      // staggers that are added to a delay
 )
 
-// delay is a time to wait, at random up to spread longer, in microseconds.
+// delay is a waiting time in microseconds, to which a random time below jitter is added.
 type delay struct{ wait, jitter int64 }
 
-// injectDelay is how long a purge of the own watch waits, by tier. The root waits for Settings.BatchDelay.
+// injectDelay is how long a purge of the own watch waits for injection, by the tier of the gateway. The root waits
+// for Settings.BatchDelay instead.
 var injectDelay = [...]delay{
 	regionHead: {900_000, 50_000},
 	zoneHead:   {1_400_000, 200_000},
@@ -33,7 +37,8 @@
 	other:      {1_800_000, 400_000},
 }
 
-// queueForBatch lets a purge that the own watch brought first wait for injection.
+// queueForBatch queues for injection a purge that the own watch delivered first. It leaves the purge to
+// reconciliation if too many purges wait or the purge is too old.
 func (n *Node) queueForBatch(p Purge, now int64) {
 	if len(n.waiting) >= maxWaiting || n.isTooOldForBatch(p.Issued, now) {
 		n.stats.NotBatched++
@@ -48,7 +53,7 @@
 	return issued < n.referenceTime(now)-n.settings.MaxBatchAge/1000
 }
 
-// injectionDelay is how long a purge waits here for injection.
+// injectionDelay returns how long a purge waits here for injection.
 func (n *Node) injectionDelay() int64 {
 	tier := n.tree.tier
 	if tier == root || n.isInjecting {
@@ -61,12 +66,13 @@
 	return wait
 }
 
-// defersTo reports whether another origin that injects is further up in the tree.
+// defersTo reports whether another origin takes precedence over this gateway: its tier is higher up in the tree, or
+// its tier is the same and its ID is lower.
 func (n *Node) defersTo(origin uint64, originTier tier) bool {
 	return originTier < n.tree.tier || originTier == n.tree.tier && origin < n.originID
 }
 
-// inject injects what is due, and what nearly is.
+// inject injects the waiting purges that are due now or within Settings.BatchDelay.
 func (n *Node) inject(now int64) {
 	n.injectRate.fill(now, injectBytesPerSecond, injectBurstBytes)
 	due := n.dueForInjection(now)
@@ -83,7 +89,7 @@
 		due = due[injected:]
 	}
 	if len(due) > 0 {
-		return // the rest waits for the rate
+		return // the rest waits for injectRate
 	}
 	n.injectAt = never
 	for _, at := range n.waiting {
@@ -91,7 +97,7 @@
 	}
 }
 
-// dueForInjection returns the waiting purges that are due within Settings.BatchDelay, by issue.
+// dueForInjection returns the waiting purges that are due within Settings.BatchDelay, sorted by issue.
 func (n *Node) dueForInjection(now int64) (due []Purge) {
 	for p, at := range n.waiting {
 		if at <= now+n.settings.BatchDelay {
@@ -102,8 +108,9 @@
 	return due
 }
 
-// isSuppressed reports whether this gateway must not begin to inject: so many purges come twice that enough gateways inject. Without this,
-// gateways that miss some of them would inject as well, and more would miss some.
+// isSuppressed reports whether this gateway must not start to inject. It is suppressed after a batch of mostly
+// duplicates, which shows that enough gateways inject, and in a large rate debt. Without suppression, gateways that
+// miss some purges would inject as well, and then more gateways would miss some.
 func (n *Node) isSuppressed(now int64) bool {
 	if n.isInjecting || n.tree.tier == root {
 		return false
@@ -111,7 +118,8 @@
 	return now < n.suppressedUntil || n.credit(now) < -n.settings.RateLimit
 }
 
-// postponeInjection draws a new delay for purges: if they kept theirs, all gateways would inject when the suppression ends.
+// postponeInjection draws a new delay for the due purges. Without a new delay, all gateways would inject at the end
+// of the suppression.
 func (n *Node) postponeInjection(due []Purge, now int64) {
 	n.injectAt = max(now, n.suppressedUntil) + n.injectionDelay()
 	for _, p := range due {
@@ -120,13 +128,14 @@
 	n.stats.InjectionsPostponed++
 }
 
-// resetOrigin makes this gateway another origin, after a rest: nobody is to request batches that nobody keeps any more.
+// resetOrigin gives this gateway a new origin ID after a rest, so that no gateway requests old batches that none
+// stores any more.
 func (n *Node) resetOrigin() {
 	n.originID = xxhash.Sum64(binary.LittleEndian.AppendUint64(nil, n.originID))
 	n.lastSeq = 0
 }
 
-// injectBatch sends as many of the first purges as fit a batch, and returns how many.
+// injectBatch sends as many of the first purges as fit a batch and returns their number.
 func (n *Node) injectBatch(due []Purge, now int64) (injected int) {
 	n.lastBatchAt = now
 	n.lastSeq++
@@ -146,18 +155,21 @@
 	return injected
 }
 
-// forward sends a batch along all edges except the one that it came from. newestIssued is that of its last purge.
+// forward sends a batch along all edges except the one that it came from. newestIssued is the issue time of the
+// batch's last purge.
 func (n *Node) forward(frame []byte, from string, newestIssued int64, now int64) {
 	minCredit := -maxForwardDebtSeconds * n.settings.RateLimit
 	if n.isTooOldForBatch(newestIssued, now) {
-		minCredit = 0 // a backlog: new purges go first, reconciliation brings the rest
+		minCredit = 0 // the batch is part of a backlog: new purges go first, and reconciliation delivers the rest
 	}
 	for _, to := range n.neighbours() {
-		if to == from || n.isSilent(to, now) { // lazy pushes still go to a silent neighbour, and tell when it is back
+		// A silent neighbour still receives lazy pushes, which show when it is back.
+		if to == from || n.isSilent(to, now) {
 			continue
 		}
-		// A gateway that has just started may be taken for a neighbour by many, whose members lack each other. Until it has sent something it
-		// may not know of the edge, and gets its batches along its own edges; what it lacks it requests by lazy pushes.
+		// A gateway that has just started may be a neighbour in the trees of many gateways, if their members lack
+		// each other. Until it has sent a frame to this gateway, it may not know of this edge. It then receives
+		// batches along its own edges, and requests those that it lacks in response to lazy pushes.
 		if from != "" && !n.activeNeighbours[to] {
 			continue
 		}
@@ -169,8 +181,8 @@
 	}
 }
 
-// handleBatch merges a batch and forwards it if it, or a purge in it, is new here: so a false batch under another's id cannot hold the true
-// one back.
+// handleBatch merges a batch and forwards it if the batch, or a purge in it, is new here. Because of the second
+// condition, a false batch under another origin's ID cannot block the true one.
 func (n *Node) handleBatch(from string, b batch, now int64) (learned []Purge) {
 	n.stats.BatchesReceived++
 	isNewBatch := b.id.origin != n.originID && n.recordBatch(b.id, from, now)
@@ -207,7 +219,7 @@
 	return learned
 }
 
-// dropWaiting drops a purge from those that wait for injection, as another origin injected it.
+// dropWaiting removes a purge from those that wait for injection, because another origin has injected it.
 func (n *Node) dropWaiting(p Purge, b batch) {
 	if _, isWaiting := n.waiting[p]; !isWaiting {
 		return
--- a/internal/fleet/broadcast/keptpurges.go
+++ b/internal/fleet/broadcast/keptpurges.go
@@ -10,53 +10,54 @@
 
 const (
 	minute        = 60             // seconds
-	maxMinutes    = 256            // of issue time that are kept, whatever the settings
-	maxLongNames  = 16_384         // kept purges whose names are not 16 hex digits
-	maxClockAhead = 2 * 60 * 60000 // milliseconds after the own clock from which a purge is applied and not kept
+	maxMinutes    = 256            // minutes of issue time in which purges are kept, whatever the settings
+	maxLongNames  = 16_384         // kept purges whose names are not 16 hex digits, or that have a name and a group
+	maxClockAhead = 2 * 60 * 60000 // milliseconds; purges issued further ahead of the own clock are applied but not kept
 )
 
-// keptPurge is a purge as it is kept, in 24 bytes.
+// keptPurge is the packed form of a kept purge, in 24 bytes.
 type keptPurge struct {
-	id       uint64 // of the whole value; equal purges have equal ids, and purges of equal ids are compared
-	name     uint64 // by shape: the name, the group, or the key in longNames
-	ms       uint16 // of its second
+	id       uint64 // hash of the whole purge; purges with equal IDs are compared by value
+	name     uint64 // depends on shape: the packed name, the group, or the key in longNames
+	ms       uint16 // milliseconds within the second of issue
 	shape    uint8
 	spreadBy spreadBy
 }
 
-// keptSecond holds the purges of a second of issue time.
+// keptSecond holds the kept purges of one second of issue time.
 type keptSecond struct {
-	purges []keptPurge // by id
-	idSum  uint64      // their sum
+	purges []keptPurge // sorted by ID
+	idSum  uint64      // sum of the IDs, modulo 2^64
 }
 
-// spreadBy is how a purge got among the gateways, as far as this one knows.
+// spreadBy is who broadcast a purge, as far as this gateway knows.
 type spreadBy uint8
 
 const (
-	spreadByNone spreadBy = iota // or by reconciliation
-	spreadByPeer                 // in a batch of another gateway
-	spreadBySelf                 // in a batch of this gateway
+	spreadByNone spreadBy = iota // no batch contained the purge; it may have come by reconciliation
+	spreadByPeer                 // a batch of another gateway contained the purge
+	spreadBySelf                 // a batch of this gateway contained the purge
 )
 
-// keptPurges is a set of purges by second of issue. It is a join: a purge stays until it is too old, or among the oldest of too many.
+// keptPurges is a set of purges by second of issue. It only grows (a join), except that a purge is dropped when it
+// expires, or when it is among the oldest and the set exceeds a bound.
 type keptPurges struct {
-	seconds   map[int64]*keptSecond
-	minutes   map[int64]purgeSum // by minute
-	longNames map[uint64]Purge   // purges whose names don't fit keptPurge.name, by key
-	lastKey   uint64
-	count     int
-	limit     int
-	newest    int64  // milliseconds of issue; only rises
-	dropped   uint64 // displaced by others
-	hashInput []byte
+	seconds   map[int64]*keptSecond // by Unix time in seconds
+	minutes   map[int64]purgeSum    // by Unix time in minutes
+	longNames map[uint64]Purge      // purges that do not fit keptPurge.name, by key
+	lastKey   uint64                // last key that was used in longNames
+	count     int                   // of kept purges
+	limit     int                   // of count
+	newest    int64                 // latest issue in Unix milliseconds; never falls
+	dropped   uint64                // number of purges that others displaced
+	hashInput []byte                // reused by idOf
 }
 
 func newKeptPurges(limit int) keptPurges {
 	return keptPurges{seconds: map[int64]*keptSecond{}, minutes: map[int64]purgeSum{}, longNames: map[uint64]Purge{}, limit: max(1, limit)}
 }
 
-// idOf returns the id of a purge, which is the same at all gateways.
+// idOf returns the ID of a purge. All gateways compute the same ID.
 func (k *keptPurges) idOf(p Purge) uint64 {
 	b := binary.LittleEndian.AppendUint64(k.hashInput[:0], uint64(p.Issued))
 	b = binary.LittleEndian.AppendUint64(b, uint64(p.Group))
@@ -64,7 +65,7 @@
 	return xxhash.Sum64(append(b, p.Object...))
 }
 
-// purge returns the purge that is kept in a second.
+// purge returns the full value of a purge that is kept in a second.
 func (k *keptPurges) purge(second int64, kept *keptPurge) Purge {
 	issued := second*1000 + int64(kept.ms)
 	switch kept.shape {
@@ -76,7 +77,8 @@
 	return k.longNames[kept.name]
 }
 
-// find returns the second of a purge, nil if there is none, and where the purge is or belongs in it.
+// find returns the second that a purge was issued in, or nil if no purge of that second is kept. It also returns the
+// index of the purge in that second, or the index at which to insert it.
 func (k *keptPurges) find(p Purge, id uint64) (s *keptSecond, index int, found bool) {
 	second := p.Issued / 1000
 	s = k.seconds[second]
@@ -92,13 +94,14 @@
 	return s, index, false
 }
 
-// firstFrom is the index of the first purge whose id is at least one.
+// firstFrom returns the index of the first purge whose ID is at least id.
 func (s *keptSecond) firstFrom(id uint64) int {
 	index, _ := slices.BinarySearchFunc(s.purges, id, func(kept keptPurge, id uint64) int { return cmp.Compare(kept.id, id) })
 	return index
 }
 
-// raiseSpread raises how a purge was spread and returns how it was before; spreadByNobody for one that is not kept.
+// raiseSpread raises the spreadBy of a kept purge to at least the given value and returns the value before. It
+// returns spreadByNone if the purge is not kept.
 func (k *keptPurges) raiseSpread(p Purge, to spreadBy) (before spreadBy) {
 	s, index, found := k.find(p, k.idOf(p))
 	if !found {
@@ -109,7 +112,7 @@
 	return before
 }
 
-// add keeps a purge; false if it is kept already.
+// add adds a purge. It returns false if the purge is kept already.
 func (k *keptPurges) add(p Purge) bool {
 	id := k.idOf(p)
 	s, index, found := k.find(p, id)
@@ -121,7 +124,7 @@
 	if _, exists := k.minutes[second/minute]; !exists && len(k.minutes) >= maxMinutes {
 		k.dropMinute(k.oldestMinute())
 	}
-	if k.seconds[second] == nil { // new, or dropped just now
+	if k.seconds[second] == nil { // not kept before, or dropped just now to make room
 		s = &keptSecond{}
 		index = 0
 		k.seconds[second] = s
@@ -137,7 +140,8 @@
 	return true
 }
 
-// encode packs a purge, and enters its name in longNames where it does not fit.
+// encode packs a purge. A purge that does not fit the packed form is entered in longNames, for which the oldest
+// seconds are dropped if longNames is full.
 func (k *keptPurges) encode(p Purge, id uint64) keptPurge {
 	shape, name := shapeOf(p)
 	switch shape {
@@ -162,7 +166,7 @@
 	return oldest
 }
 
-// dropOldest drops the oldest second.
+// dropOldest drops the purges of the oldest second.
 func (k *keptPurges) dropOldest() {
 	m := k.oldestMinute()
 	for second := m * minute; second < (m+1)*minute; second++ {
@@ -179,7 +183,7 @@
 	}
 }
 
-// dropSecond drops a second and returns the number of its purges.
+// dropSecond drops the purges of a second and returns their number.
 func (k *keptPurges) dropSecond(second int64) int {
 	s := k.seconds[second]
 	if s == nil {
@@ -201,7 +205,7 @@
 	return len(s.purges)
 }
 
-// expire drops the seconds before a horizon.
+// expire drops the purges of all seconds before a horizon.
 func (k *keptPurges) expire(horizon int64) {
 	for m := range k.minutes {
 		for second := m * minute; second < min((m+1)*minute, horizon); second++ {
@@ -210,7 +214,7 @@
 	}
 }
 
-// sumOf is the sum of a span; those of whole minutes are at hand.
+// sumOf returns the sum of a span. It uses the stored sums of whole minutes.
 func (k *keptPurges) sumOf(s span) (total purgeSum) {
 	for m, sum := range k.minutes {
 		from, to := m*minute, (m+1)*minute
@@ -235,7 +239,7 @@
 
 func (s *keptSecond) sum() purgeSum { return purgeSum{uint64(len(s.purges)), s.idSum} }
 
-// withPrefix returns the purges of a second whose ids begin with a prefix of so many bits.
+// withPrefix returns the purges of a second whose IDs begin with a prefix of the given number of bits.
 func (k *keptPurges) withPrefix(second int64, bits uint8, prefix uint32) []keptPurge {
 	s := k.seconds[second]
 	if s == nil {
@@ -246,7 +250,7 @@
 	}
 	first := uint64(prefix) << (64 - bits)
 	end := len(s.purges)
-	if next := first + 1<<(64-bits); next != 0 { // 0: the last prefix
+	if next := first + 1<<(64-bits); next != 0 { // 0 after an overflow: the prefix is the last one
 		end = s.firstFrom(next)
 	}
 	return s.purges[s.firstFrom(first):end]
--- a/internal/fleet/broadcast/lazypush.go
+++ b/internal/fleet/broadcast/lazypush.go
@@ -1,14 +1,16 @@
 package broadcast
 
-// Lazy push. Every Settings.LazyPushInterval a gateway announces which batches it has received of recent origins: to its neighbours in
-// the tree, in turn to a member of its site and to any member. A peer requests what it misses, and is pushed what it should have had.
+// Lazy push. Every Settings.LazyPushInterval, a gateway announces which batches of recently active origins it has
+// received. It sends the announcement to its neighbours in the tree and to a random member, alternately of its site
+// and of the whole fleet. A peer requests the announced batches that it lacks. A neighbour also sends the batches
+// that the announcing gateway should have received by now and has not announced.
 const (
-	maxPushedBatches = 4       // that are pushed in answer to one announcement
-	pushDelay        = 400_000 // microseconds after a batch was forwarded, for a neighbour that still lacks it
+	maxPushedBatches = 4       // batches sent in answer to one announcement
+	pushDelay        = 400_000 // microseconds from forwarding a batch until it is sent to a neighbour that still lacks it
 )
 
-// announcedDelay is how long a batch that a member announced waits before it is requested, by tier: heads of a subtree first, so that the
-// others get it along the tree.
+// announcedDelay is how long a gateway waits, by its tier, before it requests a batch that a member announced. Heads
+// of subtrees wait for a shorter time, so that the others receive the batch along the tree.
 var announcedDelay = [...]delay{
 	root:       {150_000, 50_000},
 	regionHead: {200_000, 100_000},
@@ -17,17 +19,21 @@
 	other:      {500_000, 300_000},
 }
 
-// neighbourDelay is the same for a batch that a neighbour announced: longer than a batch on its way may take.
+// neighbourDelay is the delay for a batch that a neighbour announced. It exceeds the time that a batch may be in
+// transit.
 var neighbourDelay = delay{150_000, 100_000}
 
-// lazyPush announces what was received.
+// lazyPush announces the received batches.
 func (n *Node) lazyPush(now int64) {
 	announced := n.recentProgress(now)
 	frame := encodeLazyPush(announced)
 	n.lazyPushCount++
 	n.graft(now)
-	for _, to := range n.neighbours() { // also with nothing to announce: it is a sign of life
-		if to == n.tree.parent || n.lazyPushCount%2 == 0 { // the others have more neighbours, and batches are signs of life too
+	// An empty announcement is sent too, because it shows that this gateway is alive. Neighbours other than the
+	// parent receive every second announcement: they have more neighbours, and batches also show that this gateway is
+	// alive.
+	for _, to := range n.neighbours() {
+		if to == n.tree.parent || n.lazyPushCount%2 == 0 {
 			n.send(to, frame, now)
 		}
 	}
@@ -37,7 +43,7 @@
 	}
 }
 
-// recentProgress is the progress of origins with recent news, as many as fit a frame.
+// recentProgress returns the progress of origins with a new batch within originAnnounceTime, as many as fit a frame.
 func (n *Node) recentProgress(now int64) []originProgress {
 	recent := make([]originProgress, 0, maxOriginsPerFrame)
 	for _, id := range n.sortedOrigins() {
@@ -73,14 +79,14 @@
 	}
 }
 
-// requestAnnounced schedules requests for the batches that a peer has received and this gateway has not.
+// requestAnnounced schedules requests for the announced batches that this gateway has not received.
 func (n *Node) requestAnnounced(from string, progress originProgress, o *origin, due, now int64) {
 	highest := progress.highest()
 	if highest > o.highest {
 		o.highest = highest
 		o.lastNewSeqAt = now
 	}
-	if highest > o.contiguous+receiveWindow { // so far behind that only the newest are requested
+	if highest > o.contiguous+receiveWindow { // too far behind: only the newest batches are requested
 		n.giveUpBatches(o.slideTo(highest-receiveWindow), now)
 	}
 	for seq := o.contiguous + 1; seq <= highest; seq++ {
@@ -90,7 +96,7 @@
 	}
 }
 
-// pushMissing sends a neighbour batches that it should have received by now.
+// pushMissing sends a neighbour up to maxPushedBatches stored batches that it lacks and should have received by now.
 func (n *Node) pushMissing(to string, progress originProgress, o *origin, now int64) {
 	first := max(progress.contiguous+1, o.highest-min(o.highest, receiveWindow))
 	last := min(o.highest, progress.contiguous+receiveWindow)
--- a/internal/fleet/broadcast/node.go
+++ b/internal/fleet/broadcast/node.go
@@ -9,53 +9,55 @@
 
 const (
 	never         = int64(1<<63 - 1)
-	sweepInterval = 1_000_000
+	sweepInterval = 1_000_000 // microseconds
 )
 
-// Node is the broadcast of one gateway. It is not safe for concurrent use; its owner is a driver.Driver, under its lock.
+// Node holds the broadcast state of one gateway. It is not safe for concurrent use. In a gateway, a driver.Driver
+// owns the node and calls it with its lock held.
 type Node struct {
 	settings         Settings
 	self             Member
 	rng              *rand.Rand
 	tree             tree
-	lastSeen         map[string]int64 // when a member near in the tree last sent something
-	activeNeighbours map[string]bool  // neighbours that have sent something since they are neighbours
-	grafts           []string         // members that bypass silent neighbours
+	lastSeen         map[string]int64 // when a member near in the tree last sent a frame
+	activeNeighbours map[string]bool  // neighbours that have sent a frame since they became neighbours
+	grafts           []string         // members that are connected to bypass silent neighbours
 	out              []Message
 	stats            Stats
 
 	kept     keptPurges
-	newestAt int64 // when the newest issue that is known became known
+	newestAt int64 // when kept.newest last rose
 
 	// Injection.
-	originID        uint64          // of this gateway as an origin: of its name and stamp, another one after a rest
-	lastSeq         uint64          // of the last own batch
-	lastBatchAt     int64           // time of the last own batch
-	waiting         map[Purge]int64 // purges of the own watch, and when to inject them
-	isInjecting     bool            // this gateway injected the last ones, and no peer did
-	suppressedUntil int64           // until then this gateway does not begin to inject
+	originID        uint64          // ID of this gateway as an origin: a hash of its name and stamp, replaced after a rest
+	lastSeq         uint64          // sequence number of the last own batch
+	lastBatchAt     int64           // when the last own batch was sent
+	waiting         map[Purge]int64 // purges of the own watch, with the time at which to inject each
+	isInjecting     bool            // inject without waiting, until a preceding origin injects the same purges
+	suppressedUntil int64           // this gateway does not start to inject before this time
 	injectRate      tokenBucket
-	injectAt        int64
+	injectAt        int64 // when inject is due
 
 	// Repair.
 	origins       map[uint64]*origin
 	stored        map[batchID]*storedBatch
-	storedOrder   []batchID // of stored, the oldest first
+	storedOrder   []batchID // keys of stored, oldest first
 	repairs       []pendingRepair
-	missingSince  int64 // since when a batch that was given up may be missing; 0: none
+	missingSince  int64 // time since which a batch that was given up may be missing; 0: none
 	lazyPushCount uint64
 	lazyPushAt    int64
 
 	// Reconciliation.
 	session          *session // nil: none
-	differingSeconds int      // seconds of issue time that may lack purges
+	differingSeconds int      // seconds of issue time in which purges may be missing
 	reconcileAt      int64
 
 	rate    tokenBucket
 	sweepAt int64
 }
 
-// New makes a node without members. stamp must differ at each start of a process.
+// New returns a node without members. stamp must differ between starts of a process, because it identifies the
+// batches that the process sends.
 func New(settings Settings, self Member, stamp uint64, rng *rand.Rand, now int64) *Node {
 	settings = settings.withDefaults()
 	nameAndStamp := binary.LittleEndian.AppendUint64([]byte(self.Name), stamp)
@@ -81,8 +83,8 @@
 	return n
 }
 
-// SetMembers takes the live members of the view, this gateway included, in any order. The slice is the node's to read until the next call:
-// a sorted one (SortMembers) is held and not copied.
+// SetMembers sets the live members of the view, including this gateway, in any order. The node holds a sorted slice
+// (see SortMembers) without copying it, so the caller must not modify the slice.
 func (n *Node) SetMembers(members []Member, now int64) {
 	if sameMembers(members, n.tree.members) {
 		return
@@ -92,7 +94,7 @@
 	n.dropDistantPeers()
 }
 
-// RecordOwn takes purges that the own discovery watch brought. The caller applies them.
+// RecordOwn records purges that the own discovery watch delivered. The caller applies them.
 func (n *Node) RecordOwn(purges []Purge, now int64) {
 	var unseen []Purge
 	for _, p := range purges {
@@ -105,21 +107,22 @@
 			unseen = append(unseen, p)
 		}
 	}
-	for _, p := range unseen { // only now: their age depends on the newest of them
+	// Queued only after all are kept, because the age of a purge is measured against the newest known issue.
+	for _, p := range unseen {
 		n.queueForBatch(p, now)
 	}
 }
 
-// keepResult is whether a purge was known before.
+// keepResult is the outcome of Node.keep.
 type keepResult int
 
 const (
-	alreadyKept keepResult = iota // kept before
-	newlyKept                     // kept now
-	notKept                       // cannot be kept: it may have come before
+	alreadyKept keepResult = iota // the purge was kept before
+	newlyKept                     // the purge was added
+	notKept                       // the purge cannot be kept, so it may have been received before
 )
 
-// keep keeps a purge if it can be kept.
+// keep adds a purge to the kept purges unless its issue time is too old or too far ahead of the clock.
 func (n *Node) keep(p Purge, now int64) keepResult {
 	if p.Issued/1000 < n.horizon(now) || p.Issued > n.maxKeptIssue(now) {
 		n.stats.NotKept++
@@ -135,8 +138,8 @@
 	return newlyKept
 }
 
-// HandleFrame takes a frame of a peer, keeps no reference to it, and returns the purges that are to be applied because they were not known.
-// The error is ErrFrame for a frame that cannot be read.
+// HandleFrame handles a frame from a peer and returns the purges to apply, which are those that were not kept before.
+// It keeps no reference to the frame. It returns ErrFrame if the frame is malformed.
 func (n *Node) HandleFrame(from string, frame []byte, now int64) (learned []Purge, err error) {
 	n.stats.FramesIn++
 	n.stats.BytesIn += uint64(len(frame) + datagramOverhead)
@@ -155,7 +158,7 @@
 	return learned, err
 }
 
-// dispatchFrame reads a frame and handles it, if all of it can be read.
+// dispatchFrame decodes a frame and handles it if the whole frame is valid.
 func (n *Node) dispatchFrame(from string, frame []byte, now int64) ([]Purge, error) {
 	if len(frame) < frameHeaderSize || len(frame) > maxFrameBytes || frame[0] != Kind {
 		return nil, ErrFrame
@@ -212,7 +215,7 @@
 	return nil, ErrFrame
 }
 
-// Step does what is due.
+// Step performs the work that is due.
 func (n *Node) Step(now int64) {
 	if now >= n.injectAt {
 		n.inject(now)
@@ -229,7 +232,7 @@
 	}
 }
 
-// Next is when Step is due.
+// Next returns the time at which Step is due next.
 func (n *Node) Next() int64 {
 	next := min(n.injectAt, n.lazyPushAt, n.sweepAt)
 	for _, repair := range n.repairs {
@@ -241,17 +244,19 @@
 	for _, request := range n.session.open {
 		next = min(next, request.due)
 	}
-	return next // a session that waits for the rate goes on with the next lazy push
+	return next // a session that waits for rate credit continues at the next lazy push
 }
 
-// TakeMessages returns the messages that are to be sent, and forgets them.
+// TakeMessages returns the messages to send and clears them.
 func (n *Node) TakeMessages() []Message {
 	messages := n.out
 	n.out = nil
 	return messages
 }
 
-// randomPeer is a random member other than this gateway, of its own site if asked for and there is one; "" where there is none.
+// randomPeer returns a random member other than this gateway. If ofSite is set, the member is from the own site,
+// provided that the site has another one. It returns "" if there is no such member, or if this gateway is not a
+// member.
 func (n *Node) randomPeer(ofSite bool) string {
 	from, to := 0, len(n.tree.members)
 	if ofSite && n.tree.siteBounds[1]-n.tree.siteBounds[0] > 1 {
--- a/internal/fleet/broadcast/origin.go
+++ b/internal/fleet/broadcast/origin.go
@@ -6,31 +6,32 @@
 )
 
 const (
-	receiveWindow      = 24         // sequences after the contiguous ones, some 5 s of them; older gaps are left to reconciliation
-	maxSeqJump         = 1024       // past the highest sequence known of an origin
-	repairHistory      = 24         // sequences before the first that is known of an origin, which are requested: some 5 s
-	maxOrigins         = 4096       // past them the one idle for longest goes
-	originLifetime     = 30_000_000 // microseconds after its last news for which an origin is followed
-	originResetAfter   = 15_000_000 // microseconds of rest after which a gateway becomes another origin
-	originAnnounceTime = 5_000_000  // microseconds after its last news for which an origin is announced by lazy push
+	receiveWindow      = 24         // sequence numbers after contiguous, some 5 s; older gaps are left to reconciliation
+	maxSeqJump         = 1024       // how far a sequence number may exceed the highest known one of its origin
+	repairHistory      = 24         // sequence numbers before the first known one of an origin that are requested, some 5 s
+	maxOrigins         = 4096       // beyond it, the origin that is idle for longest is dropped
+	originLifetime     = 30_000_000 // microseconds after its last new sequence number for which an origin is tracked
+	originResetAfter   = 15_000_000 // microseconds without an own batch after which a gateway takes a new origin ID
+	originAnnounceTime = 5_000_000  // microseconds after its last new sequence number for which an origin is announced
 )
 
-// origin is what was received of one gateway's batches.
+// origin tracks which batches of one origin have been received.
 type origin struct {
-	contiguous   uint64 // all batches up to it were received, or given up
-	received     uint64 // bit i: the batch contiguous+1+i was received
-	highest      uint64 // highest sequence that is known to exist
-	lastNewSeqAt int64  // when a sequence was last new
+	contiguous   uint64 // all batches up to this sequence number were received or given up
+	received     uint64 // bit i: batch contiguous+1+i was received
+	highest      uint64 // highest sequence number that is known to exist
+	lastNewSeqAt int64  // when a sequence number was last new
 }
 
-// progress is what lazy push says of an origin.
+// progress returns the state of an origin as lazy push announces it.
 func (o *origin) progress(id uint64) originProgress {
 	return originProgress{id, o.contiguous, o.received}
 }
 
 func (o *origin) has(seq uint64) bool { return o.progress(0).has(seq) }
 
-// slideTo moves the window on to a sequence at least, and past what was received; it returns how many batches were passed over.
+// slideTo advances contiguous to at least seq, and further past received batches. It returns the number of missing
+// batches that it passed over.
 func (o *origin) slideTo(seq uint64) (givenUp int) {
 	for o.contiguous < seq || o.received&1 == 1 {
 		if o.received&1 == 0 {
@@ -42,7 +43,7 @@
 	return givenUp
 }
 
-// add records a batch as received, and returns how many older ones fell out of the window.
+// add records a batch as received and returns the number of older missing batches that fell out of the window.
 func (o *origin) add(seq uint64) (givenUp int) {
 	o.highest = max(o.highest, seq)
 	if o.has(seq) {
@@ -57,7 +58,7 @@
 	return givenUp + o.slideTo(0)
 }
 
-// follow returns the state of an origin; a new one is followed from some sequences before one on.
+// follow returns the state of an origin. A new origin is tracked from repairHistory sequence numbers before seq.
 func (n *Node) follow(id uint64, seq uint64, now int64) *origin {
 	if o := n.origins[id]; o != nil {
 		return o
@@ -70,7 +71,8 @@
 	return o
 }
 
-// idlestOrigin is the origin without news for longest, the lowest id of several.
+// idlestOrigin returns the origin that has had no new sequence number for longest. Of several such origins, it
+// returns the one with the lowest ID.
 func (n *Node) idlestOrigin() (idlest uint64) {
 	oldest := never
 	for id, o := range n.origins {
@@ -87,7 +89,7 @@
 	n.repairs = slices.DeleteFunc(n.repairs, func(r pendingRepair) bool { return r.id.origin == id })
 }
 
-// dropIdleOrigins drops origins past originLifetime, other than this gateway.
+// dropIdleOrigins drops origins that have been idle for longer than originLifetime, except this gateway.
 func (n *Node) dropIdleOrigins(now int64) {
 	for _, id := range n.sortedOrigins() {
 		if now-n.origins[id].lastNewSeqAt > originLifetime && id != n.originID {
--- a/internal/fleet/broadcast/purgecodec.go
+++ b/internal/fleet/broadcast/purgecodec.go
@@ -7,18 +7,19 @@
 	"slices"
 )
 
-// The shape of a purge in a frame, in the two lowest bits of its first number; the rest is the milliseconds since the purge before it.
+// Shapes of an encoded purge. The two lowest bits of a purge's first number hold its shape. The other bits hold the
+// milliseconds from the issue of the previous purge in the frame to its own.
 const (
-	shapeHex   = iota // 8 bytes: the name is 16 digits 0-9a-f
-	shapeGroup        // the group; no object
-	shapeName         // length, name
-	shapeBoth         // group, length, name
+	shapeHex   = iota // packed name (8 bytes); the name is 16 digits 0-9a-f
+	shapeGroup        // group; there is no object name
+	shapeName         // length (1 byte), name
+	shapeBoth         // group, length (1 byte), name
 
 	shapeBits = 2
 	shapeMask = 1<<shapeBits - 1
 )
 
-// shapeOf returns the shape of a purge, and the packed name of shapeHex.
+// shapeOf returns the shape of a purge and, for shapeHex, its packed name.
 func shapeOf(p Purge) (shape, hexName uint64) {
 	if p.Object == "" {
 		return shapeGroup, 0
@@ -32,7 +33,7 @@
 	return shapeName, 0
 }
 
-// packHex packs a name of 16 lower-case hex digits.
+// packHex packs a name of 16 lower-case hex digits into a number. It returns ok = false for any other name.
 func packHex(name string) (packed uint64, ok bool) {
 	if len(name) != 16 {
 		return 0, false
@@ -50,7 +51,7 @@
 	return packed, true
 }
 
-// hexString is the inverse of packHex.
+// hexString unpacks a name that packHex packed.
 func hexString(packed uint64) string {
 	var name [16]byte
 	for i := range name {
@@ -62,7 +63,8 @@
 func zigzag(v int64) uint64   { return uint64(v<<1) ^ uint64(v>>63) }
 func unzigzag(v uint64) int64 { return int64(v>>1) ^ -int64(v&1) }
 
-// appendPurge appends a purge whose issue is not before that of the purge before it.
+// appendPurge appends an encoded purge. issuedBefore is the issue time of the previous purge, which must not be later
+// than the purge's own.
 func appendPurge(b []byte, p Purge, issuedBefore int64) []byte {
 	shape, hexName := shapeOf(p)
 	b = binary.AppendUvarint(b, uint64(p.Issued-issuedBefore)<<shapeBits|shape)
@@ -78,7 +80,7 @@
 	return append(b, p.Object...)
 }
 
-// purgeSize is the number of bytes that appendPurge appends.
+// purgeSize returns the number of bytes that appendPurge appends.
 func purgeSize(p Purge, issuedBefore int64) int {
 	shape, _ := shapeOf(p)
 	size := uvarintSize(uint64(p.Issued-issuedBefore)<<shapeBits | shape)
@@ -95,7 +97,8 @@
 
 func uvarintSize(v uint64) int { return (bits.Len64(v|1) + 6) / 7 }
 
-// appendPurges appends the number of purges and as many of the first as fit a frame, and returns how many. They must be sorted by issue.
+// appendPurges appends a number of purges and as many of the first purges as fit a frame, and returns that number.
+// The purges must be sorted by issue.
 func appendPurges(b []byte, purges []Purge) (frame []byte, fitting int) {
 	size := len(b) + uvarintSize(maxPurgesPerFrame)
 	issuedBefore := int64(0)
@@ -116,7 +119,7 @@
 	return b, fitting
 }
 
-// purges reads what appendPurges wrote.
+// purges decodes what appendPurges encoded.
 func (r *frameReader) purges() []Purge {
 	count := r.uvarint(maxPurgesPerFrame)
 	purges := make([]Purge, 0, min(int(count), len(r.rest)/2))
@@ -133,7 +136,7 @@
 	return purges
 }
 
-// purge reads one purge. There is one way to write each: others are not read.
+// purge decodes one purge. It accepts only the encoding that appendPurge produces.
 func (r *frameReader) purge(issuedBefore int64) (p Purge, ok bool) {
 	first := r.uvarint(maxIssued << shapeBits)
 	shape := first & shapeMask
@@ -153,7 +156,7 @@
 	return p, !r.failed && shape == canonicalShape && p.isPlausible()
 }
 
-// sortByIssue sorts purges as frames have them.
+// sortByIssue sorts purges in the order that frames require.
 func sortByIssue(purges []Purge) { slices.SortFunc(purges, comparePurges) }
 
 func comparePurges(a, b Purge) int {
--- a/internal/fleet/broadcast/rate.go
+++ b/internal/fleet/broadcast/rate.go
@@ -2,11 +2,11 @@
 
 const (
 	microsPerSecond    = 1_000_000
-	maxRateDebtSeconds = 10                      // of the rate limit
-	maxRefill          = 3_600 * microsPerSecond // elapsed time that counts, so that the product does not overflow
+	maxRateDebtSeconds = 10                      // maximum debt, in seconds of the rate limit
+	maxRefill          = 3_600 * microsPerSecond // maximum elapsed time that counts, so that the product does not overflow
 )
 
-// tokenBucket is a token bucket that may go into debt. Its tokens are millionths of bytes.
+// tokenBucket is a token bucket that may go into debt. A token is a millionth of a byte.
 type tokenBucket struct{ tokens, filledAt int64 }
 
 // fill adds tokens for the time since the last call, at a rate in bytes per second, up to a burst in bytes.
@@ -17,7 +17,7 @@
 	}
 }
 
-// credit is what is left of the rate limit, in bytes; below 0 it is a debt.
+// credit returns the remaining credit of the rate limit in bytes. A credit below 0 is a debt.
 func (n *Node) credit(now int64) int64 {
 	n.rate.fill(now, n.settings.RateLimit, n.settings.RateLimit)
 	return n.rate.tokens / microsPerSecond
--- a/internal/fleet/broadcast/reconcile.go
+++ b/internal/fleet/broadcast/reconcile.go
@@ -2,52 +2,55 @@
 
 import "slices"
 
-// Reconciliation brings what no batch brought: after a cut, a start, or a loss that repair gave up. Every Settings.ReconcileInterval a
-// gateway sends one peer the sum of all that it keeps. Where the peer's differs, it answers with the sums of minutes, and the gateway
-// requests on: the seconds of a minute that differs, the purges of a second without those it has, newest first. Only the gateway that
-// requests receives, so it is the one that spends its rate; a peer answers (serve.go) as long as its own rate allows.
+// Reconciliation delivers the purges that no batch delivered: after a partition, after a start, or after a loss that
+// repair gave up on. Every Settings.ReconcileInterval, a gateway sends one peer the sum of its kept purges. If the
+// peer's sum differs, the peer answers with its sums by minute. The gateway then requests the sums by second of each
+// minute that differs, and pulls from each second that differs the purges that it lacks, newest first. Only the
+// requesting gateway receives purges, so reconciliation spends its rate. A peer answers (serve.go) as long as its own
+// rate allows.
 const (
-	maxOpenRequests        = 4         // without their answer
-	maxPendingRequests     = 8192      // of a session, that wait to be sent
-	maxSessionRequests     = 16384     // of a session: a peer that never comes to an end is left
-	maxRequestAttempts     = 2         // then the peer is given up
-	answerTimeout          = 1_500_000 // microseconds, after which a request is repeated
-	shortReconcileInterval = 300_000   // microseconds after a pass that brought something
-	maxRequestedPurges     = 90        // that a pull asks for, as far as sums tell
-	maxListedIDs           = 150       // own ids that a pull lists
-	maxSplitBits           = 12        // of the prefixes that a second is split by
-	requestReserveBytes    = 1200      // of the rate that a request needs, for its answer
-	settleSeconds          = 5         // of issue time that may still be under way
-	maxSilenceSeconds      = 300       // that the compared span goes on in a silence
-	horizonMargin          = 120       // seconds above the horizon at which the compared span begins
+	maxOpenRequests        = 4         // requests in flight in a session
+	maxPendingRequests     = 8192      // requests of a session that wait to be sent
+	maxSessionRequests     = 16384     // requests sent in a session, after which a peer that does not finish is given up
+	maxRequestAttempts     = 2         // attempts of a request, after which the peer is given up
+	answerTimeout          = 1_500_000 // microseconds after which a request without an answer is repeated
+	shortReconcileInterval = 300_000   // microseconds, the minimum delay after a pass that delivered purges or was cut short
+	maxRequestedPurges     = 90        // purges that a pull is expected to return, by the difference of the sums
+	maxListedIDs           = 150       // own IDs that a pull is expected to list
+	maxSplitBits           = 12        // length of the ID prefixes by which a second is split when it is first pulled
+	requestReserveBytes    = 1200      // rate credit that each request in flight reserves for its answer
+	settleSeconds          = 5         // latest seconds of issue time, not compared because their purges may be in flight
+	maxSilenceSeconds      = 300       // seconds by which the compared span is extended at most while no newer purge arrives
+	horizonMargin          = 120       // seconds between the horizon and the start of the compared span
 )
 
-// sessionRequest requests the sums of a minute's seconds, or pulls purges of a second.
+// sessionRequest requests the sums of a minute's seconds, or pulls purges of one second.
 type sessionRequest struct {
 	isOfMinute bool
-	pull       pullRequest // of a minute: its first second alone
-	due        int64       // when it is repeated
-	attempts   int
+	pull       pullRequest // in a request for a minute, only its first second is set
+	due        int64       // when the request times out
+	attempts   int         // that timed out
 }
 
-// session is a pass of reconciliation with one peer.
+// session is one pass of reconciliation with one peer.
 type session struct {
 	peer       string
 	startedAt  int64
-	isAnswered bool             // the sums of minutes have come
-	pending    []sessionRequest // the last is sent first
-	open       []sessionRequest // sent, without an answer
-	received   int              // purges that were new
-	requested  int              // requests that were sent
+	isAnswered bool             // the sums by minute have arrived
+	pending    []sessionRequest // not sent yet; the last one is sent first
+	open       []sessionRequest // sent and not answered yet
+	received   int              // number of purges that were new here
+	requested  int              // number of requests sent
 }
 
-// horizon is the second before which purges are too old. The newest issue that is known tells the time, or the own clock if that is
-// earlier: a fast clock expires nothing too early, a slow one keeps more.
+// horizon returns the first second of issue time that has not expired. Its present time is the newest known issue, or
+// the own clock if that is earlier. Therefore a fast clock expires nothing too early, and a slow clock keeps purges
+// for longer.
 func (n *Node) horizon(now int64) int64 {
 	return max(0, (n.referenceTime(now)-n.settings.KeepFor/1000)/1000)
 }
 
-// referenceTime is what is taken for the present time, in Unix milliseconds.
+// referenceTime returns the time that is taken for the present, in Unix milliseconds.
 func (n *Node) referenceTime(now int64) int64 {
 	if n.settings.StartUnixMillis == 0 {
 		return n.kept.newest
@@ -55,8 +58,8 @@
 	return min(n.kept.newest, n.settings.StartUnixMillis+now/1000)
 }
 
-// maxKeptIssue is the issue in Unix milliseconds after which purges are not kept here, and so not requested either: a gateway whose clock
-// is a day slow would request the same ones in each pass.
+// maxKeptIssue returns the latest issue time, in Unix milliseconds, of the purges that are kept here. Later purges
+// are not requested either, because a gateway whose clock is a day slow would request the same ones in each pass.
 func (n *Node) maxKeptIssue(now int64) int64 {
 	if n.settings.StartUnixMillis == 0 {
 		return maxIssued
@@ -66,15 +69,16 @@
 
 func ceilMinute(second int64) int64 { return (second + minute - 1) / minute * minute }
 
-// comparedSpan is the span whose sums are compared: up to what may still be under way. Where no newer purge comes it goes on with time, for
-// the last ones before a silence, which nothing that follows would show to be missing.
+// comparedSpan returns the span of issue time whose sums are compared. It ends before the purges that may still be in
+// flight. While no newer purge arrives, its end advances with time. It then includes the last purges before the
+// silence, because no later batch would show that they are missing.
 func (n *Node) comparedSpan(now int64) span {
 	from := ceilMinute(n.horizon(now)) + horizonMargin
 	silence := min(maxSilenceSeconds, (now-n.newestAt)/microsPerSecond)
 	return span{from: from, to: max(from, n.kept.newest/1000-settleSeconds+silence)}
 }
 
-// stepReconcile goes on with the session, or begins one that is due.
+// stepReconcile continues the current session, or starts a new one if it is due.
 func (n *Node) stepReconcile(now int64) {
 	if n.session != nil {
 		n.stepSession(now)
@@ -94,7 +98,7 @@
 	n.send(peer, encodeSum(compared, n.kept.sumOf(compared)), now)
 }
 
-// stepSession repeats a request that has timed out, or ends the session where the peer does not answer.
+// stepSession repeats a request that has timed out. It ends the session if the peer does not answer.
 func (n *Node) stepSession(now int64) {
 	s := n.session
 	overdue := slices.IndexFunc(s.open, func(r sessionRequest) bool { return now >= r.due })
@@ -115,7 +119,7 @@
 	n.sendRequests(now)
 }
 
-// endSession ends the session; in a complete one all that the peer had is here now.
+// endSession ends the session. After a complete session, this gateway has all purges that the peer had.
 func (n *Node) endSession(isComplete bool, now int64) {
 	s := n.session
 	n.session = nil
@@ -130,7 +134,8 @@
 	}
 }
 
-// sendRequests sends pending requests as long as the rate has room for their answers, and ends a session that has none left.
+// sendRequests sends pending requests while the rate has credit for their answers. It ends a session that has no
+// requests left, or that has sent maxSessionRequests.
 func (n *Node) sendRequests(now int64) {
 	s := n.session
 	if s.requested >= maxSessionRequests {
@@ -163,7 +168,7 @@
 	n.send(s.peer, encodePullRequest(pull), now)
 }
 
-// listedIDs are the lower halves of the ids that are kept of what a pull asks for.
+// listedIDs returns the lower halves of the IDs of the kept purges that match a pull, at most maxIDsPerFrame.
 func (n *Node) listedIDs(pull pullRequest) (ids []uint32) {
 	for _, kept := range n.kept.withPrefix(pull.second, pull.bits, pull.prefix) {
 		if len(ids) < maxIDsPerFrame {
@@ -173,7 +178,7 @@
 	return ids
 }
 
-// differingSeconds is how many seconds of issue time the requests that are left are of.
+// differingSeconds returns the number of seconds of issue time that the remaining requests cover.
 func (s *session) differingSeconds() (seconds int) {
 	for _, requests := range [][]sessionRequest{s.pending, s.open} {
 		for _, request := range requests {
@@ -187,7 +192,8 @@
 	return seconds
 }
 
-// handleSums takes the peer's sums of minutes or of a minute's seconds, and requests on where they differ.
+// handleSums handles the peer's sums, either by minute or by second of one minute, and requests details where they
+// differ from the own sums.
 func (n *Node) handleSums(from string, theirs sums, now int64) {
 	s := n.session
 	if s == nil || s.peer != from {
@@ -202,7 +208,7 @@
 		n.sendRequests(now)
 		return
 	}
-	answeredMinute := theirs.from / minute * minute // an answer that was cut begins later in its minute
+	answeredMinute := theirs.from / minute * minute // an answer without its oldest sums begins later in the minute
 	i := slices.IndexFunc(s.open, func(r sessionRequest) bool { return r.isOfMinute && r.pull.second == answeredMinute })
 	if i < 0 {
 		return
@@ -212,7 +218,7 @@
 	n.sendRequests(now)
 }
 
-// requestMinutes adds requests for the minutes that differ. The newest is sent first: it is the last.
+// requestMinutes adds requests for the minutes that differ. The newest minute comes last, so it is sent first.
 func (n *Node) requestMinutes(theirs sums, now int64) {
 	horizon, maxIssue := n.horizon(now), n.maxKeptIssue(now)
 	for i, sum := range theirs.list {
@@ -224,7 +230,8 @@
 	}
 }
 
-// requestSeconds adds pulls of the seconds that differ, split by so many prefixes that their lists and answers fit a frame.
+// requestSeconds adds pulls of the seconds that differ. Each second is split by ID prefix, so that the listed IDs and
+// the answer of each pull are expected to fit a frame.
 func (n *Node) requestSeconds(theirs sums, now int64) {
 	for i, sum := range theirs.list {
 		second := theirs.from + int64(i)
@@ -246,7 +253,8 @@
 	}
 }
 
-// handlePurges takes the answer to a pull and returns the purges that are new here. Where the peer has more, the pull is split in two.
+// handlePurges handles the answer to a pull and returns the purges that are new here. If the peer has more purges
+// than the answer holds, the pull is split in two.
 func (n *Node) handlePurges(from string, answer pulledPurges, now int64) (learned []Purge) {
 	s := n.session
 	if s == nil || s.peer != from {
--- a/internal/fleet/broadcast/repair.go
+++ b/internal/fleet/broadcast/repair.go
@@ -2,41 +2,48 @@
 
 import "slices"
 
-// Repair of batches. A gap in an origin's sequence is requested of the peer that it was seen from; lazy push tells of batches that no gap
-// shows (the last before a rest, those of a subtree whose parent died). A batch that was repaired goes along the tree like a new one.
+// Repair recovers lost batches. A gap in an origin's sequence is requested from the peer whose batch revealed it.
+// Lazy push announces the batches whose loss leaves no gap: the last ones before a rest, and those for a subtree
+// whose parent died. A repaired batch is forwarded along the tree like a new one.
 const (
-	maxRepairs           = 256        // batches that are requested
-	maxRepairAttempts    = 6          // then a batch is left to reconciliation
-	maxRepairDebtSeconds = 2          // of the rate limit: after reconciliation has stopped, and before batches are no longer forwarded
-	maxStoredBatches     = 512        // kept for repair
-	batchLifetime        = 30_000_000 // microseconds for which a batch is kept for repair
-	gapDelay             = 60_000     // microseconds before a gap is requested: a batch sent later may arrive earlier
-	gapJitter            = 40_000
-	inTransitTime        = 200_000 // microseconds after a batch was forwarded to a neighbour: a request that comes sooner crossed it
-	repairJitter         = 100_000
+	maxRepairs        = 256 // missing batches with scheduled requests
+	maxRepairAttempts = 6   // requests for a batch, after which it is left to reconciliation
+	// Batches are not resent in a debt of more seconds of the rate limit. Reconciliation stops at a smaller debt, and
+	// the forwarding of batches at a larger one.
+	maxRepairDebtSeconds = 2
+	maxStoredBatches     = 512        // batches stored for repair
+	batchLifetime        = 30_000_000 // microseconds for which a batch is stored for repair
+	gapDelay             = 60_000     // microseconds before a gap is requested, as batches may arrive out of order
+	gapJitter            = 40_000     // microseconds, the maximum random addition to gapDelay
+	// A neighbour's request that arrives within this many microseconds after the batch was forwarded to it is taken
+	// to have been sent before the batch arrived there.
+	inTransitTime = 200_000
+	repairJitter  = 100_000 // microseconds, the maximum random addition to repairTimeout
 )
 
-// repairTimeout is how long a request waits for its batch, by attempt, in microseconds: at first twice the longest round trip, then more.
-// With 5% of datagrams lost one attempt in ten fails.
+// repairTimeout is the time in microseconds that a request waits for its batch, by attempt. The first timeouts are
+// twice the longest round trip, and later ones are longer. With 5% of datagrams lost, one attempt in ten fails.
 var repairTimeout = [maxRepairAttempts]int64{400_000, 400_000, 600_000, 800_000, 1_200_000, 2_000_000}
 
-// pendingRepair is a batch that is missing.
+// pendingRepair is a missing batch and the state of its requests.
 type pendingRepair struct {
 	id       batchID
-	peer     string // to be asked next; "": a random one
-	since    int64
-	due      int64
-	attempts int
+	peer     string // receives the next request; "": a random peer
+	since    int64  // when the batch was found to be missing
+	due      int64  // when the next request is due
+	attempts int    // made so far
 }
 
-// storedBatch is a batch that is kept for repair.
+// storedBatch is a batch that is stored for repair.
 type storedBatch struct {
 	frame []byte
-	from  string // "": this gateway
-	at    int64  // when it was received and forwarded
+	from  string // "": this gateway is the origin
+	at    int64  // when the batch was received and forwarded
 }
 
-// recordBatch records a batch as received and schedules the repair of gaps before it; it reports whether the batch is new.
+// recordBatch records a batch as received, schedules the repair of gaps before it, and reports whether the batch is
+// new. It ignores a batch that is more than maxSeqJump ahead of its origin's highest known sequence number, and
+// returns false.
 func (n *Node) recordBatch(id batchID, from string, now int64) (isNew bool) {
 	o := n.follow(id.origin, id.seq, now)
 	if o.has(id.seq) || id.seq > o.highest+maxSeqJump && o.highest > 0 {
@@ -47,7 +54,7 @@
 	n.repairs = slices.DeleteFunc(n.repairs, func(r pendingRepair) bool {
 		return r.id == id || r.id.origin == id.origin && r.id.seq <= o.contiguous
 	})
-	due := now + gapDelay + n.rng.Int64N(gapJitter) // all gaps in one frame
+	due := now + gapDelay + n.rng.Int64N(gapJitter) // the same for all gaps, so that one frame requests them
 	for seq := o.contiguous + 1; seq < id.seq; seq++ {
 		if !o.has(seq) {
 			n.scheduleRepair(batchID{id.origin, seq}, from, due, now)
@@ -56,7 +63,7 @@
 	return true
 }
 
-// giveUpBatches counts batches that are left to reconciliation.
+// giveUpBatches counts batches that repair leaves to reconciliation, and sets missingSince.
 func (n *Node) giveUpBatches(batches int, now int64) {
 	if batches == 0 {
 		return
@@ -67,7 +74,8 @@
 	}
 }
 
-// scheduleRepair schedules a request for a batch; it reports false for one that is scheduled already.
+// scheduleRepair schedules a request for a batch. It returns false if one is scheduled already. It schedules nothing
+// beyond maxRepairs batches.
 func (n *Node) scheduleRepair(id batchID, peer string, due, now int64) bool {
 	if n.pendingRepair(id) != nil {
 		return false
@@ -78,7 +86,8 @@
 	return true
 }
 
-// scheduleAnnounced schedules a request for a batch that a peer announced. Where it was requested of others before, this peer is next.
+// scheduleAnnounced schedules a request for a batch that a peer announced. If the batch has been requested before,
+// the next request goes to this peer.
 func (n *Node) scheduleAnnounced(id batchID, peer string, due, now int64) {
 	if n.scheduleRepair(id, peer, due, now) {
 		return
@@ -96,10 +105,11 @@
 	return &n.repairs[i]
 }
 
-// requestRepairs sends the requests that are due, and gives up batches after their last attempt.
+// requestRepairs sends the requests that are due and gives up batches whose last attempt failed.
 func (n *Node) requestRepairs(now int64) {
 	n.dropExhaustedRepairs(now)
-	randomPeers := [2]string{n.randomPeer(false), n.randomPeer(true)} // all repeated requests go to one peer, in one frame
+	// All requests without a given peer go to one of these two, so that they share frames.
+	randomPeers := [2]string{n.randomPeer(false), n.randomPeer(true)}
 	jitter := n.rng.Int64N(repairJitter)
 	requests := map[string][]batchID{}
 	var peers []string // in the order of their first request
@@ -128,8 +138,8 @@
 	}
 }
 
-// dropExhaustedRepairs gives up batches whose last attempt failed, and with them the older ones of their origin, and drops repairs of
-// batches that have arrived.
+// dropExhaustedRepairs gives up each batch whose last attempt failed, and with it the older missing batches of its
+// origin. It also drops the repairs of batches that have arrived.
 func (n *Node) dropExhaustedRepairs(now int64) {
 	n.repairs = slices.DeleteFunc(n.repairs, func(r pendingRepair) bool {
 		if r.due > now || r.attempts < maxRepairAttempts {
@@ -146,7 +156,7 @@
 	})
 }
 
-// handleRepairRequest sends the requested batches that are stored, except those that are on their way to a neighbour.
+// handleRepairRequest sends the requested batches that are stored here, except those in transit to the peer.
 func (n *Node) handleRepairRequest(from string, ids []batchID, now int64) {
 	for _, id := range ids {
 		stored := n.stored[id]
@@ -160,7 +170,7 @@
 	}
 }
 
-// resendBatch sends a stored batch, unless the rate forbids it.
+// resendBatch sends a stored batch unless the rate debt is too large.
 func (n *Node) resendBatch(to string, stored *storedBatch, now int64) {
 	if n.credit(now) < -maxRepairDebtSeconds*n.settings.RateLimit {
 		n.stats.RefusedRequests++
@@ -170,7 +180,7 @@
 	n.send(to, stored.frame, now)
 }
 
-// store keeps a batch for repair; past maxStoredBatches the oldest goes.
+// store stores a batch for repair. Beyond maxStoredBatches, it drops the oldest one.
 func (n *Node) store(id batchID, frame []byte, from string, now int64) {
 	if n.stored[id] != nil {
 		return
@@ -188,7 +198,7 @@
 	n.storedOrder = n.storedOrder[1:]
 }
 
-// sweep drops what has expired.
+// sweep drops expired batches, idle origins and expired purges.
 func (n *Node) sweep(now int64) {
 	for len(n.storedOrder) > 0 && now-n.stored[n.storedOrder[0]].at > batchLifetime {
 		n.dropOldestStored()
--- a/internal/fleet/broadcast/serve.go
+++ b/internal/fleet/broadcast/serve.go
@@ -1,13 +1,13 @@
 package broadcast
 
-// Answers to the requests of a peer's reconciliation, as long as the rate allows.
+// This file answers the requests of a peer's reconciliation, as long as the rate allows.
 
 const (
-	minSumsCredit = -2000 // bytes: no sums are answered in a deeper debt
-	minPullCredit = 0     // bytes: no pulls are answered in debt
+	minSumsCredit = -2000 // credit in bytes, below which requests for sums are not answered
+	minPullCredit = 0     // credit in bytes, below which pulls are not answered
 )
 
-// mayServe reports whether the rate allows an answer, and counts a request that it does not.
+// mayServe reports whether the rate allows an answer. It counts the requests that are refused.
 func (n *Node) mayServe(minCredit, now int64) bool {
 	if n.credit(now) < minCredit {
 		n.stats.RefusedRequests++
@@ -16,7 +16,8 @@
 	return true
 }
 
-// handleSum answers the sum of a span with the sums of its minutes, the latest that fit a frame; with none where it is equal here.
+// handleSum answers a peer's sum of a span. The answer holds the sums of the latest minutes that fit a frame, or no
+// sums if the peer's sum equals the own one.
 func (n *Node) handleSum(from string, theirs span, sum purgeSum, now int64) {
 	if !n.mayServe(minSumsCredit, now) {
 		return
@@ -47,7 +48,7 @@
 	n.send(from, encodeLatestSums(answer), now)
 }
 
-// handlePullRequest answers with the purges that the request does not list.
+// handlePullRequest answers a pull with the requested purges whose IDs it does not list.
 func (n *Node) handlePullRequest(from string, request pullRequest, now int64) {
 	if !n.mayServe(minPullCredit, now) {
 		return
@@ -62,7 +63,7 @@
 	n.send(from, frame, now)
 }
 
-// unlisted returns purges that a request asks for, one more than fit a frame at most.
+// unlisted returns the purges to send in answer to a pull, at most one more than maxPurgesPerFrame.
 func (n *Node) unlisted(request pullRequest) (purges []Purge) {
 	listed := map[uint32]bool{}
 	for _, id := range request.ids {
--- a/internal/fleet/broadcast/sumframes.go
+++ b/internal/fleet/broadcast/sumframes.go
@@ -2,9 +2,10 @@
 
 import "encoding/binary"
 
-// Frames of reconciliation.
+// This file encodes and decodes the frames of reconciliation.
 
-// purgeSum is the sum of a set of purges: equal sets have equal sums, and others hardly ever do.
+// purgeSum is the count of a set of purges and the sum of their IDs. Equal sets have equal sums, and different sets
+// have equal sums only with a negligible probability.
 type purgeSum struct{ count, idSum uint64 }
 
 func (s purgeSum) plus(o purgeSum) purgeSum  { return purgeSum{s.count + o.count, s.idSum + o.idSum} }
@@ -17,7 +18,7 @@
 
 func (r *frameReader) sum() purgeSum { return purgeSum{r.uvarint(1 << 32), r.uint64()} }
 
-// span is the seconds of issue time from one up to another, which is not in it.
+// span is the interval of issue time from one second up to, but not including, another.
 type span struct{ from, to int64 }
 
 func encodeSum(s span, sum purgeSum) []byte {
@@ -31,10 +32,10 @@
 	return s, r.sum()
 }
 
-// sums are of spans of equal length, one after the other: of minutes, or of seconds.
+// sums holds the sums of consecutive spans of equal length, either minutes or seconds.
 type sums struct {
-	from int64 // second
-	step int64 // seconds: 1 or minute
+	from int64 // first second of the first span
+	step int64 // length of a span in seconds: 1 or minute
 	list []purgeSum
 }
 
@@ -48,7 +49,7 @@
 	return b
 }
 
-// encodeLatestSums encodes sums without the oldest ones, so many that the others fit a frame.
+// encodeLatestSums encodes sums without the oldest ones, if not all of them fit a frame.
 func encodeLatestSums(s sums) []byte {
 	for {
 		frame := encodeSums(s)
@@ -76,12 +77,13 @@
 	return binary.AppendUvarint(frameHeader(frameSumsRequest), uint64(second))
 }
 
-// pullRequest asks for the purges of a second whose ids begin with a prefix, without those whose ids have one of the lower halves listed.
+// pullRequest asks for the purges of a second whose IDs begin with a prefix, except those whose lower half of the ID
+// is listed.
 type pullRequest struct {
 	second int64
-	bits   uint8 // of the prefix
+	bits   uint8 // length of the prefix
 	prefix uint32
-	ids    []uint32 // at most maxIDsPerFrame
+	ids    []uint32 // lower halves of IDs, at most maxIDsPerFrame
 }
 
 // isSameAs reports whether two requests ask for the purges of the same second and prefix.
@@ -123,12 +125,13 @@
 
 // pulledPurges is the answer to a pullRequest.
 type pulledPurges struct {
-	request    pullRequest // without ids
-	isComplete bool        // the peer has no more of them
-	purges     []Purge     // by issue
+	request    pullRequest // without its ids
+	isComplete bool        // the peer has no more purges for the request
+	purges     []Purge     // sorted by issue
 }
 
-// encodePurges encodes as many of the first purges as fit a frame, and returns how many. They must be sorted by issue.
+// encodePurges encodes as many of the first purges as fit a frame and returns their number. The purges must be sorted
+// by issue.
 func encodePurges(request pullRequest, isComplete bool, purges []Purge) (frame []byte, fitting int) {
 	complete := byte(0)
 	if isComplete {
--- a/internal/fleet/broadcast/tree.go
+++ b/internal/fleet/broadcast/tree.go
@@ -7,13 +7,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// All gateways that see the same members compute the same tree. The members are sorted by region, zone, site and a hash of the name. The
-// first of a list is its head; the rest is split into at most fanOut lists of neighbours, the children, where a region begins, or a zone
-// where all are of one region, or a site, or between any two. So whatever its place a gateway has at most fanOut children and one parent,
-// and a region, zone or site is entered from outside once: a cut region costs one edge.
+// fanOut is the maximum number of children of a gateway in the tree.
+//
+// All gateways that see the same members compute the same tree. The members are sorted by region, zone, site and a
+// hash of the name. The first member of a list is its head. The rest of the list is split into at most fanOut
+// consecutive lists, and their heads are the children of the head. The list is split where a region begins. If all
+// its members are of one region, it is split where a zone begins; within a zone, where a site begins; within a site,
+// between any two members. As a result, every gateway has at most one parent and at most fanOut children, and one
+// edge enters each region, zone or site from outside. A region that is cut off costs one edge.
 const fanOut = 3
 
-// rank orders the members of a site, so that no name comes first everywhere.
+// rank returns the sort key of a member within its site. It is a hash, so that no name comes first at every site.
 func rank(name string) uint64 { return xxhash.Sum64String(name) }
 
 func compareMembers(a, b Member) int {
@@ -27,14 +31,15 @@
 	return cmp.Or(cmp.Compare(a.Region, b.Region), cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Site, b.Site))
 }
 
-// SortMembers sorts members as Node.SetMembers holds them, so that many nodes of a process can share one list.
+// SortMembers sorts members in the order in which Node.SetMembers holds them without a copy, so that many nodes of a
+// process can share one list.
 func SortMembers(members []Member) { slices.SortFunc(members, compareMembers) }
 
-// Distances of two localities.
+// Distances between two localities, in increasing order.
 const (
 	withinSite   = iota
-	withinZone   // of different sites
-	withinRegion // of different zones
+	withinZone   // different sites
+	withinRegion // different zones
 	acrossRegions
 )
 
@@ -50,7 +55,8 @@
 	return withinSite
 }
 
-// split returns the bounds of the lists below the head of one: rest[bounds[i]:bounds[i+1]], where rest is all but the head.
+// split splits a list behind its head and returns the bounds of the parts. Part i is rest[bounds[i]:bounds[i+1]],
+// where rest is the list without its head.
 func split(list []Member) []int {
 	rest := list[1:]
 	n := len(rest)
@@ -58,7 +64,8 @@
 	if n == 0 {
 		return bounds
 	}
-	// First and last differ most in a sorted list. Where all of the rest is elsewhere than the head it is entered as one.
+	// In a sorted list, the first and the last member are the furthest apart. If the whole rest is of another
+	// locality than the head, it stays in one part, so that one edge enters that locality.
 	level := max(distance(rest[0].Locality, rest[n-1].Locality), distance(list[0].Locality, rest[0].Locality))
 	for part := 1; part < fanOut; part++ {
 		bound := part * n / fanOut
@@ -72,8 +79,8 @@
 	return append(bounds, n)
 }
 
-// nearestBoundary is the index next to one where a locality of a level ends and another begins, the earlier of two as near; 0 where there
-// is none.
+// nearestBoundary returns the index nearest to the given one at which a new locality of the given level begins. Of
+// two equally near indices it returns the lower one. It returns 0 if there is no such index.
 func nearestBoundary(rest []Member, level, index int) int {
 	isBoundary := func(i int) bool {
 		return i > 0 && i < len(rest) && distance(rest[i-1].Locality, rest[i].Locality) >= level
@@ -89,24 +96,24 @@
 	return 0
 }
 
-// tree is what one member has of the tree.
+// tree is the part of the tree that one member needs.
 type tree struct {
-	members    []Member // sorted; not written to
-	selfIndex  int      // -1: not among them
-	siteBounds [2]int   // of the own site in members
+	members    []Member // sorted; must not be modified
+	selfIndex  int      // of this gateway in members; -1: not a member
+	siteBounds [2]int   // index range of the own site in members
 	parent     string   // "": none
 	children   []string
 
 	// For grafts.
 	grandparent   string
-	siblings      []string // this member among them
-	grandchildren [][]string
+	siblings      []string   // including this member
+	grandchildren [][]string // children of each child
 
 	tier        tier
-	regionIndex int // regions before the own one
+	regionIndex int // number of regions before the own one
 }
 
-// tier is how high a member stands. Its numbers are sent in batches.
+// tier is the widest locality that a member is the head of. Batches carry its numeric value.
 type tier int
 
 const (
@@ -114,14 +121,14 @@
 	regionHead
 	zoneHead
 	siteHead
-	other
+	other // not the head of a locality
 )
 
-// buildTree computes the tree of a member. The members must be sorted.
+// buildTree computes the tree as one member needs it. The members must be sorted.
 func buildTree(members []Member, self Member) tree {
 	t := tree{members: members, selfIndex: -1, tier: other}
 	index, found := slices.BinarySearchFunc(members, self, compareMembers)
-	if !found { // the view may have another locality of it
+	if !found { // the view may list this gateway under another locality
 		index = slices.IndexFunc(members, func(m Member) bool { return m.Name == self.Name })
 		if index < 0 {
 			return t
@@ -135,7 +142,7 @@
 	return t
 }
 
-// setBounds finds the own site and counts the regions before the own one.
+// setBounds sets the bounds of the own site and the number of regions before the own one.
 func (t *tree) setBounds() {
 	locality := t.members[t.selfIndex].Locality
 	first, end := t.selfIndex, t.selfIndex+1
@@ -162,7 +169,8 @@
 	t.tier = [...]tier{withinSite: other, withinZone: siteHead, withinRegion: zoneHead, acrossRegions: regionHead}[distance(before.Locality, self.Locality)]
 }
 
-// setAncestors walks from the root to this member and returns the end of its subtree in members.
+// setAncestors walks from the root to this member and sets its parent, grandparent and siblings. It returns the end
+// of this member's subtree in members.
 func (t *tree) setAncestors() (subtreeEnd int) {
 	from, to := 0, len(t.members)
 	for from != t.selfIndex {
@@ -191,7 +199,8 @@
 	}
 }
 
-// heads are the first members of lists whose bounds begin at an offset.
+// heads returns the names of the first members of consecutive lists. The bounds are relative to the offset in
+// members.
 func heads(members []Member, offset int, bounds []int) (names []string) {
 	for _, bound := range bounds[:len(bounds)-1] {
 		names = append(names, members[offset+bound].Name)
@@ -199,7 +208,7 @@
 	return names
 }
 
-// sortedMembers returns the members in order, without duplicates; a copy if they are not sorted.
+// sortedMembers returns the members sorted and without duplicates. It copies them only if they are not in that form.
 func sortedMembers(members []Member) []Member {
 	for i := 1; i < len(members); i++ {
 		if compareMembers(members[i-1], members[i]) >= 0 {
