--- a/internal/fleet/broadcast/frame.go
+++ b/internal/fleet/broadcast/frame.go
@@ -137,9 +137,9 @@
 
 func (r *frameReader) tier() tier {
 	b := r.bytes(1)
-	if b == nil || tier(b[0]) > other {
+	if b == nil || tier(b[0]) > siteMember {
 		r.failed = true
-		return other
+		return siteMember
 	}
 	return tier(b[0])
 }
--- a/internal/fleet/broadcast/frame_test.go
+++ b/internal/fleet/broadcast/frame_test.go
@@ -33,7 +33,7 @@
 		purges := rapid.SliceOfN(rapid.Custom(drawPurge), 1, 300).Draw(t, "purges")
 		sortByIssue(purges)
 		id := batchID{rapid.Uint64().Draw(t, "origin"), rapid.Uint64Range(1, maxSeq).Draw(t, "seq")}
-		originTier := tier(rapid.IntRange(0, int(other)).Draw(t, "tier"))
+		originTier := tier(rapid.IntRange(0, int(siteMember)).Draw(t, "tier"))
 		for rest := purges; len(rest) > 0; {
 			frame, fitting := encodeBatch(id, originTier, rest)
 			if fitting == 0 || len(frame) > maxFrameBytes {
--- a/internal/fleet/broadcast/inject.go
+++ b/internal/fleet/broadcast/inject.go
@@ -34,7 +34,7 @@
 	regionHead: {900_000, 50_000},
 	zoneHead:   {1_400_000, 200_000},
 	siteHead:   {1_600_000, 200_000},
-	other:      {1_800_000, 400_000},
+	siteMember: {1_800_000, 400_000},
 }
 
 // queueForBatch queues for injection a purge that the own watch delivered first. It leaves the purge to
--- a/internal/fleet/broadcast/lazypush.go
+++ b/internal/fleet/broadcast/lazypush.go
@@ -16,7 +16,7 @@
 	regionHead: {200_000, 100_000},
 	zoneHead:   {250_000, 100_000},
 	siteHead:   {350_000, 150_000},
-	other:      {500_000, 300_000},
+	siteMember: {500_000, 300_000},
 }
 
 // neighbourDelay is the delay for a batch that a neighbour announced. It exceeds the time that a batch may be in
--- a/internal/fleet/broadcast/tree.go
+++ b/internal/fleet/broadcast/tree.go
@@ -121,12 +121,12 @@
 	regionHead
 	zoneHead
 	siteHead
-	other // not the head of a locality
+	siteMember // not the head of a locality
 )
 
 // buildTree computes the tree as one member needs it. The members must be sorted.
 func buildTree(members []Member, self Member) tree {
-	t := tree{members: members, selfIndex: -1, tier: other}
+	t := tree{members: members, selfIndex: -1, tier: siteMember}
 	index, found := slices.BinarySearchFunc(members, self, compareMembers)
 	if !found { // the view may list this gateway under another locality
 		index = slices.IndexFunc(members, func(m Member) bool { return m.Name == self.Name })
@@ -166,7 +166,7 @@
 		return
 	}
 	before, self := t.members[t.selfIndex-1], t.members[t.selfIndex]
-	t.tier = [...]tier{withinSite: other, withinZone: siteHead, withinRegion: zoneHead, acrossRegions: regionHead}[distance(before.Locality, self.Locality)]
+	t.tier = [...]tier{withinSite: siteMember, withinZone: siteHead, withinRegion: zoneHead, acrossRegions: regionHead}[distance(before.Locality, self.Locality)]
 }
 
 // setAncestors walks from the root to this member and sets its parent, grandparent and siblings. It returns the end
