--- a/internal/fleet/broadcast/driver/driver_test.go
+++ b/internal/fleet/broadcast/driver/driver_test.go
@@ -230,7 +230,7 @@
 }
 
 // With one datagram in twenty lost all purges arrive, all but a few in time, and no mode is logged.
-func TestLossIsNoMode(t *testing.T) {
+func TestSteadyLossLogsNoModeChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newTestFleet(36)
 		fleet.loss = 0.05
--- a/internal/fleet/broadcast/fleet_test.go
+++ b/internal/fleet/broadcast/fleet_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// runPurgeStream makes a fleet that has run for 2 s, and schedules 100 purges per second for some seconds.
-func runPurgeStream(t *testing.T, loss float64, seconds int64, publish func(f *fleet) func(Purge)) *fleet {
+// startPurgeStream makes a fleet that has run for 2 s, and schedules 100 purges per second for some seconds.
+func startPurgeStream(t *testing.T, loss float64, seconds int64, publish func(f *fleet) func(Purge)) *fleet {
 	t.Helper()
 	f := newFleet(t, *seedFlag, membersOfSize(*gatewaysFlag), testSettings())
 	f.loss = loss
@@ -68,7 +68,7 @@
 		{"at all, 5% lost", 0.05, recordEverywhere},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := runPurgeStream(t, c.loss, 10, c.publish)
+			f := startPurgeStream(t, c.loss, 10, c.publish)
 			f.run(f.now + 10_000_000)
 			loaded := f.traffic()
 			byType := f.byType
@@ -82,7 +82,7 @@
 // withLoadOf has the load of the time in which purges were issued in place of the whole run's.
 func (r result) withLoadOf(loaded result) result {
 	r.busiest = loaded.busiest
-	r.typical = loaded.typical
+	r.mean = loaded.mean
 	return r
 }
 
@@ -90,7 +90,7 @@
 func checkSpread(t *testing.T, r result) {
 	t.Helper()
 	t.Log(r)
-	if r.missing > 0 || r.worst > spreadTarget {
+	if r.missing > 0 || r.maxLatency > spreadTarget {
 		t.Error("not all purges everywhere in time")
 	}
 	if r.busiest > maxBytesPerSecond {
@@ -174,9 +174,9 @@
 	return indices
 }
 
-// cutOff cuts the members that match off from the others.
-func (f *fleet) cutOff(matches func(Member) bool) {
-	f.isCut = func(a, b Member) bool { return matches(a) != matches(b) }
+// partition cuts the members that match off from the others.
+func (f *fleet) partition(matches func(Member) bool) {
+	f.isPartitioned = func(a, b Member) bool { return matches(a) != matches(b) }
 }
 
 // splitViews has members that match and others see their own side only.
@@ -192,8 +192,8 @@
 	}
 }
 
-// joinViews has all members see all.
-func (f *fleet) joinViews() {
+// mergeViews has all members see all.
+func (f *fleet) mergeViews() {
 	for _, n := range f.nodes {
 		n.SetMembers(f.members, f.now)
 	}
@@ -205,13 +205,13 @@
 	f := newFleet(t, *seedFlag, membersOfSize(*gatewaysFlag), testSettings())
 	region := f.members[len(f.members)-1].Locality.Region
 	inside := func(m Member) bool { return m.Locality.Region == region }
-	const cutAt, healAt = 5_000_000, 65_000_000
+	const partitionAt, healAt = 5_000_000, 65_000_000
 	var before, during, after int64
 	f.stream(2_000_000, 100_000_000, 100, recordAt(f, 0, len(f.members)/4))
-	f.schedule(cutAt, func() { f.cutOff(inside) })
-	f.schedule(cutAt+10_000_000, func() { f.splitViews(inside) })
-	f.schedule(healAt, func() { f.isCut = noCut })
-	f.schedule(healAt+2_000_000, func() { f.joinViews() })
+	f.schedule(partitionAt, func() { f.partition(inside) })
+	f.schedule(partitionAt+10_000_000, func() { f.splitViews(inside) })
+	f.schedule(healAt, func() { f.isPartitioned = noPartition })
+	f.schedule(healAt+2_000_000, func() { f.mergeViews() })
 	f.run(healAt + 3_000_000)
 	f.measure()
 	f.run(healAt + 33_000_000)
@@ -219,7 +219,7 @@
 	f.run(160_000_000)
 	r := f.result()
 	t.Log(r)
-	t.Logf("the 30 s after: %.0f B/s at the busiest, %.0f mean", loaded.busiest, loaded.typical)
+	t.Logf("the 30 s after: %.0f B/s at the busiest, %.0f mean", loaded.busiest, loaded.mean)
 	last := int64(0)
 	for i, m := range f.members {
 		for p, issuedAt := range f.issued {
@@ -228,9 +228,9 @@
 			switch {
 			case issuedAt > healAt+3_000_000:
 				after = max(after, latency)
-			case issuedAt < cutAt-2_000_000 || !inside(m):
+			case issuedAt < partitionAt-2_000_000 || !inside(m):
 				before = max(before, latency)
-			case issuedAt > cutAt:
+			case issuedAt > partitionAt:
 				during++
 				last = max(last, receivedAt)
 			}
@@ -270,12 +270,12 @@
 	})
 	f.run(2_000_000)
 	f.measure()
-	busiest, typicalSum, samples := 0.0, 0.0, 0.0
+	busiest, meanSum, samples := 0.0, 0.0, 0.0
 	for isComplete := false; !isComplete && f.now < end; {
 		f.run(f.now + 10_000_000)
 		sample := f.traffic()
 		busiest = max(busiest, sample.busiest)
-		typicalSum += sample.typical
+		meanSum += sample.mean
 		samples++
 		f.measure()
 		isComplete = true
@@ -283,7 +283,7 @@
 			isComplete = isComplete && n.kept.count >= missed+issued-500 // those of the last seconds are under way
 		}
 	}
-	t.Logf("%d purges missed by 13 are there after %.0f s; %.0f B/s at the busiest in any 10 s, %.0f mean", missed, float64(f.now)/1e6, busiest, typicalSum/samples)
+	t.Logf("%d purges missed by 13 are there after %.0f s; %.0f B/s at the busiest in any 10 s, %.0f mean", missed, float64(f.now)/1e6, busiest, meanSum/samples)
 	if f.now >= end {
 		t.Error("not all purges were reconciled")
 	}
--- a/internal/fleet/broadcast/frozen_test.go
+++ b/internal/fleet/broadcast/frozen_test.go
@@ -14,7 +14,7 @@
 	batch, _ := encodeBatch(batchID{0x0102030405060708, 300}, siteHead, purges)
 	part := pullRequest{second: 1_764_576_000, bits: 3, prefix: 5, ids: []uint32{1, 0xfffffffe}}
 	complete, _ := encodePurges(pullRequest{second: 1_764_576_000}, true, purges[:1])
-	some, _ := encodePurges(part, false, nil)
+	partial, _ := encodePurges(part, false, nil)
 	for name, written := range map[string][]byte{
 		"batch.frame":          batch,
 		"have.frame":           encodeLazyPush([]originProgress{{0x0102030405060708, 300, 5}, {7, 0, 1 << 63}}),
@@ -24,7 +24,7 @@
 		"ask.frame":            encodeSumsRequest(1_764_576_000),
 		"pull.frame":           encodePullRequest(part),
 		"items-complete.frame": complete,
-		"items-part.frame":     some,
+		"items-part.frame":     partial,
 	} {
 		frozen.Equal(t, name, written)
 		frozen.Equal(t, name, rewritten(t, frozen.Read(t, name)))
@@ -40,8 +40,8 @@
 	r := frameReader{rest: frame[2:]}
 	switch frame[1] {
 	case frameBatch:
-		id, by, purges := r.batchID(), r.tier(), r.purges()
-		out, _ = encodeBatch(id, by, purges)
+		id, originTier, purges := r.batchID(), r.tier(), r.purges()
+		out, _ = encodeBatch(id, originTier, purges)
 	case frameLazyPush:
 		out = encodeLazyPush(r.lazyPush())
 	case frameRepairRequest:
@@ -56,8 +56,8 @@
 	case framePullRequest:
 		out = encodePullRequest(r.pullRequest())
 	case framePurges:
-		of, complete := r.pullHeader(), r.uvarint(1) == 1
-		out, _ = encodePurges(of, complete, r.purges())
+		header, complete := r.pullHeader(), r.uvarint(1) == 1
+		out, _ = encodePurges(header, complete, r.purges())
 	}
 	if !r.isComplete() {
 		t.Fatal("the frame cannot be read")
--- a/internal/fleet/broadcast/heal_test.go
+++ b/internal/fleet/broadcast/heal_test.go
@@ -17,11 +17,11 @@
 		f.recordOwn(sources[published%2], p)
 	})
 	const healSeenAt = 21_000_000
-	f.schedule(5_000_000, func() { f.cutOff(inside) })
+	f.schedule(5_000_000, func() { f.partition(inside) })
 	f.schedule(12_000_000, func() { f.splitViews(inside) })
-	f.schedule(20_000_000, func() { f.isCut = noCut })
+	f.schedule(20_000_000, func() { f.isPartitioned = noPartition })
 	f.schedule(healSeenAt, func() {
-		f.joinViews()
+		f.mergeViews()
 		f.measure()
 	})
 	f.run(80_000_000)
--- a/internal/fleet/broadcast/property_test.go
+++ b/internal/fleet/broadcast/property_test.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// joinRun is a small fleet whose frames are delivered in any order, several times and not at all.
-type joinRun struct {
+// deliveryRun is a small fleet whose frames are delivered in any order, several times and not at all.
+type deliveryRun struct {
 	t        *rapid.T
 	members  []Member
 	nodes    map[string]*Node
@@ -133,8 +133,8 @@
 	Message
 }
 
-func newJoinRun(t *rapid.T) *joinRun {
-	r := &joinRun{t: t, members: testMembers(rapid.IntRange(2, 7).Draw(t, "gateways"), 2, 1, 1), nodes: map[string]*Node{},
+func newDeliveryRun(t *rapid.T) *deliveryRun {
+	r := &deliveryRun{t: t, members: testMembers(rapid.IntRange(2, 7).Draw(t, "gateways"), 2, 1, 1), nodes: map[string]*Node{},
 		received: map[string]map[Purge]bool{}, union: map[Purge]bool{}}
 	SortMembers(r.members)
 	for i, m := range r.members {
@@ -145,13 +145,13 @@
 	return r
 }
 
-func (r *joinRun) recordOwn(m Member, p Purge) {
+func (r *deliveryRun) recordOwn(m Member, p Purge) {
 	r.union[p] = true
 	r.received[m.Name][p] = true
 	r.nodes[m.Name].RecordOwn([]Purge{p}, r.now)
 }
 
-func (r *joinRun) step(m Member) {
+func (r *deliveryRun) step(m Member) {
 	n := r.nodes[m.Name]
 	n.Step(r.now)
 	for _, message := range n.TakeMessages() {
@@ -161,7 +161,7 @@
 }
 
 // deliver delivers a frame and expects that its purges are new to the node, and that the node still has all that it received.
-func (r *joinRun) deliver(f frameInFlight) {
+func (r *deliveryRun) deliver(f frameInFlight) {
 	n, received := r.nodes[f.To], r.received[f.To]
 	learned, err := n.HandleFrame(f.from, f.Frame, r.now)
 	if err != nil {
@@ -184,7 +184,7 @@
 }
 
 // act does one random thing.
-func (r *joinRun) act() {
+func (r *deliveryRun) act() {
 	t := r.t
 	r.now += rapid.Int64Range(0, 300_000).Draw(t, "elapsed")
 	m := rapid.SampledFrom(r.members).Draw(t, "gateway")
@@ -211,11 +211,11 @@
 	}
 }
 
-// TestJoin delivers frames in any order, several times and not at all: what a node has received only grows, each purge is learned from peers
+// TestDeliveryInAnyOrderConverges delivers frames in any order, several times and not at all: what a node has received only grows, each purge is learned from peers
 // once, and in the end all have the union.
-func TestJoin(t *testing.T) {
+func TestDeliveryInAnyOrderConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newJoinRun(t)
+		r := newDeliveryRun(t)
 		for range rapid.IntRange(1, 60).Draw(t, "actions") {
 			r.act()
 		}
@@ -284,12 +284,12 @@
 // TestIdentity expects one object purged at two times, in a group and without, to be different purges, and a purge of both watches to be one.
 func TestIdentity(t *testing.T) {
 	a, b := nodePair()
-	four := []Purge{{"00000000000000aa", 0, epoch + 1}, {"00000000000000aa", 0, epoch + 2}, {"00000000000000aa", 7, epoch + 1}, {"", 7, epoch + 1}}
-	a.RecordOwn(four, 0)
-	b.RecordOwn(four[:1], 0)
+	purges := []Purge{{"00000000000000aa", 0, epoch + 1}, {"00000000000000aa", 0, epoch + 2}, {"00000000000000aa", 7, epoch + 1}, {"", 7, epoch + 1}}
+	a.RecordOwn(purges, 0)
+	b.RecordOwn(purges[:1], 0)
 	_, learned := deliverAll(t, a, b, 0, 3_000_000)
 	sortByIssue(learned)
-	if want := []Purge{four[3], four[2], four[1]}; !slices.Equal(learned, want) {
+	if want := []Purge{purges[3], purges[2], purges[1]}; !slices.Equal(learned, want) {
 		t.Errorf("learned %v", learned)
 	}
 	if learned, _ = deliverAll(t, a, b, 3_000_000, 9_000_000); len(learned) > 0 || a.kept.count != 4 || b.kept.count != 4 {
@@ -305,10 +305,10 @@
 	deliverAll(t, a, b, 0, 8_000_000)
 	restarted := New(testSettings(), a.self, 99, rand.New(rand.NewPCG(9, 9)), 8_000_000)
 	restarted.SetMembers(b.tree.members, 8_000_000)
-	three := Purge{"three", 0, epoch + 8001}
-	restarted.RecordOwn([]Purge{three}, 8_000_000)
+	afterRestart := Purge{"three", 0, epoch + 8001}
+	restarted.RecordOwn([]Purge{afterRestart}, 8_000_000)
 	learnedA, learnedB := deliverAll(t, restarted, b, 8_000_000, 20_000_000)
-	if len(learnedA) != 2 || !slices.Equal(learnedB, []Purge{three}) {
+	if len(learnedA) != 2 || !slices.Equal(learnedB, []Purge{afterRestart}) {
 		t.Errorf("learned %v and %v", learnedA, learnedB)
 	}
 }
@@ -354,8 +354,8 @@
 	}
 }
 
-// TestFull expects that purges past the bound displace the oldest, counted, and that sums stay right.
-func TestFull(t *testing.T) {
+// TestKeptPurgesAreBounded expects that purges past the bound displace the oldest, counted, and that sums stay right.
+func TestKeptPurgesAreBounded(t *testing.T) {
 	settings := testSettings()
 	settings.MaxKept = 500
 	members := testMembers(2, 1, 1, 1)
@@ -375,19 +375,19 @@
 	}
 }
 
-// TestLiar expects that a peer with a false batch under another's id, far sequences and false announcements holds no purge back.
-func TestLiar(t *testing.T) {
+// TestFalseFramesHoldNoPurgeBack expects that a peer with a false batch under another's id, far sequences and false announcements holds no purge back.
+func TestFalseFramesHoldNoPurgeBack(t *testing.T) {
 	a, b := nodePair()
-	lie, _ := encodeBatch(batchID{a.originID, 1}, root, []Purge{{"a lie", 0, epoch}})
-	far, _ := encodeBatch(batchID{a.originID, maxSeq}, root, []Purge{{"another", 0, maxIssued - 1}})
-	for _, frame := range [][]byte{lie, far, encodeLazyPush([]originProgress{{a.originID, maxSeq, 1<<64 - 1}, {1, 5, 1 << 63}})} {
+	falseBatch, _ := encodeBatch(batchID{a.originID, 1}, root, []Purge{{"a lie", 0, epoch}})
+	farBatch, _ := encodeBatch(batchID{a.originID, maxSeq}, root, []Purge{{"another", 0, maxIssued - 1}})
+	for _, frame := range [][]byte{falseBatch, farBatch, encodeLazyPush([]originProgress{{a.originID, maxSeq, 1<<64 - 1}, {1, 5, 1 << 63}})} {
 		if _, err := b.HandleFrame("who", frame, 0); err != nil {
 			t.Fatal(err)
 		}
 	}
-	truth := Purge{"the truth", 0, epoch + 1}
-	a.RecordOwn([]Purge{truth}, 0)
-	if _, learned := deliverAll(t, a, b, 0, 3_000_000); !slices.Contains(learned, truth) {
+	genuine := Purge{"the truth", 0, epoch + 1}
+	a.RecordOwn([]Purge{genuine}, 0)
+	if _, learned := deliverAll(t, a, b, 0, 3_000_000); !slices.Contains(learned, genuine) {
 		t.Error("the true purge was held back")
 	}
 	checkBounds(t, b)
@@ -416,8 +416,8 @@
 	}
 }
 
-// TestEndlessPeerIsLeft expects that a peer that answers each pull with a part of it is left after a bounded number of requests.
-func TestEndlessPeerIsLeft(t *testing.T) {
+// TestSessionWithEndlessPeerEnds expects that a peer that answers each pull with a part of it is left after a bounded number of requests.
+func TestSessionWithEndlessPeerEnds(t *testing.T) {
 	members := testMembers(2, 1, 1, 1)
 	n := New(testSettings(), members[0], 1, rand.New(rand.NewPCG(1, 1)), 0)
 	n.settings.RateLimit = 1 << 40
--- a/internal/fleet/broadcast/silence_test.go
+++ b/internal/fleet/broadcast/silence_test.go
@@ -5,10 +5,10 @@
 // A gateway is cut off while the last purges before a silence are published, and for longer than batches are kept for repair. Nothing newer
 // shows them to be missing: it must get them all the same.
 func TestLastPurgesBeforeASilenceAreReconciled(t *testing.T) {
-	f := runPurgeStream(t, 0, 8, func(f *fleet) func(Purge) { return recordAt(f, 0) })
+	f := startPurgeStream(t, 0, 8, func(f *fleet) func(Purge) { return recordAt(f, 0) })
 	last := f.members[len(f.members)-1].Name
-	f.schedule(f.now+6_000_000, func() { f.cutOff(func(m Member) bool { return m.Name == last }) })
-	f.schedule(f.now+60_000_000, func() { f.isCut = noCut })
+	f.schedule(f.now+6_000_000, func() { f.partition(func(m Member) bool { return m.Name == last }) })
+	f.schedule(f.now+60_000_000, func() { f.isPartitioned = noPartition })
 	f.run(f.now + 60_000_000)
 	if f.result().missing == 0 {
 		t.Fatal("the gateway that was cut off lacks nothing: the case proves nothing")
--- a/internal/fleet/broadcast/testfleet_test.go
+++ b/internal/fleet/broadcast/testfleet_test.go
@@ -19,7 +19,7 @@
 	receivedAt    []map[Purge]int64 // of each node
 	issued        map[Purge]int64   // when
 	loss          float64
-	isCut         func(a, b Member) bool
+	isPartitioned func(a, b Member) bool
 	dead          []bool
 	queue         eventQueue
 	now           int64
@@ -85,14 +85,14 @@
 func newFleet(t testing.TB, seed uint64, members []Member, settings Settings) *fleet {
 	t.Helper()
 	f := &fleet{
-		t:       t,
-		rng:     rand.New(rand.NewPCG(seed, 1)),
-		members: members,
-		index:   map[string]int{},
-		issued:  map[Purge]int64{},
-		isCut:   noCut,
-		dead:    make([]bool, len(members)),
-		armedAt: make([]int64, len(members)),
+		t:             t,
+		rng:           rand.New(rand.NewPCG(seed, 1)),
+		members:       members,
+		index:         map[string]int{},
+		issued:        map[Purge]int64{},
+		isPartitioned: noPartition,
+		dead:          make([]bool, len(members)),
+		armedAt:       make([]int64, len(members)),
 	}
 	SortMembers(f.members)
 	for i, m := range members {
@@ -105,7 +105,7 @@
 	return f
 }
 
-func noCut(a, b Member) bool { return false }
+func noPartition(a, b Member) bool { return false }
 
 func (f *fleet) push(e event) {
 	f.lastOrder++
@@ -128,7 +128,7 @@
 		count.frames++
 		count.bytes += uint64(len(m.Frame) + datagramOverhead)
 		to := f.index[m.To]
-		if f.loss > 0 && f.rng.Float64() < f.loss || f.isCut(f.members[i], f.members[to]) {
+		if f.loss > 0 && f.rng.Float64() < f.loss || f.isPartitioned(f.members[i], f.members[to]) {
 			continue
 		}
 		f.push(event{at: f.now + f.latency(f.members[i], f.members[to]), to: to, from: f.members[i].Name, frame: m.Frame})
@@ -206,11 +206,11 @@
 // result is the outcome of a run.
 type result struct {
 	missing        int     // pairs of a purge and a node that did not receive it
-	worst          int64   // microseconds, of those received
-	median         int64   // microseconds until the last node has a purge
+	maxLatency     int64   // microseconds, of those received
+	medianLatency  int64   // microseconds until the last node has a purge
 	batchCopies    float64 // of a batch at a node, for each batch injected
 	busiest        float64 // bytes per second in and out, of the busiest node
-	typical        float64 // of the mean node
+	mean           float64 // of the mean node
 	batches        uint64
 	repairs        uint64
 	repairRequests uint64
@@ -247,7 +247,7 @@
 		r.givenUp += after.GivenUp - before.GivenUp
 		r.reconciled += after.PurgesReceived - before.PurgesReceived
 	}
-	r.typical = sum / float64(len(f.nodes))
+	r.mean = sum / float64(len(f.nodes))
 	r.batchCopies = float64(copies) / float64(len(f.nodes)) / float64(max(1, r.batches))
 	return r
 }
@@ -270,16 +270,16 @@
 			last = max(last, receivedAt-issuedAt)
 		}
 		latencies = append(latencies, last)
-		r.worst = max(r.worst, last)
+		r.maxLatency = max(r.maxLatency, last)
 	}
 	if len(latencies) > 0 {
 		slices.Sort(latencies)
-		r.median = latencies[len(latencies)/2]
+		r.medianLatency = latencies[len(latencies)/2]
 	}
 	return r
 }
 
 func (r result) String() string {
 	return fmt.Sprintf("missing %d, all everywhere after %.2f s (median %.2f), %d batches, %.3f copies of each a node, %.0f B/s at the busiest, %.0f mean, repairs %d, requests %d, shed %d, given up %d, by reconciliation %d",
-		r.missing, float64(r.worst)/1e6, float64(r.median)/1e6, r.batches, r.batchCopies, r.busiest, r.typical, r.repairs, r.repairRequests, r.shed, r.givenUp, r.reconciled)
+		r.missing, float64(r.maxLatency)/1e6, float64(r.medianLatency)/1e6, r.batches, r.batchCopies, r.busiest, r.mean, r.repairs, r.repairRequests, r.shed, r.givenUp, r.reconciled)
 }
