--- a/internal/fleet/broadcast/driver/driver.go
+++ b/internal/fleet/broadcast/driver/driver.go
@@ -1,14 +1,17 @@
-// Package driver runs the broadcast of purges (package fleet/broadcast, which decides) over the fleet's datagrams: purges of this
-// gateway's own discovery watch and datagrams of peers go in, datagrams go out, and purges that a peer sent first are handed on to be
-// applied.
+// Package driver runs the purge broadcast of package fleet/broadcast over the fleet's datagrams. Package broadcast
+// makes the decisions. The driver passes the purges of this gateway's own discovery watch and the datagrams of peers
+// to the broadcast. The driver sends the datagrams that the broadcast produces, and it hands on the purges that a
+// peer sent first, so that they are applied.
 //
-// A datagram of the broadcast begins with the byte broadcast.Kind; eight bytes of the sender's key (view.NameKey) follow, as the fleet's
-// datagrams do not name their sender, then the frame.
+// A broadcast datagram consists of the byte broadcast.Kind, eight bytes with the key of the sender (view.NameKey) and
+// the frame. It carries the key because the fleet's datagrams do not name their sender.
 //
-// One goroutine, Run, does all the work; HandleMessage and RecordPurges only queue and never wait. Bounds: maxQueuedFrames datagrams of at
-// most maxDatagramBytes and maxQueuedPurges purges of the own watch wait, past them new ones are dropped and counted: the repair of the
-// broadcast finds them, and purges of the own watch are applied without it. The latest maxLatest purges that were applied here are kept
-// for reports, some 100 KB. A Driver lives as long as its gateway.
+// One goroutine, Run, does all the work. HandleMessage and RecordPurges only add to a queue and never wait for I/O.
+//
+// At most maxQueuedFrames datagrams of at most maxDatagramBytes each are queued, and at most maxQueuedPurges purges
+// of the own watch. Further ones are dropped and counted. The repair of the broadcast recovers the content of dropped
+// datagrams, and the gateway applies the purges of its own watch without the broadcast. A Driver keeps the latest
+// maxLatest applied purges for reports, about 100 KB. It lives as long as its gateway.
 package driver
 
 import (
@@ -28,7 +31,7 @@
 	maxDatagramBytes = 1400
 	maxQueuedPurges  = 4096
 	headerSize       = 1 + 8
-	viewInterval     = 200 * time.Millisecond // at which the view is checked for changes
+	viewInterval     = 200 * time.Millisecond // the view is checked for changes at least this often
 	minTurnInterval  = time.Millisecond
 )
 
@@ -36,28 +39,28 @@
 type Fleet interface {
 	// Send sends a datagram to a member.
 	Send(to string, b []byte) error
-	// LiveIDs returns the live members and the version of the view that they are of.
+	// LiveIDs returns the live members and the version of the view that lists them.
 	LiveIDs() ([]view.ID, uint64)
-	// Version returns the present version of the view.
+	// Version returns the current version of the view.
 	Version() uint64
 }
 
-// Counts are since the process started.
+// Counts holds the counters of a driver since its process started.
 type Counts struct {
-	Received         uint64 `json:"taken_in"`     // datagrams of peers
-	BytesIn          uint64 `json:"bytes_in"`     // of them, without the headers of UDP and IP
-	Sent             uint64 `json:"sent_out"`     // datagrams
-	BytesOut         uint64 `json:"bytes_out"`    // of them
-	SendFailures     uint64 `json:"not_sent"`     // datagrams whose peer is no longer live, or that the transport refused
-	Dropped          uint64 `json:"full"`         // datagrams, as too many waited or they were too long
-	UnknownSenders   uint64 `json:"unknown"`      // datagrams of a sender that is not live in this view
-	Unreadable       uint64 `json:"unreadable"`   // datagrams
-	OwnPurgesDropped uint64 `json:"own_dropped"`  // purges of the own watch, as too many waited; they were applied all the same
-	LearnedFromPeers uint64 `json:"peers_first"`  // purges that a peer sent before the own watch did
-	BehindPeriods    uint64 `json:"behind_times"` // times that the mode became behind
+	Received         uint64 `json:"taken_in"`     // datagrams from live peers
+	BytesIn          uint64 `json:"bytes_in"`     // bytes received, without the headers of UDP and IP
+	Sent             uint64 `json:"sent_out"`     // datagrams sent
+	BytesOut         uint64 `json:"bytes_out"`    // bytes sent, without the headers of UDP and IP
+	SendFailures     uint64 `json:"not_sent"`     // unsent datagrams: peer no longer live, or refused by the transport
+	Dropped          uint64 `json:"full"`         // datagrams dropped because they were too long or the queue was full
+	UnknownSenders   uint64 `json:"unknown"`      // datagrams whose sender is not live in this gateway's view
+	Unreadable       uint64 `json:"unreadable"`   // datagrams that could not be read
+	OwnPurgesDropped uint64 `json:"own_dropped"`  // the own watch's purges not queued (queue full); still applied
+	LearnedFromPeers uint64 `json:"peers_first"`  // purges that a peer sent before the own watch brought them
+	BehindPeriods    uint64 `json:"behind_times"` // times the mode changed to behind
 }
 
-// Driver runs the broadcast of one gateway. Its methods are safe for concurrent use, except SetFleet.
+// Driver runs the broadcast of one gateway. All its methods except SetFleet are safe for concurrent use.
 type Driver struct {
 	self      string
 	locality  broadcast.Locality
@@ -65,25 +68,26 @@
 	onPurges  func([]broadcast.Purge)
 	log       *slog.Logger
 	startedAt time.Time
-	wakeup    chan struct{} // something is queued
+	wakeup    chan struct{} // signals that something is queued
 
-	// Run's goroutine alone uses these.
-	viewVersion uint64 // of the members that the node has
-	hasView     bool   // the node has members
+	// The following fields are used by Run's goroutine only.
+	viewVersion uint64 // version of the view that the node's members come from
+	hasView     bool   // whether the node has been given members
 
-	mu        sync.Mutex // never held over I/O, nor over a log line
+	mu        sync.Mutex // never held during I/O or logging
 	node      *broadcast.Node
-	queue     [][]byte
-	ownPurges []broadcast.Purge // queued
-	peerNames map[uint64]string // live peers, by key
+	queue     [][]byte          // datagrams that wait for the next turn
+	ownPurges []broadcast.Purge // purges of the own watch that wait for the next turn
+	peerNames map[uint64]string // names of live peers by view.NameKey
 	counts    Counts
 	lag       lagDetector
 	applied   appliedLog
 }
 
-// New makes a Driver. It calls onPurges with purges that a peer sent first, on Run's goroutine. wall is the machine's clock, for the age
-// of purges. stamp seeds all random choices, and must differ at each start of a process and between gateways: peers know batches by it,
-// and would take those of a new process under an old stamp for ones that they have.
+// New returns a Driver for the gateway self at place. Run's goroutine calls onPurges with the purges that a peer sent
+// first. wall returns the machine's wall-clock time, from which the age of purges is computed. stamp seeds all random
+// choices. It must differ between gateways and at each start of a process: peers identify batches by it, and would
+// mistake the batches of a new process under an old stamp for batches that they already have.
 func New(self string, place view.Locality, onPurges func([]broadcast.Purge), log *slog.Logger, stamp uint64, wall func() time.Time) *Driver {
 	d := &Driver{
 		self:      self,
@@ -101,16 +105,16 @@
 	return d
 }
 
-// SetFleet sets the fleet to send to. It must be called before Run.
+// SetFleet sets the fleet that the driver sends to. It must be called before Run.
 func (d *Driver) SetFleet(fleet Fleet) { d.fleet = fleet }
 
-// now is the time in microseconds since New, never 0.
+// now returns the time since New in microseconds. It is never 0.
 func (d *Driver) now() int64 { return time.Since(d.startedAt).Microseconds() + 1 }
 
-// IsBroadcast reports whether a datagram of the fleet is one of the broadcast.
+// IsBroadcast reports whether a fleet datagram belongs to the broadcast.
 func IsBroadcast(b []byte) bool { return len(b) > 0 && b[0] == broadcast.Kind }
 
-// HandleMessage queues a datagram of a peer; it keeps no reference to b.
+// HandleMessage queues a datagram from a peer. It keeps no reference to b.
 func (d *Driver) HandleMessage(b []byte) {
 	d.mu.Lock()
 	if len(d.queue) >= maxQueuedFrames || len(b) > maxDatagramBytes {
@@ -122,7 +126,7 @@
 	d.signal()
 }
 
-// RecordPurges queues purges of the own discovery watch, which the caller applies.
+// RecordPurges queues purges that this gateway's own discovery watch brought. The caller applies them.
 func (d *Driver) RecordPurges(purges []broadcast.Purge) {
 	if len(purges) == 0 {
 		return
@@ -131,7 +135,7 @@
 	queued := min(len(purges), max(0, maxQueuedPurges-len(d.ownPurges)))
 	d.counts.OwnPurgesDropped += uint64(len(purges) - queued)
 	d.ownPurges = append(d.ownPurges, purges[:queued]...)
-	d.applied.add(purges, false, d.now()) // those that are not queued too
+	d.applied.add(purges, false, d.now()) // includes those that were not queued: the caller applies all
 	d.mu.Unlock()
 	d.signal()
 }
@@ -143,7 +147,7 @@
 	}
 }
 
-// Run does the work until stop is closed.
+// Run processes queued purges and datagrams, steps the broadcast and sends its datagrams until stop is closed.
 func (d *Driver) Run(stop <-chan struct{}) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -169,21 +173,21 @@
 	}
 }
 
-// message is a datagram to be sent to a peer.
+// message is a datagram for a peer.
 type message struct {
 	to       string
 	datagram []byte
 }
 
-// turnResult is what a turn leaves to be done without the lock.
+// turnResult is the work that a turn leaves to be done after it has released mu.
 type turnResult struct {
-	learned  []broadcast.Purge // to be applied
+	learned  []broadcast.Purge // purges to apply
 	messages []message
-	logLine  func() // nil: none
-	nextTurn time.Duration
+	logLine  func()        // logs a change of the mode; nil if there was none
+	nextTurn time.Duration // time until the next turn
 }
 
-// turn hands all that is queued to the node and collects what is to be done.
+// turn passes everything that is queued to the node, steps the node, and returns the resulting work.
 func (d *Driver) turn() (result turnResult) {
 	version := d.fleet.Version()
 	var live []view.ID
@@ -201,13 +205,13 @@
 	result.messages = d.takeMessages()
 	d.counts.LearnedFromPeers += uint64(len(result.learned))
 	result.logLine = d.updateMode(now)
-	// Bounded before it is converted to nanoseconds: the node's "never" would overflow.
+	// The bound is applied before the conversion to nanoseconds, which would overflow for the node's "never".
 	micros := min(viewInterval.Microseconds(), d.node.Next()-now)
 	result.nextTurn = max(minTurnInterval, time.Duration(micros)*time.Microsecond)
 	return result
 }
 
-// setMembers tells the node who is live; mu is held.
+// setMembers passes the live members to the node and rebuilds peerNames. The caller holds mu.
 func (d *Driver) setMembers(live []view.ID, version uint64) {
 	d.hasView = true
 	d.viewVersion = version
@@ -223,7 +227,8 @@
 	d.node.SetMembers(members, d.now())
 }
 
-// handleQueued hands queued purges and datagrams to the node and returns the purges that are new here; mu is held.
+// handleQueued passes the queued purges and datagrams to the node. It returns the purges from peers that this gateway
+// did not know. The caller holds mu.
 func (d *Driver) handleQueued(now int64) (learned []broadcast.Purge) {
 	ownPurges := d.ownPurges
 	queue := d.queue
@@ -238,8 +243,9 @@
 	return learned
 }
 
-// handleDatagram hands one datagram to the node and returns the purges that are new here; mu is held. What cannot be read is counted and
-// not logged: a peer that sends such datagrams would fill the log.
+// handleDatagram passes a datagram to the node and returns the purges in it that this gateway did not know. An
+// unreadable datagram is counted and not logged, because a peer that sends many of them would fill the log. The
+// caller holds mu.
 func (d *Driver) handleDatagram(b []byte, now int64) []broadcast.Purge {
 	if len(b) <= headerSize || b[0] != broadcast.Kind {
 		d.counts.Unreadable++
@@ -259,7 +265,7 @@
 	return learned
 }
 
-// takeMessages returns the node's frames as datagrams; mu is held.
+// takeMessages returns the frames that the node wants to send, as datagrams. The caller holds mu.
 func (d *Driver) takeMessages() (messages []message) {
 	for _, m := range d.node.TakeMessages() {
 		datagram := binary.LittleEndian.AppendUint64([]byte{broadcast.Kind}, view.NameKey(d.self))
@@ -268,7 +274,7 @@
 	return messages
 }
 
-// send sends datagrams. One that cannot be sent is repaired like one that was lost.
+// send sends datagrams. A datagram that cannot be sent is recovered by repair, like one that is lost in transit.
 func (d *Driver) send(messages []message) {
 	var sent, bytes, failed uint64
 	for _, m := range messages {
--- a/internal/fleet/broadcast/driver/frozen_test.go
+++ b/internal/fleet/broadcast/driver/frozen_test.go
@@ -13,7 +13,7 @@
 	"foldslip/internal/lab/frozen"
 )
 
-// twoGateways is a fleet of n1 and n2 that records what n1 sends.
+// twoGateways is a Fleet with the members n1 and n2 that records the datagrams sent through it.
 type twoGateways struct {
 	mu   sync.Mutex
 	sent [][]byte
@@ -32,7 +32,8 @@
 
 func (f *twoGateways) Version() uint64 { return 1 }
 
-// A datagram with a batch, as released builds sent it, is read, and sent with the same bytes.
+// A datagram with a batch must be written byte for byte as released builds wrote it, and the stored datagram of a
+// released build must be readable.
 func TestFrozenDatagramKeepsTheSameBytes(t *testing.T) {
 	const name = "batch.datagram"
 	synctest.Test(t, func(t *testing.T) {
@@ -55,12 +56,12 @@
 		receiver.turn()
 		receiver.HandleMessage(frozen.Read(t, name))
 		if got := receiver.turn().learned; !slices.Equal(got, []broadcast.Purge{purge}) {
-			t.Errorf("read %+v, not %+v", got, purge)
+			t.Errorf("read %+v from the stored datagram, want %+v", got, purge)
 		}
 	})
 }
 
-// firstBatch is the first datagram whose frame is a batch of purges.
+// firstBatch returns the first datagram whose frame is a batch of purges.
 func firstBatch(t *testing.T, sent [][]byte) []byte {
 	t.Helper()
 	for _, b := range sent {
@@ -68,7 +69,7 @@
 			return b
 		}
 	}
-	t.Fatalf("no batch in %d datagrams", len(sent))
+	t.Fatalf("none of %d datagrams carries a batch", len(sent))
 	return nil
 }
 
--- a/internal/fleet/broadcast/driver/mode.go
+++ b/internal/fleet/broadcast/driver/mode.go
@@ -7,26 +7,31 @@
 )
 
 const (
-	behindThreshold    = 2 * time.Second // age of a gap that makes the mode behind: what is repaired at once is no news
-	recoveredThreshold = 5 * time.Second // without such a gap, after which the mode is caught up: at most two log lines in that time
+	// behindThreshold is the age of a gap at which the mode changes to behind. A gap that is repaired sooner is not
+	// worth a log line.
+	behindThreshold = 2 * time.Second
+	// recoveredThreshold is the time without such a gap after which the mode changes to caught up. It limits the log
+	// to two lines within that time.
+	recoveredThreshold = 5 * time.Second
 )
 
-// Modes of the broadcast as the log and the operators' socket spell them.
+// Modes of the broadcast as they are spelled in the log and on the operators' socket.
 const (
 	modeBehind   = "behind"
 	modeCaughtUp = "whole"
 )
 
-// lagDetector tells whether this gateway lacks purges for longer than repair usually takes. Under steady loss some gap is always open, each
-// for a short time: that does not count. Times are in microseconds as Driver.now has them.
+// lagDetector detects that this gateway has lacked purges for longer than repair usually takes. Under steady packet
+// loss some gap is always open, but each one only for a short time. Such gaps do not count as lag. Times are in
+// microseconds on the clock of Driver.now.
 type lagDetector struct {
 	isBehind       bool
-	behindSince    int64 // when the gap began for which isBehind was set
-	lastBehindAt   int64 // when a gap was last older than behindThreshold
-	differingSince int64 // since when reconciliation knows of seconds that may lack purges; 0: it knows of none
+	behindSince    int64 // start of the gap that set isBehind
+	lastBehindAt   int64 // last time at which a gap was older than behindThreshold
+	differingSince int64 // since when reconciliation has known of seconds that may lack purges; 0 if it knows of none
 }
 
-// update takes the gaps that are open now and reports whether isBehind changed.
+// update updates isBehind from the gaps that are open at now. It reports whether isBehind changed.
 func (l *lagDetector) update(gaps broadcast.Lag, now int64) (changed bool) {
 	since := l.openSince(gaps, now)
 	hasOldGap := since != 0 && now-since > behindThreshold.Microseconds()
@@ -45,8 +50,8 @@
 	return false
 }
 
-// openSince is when the oldest gap began, 0 where there is none. The node dates missing batches; seconds of which a peer has more purges
-// are dated here.
+// openSince returns when the oldest open gap began, or 0 if there is none. The node reports since when batches have
+// been missing. openSince itself records since when a peer has had more purges of some seconds.
 func (l *lagDetector) openSince(gaps broadcast.Lag, now int64) int64 {
 	since := gaps.Since
 	if gaps.DifferingSeconds == 0 {
@@ -62,12 +67,14 @@
 	return since
 }
 
-// behindFor is how long the last period in mode behind was.
+// behindFor returns how long the latest lag lasted. The lag begins with the gap that set isBehind and ends when a gap
+// was last older than behindThreshold.
 func (l *lagDetector) behindFor() time.Duration {
 	return time.Duration(l.lastBehindAt-l.behindSince) * time.Microsecond
 }
 
-// updateMode returns the log line of a change of the mode, nil where there is none; mu is held.
+// updateMode updates the mode. It returns a function that logs the change, or nil if the mode did not change. The
+// caller holds mu.
 func (d *Driver) updateMode(now int64) (logLine func()) {
 	gaps := d.node.Stats().Behind
 	if !d.lag.update(gaps, now) {
--- a/internal/fleet/broadcast/driver/testfleet_test.go
+++ b/internal/fleet/broadcast/driver/testfleet_test.go
@@ -17,25 +17,25 @@
 
 const (
 	testLatency = time.Millisecond
-	spreadBound = 4500 * time.Millisecond // in which a purge is to reach all
+	spreadBound = 4500 * time.Millisecond // time within which a purge must reach all gateways
 )
 
-// testFleet is a fleet of drivers in one process, over a network that delays datagrams by testLatency, loses a share of them, and cuts off
-// isolated gateways.
+// testFleet is a fleet of drivers in one process. Its network delays datagrams by testLatency, loses a share of them,
+// and loses all datagrams from and to isolated gateways.
 type testFleet struct {
 	mu       sync.Mutex
 	ids      []view.ID
 	drivers  map[string]*Driver
 	isolated map[string]bool
-	loss     float64 // share of datagrams
+	loss     float64 // share of datagrams that are lost
 	rng      *rand.Rand
-	applied  map[string]map[broadcast.Purge]int // by gateway: purges of peers, and how often
+	applied  map[string]map[broadcast.Purge]int // by gateway: how often it applied each purge from a peer
 	log      bytes.Buffer
 	version  uint64
 	stop     chan struct{}
 }
 
-// testEndpoint is the Fleet of one gateway.
+// testEndpoint is the Fleet that one gateway's driver uses.
 type testEndpoint struct {
 	*testFleet
 	name string
@@ -68,7 +68,7 @@
 	return e.version
 }
 
-// newTestFleet makes n gateways at three sites that don't run yet.
+// newTestFleet returns a fleet of n gateways at three sites. Their drivers do not run yet.
 func newTestFleet(n int) *testFleet {
 	f := &testFleet{
 		rng:      rand.New(rand.NewPCG(1, 2)),
@@ -87,7 +87,7 @@
 	return f
 }
 
-// newDriver makes the driver of a new process of a gateway.
+// newDriver returns the driver of a gateway's new process and clears the record of what the gateway applied.
 func (f *testFleet) newDriver(id view.ID, stamp uint64) *Driver {
 	applied := map[broadcast.Purge]int{}
 	f.applied[id.Name] = applied
@@ -103,7 +103,7 @@
 	return d
 }
 
-// run runs all drivers and returns a function that ends them.
+// run starts all drivers. It returns a function that stops them and waits for their end.
 func (f *testFleet) run() (shutdown func()) {
 	var running sync.WaitGroup
 	for _, d := range f.drivers {
@@ -115,14 +115,14 @@
 	}
 }
 
-// setIsolated cuts a gateway off, or connects it again.
+// setIsolated cuts a gateway off from the network, or reconnects it.
 func (f *testFleet) setIsolated(name string, isolated bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.isolated[name] = isolated
 }
 
-// receivers are the gateways that applied a purge of a peer, by name.
+// receivers returns the sorted names of the gateways that received a purge from a peer and applied it.
 func (f *testFleet) receivers(p broadcast.Purge) (names []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -135,7 +135,7 @@
 	return names
 }
 
-// loggedModes are the modes that a gateway logged.
+// loggedModes returns the modes that a gateway logged, in order.
 func (f *testFleet) loggedModes(name string) (modes []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -149,7 +149,7 @@
 	return modes
 }
 
-// lockedLog writes the fleet's log.
+// lockedLog is a writer that appends to the fleet's log under the fleet's lock.
 type lockedLog struct{ fleet *testFleet }
 
 func (l *lockedLog) Write(b []byte) (int, error) {
@@ -158,20 +158,22 @@
 	return l.fleet.log.Write(b)
 }
 
-// newPurge makes a purge that is issued now: older ones go by reconciliation only, and those that are hours ahead of the clock are not kept.
+// newPurge returns a purge that is issued now. Older purges would spread by reconciliation only, and purges issued
+// hours ahead of the clock would not be kept.
 func newPurge(i int) broadcast.Purge {
 	return broadcast.Purge{Object: fmt.Sprintf("%016x", i+1), Issued: time.Now().UnixMilli()}
 }
 
-// spreadResult counts pairs of a purge and a gateway, those whose purge was applied past spreadBound, and those whose purge never was.
+// spreadResult counts pairs of a purge and a gateway: all pairs, those in which the gateway applied the purge later
+// than spreadBound, and those in which it never did.
 type spreadResult struct{ pairs, late, missing int }
 
-// appliedTimes collects, from the drivers' reports, when each purge was first applied at each gateway.
+// appliedTimes collects from the drivers' reports when each gateway first applied each purge.
 type appliedTimes struct {
 	fleet     *testFleet
 	startedAt time.Time
-	times     map[string]map[broadcast.Purge]time.Duration // since startedAt
-	last      map[string]uint64                            // number of the last applied purge, by gateway
+	times     map[string]map[broadcast.Purge]time.Duration // by gateway, since startedAt
+	last      map[string]uint64                            // by gateway, number of its last applied purge
 }
 
 func newAppliedTimes(f *testFleet) *appliedTimes {
@@ -182,7 +184,7 @@
 	return a
 }
 
-// collect takes what all drivers report since the last time.
+// collect adds the purges that all drivers have applied since the previous call.
 func (a *appliedTimes) collect() {
 	for name, d := range a.fleet.drivers {
 		report := d.Report(a.last[name])
@@ -197,7 +199,8 @@
 	}
 }
 
-// spreadPurges publishes purges at a rate for some seconds, waits for the last, and counts how they reached all gateways.
+// spreadPurges publishes purges at a rate for the given number of seconds, waits for the last ones to arrive, and
+// counts how they reached all gateways.
 func (f *testFleet) spreadPurges(perSecond, seconds int, publish func(p broadcast.Purge), wait time.Duration) (result spreadResult) {
 	applied := newAppliedTimes(f)
 	var purges []broadcast.Purge
