--- a/internal/fleet/broadcast/bench_test.go
+++ b/internal/fleet/broadcast/bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// BenchmarkBatch encodes and handles a batch of 20 new purges, at a gateway with three children that keeps an hour and a half of 100 per
-// second.
+// BenchmarkBatch measures encoding and handling a batch of 20 new purges. The gateway has three children and keeps
+// the purges of an hour and a half at 100 per second. The benchmark also reports the heap bytes per kept purge.
 func BenchmarkBatch(b *testing.B) {
 	members := testMembers(3900, 300, 25, 12)
 	SortMembers(members)
@@ -44,7 +44,7 @@
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/kept, "bytes/kept")
 }
 
-// BenchmarkSetMembers sets another list of 3,900 members.
+// BenchmarkSetMembers measures replacing the member list by another one, of 3,900 members or one less.
 func BenchmarkSetMembers(b *testing.B) {
 	members := testMembers(3900, 300, 25, 12)
 	SortMembers(members)
--- a/internal/fleet/broadcast/fleet_test.go
+++ b/internal/fleet/broadcast/fleet_test.go
@@ -6,24 +6,25 @@
 )
 
 var (
-	gatewaysFlag = flag.Int("broadcast.gateways", 65, "gateways of the fleet cases; CI runs the default, docs/fleet-broadcast.md has others")
-	missedFlag   = flag.Int64("broadcast.missed", 300, "seconds of purges that TestLongMissed misses")
-	seedFlag     = flag.Uint64("broadcast.seed", 1, "seed of the fleet cases")
+	gatewaysFlag = flag.Int("broadcast.gateways", 65, "number of gateways in the fleet tests; CI runs the default, docs/fleet-broadcast.md lists other sizes")
+	missedFlag   = flag.Int64("broadcast.missed", 300, "seconds of purges that the site without purges lacks in TestLongMissed")
+	seedFlag     = flag.Uint64("broadcast.seed", 1, "random seed of the fleet tests")
 )
 
 const (
-	spreadTarget      = 4_500_000 // microseconds in which a purge is to reach all
-	maxBytesPerSecond = 9_000     // in and out, of the busiest node
+	spreadTarget      = 4_500_000 // microseconds within which a purge must reach all gateways
+	maxBytesPerSecond = 9_000     // sent and received by the busiest node
 )
 
-// membersOfSize returns members of the users' shape: 13 a site, 12 sites a zone and two zones a region, as near as it goes.
+// membersOfSize returns n members. Their localities approximate those of the users' fleet, which has 13 gateways per
+// site, 12 sites per zone and two zones per region.
 func membersOfSize(n int) []Member {
 	sites := max(4, n*300/3900)
 	zones := max(4, n*25/3900)
 	return testMembers(n, sites, zones, max(3, min(12, n*12/3900)))
 }
 
-// recordEverywhere has the watch of each gateway bring a purge, up to 300 ms later.
+// recordEverywhere returns a function that lets the discovery watch of each gateway bring a purge, within 300 ms.
 func recordEverywhere(f *fleet) func(Purge) {
 	return func(p Purge) {
 		for i := range f.nodes {
@@ -32,7 +33,7 @@
 	}
 }
 
-// recordAt has the watches of some gateways bring a purge.
+// recordAt returns a function that lets the discovery watches of the given gateways bring a purge at once.
 func recordAt(f *fleet, indices ...int) func(Purge) {
 	return func(p Purge) {
 		for _, i := range indices {
@@ -41,7 +42,8 @@
 	}
 }
 
-// startPurgeStream makes a fleet that has run for 2 s, and schedules 100 purges per second for some seconds.
+// startPurgeStream returns a fleet that has run for 2 s, with 100 purges per second scheduled for the given number of
+// seconds from then on.
 func startPurgeStream(t *testing.T, loss float64, seconds int64, publish func(f *fleet) func(Purge)) *fleet {
 	t.Helper()
 	f := newFleet(t, *seedFlag, membersOfSize(*gatewaysFlag), testSettings())
@@ -52,6 +54,8 @@
 	return f
 }
 
+// TestAllReceiveInTime checks that all purges reach all gateways in time, wherever the discovery watches bring them,
+// without loss and with 1% or 5% of frames lost.
 func TestAllReceiveInTime(t *testing.T) {
 	last := *gatewaysFlag - 1
 	for _, c := range []struct {
@@ -79,26 +83,28 @@
 	}
 }
 
-// withLoadOf has the load of the time in which purges were issued in place of the whole run's.
+// withLoadOf returns the result with the bytes per second of loaded. These cover only the time in which purges were
+// issued, not the whole run.
 func (r result) withLoadOf(loaded result) result {
 	r.busiest = loaded.busiest
 	r.mean = loaded.mean
 	return r
 }
 
-// checkSpread expects all purges to have reached all gateways in time, and within the bound of bytes.
+// checkSpread checks that all purges reached all gateways in time, and that the busiest node kept to the bound on
+// bytes per second.
 func checkSpread(t *testing.T, r result) {
 	t.Helper()
 	t.Log(r)
 	if r.missing > 0 || r.maxLatency > spreadTarget {
-		t.Error("not all purges everywhere in time")
+		t.Error("not every purge reached every gateway within spreadTarget")
 	}
 	if r.busiest > maxBytesPerSecond {
-		t.Errorf("more than %d bytes per second", maxBytesPerSecond)
+		t.Errorf("the busiest node exceeded %d bytes per second", maxBytesPerSecond)
 	}
 }
 
-// without returns the members except those that match.
+// without returns the members that do not match.
 func without(members []Member, matches func(Member) bool) (left []Member) {
 	for _, m := range members {
 		if !matches(m) {
@@ -108,12 +114,13 @@
 	return left
 }
 
-// TestHeadsKilled kills heads whose death the view tells 8 s later; until then lazy push and grafts serve their subtrees.
+// TestHeadsKilled kills the heads of subtrees. The views drop them 8 s later. Until then lazy push and grafts must
+// supply their subtrees.
 func TestHeadsKilled(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		loss float64
-		all  bool // all watches bring the purges
+		all  bool // the watches of all gateways bring each purge
 		kill func(members []Member) []int
 	}{
 		{"the root", 0, false, func([]Member) []int { return []int{0} }},
@@ -164,7 +171,8 @@
 	}
 }
 
-// headIndices are the first members of each region, zone or site, by distance, without the root.
+// headIndices returns the indices of the first member of each region, zone or site, without the root. level is the
+// distance between members on the two sides of the boundary.
 func headIndices(members []Member, level int) (indices []int) {
 	for i := 1; i < len(members); i++ {
 		if distance(members[i-1].Locality, members[i].Locality) >= level {
@@ -174,12 +182,12 @@
 	return indices
 }
 
-// partition cuts the members that match off from the others.
+// partition drops all frames between the members that match and the others.
 func (f *fleet) partition(matches func(Member) bool) {
 	f.isPartitioned = func(a, b Member) bool { return matches(a) != matches(b) }
 }
 
-// splitViews has members that match and others see their own side only.
+// splitViews limits each node's view to its own side: the members that match, or the others.
 func (f *fleet) splitViews(matches func(Member) bool) {
 	inside := without(f.members, func(m Member) bool { return !matches(m) })
 	outside := without(f.members, matches)
@@ -192,15 +200,16 @@
 	}
 }
 
-// mergeViews has all members see all.
+// mergeViews gives every node a view of all members.
 func (f *fleet) mergeViews() {
 	for _, n := range f.nodes {
 		n.SetMembers(f.members, f.now)
 	}
 }
 
-// TestCutHealed cuts off a region whose watches bring nothing; the views drop the other side 10 s after the cut and have it again 2 s after
-// the heal. What was missed comes by reconciliation, which does not delay new purges.
+// TestCutHealed partitions the network for 60 s. The region that is cut off has no discovery watch that brings
+// purges. The views drop the other side 10 s after the partition begins and include it again 2 s after the heal.
+// Reconciliation must bring the purges that the region missed, and must not delay new purges.
 func TestCutHealed(t *testing.T) {
 	f := newFleet(t, *seedFlag, membersOfSize(*gatewaysFlag), testSettings())
 	region := f.members[len(f.members)-1].Locality.Region
@@ -219,7 +228,7 @@
 	f.run(160_000_000)
 	r := f.result()
 	t.Log(r)
-	t.Logf("the 30 s after: %.0f B/s at the busiest, %.0f mean", loaded.busiest, loaded.mean)
+	t.Logf("in the 30 s from 3 s after the heal: %.0f B/s at the busiest gateway, %.0f mean", loaded.busiest, loaded.mean)
 	last := int64(0)
 	for i, m := range f.members {
 		for p, issuedAt := range f.issued {
@@ -236,13 +245,13 @@
 			}
 		}
 	}
-	t.Logf("outside and before the cut within %.2f s; of %d missed inside all there %.1f s after the heal; purges after it within %.2f s",
+	t.Logf("latency outside and before the partition up to %.2f s; %d pairs of a purge and a gateway missed inside, the last one made up %.1f s after the heal; latency after the heal up to %.2f s",
 		float64(before)/1e6, during, float64(last-healAt)/1e6, float64(after)/1e6)
 	if r.missing > 0 || before > spreadTarget || after > spreadTarget {
-		t.Error("not all purges everywhere")
+		t.Error("purges are missing, or purges from outside the partition or after the heal were late")
 	}
 	if loaded.busiest > 9_500 {
-		t.Error("reconciliation spent more than the rate")
+		t.Error("the busiest gateway exceeded 9,500 bytes per second during reconciliation")
 	}
 	for i, n := range f.nodes {
 		if lag := n.Stats().Behind; lag != (Lag{}) {
@@ -251,7 +260,9 @@
 	}
 }
 
-// TestLongMissed starts a site with nothing while the others keep minutes of 100 purges per second; an hour is -broadcast.missed 3600.
+// TestLongMissed starts a site without purges while the others keep minutes of them, at 100 per second.
+// Reconciliation must bring them to the site within the rate limit. The flag -broadcast.missed 3600 makes it an hour
+// of purges.
 func TestLongMissed(t *testing.T) {
 	f := newFleet(t, *seedFlag, testMembers(39, 3, 3, 3), testSettings())
 	missed, issued := int(*missedFlag)*100, 0
@@ -280,24 +291,26 @@
 		f.measure()
 		isComplete = true
 		for _, n := range f.nodes {
-			isComplete = isComplete && n.kept.count >= missed+issued-500 // those of the last seconds are under way
+			// The purges of the last seconds are still in flight.
+			isComplete = isComplete && n.kept.count >= missed+issued-500
 		}
 	}
-	t.Logf("%d purges missed by 13 are there after %.0f s; %.0f B/s at the busiest in any 10 s, %.0f mean", missed, float64(f.now)/1e6, busiest, meanSum/samples)
+	t.Logf("the %d purges that 13 gateways lacked were reconciled after %.0f s; %.0f B/s at the busiest gateway in any 10 s, %.0f mean", missed, float64(f.now)/1e6, busiest, meanSum/samples)
 	if f.now >= end {
-		t.Error("not all purges were reconciled")
+		t.Error("the site did not get all purges within 1,800 s")
 	}
 	if busiest > 10_000 {
-		t.Error("more than the rate limit and the burst of a second")
+		t.Error("the busiest gateway exceeded the rate limit and a burst of one second")
 	}
 	for i, n := range f.nodes {
 		if s := n.Stats(); s.Shed > 0 || s.Dropped > 0 {
-			t.Errorf("%s shed %d and dropped %d", f.members[i].Name, s.Shed, s.Dropped)
+			t.Errorf("%s shed %d copies of batches and dropped %d kept purges, want none", f.members[i].Name, s.Shed, s.Dropped)
 		}
 	}
 }
 
-// TestViewsDiffer runs gateways whose views each lack three others, so that no two trees are alike, with 1% of datagrams lost.
+// TestViewsDiffer runs gateways whose views each lack up to three others, so that their trees differ, with 1% of
+// datagrams lost. All purges must still reach all gateways in time.
 func TestViewsDiffer(t *testing.T) {
 	f := newFleet(t, *seedFlag, membersOfSize(*gatewaysFlag), testSettings())
 	f.loss = 0.01
--- a/internal/fleet/broadcast/forward_test.go
+++ b/internal/fleet/broadcast/forward_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// A gateway that has just started, whose members lack those that started beside it, takes for neighbours some that have other neighbours:
-// batches of a neighbour are not forwarded to them before they have sent something.
+// Several gateways start at the same time, and their views do not list each other yet. Such a gateway computes a tree
+// in which some of its neighbours have other neighbours instead of it. It must not forward the batches of a neighbour
+// to a gateway that has not sent it anything yet.
 func TestBatchesAreNotForwardedToNeighboursThatSentNothing(t *testing.T) {
 	var members []Member
 	for _, name := range []string{"a", "b", "c", "d", "e", "f"} {
@@ -36,21 +37,21 @@
 		t.Fatal(learned, err)
 	}
 	if to := batchReceivers(); len(to) > 0 {
-		t.Errorf("forwarded to %v, which have sent nothing yet", to)
+		t.Errorf("the batch was forwarded to %v, which have sent nothing yet", to)
 	}
 	n.HandleFrame(children[1], encodeLazyPush(nil), 3)
 	if n.HandleFrame(children[0], next, 4); !slices.Equal(batchReceivers(), children[1:2]) {
-		t.Error("not forwarded to the one neighbour that has sent something")
+		t.Error("the batch was not forwarded to exactly the one neighbour that has sent something")
 	}
 	n.RecordOwn([]Purge{{Object: "0000000000000003", Issued: 1_764_576_000_002}}, 5)
 	n.Step(n.injectAt)
 	if to := batchReceivers(); len(to) != fanOut {
-		t.Errorf("its own batch goes to %v", to)
+		t.Errorf("the gateway's own batch was sent to %v, want all its children", to)
 	}
 	n.SetMembers(members[:1], 6)
 	n.SetMembers(members, 7)
 	third, _ := encodeBatch(batchID{7, 3}, root, []Purge{{Object: "0000000000000004", Issued: 1_764_576_000_003}})
 	if n.HandleFrame(children[0], third, 8); len(batchReceivers()) > 0 {
-		t.Error("forwarded to a gateway that has sent nothing since it became a neighbour again")
+		t.Error("the batch was forwarded to a gateway that has sent nothing since it became a neighbour again")
 	}
 }
--- a/internal/fleet/broadcast/frozen_test.go
+++ b/internal/fleet/broadcast/frozen_test.go
@@ -6,7 +6,7 @@
 	"foldslip/internal/lab/frozen"
 )
 
-// Frames that released builds sent are read, and written to the same bytes.
+// Frames must be written byte for byte as released builds wrote them, and the stored frames must be readable.
 func TestFrozenFramesKeepTheirBytes(t *testing.T) {
 	purges := []Purge{{Object: "00112233445566ff", Issued: 1_764_576_000_001}, {Group: 17, Issued: 1_764_576_000_005},
 		{Object: "a name", Issued: 1_764_576_000_009}, {Object: "another", Group: -1, Issued: 1_764_576_001_000}}
@@ -31,11 +31,11 @@
 	}
 }
 
-// rewritten reads a frame and writes what it read.
+// rewritten decodes a frame and encodes the result again.
 func rewritten(t *testing.T, frame []byte) (out []byte) {
 	t.Helper()
 	if frame[0] != Kind {
-		t.Fatalf("a frame of kind %d", frame[0])
+		t.Fatalf("the stored frame has kind %d, want Kind", frame[0])
 	}
 	r := frameReader{rest: frame[2:]}
 	switch frame[1] {
@@ -60,7 +60,7 @@
 		out, _ = encodePurges(header, complete, r.purges())
 	}
 	if !r.isComplete() {
-		t.Fatal("the frame cannot be read")
+		t.Fatal("the stored frame cannot be read")
 	}
 	return out
 }
--- a/internal/fleet/broadcast/heal_test.go
+++ b/internal/fleet/broadcast/heal_test.go
@@ -2,15 +2,16 @@
 
 import "testing"
 
-// A region is cut off for 15 s, with a watch on both sides, and comes back. What both sides missed comes by and by; purges from then on must
-// reach all in time, also at the gateways of the tree that are loaded most.
+// A network partition cuts off a region for 15 s, with a discovery watch that brings purges on each side. What each
+// side missed arrives gradually after the heal. From then on new purges must reach all gateways in time, including
+// those with the highest load in the tree.
 func TestNewPurgesAreInTimeAfterAHeal(t *testing.T) {
 	f := newFleet(t, *seedFlag, membersOfSize(*gatewaysFlag), testSettings())
 	last := len(f.nodes) - 1
 	region := f.members[last].Locality.Region
 	inside := func(m Member) bool { return m.Locality.Region == region }
 	f.run(2_000_000)
-	sources := [2]int{1, last} // in turn
+	sources := [2]int{1, last} // indices of the gateways whose watches bring the purges, in turn
 	published := 0
 	f.stream(f.now, f.now+30_000_000, 100, func(p Purge) {
 		published++
@@ -37,6 +38,6 @@
 	r := f.result()
 	t.Log(r)
 	if late > 0 || r.missing > 0 {
-		t.Errorf("%d purges from after the heal were late, %d are missing in the end", late, r.missing)
+		t.Errorf("%d pairs of a purge from after the heal and a gateway were late or missing; %d pairs of any purge are missing at the end", late, r.missing)
 	}
 }
--- a/internal/fleet/broadcast/property_test.go
+++ b/internal/fleet/broadcast/property_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawMembers draws members of up to 12 sites, 3 to a zone, 6 to a region.
+// drawMembers draws random members at up to 12 sites, with 3 sites per zone and 6 per region.
 func drawMembers(t *rapid.T) []Member {
 	names := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-z0-9]{1,6}`), 1, 120, rapid.ID[string]).Draw(t, "names")
 	letter := func(i int) string { return string(rune('a' + i)) }
@@ -21,8 +21,9 @@
 	return members
 }
 
-// TestTree expects every member once, at most fanOut children, agreement of parents and children, each region, zone and site entered once,
-// and the same tree for any order of the members.
+// TestTree checks that the members form one tree, in which each has at most fanOut children, and that parents and
+// children agree about it. Each region, zone and site must be entered by at most one edge. The tree must not depend
+// on the order of the members.
 func TestTree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawMembers(t)
@@ -36,7 +37,7 @@
 			localities[m.Name] = m.Locality
 			fromSorted := buildTree(sortedMembers(members), m)
 			if fromSorted.parent != n.tree.parent || !slices.Equal(fromSorted.children, n.tree.children) {
-				t.Fatal("the order of the members matters")
+				t.Fatal("the tree depends on the order of the members")
 			}
 		}
 		roots := 0
@@ -56,33 +57,33 @@
 			}
 		}
 		if roots != 1 {
-			t.Fatalf("%d roots", roots)
+			t.Fatalf("the tree has %d roots, want 1", roots)
 		}
 		for locality, times := range entries {
 			if times > 1 {
-				t.Fatalf("%s is entered %d times", locality, times)
+				t.Fatalf("%s is entered by %d edges, want at most 1", locality, times)
 			}
 		}
 	})
 }
 
-// checkChildren expects a member and its children to agree.
+// checkChildren checks that a member and its children compute the same relations to each other.
 func checkChildren(t *rapid.T, trees map[string]tree, name string) {
 	parent := trees[name]
 	if len(parent.children) > fanOut {
-		t.Fatalf("%s has %d children", name, len(parent.children))
+		t.Fatalf("%s has %d children, want at most fanOut", name, len(parent.children))
 	}
 	for i, child := range parent.children {
 		if trees[child].parent != name || trees[child].grandparent != parent.parent || !slices.Equal(trees[child].siblings, parent.children) {
-			t.Fatalf("%s and its child %s do not agree", name, child)
+			t.Fatalf("%s and its child %s disagree about parent, grandparent or siblings", name, child)
 		}
 		if !slices.Equal(parent.grandchildren[i], trees[child].children) {
-			t.Fatalf("%s does not know the children of %s", name, child)
+			t.Fatalf("%s computes other children of %s than that member does", name, child)
 		}
 	}
 }
 
-// countEntries counts what an edge from a parent to a child enters.
+// countEntries counts the region, zone and site that an edge from a parent to a child enters.
 func countEntries(entries map[string]int, parent, child Locality) {
 	if parent.Region != child.Region {
 		entries["region "+child.Region]++
@@ -95,7 +96,7 @@
 	}
 }
 
-// TestDepth bounds how far a member of the users' fleet is from the root.
+// TestDepth checks that no member of a fleet of the users' size is more than 11 edges from the root.
 func TestDepth(t *testing.T) {
 	members := testMembers(3900, 300, 25, 12)
 	SortMembers(members)
@@ -111,19 +112,19 @@
 		return depth + 1
 	}
 	depth := depthOf(members) - 1
-	t.Logf("%d steps from the root at most", depth)
+	t.Logf("the deepest member is %d edges from the root", depth)
 	if depth > 11 {
-		t.Errorf("%d steps from the root", depth)
+		t.Errorf("the deepest member is %d edges from the root, want at most 11", depth)
 	}
 }
 
-// deliveryRun is a small fleet whose frames are delivered in any order, several times and not at all.
+// deliveryRun is a small fleet whose frames are delivered in any order, several times or not at all.
 type deliveryRun struct {
 	t        *rapid.T
 	members  []Member
 	nodes    map[string]*Node
-	received map[string]map[Purge]bool // by node
-	union    map[Purge]bool
+	received map[string]map[Purge]bool // by gateway, from its own watch and from peers
+	union    map[Purge]bool            // of the purges of all watches
 	inFlight []frameInFlight
 	now      int64
 }
@@ -160,30 +161,32 @@
 	checkBounds(r.t, n)
 }
 
-// deliver delivers a frame and expects that its purges are new to the node, and that the node still has all that it received.
+// deliver delivers a frame. It checks that all purges learned from the frame are new to the node, and that the node
+// still keeps all purges that it has received.
 func (r *deliveryRun) deliver(f frameInFlight) {
 	n, received := r.nodes[f.To], r.received[f.To]
 	learned, err := n.HandleFrame(f.from, f.Frame, r.now)
 	if err != nil {
-		r.t.Fatalf("not read: %x", f.Frame)
+		r.t.Fatalf("the frame could not be read: %x", f.Frame)
 	}
 	for _, p := range learned {
 		if received[p] {
-			r.t.Fatalf("%s learns %v again", f.To, p)
+			r.t.Fatalf("%s learned %v, which it had received before", f.To, p)
 		}
 		if !r.union[p] {
-			r.t.Fatalf("%v was published by nobody", p)
+			r.t.Fatalf("learned %v, which no watch brought", p)
 		}
 		received[p] = true
 	}
 	for p := range received {
 		if n.kept.add(p) {
-			r.t.Fatalf("%s lost %v", f.To, p)
+			r.t.Fatalf("%s no longer keeps %v", f.To, p)
 		}
 	}
 }
 
-// act does one random thing.
+// act performs one random action: a purge of a gateway's own watch, a step of a node, the delivery of a frame, or the
+// loss of a frame.
 func (r *deliveryRun) act() {
 	t := r.t
 	r.now += rapid.Int64Range(0, 300_000).Draw(t, "elapsed")
@@ -211,15 +214,16 @@
 	}
 }
 
-// TestDeliveryInAnyOrderConverges delivers frames in any order, several times and not at all: what a node has received only grows, each purge is learned from peers
-// once, and in the end all have the union.
+// TestDeliveryInAnyOrderConverges delivers frames in any order, several times or not at all. The set of purges that a
+// node has received must only grow, a node must learn each purge from peers at most once, and in the end all nodes
+// must have received the union of all purges.
 func TestDeliveryInAnyOrderConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newDeliveryRun(t)
 		for range rapid.IntRange(1, 60).Draw(t, "actions") {
 			r.act()
 		}
-		r.inFlight = nil // all that is under way is lost
+		r.inFlight = nil // all frames in flight are lost
 		for end := r.now + 90_000_000; r.now < end; r.now += 50_000 {
 			for _, m := range r.members {
 				r.step(m)
@@ -231,13 +235,13 @@
 		}
 		for _, m := range r.members {
 			if len(r.received[m.Name]) != len(r.union) {
-				t.Fatalf("%s received %d of %d", m.Name, len(r.received[m.Name]), len(r.union))
+				t.Fatalf("%s received %d of %d purges", m.Name, len(r.received[m.Name]), len(r.union))
 			}
 		}
 	})
 }
 
-// nodePair makes two nodes of a site; the first is the root.
+// nodePair returns the two nodes of a site. The first one is the root.
 func nodePair() (a, b *Node) {
 	members := testMembers(2, 1, 1, 1)
 	SortMembers(members)
@@ -248,7 +252,7 @@
 	return a, b
 }
 
-// deliverAll runs two nodes for some time, with all frames delivered at once, and returns what each learned.
+// deliverAll runs two nodes between two times, delivers all frames without delay, and returns what each node learned.
 func deliverAll(t *testing.T, a, b *Node, from, to int64) (learnedA, learnedB []Purge) {
 	t.Helper()
 	for now := from; now < to; now += 10_000 {
@@ -260,7 +264,7 @@
 				break
 			}
 			if i == 19 {
-				t.Fatal("the nodes answer each other without end")
+				t.Fatal("the nodes still answer each other after 19 rounds")
 			}
 			learnedB = append(learnedB, handleMessages(t, b, a.self.Name, out[0], now)...)
 			learnedA = append(learnedA, handleMessages(t, a, b.self.Name, out[1], now)...)
@@ -281,7 +285,8 @@
 	return learned
 }
 
-// TestIdentity expects one object purged at two times, in a group and without, to be different purges, and a purge of both watches to be one.
+// TestIdentity checks when two purges are the same. Purges of one object at two times, or with and without a group,
+// are different purges. A purge that the watches of both nodes bring is one purge.
 func TestIdentity(t *testing.T) {
 	a, b := nodePair()
 	purges := []Purge{{"00000000000000aa", 0, epoch + 1}, {"00000000000000aa", 0, epoch + 2}, {"00000000000000aa", 7, epoch + 1}, {"", 7, epoch + 1}}
@@ -290,14 +295,15 @@
 	_, learned := deliverAll(t, a, b, 0, 3_000_000)
 	sortByIssue(learned)
 	if want := []Purge{purges[3], purges[2], purges[1]}; !slices.Equal(learned, want) {
-		t.Errorf("learned %v", learned)
+		t.Errorf("learned %v, want all purges but the first", learned)
 	}
 	if learned, _ = deliverAll(t, a, b, 3_000_000, 9_000_000); len(learned) > 0 || a.kept.count != 4 || b.kept.count != 4 {
-		t.Errorf("learned %v again; kept %d and %d", learned, a.kept.count, b.kept.count)
+		t.Errorf("learned %v again, want none; the nodes keep %d and %d purges, want 4", learned, a.kept.count, b.kept.count)
 	}
 }
 
-// TestRestart expects a gateway that restarts empty under a new stamp to get what it missed, and to be received from its first batch on.
+// TestRestart checks that a gateway that restarts empty under a new stamp gets the purges that it missed, and that
+// its peer accepts its batches from the first one on.
 func TestRestart(t *testing.T) {
 	a, b := nodePair()
 	a.RecordOwn([]Purge{{"one", 0, epoch + 1}}, 0)
@@ -309,22 +315,24 @@
 	restarted.RecordOwn([]Purge{afterRestart}, 8_000_000)
 	learnedA, learnedB := deliverAll(t, restarted, b, 8_000_000, 20_000_000)
 	if len(learnedA) != 2 || !slices.Equal(learnedB, []Purge{afterRestart}) {
-		t.Errorf("learned %v and %v", learnedA, learnedB)
+		t.Errorf("the restarted node learned %v, want 2 purges; its peer learned %v, want the new purge", learnedA, learnedB)
 	}
 }
 
-// TestLongNames expects names up to maxObjectNameBytes to be sent, and purges with longer ones to be counted and not sent.
+// TestLongNames checks that purges with names of up to maxObjectNameBytes are sent. Purges with longer names and
+// purges with an impossible issue time must be counted and not sent.
 func TestLongNames(t *testing.T) {
 	a, b := nodePair()
 	longest := Purge{strings.Repeat("x", maxObjectNameBytes), 0, epoch}
 	a.RecordOwn([]Purge{longest, {strings.Repeat("y", maxObjectNameBytes+1), 0, epoch}, {"", 0, 0}, {"z", 0, maxIssued}}, 0)
 	_, learned := deliverAll(t, a, b, 0, 3_000_000)
 	if s := a.Stats(); !slices.Equal(learned, []Purge{longest}) || s.LongNames != 1 || s.ImplausiblePurges != 2 {
-		t.Errorf("learned %d, long %d, implausible %d", len(learned), s.LongNames, s.ImplausiblePurges)
+		t.Errorf("learned %d purges, want 1; counted %d long names, want 1, and %d implausible purges, want 2", len(learned), s.LongNames, s.ImplausiblePurges)
 	}
 }
 
-// TestWrongClocks expects that a clock that is off by an hour or a day holds no new purge back, and that no expired purge is learned again.
+// TestWrongClocks checks that a clock that is wrong by an hour or a day holds no new purge back, and that no expired
+// purge is learned twice.
 func TestWrongClocks(t *testing.T) {
 	for _, off := range []int64{-3_600_000, 3_600_000, 24 * 3_600_000, -24 * 3_600_000} {
 		a, b := nodePair()
@@ -338,23 +346,24 @@
 		a.RecordOwn([]Purge{fresh}, 0)
 		_, learned := deliverAll(t, a, b, 0, 60_000_000)
 		if !slices.Contains(learned, fresh) {
-			t.Errorf("off by %d ms: the new purge was not learned", off)
+			t.Errorf("with a clock that is off by %d ms, the new purge was not learned", off)
 		}
 		times := map[Purge]int{}
 		for _, p := range learned {
 			if times[p]++; times[p] > 1 {
-				t.Errorf("off by %d ms: %v is learned again", off, p)
+				t.Errorf("with a clock that is off by %d ms, %v was learned more than once", off, p)
 			}
 		}
 		own := Purge{"own", 0, epoch + 60_001}
 		b.RecordOwn([]Purge{own}, 60_000_000)
 		if learned, _ := deliverAll(t, a, b, 60_000_000, 70_000_000); !slices.Contains(learned, own) {
-			t.Errorf("off by %d ms: a purge of its own watch was not sent on", off)
+			t.Errorf("with a clock that is off by %d ms, a purge of the node's own watch did not reach the peer", off)
 		}
 	}
 }
 
-// TestKeptPurgesAreBounded expects that purges past the bound displace the oldest, counted, and that sums stay right.
+// TestKeptPurgesAreBounded checks that purges beyond Settings.MaxKept displace the oldest ones, that the displaced
+// purges are counted, and that the sums stay right.
 func TestKeptPurgesAreBounded(t *testing.T) {
 	settings := testSettings()
 	settings.MaxKept = 500
@@ -371,11 +380,12 @@
 	}
 	checkBounds(t, n)
 	if s := n.Stats(); s.Dropped == 0 || uint64(s.Kept)+s.Dropped != 5_000 {
-		t.Errorf("kept %d, dropped %d", s.Kept, s.Dropped)
+		t.Errorf("kept %d purges and dropped %d, want some dropped and 5,000 in total", s.Kept, s.Dropped)
 	}
 }
 
-// TestFalseFramesHoldNoPurgeBack expects that a peer with a false batch under another's id, far sequences and false announcements holds no purge back.
+// TestFalseFramesHoldNoPurgeBack checks that a peer cannot hold a purge back with a false batch under another
+// gateway's id, with sequences far ahead, or with false announcements.
 func TestFalseFramesHoldNoPurgeBack(t *testing.T) {
 	a, b := nodePair()
 	falseBatch, _ := encodeBatch(batchID{a.originID, 1}, root, []Purge{{"a lie", 0, epoch}})
@@ -388,12 +398,13 @@
 	genuine := Purge{"the truth", 0, epoch + 1}
 	a.RecordOwn([]Purge{genuine}, 0)
 	if _, learned := deliverAll(t, a, b, 0, 3_000_000); !slices.Contains(learned, genuine) {
-		t.Error("the true purge was held back")
+		t.Error("the purge of the genuine origin was not learned")
 	}
 	checkBounds(t, b)
 }
 
-// TestLag expects a node that knows of missing batches to report them, since when, and no longer once it has them.
+// TestLag checks that a node that knows of missing batches reports how many they are and since when, and that it
+// stops reporting them once it has received them.
 func TestLag(t *testing.T) {
 	a, b := nodePair()
 	for i := range 3 {
@@ -409,14 +420,15 @@
 		}
 	}
 	if lag := b.Stats().Behind; lag != (Lag{MissingBatches: 1, Since: 800_000}) {
-		t.Errorf("reports %+v", lag)
+		t.Errorf("the node reports the lag %+v, want 1 missing batch since 800,000 us", lag)
 	}
 	if _, learned := deliverAll(t, a, b, 900_000, 1_500_000); len(learned) != 1 || b.Stats().Behind != (Lag{}) {
-		t.Errorf("learned %v, reports %+v", learned, b.Stats().Behind)
+		t.Errorf("learned %v, want 1 purge; the node reports the lag %+v, want none", learned, b.Stats().Behind)
 	}
 }
 
-// TestSessionWithEndlessPeerEnds expects that a peer that answers each pull with a part of it is left after a bounded number of requests.
+// TestSessionWithEndlessPeerEnds checks that a session of reconciliation ends after a bounded number of requests if
+// the peer answers each pull with only a part of the purges.
 func TestSessionWithEndlessPeerEnds(t *testing.T) {
 	members := testMembers(2, 1, 1, 1)
 	n := New(testSettings(), members[0], 1, rand.New(rand.NewPCG(1, 1)), 0)
@@ -447,23 +459,24 @@
 				checkBounds(t, n)
 			}
 			if pulls > 4*maxSessionRequests {
-				t.Fatal("it pulls without end")
+				t.Fatal("the node pulls without end")
 			}
 		}
 	}
 	if s := n.Stats(); s.ReconcilePasses < 2 || s.UnfinishedPasses == 0 {
-		t.Errorf("%d passes, %d without their end, %d pulls", s.ReconcilePasses, s.UnfinishedPasses, pulls)
+		t.Errorf("%d passes of which %d are unfinished, with %d pulls; want at least 2 passes and 1 unfinished", s.ReconcilePasses, s.UnfinishedPasses, pulls)
 	}
 }
 
-// TestNext expects that Step is not due at once without end.
+// TestNext checks that Next does not make Step due again and again at the same time. A node needs at most 2,000 steps
+// in 60 s.
 func TestNext(t *testing.T) {
 	for _, n := range []*Node{twoNodeSite(), New(DefaultSettings, Member{Name: "not a member"}, 1, rand.New(rand.NewPCG(1, 1)), 0)} {
 		n.RecordOwn([]Purge{{"x", 0, epoch}}, 0)
 		now := int64(0)
 		for steps := 0; now < 60_000_000; steps++ {
 			if steps > 2_000 {
-				t.Fatalf("2,000 steps by %d us", now)
+				t.Fatalf("more than 2,000 steps in the first %d us", now)
 			}
 			now = max(now, n.Next())
 			n.Step(now)
--- a/internal/fleet/broadcast/silence_test.go
+++ b/internal/fleet/broadcast/silence_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A gateway is cut off while the last purges before a silence are published, and for longer than batches are kept for repair. Nothing newer
-// shows them to be missing: it must get them all the same.
+// A gateway is cut off while the last purges of a stream are published, and it stays cut off for longer than batches
+// are kept for repair. No newer purge shows that it lacks them. Reconciliation must still bring them.
 func TestLastPurgesBeforeASilenceAreReconciled(t *testing.T) {
 	f := startPurgeStream(t, 0, 8, func(f *fleet) func(Purge) { return recordAt(f, 0) })
 	last := f.members[len(f.members)-1].Name
@@ -11,10 +11,10 @@
 	f.schedule(f.now+60_000_000, func() { f.isPartitioned = noPartition })
 	f.run(f.now + 60_000_000)
 	if f.result().missing == 0 {
-		t.Fatal("the gateway that was cut off lacks nothing: the case proves nothing")
+		t.Fatal("the gateway that was cut off lacks no purges, so this run tests nothing")
 	}
 	f.run(f.now + 30_000_000)
 	if r := f.result(); r.missing > 0 {
-		t.Errorf("30 s after the heal %d purges are missing", r.missing)
+		t.Errorf("30 s after the heal %d pairs of a purge and a gateway are missing", r.missing)
 	}
 }
--- a/internal/fleet/broadcast/testfleet_test.go
+++ b/internal/fleet/broadcast/testfleet_test.go
@@ -8,38 +8,39 @@
 	"testing"
 )
 
-// fleet is a network of nodes on one virtual clock, with latency by locality, loss, cuts and kills. Equal seeds give equal runs.
+// fleet is a simulated network of nodes on one virtual clock. Latency depends on the localities. Frames can be lost,
+// the network can be partitioned, and nodes can be killed. Runs with equal seeds are equal.
 type fleet struct {
 	t             testing.TB
 	rng           *rand.Rand
 	members       []Member
-	index         map[string]int
+	index         map[string]int // of each member in members and nodes, by name
 	nodes         []*Node
-	armedAt       []int64           // of each node: when its next step is queued
-	receivedAt    []map[Purge]int64 // of each node
-	issued        map[Purge]int64   // when
-	loss          float64
-	isPartitioned func(a, b Member) bool
+	armedAt       []int64                // of each node: time of its queued step, -1 while there is none
+	receivedAt    []map[Purge]int64      // of each node: when it first received each purge
+	issued        map[Purge]int64        // when each purge was issued
+	loss          float64                // share of frames that are lost
+	isPartitioned func(a, b Member) bool // reports whether frames from a to b are dropped
 	dead          []bool
 	queue         eventQueue
 	now           int64
 	lastOrder     int
-	byType        [8]frameCount // of frames sent
+	byType        [8]frameCount // of frames sent, by frame type
 	measuredSince int64
-	statsBefore   []Stats // at measuredSince
+	statsBefore   []Stats // of each node at measuredSince
 }
 
 // frameCount counts frames and their bytes.
 type frameCount struct{ frames, bytes uint64 }
 
-// event is a call, a frame that arrives, or a node's step that is due.
+// event is a call, the arrival of a frame at a node, or a node's step.
 type event struct {
 	at    int64
-	order int // of events at one time
+	order int // order of events that have the same time
 	to    int
 	from  string
-	frame []byte // nil: a step
-	call  func() // nil: none
+	frame []byte // nil if no frame arrives
+	call  func() // nil if the event is not a call
 }
 
 type eventQueue []event
@@ -58,7 +59,7 @@
 	return e
 }
 
-// testMembers returns members spread evenly over sites, sites over zones, and zones over regions.
+// testMembers returns members spread evenly over sites. Sites are spread evenly over zones, and zones over regions.
 func testMembers(gateways, sites, zones, regions int) []Member {
 	members := make([]Member, gateways)
 	for i := range members {
@@ -73,7 +74,7 @@
 	return members
 }
 
-const epoch = 1_764_576_000_000 // Unix milliseconds when now is 0
+const epoch = 1_764_576_000_000 // Unix milliseconds at virtual time 0
 
 func testSettings() Settings {
 	settings := DefaultSettings
@@ -81,7 +82,7 @@
 	return settings
 }
 
-// newFleet makes a fleet whose nodes all know the members; it sorts them.
+// newFleet returns a fleet whose nodes all have all members in their views. It sorts members.
 func newFleet(t testing.TB, seed uint64, members []Member, settings Settings) *fleet {
 	t.Helper()
 	f := &fleet{
@@ -118,11 +119,11 @@
 	return base + f.rng.Int64N(base/5+1)
 }
 
-// arm sends a node's messages and queues its next step.
+// arm sends a node's messages and schedules its next step.
 func (f *fleet) arm(i int) {
 	for _, m := range f.nodes[i].TakeMessages() {
 		if len(m.Frame) > maxFrameBytes {
-			f.t.Fatalf("a frame of %d bytes", len(m.Frame))
+			f.t.Fatalf("a node sent a frame of %d bytes, want at most maxFrameBytes", len(m.Frame))
 		}
 		count := &f.byType[m.Frame[1]]
 		count.frames++
@@ -139,7 +140,7 @@
 	}
 }
 
-// run plays all events up to a time.
+// run processes all events up to a time and advances the clock to it.
 func (f *fleet) run(until int64) {
 	for len(f.queue) > 0 && f.queue[0].at <= until {
 		e := heap.Pop(&f.queue).(event)
@@ -151,7 +152,7 @@
 		case e.frame != nil:
 			learned, err := f.nodes[e.to].HandleFrame(e.from, e.frame, f.now)
 			if err != nil {
-				f.t.Fatalf("%s could not read a frame of %s: %x", f.members[e.to].Name, e.from, e.frame)
+				f.t.Fatalf("%s could not read a frame from %s: %x", f.members[e.to].Name, e.from, e.frame)
 			}
 			f.recordReceived(e.to, learned)
 			f.arm(e.to)
@@ -174,7 +175,7 @@
 	}
 }
 
-// recordOwn has a node's own watch bring purges.
+// recordOwn lets the discovery watch of a node bring purges, unless the node is dead.
 func (f *fleet) recordOwn(i int, purges ...Purge) {
 	if f.dead[i] {
 		return
@@ -184,7 +185,7 @@
 	f.arm(i)
 }
 
-// newPurge issues a purge now, one in ten of a group.
+// newPurge issues a purge now. One in ten is the purge of a group.
 func (f *fleet) newPurge() Purge {
 	p := Purge{Issued: epoch + f.now/1000}
 	if f.rng.IntN(10) == 0 {
@@ -196,21 +197,21 @@
 	return p
 }
 
-// stream issues purges at a rate per second for a while; publish hands each to watches.
+// stream schedules purges at a rate per second between two times. publish passes each of them to discovery watches.
 func (f *fleet) stream(from, to int64, rate int64, publish func(p Purge)) {
 	for at := from; at < to; at += microsPerSecond / rate {
 		f.schedule(at, func() { publish(f.newPurge()) })
 	}
 }
 
-// result is the outcome of a run.
+// result is the outcome of a run. Times are in microseconds.
 type result struct {
-	missing        int     // pairs of a purge and a node that did not receive it
-	maxLatency     int64   // microseconds, of those received
-	medianLatency  int64   // microseconds until the last node has a purge
-	batchCopies    float64 // of a batch at a node, for each batch injected
-	busiest        float64 // bytes per second in and out, of the busiest node
-	mean           float64 // of the mean node
+	missing        int     // pairs of a purge and a live node that did not receive it
+	maxLatency     int64   // longest time from the issue of a purge until a node received it
+	medianLatency  int64   // median over the purges of the time until the last node received one
+	batchCopies    float64 // mean number of copies of an injected batch that a node received
+	busiest        float64 // bytes per second sent and received by the busiest node
+	mean           float64 // bytes per second sent and received, mean over the nodes
 	batches        uint64
 	repairs        uint64
 	repairRequests uint64
@@ -219,7 +220,7 @@
 	reconciled     uint64
 }
 
-// measure begins the time of which traffic counts bytes, copies and batches.
+// measure begins the period for which traffic counts bytes, copies and batches.
 func (f *fleet) measure() {
 	f.measuredSince = f.now
 	f.statsBefore = nil
@@ -229,7 +230,7 @@
 	}
 }
 
-// traffic returns the counters since measure.
+// traffic returns the counters since the last call of measure.
 func (f *fleet) traffic() (r result) {
 	copies := uint64(0)
 	seconds := float64(f.now-f.measuredSince) / 1e6
@@ -252,7 +253,7 @@
 	return r
 }
 
-// result returns the counters since measure and how all purges were received.
+// result returns the counters since the last call of measure, and how the nodes received all purges issued.
 func (f *fleet) result() result {
 	r := f.traffic()
 	var latencies []int64
@@ -280,6 +281,6 @@
 }
 
 func (r result) String() string {
-	return fmt.Sprintf("missing %d, all everywhere after %.2f s (median %.2f), %d batches, %.3f copies of each a node, %.0f B/s at the busiest, %.0f mean, repairs %d, requests %d, shed %d, given up %d, by reconciliation %d",
+	return fmt.Sprintf("missing %d, received by all within %.2f s (median %.2f), %d batches, %.3f copies of each per node, %.0f B/s at the busiest node, %.0f mean, repairs %d, requests %d, shed %d, given up %d, by reconciliation %d",
 		r.missing, float64(r.maxLatency)/1e6, float64(r.medianLatency)/1e6, r.batches, r.batchCopies, r.busiest, r.mean, r.repairs, r.repairRequests, r.shed, r.givenUp, r.reconciled)
 }
