--- a/internal/fleet/broadcast/frozen_test.go
+++ b/internal/fleet/broadcast/frozen_test.go
@@ -6,7 +6,7 @@
 	"foldslip/internal/lab/frozen"
 )
 
-// Frames that released builds sent are read, and written to the same bytes.
+// Frames must be written byte for byte as released builds wrote them, and the stored frames must be readable.
 func TestFrozenFramesKeepTheirBytes(t *testing.T) {
 	purges := []Purge{{Object: "00112233445566ff", Issued: 1_764_576_000_001}, {Group: 17, Issued: 1_764_576_000_005},
 		{Object: "a name", Issued: 1_764_576_000_009}, {Object: "another", Group: -1, Issued: 1_764_576_001_000}}
@@ -14,7 +14,7 @@
 	batch, _ := encodeBatch(batchID{0x0102030405060708, 300}, siteHead, purges)
 	part := pullRequest{second: 1_764_576_000, bits: 3, prefix: 5, ids: []uint32{1, 0xfffffffe}}
 	complete, _ := encodePurges(pullRequest{second: 1_764_576_000}, true, purges[:1])
-	some, _ := encodePurges(part, false, nil)
+	partial, _ := encodePurges(part, false, nil)
 	for name, written := range map[string][]byte{
 		"batch.frame":          batch,
 		"have.frame":           encodeLazyPush([]originProgress{{0x0102030405060708, 300, 5}, {7, 0, 1 << 63}}),
@@ -24,24 +24,24 @@
 		"ask.frame":            encodeSumsRequest(1_764_576_000),
 		"pull.frame":           encodePullRequest(part),
 		"items-complete.frame": complete,
-		"items-part.frame":     some,
+		"items-part.frame":     partial,
 	} {
 		frozen.Equal(t, name, written)
 		frozen.Equal(t, name, rewritten(t, frozen.Read(t, name)))
 	}
 }
 
-// rewritten reads a frame and writes what it read.
+// rewritten decodes a frame and encodes the result again.
 func rewritten(t *testing.T, frame []byte) (out []byte) {
 	t.Helper()
 	if frame[0] != Kind {
-		t.Fatalf("a frame of kind %d", frame[0])
+		t.Fatalf("the stored frame has kind %d, want Kind", frame[0])
 	}
 	r := frameReader{rest: frame[2:]}
 	switch frame[1] {
 	case frameBatch:
-		id, by, purges := r.batchID(), r.tier(), r.purges()
-		out, _ = encodeBatch(id, by, purges)
+		id, originTier, purges := r.batchID(), r.tier(), r.purges()
+		out, _ = encodeBatch(id, originTier, purges)
 	case frameLazyPush:
 		out = encodeLazyPush(r.lazyPush())
 	case frameRepairRequest:
@@ -56,11 +56,11 @@
 	case framePullRequest:
 		out = encodePullRequest(r.pullRequest())
 	case framePurges:
-		of, complete := r.pullHeader(), r.uvarint(1) == 1
-		out, _ = encodePurges(of, complete, r.purges())
+		header, complete := r.pullHeader(), r.uvarint(1) == 1
+		out, _ = encodePurges(header, complete, r.purges())
 	}
 	if !r.isComplete() {
-		t.Fatal("the frame cannot be read")
+		t.Fatal("the stored frame cannot be read")
 	}
 	return out
 }
