--- a/internal/fleet/purgesync/event_numbers_test.go
+++ b/internal/fleet/purgesync/event_numbers_test.go
@@ -10,10 +10,10 @@
 // numberedGateway is a gateway with event numbers of its own: PROTOCOL numbers events from 1 at each start of a gateway, so one purge has
 // different numbers at gateways that started at different times.
 type numberedGateway struct {
-	replica  *Replica
-	event    int64
-	known    map[int]bool // purges
-	watchCut bool         // its watch brings nothing
+	replica   *Replica
+	event     int64
+	known     map[int]bool // purges
+	watchDown bool         // its watch brings nothing
 }
 
 func newNumberedGateway(i int) *numberedGateway {
@@ -24,7 +24,7 @@
 // publish has the gateway's watch bring a purge; it reports whether the replica kept it.
 func (g *numberedGateway) publish(purge int, now int64) (isKept bool) {
 	g.event++
-	if g.watchCut {
+	if g.watchDown {
 		return false
 	}
 	g.known[purge] = true
@@ -56,25 +56,25 @@
 
 // measureDrops runs two gateways, the second started `apart` events after the first, for 30 s. For 20 s of it 10 purges per second are
 // published; from 10 to 20 s the watch of one brings nothing, so that it can only learn of its peer.
-func measureDrops(apart int64, cutOlder bool) (counts dropCounts) {
+func measureDrops(offset int64, olderDown bool) (counts dropCounts) {
 	gateways := [2]*numberedGateway{newNumberedGateway(0), newNumberedGateway(1)}
 	older, younger := gateways[0], gateways[1]
-	older.event = apart
-	older.replica.RecordOwn(apart, nil, clockStart)
+	older.event = offset
+	older.replica.RecordOwn(offset, nil, clockStart)
 	younger.replica.RecordOwn(0, nil, clockStart)
 	names := []string{"a", "b"}
-	cut := younger
-	if cutOlder {
-		cut = older
+	disconnected := younger
+	if olderDown {
+		disconnected = older
 	}
 	purge := 0
 	for now := clockStart; now < clockStart+30*second; now += second / 10 {
 		elapsed := now - clockStart
-		cut.watchCut = elapsed >= 10*second && elapsed < 20*second
+		disconnected.watchDown = elapsed >= 10*second && elapsed < 20*second
 		if elapsed < 20*second {
 			purge++
 			for _, g := range gateways {
-				if isKept := g.publish(purge, now); !g.watchCut && !isKept {
+				if isKept := g.publish(purge, now); !g.watchDown && !isKept {
 					counts.notKept++
 				}
 			}
@@ -87,7 +87,7 @@
 	}
 	for purge := 101; purge <= 200; purge++ { // published while the watch was cut
 		counts.published++
-		if !cut.known[purge] {
+		if !disconnected.known[purge] {
 			counts.missed++
 		}
 	}
@@ -96,16 +96,16 @@
 
 // Are purges lost where event numbers differ? It prints what is measured; where the numbers are equal none may be missed.
 func TestSizeDifferingEventNumbers(t *testing.T) {
-	for _, apart := range []int64{0, 10, 50, 150, 1_000, 100_000} {
-		for _, cutOlder := range []bool{true, false} {
-			counts := measureDrops(apart, cutOlder)
-			cut := "younger"
-			if cutOlder {
-				cut = "older"
+	for _, offset := range []int64{0, 10, 50, 150, 1_000, 100_000} {
+		for _, olderDown := range []bool{true, false} {
+			counts := measureDrops(offset, olderDown)
+			down := "younger"
+			if olderDown {
+				down = "older"
 			}
-			t.Logf("numbers %d apart, the watch of the %s one cut for 10 s: missed %d of %d, not kept %d, applied twice %d", apart, cut, counts.missed,
+			t.Logf("numbers %d apart, the watch of the %s one cut for 10 s: missed %d of %d, not kept %d, applied twice %d", offset, down, counts.missed,
 				counts.published, counts.notKept, counts.appliedTwice)
-			if apart == 0 && counts.missed > 0 {
+			if offset == 0 && counts.missed > 0 {
 				t.Errorf("%d of %d missed where numbers are equal", counts.missed, counts.published)
 			}
 		}
--- a/internal/fleet/purgesync/replica_test.go
+++ b/internal/fleet/purgesync/replica_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestPurgesAreKeptForTheirTimeAndNumber(t *testing.T) {
+func TestKeptPurgesAreBoundedByAgeAndCount(t *testing.T) {
 	r := newReplica(1)
 	for i := range int64(3 * maxKept) {
 		r.RecordOwn(i+1, []Purge{{Event: i + 1, Object: "x", Issued: 1e12}}, i)
--- a/internal/fleet/purgesync/spread_size_test.go
+++ b/internal/fleet/purgesync/spread_size_test.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	purgeTime       = 30 * second        // in which purges are published
+	publishDuration = 30 * second        // in which purges are published
 	waitAfterPurges = 90 * second        // from the last, for those on their way; they are kept for 60 s
 	spreadTarget    = 4_500_000          // microseconds in which a purge is to reach all
 	gossipInterval  = second / 4         // at which package gossip checks whether digests are due
@@ -41,14 +41,14 @@
 
 // spreadRun is a fleet without loss or latency, of which one gateway, the source, has a discovery watch.
 type spreadRun struct {
-	rate       float64
-	replicas   []*Replica
-	names      []string
-	index      map[string]int
-	phases     []int64   // in clock steps, of each gateway's rounds
-	receivedAt [][]int64 // by gateway and purge, from 1
-	purges     int
-	lastNews   int64 // when a purge last reached a gateway
+	rate           float64
+	replicas       []*Replica
+	names          []string
+	index          map[string]int
+	phases         []int64   // in clock steps, of each gateway's rounds
+	receivedAt     [][]int64 // by gateway and purge, from 1
+	purges         int
+	lastReceivedAt int64 // when a purge last reached a gateway
 
 	bytes       float64
 	sourceBytes float64
@@ -57,7 +57,7 @@
 func newSpreadRun(n int, rate float64, seed uint64) *spreadRun {
 	rng := rand.New(rand.NewPCG(seed, 0x73697a65))
 	r := &spreadRun{rate: rate, replicas: make([]*Replica, n), names: make([]string, n), index: map[string]int{}, phases: make([]int64, n),
-		receivedAt: make([][]int64, n), purges: int(rate * float64(purgeTime) / float64(second)), lastNews: clockStart}
+		receivedAt: make([][]int64, n), purges: int(rate * float64(publishDuration) / float64(second)), lastReceivedAt: clockStart}
 	for i := range n {
 		r.names[i] = fmt.Sprint("n", i)
 		r.phases[i] = rng.Int64N(gossipInterval / clockStep)
@@ -76,7 +76,7 @@
 func (r *spreadRun) run() {
 	peers := make([]string, len(r.names)-1)
 	published := 0
-	for now := clockStart; now < clockStart+purgeTime+waitAfterPurges && now-max(r.lastNews, clockStart+purgeTime) < 10*second; now += clockStep {
+	for now := clockStart; now < clockStart+publishDuration+waitAfterPurges && now-max(r.lastReceivedAt, clockStart+publishDuration) < 10*second; now += clockStep {
 		for published < r.purges && r.publishedAt(published+1) <= now {
 			published++
 			r.replicas[0].RecordOwn(int64(published), []Purge{{Event: int64(published), Object: testObject, Issued: testIssued}}, now)
@@ -105,7 +105,7 @@
 		if len(delta) > 0 {
 			deltaBytes = len(Frame{IsDelta: true, Purges: delta}.Append(nil))
 		}
-		if now < clockStart+purgeTime {
+		if now < clockStart+publishDuration {
 			r.bytes += float64(digestBytes + deltaBytes)
 			if j == 0 {
 				r.sourceBytes += float64(deltaBytes)
@@ -116,7 +116,7 @@
 		}
 		for _, purge := range replica.Merge(delta, now) {
 			r.receivedAt[i][purge.Event] = now
-			r.lastNews = now
+			r.lastReceivedAt = now
 		}
 	}
 }
@@ -146,7 +146,7 @@
 			result.worst = max(result.worst, float64(latency)/float64(second))
 		}
 	}
-	seconds := float64(purgeTime) / float64(second)
+	seconds := float64(publishDuration) / float64(second)
 	result.inTime = float64(inTime) / float64(result.pairs)
 	result.meanBytesPerSecond = r.bytes / float64(len(r.replicas)) / seconds
 	result.sourceBytesPerSecond = r.sourceBytes / seconds
