--- a/internal/fleet/gossip/loans.go
+++ b/internal/fleet/gossip/loans.go
@@ -115,7 +115,7 @@
 
 // lease joins the leases of a limit's dimensions; it ends with the first of them.
 func (g *Gossiper) lease(name string, now int64, wallNow time.Time) limit.Lease {
-	joined := limit.Lease{ExpiresAt: wallNow.Add(time.Hour)}
+	combined := limit.Lease{ExpiresAt: wallNow.Add(time.Hour)}
 	amounts := func(suffix string) (granted, fallback float64) {
 		if _, known := g.limitNames[limits.NameKey(name+suffix)]; !known {
 			return 0, 0
@@ -123,18 +123,18 @@
 		lease := g.ledger.Lease(name+suffix, now)
 		if lease.Until < math.MaxInt64 {
 			expiresAt := wallNow.Add(time.Duration(lease.Until-now) * time.Microsecond)
-			if expiresAt.Before(joined.ExpiresAt) {
-				joined.ExpiresAt = expiresAt
+			if expiresAt.Before(combined.ExpiresAt) {
+				combined.ExpiresAt = expiresAt
 			}
 		}
 		return lease.Now, lease.Then
 	}
-	joined.Granted.LookupsPerSecond, joined.Fallback.LookupsPerSecond = amounts(lookupsSuffix)
-	joined.Granted.BytesPerSecond, joined.Fallback.BytesPerSecond = amounts(bytesSuffix)
+	combined.Granted.LookupsPerSecond, combined.Fallback.LookupsPerSecond = amounts(lookupsSuffix)
+	combined.Granted.BytesPerSecond, combined.Fallback.BytesPerSecond = amounts(bytesSuffix)
 	open, openFallback := amounts(openSuffix)
-	joined.Granted.MaxOpen = int(open)
-	joined.Fallback.MaxOpen = int(openFallback)
-	return joined
+	combined.Granted.MaxOpen = int(open)
+	combined.Fallback.MaxOpen = int(openFallback)
+	return combined
 }
 
 // LimitReports returns the limits of the fleet as this gateway sees them.
