--- a/internal/fleet/transport/transport.go
+++ b/internal/fleet/transport/transport.go
@@ -26,8 +26,8 @@
 	maxPacketBytes   = 65536
 	// readBufferBytes is the kernel's buffer of datagrams, so that a burst during a pause of the process is not lost for nothing.
 	readBufferBytes = 1 << 20
-	errorPause      = 50 * time.Millisecond // after an error that may pass
-	handOverTimeout = time.Second           // for an accepted stream that nobody takes
+	errorRetryDelay = 50 * time.Millisecond // after an error that may pass
+	deliverTimeout  = time.Second           // for an accepted stream that nobody takes
 )
 
 // Counts are traffic since the process started. They may serve several Transports, one after the other.
@@ -94,13 +94,13 @@
 	buffer := make([]byte, maxPacketBytes)
 	for {
 		n, from, err := t.udp.ReadFromUDP(buffer)
-		at := time.Now()
+		receivedAt := time.Now()
 		if err != nil {
-			if t.isOver(err) {
+			if t.isShutdown(err) {
 				return
 			}
 			t.log.Warn("fleet_read_failed", "text", err.Error())
-			time.Sleep(errorPause)
+			time.Sleep(errorRetryDelay)
 			continue
 		}
 		if n == 0 {
@@ -109,7 +109,7 @@
 		t.counts.PacketsIn.Add(1)
 		t.counts.BytesIn.Add(uint64(n))
 		select {
-		case t.packets <- &memberlist.Packet{Buf: append([]byte(nil), buffer[:n]...), From: from, Timestamp: at}:
+		case t.packets <- &memberlist.Packet{Buf: append([]byte(nil), buffer[:n]...), From: from, Timestamp: receivedAt}:
 		default:
 			t.counts.Dropped.Add(1)
 		}
@@ -121,19 +121,19 @@
 	for {
 		conn, err := t.tcp.AcceptTCP()
 		if err != nil {
-			if t.isOver(err) {
+			if t.isShutdown(err) {
 				return
 			}
 			t.log.Warn("fleet_accept_failed", "text", err.Error())
-			time.Sleep(errorPause)
+			time.Sleep(errorRetryDelay)
 			continue
 		}
-		t.handOver(conn)
+		t.deliverStream(conn)
 	}
 }
 
-// handOver gives an accepted stream to the detector, or closes it at the bound or where nobody takes it.
-func (t *Transport) handOver(conn net.Conn) {
+// deliverStream gives an accepted stream to the detector, or closes it at the bound or where nobody takes it.
+func (t *Transport) deliverStream(conn net.Conn) {
 	select {
 	case t.streamSlots <- struct{}{}:
 	default:
@@ -145,13 +145,15 @@
 	accepted := &stream{Conn: conn, counts: t.counts, release: func() { <-t.streamSlots }}
 	select {
 	case t.streams <- accepted:
-	case <-time.After(handOverTimeout): // the detector is being stopped
+	case <-time.After(deliverTimeout): // the detector is being stopped
 		accepted.Close()
 	}
 }
 
-// isOver reports whether an error comes of Shutdown.
-func (t *Transport) isOver(err error) bool { return t.closed.Load() || errors.Is(err, net.ErrClosed) }
+// isShutdown reports whether an error comes of Shutdown.
+func (t *Transport) isShutdown(err error) bool {
+	return t.closed.Load() || errors.Is(err, net.ErrClosed)
+}
 
 // stream counts bytes, and gives its slot back at its first Close.
 type stream struct {
