--- a/internal/fleet/rejoin/scheduler.go
+++ b/internal/fleet/rejoin/scheduler.go
@@ -6,23 +6,23 @@
 )
 
 // longLostShare is the part of the time that a member has been lost after which it is due again.
-const longLostShare = 8
+const lostTimeDivisor = 8
 
 // companySpread is the time over which gateways that just found company make their first contact, in initial backoffs.
-const companySpread = 5
+const firstContactSpread = 5
 
 // Scheduler decides which address is contacted when. Use New.
 type Scheduler struct {
 	settings Settings
 	rng      *rand.Rand
 
-	nextAt       int64 // of the next contact of a lost member, or of any address while alone
-	differAt     int64 // of the next contact of a member that sees another live set
-	backoff      int64 // while alone
-	queue        []string
-	companySince int64 // 0: alone
-	resumed      bool  // after a pause that no contact was made for yet
-	contactedAt  map[string]int64
+	nextAt         int64 // of the next contact of a lost member, or of any address while alone
+	differAt       int64 // of the next contact of a member that sees another live set
+	backoff        int64 // while alone
+	queue          []string
+	connectedSince int64 // 0: alone
+	resumed        bool  // after a pause that no contact was made for yet
+	contactedAt    map[string]int64
 
 	nameRetryAt int64 // 0: the name is this process's
 	nameBackoff int64 // the last one
@@ -45,14 +45,14 @@
 	if s.nameRetryAt > 0 {
 		return Contact{}, false
 	}
-	s.forgetFound(peers)
+	s.pruneContacted(peers)
 	if len(peers.Live) == 0 {
 		s.resumed = false
-		s.companySince = 0
+		s.connectedSince = 0
 		return s.nextAlone(now, peers)
 	}
-	if s.companySince == 0 {
-		s.enterCompany(now)
+	if s.connectedSince == 0 {
+		s.handleFirstPeer(now)
 	}
 	if s.resumed {
 		s.resumed = false
@@ -63,7 +63,7 @@
 	}
 	if now >= s.differAt {
 		s.differAt = now + s.jitter(s.settings.DifferInterval)
-		if contact, ok := s.drawOne(differing(), ReasonDiffer, now, len(peers.Live)); ok {
+		if contact, ok := s.contactRandom(differing(), ReasonDiffer, now, len(peers.Live)); ok {
 			return contact, true
 		}
 	}
@@ -71,17 +71,17 @@
 		return Contact{}, false
 	}
 	s.nextAt = now + s.jitter(s.settings.RejoinInterval)
-	return s.drawOne(s.due(now, peers), ReasonRejoin, now, len(peers.Live))
+	return s.contactRandom(s.due(now, peers), ReasonRejoin, now, len(peers.Live))
 }
 
-// enterCompany makes all that are still missing due again. Gateways that start at once find each other in islands: one that is contacted
+// handleFirstPeer makes all that are still missing due again. Gateways that start at once find each other in islands: one that is contacted
 // stops being alone before it made its own contacts, and contacts that failed while the others were not up yet say nothing.
-func (s *Scheduler) enterCompany(now int64) {
-	s.companySince = now
+func (s *Scheduler) handleFirstPeer(now int64) {
+	s.connectedSince = now
 	s.backoff = 0
 	s.queue = nil
 	clear(s.contactedAt)
-	s.nextAt = now + s.rng.Int64N(companySpread*s.settings.InitialBackoff+1)
+	s.nextAt = now + s.rng.Int64N(firstContactSpread*s.settings.InitialBackoff+1)
 }
 
 // seenAgain returns a lost member that a peer saw since it was lost, and since it was last contacted.
@@ -98,9 +98,9 @@
 	return "", false
 }
 
-// drawOne decides by chance whether this gateway contacts one of some addresses, and which, so that the fleet as a whole makes
+// contactRandom decides by chance whether this gateway contacts one of some addresses, and which, so that the fleet as a whole makes
 // contactsPerInterval contacts for each of them.
-func (s *Scheduler) drawOne(addrs []string, reason Reason, now int64, live int) (Contact, bool) {
+func (s *Scheduler) contactRandom(addrs []string, reason Reason, now int64, live int) (Contact, bool) {
 	if len(addrs) == 0 || s.rng.Float64()*float64(live+1) >= float64(contactsPerInterval*len(addrs)) {
 		return Contact{}, false
 	}
@@ -115,7 +115,7 @@
 		}
 	}
 	for _, addr := range missingSeeds(peers) {
-		if s.isDue(addr, s.companySince, now) {
+		if s.isDue(addr, s.connectedSince, now) {
 			addrs = append(addrs, addr)
 		}
 	}
@@ -124,7 +124,7 @@
 
 // isDue reports whether the interval of an address that has been missing since a time is over.
 func (s *Scheduler) isDue(addr string, missingSince, now int64) bool {
-	interval := min(max((now-missingSince)/longLostShare, s.settings.RejoinInterval), s.settings.MaxRejoinInterval)
+	interval := min(max((now-missingSince)/lostTimeDivisor, s.settings.RejoinInterval), s.settings.MaxRejoinInterval)
 	last, contacted := s.contactedAt[addr]
 	return !contacted || now-last >= interval
 }
@@ -168,11 +168,11 @@
 	}
 	s.queue = append(s.queue, missingSeeds(peers)...)
 	s.rng.Shuffle(len(s.queue), func(i, j int) { s.queue[i], s.queue[j] = s.queue[j], s.queue[i] })
-	s.backoff = doubled(s.backoff, s.settings.InitialBackoff, s.settings.MaxBackoff)
+	s.backoff = nextBackoff(s.backoff, s.settings.InitialBackoff, s.settings.MaxBackoff)
 }
 
-// doubled returns the backoff after another one; 0: the first.
-func doubled(backoff, initial, limit int64) int64 {
+// nextBackoff returns the backoff after another one; 0: the first.
+func nextBackoff(backoff, initial, limit int64) int64 {
 	if backoff == 0 {
 		return initial
 	}
@@ -185,8 +185,8 @@
 	return Contact{addr, reason}
 }
 
-// forgetFound drops addresses that were contacted and are live, or neither lost nor seeds, since.
-func (s *Scheduler) forgetFound(peers Peers) {
+// pruneContacted drops addresses that were contacted and are live, or neither lost nor seeds, since.
+func (s *Scheduler) pruneContacted(peers Peers) {
 	for addr := range s.contactedAt {
 		if slices.Contains(peers.Live, addr) || !slices.Contains(peers.Seeds, addr) && !peers.isLost(addr) {
 			delete(s.contactedAt, addr)
@@ -200,7 +200,7 @@
 
 // DeferName notes that another process has this gateway's name, and returns how long it is until the name is to be tried again.
 func (s *Scheduler) DeferName(now int64) (wait int64) {
-	s.nameBackoff = doubled(s.nameBackoff, s.settings.InitialNameBackoff, s.settings.MaxNameBackoff)
+	s.nameBackoff = nextBackoff(s.nameBackoff, s.settings.InitialNameBackoff, s.settings.MaxNameBackoff)
 	wait = s.jitter(s.nameBackoff)
 	s.nameRetryAt = now + wait
 	return wait
