--- a/internal/fleet/purgesync/event_numbers_test.go
+++ b/internal/fleet/purgesync/event_numbers_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-// numberedGateway is a gateway with event numbers of its own: PROTOCOL numbers events from 1 at each start of a gateway, so one purge has
-// different numbers at gateways that started at different times.
+// numberedGateway is a gateway that numbers events on its own. PROTOCOL numbers events from 1 at each start of a
+// gateway, so one purge has different event numbers at gateways that started at different times.
 type numberedGateway struct {
 	replica   *Replica
 	event     int64
-	known     map[int]bool // purges
-	watchDown bool         // its watch brings nothing
+	known     map[int]bool // purges received so far
+	watchDown bool         // the discovery watch delivers no purges
 }
 
 func newNumberedGateway(i int) *numberedGateway {
@@ -21,7 +21,8 @@
 	return &numberedGateway{replica: New(settings, rand.New(rand.NewPCG(uint64(i), 1)), clockStart), known: map[int]bool{}}
 }
 
-// publish has the gateway's watch bring a purge; it reports whether the replica kept it.
+// publish delivers a purge through the gateway's discovery watch, unless the watch is down. It reports whether the
+// replica kept the purge.
 func (g *numberedGateway) publish(purge int, now int64) (isKept bool) {
 	g.event++
 	if g.watchDown {
@@ -33,7 +34,8 @@
 	return g.replica.KeptCount() > before
 }
 
-// merge merges a delta of the peer and returns how many of its purges were known under another number.
+// merge merges the peer's delta and returns how many of the learned purges the gateway already knew under another event
+// number.
 func (g *numberedGateway) merge(peer *numberedGateway, now int64) (appliedTwice int) {
 	for _, learned := range g.replica.Merge(peer.replica.Delta(g.replica.Digest()), now) {
 		var purge int
@@ -46,16 +48,17 @@
 	return appliedTwice
 }
 
-// dropCounts are of a run of two gateways whose event numbers differ.
+// dropCounts holds the counts of a run of two gateways whose event numbers may differ.
 type dropCounts struct {
-	published    int // while the watch of one was cut
-	missed       int // of these, not received by that gateway
-	notKept      int // brought by a watch and not kept, so that no peer can get them: at both gateways
-	appliedTwice int // learned of a peer, though known under another number
+	published    int // purges published while one discovery watch was down
+	missed       int // of the published purges, those that the gateway with the watch down did not receive
+	notKept      int // purges delivered by a watch but not kept, so that no peer can receive them; at both gateways
+	appliedTwice int // purges learned from a peer although the gateway knew them under another event number
 }
 
-// measureDrops runs two gateways, the second started `apart` events after the first, for 30 s. For 20 s of it 10 purges per second are
-// published; from 10 to 20 s the watch of one brings nothing, so that it can only learn of its peer.
+// measureDrops runs two gateways for 30 s. The event numbers of the older gateway are ahead by offset. During the first
+// 20 s, 10 purges per second are published. From 10 s to 20 s the discovery watch of one gateway is down, so that this
+// gateway learns purges only from its peer.
 func measureDrops(offset int64, olderDown bool) (counts dropCounts) {
 	gateways := [2]*numberedGateway{newNumberedGateway(0), newNumberedGateway(1)}
 	older, younger := gateways[0], gateways[1]
@@ -85,7 +88,7 @@
 			}
 		}
 	}
-	for purge := 101; purge <= 200; purge++ { // published while the watch was cut
+	for purge := 101; purge <= 200; purge++ { // published while the watch was down
 		counts.published++
 		if !disconnected.known[purge] {
 			counts.missed++
@@ -94,7 +97,8 @@
 	return counts
 }
 
-// Are purges lost where event numbers differ? It prints what is measured; where the numbers are equal none may be missed.
+// Measures how many purges are lost if the event numbers of two gateways differ, and logs the counts. The test fails
+// only if a purge is missed although the event numbers are equal.
 func TestSizeDifferingEventNumbers(t *testing.T) {
 	for _, offset := range []int64{0, 10, 50, 150, 1_000, 100_000} {
 		for _, olderDown := range []bool{true, false} {
@@ -103,16 +107,18 @@
 			if olderDown {
 				down = "older"
 			}
-			t.Logf("numbers %d apart, the watch of the %s one cut for 10 s: missed %d of %d, not kept %d, applied twice %d", offset, down, counts.missed,
-				counts.published, counts.notKept, counts.appliedTwice)
+			t.Logf("event numbers %d apart, watch of the %s gateway down for 10 s: missed %d of %d, not kept %d, applied twice %d",
+				offset, down, counts.missed, counts.published, counts.notKept, counts.appliedTwice)
 			if offset == 0 && counts.missed > 0 {
-				t.Errorf("%d of %d missed where numbers are equal", counts.missed, counts.published)
+				t.Errorf("%d of %d purges missed with equal event numbers, want 0", counts.missed, counts.published)
 			}
 		}
 	}
 }
 
-// The three ways in which a replica drops purges where event numbers differ. It prints what is measured.
+// Shows the three ways in which a replica drops purges if event numbers differ, and logs the counts: the number of an
+// own event is taken by a purge of a peer, the peer's numbers are lower than the gateway's, and the gateway's own
+// numbering restarts.
 func TestSizeEventNumberTakenByAPeersPurge(t *testing.T) {
 	taken := newReplica(1)
 	taken.RecordOwn(5, nil, second)
@@ -123,13 +129,13 @@
 	for _, p := range taken.Delta(0) {
 		objects = append(objects, p.Object)
 	}
-	t.Logf("%d purges of the peer are learned; after the own watch brought 6 and 7 the delta is %q, with the own 7: %t", len(learned), objects,
-		slices.Contains(objects, "own"))
+	t.Logf("%d purges learned from the peer; after the own events 6 and 7 the delta is %q; it holds the own event 7: %t",
+		len(learned), objects, slices.Contains(objects, "own"))
 
 	ahead := newReplica(2)
 	ahead.RecordOwn(100, nil, second)
 	learned = ahead.Merge([]Purge{{Event: 7, Object: "own", Issued: testIssued}}, second)
-	t.Logf("a gateway at event 100 learns %d purges from a peer that is at 7", len(learned))
+	t.Logf("a gateway at event 100 learned %d purges from a peer at event 7", len(learned))
 
 	renumbered := newReplica(3)
 	renumbered.RecordOwn(100, nil, second)
@@ -137,5 +143,5 @@
 	renumbered.RecordOwn(1, nil, second)
 	kept := renumbered.KeptCount()
 	learned = renumbered.Merge([]Purge{{Event: 101, Object: "x", Issued: testIssued}}, second)
-	t.Logf("a watch that numbers anew (100, then 1): %d purges kept, %d learned again", kept, len(learned))
+	t.Logf("the watch restarted its numbering (event 100, then 1): %d purges kept, %d learned again", kept, len(learned))
 }
--- a/internal/fleet/purgesync/frame.go
+++ b/internal/fleet/purgesync/frame.go
@@ -6,43 +6,44 @@
 	"slices"
 )
 
-// A frame is little-endian, without padding:
+// A frame is encoded in little-endian byte order without padding:
 //
 //	1 byte   Kind
 //	8 bytes  key of the sender
-//	1 byte   0 a digest, 1 a delta
+//	1 byte   0 for a digest, 1 for a delta
 //	8 bytes  digest of the sender
 //	1 byte   number of purges
 //
-// and for each purge
+// Each purge is encoded as
 //
-//	8 bytes  event
-//	8 bytes  issued
+//	8 bytes  event number
+//	8 bytes  time of issue in Unix milliseconds
 //	8 bytes  group
-//	1 byte   length of the object's name, then the name
+//	1 byte   length of the object's name, followed by the name
 const (
-	// Kind is the first byte of a frame and tells it from the other messages of gateways.
+	// Kind is the first byte of a frame. It distinguishes frames from the other messages that gateways exchange.
 	Kind = 3
 
 	headerSize         = 1 + 8 + 1 + 8 + 1
 	purgeHeaderSize    = 8 + 8 + 8 + 1
 	maxPurgesPerFrame  = 12
-	maxDeltaBytes      = 1100 // of the purges of a frame: one datagram
+	maxDeltaBytes      = 1100 // encoded purges in one frame, so that the frame fits one datagram
 	maxObjectNameBytes = 255
 )
 
-// ErrFrame is the error of ParseFrame.
-var ErrFrame = errors.New("not a readable frame of purges")
+// ErrFrame is returned by ParseFrame for bytes that are not exactly one valid frame.
+var ErrFrame = errors.New("malformed purge frame")
 
-// Frame is a message of one gateway to another.
+// Frame is a digest or a delta that one gateway sends to another.
 type Frame struct {
 	SenderKey uint64
-	IsDelta   bool // an answer to a digest, and not answered itself
+	IsDelta   bool // the frame answers a digest; a delta is not answered
 	Digest    int64
 	Purges    []Purge // at most maxPurgesPerFrame
 }
 
-// Append appends the encoded frame to b. Purges of objects with names over 255 bytes are left out: they wait for the discovery watch.
+// Append appends the encoded frame to b and returns the extended slice. It omits purges of objects whose name is longer
+// than 255 bytes. Other gateways receive these purges only through their own discovery watch.
 func (f Frame) Append(b []byte) []byte {
 	le := binary.LittleEndian
 	isDelta := byte(0)
@@ -65,7 +66,7 @@
 	return b
 }
 
-// ParseFrame reads a frame. It returns ErrFrame unless all of b is one.
+// ParseFrame decodes a frame. It returns ErrFrame if b is not exactly one valid frame.
 func ParseFrame(b []byte) (frame Frame, err error) {
 	if len(b) < headerSize || b[0] != Kind || b[9] > 1 || int(b[headerSize-1]) > maxPurgesPerFrame {
 		return frame, ErrFrame
--- a/internal/fleet/purgesync/frozen_test.go
+++ b/internal/fleet/purgesync/frozen_test.go
@@ -7,7 +7,7 @@
 	"foldslip/internal/lab/frozen"
 )
 
-// Frames that released builds sent are read, and written to the same bytes.
+// Frames of released builds must decode to the expected values and encode to the same bytes.
 func TestFrozenFramesKeepTheirBytes(t *testing.T) {
 	for name, want := range map[string]Frame{
 		"hello.frame": {SenderKey: 0x0102030405060708, Digest: 9},
@@ -20,7 +20,7 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		if got.SenderKey != want.SenderKey || got.IsDelta != want.IsDelta || got.Digest != want.Digest || !slices.Equal(got.Purges, want.Purges) {
-			t.Errorf("%s: read %+v, not %+v", name, got, want)
+			t.Errorf("%s: got %+v, want %+v", name, got, want)
 		}
 		frozen.Equal(t, name, got.Append(nil))
 		frozen.Equal(t, name, want.Append(nil))
--- a/internal/fleet/purgesync/replica.go
+++ b/internal/fleet/purgesync/replica.go
@@ -1,14 +1,20 @@
-// Package purgesync spreads purges among gateways by anti-entropy: a gateway whose discovery watch is late, or away for a while, learns of
-// purges from its peers. It is pure: purges of this gateway's own watch, digests and deltas of peers and the time in whole microseconds go
-// in; what to send to which peer, and which purges to apply, come out. Package gossip does the I/O.
+// Package purgesync disseminates purges among gateways by anti-entropy. A gateway whose discovery watch is late, or is
+// disconnected for a while, learns purges from its peers. The package does no I/O and reads no clock. The purges of the
+// gateway's own discovery watch, the digests and deltas of peers, and the time in whole microseconds are its input. The
+// digests and deltas to send to peers, and the purges to apply, are its output. Package gossip does the I/O.
 //
-// The rule of merging is a join: a known purge stays known, from whichever gateway and in whatever order it came; it only ever makes a
-// gateway stricter (no answer from an older copy), and nothing that the own watch said is taken back for it. So neither clocks nor votes
-// are needed, and a wrong or outdated purge costs a refill. Events are numbered by discovery: a digest is the highest number whose purges
-// a gateway knows, and a peer that has later ones answers with them in order (Demers and others, Epidemic Algorithms, PODC 1987, pull).
-// What a gateway learned from a peer it passes on in the same way.
+// Discovery numbers its events. A digest is the highest event number whose purges a gateway knows. A peer that knows
+// purges of later events answers a digest with a delta: these purges in order of their event numbers (pull
+// anti-entropy; Demers and others, Epidemic Algorithms, PODC 1987). A gateway passes on the purges that it learned from
+// peers in the same way.
 //
-// Bounds: maxKept purges, each for Settings.KeepFor; maxPurgesPerFrame and maxDeltaBytes in a frame.
+// Merging is a join: a known purge stays known, whichever gateway it came from and in whatever order purges arrive. A
+// merged purge can only make a gateway stricter, because it rules out answers from an older copy. It never undoes what
+// the gateway's own watch reported. Neither clocks nor votes are therefore needed, and a wrong or outdated purge costs
+// a refill.
+//
+// A Replica holds the purges of one gateway: at most maxKept, each for Settings.KeepFor. A delta holds at most
+// maxPurgesPerFrame purges and maxDeltaBytes bytes of encoded purges.
 package purgesync
 
 import (
@@ -20,53 +26,55 @@
 // Purge is one purge with the number of its discovery event.
 type Purge struct {
 	Event  int64
-	Object string // "": of a group
+	Object string // "" for the purge of a group
 	Group  int64
 	Issued int64 // Unix milliseconds
 }
 
-// maxIssued bounds Purge.Issued of peers: the year 5138.
+// maxIssued is the exclusive upper bound on Purge.Issued in purges of peers. It lies in the year 5138.
 const maxIssued = 1e14
 
-// isValid reports whether a peer's purge can be one.
+// isValid reports whether the event number and the time of issue of a peer's purge are in range.
 func (p Purge) isValid() bool { return p.Event > 0 && p.Issued > 0 && p.Issued < maxIssued }
 
-// Settings are times in whole microseconds.
+// Settings are the times of a Replica in whole microseconds.
 type Settings struct {
-	DigestInterval int64 // between two rounds of digests
-	KeepFor        int64 // time for which a purge is passed on
+	DigestInterval int64 // time between two rounds of digests
+	KeepFor        int64 // time for which a purge is kept and passed on
 }
 
 const (
 	maxKept      = 2048
-	digestFanOut = 2 // peers that get a digest in a round
+	digestFanOut = 2 // peers that receive a digest in each round
 )
 
-// keptPurge is a purge that is passed on.
+// keptPurge is a purge that the replica passes on to peers.
 type keptPurge struct {
 	Purge
 	keptAt int64
 }
 
-// Replica holds the purges that one gateway passes on. It is not safe for concurrent use; its owner is package gossip, under its lock.
+// Replica holds the purges that one gateway passes on to peers. It is not safe for concurrent use. Package gossip owns
+// it and guards it with a mutex.
 type Replica struct {
 	settings     Settings
 	rng          *rand.Rand
-	ownEvent     int64       // last event of the own discovery watch
-	highestEvent int64       // highest number whose purges are known
-	kept         []keptPurge // by rising number
+	ownEvent     int64       // number of the last event of the gateway's own discovery watch
+	highestEvent int64       // highest event number whose purges are known
+	kept         []keptPurge // in ascending order of event numbers
 	nextDigestAt int64
 
-	LearnedFromPeers uint64 // purges that a peer sent before the own watch did
+	LearnedFromPeers uint64 // purges received from a peer before the gateway's own discovery watch delivered them
 }
 
-// New makes an empty replica; its first digests are due at once.
+// New returns an empty replica whose first round of digests is due at once.
 func New(settings Settings, rng *rand.Rand, now int64) *Replica {
 	return &Replica{settings: settings, rng: rng, nextDigestAt: now}
 }
 
-// RecordOwn takes the purges of the own discovery watch and the number of its last event. A number below the one before means that
-// discovery numbers anew: the replica begins anew as well.
+// RecordOwn records purges of the gateway's own discovery watch and the number of the watch's last event. A number
+// below the previous one means that discovery restarted its numbering. The replica then drops all kept purges and
+// resets its digest.
 func (r *Replica) RecordOwn(lastEvent int64, purges []Purge, now int64) {
 	if lastEvent < r.ownEvent {
 		r.kept = nil
@@ -79,7 +87,9 @@
 	}
 }
 
-// insert adds a purge in order; it reports false where one of its number is kept already.
+// insert adds a purge in order of event numbers and reports whether it was added. A purge is not added if one with the
+// same event number is already kept. Each insertion drops the purges that are older than KeepFor and, beyond maxKept,
+// those with the lowest event numbers.
 func (r *Replica) insert(p Purge, now int64) bool {
 	i, found := slices.BinarySearchFunc(r.kept, p.Event, func(k keptPurge, event int64) int { return cmp.Compare(k.Event, event) })
 	if found {
@@ -93,7 +103,8 @@
 	return true
 }
 
-// DigestTargets returns the peers to send a digest to now, drawn at random; none between two rounds.
+// DigestTargets returns the peers to which a digest is to be sent now, chosen at random. It returns none until the next
+// round is due.
 func (r *Replica) DigestTargets(peers []string, now int64) []string {
 	if now < r.nextDigestAt || len(peers) == 0 {
 		return nil
@@ -104,10 +115,11 @@
 	return targets[:min(digestFanOut, len(targets))]
 }
 
-// Digest is the highest number whose purges are known here.
+// Digest returns the highest event number whose purges this gateway knows.
 func (r *Replica) Digest() int64 { return r.highestEvent }
 
-// Delta returns the purges that a peer with a digest does not have: as many of the first as fit a frame, in order.
+// Delta returns the kept purges with event numbers above a peer's digest, in ascending order. It returns the first ones
+// that fit in one frame.
 func (r *Replica) Delta(digest int64) (delta []Purge) {
 	size := 0
 	for _, k := range r.kept {
@@ -122,7 +134,8 @@
 	return delta
 }
 
-// Merge takes the purges of a peer's delta and returns those that are new here and are to be applied.
+// Merge merges the purges of a peer's delta. It returns the purges that this gateway did not know, which the caller
+// must apply.
 func (r *Replica) Merge(purges []Purge, now int64) (learned []Purge) {
 	for _, p := range purges {
 		if !p.isValid() {
@@ -137,5 +150,5 @@
 	return learned
 }
 
-// KeptCount is how many purges are kept.
+// KeptCount returns the number of kept purges.
 func (r *Replica) KeptCount() int { return len(r.kept) }
--- a/internal/fleet/purgesync/replica_test.go
+++ b/internal/fleet/purgesync/replica_test.go
@@ -15,8 +15,8 @@
 	return New(Settings{DigestInterval: second / 2, KeepFor: 60 * second}, rand.New(rand.NewPCG(seed, 1)), 1)
 }
 
-// timeToReachAll has n gateways exchange digests, of which a share is lost, and returns the time until all have a purge that one
-// published; -1 if they don't within a minute.
+// timeToReachAll lets n gateways exchange digests, a share of which is lost. It returns the time in microseconds until
+// all gateways have a purge that one of them published, or -1 if they do not have it within a minute.
 func timeToReachAll(n int, lossShare float64) int64 {
 	rng := rand.New(rand.NewPCG(7, 7))
 	var replicas []*Replica
@@ -53,11 +53,11 @@
 func TestPurgeKnownToOneGatewayReachesAll(t *testing.T) {
 	for _, n := range []int{2, 12, 200} {
 		if elapsed := timeToReachAll(n, 0); elapsed < 0 || elapsed > 6*second {
-			t.Errorf("%d gateways: after %d us", n, elapsed)
+			t.Errorf("%d gateways: purge reached all after %d us, want 0 to 6 s", n, elapsed)
 		}
 	}
 	if elapsed := timeToReachAll(12, 0.2); elapsed < 0 || elapsed > 8*second {
-		t.Errorf("with loss: after %d us", elapsed)
+		t.Errorf("12 gateways, a fifth of the digests lost: purge reached all after %d us, want 0 to 8 s", elapsed)
 	}
 }
 
@@ -73,7 +73,7 @@
 	}
 	r.RecordOwn(8, []Purge{later}, second)
 	if r.KeptCount() != 2 {
-		t.Errorf("%d kept", r.KeptCount())
+		t.Errorf("%d purges kept, want 2", r.KeptCount())
 	}
 }
 
@@ -83,11 +83,11 @@
 		r.RecordOwn(i+1, []Purge{{Event: i + 1, Object: "x", Issued: 1e12}}, i)
 	}
 	if r.KeptCount() != maxKept {
-		t.Errorf("%d kept", r.KeptCount())
+		t.Errorf("%d purges kept, want maxKept", r.KeptCount())
 	}
 	r.RecordOwn(10*maxKept, []Purge{{Event: 10 * maxKept, Object: "x", Issued: 1e12}}, 100*second)
 	if r.KeptCount() != 1 {
-		t.Errorf("%d kept after their time", r.KeptCount())
+		t.Errorf("%d purges kept after KeepFor, want 1", r.KeptCount())
 	}
 }
 
@@ -96,7 +96,7 @@
 	r.RecordOwn(100, []Purge{{Event: 100, Object: "x", Issued: 1e12}}, second)
 	r.RecordOwn(2, nil, 2*second)
 	if r.KeptCount() != 0 || r.Digest() != 2 {
-		t.Errorf("%d kept, digest %d", r.KeptCount(), r.Digest())
+		t.Errorf("%d purges kept and digest %d after the numbering restarted, want 0 and 2", r.KeptCount(), r.Digest())
 	}
 }
 
@@ -105,11 +105,11 @@
 	b := f.Append(nil)
 	got, err := ParseFrame(b)
 	if err != nil || fmt.Sprint(got) != fmt.Sprint(f) {
-		t.Errorf("%+v %v", got, err)
+		t.Errorf("ParseFrame returned %+v and the error %v", got, err)
 	}
 	for n := range b {
 		if _, err := ParseFrame(b[:n]); err == nil {
-			t.Errorf("the first %d of %d bytes are read as a frame", n, len(b))
+			t.Errorf("ParseFrame accepted the first %d of %d bytes", n, len(b))
 		}
 	}
 	long := Frame{Purges: []Purge{{1, strings.Repeat("x", 300), 0, 1}}}
@@ -122,7 +122,7 @@
 	f.Add(Frame{SenderKey: 7, IsDelta: true, Digest: 9, Purges: []Purge{{9, "segment-1", 0, 1e12}}}.Append(nil))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if frame, err := ParseFrame(b); err == nil && !bytes.Equal(frame.Append(nil), b) {
-			t.Errorf("%x", b)
+			t.Errorf("ParseFrame accepted %x, but Append encodes the frame to other bytes", b)
 		}
 	})
 }
--- a/internal/fleet/purgesync/spread_size_test.go
+++ b/internal/fleet/purgesync/spread_size_test.go
@@ -9,46 +9,46 @@
 	"testing"
 )
 
-// Probes of purges at the sizes of a fleet. They measure what this package does (docs/CAPACITY.md has the figures), print it, and fail only
-// where a probe itself is wrong.
+// The tests of this file measure how purges propagate in fleets of several sizes (docs/CAPACITY.md has the figures).
+// They log the results and fail only if the measurement itself is inconsistent.
 var (
-	sizes = flag.String("purgesync.sizes", "12", "fleet sizes of the probe of purges")
+	sizes = flag.String("purgesync.sizes", "12", "fleet sizes at which purge propagation is measured")
 	rates = flag.String("purgesync.rates", "10,100", "purges per second")
-	runs  = flag.Int("purgesync.runs", 1, "seeds 1 to so many for each size and rate")
+	runs  = flag.Int("purgesync.runs", 1, "number of seeds for each size and rate, starting at seed 1")
 )
 
 const (
-	publishDuration = 30 * second        // in which purges are published
-	waitAfterPurges = 90 * second        // from the last, for those on their way; they are kept for 60 s
-	spreadTarget    = 4_500_000          // microseconds in which a purge is to reach all
-	gossipInterval  = second / 4         // at which package gossip checks whether digests are due
-	clockStep       = second / 100       // of the virtual clock
-	clockStart      = int64(1_000_000)   // of the virtual clock: 0 stands for "not received"
-	testObject      = "7f3a9c21e0b4d655" // of PROTOCOL's form: 16 bytes
+	publishDuration = 30 * second        // time during which purges are published
+	waitAfterPurges = 90 * second        // time after the last purge for the propagation to end; purges are kept for 60 s
+	spreadTarget    = 4_500_000          // microseconds within which a purge should reach all gateways
+	gossipInterval  = second / 4         // interval at which package gossip checks whether digests are due
+	clockStep       = second / 100       // step of the virtual clock
+	clockStart      = int64(1_000_000)   // start of the virtual clock; time 0 means "not received"
+	testObject      = "7f3a9c21e0b4d655" // 16 bytes, in the form that PROTOCOL specifies
 	testIssued      = 1_764_576_000_000  // Unix milliseconds
 )
 
-// spreadResult is the outcome of one run. A pair is a purge and a gateway other than the source.
+// spreadResult is the result of one run. A pair consists of a purge and a gateway other than the source.
 type spreadResult struct {
 	pairs                int
-	inTime               float64 // share of pairs in spreadTarget
-	worst                float64 // seconds, of pairs that were received
+	inTime               float64 // share of the pairs received within spreadTarget
+	worst                float64 // longest propagation time of a received pair, in seconds
 	missing              int     // pairs that were never received
-	lost                 int     // of them, pairs that never can be: passed over by the gateway's digest, or kept nowhere
-	meanBytesPerSecond   float64 // sent in frames by a gateway in purgeTime
-	sourceBytesPerSecond float64 // by the source
+	lost                 int     // pairs missing for good: the digest is past the purge, or no gateway keeps it
+	meanBytesPerSecond   float64 // bytes of frames that a gateway sends on average during publishDuration
+	sourceBytesPerSecond float64 // bytes of frames that the source sends during publishDuration
 }
 
-// spreadRun is a fleet without loss or latency, of which one gateway, the source, has a discovery watch.
+// spreadRun simulates a fleet without message loss or latency. One gateway, the source, has a discovery watch.
 type spreadRun struct {
 	rate           float64
 	replicas       []*Replica
 	names          []string
 	index          map[string]int
-	phases         []int64   // in clock steps, of each gateway's rounds
-	receivedAt     [][]int64 // by gateway and purge, from 1
+	phases         []int64   // offset of each gateway's rounds, in clock steps
+	receivedAt     [][]int64 // by gateway and number of the purge; purges are numbered from 1
 	purges         int
-	lastReceivedAt int64 // when a purge last reached a gateway
+	lastReceivedAt int64 // when a gateway last received a purge that it did not know
 
 	bytes       float64
 	sourceBytes float64
@@ -72,11 +72,12 @@
 	return clockStart + int64(float64(purge-1)*float64(second)/r.rate)
 }
 
-// run publishes all purges and lets the gateways exchange digests until nothing has been new for 10 s.
+// run publishes all purges and lets the gateways exchange digests until no gateway has received a new purge for 10 s.
 func (r *spreadRun) run() {
 	peers := make([]string, len(r.names)-1)
 	published := 0
-	for now := clockStart; now < clockStart+publishDuration+waitAfterPurges && now-max(r.lastReceivedAt, clockStart+publishDuration) < 10*second; now += clockStep {
+	for now := clockStart; now < clockStart+publishDuration+waitAfterPurges &&
+		now-max(r.lastReceivedAt, clockStart+publishDuration) < 10*second; now += clockStep {
 		for published < r.purges && r.publishedAt(published+1) <= now {
 			published++
 			r.replicas[0].RecordOwn(int64(published), []Purge{{Event: int64(published), Object: testObject, Issued: testIssued}}, now)
@@ -93,7 +94,8 @@
 	}
 }
 
-// exchange has a gateway send its digests and merge the deltas; all digests of a round are sent before a delta arrives.
+// exchange sends the digests that are due at a gateway and merges the deltas that answer them. All digests of a round
+// have the same value, because they are sent before the first delta arrives.
 func (r *spreadRun) exchange(i int, peers []string, now int64) {
 	replica := r.replicas[i]
 	digest := replica.Digest()
@@ -165,8 +167,9 @@
 	return numbers
 }
 
-// How many purges that one gateway's watch brings reach the others in time, and at what cost? The short form is 12 gateways at 10 and 100
-// purges per second, seed 1; the full one
+// Measures how many of the purges delivered by one gateway's discovery watch reach the other gateways in time, and how
+// many bytes that takes. By default it runs 12 gateways at 10 and 100 purges per second with seed 1. The full
+// measurement is
 //
 //	go test ./internal/fleet/purgesync -run SizeSpread -v -purgesync.sizes 12,50,200,1000 -purgesync.rates 10,40,100 -purgesync.runs 3
 func TestSizeSpread(t *testing.T) {
@@ -176,10 +179,11 @@
 				r := newSpreadRun(int(n), rate, uint64(run+1))
 				r.run()
 				got := r.result()
-				t.Logf("gateways %.0f rate %g seed %d: in 4.5 s %.4f, worst %.1f s, never %d of %d (%.4f), lost for good %d, bytes/s mean %.0f, of the source %.0f", n, rate,
-					run+1, got.inTime, got.worst, got.missing, got.pairs, float64(got.missing)/float64(got.pairs), got.lost, got.meanBytesPerSecond, got.sourceBytesPerSecond)
+				t.Logf("gateways %.0f rate %g seed %d: within 4.5 s %.4f, worst %.1f s, missing %d of %d (%.4f), lost %d, bytes/s mean %.0f, source %.0f",
+					n, rate, run+1, got.inTime, got.worst, got.missing, got.pairs, float64(got.missing)/float64(got.pairs), got.lost,
+					got.meanBytesPerSecond, got.sourceBytesPerSecond)
 				if got.pairs != (int(n)-1)*int(rate*30) || got.inTime < 0 || got.inTime > 1 {
-					t.Errorf("the probe counts wrong: %+v", got)
+					t.Errorf("inconsistent counts, want 30 s of purges per gateway and a share from 0 to 1: %+v", got)
 				}
 			}
 		}
