--- a/internal/fleet/gossip/demand.go
+++ b/internal/fleet/gossip/demand.go
@@ -8,20 +8,21 @@
 	"foldslip/internal/limit"
 )
 
-const demandTimeConstant = time.Second // of the exponential means of a demand
+const demandTimeConstant = time.Second // time constant of the exponentially weighted means in demand
 
-// demand is the mean demand of one limit here, in its unit per second, and what was counted when it was last updated.
+// demand holds exponentially weighted means of the demand for one limit at this gateway. Lookups and bytes are rates
+// per second.
 type demand struct {
-	lastUse          limit.Usage
-	measuredAt       time.Duration // since the Gossiper was made
+	lastUse          limit.Usage   // counters at the last update
+	measuredAt       time.Duration // time of the last update since the Gossiper was made
 	lookupsRequested float64
 	lookupsAdmitted  float64
 	bytesRequested   float64
 	bytesAdmitted    float64
-	openRequested    float64 // at once
+	openRequested    float64 // lookups open at the same time
 }
 
-// update adds what was counted since the last update.
+// update includes the usage since the last update in the means.
 func (d *demand) update(usage limit.Usage, now time.Duration) {
 	elapsed := (now - d.measuredAt).Seconds()
 	if elapsed <= 0 {
@@ -38,20 +39,21 @@
 	d.measuredAt = now
 }
 
-// Suffixes of a limit's name for what it limits; they go into frames as a part of the name's key.
+// Suffixes that a limit's name gets for each dimension. A frame carries the key of the name with its suffix.
 const (
 	lookupsSuffix = "/lookups"
 	bytesSuffix   = "/bytes"
 	openSuffix    = "/open"
 )
 
-// dimension is one thing that a limit of admission limits, as a limit of the fleet, with the demand here.
+// dimension is one quantity that an admission limit bounds (lookups, bytes or open lookups) as a separate limit of the
+// fleet, with the demand and the use at this gateway.
 type dimension struct {
 	limits.Limit
 	demand, used float64
 }
 
-// dimensions are the limits of the fleet that one limit of admission makes.
+// dimensions returns the limits of the fleet that one admission limit consists of. A quantity without a limit has none.
 func dimensions(name string, spec limit.Spec, d *demand) (dims []dimension) {
 	add := func(suffix string, total float64, integral bool, requested, used float64) {
 		if total > 0 {
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -1,9 +1,15 @@
-// Package gossip carries what gateways of a fleet exchange beside membership: limits of the fleet (package fleet/limits decides: the
-// demand of lookups here goes in, requests and grants travel as datagrams, leases are applied where lookups are admitted) and purges
-// (package fleet/purgesync decides: what this gateway's own discovery watch brought goes in, what peers learned earlier is applied here).
+// Package gossip exchanges the limits and the purges of a fleet between its gateways. It does the I/O for two packages
+// that decide what is exchanged:
 //
-// One goroutine, Run, does all the work; HandleMessage only queues. Bound: maxQueuedMessages messages wait; past them messages are dropped
-// and counted, which costs the time of a loan and never exceeds a limit. A Gossiper lives as long as its gateway.
+//   - Package fleet/limits shares the limits of the fleet. Its input is the demand for lookups at this gateway. Loan
+//     requests and grants are sent as datagrams, and the resulting leases are applied where lookups are admitted.
+//   - Package fleet/purgesync shares purges. Its input is the purges that this gateway's own discovery watch delivered.
+//     Purges that peers received earlier are applied at this gateway.
+//
+// A Gossiper owns the ledger of limits, the replica of purges and a queue of received messages. One goroutine, Run,
+// does all the work, and HandleMessage only queues a message. The queue holds at most maxQueuedMessages messages.
+// Further messages are dropped and counted. Dropping a message can cost the use of a loan for its duration, but never
+// causes a limit to be exceeded. A Gossiper lives as long as its gateway.
 package gossip
 
 import (
@@ -24,27 +30,27 @@
 	stepInterval      = 250 * time.Millisecond
 )
 
-// LimitSettings are the settings of limits on all gateways.
+// LimitSettings are the settings of fleet limits, equal on all gateways. Times are in microseconds.
 var LimitSettings = limits.Settings{LoanDuration: 4_000_000, MaxLentFraction: 0.8, RequestInterval: 250_000, MaxSettleWait: 15_000_000}
 
-// PurgeSettings are the settings of purges on all gateways.
+// PurgeSettings are the settings of the exchange of purges, equal on all gateways. Times are in microseconds.
 var PurgeSettings = purgesync.Settings{DigestInterval: 500_000, KeepFor: 60_000_000}
 
 // Fleet is the part of fleet membership that a Gossiper uses.
 type Fleet interface {
-	// Send sends a datagram to a member.
+	// Send sends a datagram to the member with the given name.
 	Send(to string, b []byte) error
-	// State returns the present state of the fleet.
+	// State returns the current state of the fleet.
 	State() membership.State
-	// LiveNames returns the names of all live members, this gateway among them.
+	// LiveNames returns the names of all live members, including this gateway.
 	LiveNames() []string
 }
 
-// Admission is where lookups are admitted.
+// Admission admits lookups within leases of fleet limits.
 type Admission interface {
 	// FleetLimits calls f for each limit of the fleet.
 	FleetLimits(f func(name string, spec limit.Spec, usage limit.Usage))
-	// ApplyLeases puts leases in force, by name of the limit.
+	// ApplyLeases replaces the leases of the named limits.
 	ApplyLeases(leases map[string]limit.Lease)
 }
 
@@ -52,27 +58,28 @@
 type Gossiper struct {
 	self      string
 	fleet     Fleet
-	admission Admission // nil: no limit can be shared
+	admission Admission // nil if no limits are shared
 	log       *slog.Logger
 	startedAt time.Time
-	wakeup    chan struct{} // messages are queued
+	wakeup    chan struct{} // signals queued messages
 
 	mu              sync.Mutex
 	queue           [][]byte
 	droppedMessages uint64
-	peerNames       map[uint64]string // live peers, by key
+	peerNames       map[uint64]string // names of live peers, by the key of the name
 
 	ledger       *limits.Ledger
 	demands      map[string]*demand
-	limitNames   map[uint64]string // by key
+	limitNames   map[uint64]string // names of limits, by the key of the name
 	hasFullQuota bool
 
 	purges        *purgesync.Replica
-	onPurges      func([]purgesync.Purge) // nil: purges of peers are not applied
-	learnedPurges []purgesync.Purge       // to be applied
+	onPurges      func([]purgesync.Purge) // nil if no purges are exchanged with peers
+	learnedPurges []purgesync.Purge       // purges of peers that are not applied yet
 }
 
-// New makes a Gossiper. A nil admission means that no limit can be shared, a nil onPurges that purges of peers are not applied.
+// New returns a Gossiper. If admission is nil, it shares no limits. If onPurges is nil, it exchanges no purges with
+// peers; otherwise onPurges is called with the purges that peers received earlier than this gateway.
 func New(self string, admission Admission, onPurges func([]purgesync.Purge), log *slog.Logger, seed uint64) *Gossiper {
 	g := &Gossiper{
 		self:       self,
@@ -90,13 +97,14 @@
 	return g
 }
 
-// SetFleet sets the fleet to send to. It must be called before Run.
+// SetFleet sets the fleet that the Gossiper sends to. It must be called before Run.
 func (g *Gossiper) SetFleet(fleet Fleet) { g.fleet = fleet }
 
-// now is the time in microseconds since New, never 0.
+// now returns the microseconds since New, counted from 1 so that it is never 0.
 func (g *Gossiper) now() int64 { return time.Since(g.startedAt).Microseconds() + 1 }
 
-// HandleMessage queues a datagram of a peer; it keeps no reference to b.
+// HandleMessage queues a copy of a datagram received from a peer. If the queue is full or b is empty, it drops and
+// counts the datagram.
 func (g *Gossiper) HandleMessage(b []byte) {
 	g.mu.Lock()
 	if len(g.queue) >= maxQueuedMessages || len(b) == 0 {
@@ -111,7 +119,7 @@
 	}
 }
 
-// Run does the work until stop is closed.
+// Run handles queued messages and makes a step every stepInterval until stop is closed.
 func (g *Gossiper) Run(stop <-chan struct{}) {
 	ticker := time.NewTicker(stepInterval)
 	defer ticker.Stop()
@@ -131,7 +139,7 @@
 	}
 }
 
-// message is a frame to be sent to a peer.
+// message is a frame to send to the peer with the given name.
 type message struct {
 	to    string
 	frame []byte
@@ -139,12 +147,12 @@
 
 func (g *Gossiper) send(messages []message) {
 	for _, m := range messages {
-		// One that cannot be sent is as good as lost: requests and digests are repeated.
+		// An error is treated like the loss of the datagram, because requests and digests are repeated.
 		g.fleet.Send(m.to, m.frame)
 	}
 }
 
-// handleQueued handles all queued messages and returns the answers.
+// handleQueued handles all queued messages and returns the answers to send.
 func (g *Gossiper) handleQueued() (answers []message) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -161,7 +169,8 @@
 	return answers
 }
 
-// step takes the present state of the fleet and of demands, and returns the messages that are due.
+// step updates the peers, the limits and the demand from the current state of the fleet, and returns the messages that
+// are due.
 func (g *Gossiper) step() (messages []message) {
 	state := g.fleet.State()
 	live := g.fleet.LiveNames()
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -14,25 +14,26 @@
 	"foldslip/internal/limit"
 )
 
-// network stands in for the fleet: isolated gateways reach each other only, and so do the others.
+// network is a fleet in one process. It delivers messages among the isolated gateways and among the others, but not
+// between the two groups.
 type network struct {
 	mu        sync.Mutex
 	gossipers map[string]*Gossiper
 	isolated  map[string]bool
 }
 
-// newNetwork makes a network without gateways.
+// newNetwork returns a network without gateways.
 func newNetwork() *network {
 	return &network{gossipers: map[string]*Gossiper{}, isolated: map[string]bool{}}
 }
 
-// add connects a gateway.
+// add connects a gateway to the network under a name.
 func (n *network) add(name string, gossiper *Gossiper) {
 	gossiper.SetFleet(endpoint{n, name})
 	n.gossipers[name] = gossiper
 }
 
-// start runs all gateways and returns a function that ends them.
+// start runs all gateways and returns a function that stops them.
 func (n *network) start() (shutdown func()) {
 	stop := make(chan struct{})
 	var running sync.WaitGroup
@@ -45,7 +46,7 @@
 	}
 }
 
-// endpoint is the Fleet of one gateway.
+// endpoint implements Fleet for one gateway of a network.
 type endpoint struct {
 	network *network
 	name    string
@@ -78,7 +79,7 @@
 	return names
 }
 
-// fakeAdmission is a set of limits under a lock.
+// fakeAdmission implements Admission with a set of limits guarded by a mutex.
 type fakeAdmission struct {
 	mu     sync.Mutex
 	limits *limit.Set
@@ -100,7 +101,7 @@
 	}
 }
 
-// sendLookups sends lookups at a rate per second for a time and returns how many were admitted.
+// sendLookups sends lookups of tenant x at a rate per second for the given duration and returns how many were admitted.
 func (a *fakeAdmission) sendLookups(rate int, duration time.Duration) (admitted int) {
 	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(time.Second / time.Duration(rate)) {
 		a.mu.Lock()
@@ -112,7 +113,8 @@
 	return admitted
 }
 
-// withFleet runs a test in a fleet of n gateways with a limit, whose views have settled.
+// withFleet runs a test with a fleet of n gateways that share one limit. The views of the gateways have settled, and
+// each gateway has its full quota.
 func withFleet(t *testing.T, n int, spec limit.Spec, test func(t *testing.T, fleet *network, admissions []*fakeAdmission)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -135,12 +137,12 @@
 	withFleet(t, 4, limit.Spec{LookupsPerSecond: 100, FleetWide: true}, func(t *testing.T, fleet *network, admissions []*fakeAdmission) {
 		admissions[0].sendLookups(500, 5*time.Second)
 		if admitted := admissions[0].sendLookups(500, 10*time.Second); admitted < 750 || admitted > 1000 {
-			t.Errorf("%d in 10 s: its own quarter and four fifths of the rest are 850", admitted)
+			t.Errorf("%d lookups admitted in 10 s, want 750 to 1000; own quarter and four fifths of the rest: 850", admitted)
 		}
 		report := fleet.gossipers["n0"].LimitReports()[0]
 		if report.Borrowed < 50 || report.MaxExcess != 0 || report.State != "whole" || report.Name != "tenant x/lookups" || report.FleetUsed < 75 ||
 			report.FleetUsed > 101 {
-			t.Errorf("%+v", report)
+			t.Errorf("report %+v, want a full quota, 50 or more borrowed, no excess, 75 to 101 used", report)
 		}
 	})
 }
@@ -151,9 +153,9 @@
 		fleet.mu.Lock()
 		fleet.isolated["n0"] = true
 		fleet.mu.Unlock()
-		admissions[0].sendLookups(500, time.Duration(LimitSettings.LoanDuration)*time.Microsecond) // its loans expire
+		admissions[0].sendLookups(500, time.Duration(LimitSettings.LoanDuration)*time.Microsecond) // until its loans expire
 		if admitted := admissions[0].sendLookups(500, 10*time.Second); admitted < 230 || admitted > 265 {
-			t.Errorf("%d in 10 s of a quota of 250", admitted)
+			t.Errorf("%d lookups admitted in 10 s, want 230 to 265: the own quota is 250", admitted)
 		}
 	})
 }
@@ -173,7 +175,7 @@
 		}
 		senders.Wait()
 		if sum < 1900 || sum > 2060 {
-			t.Errorf("%d in 20 s at a limit of 100 per second", sum)
+			t.Errorf("%d lookups admitted in 20 s, want 1900 to 2060 at a limit of 100 per second", sum)
 		}
 	})
 }
@@ -189,7 +191,7 @@
 		gossiper.HandleMessage([]byte{limits.Kind})
 		time.Sleep(time.Second)
 		if report := gossiper.LimitReports()[0]; report.Lent != 0 || report.Borrowed != 0 || report.Lease != 50 {
-			t.Errorf("%+v", report)
+			t.Errorf("report %+v, want nothing lent or borrowed and a lease of 50", report)
 		}
 		for range 3 * maxQueuedMessages {
 			gossiper.HandleMessage([]byte{limits.Kind})
@@ -197,7 +199,7 @@
 		gossiper.mu.Lock()
 		defer gossiper.mu.Unlock()
 		if len(gossiper.queue) > maxQueuedMessages {
-			t.Errorf("%d messages are queued, at most %d are expected", len(gossiper.queue), maxQueuedMessages)
+			t.Errorf("%d messages queued, want at most %d", len(gossiper.queue), maxQueuedMessages)
 		}
 	})
 }
@@ -223,7 +225,7 @@
 		purges := []purgesync.Purge{{Event: 5, Object: "x", Issued: 1e12}}
 		fleet.gossipers["n3"].RecordPurges(5, purges)
 		time.Sleep(5 * time.Second)
-		for _, gossiper := range fleet.gossipers { // all discovery watches catch up
+		for _, gossiper := range fleet.gossipers { // all discovery watches deliver the purge now
 			gossiper.RecordPurges(5, purges)
 		}
 		time.Sleep(2 * time.Second)
--- a/internal/fleet/gossip/loans.go
+++ b/internal/fleet/gossip/loans.go
@@ -11,7 +11,8 @@
 	"foldslip/internal/limit"
 )
 
-// handleLimitFrame takes the grants of a frame, or answers its requests.
+// handleLimitFrame passes the grants of a frame to the ledger, or answers the frame's requests with grants. It drops
+// and counts a malformed frame and a frame whose sender is not a live peer.
 func (g *Gossiper) handleLimitFrame(b []byte, now int64) []message {
 	frame, err := limits.ParseFrame(b)
 	from := g.peerNames[frame.SenderKey]
@@ -37,7 +38,7 @@
 	return []message{{from, grants.Append(nil)}}
 }
 
-// updateLedger tells the ledger the present state of the fleet, its limits, and the demand here.
+// updateLedger passes the current state of the fleet, the fleet limits and this gateway's demand to the ledger.
 func (g *Gossiper) updateLedger(state membership.State, now int64) {
 	g.ledger.UpdateFleet(limits.FleetState{
 		Size:    state.FleetSize,
@@ -67,7 +68,8 @@
 	}
 }
 
-// recordDemands tells the ledger the demand of present limits, and forgets the demand of those that have gone.
+// recordDemands passes the demand for each present limit to the ledger, and deletes the demand for limits that no
+// longer exist.
 func (g *Gossiper) recordDemands(present map[string]limits.Limit) {
 	allDimensions := limit.Spec{LookupsPerSecond: 1, BytesPerSecond: 1, MaxOpen: 1}
 	for name, d := range g.demands {
@@ -84,7 +86,7 @@
 	}
 }
 
-// addLoanRequests adds the loan requests that are due, and sorts all messages by peer.
+// addLoanRequests appends the loan requests that are due and returns all messages sorted by peer.
 func (g *Gossiper) addLoanRequests(messages []message, peers []string, now int64) []message {
 	byPeer := map[string][]limits.Entry{}
 	for _, r := range g.ledger.Requests(peers, now) {
@@ -100,7 +102,7 @@
 	return messages
 }
 
-// applyLeases puts in force what may be admitted now.
+// applyLeases applies the current lease of every limit to admission.
 func (g *Gossiper) applyLeases() {
 	g.mu.Lock()
 	now := g.now()
@@ -113,7 +115,7 @@
 	g.admission.ApplyLeases(leases)
 }
 
-// lease joins the leases of a limit's dimensions; it ends with the first of them.
+// lease combines the leases of a limit's dimensions into one lease, which expires when the first of them expires.
 func (g *Gossiper) lease(name string, now int64, wallNow time.Time) limit.Lease {
 	combined := limit.Lease{ExpiresAt: wallNow.Add(time.Hour)}
 	amounts := func(suffix string) (granted, fallback float64) {
@@ -137,7 +139,7 @@
 	return combined
 }
 
-// LimitReports returns the limits of the fleet as this gateway sees them.
+// LimitReports returns a report on each limit of the fleet from this gateway's point of view.
 func (g *Gossiper) LimitReports() []limits.Report {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/fleet/gossip/purges.go
+++ b/internal/fleet/gossip/purges.go
@@ -5,14 +5,16 @@
 	"foldslip/internal/fleet/purgesync"
 )
 
-// RecordPurges takes the purges of an event of this gateway's own discovery watch; lastEvent is its number.
+// RecordPurges records the purges of an event of this gateway's own discovery watch. lastEvent is the number of the
+// event.
 func (g *Gossiper) RecordPurges(lastEvent int64, purges []purgesync.Purge) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.purges.RecordOwn(lastEvent, purges, g.now())
 }
 
-// handlePurgeFrame merges the purges of a frame and answers a digest with what its sender misses.
+// handlePurgeFrame merges the purges of a frame. It answers a digest with the purges that the sender lacks. It drops
+// and counts a malformed frame, a frame whose sender is not a live peer, and any frame if no purges are exchanged.
 func (g *Gossiper) handlePurgeFrame(b []byte, now int64) []message {
 	frame, err := purgesync.ParseFrame(b)
 	from := g.peerNames[frame.SenderKey]
@@ -32,7 +34,7 @@
 	return []message{{from, delta.Append(nil)}}
 }
 
-// purgeDigests returns the digests that are due to peers.
+// purgeDigests returns the digests that are due to be sent to peers.
 func (g *Gossiper) purgeDigests(peers []string, now int64) (messages []message) {
 	if g.onPurges == nil {
 		return nil
@@ -44,7 +46,8 @@
 	return messages
 }
 
-// applyLearnedPurges hands on what peers learned earlier than this gateway's own discovery watch.
+// applyLearnedPurges logs the purges that arrived from peers before this gateway's own discovery watch delivered them,
+// and passes them to onPurges.
 func (g *Gossiper) applyLearnedPurges() {
 	g.mu.Lock()
 	learned := g.learnedPurges
