--- a/internal/fleet/transport/transport.go
+++ b/internal/fleet/transport/transport.go
@@ -1,9 +1,11 @@
-// Package transport carries the failure detector's messages between gateways: datagrams and streams at one address, as the interface
-// Transport of hashicorp/memberlist asks. In place of the library's own transport it binds each dialled stream to the gateway's own
-// address too, so that firewalls (and the fault relay of lab/fleet) can tell who opens it, counts what goes by, and holds bounds.
+// Package transport carries the messages of the failure detector between gateways. It implements the Transport
+// interface of hashicorp/memberlist with datagrams and streams at one address. It replaces the transport of that
+// library for three reasons: it binds each dialled stream to the gateway's own IP address, so that firewalls and the
+// fault relay of lab/fleet can identify the gateway that opens the stream; it counts the traffic; and it enforces
+// bounds.
 //
-// Bounds: maxQueuedPackets datagrams that wait and maxOpenStreams accepted streams; what comes beyond them is dropped and counted, as a
-// network would.
+// At most maxQueuedPackets received datagrams are queued, and at most maxOpenStreams accepted streams are open.
+// Datagrams and streams beyond these bounds are dropped, as a network would drop them, and counted.
 package transport
 
 import (
@@ -24,23 +26,26 @@
 	maxQueuedPackets = 512
 	maxOpenStreams   = 32
 	maxPacketBytes   = 65536
-	// readBufferBytes is the kernel's buffer of datagrams, so that a burst during a pause of the process is not lost for nothing.
+	// readBufferBytes is the size of the kernel's receive buffer for datagrams. The buffer holds a burst that arrives
+	// during a pause of the process, so that the burst is not lost.
 	readBufferBytes = 1 << 20
-	errorRetryDelay = 50 * time.Millisecond // after an error that may pass
-	deliverTimeout  = time.Second           // for an accepted stream that nobody takes
+	errorRetryDelay = 50 * time.Millisecond // wait after a read or accept error that may be temporary
+	deliverTimeout  = time.Second           // longest wait for the detector to receive an accepted stream
 )
 
-// Counts are traffic since the process started. They may serve several Transports, one after the other.
+// Counts holds counters of traffic since the process started. Transports that are opened one after the other may share
+// it.
 type Counts struct {
 	PacketsIn, PacketsOut atomic.Uint64
-	BytesIn, BytesOut     atomic.Uint64 // of datagrams, without headers
+	BytesIn, BytesOut     atomic.Uint64 // payload of datagrams, without headers
 	StreamsIn, StreamsOut atomic.Uint64
-	StreamsFailed         atomic.Uint64 // that could not be opened
-	StreamBytes           atomic.Uint64 // of both directions
+	StreamsFailed         atomic.Uint64 // outgoing streams that could not be opened
+	StreamBytes           atomic.Uint64 // bytes in both directions
 	Dropped               atomic.Uint64 // datagrams and streams beyond a bound
 }
 
-// Transport is one open address; it implements memberlist.Transport. It owns its sockets and two goroutines, which Shutdown ends.
+// Transport sends and receives at one open address. It implements memberlist.Transport. It owns its sockets and two
+// goroutines, all of which Shutdown ends.
 type Transport struct {
 	log       *slog.Logger
 	udp       *net.UDPConn
@@ -50,14 +55,15 @@
 
 	packets     chan *memberlist.Packet
 	streams     chan net.Conn
-	streamSlots chan struct{} // one taken by each accepted stream
+	streamSlots chan struct{} // holds one element for each open accepted stream
 	closed      atomic.Bool
 	goroutines  sync.WaitGroup
 }
 
 var _ memberlist.NodeAwareTransport = (*Transport)(nil)
 
-// Listen opens an address, an IP and a port above 0, for datagrams and streams; the others use the advertised one.
+// Listen opens a listen address for datagrams and streams and returns a Transport for it. The address consists of an IP
+// address and a port above 0. Other gateways use the advertised address.
 func Listen(listen, advertise netip.AddrPort, counts *Counts, log *slog.Logger) (*Transport, error) {
 	udp, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(listen))
 	if err != nil {
@@ -68,7 +74,7 @@
 		udp.Close()
 		return nil, listenError(err)
 	}
-	udp.SetReadBuffer(readBufferBytes) // best effort: the kernel may allow less
+	udp.SetReadBuffer(readBufferBytes) // the kernel may allow less, so an error is ignored
 	t := &Transport{
 		log:         log,
 		udp:         udp,
@@ -86,7 +92,7 @@
 }
 
 func listenError(err error) error {
-	return fmt.Errorf("fleet.listen: %w; name a free address and port of this machine", err)
+	return fmt.Errorf("fleet.listen: %w; expected a free address and port of this machine", err)
 }
 
 func (t *Transport) readPackets() {
@@ -132,7 +138,8 @@
 	}
 }
 
-// deliverStream gives an accepted stream to the detector, or closes it at the bound or where nobody takes it.
+// deliverStream passes an accepted stream to the detector. It closes the stream if maxOpenStreams streams are open, or
+// if the detector does not receive it within deliverTimeout.
 func (t *Transport) deliverStream(conn net.Conn) {
 	select {
 	case t.streamSlots <- struct{}{}:
@@ -145,17 +152,17 @@
 	accepted := &stream{Conn: conn, counts: t.counts, release: func() { <-t.streamSlots }}
 	select {
 	case t.streams <- accepted:
-	case <-time.After(deliverTimeout): // the detector is being stopped
+	case <-time.After(deliverTimeout): // the detector is stopping
 		accepted.Close()
 	}
 }
 
-// isShutdown reports whether an error comes of Shutdown.
+// isShutdown reports whether an error is the result of Shutdown.
 func (t *Transport) isShutdown(err error) bool {
 	return t.closed.Load() || errors.Is(err, net.ErrClosed)
 }
 
-// stream counts bytes, and gives its slot back at its first Close.
+// stream counts the bytes of a connection and releases its slot on the first Close.
 type stream struct {
 	net.Conn
 	counts      *Counts
@@ -163,33 +170,34 @@
 	release     func()
 }
 
-// Read reads and counts.
+// Read reads from the connection and counts the bytes.
 func (s *stream) Read(b []byte) (int, error) {
 	n, err := s.Conn.Read(b)
 	s.counts.StreamBytes.Add(uint64(max(0, n)))
 	return n, err
 }
 
-// Write writes and counts.
+// Write writes to the connection and counts the bytes.
 func (s *stream) Write(b []byte) (int, error) {
 	n, err := s.Conn.Write(b)
 	s.counts.StreamBytes.Add(uint64(max(0, n)))
 	return n, err
 }
 
-// Close closes the stream; it may be called again.
+// Close closes the stream. It may be called more than once.
 func (s *stream) Close() error {
 	err := s.Conn.Close()
 	s.releaseOnce.Do(s.release)
 	return err
 }
 
-// FinalAdvertiseAddr returns the address that others use, whatever the detector was given.
+// FinalAdvertiseAddr returns the address that other gateways use. It ignores the address that the detector was
+// configured with.
 func (t *Transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	return net.IP(t.advertise.Addr().AsSlice()), int(t.advertise.Port()), nil
 }
 
-// WriteTo sends a datagram to an address, and returns when.
+// WriteTo sends a datagram to an address and returns the time at which it was sent.
 func (t *Transport) WriteTo(b []byte, addr string) (time.Time, error) {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -201,7 +209,7 @@
 	return time.Now(), err
 }
 
-// WriteToAddress sends a datagram to a named gateway; the address alone counts.
+// WriteToAddress sends a datagram to the address of a named gateway. The name is ignored.
 func (t *Transport) WriteToAddress(b []byte, to memberlist.Address) (time.Time, error) {
 	return t.WriteTo(b, to.Addr)
 }
@@ -209,7 +217,7 @@
 // PacketCh returns the channel of received datagrams.
 func (t *Transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-// DialTimeout opens a stream from this gateway's own address.
+// DialTimeout opens a stream from this gateway's own IP address.
 func (t *Transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	local := t.udp.LocalAddr().(*net.UDPAddr)
 	dialer := net.Dialer{Timeout: timeout, LocalAddr: &net.TCPAddr{IP: local.IP}}
@@ -222,7 +230,7 @@
 	return &stream{Conn: conn, counts: t.counts, release: func() {}}, nil
 }
 
-// DialAddressTimeout opens a stream to a named gateway; the address alone counts.
+// DialAddressTimeout opens a stream to the address of a named gateway. The name is ignored.
 func (t *Transport) DialAddressTimeout(to memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return t.DialTimeout(to.Addr, timeout)
 }
@@ -230,7 +238,7 @@
 // StreamCh returns the channel of accepted streams.
 func (t *Transport) StreamCh() <-chan net.Conn { return t.streams }
 
-// Shutdown closes the address and waits for the goroutines.
+// Shutdown closes the sockets and waits for the goroutines to end.
 func (t *Transport) Shutdown() error {
 	t.closed.Store(true)
 	err := errors.Join(t.udp.Close(), t.tcp.Close())
--- a/internal/fleet/transport/transport_test.go
+++ b/internal/fleet/transport/transport_test.go
@@ -15,7 +15,8 @@
 	"time"
 )
 
-// listen opens a transport on a loopback network of this process until the test ends, and returns its address too.
+// listen opens a Transport that is shut down when the test ends, and returns it with its address. The address lies in a
+// loopback network that is derived from the process ID.
 func listen(t *testing.T, host int, counts *Counts) (*Transport, string) {
 	t.Helper()
 	addr := netip.MustParseAddrPort(fmt.Sprintf("127.%d.%d.%d:7946", 200+os.Getpid()>>8%40, os.Getpid()%250, host))
@@ -27,7 +28,7 @@
 	return transport, addr.String()
 }
 
-// Datagrams and dialled streams come from the address where the sender listens, and are counted on both sides.
+// Datagrams come from the sender's listen address and dialled streams from its IP address. Both sides count them.
 func TestPacketsAndStreamsComeFromTheListenAddress(t *testing.T) {
 	var senderCounts, receiverCounts Counts
 	sender, senderAddr := listen(t, 1, &senderCounts)
@@ -37,7 +38,7 @@
 	}
 	packet := <-receiver.PacketCh()
 	if string(packet.Buf) != "hello" || packet.From.String() != senderAddr {
-		t.Errorf("%q from %v", packet.Buf, packet.From)
+		t.Errorf("received %q from %v, want \"hello\" from the sender's listen address", packet.Buf, packet.From)
 	}
 	dialled, err := sender.DialTimeout(receiverAddr, time.Second)
 	if err != nil {
@@ -48,22 +49,22 @@
 	defer accepted.Close()
 	from, _, _ := net.SplitHostPort(accepted.RemoteAddr().String())
 	if netip.MustParseAddr(from) != netip.MustParseAddrPort(senderAddr).Addr() {
-		t.Error("the stream comes from", from)
+		t.Error("the stream does not come from the sender's IP address but from", from)
 	}
 	go dialled.Write([]byte("whole state"))
 	got := make([]byte, 11)
 	if _, err := io.ReadFull(accepted, got); err != nil || !bytes.Equal(got, []byte("whole state")) {
-		t.Errorf("%q %v", got, err)
+		t.Errorf("read %q with the error %v, want \"whole state\"", got, err)
 	}
 	if senderCounts.PacketsOut.Load() != 1 || senderCounts.StreamsOut.Load() != 1 {
-		t.Error("the sender does not count")
+		t.Error("the sender does not count one datagram and one stream")
 	}
 	if receiverCounts.BytesIn.Load() != 5 || receiverCounts.StreamBytes.Load() != 11 {
-		t.Error("the receiver does not count")
+		t.Error("the receiver does not count 5 bytes of datagrams and 11 bytes of streams")
 	}
 }
 
-// Datagrams beyond the bound of those that wait are dropped and counted.
+// Datagrams beyond maxQueuedPackets are dropped and counted if the detector does not read them.
 func TestUnreadPacketsAreDroppedAndCounted(t *testing.T) {
 	var senderCounts, receiverCounts Counts
 	sender, _ := listen(t, 3, &senderCounts)
@@ -74,12 +75,12 @@
 	}
 	for deadline := time.Now().Add(5 * time.Second); receiverCounts.Dropped.Load() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("nothing is dropped")
+			t.Fatal("no datagram was dropped within 5 s")
 		}
 	}
 }
 
-// The error of an address in use names the setting that has it.
+// The error for an address that is in use names the setting fleet.listen, which holds the address.
 func TestAddressInUseNamesTheSetting(t *testing.T) {
 	var counts Counts
 	_, addr := listen(t, 5, &counts)
