--- a/internal/fleet/rejoin/scheduler.go
+++ b/internal/fleet/rejoin/scheduler.go
@@ -5,42 +5,44 @@
 	"slices"
 )
 
-// longLostShare is the part of the time that a member has been lost after which it is due again.
+// lostTimeDivisor divides the time since a member was lost. The quotient is the time between two contacts of the
+// member.
 const lostTimeDivisor = 8
 
-// companySpread is the time over which gateways that just found company make their first contact, in initial backoffs.
+// firstContactSpread is the time over which gateways that got their first live peer spread their first contact, as a
+// multiple of InitialBackoff.
 const firstContactSpread = 5
 
-// Scheduler decides which address is contacted when. Use New.
+// Scheduler decides which address a gateway contacts and when. New makes one.
 type Scheduler struct {
 	settings Settings
 	rng      *rand.Rand
 
-	nextAt         int64 // of the next contact of a lost member, or of any address while alone
-	differAt       int64 // of the next contact of a member that sees another live set
-	backoff        int64 // while alone
-	queue          []string
-	connectedSince int64 // 0: alone
-	resumed        bool  // after a pause that no contact was made for yet
+	nextAt         int64    // time of the next contact of a lost member, or of any address while there is no live peer
+	differAt       int64    // time of the next contact of a member that sees another live set
+	backoff        int64    // upper bound of the time between contacts while there is no live peer
+	queue          []string // addresses left to contact in the round without live peers
+	connectedSince int64    // time of the first live peer; 0 if there is none
+	resumed        bool     // the process resumed after a pause and has not made the contact for it yet
 	contactedAt    map[string]int64
 
-	nameRetryAt int64 // 0: the name is this process's
-	nameBackoff int64 // the last one
+	nameRetryAt int64 // time to try the name again; 0 unless this process deferred it
+	nameBackoff int64 // last backoff of the name
 }
 
-// New returns a scheduler that is due at once.
+// New returns a scheduler whose first contact is due at once.
 func New(settings Settings, rng *rand.Rand, now int64) *Scheduler {
 	return &Scheduler{settings: settings, rng: rng, nextAt: now, contactedAt: map[string]int64{}}
 }
 
-// jitter returns an interval give or take a quarter.
+// jitter returns a random time from three quarters to five quarters of an interval.
 func (s *Scheduler) jitter(interval int64) int64 { return interval*3/4 + s.rng.Int64N(interval/2+1) }
 
-// MarkResumed notes that this process ran on after a pause.
+// MarkResumed records that this process resumed after a pause, so that a contact with a live member is due at once.
 func (s *Scheduler) MarkResumed() { s.resumed = true }
 
-// Next returns the contact that is due now; ok is false if none is. differing returns the addresses of live members that see another live
-// set; it is called only when such a contact is due.
+// Next returns the contact that is due now. ok is false if no contact is due. The function differing returns the
+// addresses of live members that see another live set. It is called only when the time for such a contact has come.
 func (s *Scheduler) Next(now int64, peers Peers, differing func() []string) (contact Contact, ok bool) {
 	if s.nameRetryAt > 0 {
 		return Contact{}, false
@@ -74,8 +76,9 @@
 	return s.contactRandom(s.due(now, peers), ReasonRejoin, now, len(peers.Live))
 }
 
-// handleFirstPeer makes all that are still missing due again. Gateways that start at once find each other in islands: one that is contacted
-// stops being alone before it made its own contacts, and contacts that failed while the others were not up yet say nothing.
+// handleFirstPeer makes all missing addresses due again when the gateway gets its first live peer. Gateways that start
+// at the same time can form separate groups, because a gateway that is contacted gets a live peer before it has made
+// its own contacts. Contacts that failed before the other gateways had started do not show that these are down.
 func (s *Scheduler) handleFirstPeer(now int64) {
 	s.connectedSince = now
 	s.backoff = 0
@@ -84,7 +87,8 @@
 	s.nextAt = now + s.rng.Int64N(firstContactSpread*s.settings.InitialBackoff+1)
 }
 
-// seenAgain returns a lost member that a peer saw since it was lost, and since it was last contacted.
+// seenAgain returns the address of a lost member that a peer has seen since the member was lost and since it was last
+// contacted. It returns each address at most once in a RejoinInterval.
 func (s *Scheduler) seenAgain(now int64, peers Peers) (addr string, ok bool) {
 	for _, lost := range peers.Lost {
 		if lost.LastSeen <= lost.LostAt {
@@ -98,8 +102,9 @@
 	return "", false
 }
 
-// contactRandom decides by chance whether this gateway contacts one of some addresses, and which, so that the fleet as a whole makes
-// contactsPerInterval contacts for each of them.
+// contactRandom decides at random whether this gateway makes a contact, and with which of the addresses. The
+// probability is such that the fleet as a whole makes contactsPerInterval contacts with each address in an interval.
+// live is the number of other live members.
 func (s *Scheduler) contactRandom(addrs []string, reason Reason, now int64, live int) (Contact, bool) {
 	if len(addrs) == 0 || s.rng.Float64()*float64(live+1) >= float64(contactsPerInterval*len(addrs)) {
 		return Contact{}, false
@@ -107,7 +112,7 @@
 	return s.contact(addrs[s.rng.IntN(len(addrs))], reason, now), true
 }
 
-// due returns the lost members and missing seeds whose interval is over.
+// due returns the addresses of the lost members and missing seeds that are due for a contact.
 func (s *Scheduler) due(now int64, peers Peers) (addrs []string) {
 	for _, lost := range peers.Lost {
 		if s.isDue(lost.Addr, lost.LostAt, now) {
@@ -122,19 +127,20 @@
 	return addrs
 }
 
-// isDue reports whether the interval of an address that has been missing since a time is over.
+// isDue reports whether an address is due for a contact. The interval between contacts grows with the time since
+// missingSince, from RejoinInterval to MaxRejoinInterval.
 func (s *Scheduler) isDue(addr string, missingSince, now int64) bool {
 	interval := min(max((now-missingSince)/lostTimeDivisor, s.settings.RejoinInterval), s.settings.MaxRejoinInterval)
 	last, contacted := s.contactedAt[addr]
 	return !contacted || now-last >= interval
 }
 
-// isLost reports whether an address is that of a lost member.
+// isLost reports whether a lost member has the address.
 func (p Peers) isLost(addr string) bool {
 	return slices.ContainsFunc(p.Lost, func(lost Lost) bool { return lost.Addr == addr })
 }
 
-// missingSeeds returns the seeds that no live or lost member has.
+// missingSeeds returns the seed addresses that neither this gateway nor a live or lost member has.
 func missingSeeds(peers Peers) (addrs []string) {
 	for _, addr := range peers.Seeds {
 		if addr != peers.Self && !slices.Contains(peers.Live, addr) && !peers.isLost(addr) {
@@ -144,7 +150,8 @@
 	return addrs
 }
 
-// nextAlone goes through all known addresses, in rounds that get slower.
+// nextAlone returns the next contact of a gateway without live peers. It contacts all known addresses in rounds with
+// growing backoff.
 func (s *Scheduler) nextAlone(now int64, peers Peers) (Contact, bool) {
 	if now < s.nextAt {
 		return Contact{}, false
@@ -161,7 +168,7 @@
 	return s.contact(addr, ReasonStart, now), true
 }
 
-// startRound queues all known addresses in a random order, and doubles the backoff.
+// startRound queues the addresses of all lost members and missing seeds in random order, and doubles the backoff.
 func (s *Scheduler) startRound(peers Peers) {
 	for _, lost := range peers.Lost {
 		s.queue = append(s.queue, lost.Addr)
@@ -171,7 +178,7 @@
 	s.backoff = nextBackoff(s.backoff, s.settings.InitialBackoff, s.settings.MaxBackoff)
 }
 
-// nextBackoff returns the backoff after another one; 0: the first.
+// nextBackoff returns the backoff that follows another, up to limit. It returns initial if backoff is 0.
 func nextBackoff(backoff, initial, limit int64) int64 {
 	if backoff == 0 {
 		return initial
@@ -179,13 +186,13 @@
 	return min(2*backoff, limit)
 }
 
-// contact returns the contact with an address and notes its time.
+// contact returns a contact with an address and records its time.
 func (s *Scheduler) contact(addr string, reason Reason, now int64) Contact {
 	s.contactedAt[addr] = now
 	return Contact{addr, reason}
 }
 
-// pruneContacted drops addresses that were contacted and are live, or neither lost nor seeds, since.
+// pruneContacted drops the contact times of addresses that are live now, or that are neither lost members nor seeds.
 func (s *Scheduler) pruneContacted(peers Peers) {
 	for addr := range s.contactedAt {
 		if slices.Contains(peers.Live, addr) || !slices.Contains(peers.Seeds, addr) && !peers.isLost(addr) {
@@ -194,11 +201,13 @@
 	}
 }
 
-// ShouldDefer reports whether, of two processes that claim one name, the one of incarnation self defers: the one that started later. Both
-// decide alike whatever their clocks say, since both compare the same two incarnations.
+// ShouldDefer reports whether the process with incarnation self defers to another process that claims the same name.
+// The process that started later defers. Both processes come to the same decision whatever their clocks say, because
+// both compare the same two incarnations.
 func ShouldDefer(self, other uint64) bool { return self > other }
 
-// DeferName notes that another process has this gateway's name, and returns how long it is until the name is to be tried again.
+// DeferName records that another process has this gateway's name. It returns the time in microseconds until the name is
+// to be tried again.
 func (s *Scheduler) DeferName(now int64) (wait int64) {
 	s.nameBackoff = nextBackoff(s.nameBackoff, s.settings.InitialNameBackoff, s.settings.MaxNameBackoff)
 	wait = s.jitter(s.nameBackoff)
@@ -206,7 +215,8 @@
 	return wait
 }
 
-// ReclaimName reports whether it is time to try the name again; if so, contacts go on as after a start.
+// ReclaimName reports whether it is time to try the name again. If so, the scheduler makes contacts again as after a
+// start.
 func (s *Scheduler) ReclaimName(now int64) bool {
 	if s.nameRetryAt == 0 || now < s.nameRetryAt {
 		return false
@@ -217,8 +227,8 @@
 	return true
 }
 
-// HasDeferred reports whether another process has this gateway's name and this one waits.
+// HasDeferred reports whether this process deferred to another process with its name and waits to try the name again.
 func (s *Scheduler) HasDeferred() bool { return s.nameRetryAt > 0 }
 
-// ContactedCount returns how many addresses the scheduler remembers.
+// ContactedCount returns the number of addresses whose last contact the scheduler holds.
 func (s *Scheduler) ContactedCount() int { return len(s.contactedAt) }
