--- a/internal/fleet/membership/contact.go
+++ b/internal/fleet/membership/contact.go
@@ -8,8 +8,8 @@
 	"foldslip/internal/fleet/view"
 )
 
-// contactDue starts the contact that is due by the scheduler, if there is one.
-func (f *Fleet) contactDue(now int64) {
+// startDueContact starts the contact that is due by the scheduler, if there is one.
+func (f *Fleet) startDueContact(now int64) {
 	if f.detector == nil {
 		return
 	}
@@ -51,8 +51,8 @@
 
 // peers returns what the scheduler needs of the view, made again only where the view or the seeds changed; mu is held.
 func (f *Fleet) peers() rejoin.Peers {
-	if f.peersVersion == f.view.Version() && slices.Equal(f.peersSeen.Seeds, f.seeds) {
-		return f.peersSeen
+	if f.cachedPeersVersion == f.view.Version() && slices.Equal(f.cachedPeers.Seeds, f.seeds) {
+		return f.cachedPeers
 	}
 	peers := rejoin.Peers{Self: f.self.Addr, Seeds: f.seeds}
 	for _, member := range f.view.Members() {
@@ -64,7 +64,7 @@
 			peers.Lost = append(peers.Lost, rejoin.Lost{Addr: member.Addr, LostAt: member.Since, LastSeen: member.LastSeen})
 		}
 	}
-	f.peersSeen = peers
-	f.peersVersion = f.view.Version()
+	f.cachedPeers = peers
+	f.cachedPeersVersion = f.view.Version()
 	return peers
 }
--- a/internal/fleet/membership/delegate.go
+++ b/internal/fleet/membership/delegate.go
@@ -118,10 +118,10 @@
 	if !f.view.ShouldGossip(now, minGossipAfterChange.Microseconds(), maxGossipAfterChange.Microseconds()) {
 		return nil
 	}
-	if now-f.heartbeatAt < heartbeatInterval.Microseconds()/3 || limit <= 0 {
+	if now-f.heartbeatGossipedAt < heartbeatInterval.Microseconds()/3 || limit <= 0 {
 		return nil
 	}
-	f.heartbeatAt = now
+	f.heartbeatGossipedAt = now
 	return f.view.HeartbeatFrame(limit, now)
 }
 
@@ -192,8 +192,8 @@
 	return !logged || now-loggedAt > conflictLogMicros
 }
 
-// processOf returns the process that a node of the detector is.
-func processOf(node *memberlist.Node) view.ID {
+// viewID returns the process that a node of the detector is.
+func viewID(node *memberlist.Node) view.ID {
 	parsed, _ := parseMetadata(node.Meta) // NotifyAlive let no unreadable one in
 	// Interned: hundreds of members share the strings of a locality.
 	locality := unique.Make(parsed.locality).Value()
@@ -204,8 +204,8 @@
 func (f *Fleet) NotifyJoin(node *memberlist.Node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.unexplained, node.Name)
-	f.recordChanges(f.view.Join(processOf(node), node.Name, f.now()))
+	delete(f.pendingDepartures, node.Name)
+	f.recordChanges(f.view.Join(viewID(node), node.Name, f.now()))
 }
 
 // NotifyUpdate takes the new metadata of a gateway; memberlist's EventDelegate.
@@ -213,7 +213,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	f.recordChanges(f.view.Update(processOf(node), now))
+	f.recordChanges(f.view.Update(viewID(node), now))
 	if last, _ := parseMetadata(node.Meta); last.leaving {
 		f.recordLeaving(node.Name, last.incarnation, now)
 	}
@@ -224,7 +224,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	last, _ := parseMetadata(node.Meta)
-	f.recordGone(node.Name, last.leaving, f.now())
+	f.recordDeparture(node.Name, last.leaving, f.now())
 }
 
 // NotifyConflict takes that a process at another address claims the name of a live member; memberlist's ConflictDelegate.
--- a/internal/fleet/membership/frozen_test.go
+++ b/internal/fleet/membership/frozen_test.go
@@ -35,7 +35,7 @@
 }
 
 // Members that released builds stored are read, and written to the same bytes.
-func TestFrozenKeptMembersKeepTheirBytes(t *testing.T) {
+func TestFrozenStoredMembersKeepTheirBytes(t *testing.T) {
 	want := []view.ID{
 		{Name: "n2", Addr: "10.0.0.2:7946", Incarnation: 0x0102030405060708},
 		{Name: "n3", Addr: "[fd00::3]:7946", Incarnation: 1},
--- a/internal/fleet/membership/leave_test.go
+++ b/internal/fleet/membership/leave_test.go
@@ -90,9 +90,9 @@
 	}
 }
 
-// TestALeaveIsNoDeathInAnyOrder guards against a member that left and counts as dead where the leave, its announcements, suspicions and older
+// TestLeaveIsNotRecordedAsDeathInAnyOrder guards against a member that left and counts as dead where the leave, its announcements, suspicions and older
 // news arrive in another order than they were sent.
-func TestALeaveIsNoDeathInAnyOrder(t *testing.T) {
+func TestLeaveIsNotRecordedAsDeathInAnyOrder(t *testing.T) {
 	const seeds = 500
 	for seed := range uint64(seeds) {
 		synctest.Test(t, func(t *testing.T) {
@@ -123,12 +123,12 @@
 func (o *leaveObserver) advance() {
 	o.fleet.mu.Lock()
 	defer o.fleet.mu.Unlock()
-	o.fleet.expireUnexplained(o.fleet.now())
+	o.fleet.expirePendingDepartures(o.fleet.now())
 	o.fleet.advanceView(o.fleet.now())
 }
 
-// TestAnUnexplainedGoneCountsAsDead guards against a member that is gone and stays alive in the view, where no notice of a leave comes.
-func TestAnUnexplainedGoneCountsAsDead(t *testing.T) {
+// TestDepartureWithoutNoticeCountsAsDead guards against a member that is gone and stays alive in the view, where no notice of a leave comes.
+func TestDepartureWithoutNoticeCountsAsDead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newLeaveObserver(t)
 		o.fleet.NotifyJoin(memberNode(leavingIncarnation, false))
@@ -151,14 +151,14 @@
 	})
 }
 
-// TestADeathAfterSilenceIsNotHeldBack guards against a crash that is known later than the detector knows it.
-func TestADeathAfterSilenceIsNotHeldBack(t *testing.T) {
+// TestDeathOfUnseenMemberIsRecordedAtOnce guards against a crash that is known later than the detector knows it.
+func TestDeathOfUnseenMemberIsRecordedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newLeaveObserver(t)
 		o.fleet.NotifyJoin(memberNode(leavingIncarnation, false))
-		time.Sleep(verifyProbes * time.Second)
+		time.Sleep(verifyAfterIntervals * time.Second)
 		o.fleet.NotifyLeave(memberNode(leavingIncarnation, false))
-		if last := o.states[len(o.states)-1]; last != view.Dead || len(o.fleet.unexplained) > 0 {
+		if last := o.states[len(o.states)-1]; last != view.Dead || len(o.fleet.pendingDepartures) > 0 {
 			t.Errorf("%v", o.states)
 		}
 	})
--- a/internal/fleet/membership/log.go
+++ b/internal/fleet/membership/log.go
@@ -23,7 +23,7 @@
 	}
 	f.pendingLog = append(f.pendingLog, logLine{level, event, args})
 	select {
-	case f.notify <- struct{}{}:
+	case f.logQueued <- struct{}{}:
 	default:
 	}
 }
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -69,9 +69,9 @@
 	initialNameBackoff    = 30_000_000
 	maxNameBackoff        = 300_000_000
 
-	maxRejoinIntervals = 12 // the longest rejoin interval, as a multiple of the usual one
-	evidenceProbes     = 30 // heartbeat evidence is passed on for so many probe intervals
-	verifyProbes       = 2  // members unseen for so many probe intervals are verified while others are suspect
+	maxRejoinIntervals      = 12 // the longest rejoin interval, as a multiple of the usual one
+	evidenceMaxAgeIntervals = 30 // heartbeat evidence is passed on for so many probe intervals
+	verifyAfterIntervals    = 2  // members unseen for so many probe intervals are verified while others are suspect
 )
 
 // Settings are a gateway's settings for its fleet. The detector's times are those of the SWIM paper's protocol period.
@@ -133,7 +133,7 @@
 	settings  Settings
 	deps      Dependencies
 	startedAt time.Time
-	notify    chan struct{} // log lines wait
+	logQueued chan struct{} // log lines wait
 
 	mu         sync.Mutex
 	self       view.ID
@@ -150,28 +150,28 @@
 	droppedLogLines  int
 	conflictLoggedAt map[string]int64 // by name: when its refusal or conflict was last logged
 
-	unexplained map[string]unexplainedGone // by name; members of the view only
+	pendingDepartures map[string]pendingDeparture // by name; members of the view only
 
-	heartbeatAt     int64 // when a heartbeat frame last rode on gossip
-	refuteRequested bool  // a peer asked this gateway to refute a suspicion
-	refutedAt       int64 // when it last did
+	heartbeatGossipedAt int64 // when a heartbeat frame last rode on gossip
+	refuteRequested     bool  // a peer asked this gateway to refute a suspicion
+	refutedAt           int64 // when it last did
 
-	peersSeen    rejoin.Peers // of the view at peersVersion
-	peersVersion uint64
+	cachedPeers        rejoin.Peers // of the view at peersVersion
+	cachedPeersVersion uint64
 
 	counts      Counts
 	rtt         *hdrhistogram.Histogram // of probes, in microseconds
 	settleTimes *hdrhistogram.Histogram // in milliseconds
 
 	// Owned by the goroutine of Run.
-	detector     *memberlist.Memberlist // nil while it doesn't run
-	detectorLog  detectorLog
-	lastStepAt   int64
-	savedVersion uint64 // of the view
-	savedAt      int64
-	seeds        []string
-	seedsReadAt  int64
-	seedProblem  string // as logged last
+	detector        *memberlist.Memberlist // nil while it doesn't run
+	detectorLog     detectorLog
+	lastStepAt      int64
+	savedVersion    uint64 // of the view
+	savedAt         int64
+	seeds           []string
+	seedsReadAt     int64
+	lastSeedProblem string // as logged last
 }
 
 // claimant is another process that claims this gateway's name.
@@ -189,15 +189,15 @@
 	}
 	incarnation := uint64(deps.Now().UnixMicro())<<12 | uint64(binary.LittleEndian.Uint16(random[:])&0xfff)
 	f := &Fleet{
-		settings:         settings,
-		deps:             deps,
-		startedAt:        time.Now(),
-		notify:           make(chan struct{}, 1),
-		self:             view.ID{Name: settings.Name, Addr: settings.Advertise, Incarnation: incarnation, Locality: settings.Locality},
-		conflictLoggedAt: map[string]int64{},
-		unexplained:      map[string]unexplainedGone{},
-		rtt:              hdrhistogram.New(1, maxRTTMicros, histogramPrecision),
-		settleTimes:      hdrhistogram.New(1, maxSettleMillis, histogramPrecision),
+		settings:          settings,
+		deps:              deps,
+		startedAt:         time.Now(),
+		logQueued:         make(chan struct{}, 1),
+		self:              view.ID{Name: settings.Name, Addr: settings.Advertise, Incarnation: incarnation, Locality: settings.Locality},
+		conflictLoggedAt:  map[string]int64{},
+		pendingDepartures: map[string]pendingDeparture{},
+		rtt:               hdrhistogram.New(1, maxRTTMicros, histogramPrecision),
+		settleTimes:       hdrhistogram.New(1, maxSettleMillis, histogramPrecision),
 	}
 	now := f.now()
 	f.lastStepAt = now
@@ -215,8 +215,8 @@
 		ExpectedMembers: f.settings.ExpectedMembers,
 		ReapAfter:       f.settings.ReapAfter.Microseconds(),
 		SettleAfter:     f.settings.SettleAfter.Microseconds(),
-		EvidenceMaxAge:  evidenceProbes * f.settings.ProbeInterval.Microseconds(),
-		VerifyAfter:     verifyProbes * f.settings.ProbeInterval.Microseconds(),
+		EvidenceMaxAge:  evidenceMaxAgeIntervals * f.settings.ProbeInterval.Microseconds(),
+		VerifyAfter:     verifyAfterIntervals * f.settings.ProbeInterval.Microseconds(),
 	}
 }
 
--- a/internal/fleet/membership/name_conflict.go
+++ b/internal/fleet/membership/name_conflict.go
@@ -24,9 +24,9 @@
 			f.retryStart(now)
 		}
 	case defers:
-		detector, inCompany := f.deferName(other, now)
+		detector, hasLivePeers := f.deferName(other, now)
 		f.mu.Unlock()
-		f.stopDeferred(detector, inCompany, now)
+		f.stopDeferred(detector, hasLivePeers, now)
 	default:
 		f.startContact(rejoin.Contact{Addr: other.addr, Reason: rejoin.ReasonConflict})
 		f.mu.Unlock()
@@ -35,7 +35,7 @@
 
 // deferName leaves the name to the other process until it is tried again. It returns the detector to stop, nil if none runs, and
 // whether this gateway knows live members; mu is held.
-func (f *Fleet) deferName(other claimant, now int64) (detector *memberlist.Memberlist, inCompany bool) {
+func (f *Fleet) deferName(other claimant, now int64) (detector *memberlist.Memberlist, hasLivePeers bool) {
 	f.counts.NameDeferrals++
 	wait := f.scheduler.DeferName(now)
 	f.queueLog(slog.LevelError, "fleet_name_deferred", "name", f.self.Name, "to", other.addr, "retry_ms", wait/1000,
@@ -47,11 +47,11 @@
 }
 
 // stopDeferred stops the detector of a gateway that deferred its name, and begins a view of nobody but the known members.
-func (f *Fleet) stopDeferred(detector *memberlist.Memberlist, inCompany bool, now int64) {
+func (f *Fleet) stopDeferred(detector *memberlist.Memberlist, hasLivePeers bool, now int64) {
 	if detector == nil {
 		return
 	}
-	if inCompany { // the fleet knows this process by the name and has to learn that the name is free
+	if hasLivePeers { // the fleet knows this process by the name and has to learn that the name is free
 		detector.Leave(leaveTimeout)
 	}
 	detector.Shutdown()
@@ -59,7 +59,7 @@
 	defer f.mu.Unlock()
 	f.view = view.New(f.self, f.viewSettings(), now)
 	f.loadKnownMembers(now)
-	f.peersVersion = 0
+	f.cachedPeersVersion = 0
 	f.savedVersion = 0
 }
 
--- a/internal/fleet/membership/run.go
+++ b/internal/fleet/membership/run.go
@@ -23,7 +23,7 @@
 		case <-stop:
 			f.flushLog()
 			return nil
-		case <-f.notify:
+		case <-f.logQueued:
 			f.flushLog()
 		case <-ticker.C:
 			f.step()
@@ -110,7 +110,7 @@
 	now := f.now()
 	f.mu.Lock()
 	f.detectPause(now)
-	f.expireUnexplained(now)
+	f.expirePendingDepartures(now)
 	f.advanceView(now)
 	suspects := f.view.DueRefuteRequests(now)
 	refute := f.takeRefuteRequest(now)
@@ -121,9 +121,9 @@
 	if refute {
 		go f.detector.UpdateNode(joinTimeout)
 	}
-	f.verifyDue(now)
+	f.startDueVerification(now)
 	f.resolveNameConflict(now)
-	f.contactDue(now)
+	f.startDueContact(now)
 	f.saveMembers(now)
 }
 
--- a/internal/fleet/membership/seeds.go
+++ b/internal/fleet/membership/seeds.go
@@ -69,10 +69,10 @@
 	if err != nil {
 		problem = err.Error()
 	}
-	if problem != "" && problem != f.seedProblem {
+	if problem != "" && problem != f.lastSeedProblem {
 		f.deps.Log.Warn("fleet_seed_file", "path", f.settings.SeedFile, "text", problem)
 	}
-	f.seedProblem = problem
+	f.lastSeedProblem = problem
 	seeds = append(seeds, fromFile...)
 	slices.Sort(seeds)
 	f.seeds = slices.Compact(seeds)
--- a/internal/fleet/membership/verify.go
+++ b/internal/fleet/membership/verify.go
@@ -13,9 +13,9 @@
 // verifyPings is how many pings in a row must stay unanswered for a failed verification: a datagram may be lost.
 const verifyPings = 2
 
-// verifyDue starts the verification of a member that is due for one, if none is under way. The gateways of a side know the same members to
+// startDueVerification starts the verification of a member that is due for one, if none is under way. The gateways of a side know the same members to
 // be due, so each chooses at random.
-func (f *Fleet) verifyDue(now int64) {
+func (f *Fleet) startDueVerification(now int64) {
 	if f.detector == nil {
 		return
 	}
