--- a/internal/fleet/membership/contact.go
+++ b/internal/fleet/membership/contact.go
@@ -8,7 +8,8 @@
 	"foldslip/internal/fleet/view"
 )
 
-// startDueContact starts the contact that is due by the scheduler, if there is one.
+// startDueContact starts the contact that the scheduler reports as due, if there is one. It starts none while another
+// contact is in flight or while this gateway leaves the fleet.
 func (f *Fleet) startDueContact(now int64) {
 	if f.detector == nil {
 		return
@@ -25,7 +26,8 @@
 	}
 }
 
-// startContact exchanges full states (memberlist's push/pull) with the gateway at an address, on a goroutine of its own; mu is held.
+// startContact starts an exchange of full states (memberlist's push/pull) with
+// the gateway at contact.Addr, in a new goroutine. The caller must hold mu.
 func (f *Fleet) startContact(contact rejoin.Contact) {
 	f.contacting = true
 	f.counts.Contacts++
@@ -49,7 +51,8 @@
 	}()
 }
 
-// peers returns what the scheduler needs of the view, made again only where the view or the seeds changed; mu is held.
+// peers returns the scheduler's input, built from the view and the seeds. It rebuilds the cached input only after the
+// view's version or the seeds changed. The caller must hold mu.
 func (f *Fleet) peers() rejoin.Peers {
 	if f.cachedPeersVersion == f.view.Version() && slices.Equal(f.cachedPeers.Seeds, f.seeds) {
 		return f.cachedPeers
--- a/internal/fleet/membership/delegate.go
+++ b/internal/fleet/membership/delegate.go
@@ -14,7 +14,7 @@
 	"foldslip/internal/fleet/view"
 )
 
-// Fleet is each of memberlist's delegates.
+// Fleet implements memberlist's delegate interfaces.
 var (
 	_ memberlist.Delegate         = (*Fleet)(nil)
 	_ memberlist.EventDelegate    = (*Fleet)(nil)
@@ -23,35 +23,36 @@
 	_ memberlist.ConflictDelegate = (*Fleet)(nil)
 )
 
-// ErrNotLive reports that a gateway is no live member of this one's view.
-var ErrNotLive = errors.New("no live member")
+// ErrNotLive reports that a gateway is not a live member in this gateway's view.
+var ErrNotLive = errors.New("not a live member")
 
-// Reasons why a gateway is refused, beside those of the view.
+// Reasons for refusing a gateway, in addition to those of package view.
 const (
 	refusedVersion view.Refusal = "version"
 	refusedName    view.Refusal = "name"
 )
 
 const (
-	maxConflictNames  = 256        // whose last log line is remembered
-	conflictLogMicros = 60_000_000 // between log lines about one name
-	minRTTMicros      = 1          // the histogram has no 0
+	maxConflictNames  = 256        // a refusal clears conflictLoggedAt once it holds this many names
+	conflictLogMicros = 60_000_000 // shortest interval between two log lines about one name, in microseconds
+	minRTTMicros      = 1          // lowest value of the round-trip time histogram, which cannot hold 0
 )
 
-// refusedError is why a gateway is refused; the detector logs it.
+// refusedError carries the reason for refusing a gateway. NotifyAlive returns it, and the detector logs it.
 type refusedError struct{ reason view.Refusal }
 
-func (e refusedError) Error() string { return "refused: " + string(e.reason) }
+func (e refusedError) Error() string { return "membership refused: " + string(e.reason) }
 
-// NodeMeta returns what this gateway sends about itself with the detector's messages; memberlist's Delegate.
+// NodeMeta implements memberlist.Delegate. It returns the metadata that
+// this gateway sends about itself with the detector's messages.
 func (f *Fleet) NodeMeta(limit int) []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return metadata{f.self.Incarnation, f.leaving, f.self.Locality}.append(nil)
 }
 
-// NotifyMsg takes a datagram of a peer: a heartbeat frame or a leave notice that rode on gossip, a request to refute, or a message that
-// another package sent by Send; memberlist's Delegate.
+// NotifyMsg implements memberlist.Delegate. It handles a datagram from a peer: a heartbeat frame or a leave notice
+// that was gossiped, a request to refute a suspicion, or a message that another package sent with Send.
 func (f *Fleet) NotifyMsg(b []byte) {
 	switch {
 	case len(b) == 1 && b[0] == refuteRequestKind:
@@ -69,8 +70,9 @@
 	}
 }
 
-// Send sends a datagram to a live member; it may be lost, late or arrive twice. Its first byte tells the receiver which package it is
-// for, and is not view.Kind. The error is ErrNotLive or the transport's.
+// Send sends a datagram to a live member. The datagram may be lost, delayed or duplicated. Its first byte identifies
+// the receiving package and must not be view.Kind. The error wraps ErrNotLive if the member is not live or the
+// detector does not run; other errors come from the transport.
 func (f *Fleet) Send(to string, b []byte) error {
 	f.mu.Lock()
 	member, known := f.view.Get(to)
@@ -82,7 +84,7 @@
 	return sender.SendToAddress(memberlist.Address{Addr: member.Addr, Name: to}, b)
 }
 
-// mergeHeartbeat takes a heartbeat frame of a peer.
+// mergeHeartbeat merges a peer's heartbeat frame into the view. It ignores an empty frame.
 func (f *Fleet) mergeHeartbeat(b []byte) {
 	if len(b) == 0 {
 		return
@@ -97,8 +99,9 @@
 	f.recordChanges(changes)
 }
 
-// GetBroadcasts puts leave notices on gossip, and a heartbeat frame for a while after the view changed; memberlist's Delegate. At rest
-// frames ride on acks alone.
+// GetBroadcasts implements memberlist.Delegate. It returns the messages to send with
+// gossip: leave notices and, for a while after a change of the view, a heartbeat
+// frame. At other times only acks and exchanges of full states carry heartbeat frames.
 func (f *Fleet) GetBroadcasts(overhead, limit int) (messages [][]byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -113,7 +116,8 @@
 	return messages
 }
 
-// gossipedHeartbeat returns a heartbeat frame of at most limit bytes if one is due on gossip, else nil; mu is held.
+// gossipedHeartbeat returns a heartbeat frame of at most limit bytes if
+// gossip is due to carry one, otherwise nil. The caller must hold mu.
 func (f *Fleet) gossipedHeartbeat(limit int, now int64) []byte {
 	if !f.view.ShouldGossip(now, minGossipAfterChange.Microseconds(), maxGossipAfterChange.Microseconds()) {
 		return nil
@@ -125,20 +129,23 @@
 	return f.view.HeartbeatFrame(limit, now)
 }
 
-// LocalState returns the heartbeat frame for an push/pull exchange of full states; memberlist's Delegate.
+// LocalState implements memberlist.Delegate. It returns the heartbeat
+// frame for an exchange of full states (push/pull).
 func (f *Fleet) LocalState(bool) []byte { return f.AckPayload() }
 
-// MergeRemoteState takes the heartbeat frame of an push/pull exchange of full states; memberlist's Delegate.
+// MergeRemoteState implements memberlist.Delegate. It merges the heartbeat
+// frame that a peer sent in an exchange of full states (push/pull).
 func (f *Fleet) MergeRemoteState(b []byte, _ bool) { f.mergeHeartbeat(b) }
 
-// AckPayload returns the heartbeat frame for the ack of a probe; memberlist's PingDelegate.
+// AckPayload implements memberlist.PingDelegate. It returns the heartbeat frame to send with the ack of a probe.
 func (f *Fleet) AckPayload() []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view.HeartbeatFrame(view.MaxFrameBytes, f.now())
 }
 
-// NotifyPingComplete takes the ack of a probe; memberlist's PingDelegate.
+// NotifyPingComplete implements memberlist.PingDelegate. It records the
+// ack of a probe and merges the heartbeat frame that came with it.
 func (f *Fleet) NotifyPingComplete(other *memberlist.Node, rtt time.Duration, payload []byte) {
 	f.recordAck(other.Name, rtt)
 	f.mergeHeartbeat(payload)
@@ -152,7 +159,8 @@
 	f.recordChanges(f.view.RecordSeen(name, f.self.Name, now, now))
 }
 
-// NotifyAlive refuses gateways that can't be members, by an error; memberlist's AliveDelegate.
+// NotifyAlive implements memberlist.AliveDelegate. It refuses a gateway
+// that cannot be a member by returning an error.
 func (f *Fleet) NotifyAlive(peer *memberlist.Node) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -175,7 +183,7 @@
 	return refusedError{reason}
 }
 
-// refusalOf returns why a gateway can't be a member, "" if it can; mu is held.
+// refusalOf returns the reason for refusing a gateway as a member, or "" if it is accepted. The caller must hold mu.
 func (f *Fleet) refusalOf(peer *memberlist.Node) view.Refusal {
 	if _, err := parseMetadata(peer.Meta); err != nil || peer.DCur != ProtocolVersion {
 		return refusedVersion
@@ -186,21 +194,22 @@
 	return f.view.RefusalOf(peer.Name)
 }
 
-// conflictLogDue reports whether a refusal or conflict of a name is to be logged: once in conflictLogMicros; mu is held.
+// conflictLogDue reports whether to log a refusal or a conflict of a name. Each
+// name is logged at most once every conflictLogMicros. The caller must hold mu.
 func (f *Fleet) conflictLogDue(name string, now int64) bool {
 	loggedAt, logged := f.conflictLoggedAt[name]
 	return !logged || now-loggedAt > conflictLogMicros
 }
 
-// viewID returns the process that a node of the detector is.
+// viewID returns the identity that the view uses for a node of the detector.
 func viewID(node *memberlist.Node) view.ID {
-	parsed, _ := parseMetadata(node.Meta) // NotifyAlive let no unreadable one in
-	// Interned: hundreds of members share the strings of a locality.
+	parsed, _ := parseMetadata(node.Meta) // NotifyAlive has refused nodes whose metadata is invalid
+	// The locality is interned because hundreds of members share its strings.
 	locality := unique.Make(parsed.locality).Value()
 	return view.ID{Name: node.Name, Addr: node.Address(), Incarnation: parsed.incarnation, Locality: locality}
 }
 
-// NotifyJoin records the detector's report that a gateway is alive; memberlist's EventDelegate.
+// NotifyJoin implements memberlist.EventDelegate. It records the detector's report that a gateway is alive.
 func (f *Fleet) NotifyJoin(node *memberlist.Node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -208,7 +217,8 @@
 	f.recordChanges(f.view.Join(viewID(node), node.Name, f.now()))
 }
 
-// NotifyUpdate takes the new metadata of a gateway; memberlist's EventDelegate.
+// NotifyUpdate implements memberlist.EventDelegate. It records a
+// gateway's new metadata, which may announce that the gateway leaves.
 func (f *Fleet) NotifyUpdate(node *memberlist.Node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -219,7 +229,8 @@
 	}
 }
 
-// NotifyLeave records the detector's report that a gateway is dead or has left; memberlist's EventDelegate.
+// NotifyLeave implements memberlist.EventDelegate. It records the
+// detector's report that a gateway is dead or has left.
 func (f *Fleet) NotifyLeave(node *memberlist.Node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -227,7 +238,8 @@
 	f.recordDeparture(node.Name, last.leaving, f.now())
 }
 
-// NotifyConflict takes that a process at another address claims the name of a live member; memberlist's ConflictDelegate.
+// NotifyConflict implements memberlist.ConflictDelegate. It records that
+// a process at another address claims the name of a live member.
 func (f *Fleet) NotifyConflict(existing, other *memberlist.Node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/membership/detector_log.go
+++ b/internal/fleet/membership/detector_log.go
@@ -8,24 +8,27 @@
 const (
 	maxDetectorLinesPerSecond = 5
 
-	// A line of the detector's log between these two names a member that didn't answer this gateway's probe. The library reports it in no
-	// other way. A test of a fleet that suspects a member fails if a version of the library words it differently.
+	// A line of the detector's log that starts with probeFailedPrefix and ends with probeFailedSuffix has between
+	// them the name of a member that did not answer this gateway's probe. The library reports failed probes in no
+	// other way. A test in which a fleet suspects a member fails if a version of the library changes this wording.
 	probeFailedPrefix = "[INFO] memberlist: Suspect "
 	probeFailedSuffix = " has failed, no acks received"
 )
 
-// detectorLog is the detector's log. Lines about failed probes become evidence in the view; the others go to the Fleet's log as
-// fleet_detector, at most maxDetectorLinesPerSecond of them: across a cut each datagram that fails has a line.
+// detectorLog receives the detector's log lines. It records lines about failed probes as evidence in the view. It
+// forwards the other lines to the Fleet's log as fleet_detector events, at most maxDetectorLinesPerSecond of them.
+// The limit is needed because during a network partition the detector logs a line for each datagram that fails.
 type detectorLog struct {
 	fleet *Fleet
 
 	// Guarded by the Fleet's mu.
-	second  int64 // that logged and dropped count lines of
+	second  int64 // the second, counted from the Fleet's creation, to which logged and dropped apply
 	logged  int
 	dropped int
 }
 
-// Write takes one line, as log.Logger writes them: complete, one at a time.
+// Write handles one log line. It relies on log.Logger, which writes each
+// line with one call and makes one call at a time.
 func (d *detectorLog) Write(b []byte) (int, error) {
 	f := d.fleet
 	line := strings.TrimSuffix(string(b), "\n")
@@ -52,7 +55,8 @@
 	return len(b), nil
 }
 
-// failedProbe returns the member whose probe failed by a line of the detector's log.
+// failedProbe returns the name of the member whose probe failed, if a
+// line of the detector's log reports a failed probe.
 func failedProbe(line string) (name string, ok bool) {
 	rest, ok := strings.CutPrefix(line, probeFailedPrefix)
 	if !ok {
@@ -61,8 +65,8 @@
 	return strings.CutSuffix(rest, probeFailedSuffix)
 }
 
-// detectorLevel returns the level of a line by its mark. What the library warns of belongs to cuts and restarts, which the Fleet's own
-// lines report, so its warnings count as information.
+// detectorLevel returns the log level for a line with the given level mark of the library. The library's warnings are
+// logged at the info level: they come with network partitions and restarts, which the Fleet's own log lines report.
 func detectorLevel(mark string) slog.Level {
 	switch mark {
 	case "[WARN]":
--- a/internal/fleet/membership/frozen_test.go
+++ b/internal/fleet/membership/frozen_test.go
@@ -14,7 +14,8 @@
 
 const storedFile = "fleet-1.rec"
 
-// openStore opens a store that must be usable, until the test ends or it is closed.
+// openStore opens the store of gateway n1 in a directory. It fails the test
+// if the stored members cannot be loaded. The caller closes the store.
 func openStore(t *testing.T, dir string) *MemberStore {
 	t.Helper()
 	store, err := OpenMemberStore(env.OSDirectory{Path: dir}, "n1", 100)
@@ -34,7 +35,8 @@
 	}
 }
 
-// Members that released builds stored are read, and written to the same bytes.
+// Guards against a change of the format of stored members: those that
+// released builds wrote must load, and saving them must write the same bytes.
 func TestFrozenStoredMembersKeepTheirBytes(t *testing.T) {
 	want := []view.ID{
 		{Name: "n2", Addr: "10.0.0.2:7946", Incarnation: 0x0102030405060708},
@@ -49,7 +51,7 @@
 	known := store.Known()
 	closeStore(t, store)
 	if !slices.Equal(known, want) {
-		t.Errorf("read %+v, not %+v", known, want)
+		t.Errorf("loaded %+v, want %+v", known, want)
 	}
 
 	writtenDir := t.TempDir()
@@ -65,7 +67,8 @@
 	frozen.Equal(t, storedFile, written)
 }
 
-// Metadata that released builds sent is read, and written to the same bytes.
+// Guards against a change of the encoding of metadata: what released builds sent must decode, and encode to the same
+// bytes. The datagram that requests a refutation must stay the same too.
 func TestFrozenMetadataKeepsTheSameBytes(t *testing.T) {
 	for name, want := range map[string]metadata{
 		"without-place.meta": {incarnation: 0x0102030405060708},
@@ -74,16 +77,16 @@
 	} {
 		got, err := parseMetadata(frozen.Read(t, name))
 		if err != nil || got != want {
-			t.Errorf("%s: read %+v, %v, not %+v", name, got, err, want)
+			t.Errorf("%s: decoded %+v, error %v, want %+v without error", name, got, err, want)
 		}
 		frozen.Equal(t, name, got.append(nil))
 	}
 	if !bytes.Equal(frozen.Read(t, "speak-up.datagram"), []byte{refuteRequestKind}) {
-		t.Error("the datagram that asks a gateway to refute a suspicion is another one")
+		t.Error("the refute request is not the datagram in speak-up.datagram")
 	}
 }
 
-// The JSON of reports has the keys that released builds printed.
+// Guards against a change of the JSON keys of reports, which must be those that released builds printed.
 func TestFrozenReportsKeepTheirKeys(t *testing.T) {
 	frozen.JSON(t, "report.json", new(Report), false)
 	frozen.JSON(t, "report-empty.json", new(Report), false)
--- a/internal/fleet/membership/leave.go
+++ b/internal/fleet/membership/leave.go
@@ -3,19 +3,20 @@
 import "time"
 
 const (
-	leaveNoticeAge   = 3 * time.Second // notices of a leave ride on gossip for so long
-	noticeWaitRounds = 5               // of gossip, in which the notice of a leave is waited for
+	leaveNoticeAge   = 3 * time.Second // how long gossip carries a leave notice
+	noticeWaitRounds = 5               // gossip intervals for which a pending departure waits for a leave notice
 )
 
-// pendingDeparture is a member that the detector reported gone though it was seen just before, and that did not say that it leaves: its notice
-// is still on its way, or the death is a false one.
+// pendingDeparture is a member that the detector reported gone although it was seen recently and did not announce
+// that it leaves. Either its leave notice is still on the way or the report of its death is false.
 type pendingDeparture struct {
 	incarnation uint64
-	deadline    int64 // when it counts as dead
+	deadline    int64 // when the member is marked dead if no leave notice has arrived
 }
 
-// recordDeparture takes the detector's report that a member is gone; mu is held. A death takes a suspicion of some probe intervals in which nobody
-// saw the member, so one that was seen since is not taken for dead at once.
+// recordDeparture records the detector's report that a member is gone. The detector declares a member dead only after
+// a suspicion of several probe intervals during which nobody saw it. A member that was seen more recently is
+// therefore not marked dead at once but becomes a pending departure. The caller must hold mu.
 func (f *Fleet) recordDeparture(name string, isLeaving bool, now int64) {
 	member, known := f.view.Get(name)
 	if !known {
@@ -31,7 +32,8 @@
 	f.recordChanges(f.view.MarkGone(name, isLeaving, now))
 }
 
-// expirePendingDepartures marks those dead whose notice did not come; mu is held.
+// expirePendingDepartures marks members dead whose leave notice did not
+// arrive by the deadline. The caller must hold mu.
 func (f *Fleet) expirePendingDepartures(now int64) {
 	for name, departure := range f.pendingDepartures {
 		if now < departure.deadline {
@@ -44,7 +46,8 @@
 	}
 }
 
-// recordLeaving takes that a process said that it leaves; mu is held.
+// recordLeaving records that a process announced that it leaves. If its
+// departure is pending, the member is marked as left. The caller must hold mu.
 func (f *Fleet) recordLeaving(name string, incarnation uint64, now int64) {
 	f.recordChanges(f.view.RecordLeaving(name, incarnation, now))
 	if departure, isPending := f.pendingDepartures[name]; isPending && departure.incarnation == incarnation {
@@ -53,7 +56,7 @@
 	}
 }
 
-// mergeLeaveNotice takes a leave notice of a peer.
+// mergeLeaveNotice merges a peer's leave notice into the view.
 func (f *Fleet) mergeLeaveNotice(b []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/membership/leave_test.go
+++ b/internal/fleet/membership/leave_test.go
@@ -16,16 +16,17 @@
 	"foldslip/internal/fleet/view"
 )
 
-// Incarnations of the process that leaves and of the one before it.
+// Incarnations of the process of n2 that leaves and of an older process of n2.
 const (
 	olderIncarnation   = 7
 	leavingIncarnation = 8
 )
 
-// leaveObserver is a gateway without a detector: the test makes the detector's reports, in any order.
+// leaveObserver is a gateway that observes how member n2 leaves. It has no
+// detector. The test calls the detector's callbacks itself, in any order.
 type leaveObserver struct {
 	fleet  *Fleet
-	states []view.State // of the member that leaves, as they changed
+	states []view.State // states that n2 took, in order
 }
 
 func newLeaveObserver(t *testing.T) *leaveObserver {
@@ -50,13 +51,13 @@
 	return o
 }
 
-// memberNode is the detector's record of n2.
+// memberNode returns the detector's record of n2.
 func memberNode(incarnation uint64, isLeaving bool) *memberlist.Node {
 	return &memberlist.Node{Name: "n2", Addr: net.IPv4(127, 0, 0, 1), Port: 2, Meta: metadata{incarnation: incarnation, leaving: isLeaving}.append(nil),
 		DCur: ProtocolVersion}
 }
 
-// leaveNotice is the notice that a peer sends of a process of n2.
+// leaveNotice returns the leave notice that a peer sends for a process of n2.
 func leaveNotice(t *testing.T, incarnation uint64) []byte {
 	t.Helper()
 	peer := view.New(view.ID{Name: "n3"}, view.Settings{MaxMembers: 8}, 1)
@@ -65,14 +66,14 @@
 	return peer.LeaveNotice(1000, 10, 2)
 }
 
-// leaveEvent is something that reaches a gateway about the member that leaves.
+// leaveEvent is a report or message about n2 that reaches the observer.
 type leaveEvent struct {
 	name  string
 	apply func(o *leaveObserver)
 }
 
-// leaveEvents are what a gateway may receive of a leave. Metadata that comes after the report that the member is gone is too old for the
-// detector, which does not pass it on.
+// leaveEvents returns the events that a gateway may receive when n2 leaves. Metadata that arrives after the report
+// that n2 is gone has no effect, because the detector considers it too old and does not pass it on.
 func leaveEvents(t *testing.T) []leaveEvent {
 	isGone := map[*leaveObserver]bool{}
 	return []leaveEvent{
@@ -90,8 +91,8 @@
 	}
 }
 
-// TestLeaveIsNotRecordedAsDeathInAnyOrder guards against a member that left and counts as dead where the leave, its announcements, suspicions and older
-// news arrive in another order than they were sent.
+// TestLeaveIsNotRecordedAsDeathInAnyOrder guards against a member that left but is recorded as dead. This can happen
+// when the leave, its announcements, suspicions and older messages arrive in a different order than they were sent.
 func TestLeaveIsNotRecordedAsDeathInAnyOrder(t *testing.T) {
 	const seeds = 500
 	for seed := range uint64(seeds) {
@@ -113,13 +114,14 @@
 				o.advance()
 			}
 			if last := o.states[len(o.states)-1]; last != view.Left || strings.Contains(fmt.Sprint(o.states), view.Dead.String()) {
-				t.Errorf("seed %d, %v: %v", seed, order, o.states)
+				t.Errorf("seed %d, events %v: n2 went through states %v, want left at the end and never dead", seed, order, o.states)
 			}
 		})
 	}
 }
 
-// advance does what a step of Run does with time alone.
+// advance does the part of Fleet.step that depends on time alone: it
+// expires pending departures and advances the view.
 func (o *leaveObserver) advance() {
 	o.fleet.mu.Lock()
 	defer o.fleet.mu.Unlock()
@@ -127,7 +129,9 @@
 	o.fleet.advanceView(o.fleet.now())
 }
 
-// TestDepartureWithoutNoticeCountsAsDead guards against a member that is gone and stays alive in the view, where no notice of a leave comes.
+// TestDepartureWithoutNoticeCountsAsDead guards against a member that is gone but stays
+// alive in the view because no leave notice for it arrives. A notice that arrives later
+// must still change dead to left, and must not affect the next process with the name.
 func TestDepartureWithoutNoticeCountsAsDead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newLeaveObserver(t)
@@ -137,21 +141,22 @@
 		time.Sleep(noticeWaitRounds*o.fleet.settings.GossipInterval + time.Millisecond)
 		o.advance()
 		if last := o.states[len(o.states)-1]; last != view.Dead {
-			t.Errorf("%v after the wait for a notice", o.states)
+			t.Errorf("states of n2 are %v, want dead after the wait for a leave notice", o.states)
 		}
 		o.fleet.NotifyMsg(leaveNotice(t, leavingIncarnation))
 		if last := o.states[len(o.states)-1]; last != view.Left {
-			t.Errorf("%v after a late notice", o.states)
+			t.Errorf("states of n2 are %v, want left after a late leave notice", o.states)
 		}
 		o.fleet.NotifyJoin(memberNode(leavingIncarnation+1, false))
 		o.fleet.NotifyMsg(leaveNotice(t, leavingIncarnation))
 		if member, _ := o.fleet.view.Get("n2"); member.State != view.Alive || o.fleet.view.IsLeaving("n2") {
-			t.Errorf("the next process of the name counts as leaving by a notice of the one before: %v", o.states)
+			t.Errorf("a leave notice for the previous process of n2 affects the next one: states %v", o.states)
 		}
 	})
 }
 
-// TestDeathOfUnseenMemberIsRecordedAtOnce guards against a crash that is known later than the detector knows it.
+// TestDeathOfUnseenMemberIsRecordedAtOnce guards against a delay between the detector's report of a crash and the
+// view. Only a member that was seen recently may wait for a leave notice.
 func TestDeathOfUnseenMemberIsRecordedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newLeaveObserver(t)
@@ -159,7 +164,7 @@
 		time.Sleep(verifyAfterIntervals * time.Second)
 		o.fleet.NotifyLeave(memberNode(leavingIncarnation, false))
 		if last := o.states[len(o.states)-1]; last != view.Dead || len(o.fleet.pendingDepartures) > 0 {
-			t.Errorf("%v", o.states)
+			t.Errorf("states of n2 are %v, want dead at once with no pending departure", o.states)
 		}
 	})
 }
--- a/internal/fleet/membership/log.go
+++ b/internal/fleet/membership/log.go
@@ -8,14 +8,15 @@
 	"foldslip/internal/fleet/view"
 )
 
-// logLine is a log line that waits for the goroutine of Run, since mu is never held over I/O.
+// logLine is a queued log line. The goroutine of Run writes it, because mu is never held during I/O.
 type logLine struct {
 	level slog.Level
 	event string
 	args  []any
 }
 
-// queueLog queues a log line, or counts it as dropped; mu is held.
+// queueLog queues a log line and wakes the goroutine of Run. If the queue
+// is full, it drops the line and counts it. The caller must hold mu.
 func (f *Fleet) queueLog(level slog.Level, event string, args ...any) {
 	if len(f.pendingLog) >= maxPendingLogLines {
 		f.droppedLogLines++
@@ -28,7 +29,7 @@
 	}
 }
 
-// flushLog writes the queued lines in order.
+// flushLog writes the queued log lines in order, then the number of dropped lines if there are any.
 func (f *Fleet) flushLog() {
 	f.mu.Lock()
 	lines := f.pendingLog
@@ -44,7 +45,8 @@
 	}
 }
 
-// recordChanges counts and logs changes of the view and passes them on; mu is held.
+// recordChanges counts and logs changes of the view and passes them to
+// Dependencies.OnChange. The caller must hold mu.
 func (f *Fleet) recordChanges(changes []view.Change) {
 	for _, change := range changes {
 		f.counts.add(change)
--- a/internal/fleet/membership/membership_test.go
+++ b/internal/fleet/membership/membership_test.go
@@ -12,28 +12,30 @@
 	"foldslip/internal/fleet/view"
 )
 
-// The clock of which incarnations are made is the one that an operator's offset shifts.
+// Guards against incarnations that ignore the clock offset:
+// FromEnvironment must use the wall clock that WallOffset shifts.
 func TestIncarnationClockHasTheOffset(t *testing.T) {
 	system := env.NewSystem(io.Discard, slog.LevelError)
 	system.WallOffset = time.Hour
 	if offset := time.Until(FromEnvironment(system).Now()); offset < 59*time.Minute || offset > time.Hour {
-		t.Errorf("the clock is %v off, not an hour", offset)
+		t.Errorf("the clock is off by %v, want one hour", offset)
 	}
 }
 
-// Seeds that can be used are, whatever else the file holds; the error tells the first line that can't be.
+// Guards against seeds that are lost because another line of the file is
+// invalid. The error must name the first invalid line.
 func TestSeedsAreParsedAndTheFirstBadLineIsNamed(t *testing.T) {
 	seeds, err := ParseSeeds("# seeds\n10.0.0.4:7946 # first\n\nnobody\n[fd00::3]:7946\n10.0.0.5:0\n")
 	if want := []string{"10.0.0.4:7946", "[fd00::3]:7946"}; !slices.Equal(seeds, want) {
-		t.Errorf("%v, not %v", seeds, want)
+		t.Errorf("seeds %v, want %v", seeds, want)
 	}
 	var seedError *SeedFileError
 	if !errors.As(err, &seedError) || seedError.Line != 4 {
-		t.Errorf("%v, not of line 4", err)
+		t.Errorf("error %v, want a SeedFileError for line 4", err)
 	}
 }
 
-// Members that another gateway stored are not used, and the store tells so.
+// Guards against a gateway that uses the stored members of another gateway. LoadError must name the other gateway.
 func TestMembersOfAnotherGatewayAreNotUsed(t *testing.T) {
 	dir := t.TempDir()
 	store := openStore(t, dir)
@@ -48,6 +50,6 @@
 	defer closeStore(t, other)
 	var foreign *ForeignStoreError
 	if !errors.As(other.LoadError(), &foreign) || foreign.Self != "n1" || len(other.Known()) > 0 {
-		t.Errorf("%v, known %v", other.LoadError(), other.Known())
+		t.Errorf("LoadError %v, known %v; want a ForeignStoreError for n1 and no members", other.LoadError(), other.Known())
 	}
 }
--- a/internal/fleet/membership/metadata.go
+++ b/internal/fleet/membership/metadata.go
@@ -7,30 +7,33 @@
 	"foldslip/internal/fleet/view"
 )
 
-// MaxLocalityNameBytes bounds each name of a locality in metadata.
+// MaxLocalityNameBytes is the maximum length in bytes of each name of a locality.
 const MaxLocalityNameBytes = 48
 
-// metadataSize is the size of metadata without a locality: version, incarnation, whether the gateway leaves.
+// metadataSize is the size of encoded metadata without a locality: the version, the incarnation and the leaving flag.
 const metadataSize = 1 + 8 + 1
 
-var errMetadata = errors.New("metadata of another version")
+var errMetadata = errors.New("malformed metadata or metadata of another version")
 
-// metadata is what a gateway sends about itself with the detector's messages, little-endian:
+// metadata is the information about itself that a gateway sends with the
+// detector's messages. Its encoding is little-endian:
 //
 //	1 byte   ProtocolVersion
 //	8 bytes  incarnation
-//	1 byte   1 if it leaves, else 0
-//	and, where it was given a locality: region, zone and site, each 1 byte length and that many bytes
+//	1 byte   1 if the gateway leaves, otherwise 0
 //
-// A build that knows no localities refuses a gateway that sends one, so localities are set once all gateways run a build that knows them
-// (docs/fleet-broadcast-operators.md).
+// If the gateway has a locality, its region, zone and site follow. Each
+// is 1 byte that holds its length and that many bytes.
+//
+// A build without support for localities refuses a gateway that sends one. Localities must therefore not be set
+// before all gateways run a build that supports them (docs/fleet-broadcast-operators.md).
 type metadata struct {
 	incarnation uint64
 	leaving     bool
 	locality    view.Locality
 }
 
-// append writes the metadata after b.
+// append appends the encoded metadata to b.
 func (m metadata) append(b []byte) []byte {
 	b = append(b, ProtocolVersion)
 	b = binary.LittleEndian.AppendUint64(b, m.incarnation)
@@ -49,7 +52,7 @@
 	return b
 }
 
-// parseMetadata reads metadata; all of it must be readable. Else it returns errMetadata.
+// parseMetadata decodes metadata. It returns errMetadata unless all of b is valid metadata of ProtocolVersion.
 func parseMetadata(b []byte) (metadata, error) {
 	if len(b) < metadataSize || b[0] != ProtocolVersion || b[metadataSize-1] > 1 {
 		return metadata{}, errMetadata
--- a/internal/fleet/membership/report.go
+++ b/internal/fleet/membership/report.go
@@ -8,19 +8,19 @@
 	"foldslip/internal/fleet/view"
 )
 
-// Report is what a gateway knows of its fleet, for operators. It has ages in milliseconds in place of times.
+// Report is a gateway's view of its fleet, for operators. It gives ages in milliseconds instead of points in time.
 type Report struct {
 	Name         string         `json:"name"`
 	Addr         string         `json:"addr"`
 	Incarnation  uint64         `json:"stamp"`
-	State        string         `json:"state"` // settled, unsettled, alone, yielded (the name is another process's)
+	State        string         `json:"state"` // settled, unsettled, alone, or yielded if another process has the name
 	Version      uint64         `json:"version"`
 	Digest       string         `json:"digest"`
-	Live         int            `json:"live"`  // alive or suspect
-	Alive        int            `json:"seen"`  // without suspects
-	FleetSize    int            `json:"fleet"` // that those are a part of
+	Live         int            `json:"live"`  // alive and suspect members
+	Alive        int            `json:"seen"`  // alive members, without suspects
+	FleetSize    int            `json:"fleet"` // known members that have not left, or the expected number if larger
 	InMinority   bool           `json:"minority"`
-	Agreeing     int            `json:"agree"` // live members known to see the same set, this gateway included
+	Agreeing     int            `json:"agree"` // live members known to have the same live set, this gateway included
 	ChangedAgoMS int64          `json:"changed_ago_ms"`
 	Members      []MemberReport `json:"members,omitempty"`
 	Counts       Counts         `json:"counts"`
@@ -36,7 +36,7 @@
 	UpMS         int64          `json:"up_ms"`
 }
 
-// MemberReport is one member in a report.
+// MemberReport describes one member in a Report.
 type MemberReport struct {
 	Name          string        `json:"name"`
 	Addr          string        `json:"addr"`
@@ -53,14 +53,14 @@
 	Evidence      []Evidence    `json:"said,omitempty"`
 }
 
-// Evidence is what a gateway reported of a member, and how long ago.
+// Evidence is a gateway's report about a member, with its age.
 type Evidence struct {
 	AgoMS int64  `json:"ago_ms"`
 	By    string `json:"by"`
 	What  string `json:"what"`
 }
 
-// Counts are events since the process started.
+// Counts holds the numbers of events since the process started.
 type Counts struct {
 	Joins                uint64 `json:"Joins"`
 	Deaths               uint64 `json:"Deaths"`
@@ -76,7 +76,7 @@
 	NameConflicts        uint64 `json:"Conflicts"`
 	NameDeferrals        uint64 `json:"Yields"`
 	Pauses               uint64 `json:"Pauses"`
-	UnreadableHeartbeats uint64 `json:"BadWords"`
+	UnreadableHeartbeats uint64 `json:"BadWords"` // heartbeat frames and leave notices that could not be decoded
 }
 
 func (c *Counts) add(change view.Change) {
@@ -99,7 +99,7 @@
 	}
 }
 
-// Distribution is a histogram in five figures.
+// Distribution summarizes a histogram by its count N, three percentiles and its maximum.
 type Distribution struct {
 	N   int64 `json:"n"`
 	P50 int64 `json:"p50"`
@@ -112,16 +112,17 @@
 	return Distribution{h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(90), h.ValueAtQuantile(99), h.Max()}
 }
 
-// UnknownMemberError reports that the view has no gateway of a name.
+// UnknownMemberError reports that the view has no member with the name.
 type UnknownMemberError struct{ Name string }
 
-// Error names the gateway.
+// Error returns a message with the name.
 func (e *UnknownMemberError) Error() string {
 	return fmt.Sprintf("no gateway %q is known here", e.Name)
 }
 
-// Report returns what this gateway knows of its fleet. Without withMembers it has no members. Where explain names a member, it is the
-// only one and comes with its evidence; the error is an *UnknownMemberError if there is none of that name.
+// Report returns a report on the fleet as this gateway sees it. The report lists members only if withMembers is set.
+// If explain is not empty, the report lists only the member with that name, together with its evidence. The error is
+// an *UnknownMemberError if the view has no such member.
 func (f *Fleet) Report(withMembers bool, explain string) (Report, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -146,7 +147,7 @@
 	return report, nil
 }
 
-// summary is a report without members; mu is held.
+// summary returns a report without members. The caller must hold mu.
 func (f *Fleet) summary(now int64) Report {
 	counts := f.deps.TransportCounts
 	alive, size := f.view.Size()
@@ -177,7 +178,7 @@
 	}
 }
 
-// stateName is the state in a report; mu is held.
+// stateName returns the value of Report.State. The caller must hold mu.
 func (f *Fleet) stateName() string {
 	switch {
 	case f.scheduler.HasDeferred():
@@ -190,7 +191,7 @@
 	return "unsettled"
 }
 
-// reportMember is a member in a report, without evidence; mu is held.
+// reportMember returns the report on a member, without its evidence. The caller must hold mu.
 func (f *Fleet) reportMember(member view.Member, now int64) MemberReport {
 	return MemberReport{
 		Name:          member.Name,
@@ -215,19 +216,19 @@
 	return out
 }
 
-// State is how far a gateway may rely on its view: what fleet limits and quotas depend on.
+// State describes the view and how far a gateway may rely on it. Fleet limits and quotas depend on it.
 type State struct {
-	Live       int // members that are alive or suspect
-	Alive      int // without suspects
-	FleetSize  int // that those are a part of
-	Rank       int // of this gateway among members that did not leave, by name
+	Live       int // alive and suspect members
+	Alive      int // alive members, without suspects
+	FleetSize  int // known members that have not left, or the expected number if larger
+	Rank       int // position of this gateway among the members that have not left, sorted by name; 0 is the first
 	InMinority bool
 	Settled    bool
-	Digest     uint32 // of the live set
-	Version    uint64 // of the view
+	Digest     uint32 // hash of the live set
+	Version    uint64 // version of the view
 }
 
-// State returns it.
+// State returns the current State.
 func (f *Fleet) State() State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -244,14 +245,15 @@
 	}
 }
 
-// LiveNames returns the names of live members, this gateway included, sorted.
+// LiveNames returns the sorted names of the live members, this gateway included.
 func (f *Fleet) LiveNames() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view.LiveNames()
 }
 
-// LiveIDs returns the processes of live members, this gateway's included, by name, and the view's version that they are of.
+// LiveIDs returns the identities of the live members, this gateway included,
+// sorted by name. The version is that of the view from which they were read.
 func (f *Fleet) LiveIDs() (ids []view.ID, version uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -265,15 +267,15 @@
 	return f.view.Version()
 }
 
-// Usage is how many entries are held, for checks of the bounds.
+// Usage counts the entries that a Fleet holds, so that its bounds can be checked.
 type Usage struct {
 	Members         int
 	PendingLogLines int
-	Contacted       int // addresses that the scheduler of contacts remembers
-	LoggedConflicts int // names
+	Contacted       int // addresses that the contact scheduler remembers
+	LoggedConflicts int // names for which the time of the last log line about a refusal or conflict is kept
 }
 
-// Usage returns it.
+// Usage returns the current Usage.
 func (f *Fleet) Usage() Usage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/membership/run.go
+++ b/internal/fleet/membership/run.go
@@ -9,8 +9,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Run takes part in the fleet until stop is closed, then leaves it. An error is one of the first start; later starts, under a name
-// that was taken, are tried again.
+// Run takes part in the fleet until stop is closed, then leaves it. It returns an error only if the first start of
+// the detector fails. Later starts, which reclaim a deferred name, are retried.
 func (f *Fleet) Run(stop <-chan struct{}) error {
 	if err := f.startDetector(); err != nil {
 		return err
@@ -32,8 +32,9 @@
 	}
 }
 
-// startDetector starts the detector. With n members a death is known after some probe intervals and a suspicion of 4 log10(n)
-// intervals (SWIM; Lifeguard's upper bound is six times that while nobody else confirms it).
+// startDetector starts the detector. With n members, the detector declares a member dead
+// after several probe intervals and a suspicion of 4 log10(n) probe intervals (SWIM). While
+// no other member confirms the suspicion, it lasts up to six times as long (Lifeguard).
 func (f *Fleet) startDetector() error {
 	transport, err := f.deps.OpenTransport()
 	if err != nil {
@@ -65,7 +66,8 @@
 	c.DelegateProtocolMin = ProtocolVersion
 	c.DelegateProtocolMax = ProtocolVersion
 	c.DelegateProtocolVersion = ProtocolVersion
-	// The name of a dead process may come back at another address at once. One that lives is never taken over (NotifyConflict).
+	// A process at another address may take the name of a dead process at once. The name of a live process is never
+	// taken over: NotifyConflict records such claims.
 	c.DeadNodeReclaimTime = time.Millisecond
 	c.RequireNodeNames = false
 	c.Delegate = f
@@ -78,13 +80,14 @@
 	return c
 }
 
-// leaveAndStop leaves the fleet and stops the detector. The metadata and a leave notice say first that this gateway leaves: the detector
-// reports to peers that a member is gone, but not their delegates whether it went by its own will.
+// leaveAndStop leaves the fleet and stops the detector. Before that, it announces in the metadata and in a leave
+// notice that this gateway leaves. The announcement is needed because the detector tells the delegates of peers that
+// a member is gone, but not whether it left deliberately.
 func (f *Fleet) leaveAndStop() {
 	if f.deps.Store != nil {
 		defer f.deps.Store.Close()
 	}
-	if f.detector == nil { // another process has the name
+	if f.detector == nil { // the name is deferred to another process
 		return
 	}
 	f.mu.Lock()
@@ -93,8 +96,10 @@
 	live := f.view.LiveCount()
 	f.mu.Unlock()
 	if live > 1 {
-		f.detector.UpdateNode(leaveTimeout)       // returns once the metadata was gossiped as often as anything is
-		time.Sleep(2 * f.settings.GossipInterval) // the leave replaces the metadata in the queues of others
+		// UpdateNode returns once the metadata was gossiped as often as any other message, or after leaveTimeout.
+		f.detector.UpdateNode(leaveTimeout)
+		// Peers need time to pass the metadata on, because the leave message replaces it in their gossip queues.
+		time.Sleep(2 * f.settings.GossipInterval)
 		f.detector.Leave(leaveTimeout)
 	}
 	f.mu.Lock()
@@ -105,7 +110,9 @@
 	f.deps.Log.Info("fleet_left", "name", f.self.Name)
 }
 
-// step moves time on: it advances the view, asks suspects to refute, and does what is due of contacts and writes.
+// step does the periodic work. It advances the view and asks members to refute suspicions that evidence has cleared.
+// If a peer asked this gateway to refute a suspicion, it makes the detector do so. Then it starts the verification,
+// resolves the name conflict, starts the contact and saves the members, as far as each is due.
 func (f *Fleet) step() {
 	now := f.now()
 	f.mu.Lock()
@@ -116,7 +123,7 @@
 	refute := f.takeRefuteRequest(now)
 	f.mu.Unlock()
 	for _, name := range suspects {
-		f.Send(name, []byte{refuteRequestKind}) // one that is lost is sent again, up to the view's bound
+		f.Send(name, []byte{refuteRequestKind}) // the view repeats the request up to its limit, because it may be lost
 	}
 	if refute {
 		go f.detector.UpdateNode(joinTimeout)
@@ -127,7 +134,8 @@
 	f.saveMembers(now)
 }
 
-// detectPause notes that the process did not run for a while; mu is held.
+// detectPause detects that the process did not run for a while and reports
+// the pause to the view and the scheduler. The caller must hold mu.
 func (f *Fleet) detectPause(now int64) {
 	gap := now - f.lastStepAt
 	f.lastStepAt = now
@@ -140,7 +148,8 @@
 	f.queueLog(slog.LevelWarn, "fleet_process_paused", "ms", gap/1000)
 }
 
-// advanceView moves the view's time on and logs what came of it; mu is held.
+// advanceView advances the view to the given time and logs which members
+// it forgot and whether it settled. The caller must hold mu.
 func (f *Fleet) advanceView(now int64) {
 	tick := f.view.Tick(now)
 	for _, name := range tick.Reaped {
@@ -156,7 +165,8 @@
 		"digest", fmt.Sprintf("%08x", f.view.Digest()), "version", f.view.Version(), "took_ms", tick.SettleTime/1000)
 }
 
-// takeRefuteRequest reports whether this gateway is to refute a suspicion now, as a peer asked for; mu is held.
+// takeRefuteRequest reports whether this gateway must refute a suspicion now because
+// a peer asked for it. If so, it clears the request. The caller must hold mu.
 func (f *Fleet) takeRefuteRequest(now int64) bool {
 	if !f.refuteRequested || f.leaving || f.detector == nil || now-f.refutedAt < refuteInterval.Microseconds() {
 		return false
--- a/internal/fleet/membership/seeds.go
+++ b/internal/fleet/membership/seeds.go
@@ -10,21 +10,23 @@
 
 const (
 	maxSeeds = 4096
-	// aloneSeedInterval is how often the file of seeds is read while this gateway knows of nobody else.
+	// aloneSeedInterval is the longest interval between reads of the seed
+	// file while this gateway knows no other live member.
 	aloneSeedInterval = time.Second
 )
 
-// SeedFileError reports the first line of a file of seeds that can't be used.
+// SeedFileError reports a line of a seed file that cannot be used.
 type SeedFileError struct {
-	Line    int // from 1 on
+	Line    int // starting at 1
 	Problem string
 }
 
-// Error returns the line and its problem.
+// Error returns the line number and the problem.
 func (e *SeedFileError) Error() string { return fmt.Sprintf("line %d: %s", e.Line, e.Problem) }
 
-// ParseSeeds reads the text of a file of seeds: an IP and a port a line; # begins a comment. It returns all seeds that can be used, at
-// most maxSeeds, and a *SeedFileError where a line can't.
+// ParseSeeds parses the text of a seed file. Each line holds an IP and a port, and # begins a comment. ParseSeeds
+// returns all valid seeds, at most maxSeeds. The error is a *SeedFileError for the first line beyond maxSeeds seeds
+// if there is one, otherwise for the first invalid line.
 func ParseSeeds(text string) (seeds []string, err error) {
 	number := 0
 	for line := range strings.Lines(text) {
@@ -38,10 +40,10 @@
 		switch {
 		case parseErr != nil || addr.Port() == 0:
 			if err == nil {
-				err = &SeedFileError{number, fmt.Sprintf("%q is no address and port, as 10.0.0.4:7946", line)}
+				err = &SeedFileError{number, fmt.Sprintf("invalid seed %q: expected an IP and a nonzero port, such as 10.0.0.4:7946", line)}
 			}
 		case len(seeds) == maxSeeds:
-			return seeds, &SeedFileError{number, fmt.Sprintf("more than %d seeds; the rest is not used", maxSeeds)}
+			return seeds, &SeedFileError{number, fmt.Sprintf("more than %d seeds; this and later seeds are ignored", maxSeeds)}
 		default:
 			seeds = append(seeds, addr.String())
 		}
@@ -49,8 +51,9 @@
 	return seeds, err
 }
 
-// refreshSeeds reads the file of seeds again once a rejoin interval, and once a second while this gateway is alone. A problem is
-// logged when it is another one than before; the seeds that can be used are used all the same.
+// refreshSeeds reads the seed file again once every rejoin interval, and at least once
+// a second while this gateway is alone. It logs a problem only if it differs from that
+// of the previous read. Valid seeds are used even if other lines have a problem.
 func (f *Fleet) refreshSeeds(now int64) {
 	f.mu.Lock()
 	alone := f.view.LiveCount() == 1
--- a/internal/fleet/membership/store.go
+++ b/internal/fleet/membership/store.go
@@ -11,10 +11,11 @@
 	"foldslip/internal/store/wal"
 )
 
-// MemberStore keeps the known members of the fleet on disk (package wal), so that a gateway that restarts finds the fleet where no seed
-// answers, and knows how large it was. It keeps no states: those come from the detector and from the members alone.
+// MemberStore keeps the known members of the fleet on disk (package wal). A gateway that restarts can then find the
+// fleet even if no seed answers, and it knows how large the fleet was. Member states are not stored, because they
+// come only from the detector and from the members themselves.
 //
-// Save is for one goroutine at a time.
+// Save must not be called concurrently.
 type MemberStore struct {
 	log       *wal.Log
 	self      string
@@ -39,19 +40,20 @@
 	Incarnation uint64 `cbor:"3,keyasint"`
 }
 
-// ForeignStoreError reports that the members on disk are of another format or were saved by a gateway of another name.
+// ForeignStoreError reports that the stored members have another format or were saved by a gateway with another name.
 type ForeignStoreError struct {
 	Format int
-	Self   string // whose they are
+	Self   string // name of the gateway that saved the members
 }
 
-// Error returns both.
+// Error returns a message with the format and the name of the gateway that saved the members.
 func (e *ForeignStoreError) Error() string {
-	return fmt.Sprintf("the list of gateways is of form %d for %q; it is not used", e.Format, e.Self)
+	return fmt.Sprintf("stored members do not match this gateway and are ignored: format %d, saved by gateway %q", e.Format, e.Self)
 }
 
-// OpenMemberStore opens the members that a gateway keeps in a folder, which is its own until Close. It loads at most maxMembers-1
-// others. Members that can't be used are no error: none is known then, and LoadError returns why.
+// OpenMemberStore opens the member store of the gateway self in a directory, which belongs to the store until Close.
+// It loads at most maxMembers-1 other members. It does not fail if the stored members cannot be used. The store then
+// knows no members, and LoadError returns the reason.
 func OpenMemberStore(directory env.Directory, self string, maxMembers int) (*MemberStore, error) {
 	log, kept, err := wal.Open(directory, storeName)
 	if err != nil {
@@ -67,7 +69,7 @@
 func decodeMembers(snapshot []byte, self string, limit int) (known []view.ID, err error) {
 	var stored storedMembers
 	if err := cbor.Unmarshal(snapshot, &stored); err != nil {
-		return nil, fmt.Errorf("the list of gateways cannot be read: %w", err)
+		return nil, fmt.Errorf("decoding stored members: %w", err)
 	}
 	if stored.Format != storeFormat || stored.Self != self {
 		return nil, &ForeignStoreError{Format: stored.Format, Self: stored.Self}
@@ -82,13 +84,14 @@
 	return known, nil
 }
 
-// LoadError returns why what was stored is not used; nil if it is, or if nothing was stored.
+// LoadError returns the reason why the stored members are not used. It
+// returns nil if they are used or if none were stored.
 func (s *MemberStore) LoadError() error { return s.loadError }
 
-// Known returns the members of the last Save, or else those that were loaded.
+// Known returns the members passed to the last Save, or the loaded members if Save has not been called.
 func (s *MemberStore) Known() []view.ID { return s.known }
 
-// Save writes the known members to disk, in place of those before.
+// Save writes the known members to disk and replaces the members saved before.
 func (s *MemberStore) Save(members []view.ID) error {
 	s.known = members
 	stored := storedMembers{Format: storeFormat, Self: s.self}
@@ -102,7 +105,7 @@
 	return s.log.WriteSnapshot(snapshot)
 }
 
-// Close gives the folder back.
+// Close closes the store and releases its directory.
 func (s *MemberStore) Close() error { return s.log.Close() }
 
 // loadKnownMembers adds the stored members to the view.
@@ -115,14 +118,14 @@
 	}
 }
 
-// saveMembers saves the view's members that did not leave, if the view changed since the last time.
+// saveMembers saves the other members of the view that have not left, if the view changed since the last save.
 func (f *Fleet) saveMembers(now int64) {
 	if f.deps.Store == nil || f.detector == nil || now-f.savedAt < saveInterval.Microseconds() {
 		return
 	}
 	f.mu.Lock()
 	version := f.view.Version()
-	if version == f.savedVersion { // the usual case: nothing is copied for it
+	if version == f.savedVersion { // the usual case, in which the members are not copied
 		f.mu.Unlock()
 		return
 	}
--- a/internal/fleet/membership/verify.go
+++ b/internal/fleet/membership/verify.go
@@ -10,11 +10,13 @@
 	"foldslip/internal/fleet/view"
 )
 
-// verifyPings is how many pings in a row must stay unanswered for a failed verification: a datagram may be lost.
+// verifyPings is how many consecutive pings must stay unanswered for a
+// verification to fail. One is not enough, because a datagram may be lost.
 const verifyPings = 2
 
-// startDueVerification starts the verification of a member that is due for one, if none is under way. The gateways of a side know the same members to
-// be due, so each chooses at random.
+// startDueVerification starts the verification of a member that is due for one,
+// unless a verification is in progress. The gateways on the same side of a network
+// partition find the same members due, so each gateway picks one of them at random.
 func (f *Fleet) startDueVerification(now int64) {
 	if f.detector == nil {
 		return
@@ -32,7 +34,7 @@
 	go f.verify(f.detector, due[f.random.IntN(len(due))])
 }
 
-// verify asks a member directly whether it runs, and takes the answer, or that none came, as evidence.
+// verify pings a member directly and records the answer, or its absence, as evidence.
 func (f *Fleet) verify(detector *memberlist.Memberlist, member view.ID) {
 	defer func() {
 		f.mu.Lock()
@@ -41,7 +43,7 @@
 	}()
 	addr, err := netip.ParseAddrPort(member.Addr)
 	if err != nil {
-		return // not an address that this gateway could have got it by
+		return // this gateway cannot have learned of a member at such an address
 	}
 	for range verifyPings {
 		roundTrip, err := detector.Ping(member.Name, net.UDPAddrFromAddrPort(addr))
@@ -53,8 +55,8 @@
 	f.recordUnverified(member.Name, detector.GetHealthScore())
 }
 
-// recordUnverified takes that a member did not answer. The log has the detector's health score: its probes are slower by that many probe
-// intervals.
+// recordUnverified records that a member did not answer a verification. It logs the detector's health score, which is
+// the number of probe intervals by which the detector lengthens its own probes.
 func (f *Fleet) recordUnverified(name string, healthScore int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
