--- a/internal/fleet/view/detector.go
+++ b/internal/fleet/view/detector.go
@@ -1,6 +1,6 @@
 package view
 
-// Join records the detector's report that a gateway is alive; by names the gateway that reported it first.
+// Join records the detector's report that a gateway is alive. by is the name of the gateway that reported it first.
 func (v *View) Join(id ID, by string, now int64) []Change {
 	if id.Name == v.self {
 		return nil
@@ -28,7 +28,7 @@
 	m.LastSeenBy = by
 	m.ProbeFailedAt = 0
 	m.clearedAt = 0
-	if from.IsLive() && isOtherProcess { // the live set has another process in it, though the name was in it before
+	if from.IsLive() && isOtherProcess { // the live set changes in the incarnation, not in the name
 		v.liveSetChanged(now)
 	}
 	if from != Alive {
@@ -41,7 +41,8 @@
 	return []Change{{Name: id.Name, From: from, To: Alive, By: by, Reason: reason, HeldFor: now - m.Since}}
 }
 
-// joinNew adds a live member that the view did not have, unless it is refused.
+// joinNew adds a gateway that the view does not hold as an alive member. It does nothing if the view refuses the
+// gateway.
 func (v *View) joinNew(id ID, by string, now int64) []Change {
 	if v.RefusalOf(id.Name) != "" {
 		return nil
@@ -53,7 +54,7 @@
 	return []Change{{Name: id.Name, From: NeverSeen, To: Alive, IsNew: true, By: by, Reason: ReasonJoined}}
 }
 
-// Update records the detector's report that a live gateway sent other metadata.
+// Update records the detector's report that a live gateway changed its metadata.
 func (v *View) Update(id ID, now int64) []Change {
 	m := v.members[id.Name]
 	if m == nil || id.Name == v.self || m.ID == id {
@@ -62,7 +63,8 @@
 	return v.Join(id, id.Name, now)
 }
 
-// MarkGone records the detector's report that a gateway is dead, or that it has left. One that was held dead may turn out to have left.
+// MarkGone records the detector's report that a gateway has left or is dead. A member that was marked as dead can later
+// be marked as left.
 func (v *View) MarkGone(name string, left bool, now int64) []Change {
 	m := v.members[name]
 	if m == nil || name == v.self || !m.State.IsLive() && !(left && m.State == Dead) {
@@ -79,13 +81,14 @@
 	return []Change{v.transition(m, Dead, by, ReasonUnseen, now)}
 }
 
-// MarkPaused notes that this process did not run for a while: what it knows of others is old, so the view has not settled.
+// MarkPaused records that this process was paused. Its knowledge of the other members is out of date, so the view has
+// to settle again.
 func (v *View) MarkPaused(now int64) {
 	v.members[v.self].addEvidence(now, v.self, "stood still")
 	v.liveSetChanged(now)
 }
 
-// RecordNameConflict keeps as evidence that a process at another address claims a member's name.
+// RecordNameConflict adds evidence that a process at another address claims a member's name.
 func (v *View) RecordNameConflict(name, addr string, now int64) {
 	if m := v.members[name]; m != nil {
 		m.addEvidence(now, addr, "claims the name")
--- a/internal/fleet/view/evidence.go
+++ b/internal/fleet/view/evidence.go
@@ -2,10 +2,11 @@
 
 import "slices"
 
-// maxRefuteRequests is how often a member is asked to refute one suspicion.
+// maxRefuteRequests is the number of times that a member is asked to refute one suspicion.
 const maxRefuteRequests = 3
 
-// RecordSeen takes the evidence that a member was seen by a gateway at a time.
+// RecordSeen records evidence that gateway by saw a member at time at. It clears a suspicion if at is later than the
+// failed probe.
 func (v *View) RecordSeen(name, by string, at, now int64) []Change {
 	m := v.members[name]
 	if m == nil || name == v.self || at <= m.LastSeen {
@@ -20,12 +21,13 @@
 	}
 	if !m.State.IsLive() && by != v.self {
 		m.addEvidence(now, by, "heard while not live here")
-		v.version++ // the peers of package rejoin are read again
+		v.version++ // makes package membership pass the new LastSeen to package rejoin
 	}
 	return nil
 }
 
-// RecordFailedProbe takes the evidence that a probe of a member by a gateway failed at a time.
+// RecordFailedProbe records evidence that a probe of a member by gateway by failed at time at. An alive member that was
+// not seen since at becomes suspect.
 func (v *View) RecordFailedProbe(name, by string, at, now int64) []Change {
 	m := v.members[name]
 	if m == nil || at <= m.ProbeFailedAt || at > now {
@@ -44,9 +46,11 @@
 	return nil
 }
 
-// DueRefuteRequests returns the live members that are to be asked now to refute a suspicion, sorted. Evidence cleared it here, but the
-// detector, which takes no evidence, may still hold it and declare the member dead when it runs out, up to half a minute later. Each
-// member is asked maxRefuteRequests times, each time after twice as long.
+// DueRefuteRequests returns the sorted names of the live members that must now be asked to refute a suspicion. Evidence
+// has cleared the suspicion in this view, but the detector does not use evidence. It may still hold the suspicion and
+// declare the member dead when the suspicion times out, up to half a minute later. Each member is asked
+// maxRefuteRequests times, and the delay after the clearing doubles from one request to the next, starting at
+// Settings.SettleAfter.
 func (v *View) DueRefuteRequests(now int64) (names []string) {
 	for name, m := range v.members {
 		if m.clearedAt == 0 || now-m.clearedAt < v.settings.SettleAfter<<m.refuteRequests {
--- a/internal/fleet/view/heartbeat.go
+++ b/internal/fleet/view/heartbeat.go
@@ -8,31 +8,37 @@
 	"slices"
 )
 
-// A heartbeat frame is what gateways send each other beside the detector's own messages: when the sender saw members, its failed probes
-// and its digest, in part passed on. Ages in place of times make that no two clocks have to agree. On the wire, little-endian, no padding:
+// Gateways exchange heartbeat frames in addition to the detector's own messages. A frame states when members were last
+// seen, which probes failed, the sender's digest of the live set and which members agree with it. It contains the
+// sender's own observations and observations that the sender received from others. Frames contain ages instead of
+// times, so the clocks of gateways do not have to agree. The encoding is little-endian without padding:
 //
 //	1 byte   Kind
-//	8 bytes  sender's NameKey
-//	4 bytes  sender's digest, 8 bytes its generation (agreement.go)
-//	2 bytes  length g of the agreed bits, 1 byte number s of seen records, 1 byte number f of failed probes
+//	8 bytes  NameKey of the sender
+//	4 bytes  digest of the sender
+//	8 bytes  agreement generation of the sender (agreement.go)
+//	2 bytes  length g of the agreed bits
+//	1 byte   number s of seen records
+//	1 byte   number f of failed probe records
 //	g bytes  agreed bits
-//	s times  8 key of the member, 8 key of the gateway that saw it, 4 age in milliseconds
-//	f times  8 key of the member, 8 key of the gateway whose probe failed, 4 age in milliseconds
+//	s times  8 bytes key of the member, 8 bytes key of the gateway that saw it, 4 bytes age in milliseconds
+//	f times  8 bytes key of the member, 8 bytes key of the gateway whose probe failed, 4 bytes age in milliseconds
 const (
-	// Kind is the first byte of heartbeat frames, which tells them from other datagrams of gateways.
+	// Kind is the first byte of a heartbeat frame. It distinguishes heartbeat frames from other datagrams between
+	// gateways.
 	Kind = 1
 
 	headerSize            = 1 + 8 + 4 + 8 + 2 + 1 + 1
 	recordSize            = 8 + 8 + 4
-	maxSeenRecords        = 24 // 480 bytes: a frame goes in one datagram beside the detector's own messages
+	maxSeenRecords        = 24 // 480 bytes, so that a frame fits in one datagram with the detector's own messages
 	maxFailedProbeRecords = 12
-	maxAgreedBytes        = 512 // 4,096 members
+	maxAgreedBytes        = 512 // one bit for each of 4,096 members
 
-	// MaxFrameBytes is the size of the longest frame.
+	// MaxFrameBytes is the maximum size of a frame.
 	MaxFrameBytes = headerSize + maxAgreedBytes + (maxSeenRecords+maxFailedProbeRecords)*recordSize
 )
 
-// Offsets in a header.
+// Offsets of the header fields, in bytes.
 const (
 	keyOffset         = 1
 	digestOffset      = 9
@@ -42,21 +48,22 @@
 	failedCountOffset = 24
 )
 
-// ErrFrame reports that a heartbeat frame can't be read: it is of another kind, or of another length than it says.
-var ErrFrame = errors.New("unreadable heartbeat frame")
+// ErrFrame reports that a heartbeat frame or a leave notice is malformed: its kind is wrong, a count exceeds its
+// maximum, or its length does not match its content.
+var ErrFrame = errors.New("malformed heartbeat frame or leave notice: unexpected kind, record count or length")
 
-// agreementFrame is the part of a frame about agreement.
+// agreementFrame is the part of a heartbeat frame that describes agreement.
 type agreementFrame struct {
 	digest     uint32
 	generation uint64
 	agreedBits []byte
 }
 
-// ageMillis returns an age in whole milliseconds, as far as four bytes hold it.
+// ageMillis converts an age from microseconds to whole milliseconds, limited to the range of a uint32.
 func ageMillis(age int64) uint32 { return uint32(min(max(age, 0)/1000, math.MaxUint32)) }
 
-// HeartbeatFrame returns a frame of at most limit bytes, nil if not even a header fits. Where not all seen records fit, members take
-// turns over the frames.
+// HeartbeatFrame returns a frame of at most limit bytes, or nil if the header and the agreed bits do not fit. If not
+// all seen records fit, successive frames contain the records of different members in rotation.
 func (v *View) HeartbeatFrame(limit int, now int64) []byte {
 	agreedBits := v.ownAgreedBits()
 	space := min(limit, MaxFrameBytes) - headerSize - len(agreedBits)
@@ -92,7 +99,8 @@
 
 func compareNames(a, b *Member) int { return cmp.Compare(a.Name, b.Name) }
 
-// newestFailedProbes returns suspects for a frame with space for so many records, those whose probes failed last.
+// newestFailedProbes returns the suspect members whose failed probes are reported in a frame, at most space of them.
+// Members with the newest failed probes come first.
 func (v *View) newestFailedProbes(space int, now int64) []*Member {
 	var suspects []*Member
 	for _, m := range v.members {
@@ -106,8 +114,8 @@
 	return suspects[:min(len(suspects), maxFailedProbeRecords, space)]
 }
 
-// nextSeen returns the live members for a frame with space for so many records. Where not all of them fit, it goes on by name from where
-// the last frame ended.
+// nextSeen returns the live members whose seen records go into a frame, at most space of them. If not all of them fit,
+// the selection continues in the order of names after the last member of the previous frame.
 func (v *View) nextSeen(space int, now int64) []*Member {
 	var seen []*Member
 	for _, m := range v.members {
@@ -125,8 +133,8 @@
 	return slices.Concat(seen[first:], seen[:first])[:count]
 }
 
-// MergeHeartbeat takes a frame that came directly from its sender. Records about members that the view doesn't have, or by such, are
-// ignored. The error is ErrFrame; a frame that can't be read changes nothing.
+// MergeHeartbeat merges a frame that was received directly from its sender. It ignores records that name a member or a
+// gateway which the view does not hold. If the frame is malformed, it returns ErrFrame and leaves the view unchanged.
 func (v *View) MergeHeartbeat(b []byte, now int64) ([]Change, error) {
 	if len(b) < headerSize || b[0] != Kind {
 		return nil, ErrFrame
@@ -142,9 +150,10 @@
 	}
 	sender := v.members[v.nameByKey[binary.LittleEndian.Uint64(b[keyOffset:])]]
 	if sender == nil || sender.Name == v.self {
-		return nil, nil // no member yet, or another process of this gateway's name
+		return nil, nil // the sender is not a member yet, or it is another process with this gateway's name
 	}
-	// The frame itself proves that its sender ran when it wrote it; how long it was on its way is not known and is left out.
+	// The frame proves that its sender ran when it sent the frame. The transmission time is unknown and is taken as
+	// zero.
 	changes := v.RecordSeen(sender.Name, v.self, now, now)
 	records := b[headerSize+agreedBytes:]
 	v.mergeAgreement(sender, agreementFrame{
@@ -158,7 +167,7 @@
 	return changes, nil
 }
 
-// mergeRecord takes the first record of b: of a failed probe, or of when a member was seen.
+// mergeRecord merges the first record of b, which is either a failed probe record or a seen record.
 func (v *View) mergeRecord(b []byte, isFailedProbe bool, now int64) []Change {
 	m := v.members[v.nameByKey[binary.LittleEndian.Uint64(b)]]
 	by := v.nameByKey[binary.LittleEndian.Uint64(b[8:])]
--- a/internal/fleet/view/leave.go
+++ b/internal/fleet/view/leave.go
@@ -6,22 +6,30 @@
 	"slices"
 )
 
-// A leave notice is what gateways send each other of members that said that they leave, little-endian, no padding:
+// Gateways exchange leave notices, which list the processes that announced their leave. The encoding is little-endian
+// without padding:
 //
 //	1 byte   LeaveNoticeKind
-//	and for each of at most maxLeaveRecords members: 8 bytes NameKey, 8 bytes incarnation
 //
-// The detector's report that a member is gone does not say whether it left or died. A gateway that leaves says so in its metadata first, but
-// gossip may bring the detector's report to a peer before the metadata, which is then too old to be taken. So each gateway that knows passes it on.
+// and for each of at most maxLeaveRecords members
+//
+//	8 bytes  NameKey
+//	8 bytes  incarnation
+//
+// The detector's report that a member is gone does not state whether the member left or died. A gateway that leaves
+// first announces this in its metadata. Gossip may deliver the detector's report to a peer before the metadata, and the
+// peer then discards the metadata as out of date. Each gateway that knows about the leave therefore forwards it in
+// leave notices.
 const (
-	// LeaveNoticeKind is the first byte of leave notices.
+	// LeaveNoticeKind is the first byte of a leave notice.
 	LeaveNoticeKind = 6
 
 	leaveRecordSize = 8 + 8
 	maxLeaveRecords = 32
 )
 
-// RecordLeaving takes that a process said that it leaves. One that was held dead has left.
+// RecordLeaving records that a process announced its leave. If the member is marked as dead, RecordLeaving marks it as
+// left.
 func (v *View) RecordLeaving(name string, incarnation uint64, now int64) []Change {
 	m := v.members[name]
 	if m == nil || m.Incarnation != incarnation || m.leavingSince != 0 {
@@ -35,14 +43,14 @@
 	return nil
 }
 
-// IsLeaving reports whether a member said that it leaves.
+// IsLeaving reports whether a member announced its leave.
 func (v *View) IsLeaving(name string) bool {
 	m := v.members[name]
 	return m != nil && m.leavingSince != 0
 }
 
-// LeaveNotice returns a notice of at most limit bytes of the members that said within maxAge that they leave, the newest first; nil: there
-// are none, or none fits.
+// LeaveNotice returns a notice of at most limit bytes that lists the members whose leave was recorded less than maxAge
+// ago, newest first. It returns nil if there are no such members or if no record fits.
 func (v *View) LeaveNotice(limit int, maxAge, now int64) []byte {
 	var leaving []*Member
 	for _, m := range v.members {
@@ -65,13 +73,14 @@
 	return b
 }
 
-// LeaveRecord names a process that leaves.
+// LeaveRecord identifies a process that announced its leave.
 type LeaveRecord struct {
 	Name        string
 	Incarnation uint64
 }
 
-// ReadLeaveNotice returns the members of this view that a notice names. The error is ErrFrame.
+// ReadLeaveNotice returns the records of a leave notice that name a member of this view other than self. If the notice
+// is malformed, it returns ErrFrame.
 func (v *View) ReadLeaveNotice(b []byte) ([]LeaveRecord, error) {
 	if len(b) <= 1 || b[0] != LeaveNoticeKind || (len(b)-1)%leaveRecordSize != 0 || len(b) > 1+maxLeaveRecords*leaveRecordSize {
 		return nil, ErrFrame
--- a/internal/fleet/view/settle.go
+++ b/internal/fleet/view/settle.go
@@ -7,14 +7,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// TickResult is what came of a Tick.
+// TickResult is the result of a Tick.
 type TickResult struct {
-	Reaped     []string // names of members that were forgotten, sorted
-	HasSettled bool     // the view settled now
-	SettleTime int64    // how long the settling took, in microseconds
+	Reaped     []string // sorted names of the members that were removed
+	HasSettled bool     // true if the view settled in this Tick
+	SettleTime int64    // microseconds for which the view was unsettled before it settled
 }
 
-// Tick moves time on: it forgets members that are gone for long and reports, once a settling, that the view has settled.
+// Tick advances the time. It removes members that have not been live for Settings.ReapAfter and checks whether the view
+// has settled. Each time that the view settles, exactly one Tick reports it.
 func (v *View) Tick(now int64) TickResult {
 	result := TickResult{Reaped: v.reap(now)}
 	v.members[v.self].LastSeen = now
@@ -27,7 +28,7 @@
 	return result
 }
 
-// reap forgets members that have not been live for the reap time, and returns their names, sorted.
+// reap removes members that have not been live for Settings.ReapAfter and returns their sorted names.
 func (v *View) reap(now int64) (names []string) {
 	if len(v.members) == v.liveCount {
 		return nil
@@ -42,7 +43,8 @@
 	return names
 }
 
-// liveSetChanged notes that the live set is another one.
+// liveSetChanged records a change of the live set: the view is unsettled, the digest is recomputed when it is next
+// needed, and a new agreement generation starts.
 func (v *View) liveSetChanged(now int64) {
 	v.version++
 	v.liveChangedAt = now
@@ -61,7 +63,7 @@
 	}
 }
 
-// unsettle notes that a member sees another live set than this gateway.
+// unsettle marks a settled view as unsettled because a member sees a different live set, or may have seen one.
 func (v *View) unsettle(now int64) {
 	if !v.settled {
 		return
@@ -71,21 +73,24 @@
 	v.version++
 }
 
-// Settled reports whether the view has settled and nothing changed since.
+// Settled reports whether the view is settled.
 func (v *View) Settled() bool { return v.settled }
 
-// LiveChangedAt returns when the set of live members last changed.
+// LiveChangedAt returns when the live set last changed.
 func (v *View) LiveChangedAt() int64 { return v.liveChangedAt }
 
-// ShouldGossip reports whether heartbeat frames should ride on gossip: a member's state changed within minTime, or the live set changed
-// within maxTime and the view has not settled since. The bound ends it in a fleet that can't agree, as across a half-open cut. Suspicions
-// count as changes, so that the smaller side of a split learns from all its members' probes together that it is one.
+// ShouldGossip reports whether heartbeat frames should be sent with gossip messages. They should if a member's state
+// changed less than minTime ago, or if the live set changed less than maxTime ago and the view is not settled. maxTime
+// bounds the traffic of a fleet that cannot agree, for instance one with a half-open cut. A suspicion counts as a
+// change of state, so that the members of the smaller side of a split combine their failed probes and recognize that
+// they are a minority.
 func (v *View) ShouldGossip(now, minTime, maxTime int64) bool {
 	return now-v.unsettledAt < minTime || !v.settled && now-v.liveChangedAt < maxTime
 }
 
-// DifferingAddrs returns the addresses of live members that reported to this gateway, since its view has rested for the settle time, that
-// they see another live set; sorted.
+// DifferingAddrs returns the sorted addresses of live members that see a different live set. It counts only digests
+// that this gateway received after its own live set had not changed for Settings.SettleAfter. It returns nil while the
+// view is settled.
 func (v *View) DifferingAddrs(now int64) (addrs []string) {
 	if v.settled || now-v.liveChangedAt < v.settings.SettleAfter {
 		return nil
@@ -99,7 +104,8 @@
 	return addrs
 }
 
-// Digest returns a hash of the set of live members. It is computed when it is asked for, since many changes come at once.
+// Digest returns a hash of the live set. The hash is computed on demand, because many changes often arrive at the same
+// time.
 func (v *View) Digest() uint32 {
 	if !v.digestKnown {
 		v.digest = v.computeDigest()
@@ -108,7 +114,7 @@
 	return v.digest
 }
 
-// computeDigest hashes the names of live members, sorted, with their incarnations.
+// computeDigest returns a hash of the sorted names and the incarnations of the live members.
 func (v *View) computeDigest() uint32 {
 	hash := xxhash.New()
 	var incarnation [8]byte
--- a/internal/fleet/view/verify.go
+++ b/internal/fleet/view/verify.go
@@ -5,14 +5,17 @@
 	"slices"
 )
 
-// maxLivePerSuspect is how many live members there may be to a suspect for a look at the others to be due: one crash in a large fleet says
-// nothing of them.
+// maxLivePerSuspect is the maximum number of live members per suspect at which the other members are verified. One
+// crash in a large fleet is no evidence about the other members.
 const maxLivePerSuspect = 16
 
-// DueVerifications returns the members that are to be asked directly whether they run, the longest unseen first. While enough members are
-// suspect, those are due that nobody was seen to have reached for Settings.VerifyAfter. The detector alone takes long to probe them on the
-// smaller side of a split: each of its failed probes makes the next one slower, up to eight times (Lifeguard's local health), as its helpers
-// are cut off too.
+// DueVerifications returns the members that must be pinged directly to check whether they run. Members that have not
+// been seen for the longest time come first. While enough members are suspect, every alive member that was not seen for
+// Settings.VerifyAfter is due.
+//
+// On the smaller side of a split, the detector alone is slow to probe these members. Each of its failed probes makes
+// the next one slower, by a factor of up to eight (Lifeguard's local health), because the gateways that it asks for
+// indirect probes are cut off as well.
 func (v *View) DueVerifications(now int64) []ID {
 	var unseen []*Member
 	suspects := 0
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -1,18 +1,26 @@
-// Package view is one gateway's view of the fleet of gateways: who is in it, in which state, since when, by which report and how sure that
-// is. It is a pure state machine: reports of the failure detector, heartbeat frames of peers and times go in, changes come out. It does no
-// I/O, holds no lock and knows no transport (package membership brings both).
+// Package view keeps one gateway's view of the fleet of gateways. For each member it records the state, when and why
+// the state last changed, and the evidence for it. It also decides whether the view has settled.
 //
-// Two sources feed it. The detector (memberlist: SWIM, Das, Gupta and Motivala, DSN 2002, with Lifeguard, Dadgar, Phillips and Currey,
-// DSN-W 2018) alone makes a member alive, dead or left (detector.go). Heartbeat evidence is first-hand knowledge that gateways pass on in
-// frames (heartbeat.go): "I saw NAME so long ago", "my probe of NAME failed so long ago". It makes a member suspect, clears it and tells
-// how sure the view is; it never makes a member dead or brings one back (evidence.go). So wrong or late evidence costs a log line only.
+// The package is a pure state machine. Its inputs are reports of the failure detector, heartbeat frames of peers and
+// times. Its outputs are changes of members' states. It does no I/O, holds no lock and knows no transport; package
+// membership provides those.
 //
-// Each frame also has a digest of the live set that its sender sees, and whom the sender knows to see the same (agreement.go). The view
-// has settled once its own set has rested for the settle time and every live member is known to see the same set since: agreement that
-// was received, not silence taken for it.
+// The view has two sources:
 //
-// Times are whole microseconds of this process's clock. Bounds: Settings.MaxMembers members, self included; maxEvidence pieces of evidence
-// each; dead and left members are forgotten after Settings.ReapAfter. Concurrency: for one goroutine at a time, or under its owner's lock.
+//   - The failure detector (memberlist: SWIM, Das, Gupta and Motivala, DSN 2002, with Lifeguard, Dadgar, Phillips and
+//     Currey, DSN-W 2018). Only the detector's reports add a member to the live set or remove it (detector.go).
+//   - Heartbeat evidence, which gateways forward in heartbeat frames (heartbeat.go). Each record states when a gateway
+//     last saw a member, or when its probe of a member failed. Evidence makes a member suspect and clears a suspicion.
+//     It never makes a member dead and never revives one (evidence.go), so wrong or late evidence costs no more than a
+//     log line.
+//
+// Each frame also carries a digest of the live set that its sender sees, and the set of members that the sender knows
+// to see the same live set (agreement.go). The view settles once its live set has not changed for the settle time and
+// every live member has been reported to see the same set since. The absence of reports is never taken as agreement.
+//
+// Times are whole microseconds of this process's clock. A view holds at most Settings.MaxMembers members, self
+// included, and at most maxEvidence pieces of evidence for each member. Dead and left members are removed after
+// Settings.ReapAfter. A View is not safe for concurrent use; its owner serializes the calls.
 package view
 
 import (
@@ -22,17 +30,17 @@
 	"strings"
 )
 
-// Settings bound the view; times in microseconds.
+// Settings are the bounds and intervals of a View. Durations are in microseconds.
 type Settings struct {
-	MaxMembers      int   // held, self included
-	ExpectedMembers int   // gateways that the operators say there are; 0: not known
-	ReapAfter       int64 // dead and left members are forgotten so long after
-	SettleAfter     int64 // the live set must rest so long before the view can settle
-	EvidenceMaxAge  int64 // older evidence is not passed on
-	VerifyAfter     int64 // members that nobody has seen for so long are verified while others are suspect
+	MaxMembers      int   // maximum number of members, self included
+	ExpectedMembers int   // fleet size configured by the operators; 0 if unknown
+	ReapAfter       int64 // time after which a member that is not live is removed
+	SettleAfter     int64 // time without a change of the live set that settling requires
+	EvidenceMaxAge  int64 // maximum age of evidence that is sent in heartbeat frames
+	VerifyAfter     int64 // time without proof of life after which a member is verified while others are suspect
 }
 
-// View is one gateway's view. Use New.
+// View is one gateway's view of the fleet. Use New to create one.
 type View struct {
 	self      string
 	settings  Settings
@@ -41,18 +49,18 @@
 	version   uint64
 
 	liveCount     int
-	liveChangedAt int64  // when the set of live members last changed
-	unsettledAt   int64  // when that, or a member's state, last changed
-	digest        uint32 // of the live set, if digestKnown
+	liveChangedAt int64  // when the live set last changed
+	unsettledAt   int64  // when the live set or the state of a member last changed
+	digest        uint32 // digest of the live set, valid if digestKnown is set
 	digestKnown   bool
 
 	agreement
 	settled       bool
-	settlingSince int64 // when the settling under way began
-	rotation      uint64
+	settlingSince int64  // when the view last became unsettled
+	rotation      uint64 // number of seen records sent in frames that did not fit all of them; see nextSeen
 }
 
-// New returns a view that holds only self.
+// New returns a view whose only member is self.
 func New(self ID, settings Settings, now int64) *View {
 	settings.MaxMembers = max(1, settings.MaxMembers)
 	v := &View{
@@ -69,7 +77,9 @@
 // Self returns this gateway's name.
 func (v *View) Self() string { return v.self }
 
-// RefusalOf returns why a gateway can't be taken into the view, "" if it can. Members that are not live give way to one that joins.
+// RefusalOf returns the reason why the gateway of the given name cannot become a member, or "" if it can. In a full
+// view, a member that is not live is evicted for a gateway that joins, so the view refuses a gateway only if all
+// members are live.
 func (v *View) RefusalOf(name string) Refusal {
 	if v.members[name] != nil {
 		return ""
@@ -83,7 +93,8 @@
 	return ""
 }
 
-// longestGone returns the member that has not been live for the longest; nil: all are live.
+// longestGone returns the member that has been dead, left or never seen for the longest time, or nil if all members are
+// live.
 func (v *View) longestGone() (longest *Member) {
 	for _, m := range v.members {
 		if m.State.IsLive() || m.Name == v.self {
@@ -96,7 +107,8 @@
 	return longest
 }
 
-// add adds a member that RefusalOf does not refuse. A full view forgets the longest gone one: joins right after many deaths must be taken.
+// add adds a member that RefusalOf does not refuse. A full view evicts the member that longestGone returns, so that
+// gateways can join right after many deaths, before the dead members are reaped.
 func (v *View) add(id ID, state State, now int64) *Member {
 	if len(v.members) >= v.settings.MaxMembers {
 		v.forget(v.longestGone())
@@ -113,8 +125,9 @@
 	v.version++
 }
 
-// AddKnown adds a member that is known from disk and that the detector has yet to find. It reports whether there was room for it. Like
-// any member that is not live it gives way to one that joins.
+// AddKnown adds a member that was loaded from disk and that the detector has not reported yet. It reports whether the
+// member was added. It adds no member to a full view. Like any member that is not live, an added member can be evicted
+// for a gateway that joins.
 func (v *View) AddKnown(id ID, now int64) bool {
 	if v.members[id.Name] != nil || v.RefusalOf(id.Name) != "" || len(v.members) >= v.settings.MaxMembers {
 		return false
@@ -125,7 +138,7 @@
 	return true
 }
 
-// transition moves a member to a state.
+// transition changes the state of a member, adds the change to its evidence and returns it.
 func (v *View) transition(m *Member, to State, by string, reason Reason, now int64) Change {
 	change := Change{Name: m.Name, From: m.State, To: to, By: by, Reason: reason, HeldFor: now - m.Since, SilentFor: now - m.LastSeen}
 	m.State = to
@@ -139,13 +152,14 @@
 	return change
 }
 
-// Version returns a number that each change of the view raises.
+// Version returns a counter that increases when a member is added, removed or changes state, when the view becomes
+// unsettled, and when a peer has seen a member that is not live here.
 func (v *View) Version() uint64 { return v.version }
 
-// LiveCount returns how many members are live, self included.
+// LiveCount returns the number of live members, self included.
 func (v *View) LiveCount() int { return v.liveCount }
 
-// LiveNames returns the names of live members, self included, sorted.
+// LiveNames returns the sorted names of the live members, self included.
 func (v *View) LiveNames() []string {
 	var names []string
 	for name, m := range v.members {
@@ -157,7 +171,7 @@
 	return names
 }
 
-// LiveIDs returns the processes of live members, self included, by name.
+// LiveIDs returns the IDs of the live members, self included, sorted by name.
 func (v *View) LiveIDs() []ID {
 	ids := make([]ID, 0, v.liveCount)
 	for _, m := range v.members {
@@ -169,9 +183,10 @@
 	return ids
 }
 
-// Size returns how many members are alive, and the size of the fleet that they are a part of: all who are known and did not leave, or
-// what the operators said, if that is more. Unlike LiveCount it leaves out suspects, so one side of a split learns that it is one at
-// suspicion, before the deaths.
+// Size returns the number of alive members and the size of the fleet. The fleet size is the number of known members
+// that have not left, or Settings.ExpectedMembers if that is larger. Unlike LiveCount, alive excludes suspects. One
+// side of a split therefore detects the split when its probes fail, before the detector declares the other members
+// dead.
 func (v *View) Size() (alive, fleet int) {
 	for _, m := range v.members {
 		if m.State == Alive {
@@ -184,13 +199,15 @@
 	return alive, max(fleet, v.settings.ExpectedMembers)
 }
 
-// InMinority reports whether no more than half of the fleet is alive in this view. Two halves are both minorities.
+// InMinority reports whether at most half of the fleet is alive in this view. If a fleet splits into two equal halves,
+// both are minorities.
 func (v *View) InMinority() bool {
 	alive, fleet := v.Size()
 	return fleet > 1 && 2*alive <= fleet
 }
 
-// Rank returns how many of those who are known and did not leave have a lower name than this gateway.
+// Rank returns the position of this gateway among the known members that have not left, sorted by name. The first
+// position is 0.
 func (v *View) Rank() (rank int) {
 	for name, m := range v.members {
 		if m.State != Left && name < v.self {
@@ -200,7 +217,7 @@
 	return rank
 }
 
-// Get returns a copy of one member.
+// Get returns a copy of the member of the given name and reports whether the view holds it.
 func (v *View) Get(name string) (Member, bool) {
 	m := v.members[name]
 	if m == nil {
