--- a/internal/fleet/limits/admitted_size_test.go
+++ b/internal/fleet/limits/admitted_size_test.go
@@ -10,39 +10,41 @@
 	"testing"
 )
 
-// A probe of limits at the sizes of a fleet: it measures how much of the demand gateways admit (docs/CAPACITY.md has the figures), prints
-// it, and fails only where more is admitted than the limit, or where the probe itself is wrong.
+// Flags of TestSizeAdmitted. The test measures and prints which fraction of the demand gateways admit at different
+// fleet sizes; docs/CAPACITY.md contains the figures. It fails only if the leases exceed the limit, if more is admitted
+// than leased, or if a fleet size is invalid.
 var (
-	sizes            = flag.String("limits.sizes", "12,100", "fleet sizes of the probe of limits")
-	runs             = flag.Int("limits.runs", 1, "seeds 1 to so many for each case")
-	simulatedSeconds = flag.Int64("limits.seconds", 16, "seconds of the virtual clock of each case; the last 8 are counted")
-	demandPlacements = flag.String("limits.places", "all,tenth,one", "where the demand is")
+	sizes            = flag.String("limits.sizes", "12,100", "fleet sizes to measure, separated by commas")
+	runs             = flag.Int("limits.runs", 1, "number of seeds to run for each case, starting at seed 1")
+	simulatedSeconds = flag.Int64("limits.seconds", 16, "simulated seconds of each case; the last 8 are measured")
+	demandPlacements = flag.String("limits.places", "all,tenth,one", "gateways that have the demand: all, tenth or one, separated by commas")
 )
 
 const (
-	totalLimit   = 1000.0 // the limit, and the demand in all
+	totalLimit   = 1000.0 // the limit of the fleet, and the total demand
 	measuredTime = 8 * second
 )
 
-// admittedSize is what the probe measures: fractions of the limit, and messages of a gateway with demand.
+// admittedSize is the result of one case: fractions of the limit, and the traffic of each gateway with demand.
 type admittedSize struct {
-	admitted          float64 // mean over measuredTime
-	maxLeased         float64 // of any instant
-	messagesPerSecond float64 // sent and received, requests and grants
-	bytesPerSecond    float64 // of their frames
+	admitted          float64 // mean admitted fraction of the limit over measuredTime
+	maxLeased         float64 // maximum sum of all leases at any instant, as a fraction of the limit
+	messagesPerSecond float64 // requests sent and grants received
+	bytesPerSecond    float64 // size of the frames of these messages
 }
 
-// sizeFleet is a fleet of ledgers that see each other from the start, without loss or latency.
+// sizeFleet is a fleet of ledgers that know each other from the start. Messages arrive immediately and are never lost.
 type sizeFleet struct {
 	ledgers   []*Ledger
 	names     []string
 	index     map[string]int
 	demand    []float64
-	demanding int // gateways with demand
+	demanding int // number of gateways with demand
 }
 
-// newSizeFleet makes n gateways with the settings of package gossip. The demand, equal to the limit, lies at all of them, at a tenth, or
-// at one; where amounts are integral it is dealt out one by one in turn over gateways in random order.
+// newSizeFleet returns a fleet of n gateways with the settings of package gossip. The total demand equals the limit.
+// Depending on placement, it is divided among all gateways, a tenth of them or one. Integral demand is assigned in
+// single units, round-robin over the gateways with demand, which are in random order.
 func newSizeFleet(n int, integral bool, placement string, seed uint64) *sizeFleet {
 	rng := rand.New(rand.NewPCG(seed, 0x73697a65))
 	settings := Settings{LoanDuration: 4 * second, MaxLentFraction: 0.8, RequestInterval: requestInterval, MaxSettleWait: 15 * second}
@@ -73,7 +75,8 @@
 
 const requestInterval = second / 4
 
-// exchange has gateway i send its requests and take the grants; it returns the number and bytes of both.
+// exchange delivers the requests of gateway i to its peers and their grants to gateway i. It returns the number and the
+// bytes of both.
 func (f *sizeFleet) exchange(i int, peers []string, now int64) (messages, bytes float64) {
 	ledger := f.ledgers[i]
 	for _, request := range ledger.Requests(peers, now) {
@@ -89,7 +92,8 @@
 	return messages, bytes
 }
 
-// admit has all gateways admit what their leases allow; it returns what is admitted and the sum of leases.
+// admit lets each gateway admit its demand up to its lease. It returns the total admitted amount and the sum of all
+// leases.
 func (f *sizeFleet) admit(now int64) (admitted, leased float64) {
 	for i, ledger := range f.ledgers {
 		lease := ledger.Lease(limitName, now).Now
@@ -100,7 +104,8 @@
 	return admitted, leased
 }
 
-// measureAdmitted runs a fleet; an oracle's single counter would admit all of the demand.
+// measureAdmitted simulates a fleet and returns its measurements. A single counter for the whole fleet would admit the
+// entire demand.
 func measureAdmitted(n int, integral bool, placement string, seed uint64) (measured admittedSize) {
 	f := newSizeFleet(n, integral, placement, seed)
 	peers := make([]string, n-1)
@@ -110,7 +115,7 @@
 		counted := now >= duration-measuredTime
 		for i := range f.ledgers {
 			if f.demand[i] == 0 {
-				continue // requests nothing
+				continue // a gateway without demand sends no requests
 			}
 			copy(peers, f.names[:i])
 			copy(peers[i:], f.names[i+1:])
@@ -134,14 +139,16 @@
 	return measured
 }
 
-// How much of a demand that equals the limit do gateways admit, against an oracle's 1? The short form is 12 and 100, seed 1; the full one
+// TestSizeAdmitted measures which fraction of a demand that equals the limit the gateways admit. A single counter for
+// the whole fleet would admit a fraction of 1. By default, the test runs fleets of 12 and 100 gateways with seed 1. The
+// full measurement is
 //
 //	go test ./internal/fleet/limits -run SizeAdmitted -v -limits.sizes 12,100,500,1500,3900 -limits.runs 3
 func TestSizeAdmitted(t *testing.T) {
 	for _, size := range strings.Split(*sizes, ",") {
 		n, err := strconv.Atoi(size)
 		if err != nil || n < 2 {
-			t.Fatalf("%q: %v", size, err)
+			t.Fatalf("fleet size %q in -limits.sizes is not a number of at least 2: %v", size, err)
 		}
 		for _, integral := range []bool{true, false} {
 			for _, placement := range strings.Split(*demandPlacements, ",") {
@@ -150,7 +157,8 @@
 					t.Logf("gateways %d integral %v demand at %s seed %d: admitted %.4f, leased %.4f, messages/s %.0f, bytes/s %.0f", n, integral, placement,
 						run+1, m.admitted, m.maxLeased, m.messagesPerSecond, m.bytesPerSecond)
 					if m.maxLeased > 1+1e-9 || m.admitted > m.maxLeased+1e-9 {
-						t.Errorf("%d gateways, integral %v, %s: %v admitted, %v leased", n, integral, placement, m.admitted, m.maxLeased)
+						t.Errorf("%d gateways, integral %v, demand at %s: got %v admitted and %v leased, want admitted <= leased <= 1",
+							n, integral, placement, m.admitted, m.maxLeased)
 					}
 				}
 			}
--- a/internal/fleet/limits/frame.go
+++ b/internal/fleet/limits/frame.go
@@ -8,48 +8,48 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A frame of requests or grants to one peer is little-endian, without padding:
+// A frame carries requests or grants to one peer. The encoding is little-endian without padding:
 //
 //	1 byte   Kind
-//	8 bytes  key of the sender (a hash of its name)
-//	1 byte   0 requests, 1 grants
+//	8 bytes  NameKey of the sender
+//	1 byte   0 for requests, 1 for grants
 //	1 byte   number of entries
 //
 // and for each entry
 //
-//	8 bytes  key of the limit (a hash of its name)
+//	8 bytes  NameKey of the limit
 //	8 bytes  request ID
-//	8 bytes  request ID of the loan that it renews
-//	8 bytes  amount, float64 as the two after it
-//	8 bytes  demand
-//	8 bytes  used
+//	8 bytes  request ID of the loan to renew, 0 for a new loan and in grants
+//	8 bytes  amount, a float64
+//	8 bytes  demand, a float64
+//	8 bytes  used, a float64
 const (
-	// Kind is the first byte of a frame and tells it from the other messages of gateways.
+	// Kind is the first byte of a frame. It distinguishes these frames from other messages between gateways.
 	Kind = 2
-	// MaxEntries is the number of entries of a frame that fit one datagram.
+	// MaxEntries is the maximum number of entries in a frame, so that a frame fits in one datagram.
 	MaxEntries = 24
 
 	headerSize = 1 + 8 + 2
 	entrySize  = 6 * 8
 )
 
-// Errors of ParseFrame.
+// Errors that ParseFrame returns.
 var (
-	ErrFrameKind   = errors.New("not a frame of requests or grants")
-	ErrFrameLength = errors.New("a frame of another length than its number of entries has")
-	ErrFrameAmount = errors.New("an amount in a frame is negative or not finite")
+	ErrFrameKind   = errors.New("limits frame is too short or has an unexpected kind or message type")
+	ErrFrameLength = errors.New("limits frame has too many entries or a length that does not match the number of entries")
+	ErrFrameAmount = errors.New("limits frame contains an amount that is negative or not finite")
 )
 
-// NameKey stands for a name in frames.
+// NameKey returns the hash that represents the name of a gateway or a limit in frames.
 func NameKey(name string) uint64 { return xxhash.Sum64String(name) }
 
-// Entry is a request or a grant in a frame.
+// Entry is one request or grant in a Frame.
 type Entry struct {
 	LimitKey, ID, Renews uint64
 	Amount, Demand, Used Amount
 }
 
-// Frame is a message of one gateway to another.
+// Frame is a message with requests or grants from one gateway to another.
 type Frame struct {
 	SenderKey uint64
 	IsGrant   bool
@@ -77,7 +77,7 @@
 	return b
 }
 
-// ParseFrame reads a frame. It returns ErrFrameKind, ErrFrameLength or ErrFrameAmount for bytes that are none.
+// ParseFrame decodes a frame. If b is not a valid frame, the error is ErrFrameKind, ErrFrameLength or ErrFrameAmount.
 func ParseFrame(b []byte) (frame Frame, err error) {
 	if len(b) < headerSize || b[0] != Kind || b[9] > 1 {
 		return frame, ErrFrameKind
--- a/internal/fleet/limits/frozen_test.go
+++ b/internal/fleet/limits/frozen_test.go
@@ -6,7 +6,8 @@
 	"foldslip/internal/lab/frozen"
 )
 
-// Frames that released builds sent are read, and written to the same bytes.
+// TestFrozenFramesKeepTheirBytes guards against an incompatible change of the frame encoding. Frames of released builds
+// must decode and must encode to the same bytes.
 func TestFrozenFramesKeepTheirBytes(t *testing.T) {
 	for name, want := range map[string]Frame{
 		"requests.frame": {SenderKey: NameKey("n1"), Entries: []Entry{
@@ -21,11 +22,11 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		if got.SenderKey != want.SenderKey || got.IsGrant != want.IsGrant || len(got.Entries) != len(want.Entries) {
-			t.Errorf("%s: read %+v, not %+v", name, got, want)
+			t.Errorf("%s: got frame %+v, want %+v", name, got, want)
 		}
 		for i := range got.Entries {
 			if got.Entries[i] != want.Entries[i] {
-				t.Errorf("%s: entry %d is read as %+v, not %+v", name, i, got.Entries[i], want.Entries[i])
+				t.Errorf("%s: entry %d: got %+v, want %+v", name, i, got.Entries[i], want.Entries[i])
 			}
 		}
 		frozen.Equal(t, name, got.Append(nil))
--- a/internal/fleet/limits/grant.go
+++ b/internal/fleet/limits/grant.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// Grant answers a request; an Amount of 0 denies it. Demand and Used are the answering gateway's own.
+// Grant is the answer to a Request. An Amount of 0 denies the request. Demand and Used are those of the gateway that
+// answers.
 type Grant struct {
 	Limit        string
 	ID           uint64
@@ -13,8 +14,9 @@
 	Demand, Used Amount
 }
 
-// HandleRequest answers a peer's request; ok is false where there is nothing to answer (an unknown limit, no valid amount). A request
-// that arrives twice is answered alike and granted once.
+// HandleRequest returns the answer to a peer's request. ok is false if the request gets no answer, because its limit is
+// unknown or its amount is invalid. A request that arrives again while its loan lasts gets the same amount, and no
+// second loan is granted.
 func (l *Ledger) HandleRequest(from string, request Request, now int64) (grant Grant, ok bool) {
 	limit := l.limits[request.Limit]
 	if limit == nil || request.Amount <= 0 || math.IsNaN(request.Amount) {
@@ -26,20 +28,21 @@
 	return grant, true
 }
 
-// lend returns what a peer gets for its request, 0 where it is denied, and enters it as lent.
+// lend grants or denies a request of a peer. It records a granted loan as lent and returns its amount, or 0 if the
+// request is denied.
 func (l *Ledger) lend(limit *Limit, to string, request Request, now int64) Amount {
 	lent, _ := sumLoans(limit.lent, now)
 	quota := l.quota(limit)
-	for i, o := range limit.lent[to] {
+	for i, ln := range limit.lent[to] {
 		switch {
-		case o.requestID == request.ID: // it arrived before
-			return o.amount
-		case request.Renews != 0 && o.requestID == request.Renews && l.availableQuota(limit, now) >= limit.demand &&
+		case ln.requestID == request.ID: // a repetition of a granted request
+			return ln.amount
+		case request.Renews != 0 && ln.requestID == request.Renews && l.availableQuota(limit, now) >= limit.demand &&
 			lent <= quota*l.settings.MaxLentFraction*(1+roundingTolerance):
-			// Otherwise it is in demand here now, or the fleet grew and the quota shrank: the loan expires, within the time in
-			// which members that joined leave it to those who have it.
+			// The loan is not renewed if this gateway now needs the amount itself, or if the fleet grew and the quota
+			// shrank. The loan then expires before members that joined may use their full quota.
 			limit.lent[to][i].expiresAt = now + l.settings.LoanDuration
-			return o.amount
+			return ln.amount
 		}
 	}
 	if request.Renews != 0 || !l.HasFullQuota(now) || len(limit.lent) >= maxLoans || len(limit.lent[to]) >= maxLoansOfPeer {
@@ -61,8 +64,9 @@
 	return amount
 }
 
-// HandleGrant takes a peer's answer. A loan runs from the time of its request, which was before its grant; one that no request is open
-// for, or whose time is over, is ignored.
+// HandleGrant processes a peer's answer to a request. The loan lasts from the time of the request, which is before the
+// time of the grant. Grants without a pending request to that peer, expired grants and grants of more than the
+// requested amount are ignored and counted as late.
 func (l *Ledger) HandleGrant(from string, grant Grant, now int64) {
 	limit := l.limits[grant.Limit]
 	if limit == nil {
@@ -76,7 +80,7 @@
 	delete(limit.requested, grant.ID)
 	limit.recordPeerUsage(from, usage{grant.Demand, grant.Used, now})
 	if grant.Amount <= 0 {
-		if request.renews == 0 { // a loan that is not renewed just expires
+		if request.renews == 0 { // a denied renewal only lets the loan expire
 			limit.recordDenial(from, now)
 		}
 		return
@@ -90,16 +94,17 @@
 	limit.addBorrowed(from, request, loan{grant.Amount, expiresAt, grant.ID})
 }
 
-// addBorrowed enters a loan of a peer. One that renews another takes its place: requested more than once, it is still one loan.
+// addBorrowed records a loan from a peer. A renewal replaces the renewed loan, so several renewals of a loan still
+// result in one loan.
 func (l *Limit) addBorrowed(from string, request pendingRequest, granted loan) {
 	if request.renews != 0 {
 		granted.requestID = request.renews
-		for _, o := range l.borrowed[from] {
-			if o.requestID == granted.requestID {
-				granted.expiresAt = max(granted.expiresAt, o.expiresAt)
+		for _, ln := range l.borrowed[from] {
+			if ln.requestID == granted.requestID {
+				granted.expiresAt = max(granted.expiresAt, ln.expiresAt)
 			}
 		}
-		l.borrowed[from] = slices.DeleteFunc(l.borrowed[from], func(o loan) bool { return o.requestID == granted.requestID })
+		l.borrowed[from] = slices.DeleteFunc(l.borrowed[from], func(ln loan) bool { return ln.requestID == granted.requestID })
 	}
 	l.borrowed[from] = append(l.borrowed[from], granted)
 }
--- a/internal/fleet/limits/ledger.go
+++ b/internal/fleet/limits/ledger.go
@@ -1,22 +1,27 @@
-// Package limits enforces limits that hold for the fleet as a whole: what all gateways together may admit. It is pure: the state of
-// the fleet, the demand of lookups, requests and grants of peers and the time in whole microseconds go in; what this gateway may admit,
-// and what to request of which peer, come out. Package gossip does the I/O.
+// Package limits enforces limits on what all gateways of a fleet together may admit. A Ledger holds the quotas and
+// loans of one gateway. Its inputs are the state of the fleet, the demand of lookups, requests and grants of peers, and
+// the time in whole microseconds. Its outputs are what this gateway may admit and which loans to request from which
+// peers. The package is pure; package gossip does the I/O.
 //
-// The rule is escrow, as bounded counters have it (O'Neil, The Escrow Transactional Method, ACM TODS 1986; Balegas and others,
-// Extending Eventually Consistent Cloud Databases for Enforcing Numeric Invariants, SRDS 2015): the right to admit is split and moved,
-// never created. Of a limit L, each of n gateways has a quota of L/n by its view of the fleet (docs/fleet-limits.md has the proof and the
-// bound):
+// The method is escrow, as in bounded counters (O'Neil, The Escrow Transactional Method, ACM TODS 1986; Balegas and
+// others, Extending Eventually Consistent Cloud Databases for Enforcing Numeric Invariants, SRDS 2015). The right to
+// admit is split and transferred, never created. Each of n gateways has a quota of L/n of a limit L, where n is the
+// fleet size in its own view. docs/fleet-limits.md contains the proof and the bound. The rules are:
 //
-//   - n counts all members that are known and have not left, dead ones included, and is never below the number that operators expect:
-//     a gateway that is unreachable may run and use its quota.
-//   - A gateway lends what it does not use, at most Settings.MaxLentFraction of its quota, for Settings.LoanDuration. The lender goes
-//     without from its grant until the loan expires by its own clock; the borrower counts that time from before its request. So at no
-//     instant do both sides have the right, whatever the network loses, repeats or delays. A loan is renewed by another request and
-//     grant, never recalled; a peer that falls silent costs the time of its loan.
-//   - A process that starts uses nothing until its view has settled once (all others count it by then), and until its first loan
-//     duration has passed only 1 - MaxLentFraction of its quota: the process before it may have lent the rest.
+//   - n counts all members that are known and have not left, including dead ones, and is at least the number that the
+//     operators expect. An unreachable gateway may still run and use its quota.
+//   - A gateway lends unused quota, at most Settings.MaxLentFraction of its quota, for Settings.LoanDuration. The
+//     lender gives up the amount from its grant until the loan expires by the lender's clock. The borrower measures the
+//     duration from a time before it sent the request. At no instant do both sides have the right, even if the network
+//     loses, repeats or delays messages. A loan is renewed by another request and grant and is never recalled. If a
+//     borrower becomes unreachable, the lender is without the amount until the loan expires.
+//   - A process that starts uses nothing until its view has settled once, because all other gateways count it by then.
+//     Until its first loan duration has passed, it uses only 1 - MaxLentFraction of its quota, because the previous
+//     process of the gateway may have lent the rest.
 //
-// Bounds: maxLimits limits, maxLoans loans in each direction of a limit; past them nothing is lent or borrowed.
+// A ledger holds at most maxLimits limits. For each limit it lends to at most maxLoans peers and has at most maxLoans
+// pending requests. Beyond these bounds it neither lends nor borrows. A Ledger is not persisted, so a process that
+// starts has an empty one.
 package limits
 
 import (
@@ -26,54 +31,56 @@
 	"slices"
 )
 
-// Amount is a right to admit: a rate per second, or a number of lookups that are open at once, which is then a whole number.
+// Amount is a right to admit. It is either a rate per second or a number of concurrently open lookups, which is a whole
+// number.
 type Amount = float64
 
-// Settings are the same on all gateways of a fleet. Times are in microseconds.
+// Settings are the settings of a Ledger, which must be the same on all gateways of a fleet. Durations are in
+// microseconds.
 type Settings struct {
 	LoanDuration    int64
-	MaxLentFraction float64 // of its quota that a gateway may lend, 0 to 1
-	RequestInterval int64   // between two rounds of requests to peers
-	MaxSettleWait   int64   // a process whose view has not settled so long after its start goes on as if it had
+	MaxLentFraction float64 // maximum fraction of its quota that a gateway lends, from 0 to 1
+	RequestInterval int64   // time between two rounds of requests to peers
+	MaxSettleWait   int64   // time after its start at which a process proceeds even if its view has not settled
 }
 
 const (
 	maxLimits          = 256
-	maxLoans           = 4096 // of a limit, in each direction
-	maxLoansOfPeer     = 8    // of a limit, lent to one peer
-	maxRequestsPerTurn = 8    // peers that are asked for a new loan in a turn
-	demandHeadroom     = 1.25 // of the demand, retained or requested, so that a rise is not met with rejections
-	minLoanDivisor     = 1e6  // a loan is at least the limit's total divided by it: a smaller one is not worth a message
-	roundingTolerance  = 1e-9 // relative, of sums of loans
+	maxLoans           = 4096 // maximum number of borrowers, pending requests and peer reports of one limit
+	maxLoansOfPeer     = 8    // maximum number of loans of one limit to one peer
+	maxRequestsPerTurn = 8    // maximum number of peers that are asked for a new loan in one round
+	demandHeadroom     = 1.25 // factor on the demand that is retained or requested, so that a rising demand is not rejected
+	minLoanDivisor     = 1e6  // a loan of less than the limit's total divided by this is not worth a message
+	roundingTolerance  = 1e-9 // relative rounding error that is tolerated in sums of loans
 )
 
-// FleetState is what the members' view says of the fleet.
+// FleetState is the state of the fleet according to this gateway's view of the members.
 type FleetState struct {
-	Size    int  // members that are known and have not left, or as many as operators expect
-	NotLive int  // of these, members that are not live
-	Rank    int  // of this gateway among the known members, by name
-	Settled bool // all live members see the same fleet
+	Size    int  // number of known members that have not left, or the expected number if that is larger
+	NotLive int  // number of members in Size that are not live
+	Rank    int  // position of this gateway among the known members, sorted by name
+	Settled bool // true if all live members see the same fleet
 }
 
-// loan is a part of a quota that one gateway has from another until it expires.
+// loan is a part of the lender's quota that the borrower may use until the loan expires.
 type loan struct {
 	amount    Amount
 	expiresAt int64
-	requestID uint64 // of the request that it was first granted for
+	requestID uint64 // ID of the request for which the loan was first granted
 }
 
 // Limit is one limit of the fleet.
 type Limit struct {
 	Name      string
-	Total     Amount            // of the whole fleet
-	Integral  bool              // amounts are whole numbers
-	demand    Amount            // of lookups here, lately
-	used      Amount            // admitted here, lately
-	lent      map[string][]loan // by borrower
-	borrowed  map[string][]loan // by lender
+	Total     Amount            // limit of the whole fleet
+	Integral  bool              // true if amounts are whole numbers
+	demand    Amount            // recent demand of lookups at this gateway
+	used      Amount            // recent amount that this gateway admitted
+	lent      map[string][]loan // loans by borrower
+	borrowed  map[string][]loan // loans by lender
 	requested map[uint64]pendingRequest
-	peerUsage map[string]usage // what peers reported of themselves
-	deniedAt  map[string]int64 // by peer that had nothing to spare
+	peerUsage map[string]usage // usage that peers reported, by peer
+	deniedAt  map[string]int64 // time of the last denial, by peer that denied a new loan
 }
 
 func newLimit(name string) *Limit {
@@ -87,44 +94,46 @@
 	}
 }
 
-// pendingRequest is a request that no grant has answered yet.
+// pendingRequest is a request that has not been answered by a grant yet.
 type pendingRequest struct {
 	lender      string
 	requestedAt int64
 	amount      Amount
-	renews      uint64 // request of the loan that is to be renewed; 0: a new loan
+	renews      uint64 // request ID of the loan to renew; 0 for a new loan
 }
 
-// usage is what a peer reported of itself.
+// usage is the demand and the use that a peer reported for itself.
 type usage struct {
 	demand, used Amount
 	reportedAt   int64
 }
 
-// Ledger holds the limits of one gateway: its quotas, what it lent and what it borrowed. It is not safe for concurrent use; its owner
-// is package gossip, under its lock.
+// Ledger holds the limits of the fleet as one gateway sees them, with the loans that this gateway granted and received.
+// It is not safe for concurrent use. Package gossip owns it and guards it with a lock.
 type Ledger struct {
 	settings       Settings
 	rng            *rand.Rand
 	startedAt      int64
-	fullQuotaAt    int64 // when the whole quota may be used; 0: the view has not settled yet
+	fullQuotaAt    int64 // time from which the whole quota may be used; 0 if the view has not settled yet
 	fleet          FleetState
-	minFleetSize   int // the smallest size of the fleet since a member that is not live now was last seen live
+	minFleetSize   int // smallest fleet size since all members were last live
 	limits         map[string]*Limit
 	nextRequestsAt int64
 	lastRequestID  uint64
 
-	Granted uint64 // requests of peers
-	Denied  uint64 // requests of peers
-	Late    uint64 // grants that no request is open for, or that came after their time
+	Granted uint64 // number of requests of peers that were granted
+	Denied  uint64 // number of requests of peers that were denied
+	Late    uint64 // number of grants that were ignored: without a pending request, expired, or larger than requested
 }
 
-// New makes a ledger without limits. Request numbers begin at a random one, so that grants to an earlier process are not mistaken.
+// New returns a ledger without limits. Request IDs start at a random number, so that a grant to a previous process of
+// this gateway matches no pending request.
 func New(settings Settings, rng *rand.Rand, now int64) *Ledger {
 	return &Ledger{settings: settings, rng: rng, startedAt: now, limits: map[string]*Limit{}, fleet: FleetState{Size: 1}, lastRequestID: rng.Uint64() | 1}
 }
 
-// SetLimits sets which limits there are, by name. A limit that remains keeps its loans, also where its total changes.
+// SetLimits replaces the limits, which are given by name. A limit that remains keeps its loans, even if its total
+// changes. New limits beyond maxLimits are ignored.
 func (l *Ledger) SetLimits(all map[string]Limit) {
 	maps.DeleteFunc(l.limits, func(name string, _ *Limit) bool {
 		_, remains := all[name]
@@ -144,7 +153,8 @@
 	}
 }
 
-// UpdateFleet takes the present state of the fleet.
+// UpdateFleet sets the current state of the fleet. When the view has settled for the first time, or after
+// Settings.MaxSettleWait, it starts the first loan duration, after which the whole quota may be used.
 func (l *Ledger) UpdateFleet(state FleetState, now int64) {
 	state.Size = max(1, state.Size)
 	if state.NotLive == 0 || l.minFleetSize == 0 {
@@ -157,7 +167,8 @@
 	}
 }
 
-// RecordUsage takes what lookups demanded here and what was admitted, lately, in the limit's unit.
+// RecordUsage sets the recent demand of lookups at this gateway and the amount that it admitted, in the unit of the
+// limit.
 func (l *Ledger) RecordUsage(name string, demand, used Amount) {
 	if limit := l.limits[name]; limit != nil {
 		limit.demand = demand
@@ -168,7 +179,7 @@
 // HasFullQuota reports whether this gateway may use its whole quota.
 func (l *Ledger) HasFullQuota(now int64) bool { return l.fullQuotaAt > 0 && now >= l.fullQuotaAt }
 
-// quota is the part of a limit that a gateway has by the size of the fleet alone.
+// quota returns this gateway's share of a limit without regard to loans. It depends only on the state of the fleet.
 func (l *Ledger) quota(limit *Limit) Amount {
 	size := Amount(l.fleet.Size)
 	if !limit.Integral {
@@ -176,13 +187,14 @@
 	}
 	quota := math.Floor(limit.Total / size)
 	remainder := limit.Total - quota*size
-	if l.fleet.Settled && Amount(l.fleet.Rank) < remainder { // it goes to the first names, one each
+	if l.fleet.Settled && Amount(l.fleet.Rank) < remainder { // the first gateways by name get one unit more
 		quota++
 	}
 	return quota
 }
 
-// availableQuota is what this gateway may use of its own quota: what it lent is missing until the loan expires.
+// availableQuota returns the part of its own quota that this gateway may use now. Lent amounts are excluded until the
+// loans expire.
 func (l *Ledger) availableQuota(limit *Limit, now int64) Amount {
 	lent, _ := sumLoans(limit.lent, now)
 	quota := l.quota(limit)
@@ -198,32 +210,34 @@
 	return max(0, quota-lent)
 }
 
-// sumLoans drops expired loans and returns the sum of the others, and when the first of them expires.
+// sumLoans deletes expired loans. It returns the sum of the others and the time at which the first of them expires,
+// which is math.MaxInt64 if there are none.
 func sumLoans(loans map[string][]loan, now int64) (sum Amount, firstExpiry int64) {
 	firstExpiry = math.MaxInt64
 	for peer, ofPeer := range loans {
-		ofPeer = slices.DeleteFunc(ofPeer, func(o loan) bool { return now >= o.expiresAt })
+		ofPeer = slices.DeleteFunc(ofPeer, func(ln loan) bool { return now >= ln.expiresAt })
 		if len(ofPeer) == 0 {
 			delete(loans, peer)
 			continue
 		}
 		loans[peer] = ofPeer
-		for _, o := range ofPeer {
-			sum += o.amount
-			firstExpiry = min(firstExpiry, o.expiresAt)
+		for _, ln := range ofPeer {
+			sum += ln.amount
+			firstExpiry = min(firstExpiry, ln.expiresAt)
 		}
 	}
 	return sum, firstExpiry
 }
 
-// Lease is what this gateway may admit: Now until Until, and Then after it, unless a later lease says otherwise.
+// Lease is the amount that this gateway may admit. Now applies until the time Until. Then applies after it, unless a
+// newer lease replaces this one.
 type Lease struct {
 	Now, Then Amount
 	Until     int64
 }
 
-// Lease returns the present lease of a limit, the zero one of an unknown limit. Then leaves out all that is borrowed: a process that
-// was paused past the end of its loans must not use them when it resumes.
+// Lease returns the current lease of a limit, or the zero Lease if the limit is unknown. Then excludes all borrowed
+// amounts, because a process that was paused past the expiry of its loans must not use them when it resumes.
 func (l *Ledger) Lease(name string, now int64) Lease {
 	limit := l.limits[name]
 	if limit == nil {
--- a/internal/fleet/limits/ledger_test.go
+++ b/internal/fleet/limits/ledger_test.go
@@ -17,7 +17,7 @@
 
 var testSettings = Settings{LoanDuration: 4 * second, MaxLentFraction: 0.8, RequestInterval: second / 4, MaxSettleWait: 10 * second}
 
-// gateway is one of the model fleet; gateways of different sides cannot reach each other.
+// gateway is a gateway of the model fleet. Gateways on different sides of a network split cannot reach each other.
 type gateway struct {
 	name    string
 	ledger  *Ledger
@@ -25,7 +25,8 @@
 	running bool
 }
 
-// fleet is a model of gateways that agree at once on the known members, over a network that delays, repeats and loses messages.
+// fleet is a model of a fleet. All gateways immediately agree on the known members. The network delays, repeats and
+// loses messages.
 type fleet struct {
 	t        *rapid.T
 	now      int64
@@ -50,7 +51,8 @@
 	return ledger
 }
 
-// updateFleet gives each gateway the state that its view would have: all known members count, also those that cannot be reached.
+// updateFleet updates each running gateway with the fleet state of its view. All known members count, including
+// unreachable ones.
 func (f *fleet) updateFleet() {
 	for i, g := range f.gateways {
 		if !g.running {
@@ -67,7 +69,7 @@
 	}
 }
 
-// step has all gateways send their requests, and delivers what was delayed by the step before.
+// step sends the requests of all running gateways and then delivers the messages that were delayed earlier.
 func (f *fleet) step() {
 	for _, g := range f.gateways {
 		if !g.running {
@@ -101,7 +103,7 @@
 	return nil
 }
 
-// send delivers a request, and its grant.
+// send sends a request and, if it arrives and is answered, its grant.
 func (f *fleet) send(from *gateway, request Request) {
 	to := f.gatewayNamed(request.To)
 	f.deliver(func() {
@@ -120,7 +122,8 @@
 	})
 }
 
-// deliver delivers a message now, one step or two later, twice, or never.
+// deliver delivers a message immediately, twice in the next delivery of delayed messages, once in the delivery after
+// that, or never.
 func (f *fleet) deliver(message func()) {
 	switch f.rng.IntN(10) {
 	case 0:
@@ -133,7 +136,7 @@
 	}
 }
 
-// leased is the sum of all leases.
+// leased returns the sum of the leases of all running gateways.
 func (f *fleet) leased() (sum Amount) {
 	for _, g := range f.gateways {
 		if g.running {
@@ -143,7 +146,9 @@
 	return sum
 }
 
-// Whatever the network and processes do, the leases of all that run never add up to more than the limit while all are known to all.
+// TestLeasesNeverAddUpToMoreThanTheLimit checks that the sum of the leases of all running gateways never exceeds the
+// limit as long as all gateways know each other. Messages are lost, repeated and delayed, the network splits, and
+// processes are killed and restarted.
 func TestLeasesNeverAddUpToMoreThanTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &fleet{t: t, now: 1, rng: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 7)), integral: rapid.Bool().Draw(t, "integral")}
@@ -156,7 +161,7 @@
 			switch rapid.IntRange(0, 6).Draw(t, "action") {
 			case 0:
 				g.side = rapid.IntRange(0, 2).Draw(t, "side")
-			case 1: // killed: all is forgotten at the next start
+			case 1: // the process is killed and loses its ledger
 				g.running = false
 			case 2:
 				if !g.running {
@@ -165,7 +170,7 @@
 				}
 			case 3:
 				g.ledger.RecordUsage(limitName, Amount(rapid.IntRange(0, 400).Draw(t, "demand")), 0)
-			case 4: // one that joins, known to all at once; joining during a cut has a test of its own
+			case 4: // a gateway joins and is immediately known to all; another test covers joins during a network cut
 				isSplit := false
 				for _, g := range f.gateways {
 					isSplit = isSplit || g.side != f.gateways[0].side
@@ -178,13 +183,13 @@
 			f.updateFleet()
 			f.step()
 			if got := f.leased(); got > f.total+1e-6 {
-				t.Fatalf("%v of a limit of %v", got, f.total)
+				t.Fatalf("sum of all leases: got %v, want at most the limit of %v", got, f.total)
 			}
 		}
 	})
 }
 
-// run lets the fleet go on for a time.
+// run advances the fleet by the given number of microseconds.
 func (f *fleet) run(duration int64) {
 	for end := f.now + duration; f.now < end; f.now += second / 10 {
 		f.updateFleet()
@@ -192,7 +197,7 @@
 	}
 }
 
-// newSettledFleet makes a fleet of n gateways that have their whole quota.
+// newSettledFleet returns a fleet of n gateways that may all use their whole quota.
 func newSettledFleet(n int, total Amount, integral bool) *fleet {
 	f := &fleet{now: 1, rng: rand.New(rand.NewPCG(3, 7)), total: total, integral: integral}
 	for range n {
@@ -207,7 +212,8 @@
 	f.gateways[0].ledger.RecordUsage(limitName, 5000, 100)
 	f.run(10 * second)
 	if got := f.lease(f.gateways[0]).Now; got < 800 || f.leased() > 1200 {
-		t.Errorf("it may admit %v of 1200, all together %v", got, f.leased())
+		t.Errorf("lease of the gateway under load: got %v, want at least 800; sum of all leases: got %v, want at most 1200",
+			got, f.leased())
 	}
 }
 
@@ -222,7 +228,7 @@
 	for range 100 {
 		f.run(second / 2)
 		if f.leased() > 1200+1e-6 {
-			t.Fatalf("%v of 1200", f.leased())
+			t.Fatalf("sum of all leases: got %v, want at most 1200", f.leased())
 		}
 	}
 }
@@ -232,17 +238,17 @@
 	f.gateways[0].ledger.RecordUsage(limitName, 500, 50)
 	f.run(3 * second)
 	if f.lease(f.gateways[0]).Now <= 50 {
-		t.Fatal("nothing was borrowed")
+		t.Fatal("the gateway under load did not borrow beyond its quota of 50")
 	}
-	f.gateways[1].ledger = f.newLedger() // killed and started again: it forgot the loan
+	f.gateways[1].ledger = f.newLedger() // a restart loses the record of the loan
 	f.updateFleet()
 	if got := f.leased(); got > 100 {
-		t.Errorf("%v of 100", got)
+		t.Errorf("sum of all leases right after the restart: got %v, want at most 100", got)
 	}
 	f.gateways[0].ledger.RecordUsage(limitName, 10, 10)
 	f.run(10 * second)
 	if got := f.lease(f.gateways[1]).Now; got != 50 {
-		t.Errorf("after the first loan duration it has %v of its quota of 50", got)
+		t.Errorf("lease of the restarted gateway after the first loan duration: got %v, want its quota of 50", got)
 	}
 }
 
@@ -252,7 +258,7 @@
 	f.run(3 * second)
 	lease := f.lease(f.gateways[0])
 	if lease.Then != 100 || lease.Until > f.now+testSettings.LoanDuration || lease.Now <= lease.Then {
-		t.Errorf("%+v", lease)
+		t.Errorf("lease: got %+v, want Then to be the quota of 100, Now to be larger, and Until within the loan duration", lease)
 	}
 }
 
@@ -261,7 +267,7 @@
 	for _, g := range f.gateways[:3] {
 		g.side = 1
 	}
-	// The three do not know of the twelve that join: they go on as in a fleet of 12.
+	// The three gateways that are cut off do not learn of the 12 that join. They keep the quotas of a fleet of 12.
 	cut := f.gateways[:3]
 	for range 12 {
 		f.addGateway()
@@ -274,7 +280,7 @@
 	}
 	want := 3.0 * 12 / (12 * 24)
 	if got := f.leased()/1200 - 1; math.Abs(got-want) > 1e-6 || math.Abs(f.gateways[10].ledger.MaxExcess()-want) > 1e-6 {
-		t.Errorf("the excess is %v, the ledger says %v, the formula %v", got, f.gateways[10].ledger.MaxExcess(), want)
+		t.Errorf("excess over the limit: got %v and MaxExcess %v, want %v for both", got, f.gateways[10].ledger.MaxExcess(), want)
 	}
 }
 
@@ -282,7 +288,7 @@
 	for _, total := range []Amount{1, 5, 12, 30} {
 		f := newSettledFleet(12, total, true)
 		if f.leased() != total {
-			t.Errorf("%v of %v", f.leased(), total)
+			t.Errorf("sum of all leases: got %v, want the limit of %v", f.leased(), total)
 		}
 	}
 }
@@ -292,15 +298,15 @@
 	b := f.Append(nil)
 	got, err := ParseFrame(b)
 	if err != nil || fmt.Sprint(got) != fmt.Sprint(f) {
-		t.Errorf("%+v %v", got, err)
+		t.Errorf("decoded frame: got %+v and error %v, want the encoded frame", got, err)
 	}
 	for n := range b {
 		if _, err := ParseFrame(b[:n]); err == nil {
-			t.Errorf("the first %d of %d bytes are read as a frame", n, len(b))
+			t.Errorf("the first %d of %d bytes were decoded without an error", n, len(b))
 		}
 	}
 	if _, err := ParseFrame(Frame{Entries: []Entry{{Amount: math.Inf(1)}}}.Append(nil)); err == nil {
-		t.Error("an infinite amount is read")
+		t.Error("an infinite amount was decoded without an error")
 	}
 }
 
@@ -308,7 +314,7 @@
 	f.Add(Frame{SenderKey: 7, Entries: []Entry{{1, 2, 8, 3.5, 4, 5}}}.Append(nil))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if frame, err := ParseFrame(b); err == nil && !bytes.Equal(frame.Append(nil), b) {
-			t.Errorf("%x", b)
+			t.Errorf("the decoded frame does not encode to the same bytes: %x", b)
 		}
 	})
 }
--- a/internal/fleet/limits/report.go
+++ b/internal/fleet/limits/report.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// States of a limit in a Report, as they are spelled on the operators' socket.
+// States of a limit in a Report. Their values are part of the protocol of the operators' socket.
 const (
-	stateUnsettled = "waiting"  // nothing is admitted: the view has not settled since the start
-	stateWarmingUp = "ripening" // a part of the quota may be used
-	stateFullQuota = "whole"
+	stateUnsettled = "waiting"  // nothing is admitted, because the view has not settled since the start
+	stateWarmingUp = "ripening" // 1 - MaxLentFraction of the quota may be used
+	stateFullQuota = "whole"    // the whole quota may be used
 )
 
-// Report is one limit as this gateway sees it, for operators.
+// Report describes one limit as this gateway sees it, for operators.
 type Report struct {
 	Name           string  `json:"name"`
 	Total          float64 `json:"all"`
@@ -23,15 +23,15 @@
 	Demand         float64 `json:"wanted"`
 	Used           float64 `json:"used"`
 	FleetSize      int     `json:"fleet"`
-	FleetUsed      float64 `json:"sum_seen"`       // by this gateway and all that reported lately
-	FleetUsedAgeMS int64   `json:"sum_age_ms"`     // of the oldest report in it
-	MaxExcess      float64 `json:"over_at_most"`   // of the limit, 0.1 is a tenth; see Ledger.MaxExcess
-	State          string  `json:"state"`          // waiting, ripening, whole
-	JoinedInCut    int     `json:"joined_in_cut"`  // members that came since one that is not live now was lost
-	Unreachable    int     `json:"cannot_be_seen"` // members that may run and are not live
+	FleetUsed      float64 `json:"sum_seen"`       // used by this gateway and by the peers that reported recently
+	FleetUsedAgeMS int64   `json:"sum_age_ms"`     // age of the oldest report in FleetUsed
+	MaxExcess      float64 `json:"over_at_most"`   // fraction of the limit, where 0.1 is a tenth; see Ledger.MaxExcess
+	State          string  `json:"state"`          // "waiting", "ripening" or "whole"
+	JoinedInCut    int     `json:"joined_in_cut"`  // members that joined since all members were last live
+	Unreachable    int     `json:"cannot_be_seen"` // members that are not live but may still run
 }
 
-// Reports returns all limits, by name.
+// Reports returns the reports of all limits, sorted by name.
 func (l *Ledger) Reports(now int64) (reports []Report) {
 	for _, name := range slices.Sorted(maps.Keys(l.limits)) {
 		reports = append(reports, l.report(l.limits[name], now))
@@ -77,9 +77,12 @@
 	return stateFullQuota
 }
 
-// MaxExcess is the most by which the fleet can exceed a limit now, as a fraction of the limit. It is 0 while all that run count each
-// other. Of n gateways k are not live and may run with L/n each, as the fleet was when they were lost; if m joined since, the others use
-// (n - k + m) / (n + m), so the excess is k m / (n (n + m)).
+// MaxExcess returns the maximum amount by which the fleet can exceed a limit now, as a fraction of the limit. It is 0
+// while all running gateways count each other.
+//
+// Of n gateways, k are not live here. They may still run with a quota of L/n each, the quota at the time when they
+// became unreachable. If m gateways have joined since, the others use the fraction (n - k + m) / (n + m) of the limit,
+// so the excess is k m / (n (n + m)).
 func (l *Ledger) MaxExcess() float64 {
 	notLive := float64(l.fleet.NotLive)
 	before := float64(l.minFleetSize)
--- a/internal/fleet/limits/request.go
+++ b/internal/fleet/limits/request.go
@@ -6,18 +6,21 @@
 	"slices"
 )
 
-// Request asks one peer for a loan of one limit. Demand and Used are this gateway's own, so that its peers can add up the fleet.
+// Request asks one peer for a loan of one limit or for its renewal. Demand and Used are those of the requesting
+// gateway, so that peers can sum them up for the fleet.
 type Request struct {
 	To           string
 	Limit        string
 	ID           uint64
-	Renews       uint64 // request of the loan that is to last longer; 0: a new loan
+	Renews       uint64 // request ID of the loan to renew; 0 for a new loan
 	Amount       Amount
 	Demand, Used Amount
 }
 
-// Requests returns the requests to send now, empty between two rounds (Settings.RequestInterval): renewals of loans that are still in
-// demand, and where more is in demand than there is, new loans of some live peers, drawn at random.
+// Requests returns the requests to send now. They renew loans that are still needed. If the demand exceeds the
+// available quota and all loans, they also ask some randomly chosen peers for new loans. peers are the names of the
+// other live gateways. Requests returns nothing until Settings.RequestInterval has passed since the last round, and
+// nothing before the view has settled for the first time.
 func (l *Ledger) Requests(peers []string, now int64) (requests []Request) {
 	if now < l.nextRequestsAt || l.fullQuotaAt == 0 || len(peers) == 0 {
 		return nil
@@ -26,7 +29,7 @@
 	for _, name := range slices.Sorted(maps.Keys(l.limits)) {
 		limit := l.limits[name]
 		l.dropExpiredRequests(limit, now)
-		sumLoans(limit.borrowed, now) // drops expired ones
+		sumLoans(limit.borrowed, now) // deletes expired loans
 		missing := limit.demand*demandHeadroom - l.availableQuota(limit, now)
 		requests, missing = l.requestRenewals(requests, limit, peers, missing, now)
 		if limit.Integral {
@@ -48,22 +51,24 @@
 	}
 }
 
-// requestRenewals asks for more time of loans that are in demand, from half of their time on: a new loan cannot come before the lender
-// has the old one back. It returns what is missing beyond all loans.
+// requestRenewals adds requests to renew loans that are still needed and of which less than half of the duration
+// remains. Renewal is needed because the lender cannot grant the amount again before the old loan has expired.
+// requestRenewals also returns the demand that all loans together leave unmet.
 func (l *Ledger) requestRenewals(requests []Request, limit *Limit, peers []string, missing Amount, now int64) ([]Request, Amount) {
 	for _, lender := range slices.Sorted(maps.Keys(limit.borrowed)) {
-		for _, o := range limit.borrowed[lender] {
-			if missing > 0 && o.expiresAt-now < l.settings.LoanDuration/2 && slices.Contains(peers, lender) {
-				requests = l.addRequest(requests, limit, pendingRequest{lender, now, o.amount, o.requestID})
+		for _, ln := range limit.borrowed[lender] {
+			if missing > 0 && ln.expiresAt-now < l.settings.LoanDuration/2 && slices.Contains(peers, lender) {
+				requests = l.addRequest(requests, limit, pendingRequest{lender, now, ln.amount, ln.requestID})
 			}
-			missing -= o.amount
+			missing -= ln.amount
 		}
 	}
 	return requests, missing
 }
 
-// requestNewLoans asks some peers, drawn at random, for what is missing. A peer that had nothing to spare is passed over for half the
-// time of a loan: in a flood on all sides nobody has.
+// requestNewLoans adds requests for new loans of the missing amount to some randomly chosen peers. A peer that denied a
+// request is skipped for half of the loan duration, because no peer has unused quota when the whole fleet is
+// overloaded.
 func (l *Ledger) requestNewLoans(requests []Request, limit *Limit, peers []string, missing Amount, now int64) []Request {
 	lenders := slices.DeleteFunc(slices.Clone(peers), func(peer string) bool {
 		at, denied := limit.deniedAt[peer]
@@ -72,7 +77,7 @@
 	l.rng.Shuffle(len(lenders), func(i, j int) { lenders[i], lenders[j] = lenders[j], lenders[i] })
 	lenders = lenders[:min(maxRequestsPerTurn, len(lenders))]
 	amount := missing
-	if len(lenders) > 2 { // twice as much in all as is missing: some have nothing to spare
+	if len(lenders) > 2 { // request twice the missing amount in total, because some peers have no unused quota
 		amount = missing * 2 / Amount(len(lenders))
 	}
 	if limit.Integral {
@@ -84,7 +89,7 @@
 	return requests
 }
 
-// addRequest numbers a request and adds it, unless too many are open.
+// addRequest assigns an ID to a request and adds it, unless maxLoans requests of the limit are pending.
 func (l *Ledger) addRequest(requests []Request, limit *Limit, pending pendingRequest) []Request {
 	if len(limit.requested) >= maxLoans {
 		return requests
