--- a/internal/fleet/limits/admitted_size_test.go
+++ b/internal/fleet/limits/admitted_size_test.go
@@ -25,16 +25,17 @@
 	measuredTime = 8 * second
 )
 
-// admittedSize is the result of one case: fractions of the limit, and the traffic of each gateway with demand.
-type admittedSize struct {
+// measurement is the result of one case: fractions of the limit, and the traffic of each gateway with demand.
+type measurement struct {
 	admitted          float64 // mean admitted fraction of the limit over measuredTime
 	maxLeased         float64 // maximum sum of all leases at any instant, as a fraction of the limit
 	messagesPerSecond float64 // requests sent and grants received
 	bytesPerSecond    float64 // size of the frames of these messages
 }
 
-// sizeFleet is a fleet of ledgers that know each other from the start. Messages arrive immediately and are never lost.
-type sizeFleet struct {
+// measuredFleet is a fleet of ledgers that know each other from the start. Messages arrive immediately and are never
+// lost.
+type measuredFleet struct {
 	ledgers   []*Ledger
 	names     []string
 	index     map[string]int
@@ -42,13 +43,13 @@
 	demanding int // number of gateways with demand
 }
 
-// newSizeFleet returns a fleet of n gateways with the settings of package gossip. The total demand equals the limit.
-// Depending on placement, it is divided among all gateways, a tenth of them or one. Integral demand is assigned in
-// single units, round-robin over the gateways with demand, which are in random order.
-func newSizeFleet(n int, integral bool, placement string, seed uint64) *sizeFleet {
+// newMeasuredFleet returns a fleet of n gateways with the settings of package gossip. The total demand equals the
+// limit. Depending on placement, it is divided among all gateways, a tenth of them or one. Integral demand is assigned
+// in single units, round-robin over the gateways with demand, which are in random order.
+func newMeasuredFleet(n int, integral bool, placement string, seed uint64) *measuredFleet {
 	rng := rand.New(rand.NewPCG(seed, 0x73697a65))
 	settings := Settings{LoanDuration: 4 * second, MaxLentFraction: 0.8, RequestInterval: requestInterval, MaxSettleWait: 15 * second}
-	f := &sizeFleet{ledgers: make([]*Ledger, n), names: make([]string, n), index: map[string]int{}, demand: make([]float64, n)}
+	f := &measuredFleet{ledgers: make([]*Ledger, n), names: make([]string, n), index: map[string]int{}, demand: make([]float64, n)}
 	for i := range n {
 		f.names[i] = fmt.Sprintf("n%04d", i)
 		f.index[f.names[i]] = i
@@ -77,7 +78,7 @@
 
 // exchange delivers the requests of gateway i to its peers and their grants to gateway i. It returns the number and the
 // bytes of both.
-func (f *sizeFleet) exchange(i int, peers []string, now int64) (messages, bytes float64) {
+func (f *measuredFleet) exchange(i int, peers []string, now int64) (messages, bytes float64) {
 	ledger := f.ledgers[i]
 	for _, request := range ledger.Requests(peers, now) {
 		grant, ok := f.ledgers[f.index[request.To]].HandleRequest(f.names[i], request, now)
@@ -94,7 +95,7 @@
 
 // admit lets each gateway admit its demand up to its lease. It returns the total admitted amount and the sum of all
 // leases.
-func (f *sizeFleet) admit(now int64) (admitted, leased float64) {
+func (f *measuredFleet) admit(now int64) (admitted, leased float64) {
 	for i, ledger := range f.ledgers {
 		lease := ledger.Lease(limitName, now).Now
 		leased += lease
@@ -106,8 +107,8 @@
 
 // measureAdmitted simulates a fleet and returns its measurements. A single counter for the whole fleet would admit the
 // entire demand.
-func measureAdmitted(n int, integral bool, placement string, seed uint64) (measured admittedSize) {
-	f := newSizeFleet(n, integral, placement, seed)
+func measureAdmitted(n int, integral bool, placement string, seed uint64) (measured measurement) {
+	f := newMeasuredFleet(n, integral, placement, seed)
 	peers := make([]string, n-1)
 	samples := 0.0
 	duration := *simulatedSeconds * second
--- a/internal/fleet/limits/grant.go
+++ b/internal/fleet/limits/grant.go
@@ -72,12 +72,12 @@
 	if limit == nil {
 		return
 	}
-	request, open := limit.requested[grant.ID]
+	request, open := limit.pending[grant.ID]
 	if !open || request.lender != from {
 		l.Late++
 		return
 	}
-	delete(limit.requested, grant.ID)
+	delete(limit.pending, grant.ID)
 	limit.recordPeerUsage(from, usage{grant.Demand, grant.Used, now})
 	if grant.Amount <= 0 {
 		if request.renews == 0 { // a denied renewal only lets the loan expire
--- a/internal/fleet/limits/ledger.go
+++ b/internal/fleet/limits/ledger.go
@@ -45,13 +45,13 @@
 }
 
 const (
-	maxLimits          = 256
-	maxLoans           = 4096 // maximum number of borrowers, pending requests and peer reports of one limit
-	maxLoansOfPeer     = 8    // maximum number of loans of one limit to one peer
-	maxRequestsPerTurn = 8    // maximum number of peers that are asked for a new loan in one round
-	demandHeadroom     = 1.25 // factor on the demand that is retained or requested, so that a rising demand is not rejected
-	minLoanDivisor     = 1e6  // a loan of less than the limit's total divided by this is not worth a message
-	roundingTolerance  = 1e-9 // relative rounding error that is tolerated in sums of loans
+	maxLimits           = 256
+	maxLoans            = 4096 // maximum number of borrowers, pending requests and peer reports of one limit
+	maxLoansOfPeer      = 8    // maximum number of loans of one limit to one peer
+	maxRequestsPerRound = 8    // maximum number of peers that are asked for a new loan in one round
+	demandHeadroom      = 1.25 // factor on the demand that is retained or requested, so that a rising demand is not rejected
+	minLoanDivisor      = 1e6  // a loan of less than the limit's total divided by this is not worth a message
+	roundingTolerance   = 1e-9 // relative rounding error that is tolerated in sums of loans
 )
 
 // FleetState is the state of the fleet according to this gateway's view of the members.
@@ -78,7 +78,7 @@
 	used      Amount            // recent amount that this gateway admitted
 	lent      map[string][]loan // loans by borrower
 	borrowed  map[string][]loan // loans by lender
-	requested map[uint64]pendingRequest
+	pending   map[uint64]pendingRequest
 	peerUsage map[string]usage // usage that peers reported, by peer
 	deniedAt  map[string]int64 // time of the last denial, by peer that denied a new loan
 }
@@ -88,7 +88,7 @@
 		Name:      name,
 		lent:      map[string][]loan{},
 		borrowed:  map[string][]loan{},
-		requested: map[uint64]pendingRequest{},
+		pending:   map[uint64]pendingRequest{},
 		peerUsage: map[string]usage{},
 		deniedAt:  map[string]int64{},
 	}
--- a/internal/fleet/limits/request.go
+++ b/internal/fleet/limits/request.go
@@ -44,9 +44,9 @@
 }
 
 func (l *Ledger) dropExpiredRequests(limit *Limit, now int64) {
-	for id, pending := range limit.requested {
+	for id, pending := range limit.pending {
 		if now-pending.requestedAt >= l.settings.LoanDuration {
-			delete(limit.requested, id)
+			delete(limit.pending, id)
 		}
 	}
 }
@@ -75,7 +75,7 @@
 		return denied && now-at < l.settings.LoanDuration/2 || len(limit.borrowed[peer]) > 0
 	})
 	l.rng.Shuffle(len(lenders), func(i, j int) { lenders[i], lenders[j] = lenders[j], lenders[i] })
-	lenders = lenders[:min(maxRequestsPerTurn, len(lenders))]
+	lenders = lenders[:min(maxRequestsPerRound, len(lenders))]
 	amount := missing
 	if len(lenders) > 2 { // request twice the missing amount in total, because some peers have no unused quota
 		amount = missing * 2 / Amount(len(lenders))
@@ -91,11 +91,11 @@
 
 // addRequest assigns an ID to a request and adds it, unless maxLoans requests of the limit are pending.
 func (l *Ledger) addRequest(requests []Request, limit *Limit, pending pendingRequest) []Request {
-	if len(limit.requested) >= maxLoans {
+	if len(limit.pending) >= maxLoans {
 		return requests
 	}
 	l.lastRequestID++
-	limit.requested[l.lastRequestID] = pending
+	limit.pending[l.lastRequestID] = pending
 	return append(requests, Request{
 		To:     pending.lender,
 		Limit:  limit.Name,
--- a/internal/fleet/view/settle.go
+++ b/internal/fleet/view/settle.go
@@ -48,7 +48,7 @@
 func (v *View) liveSetChanged(now int64) {
 	v.version++
 	v.liveChangedAt = now
-	v.unsettledAt = now
+	v.stateChangedAt = now
 	if v.settled || v.settlingSince == 0 {
 		v.settlingSince = now
 	}
@@ -85,7 +85,7 @@
 // change of state, so that the members of the smaller side of a split combine their failed probes and recognize that
 // they are a minority.
 func (v *View) ShouldGossip(now, minTime, maxTime int64) bool {
-	return now-v.unsettledAt < minTime || !v.settled && now-v.liveChangedAt < maxTime
+	return now-v.stateChangedAt < minTime || !v.settled && now-v.liveChangedAt < maxTime
 }
 
 // DifferingAddrs returns the sorted addresses of live members that see a different live set. It counts only digests
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -48,11 +48,11 @@
 	nameByKey map[uint64]string
 	version   uint64
 
-	liveCount     int
-	liveChangedAt int64  // when the live set last changed
-	unsettledAt   int64  // when the live set or the state of a member last changed
-	digest        uint32 // digest of the live set, valid if digestKnown is set
-	digestKnown   bool
+	liveCount      int
+	liveChangedAt  int64  // when the live set last changed
+	stateChangedAt int64  // when the live set or the state of a member last changed
+	digest         uint32 // digest of the live set, valid if digestKnown is set
+	digestKnown    bool
 
 	agreement
 	settled       bool
@@ -145,7 +145,7 @@
 	m.Since = now
 	m.addEvidence(now, by, to.String()+": "+string(reason))
 	v.version++
-	v.unsettledAt = now
+	v.stateChangedAt = now
 	if change.From.IsLive() != to.IsLive() {
 		v.liveSetChanged(now)
 	}
