--- a/internal/fleet/gossip/loans.go
+++ b/internal/fleet/gossip/loans.go
@@ -123,13 +123,13 @@
 			return 0, 0
 		}
 		lease := g.ledger.Lease(name+suffix, now)
-		if lease.Until < math.MaxInt64 {
-			expiresAt := wallNow.Add(time.Duration(lease.Until-now) * time.Microsecond)
+		if lease.ExpiresAt < math.MaxInt64 {
+			expiresAt := wallNow.Add(time.Duration(lease.ExpiresAt-now) * time.Microsecond)
 			if expiresAt.Before(combined.ExpiresAt) {
 				combined.ExpiresAt = expiresAt
 			}
 		}
-		return lease.Now, lease.Then
+		return lease.Granted, lease.Fallback
 	}
 	combined.Granted.LookupsPerSecond, combined.Fallback.LookupsPerSecond = amounts(lookupsSuffix)
 	combined.Granted.BytesPerSecond, combined.Fallback.BytesPerSecond = amounts(bytesSuffix)
--- a/internal/fleet/limits/admitted_size_test.go
+++ b/internal/fleet/limits/admitted_size_test.go
@@ -97,7 +97,7 @@
 // leases.
 func (f *measuredFleet) admit(now int64) (admitted, leased float64) {
 	for i, ledger := range f.ledgers {
-		lease := ledger.Lease(limitName, now).Now
+		lease := ledger.Lease(limitName, now).Granted
 		leased += lease
 		admitted += math.Min(f.demand[i], lease)
 		ledger.RecordUsage(limitName, f.demand[i], math.Min(f.demand[i], lease))
--- a/internal/fleet/limits/ledger.go
+++ b/internal/fleet/limits/ledger.go
@@ -229,14 +229,14 @@
 	return sum, firstExpiry
 }
 
-// Lease is the amount that this gateway may admit. Now applies until the time Until. Then applies after it, unless a
-// newer lease replaces this one.
+// Lease is the amount that this gateway may admit. Granted applies until ExpiresAt, and Fallback applies after it, unless
+// a newer lease replaces this one. ExpiresAt is math.MaxInt64 if nothing is borrowed.
 type Lease struct {
-	Now, Then Amount
-	Until     int64
+	Granted, Fallback Amount
+	ExpiresAt         int64
 }
 
-// Lease returns the current lease of a limit, or the zero Lease if the limit is unknown. Then excludes all borrowed
+// Lease returns the current lease of a limit, or the zero Lease if the limit is unknown. Fallback excludes all borrowed
 // amounts, because a process that was paused past the expiry of its loans must not use them when it resumes.
 func (l *Ledger) Lease(name string, now int64) Lease {
 	limit := l.limits[name]
@@ -245,5 +245,5 @@
 	}
 	available := l.availableQuota(limit, now)
 	borrowed, firstExpiry := sumLoans(limit.borrowed, now)
-	return Lease{Now: available + borrowed, Then: available, Until: firstExpiry}
+	return Lease{Granted: available + borrowed, Fallback: available, ExpiresAt: firstExpiry}
 }
--- a/internal/fleet/limits/ledger_test.go
+++ b/internal/fleet/limits/ledger_test.go
@@ -140,7 +140,7 @@
 func (f *fleet) leased() (sum Amount) {
 	for _, g := range f.gateways {
 		if g.running {
-			sum += f.lease(g).Now
+			sum += f.lease(g).Granted
 		}
 	}
 	return sum
@@ -211,7 +211,7 @@
 	f := newSettledFleet(12, 1200, false)
 	f.gateways[0].ledger.RecordUsage(limitName, 5000, 100)
 	f.run(10 * second)
-	if got := f.lease(f.gateways[0]).Now; got < 800 || f.leased() > 1200 {
+	if got := f.lease(f.gateways[0]).Granted; got < 800 || f.leased() > 1200 {
 		t.Errorf("lease of the gateway under load: got %v, want at least 800; sum of all leases: got %v, want at most 1200",
 			got, f.leased())
 	}
@@ -237,7 +237,7 @@
 	f := newSettledFleet(2, 100, false)
 	f.gateways[0].ledger.RecordUsage(limitName, 500, 50)
 	f.run(3 * second)
-	if f.lease(f.gateways[0]).Now <= 50 {
+	if f.lease(f.gateways[0]).Granted <= 50 {
 		t.Fatal("the gateway under load did not borrow beyond its quota of 50")
 	}
 	f.gateways[1].ledger = f.newLedger() // a restart loses the record of the loan
@@ -247,7 +247,7 @@
 	}
 	f.gateways[0].ledger.RecordUsage(limitName, 10, 10)
 	f.run(10 * second)
-	if got := f.lease(f.gateways[1]).Now; got != 50 {
+	if got := f.lease(f.gateways[1]).Granted; got != 50 {
 		t.Errorf("lease of the restarted gateway after the first loan duration: got %v, want its quota of 50", got)
 	}
 }
@@ -257,8 +257,8 @@
 	f.gateways[0].ledger.RecordUsage(limitName, 5000, 100)
 	f.run(3 * second)
 	lease := f.lease(f.gateways[0])
-	if lease.Then != 100 || lease.Until > f.now+testSettings.LoanDuration || lease.Now <= lease.Then {
-		t.Errorf("lease: got %+v, want Then to be the quota of 100, Now to be larger, and Until within the loan duration", lease)
+	if lease.Fallback != 100 || lease.ExpiresAt > f.now+testSettings.LoanDuration || lease.Granted <= lease.Fallback {
+		t.Errorf("lease: got %+v, want a Fallback of 100, a larger Granted, and ExpiresAt within the loan duration", lease)
 	}
 }
 
--- a/internal/fleet/limits/report.go
+++ b/internal/fleet/limits/report.go
@@ -46,7 +46,7 @@
 		Name:        limit.Name,
 		Total:       limit.Total,
 		Quota:       l.quota(limit),
-		Lease:       l.Lease(limit.Name, now).Now,
+		Lease:       l.Lease(limit.Name, now).Granted,
 		Lent:        lent,
 		Borrowed:    borrowed,
 		Demand:      limit.demand,
