--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -82,14 +82,14 @@
 
 // announceChanges has discovery send a long list, of a zone that the dispatcher has little to do with, and changes of it until stop.
 func announceChanges(discovery *standin.Discovery, cacheAddr string) (stop func()) {
-	distant := func(i int, phase string) standin.Endpoint {
+	remoteEndpoint := func(i int, phase string) standin.Endpoint {
 		return standin.Endpoint{ID: fmt.Sprintf("o%d", i), HostPort: "127.0.0.1:1", Locality: "far", Flavor: "edge", Phase: phase}
 	}
 	list := []standin.Endpoint{
 		{ID: "c0", HostPort: cacheAddr, Locality: "town", Flavor: "edge", Phase: "up"},
 		{ID: "c1", HostPort: "127.0.0.1:1", Locality: "town", Flavor: "origin", Phase: "up"}}
 	for i := range benchEndpoints {
-		list = append(list, distant(i, "up"))
+		list = append(list, remoteEndpoint(i, "up"))
 	}
 	discovery.Announce(standin.EndpointList(true, list...))
 	done := make(chan bool)
@@ -101,7 +101,7 @@
 			case <-done:
 				return
 			case <-ticker.C:
-				discovery.Announce(standin.EndpointList(false, distant(n%benchEndpoints, []string{"draining", "up"}[n%2])))
+				discovery.Announce(standin.EndpointList(false, remoteEndpoint(n%benchEndpoints, []string{"draining", "up"}[n%2])))
 			}
 		}
 	}()
--- a/internal/gateway/caches_test.go
+++ b/internal/gateway/caches_test.go
@@ -55,8 +55,8 @@
 	b := g.dial()
 	io.WriteString(a, g.lookup("segment", "o"))
 	io.WriteString(b, g.lookup("segment", "o"))
-	first := receiveSoon(t, received)
-	second := receiveSoon(t, received)
+	first := mustReceive(t, received)
+	second := mustReceive(t, received)
 	for range 2 { // either of the two clients' may be first
 		first.Conn.Send("0123456789abcdef HIT - 2\r\nno\r\n")
 		first.Hit(time.Now(), "hit", "ok")
@@ -68,7 +68,7 @@
 		}
 	}
 	io.WriteString(a, g.lookup("segment", "o"))
-	if next := receiveSoon(t, received); next.Conn != first.Conn || second.Conn != first.Conn {
+	if next := mustReceive(t, received); next.Conn != first.Conn || second.Conn != first.Conn {
 		t.Error("the connection was closed")
 	}
 }
@@ -108,15 +108,15 @@
 }
 
 // A connection that left one attempt without a response takes no more.
-func TestUnansweredCacheConnTakesNoMore(t *testing.T) {
+func TestUnansweredCacheConnGetsNoNewAttempts(t *testing.T) {
 	received := make(chan standin.Request, 9)
 	g := startGateway(t, func(_ int, request standin.Request) { received <- request })
 	response, _ := g.sendLookup("segment", "o", "X-Allow-Ms: 500\r\n")
 	g.expectStatus(503, response)
-	first := receiveSoon(t, received)
+	first := mustReceive(t, received)
 	c := g.dial()
 	io.WriteString(c, g.lookup("segment", "o"))
-	next := receiveSoon(t, received)
+	next := mustReceive(t, received)
 	next.Hit(time.Now(), "hit", "ok")
 	if next.Conn == first.Conn || next.Conn.LocalAddr().String() != first.Conn.LocalAddr().String() {
 		t.Error("sent on the silent connection, or to another cache")
--- a/internal/gateway/clients_test.go
+++ b/internal/gateway/clients_test.go
@@ -86,7 +86,7 @@
 	g := startGateway(t, func(_ int, request standin.Request) { received <- request })
 	c := g.dial()
 	io.WriteString(c, g.lookup("segment", "o"))
-	request := receiveSoon(t, received)
+	request := mustReceive(t, received)
 	c.Close()
 	var cancelled string
 	select {
@@ -101,7 +101,7 @@
 	request.Hit(time.Now(), "hit", "late") // dropped by its id: the connection stays
 	c = g.dial()
 	io.WriteString(c, g.lookup("segment", "o"))
-	next := receiveSoon(t, received)
+	next := mustReceive(t, received)
 	next.Hit(time.Now(), "hit", "ok")
 	if next.Conn != request.Conn {
 		t.Error("the late response ended the connection")
@@ -131,7 +131,7 @@
 		map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 0.125, "sockets": 6}}) // one lookup
 	first := g.dial()
 	io.WriteString(first, g.lookup("segment", "o"))
-	request := receiveSoon(t, received)
+	request := mustReceive(t, received)
 	second := g.dial()
 	for range 2 {
 		io.WriteString(second, g.lookup("segment", "o"))
@@ -149,7 +149,7 @@
 		response, _ := second.response(t)
 		g.expectStatus(503, response)
 		io.WriteString(second, g.lookup("segment", "o"))
-		request = receiveSoon(t, received)
+		request = mustReceive(t, received)
 	}
 	request.Hit(time.Now(), "hit", "second")
 	if _, body := second.response(t); body != "second" {
@@ -164,7 +164,7 @@
 	g.waitLogged("reason=closed_by_client") // the ping's connection
 	c := g.dial()
 	io.WriteString(c, g.lookup("segment", "o"))
-	request := receiveSoon(t, received)
+	request := mustReceive(t, received)
 	response, _ := g.sendLookup("segment", "o")
 	g.expectStatus(503, response)
 	if !response.Close {
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -14,10 +14,10 @@
 
 // Variables of the environment that the configuration is read by.
 const (
-	variableConfig   = "ROUTER_CONFIG"
-	variableName     = "ROUTER_NAME"
-	variableListen   = "ROUTER_LISTEN"
-	variableSettings = "FOLDSLIP_SETTINGS"
+	envRouterConfig = "ROUTER_CONFIG"
+	envRouterName   = "ROUTER_NAME"
+	envRouterListen = "ROUTER_LISTEN"
+	envSettings     = "FOLDSLIP_SETTINGS"
 )
 
 const (
@@ -102,7 +102,7 @@
 // loadConfiguration reads the configuration that the variables of the environment name.
 func loadConfiguration(environment env.Environment) (*configuration, error) {
 	operators := &config.Config{}
-	if path := environment.Getenv(variableSettings); path != "" {
+	if path := environment.Getenv(envSettings); path != "" {
 		var err error
 		if operators, err = configfile.Read(path, environment.ReadFile); err != nil {
 			return nil, err
@@ -110,9 +110,9 @@
 		environment.ReleaseMemory() // the evaluator takes some 2 MB that nothing needs any more
 	}
 	return readPlatformConfig(environment, platformFile{
-		path:   environment.Getenv(variableConfig),
-		name:   environment.Getenv(variableName),
-		listen: environment.Getenv(variableListen),
+		path:   environment.Getenv(envRouterConfig),
+		name:   environment.Getenv(envRouterName),
+		listen: environment.Getenv(envRouterListen),
 	}, operators)
 }
 
--- a/internal/gateway/descriptors_test.go
+++ b/internal/gateway/descriptors_test.go
@@ -73,8 +73,8 @@
 	return response.StatusCode, string(text)
 }
 
-// lookupTwice is lookupOnce, sent once more if there was no response: a request that crosses the close of its idle connection may be.
-func (g *testGateway) lookupTwice(n int) (status int, body string) {
+// lookupWithRetry is lookupOnce, sent once more if there was no response: a request that crosses the close of its idle connection may be.
+func (g *testGateway) lookupWithRetry(n int) (status int, body string) {
 	g.t.Helper()
 	if status, body = g.lookupOnce(n); status == 0 {
 		status, body = g.lookupOnce(n)
@@ -97,8 +97,8 @@
 	return added
 }
 
-// drained returns endpoints as they drain.
-func drained(endpoints []standin.Endpoint) []standin.Endpoint {
+// asDraining returns endpoints as they drain.
+func asDraining(endpoints []standin.Endpoint) []standin.Endpoint {
 	draining := slices.Clone(endpoints)
 	for i := range draining {
 		draining[i].Phase = "draining"
@@ -121,13 +121,13 @@
 				files = append(files, file)
 			}
 			g := startGatewayWith(t, 40, files, answerHit, changedSettings(func(map[string]any) {}))
-			receiveSoon(t, g.discovery.Subscribed)
+			mustReceive(t, g.discovery.Subscribed)
 			old := g.listMoreCaches(24)
 			discoveryAddr := g.discovery.Addr
 			g.discovery.Close()
 			failed := 0
 			for n := range 120 {
-				if status, _ := g.lookupTwice(n); status != 200 {
+				if status, _ := g.lookupWithRetry(n); status != 200 {
 					failed++
 				}
 			}
@@ -143,11 +143,11 @@
 			discovery := must(standin.NewDiscovery(discoveryAddr, 1))
 			t.Cleanup(discovery.Close)
 			backAt := time.Now()
-			draining := drained(old)
+			draining := asDraining(old)
 			discovery.Announce(standin.EndpointList(false, draining...)) // in place of the event that it holds already
-			discovery.Announce(standin.EndpointList(false, append(append(draining, drained(g.endpoints[:2])...), added)...))
+			discovery.Announce(standin.EndpointList(false, append(append(draining, asDraining(g.endpoints[:2])...), added)...))
 			for n := 200; ; n++ {
-				status, body := g.lookupTwice(n)
+				status, body := g.lookupWithRetry(n)
 				if status == 200 && body == "fresh" {
 					break
 				}
@@ -176,8 +176,8 @@
 	if e.missing > 0 {
 		return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.EMFILE)}
 	}
-	conn, far := net.Pipe()
-	far.Close()
+	conn, peer := net.Pipe()
+	peer.Close()
 	return conn, nil
 }
 
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -31,7 +31,7 @@
 				} else {
 					request.Hit(time.Now(), "filled", "new")
 				}
-			}, settingsWithGrace(tc.grace))
+			}, settingsWithPurgeGrace(tc.grace))
 			c := g.dial()
 			io.WriteString(c, g.lookup("segment", "o"))
 			<-received
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -8,7 +8,7 @@
 const (
 	// acceptTail is how long the gateway goes on accepting after the signal to terminate: at a planned restart connections keep coming for
 	// 0.4 s and requests on open ones for a further 0.2 s, and what comes in the 0.1 s after them gets a response all the same.
-	acceptTail = 700 * time.Millisecond
+	acceptAfterSignal = 700 * time.Millisecond
 	// The platform kills the process once the longest deadline and killDelay have passed; a deadline over maxDeadline counts as that. What is
 	// still open killMargin before it is given up.
 	killDelay   = 700 * time.Millisecond
@@ -34,7 +34,7 @@
 	giveUpAt := g.env.Now().Add(g.longestDeadline() + killDelay - killMargin)
 	g.env.Log().Info("stopping")
 	g.server.SetNotReady()
-	g.env.NewNotifier().Wait(acceptTail)
+	g.env.NewNotifier().Wait(acceptAfterSignal)
 	g.server.Drain()
 	g.server.StopAccepting(g.listener)
 	for _, service := range g.services {
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -65,7 +65,7 @@
 		return nil, err
 	}
 	service := &fleetService{dispatcher: g.dispatcher, stop: make(chan struct{}), ended: make(chan struct{})}
-	if err := g.joinExchanges(service, fleetConfig, memberSettings, &dependencies); err != nil {
+	if err := g.openExchanges(service, fleetConfig, memberSettings, &dependencies); err != nil {
 		return nil, err
 	}
 	if service.fleet, err = membership.New(memberSettings, dependencies); err != nil {
@@ -141,9 +141,9 @@
 	return dependencies, nil
 }
 
-// joinExchanges opens what gateways exchange over the fleet: shares of limits and purges by gossip, purges by broadcast. Messages come to
+// openExchanges opens what gateways exchange over the fleet: shares of limits and purges by gossip, purges by broadcast. Messages come to
 // whichever they are of.
-func (g *instance) joinExchanges(service *fleetService, c *config.Fleet, memberSettings membership.Settings, dependencies *membership.Dependencies) error {
+func (g *instance) openExchanges(service *fleetService, c *config.Fleet, memberSettings membership.Settings, dependencies *membership.Dependencies) error {
 	var shared gossip.Admission
 	if g.routes != nil {
 		shared = g.routes
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// messagesOf returns how many messages of a kind have come.
-func (p *fleetPeer) messagesOf(kind byte) int {
+// messageCount returns how many messages of a kind have come.
+func (p *fleetPeer) messageCount(kind byte) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.count[kind]
@@ -129,14 +129,14 @@
 	t.Setenv("ROUTER_NAME", "n7")
 	g := startGateway(t, nil)
 	peer := joinFleetAs(t, "n8", addr)
-	waitInFleet(t, "both see each other", func() bool {
+	waitForFleet(t, "both see each other", func() bool {
 		return peer.fleet.State().Live == 2 && strings.Contains(g.log.String(), "event=fleet_member name=n8 state=alive")
 	})
 	return g, peer
 }
 
-// waitInFleet waits for a condition, as long as a fleet may take.
-func waitInFleet(t *testing.T, what string, condition func() bool) {
+// waitForFleet waits for a condition, as long as a fleet may take.
+func waitForFleet(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -164,7 +164,7 @@
 			g, peer := startInFleet(t, socket, moreSettings)
 			g.announcePurges()
 			time.Sleep(3 * time.Second)
-			if n := peer.messagesOf(broadcast.Kind); n > 0 {
+			if n := peer.messageCount(broadcast.Kind); n > 0 {
 				t.Errorf("%d datagrams of the broadcast", n)
 			}
 			if got := runFleetCommand(socket, "broadcast"); !strings.Contains(got, "this gateway spreads no purges by broadcast") || !strings.Contains(got, "set fleet.broadcast") {
@@ -179,9 +179,9 @@
 	socket := filepath.Join(t.TempDir(), "s")
 	g, peer := startInFleet(t, socket, ", broadcast: true, region: 'r', zone: 'z', site: 's'")
 	g.announcePurges()
-	waitInFleet(t, "the peer gets purges", func() bool { return peer.messagesOf(broadcast.Kind) > 0 })
+	waitForFleet(t, "the peer gets purges", func() bool { return peer.messageCount(broadcast.Kind) > 0 })
 	var report driver.Report
-	waitInFleet(t, "all ten are applied", func() bool {
+	waitForFleet(t, "all ten are applied", func() bool {
 		return json.Unmarshal([]byte(runFleetCommand(socket, "broadcast", "--json")), &report) == nil && report.Applied == 10
 	})
 	latest := report.Latest
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -106,7 +106,7 @@
 	registry    *cacheregistry.Registry
 	purges      *purgelog.Log
 	dispatcher  *dispatch.Dispatcher
-	dialing     *evictingEnv // the environment of parts that dial
+	dialEnv     *evictingEnv // the environment of parts that dial
 	watch       *discovery.Watch
 	routes      *rollout.Controller   // nil: none
 	snapshotter *snapshot.Snapshotter // nil: no list is stored
@@ -151,9 +151,9 @@
 		Retention: time.Duration(parsed.Router.PurgeSettleTime)*time.Microsecond + purgeRetentionSlack,
 	}
 	g.dispatcher = dispatch.New(g.env, g.config.seed, parsed.Router, g.hooks.Interceptor)
-	g.dialing = &evictingEnv{Environment: g.env}
+	g.dialEnv = &evictingEnv{Environment: g.env}
 	g.watch = discovery.NewWatch(discovery.Config{
-		Environment: g.dialing,
+		Environment: g.dialEnv,
 		Addr:        g.config.platform.DiscoveryAddr,
 		Settings:    parsed,
 		Dispatcher:  g.dispatcher,
@@ -242,7 +242,7 @@
 		hasExtproc:    g.hooks.NewServices != nil,
 	})
 	g.pool = upstream.NewPool(upstream.Config{
-		Environment: g.dialing,
+		Environment: g.dialEnv,
 		Lifetime:    g.lifetime,
 		Settings:    g.config.settings,
 		Dispatcher:  g.dispatcher,
@@ -260,7 +260,7 @@
 		Routes:      g.routes,
 		MaxConns:    g.descriptors.Clients,
 	})
-	g.dialing.evictIdle = func() bool { return g.server.EvictIdle() || g.pool.EvictIdle() } // idle clients go first
+	g.dialEnv.evictIdle = func() bool { return g.server.EvictIdle() || g.pool.EvictIdle() } // idle clients go first
 	return nil
 }
 
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -231,8 +231,8 @@
 	t.Setenv("FOLDSLIP_SETTINGS", path)
 }
 
-// settingsWithGrace is the example's settings with another purge grace, in microseconds.
-func settingsWithGrace(grace int) map[string]any {
+// settingsWithPurgeGrace is the example's settings with another purge grace, in microseconds.
+func settingsWithPurgeGrace(grace int) map[string]any {
 	example := map[string]any{"settings": readExample()["settings"]}
 	example["settings"].(map[string]any)["specifics"].(map[string]any)["obey_after"] = grace
 	return example
@@ -329,8 +329,8 @@
 	request.Hit(time.Now(), "hit", "of "+request.Fields["k"])
 }
 
-// receiveSoon receives what must come; a test that waits in vain says so and does not hang the whole run.
-func receiveSoon[T any](t *testing.T, from chan T) (received T) {
+// mustReceive receives what must come; a test that waits in vain says so and does not hang the whole run.
+func mustReceive[T any](t *testing.T, from chan T) (received T) {
 	t.Helper()
 	select {
 	case received = <-from:
--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -14,7 +14,7 @@
 )
 
 // largeList is how many caches and how many gateways TestLargeLists has.
-const largeList = 1100
+const largeListSize = 1100
 
 // startManyCaches starts caches; each sends its id for each request that it answers.
 func startManyCaches(t *testing.T, n int) (endpoints []standin.Endpoint, reached chan string) {
@@ -37,12 +37,12 @@
 
 // One gateway with a list of 1,100 caches and 1,100 gateways starts, serves from caches all over the list, and drains at SIGTERM.
 func TestLargeLists(t *testing.T) {
-	endpoints, reached := startManyCaches(t, largeList)
+	endpoints, reached := startManyCaches(t, largeListSize)
 	var seeds []string
-	for i := range largeList {
+	for i := range largeListSize {
 		seeds = append(seeds, fmt.Sprintf("127.254.%d.%d"+fleetPort, i/200, 1+i%200))
 	}
-	writeOperatorConfig(t, fmt.Sprintf("{ fleet: { listen: %q, expect: %d, folder: %q, seeds: %s } }", freeFleetAddr(), largeList,
+	writeOperatorConfig(t, fmt.Sprintf("{ fleet: { listen: %q, expect: %d, folder: %q, seeds: %s } }", freeFleetAddr(), largeListSize,
 		filepath.Join(t.TempDir(), "members"), must(json.Marshal(seeds))))
 	t.Setenv("ROUTER_NAME", "n7")
 	g := startGatewayWith(t, 4096, nil, nil, map[string]any{"known": knownEvents(endpoints)})
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -17,7 +17,7 @@
 	g := startGateway(t, func(_ int, request standin.Request) { received <- request })
 	c := g.dial()
 	io.WriteString(c, g.lookup("segment", "before"))
-	request := receiveSoon(t, received)
+	request := mustReceive(t, received)
 	g.discovery.Announce(`{"recall":{"item":"x","issued":1764576000123}}`)
 	next := must(standin.NewDiscovery("127.0.0.1:0", 1))
 	next.Announce(`{"recall":{"item":"x","issued":1764576000123}}`)
@@ -53,7 +53,7 @@
 	}
 	for i := range 8 {
 		io.WriteString(c, g.lookup("segment", fmt.Sprint("o", i)))
-		request := receiveSoon(t, received)
+		request := mustReceive(t, received)
 		request.Hit(time.Now(), "hit", "")
 		if request.Conn.LocalAddr().String() == g.edges[0].Addr {
 			t.Error("an attempt to a cache that drains by the new discovery")
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -22,20 +22,20 @@
 var restarted = flag.Int("restarted", 6, "processes that TestRestartOfAllGateways restarts at once, 60 at most")
 
 const (
-	maxRestarted = 60
-	readyTimeout = 10 * time.Second // nine in ten restarted processes answer a ping with 200 by then
-	slowStart    = 3 * time.Second  // a slow discovery takes so long for its first byte
-	returnAfter  = 3 * time.Second  // an absent one comes back so long after the restart
+	maxRestarted         = 60
+	readyTimeout         = 10 * time.Second // nine in ten restarted processes answer a ping with 200 by then
+	slowDiscoveryDelay   = 3 * time.Second  // a slow discovery takes so long for its first byte
+	discoveryReturnDelay = 3 * time.Second  // an absent one comes back so long after the restart
 )
 
 // How discovery is at the restart, and where the gateways have their list from.
 const (
-	discoverySlow   = "slow"
-	discoveryAbsent = "absent"
-	discoveryBack   = "back" // absent, then back
-	listKnown       = "known"
-	listStored      = "kept"
-	listNone        = "none"
+	discoverySlow    = "slow"
+	discoveryAbsent  = "absent"
+	discoveryReturns = "back" // absent, then back
+	listKnown        = "known"
+	listStored       = "kept"
+	listNone         = "none"
 )
 
 // startRelay stands before a discovery: each session's first byte comes late.
@@ -58,13 +58,13 @@
 func relay(conn net.Conn, to string, delay time.Duration) {
 	defer conn.Close()
 	time.Sleep(delay)
-	far, err := net.Dial("tcp", to)
+	target, err := net.Dial("tcp", to)
 	if err != nil {
 		return
 	}
-	defer far.Close()
-	go io.Copy(far, conn)
-	io.Copy(conn, far)
+	defer target.Close()
+	go io.Copy(target, conn)
+	io.Copy(conn, target)
 }
 
 // restartTest restarts gateways at once while discovery is in some state.
@@ -97,13 +97,13 @@
 }
 
 // writeConfig writes a gateway's configuration.
-func (r *restartTest) writeConfig(dir, discoveryAddr string, isKnown bool) string {
+func (r *restartTest) writeConfig(dir, discoveryAddr string, hasKnownList bool) string {
 	r.t.Helper()
 	config := readExample()
 	delete(config, "listen")
 	delete(config, "known")
 	config["bulletin"] = discoveryAddr
-	if isKnown {
+	if hasKnownList {
 		config["known"] = knownEvents(r.endpoints)
 	} else if r.list == listNone {
 		config["known"] = map[string]any{"no": 0, "items": []any{}}
@@ -116,11 +116,11 @@
 }
 
 // start starts a gateway's process.
-func (r *restartTest) start(g *restartedGateway, discoveryAddr string, isKnown bool) {
+func (r *restartTest) start(g *restartedGateway, discoveryAddr string, hasKnownList bool) {
 	r.t.Helper()
 	g.log = &syncBuffer{}
 	g.cmd = exec.Command(program)
-	g.cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+r.writeConfig(g.dir, discoveryAddr, isKnown), "ROUTER_LISTEN="+g.addr)
+	g.cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+r.writeConfig(g.dir, discoveryAddr, hasKnownList), "ROUTER_LISTEN="+g.addr)
 	if r.list == listStored {
 		operators := filepath.Join(g.dir, "operators.jsonnet")
 		text := fmt.Appendf(nil, "{ list: { folder: %q } }", filepath.Join(g.dir, "list"))
@@ -170,7 +170,7 @@
 func (r *restartTest) run(n int) {
 	r.t.Helper()
 	first := r.startDiscovery("127.0.0.1:0")
-	discoveryAddr := startRelay(r.t, first.Addr, slowStart)
+	discoveryAddr := startRelay(r.t, first.Addr, slowDiscoveryDelay)
 	for range n {
 		g := &restartedGateway{dir: r.t.TempDir(), addr: freeAddr()}
 		r.gateways = append(r.gateways, g)
@@ -189,8 +189,8 @@
 	for _, g := range r.gateways {
 		r.start(g, discoveryAddr, r.list == listKnown)
 	}
-	if r.discovery == discoveryBack {
-		comesBack := time.AfterFunc(returnAfter, func() { r.startDiscovery(discoveryAddr) })
+	if r.discovery == discoveryReturns {
+		comesBack := time.AfterFunc(discoveryReturnDelay, func() { r.startDiscovery(discoveryAddr) })
 		defer comesBack.Stop()
 	}
 	r.waitReady(restartedAt)
@@ -232,10 +232,10 @@
 	for _, c := range []struct{ discovery, list string }{
 		{discoverySlow, listKnown},
 		{discoveryAbsent, listKnown},
-		{discoveryBack, listKnown},
+		{discoveryReturns, listKnown},
 		{discoveryAbsent, listStored},
 		{discoverySlow, listNone},
-		{discoveryBack, listNone},
+		{discoveryReturns, listNone},
 	} {
 		t.Run(c.discovery+", list "+c.list, func(t *testing.T) {
 			cache := must(standin.NewCache("127.0.0.1:0", func(request standin.Request) { answerHit(0, request) }))
--- a/internal/gateway/routes_test.go
+++ b/internal/gateway/routes_test.go
@@ -14,14 +14,14 @@
 
 // edgeCounts counts the attempts at each edge.
 type edgeCounts struct {
-	mu sync.Mutex
-	at [2]int
+	mu       sync.Mutex
+	attempts [2]int
 }
 
 // handle counts an attempt and answers it.
 func (c *edgeCounts) handle(edge int, request standin.Request) {
 	c.mu.Lock()
-	c.at[edge]++
+	c.attempts[edge]++
 	c.mu.Unlock()
 	request.Hit(time.Now(), "hit", "x")
 }
@@ -31,7 +31,7 @@
 	g.t.Helper()
 	const lookups = 20
 	c.mu.Lock()
-	c.at = [2]int{}
+	c.attempts = [2]int{}
 	c.mu.Unlock()
 	for i := range lookups {
 		response, _ := g.sendLookup("segment", fmt.Sprint("object", i))
@@ -39,8 +39,8 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.at[edge] != lookups {
-		g.t.Errorf("%v, expected all at %d\n%s", c.at, edge, g.log.String())
+	if c.attempts[edge] != lookups {
+		g.t.Errorf("%v, expected all at %d\n%s", c.attempts, edge, g.log.String())
 	}
 }
 
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -11,7 +11,7 @@
 
 // changedSettings is the example's settings with a change.
 func changedSettings(change func(settings map[string]any)) map[string]any {
-	config := settingsWithGrace(300000)
+	config := settingsWithPurgeGrace(300000)
 	change(config["settings"].(map[string]any))
 	return config
 }
@@ -39,8 +39,8 @@
 			withSideEffects := g.dial()
 			io.WriteString(idempotent, g.lookup("segment", "o"))
 			io.WriteString(withSideEffects, g.lookup("page", "o"))
-			receiveSoon(t, received)
-			receiveSoon(t, received)
+			mustReceive(t, received)
+			mustReceive(t, received)
 			g.signal(syscall.SIGTERM) // a second one changes nothing
 			response, _ := idempotent.response(t)
 			g.expectStatus(503, response)
@@ -62,7 +62,7 @@
 }
 
 // A request on an open connection 0.66 s after SIGTERM, past the last that the platform sends: answered all the same.
-func TestLastClientBeforeTheListenerCloses(t *testing.T) {
+func TestRequestJustBeforeTheListenerCloses(t *testing.T) {
 	t.Parallel()
 	g := startGateway(t, answerHit)
 	c := g.dial()
@@ -107,7 +107,7 @@
 			g := startGateway(t, answerHit, changedSettings(func(settings map[string]any) {
 				settings["rules"].(map[string]any)["stop_sending_within"] = 2000000
 			}))
-			if after := receiveSoon(t, g.discovery.Subscribed); after != 1 {
+			if after := mustReceive(t, g.discovery.Subscribed); after != 1 {
 				t.Fatal("asked after", after)
 			}
 			silentAt := time.Now()
@@ -128,15 +128,15 @@
 }
 
 // Sessions that are silent from their first moment on do not follow each other without end: each waits twice as long as the one before.
-func TestDiscoverySessionsThatBringNothing(t *testing.T) {
+func TestSilentDiscoverySessionsBackOff(t *testing.T) {
 	t.Parallel()
 	g := startGateway(t, answerHit)
 	g.discovery.SetSilent(true)
 	for range 3 { // the first is the start's
-		receiveSoon(t, g.discovery.Subscribed)
+		mustReceive(t, g.discovery.Subscribed)
 	}
 	startedAt := time.Now()
-	receiveSoon(t, g.discovery.Subscribed)
+	mustReceive(t, g.discovery.Subscribed)
 	if elapsed := time.Since(startedAt); elapsed < 2*time.Second {
 		t.Errorf("the second silent session waited %v", elapsed)
 	}
--- a/internal/gateway/soak_test.go
+++ b/internal/gateway/soak_test.go
@@ -22,35 +22,35 @@
 
 // What the platform's page says of a planned restart, from SIGTERM on.
 const (
-	soakNewConnections = 400 * time.Millisecond  // new connections come up to so long
-	soakRequests       = 600 * time.Millisecond  // requests on open connections, all of which are answered
-	soakKill           = 3700 * time.Millisecond // SIGKILL, with deadlines of 3 s and more
-	soakLoad           = 500 * time.Millisecond  // before SIGTERM
+	soakConnectPeriod = 400 * time.Millisecond  // new connections come up to so long
+	soakRequestPeriod = 600 * time.Millisecond  // requests on open connections, all of which are answered
+	soakKillDelay     = 3700 * time.Millisecond // SIGKILL, with deadlines of 3 s and more
+	soakLoadPeriod    = 500 * time.Millisecond  // before SIGTERM
 )
 
 // soakPlan is what a seed draws.
 type soakPlan struct {
-	seed       uint64
-	clients    int
-	idle       int  // connections that send nothing
-	eager      bool // clients that send each lookup as soon as they have the answer before
-	drains     bool // an edge drains before SIGTERM and comes back cold after it
-	hangs      bool // an edge answers nothing from SIGTERM on
-	reloads    int  // SIGHUPs around SIGTERM
-	secondTerm time.Duration
+	seed            uint64
+	clients         int
+	idle            int  // connections that send nothing
+	noThinkTime     bool // clients that send each lookup as soon as they have the answer before
+	drainsEdge      bool // an edge drains before SIGTERM and comes back cold after it
+	hangsEdge       bool // an edge answers nothing from SIGTERM on
+	reloads         int  // SIGHUPs around SIGTERM
+	secondTermDelay time.Duration
 }
 
 func drawSoakPlan(seed uint64) soakPlan {
 	random := rand.New(rand.NewPCG(seed, 51))
 	return soakPlan{
-		seed:       seed,
-		clients:    4 + random.IntN(20),
-		idle:       random.IntN(2) * random.IntN(40),
-		eager:      random.IntN(2) == 0,
-		drains:     random.IntN(3) == 0,
-		hangs:      random.IntN(3) == 0,
-		reloads:    random.IntN(3),
-		secondTerm: time.Duration(random.IntN(900)) * time.Millisecond,
+		seed:            seed,
+		clients:         4 + random.IntN(20),
+		idle:            random.IntN(2) * random.IntN(40),
+		noThinkTime:     random.IntN(2) == 0,
+		drainsEdge:      random.IntN(3) == 0,
+		hangsEdge:       random.IntN(3) == 0,
+		reloads:         random.IntN(3),
+		secondTermDelay: time.Duration(random.IntN(900)) * time.Millisecond,
 	}
 }
 
@@ -87,7 +87,7 @@
 // handle answers as a cache of the plan.
 func (s *soak) handle(random *lockedRand) func(edge int, request standin.Request) {
 	return func(edge int, request standin.Request) {
-		if edge == 1 && s.plan.hangs && s.sinceTerm() >= 0 {
+		if edge == 1 && s.plan.hangsEdge && s.sinceTerm() >= 0 {
 			return
 		}
 		time.AfterFunc(time.Duration(random.intN(60))*time.Millisecond, func() { answerHit(edge, request) })
@@ -108,7 +108,7 @@
 
 // runClient sends lookups on its connection until that ends, and connects anew as long as the platform does.
 func (s *soak) runClient(number int, random *lockedRand) {
-	for count := 0; s.sinceTerm() < soakNewConnections; {
+	for count := 0; s.sinceTerm() < soakConnectPeriod; {
 		conn, err := net.Dial("tcp", s.addr)
 		if err != nil {
 			s.fail("client %d: %v after SIGTERM: %v", number, s.sinceTerm(), err)
@@ -118,10 +118,10 @@
 		c := &client{conn, bufio.NewReader(conn)}
 		for {
 			count++
-			if !s.playLookup(c, fmt.Sprintf("%08x%08x", number+1, count)) {
+			if !s.doLookup(c, fmt.Sprintf("%08x%08x", number+1, count)) {
 				break
 			}
-			if !s.plan.eager {
+			if !s.plan.noThinkTime {
 				time.Sleep(time.Duration(random.intN(30)) * time.Millisecond)
 			}
 		}
@@ -129,8 +129,8 @@
 	}
 }
 
-// playLookup sends a lookup and reads its answer; false: the connection has ended.
-func (s *soak) playLookup(c *client, id string) bool {
+// doLookup sends a lookup and reads its answer; false: the connection has ended.
+func (s *soak) doLookup(c *client, id string) bool {
 	text := fmt.Sprintf("GET /call/segment/o%s/part-3 HTTP/1.1\r\nHost: x\r\nX-Job-Id: %s\r\nX-Group: 17\r\nX-Ram-Kb: 40.5\r\n\r\n", id, id)
 	sentAt := s.sinceTerm()
 	if _, err := io.WriteString(c, text); err != nil {
@@ -165,11 +165,11 @@
 // endedUnanswered counts a lookup whose connection ended with no byte of an answer: a loss while the platform still sends requests. Later ones
 // must find the connection closed, and not be left to the kill.
 func (s *soak) endedUnanswered(id string, sentAt time.Duration, err error) {
-	if sentAt < soakRequests {
+	if sentAt < soakRequestPeriod {
 		s.fail("%s, sent %v after SIGTERM, has no answer: %v", id, sentAt, err)
 		return
 	}
-	if s.sinceTerm() >= soakKill || errors.Is(err, os.ErrDeadlineExceeded) {
+	if s.sinceTerm() >= soakKillDelay || errors.Is(err, os.ErrDeadlineExceeded) {
 		s.fail("%s, sent %v after SIGTERM, was open at the kill: %v", id, sentAt, err)
 		return
 	}
@@ -180,9 +180,9 @@
 
 // signals plays the series of signals around SIGTERM.
 func (s *soak) signals() {
-	time.Sleep(soakLoad)
+	time.Sleep(soakLoadPeriod)
 	drained := s.endpoints[0]
-	if s.plan.drains {
+	if s.plan.drainsEdge {
 		drained.Phase = "draining"
 		s.discovery.Announce(standin.EndpointList(false, drained))
 	}
@@ -195,9 +195,9 @@
 	if s.plan.reloads > 1 {
 		s.signal(syscall.SIGHUP)
 	}
-	time.Sleep(s.plan.secondTerm)
+	time.Sleep(s.plan.secondTermDelay)
 	s.signal(syscall.SIGTERM)
-	if s.plan.drains {
+	if s.plan.drainsEdge {
 		drained.Phase = "up"
 		drained.UpSince = time.Now().UnixMilli()
 		s.discovery.Announce(standin.EndpointList(false, drained))
@@ -211,12 +211,12 @@
 		plan := drawSoakPlan(seed + 1)
 		t.Run(fmt.Sprint("seed ", plan.seed), func(t *testing.T) {
 			t.Parallel()
-			playSoak(t, plan)
+			runSoak(t, plan)
 		})
 	}
 }
 
-func playSoak(t *testing.T, plan soakPlan) {
+func runSoak(t *testing.T, plan soakPlan) {
 	t.Helper()
 	random := &lockedRand{random: rand.New(rand.NewPCG(plan.seed, 52))}
 	s := &soak{plan: plan, terminated: make(chan struct{})}
@@ -234,7 +234,7 @@
 		if err != nil {
 			t.Errorf("ended with %v", err)
 		}
-	case <-time.After(time.Until(s.terminatedAt.Add(soakKill))):
+	case <-time.After(time.Until(s.terminatedAt.Add(soakKillDelay))):
 		t.Error("still running at the kill")
 		s.cmd.Process.Kill()
 	}
