--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -6,8 +6,8 @@
 	"foldslip/internal/admin"
 )
 
-// openAdmin opens the operators' sockets that the configuration names: one for routes and one for the fleet, or one for both where they are
-// the same.
+// openAdmin opens the admin sockets that the operators configure. Routes and the fleet
+// have a socket each. If both settings name the same path, one socket serves both.
 func (g *instance) openAdmin() ([]Service, error) {
 	routeServices := admin.Services{Routes: g.routes}
 	fleetServices := admin.Services{}
@@ -31,7 +31,8 @@
 	return g.openSocket(services, "fleet", fleetSocket, fleetServices)
 }
 
-// openSocket adds the service of a socket, if there is a path; setting is what names it in the configuration.
+// openSocket opens the admin socket at path and appends it to services. The socket serves what is offered. An
+// empty path opens nothing. setting is the section of the configuration that names the socket, for errors.
 func (g *instance) openSocket(services []Service, setting, path string, offered admin.Services) ([]Service, error) {
 	if path == "" {
 		return services, nil
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -24,7 +24,8 @@
 	benchChangeInterval = 10 * time.Millisecond
 )
 
-// benchConfig is the gateway's configuration with its own address, discovery's, and a cache's.
+// benchConfig is the format of the gateway's configuration. It
+// takes the addresses of the gateway, of discovery and of a cache.
 const benchConfig = `{"name":"n0","listen":%q,"seed":"1","bulletin":%q,"limits":{"memory_mb":192,"sockets":512},"settings":
 {"areas":["town","far"],"balancers":1,"machine_types":["edge","parent","origin"],"ceilings":{"cancelling":true,"try_limit":6},
 "classes":[{"name":"segment","aim":400000,"deadline":5000000,"effect":"idempotent","points":1}],
@@ -33,22 +34,23 @@
 {"id":"c0","host_port":%q,"locality":"town","flavor":"edge","phase":"up"},
 {"id":"c1","host_port":"127.0.0.1:1","locality":"town","flavor":"origin","phase":"up"}]}}]}}`
 
-// benchSetup is what a gateway of a benchmark has to do besides lookups.
+// benchSetup selects the work of a gateway besides lookups.
 type benchSetup struct {
-	storesList bool // on disk, at two synced writes a second
-	hasChanges bool // of a list of benchEndpoints, each benchChangeInterval
+	storesList bool // the endpoint list is stored on disk, with two synced writes a second
+	hasChanges bool // a list of benchEndpoints caches changes each benchChangeInterval
 }
 
-// BenchmarkLookup is a lookup through a gateway on loopback, client and cache in the same process. It measures processor time and
-// allocations of a lookup: both count the stand-ins too, which stay the same.
+// BenchmarkLookup measures the processor time and the allocations of a lookup through a gateway on loopback. The client
+// and the cache are stand-ins in the same process. Both figures include the stand-ins, whose share stays the same.
 func BenchmarkLookup(b *testing.B) { benchmarkLookups(b, benchSetup{}) }
 
-// BenchmarkLookupWithSnapshots is the same while a list of 10,000 caches is stored, with 100 changes a second.
+// BenchmarkLookupWithSnapshots measures the same while a list
+// of 10,000 caches is stored and receives 100 changes a second.
 func BenchmarkLookupWithSnapshots(b *testing.B) {
 	benchmarkLookups(b, benchSetup{storesList: true, hasChanges: true})
 }
 
-// BenchmarkLookupChanges has the changes and stores no list: what they cost without it.
+// BenchmarkLookupChanges measures the cost of the same changes without a stored list.
 func BenchmarkLookupChanges(b *testing.B) { benchmarkLookups(b, benchSetup{hasChanges: true}) }
 
 func benchmarkLookups(b *testing.B, setup benchSetup) {
@@ -72,7 +74,7 @@
 	go func() { ended <- Run(env.NewSystem(io.Discard, slog.LevelInfo), Hooks{}) }()
 	conn := dialWhenUp(b, addr)
 	if setup.hasChanges {
-		time.Sleep(time.Second) // until the complete list has come
+		time.Sleep(time.Second) // for the complete list to arrive
 	}
 	measureLookups(b, conn)
 	conn.Close()
@@ -80,7 +82,8 @@
 	<-ended
 }
 
-// announceChanges has discovery send a long list, of a zone that the dispatcher has little to do with, and changes of it until stop.
+// announceChanges makes discovery send a list of benchEndpoints caches and then changes of it,
+// until stop is called. The caches are in a distant zone, which gives the dispatcher little work.
 func announceChanges(discovery *standin.Discovery, cacheAddr string) (stop func()) {
 	remoteEndpoint := func(i int, phase string) standin.Endpoint {
 		return standin.Endpoint{ID: fmt.Sprintf("o%d", i), HostPort: "127.0.0.1:1", Locality: "far", Flavor: "edge", Phase: phase}
@@ -108,7 +111,7 @@
 	return func() { close(done) }
 }
 
-// dialWhenUp connects to a gateway that is starting.
+// dialWhenUp connects to a gateway that is starting. It retries for about 2 s.
 func dialWhenUp(b *testing.B, addr string) net.Conn {
 	b.Helper()
 	for range 200 {
@@ -117,18 +120,18 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	b.Fatal("the gateway does not listen")
+	b.Fatal("the gateway does not accept connections")
 	return nil
 }
 
-// processTime is the processor time of this process.
+// processTime returns the processor time that this process has used.
 func processTime() time.Duration {
 	var usage syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// measureLookups sends one lookup after another.
+// measureLookups sends lookups one after another on a connection and reports their latency and processor time.
 func measureLookups(b *testing.B, conn net.Conn) {
 	b.Helper()
 	in := bufio.NewReader(conn)
--- a/internal/gateway/caches_test.go
+++ b/internal/gateway/caches_test.go
@@ -11,19 +11,19 @@
 	"foldslip/example/standin"
 )
 
-// An attempt whose response cannot be used is retried, and no byte of it reaches the client.
+// An attempt whose response cannot be used is retried. No byte of that response reaches the client.
 func TestUnusableResponsesAreRetried(t *testing.T) {
 	for name, broken := range map[string]func(request standin.Request){
-		"reset amid the bytes": func(request standin.Request) {
+		"connection reset within the body": func(request standin.Request) {
 			request.Conn.Send(request.ID + " HIT ver=v,born=9 900\r\nhalf")
 			request.Reset()
 		},
-		"an unknown word":             func(request standin.Request) { request.Conn.Send(request.ID + " MAYBE - 0\r\n\r\n") },
-		"a response that stops short": func(request standin.Request) { request.Conn.Send(request.ID + " HIT ver=v,born=9 900\r\nhalf") },
-		"a length too long":           func(request standin.Request) { request.Conn.Send(request.ID + " HIT ver=v,born=9 240001\r\n") },
-		"an endless line":             func(request standin.Request) { request.Conn.Send(strings.Repeat("x", 9000)) },
-		"no version":                  func(request standin.Request) { request.Conn.Send(request.ID + " HIT - 2\r\nno\r\n") },
-		"a copy the client lacks": func(request standin.Request) {
+		"unknown word":             func(request standin.Request) { request.Conn.Send(request.ID + " MAYBE - 0\r\n\r\n") },
+		"truncated body":           func(request standin.Request) { request.Conn.Send(request.ID + " HIT ver=v,born=9 900\r\nhalf") },
+		"length above the maximum": func(request standin.Request) { request.Conn.Send(request.ID + " HIT ver=v,born=9 240001\r\n") },
+		"line without an end":      func(request standin.Request) { request.Conn.Send(strings.Repeat("x", 9000)) },
+		"no version":               func(request standin.Request) { request.Conn.Send(request.ID + " HIT - 2\r\nno\r\n") },
+		"not modified although the client has no copy": func(request standin.Request) {
 			request.Respond("VALID", "ver=v1,born=9")
 		},
 	} {
@@ -41,13 +41,14 @@
 			response, body := g.sendLookup("segment", "o")
 			g.expectStatus(200, response)
 			if body != "of o" {
-				t.Errorf("got %q", body)
+				t.Errorf("body %q, expected \"of o\"", body)
 			}
 		})
 	}
 }
 
-// A response to no attempt and a second one are ignored; the attempts around them go on.
+// A response with an unknown id and a second response to the same
+// attempt are ignored. Other attempts on the connection continue.
 func TestStrayResponsesAreIgnored(t *testing.T) {
 	received := make(chan standin.Request, 9)
 	g := startGateway(t, func(_ int, request standin.Request) { received <- request })
@@ -57,23 +58,24 @@
 	io.WriteString(b, g.lookup("segment", "o"))
 	first := mustReceive(t, received)
 	second := mustReceive(t, received)
-	for range 2 { // either of the two clients' may be first
+	for range 2 { // the second round repeats the response to first, which may be of either client
 		first.Conn.Send("0123456789abcdef HIT - 2\r\nno\r\n")
 		first.Hit(time.Now(), "hit", "ok")
 	}
 	second.Hit(time.Now(), "hit", "ok")
 	for _, c := range []*client{a, b} {
 		if response, body := c.response(t); response.StatusCode != 200 || body != "ok" {
-			t.Errorf("status %d, %q", response.StatusCode, body)
+			t.Errorf("status %d, body %q, expected 200 and ok", response.StatusCode, body)
 		}
 	}
 	io.WriteString(a, g.lookup("segment", "o"))
 	if next := mustReceive(t, received); next.Conn != first.Conn || second.Conn != first.Conn {
-		t.Error("the connection was closed")
+		t.Error("the attempts did not stay on one connection")
 	}
 }
 
-// When a connection to a cache falls silent, the attempts on it go to the same cache on a new one.
+// When a connection to a cache falls silent, its attempts are sent again
+// to the same cache on a new connection. The cache is not ejected.
 func TestSilentCacheConnIsReplaced(t *testing.T) {
 	var mu sync.Mutex
 	var muted *standin.Conn
@@ -100,14 +102,14 @@
 		g.expectStatus(200, response)
 	}
 	if elapsed := time.Since(startedAt); elapsed > 2*time.Second || !strings.Contains(g.log.String(), "reason=silent") {
-		t.Errorf("after %v", elapsed)
+		t.Errorf("responses after %v, expected within 2 s and a connection closed with reason=silent", elapsed)
 	}
 	if strings.Contains(g.log.String(), "ejected:") {
-		t.Error("the cache was ejected")
+		t.Error("the cache was ejected because of one silent connection")
 	}
 }
 
-// A connection that left one attempt without a response takes no more.
+// A connection on which an attempt got no response is not used for new attempts.
 func TestUnansweredCacheConnGetsNoNewAttempts(t *testing.T) {
 	received := make(chan standin.Request, 9)
 	g := startGateway(t, func(_ int, request standin.Request) { received <- request })
@@ -119,13 +121,14 @@
 	next := mustReceive(t, received)
 	next.Hit(time.Now(), "hit", "ok")
 	if next.Conn == first.Conn || next.Conn.LocalAddr().String() != first.Conn.LocalAddr().String() {
-		t.Error("sent on the silent connection, or to another cache")
+		t.Error("the next attempt was sent on the silent connection or to another cache")
 	}
 	response, _ = c.response(t)
 	g.expectStatus(200, response)
 }
 
-// An attempt whose connection was refused never ran, so a lookup with side effects is retried elsewhere.
+// An attempt whose connection was refused did not run. A lookup
+// with side effects is therefore retried at another cache.
 func TestRefusedConnectionAllowsARetry(t *testing.T) {
 	g := startGateway(t, answerHit)
 	g.edges[0].Close()
@@ -135,7 +138,7 @@
 	}
 }
 
-// A new cache at the address of one that was removed gets a connection of its own.
+// A new cache at the address of a removed cache gets its own connection.
 func TestNewCacheAtAnOldAddress(t *testing.T) {
 	g := startGateway(t, answerHit)
 	g.sendLookup("segment", "o")
@@ -163,6 +166,6 @@
 	mu.Lock()
 	defer mu.Unlock()
 	if len(conns) != 1 {
-		t.Errorf("%d connections", len(conns))
+		t.Errorf("%d connections to the new cache, expected 1", len(conns))
 	}
 }
--- a/internal/gateway/clients_test.go
+++ b/internal/gateway/clients_test.go
@@ -11,7 +11,8 @@
 	"foldslip/example/standin"
 )
 
-// Objects arrive complete and unchanged; requests come in pieces and on one connection.
+// Objects reach the client complete and unchanged when requests
+// arrive in pieces and several of them share one connection.
 func TestObjectsArriveCompleteAndUnchanged(t *testing.T) {
 	big := strings.Repeat("\r\n\x00 0a HIT - 3\r\n", 16000)[:240000]
 	g := startGateway(t, func(_ int, request standin.Request) { request.Hit(time.Now(), "filled", big) })
@@ -23,19 +24,19 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 		if response, body := c.response(t); response.StatusCode != 200 || body != big {
-			t.Fatalf("status %d, %d bytes", response.StatusCode, len(body))
+			t.Fatalf("status %d, %d bytes; expected 200 and the unchanged object", response.StatusCode, len(body))
 		}
 	}
 	io.WriteString(c, g.lookup("segment", "object", "Connection: close\r\n")+g.lookup("segment", "never"))
 	if response, _ := c.response(t); !response.Close {
-		t.Error("the response does not say that the connection ends")
+		t.Error("the response to a request with Connection: close does not announce the close")
 	}
 	if n, _ := io.Copy(io.Discard, c.in); n > 0 {
-		t.Errorf("%d bytes after the last response", n)
+		t.Errorf("%d bytes after the last response, expected none", n)
 	}
 }
 
-// A client whose copy is the current one gets 304.
+// A client that holds the current copy gets 304 with the ETag of that copy.
 func TestNotModified(t *testing.T) {
 	g := startGateway(t, func(_ int, request standin.Request) {
 		if request.Fields["seen"] != "v1" || request.Fields["c"] != "segment" || request.Fields["k"] != "o" || request.Fields["p"] != "3" {
@@ -47,21 +48,21 @@
 	response, body := g.sendLookup("segment", "o", "If-None-Match: \"v1\"\r\n")
 	g.expectStatus(304, response)
 	if body != "" || response.Header.Get("ETag") != `"v1"` {
-		t.Errorf("%q with tag %q", body, response.Header.Get("ETag"))
+		t.Errorf("body %q, ETag %q; expected no body and the ETag \"v1\"", body, response.Header.Get("ETag"))
 	}
 }
 
-// A rejected lookup says when to come back.
+// The response to a rejected lookup says after which time to retry.
 func TestRejectedWithRetryAfter(t *testing.T) {
 	g := startGateway(t, func(_ int, request standin.Request) { request.Respond("SHED", "-") })
 	response, _ := g.sendLookup("segment", "o")
 	g.expectStatus(503, response)
 	if response.Header.Get("X-Wait-Ms") != "2000" {
-		t.Errorf("X-Wait-Ms is %q", response.Header.Get("X-Wait-Ms"))
+		t.Errorf("X-Wait-Ms is %q, expected 2000", response.Header.Get("X-Wait-Ms"))
 	}
 }
 
-// A lookup with side effects that may have run fails, and is not sent again.
+// A lookup with side effects that may have run at a cache fails and is not sent again.
 func TestLookupThatMayHaveRunFails(t *testing.T) {
 	var mu sync.Mutex
 	attempts := 0
@@ -76,11 +77,11 @@
 	mu.Lock()
 	defer mu.Unlock()
 	if attempts != 1 {
-		t.Errorf("%d attempts", attempts)
+		t.Errorf("%d attempts, expected 1", attempts)
 	}
 }
 
-// A client that leaves gets nothing, its attempt is cancelled, and a late response is dropped by its id.
+// When a client closes its connection, its attempt is cancelled. A late response to that attempt is dropped by its id.
 func TestClientThatLeavesCancelsItsAttempt(t *testing.T) {
 	received := make(chan standin.Request, 9)
 	g := startGateway(t, func(_ int, request standin.Request) { received <- request })
@@ -93,25 +94,25 @@
 	case cancelled = <-g.edges[0].Cancelled:
 	case cancelled = <-g.edges[1].Cancelled:
 	case <-time.After(5 * time.Second):
-		t.Fatal("not cancelled")
+		t.Fatal("the attempt was not cancelled within 5 s")
 	}
 	if cancelled != request.ID {
-		t.Errorf("%q cancelled, expected %q", cancelled, request.ID)
+		t.Errorf("request %q was cancelled, expected %q", cancelled, request.ID)
 	}
-	request.Hit(time.Now(), "hit", "late") // dropped by its id: the connection stays
+	request.Hit(time.Now(), "hit", "late") // dropped by its id, and the connection stays open
 	c = g.dial()
 	io.WriteString(c, g.lookup("segment", "o"))
 	next := mustReceive(t, received)
 	next.Hit(time.Now(), "hit", "ok")
 	if next.Conn != request.Conn {
-		t.Error("the late response ended the connection")
+		t.Error("the late response closed the connection to the cache")
 	}
 	if _, body := c.response(t); body != "ok" {
-		t.Errorf("got %q", body)
+		t.Errorf("body %q, expected ok", body)
 	}
 }
 
-// Where caches are silent there is a response by the deadline.
+// A lookup is rejected by its deadline if the caches do not respond.
 func TestSilentCachesGiveAResponseByTheDeadline(t *testing.T) {
 	g := startGateway(t, func(int, standin.Request) {})
 	for allowedMS, limit := range map[int]time.Duration{400: 2 * time.Second, 3600000: 6 * time.Second} {
@@ -119,16 +120,16 @@
 		response, _ := g.sendLookup("segment", "o", fmt.Sprintf("X-Allow-Ms: %d\r\n", allowedMS))
 		g.expectStatus(503, response)
 		if time.Since(startedAt) > limit {
-			t.Errorf("after %v of %d ms", time.Since(startedAt), allowedMS)
+			t.Errorf("response after %v to a lookup that allows %d ms", time.Since(startedAt), allowedMS)
 		}
 	}
 }
 
-// At its bound on lookups the gateway rejects, and goes on when there is capacity.
+// At its limit of open lookups the gateway rejects further ones. It admits lookups again when there is capacity.
 func TestLookupsPastTheBoundAreRejected(t *testing.T) {
 	received := make(chan standin.Request, 9)
 	g := startGateway(t, func(_ int, request standin.Request) { received <- request },
-		map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 0.125, "sockets": 6}}) // one lookup
+		map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 0.125, "sockets": 6}}) // enough for one open lookup
 	first := g.dial()
 	io.WriteString(first, g.lookup("segment", "o"))
 	request := mustReceive(t, received)
@@ -140,12 +141,14 @@
 	}
 	request.Hit(time.Now(), "hit", "first")
 	if _, body := first.response(t); body != "first" {
-		t.Errorf("got %q", body)
+		t.Errorf("body %q, expected first", body)
 	}
 	io.WriteString(second, g.lookup("segment", "o"))
 	select {
 	case request = <-received:
-	case <-time.After(3 * time.Second): // it came before the first one's capacity was released, just after its response was written
+	case <-time.After(3 * time.Second):
+		// The lookup was rejected. It arrived before the capacity of the first lookup
+		// was released, which happens just after the response to that lookup is written.
 		response, _ := second.response(t)
 		g.expectStatus(503, response)
 		io.WriteString(second, g.lookup("segment", "o"))
@@ -153,31 +156,31 @@
 	}
 	request.Hit(time.Now(), "hit", "second")
 	if _, body := second.response(t); body != "second" {
-		t.Errorf("got %q", body)
+		t.Errorf("body %q, expected second", body)
 	}
 }
 
-// A connection past the bound is refused while all others have a lookup.
+// A connection above the limit is refused if all other connections have a lookup.
 func TestConnectionPastTheBoundIsRefused(t *testing.T) {
 	received := make(chan standin.Request, 9)
 	g := startGateway(t, func(_ int, request standin.Request) { received <- request }, map[string]any{"limits": map[string]any{"sockets": 2}})
-	g.waitLogged("reason=closed_by_client") // the ping's connection
+	g.waitLogged("reason=closed_by_client") // the connection of the ping
 	c := g.dial()
 	io.WriteString(c, g.lookup("segment", "o"))
 	request := mustReceive(t, received)
 	response, _ := g.sendLookup("segment", "o")
 	g.expectStatus(503, response)
 	if !response.Close {
-		t.Error("left open")
+		t.Error("the refused connection was left open")
 	}
 	request.Hit(time.Now(), "hit", "ok")
 	response, _ = c.response(t)
 	g.expectStatus(200, response)
 }
 
-// Silent connections by the hundreds are evicted before one that has had a lookup satisfied.
+// Many connections that send nothing are evicted before a connection that has had a lookup satisfied.
 func TestSilentConnectionsAreEvictedFirst(t *testing.T) {
-	g := startGateway(t, answerHit) // clients get half of its descriptors
+	g := startGateway(t, answerHit) // clients get half of the testDescriptors
 	first := g.dial()
 	lookup := func() {
 		t.Helper()
@@ -192,10 +195,10 @@
 	response, _ := g.sendLookup("segment", "o")
 	g.expectStatus(200, response)
 	lookup()
-	g.waitFor("60 of them closed", func() bool { return strings.Count(g.log.String(), "reason=displaced") > 60 })
+	g.waitFor("more than 60 evicted connections", func() bool { return strings.Count(g.log.String(), "reason=displaced") > 60 })
 }
 
-// A client that sends nothing, or half a request, is closed within 3 s of connecting.
+// A connection is closed within 3 s of connecting if its client sends nothing or half a request.
 func TestSilentClientIsClosed(t *testing.T) {
 	g := startGateway(t, answerHit)
 	startedAt := time.Now()
@@ -207,15 +210,15 @@
 	}
 	for _, c := range []*client{silent, half} {
 		if _, err := c.in.ReadByte(); err == nil {
-			t.Error("answered")
+			t.Error("got a response to an incomplete request")
 		}
 	}
 	if elapsed := time.Since(startedAt); elapsed > 3*time.Second || elapsed < 2*time.Second {
-		t.Errorf("closed after %v", elapsed)
+		t.Errorf("connections closed after %v, expected 2 s to 3 s", elapsed)
 	}
 }
 
-// Nothing behind a head with lengths in doubt is read as a lookup.
+// After a request whose head leaves its length in doubt, no further bytes of the connection are read as a lookup.
 func TestRequestSmugglingIsRefused(t *testing.T) {
 	received := make(chan standin.Request, 99)
 	g := startGateway(t, func(_ int, request standin.Request) { received <- request })
@@ -230,18 +233,18 @@
 		response, _ := c.response(t)
 		g.expectStatus(400, response)
 		if !response.Close {
-			t.Errorf("%q: left open", headers)
+			t.Errorf("%q: the connection was left open", headers)
 		}
 		if n, _ := io.Copy(io.Discard, c.in); n > 0 {
-			t.Errorf("%q: %d bytes after the response", headers, n)
+			t.Errorf("%q: %d bytes after the response, expected none", headers, n)
 		}
 	}
 	if len(received) > 0 {
-		t.Errorf("%d attempts", len(received))
+		t.Errorf("%d attempts reached the caches, expected none", len(received))
 	}
 }
 
-// What cannot be a lookup gets a response that says so.
+// A request that is not a valid lookup gets a response with the status of its fault.
 func TestUnusableRequests(t *testing.T) {
 	g := startGateway(t, answerHit)
 	good := g.lookup("segment", "o")
@@ -270,7 +273,7 @@
 		response, _ := c.response(t)
 		g.expectStatus(tc.status, response)
 		if tc.closes != response.Close {
-			t.Errorf("%.40q: connection ends: %v", tc.text, response.Close)
+			t.Errorf("%.40q: the response announces the close of the connection: %v", tc.text, response.Close)
 		}
 		c.Close()
 	}
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -12,7 +12,7 @@
 	"foldslip/internal/upstream"
 )
 
-// Variables of the environment that the configuration is read by.
+// Environment variables that name a configuration file or override a value in it.
 const (
 	envRouterConfig = "ROUTER_CONFIG"
 	envRouterName   = "ROUTER_NAME"
@@ -22,35 +22,37 @@
 
 const (
 	bytesPerMB = 1 << 20
-	// maxLookups bounds the open lookups, and lookupsPerMB bounds them on little memory: each takes some 20 KB with its connections, stacks
-	// and attempt, not counting the object's bytes.
+	// maxLookups limits the number of open lookups. lookupsPerMB lowers that limit in
+	// proportion to a small memory limit. An open lookup takes about 20 KB with its
+	// connections, goroutine stacks and attempt, not counting the object's bytes.
 	maxLookups   = 640
 	lookupsPerMB = 8
-	// bodyMemoryShare is the part of the memory limit that bodies and objects may take.
+	// bodyMemoryShare is the fraction of the memory limit that request bodies and objects may use.
 	bodyMemoryShare = 0.4
-	// runtimeMemoryShare is the part of the memory limit that the Go runtime may use.
+	// runtimeMemoryShare is the fraction of the memory limit that the Go runtime may use.
 	runtimeMemoryShare = 0.7
 )
 
-// platformConfig is the platform's configuration file.
+// platformConfig is the content of the platform's configuration file.
 type platformConfig struct {
 	Name          string          `json:"name"`
 	Listen        string          `json:"listen"`
-	Seed          string          `json:"seed"` // hex digits
+	Seed          string          `json:"seed"` // in hexadecimal
 	Limits        platformLimits  `json:"limits"`
 	DiscoveryAddr string          `json:"bulletin"`
-	KnownEvents   json.RawMessage `json:"known"`    // events of the discovery watch up to the start
-	Settings      json.RawMessage `json:"settings"` // see package settings
+	KnownEvents   json.RawMessage `json:"known"`    // discovery events up to the start
+	Settings      json.RawMessage `json:"settings"` // parsed by package settings
 }
 
-// platformLimits are what the process may use; 0: what there is.
+// platformLimits are the resource limits of the process. A value of 0 sets no limit.
 type platformLimits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// cores returns how many processors the runtime may use; 0: as many as there are.
+// cores returns the number of processors that the Go runtime may
+// use, rounded and at least 1. It returns 0 if no limit is set.
 func (c *platformConfig) cores() int {
 	if c.Limits.Cores <= 0 {
 		return 0
@@ -58,7 +60,7 @@
 	return max(1, int(c.Limits.Cores+0.5))
 }
 
-// runtimeMemory returns how many bytes the runtime may use; 0: no limit.
+// runtimeMemory returns the number of bytes that the Go runtime may use. It returns 0 if no limit is set.
 func (c *platformConfig) runtimeMemory() int64 {
 	if c.Limits.MemoryMB <= 0 {
 		return 0
@@ -66,7 +68,7 @@
 	return int64(c.Limits.MemoryMB * runtimeMemoryShare * bytesPerMB)
 }
 
-// maxLookups is how many lookups may be open at once.
+// maxLookups returns the maximum number of lookups that are open at once.
 func (c *platformConfig) maxLookups() int {
 	if c.Limits.MemoryMB <= 0 {
 		return maxLookups
@@ -74,7 +76,7 @@
 	return min(maxLookups, max(1, int(c.Limits.MemoryMB*lookupsPerMB)))
 }
 
-// maxBodyBytes is how many bytes of bodies and objects may be held at once.
+// maxBodyBytes returns the maximum number of bytes of request bodies and objects that are held at once.
 func (c *platformConfig) maxBodyBytes() int64 {
 	if c.Limits.MemoryMB <= 0 {
 		return maxLookups * upstream.MaxObjectBytes
@@ -82,7 +84,7 @@
 	return int64(c.Limits.MemoryMB * bodyMemoryShare * bytesPerMB)
 }
 
-// configuration is all that a gateway is configured by.
+// configuration is the complete configuration of a gateway, from its platform and its operators.
 type configuration struct {
 	platform  *platformConfig
 	settings  *settings.Settings
@@ -90,16 +92,17 @@
 	operators *config.Config
 }
 
-// ConfigError reports a platform's configuration that cannot be used.
+// ConfigError reports a platform configuration file that cannot be used.
 type ConfigError struct {
-	Path string // of the file
-	Text string // what is wrong
+	Path string // path of the file
+	Text string // description of the fault
 }
 
-// Error says which file it is and what is wrong.
+// Error returns the path of the file and the description of the fault.
 func (e *ConfigError) Error() string { return e.Path + ": " + e.Text }
 
-// loadConfiguration reads the configuration that the variables of the environment name.
+// loadConfiguration reads the platform's configuration file and, if one is named,
+// the operators' configuration file. Environment variables name both files.
 func loadConfiguration(environment env.Environment) (*configuration, error) {
 	operators := &config.Config{}
 	if path := environment.Getenv(envSettings); path != "" {
@@ -107,7 +110,7 @@
 		if operators, err = configfile.Read(path, environment.ReadFile); err != nil {
 			return nil, err
 		}
-		environment.ReleaseMemory() // the evaluator takes some 2 MB that nothing needs any more
+		environment.ReleaseMemory() // the Jsonnet evaluator used about 2 MB that are no longer needed
 	}
 	return readPlatformConfig(environment, platformFile{
 		path:   environment.Getenv(envRouterConfig),
@@ -116,10 +119,12 @@
 	}, operators)
 }
 
-// platformFile names the platform's configuration file, and what goes before what stands in it; "": nothing.
+// platformFile names the platform's configuration file. A name
+// or listen that is not empty overrides the value in the file.
 type platformFile struct{ path, name, listen string }
 
-// readPlatformConfig reads the platform's configuration file. The known events may be missing only where the operators have a list stored.
+// readPlatformConfig reads and checks the platform's configuration file. The known
+// events may be missing only if the operators configure a stored endpoint list.
 func readPlatformConfig(environment env.Environment, file platformFile, operators *config.Config) (*configuration, error) {
 	text, err := environment.ReadFile(file.path)
 	if err != nil {
--- a/internal/gateway/descriptors.go
+++ b/internal/gateway/descriptors.go
@@ -10,42 +10,47 @@
 )
 
 const (
-	// processDescriptors are what the process takes for itself: three standard streams, five of the runtime's (its poller, its wake, the
-	// control group's files), the listener, a connection that is being accepted or refused, the discovery watch, a file that is read.
+	// processDescriptors is the number of descriptors that every gateway process uses itself: three standard
+	// streams, five of the Go runtime (its poller, its wake-up event and the control group's files), the listener,
+	// one connection that is being accepted or refused, the discovery watch, and one file that is being read.
 	processDescriptors = 12
-	adminDescriptors   = 9  // of a socket for operators: its listener and its calls
-	storeDescriptors   = 4  // of a directory: its lock, a file that is written, one that is read, the directory
-	fleetDescriptors   = 40 // its two listeners, 32 accepted streams, streams it opens
+	adminDescriptors   = 9  // for each admin socket: its listener and eight connections
+	storeDescriptors   = 4  // for each directory: its lock, a file being written, a file being read, the directory itself
+	fleetDescriptors   = 40 // for the fleet: two listeners, 32 accepted streams, and the streams that it opens
 
 	maxClientConns          = 4096
 	maxCacheConns           = 16384
-	minCacheConns           = 4 // however few descriptors there are
-	clientDescriptorDivisor = 2 // clients have one over this of all descriptors; the platform's hold up to a third
-	extprocDivisor          = 8 // entry points for other proxies have one over this of all
+	minCacheConns           = 4 // even if the descriptor limit leaves fewer
+	clientDescriptorDivisor = 2 // clients get 1/2 of all descriptors; on the platform they hold up to a third
+	extprocDivisor          = 8 // entry points for other proxies get 1/8 of all descriptors
 	maxCountedDescriptors   = 1 << 20
 
 	maxEvictionsPerDial = 4
-	// shortageWindow is the time without a shortage after which the next one counts as new.
+	// shortageWindow is the time without a descriptor shortage after which the next shortage is logged as a new one.
 	shortageWindow = 5 * time.Second
 )
 
-// descriptorShares are the descriptors of each role. Together they are what the process may hold, where it may hold 64 or more.
+// descriptorShares is the number of descriptors for each role. The sum is within the limit of the process,
+// unless the limit is too low for the minimum of each role. With the platform's configuration alone a
+// limit of 64 is enough. Sockets, directories and a fleet that the operators configure raise that minimum.
 type descriptorShares struct{ Process, Extproc, Clients, Caches int }
 
-// descriptorDemand is what descriptors are shared out by.
+// descriptorDemand is the input of shareDescriptors.
 type descriptorDemand struct {
-	platformLimit int    // 0: none
-	systemLimit   uint64 // 0: not known
+	platformLimit int    // 0: no limit
+	systemLimit   uint64 // 0: unknown
 	operators     *config.Config
-	hasExtproc    bool // there are entry points for other proxies
+	hasExtproc    bool // the gateway has entry points for other proxies
 }
 
-// shareDescriptors divides what the process may hold; the lower limit counts. Clients have a half, at most maxClientConns, the process with
-// its watch, its operators and its fleet what they can take at most, connections to caches the rest.
+// shareDescriptors divides the descriptors that the process may hold among the roles. The lower of the two
+// limits applies. Clients get half of the descriptors, at most maxClientConns. The process gets the maximum
+// that it can use itself, which includes the discovery watch, the admin sockets and the fleet. Entry points
+// for other proxies get an eighth. Connections to caches get the rest, at least minCacheConns.
 func shareDescriptors(demand descriptorDemand) descriptorShares {
 	limit := uint64(max(demand.platformLimit, 0))
 	if demand.systemLimit > 0 && (limit == 0 || demand.systemLimit < limit) {
-		limit = demand.systemLimit // fewer than the platform says: clients must not take what the caches need
+		limit = demand.systemLimit // lower than the platform's limit: clients must not use the descriptors that caches need
 	}
 	shares := descriptorShares{Clients: int(min(max(1, limit/clientDescriptorDivisor), maxClientConns))}
 	if limit == 0 {
@@ -61,7 +66,8 @@
 	return shares
 }
 
-// processDemand is what the process can take at most for itself, as the operators have configured it.
+// processDemand returns the maximum number of descriptors that
+// the process can use itself with the operators' configuration.
 func processDemand(operators *config.Config) int {
 	demand := processDescriptors
 	if routing := operators.Routing; routing != nil {
@@ -84,17 +90,19 @@
 	return demand
 }
 
-// evictingEnv is an environment whose dials evict an idle connection when there is no descriptor left. The shares of the roles keep that
-// from happening, unless the process holds descriptors that it does not know of or its limit has been lowered since it started.
+// evictingEnv is an environment that evicts an idle connection when a dial finds no
+// free descriptor. The shares of the roles prevent that, unless the process holds
+// descriptors that it does not know of or its limit has been lowered since it started.
 type evictingEnv struct {
 	env.Environment
-	evictIdle func() bool // frees a descriptor; false: none can be freed
+	evictIdle func() bool // closes an idle connection to free its descriptor; false: there is none
 
 	mu           sync.Mutex
 	lastShortage time.Time
 }
 
-// Dial is the environment's, tried again as often as a descriptor could be freed, maxEvictionsPerDial times at most.
+// Dial dials through the underlying environment. If no descriptor is free, it
+// evicts an idle connection and dials again, at most maxEvictionsPerDial times.
 func (e *evictingEnv) Dial(lifetime *env.Lifetime, addr string, timeout time.Duration) (net.Conn, error) {
 	conn, err := e.Environment.Dial(lifetime, addr, timeout)
 	for n := 0; n < maxEvictionsPerDial && env.IsDescriptorExhausted(err); n++ {
@@ -107,7 +115,7 @@
 	return conn, err
 }
 
-// reportShortage logs that a shortage has begun.
+// reportShortage logs a descriptor shortage when it begins.
 func (e *evictingEnv) reportShortage() {
 	e.mu.Lock()
 	now := e.Now()
--- a/internal/gateway/descriptors_test.go
+++ b/internal/gateway/descriptors_test.go
@@ -29,7 +29,7 @@
 		hasExtproc bool
 		want       descriptorShares
 	}{
-		{1024, 1024, &config.Config{}, false, descriptorShares{12, 0, 512, 500}}, // the platform's scored days
+		{1024, 1024, &config.Config{}, false, descriptorShares{12, 0, 512, 500}}, // the limits on the platform
 		{4096, 1024, &config.Config{}, false, descriptorShares{12, 0, 512, 500}},
 		{1024, 100, &config.Config{}, false, descriptorShares{12, 0, 50, 38}},
 		{0, 1024, &config.Config{}, true, descriptorShares{12, 128, 512, 372}},
@@ -37,25 +37,26 @@
 		{20000, 20000, &config.Config{}, false, descriptorShares{12, 0, 4096, 15892}},
 		{0, 1 << 63, &config.Config{}, false, descriptorShares{12, 0, 4096, 16384}},
 		{0, 0, &config.Config{}, false, descriptorShares{0, 0, 1, 16384}},
-		{2, 100, &config.Config{}, false, descriptorShares{12, 0, 1, 4}}, // too few for all: the least that each must have
+		{2, 100, &config.Config{}, false, descriptorShares{12, 0, 1, 4}}, // too few for all roles: each gets its minimum
 	} {
 		got := shareDescriptors(descriptorDemand{c.platform, c.system, c.operators, c.hasExtproc})
 		if got != c.want {
 			t.Errorf("limits %d and %d: %+v, expected %+v", c.platform, c.system, got, c.want)
 		}
 		if n := got.Process + got.Extproc + got.Clients + got.Caches; c.platform >= 64 && n > c.platform {
-			t.Errorf("limit %d, %d shared out", c.platform, n)
+			t.Errorf("limit %d, but the shares add up to %d", c.platform, n)
 		}
 	}
 }
 
-// openDescriptors is how many descriptors the process holds.
+// openDescriptors returns the number of descriptors that the gateway's process holds.
 func (g *testGateway) openDescriptors() int {
 	g.t.Helper()
 	return len(must(os.ReadDir(fmt.Sprintf("/proc/%d/fd", g.cmd.Process.Pid))))
 }
 
-// lookupOnce sends a lookup on a connection that the client never closes; status 0: there was no response.
+// lookupOnce sends a lookup on a new connection, which the client leaves
+// open. If there is no response, status is 0 and body is the error.
 func (g *testGateway) lookupOnce(n int) (status int, body string) {
 	g.t.Helper()
 	conn, err := net.Dial("tcp", g.addr)
@@ -73,7 +74,8 @@
 	return response.StatusCode, string(text)
 }
 
-// lookupWithRetry is lookupOnce, sent once more if there was no response: a request that crosses the close of its idle connection may be.
+// lookupWithRetry is lookupOnce with one retry if there is no response. A request may get none
+// if it arrives while the gateway closes its idle connection, and then it may be retried.
 func (g *testGateway) lookupWithRetry(n int) (status int, body string) {
 	g.t.Helper()
 	if status, body = g.lookupOnce(n); status == 0 {
@@ -82,7 +84,7 @@
 	return status, body
 }
 
-// listMoreCaches starts caches and has discovery list them.
+// listMoreCaches starts n caches and makes discovery announce them.
 func (g *testGateway) listMoreCaches(n int) (added []standin.Endpoint) {
 	g.t.Helper()
 	for i := range n {
@@ -97,7 +99,7 @@
 	return added
 }
 
-// asDraining returns endpoints as they drain.
+// asDraining returns a copy of endpoints in the draining phase.
 func asDraining(endpoints []standin.Endpoint) []standin.Endpoint {
 	draining := slices.Clone(endpoints)
 	for i := range draining {
@@ -106,9 +108,11 @@
 	return draining
 }
 
-// Clients and connections to 24 caches fill the descriptors while discovery is down. It comes back, and all of them drain and a new one has
-// started: within 2 s the watch has a descriptor, the new cache a connection and a client its response from it. The second gateway is
-// started with 14 files open that it does not know of, so that its count of them is wrong.
+// Guards against a gateway that cannot reconnect to discovery because clients and connections to caches hold
+// all descriptors. While discovery is down, clients and connections to 24 caches use up the descriptors.
+// Discovery then returns and reports that all these caches drain and that a new one has started. Within 2 s the
+// watch must have a descriptor, the new cache a connection, and a client a response from the new cache. The
+// second gateway inherits 14 open files that it does not know of, so that its count of descriptors is wrong.
 func TestDiscoveryReturnsWhileDescriptorsAreExhausted(t *testing.T) {
 	const limit = 2 * time.Second
 	for name, inherited := range map[string]int{"counted": 0, "inherited": 14} {
@@ -134,7 +138,7 @@
 			if failed > 0 {
 				t.Errorf("%d of 120 lookups not answered with 200 while discovery was down", failed)
 			}
-			t.Logf("%d descriptors of 40 as discovery comes back", g.openDescriptors())
+			t.Logf("%d of 40 descriptors are in use when discovery returns", g.openDescriptors())
 			fresh := must(standin.NewCache("127.0.0.1:0", func(request standin.Request) { request.Hit(time.Now(), "hit", "fresh") }))
 			t.Cleanup(fresh.Close)
 			added := g.endpoints[0]
@@ -144,7 +148,7 @@
 			t.Cleanup(discovery.Close)
 			backAt := time.Now()
 			draining := asDraining(old)
-			discovery.Announce(standin.EndpointList(false, draining...)) // in place of the event that it holds already
+			discovery.Announce(standin.EndpointList(false, draining...)) // event 2, which the gateway already holds
 			discovery.Announce(standin.EndpointList(false, append(append(draining, asDraining(g.endpoints[:2])...), added)...))
 			for n := 200; ; n++ {
 				status, body := g.lookupWithRetry(n)
@@ -152,26 +156,26 @@
 					break
 				}
 				if time.Since(backAt) > limit {
-					t.Fatalf("2 s after discovery came back a client has %d %q", status, body)
+					t.Fatalf("2 s after discovery returned, a client got status %d, body %q", status, body)
 				}
 				time.Sleep(20 * time.Millisecond)
 			}
 			elapsed := time.Since(backAt)
-			t.Logf("%v after its return a client has the new cache's response", elapsed.Round(time.Millisecond))
+			t.Logf("%v after discovery returned, a client got the response of the new cache", elapsed.Round(time.Millisecond))
 			if elapsed > limit {
-				t.Errorf("after %v", elapsed)
+				t.Errorf("response of the new cache %v after discovery returned, expected within 2 s", elapsed)
 			}
 		})
 	}
 }
 
-// exhaustedEnv is an environment that has no descriptor for a dial until so many have been freed.
+// exhaustedEnv is an environment whose dials fail until the number of missing descriptors has been freed.
 type exhaustedEnv struct {
 	env.Environment
 	missing int
 }
 
-// Dial fails while descriptors are missing.
+// Dial fails with EMFILE while descriptors are missing.
 func (e *exhaustedEnv) Dial(*env.Lifetime, string, time.Duration) (net.Conn, error) {
 	if e.missing > 0 {
 		return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.EMFILE)}
@@ -181,7 +185,7 @@
 	return conn, nil
 }
 
-// A dial without a descriptor has idle connections evicted, four times at most, and logs that once.
+// A dial that finds no free descriptor evicts idle connections, at most four, and logs the shortage once.
 func TestDialWithoutDescriptors(t *testing.T) {
 	for _, c := range []struct{ missing, idle, evictions int }{{0, 9, 0}, {1, 9, 1}, {4, 9, 4}, {5, 9, 4}, {2, 1, 2}} {
 		var log bytes.Buffer
@@ -198,10 +202,10 @@
 		}}
 		conn, err := evicting.Dial(nil, "", 0)
 		if evictions != c.evictions || (err == nil) != (c.missing <= min(c.idle, maxEvictionsPerDial)) {
-			t.Errorf("%+v: %d evictions, %v", c, evictions, err)
+			t.Errorf("%+v: %d evictions, error %v", c, evictions, err)
 		}
 		if n := strings.Count(log.String(), "event=descriptors_short"); n != min(1, c.missing) {
-			t.Errorf("%+v: logged %d times", c, n)
+			t.Errorf("%+v: descriptors_short was logged %d times", c, n)
 		}
 		if err == nil {
 			conn.Close()
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -6,20 +6,23 @@
 )
 
 const (
-	// acceptTail is how long the gateway goes on accepting after the signal to terminate: at a planned restart connections keep coming for
-	// 0.4 s and requests on open ones for a further 0.2 s, and what comes in the 0.1 s after them gets a response all the same.
+	// acceptAfterSignal is how long the gateway goes on accepting connections after the signal
+	// to terminate. At a planned restart, new connections arrive for 0.4 s and requests on open
+	// connections for another 0.2 s. Requests of the following 0.1 s are answered as well.
 	acceptAfterSignal = 700 * time.Millisecond
-	// The platform kills the process once the longest deadline and killDelay have passed; a deadline over maxDeadline counts as that. What is
-	// still open killMargin before it is given up.
+	// The platform kills the process when the longest deadline and killDelay have passed since the signal. A deadline
+	// over maxDeadline counts as maxDeadline. Lookups that are still open killMargin before the kill are given up.
 	killDelay   = 700 * time.Millisecond
 	maxDeadline = 3 * time.Second
 	killMargin  = 250 * time.Millisecond
 )
 
-// errEndedEarly reports that a part of the gateway ended before the signal to terminate.
-var errEndedEarly = errors.New("a part of the gateway ended")
+// errEndedEarly reports that the gateway's lifetime ended before
+// the signal to terminate, because one of its components failed.
+var errEndedEarly = errors.New("a component of the gateway ended before the signal to terminate")
 
-// drainOnSignal waits for the signal to terminate, shuts down gracefully and ends the lifetime.
+// drainOnSignal waits for the signal to terminate, drains the gateway and
+// ends its lifetime. It returns errEndedEarly if the lifetime ends first.
 func (g *instance) drainOnSignal() error {
 	defer g.lifetime.End()
 	if !g.signals.waitTerminate(g.lifetime) {
@@ -28,8 +31,8 @@
 	return g.drain()
 }
 
-// drain shuts the gateway down gracefully. What is still open shortly before the platform kills the process is given up, so that it gets a
-// response.
+// drain shuts the gateway down gracefully. Lookups that are still open killMargin before the platform kills the process
+// are given up, so that each of them gets a response. Client connections that remain open after that are closed.
 func (g *instance) drain() error {
 	giveUpAt := g.env.Now().Add(g.longestDeadline() + killDelay - killMargin)
 	g.env.Log().Info("stopping")
@@ -59,7 +62,7 @@
 	return waiting.Wait()
 }
 
-// longestDeadline is the longest deadline that a lookup may have.
+// longestDeadline returns the longest deadline of all object kinds, at most maxDeadline.
 func (g *instance) longestDeadline() time.Duration {
 	longest := time.Duration(0)
 	for _, kind := range g.config.settings.Router.Kinds {
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -21,33 +21,35 @@
 	"foldslip/internal/fleet/view"
 )
 
-// fleetSizeInterval is how often the dispatcher learns the size of the fleet.
+// fleetSizeInterval is the interval at which the dispatcher is given the size of the fleet.
 const fleetSizeInterval = time.Second
 
-var errNoFleetName = errors.New("fleet: this gateway has no name; set ROUTER_NAME, unlike that of any other")
+var errNoFleetName = errors.New("fleet: this gateway has no name; set ROUTER_NAME to a name that no other gateway has")
 
-// KeyFileError reports a file that holds no key. It never holds the key itself.
+// KeyFileError reports a key file that is not as long as an AES key. It never contains the content of the file.
 type KeyFileError struct {
 	Path  string
-	Bytes int // in the file
+	Bytes int // length of the file
 }
 
-// Error says which file it is and what a key is.
+// Error returns the path, the length of the file and the valid lengths of a key.
 func (e *KeyFileError) Error() string {
-	return fmt.Sprintf("fleet.key_file: %s holds %d bytes; 16, 24 or 32 are a key", e.Path, e.Bytes)
+	return fmt.Sprintf("fleet.key_file: %s holds %d bytes, expected a key of 16, 24 or 32 bytes", e.Path, e.Bytes)
 }
 
-// fleetService is this gateway's part in its fleet: it owns the fleet's goroutines. It takes no lookups, and no decision waits for it.
+// fleetService runs the gateway's fleet membership and what it exchanges with other members. It
+// owns the goroutines of both. It serves no lookups, and no decision about a lookup waits for it.
 type fleetService struct {
 	fleet       *membership.Fleet
-	gossip      *gossip.Gossiper // nil: no limits to share
+	gossip      *gossip.Gossiper // nil: neither limits nor purges are shared by gossip
 	broadcaster *driver.Driver   // nil: purges are not broadcast
 	dispatcher  *dispatch.Dispatcher
 	stop        chan struct{} // closed by Drain
 	ended       chan struct{} // closed when Run returns
 }
 
-// joinFleet opens the gateway's part in its fleet; nil where the operators configure no fleet, as on the platform.
+// joinFleet returns the fleet service, which does not run yet. It
+// returns nil if the operators configure no fleet, as on the platform.
 func (g *instance) joinFleet() (*fleetService, error) {
 	fleetConfig := g.config.operators.Fleet
 	if fleetConfig == nil {
@@ -80,7 +82,8 @@
 	return service, nil
 }
 
-// membershipSettings are the operators' settings of the fleet as package membership has them.
+// membershipSettings returns the operators' fleet settings in the
+// form of package membership. It reads the key file if one is set.
 func (g *instance) membershipSettings(c *config.Fleet) (membership.Settings, error) {
 	memberSettings := membership.Settings{
 		Name:            g.config.platform.Name,
@@ -113,12 +116,13 @@
 	return memberSettings, nil
 }
 
-// membershipDependencies are the transport and the stored members of the fleet.
+// membershipDependencies returns the dependencies of package membership: those of the
+// environment, the transport and, if a folder is configured, the store of known members.
 func (g *instance) membershipDependencies(c *config.Fleet, memberSettings membership.Settings) (membership.Dependencies, error) {
 	dependencies := membership.FromEnvironment(g.env)
 	counts := &transport.Counts{}
 	dependencies.TransportCounts = counts
-	listen := netip.MustParseAddrPort(c.Listen) // validated with the configuration
+	listen := netip.MustParseAddrPort(c.Listen) // validated when the configuration was read
 	advertise := netip.MustParseAddrPort(c.Advertise)
 	dependencies.OpenTransport = func() (memberlist.Transport, error) {
 		return transport.Listen(listen, advertise, counts, g.env.Log())
@@ -141,8 +145,8 @@
 	return dependencies, nil
 }
 
-// openExchanges opens what gateways exchange over the fleet: shares of limits and purges by gossip, purges by broadcast. Messages come to
-// whichever they are of.
+// openExchanges creates the components that exchange data with other gateways: limits and purges by gossip, purges by
+// broadcast. It sets dependencies.OnMessage so that each received message reaches the component that it belongs to.
 func (g *instance) openExchanges(service *fleetService, c *config.Fleet, memberSettings membership.Settings, dependencies *membership.Dependencies) error {
 	var shared gossip.Admission
 	if g.routes != nil {
@@ -158,7 +162,7 @@
 		dependencies.OnMessage = service.gossip.HandleMessage
 	}
 	if c.BroadcastsPurges {
-		var incarnation [8]byte // not of the seed, which a configuration may give alike at each start and to each gateway
+		var incarnation [8]byte // not from the seed, which may be the same at each start and on each gateway
 		if _, err := crand.Read(incarnation[:]); err != nil {
 			return err
 		}
@@ -173,7 +177,8 @@
 	return nil
 }
 
-// dispatchMessages gives a member's messages to the broadcast they are of, or to others (nil: nobody).
+// dispatchMessages returns a message handler that passes messages of the broadcast
+// to broadcaster and all others to others. If others is nil, they are dropped.
 func dispatchMessages(broadcaster *driver.Driver, others func([]byte)) func([]byte) {
 	return func(message []byte) {
 		switch {
@@ -212,7 +217,8 @@
 	return err
 }
 
-// reportFleetSize tells the dispatcher how many gateways share the caches, until stop is closed.
+// reportFleetSize gives the dispatcher the number of gateways that
+// share the caches at each fleetSizeInterval, until stop is closed.
 func (s *fleetService) reportFleetSize(stop chan struct{}) {
 	ticker := time.NewTicker(fleetSizeInterval)
 	defer ticker.Stop()
@@ -226,10 +232,11 @@
 	}
 }
 
-// PrepareReload changes nothing: the seeds' file is read again by itself, the rest takes effect at the next start.
+// PrepareReload returns a function that changes nothing. The fleet rereads
+// its seed file on its own. All other settings take effect at the next start.
 func (s *fleetService) PrepareReload(*config.Config) (func(), error) { return func() {}, nil }
 
-// Drain leaves the fleet.
+// Drain starts to leave the fleet. It does not wait.
 func (s *fleetService) Drain() { close(s.stop) }
 
 // Wait waits until the gateway has left the fleet.
--- a/internal/gateway/fleet_test.go
+++ b/internal/gateway/fleet_test.go
@@ -21,13 +21,14 @@
 	"foldslip/internal/fleet/transport"
 )
 
-// runFleetCommand runs a sub-command of foldslip fleet against a socket and returns what it prints.
+// runFleetCommand runs a subcommand of foldslip fleet with an admin socket and returns its output.
 func runFleetCommand(socket string, args ...string) string {
 	out, _ := exec.Command(program, append([]string{"fleet", args[0], "--socket", socket}, args[1:]...)...).CombinedOutput()
 	return string(out)
 }
 
-// Operators ask a gateway of a fleet at its socket; one that knows no fleet says so.
+// The commands of foldslip fleet report the fleet as the gateway at an
+// admin socket sees it. Without a gateway at the socket they say so.
 func TestAdminSocketReportsTheFleet(t *testing.T) {
 	dir := t.TempDir()
 	socket := filepath.Join(dir, "s")
@@ -43,18 +44,18 @@
 		{"explain n8", `no gateway "n8" is known here`},
 	} {
 		if got := runFleetCommand(socket, strings.Fields(c.args)...); !strings.Contains(got, c.want) {
-			t.Errorf("fleet %s: %s", c.args, got)
+			t.Errorf("fleet %s: unexpected output %s", c.args, got)
 		}
 	}
 	if !strings.Contains(g.log.String(), "event=fleet_started name=n7") {
-		t.Error("its start is not in the log")
+		t.Error("the log has no fleet_started event of n7")
 	}
 	if got := runFleetCommand(filepath.Join(dir, "none"), "view"); !strings.Contains(got, "see whether the gateway runs") {
 		t.Error(got)
 	}
 }
 
-// fleetPeer is a member of the fleet that counts the messages that gateways send it, by their first byte.
+// fleetPeer is a fleet member that counts the messages from gateways by their first byte.
 type fleetPeer struct {
 	fleet *membership.Fleet
 	mu    sync.Mutex
@@ -69,14 +70,14 @@
 	}
 }
 
-// messageCount returns how many messages of a kind have come.
+// messageCount returns the number of received messages of a kind.
 func (p *fleetPeer) messageCount(kind byte) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.count[kind]
 }
 
-// joinFleetAs runs a member in this process beside the gateway that listens at a seed, until the test ends.
+// joinFleetAs runs a fleet member in this process until the test ends. It joins the gateway that listens at the seed.
 func joinFleetAs(t *testing.T, name, seed string) *fleetPeer {
 	t.Helper()
 	p := &fleetPeer{count: map[byte]int{}}
@@ -120,7 +121,7 @@
 	return p
 }
 
-// startInFleet starts a gateway, n7, in a fleet with further settings, and a peer, n8, and waits until both see each other.
+// startInFleet starts gateway n7 with additional fleet settings and peer n8. It returns when both see each other.
 func startInFleet(t *testing.T, socket, moreSettings string) (*testGateway, *fleetPeer) {
 	t.Helper()
 	addr := freeFleetAddr()
@@ -129,30 +130,31 @@
 	t.Setenv("ROUTER_NAME", "n7")
 	g := startGateway(t, nil)
 	peer := joinFleetAs(t, "n8", addr)
-	waitForFleet(t, "both see each other", func() bool {
+	waitForFleet(t, "both members see each other", func() bool {
 		return peer.fleet.State().Live == 2 && strings.Contains(g.log.String(), "event=fleet_member name=n8 state=alive")
 	})
 	return g, peer
 }
 
-// waitForFleet waits for a condition, as long as a fleet may take.
+// waitForFleet waits for a condition, for as long as the fleet may take to meet it.
 func waitForFleet(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not within 20 s: %s", what)
+			t.Fatalf("timed out after 20 s waiting for: %s", what)
 		}
 	}
 }
 
-// announcePurges has discovery send ten purges.
+// announcePurges makes discovery send ten purges.
 func (g *testGateway) announcePurges() {
 	for i := range 10 {
 		g.discovery.Announce(fmt.Sprintf(`{"recall":{"item":"%016x","issued":%d}}`, i+1, time.Now().UnixMilli()))
 	}
 }
 
-// Where fleet.broadcast is not set nothing of the broadcast runs: no datagram of its kind goes out, and operators learn that it is off.
+// If fleet.broadcast is not set, the broadcast does not run. No
+// datagrams of its kind are sent, and operators are told that it is off.
 func TestNoBroadcastUnlessConfigured(t *testing.T) {
 	for name, moreSettings := range map[string]string{
 		"unset":                 "",
@@ -165,7 +167,7 @@
 			g.announcePurges()
 			time.Sleep(3 * time.Second)
 			if n := peer.messageCount(broadcast.Kind); n > 0 {
-				t.Errorf("%d datagrams of the broadcast", n)
+				t.Errorf("%d datagrams of the broadcast, expected none", n)
 			}
 			if got := runFleetCommand(socket, "broadcast"); !strings.Contains(got, "this gateway spreads no purges by broadcast") || !strings.Contains(got, "set fleet.broadcast") {
 				t.Error(got)
@@ -174,29 +176,30 @@
 	}
 }
 
-// Where fleet.broadcast is set purges of the discovery watch go to other gateways, and operators see what was applied.
+// If fleet.broadcast is set, purges of the discovery watch are sent
+// to other gateways, and operators see which purges were applied.
 func TestBroadcastWhereConfigured(t *testing.T) {
 	socket := filepath.Join(t.TempDir(), "s")
 	g, peer := startInFleet(t, socket, ", broadcast: true, region: 'r', zone: 'z', site: 's'")
 	g.announcePurges()
-	waitForFleet(t, "the peer gets purges", func() bool { return peer.messageCount(broadcast.Kind) > 0 })
+	waitForFleet(t, "the peer receives purges", func() bool { return peer.messageCount(broadcast.Kind) > 0 })
 	var report driver.Report
-	waitForFleet(t, "all ten are applied", func() bool {
+	waitForFleet(t, "all ten purges are applied", func() bool {
 		return json.Unmarshal([]byte(runFleetCommand(socket, "broadcast", "--json")), &report) == nil && report.Applied == 10
 	})
 	latest := report.Latest
 	if len(latest) != 10 || latest[9].Number != 10 || latest[9].Object != "000000000000000a" || latest[9].FromPeer || latest[9].AtUptimeMS > report.UptimeMS {
-		t.Errorf("%+v", latest)
+		t.Errorf("unexpected latest purges: %+v", latest)
 	}
 	if err := json.Unmarshal([]byte(runFleetCommand(socket, "broadcast", "--json", "--after", "9")), &report); err != nil || len(report.Latest) != 1 {
-		t.Errorf("after 9: %+v %v", report.Latest, err)
+		t.Errorf("report after purge 9: %+v, error %v", report.Latest, err)
 	}
 	for _, want := range []string{`n7 in region "r", zone "z", site "s"`, "of 2 live", "whole: nothing", "0 unreadable", "purges that counted here 10"} {
 		if got := runFleetCommand(socket, "broadcast"); !strings.Contains(got, want) {
-			t.Errorf("%q is not in %s", want, got)
+			t.Errorf("%q is not in the output %s", want, got)
 		}
 	}
 	if strings.Contains(g.log.String(), "event=fleet_broadcast") {
-		t.Error("a line of the log that is no change of mode")
+		t.Error("fleet_broadcast was logged without a change of mode")
 	}
 }
--- a/internal/gateway/fleetpurges.go
+++ b/internal/gateway/fleetpurges.go
@@ -12,15 +12,16 @@
 	"foldslip/internal/purgelog"
 )
 
-// fleetPurges passes purges between the fleet and the gateway: those that other gateways heard first take effect here, those of the
-// gateway's own watch are announced to others.
+// fleetPurges exchanges purges between the gateway and its fleet. Purges that other gateways received
+// first are applied here. Purges of the gateway's own discovery watch are announced to the other gateways.
 type fleetPurges struct {
 	log        *purgelog.Log
 	dispatcher *dispatch.Dispatcher
 	watch      *discovery.Watch
 }
 
-// apply has purges of other gateways take effect as those of the gateway's own watch do.
+// apply records purges of other gateways and applies them in the
+// dispatcher, as the discovery watch does with its own purges.
 func (f *fleetPurges) apply(purges []dispatch.Purge) {
 	for _, p := range purges {
 		f.log.Record(p.Object, p.Group, p.IssuedAt)
@@ -28,7 +29,7 @@
 	f.dispatcher.Tick(nil, false, purges)
 }
 
-// onGossip applies purges that came by gossip.
+// onGossip applies purges that were received by gossip.
 func (f *fleetPurges) onGossip(received []purgesync.Purge) {
 	var purges []dispatch.Purge
 	for _, p := range received {
@@ -37,7 +38,7 @@
 	f.apply(purges)
 }
 
-// onBroadcast applies purges that came by broadcast.
+// onBroadcast applies purges that were received by broadcast.
 func (f *fleetPurges) onBroadcast(received []broadcast.Purge) {
 	purges := make([]dispatch.Purge, 0, len(received))
 	for _, p := range received {
@@ -46,7 +47,8 @@
 	f.apply(purges)
 }
 
-// announceByGossip gives the purges of the gateway's watch to gossip, from the last event held on.
+// announceByGossip makes the discovery watch pass the purges of each event to the gossiper.
+// It also gives the gossiper the number of the last event held, with which its digests begin.
 func (f *fleetPurges) announceByGossip(gossiper *gossip.Gossiper) {
 	f.watch.OnEvent = func(number int64, purges []dispatch.Purge) {
 		var announced []purgesync.Purge
@@ -58,7 +60,7 @@
 	gossiper.RecordPurges(f.watch.LastEvent, nil)
 }
 
-// announceByBroadcast gives the purges of the gateway's watch to the broadcast.
+// announceByBroadcast makes the discovery watch pass the purges of each event to the broadcaster.
 func (f *fleetPurges) announceByBroadcast(broadcaster *driver.Driver) {
 	f.watch.OnEvent = func(_ int64, purges []dispatch.Purge) {
 		announced := make([]broadcast.Purge, 0, len(purges))
--- a/internal/gateway/frozen_test.go
+++ b/internal/gateway/frozen_test.go
@@ -12,8 +12,8 @@
 	"foldslip/internal/lab/frozen"
 )
 
-// The files under testdata/frozen were written by the build at 58d6067: the platform's configuration as the gateway reads it, and what
-// is wrong with one that cannot be used.
+// The files under testdata/frozen were written by the build at 58d6067. They hold platform
+// configurations, and for each of them what the gateway reads from it or the error if it cannot be used.
 
 func TestFrozenConfiguration(t *testing.T) {
 	system := env.NewSystem(io.Discard, 0)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,7 +1,9 @@
-// Package gateway puts the gateway together and runs it: it reads the configuration, opens the parts in their order, starts them, reloads
-// the configuration at SIGHUP and shuts down gracefully at SIGTERM. It makes no decision about lookups.
+// Package gateway assembles and runs the gateway. It reads the configuration, opens the components in order, starts
+// them, reloads the configuration at SIGHUP and shuts down gracefully at SIGTERM. It makes no decision about lookups.
 //
-// Run owns all parts. Each runs in a goroutine of one group; when one of them fails, the lifetime that they share ends.
+// Run owns all components. They run in goroutines of one group and share one lifetime. The lifetime
+// ends when a component fails or when the gateway has drained. The package sets the bounds of the
+// process: the open lookups, the bytes of request bodies and objects, and the descriptors of each role.
 package gateway
 
 import (
@@ -26,13 +28,14 @@
 )
 
 const (
-	// purgeRetentionSlack is how long purges are recorded past the time in which older copies may lie about.
+	// purgeRetentionSlack is how long purges stay recorded after
+	// the settle time, when no cache holds an older copy any more.
 	purgeRetentionSlack = 5 * time.Second
-	// jitterStream tells the random numbers of the watch's retry delays from others of the same seed.
+	// jitterStream separates the random retry delays of the discovery watch from other random numbers of the same seed.
 	jitterStream = 0x62756c6c6574696e
 )
 
-// Hooks are for programs that embed a gateway; all may be nil.
+// Hooks extend a gateway for the program that embeds it. All of them may be nil.
 type Hooks struct {
 	OnStarted   func(*Gateway)
 	Interceptor dispatch.Interceptor
@@ -40,9 +43,9 @@
 	NewServices func(Dependencies) ([]Service, error)
 }
 
-// Dependencies are what a service of Hooks.NewServices works with.
+// Dependencies are the components and settings that a service of Hooks.NewServices works with.
 type Dependencies struct {
-	Name        string // of the gateway
+	Name        string // name of the gateway
 	Environment env.Environment
 	Settings    *settings.Settings
 	Dispatcher  *dispatch.Dispatcher
@@ -50,22 +53,23 @@
 	Purges      *purgelog.Log
 	Admission   *admission.Controller
 	Config      *config.Config
-	Routes      *rollout.Controller // nil: a lookup may go anywhere
+	Routes      *rollout.Controller // nil: there are no routes, and a lookup may go to any cache
 }
 
-// Service is a part of the gateway beside the HTTP server: an entry point for other proxies, the operators' socket, the fleet.
+// Service is a component that runs beside the HTTP server: an
+// entry point for other proxies, an admin socket or the fleet.
 type Service interface {
 	// Run serves until the lifetime ends.
 	Run(lifetime *env.Lifetime) error
-	// PrepareReload checks another configuration; apply puts it in place. It changes nothing by itself.
+	// PrepareReload checks a new configuration without changing anything. apply puts the configuration into effect.
 	PrepareReload(operators *config.Config) (apply func(), err error)
-	// Drain accepts nothing new; what is open goes on. It does not wait.
+	// Drain stops accepting new work. Work in progress continues. Drain does not wait.
 	Drain()
-	// Wait waits for what is open to end.
+	// Wait waits for the work in progress to end.
 	Wait()
 }
 
-// Gateway is a running gateway, to look at.
+// Gateway is a handle to a running gateway, for inspection.
 type Gateway struct {
 	dispatcher *dispatch.Dispatcher
 	pool       *upstream.Pool
@@ -73,20 +77,21 @@
 	routes     *rollout.Controller
 }
 
-// Routes returns the routes' controller; nil: there are no routes.
+// Routes returns the controller of the routes, or nil if there are no routes.
 func (g *Gateway) Routes() *rollout.Controller { return g.routes }
 
-// Load is what a gateway holds at one instant.
+// Load is the number of lookups, attempts and connections that a gateway holds.
 type Load struct {
-	Lookups        int // without a final response or with open attempts
-	OpenAttempts   int // as the policy counts them
-	QueuedAttempts int // of these, not started yet
-	ConnAttempts   int // open ones, as the connections to caches count them
+	Lookups        int // lookups without a result or with open attempts
+	OpenAttempts   int // open attempts as counted by the policy
+	QueuedAttempts int // open attempts that have not been started
+	ConnAttempts   int // open attempts as counted by the connections to caches
 	CacheConns     int
 	ClientConns    int
 }
 
-// Load returns what the gateway holds. It is of one instant only if nothing goes on meanwhile.
+// Load returns the present load. The counts are taken one after another,
+// so they belong to one instant only if nothing changes meanwhile.
 func (g *Gateway) Load() (l Load) {
 	l.Lookups = g.dispatcher.OpenLookups()
 	l.OpenAttempts, l.QueuedAttempts = g.dispatcher.InFlight()
@@ -95,7 +100,8 @@
 	return l
 }
 
-// instance is a gateway while it is put together and run. Its parts are in the order in which they are opened.
+// instance is a gateway that is being assembled or is running.
+// Its components are in the order in which they are opened.
 type instance struct {
 	env      env.Environment
 	hooks    Hooks
@@ -106,23 +112,23 @@
 	registry    *cacheregistry.Registry
 	purges      *purgelog.Log
 	dispatcher  *dispatch.Dispatcher
-	dialEnv     *evictingEnv // the environment of parts that dial
+	dialEnv     *evictingEnv // environment of the components that dial
 	watch       *discovery.Watch
-	routes      *rollout.Controller   // nil: none
-	snapshotter *snapshot.Snapshotter // nil: no list is stored
-	reconciler  *warmstart.Reconciler // nil: no list is stored
-	hasList     bool                  // an endpoint list was there at the start
+	routes      *rollout.Controller   // nil: there are no routes
+	snapshotter *snapshot.Snapshotter // nil: the endpoint list is not stored
+	reconciler  *warmstart.Reconciler // nil: the endpoint list is not stored
+	hasList     bool                  // an endpoint list was available at the start
 
 	listener    net.Listener
 	descriptors descriptorShares
 	pool        *upstream.Pool
 	admission   *admission.Controller
 	server      *frontend.Server
-	fleet       *fleetService // nil: none
+	fleet       *fleetService // nil: no fleet is configured
 	services    []Service
 }
 
-// Run runs a gateway until the signal to terminate; every lookup accepted by then gets its response.
+// Run runs a gateway until the signal to terminate and then drains it. Every lookup that was accepted gets a response.
 func Run(environment env.Environment, hooks Hooks) error {
 	signals := newPendingSignals(environment)
 	defer environment.OnSignal(signals.handle)()
@@ -141,7 +147,7 @@
 	return g.run()
 }
 
-// openCore opens the dispatcher and what stands around it.
+// openCore creates the registry of caches, the log of purges, the dispatcher and the discovery watch.
 func (g *instance) openCore() error {
 	parsed := g.config.settings
 	g.registry = &cacheregistry.Registry{}
@@ -163,7 +169,7 @@
 	return nil
 }
 
-// openRoutes puts the operators' routes in force, if there are any.
+// openRoutes puts the operators' routes into effect, if any are configured.
 func (g *instance) openRoutes() error {
 	routing := g.config.operators.Routing
 	if routing == nil {
@@ -187,8 +193,8 @@
 	return nil
 }
 
-// openEndpoints loads the endpoint list: from the configuration, else from the stored list. Without either the gateway starts all the same,
-// and is ready once discovery has sent a list.
+// openEndpoints loads the endpoint list from the platform's configuration or, if that has none, from
+// disk. Without either the gateway starts all the same and becomes ready when discovery has sent a list.
 func (g *instance) openEndpoints() error {
 	g.snapshotter = g.openSnapshotter()
 	if g.snapshotter != nil {
@@ -204,14 +210,15 @@
 	if !g.hasList && g.reconciler != nil {
 		g.hasList = g.reconciler.Start(g.purges) > 0
 		random := rand.New(rand.NewPCG(g.config.seed, jitterStream))
-		g.watch.Jitter = func(limit time.Duration) time.Duration { // full jitter: all gateways may be waiting for the same discovery
+		g.watch.Jitter = func(limit time.Duration) time.Duration { // full jitter: all gateways may retry at the same discovery
 			return time.Duration(random.Int64N(int64(limit) + 1))
 		}
 	}
 	return nil
 }
 
-// openSnapshotter opens the stored list; nil if there is none. If it cannot be used, that is logged and the gateway serves without it.
+// openSnapshotter opens the stored endpoint list. It returns nil if none is configured. If the list
+// cannot be opened, it logs the error and returns nil, and the gateway serves without a stored list.
 func (g *instance) openSnapshotter() *snapshot.Snapshotter {
 	store := g.config.operators.List
 	if store == nil {
@@ -228,7 +235,8 @@
 	return snapshotter
 }
 
-// openServer listens for clients, and opens the pool of connections to caches and the HTTP server.
+// openServer listens for clients and creates the pool of connections
+// to caches, the admission controller and the HTTP server.
 func (g *instance) openServer() error {
 	platform := g.config.platform
 	var err error
@@ -260,11 +268,12 @@
 		Routes:      g.routes,
 		MaxConns:    g.descriptors.Clients,
 	})
-	g.dialEnv.evictIdle = func() bool { return g.server.EvictIdle() || g.pool.EvictIdle() } // idle clients go first
+	g.dialEnv.evictIdle = func() bool { return g.server.EvictIdle() || g.pool.EvictIdle() } // idle clients are evicted first
 	return nil
 }
 
-// openServices opens what there is beside the HTTP server.
+// openServices opens the services that run beside the HTTP server:
+// those of Hooks.NewServices, the fleet and the admin sockets.
 func (g *instance) openServices() error {
 	if g.hooks.NewServices != nil {
 		services, err := g.hooks.NewServices(Dependencies{
@@ -299,7 +308,7 @@
 	return nil
 }
 
-// run starts all parts and waits for them to end.
+// run starts all components and waits for them to end.
 func (g *instance) run() error {
 	platform := g.config.platform
 	g.env.Log().Info("started", "name", platform.Name, "listen", platform.Listen, "discovery", platform.DiscoveryAddr, "last", g.watch.LastEvent,
@@ -340,7 +349,8 @@
 	return err
 }
 
-// setReady answers pings with 200 once there is an endpoint list; until then each lookup is rejected.
+// setReady makes the server answer pings with 200 as soon as
+// there is an endpoint list. Until then each lookup is rejected.
 func (g *instance) setReady() {
 	if g.hasList {
 		g.server.SetReady()
@@ -350,7 +360,7 @@
 	g.watch.OnFirstList = g.server.SetReady
 }
 
-// runTimers gives the dispatcher its timers until the lifetime ends.
+// runTimers calls the dispatcher's Tick whenever a timer is due, until the lifetime ends.
 func (g *instance) runTimers() error {
 	end := g.env.NewNotifier()
 	defer g.lifetime.OnEnd(end.Notify)()
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -27,15 +27,16 @@
 	clientTimeout   = 10 * time.Second
 	testDescriptors = 100
 	exampleConfig   = "../../example/config.json"
-	// The example's addresses have this port; members of a fleet have another.
+	// Ports of the addresses that freeAddr and freeFleetAddr return.
 	httpPort  = ":10080"
 	fleetPort = ":7946"
 )
 
-// program is the built gateway.
+// program is the path of the gateway's executable.
 var program string
 
-// The tests start the built program and speak to it over sockets; all others are stand-ins.
+// TestMain builds the program. The tests start it and connect to it
+// over sockets. All other processes of the system are stand-ins.
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "foldslip")
 	if err == nil {
@@ -54,7 +55,8 @@
 	os.Exit(code)
 }
 
-// testGateway is a running gateway among stand-ins: two edges, a parent and the origin, which nothing reaches directly.
+// testGateway is a running gateway with stand-ins for discovery and for its caches: two edges,
+// a parent and the origin. The parent and the origin reset the connection of each request.
 type testGateway struct {
 	t          *testing.T
 	edges      []*standin.Cache
@@ -68,7 +70,7 @@
 	lastID     int
 }
 
-// syncBuffer is a buffer that a process writes while the test reads it.
+// syncBuffer is a buffer that a process writes to while the test reads it.
 type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -81,7 +83,7 @@
 	return s.b.Write(p)
 }
 
-// String returns what has been written.
+// String returns everything that has been written.
 func (s *syncBuffer) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +97,8 @@
 	return v
 }
 
-// readSources reads the sources of the program once, so that a cached result of a test does not outlive the program it was measured with.
+// readSources reads the program's source files once. The go command then reruns
+// the tests when the program has changed, instead of reusing cached results.
 var readSources = sync.OnceFunc(func() {
 	for _, files := range []string{"../*/*.go", "../../cmd/*/*.go"} {
 		for _, path := range must(filepath.Glob(files)) {
@@ -104,13 +107,14 @@
 	}
 })
 
-// startGateway starts a gateway; handle answers for both edges, changes are laid over the configuration.
+// startGateway starts a gateway. handle serves the requests of
+// both edges. changes replace top-level keys of the configuration.
 func startGateway(t *testing.T, handle func(edge int, request standin.Request), changes ...map[string]any) *testGateway {
 	t.Helper()
 	return startGatewayWith(t, testDescriptors, nil, handle, changes...)
 }
 
-// startGatewayWith starts a gateway whose process may hold so many descriptors; files are open in it from its start on.
+// startGatewayWith starts a gateway whose process may hold the given number of descriptors and inherits the open files.
 func startGatewayWith(t *testing.T, descriptors int, files []*os.File, handle func(edge int, request standin.Request), changes ...map[string]any) *testGateway {
 	t.Helper()
 	readSources()
@@ -131,11 +135,11 @@
 	g.addr = freeAddr()
 	g.configPath = g.writeConfig(changes...)
 	g.start(descriptors, files)
-	g.waitFor("ping answered with 200", func() bool { return isReady(g.addr) })
+	g.waitFor("ping with status 200", func() bool { return isReady(g.addr) })
 	return g
 }
 
-// start starts the program, which is killed at the end of the test; its log must not hold a fault.
+// start starts the program and kills it when the test ends. The test fails if the log holds a fault.
 func (g *testGateway) start(descriptors int, files []*os.File) {
 	g.t.Helper()
 	g.cmd = exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d; exec %s", descriptors, program))
@@ -151,7 +155,7 @@
 		g.cmd.Process.Kill()
 		for _, fault := range []string{"DATA RACE", "event=policy_fault", "panic:"} {
 			if strings.Contains(g.log.String(), fault) {
-				g.t.Errorf("%s in the log", fault)
+				g.t.Errorf("the log holds %s", fault)
 			}
 		}
 		if g.t.Failed() {
@@ -175,8 +179,8 @@
 
 var addrCount atomic.Uint32
 
-// freeAddr returns an address that nothing else takes meanwhile: a loopback address of its own, with a port below those that connections
-// are given at random.
+// freeAddr returns an address that nothing else uses during the test. It is a separate
+// loopback address, with a port below the range from which connections get random ports.
 func freeAddr() string {
 	for {
 		n, pid := addrCount.Add(1), os.Getpid()
@@ -188,7 +192,7 @@
 	}
 }
 
-// freeFleetAddr returns an address for a member of a fleet.
+// freeFleetAddr returns an unused address for a fleet member.
 func freeFleetAddr() string { return strings.Replace(freeAddr(), httpPort, fleetPort, 1) }
 
 // readExample returns the example's configuration.
@@ -199,12 +203,13 @@
 	return example
 }
 
-// knownEvents is the configuration's form of a complete endpoint list.
+// knownEvents returns a complete endpoint list as the known events of a configuration.
 func knownEvents(endpoints []standin.Endpoint) map[string]any {
 	return map[string]any{"no": 1, "items": []any{json.RawMessage(`{"no":1,` + standin.EndpointList(true, endpoints...)[1:])}}
 }
 
-// writeConfig writes the example's configuration with the test's stand-ins, and changes to its top level.
+// writeConfig writes the example's configuration with the addresses of the test's
+// stand-ins and with changes to top-level keys. It returns the path of the file.
 func (g *testGateway) writeConfig(changes ...map[string]any) string {
 	g.t.Helper()
 	config := readExample()
@@ -221,7 +226,7 @@
 	return path
 }
 
-// writeOperatorConfig writes the operators' configuration and has gateways of the test read it.
+// writeOperatorConfig writes the operators' configuration and makes the gateways of the test read it.
 func writeOperatorConfig(t testing.TB, text string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "operators.jsonnet")
@@ -231,46 +236,46 @@
 	t.Setenv("FOLDSLIP_SETTINGS", path)
 }
 
-// settingsWithPurgeGrace is the example's settings with another purge grace, in microseconds.
+// settingsWithPurgeGrace returns the example's settings with another purge grace period, in microseconds.
 func settingsWithPurgeGrace(grace int) map[string]any {
 	example := map[string]any{"settings": readExample()["settings"]}
 	example["settings"].(map[string]any)["specifics"].(map[string]any)["obey_after"] = grace
 	return example
 }
 
-// waitFor waits until a condition holds.
+// waitFor waits until a condition holds. It fails the test after waitTimeout.
 func (g *testGateway) waitFor(what string, condition func() bool) {
 	g.t.Helper()
 	for end := time.Now().Add(waitTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			g.t.Fatalf("no %s\n%s", what, g.log.String())
+			g.t.Fatalf("timed out waiting for %s\n%s", what, g.log.String())
 		}
 	}
 }
 
-// waitLogged waits until the log holds a text.
+// waitLogged waits until the log contains a text.
 func (g *testGateway) waitLogged(text string) {
 	g.t.Helper()
 	g.waitFor(text+" in the log", func() bool { return strings.Contains(g.log.String(), text) })
 }
 
-// signal sends the gateway a signal.
+// signal sends a signal to the gateway.
 func (g *testGateway) signal(signal syscall.Signal) { g.cmd.Process.Signal(signal) }
 
-// expectEnd waits for the process to end well.
+// expectEnd waits for the process to exit without an error.
 func (g *testGateway) expectEnd(timeout time.Duration) {
 	g.t.Helper()
 	select {
 	case err := <-g.ended:
 		if err != nil {
-			g.t.Errorf("ended with %v", err)
+			g.t.Errorf("the gateway exited with %v", err)
 		}
 	case <-time.After(timeout):
-		g.t.Error("still running")
+		g.t.Error("the gateway is still running")
 	}
 }
 
-// client is a client's connection.
+// client is a client's connection to the gateway.
 type client struct {
 	net.Conn
 	in *bufio.Reader
@@ -287,7 +292,7 @@
 	return &client{conn, bufio.NewReader(conn)}
 }
 
-// lookup is the text of a lookup's request, with further header lines.
+// lookup returns the text of a lookup request with additional header lines.
 func (g *testGateway) lookup(kind, object string, headers ...string) string {
 	g.lastID++
 	return fmt.Sprintf("GET /call/%s/%s/part-3 HTTP/1.1\r\nHost: x\r\nX-Job-Id: %016x\r\nX-Group: 17\r\nX-Ram-Kb: 40.5\r\n%s\r\n",
@@ -308,7 +313,7 @@
 	return response, string(body)
 }
 
-// sendLookup sends a lookup on a connection of its own and reads the response.
+// sendLookup sends a lookup on a new connection and reads the response.
 func (g *testGateway) sendLookup(kind, object string, headers ...string) (*http.Response, string) {
 	g.t.Helper()
 	c := g.dial()
@@ -324,18 +329,19 @@
 	}
 }
 
-// answerHit answers with a fresh copy.
+// answerHit responds with a fresh copy of the object.
 func answerHit(_ int, request standin.Request) {
 	request.Hit(time.Now(), "hit", "of "+request.Fields["k"])
 }
 
-// mustReceive receives what must come; a test that waits in vain says so and does not hang the whole run.
+// mustReceive receives a value from a channel. If none arrives within
+// waitTimeout, it fails the test, so that the test run does not hang.
 func mustReceive[T any](t *testing.T, from chan T) (received T) {
 	t.Helper()
 	select {
 	case received = <-from:
 	case <-time.After(waitTimeout):
-		t.Fatal("waited in vain")
+		t.Fatal("no value was received in time")
 	}
 	return received
 }
--- a/internal/gateway/large_test.go
+++ b/internal/gateway/large_test.go
@@ -13,10 +13,11 @@
 	"foldslip/example/standin"
 )
 
-// largeList is how many caches and how many gateways TestLargeLists has.
+// largeListSize is the number of caches and the number of gateways in the lists of TestLargeLists.
 const largeListSize = 1100
 
-// startManyCaches starts caches; each sends its id for each request that it answers.
+// startManyCaches starts n caches. Each sends its id to reached
+// for each request that it answers, unless reached is full.
 func startManyCaches(t *testing.T, n int) (endpoints []standin.Endpoint, reached chan string) {
 	t.Helper()
 	reached = make(chan string, n)
@@ -35,7 +36,8 @@
 	return endpoints, reached
 }
 
-// One gateway with a list of 1,100 caches and 1,100 gateways starts, serves from caches all over the list, and drains at SIGTERM.
+// A gateway with lists of 1,100 caches and 1,100 gateways starts,
+// uses caches from the whole list, and drains at SIGTERM.
 func TestLargeLists(t *testing.T) {
 	endpoints, reached := startManyCaches(t, largeListSize)
 	var seeds []string
@@ -51,24 +53,24 @@
 		c := g.dial()
 		io.WriteString(c, g.lookup("segment", fmt.Sprint("object-", i)))
 		if response, body := c.response(t); response.StatusCode != 200 || body != "body" {
-			t.Fatalf("lookup %d: status %d, %q", i, response.StatusCode, body)
+			t.Fatalf("lookup %d: status %d, body %q", i, response.StatusCode, body)
 		}
 		c.Close()
 		caches[<-reached] = true
 	}
-	if len(caches) < 150 { // 200 objects over 1,100 caches fall on some 183
-		t.Errorf("only %d caches were reached", len(caches))
+	if len(caches) < 150 { // 200 objects on 1,100 caches reach about 183 caches
+		t.Errorf("%d caches were reached, expected at least 150", len(caches))
 	}
 	last := g.dial()
 	g.signal(syscall.SIGTERM)
 	g.waitLogged("event=stopping")
 	io.WriteString(last, g.lookup("segment", "last"))
 	if response, _ := last.response(t); response.StatusCode != 200 {
-		t.Errorf("a lookup as it drains: status %d", response.StatusCode)
+		t.Errorf("lookup while the gateway drains: status %d, expected 200", response.StatusCode)
 	}
 	g.expectEnd(10 * time.Second)
 	if conn, err := net.Dial("tcp", g.addr); err == nil {
 		conn.Close()
-		t.Error("it still accepts")
+		t.Error("connections are still accepted after the gateway's end")
 	}
 }
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -10,21 +10,22 @@
 	"foldslip/internal/route/rollout"
 )
 
-// confirmTimeout is how long routes of a reloaded file have until they are confirmed.
+// confirmTimeout is the time within which the routes of a reloaded
+// file must be confirmed. Otherwise they are rolled back.
 const confirmTimeout = 10 * time.Minute
 
-// RoutesRolledBackError reports routes of a reloaded file that cannot be used.
+// RoutesRolledBackError reports routes of a reloaded file that were rolled back because they cannot be used.
 type RoutesRolledBackError struct {
 	Version uint64
 	Reason  string
 }
 
-// Error says which version it is and why it was rolled back.
+// Error returns the version and the reason for the rollback.
 func (e *RoutesRolledBackError) Error() string {
-	return fmt.Sprintf("routing: version %d is undone: %s", e.Version, e.Reason)
+	return fmt.Sprintf("routing: version %d was rolled back: %s", e.Version, e.Reason)
 }
 
-// reloadOnSignal reads the configuration again at each SIGHUP, until the lifetime ends.
+// reloadOnSignal reloads the configuration at each SIGHUP until the lifetime ends.
 func (g *instance) reloadOnSignal() error {
 	defer g.lifetime.OnEnd(g.signals.reload.Notify)()
 	for {
@@ -40,8 +41,9 @@
 	}
 }
 
-// reload reads the configuration again. Services and routes take what is theirs, all or none of them, and the watch follows discovery's
-// address; the rest takes effect at the next start. A configuration that cannot be used leaves all as it is.
+// reload reads the configuration again. Either all services and the routes apply their settings,
+// or none of them does. The discovery watch moves to the new address of discovery. All other
+// settings take effect at the next start. A configuration that cannot be used changes nothing.
 func (g *instance) reload() error {
 	loaded, err := loadConfiguration(g.env)
 	if err != nil {
@@ -70,7 +72,7 @@
 	return nil
 }
 
-// applyRoutes puts the routes of a file in force.
+// applyRoutes applies the routes of a reloaded file.
 func applyRoutes(routes *rollout.Controller, routing *config.Routing) error {
 	step, err := routes.ApplyFile(routing.RouteConfig, confirmTimeout)
 	if err != nil {
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -11,7 +11,8 @@
 	"foldslip/example/standin"
 )
 
-// At SIGHUP the new discovery address is asked at once for what follows, and no lookup is dropped.
+// At SIGHUP the gateway connects to the new discovery address
+// at once, resumes after the last event and drops no lookup.
 func TestReload(t *testing.T) {
 	received := make(chan standin.Request, 9)
 	g := startGateway(t, func(_ int, request standin.Request) { received <- request })
@@ -31,32 +32,32 @@
 	old := g.discovery
 	g.discovery = next
 	must(0, os.Rename(g.writeConfig(), g.configPath))
-	for range 3 { // several in a row are as one
+	for range 3 { // several signals in a row are handled as one
 		g.signal(syscall.SIGHUP)
 	}
 	select {
 	case after := <-next.Subscribed:
 		if after != 2 {
-			t.Errorf("asked after %d", after)
+			t.Errorf("resumed after event %d, expected 2", after)
 		}
 	case <-time.After(2 * time.Second):
-		t.Fatal("not asked")
+		t.Fatal("the gateway did not connect to the new discovery within 2 s")
 	}
 	old.Disconnect("")
 	if len(old.Subscribed) > 1 {
-		t.Error("the old discovery was asked again")
+		t.Error("the gateway reconnected to the old discovery")
 	}
 	time.Sleep(100 * time.Millisecond) // for the second event to arrive
 	request.Hit(time.Now(), "hit", "complete")
 	if response, body := c.response(t); response.StatusCode != 200 || body != "complete" {
-		t.Errorf("status %d, %q", response.StatusCode, body)
+		t.Errorf("status %d, body %q, expected 200 and complete", response.StatusCode, body)
 	}
 	for i := range 8 {
 		io.WriteString(c, g.lookup("segment", fmt.Sprint("o", i)))
 		request := mustReceive(t, received)
 		request.Hit(time.Now(), "hit", "")
 		if request.Conn.LocalAddr().String() == g.edges[0].Addr {
-			t.Error("an attempt to a cache that drains by the new discovery")
+			t.Error("an attempt was sent to a cache that drains according to the new discovery")
 		}
 		c.response(t)
 	}
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -19,26 +19,26 @@
 	"foldslip/example/standin"
 )
 
-var restarted = flag.Int("restarted", 6, "processes that TestRestartOfAllGateways restarts at once, 60 at most")
+var restarted = flag.Int("restarted", 6, "number of processes that TestRestartOfAllGateways restarts at once, at most 60")
 
 const (
 	maxRestarted         = 60
-	readyTimeout         = 10 * time.Second // nine in ten restarted processes answer a ping with 200 by then
-	slowDiscoveryDelay   = 3 * time.Second  // a slow discovery takes so long for its first byte
-	discoveryReturnDelay = 3 * time.Second  // an absent one comes back so long after the restart
+	readyTimeout         = 10 * time.Second // nine in ten restarted processes must answer a ping with 200 within this time
+	slowDiscoveryDelay   = 3 * time.Second  // time to the first byte of a slow discovery
+	discoveryReturnDelay = 3 * time.Second  // time from the restart to the return of an absent discovery
 )
 
-// How discovery is at the restart, and where the gateways have their list from.
+// States of discovery at the restart, and sources of the gateways' endpoint list.
 const (
 	discoverySlow    = "slow"
 	discoveryAbsent  = "absent"
-	discoveryReturns = "back" // absent, then back
+	discoveryReturns = "back" // absent at first, then back
 	listKnown        = "known"
 	listStored       = "kept"
 	listNone         = "none"
 )
 
-// startRelay stands before a discovery: each session's first byte comes late.
+// startRelay starts a relay to a discovery. The relay delays the first byte of each session.
 func startRelay(t *testing.T, to string, delay time.Duration) (addr string) {
 	t.Helper()
 	listener := must(net.Listen("tcp", "127.0.0.1:0"))
@@ -67,7 +67,7 @@
 	io.Copy(conn, target)
 }
 
-// restartTest restarts gateways at once while discovery is in some state.
+// restartTest restarts several gateways at once while discovery is in a given state.
 type restartTest struct {
 	t         *testing.T
 	discovery string
@@ -76,15 +76,15 @@
 	gateways  []*restartedGateway
 }
 
-// restartedGateway is one of the processes.
+// restartedGateway is the process of one gateway.
 type restartedGateway struct {
 	dir, addr string
 	cmd       *exec.Cmd
 	log       *syncBuffer
-	readyIn   time.Duration // from its last start on; negative: never
+	readyIn   time.Duration // time from the last start until it was ready; negative: it was not
 }
 
-// startDiscovery starts a discovery that sends the list.
+// startDiscovery starts a discovery that sends the endpoint list.
 func (r *restartTest) startDiscovery(addr string) *standin.Discovery {
 	discovery := must(standin.NewDiscovery(addr, 0))
 	discovery.Announce(standin.EndpointList(true, r.endpoints...))
@@ -96,7 +96,7 @@
 	return discovery
 }
 
-// writeConfig writes a gateway's configuration.
+// writeConfig writes the configuration of a gateway and returns its path.
 func (r *restartTest) writeConfig(dir, discoveryAddr string, hasKnownList bool) string {
 	r.t.Helper()
 	config := readExample()
@@ -115,7 +115,7 @@
 	return path
 }
 
-// start starts a gateway's process.
+// start starts the process of a gateway.
 func (r *restartTest) start(g *restartedGateway, discoveryAddr string, hasKnownList bool) {
 	r.t.Helper()
 	g.log = &syncBuffer{}
@@ -137,7 +137,7 @@
 	r.t.Cleanup(func() { process.Kill() })
 }
 
-// waitReady waits for all gateways and notes how long each took from a time on.
+// waitReady waits until all gateways are ready and stores the time that each took since startedAt.
 func (r *restartTest) waitReady(startedAt time.Time) {
 	var group sync.WaitGroup
 	for _, g := range r.gateways {
@@ -153,7 +153,7 @@
 	group.Wait()
 }
 
-// terminate ends all gateways by SIGTERM.
+// terminate stops all gateways with SIGTERM. It fails the test if one exits with an error.
 func (r *restartTest) terminate() {
 	r.t.Helper()
 	for _, g := range r.gateways {
@@ -166,7 +166,7 @@
 	}
 }
 
-// run starts n gateways, restarts them, and waits until they are ready.
+// run starts n gateways, restarts all of them at once, and waits until they are ready.
 func (r *restartTest) run(n int) {
 	r.t.Helper()
 	first := r.startDiscovery("127.0.0.1:0")
@@ -178,7 +178,7 @@
 	}
 	r.waitReady(time.Now())
 	if r.list == listStored {
-		time.Sleep(time.Second) // it is written within half of one
+		time.Sleep(time.Second) // the list is written within half a second
 	}
 	if r.discovery != discoverySlow {
 		discoveryAddr = first.Addr
@@ -196,7 +196,7 @@
 	r.waitReady(restartedAt)
 }
 
-// check checks that nine in ten gateways were ready in time.
+// check fails the test unless nine in ten gateways were ready within readyTimeout.
 func (r *restartTest) check() {
 	r.t.Helper()
 	var readyIn []time.Duration
@@ -210,9 +210,9 @@
 			}
 		}
 	}
-	for _, g := range r.gateways { // a slow discovery is waited for where nothing can be had without it
+	for _, g := range r.gateways { // without a list, a gateway must wait for a slow discovery
 		if r.discovery == discoverySlow && r.list == listNone && strings.Contains(g.log.String(), "reason=silent") {
-			r.t.Errorf("discovery was asked again while its first response was under way\n%s", g.log.String())
+			r.t.Errorf("the gateway reconnected to discovery while its first response was under way\n%s", g.log.String())
 			break
 		}
 	}
@@ -225,8 +225,9 @@
 	}
 }
 
-// All processes are restarted at once, by SIGTERM, while discovery is slow, absent, or absent and then back. Those that know the list from
-// their configuration (as on the platform) and those that stored it do not wait for discovery; those with neither are ready once it is there.
+// All processes are restarted at once, by SIGTERM, while discovery is slow, absent, or absent and
+// then back. Gateways that have the endpoint list from their configuration (as on the platform) or
+// from disk must not wait for discovery. Gateways with neither must be ready once discovery responds.
 func TestRestartOfAllGateways(t *testing.T) {
 	n := min(max(1, *restarted), maxRestarted)
 	for _, c := range []struct{ discovery, list string }{
--- a/internal/gateway/routes_test.go
+++ b/internal/gateway/routes_test.go
@@ -18,7 +18,7 @@
 	attempts [2]int
 }
 
-// handle counts an attempt and answers it.
+// handle counts an attempt at an edge and responds with a copy.
 func (c *edgeCounts) handle(edge int, request standin.Request) {
 	c.mu.Lock()
 	c.attempts[edge]++
@@ -26,7 +26,7 @@
 	request.Hit(time.Now(), "hit", "x")
 }
 
-// expectAllAt sends lookups and checks that all of them go to one edge.
+// expectAllAt sends lookups and checks that the attempts of all of them go to one edge.
 func (c *edgeCounts) expectAllAt(g *testGateway, edge int) {
 	g.t.Helper()
 	const lookups = 20
@@ -40,11 +40,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.attempts[edge] != lookups {
-		g.t.Errorf("%v, expected all at %d\n%s", c.attempts, edge, g.log.String())
+		g.t.Errorf("attempts by edge %v, expected all at edge %d\n%s", c.attempts, edge, g.log.String())
 	}
 }
 
-// A gateway with routes: they say where lookups go, SIGHUP changes them, a restart finds what was confirmed.
+// Routes decide which caches get the lookups. SIGHUP applies changed
+// routes. After a restart the confirmed version of the routes is active.
 func TestRoutes(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "operators.jsonnet")
@@ -67,13 +68,13 @@
 	write("c7") // there is no such cache
 	g.signal(syscall.SIGHUP)
 	g.waitLogged("c7 is not in the list")
-	counts.expectAllAt(g, 1) // the change that waits is left alone
+	counts.expectAllAt(g, 1) // the applied change that waits for its confirmation stays active
 	write("c1")
 	g.signal(syscall.SIGHUP)
 	g.waitLogged("version=2 stage=confirmed")
 	g.cmd.Process.Kill()
 	<-g.ended
-	write("c0") // the stored versions go before the file: what was confirmed is in force
+	write("c0") // stored versions take precedence over the file: the confirmed version is active
 	restarted := startGateway(t, counts.handle)
 	counts.expectAllAt(restarted, 1)
 }
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -9,20 +9,21 @@
 	"foldslip/example/standin"
 )
 
-// changedSettings is the example's settings with a change.
+// changedSettings returns the example's settings with a change applied.
 func changedSettings(change func(settings map[string]any)) map[string]any {
 	config := settingsWithPurgeGrace(300000)
 	change(config["settings"].(map[string]any))
 	return config
 }
 
-// The kill comes 0.7 s after the longest deadline, and a deadline past 3 s counts as 3 s: what has no response by then is given up before
-// it, each lookup as its object kind allows.
+// The platform kills the process 0.7 s after the longest deadline. A deadline over 3 s
+// counts as 3 s. Lookups without a response are given up before the kill, as their
+// object kind allows: an idempotent lookup is rejected, and one with side effects fails.
 func TestUnansweredLookupsAreGivenUpBeforeTheKill(t *testing.T) {
 	for name, c := range map[string]struct {
-		deadlineMS int // of the kinds that are looked up
+		deadlineMS int // deadline of all object kinds
 		kill       time.Duration
-	}{"a long deadline": {5000, 3700 * time.Millisecond}, "a short one": {1000, 1700 * time.Millisecond}} {
+	}{"a long deadline": {5000, 3700 * time.Millisecond}, "a short deadline": {1000, 1700 * time.Millisecond}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			received := make(chan standin.Request, 9)
@@ -34,34 +35,35 @@
 			}))
 			g.signal(syscall.SIGTERM)
 			signalledAt := time.Now()
-			time.Sleep(550 * time.Millisecond) // as late as lookups come on open connections
+			time.Sleep(550 * time.Millisecond) // about the time of the last lookups on open connections
 			idempotent := g.dial()
 			withSideEffects := g.dial()
 			io.WriteString(idempotent, g.lookup("segment", "o"))
 			io.WriteString(withSideEffects, g.lookup("page", "o"))
 			mustReceive(t, received)
 			mustReceive(t, received)
-			g.signal(syscall.SIGTERM) // a second one changes nothing
+			g.signal(syscall.SIGTERM) // a second SIGTERM changes nothing
 			response, _ := idempotent.response(t)
 			g.expectStatus(503, response)
 			if response.Header.Get("X-Wait-Ms") == "" {
-				t.Error("rejected without a time to come back")
+				t.Error("the rejection has no X-Wait-Ms header")
 			}
 			response, _ = withSideEffects.response(t)
 			g.expectStatus(502, response)
 			select {
 			case err := <-g.ended:
 				if elapsed := time.Since(signalledAt); err != nil || elapsed > c.kill {
-					t.Errorf("ended after %v with %v; the kill comes after %v", elapsed, err, c.kill)
+					t.Errorf("the gateway exited after %v with error %v, expected none and an exit before the kill after %v", elapsed, err, c.kill)
 				}
 			case <-time.After(5 * time.Second):
-				t.Error("still running")
+				t.Error("the gateway is still running")
 			}
 		})
 	}
 }
 
-// A request on an open connection 0.66 s after SIGTERM, past the last that the platform sends: answered all the same.
+// A request that arrives on an open connection 0.66 s after SIGTERM is
+// answered, although it is later than the last request that the platform sends.
 func TestRequestJustBeforeTheListenerCloses(t *testing.T) {
 	t.Parallel()
 	g := startGateway(t, answerHit)
@@ -76,7 +78,8 @@
 	g.expectStatus(200, response)
 }
 
-// SIGTERM as the list loses its last edges: a lookup gets its response, whichever of the two comes first, and the gateway ends well.
+// SIGTERM arrives while the endpoint list loses its last edges. Whichever of the two
+// takes effect first, a lookup gets its response and the gateway exits without an error.
 func TestTerminateWhileTheEndpointListEmpties(t *testing.T) {
 	t.Parallel()
 	g := startGateway(t, answerHit)
@@ -87,20 +90,21 @@
 	g.discovery.Announce(standin.EndpointList(false, removed[0], removed[1]))
 	g.signal(syscall.SIGTERM)
 	g.waitLogged("event=stopping")
-	g.signal(syscall.SIGHUP) // a reload amid the shutdown
+	g.signal(syscall.SIGHUP) // a reload during the shutdown
 	io.WriteString(c, g.lookup("segment", "o"))
 	if response, _ := c.response(t); response.StatusCode != 503 && response.StatusCode != 200 {
-		t.Errorf("status %d", response.StatusCode)
+		t.Errorf("status %d, expected 200 or 503", response.StatusCode)
 	}
 	g.expectEnd(6 * time.Second)
 }
 
-// Discovery falls silent right before an event: the drain that it does not bring is asked for within its grace.
+// Discovery falls silent right before an event that reports a draining cache. The gateway must
+// reconnect to discovery within the drain grace period, so that it learns of the drain in time.
 func TestDiscoveryWatchThatFallsSilent(t *testing.T) {
 	for name, silence := range map[string]func(d *standin.Discovery){
-		"and stays open":     func(d *standin.Discovery) { d.SetSilent(true) },
-		"amid half a line":   func(d *standin.Discovery) { d.WriteRaw(`{"no":2,"ro`); d.SetSilent(true) },
-		"in a trickle of it": func(d *standin.Discovery) { d.SetSilent(true); d.Trickle(`{"no":2,"roster":{"revision":1,`) },
+		"connection stays open":     func(d *standin.Discovery) { d.SetSilent(true) },
+		"within a line":             func(d *standin.Discovery) { d.WriteRaw(`{"no":2,"ro`); d.SetSilent(true) },
+		"line arrives byte by byte": func(d *standin.Discovery) { d.SetSilent(true); d.Trickle(`{"no":2,"roster":{"revision":1,`) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -108,7 +112,7 @@
 				settings["rules"].(map[string]any)["stop_sending_within"] = 2000000
 			}))
 			if after := mustReceive(t, g.discovery.Subscribed); after != 1 {
-				t.Fatal("asked after", after)
+				t.Fatal("expected to resume after event 1, resumed after", after)
 			}
 			silentAt := time.Now()
 			silence(g.discovery)
@@ -118,26 +122,27 @@
 			select {
 			case <-g.discovery.Subscribed:
 			case <-time.After(6 * time.Second):
-				t.Fatal("not asked again")
+				t.Fatal("the gateway did not reconnect to discovery within 6 s")
 			}
 			if elapsed := time.Since(silentAt); elapsed > 2*time.Second {
-				t.Errorf("asked again after %v, past the grace of 2 s", elapsed)
+				t.Errorf("the gateway reconnected after %v, later than the drain grace period of 2 s", elapsed)
 			}
 		})
 	}
 }
 
-// Sessions that are silent from their first moment on do not follow each other without end: each waits twice as long as the one before.
+// A discovery session that is silent from its start lasts twice as long as the silent session
+// before it. Otherwise the gateway would go on reconnecting at short intervals without end.
 func TestSilentDiscoverySessionsBackOff(t *testing.T) {
 	t.Parallel()
 	g := startGateway(t, answerHit)
 	g.discovery.SetSilent(true)
-	for range 3 { // the first is the start's
+	for range 3 { // the first is the session of the start
 		mustReceive(t, g.discovery.Subscribed)
 	}
 	startedAt := time.Now()
 	mustReceive(t, g.discovery.Subscribed)
 	if elapsed := time.Since(startedAt); elapsed < 2*time.Second {
-		t.Errorf("the second silent session waited %v", elapsed)
+		t.Errorf("the second silent session lasted %v, expected at least 2 s", elapsed)
 	}
 }
--- a/internal/gateway/signals.go
+++ b/internal/gateway/signals.go
@@ -6,7 +6,8 @@
 	"foldslip/internal/env"
 )
 
-// pendingSignals are the platform's signals until they are handled: one that waits stands for all of its kind that came meanwhile.
+// pendingSignals holds the platform's signals until they are handled.
+// Signals of one kind that arrive before that are handled as one.
 type pendingSignals struct {
 	terminate env.Notifier
 	reload    env.Notifier
@@ -20,7 +21,7 @@
 	return &pendingSignals{terminate: environment.NewNotifier(), reload: environment.NewNotifier()}
 }
 
-// handle notes a signal; it does not wait.
+// handle records a signal and wakes the goroutine that waits for it. It does not wait.
 func (p *pendingSignals) handle(signal env.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -33,7 +34,7 @@
 	p.terminate.Notify()
 }
 
-// waitTerminate waits for the signal to terminate; false if the lifetime ends first.
+// waitTerminate waits for the signal to terminate. It returns false if the lifetime ends first.
 func (p *pendingSignals) waitTerminate(lifetime *env.Lifetime) bool {
 	defer lifetime.OnEnd(p.terminate.Notify)()
 	p.terminate.Wait(-1)
@@ -42,7 +43,8 @@
 	return p.terminateReceived
 }
 
-// waitReload waits for reload to be notified and reports whether a signal to reload had come.
+// waitReload waits for a notification of reload and reports whether
+// a signal to reload has been received since the last call.
 func (p *pendingSignals) waitReload() bool {
 	p.reload.Wait(-1)
 	p.mu.Lock()
--- a/internal/gateway/soak_test.go
+++ b/internal/gateway/soak_test.go
@@ -18,26 +18,26 @@
 	"foldslip/example/standin"
 )
 
-var soakSeeds = flag.Int("soak.seeds", 8, "seeds of the shutdown soak; 60 take some two minutes")
+var soakSeeds = flag.Int("soak.seeds", 8, "number of seeds of the shutdown soak; 60 take about two minutes")
 
-// What the platform's page says of a planned restart, from SIGTERM on.
+// Times of a planned restart as the platform documents them, measured from SIGTERM.
 const (
-	soakConnectPeriod = 400 * time.Millisecond  // new connections come up to so long
-	soakRequestPeriod = 600 * time.Millisecond  // requests on open connections, all of which are answered
-	soakKillDelay     = 3700 * time.Millisecond // SIGKILL, with deadlines of 3 s and more
-	soakLoadPeriod    = 500 * time.Millisecond  // before SIGTERM
+	soakConnectPeriod = 400 * time.Millisecond  // how long new connections arrive
+	soakRequestPeriod = 600 * time.Millisecond  // how long requests arrive on open connections, all of which must be answered
+	soakKillDelay     = 3700 * time.Millisecond // time to SIGKILL if the longest deadline is 3 s or more
+	soakLoadPeriod    = 500 * time.Millisecond  // time under load before SIGTERM
 )
 
-// soakPlan is what a seed draws.
+// soakPlan is the variant of the test that a seed selects.
 type soakPlan struct {
 	seed            uint64
 	clients         int
-	idle            int  // connections that send nothing
-	noThinkTime     bool // clients that send each lookup as soon as they have the answer before
-	drainsEdge      bool // an edge drains before SIGTERM and comes back cold after it
-	hangsEdge       bool // an edge answers nothing from SIGTERM on
-	reloads         int  // SIGHUPs around SIGTERM
-	secondTermDelay time.Duration
+	idle            int           // connections that send nothing
+	noThinkTime     bool          // clients send each lookup as soon as they have the response to the one before
+	drainsEdge      bool          // an edge drains before SIGTERM and returns cold after it
+	hangsEdge       bool          // an edge stops responding at SIGTERM
+	reloads         int           // number of SIGHUPs around SIGTERM
+	secondTermDelay time.Duration // from the first SIGTERM to the second
 }
 
 func drawSoakPlan(seed uint64) soakPlan {
@@ -54,17 +54,17 @@
 	}
 }
 
-// soak is one gateway that is ended under load.
+// soak is a gateway that is terminated under load.
 type soak struct {
 	*testGateway
 	plan         soakPlan
 	terminatedAt time.Time     // valid once terminated is closed
-	terminated   chan struct{} // SIGTERM was sent
+	terminated   chan struct{} // closed when SIGTERM has been sent
 
 	mu       sync.Mutex
 	sent     int
 	answered int
-	refused  int // lookups past the platform's last, whose connection ended unread
+	refused  int // lookups after the platform's last request whose connection ended without a response
 	failures []string
 }
 
@@ -74,7 +74,7 @@
 	s.failures = append(s.failures, fmt.Sprintf(format, args...))
 }
 
-// sinceTerm is how long ago SIGTERM was sent, below 0 before it.
+// sinceTerm returns the time since SIGTERM was sent. The result is below 0 before that.
 func (s *soak) sinceTerm() time.Duration {
 	select {
 	case <-s.terminated:
@@ -84,7 +84,7 @@
 	}
 }
 
-// handle answers as a cache of the plan.
+// handle returns a handler for the requests of the edges, which respond as the plan says.
 func (s *soak) handle(random *lockedRand) func(edge int, request standin.Request) {
 	return func(edge int, request standin.Request) {
 		if edge == 1 && s.plan.hangsEdge && s.sinceTerm() >= 0 {
@@ -94,7 +94,7 @@
 	}
 }
 
-// lockedRand draws for many goroutines.
+// lockedRand is a source of random numbers for several goroutines.
 type lockedRand struct {
 	mu     sync.Mutex
 	random *rand.Rand
@@ -106,12 +106,13 @@
 	return r.random.IntN(n)
 }
 
-// runClient sends lookups on its connection until that ends, and connects anew as long as the platform does.
+// runClient sends lookups on a connection until it ends. Then it
+// reconnects, for as long as the platform opens new connections.
 func (s *soak) runClient(number int, random *lockedRand) {
 	for count := 0; s.sinceTerm() < soakConnectPeriod; {
 		conn, err := net.Dial("tcp", s.addr)
 		if err != nil {
-			s.fail("client %d: %v after SIGTERM: %v", number, s.sinceTerm(), err)
+			s.fail("client %d cannot connect %v after SIGTERM: %v", number, s.sinceTerm(), err)
 			return
 		}
 		conn.SetDeadline(time.Now().Add(clientTimeout))
@@ -129,7 +130,7 @@
 	}
 }
 
-// doLookup sends a lookup and reads its answer; false: the connection has ended.
+// doLookup sends a lookup and reads its response. It returns false if the connection has ended.
 func (s *soak) doLookup(c *client, id string) bool {
 	text := fmt.Sprintf("GET /call/segment/o%s/part-3 HTTP/1.1\r\nHost: x\r\nX-Job-Id: %s\r\nX-Group: 17\r\nX-Ram-Kb: 40.5\r\n\r\n", id, id)
 	sentAt := s.sinceTerm()
@@ -150,27 +151,27 @@
 		_, err = io.ReadAll(response.Body)
 	}
 	if err != nil {
-		s.fail("%s, sent %v after SIGTERM, got a part of its answer (%q): %v", id, sentAt, first, err)
+		s.fail("lookup %s, sent %v after SIGTERM, got an incomplete response that begins with %q: %v", id, sentAt, first, err)
 		return false
 	}
 	s.mu.Lock()
 	s.answered++
 	s.mu.Unlock()
 	if c.in.Buffered() > 0 {
-		s.fail("%s: bytes after its answer", id)
+		s.fail("lookup %s: bytes after the response", id)
 	}
 	return !response.Close
 }
 
-// endedUnanswered counts a lookup whose connection ended with no byte of an answer: a loss while the platform still sends requests. Later ones
-// must find the connection closed, and not be left to the kill.
+// endedUnanswered counts a lookup whose connection ended without a byte of a response. That is a failure
+// while the platform still sends requests. For a later lookup the connection must be closed before the kill.
 func (s *soak) endedUnanswered(id string, sentAt time.Duration, err error) {
 	if sentAt < soakRequestPeriod {
-		s.fail("%s, sent %v after SIGTERM, has no answer: %v", id, sentAt, err)
+		s.fail("lookup %s, sent %v after SIGTERM, got no response: %v", id, sentAt, err)
 		return
 	}
 	if s.sinceTerm() >= soakKillDelay || errors.Is(err, os.ErrDeadlineExceeded) {
-		s.fail("%s, sent %v after SIGTERM, was open at the kill: %v", id, sentAt, err)
+		s.fail("lookup %s, sent %v after SIGTERM, was still open at the kill: %v", id, sentAt, err)
 		return
 	}
 	s.mu.Lock()
@@ -178,7 +179,7 @@
 	s.mu.Unlock()
 }
 
-// signals plays the series of signals around SIGTERM.
+// signals sends the plan's signals around SIGTERM and makes discovery announce the drain and the return of an edge.
 func (s *soak) signals() {
 	time.Sleep(soakLoadPeriod)
 	drained := s.endpoints[0]
@@ -204,8 +205,9 @@
 	}
 }
 
-// TestShutdownUnderLoadLosesNothing guards against lookups without their one answer, answers cut short and connections left to the kill, when a
-// gateway is ended by a series of signals while clients go on using their connections.
+// TestShutdownUnderLoadLosesNothing guards against lookups that do not get exactly one response,
+// truncated responses, and connections that are still open at the kill. They can occur when a
+// series of signals terminates a gateway while clients go on using their connections.
 func TestShutdownUnderLoadLosesNothing(t *testing.T) {
 	for seed := range uint64(*soakSeeds) {
 		plan := drawSoakPlan(seed + 1)
@@ -232,10 +234,10 @@
 	select {
 	case err := <-s.ended:
 		if err != nil {
-			t.Errorf("ended with %v", err)
+			t.Errorf("the gateway exited with %v", err)
 		}
 	case <-time.After(time.Until(s.terminatedAt.Add(soakKillDelay))):
-		t.Error("still running at the kill")
+		t.Error("the gateway is still running at the time of the kill")
 		s.cmd.Process.Kill()
 	}
 	clients.Wait()
@@ -243,7 +245,7 @@
 		t.Error(failure)
 	}
 	if s.answered < plan.clients {
-		t.Errorf("%d answers to %d clients", s.answered, plan.clients)
+		t.Errorf("%d responses to %d clients, expected at least one for each", s.answered, plan.clients)
 	}
-	t.Logf("%+v: %d lookups sent, %d answered, %d past the last that the platform sends", plan, s.sent, s.answered, s.refused)
+	t.Logf("%+v: %d lookups sent, %d answered, %d ended after the last request of the platform", plan, s.sent, s.answered, s.refused)
 }
--- a/internal/gateway/terminate_test.go
+++ b/internal/gateway/terminate_test.go
@@ -14,7 +14,8 @@
 	"foldslip/example/standin"
 )
 
-// At SIGTERM the gateway accepts what still comes, answers all of it, and ends well.
+// After SIGTERM the gateway still accepts connections, answers all
+// lookups, closes idle connections and exits without an error.
 func TestTerminate(t *testing.T) {
 	received := make(chan standin.Request, 9)
 	g := startGateway(t, func(_ int, request standin.Request) { received <- request })
@@ -32,24 +33,24 @@
 	first.Hit(time.Now(), "hit", "early")
 	for c, want := range map[*client]string{early: "early", late: "late"} {
 		if response, body := c.response(t); response.StatusCode != 200 || body != want || !response.Close {
-			t.Errorf("status %d, %q, closes %v", response.StatusCode, body, response.Close)
+			t.Errorf("status %d, body %q, announces the close of the connection: %v", response.StatusCode, body, response.Close)
 		}
 	}
 	if _, err := idle.in.ReadByte(); err != io.EOF {
-		t.Errorf("the idle connection: %v", err)
+		t.Errorf("read from the idle connection: %v, expected EOF", err)
 	}
 	g.expectEnd(5 * time.Second)
 }
 
-// A gateway that cannot start says so in one line.
+// A gateway that cannot start logs the error in one line.
 func TestStartErrors(t *testing.T) {
 	g := startGateway(t, answerHit)
 	for name, path := range map[string]string{
-		"no file":           filepath.Join(t.TempDir(), "none"),
+		"missing file":      filepath.Join(t.TempDir(), "none"),
 		"address in use":    g.writeConfig(),
 		"unusable settings": g.writeConfig(map[string]any{"settings": map[string]any{"classes": 3}}),
-		"a bad seed":        g.writeConfig(map[string]any{"seed": "?"}),
-		"an unknown flavor": g.writeConfig(map[string]any{"known": json.RawMessage(`{"no":1,"items":[{"no":1,` +
+		"invalid seed":      g.writeConfig(map[string]any{"seed": "?"}),
+		"unknown flavor": g.writeConfig(map[string]any{"known": json.RawMessage(`{"no":1,"items":[{"no":1,` +
 			standin.EndpointList(true, standin.Endpoint{ID: "c", HostPort: "127.0.0.1:1", Flavor: "odd", Phase: "up"})[1:] + `]}`)}),
 	} {
 		cmd := exec.Command(program)
