--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -15,7 +15,7 @@
 		return response, err
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(2 * callTimeout)) // what the server may take, and as much again
+	conn.SetDeadline(time.Now().Add(2 * requestTimeout)) // what the server may take, and as much again
 	if err := json.NewEncoder(conn).Encode(request); err != nil {
 		return response, err
 	}
--- a/internal/admin/fuzz_test.go
+++ b/internal/admin/fuzz_test.go
@@ -14,7 +14,7 @@
 		reader := bufio.NewReader(bytes.NewReader(b))
 		for range bytes.Count(b, []byte("\n")) + 2 {
 			var request Request
-			if readRequest(reader, &request) == errCallerGone {
+			if readRequest(reader, &request) == errConnectionEnded {
 				return
 			}
 		}
--- a/internal/admin/handle.go
+++ b/internal/admin/handle.go
@@ -114,9 +114,9 @@
 
 // errorResponse returns an error's text and, where it has one, its remedy.
 func errorResponse(err error) Response {
-	var callErr change.Error
-	if errors.As(err, &callErr) {
-		return Response{Error: callErr.Text, Remedy: callErr.Remedy}
+	var requestErr change.Error
+	if errors.As(err, &requestErr) {
+		return Response{Error: requestErr.Text, Remedy: requestErr.Remedy}
 	}
 	return Response{Error: err.Error()}
 }
--- a/internal/admin/handle_test.go
+++ b/internal/admin/handle_test.go
@@ -30,10 +30,10 @@
 	if _, err := read("not JSON\n"); err == nil || !strings.HasPrefix(err.Error(), "the call cannot be read: ") {
 		t.Error(err)
 	}
-	if _, err := read(strings.Repeat("x", maxLineBytes+1)); !errors.Is(err, errTooLong) {
+	if _, err := read(strings.Repeat("x", maxLineBytes+1)); !errors.Is(err, errRequestTooLong) {
 		t.Error(err)
 	}
-	if _, err := read(""); !errors.Is(err, errCallerGone) {
+	if _, err := read(""); !errors.Is(err, errConnectionEnded) {
 		t.Error(err)
 	}
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -28,7 +28,7 @@
 	maxConnections  = 8
 	maxLineBytes    = 2 << 20
 	readBufferBytes = 64 << 10
-	callTimeout     = 5 * time.Second
+	requestTimeout  = 5 * time.Second
 	acceptRetry     = 100 * time.Millisecond
 	socketMode      = 0o600
 )
@@ -116,15 +116,15 @@
 	write := func(response Response) error { return json.NewEncoder(conn).Encode(response) }
 	if user, isAllowed := authenticate(conn); !isAllowed {
 		s.env.Log().Warn("admin_caller_refused", "user", user)
-		conn.SetDeadline(time.Now().Add(callTimeout))
+		conn.SetDeadline(time.Now().Add(requestTimeout))
 		write(Response{Error: "this user may not", Remedy: "call as the gateway's own user"})
 		return
 	}
 	for {
-		conn.SetDeadline(time.Now().Add(callTimeout))
+		conn.SetDeadline(time.Now().Add(requestTimeout))
 		var request Request
 		if err := readRequest(reader, &request); err != nil {
-			if !errors.Is(err, errCallerGone) {
+			if !errors.Is(err, errConnectionEnded) {
 				write(Response{Error: err.Error(), Remedy: "one call of JSON a line, at most 2 MB"})
 			}
 			return
@@ -137,8 +137,8 @@
 
 // Errors of reading a request.
 var (
-	errCallerGone = errors.New("the caller has gone")
-	errTooLong    = errors.New("a call of more than " + strconv.Itoa(maxLineBytes) + " bytes")
+	errConnectionEnded = errors.New("the caller has gone")
+	errRequestTooLong  = errors.New("a call of more than " + strconv.Itoa(maxLineBytes) + " bytes")
 )
 
 // readRequest reads a line and decodes it.
@@ -157,11 +157,11 @@
 	for {
 		part, hasMore, err := reader.ReadLine()
 		if err != nil {
-			return nil, errCallerGone
+			return nil, errConnectionEnded
 		}
 		line = append(line, part...)
 		if len(line) > maxLineBytes {
-			return nil, errTooLong
+			return nil, errRequestTooLong
 		}
 		if !hasMore {
 			return line, nil
--- a/internal/cli/faults.go
+++ b/internal/cli/faults.go
@@ -29,10 +29,10 @@
 }
 
 const (
-	maxSeeds          = 10_000_000
-	maxJobs           = 1024
-	simulationGCLevel = 400 // percent; a scenario allocates much that is short-lived
-	progressInterval  = 500 * time.Millisecond
+	maxSeeds            = 10_000_000
+	maxJobs             = 1024
+	simulationGCPercent = 400 // percent; a scenario allocates much that is short-lived
+	progressInterval    = 500 * time.Millisecond
 )
 
 // scenarioFlags select scenarios and the fault injected into the gateway.
@@ -92,9 +92,9 @@
 	return nil
 }
 
-// forEachSeed calls play for each seed, in order, from as many goroutines as jobs says (0: one a processor). It ends early once play
+// forEachSeed calls run for each seed, in order, from as many goroutines as jobs says (0: one a processor). It ends early once run
 // returns false. A goroutine whose call fails ends; the others go on, and the first error is returned.
-func forEachSeed(seeds program.SeedRange, jobs int, play func(seed uint64) (goOn bool, err error)) error {
+func forEachSeed(seeds program.SeedRange, jobs int, run func(seed uint64) (keepGoing bool, err error)) error {
 	var started atomic.Uint64
 	var stopped atomic.Bool
 	var workers errgroup.Group
@@ -105,11 +105,11 @@
 				if seed > seeds.Last {
 					return nil
 				}
-				goOn, err := play(seed)
+				keepGoing, err := run(seed)
 				if err != nil {
 					return err
 				}
-				if !goOn {
+				if !keepGoing {
 					stopped.Store(true)
 				}
 			}
--- a/internal/cli/faults_coldstarts.go
+++ b/internal/cli/faults_coldstarts.go
@@ -31,7 +31,7 @@
 	if checkJobs(c.Jobs) != nil || seeds.Count() > maxColdStartSeeds {
 		return program.UsageErrorf("--jobs 0 to %d, and at most %d seeds", maxJobs, maxColdStartSeeds)
 	}
-	defer debug.SetGCPercent(debug.SetGCPercent(simulationGCLevel))
+	defer debug.SetGCPercent(debug.SetGCPercent(simulationGCPercent))
 	cells := scenario.ColdStartCells()
 	scenarios := int64(len(cells)*len(scenario.StartSources)) * int64(seeds.Count())
 	bar := newProgressBar(streams.Err, scenarios, c.JSON)
--- a/internal/cli/faults_differential.go
+++ b/internal/cli/faults_differential.go
@@ -39,7 +39,7 @@
 	bar := newProgressBar(streams.Err, int64(seeds.Count()), c.JSON)
 	summary := &differentialSummary{Terms: map[string]int{}}
 	var mu sync.Mutex // guards summary
-	err = forEachSeed(seeds, c.Jobs, func(seed uint64) (goOn bool, err error) {
+	err = forEachSeed(seeds, c.Jobs, func(seed uint64) (keepGoing bool, err error) {
 		result, err := scenario.RunDifferential(seed)
 		if err != nil {
 			return false, err
--- a/internal/cli/faults_guards.go
+++ b/internal/cli/faults_guards.go
@@ -21,7 +21,7 @@
 // guardSummary sums up the trials of one kind of route change.
 type guardSummary struct {
 	Kind        string        `json:"kind"`
-	Bad         string        `json:"bad,omitempty"` // what is wrong with the change; "": nothing
+	Defect      string        `json:"bad,omitempty"` // what is wrong with the change; "": nothing
 	Trials      int           `json:"trials"`
 	RolledBack  int           `json:"undone"`
 	MedianDelay time.Duration `json:"half_ns"` // from the change to its rollback, of those rolled back
@@ -40,7 +40,7 @@
 
 // guardTrial is one change of one seed, with guards, without them, and the same seed without a change.
 type guardTrial struct {
-	kind, bad                string
+	kind, defect             string
 	guarded, without, oracle *scenario.RouteChangeRun
 }
 
@@ -52,7 +52,7 @@
 	}
 	bar := newProgressBar(streams.Err, int64(seeds.Count()), c.JSON)
 	trials := guardTrials{byKind: map[string]*guardSummary{}}
-	err = forEachSeed(seeds, 0, func(seed uint64) (goOn bool, err error) {
+	err = forEachSeed(seeds, 0, func(seed uint64) (keepGoing bool, err error) {
 		if err := trials.run(seed); err != nil {
 			return false, err
 		}
@@ -75,7 +75,7 @@
 	if err != nil {
 		return err
 	}
-	for kind, bad := range scenario.RouteChangeKinds {
+	for kind, defect := range scenario.RouteChangeKinds {
 		guarded, err := scenario.RunRouteChange(seed, kind, true)
 		if err != nil {
 			return err
@@ -84,7 +84,7 @@
 		if err != nil {
 			return err
 		}
-		g.add(guardTrial{kind: kind, bad: bad, guarded: guarded, without: without, oracle: oracle})
+		g.add(guardTrial{kind: kind, defect: defect, guarded: guarded, without: without, oracle: oracle})
 	}
 	return nil
 }
@@ -95,7 +95,7 @@
 	defer g.mu.Unlock()
 	summary := g.byKind[trial.kind]
 	if summary == nil {
-		summary = &guardSummary{Kind: trial.kind, Bad: trial.bad}
+		summary = &guardSummary{Kind: trial.kind, Defect: trial.defect}
 		g.byKind[trial.kind] = summary
 	}
 	summary.Trials++
@@ -123,13 +123,13 @@
 		all = append(all, summary)
 	}
 	slices.SortFunc(all, func(a, b *guardSummary) int {
-		return cmp.Or(compareBadFirst(a.Bad, b.Bad), cmp.Compare(a.Kind, b.Kind))
+		return cmp.Or(compareDefectFirst(a.Defect, b.Defect), cmp.Compare(a.Kind, b.Kind))
 	})
 	return all
 }
 
-// compareBadFirst orders changes with a fault before those without one.
-func compareBadFirst(a, b string) int {
+// compareDefectFirst orders changes with a fault before those without one.
+func compareDefectFirst(a, b string) int {
 	switch {
 	case a != "" && b == "":
 		return -1
@@ -143,7 +143,7 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "change\tbad\ttrials\tundone\thalf within\tnine in ten\tsatisfied guarded\tno guard\toracle\t")
 	for _, summary := range summaries {
-		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%.1f s\t%.1f s\t%.4f\t%.4f\t%.4f\t\n", summary.Kind, summary.Bad, summary.Trials, summary.RolledBack,
+		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%.1f s\t%.1f s\t%.4f\t%.4f\t%.4f\t\n", summary.Kind, summary.Defect, summary.Trials, summary.RolledBack,
 			summary.MedianDelay.Seconds(), summary.P90Delay.Seconds(), summary.Guarded, summary.Without, summary.Oracle)
 	}
 	return table.Flush()
--- a/internal/cli/faults_run.go
+++ b/internal/cli/faults_run.go
@@ -36,7 +36,7 @@
 	FaultKinds map[string]int   `json:"kinds"`
 	FaultPairs map[string]int   `json:"pairs"`
 	Reasons    map[string]int   `json:"reasons"`
-	Ends       map[string]int   `json:"ends"`
+	Outcomes   map[string]int   `json:"ends"`
 	Lookups    int              `json:"lookups"`
 	Steps      uint64           `json:"steps"`
 	Virtual    time.Duration    `json:"virtual_ns"`
@@ -47,10 +47,10 @@
 
 // brokenScenario is a scenario in which a rule was broken.
 type brokenScenario struct {
-	Seed   uint64               `json:"seed"`
-	Digest string               `json:"digest"`
-	Broken []scenario.Violation `json:"broken"`
-	Trace  []string             `json:"story"`
+	Seed       uint64               `json:"seed"`
+	Digest     string               `json:"digest"`
+	Violations []scenario.Violation `json:"broken"`
+	Trace      []string             `json:"story"`
 }
 
 // Run plays the scenarios of a range of seeds. It fails if a rule was broken.
@@ -65,7 +65,7 @@
 	if err := checkJobs(c.Jobs); err != nil {
 		return err
 	}
-	summary, err := c.play(seeds, newProgressBar(streams.Err, int64(seeds.Count()), c.JSON))
+	summary, err := c.runScenarios(seeds, newProgressBar(streams.Err, int64(seeds.Count()), c.JSON))
 	if err != nil {
 		return err
 	}
@@ -80,13 +80,13 @@
 	return err
 }
 
-func (c *faultsRun) play(seeds program.SeedRange, bar *progressbar.ProgressBar) (*runSummary, error) {
-	defer debug.SetGCPercent(debug.SetGCPercent(simulationGCLevel))
+func (c *faultsRun) runScenarios(seeds program.SeedRange, bar *progressbar.ProgressBar) (*runSummary, error) {
+	defer debug.SetGCPercent(debug.SetGCPercent(simulationGCPercent))
 	start := time.Now()
-	summary := &runSummary{FaultKinds: map[string]int{}, FaultPairs: map[string]int{}, Reasons: map[string]int{}, Ends: map[string]int{}}
+	summary := &runSummary{FaultKinds: map[string]int{}, FaultPairs: map[string]int{}, Reasons: map[string]int{}, Outcomes: map[string]int{}}
 	digests := make([]string, seeds.Count())
 	var mu sync.Mutex // guards summary and digests
-	err := forEachSeed(seeds, c.Jobs, func(seed uint64) (goOn bool, err error) {
+	err := forEachSeed(seeds, c.Jobs, func(seed uint64) (keepGoing bool, err error) {
 		plan, err := c.drawPlan(seed)
 		if err != nil {
 			return false, err
@@ -121,11 +121,11 @@
 	for reason, count := range result.Reasons {
 		s.Reasons[reason] += count
 	}
-	for end, count := range result.Outcomes {
-		s.Ends[end] += count
+	for outcome, count := range result.Outcomes {
+		s.Outcomes[outcome] += count
 	}
 	if len(result.Violations) > 0 {
-		s.Broken = append(s.Broken, brokenScenario{Seed: result.Plan.Seed, Digest: result.Digest, Broken: result.Violations, Trace: result.RecentEvents})
+		s.Broken = append(s.Broken, brokenScenario{Seed: result.Plan.Seed, Digest: result.Digest, Violations: result.Violations, Trace: result.RecentEvents})
 	}
 }
 
@@ -159,13 +159,13 @@
 		printCounts(table, "pair", summary.FaultPairs)
 	}
 	printCounts(table, "reason or mode in the logs", summary.Reasons)
-	printCounts(table, "what became of lookups", summary.Ends)
+	printCounts(table, "what became of lookups", summary.Outcomes)
 	table.Flush()
 	unmet, rarest, pairs := scenario.UnmetPairs(c.Kind, summary.FaultPairs)
 	fmt.Fprintf(out, "pairs of kinds: %d, never met %d, the rarest met %d times\n", pairs, len(unmet), rarest)
 	for _, broken := range summary.Broken {
 		fmt.Fprintf(out, "seed %d broke:\n", broken.Seed)
-		for _, violation := range broken.Broken {
+		for _, violation := range broken.Violations {
 			fmt.Fprintf(out, "  %s\n", violation)
 		}
 	}
