--- a/internal/admin/fuzz_test.go
+++ b/internal/admin/fuzz_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// FuzzReadRequest expects that each line of an operator's call is read or refused, and that none is longer than its bound.
+// FuzzReadRequest checks that readRequest reads or refuses each line of any input, and that the input ends after at
+// most as many requests as it has lines.
 func FuzzReadRequest(f *testing.F) {
 	f.Add([]byte("{\"do\":\"view\"}\n"))
 	f.Add([]byte("{}"))
@@ -18,6 +19,6 @@
 				return
 			}
 		}
-		t.Fatal("more requests than lines")
+		t.Fatal("readRequest returned more requests than the input has lines")
 	})
 }
--- a/internal/admin/handle.go
+++ b/internal/admin/handle.go
@@ -9,7 +9,7 @@
 	"foldslip/internal/route/rollout"
 )
 
-// Handle carries a request out.
+// Handle carries out a request and returns the response to it.
 func (s *Server) Handle(request Request) Response {
 	switch request.Command {
 	case CommandFleet:
@@ -20,38 +20,38 @@
 		return s.reportBroadcast(request)
 	}
 	if s.services.Routes == nil {
-		return Response{Error: "this gateway has no routes", Remedy: "set routing in its settings, and call at routing.socket"}
+		return Response{Error: "this gateway has no routes", Remedy: "set routing in its settings, and send the request to routing.socket"}
 	}
 	return handleRoutes(s.services.Routes, request)
 }
 
 func (s *Server) reportFleet(request Request) Response {
 	if s.services.Fleet == nil {
-		return Response{Error: "this gateway knows no fleet", Remedy: "set fleet in its settings, and call at fleet.socket"}
+		return Response{Error: "this gateway is not a member of a fleet", Remedy: "set fleet in its settings, and send the request to fleet.socket"}
 	}
 	report, err := s.services.Fleet.Report(true, request.Name)
 	if err != nil {
-		return Response{Error: err.Error(), Remedy: "see foldslip fleet members"}
+		return Response{Error: err.Error(), Remedy: "foldslip fleet members lists the known gateways"}
 	}
 	return Response{Fleet: &report}
 }
 
 func (s *Server) reportLimits() Response {
 	if s.services.Limits == nil {
-		return Response{Error: "this gateway shares no limits with a fleet", Remedy: "set fleet and routing in its settings, and call at fleet.socket"}
+		return Response{Error: "this gateway shares no limits with a fleet", Remedy: "set fleet and routing in its settings, and send the request to fleet.socket"}
 	}
 	return Response{Limits: s.services.Limits.LimitReports()}
 }
 
 func (s *Server) reportBroadcast(request Request) Response {
 	if s.services.Broadcast == nil {
-		return Response{Error: "this gateway spreads no purges by broadcast", Remedy: "set fleet.broadcast in its settings, and call at fleet.socket"}
+		return Response{Error: "this gateway spreads no purges by broadcast", Remedy: "set fleet.broadcast in its settings, and send the request to fleet.socket"}
 	}
 	report := s.services.Broadcast.Report(request.Version)
 	return Response{Broadcast: &report}
 }
 
-// handleRoutes answers a question about routes or takes a step of a change.
+// handleRoutes answers a query about the routes or carries out a step of a route change.
 func handleRoutes(routes *rollout.Controller, request Request) Response {
 	switch request.Command {
 	case CommandHistory:
@@ -61,7 +61,7 @@
 		if text := routes.Text(request.Version); text != nil {
 			return Response{Text: text}
 		}
-		return Response{Error: fmt.Sprintf("version %d is not kept", request.Version), Remedy: "see history"}
+		return Response{Error: fmt.Sprintf("version %d is not retained", request.Version), Remedy: "the command history lists the retained versions"}
 	case CommandPlan:
 		if request.Config == nil {
 			return errorResponse(errNoConfig)
@@ -73,11 +73,11 @@
 	if err != nil {
 		return errorResponse(err)
 	}
-	step.Text = nil // the caller has it
+	step.Text = nil // the caller has the configuration, or can request it with CommandText
 	return Response{Step: &step}
 }
 
-var errNoConfig error = change.Error{Text: "no configuration came with it", Remedy: "send one as config"}
+var errNoConfig error = change.Error{Text: "the request has no configuration", Remedy: "send one in the field config"}
 
 func takeStep(routes *rollout.Controller, request Request) (change.Step, error) {
 	timeout := time.Duration(request.TimeoutMS) * time.Millisecond
@@ -97,7 +97,7 @@
 	case CommandRollBack:
 		return routes.RollBack(request.Version, request.Reason)
 	}
-	return change.Step{}, change.Error{Text: fmt.Sprintf("%q is no step", request.Command), Remedy: commandNames}
+	return change.Step{}, change.Error{Text: fmt.Sprintf("unknown command %q", request.Command), Remedy: commandNames}
 }
 
 func propose(routes *rollout.Controller, request Request) (change.Step, error) {
@@ -112,7 +112,7 @@
 	return routes.Propose(parent, *request.Config, request.Author, request.Reason)
 }
 
-// errorResponse returns an error's text and, where it has one, its remedy.
+// errorResponse returns a response with an error's text and, for a change.Error, its remedy.
 func errorResponse(err error) Response {
 	var requestErr change.Error
 	if errors.As(err, &requestErr) {
--- a/internal/admin/handle_test.go
+++ b/internal/admin/handle_test.go
@@ -7,13 +7,14 @@
 	"testing"
 )
 
-// A gateway without a service says which setting turns it on.
+// TestRequestsForServicesThatAreOff checks that a request for a service that is off gets an error whose remedy names
+// the setting that enables the service.
 func TestRequestsForServicesThatAreOff(t *testing.T) {
 	for _, command := range []string{CommandFleet, CommandLimits, CommandBroadcast, CommandHistory, CommandPropose, "other"} {
 		t.Run(command, func(t *testing.T) {
 			response := (&Server{}).Handle(Request{Command: command})
 			if response.Error == "" || !strings.HasPrefix(response.Remedy, "set ") {
-				t.Errorf("%+v", response)
+				t.Errorf("response %+v, want an error and a remedy that begins with \"set \"", response)
 			}
 		})
 	}
@@ -25,9 +26,9 @@
 		return request, err
 	}
 	if request, err := read(`{"do":"text","no":7}` + "\n"); err != nil || request.Command != CommandText || request.Version != 7 {
-		t.Errorf("%+v, %v", request, err)
+		t.Errorf("request %+v, error %v", request, err)
 	}
-	if _, err := read("not JSON\n"); err == nil || !strings.HasPrefix(err.Error(), "the call cannot be read: ") {
+	if _, err := read("not JSON\n"); err == nil || !strings.HasPrefix(err.Error(), "cannot decode the request: ") {
 		t.Error(err)
 	}
 	if _, err := read(strings.Repeat("x", maxLineBytes+1)); !errors.Is(err, errRequestTooLong) {
--- a/internal/admin/protocol.go
+++ b/internal/admin/protocol.go
@@ -9,7 +9,7 @@
 	"foldslip/internal/route/pools"
 )
 
-// Commands of a Request, as they are on the wire.
+// Values of Request.Command, as they are sent.
 const (
 	CommandPropose        = "propose"
 	CommandPlan           = "plan"
@@ -27,24 +27,24 @@
 	CommandBroadcast = "broadcast"
 )
 
-// commandNames is the remedy for a command that is none.
-const commandNames = "propose, plan, check, stage, apply, confirm, undo, back, history, text; fleet, limits, broadcast"
+// commandNames is the remedy in the response to an unknown command.
+const commandNames = "known commands: propose, plan, check, stage, apply, confirm, undo, back, history, text; fleet, limits, broadcast"
 
-// Request is one call of an operator. Which fields count depends on the command.
+// Request is one request of an operator. The command determines which of the other fields are used.
 type Request struct {
 	Command   string              `json:"do"`
-	Name      string              `json:"name,omitempty"`   // of the gateway to explain, with CommandFleet
-	Version   uint64              `json:"no,omitempty"`     // with CommandBroadcast: reports begin after this number
-	Parent    uint64              `json:"parent,omitempty"` // 0: the active one
+	Name      string              `json:"name,omitempty"`   // with CommandFleet: the gateway to explain, "" for all
+	Version   uint64              `json:"no,omitempty"`     // number of a version; with CommandBroadcast: number of the last purge to leave out
+	Parent    uint64              `json:"parent,omitempty"` // version that the change is based on; 0: the active version
 	Author    string              `json:"author,omitempty"`
 	Reason    string              `json:"reason,omitempty"`
 	Share     float64             `json:"share,omitempty"`
-	TimeoutMS int64               `json:"within_ms,omitempty"` // for the next step to come
+	TimeoutMS int64               `json:"within_ms,omitempty"` // the change is rolled back if its next step does not follow within this time
 	Config    *config.RouteConfig `json:"config,omitempty"`
 	Load      []pools.LoadSample  `json:"load,omitempty"`
 }
 
-// Response is what came of a request: the fields of its command, or an error with its remedy.
+// Response is the response to a request. It has either the fields of the request's command or an error with its remedy.
 type Response struct {
 	Step      *change.Step         `json:"step,omitempty"`
 	History   []change.VersionInfo `json:"history,omitempty"`
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,8 +1,11 @@
-// Package admin is the admin API for operators on this machine: a Unix socket that takes requests, a line of JSON each, and answers each with
-// one. Requests are steps of changes of the routes (package route/rollout) and questions about the fleet; the package decides nothing. Only the
-// gateway's own user and root may call: the socket's mode says so, and the kernel is asked who calls.
+// Package admin is the admin API for operators on this machine. It listens on a Unix socket, reads requests
+// of one line of JSON each, and answers each request with one line of JSON. Requests are steps of route
+// changes (package route/rollout) and queries about the routes and the fleet; the package itself decides
+// nothing. Only the gateway's own user and root may send requests. The socket's mode enforces this, and the
+// server also asks the kernel for the caller's user id.
 //
-// It is bounded by maxConnections at once, maxLineBytes a line and callTimeout for each line.
+// A server is bounded by maxConnections open connections, maxLineBytes for a request and requestTimeout for reading and
+// answering it. It runs until the gateway's lifetime ends or the gateway drains.
 package admin
 
 import (
@@ -33,7 +36,7 @@
 	socketMode      = 0o600
 )
 
-// Services are the parts of a gateway that requests are about. What is nil is off.
+// Services are the services of a gateway that requests address. A service that is nil is off.
 type Services struct {
 	Routes    *rollout.Controller
 	Fleet     *membership.Fleet
@@ -41,15 +44,15 @@
 	Broadcast *driver.Driver
 }
 
-// Server owns the socket and its connections, each with a goroutine.
+// Server owns the socket and its connections. Each connection is served by a goroutine.
 type Server struct {
 	env      env.Environment
 	services Services
 	listener net.Listener
-	slots    chan struct{} // an element for each connection
+	slots    chan struct{} // holds an element for each open connection
 }
 
-// Open listens on a path. Run must follow.
+// Open listens on the Unix socket at path. The caller must call Run to serve it.
 func Open(e env.Environment, path string, services Services) (*Server, error) {
 	listener, err := env.ListenUnix(path, socketMode)
 	if err != nil {
@@ -58,7 +61,7 @@
 	return &Server{e, services, listener, make(chan struct{}, maxConnections)}, nil
 }
 
-// Run serves until the lifetime ends or Drain is called.
+// Run accepts and serves connections until the lifetime ends or Drain is called.
 func (s *Server) Run(lifetime *env.Lifetime) error {
 	defer lifetime.OnEnd(func() { s.listener.Close() })()
 	for {
@@ -78,21 +81,22 @@
 				<-s.slots
 			}()
 		default:
-			conn.Close() // the operators' own tools call one at a time
+			conn.Close() // the operators' tools do not reach the limit: they use one connection at a time
 		}
 	}
 }
 
-// PrepareReload prepares nothing: no setting of the server can change.
+// PrepareReload returns a function that does nothing, since no setting of the server can change in a reload.
 func (s *Server) PrepareReload(*config.Config) (func(), error) { return func() {}, nil }
 
-// Drain takes no more connections.
+// Drain stops accepting connections. Open connections are still served.
 func (s *Server) Drain() { s.listener.Close() }
 
-// Wait returns at once: a call is over within its time.
+// Wait returns at once, since each request ends within requestTimeout.
 func (s *Server) Wait() {}
 
-// authenticate asks the kernel who calls, and reports whether that user may.
+// authenticate asks the kernel for the caller's user id. It returns the id and
+// reports whether that user may send requests.
 func authenticate(conn *net.UnixConn) (user uint32, isAllowed bool) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -109,7 +113,8 @@
 	return credentials.Uid, credentials.Uid == 0 || credentials.Uid == uint32(os.Getuid())
 }
 
-// serve answers the requests of a connection until the caller closes it, a line cannot be read, or a call takes too long.
+// serve answers the requests of a connection until the caller closes it, a line cannot be
+// read, or a request exceeds requestTimeout.
 func (s *Server) serve(conn *net.UnixConn) {
 	defer conn.Close()
 	reader := bufio.NewReaderSize(conn, readBufferBytes)
@@ -117,7 +122,7 @@
 	if user, isAllowed := authenticate(conn); !isAllowed {
 		s.env.Log().Warn("admin_caller_refused", "user", user)
 		conn.SetDeadline(time.Now().Add(requestTimeout))
-		write(Response{Error: "this user may not", Remedy: "call as the gateway's own user"})
+		write(Response{Error: "permission denied: only the gateway's own user and root may send requests", Remedy: "run the command as the gateway's own user"})
 		return
 	}
 	for {
@@ -125,7 +130,7 @@
 		var request Request
 		if err := readRequest(reader, &request); err != nil {
 			if !errors.Is(err, errConnectionEnded) {
-				write(Response{Error: err.Error(), Remedy: "one call of JSON a line, at most 2 MB"})
+				write(Response{Error: err.Error(), Remedy: "send each request as one line of JSON of at most 2 MB"})
 			}
 			return
 		}
@@ -135,20 +140,20 @@
 	}
 }
 
-// Errors of reading a request.
+// Errors of readRequest.
 var (
-	errConnectionEnded = errors.New("the caller has gone")
-	errRequestTooLong  = errors.New("a call of more than " + strconv.Itoa(maxLineBytes) + " bytes")
+	errConnectionEnded = errors.New("the connection was closed or timed out")
+	errRequestTooLong  = errors.New("the request is longer than " + strconv.Itoa(maxLineBytes) + " bytes")
 )
 
-// readRequest reads a line and decodes it.
+// readRequest reads one line and decodes the request in it.
 func readRequest(reader *bufio.Reader, request *Request) error {
 	line, err := readLine(reader)
 	if err != nil {
 		return err
 	}
 	if err := json.Unmarshal(line, request); err != nil {
-		return fmt.Errorf("the call cannot be read: %w", err)
+		return fmt.Errorf("cannot decode the request: %w", err)
 	}
 	return nil
 }
