--- a/internal/cli/admin_socket.go
+++ b/internal/cli/admin_socket.go
@@ -11,14 +11,14 @@
 	"foldslip/internal/config/change"
 )
 
-// adminSocket is a gateway's socket for operators.
+// adminSocket has the flags of commands that send requests to a gateway's admin socket.
 type adminSocket struct {
-	Socket string        `env:"FOLDSLIP_OPERATOR" default:"/run/foldslip/operator" help:"The gateway's socket, routing.socket of its settings."`
+	Socket string        `env:"FOLDSLIP_OPERATOR" default:"/run/foldslip/operator" help:"The gateway's admin socket, routing.socket in its settings."`
 	JSON   bool          `help:"Print JSON."`
-	Wait   time.Duration `name:"wait" default:"10s" help:"For the answer."`
+	Wait   time.Duration `name:"wait" default:"10s" help:"Time limit for connecting to the socket."`
 }
 
-// call sends a request and returns the response. A response that carries an error is returned as an error.
+// call sends a request and returns the response. If the response has an error, call returns that error too.
 func (s adminSocket) call(request admin.Request) (admin.Response, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), s.Wait)
 	defer cancel()
@@ -32,7 +32,8 @@
 	return response, nil
 }
 
-// callAndPrintStep sends a request that is a step of a route change, and prints the change's new state.
+// callAndPrintStep sends a request for a step of a route change and prints the step. It fails if the step rolled the
+// change back and the request did not ask for that.
 func (s adminSocket) callAndPrintStep(streams *program.Streams, request admin.Request) error {
 	response, err := s.call(request)
 	if err != nil {
@@ -67,7 +68,7 @@
 	}
 }
 
-// severity names a finding: an error prevents the change, a remark does not.
+// severity returns the name of a finding's severity. An error prevents the change, a remark does not.
 func severity(isError bool) string {
 	if isError {
 		return "error"
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,8 +1,10 @@
-// Package cli is the command line of foldslip. The bare program is the gateway, as the platform starts it; its sub-commands check
-// configurations, ask a running gateway through its sockets, and run simulated scenarios. Files are named for their sub-command.
+// Package cli is the command line of foldslip. Without a sub-command, as the platform starts it, the program runs the
+// gateway. The sub-commands check configurations, send requests to a running gateway through its sockets, and run
+// simulated scenarios. Each file is named after its sub-command.
 //
-// Exit status: 0 done, 1 the command failed, 2 arguments, a setting or a file cannot be used. Names, flags, JSON keys and printed forms
-// are used by scripts and keep their spelling whatever the code behind them is called.
+// The exit status is 0 if the command succeeded, 1 if it failed, and 2 if an argument, a setting or a file cannot be
+// used. Scripts use the names of commands and flags, the JSON keys and the printed forms. These keep their spelling
+// when Go identifiers are renamed.
 package cli
 
 import (
@@ -14,12 +16,12 @@
 )
 
 type commands struct {
-	Lookup extprocCommand `name:"ask" cmd:"" passthrough:"" help:"Ask a door for one lookup and print its decisions (runs foldslip-extproc, which stands beside this program)."`
-	List   list           `cmd:"" help:"Read and mend the list of caches that a gateway keeps on disk."`
-	Config configCommands `cmd:"" help:"Check the operators' own settings, a Jsonnet template."`
-	Faults faults         `cmd:"" help:"Play days of trouble on a virtual clock against this very gateway."`
-	Fleet  fleet          `cmd:"" help:"Ask a gateway about the fleet that it sees, and try whole fleets under faults."`
-	Serve  serve          `cmd:"" default:"withargs" help:"Be the gateway (what the bare program does): ROUTER_CONFIG names its configuration, ROUTER_NAME and ROUTER_LISTEN go before what stands in it. SIGTERM ends it once all it has taken is answered, SIGHUP moves it to the bulletin that the file then names."`
+	Lookup extprocCommand `name:"ask" cmd:"" passthrough:"" help:"Send one lookup to an external processor and print its decisions (runs foldslip-extproc, which must be in the same directory)."`
+	List   list           `cmd:"" help:"Inspect and edit the endpoint list that a gateway stores on disk."`
+	Config configCommands `cmd:"" help:"Check the operator settings, a Jsonnet template, and change the routes of a running gateway."`
+	Faults faults         `cmd:"" help:"Run simulated scenarios with faults against the code of this gateway, on a virtual clock."`
+	Fleet  fleet          `cmd:"" help:"Query a gateway about its fleet, and test whole fleets under faults."`
+	Serve  serve          `cmd:"" default:"withargs" help:"Run the gateway; this is the default command. ROUTER_CONFIG names its configuration file, and ROUTER_NAME and ROUTER_LISTEN override the values in it. After SIGTERM it answers the lookups that it has accepted, and ends. After SIGHUP it reads the file again and uses the discovery service named there."`
 }
 
 // Main runs the command that args select and returns the exit status.
@@ -34,7 +36,7 @@
 	return foldslip.Main(&commands{}, args, &program.Streams{Out: out, Err: errs})
 }
 
-// formatError keeps usage errors to one line; other errors may have several.
+// formatError formats a usage error as a single line. Other errors may have several lines.
 func formatError(err error) string {
 	if program.IsUsageError(err) {
 		return program.OneLine(err)
@@ -42,7 +44,7 @@
 	return err.Error()
 }
 
-// Run runs the process's own arguments and ends the process.
+// Run runs the command that the process's arguments select and ends the process with its exit status.
 func Run() { os.Exit(Main(os.Args[1:], os.Stdout, os.Stderr)) }
 
 // printJSON prints a value as one line of JSON.
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -10,14 +10,14 @@
 	"foldslip/internal/cli/program"
 )
 
-// runCLI runs a command and returns the exit status, the output and the messages.
+// runCLI runs a command and returns the exit status, the text written to the output and the messages.
 func runCLI(args ...string) (status int, output, messages string) {
 	var out, errs bytes.Buffer
 	status = Main(args, &out, &errs)
 	return status, out.String(), errs.String()
 }
 
-// writeFile writes a file into a directory and returns its path.
+// writeFile writes a file into a directory and returns the file's path.
 func writeFile(t *testing.T, directory, name, text string) string {
 	t.Helper()
 	path := filepath.Join(directory, name)
@@ -27,7 +27,8 @@
 	return path
 }
 
-// TestUsageErrors checks that what cannot be used ends with status 2, one line that says why, and no file written.
+// TestUsageErrors checks that a command with an argument, a setting or a file that cannot be used ends with exit status
+// 2 and a message with the reason, and writes no file.
 func TestUsageErrors(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string { return writeFile(t, dir, name, text) }
@@ -40,12 +41,12 @@
 		{"unknown flag", "unknown flag", []string{"faults", "run", "--sides", "1"}},
 		{"no configuration file", "ROUTER_CONFIG is not set", nil},
 		{"no seeds", "--seeds", []string{"faults", "run"}},
-		{"seeds that are no numbers", "expected A-B", []string{"faults", "run", "--seeds", "7-x"}},
-		{"seeds backwards", "expected A-B", []string{"faults", "run", "--seeds", "9-3"}},
-		{"too many jobs", "--jobs", []string{"faults", "run", "--seeds", "1", "--jobs", "-3"}},
+		{"seeds that are not numbers", "expected A-B", []string{"faults", "run", "--seeds", "7-x"}},
+		{"first seed above the last", "expected A-B", []string{"faults", "run", "--seeds", "9-3"}},
+		{"number of jobs out of range", "--jobs", []string{"faults", "run", "--seeds", "1", "--jobs", "-3"}},
 		{"unknown profile of scenarios", "days \"sunny\" is unknown", []string{"faults", "run", "--seeds", "1", "--days", "sunny"}},
 		{"unknown injected fault", "plant \"weed\" is unknown", []string{"faults", "replay", "1", "--plant", "weed"}},
-		{"neither seed nor file", "is no seed", []string{"faults", "replay", filepath.Join(dir, "none.json")}},
+		{"neither seed nor file", "is neither a seed nor a file that can be read", []string{"faults", "replay", filepath.Join(dir, "none.json")}},
 		{"file that is not a plan", "not a plan", []string{"faults", "replay", file("a.json", "[")}},
 		{"plan of another format version", "form 0", []string{"faults", "replay", file("b.json", `{"seed":3}`)}},
 		{"unknown field", "unknown field", []string{"faults", "replay", file("c.json", `{"form":1,"weather":3}`)}},
@@ -57,7 +58,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			status, _, messages := runCLI(test.args...)
 			if status != program.ExitUsage || !strings.Contains(messages, test.message) || !strings.HasPrefix(messages, "foldslip: ") {
-				t.Errorf("status %d, messages %q", status, messages)
+				t.Errorf("status %d, messages %q; want status 2 and the reason", status, messages)
 			}
 		})
 	}
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -11,25 +11,25 @@
 )
 
 type configCommands struct {
-	Check          configCheck          `cmd:"" help:"Tell whether a file of the operators' settings can be used; the gateway is not touched."`
-	Plan           configPlan           `cmd:"" help:"Tell what the routes of a file would change and move, against the gateway's list; nothing is changed."`
-	Propose        configPropose        `cmd:"" help:"Begin a change of the routes in force, and check it."`
-	Stage          configStage          `cmd:"" help:"Put a change in place for a part of the objects."`
-	Apply          configApply          `cmd:"" help:"Put a change in place for all, until it is confirmed."`
-	Confirm        configConfirm        `cmd:"" help:"Make an applied change the one in force for good."`
-	RollBack       configRollBack       `name:"undo" cmd:"" help:"End the change under way: the routes of before are in force."`
-	ProposeEarlier configProposeEarlier `name:"back" cmd:"" help:"Begin a change back to an earlier version."`
-	History        configHistory        `cmd:"" help:"List the versions, and what is in force."`
-	Diff           configDiff           `cmd:"" help:"Show what differs between two versions."`
-	Show           configShow           `cmd:"" help:"Print what a file of the operators' settings comes to, as JSON, with all defaults."`
+	Check          configCheck          `cmd:"" help:"Check whether a file of operator settings can be used. The gateway is not contacted."`
+	Plan           configPlan           `cmd:"" help:"Print the problems of the routes in a file and how many objects they would move, given the gateway's endpoint list. Nothing is changed."`
+	Propose        configPropose        `cmd:"" help:"Propose a change of the active routes, and check it."`
+	Stage          configStage          `cmd:"" help:"Make a change active for a share of the objects."`
+	Apply          configApply          `cmd:"" help:"Make a change active for all objects; it must then be confirmed."`
+	Confirm        configConfirm        `cmd:"" help:"Confirm an applied change, which makes it permanent."`
+	RollBack       configRollBack       `name:"undo" cmd:"" help:"Roll back the change in progress; the routes confirmed before it are active again."`
+	ProposeEarlier configProposeEarlier `name:"back" cmd:"" help:"Propose a change back to an earlier version."`
+	History        configHistory        `cmd:"" help:"List the versions of the routes, and which of them are active."`
+	Diff           configDiff           `cmd:"" help:"Print the differences between two versions of the routes."`
+	Show           configShow           `cmd:"" help:"Print the settings that a file of operator settings evaluates to, as JSON with all defaults."`
 }
 
 type configFile struct {
 	File string `arg:"" help:"Jsonnet template, such as deploy/foldslip.jsonnet."`
-	JSON bool   `help:"Print JSON, also of what is wrong."`
+	JSON bool   `help:"Print JSON, also for an error in the settings."`
 }
 
-// read reads the operators' configuration. With --json an error in it is printed as JSON, too.
+// read reads a file of operator settings. With --json an error in the settings is also printed as JSON.
 func (f configFile) read(streams *program.Streams) (*config.Config, error) {
 	configuration, err := configfile.Read(f.File, os.ReadFile)
 	var invalid config.Error
@@ -44,7 +44,7 @@
 
 type configCheck struct{ configFile }
 
-// Run checks a file.
+// Run checks whether a file of operator settings can be used.
 func (c *configCheck) Run(streams *program.Streams) error {
 	if _, err := c.read(streams); err != nil {
 		return err
@@ -58,7 +58,7 @@
 
 type configShow struct{ configFile }
 
-// Run prints a configuration with its defaults.
+// Run prints the configuration of a file with all defaults.
 func (c *configShow) Run(streams *program.Streams) error {
 	configuration, err := c.read(streams)
 	if err != nil {
--- a/internal/cli/config_change.go
+++ b/internal/cli/config_change.go
@@ -8,27 +8,27 @@
 	"foldslip/internal/config"
 )
 
-// readRoutes reads the routing of a file of the operators' configuration.
+// readRoutes reads a file of operator settings and returns its routing. It fails if the file has none.
 func (f configFile) readRoutes(streams *program.Streams) (*config.RouteConfig, error) {
 	configuration, err := f.read(streams)
 	if err != nil {
 		return nil, err
 	}
 	if configuration.Routing == nil {
-		return nil, program.UsageErrorf("%s: routing is not there; see docs/configuration.md", f.File)
+		return nil, program.UsageErrorf("%s: routing is not set; see docs/configuration.md", f.File)
 	}
 	return &configuration.Routing.RouteConfig, nil
 }
 
 type configPropose struct {
 	adminSocket
-	File   string `arg:"" help:"Jsonnet template of the settings with the routing to come."`
-	Parent uint64 `help:"Version that it is a change of; 0: the one in force."`
-	Author string `required:"" help:"Who."`
-	Reason string `required:"" help:"Why."`
+	File   string `arg:"" help:"Jsonnet template of operator settings with the proposed routing."`
+	Parent uint64 `help:"Version that the change is based on; 0: the active version."`
+	Author string `required:"" help:"Who makes the change."`
+	Reason string `required:"" help:"Why the change is made."`
 }
 
-// Run proposes a change.
+// Run proposes a change of the routes.
 func (c *configPropose) Run(streams *program.Streams) error {
 	routes, err := configFile{File: c.File}.readRoutes(streams)
 	if err != nil {
@@ -39,30 +39,30 @@
 
 type configStage struct {
 	adminSocket
-	Version uint64        `name:"no" arg:"" help:"Version."`
-	Share   float64       `required:"" help:"Part of the objects, above 0 and below 1."`
-	Timeout time.Duration `name:"within" default:"10m" help:"It is undone if it has not gone on by then."`
+	Version uint64        `name:"no" arg:"" help:"Number of the change's version."`
+	Share   float64       `required:"" help:"Share of the objects, above 0 and below 1."`
+	Timeout time.Duration `name:"within" default:"10m" help:"The change is rolled back if its next step does not follow within this time."`
 }
 
-// Run stages a change.
+// Run makes a change active for a share of the objects.
 func (c *configStage) Run(streams *program.Streams) error {
 	return c.callAndPrintStep(streams, admin.Request{Command: "stage", Version: c.Version, Share: c.Share, TimeoutMS: c.Timeout.Milliseconds()})
 }
 
 type configApply struct {
 	adminSocket
-	Version uint64        `name:"no" arg:"" help:"Version."`
-	Timeout time.Duration `name:"within" default:"10m" help:"It is undone if it has not been confirmed by then."`
+	Version uint64        `name:"no" arg:"" help:"Number of the change's version."`
+	Timeout time.Duration `name:"within" default:"10m" help:"The change is rolled back if it is not confirmed within this time."`
 }
 
-// Run applies a change.
+// Run makes a change active for all objects.
 func (c *configApply) Run(streams *program.Streams) error {
 	return c.callAndPrintStep(streams, admin.Request{Command: "apply", Version: c.Version, TimeoutMS: c.Timeout.Milliseconds()})
 }
 
 type configConfirm struct {
 	adminSocket
-	Version uint64 `name:"no" arg:"" help:"Version."`
+	Version uint64 `name:"no" arg:"" help:"Number of the change's version."`
 }
 
 // Run confirms an applied change.
@@ -72,23 +72,23 @@
 
 type configRollBack struct {
 	adminSocket
-	Version uint64 `name:"no" arg:"" help:"Version."`
-	Reason  string `name:"why" default:"by hand" help:"Why."`
+	Version uint64 `name:"no" arg:"" help:"Number of the change's version."`
+	Reason  string `name:"why" default:"by hand" help:"Why the change is rolled back."`
 }
 
-// Run rolls the current change back.
+// Run rolls back the change in progress.
 func (c *configRollBack) Run(streams *program.Streams) error {
 	return c.callAndPrintStep(streams, admin.Request{Command: "undo", Version: c.Version, Reason: c.Reason})
 }
 
 type configProposeEarlier struct {
 	adminSocket
-	Version uint64 `name:"no" arg:"" help:"Version whose routes are proposed again."`
-	Author  string `required:"" help:"Who."`
-	Reason  string `required:"" help:"Why."`
+	Version uint64 `name:"no" arg:"" help:"Number of the version whose routes are proposed again."`
+	Author  string `required:"" help:"Who makes the change."`
+	Reason  string `required:"" help:"Why the change is made."`
 }
 
-// Run proposes the routes of an earlier version.
+// Run proposes a change back to the routes of an earlier version.
 func (c *configProposeEarlier) Run(streams *program.Streams) error {
 	return c.callAndPrintStep(streams, admin.Request{Command: "back", Version: c.Version, Author: c.Author, Reason: c.Reason})
 }
--- a/internal/cli/config_change_test.go
+++ b/internal/cli/config_change_test.go
@@ -19,8 +19,8 @@
 	"foldslip/internal/store/endpoints"
 )
 
-// openAdminSocket serves the admin API over two caches and the route to one of them until the test ends. It returns the socket's path and
-// a function that tries to open the same socket again.
+// openAdminSocket serves the admin API of a gateway with two caches and a route to one of them until the test ends. It
+// returns the path of the socket and a function that tries to open the same socket again.
 func openAdminSocket(t *testing.T) (path string, openAgain func() error) {
 	t.Helper()
 	environment := env.NewSystem(io.Discard, slog.LevelInfo)
@@ -50,7 +50,8 @@
 	}
 }
 
-// TestRouteChangeByAnOperator takes a change of routes from its plan to its rollback, each step with the state that the one before left.
+// TestRouteChangeByAnOperator runs the commands of route changes from a plan to a rollback. Each step begins in the
+// state that the step before it left.
 func TestRouteChangeByAnOperator(t *testing.T) {
 	dir := t.TempDir()
 	socket, _ := openAdminSocket(t)
@@ -91,12 +92,13 @@
 		}
 		status, out, messages := runCLI(args...)
 		if status != step.status || !strings.Contains(out+messages, step.want) {
-			t.Errorf("%s: status %d\n%s%s", step.args, status, out, messages)
+			t.Errorf("%s: status %d, output and messages:\n%s%s", step.args, status, out, messages)
 		}
 	}
 }
 
-// TestAdminSocketIsGuarded checks that the socket is for its owner only, answers what is no request with an error, and is not taken over.
+// TestAdminSocketIsGuarded checks that the socket's mode admits only its owner, that invalid requests are answered with
+// an error, and that a second server cannot listen on the same socket.
 func TestAdminSocketIsGuarded(t *testing.T) {
 	socket, openAgain := openAdminSocket(t)
 	if info, err := os.Stat(socket); err != nil || info.Mode().Perm() != 0o600 {
@@ -110,11 +112,11 @@
 		go fmt.Fprint(conn, text)
 		answer, _ := io.ReadAll(io.LimitReader(conn, 40))
 		if !strings.Contains(string(answer), `"error":"`) {
-			t.Errorf("%.20q: %q", text, answer)
+			t.Errorf("request %.20q: answer %q has no error", text, answer)
 		}
 		conn.Close()
 	}
 	if err := openAgain(); err == nil {
-		t.Error("a socket in use was opened a second time")
+		t.Error("a second server listens on a socket that is in use")
 	}
 }
--- a/internal/cli/config_history.go
+++ b/internal/cli/config_history.go
@@ -13,12 +13,12 @@
 	"foldslip/internal/cli/program"
 )
 
-// diffContextLines are the unchanged lines printed around each difference.
+// diffContextLines is the number of unchanged lines that a diff has around each difference.
 const diffContextLines = 3
 
 type configHistory struct{ adminSocket }
 
-// Run lists the versions of the routes.
+// Run lists the versions of the routes and those that are active.
 func (c *configHistory) Run(streams *program.Streams) error {
 	response, err := c.call(admin.Request{Command: "history"})
 	if err != nil {
@@ -48,11 +48,11 @@
 
 type configDiff struct {
 	adminSocket
-	From uint64 `arg:"" help:"Version."`
-	To   uint64 `arg:"" help:"Version."`
+	From uint64 `arg:"" help:"Number of the old version."`
+	To   uint64 `arg:"" help:"Number of the new version."`
 }
 
-// Run prints the differences of two versions as a unified diff.
+// Run prints the differences between two versions as a unified diff.
 func (c *configDiff) Run(streams *program.Streams) error {
 	from, err := c.versionLines(c.From)
 	if err != nil {
@@ -77,7 +77,7 @@
 	return err
 }
 
-// versionLines returns a version's routes as lines of JSON.
+// versionLines returns the routes of a version as lines of indented JSON.
 func (c *configDiff) versionLines(version uint64) ([]string, error) {
 	response, err := c.call(admin.Request{Command: "text", Version: version})
 	if err != nil {
--- a/internal/cli/config_plan.go
+++ b/internal/cli/config_plan.go
@@ -12,16 +12,17 @@
 	"foldslip/internal/route/pools"
 )
 
-// maxLoadLookups bounds the lookups of a captured load, all of which go to the gateway in one request.
+// maxLoadLookups limits the lookups of a captured load. They are all sent to the gateway in one request.
 const maxLoadLookups = 20_000
 
 type configPlan struct {
 	adminSocket
-	File string `arg:"" help:"Jsonnet template of the settings with the routing to come."`
-	Load string `help:"A captured load: a line of JSON a lookup, {\"kind\":0,\"group\":3,\"object\":\"7f3a\",\"bytes\":42000}."`
+	File string `arg:"" help:"Jsonnet template of operator settings with the planned routing."`
+	Load string `help:"File of a captured load with one line of JSON for each lookup: {\"kind\":0,\"group\":3,\"object\":\"7f3a\",\"bytes\":42000}."`
 }
 
-// Run prints what a change of routes would move.
+// Run prints the problems of a change of routes and how many objects it would move. Without --json it fails if one of
+// the problems is an error.
 func (c *configPlan) Run(streams *program.Streams) error {
 	routes, err := configFile{File: c.File}.readRoutes(streams)
 	if err != nil {
@@ -51,12 +52,12 @@
 	fmt.Fprintf(streams.Out, "of %d lookups for %d objects, %d objects move, %d of them to caches that have none of them; %.0f of %.0f bytes\n",
 		impact.Lookups, impact.Objects, impact.MovedObjects, impact.ColdObjects, impact.MovedBytes, impact.Bytes)
 	if errorCount > 0 {
-		return program.Failedf("%d errors: it cannot be applied", errorCount)
+		return program.Failedf("the routes have %d errors and cannot be applied", errorCount)
 	}
 	return nil
 }
 
-// readLoad reads a captured load, a line of JSON a lookup.
+// readLoad reads a captured load from a file with one line of JSON for each lookup.
 func readLoad(path string) (load []pools.LoadSample, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -70,7 +71,7 @@
 		}
 		load = append(load, sample)
 		if len(load) > maxLoadLookups {
-			return nil, program.UsageErrorf("--load %s: more than %d lookups; give a sample", path, maxLoadLookups)
+			return nil, program.UsageErrorf("--load %s: more than %d lookups; pass a sample of the load", path, maxLoadLookups)
 		}
 	}
 	return load, nil
--- a/internal/cli/extproccli/connect.go
+++ b/internal/cli/extproccli/connect.go
@@ -15,7 +15,7 @@
 	"foldslip/internal/cli/program"
 )
 
-// connect returns a connection to the external processor; it is established by the first lookup.
+// connect returns a connection to the external processor. The first lookup establishes it.
 func (c *lookupCommand) connect(transport credentials.TransportCredentials) (*grpc.ClientConn, error) {
 	conn, err := grpc.NewClient(grpcTarget(c.Address), grpc.WithTransportCredentials(transport))
 	if err != nil {
@@ -24,7 +24,7 @@
 	return conn, nil
 }
 
-// grpcTarget returns an address in gRPC's form. It is connected to as it stands: no name is resolved by gRPC.
+// grpcTarget returns the gRPC target of an address. gRPC dials the address as it is and does not resolve names.
 func grpcTarget(address string) string {
 	if strings.HasPrefix(address, "unix:") {
 		return address
@@ -32,7 +32,7 @@
 	return "passthrough:///" + address
 }
 
-// transportCredentials returns TLS if a certificate authority is given.
+// transportCredentials returns credentials for TLS if --ca is given, and for plain text otherwise.
 func (c *lookupCommand) transportCredentials() (credentials.TransportCredentials, error) {
 	if c.CA == "" {
 		return insecure.NewCredentials(), nil
@@ -55,7 +55,7 @@
 	}
 	config := &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: x509.NewCertPool(), ServerName: host}
 	if !config.RootCAs.AppendCertsFromPEM(authority) {
-		return nil, program.UsageErrorf("--ca %s: no certificate in it", c.CA)
+		return nil, program.UsageErrorf("--ca %s: the file has no PEM certificate", c.CA)
 	}
 	if c.Cert != "" {
 		certificate, err := tls.LoadX509KeyPair(c.Cert, c.Key)
--- a/internal/cli/extproccli/frozen_test.go
+++ b/internal/cli/extproccli/frozen_test.go
@@ -9,9 +9,10 @@
 	"foldslip/internal/cli/program/programtest"
 )
 
-// The files under testdata/frozen were written by the build at 58d6067. They name the program PROGRAM, since it has an old name too.
+// The files under testdata/frozen were written by the build at 58d6067. PROGRAM stands for the program's name in them,
+// since the program also has an old name, foldslip-door.
 
-// TestFrozenCommands checks exit statuses and messages of commands that cannot be done.
+// TestFrozenCommands checks the exit statuses and messages of commands that fail.
 func TestFrozenCommands(t *testing.T) {
 	t.Setenv("ROUTER_CONFIG", "")
 	t.Setenv("FOLDSLIP_SETTINGS", "")
@@ -29,7 +30,7 @@
 	} {
 		var out, errs bytes.Buffer
 		status := Main(strings.Fields(args), &out, &errs)
-		message, _, _ := strings.Cut(errs.String(), "rpc error") // the RPC library's text changes with its version
+		message, _, _ := strings.Cut(errs.String(), "rpc error") // the text of the gRPC library changes with its version
 		if strings.HasPrefix(message, "Usage:") {
 			message = message[strings.LastIndex(message, "\n"+programName+":")+1:]
 		}
@@ -38,7 +39,7 @@
 	programtest.Equal(t, "commands", bytes.ReplaceAll(printed.Bytes(), []byte(programName), []byte("PROGRAM")))
 }
 
-// TestFrozenCommandLine checks each command with its arguments and flags.
+// TestFrozenCommandLine checks the arguments and flags of each command.
 func TestFrozenCommandLine(t *testing.T) {
 	list := programtest.CommandLine(t, programName, &commands{})
 	programtest.Equal(t, "command-line", bytes.ReplaceAll(list, []byte(programName), []byte("PROGRAM")))
--- a/internal/cli/extproccli/lookup.go
+++ b/internal/cli/extproccli/lookup.go
@@ -15,23 +15,24 @@
 	"foldslip/internal/cli/program"
 )
 
-// lookupIDHeader carries a lookup's id.
+// lookupIDHeader is the request header with the lookup's id.
 const lookupIDHeader = "X-Job-Id"
 
 type lookupCommand struct {
-	Path     string        `arg:"" help:"Path of the request, as /call/segment/7f3a/part-3."`
-	Address  string        `name:"door" default:"127.0.0.1:18200" help:"Where the door listens: an address and port, or unix:/path."`
-	Header   []string      `short:"H" help:"A header as 'name: value'; X-Job-Id is drawn if it is not given."`
-	Outcomes []string      `name:"end" default:"hit" help:"How the sends end, one after the other; the last for all that follow: hit, valid, none, shed, fault, late, timeout, unconnected, reset."`
-	Age      time.Duration `name:"born" default:"0s" help:"Age of the copy that is reported."`
-	CA       string        `help:"The door's certificate authority, PEM; none: no TLS."`
-	Cert     string        `help:"Own certificate, PEM."`
-	Key      string        `help:"Its key."`
-	Timeout  time.Duration `default:"10s" help:"For all of it."`
+	Path     string        `arg:"" help:"Path of the request, such as /call/segment/7f3a/part-3."`
+	Address  string        `name:"door" default:"127.0.0.1:18200" help:"Address of the external processor: host and port, or unix:/path."`
+	Header   []string      `short:"H" help:"Request header as 'name: value'. X-Job-Id gets a random value if it is not given."`
+	Outcomes []string      `name:"end" default:"hit" help:"Outcomes to report for the attempts, in order; the last one is reported for all further attempts: hit, valid, none, shed, fault, late, timeout, unconnected, reset."`
+	Age      time.Duration `name:"born" default:"0s" help:"Age of the copy in the reported outcomes."`
+	CA       string        `help:"PEM file of the certificate authority of the external processor. Without it the connection does not use TLS."`
+	Cert     string        `help:"PEM file of the client certificate."`
+	Key      string        `help:"PEM file of the key of the client certificate."`
+	Timeout  time.Duration `default:"10s" help:"Time limit of the whole lookup."`
 	JSON     bool          `help:"Print JSON."`
 }
 
-// Run requests decisions for one lookup and reports an outcome for each without carrying it out. It fails unless the lookup is satisfied.
+// Run requests the decisions for one lookup and reports an outcome for each without carrying out the attempt. It fails
+// unless the lookup is satisfied.
 func (c *lookupCommand) Run(streams *program.Streams) error {
 	credentials, err := c.transportCredentials()
 	if err != nil {
@@ -57,7 +58,7 @@
 		return outcome
 	})
 	if err != nil {
-		return fmt.Errorf("the door at %s: %w; see whether it listens there and takes this caller", c.Address, err)
+		return fmt.Errorf("the door at %s: %w; check that it listens there and accepts this client", c.Address, err)
 	}
 	elapsed := time.Since(start)
 	if c.JSON {
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// requestHeader parses the headers on the command line and draws an id if none is given.
+// requestHeader parses the headers on the command line. If they have no lookup id, it adds a random one.
 func (c *lookupCommand) requestHeader() (http.Header, error) {
 	header := http.Header{}
 	for _, line := range c.Header {
@@ -89,7 +90,8 @@
 	return header, nil
 }
 
-// outcomeOf returns what is reported of an attempt: the last outcome on the command line holds for all later attempts.
+// outcomeOf returns the outcome to report for an attempt. Attempts beyond the outcomes
+// on the command line get the last one.
 func (c *lookupCommand) outcomeOf(attempt int) client.AttemptOutcome {
 	outcome := client.AttemptOutcome{
 		Word:      c.Outcomes[min(attempt, len(c.Outcomes)-1)],
--- a/internal/cli/extproccli/serve.go
+++ b/internal/cli/extproccli/serve.go
@@ -12,14 +12,14 @@
 )
 
 type serve struct {
-	Settings string `env:"FOLDSLIP_SETTINGS" required:"" help:"The operators' settings, a Jsonnet template with external_processor."`
-	LogLevel string `enum:"debug,info,warn,error" default:"info" help:"The least level that is logged: ${enum}."`
+	Settings string `env:"FOLDSLIP_SETTINGS" required:"" help:"Operator settings, a Jsonnet template with external_processor."`
+	LogLevel string `enum:"debug,info,warn,error" default:"info" help:"Lowest level that is logged: ${enum}."`
 }
 
 // Run runs the gateway with its external processor until SIGTERM. It logs to the process's own standard error.
 func (s *serve) Run() error {
 	var level slog.Level
-	level.UnmarshalText([]byte(s.LogLevel)) // kong has checked it
+	level.UnmarshalText([]byte(s.LogLevel)) // cannot fail: kong has checked the value
 	os.Setenv("FOLDSLIP_SETTINGS", s.Settings)
 	environment := env.NewSystem(os.Stderr, level)
 	if environment.Getenv("ROUTER_CONFIG") == "" {
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// openServices opens the external processor that the configuration names, if it names one.
+// openServices opens the external processor if the configuration has one.
 func openServices(in gateway.Dependencies) ([]gateway.Service, error) {
 	if in.Config.ExternalProcessor == nil {
 		return nil, nil
--- a/internal/cli/extproccli/serve_test.go
+++ b/internal/cli/extproccli/serve_test.go
@@ -24,12 +24,12 @@
 	"foldslip/internal/gateway"
 )
 
-// servedSettings are platform settings of one kind of lookup.
+// servedSettings are platform settings with a single kind of object.
 const servedSettings = `{"areas":["town"],"machine_types":["edge","parent","origin"],"ceilings":{"cancelling":true,"try_limit":6,"retry_after":true,
 "max_retry_after":2000000},"classes":[{"name":"segment","aim":400000,"deadline":5000000,"points":1,"effect":"idempotent"}],
 "specifics":{"parent_kind":1,"source_kind":2,"flow_kb_per_s":100000,"max_age":[0],"grace_for":[0],"pass_on":[false],"seats_by_zone":[1],"merges_fills":true}}`
 
-// lockedBuffer is a buffer that a gateway logs to while a test reads it.
+// lockedBuffer is a buffer that a test can read while a gateway writes its log to it.
 type lockedBuffer struct {
 	mu sync.Mutex
 	bytes.Buffer
@@ -42,14 +42,15 @@
 	return b.Buffer.Write(p)
 }
 
-// String returns what has been written so far.
+// String returns the text written so far.
 func (b *lockedBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.Buffer.String()
 }
 
-// freeAddr returns a free loopback address that only this process uses; its port is below those that outgoing connections get.
+// freeAddr returns a free loopback address that depends on the process id, so that test processes do not share one. Its
+// port is below the range of ports that the kernel assigns to outgoing connections.
 func freeAddr(t *testing.T, host int) string {
 	t.Helper()
 	pid := os.Getpid()
@@ -60,11 +61,11 @@
 			return addr
 		}
 	}
-	t.Fatal("no address is free")
+	t.Fatal("no loopback address is free")
 	return ""
 }
 
-// writeFile writes a file and returns its path.
+// writeFile writes a file and returns the file's path.
 func writeFile(t *testing.T, path, text string) string {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -73,10 +74,10 @@
 	return path
 }
 
-// noHealth is returned by health if the gateway did not answer in time.
+// noHealth is the value that health returns if the request failed or got no answer in time.
 const noHealth healthv1.HealthCheckResponse_ServingStatus = -1
 
-// health requests a gateway's health.
+// health requests the health of a gateway through the gRPC health service and waits at most timeout for the answer.
 func health(conn *grpc.ClientConn, timeout time.Duration) healthv1.HealthCheckResponse_ServingStatus {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -87,24 +88,27 @@
 	return response.Status
 }
 
-// giveUpAfter is when a gateway that shuts down gives up what is open: 0.25 s before the kill, which comes 0.7 s after the longest deadline, which
-// counts as 3 s at most. Until then it must have stopped accepting.
+// giveUpAfter is the time after SIGTERM at which a gateway gives up the lookups that are still open. The platform kills
+// the process 0.7 s after the longest deadline, which counts as 3 s at most, and the gateway gives up 0.25 s before
+// that. It must stop accepting lookups earlier.
 const giveUpAfter = 3*time.Second + 700*time.Millisecond - 250*time.Millisecond
 
-// waitUntilClosed waits until the gateway no longer reports that it serves, which must be before it gives up the lookup in progress.
+// waitUntilClosed waits until the gateway no longer reports that it serves. The test fails
+// if this takes longer than giveUpAfter.
 func waitUntilClosed(t *testing.T, conn *grpc.ClientConn) {
 	t.Helper()
 	for start := time.Now(); health(conn, 200*time.Millisecond) == healthv1.HealthCheckResponse_SERVING; {
 		if time.Since(start) > giveUpAfter {
-			t.Error("the gateway reports that it serves after SIGTERM")
+			t.Error("the gateway still reports that it serves at the time at which it gives up open lookups")
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// TestServeUntilTerminated starts a gateway with its external processor from its files, and sends SIGTERM while a client carries out an
-// attempt: the lookup is still answered, then the gateway ends.
+// TestServeUntilTerminated guards against a shutdown that drops a lookup in progress. It starts a gateway with its
+// external processor from configuration files and sends SIGTERM while a client carries out an attempt. The lookup must
+// still be answered, and then the gateway must end.
 func TestServeUntilTerminated(t *testing.T) {
 	dir, addr := t.TempDir(), freeAddr(t, 0)
 	t.Setenv("ROUTER_CONFIG", writeFile(t, filepath.Join(dir, "config.json"), fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"1","bulletin":"127.0.0.1:1",
@@ -129,14 +133,14 @@
 	request := client.Request{Path: "/call/segment/o/part-0", Header: http.Header{"X-Job-Id": {"a1"}}}
 	result, err := client.New(conn).Lookup(context.Background(), request, func(_ context.Context, decision client.Decision) client.AttemptOutcome {
 		if decision.Cache != "c0" || decision.Addr != "127.0.0.1:1" {
-			t.Errorf("%+v", decision)
+			t.Errorf("unexpected decision %+v", decision)
 		}
 		syscall.Kill(os.Getpid(), syscall.SIGTERM)
 		waitUntilClosed(t, conn)
 		return client.AttemptOutcome{Word: client.WordHit}
 	})
 	if err != nil || result.Kind != client.Satisfied || len(result.Attempts) != 1 {
-		t.Errorf("the lookup in progress: %+v, %v", result, err)
+		t.Errorf("the lookup in progress ended with %+v, %v; want it satisfied by one attempt", result, err)
 	}
 	select {
 	case err := <-ended:
@@ -144,6 +148,6 @@
 			t.Error(err, log.String())
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("the gateway does not end: ", log.String())
+		t.Fatal("the gateway did not end within 10 s of the lookup: ", log.String())
 	}
 }
--- a/internal/cli/faults.go
+++ b/internal/cli/faults.go
@@ -19,30 +19,30 @@
 )
 
 type faults struct {
-	Run          faultsRun          `cmd:"" help:"Play the days of many seeds and check every rule after each step."`
-	Replay       faultsReplay       `cmd:"" help:"Play one day again, from its seed or from a file."`
-	Shrink       faultsShrink       `cmd:"" help:"Make the smallest day that still breaks the rule that a seed or file breaks, and write it to a file."`
-	Kinds        faultsKinds        `cmd:"" help:"List the kinds of days, of faults, and of faults that can be planted in the gateway."`
-	ColdStarts   faultsColdStarts   `name:"mornings" cmd:"" help:"Compare starts without the bulletin: from the list kept on disk, waiting, trusting it wholly, and from the true list."`
-	Differential faultsDifferential `name:"twins" cmd:"" help:"Compare each decision of the module at a gateway and at its door for other proxies, over the same lookups."`
-	Guards       faultsGuards       `name:"guards" cmd:"" help:"Try good and bad changes of routes on calm days: which the guards undo, how soon, and what that saves."`
+	Run          faultsRun          `cmd:"" help:"Run the scenarios of many seeds and check every rule after each step."`
+	Replay       faultsReplay       `cmd:"" help:"Run one scenario again, from its seed or from a file."`
+	Shrink       faultsShrink       `cmd:"" help:"Find the smallest scenario that breaks the same rule as a seed or a file, and write it to a file."`
+	Kinds        faultsKinds        `cmd:"" help:"List the profiles of scenarios, the kinds of faults, and the faults that can be injected into the gateway."`
+	ColdStarts   faultsColdStarts   `name:"mornings" cmd:"" help:"Compare starts without discovery: from the stored endpoint list, waiting for discovery, trusting the stored list fully, and from the true list."`
+	Differential faultsDifferential `name:"twins" cmd:"" help:"Compare the decisions of a gateway with those of its external processor over the same lookups."`
+	Guards       faultsGuards       `name:"guards" cmd:"" help:"Make good and bad changes of routes in scenarios without faults: which of them the guards roll back, how soon, and the share of lookups satisfied with and without the guards."`
 }
 
 const (
 	maxSeeds            = 10_000_000
 	maxJobs             = 1024
-	simulationGCPercent = 400 // percent; a scenario allocates much that is short-lived
+	simulationGCPercent = 400 // a scenario allocates many short-lived objects
 	progressInterval    = 500 * time.Millisecond
 )
 
-// scenarioFlags select scenarios and the fault injected into the gateway.
+// scenarioFlags are the flags that select a profile of scenarios and a fault to inject into the gateway.
 type scenarioFlags struct {
-	Kind          string `name:"days" default:"mixed" help:"Kind of days; foldslip faults kinds lists them."`
-	InjectedFault string `name:"plant" help:"Plant a fault in the gateway, to see the referee find it."`
+	Kind          string `name:"days" default:"mixed" help:"Profile of the scenarios; foldslip faults kinds lists the profiles."`
+	InjectedFault string `name:"plant" help:"Fault to inject into the gateway, to test that the checker finds it."`
 	JSON          bool   `help:"Print JSON."`
 }
 
-// drawPlan returns the plan of a seed.
+// drawPlan returns the plan that a seed determines.
 func (f scenarioFlags) drawPlan(seed uint64) (scenario.Plan, error) {
 	plan := scenario.DrawPlan(seed, f.Kind)
 	plan.InjectedFault = f.InjectedFault
@@ -52,14 +52,15 @@
 	return plan, nil
 }
 
-// loadPlan returns the plan of a seed or of a file. An injected fault on the command line overrides the file's.
+// loadPlan returns the plan of a seed, if source is a number, or else of a file. An injected fault on
+// the command line replaces the file's.
 func (f scenarioFlags) loadPlan(source string) (scenario.Plan, error) {
 	if seed, err := strconv.ParseUint(source, 10, 64); err == nil {
 		return f.drawPlan(seed)
 	}
 	text, err := os.ReadFile(source)
 	if err != nil {
-		return scenario.Plan{}, program.UsageErrorf("%s is no seed, and as a file: %w", source, err)
+		return scenario.Plan{}, program.UsageErrorf("%s is neither a seed nor a file that can be read: %w", source, err)
 	}
 	plan, err := scenario.ReadPlan(text)
 	if err != nil {
@@ -75,7 +76,7 @@
 	return plan, nil
 }
 
-// parseSeeds parses the flag --seeds.
+// parseSeeds parses the value of the flag --seeds.
 func parseSeeds(text string) (program.SeedRange, error) {
 	seeds, ok := program.ParseSeedRange(text, maxSeeds, 64)
 	if !ok {
@@ -84,7 +85,7 @@
 	return seeds, nil
 }
 
-// checkJobs checks the flag --jobs.
+// checkJobs checks the value of the flag --jobs.
 func checkJobs(jobs int) error {
 	if jobs < 0 || jobs > maxJobs {
 		return program.UsageErrorf("--jobs %d: expected 0 to %d", jobs, maxJobs)
@@ -92,8 +93,9 @@
 	return nil
 }
 
-// forEachSeed calls run for each seed, in order, from as many goroutines as jobs says (0: one a processor). It ends early once run
-// returns false. A goroutine whose call fails ends; the others go on, and the first error is returned.
+// forEachSeed calls run for each seed, in ascending order, from as many goroutines as jobs; 0 means one for each
+// processor. It stops early once a call returns false. A goroutine whose call fails ends, the others go on, and
+// forEachSeed returns the first error.
 func forEachSeed(seeds program.SeedRange, jobs int, run func(seed uint64) (keepGoing bool, err error)) error {
 	var started atomic.Uint64
 	var stopped atomic.Bool
@@ -119,7 +121,7 @@
 	return workers.Wait()
 }
 
-// newProgressBar returns a bar of scenarios; a silent one prints nothing.
+// newProgressBar returns a progress bar that counts scenarios. A silent bar prints nothing.
 func newProgressBar(errs io.Writer, total int64, silent bool) *progressbar.ProgressBar {
 	if silent {
 		errs = io.Discard
--- a/internal/cli/faults_coldstarts.go
+++ b/internal/cli/faults_coldstarts.go
@@ -13,23 +13,24 @@
 	"foldslip/internal/lab/scenario"
 )
 
-// maxColdStartSeeds bounds the seeds of each cell.
+// maxColdStartSeeds is the maximum number of seeds of each cell.
 const maxColdStartSeeds = 10_000
 
 type faultsColdStarts struct {
-	Seeds string `default:"1-20" help:"Seeds of each cell, as 1-20."`
-	Jobs  int    `default:"0" help:"Days played at once; 0: as many as there are processors."`
+	Seeds string `default:"1-20" help:"Seeds of each cell, such as 1-20."`
+	Jobs  int    `default:"0" help:"Scenarios run in parallel; 0: as many as there are processors."`
 	JSON  bool   `help:"Print JSON."`
 }
 
-// Run compares sources of the endpoint list at a start without discovery. It fails if a rule was broken.
+// Run compares the sources that a gateway can take its endpoint list from when it starts without discovery. Without
+// --json it fails if a rule was broken.
 func (c *faultsColdStarts) Run(streams *program.Streams) error {
 	seeds, err := parseSeeds(c.Seeds)
 	if err != nil {
 		return err
 	}
 	if checkJobs(c.Jobs) != nil || seeds.Count() > maxColdStartSeeds {
-		return program.UsageErrorf("--jobs 0 to %d, and at most %d seeds", maxJobs, maxColdStartSeeds)
+		return program.UsageErrorf("--jobs, --seeds: expected 0 to %d jobs and at most %d seeds", maxJobs, maxColdStartSeeds)
 	}
 	defer debug.SetGCPercent(debug.SetGCPercent(simulationGCPercent))
 	cells := scenario.ColdStartCells()
@@ -48,7 +49,7 @@
 		broken += cell.BrokenRuns
 	}
 	if broken > 0 {
-		return program.Failedf("%d days that began from the list broke a rule", broken)
+		return program.Failedf("%d scenarios that started from the stored list broke a rule", broken)
 	}
 	return nil
 }
--- a/internal/cli/faults_differential.go
+++ b/internal/cli/faults_differential.go
@@ -12,22 +12,24 @@
 )
 
 type faultsDifferential struct {
-	Seeds string `required:"" help:"Seeds, as 1-500 or 7."`
-	Jobs  int    `default:"0" help:"Pairs played at once; 0: as many as there are processors."`
+	Seeds string `required:"" help:"Seeds, such as 1-500 or 7."`
+	Jobs  int    `default:"0" help:"Pairs run in parallel; 0: as many as there are processors."`
 	JSON  bool   `help:"Print JSON."`
 }
 
-// differentialSummary sums up the pairs of a run.
+// differentialSummary is the summary of a differential run. A pair is one seed, run through a
+// gateway and through its external processor.
 type differentialSummary struct {
 	Pairs     int                           `json:"pairs"`
-	Complete  int                           `json:"whole"` // compared to their end
+	Complete  int                           `json:"whole"` // pairs that were compared to their end
 	Lookups   int                           `json:"lookups"`
-	Decisions int                           `json:"decisions"` // compared one by one, and equal
-	Terms     map[string]int                `json:"terms"`     // of the contract, from which on a pair may differ
+	Decisions int                           `json:"decisions"` // that were compared and are equal
+	Terms     map[string]int                `json:"terms"`     // number of pairs by the term of the contract that allows a difference
 	Different []scenario.DifferentialResult `json:"different"`
 }
 
-// Run compares the decisions of a gateway and of its external processor over the same lookups. It fails if they differ.
+// Run compares the decisions of a gateway with those of its external processor over the
+// same lookups. It fails if they differ.
 func (c *faultsDifferential) Run(streams *program.Streams) error {
 	seeds, err := parseSeeds(c.Seeds)
 	if err != nil {
@@ -59,12 +61,12 @@
 		summary.print(streams.Out)
 	}
 	if err == nil && len(summary.Different) > 0 {
-		err = program.Failedf("%d of %d pairs differ", len(summary.Different), summary.Pairs)
+		err = program.Failedf("the decisions differ in %d of %d pairs", len(summary.Different), summary.Pairs)
 	}
 	return err
 }
 
-// add adds one pair's result.
+// add adds the result of one pair to the summary.
 func (s *differentialSummary) add(result scenario.DifferentialResult) {
 	s.Pairs++
 	s.Lookups += result.Lookups
--- a/internal/cli/faults_guards.go
+++ b/internal/cli/faults_guards.go
@@ -14,37 +14,38 @@
 )
 
 type faultsGuards struct {
-	Seeds string `required:"" help:"Seeds, as 1-100; each is a trial of every kind of change."`
+	Seeds string `required:"" help:"Seeds, such as 1-100; each kind of change is tried with each seed."`
 	JSON  bool   `help:"Print JSON."`
 }
 
-// guardSummary sums up the trials of one kind of route change.
+// guardSummary is the summary of the trials of one kind of route change.
 type guardSummary struct {
 	Kind        string        `json:"kind"`
-	Defect      string        `json:"bad,omitempty"` // what is wrong with the change; "": nothing
+	Defect      string        `json:"bad,omitempty"` // description of what is wrong with the change, "" for a good change
 	Trials      int           `json:"trials"`
 	RolledBack  int           `json:"undone"`
-	MedianDelay time.Duration `json:"half_ns"` // from the change to its rollback, of those rolled back
+	MedianDelay time.Duration `json:"half_ns"` // from the change to its rollback, over the trials rolled back
 	P90Delay    time.Duration `json:"nine_in_ten_ns"`
-	Guarded     float64       `json:"served_guarded"` // mean share of lookups satisfied
-	Without     float64       `json:"served_without"`
-	Oracle      float64       `json:"served_oracle"`
+	Guarded     float64       `json:"served_guarded"` // mean share of lookups that were satisfied, with the guards
+	Without     float64       `json:"served_without"` // the same without the guards
+	Oracle      float64       `json:"served_oracle"`  // the same without the change
 	delays      []time.Duration
 }
 
-// guardTrials collects the trials of a run by kind of change.
+// guardTrials collects the trials of a run by kind of change. Trials may be added concurrently.
 type guardTrials struct {
 	mu     sync.Mutex
 	byKind map[string]*guardSummary
 }
 
-// guardTrial is one change of one seed, with guards, without them, and the same seed without a change.
+// guardTrial is one kind of change tried with one seed: run with the guards, without
+// them, and without the change (the oracle).
 type guardTrial struct {
 	kind, defect             string
 	guarded, without, oracle *scenario.RouteChangeRun
 }
 
-// Run tries good and bad changes of routes with and without guards.
+// Run tries good and bad changes of routes with and without the guards that roll back bad changes.
 func (c *faultsGuards) Run(streams *program.Streams) error {
 	seeds, err := parseSeeds(c.Seeds)
 	if err != nil {
@@ -69,7 +70,7 @@
 	return printGuards(streams.Out, summaries)
 }
 
-// run tries each kind of change with one seed.
+// run tries each kind of change with one seed and adds the trials.
 func (g *guardTrials) run(seed uint64) error {
 	oracle, err := scenario.RunRouteChange(seed, "none", true)
 	if err != nil {
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// add adds one trial; the means are sums until summaries divides them.
+// add adds one trial. The means of a guardSummary are sums until summaries divides them by the number of trials.
 func (g *guardTrials) add(trial guardTrial) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -108,7 +109,8 @@
 	summary.Oracle += trial.oracle.Served
 }
 
-// summaries returns a summary for each kind of change, bad changes before good ones, each by name.
+// summaries computes the means and the delays and returns a summary for each kind of change. Bad changes come before
+// good ones, both sorted by name.
 func (g *guardTrials) summaries() (all []*guardSummary) {
 	for _, summary := range g.byKind {
 		trials := float64(summary.Trials)
@@ -128,7 +130,7 @@
 	return all
 }
 
-// compareDefectFirst orders changes with a fault before those without one.
+// compareDefectFirst orders the defects of two changes: a change with a defect comes before one without.
 func compareDefectFirst(a, b string) int {
 	switch {
 	case a != "" && b == "":
--- a/internal/cli/faults_replay.go
+++ b/internal/cli/faults_replay.go
@@ -14,12 +14,12 @@
 
 type faultsReplay struct {
 	scenarioFlags
-	Source string  `name:"day" arg:"" help:"Seed, or a file that shrink wrote."`
-	Trace  bool    `help:"Print every step."`
-	From   float64 `help:"Print steps from that virtual second on."`
+	Source string  `name:"day" arg:"" help:"Seed, or file with a plan as shrink writes it."`
+	Trace  bool    `help:"Print every step of the scenario."`
+	From   float64 `help:"Virtual time in seconds from which on --trace prints steps."`
 }
 
-// Run plays one scenario. It fails if a rule was broken.
+// Run runs one scenario. It fails if a rule was broken.
 func (c *faultsReplay) Run(streams *program.Streams) error {
 	plan, err := c.loadPlan(c.Source)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return firstViolation(result)
 }
 
-// printResult prints a scenario's result.
+// printResult prints the result of a scenario.
 func (f scenarioFlags) printResult(streams *program.Streams, result scenario.Result) error {
 	if f.JSON {
 		return printJSON(streams, result)
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// firstViolation returns the first broken rule as an error, nil if there is none.
+// firstViolation returns an error with the first violation of a rule, or nil if no rule was broken.
 func firstViolation(result scenario.Result) error {
 	if len(result.Violations) == 0 {
 		return nil
@@ -68,11 +68,11 @@
 
 type faultsShrink struct {
 	scenarioFlags
-	Source string `name:"day" arg:"" help:"Seed, or a file."`
-	Output string `name:"out" help:"File to write; by default fault-SEED.json in the current folder."`
+	Source string `name:"day" arg:"" help:"Seed, or file with a plan."`
+	Output string `name:"out" help:"File to write; the default is fault-SEED.json in the current directory."`
 }
 
-// Run writes the smallest scenario that breaks the same rule as a given one.
+// Run shrinks the plan of a scenario that breaks a rule and writes the smallest plan found that breaks the same rule.
 func (c *faultsShrink) Run(streams *program.Streams) error {
 	plan, err := c.loadPlan(c.Source)
 	if err != nil {
@@ -88,10 +88,10 @@
 	}
 	printShrunk(streams.Out, plan, smallest, tried, path)
 	if err := c.printResult(streams, result); err != nil {
-		return nil // only the result was not printed
+		return nil // the plan was written; only printing its result failed
 	}
-	if firstViolation(result) == nil { // cannot be: Shrink returns a plan that breaks a rule
-		return program.Failedf("the smallest day breaks nothing")
+	if firstViolation(result) == nil { // not expected: the plan that Shrink returns breaks a rule
+		return program.Failedf("the shrunk scenario breaks no rule")
 	}
 	return nil
 }
@@ -102,7 +102,7 @@
 		return err
 	}
 	if err := os.WriteFile(path, append(text, '\n'), 0o644); err != nil {
-		return program.UsageErrorf("the file cannot be written: %w", err)
+		return program.UsageErrorf("cannot write the plan: %w", err)
 	}
 	return nil
 }
--- a/internal/cli/faults_run.go
+++ b/internal/cli/faults_run.go
@@ -18,18 +18,18 @@
 	"foldslip/internal/lab/scenario"
 )
 
-// maxBrokenScenarios ends a run that is not thorough.
+// maxBrokenScenarios is the number of scenarios with a broken rule after which a run without --thorough stops.
 const maxBrokenScenarios = 10
 
 type faultsRun struct {
 	scenarioFlags
-	Seeds    string `required:"" help:"Seeds, as 1-3000 or 7."`
-	Jobs     int    `default:"0" help:"Days played at once; 0: as many as there are processors."`
-	Pairs    bool   `name:"pairs" help:"Print how often each pair of kinds met in a day."`
-	Thorough bool   `help:"Go on after the first seed that breaks a rule ten times over; otherwise the run stops at ten."`
+	Seeds    string `required:"" help:"Seeds, such as 1-3000 or 7."`
+	Jobs     int    `default:"0" help:"Scenarios run in parallel; 0: as many as there are processors."`
+	Pairs    bool   `name:"pairs" help:"Print for each pair of kinds of faults in how many scenarios both occurred."`
+	Thorough bool   `help:"Run all seeds. Without this flag the run stops after ten seeds that break a rule."`
 }
 
-// runSummary sums up the scenarios of a run.
+// runSummary is the summary of the scenarios of a run.
 type runSummary struct {
 	Scenarios  int              `json:"days"`
 	Broken     []brokenScenario `json:"broken"`
@@ -41,11 +41,11 @@
 	Steps      uint64           `json:"steps"`
 	Virtual    time.Duration    `json:"virtual_ns"`
 	Real       time.Duration    `json:"real_ns"`
-	MemoryMB   float64          `json:"memory_mb"` // obtained from the system
-	Digest     string           `json:"digest"`    // over the scenarios' digests, in the order of their seeds
+	MemoryMB   float64          `json:"memory_mb"` // memory obtained from the system
+	Digest     string           `json:"digest"`    // combines the scenarios' digests in the order of their seeds
 }
 
-// brokenScenario is a scenario in which a rule was broken.
+// brokenScenario describes a scenario in which a rule was broken.
 type brokenScenario struct {
 	Seed       uint64               `json:"seed"`
 	Digest     string               `json:"digest"`
@@ -53,7 +53,7 @@
 	Trace      []string             `json:"story"`
 }
 
-// Run plays the scenarios of a range of seeds. It fails if a rule was broken.
+// Run runs the scenarios of a range of seeds. It fails if a rule was broken.
 func (c *faultsRun) Run(streams *program.Streams) error {
 	seeds, err := parseSeeds(c.Seeds)
 	if err != nil {
@@ -111,7 +111,7 @@
 	return summary, err
 }
 
-// add adds one scenario's result.
+// add adds the result of one scenario to the summary.
 func (s *runSummary) add(result scenario.Result) {
 	s.Scenarios++
 	s.Steps += result.Steps
@@ -129,7 +129,7 @@
 	}
 }
 
-// addFaults counts the faults of a scenario by kind, and each pair of kinds once.
+// addFaults counts the faults of a scenario by kind. It counts each pair of kinds that occur in the scenario once.
 func (s *runSummary) addFaults(faults []scenario.Fault) {
 	var kinds []string
 	for _, fault := range faults {
@@ -175,7 +175,7 @@
 		summary.Virtual.Seconds()/realSeconds, float64(summary.Steps)/realSeconds, summary.MemoryMB)
 }
 
-// printCounts prints counts by name.
+// printCounts prints a title and a line for each count, sorted by name.
 func printCounts(out io.Writer, title string, counts map[string]int) {
 	fmt.Fprintf(out, "%s\ttimes\n", title)
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
--- a/internal/cli/faults_test.go
+++ b/internal/cli/faults_test.go
@@ -11,15 +11,15 @@
 	"foldslip/internal/lab/scenario"
 )
 
-// TestFaults checks the commands that play scenarios.
+// TestFaults checks the commands that run scenarios.
 func TestFaults(t *testing.T) {
 	t.Run("help lists the commands and ends with status 0", func(t *testing.T) {
 		status, out, _ := runCLI("--help")
 		if status != program.ExitOK || !strings.Contains(out, "faults run") || !strings.Contains(out, "serve") {
-			t.Errorf("%d, %s", status, out)
+			t.Errorf("status %d, output %s", status, out)
 		}
 	})
-	t.Run("kinds lists every kind of fault", func(t *testing.T) {
+	t.Run("kinds lists all kinds of faults", func(t *testing.T) {
 		_, out, _ := runCLI("faults", "kinds")
 		for _, kind := range scenario.FaultKinds {
 			if !strings.Contains(out, kind.Name) {
@@ -37,7 +37,7 @@
 		status, out, messages := runCLI("faults", "run", "--seeds", "1-6", "--jobs", jobs, "--json")
 		var summary runSummary
 		if err := json.Unmarshal([]byte(out), &summary); err != nil || status != program.ExitOK || summary.Scenarios != 6 {
-			t.Fatalf("%d, %v, %s", status, err, messages)
+			t.Fatalf("status %d, error %v, messages %s", status, err, messages)
 		}
 		digests[summary.Digest] = true
 	}
@@ -49,24 +49,25 @@
 func testBrokenRuleIsShrunk(t *testing.T) {
 	status, out, messages := runCLI("faults", "run", "--seeds", "1", "--plant", "answer_twice")
 	if status != program.ExitFailed || !strings.Contains(out, "seed 1 broke") || !strings.Contains(messages, "1 of 1 seeds") {
-		t.Fatalf("%d, %s", status, messages)
+		t.Fatalf("status %d, messages %s", status, messages)
 	}
 	path := filepath.Join(t.TempDir(), "small.json")
 	if status, out, messages = runCLI("faults", "shrink", "1", "--plant", "answer_twice", "--out", path); status != program.ExitOK {
-		t.Fatalf("%d, %s, %s", status, out, messages)
+		t.Fatalf("status %d, output %s, messages %s", status, out, messages)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	plan, err := scenario.ReadPlan(text)
-	// Smaller than seed 1's own scenario (60 s, 3 gateways, 8 caches). How far shrinking gets depends on where the injected fault
-	// strikes, which changes with the policy's decisions: the bound is what any build must reach.
+	// The plan must be smaller than that of seed 1 (60 s, 3 gateways, 8 caches). How far it shrinks depends on the
+	// lookup that the injected fault affects, and that changes with the policy's decisions. The bounds are those that
+	// every build must reach.
 	if err != nil || len(plan.Faults) != 0 || plan.Gateways > 3 || plan.Seconds > 10 || plan.Caches > 4 {
-		t.Errorf("%v, %+v", err, plan)
+		t.Errorf("error %v, shrunk plan %+v", err, plan)
 	}
 	status, out, messages = runCLI("faults", "replay", path, "--trace")
 	if status != program.ExitFailed || !strings.Contains(messages, "rule 1") || !strings.Contains(out, "BROKEN") || !strings.Contains(out, " ask ") {
-		t.Errorf("%d, %s", status, messages)
+		t.Errorf("status %d, messages %s", status, messages)
 	}
 }
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -11,51 +11,53 @@
 	"foldslip/internal/fleet/membership"
 )
 
-// fleet are requests to a gateway about the fleet that it sees, and the rig that tests fleets.
+// fleet has the commands that query a gateway about its fleet, and the command that runs the test rig for fleets.
 type fleet struct {
-	View      fleetView      `cmd:"" help:"How much of the fleet a gateway sees, and whether the fleet agrees."`
-	Members   fleetMembers   `cmd:"" help:"The gateways that a gateway knows, with how sure it is of each."`
-	Explain   fleetExplain   `cmd:"" help:"Who said what of one gateway, and when."`
-	Limits    fleetLimits    `cmd:"" help:"The limits of the whole fleet: this gateway's part, what it lent and borrowed, and by how much the fleet can be over now."`
-	Broadcast fleetBroadcast `cmd:"" help:"How purges spread among gateways, as one of them sees it: its place in the tree, what it carried, and what it lacks."`
-	Run       fleetRun       `cmd:"" passthrough:"" help:"Start a fleet of real gateways on loopback, put faults between them and report (runs foldslip-rig, which stands beside this program)."`
+	View      fleetView      `cmd:"" help:"Print how many members of the fleet a gateway sees, and how many of them agree with it."`
+	Members   fleetMembers   `cmd:"" help:"List the members that a gateway knows, with their states and when they were last heard from."`
+	Explain   fleetExplain   `cmd:"" help:"Print one member with the evidence about it: what was reported, by whom and when."`
+	Limits    fleetLimits    `cmd:"" help:"Print the limits of the whole fleet: the gateway's quota, what it lent and borrowed, and by how much the fleet can exceed each limit now."`
+	Broadcast fleetBroadcast `cmd:"" help:"Print how a gateway takes part in the broadcast of purges: its place in the tree, the messages it carried, and whether it is missing purges."`
+	Run       fleetRun       `cmd:"" passthrough:"" help:"Start a fleet of real gateways on loopback, inject faults between them and report (runs foldslip-rig, which must be in the same directory)."`
 }
 
-// fleetSocket is a gateway's socket for requests about the fleet.
+// fleetSocket has the flags of commands that query a gateway about its fleet. Its fields are
+// those of adminSocket, with other defaults.
 type fleetSocket struct {
-	Socket string        `env:"FOLDSLIP_FLEET" default:"/run/foldslip/fleet" help:"The gateway's socket, fleet.socket of its settings."`
+	Socket string        `env:"FOLDSLIP_FLEET" default:"/run/foldslip/fleet" help:"The gateway's admin socket, fleet.socket in its settings."`
 	JSON   bool          `help:"Print JSON."`
-	Wait   time.Duration `name:"wait" default:"10s" help:"For the answer."`
+	Wait   time.Duration `name:"wait" default:"10s" help:"Time limit for connecting to the socket."`
 }
 
-// call sends a request and returns the response.
+// call sends a request and returns the response, as adminSocket.call does.
 func (s fleetSocket) call(request admin.Request) (admin.Response, error) {
 	return adminSocket(s).call(request)
 }
 
-// fleetReport requests a gateway's view of the fleet, or of one member if name is not empty.
+// fleetReport requests a gateway's view of its fleet. If name is not empty, the
+// report has only the member of that name.
 func (s fleetSocket) fleetReport(name string) (*membership.Report, error) {
 	response, err := s.call(admin.Request{Command: "fleet", Name: name})
 	if err != nil {
 		return nil, err
 	}
 	if response.Fleet == nil {
-		return nil, program.Failedf("%s: the gateway told nothing of its fleet; is it of this version?", s.Socket)
+		return nil, program.Failedf("%s: the response has no report of the fleet; check that the gateway runs this version of foldslip", s.Socket)
 	}
 	return response.Fleet, nil
 }
 
-// formatMilliseconds formats an elapsed time in milliseconds, rounded to tenths of a second.
+// formatMilliseconds formats a duration in milliseconds, rounded to tenths of a second.
 func formatMilliseconds(milliseconds int64) string {
 	return (time.Duration(milliseconds) * time.Millisecond).Round(100 * time.Millisecond).String()
 }
 
-// upSeconds returns the time since a start, at least one second: rates are computed by dividing by it.
+// upSeconds returns an uptime in seconds, at least 1, since rates are computed by dividing by it.
 func upSeconds(milliseconds int64) float64 { return max(float64(milliseconds)/1000, 1) }
 
 type fleetView struct{ fleetSocket }
 
-// Run prints a summary of a gateway's view of the fleet.
+// Run prints a summary of a gateway's view of its fleet.
 func (c *fleetView) Run(streams *program.Streams) error {
 	report, err := c.fleetReport("")
 	if err != nil {
@@ -88,7 +90,7 @@
 
 type fleetMembers struct{ fleetSocket }
 
-// Run prints the members that a gateway knows.
+// Run prints a table of the members that a gateway knows.
 func (c *fleetMembers) Run(streams *program.Streams) error {
 	report, err := c.fleetReport("")
 	if err != nil {
@@ -111,7 +113,7 @@
 }
 
 type fleetExplain struct {
-	Name string `arg:"" help:"The gateway to explain."`
+	Name string `arg:"" help:"Name of the member."`
 	fleetSocket
 }
 
@@ -132,12 +134,12 @@
 	return nil
 }
 
-// fleetRun is a command of foldslip-rig, whose plot libraries a gateway does without.
+// fleetRun is a command of foldslip-rig. That is a separate program so that a gateway does not load the plot libraries.
 type fleetRun struct {
 	Args []string `arg:"" optional:""`
 }
 
-// Run replaces the process by foldslip-rig.
+// Run replaces the process with foldslip-rig.
 func (c *fleetRun) Run() error {
 	args := c.Args
 	if len(args) > 0 && strings.HasPrefix(args[0], "--help") {
--- a/internal/cli/fleet_state.go
+++ b/internal/cli/fleet_state.go
@@ -13,7 +13,7 @@
 
 type fleetLimits struct{ fleetSocket }
 
-// Run prints the fleet's limits with a gateway's quotas and leases.
+// Run prints a table of the fleet's limits with a gateway's quotas and leases.
 func (c *fleetLimits) Run(streams *program.Streams) error {
 	response, err := c.call(admin.Request{Command: "limits"})
 	if err != nil {
@@ -33,11 +33,11 @@
 }
 
 type fleetBroadcast struct {
-	After uint64 `name:"after" help:"Leave out the heeded purges numbered up to this one (with --json)."`
+	After uint64 `name:"after" help:"With --json, list only the applied purges with numbers above this one."`
 	fleetSocket
 }
 
-// Run prints a gateway's place in the broadcast of purges.
+// Run prints a gateway's place in the broadcast tree, its counters, and whether it is missing purges.
 func (c *fleetBroadcast) Run(streams *program.Streams) error {
 	response, err := c.call(admin.Request{Command: "broadcast", Version: c.After})
 	if err != nil {
@@ -45,7 +45,7 @@
 	}
 	report := response.Broadcast
 	if report == nil {
-		return program.Failedf("%s: the gateway told nothing of its broadcast; is it of this version?", c.Socket)
+		return program.Failedf("%s: the response has no report of the broadcast; check that the gateway runs this version of foldslip", c.Socket)
 	}
 	if c.JSON {
 		return printJSON(streams, report)
--- a/internal/cli/frozen_test.go
+++ b/internal/cli/frozen_test.go
@@ -20,8 +20,8 @@
 	"foldslip/internal/lab/scenario"
 )
 
-// The files under testdata/frozen were written by the build at 58d6067. What commands print as JSON, and their names, arguments and
-// flags, stay to the byte whatever the code behind them is called.
+// The files under testdata/frozen were written by the build at 58d6067. The JSON that commands print, and the names,
+// arguments and flags of commands, must stay the same to the byte when Go identifiers are renamed.
 
 // TestFrozenJSON checks the JSON of each type that commands print or send.
 func TestFrozenJSON(t *testing.T) {
@@ -46,7 +46,8 @@
 	}
 }
 
-// TestFrozenJSONOfCommands runs commands and checks what they print, the JSON of maps among it.
+// TestFrozenJSONOfCommands runs commands and checks their exit statuses and the text they print. This
+// covers JSON that is encoded from maps.
 func TestFrozenJSONOfCommands(t *testing.T) {
 	dir := t.TempDir()
 	folder := filepath.Join(dir, "list")
@@ -81,7 +82,7 @@
 	programtest.Equal(t, "commands", bytes.ReplaceAll(printed.Bytes(), []byte(dir), []byte("DIR")))
 }
 
-// namesOf lists the names in a JSON object of objects, without the help texts beside them.
+// namesOf returns the names in a JSON object of objects, one line for each object. It leaves out the help texts.
 func namesOf(t *testing.T, text string) string {
 	t.Helper()
 	var sections map[string]map[string]string
@@ -95,7 +96,7 @@
 	return names.String()
 }
 
-// TestFrozenCommandLine checks each command with its arguments and flags.
+// TestFrozenCommandLine checks the arguments and flags of each command.
 func TestFrozenCommandLine(t *testing.T) {
 	programtest.Equal(t, "command-line", programtest.CommandLine(t, "foldslip", &commands{}))
 }
--- a/internal/cli/list.go
+++ b/internal/cli/list.go
@@ -13,34 +13,34 @@
 	"foldslip/internal/store/wal"
 )
 
-// logName is the name of the endpoint list's write-ahead log in its directory.
+// logName is the name of the write-ahead log of the endpoint list in its directory.
 const logName = "list"
 
 type list struct {
-	Show   listShow   `cmd:"" help:"Print the caches, drains and purges that a folder holds, with the standing each cache would have now."`
-	Check  listCheck  `cmd:"" help:"Tell whether a folder can be read, and what of it was torn. Changes nothing."`
-	Export listExport `cmd:"" help:"Print the list as JSON that import reads."`
-	Import listImport `cmd:"" help:"Take caches from a file that export wrote. What a bulletin told counts more, and a drain stays one."`
-	Forget listForget `cmd:"" help:"Remove the list from a folder."`
+	Show   listShow   `cmd:"" help:"Print the caches that a directory holds, with the confidence and the budget that each would have at a start now, and the number of purges."`
+	Check  listCheck  `cmd:"" help:"Check whether a directory can be read, and print which parts of it are damaged. Changes nothing."`
+	Export listExport `cmd:"" help:"Print the list as JSON that the command import reads."`
+	Import listImport `cmd:"" help:"Add the caches that a file written by export lists as up. Entries from discovery take precedence, and a draining cache keeps draining."`
+	Forget listForget `cmd:"" help:"Remove the list from a directory."`
 }
 
 type listFolder struct {
-	Folder string `arg:"" help:"Folder that holds the list."`
+	Folder string `arg:"" help:"Directory that holds the list."`
 }
 
-// directory returns the directory, which must exist.
+// directory returns the directory. It fails if the directory does not exist.
 func (f listFolder) directory() (env.OSDirectory, error) {
 	info, err := os.Stat(f.Folder)
 	if err != nil {
 		return env.OSDirectory{}, program.UsageErrorf("%w: name the folder that holds the list", err)
 	}
 	if !info.IsDir() {
-		return env.OSDirectory{}, program.UsageErrorf("%s is no folder", f.Folder)
+		return env.OSDirectory{}, program.UsageErrorf("%s is not a directory", f.Folder)
 	}
 	return env.OSDirectory{Path: f.Folder}, nil
 }
 
-// read reads the stored list without the directory's lock, so that a running gateway's list can be read.
+// read reads the stored list. It does not take the directory's lock, so that the list of a running gateway can be read.
 func (f listFolder) read() (*endpoints.State, wal.Contents, error) {
 	directory, err := f.directory()
 	if err != nil {
@@ -60,10 +60,10 @@
 	return state, contents, err
 }
 
-// lockedError adds the remedy to an error that may be wal.ErrLocked.
+// lockedError returns wal.ErrLocked as a usage error with a remedy. It returns any other error unchanged.
 func lockedError(err error) error {
 	if errors.Is(err, wal.ErrLocked) {
-		return program.UsageErrorf("%w: stop the gateway that uses it first", err)
+		return program.UsageErrorf("%w: stop the gateway that uses the directory first", err)
 	}
 	return err
 }
@@ -73,7 +73,7 @@
 	JSON bool `help:"Print JSON."`
 }
 
-// Run prints the list with the confidence that a start would have in each cache.
+// Run prints the list with the confidence that a gateway that starts now would have in each cache.
 func (c *listShow) Run(streams *program.Streams) error {
 	state, _, err := c.read()
 	if err != nil {
@@ -99,7 +99,7 @@
 	JSON bool `help:"Print JSON."`
 }
 
-// Run reads the list and prints what of it is damaged. With --json damage does not make it fail.
+// Run reads the list and prints which parts of it are damaged. Without --json it fails if there is damage.
 func (c *listCheck) Run(streams *program.Streams) error {
 	state, contents, err := c.read()
 	if err != nil {
@@ -115,14 +115,15 @@
 	fmt.Fprintf(streams.Out, "generation %d, %d changes since its snapshot, %d bytes behind the last whole one, %d caches\n", contents.Generation,
 		len(contents.Changes), contents.LostBytes, len(state.Endpoints))
 	if len(contents.Skipped) > 0 || contents.LostBytes > 0 {
-		return program.Failedf("a part was torn; the newest whole state above is what a gateway starts from")
+		return program.Failedf("the list is damaged; a gateway starts from the newest complete state, which is printed above")
 	}
 	return nil
 }
 
 type listExport struct{ listFolder }
 
-// Run prints the list in the form that import reads.
+// Run prints the list as JSON that import reads. Confidences and budgets are left out,
+// since they depend on the present time.
 func (c *listExport) Run(streams *program.Streams) error {
 	state, _, err := c.read()
 	if err != nil {
@@ -139,7 +140,7 @@
 
 type listForget struct{ listFolder }
 
-// Run removes the stored list.
+// Run removes the stored list. It needs the directory's lock.
 func (c *listForget) Run(streams *program.Streams) error {
 	directory, err := c.directory()
 	if err != nil {
--- a/internal/cli/list_import.go
+++ b/internal/cli/list_import.go
@@ -16,10 +16,10 @@
 
 type listImport struct {
 	listFolder
-	File string `arg:"" help:"File that export wrote, or - for standard input."`
+	File string `arg:"" help:"File written by export, or - for standard input."`
 }
 
-// Run adds the caches of an exported list that are up to the stored list. It needs the directory's lock.
+// Run adds those caches of an exported list that are up to the stored list. It needs the directory's lock.
 func (c *listImport) Run(streams *program.Streams) error {
 	view, err := c.readView()
 	if err != nil {
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// readView reads the file or standard input.
+// readView reads an exported list from the file or from standard input.
 func (c *listImport) readView() (view listView, err error) {
 	in := io.Reader(os.Stdin)
 	if c.File != "-" {
@@ -69,18 +69,18 @@
 	decoder := json.NewDecoder(io.LimitReader(in, wal.MaxEntrySize))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&view); err != nil {
-		return view, program.UsageErrorf("%s: not a list as export writes it: %w", c.File, err)
+		return view, program.UsageErrorf("%s: not a list in the form that export writes: %w", c.File, err)
 	}
 	return view, nil
 }
 
-// parseUpdate returns the caches that are up as imported endpoints.
+// parseUpdate returns an update with the caches of an exported list that are up. It checks all caches of the list.
 func (c *listImport) parseUpdate(view listView) (endpoints.Update, error) {
 	update := endpoints.Update{At: time.Now().UnixMilli()}
 	for i, cache := range view.Caches {
 		_, err := netip.ParseAddrPort(cache.Addr)
 		if err != nil || cache.ID == "" || cache.Zone == "" || cache.Machine == "" {
-			return update, program.UsageErrorf("%s: caches[%d] %q: id, host_port (an address and a port), locality and flavor must be told", c.File, i, cache.ID)
+			return update, program.UsageErrorf("%s: caches[%d] %q: id, host_port (an address and a port), locality and flavor must be set", c.File, i, cache.ID)
 		}
 		if cache.Phase != "up" {
 			continue
--- a/internal/cli/list_view.go
+++ b/internal/cli/list_view.go
@@ -7,11 +7,11 @@
 	"foldslip/internal/store/endpoints"
 )
 
-// listView is a stored endpoint list as it is printed, exported and imported.
+// listView is the form in which a stored endpoint list is printed, exported and imported.
 type listView struct {
 	DiscoveryAddr string          `json:"bulletin,omitempty"`
 	LastEvent     int64           `json:"last"`
-	CurrentAsOf   string          `json:"stood,omitempty"` // when discovery last confirmed it
+	CurrentAsOf   string          `json:"stood,omitempty"` // when discovery last confirmed the list
 	Caches        []endpointView  `json:"caches"`
 	Tombstones    []tombstoneView `json:"left"`
 	Purges        int             `json:"purges"`
@@ -38,10 +38,11 @@
 	Removed bool   `json:"gone"`
 }
 
-// Phases as endpointView.Phase spells them, by endpoints.Phase.
+// phaseNames are the values of endpointView.Phase, indexed by endpoints.Phase.
 var phaseNames = [...]string{"up", "draining", "removed"}
 
-// newListView returns a list with the confidence that a start at now would have in each cache.
+// newListView returns the view of a state, with the confidence that a gateway that
+// starts at now would have in each cache.
 func newListView(state *endpoints.State, now time.Time) listView {
 	view := listView{
 		DiscoveryAddr: state.DiscoveryAddr,
@@ -86,7 +87,7 @@
 	}
 }
 
-// formatInstant formats milliseconds since 1970; 0 is "".
+// formatInstant formats a time in milliseconds since 1970. It returns "" for 0, which means never.
 func formatInstant(milliseconds int64) string {
 	if milliseconds == 0 {
 		return ""
--- a/internal/cli/program/program.go
+++ b/internal/cli/program/program.go
@@ -1,5 +1,6 @@
-// Package program is what the command lines of foldslip, foldslip-extproc and foldslip-rig share: arguments read by kong, errors
-// printed, the exit status, and seeds given as a range.
+// Package program has the parts that the command lines of foldslip, foldslip-extproc and foldslip-rig
+// share. It parses arguments with kong, prints errors, determines the exit status, and parses ranges of
+// seeds. It keeps no state between calls.
 package program
 
 import (
@@ -11,33 +12,33 @@
 	"github.com/alecthomas/kong"
 )
 
-// Exit statuses of every program.
+// Exit statuses of all programs.
 const (
 	ExitOK     = 0
-	ExitFailed = 1 // the command was run and failed
-	ExitUsage  = 2 // arguments, a setting or a file cannot be used
+	ExitFailed = 1 // the command ran and failed
+	ExitUsage  = 2 // an argument, a setting or a file cannot be used
 )
 
-// Streams are what a command writes to. Run methods of commands take a *Streams.
+// Streams are the streams that a command writes to. The Run method of a command can have a *Streams as parameter.
 type Streams struct {
 	Out io.Writer // results
 	Err io.Writer // messages and progress
 }
 
-// Program is the command line of one program.
+// Program describes the command line of one program.
 type Program struct {
 	Name        string
 	Description string
 	CompactHelp bool
-	Hint        string             // added to errors in the arguments
-	FormatError func(error) string // how an error is printed; nil: as it is
+	Hint        string             // appended to errors in the arguments
+	FormatError func(error) string // returns the text to print for an error; nil: the error's own text
 }
 
-// exitCode carries the exit status out of kong, which ends the process after --help.
+// exitCode carries the exit status out of kong in a panic. Without it kong would end the process after --help.
 type exitCode int
 
-// Main parses args into commands, a pointer to a struct with kong's tags, runs the selected command and returns the exit status.
-// An error is printed once, after the program's name, unless it is a ReportedError.
+// Main parses args into commands, a pointer to a struct with kong's tags, runs the selected command and returns the
+// exit status. It prints an error once, with the program's name as prefix. It does not print a ReportedError.
 func (p Program) Main(commands any, args []string, streams *Streams) (status int) {
 	options := []kong.Option{
 		kong.Name(p.Name),
@@ -68,7 +69,7 @@
 	return p.report(streams.Err, selected.Run())
 }
 
-// report prints an error and returns the exit status that goes with it.
+// report prints an error, unless it is a ReportedError, and returns the exit status for it.
 func (p Program) report(out io.Writer, err error) int {
 	if err == nil {
 		return ExitOK
@@ -86,16 +87,16 @@
 	return ExitFailed
 }
 
-// OneLine formats an error in one line.
+// OneLine returns the text of an error as a single line.
 func OneLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", " ") }
 
-// UsageError is an error in arguments, a setting or a file: exit status 2.
+// UsageError reports an argument, a setting or a file that cannot be used. The exit status is 2 (ExitUsage).
 type UsageError struct{ Err error }
 
-// Error returns the text of the error within.
+// Error returns the text of the wrapped error.
 func (e UsageError) Error() string { return e.Err.Error() }
 
-// Unwrap returns the error within.
+// Unwrap returns the wrapped error.
 func (e UsageError) Unwrap() error { return e.Err }
 
 // UsageErrorf formats a UsageError as fmt.Errorf does.
@@ -106,22 +107,23 @@
 // IsUsageError reports whether err is or wraps a UsageError.
 func IsUsageError(err error) bool { return errors.As(err, new(UsageError)) }
 
-// ReportedError is a failure that has been logged or printed already: it only sets the exit status.
+// ReportedError is an error that has already been logged or printed. It determines the
+// exit status and is not printed again.
 type ReportedError struct{ Err error }
 
-// Error returns the text of the error within.
+// Error returns the text of the wrapped error.
 func (e ReportedError) Error() string { return e.Err.Error() }
 
-// Unwrap returns the error within.
+// Unwrap returns the wrapped error.
 func (e ReportedError) Unwrap() error { return e.Err }
 
-// FailedError is a command that ran to its end and found a failure: exit status 1.
+// FailedError reports a failure found by a command that ran to its end. The exit status is 1 (ExitFailed).
 type FailedError struct{ Text string }
 
-// Error returns the text.
+// Error returns the text of the failure.
 func (e FailedError) Error() string { return e.Text }
 
-// Failedf formats a FailedError.
+// Failedf formats a FailedError as fmt.Sprintf does.
 func Failedf(format string, arguments ...any) error {
 	return FailedError{fmt.Sprintf(format, arguments...)}
 }
--- a/internal/cli/program/program_test.go
+++ b/internal/cli/program/program_test.go
@@ -10,7 +10,7 @@
 
 var errBroken = errors.New("broken\nin two lines")
 
-// testCommands has a command for each way to end.
+// testCommands has a command that succeeds, and one that fails with a selected kind of error.
 type testCommands struct {
 	Succeed succeedCommand `cmd:"" help:"Succeed."`
 	Fail    failCommand    `cmd:"" help:"Fail."`
@@ -36,7 +36,7 @@
 	}[c.With]
 }
 
-// TestExitStatusAndMessages checks the exit status and what is printed for each way that a command can end.
+// TestExitStatusAndMessages checks the exit status and the printed text for each way in which a command can end.
 func TestExitStatusAndMessages(t *testing.T) {
 	for _, test := range []struct {
 		args   string
@@ -69,7 +69,7 @@
 	})
 }
 
-// TestParseSeedRange checks the forms of a range and its limits.
+// TestParseSeedRange checks the valid and invalid forms of a range, and the limits on its size and on the seeds.
 func TestParseSeedRange(t *testing.T) {
 	for _, test := range []struct {
 		text string
--- a/internal/cli/program/programtest/programtest.go
+++ b/internal/cli/program/programtest/programtest.go
@@ -1,5 +1,5 @@
-// Package programtest helps tests of command lines hold names, flags and printed forms to files under testdata/frozen that an earlier
-// build wrote. Only tests import it.
+// Package programtest helps tests of command lines compare names, flags and printed forms with files under
+// testdata/frozen that an earlier build wrote. Only tests import it. It keeps no state.
 package programtest
 
 import (
@@ -13,16 +13,17 @@
 	"foldslip/internal/lab/frozen"
 )
 
-// folder holds the files, below testdata.
+// folder is the directory of the frozen files, relative to testdata.
 const folder = "frozen/"
 
-// Equal fails the test if got differs from a frozen file.
+// Equal fails the test if got differs from the content of a frozen file.
 func Equal(t *testing.T, name string, got []byte) {
 	t.Helper()
 	frozen.Equal(t, folder+name, got)
 }
 
-// JSON decodes a frozen file, which has every field set, into a pointer and checks that it encodes to the same bytes again.
+// JSON decodes a frozen file, which has every field set, into the value that into points to. It checks that the value
+// encodes to the same bytes again.
 func JSON(t *testing.T, name string, into any) {
 	t.Helper()
 	if err := json.Unmarshal(frozen.Read(t, folder+name), into); err != nil {
@@ -35,7 +36,8 @@
 	Equal(t, name, append(got, '\n'))
 }
 
-// CommandLine lists each command of a program with its arguments and flags, their defaults and environment variables, without the help.
+// CommandLine returns a list of the commands of a program with their arguments and flags, and with the defaults and
+// environment variables of these. The list has no help texts.
 func CommandLine(t *testing.T, name string, commands any) []byte {
 	t.Helper()
 	parser, err := kong.New(commands, kong.Name(name))
--- a/internal/cli/program/seeds.go
+++ b/internal/cli/program/seeds.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// SeedRange is a range of seeds, both ends included.
+// SeedRange is a range of seeds from First to Last, both included.
 type SeedRange struct{ First, Last uint64 }
 
-// Count returns the number of seeds.
+// Count returns the number of seeds in the range.
 func (r SeedRange) Count() uint64 { return r.Last - r.First + 1 }
 
-// ParseSeedRange parses "7" or "1-20"; ok is false for anything else, for a range that runs backwards, for more than maxSeeds, and for
-// seeds of more bits than bitSize.
+// ParseSeedRange parses a seed such as "7" or a range such as "1-20". It reports false for any other form, for a range
+// whose first seed is above the last, for more than maxSeeds seeds, and for seeds that need more than bitSize bits.
 func ParseSeedRange(text string, maxSeeds uint64, bitSize int) (seeds SeedRange, ok bool) {
 	firstText, lastText, isRange := strings.Cut(text, "-")
 	if !isRange {
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -13,10 +13,10 @@
 )
 
 type serve struct {
-	Settings    string        `env:"FOLDSLIP_SETTINGS" help:"The operators' own settings, a Jsonnet template such as deploy/foldslip.jsonnet; none: all that they switch on is off."`
-	WithExtproc bool          `name:"doors" help:"Open the doors that the settings name, too (runs foldslip-extproc, which stands beside this program)."`
-	ClockOffset time.Duration `hidden:"" help:"Tell other machines a time that is off by so much, as a machine with a wrong clock does; for tests of a fleet."`
-	LogLevel    string        `enum:"debug,info,warn,error" default:"info" help:"The least level that is logged: ${enum}."`
+	Settings    string        `env:"FOLDSLIP_SETTINGS" help:"Operator settings, a Jsonnet template such as deploy/foldslip.jsonnet. Without it, the features that it would enable are off."`
+	WithExtproc bool          `name:"doors" help:"Also run the external processor that the settings configure (runs foldslip-extproc, which must be in the same directory)."`
+	ClockOffset time.Duration `hidden:"" help:"Offset of the time of day that other machines are told, as by a machine with a wrong clock; for tests of a fleet."`
+	LogLevel    string        `enum:"debug,info,warn,error" default:"info" help:"Lowest level that is logged: ${enum}."`
 }
 
 // Run runs the gateway until SIGTERM.
@@ -43,18 +43,19 @@
 	return nil
 }
 
-// extprocCommand is a command of foldslip-extproc.
+// extprocCommand is the command ask, which foldslip-extproc carries out.
 type extprocCommand struct {
 	Args []string `arg:"" optional:""`
 }
 
-// Run replaces the process by foldslip-extproc.
+// Run replaces the process with foldslip-extproc.
 func (e *extprocCommand) Run() error { return execExtproc(append([]string{"ask"}, e.Args...)...) }
 
-// execExtproc replaces the process by foldslip-extproc, whose gRPC libraries a gateway does without.
+// execExtproc replaces the process with foldslip-extproc. That is a separate program so that a
+// gateway does not load the gRPC libraries.
 func execExtproc(args ...string) error { return execSibling("foldslip-extproc", args...) }
 
-// execSibling replaces the process by a program in the same directory. It returns only if that fails.
+// execSibling replaces the process with another program in the same directory. It returns only if that fails.
 func execSibling(name string, args ...string) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -62,5 +63,5 @@
 	}
 	path := filepath.Join(filepath.Dir(self), name)
 	err = syscall.Exec(path, append([]string{path}, args...), os.Environ())
-	return program.UsageErrorf("%s cannot be run: %w; go build -o bin/ ./cmd/... makes it", path, err)
+	return program.UsageErrorf("cannot run %s: %w; build it with go build -o bin/ ./cmd/...", path, err)
 }
