--- a/internal/cli/faults_run.go
+++ b/internal/cli/faults_run.go
@@ -18,42 +18,42 @@
 	"foldslip/internal/lab/scenario"
 )
 
-// maxBrokenScenarios ends a run that is not thorough.
+// maxBrokenScenarios is the number of scenarios with a broken rule after which a run without --thorough stops.
 const maxBrokenScenarios = 10
 
 type faultsRun struct {
 	scenarioFlags
-	Seeds    string `required:"" help:"Seeds, as 1-3000 or 7."`
-	Jobs     int    `default:"0" help:"Days played at once; 0: as many as there are processors."`
-	Pairs    bool   `name:"pairs" help:"Print how often each pair of kinds met in a day."`
-	Thorough bool   `help:"Go on after the first seed that breaks a rule ten times over; otherwise the run stops at ten."`
+	Seeds    string `required:"" help:"Seeds, such as 1-3000 or 7."`
+	Jobs     int    `default:"0" help:"Scenarios run in parallel; 0: as many as there are processors."`
+	Pairs    bool   `name:"pairs" help:"Print for each pair of kinds of faults in how many scenarios both occurred."`
+	Thorough bool   `help:"Run all seeds. Without this flag the run stops after ten seeds that break a rule."`
 }
 
-// runSummary sums up the scenarios of a run.
+// runSummary is the summary of the scenarios of a run.
 type runSummary struct {
 	Scenarios  int              `json:"days"`
 	Broken     []brokenScenario `json:"broken"`
 	FaultKinds map[string]int   `json:"kinds"`
 	FaultPairs map[string]int   `json:"pairs"`
 	Reasons    map[string]int   `json:"reasons"`
-	Ends       map[string]int   `json:"ends"`
+	Outcomes   map[string]int   `json:"ends"`
 	Lookups    int              `json:"lookups"`
 	Steps      uint64           `json:"steps"`
 	Virtual    time.Duration    `json:"virtual_ns"`
 	Real       time.Duration    `json:"real_ns"`
-	MemoryMB   float64          `json:"memory_mb"` // obtained from the system
-	Digest     string           `json:"digest"`    // over the scenarios' digests, in the order of their seeds
+	MemoryMB   float64          `json:"memory_mb"` // memory obtained from the system
+	Digest     string           `json:"digest"`    // combines the scenarios' digests in the order of their seeds
 }
 
-// brokenScenario is a scenario in which a rule was broken.
+// brokenScenario describes a scenario in which a rule was broken.
 type brokenScenario struct {
-	Seed   uint64               `json:"seed"`
-	Digest string               `json:"digest"`
-	Broken []scenario.Violation `json:"broken"`
-	Trace  []string             `json:"story"`
+	Seed       uint64               `json:"seed"`
+	Digest     string               `json:"digest"`
+	Violations []scenario.Violation `json:"broken"`
+	Trace      []string             `json:"story"`
 }
 
-// Run plays the scenarios of a range of seeds. It fails if a rule was broken.
+// Run runs the scenarios of a range of seeds. It fails if a rule was broken.
 func (c *faultsRun) Run(streams *program.Streams) error {
 	seeds, err := parseSeeds(c.Seeds)
 	if err != nil {
@@ -65,7 +65,7 @@
 	if err := checkJobs(c.Jobs); err != nil {
 		return err
 	}
-	summary, err := c.play(seeds, newProgressBar(streams.Err, int64(seeds.Count()), c.JSON))
+	summary, err := c.runScenarios(seeds, newProgressBar(streams.Err, int64(seeds.Count()), c.JSON))
 	if err != nil {
 		return err
 	}
@@ -80,13 +80,13 @@
 	return err
 }
 
-func (c *faultsRun) play(seeds program.SeedRange, bar *progressbar.ProgressBar) (*runSummary, error) {
-	defer debug.SetGCPercent(debug.SetGCPercent(simulationGCLevel))
+func (c *faultsRun) runScenarios(seeds program.SeedRange, bar *progressbar.ProgressBar) (*runSummary, error) {
+	defer debug.SetGCPercent(debug.SetGCPercent(simulationGCPercent))
 	start := time.Now()
-	summary := &runSummary{FaultKinds: map[string]int{}, FaultPairs: map[string]int{}, Reasons: map[string]int{}, Ends: map[string]int{}}
+	summary := &runSummary{FaultKinds: map[string]int{}, FaultPairs: map[string]int{}, Reasons: map[string]int{}, Outcomes: map[string]int{}}
 	digests := make([]string, seeds.Count())
 	var mu sync.Mutex // guards summary and digests
-	err := forEachSeed(seeds, c.Jobs, func(seed uint64) (goOn bool, err error) {
+	err := forEachSeed(seeds, c.Jobs, func(seed uint64) (keepGoing bool, err error) {
 		plan, err := c.drawPlan(seed)
 		if err != nil {
 			return false, err
@@ -111,7 +111,7 @@
 	return summary, err
 }
 
-// add adds one scenario's result.
+// add adds the result of one scenario to the summary.
 func (s *runSummary) add(result scenario.Result) {
 	s.Scenarios++
 	s.Steps += result.Steps
@@ -121,15 +121,15 @@
 	for reason, count := range result.Reasons {
 		s.Reasons[reason] += count
 	}
-	for end, count := range result.Outcomes {
-		s.Ends[end] += count
+	for outcome, count := range result.Outcomes {
+		s.Outcomes[outcome] += count
 	}
 	if len(result.Violations) > 0 {
-		s.Broken = append(s.Broken, brokenScenario{Seed: result.Plan.Seed, Digest: result.Digest, Broken: result.Violations, Trace: result.RecentEvents})
+		s.Broken = append(s.Broken, brokenScenario{Seed: result.Plan.Seed, Digest: result.Digest, Violations: result.Violations, Trace: result.RecentEvents})
 	}
 }
 
-// addFaults counts the faults of a scenario by kind, and each pair of kinds once.
+// addFaults counts the faults of a scenario by kind. It counts each pair of kinds that occur in the scenario once.
 func (s *runSummary) addFaults(faults []scenario.Fault) {
 	var kinds []string
 	for _, fault := range faults {
@@ -159,13 +159,13 @@
 		printCounts(table, "pair", summary.FaultPairs)
 	}
 	printCounts(table, "reason or mode in the logs", summary.Reasons)
-	printCounts(table, "what became of lookups", summary.Ends)
+	printCounts(table, "what became of lookups", summary.Outcomes)
 	table.Flush()
 	unmet, rarest, pairs := scenario.UnmetPairs(c.Kind, summary.FaultPairs)
 	fmt.Fprintf(out, "pairs of kinds: %d, never met %d, the rarest met %d times\n", pairs, len(unmet), rarest)
 	for _, broken := range summary.Broken {
 		fmt.Fprintf(out, "seed %d broke:\n", broken.Seed)
-		for _, violation := range broken.Broken {
+		for _, violation := range broken.Violations {
 			fmt.Fprintf(out, "  %s\n", violation)
 		}
 	}
@@ -175,7 +175,7 @@
 		summary.Virtual.Seconds()/realSeconds, float64(summary.Steps)/realSeconds, summary.MemoryMB)
 }
 
-// printCounts prints counts by name.
+// printCounts prints a title and a line for each count, sorted by name.
 func printCounts(out io.Writer, title string, counts map[string]int) {
 	fmt.Fprintf(out, "%s\ttimes\n", title)
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
