--- a/example/cache.go
+++ b/example/cache.go
@@ -23,8 +23,8 @@
 	return &exampleCache{name: name, filledAt: map[string]time.Time{}}
 }
 
-// answer answers one request. The names of fields and the answers are those of the caches' protocol.
-func (c *exampleCache) answer(request standin.Request) {
+// handle answers one request. The names of fields and the answers are those of the caches' protocol.
+func (c *exampleCache) handle(request standin.Request) {
 	object, part := request.Fields["k"], request.Fields["p"]
 	hasSource := request.Fields["from"] != ""
 	createdAt, isCached := c.lookUpOrFill(object+"/"+part, hasSource)
--- a/example/main.go
+++ b/example/main.go
@@ -74,7 +74,7 @@
 	for _, event := range config.Known.Events {
 		for _, endpoint := range event.EndpointList.Endpoints {
 			cache := newExampleCache(endpoint.ID)
-			if _, err := standin.NewCache(endpoint.HostPort, cache.answer); err != nil {
+			if _, err := standin.NewCache(endpoint.HostPort, cache.handle); err != nil {
 				return err
 			}
 			log.Printf("%s (%s) at %s", endpoint.ID, endpoint.Flavor, endpoint.HostPort)
--- a/example/standin/discovery.go
+++ b/example/standin/discovery.go
@@ -20,16 +20,16 @@
 	Addr       string
 	Subscribed chan int // last events that gateways had when they connected
 
-	listener net.Listener
-	mu       sync.Mutex
-	known    int               // number of the event before lines[0]
-	lines    []string          // guarded by mu, as are the fields below
-	conns    map[net.Conn]bool // subscribed
-	isSilent bool
+	listener  net.Listener
+	mu        sync.Mutex
+	lastKnown int               // number of the event before lines[0]
+	lines     []string          // guarded by mu, as are the fields below
+	conns     map[net.Conn]bool // subscribed
+	isSilent  bool
 }
 
 // NewDiscovery serves at an address until Close. Its first event is the one after the last known.
-func NewDiscovery(addr string, known int) (*Discovery, error) {
+func NewDiscovery(addr string, lastKnown int) (*Discovery, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
@@ -38,7 +38,7 @@
 		Addr:       listener.Addr().String(),
 		Subscribed: make(chan int, channelBuffer),
 		listener:   listener,
-		known:      known,
+		lastKnown:  lastKnown,
 		conns:      map[net.Conn]bool{},
 	}
 	go d.acceptAll()
@@ -77,7 +77,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for i, line := range d.lines {
-		if d.known+i+1 > after {
+		if d.lastKnown+i+1 > after {
 			io.WriteString(conn, line)
 		}
 	}
@@ -92,7 +92,7 @@
 		return false
 	}
 	if !d.isSilent {
-		fmt.Fprintf(conn, "%d\n", d.known+len(d.lines))
+		fmt.Fprintf(conn, "%d\n", d.lastKnown+len(d.lines))
 	}
 	return true
 }
@@ -101,7 +101,7 @@
 func (d *Discovery) Announce(event string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	line := fmt.Sprintf("{\"no\":%d,%s\n", d.known+len(d.lines)+1, strings.TrimPrefix(event, "{"))
+	line := fmt.Sprintf("{\"no\":%d,%s\n", d.lastKnown+len(d.lines)+1, strings.TrimPrefix(event, "{"))
 	d.lines = append(d.lines, line)
 	if d.isSilent {
 		return
--- a/internal/cli/rigcli/rigcli.go
+++ b/internal/cli/rigcli/rigcli.go
@@ -69,8 +69,8 @@
 	return filepath.Abs(path)
 }
 
-// createLines creates a file for lines of JSON; without a path the encoder is nil. The caller calls closeFile.
-func createLines(path string) (lines *json.Encoder, closeFile func(), err error) {
+// createJSONLines creates a file for lines of JSON; without a path the encoder is nil. The caller calls closeFile.
+func createJSONLines(path string) (lines *json.Encoder, closeFile func(), err error) {
 	if path == "" {
 		return nil, func() {}, nil
 	}
@@ -98,8 +98,10 @@
 // newTable returns a writer that aligns columns; the caller flushes it.
 func newTable(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 4, 2, ' ', 0) }
 
-// toDuration converts seconds.
-func toDuration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
+// secondsToDuration converts seconds.
+func secondsToDuration(seconds float64) time.Duration {
+	return time.Duration(seconds * float64(time.Second))
+}
 
 // groupRuns splits runs into stretches of neighbours that belong together.
 func groupRuns[Report any](reports []*Report, isSame func(a, b *Report) bool) (groups [][]*Report) {
--- a/internal/cli/rigcli/run.go
+++ b/internal/cli/rigcli/run.go
@@ -114,7 +114,7 @@
 		player.folder = folder
 		player.isTemporary = true
 	}
-	lines, closeLines, err := createLines(c.JSON)
+	lines, closeLines, err := createJSONLines(c.JSON)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/cli/rigcli/scale_broadcast.go
+++ b/internal/cli/rigcli/scale_broadcast.go
@@ -108,7 +108,7 @@
 	if err != nil {
 		return err
 	}
-	lines, closeLines, err := createLines(c.JSON)
+	lines, closeLines, err := createJSONLines(c.JSON)
 	if err != nil {
 		return err
 	}
@@ -168,9 +168,9 @@
 		Source:          c.Receivers,
 		Rate:            c.Rate,
 		Seed:            seed,
-		Warmup:          toDuration(c.WarmUp),
-		Duration:        toDuration(c.Seconds),
-		Settle:          toDuration(c.Settle),
+		Warmup:          secondsToDuration(c.WarmUp),
+		Duration:        secondsToDuration(c.Seconds),
+		Settle:          secondsToDuration(c.Settle),
 		FaultDuration:   c.Fault,
 		Restarts:        c.Restarts,
 		CrashSeenWithin: c.Detect,
@@ -218,11 +218,11 @@
 // readRuns reads files of earlier runs and returns their reports in the order of tables.
 func readRuns(paths []string) (reports []*scale.BroadcastReport, err error) {
 	for _, path := range paths {
-		ofFile, err := readRunFile(path)
+		fileReports, err := readRunFile(path)
 		if err != nil {
 			return nil, err
 		}
-		reports = append(reports, ofFile...)
+		reports = append(reports, fileReports...)
 	}
 	cases := scale.Cases()
 	slices.SortStableFunc(reports, func(a, b *scale.BroadcastReport) int {
--- a/internal/cli/rigcli/scale_watch.go
+++ b/internal/cli/rigcli/scale_watch.go
@@ -104,7 +104,7 @@
 		return err
 	}
 	if c.Profile != "" {
-		printHottest(streams.Out, c.Profile)
+		printHotFunctions(streams.Out, c.Profile)
 	}
 	if measurement.failed > 0 {
 		return program.Failedf("%d of %d runs did what must not be; logs in %s", measurement.failed, len(reports), measurement.folder)
@@ -150,7 +150,7 @@
 			return nil, err
 		}
 	}
-	if measurement.lines, measurement.closeLines, err = createLines(c.JSON); err != nil {
+	if measurement.lines, measurement.closeLines, err = createJSONLines(c.JSON); err != nil {
 		return nil, err
 	}
 	if c.Plot != "" {
@@ -210,8 +210,8 @@
 		Stretch:           c.Stretch,
 		Caches:            c.Caches,
 		ListInConfig:      c.List == listInConfig,
-		Warmup:            toDuration(c.WarmUp),
-		Duration:          toDuration(c.Seconds),
+		Warmup:            secondsToDuration(c.WarmUp),
+		Duration:          secondsToDuration(c.Seconds),
 		Deadline:          c.Bound,
 		Seed:              c.Seed + uint64(sizeIndex*c.Runs+run),
 		Dir:               filepath.Join(m.folder, fmt.Sprintf("%d-%d", size, run+1)),
--- a/internal/cli/rigcli/scale_watch_tables.go
+++ b/internal/cli/rigcli/scale_watch_tables.go
@@ -27,12 +27,12 @@
 			if kind.cost.Gateways == 0 {
 				continue
 			}
-			ofRun := "\t\t\t\t\t\t\t\t"
+			runColumns := "\t\t\t\t\t\t\t\t"
 			if isFirstRow {
-				ofRun = runCells(report)
+				runColumns = runCells(report)
 			}
 			isFirstRow = false
-			fmt.Fprintf(table, "%d\t%d\t%s\t%s\t%s\n", report.Gateways, report.Run, kind.name, costCells(kind.cost), ofRun)
+			fmt.Fprintf(table, "%d\t%d\t%s\t%s\t%s\n", report.Gateways, report.Run, kind.name, costCells(kind.cost), runColumns)
 		}
 	}
 	table.Flush()
@@ -92,8 +92,8 @@
 		strings.Join(deviations, ", "))
 }
 
-// printHottest prints the functions that a profile has most samples of, or how to do so where there is no go command.
-func printHottest(out io.Writer, profile string) {
+// printHotFunctions prints the functions that a profile has most samples of, or how to do so where there is no go command.
+func printHotFunctions(out io.Writer, profile string) {
 	text, err := exec.Command("go", "tool", "pprof", "-top", "-nodecount=12", profile).Output()
 	if err != nil {
 		fmt.Fprintf(out, "\nprofile in %s; go tool pprof -top %s reads it\n", profile, profile)
--- a/internal/env/abort_test.go
+++ b/internal/env/abort_test.go
@@ -21,9 +21,9 @@
 	}
 }
 
-// TestAbortDropsWhatThePeerHasNotReceived guards against lines of attempts that were given up and that the kernel goes on to deliver after a
+// TestAbortDiscardsUndeliveredData guards against lines of attempts that were given up and that the kernel goes on to deliver after a
 // plain Close.
-func TestAbortDropsWhatThePeerHasNotReceived(t *testing.T) {
+func TestAbortDiscardsUndeliveredData(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		end         func(conn net.Conn)
--- a/internal/env/system.go
+++ b/internal/env/system.go
@@ -97,11 +97,11 @@
 
 // NonBlockingWriter writes with the connection's system call; nil where conn has no descriptor.
 func (*System) NonBlockingWriter(conn net.Conn) NonBlockingWrite {
-	withDescriptor, ok := conn.(syscall.Conn)
+	descriptorConn, ok := conn.(syscall.Conn)
 	if !ok {
 		return nil
 	}
-	raw, err := withDescriptor.SyscallConn()
+	raw, err := descriptorConn.SyscallConn()
 	if err != nil {
 		return nil
 	}
--- a/internal/env/system_test.go
+++ b/internal/env/system_test.go
@@ -79,7 +79,7 @@
 	stop()
 }
 
-func TestLogIsKeyValueFromItsLevelOn(t *testing.T) {
+func TestLogWritesKeyValuePairsFromMinLevel(t *testing.T) {
 	var out bytes.Buffer
 	log := NewSystem(&out, slog.LevelWarn).Log()
 	log.Info("below_the_level")
--- a/internal/telemetry/frozen_test.go
+++ b/internal/telemetry/frozen_test.go
@@ -37,18 +37,18 @@
 	}
 	tracer.LookupStarted(&retry.Lookup{}, headers("", 0))
 	var got strings.Builder
-	list := func(indent string, attributes []attribute.KeyValue) {
+	writeAttributes := func(indent string, attributes []attribute.KeyValue) {
 		for _, a := range attributes {
 			fmt.Fprintf(&got, "%s%s=%v %s\n", indent, a.Key, a.Value.AsInterface(), a.Value.Type())
 		}
 	}
 	for _, span := range exporter.GetSpans() {
 		fmt.Fprintf(&got, "%s kind %v status %v %q scope %s\n", span.Name, span.SpanKind, span.Status.Code, span.Status.Description, span.InstrumentationScope.Name)
-		list("  ", span.Resource.Attributes())
-		list("  ", span.Attributes)
+		writeAttributes("  ", span.Resource.Attributes())
+		writeAttributes("  ", span.Attributes)
 		for _, e := range span.Events {
 			fmt.Fprintf(&got, "  event %s\n", e.Name)
-			list("    ", e.Attributes)
+			writeAttributes("    ", e.Attributes)
 		}
 	}
 	frozen.Equal(t, "spans.txt", []byte(got.String()))
