--- a/internal/env/abort_test.go
+++ b/internal/env/abort_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// writeUntilFull writes to a connection whose peer reads nothing, until no more is taken, and returns the number of bytes.
+// writeUntilFull writes to a connection whose peer does not read, until the socket buffers are full. It returns the
+// number of bytes written.
 func writeUntilFull(t *testing.T, conn net.Conn) (total int) {
 	t.Helper()
 	chunk := make([]byte, 64<<10)
@@ -21,8 +22,8 @@
 	}
 }
 
-// TestAbortDiscardsUndeliveredData guards against lines of attempts that were given up and that the kernel goes on to deliver after a
-// plain Close.
+// TestAbortDiscardsUndeliveredData guards against the delivery of request lines of abandoned attempts. After a plain
+// Close, the kernel still delivers data that is in the socket buffers.
 func TestAbortDiscardsUndeliveredData(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -52,7 +53,7 @@
 			peer.SetReadDeadline(time.Now().Add(10 * time.Second))
 			received, err := io.Copy(io.Discard, peer)
 			if isDelivered := int(received) == written; isDelivered != c.isDelivered || (err == nil) != c.isDelivered {
-				t.Errorf("%d of %d bytes arrived, %v", received, written, err)
+				t.Errorf("peer received %d of %d bytes, read error: %v", received, written, err)
 			}
 		})
 	}
--- a/internal/env/lifetime.go
+++ b/internal/env/lifetime.go
@@ -5,16 +5,17 @@
 	"sync"
 )
 
-// Lifetime is how long something runs. It ends once, by its own End or with its parent. Functions registered with OnEnd run when it
-// ends, in the order of their registration, in the goroutine that ends it, and must not wait.
+// Lifetime is the time during which something runs. It ends once, when End is called or when its parent ends. Functions
+// registered with OnEnd run when it ends, in the order of registration, on the goroutine that ends it. They must not
+// block.
 type Lifetime struct {
 	mu     sync.Mutex
 	ended  bool
 	hooks  list.List
-	detach func() // from the parent; nil: none
+	detach func() // unregisters the lifetime from its parent; nil without a parent
 }
 
-// NewLifetime returns a lifetime that ends with its parent, which may be nil.
+// NewLifetime returns a lifetime that ends at the latest when its parent ends. parent may be nil.
 func NewLifetime(parent *Lifetime) *Lifetime {
 	l := &Lifetime{}
 	if parent != nil {
@@ -30,7 +31,8 @@
 	return l.ended
 }
 
-// OnEnd calls f when the lifetime ends; at once if it has ended already. drop takes f off again.
+// OnEnd registers f to be called when the lifetime ends. If the lifetime has already ended, f is called immediately.
+// drop unregisters f.
 func (l *Lifetime) OnEnd(f func()) (drop func()) {
 	l.mu.Lock()
 	if l.ended {
@@ -47,7 +49,7 @@
 	}
 }
 
-// End ends the lifetime. Calls after the first do nothing.
+// End ends the lifetime and calls the registered functions. Calls after the first have no effect.
 func (l *Lifetime) End() {
 	l.mu.Lock()
 	if l.ended {
--- a/internal/env/lifetime_test.go
+++ b/internal/env/lifetime_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestLifetime(t *testing.T) {
-	t.Run("ends once: its hooks run in order, children end with it", func(t *testing.T) {
+	t.Run("End runs hooks once, in order, and ends children", func(t *testing.T) {
 		calls := ""
 		call := func(name string) func() { return func() { calls += name } }
 		parent := NewLifetime(nil)
@@ -19,16 +19,16 @@
 			t.Error(calls)
 		}
 		if parent.OnEnd(call("e")); calls != "acde" {
-			t.Error("a hook of an ended lifetime does not run at once:", calls)
+			t.Error("OnEnd of an ended lifetime did not run the hook immediately; hooks run:", calls)
 		}
 	})
-	t.Run("a child that ends detaches from its parent", func(t *testing.T) {
+	t.Run("a child that ends unregisters from its parent", func(t *testing.T) {
 		parent := NewLifetime(nil)
 		for range 100 {
 			NewLifetime(parent).End()
 		}
 		if parent.Ended() || parent.hooks.Len() != 0 {
-			t.Errorf("%d hooks are left", parent.hooks.Len())
+			t.Errorf("the parent has ended, or has hooks left: %d hooks", parent.hooks.Len())
 		}
 	})
 }
--- a/internal/env/nodelay_test.go
+++ b/internal/env/nodelay_test.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// Responses and attempts are small writes: on a socket that waits to fill a segment (Nagle's algorithm) each may wait for an
-// acknowledgement of the one before. Go's default, TCP_NODELAY, must stay on both what is dialled and what is accepted.
+// TestTCPNoDelayIsOn checks that TCP_NODELAY, which Go sets by default, stays set on dialled and accepted connections.
+// Responses and attempts are small writes. Without the option, Nagle's algorithm may delay each write until the
+// previous one has been acknowledged.
 func TestTCPNoDelayIsOn(t *testing.T) {
 	system := NewSystem(io.Discard, slog.LevelWarn)
 	listener, err := system.Listen("127.0.0.1:0")
@@ -30,12 +31,12 @@
 	defer accepted.Close()
 	for name, conn := range map[string]net.Conn{"dialled": dialled, "accepted": accepted} {
 		if noDelay(t, conn) == 0 {
-			t.Errorf("%s: TCP_NODELAY is off", name)
+			t.Errorf("%s connection: TCP_NODELAY is off", name)
 		}
 	}
 }
 
-// noDelay returns the connection's TCP_NODELAY option.
+// noDelay returns the value of the connection's TCP_NODELAY option.
 func noDelay(t *testing.T, conn net.Conn) (option int) {
 	t.Helper()
 	raw, err := conn.(syscall.Conn).SyscallConn()
--- a/internal/env/osdirectory.go
+++ b/internal/env/osdirectory.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	directoryMode = 0o700 // its owner's alone
+	directoryMode = 0o700 // accessible only to the owner
 	fileMode      = 0o600
 	lockName      = "lock"
 )
 
-// OSDirectory is a Directory of the file system.
+// OSDirectory is a Directory in the operating system's file system.
 type OSDirectory struct{ Path string }
 
-// OpenOSDirectory creates the directory if it does not exist.
+// OpenOSDirectory returns the directory at path. It creates the directory and its parents if they do not exist.
 func OpenOSDirectory(path string) (OSDirectory, error) {
 	if err := os.MkdirAll(path, directoryMode); err != nil {
 		return OSDirectory{}, err
@@ -43,7 +43,7 @@
 // Read reads a whole file.
 func (d OSDirectory) Read(name string) ([]byte, error) { return os.ReadFile(d.filePath(name)) }
 
-// Create creates a file, or truncates it.
+// Create creates a file or truncates an existing one.
 func (d OSDirectory) Create(name string) (File, error) {
 	return os.OpenFile(d.filePath(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
 }
@@ -66,7 +66,8 @@
 	return file.Sync()
 }
 
-// Lock takes the directory for this process until unlock or the process's end; ErrLocked if another process has it.
+// Lock acquires an exclusive lock on the directory. The lock is held until unlock is called or the process exits. The
+// error wraps ErrLocked if another process holds the lock.
 func (d OSDirectory) Lock() (unlock func(), err error) {
 	file, err := os.OpenFile(d.filePath(lockName), os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
--- a/internal/env/system.go
+++ b/internal/env/system.go
@@ -16,19 +16,20 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// System is the Environment of a real process. Its zero value has no log.
+// System is the Environment of a real process. The zero value has no logger.
 type System struct {
 	log *slog.Logger
-	// WallOffset is how far the machine's clock is off; for tests of machines with wrong clocks.
+	// WallOffset is added to the time that WallTime returns. It simulates a machine with a wrong clock in tests.
 	WallOffset time.Duration
 }
 
-// NewSystem returns the system's environment. Its log goes to w, from a level on.
+// NewSystem returns the environment of a real process. Its logger writes records of minLevel and above to w.
 func NewSystem(w io.Writer, minLevel slog.Level) *System {
 	return &System{log: slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: minLevel, ReplaceAttr: ReplaceLogAttr}))}
 }
 
-// ReplaceLogAttr gives log lines the form event=NAME key=value: the message is the event's name.
+// ReplaceLogAttr renames the message key of log records to event, so that a line has the form event=NAME key=value. It
+// is used as slog.HandlerOptions.ReplaceAttr.
 func ReplaceLogAttr(groups []string, attr slog.Attr) slog.Attr {
 	if len(groups) == 0 && attr.Key == slog.MessageKey {
 		attr.Key = "event"
@@ -36,20 +37,20 @@
 	return attr
 }
 
-// Now returns the time.
+// Now returns the current time.
 func (*System) Now() time.Time { return time.Now() }
 
-// WallTime returns the time as other machines are to see it: off by WallOffset. Now is not, since the kernel's deadlines are on the
-// same clock as Now.
+// WallTime returns the time that other machines are to see, which is the current time plus WallOffset. Now has no
+// offset, since the kernel's deadlines use the same clock as Now.
 func (s *System) WallTime() time.Time { return time.Now().Add(s.WallOffset) }
 
-// AfterFunc calls f in a goroutine of its own once d has passed.
+// AfterFunc calls f in its own goroutine after d has elapsed.
 func (*System) AfterFunc(d time.Duration, f func()) Timer { return time.AfterFunc(d, f) }
 
 // NewNotifier returns a notifier without a pending notification.
 func (*System) NewNotifier() Notifier { return notifier(make(chan struct{}, 1)) }
 
-// notifier holds a pending notification in the channel's one place.
+// notifier holds the pending notification in a channel of capacity 1.
 type notifier chan struct{}
 
 func (n notifier) Notify() {
@@ -79,14 +80,14 @@
 	}
 }
 
-// NewGroup returns an empty group of goroutines.
+// NewGroup returns a group without goroutines.
 func (*System) NewGroup() Group { return &group{} }
 
 type group struct{ errgroup.Group }
 
 func (g *group) Go(_ string, f func() error) { g.Group.Go(f) }
 
-// Dial connects over TCP within timeout and before the lifetime ends.
+// Dial opens a TCP connection. It fails if timeout elapses or lifetime ends first.
 func (*System) Dial(lifetime *Lifetime, addr string, timeout time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -95,7 +96,8 @@
 	return dialer.DialContext(ctx, "tcp", addr)
 }
 
-// NonBlockingWriter writes with the connection's system call; nil where conn has no descriptor.
+// NonBlockingWriter returns a function that calls write(2) on the connection's file descriptor, or nil if conn has no
+// file descriptor.
 func (*System) NonBlockingWriter(conn net.Conn) NonBlockingWrite {
 	descriptorConn, ok := conn.(syscall.Conn)
 	if !ok {
@@ -107,7 +109,7 @@
 	}
 	var pending []byte
 	written := 0
-	write := func(fd uintptr) bool { // allocated once a connection, not once a write
+	write := func(fd uintptr) bool { // allocated once per connection, not once per write
 		written, _ = syscall.Write(int(fd), pending)
 		return true
 	}
@@ -120,19 +122,20 @@
 	}
 }
 
-// Listen accepts TCP connections at an address.
+// Listen returns a listener for TCP connections to addr.
 func (*System) Listen(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
 
-// Getenv returns a variable of the process's environment, or "".
+// Getenv returns a variable of the process's environment, or "" if it is not set.
 func (*System) Getenv(name string) string { return os.Getenv(name) }
 
-// OpenDirectory opens a directory of the file system and creates it if it does not exist.
+// OpenDirectory opens a directory of the file system. It creates the directory if it does not exist.
 func (*System) OpenDirectory(path string) (Directory, error) { return OpenOSDirectory(path) }
 
 // ReadFile reads a whole file.
 func (*System) ReadFile(path string) ([]byte, error) { return os.ReadFile(path) }
 
-// OnSignal calls handle for each signal from now on. A signal that waits to be handled stands for all of its kind that came meanwhile.
+// OnSignal registers handle for later SIGHUP, SIGTERM and SIGINT. Calls of handle are sequential and run in a separate
+// goroutine. Signals of one kind that arrive while another of that kind is pending are merged with it.
 func (*System) OnSignal(handle func(Signal)) (stop func()) {
 	reload := make(chan os.Signal, 1)
 	terminate := make(chan os.Signal, 1)
@@ -158,7 +161,7 @@
 	}
 }
 
-// SetResourceLimits sets GOMAXPROCS and the soft memory limit of Go's runtime.
+// SetResourceLimits sets GOMAXPROCS and the soft memory limit of the Go runtime. A value of 0 leaves a limit unchanged.
 func (*System) SetResourceLimits(cores int, memory int64) {
 	if cores > 0 {
 		runtime.GOMAXPROCS(cores)
@@ -168,10 +171,10 @@
 	}
 }
 
-// ReleaseMemory returns memory that is no longer used to the system.
+// ReleaseMemory returns unused memory to the operating system.
 func (*System) ReleaseMemory() { debug.FreeOSMemory() }
 
-// DescriptorLimit returns the soft limit of RLIMIT_NOFILE; 0 if it cannot be read.
+// DescriptorLimit returns the soft limit of RLIMIT_NOFILE, or 0 if it cannot be read.
 func (*System) DescriptorLimit() uint64 {
 	var limit syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) != nil {
@@ -180,10 +183,11 @@
 	return limit.Cur
 }
 
-// IsDescriptorExhausted reports whether a dial or an accept failed because the process, or the machine, has no descriptor left.
+// IsDescriptorExhausted reports whether a dial or an accept failed because the process (EMFILE) or the machine (ENFILE)
+// has no file descriptor left.
 func IsDescriptorExhausted(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
-// Log returns the log.
+// Log returns the logger, which is nil for the zero value.
 func (s *System) Log() *slog.Logger { return s.log }
--- a/internal/env/system_test.go
+++ b/internal/env/system_test.go
@@ -19,11 +19,11 @@
 	n.Notify()
 	n.Notify()
 	if !n.Wait(-1) || n.Wait(0) || n.Wait(time.Millisecond) {
-		t.Error("notifications are lost or made up")
+		t.Error("two calls of Notify did not result in exactly one notification")
 	}
 	go n.Notify()
 	if !n.Wait(-1) {
-		t.Error("not notified")
+		t.Error("Wait without a timeout returned false")
 	}
 }
 
@@ -34,7 +34,7 @@
 		group.Go("part", func() error { ran.Add(1); return io.ErrUnexpectedEOF })
 	}
 	if err := group.Wait(); err != io.ErrUnexpectedEOF || ran.Load() != 3 {
-		t.Errorf("%v, %d", err, ran.Load())
+		t.Errorf("Wait returned %v after %d functions, want unexpected EOF after 3", err, ran.Load())
 	}
 }
 
@@ -51,17 +51,17 @@
 		t.Fatal(err)
 	}
 	if _, ok := conn.(Conn); !ok {
-		t.Error("cannot close one side")
+		t.Error("the connection does not implement Conn (CloseWrite)")
 	}
 	conn.Close()
 	listener.Close()
 	if _, err := system.Dial(lifetime, addr, time.Second); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("%v", err)
+		t.Errorf("dial without a listener: error %v, want ECONNREFUSED", err)
 	}
 	lifetime.End()
 	var opError *net.OpError
 	if _, err := system.Dial(lifetime, addr, time.Second); !errors.As(err, &opError) || errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("%v", err)
+		t.Errorf("dial after the lifetime ended: error %v, want a *net.OpError other than ECONNREFUSED", err)
 	}
 }
 
--- a/internal/env/unixsocket.go
+++ b/internal/env/unixsocket.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// probeTimeout bounds the call that finds out whether anybody listens on a socket's file.
+// probeTimeout limits the dial that checks whether a process listens on an existing socket file.
 const probeTimeout = time.Second
 
-// SocketInUseError reports a Unix socket that another process listens on.
+// SocketInUseError reports that another process listens on a Unix socket.
 type SocketInUseError struct{ Path string }
 
-// Error says which socket it is and what to do.
+// Error names the socket and the remedy.
 func (e *SocketInUseError) Error() string {
-	return e.Path + ": another process listens there; stop it or name another socket"
+	return e.Path + ": another process is listening on this socket; stop that process or configure another path"
 }
 
-// ListenUnix listens on a Unix socket whose file has the mode from the moment it exists. A file that nobody listens on any more is
-// replaced; one that is in use gives a *SocketInUseError. It changes the process's umask for a moment, so call it from one goroutine at
-// a time.
+// ListenUnix listens on a Unix socket whose file has the given mode from its creation on. It replaces an existing
+// socket file on which no process listens. If a process listens on it, the error is a *SocketInUseError. ListenUnix
+// changes the umask of the process temporarily, so it must not be called concurrently.
 func ListenUnix(path string, mode os.FileMode) (net.Listener, error) {
 	if info, err := os.Lstat(path); err == nil && info.Mode()&os.ModeSocket != 0 {
 		if conn, err := net.DialTimeout("unix", path, probeTimeout); err == nil {
