--- a/internal/telemetry/frozen_test.go
+++ b/internal/telemetry/frozen_test.go
@@ -17,7 +17,7 @@
 	"foldslip/internal/route/rollout"
 )
 
-// TestFrozenSpans compares names, attributes, events and statuses of spans with those that an earlier build made.
+// TestFrozenSpans compares the names, attributes, events and statuses of spans with those recorded by an earlier build.
 func TestFrozenSpans(t *testing.T) {
 	exporter := tracetest.NewInMemoryExporter()
 	tracer := New(Options{Share: 1, Name: "n0"}, sdk.WithSyncer(exporter))
--- a/internal/telemetry/spans.go
+++ b/internal/telemetry/spans.go
@@ -14,7 +14,8 @@
 	"foldslip/internal/route"
 )
 
-// resultNames are the values of foldslip.end on a lookup's span. They are read by the collector's users and stay as they are.
+// resultNames are the values of the attribute foldslip.end on lookup spans. Users of the collector rely on them, so
+// they must not change.
 var resultNames = map[dispatch.StepKind]string{
 	dispatch.StepSatisfied:  "satisfied",
 	dispatch.StepRejected:   "nacked",
@@ -22,7 +23,8 @@
 	dispatch.StepClientGone: "departed",
 }
 
-// outcomeNames are the values of foldslip.end on an attempt's span. They are read by the collector's users and stay as they are.
+// outcomeNames are the values of the attribute foldslip.end on attempt spans. Users of the collector rely on them, so
+// they must not change.
 var outcomeNames = [...]string{
 	0:                           "untold",
 	policy.OutcomeSatisfied:     "satisfied",
@@ -36,15 +38,16 @@
 	policy.OutcomeMiss:          "missed",
 }
 
-// lookupSpans are the open spans of one sampled lookup. They are kept in Lookup.Trace.
+// lookupSpans holds the open spans of one sampled lookup. It is stored in Lookup.Trace.
 type lookupSpans struct {
 	mu       sync.Mutex
-	ctx      context.Context // carries root as the parent of attempts
+	ctx      context.Context // contains root as the parent of the attempt spans
 	root     trace.Span
-	attempts map[int]trace.Span // open attempts by number
+	attempts map[int]trace.Span // open attempt spans by attempt number
 }
 
-// LookupStarted begins the span of a lookup that the router has accepted, in the trace of the client's headers.
+// LookupStarted starts the span of a lookup that the router has accepted. The span belongs to the trace that the
+// client's headers name, if they name one.
 func (t *Tracer) LookupStarted(lookup *retry.Lookup, headers route.Attributes) {
 	ctx := t.propagator.Extract(context.Background(), headerCarrier{headers})
 	ctx, root := t.tracer.Start(ctx, "lookup", trace.WithSpanKind(trace.SpanKindServer))
@@ -68,7 +71,8 @@
 	lookup.Trace = &lookupSpans{ctx: ctx, root: root, attempts: map[int]trace.Span{}}
 }
 
-// StepDecided records a decision on a lookup: it begins an attempt's span, marks a cancelled attempt, or ends the lookup's span.
+// StepDecided records a decision on a lookup. It starts the span of a new attempt, adds an event for a cancelled
+// attempt, or ends the span of the lookup.
 func (t *Tracer) StepDecided(lookup *retry.Lookup, step dispatch.Step) {
 	spans, ok := lookup.Trace.(*lookupSpans)
 	if !ok {
@@ -86,7 +90,7 @@
 	}
 }
 
-// startAttempt begins the span of the attempt that a step starts.
+// startAttempt starts the span of the attempt that a step begins.
 func (t *Tracer) startAttempt(ctx context.Context, step dispatch.Step) trace.Span {
 	_, span := t.tracer.Start(ctx, "send", trace.WithSpanKind(trace.SpanKindClient), trace.WithAttributes(
 		attribute.Int("foldslip.send", step.Attempt),
@@ -100,7 +104,7 @@
 	return span
 }
 
-// endLookup ends a lookup's span with the result that a step carries.
+// endLookup ends a lookup's span with the result in step.
 func endLookup(root trace.Span, step dispatch.Step) {
 	if step.Kind == dispatch.StepRejected {
 		root.SetAttributes(attribute.Int64("foldslip.again_us", step.RetryAfter))
@@ -113,7 +117,8 @@
 	root.End()
 }
 
-// AttemptEnded ends the span of an attempt with its reported outcome. A second report of the same attempt has no effect.
+// AttemptEnded ends the span of an attempt with the reported outcome. Further reports of the same attempt have no
+// effect.
 func (t *Tracer) AttemptEnded(lookup *retry.Lookup, report retry.Report) {
 	spans, ok := lookup.Trace.(*lookupSpans)
 	if !ok {
--- a/internal/telemetry/tracer.go
+++ b/internal/telemetry/tracer.go
@@ -1,8 +1,10 @@
-// Package telemetry traces the lookups of the external processor with the OpenTelemetry library: W3C trace context is taken from the
-// client's headers, a span covers the lookup, and a span each attempt from its decision to the report of its outcome. Tracing is off
-// unless the operators' configuration names a collector; a lookup that is not sampled costs one read of its headers.
+// Package telemetry traces the lookups of the external processor with the OpenTelemetry library. It reads the W3C trace
+// context from the client's headers. One span covers the lookup. Each attempt has a span of its own, which begins when
+// the attempt is decided and ends when its outcome is reported. Tracing is off unless the operators' configuration
+// names a collector. A lookup that is not sampled costs one read of its headers.
 //
-// Ended spans wait in the library's queue, bounded by maxQueuedSpans. When it is full they are dropped; lookups never wait.
+// Ended spans wait in the library's export queue, which holds at most maxQueuedSpans spans. If the queue is full,
+// further spans are dropped. Lookups never wait for the queue.
 package telemetry
 
 import (
@@ -23,28 +25,28 @@
 	maxQueuedSpans = 2048
 	maxSpanBatch   = 256
 	exportInterval = 2 * time.Second        // spans are exported at least this often
-	closeTimeout   = 500 * time.Millisecond // a graceful shutdown waits no longer for the collector
+	closeTimeout   = 500 * time.Millisecond // maximum time that a graceful shutdown waits for the collector
 )
 
-// scopeName is the instrumentation scope on every span.
+// scopeName is the instrumentation scope of every span.
 const scopeName = "foldslip/door"
 
-// Tracer records the spans of lookups. It implements extproc.Tracer; its methods may be called by many goroutines.
+// Tracer records the spans of lookups. It implements extproc.Tracer. Its methods are safe for concurrent use.
 type Tracer struct {
 	provider   *sdk.TracerProvider
 	tracer     trace.Tracer
 	propagator propagation.TextMapPropagator
 }
 
-// Options say where spans are exported and which lookups are sampled.
+// Options configure where spans are exported to and which lookups are sampled.
 type Options struct {
-	Endpoint string  // address of an OTLP collector on gRPC
-	Share    float64 // sampled share of the lookups without a trace context, 0 to 1
-	Name     string  // of this gateway
+	Endpoint string  // address of an OTLP collector that is reached over gRPC
+	Share    float64 // share of the lookups without a trace context that is sampled, 0 to 1
+	Name     string  // name of this gateway
 }
 
-// Open returns a tracer that exports to an OTLP collector. The library reconnects to a collector that is unreachable and drops spans
-// meanwhile.
+// Open returns a tracer that exports to the OTLP collector at Endpoint. While the collector is unreachable, the library
+// drops spans and tries to reconnect.
 func Open(options Options) (*Tracer, error) {
 	exporter, err := otlptracegrpc.New(context.Background(), otlptracegrpc.WithEndpoint(options.Endpoint), otlptracegrpc.WithInsecure())
 	if err != nil {
@@ -55,7 +57,7 @@
 	return New(options, batcher), nil
 }
 
-// New returns a tracer that exports as the provider options say; Endpoint is not used.
+// New returns a tracer that exports as configured by the provider options. It does not use Endpoint.
 func New(options Options, exporting ...sdk.TracerProviderOption) *Tracer {
 	providerOptions := []sdk.TracerProviderOption{
 		sdk.WithSampler(sdk.ParentBased(sdk.TraceIDRatioBased(options.Share))),
@@ -68,14 +70,15 @@
 	return &Tracer{provider: provider, tracer: provider.Tracer(scopeName), propagator: propagation.TraceContext{}}
 }
 
-// Close exports the queued spans, for at most closeTimeout.
+// Close exports the queued spans and shuts the tracer down. It waits for the collector for at most closeTimeout.
 func (t *Tracer) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	t.provider.Shutdown(ctx)
 }
 
-// headerCarrier gives the propagator a client's headers to read. A header that is set more than once counts as absent.
+// headerCarrier gives the propagator read access to a client's headers. A header that is set more than once is treated
+// as absent.
 type headerCarrier struct{ get route.Attributes }
 
 func (c headerCarrier) Get(name string) string {
--- a/internal/telemetry/tracer_test.go
+++ b/internal/telemetry/tracer_test.go
@@ -14,7 +14,7 @@
 
 const sampledParent = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
 
-// headers returns a client's headers with traceparent set count times.
+// headers returns client headers in which traceparent is set count times.
 func headers(traceparent string, count int) route.Attributes {
 	return func(name string) (string, int) {
 		if name == "traceparent" {
@@ -24,7 +24,7 @@
 	}
 }
 
-// traceLookup records a lookup with two attempts, the first rejected, and returns the exported spans.
+// traceLookup records a lookup with two attempts, of which the first is rejected, and returns the exported spans.
 func traceLookup(share float64, traceparent string, count int) tracetest.SpanStubs {
 	exporter := tracetest.NewInMemoryExporter()
 	tracer := New(Options{Share: share, Name: "n0"}, sdk.WithSyncer(exporter))
@@ -46,16 +46,16 @@
 	return exporter.GetSpans()
 }
 
-// TestTracer checks which lookups are sampled, and how the spans of one nest.
+// TestTracer checks which lookups are sampled and how the spans of a lookup are nested.
 func TestTracer(t *testing.T) {
-	t.Run("a lookup in its client's trace has a span and one for each attempt", func(t *testing.T) {
+	t.Run("a lookup in a client's sampled trace has one span and a child span for each attempt", func(t *testing.T) {
 		spans := traceLookup(0, sampledParent, 1)
 		if len(spans) != 3 {
-			t.Fatalf("%d spans", len(spans))
+			t.Fatalf("exported %d spans, want 3", len(spans))
 		}
 		root := spans[2]
 		if root.Name != "lookup" || root.SpanContext.TraceID().String() != "4bf92f3577b34da6a3ce929d0e0e4736" || root.Parent.SpanID().String() != "00f067aa0ba902b7" {
-			t.Errorf("%+v", root)
+			t.Errorf("lookup span %+v, want the trace and the parent of the client's header", root)
 		}
 		for i, end := range []string{"turned_away", "satisfied"} {
 			attributes := map[string]string{}
@@ -63,13 +63,13 @@
 				attributes[string(attribute.Key)] = attribute.Value.String()
 			}
 			if spans[i].Parent.SpanID() != root.SpanContext.SpanID() || attributes["foldslip.end"] != end {
-				t.Errorf("%+v", attributes)
+				t.Errorf("attempt span with attributes %+v has a wrong parent or outcome", attributes)
 			}
 		}
 	})
-	t.Run("without trace context and share there are no spans", func(t *testing.T) {
+	t.Run("without a trace context and with a share of 0 there are no spans", func(t *testing.T) {
 		if spans := traceLookup(0, "", 0); len(spans) != 0 {
-			t.Errorf("%d spans", len(spans))
+			t.Errorf("exported %d spans, want 0", len(spans))
 		}
 	})
 	t.Run("a trace context that is absent, repeated or malformed starts a new trace", func(t *testing.T) {
@@ -78,13 +78,13 @@
 			count       int
 		}{{"", 0}, {sampledParent, 2}, {"00-zz-1-01", 1}} {
 			if spans := traceLookup(1, test.traceparent, test.count); len(spans) != 3 || spans[2].Parent.IsValid() {
-				t.Errorf("%q: %d spans", test.traceparent, len(spans))
+				t.Errorf("traceparent %q: exported %d spans, want 3 and no parent", test.traceparent, len(spans))
 			}
 		}
 	})
-	t.Run("a client's decision not to sample is kept", func(t *testing.T) {
+	t.Run("a client's decision not to sample is respected", func(t *testing.T) {
 		if spans := traceLookup(1, sampledParent[:len(sampledParent)-1]+"0", 1); len(spans) != 0 {
-			t.Errorf("%d spans", len(spans))
+			t.Errorf("exported %d spans, want 0", len(spans))
 		}
 	})
 }
