--- a/internal/cli/rigcli/frozen_test.go
+++ b/internal/cli/rigcli/frozen_test.go
@@ -8,10 +8,11 @@
 	"foldslip/internal/lab/scale"
 )
 
-// The files under testdata/frozen were written by the build at 58d6067: lines of JSON that runs are stored as, scenario files, and the
-// names, arguments and flags of the commands. They stay to the byte whatever the code behind them is called.
+// The files under testdata/frozen were written by the build at 58d6067. They contain the JSON lines in which runs are
+// stored, scenario files, and the names, arguments and flags of the commands. The current build must produce the same
+// bytes, whatever names the Go code uses.
 
-// TestFrozenJSON checks the stored form of each type.
+// TestFrozenJSON checks the stored JSON form of each type.
 func TestFrozenJSON(t *testing.T) {
 	for name, value := range map[string]any{
 		"played.json":       new(fleet.Scenario),
@@ -24,7 +25,7 @@
 	}
 }
 
-// TestFrozenCommandLine checks each command with its arguments and flags.
+// TestFrozenCommandLine checks the name, arguments and flags of each command.
 func TestFrozenCommandLine(t *testing.T) {
 	programtest.Equal(t, "command-line", programtest.CommandLine(t, "foldslip-rig", &commands{}))
 }
--- a/internal/cli/rigcli/parallel.go
+++ b/internal/cli/rigcli/parallel.go
@@ -6,8 +6,9 @@
 	"sync/atomic"
 )
 
-// runParallel calls run for each index below count, in order, from as many goroutines as workers says, and returns all errors in the
-// order of the indices. A call that fails does not end the others. The worker's number is below workers.
+// runParallel calls run for each index below count, from at most as many goroutines as workers. The calls start in the
+// order of the indices. A failed call does not stop the others. runParallel returns all errors, joined in the order of
+// the indices. The worker number passed to run is below workers.
 func runParallel(workers, count int, run func(worker, index int) error) error {
 	failures := make([]error, count)
 	var started atomic.Int64
--- a/internal/cli/rigcli/rigcli.go
+++ b/internal/cli/rigcli/rigcli.go
@@ -1,8 +1,8 @@
-// Package rigcli is the command line of foldslip-rig: scenarios of fleets of real gateways on loopback, and measurements of what control
-// costs against the size of a fleet. It is a program of its own since its plot libraries take more memory from the start than a gateway
-// of 32 MB can spare.
+// Package rigcli is the command line of foldslip-rig. It plays scenarios on fleets of real gateways on loopback, and
+// measures the control-plane cost of gateways against the size of the fleet. It is a separate program because its
+// plotting libraries use more memory at start-up than a gateway limited to 32 MB can spare.
 //
-// Exit status: 0 done, 1 a run broke a rule or a bound, 2 arguments or a file cannot be used.
+// The exit status is 0 on success, 1 if a run violated a rule or a bound, and 2 if arguments or a file cannot be used.
 package rigcli
 
 import (
@@ -28,33 +28,34 @@
 )
 
 type commands struct {
-	Run   runCommand    `cmd:"" default:"withargs" help:"Play scenarios (what the bare program does with their names)."`
-	Scale scaleCommands `cmd:"" help:"Measure what gateways' control costs against the number of gateways."`
+	Run   runCommand    `cmd:"" default:"withargs" help:"Play scenarios (the default command)."`
+	Scale scaleCommands `cmd:"" help:"Measure the control-plane cost of gateways against the size of the fleet."`
 }
 
-// Run runs the process's own arguments and ends the process.
+// Run executes the command line of the process and exits with its status.
 func Run() { os.Exit(Main(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// Main runs the command that args select and returns the exit status.
+// Main runs the command selected by args and returns the exit status.
 func Main(args []string, out, errs io.Writer) int {
 	rig := program.Program{
 		Name: "foldslip-rig",
-		Description: "Plays scenarios on fleets of real gateways on loopback with faults between them, and measures what control costs at size. Hard cases: " +
+		Description: "Plays scenarios with injected faults on fleets of real gateways on loopback, and measures the control-plane cost of large fleets. Built-in scenarios: " +
 			strings.Join(fleet.HardCases(), ", ") + ".",
 	}
 	return rig.Main(&commands{}, args, &program.Streams{Out: out, Err: errs})
 }
 
-// parseSeeds parses the flag --seeds.
+// parseSeeds parses the value of the flag --seeds.
 func parseSeeds(text string) (program.SeedRange, error) {
 	seeds, ok := program.ParseSeedRange(text, maxSeeds, seedBits)
 	if !ok {
-		return seeds, program.UsageErrorf("--seeds %q: expected one, or first and last of at most %d, as 1-20", text, maxSeeds)
+		return seeds, program.UsageErrorf("--seeds %q: expected a seed or a range of at most %d seeds, such as 1-20", text, maxSeeds)
 	}
 	return seeds, nil
 }
 
-// gatewayProgram returns the absolute path of the gateway's program: foldslip beside this one if path is empty.
+// gatewayProgram returns the absolute path of the gateway program. An empty path selects the file foldslip in the
+// directory of the running program.
 func gatewayProgram(path string) (string, error) {
 	if path == "" {
 		self, err := os.Executable()
@@ -64,12 +65,13 @@
 		path = filepath.Join(filepath.Dir(self), "foldslip")
 	}
 	if _, err := os.Stat(path); err != nil {
-		return "", program.UsageErrorf("--program: %w; go build -o bin/ ./cmd/... makes it", err)
+		return "", program.UsageErrorf("--program: %w; build it with: go build -o bin/ ./cmd/...", err)
 	}
 	return filepath.Abs(path)
 }
 
-// createJSONLines creates a file for lines of JSON; without a path the encoder is nil. The caller calls closeFile.
+// createJSONLines creates a file of JSON lines and returns its encoder, which is nil if path is empty. The caller must
+// call closeFile.
 func createJSONLines(path string) (lines *json.Encoder, closeFile func(), err error) {
 	if path == "" {
 		return nil, func() {}, nil
@@ -81,7 +83,7 @@
 	return json.NewEncoder(file), func() { file.Close() }, nil
 }
 
-// createFolder creates a folder for plots.
+// createFolder creates a folder for plots, with its parents, if it does not exist.
 func createFolder(path string) error {
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		return program.UsageError{Err: err}
@@ -89,21 +91,21 @@
 	return nil
 }
 
-// newProgressBar returns a bar of runs.
+// newProgressBar returns a progress bar for a number of runs. It is drawn on errs.
 func newProgressBar(errs io.Writer, total int) *progressbar.ProgressBar {
 	return progressbar.NewOptions(total, progressbar.OptionSetWriter(errs), progressbar.OptionShowCount(), progressbar.OptionClearOnFinish(),
 		progressbar.OptionSetDescription("runs"))
 }
 
-// newTable returns a writer that aligns columns; the caller flushes it.
+// newTable returns a writer that aligns columns. The caller must flush it.
 func newTable(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 4, 2, ' ', 0) }
 
-// secondsToDuration converts seconds.
+// secondsToDuration converts a number of seconds to a duration.
 func secondsToDuration(seconds float64) time.Duration {
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// groupRuns splits runs into stretches of neighbours that belong together.
+// groupRuns splits reports into groups of consecutive reports for which isSame is true.
 func groupRuns[Report any](reports []*Report, isSame func(a, b *Report) bool) (groups [][]*Report) {
 	for start := 0; start < len(reports); {
 		end := start
--- a/internal/cli/rigcli/rigcli_test.go
+++ b/internal/cli/rigcli/rigcli_test.go
@@ -11,14 +11,15 @@
 	"foldslip/internal/cli/program"
 )
 
-// runRig runs a command and returns the exit status, the output and the messages.
+// runRig runs a command. It returns the exit status and what was written to standard output and standard error.
 func runRig(args ...string) (status int, output, messages string) {
 	var out, errs bytes.Buffer
 	status = Main(args, &out, &errs)
 	return status, out.String(), errs.String()
 }
 
-// TestUsageErrors checks exit statuses and messages. Scenarios stay the bare program's arguments, beside the commands.
+// TestUsageErrors checks exit statuses and messages. Scenarios must be accepted as arguments of the bare program,
+// beside the commands.
 func TestUsageErrors(t *testing.T) {
 	for _, test := range []struct {
 		args   string
@@ -39,13 +40,14 @@
 		t.Run(test.args, func(t *testing.T) {
 			status, out, messages := runRig(strings.Fields(test.args)...)
 			if status != test.status || !strings.Contains(out+messages, test.text) {
-				t.Errorf("status %d, want %d; it prints %q, want %q in it", status, test.status, out+messages, test.text)
+				t.Errorf("status %d, want %d; output %q, want it to contain %q", status, test.status, out+messages, test.text)
 			}
 		})
 	}
 }
 
-// TestRunParallel checks that each index is run once, by a worker below the number, and that errors are joined in order.
+// TestRunParallel checks that run is called once for each index, that the worker number is in range, and that all
+// errors are joined.
 func TestRunParallel(t *testing.T) {
 	errOdd := errors.New("odd")
 	var mu sync.Mutex
@@ -55,7 +57,7 @@
 		defer mu.Unlock()
 		indices = append(indices, index)
 		if worker < 0 || worker >= 3 {
-			t.Errorf("worker %d", worker)
+			t.Errorf("worker number %d, want 0 to 2", worker)
 		}
 		if index%2 == 1 {
 			return errOdd
@@ -64,18 +66,18 @@
 	})
 	slices.Sort(indices)
 	if len(indices) != 20 || len(slices.Compact(indices)) != 20 {
-		t.Errorf("ran %v", indices)
+		t.Errorf("called for the indices %v, want 0 to 19 once each", indices)
 	}
 	if !errors.Is(err, errOdd) || strings.Count(err.Error(), "odd") != 10 {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want 10 joined errors", err)
 	}
 }
 
-// TestRealGateways checks how many gateways of a fleet are real.
+// TestRealGateways checks the number of real gateways in a fleet.
 func TestRealGateways(t *testing.T) {
 	for _, test := range []struct{ size, requested, want int }{{12, 0, 0}, {1, 12, 1}, {12, 12, 6}, {13, 100, 6}, {50, 12, 12}} {
 		if got := realGateways(test.size, test.requested); got != test.want {
-			t.Errorf("%d of %d: %d real, want %d", test.requested, test.size, got, test.want)
+			t.Errorf("%d real gateways requested in a fleet of %d: got %d, want %d", test.requested, test.size, got, test.want)
 		}
 	}
 }
--- a/internal/cli/rigcli/run.go
+++ b/internal/cli/rigcli/run.go
@@ -14,23 +14,23 @@
 	"foldslip/internal/lab/fleet"
 )
 
-// maxNetwork is the highest loopback network that runs may begin at.
+// maxNetwork is the highest value of the flag --net.
 const maxNetwork = 100
 
 // runCommand plays scenarios on fleets of real gateways.
 type runCommand struct {
-	Scenario []string `arg:"" help:"Scenarios: files, names of the hard cases that come with the rig, or all for all of these."`
-	Seeds    string   `default:"1" help:"Seeds of the runs, as 1-20."`
-	Program  string   `help:"The gateway's program; foldslip beside this one if not told."`
-	Parallel int      `default:"1" help:"Runs at once, 1 to 16."`
-	Net      int      `name:"net" default:"0" help:"The first loopback network that runs take, 127.60 and so on: 0 to 100. Rigs at once need different ones."`
-	JSON     string   `help:"Write all reports there, a line of JSON each."`
-	Plot     string   `help:"Folder for a plot of each run's views over time."`
-	Logs     string   `help:"Folder for settings and logs of each run; a new one under the temporary folder, removed after a good run, if not told."`
-	Verbose  bool     `short:"v" help:"Tell each step."`
+	Scenario []string `arg:"" help:"Scenarios: files, names of built-in scenarios, or all for all built-in scenarios."`
+	Seeds    string   `default:"1" help:"Seeds of the runs: one seed or a range, such as 1-20."`
+	Program  string   `help:"Path of the gateway program. The default is foldslip in the directory of this program."`
+	Parallel int      `default:"1" help:"Number of concurrent runs, 1 to 16."`
+	Net      int      `name:"net" default:"0" help:"Index of the first loopback network that the runs use, 0 to 100. Index 0 is 127.60. Concurrent runs use consecutive networks. Rigs that run at the same time need different networks."`
+	JSON     string   `help:"File for all reports, with one line of JSON for each."`
+	Plot     string   `help:"Folder for a plot of the member views of each run over time."`
+	Logs     string   `help:"Folder for the settings and logs of each run. The default is a new temporary folder, in which the files of successful runs are removed."`
+	Verbose  bool     `short:"v" help:"Print each step."`
 }
 
-// scenarioRun is one scenario with one seed.
+// scenarioRun is a run of one scenario with one seed.
 type scenarioRun struct {
 	scenario *fleet.Scenario
 	seed     uint64
@@ -38,7 +38,7 @@
 
 func (r scenarioRun) String() string { return fmt.Sprintf("%s-%d", r.scenario.Name, r.seed) }
 
-// Run plays the scenarios and prints tables of their reports. It fails if a run broke a rule.
+// Run plays the scenarios and prints tables of their reports. It returns an error if a run violated a rule.
 func (c *runCommand) Run(streams *program.Streams) error {
 	seeds, err := parseSeeds(c.Seeds)
 	if err != nil {
@@ -69,12 +69,12 @@
 	printLimits(streams.Out, reports)
 	printBroadcasts(streams.Out, reports)
 	if failed > 0 {
-		return program.Failedf("%d of %d runs did what must not be", failed, len(reports))
+		return program.Failedf("%d of %d runs violated a rule", failed, len(reports))
 	}
 	return nil
 }
 
-// check checks the ranges of flags.
+// check validates the ranges of the flags.
 func (c *runCommand) check() error {
 	if c.Parallel < 1 || c.Parallel > maxParallel {
 		return program.UsageErrorf("--parallel %d: expected 1 to %d", c.Parallel, maxParallel)
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// scenarioRuns reads the scenarios and pairs each with each seed.
+// scenarioRuns reads the scenarios and returns a run for each scenario and each seed.
 func (c *runCommand) scenarioRuns(seeds program.SeedRange) (runs []scenarioRun, err error) {
 	names := c.Scenario
 	if len(names) == 1 && names[0] == "all" {
@@ -103,7 +103,7 @@
 	return runs, nil
 }
 
-// play plays the runs, some at once, and returns their reports in the order of the runs.
+// play plays the runs, up to --parallel of them concurrently, and returns their reports in the order of the runs.
 func (c *runCommand) play(runs []scenarioRun, errs io.Writer) ([]*fleet.Report, error) {
 	player := runPlayer{command: c, folder: c.Logs, errs: errs}
 	if c.Logs == "" {
@@ -126,23 +126,23 @@
 		return err
 	})
 	if player.isTemporary {
-		os.Remove(player.folder) // fails, and the folder stays, where a run's logs stay
+		os.Remove(player.folder) // fails if the folder still contains the logs of a run, and leaves it in place
 	}
 	return reports, err
 }
 
-// runPlayer plays runs with the settings and outputs that they share.
+// runPlayer plays runs that share settings and outputs.
 type runPlayer struct {
 	command     *runCommand
-	folder      string // has a folder for each run
-	isTemporary bool   // folders of good runs are removed
+	folder      string // contains a folder for each run
+	isTemporary bool   // the folders of successful runs are removed
 
 	mu    sync.Mutex
 	errs  io.Writer     // guarded by mu
-	lines *json.Encoder // guarded by mu; nil: none
+	lines *json.Encoder // guarded by mu; nil if no JSON is written
 }
 
-// play plays one run on a loopback network that no other run uses meanwhile.
+// play plays one run on a loopback network that no concurrent run uses.
 func (p *runPlayer) play(run scenarioRun, network int) (*fleet.Report, error) {
 	options := fleet.Options{Program: p.command.Program, Seed: run.seed, Network: network, Dir: filepath.Join(p.folder, run.String())}
 	if p.command.Verbose {
@@ -158,7 +158,7 @@
 	return report, errors.Join(p.plot(report), p.encode(report))
 }
 
-// progress returns a function that prints a run's steps.
+// progress returns a function that prints the steps of a run.
 func (p *runPlayer) progress(run scenarioRun) func(format string, arguments ...any) {
 	return func(format string, arguments ...any) {
 		p.mu.Lock()
--- a/internal/cli/rigcli/run_tables.go
+++ b/internal/cli/rigcli/run_tables.go
@@ -8,10 +8,10 @@
 	"foldslip/internal/lab/fleet"
 )
 
-// figures are one figure of several runs.
+// figures are the values of one figure in several runs.
 type figures []float64
 
-// collect takes one figure of each report.
+// collect returns the value of a figure in each report.
 func collect(reports []*fleet.Report, figureOf func(*fleet.Report) float64) (all figures) {
 	for _, report := range reports {
 		all = append(all, figureOf(report))
@@ -31,7 +31,8 @@
 
 func isSameScenario(a, b *fleet.Report) bool { return a.Scenario == b.Scenario }
 
-// printSteps prints, for each step of a scenario that views were to settle after, how long that took over the runs.
+// printSteps prints a row for each step of a scenario after which the views had to settle, with the time that this took
+// in the runs. Mark steps without a bound are left out.
 func printSteps(out io.Writer, reports []*fleet.Report) {
 	table := newTable(out)
 	fmt.Fprintln(table, "SCENARIO\tRUNS\tSTEP\tAGREED MEDIAN\tMAX\tTOLD MEDIAN\tMAX\tFALSE DEATHS\tREST B/S\tMSG/S\tCHURN B/S\tMSG/S")
@@ -55,7 +56,8 @@
 	table.Flush()
 }
 
-// stepSeconds returns how long after a step views agreed and said that they had settled, of the runs in which they did.
+// stepSeconds returns the seconds from a step until the views agreed and until all gateways reported that they had
+// settled. Runs in which this did not happen are left out.
 func stepSeconds(runs []*fleet.Report, index int) (agreed, settled figures) {
 	for _, run := range runs {
 		step := run.Steps[index]
@@ -69,7 +71,8 @@
 	return agreed, settled
 }
 
-// trafficCells are the false deaths of all runs, and the medians of traffic at rest and in churn.
+// trafficCells returns the table cells for the number of false deaths in all runs and the median traffic at rest and
+// during churn.
 func trafficCells(runs []*fleet.Report) string {
 	falseDeaths := 0
 	for _, run := range runs {
@@ -82,7 +85,7 @@
 		collect(runs, func(r *fleet.Report) float64 { return r.InChurn.PacketsPerSecond }).median())
 }
 
-// printLimits prints what was admitted against the limit, of scenarios that have one.
+// printLimits prints the rate of admitted lookups and the limit, for each scenario that has a limit.
 func printLimits(out io.Writer, reports []*fleet.Report) {
 	byScenario := map[string][]*fleet.Report{}
 	var names []string
@@ -110,7 +113,8 @@
 	table.Flush()
 }
 
-// printBroadcasts prints, a line a run, how purges reached gateways that could not receive them from discovery.
+// printBroadcasts prints a row for each run on how purges reached the gateways that could not receive them from
+// discovery.
 func printBroadcasts(out io.Writer, reports []*fleet.Report) {
 	table := newTable(out)
 	isFirstRow := true
@@ -130,7 +134,7 @@
 	table.Flush()
 }
 
-// formatSeconds formats an elapsed time; NaN is an event that never came.
+// formatSeconds formats an elapsed time. NaN stands for an event that did not happen.
 func formatSeconds(seconds float64) string {
 	if math.IsNaN(seconds) {
 		return "never"
--- a/internal/cli/rigcli/scale.go
+++ b/internal/cli/rigcli/scale.go
@@ -8,37 +8,38 @@
 	"foldslip/internal/lab/scale"
 )
 
-// scaleCommands are the measurements against the size of the fleet.
+// scaleCommands are the commands that measure costs against the size of the fleet.
 type scaleCommands struct {
-	Watch     scaleWatch     `cmd:"" help:"Hollow gateways, and some real ones, that each hear the discovery watch over loopback."`
-	Broadcast scaleBroadcast `cmd:"" help:"Purges spread among thousands of hollow gateways on a virtual network with faults."`
-	Plot      scalePlot      `cmd:"" help:"Draw the figures of docs/CAPACITY.md: cost against size with the budget."`
-	Worker    scaleWorker    `name:"crowd" cmd:"" hidden:"" help:"A process of hollow gateways, told what to do on standard input."`
+	Watch     scaleWatch     `cmd:"" help:"Measure hollow gateways, and some real ones, that each receive the discovery watch over loopback."`
+	Broadcast scaleBroadcast `cmd:"" help:"Measure the spread of purges among thousands of hollow gateways on a virtual network with injected faults."`
+	Plot      scalePlot      `cmd:"" help:"Plot the figures of docs/CAPACITY.md: cost against size, with the budget."`
+	Worker    scaleWorker    `name:"crowd" cmd:"" hidden:"" help:"Run hollow gateways in this process, controlled by commands on standard input."`
 }
 
 type scaleWorker struct{}
 
-// Run runs hollow gateways as the process that started this one requests on standard input.
+// Run runs hollow gateways, controlled by the commands that the parent process writes to standard input.
 func (*scaleWorker) Run(streams *program.Streams) error {
 	return scale.RunHollowProcess(os.Stdin, streams.Out)
 }
 
 type scalePlot struct {
-	From string `default:"docs/capacity" help:"Folder of figures (*.json) that the cost probes wrote."`
-	To   string `default:"docs/capacity" help:"Folder for an SVG file of each."`
+	From string `default:"docs/capacity" help:"Folder of the figures (*.json) that the cost probes wrote."`
+	To   string `default:"docs/capacity" help:"Folder for the SVG files, one for each figure."`
 }
 
-// Help is printed below the command's flags.
+// Help returns the text that is printed below the command's flags.
 func (*scalePlot) Help() string {
-	return `Fits each figure on log axes, draws it with its budget as a line, and prints a table: the value at the plan's
-size, the part of the budget that it uses, and the size at which it first misses it. See docs/CAPACITY.md.
+	return `Fits a line to each figure on log axes, plots the figure with its budget, and prints a table. The table has the
+value at the plan's size, the part of the budget that this value uses, and the size at which the figure first misses
+the budget. See docs/CAPACITY.md.
 
 Examples:
   foldslip-rig scale plot
   foldslip-rig scale plot --from /tmp/figures --to /tmp/figures`
 }
 
-// Run draws the figures and prints their table.
+// Run plots the figures and prints their table.
 func (c *scalePlot) Run(streams *program.Streams) error {
 	figures, err := scale.ReadCapacityFigures(c.From)
 	if err != nil {
--- a/internal/cli/rigcli/scale_broadcast_table.go
+++ b/internal/cli/rigcli/scale_broadcast_table.go
@@ -10,13 +10,13 @@
 	"foldslip/internal/lab/scale"
 )
 
-// neverReached stands in reports for a time that no purge was known everywhere by.
+// neverReached is the value that reports contain instead of a latency if purges never reached all gateways.
 const neverReached = -1
 
 // broadcastRuns are the runs of one size, case and mechanism.
 type broadcastRuns []*scale.BroadcastReport
 
-// broadcastFigure is one figure of a report.
+// broadcastFigure returns one figure of a report.
 type broadcastFigure func(*scale.BroadcastReport) float64
 
 func (r broadcastRuns) sorted(figure broadcastFigure) []float64 {
@@ -34,7 +34,7 @@
 
 func (r broadcastRuns) min(figure broadcastFigure) float64 { return r.sorted(figure)[0] }
 
-// median returns the middle value, the lower of two.
+// median returns the middle value, or the lower of the two middle values.
 func (r broadcastRuns) median(figure broadcastFigure) float64 {
 	values := r.sorted(figure)
 	return values[(len(values)-1)/2]
@@ -49,8 +49,8 @@
 	return a.Gateways == b.Gateways && a.Case == b.Case && a.Mechanism == b.Mechanism
 }
 
-// printBroadcastTable prints a line for the runs of each size, case and mechanism: the median over seeds of most figures, the largest of
-// losses and of worst cases.
+// printBroadcastTable prints one row for the runs of each size, case and mechanism. Most columns are medians over the
+// seeds. Losses and worst cases are the largest values.
 func printBroadcastTable(out io.Writer, reports []*scale.BroadcastReport) {
 	table := newTable(out)
 	fmt.Fprintln(table, "CASE\tGATEWAYS\tMECHANISM\tRUNS\tIN TIME (LEAST)\tP50\tP99\tP99.9\tMOST\tLOST PAIRS\tIN B/S\tOUT B/S\tBOTH P99\tMOST\tWORST 1S\tMSG/S\tSAID\tCOPIES\tBEHIND\tCORE\tHEAP KB")
@@ -60,7 +60,7 @@
 	table.Flush()
 }
 
-// cells returns a line of the table.
+// cells returns one row of the table.
 func (r broadcastRuns) cells() []string {
 	first := r[0]
 	inTime := func(report *scale.BroadcastReport) float64 { return report.InTimeShare }
@@ -92,7 +92,7 @@
 	}
 }
 
-// formatElapsed formats seconds.
+// formatElapsed formats an elapsed time in seconds. Infinity stands for an event that did not happen.
 func formatElapsed(seconds float64) string {
 	if math.IsInf(seconds, 1) {
 		return "never"
--- a/internal/cli/rigcli/scale_broadcast_test.go
+++ b/internal/cli/rigcli/scale_broadcast_test.go
@@ -12,12 +12,12 @@
 	"foldslip/internal/lab/scale"
 )
 
-// runBroadcast runs foldslip-rig scale broadcast.
+// runBroadcast runs the command foldslip-rig scale broadcast.
 func runBroadcast(args ...string) (status int, output, messages string) {
 	return runRig(append([]string{"scale", "broadcast"}, args...)...)
 }
 
-// readReports reads a file of lines of JSON.
+// readReports reads a file of JSON lines with one report each.
 func readReports(t *testing.T, path string) (reports []scale.BroadcastReport) {
 	t.Helper()
 	file, err := os.Open(path)
@@ -36,15 +36,15 @@
 	return reports
 }
 
-// TestBroadcastExitStatusReportsLosses checks that losses fail the command only if the mechanism is enforced, and that a table is printed
-// again from the file of its runs.
+// TestBroadcastExitStatusReportsLosses checks that lost purges fail the command only if the mechanism is enforced, and
+// that --from prints the same number of lines as the runs themselves.
 func TestBroadcastExitStatusReportsLosses(t *testing.T) {
 	dir := t.TempDir()
 	lines := filepath.Join(dir, "runs.jsonl")
 	status, out, messages := runBroadcast("--sizes", "12,24", "--seeds", "1-2", "--seconds", "2", "--settle", "5", "--case", "none,watches",
 		"--jobs", "2", "--json", lines, "--plot", dir)
 	if status != program.ExitOK {
-		t.Fatalf("status %d: only the new mechanism is enforced\n%s%s", status, out, messages)
+		t.Fatalf("status %d, want success, since only the new mechanism is enforced\n%s%s", status, out, messages)
 	}
 	reports := readReports(t, lines)
 	runsWithLosses := 0
@@ -54,7 +54,7 @@
 		}
 	}
 	if len(reports) != 16 || runsWithLosses == 0 {
-		t.Errorf("%d lines of 16, %d of them with losses of the old mechanism", len(reports), runsWithLosses)
+		t.Errorf("%d reports, want 16; %d of them with losses of the old mechanism, want at least 1", len(reports), runsWithLosses)
 	}
 	for _, name := range []string{"broadcast-p99.svg", "broadcast-bytes.svg"} {
 		if _, err := os.Stat(filepath.Join(dir, name)); err != nil {
@@ -63,20 +63,20 @@
 	}
 	status, fromFile, messages := runBroadcast("--from", lines)
 	if status != program.ExitOK || len(strings.Split(fromFile, "\n")) != len(strings.Split(out, "\n")) {
-		t.Errorf("status %d; the same runs from their file: %s%s, before: %s", status, fromFile, messages, out)
+		t.Errorf("status %d; output with --from: %s%s\noutput of the runs: %s", status, fromFile, messages, out)
 	}
 	status, out, _ = runBroadcast("--sizes", "12", "--seeds", "1", "--seconds", "2", "--settle", "5", "--mechanism", "old", "--hold", "old")
 	if status != program.ExitFailed || !strings.Contains(out, "not heard") {
-		t.Errorf("status %d where the old mechanism is enforced and loses: %s", status, out)
+		t.Errorf("status %d of an enforced mechanism that loses purges: %s", status, out)
 	}
 }
 
-// TestBroadcastUsageErrors checks that flags out of range end with status 2 and a message.
+// TestBroadcastUsageErrors checks that invalid flag values give exit status 2 and a message.
 func TestBroadcastUsageErrors(t *testing.T) {
 	for _, args := range []string{"--case flood", "--mechanism best", "--sizes 3", "--seeds 5-1", "--jobs 99", "--seconds 0", "--rate 5000", "--told nobody"} {
 		t.Run(args, func(t *testing.T) {
 			if status, _, messages := runBroadcast(strings.Fields(args)...); status != program.ExitUsage || messages == "" {
-				t.Errorf("status %d, %q", status, messages)
+				t.Errorf("status %d, messages %q; want a usage error with a message", status, messages)
 			}
 		})
 	}
--- a/internal/cli/rigcli/scale_watch.go
+++ b/internal/cli/rigcli/scale_watch.go
@@ -19,73 +19,75 @@
 	maxRunsOfSize     = 20
 	maxWatchSeconds   = 7200
 	maxWatchWarmUp    = 600    // seconds
-	listInConfig      = "told" // value of --list
+	listInConfig      = "told" // value of --list that puts the list of caches into the configuration
 	hollowWorkerGroup = "scale"
 	hollowWorkerName  = "crowd"
 )
 
 type scaleWatch struct {
-	Sizes      []int         `default:"12,50,200" help:"Gateways, a run each, as 12,50,200."`
+	Sizes      []int         `default:"12,50,200" help:"Fleet sizes to measure, such as 12,50,200."`
 	Runs       int           `default:"3" help:"Runs of each size, 1 to 20."`
-	Seconds    float64       `name:"seconds" default:"20" help:"How long the figures count."`
-	WarmUp     float64       `name:"warm" default:"12" help:"Seconds before: purges are kept for 11."`
-	Purges     float64       `name:"purges" default:"100" help:"Purges a second."`
-	Changes    time.Duration `name:"changes" default:"6.2s" help:"A change of the list so often (14,000 a day); 0: none."`
-	Restarts   float64       `name:"restarts" default:"0" help:"Hollow gateways started anew, a second (1,900 a day are 0.022)."`
-	Lookups    float64       `name:"lookups" default:"0" help:"Lookups decided in each hollow gateway, a second."`
-	Caches     int           `default:"1800" help:"Caches in the list."`
-	Real       int           `name:"real" default:"12" help:"Real gateways among them, 0 to 200, at most all."`
-	List       string        `name:"list" default:"told" enum:"told,watch" help:"Where the whole list of a start stands: told in the configuration, or on the watch."`
-	Stretch    float64       `name:"stretch" default:"1" help:"Run the clock of stand-in and hollow gateways so many times slower, so that more of them fit on the machine; without real ones then."`
-	PerProcess int           `name:"each" default:"500" help:"Hollow gateways in one process."`
-	Bound      time.Duration `name:"bound" default:"4.5s" help:"A purge is to be everywhere by then."`
-	Budget     bool          `help:"Hold each gateway to 2.1% of a core, 128 MB and 15 KB/s: exit status 1 if one kind is over."`
-	Program    string        `help:"The gateway's program; foldslip beside this one if not told."`
-	Profile    string        `help:"Write the processor profile of the first process of hollow gateways there, of the last run; its hottest functions are told if the go command is there."`
-	JSON       string        `help:"Write a line of JSON for each run and each line fitted."`
-	Plot       string        `help:"Folder for SVG plots of each figure against size, on log axes."`
-	Logs       string        `help:"Folder for settings and logs of real gateways; a new one under the temporary folder, removed after a good run, if not told."`
-	Seed       uint64        `default:"1" help:"Of the first run; each run after takes the next."`
+	Seconds    float64       `name:"seconds" default:"20" help:"Duration of the measurement in seconds."`
+	WarmUp     float64       `name:"warm" default:"12" help:"Duration of the warm-up before the measurement in seconds. Purges are kept for 11 seconds."`
+	Purges     float64       `name:"purges" default:"100" help:"Purges per second."`
+	Changes    time.Duration `name:"changes" default:"6.2s" help:"Interval between changes of the list of caches; 6.2s is about 14,000 changes a day, 0 is none."`
+	Restarts   float64       `name:"restarts" default:"0" help:"Restarts of hollow gateways per second; 0.022 is about 1,900 a day."`
+	Lookups    float64       `name:"lookups" default:"0" help:"Lookups per second that each hollow gateway decides."`
+	Caches     int           `default:"1800" help:"Number of caches in the list."`
+	Real       int           `name:"real" default:"12" help:"Number of real gateways in the fleet, 0 to 200. If the fleet is not larger than this number, half of its gateways are real."`
+	List       string        `name:"list" default:"told" enum:"told,watch" help:"Source of the whole list of caches at start: told for the configuration, watch for the discovery watch."`
+	Stretch    float64       `name:"stretch" default:"1" help:"Factor by which the clock of the stand-in and of the hollow gateways is slowed, so that the machine can run more of them. Above 1 there are no real gateways."`
+	PerProcess int           `name:"each" default:"500" help:"Number of hollow gateways in one process."`
+	Bound      time.Duration `name:"bound" default:"4.5s" help:"Deadline for a purge to reach all gateways."`
+	Budget     bool          `help:"Enforce the budget of 2.1% of a core, 128 MB and 15 KB/s for a gateway: exit status 1 if hollow or real gateways exceed it."`
+	Program    string        `help:"Path of the gateway program. The default is foldslip in the directory of this program."`
+	Profile    string        `help:"File for a CPU profile of the first process of hollow gateways in the last run. The functions with the most samples are printed if the go command is available."`
+	JSON       string        `help:"File for the results, with one line of JSON for each run and each fitted line."`
+	Plot       string        `help:"Folder for SVG plots of each figure against the size of the fleet, on log axes."`
+	Logs       string        `help:"Folder for the settings and logs of real gateways. The default is a new temporary folder, which is removed if all runs succeed."`
+	Seed       uint64        `default:"1" help:"Seed of the first run. Each further run uses the next seed."`
 }
 
-// Help is printed below the command's flags.
+// Help returns the text that is printed below the command's flags.
 func (*scaleWatch) Help() string {
-	return `Each run starts a stand-in for the discovery watch and so many gateways, lets them warm up, and counts what a
-gateway spends on control while purges and changes of the list are told: processor, memory, bytes, and how long each
-purge takes to be everywhere. From two sizes on a line is fitted on log axes, with how far each size lies off it.
+	return `Each run starts a stand-in for discovery and a fleet of gateways, lets them warm up, and measures the
+control-plane cost of a gateway while purges and changes of the list are published: processor time, memory, bytes, and
+the time until each purge has reached all gateways. With two or more sizes, a line is fitted to each figure on log
+axes, and the deviation of each size from the line is printed.
 
 Examples:
   foldslip-rig scale watch                                            # 12, 50 and 200 gateways, three runs each
   foldslip-rig scale watch --sizes 12,50,200 --runs 3 --seconds 20 --purges 100 --json watch.jsonl --plot plots
-  foldslip-rig scale watch --sizes 200 --runs 1 --profile watch.pprof # what the time goes to
+  foldslip-rig scale watch --sizes 200 --runs 1 --profile watch.pprof # CPU profile of hollow gateways
   foldslip-rig scale watch --sizes 12 --budget                        # exit status 1 if a gateway is over its budget
-  foldslip-rig scale watch --sizes 1000,2000 --stretch 20             # more than the machine bears at its own pace
-  foldslip-rig scale watch --sizes 500 --restarts 5 --list watch      # a release, each start hearing the whole list
+  foldslip-rig scale watch --sizes 1000,2000 --stretch 20             # more than the machine can run in real time
+  foldslip-rig scale watch --sizes 500 --restarts 5 --list watch      # a release; each start receives the whole list
 
-Only figures of runs beside little other work compare: each run tells how many cores were busy and how many of them
-were its own. See docs/scale.md.`
+Only compare figures of runs on a machine that is otherwise mostly idle. Each run reports how many cores were busy and
+how many of them it used itself. See docs/scale.md.`
 }
 
-// check checks the ranges of flags.
+// check validates the ranges of the flags.
 func (c *scaleWatch) check() error {
 	if len(c.Sizes) == 0 || len(c.Sizes) > maxSizes {
-		return program.UsageErrorf("--sizes: expected one to %d, as 12,50,200", maxSizes)
+		return program.UsageErrorf("--sizes: expected 1 to %d sizes, such as 12,50,200", maxSizes)
 	}
 	if c.Runs < 1 || c.Runs > maxRunsOfSize {
 		return program.UsageErrorf("--runs %d: expected 1 to %d", c.Runs, maxRunsOfSize)
 	}
 	if c.Seconds <= 0 || c.Seconds > maxWatchSeconds || c.WarmUp < 0 || c.WarmUp > maxWatchWarmUp {
-		return program.UsageErrorf("--seconds: up to %d; --warm: up to %d", maxWatchSeconds, maxWatchWarmUp)
+		return program.UsageErrorf("--seconds: expected more than 0 and at most %d; --warm: expected 0 to %d", maxWatchSeconds, maxWatchWarmUp)
 	}
 	for _, size := range c.Sizes {
 		if size < 1 {
-			return program.UsageErrorf("--sizes: %d gateways", size)
+			return program.UsageErrorf("--sizes: %d gateways, expected at least 1", size)
 		}
 	}
 	return nil
 }
 
-// Run measures each size and prints the costs and the lines fitted to them. It fails if a run broke a rule or a budget.
+// Run measures each size and prints the costs and the lines fitted to them. It returns an error if a run violated a
+// rule or exceeded a budget.
 func (c *scaleWatch) Run(streams *program.Streams) error {
 	if err := c.check(); err != nil {
 		return err
@@ -107,7 +109,7 @@
 		printHotFunctions(streams.Out, c.Profile)
 	}
 	if measurement.failed > 0 {
-		return program.Failedf("%d of %d runs did what must not be; logs in %s", measurement.failed, len(reports), measurement.folder)
+		return program.Failedf("%d of %d runs violated a rule or exceeded a budget; logs in %s", measurement.failed, len(reports), measurement.folder)
 	}
 	if c.Logs == "" {
 		return os.RemoveAll(measurement.folder)
@@ -115,22 +117,23 @@
 	return nil
 }
 
-// watchMeasurement is what the runs of one command share, and their results.
+// watchMeasurement holds the outputs that the runs of one command share, and the results of these runs.
 type watchMeasurement struct {
 	command    *scaleWatch
 	streams    *program.Streams
-	gateway    string        // path of the gateway's program; "": no real gateways
-	self       string        // path of this program, which runs hollow gateways, too
-	folder     string        // has a folder of settings and logs for each run
-	lines      *json.Encoder // nil: none
+	gateway    string        // path of the gateway program; empty without real gateways
+	self       string        // path of this program, which also runs the hollow gateways
+	folder     string        // contains a folder of settings and logs for each run
+	lines      *json.Encoder // nil if no JSON is written
 	closeLines func()
 	bar        *progressbar.ProgressBar
 
 	reports []*scale.WatchReport
-	failed  int // reports with violations
+	failed  int // number of reports with violations
 }
 
-// newMeasurement finds the programs and opens the outputs. A stretched clock allows no real gateways.
+// newMeasurement locates the programs and opens the outputs. It sets the number of real gateways to 0 if the clock is
+// slowed, since real gateways use the clock of the machine.
 func (c *scaleWatch) newMeasurement(streams *program.Streams) (*watchMeasurement, error) {
 	if c.Stretch > 1 {
 		c.Real = 0
@@ -163,7 +166,7 @@
 	return measurement, nil
 }
 
-// runAll measures each size as often as the command says.
+// runAll measures each size Runs times.
 func (m *watchMeasurement) runAll() error {
 	for sizeIndex, size := range m.command.Sizes {
 		for run := range m.command.Runs {
@@ -176,7 +179,7 @@
 	return nil
 }
 
-// run measures one size once; run counts from 0.
+// run measures one size once. run is the index of the run, from 0.
 func (m *watchMeasurement) run(sizeIndex, size, run int) error {
 	report, err := scale.Watch(m.options(sizeIndex, size, run))
 	if err != nil {
@@ -232,7 +235,8 @@
 	return options
 }
 
-// realGateways returns how many gateways of a fleet are real: half of a fleet that could be all real, so that both kinds are there.
+// realGateways returns the number of real gateways in a fleet. If the requested number covers the whole fleet, half of
+// the fleet is real, so that both kinds are measured.
 func realGateways(size, requested int) int {
 	if requested >= size && size > 1 {
 		return size / 2
--- a/internal/cli/rigcli/scale_watch_tables.go
+++ b/internal/cli/rigcli/scale_watch_tables.go
@@ -13,8 +13,8 @@
 
 const mebibyte = 1 << 20
 
-// printWatchTable prints the costs of each run, a line each for hollow and for real gateways. Figures of the run as a whole stand in its
-// first line.
+// printWatchTable prints the costs of each run, with one row for hollow and one row for real gateways. The figures of
+// the whole run are in its first row.
 func printWatchTable(out io.Writer, reports []*scale.WatchReport) {
 	table := newTable(out)
 	fmt.Fprintln(table, "GATEWAYS\tRUN\tKIND\tN\tCORE\tUS/EVENT\tIN B/S\tTCP IN\tTCP OUT\tANON MB\tHEAP MB\tALLOC KB/S\tLOST\tEVERYWHERE P50\tP99\tMAX\tREADY\tBUSY CORES\tOURS\tSTARVED\tPACE LATE P99")
@@ -49,14 +49,15 @@
 		report.Ready, machine.Busy, machine.Cores, machine.Ours, 100*machine.Starved, machine.Late)
 }
 
-// printFits prints the line fitted to each figure against size, encodes it, and plots the figure.
+// printFits prints the line fitted to each figure against the size of the fleet and writes it to lines. If --plot is
+// set, it also plots the figure.
 func (c *scaleWatch) printFits(out io.Writer, reports []*scale.WatchReport, lines *json.Encoder) error {
 	table := newTable(out)
 	isFirstRow := true
 	for _, figure := range scale.WatchPlots(reports, scale.FullBudget) {
 		fit, err := scale.FitLine(figure.Name, figure.BySize)
 		if err != nil {
-			fit = nil // a line needs two sizes
+			fit = nil // a fit needs at least two sizes and values above 0
 		}
 		if fit != nil {
 			if isFirstRow {
@@ -92,7 +93,8 @@
 		strings.Join(deviations, ", "))
 }
 
-// printHotFunctions prints the functions that a profile has most samples of, or how to do so where there is no go command.
+// printHotFunctions prints the functions with the most samples in a profile. If the go command fails or is missing, it
+// prints how to read the profile.
 func printHotFunctions(out io.Writer, profile string) {
 	text, err := exec.Command("go", "tool", "pprof", "-top", "-nodecount=12", profile).Output()
 	if err != nil {
