--- a/cmd/foldslip-door/main.go
+++ b/cmd/foldslip-door/main.go
@@ -1,4 +1,5 @@
-// Command foldslip-door is the old name of foldslip-extproc, kept for scripts that start the gateway's external processor by it.
+// Command foldslip-door is the former name of foldslip-extproc. It is kept for scripts that start the gateway's
+// external processor by this name.
 package main
 
 import (
--- a/cmd/foldslip-extproc/main.go
+++ b/cmd/foldslip-extproc/main.go
@@ -1,5 +1,5 @@
-// Command foldslip-extproc is the gateway with the external processing service for other proxies, and a client of that service. It is
-// a program of its own since the gRPC libraries take 13 MB resident from the start.
+// Command foldslip-extproc is the gateway with an external processing service for other proxies. It also contains a
+// client of that service. It is a separate program because the gRPC libraries use 13 MB of resident memory at start-up.
 package main
 
 import (
--- a/cmd/foldslip-rig/main.go
+++ b/cmd/foldslip-rig/main.go
@@ -1,4 +1,5 @@
-// Command foldslip-rig is the rig for fleets of gateways (what foldslip fleet run becomes).
+// Command foldslip-rig plays scenarios on fleets of gateways and measures their costs. The command foldslip fleet run
+// replaces itself with this program.
 package main
 
 import "foldslip/internal/cli/rigcli"
--- a/cmd/foldslip/main.go
+++ b/cmd/foldslip/main.go
@@ -1,4 +1,4 @@
-// Command foldslip is the gateway and its tools; the bare program serves lookups until SIGTERM.
+// Command foldslip is the gateway and its tools. Without a command it serves lookups until SIGTERM.
 package main
 
 import "foldslip/internal/cli"
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,5 @@
-// Command simadapter lets routers play in the bench's simulator: it speaks the simulator's lines on standard input and output.
+// Command simadapter connects routers with the bench's simulator. It implements the simulator's line protocol on
+// standard input and output.
 package main
 
 import (
