--- a/example/cache.go
+++ b/example/cache.go
@@ -11,19 +11,19 @@
 // currentETag is the version of every object.
 const currentETag = "v1"
 
-// exampleCache is a cache of made-up objects: each is filled by the first request that names a source, and cached from then on. Its
-// methods may be called by many goroutines.
+// exampleCache is a cache of generated objects. The first request for an object that names a source fills the object,
+// which is cached from then on. Its methods are safe for concurrent use.
 type exampleCache struct {
 	name     string
 	mu       sync.Mutex
-	filledAt map[string]time.Time // by object and part
+	filledAt map[string]time.Time // time of the fill by object and part
 }
 
 func newExampleCache(name string) *exampleCache {
 	return &exampleCache{name: name, filledAt: map[string]time.Time{}}
 }
 
-// handle answers one request. The names of fields and the answers are those of the caches' protocol.
+// handle responds to one request. The field names and the responses are those of the cache protocol.
 func (c *exampleCache) handle(request standin.Request) {
 	object, part := request.Fields["k"], request.Fields["p"]
 	hasSource := request.Fields["from"] != ""
@@ -41,7 +41,8 @@
 	}
 }
 
-// lookUpOrFill returns when an object was filled and whether that was before this call. Only canFill fills it.
+// lookUpOrFill returns the time at which an object was filled and reports whether it was cached before this call. It
+// fills a missing object only if canFill is true.
 func (c *exampleCache) lookUpOrFill(key string, canFill bool) (createdAt time.Time, isCached bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/example/main.go
+++ b/example/main.go
@@ -1,5 +1,5 @@
-// Command example plays every server that a configuration names (caches, parent, origin, discovery) and, with -gateway, starts a gateway
-// on it, so that a newcomer can look something up.
+// Command example runs a stand-in for every server that a gateway configuration names: caches, parent, origin and
+// discovery. With -gateway it also starts a gateway with that configuration, so that a new user can try lookups.
 package main
 
 import (
@@ -16,15 +16,15 @@
 )
 
 func main() {
-	configPath := flag.String("config", "example/config.json", "the gateway's configuration")
-	gatewayPath := flag.String("gateway", "", "a gateway to start, such as bin/foldslip")
+	configPath := flag.String("config", "example/config.json", "path of the gateway configuration")
+	gatewayPath := flag.String("gateway", "", "path of a gateway program to start, such as bin/foldslip")
 	flag.Parse()
 	if err := run(*configPath, *gatewayPath); err != nil {
 		log.Fatal(err)
 	}
 }
 
-// run plays the servers until a signal, or until the gateway ends if one is started.
+// run runs the servers until a signal arrives or, if a gateway is started, until the gateway exits.
 func run(configPath, gatewayPath string) error {
 	config, err := readConfig(configPath)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return runGateway(gatewayPath, configPath, signals)
 }
 
-// gatewayConfig is the part of a gateway's configuration that names servers; its keys are those of the platform.
+// gatewayConfig is the part of a gateway configuration that names servers. Its keys are defined by the platform.
 type gatewayConfig struct {
 	DiscoveryAddr string `json:"bulletin"`
 	Known         struct {
@@ -66,7 +66,7 @@
 	return config, nil
 }
 
-// startServers starts discovery and a cache for each endpoint.
+// startServers starts a discovery server and a cache for each endpoint.
 func startServers(config gatewayConfig) error {
 	if _, err := standin.NewDiscovery(config.DiscoveryAddr, config.Known.LastEvent); err != nil {
 		return err
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// runGateway runs a gateway until it ends; a signal is passed to it as SIGTERM.
+// runGateway runs a gateway until it exits. The first signal is passed on to it as SIGTERM.
 func runGateway(path, configPath string, signals <-chan os.Signal) error {
 	gateway := exec.Command(path)
 	gateway.Env = append(os.Environ(), "ROUTER_CONFIG="+configPath)
--- a/example/standin/cache.go
+++ b/example/standin/cache.go
@@ -1,5 +1,6 @@
-// Package standin plays the servers that a gateway connects to: caches (parents and the origin are caches, too) and discovery. The example
-// and tests use it; it generates no load and counts nothing. It writes the platform's own names on the wire.
+// Package standin provides stand-ins for the servers that a gateway connects to: caches and discovery. Parents and the
+// origin are caches, too. The example and tests use the package. It generates no load and collects no statistics. On
+// the wire it uses the names defined by the platform. Each server owns its listener and its connections.
 package standin
 
 import (
@@ -14,21 +15,22 @@
 )
 
 const (
-	maxBodySize   = 1 << 20 // bytes of a request's body
-	channelBuffer = 100     // events that wait for a test; more block the server
+	maxBodySize   = 1 << 20 // bytes in the body of a request
+	channelBuffer = 100     // capacity of the channels to tests; a server blocks while its channel is full
 )
 
-// Cache is a server of the caches' line protocol. It owns its connections; Close ends them.
+// Cache is a server for the line protocol of caches. It owns its connections. Close resets them.
 type Cache struct {
 	Addr      string
-	Cancelled chan string // ids of requests that the gateway cancelled
+	Cancelled chan string // IDs of the requests that the gateway cancelled
 
 	listener net.Listener
 	mu       sync.Mutex
 	conns    []*Conn // guarded by mu
 }
 
-// NewCache serves at an address until Close. handle is called for each request, in a goroutine of its own.
+// NewCache listens on addr and serves requests until Close is called. It calls handle for each request, in a separate
+// goroutine.
 func NewCache(addr string, handle func(Request)) (*Cache, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -39,7 +41,7 @@
 	return c, nil
 }
 
-// acceptAll serves connections until the listener closes.
+// acceptAll accepts and serves connections until the listener is closed.
 func (c *Cache) acceptAll(handle func(Request)) {
 	for {
 		accepted, err := c.listener.Accept()
@@ -54,7 +56,7 @@
 	}
 }
 
-// Close stops listening and resets the connections.
+// Close stops listening and resets all connections.
 func (c *Cache) Close() {
 	c.listener.Close()
 	c.mu.Lock()
@@ -64,7 +66,7 @@
 	}
 }
 
-// serve reads a connection until it ends or breaks the protocol.
+// serve reads a connection until it ends or violates the protocol.
 func (c *Cache) serve(conn *Conn, handle func(Request)) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
@@ -90,14 +92,14 @@
 	}
 }
 
-// readRequest reads the body that follows a request's line, with the line end after it.
+// readRequest reads the body that follows a request line, and the line end after the body.
 func readRequest(in io.Reader, id, fields, bodySize string) (Request, error) {
 	size, err := strconv.Atoi(bodySize)
 	if err != nil {
 		return Request{}, err
 	}
 	if size < 0 || size > maxBodySize {
-		return Request{}, fmt.Errorf("a body of %d bytes: %w", size, strconv.ErrRange)
+		return Request{}, fmt.Errorf("request body of %d bytes: %w", size, strconv.ErrRange)
 	}
 	body := make([]byte, size+len("\r\n"))
 	if _, err := io.ReadFull(in, body); err != nil {
@@ -114,17 +116,17 @@
 // Conn is a connection that a gateway opened to a cache.
 type Conn struct {
 	net.Conn
-	mu sync.Mutex // one answer at a time
+	mu sync.Mutex // serializes responses
 }
 
-// Send writes text as it stands.
+// Send writes text unchanged.
 func (c *Conn) Send(text string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	io.WriteString(c.Conn, text)
 }
 
-// Request is a request that reached a cache.
+// Request is a request that a cache has received.
 type Request struct {
 	ID     string
 	Fields map[string]string
@@ -132,17 +134,17 @@
 	Conn   *Conn
 }
 
-// Hit answers with the bytes of a copy that the origin created at born.
+// Hit responds with the body of a copy that the origin created at born.
 func (r Request) Hit(born time.Time, note, body string) {
 	r.Conn.Send(fmt.Sprintf("%s HIT note=%s,ver=v1,born=%d %d\r\n%s\r\n", r.ID, note, born.UnixMilli(), len(body), body))
 }
 
-// Respond answers with a word that has no body, such as NONE or SHED.
+// Respond sends a response without a body. word is the status word, such as NONE or SHED.
 func (r Request) Respond(word, fields string) {
 	r.Conn.Send(fmt.Sprintf("%s %s %s 0\r\n\r\n", r.ID, word, fields))
 }
 
-// Reset resets the connection that the request came on.
+// Reset resets the connection on which the request arrived.
 func (r Request) Reset() {
 	if tcp, ok := r.Conn.Conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
--- a/example/standin/discovery.go
+++ b/example/standin/discovery.go
@@ -11,24 +11,25 @@
 )
 
 const (
-	heartbeatInterval = time.Second            // between repetitions of the last event's number
-	trickleInterval   = 100 * time.Millisecond // between bytes of Trickle
+	heartbeatInterval = time.Second            // interval between repetitions of the last event number
+	trickleInterval   = 100 * time.Millisecond // interval between the bytes that Trickle writes
 )
 
-// Discovery is a server of numbered events to gateways. It owns its connections; Close ends them.
+// Discovery is a server that sends numbered events to gateways. It owns its connections. Close closes them.
 type Discovery struct {
 	Addr       string
-	Subscribed chan int // last events that gateways had when they connected
+	Subscribed chan int // number of the last event that a gateway had, for each subscription
 
 	listener  net.Listener
 	mu        sync.Mutex
-	lastKnown int               // number of the event before lines[0]
-	lines     []string          // guarded by mu, as are the fields below
-	conns     map[net.Conn]bool // subscribed
+	lastKnown int               // number of the last event before lines[0]
+	lines     []string          // guarded by mu, like the fields below
+	conns     map[net.Conn]bool // subscribed connections
 	isSilent  bool
 }
 
-// NewDiscovery serves at an address until Close. Its first event is the one after the last known.
+// NewDiscovery listens on addr and serves subscriptions until Close is called. lastKnown is the number of the last
+// event that is already known to gateways. The first announced event has the next number.
 func NewDiscovery(addr string, lastKnown int) (*Discovery, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -45,7 +46,7 @@
 	return d, nil
 }
 
-// acceptAll serves connections until the listener closes.
+// acceptAll accepts and serves connections until the listener is closed.
 func (d *Discovery) acceptAll() {
 	for {
 		conn, err := d.listener.Accept()
@@ -56,7 +57,8 @@
 	}
 }
 
-// serve reads a subscription, sends the events after it, and then heartbeats until the connection is dropped.
+// serve reads a subscription, sends the events after the subscribed position, and then sends heartbeats until the
+// connection is closed by another method.
 func (d *Discovery) serve(conn net.Conn) {
 	var after int
 	if _, err := fmt.Fscanf(conn, "after %d\n", &after); err != nil {
@@ -64,7 +66,7 @@
 		return
 	}
 	d.subscribe(conn, after)
-	d.Subscribed <- after // from now on the methods below reach this connection
+	d.Subscribed <- after // from now on the methods below write to this connection
 	for range time.Tick(heartbeatInterval) {
 		if !d.sendHeartbeat(conn) {
 			return
@@ -72,7 +74,7 @@
 	}
 }
 
-// subscribe sends a connection the events that it lacks and adds it to those that are sent new ones.
+// subscribe sends a connection all events with a number above after, and registers the connection for new events.
 func (d *Discovery) subscribe(conn net.Conn, after int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -84,7 +86,8 @@
 	d.conns[conn] = true
 }
 
-// sendHeartbeat sends the last event's number unless discovery is silent. It returns false if the connection was dropped.
+// sendHeartbeat sends the number of the last event unless the server is silent. It returns false if the connection is
+// no longer subscribed.
 func (d *Discovery) sendHeartbeat(conn net.Conn) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -97,7 +100,8 @@
 	return true
 }
 
-// Announce adds an event, given as JSON without its number, such as {"recall":{...}}.
+// Announce adds an event and sends it to all subscribed connections unless the server is silent. The event is JSON
+// without its number, such as {"recall":{...}}.
 func (d *Discovery) Announce(event string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -111,7 +115,7 @@
 	}
 }
 
-// WriteRaw writes bytes that are not a complete line on the open connections.
+// WriteRaw writes text, which need not be a complete line, to all subscribed connections.
 func (d *Discovery) WriteRaw(text string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -120,7 +124,7 @@
 	}
 }
 
-// Trickle writes bytes on the open connections, one at a time, ten a second. It returns at once.
+// Trickle writes text to all subscribed connections, one byte at a time and ten bytes a second. It returns immediately.
 func (d *Discovery) Trickle(text string) {
 	go func() {
 		for i := range text {
@@ -130,7 +134,7 @@
 	}()
 }
 
-// Disconnect closes all connections, after some last bytes.
+// Disconnect writes last to all subscribed connections and closes them.
 func (d *Discovery) Disconnect(last string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -140,7 +144,7 @@
 	d.closeConns()
 }
 
-// closeConns closes all connections. The caller holds mu.
+// closeConns closes all subscribed connections. The caller must hold mu.
 func (d *Discovery) closeConns() {
 	for conn := range d.conns {
 		conn.Close()
@@ -154,7 +158,8 @@
 	d.Disconnect("")
 }
 
-// SetSilent keeps connections open and sends nothing on them while it is on. Turning it off closes them.
+// SetSilent turns silence on or off. While it is on, connections stay open but receive no events and no heartbeats.
+// Turning it off closes all subscribed connections.
 func (d *Discovery) SetSilent(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -164,7 +169,7 @@
 	}
 }
 
-// Endpoint is a row of an endpoint list, with the platform's names.
+// Endpoint is a row of an endpoint list. Its JSON keys are defined by the platform.
 type Endpoint struct {
 	ID       string `json:"id"`
 	HostPort string `json:"host_port"`
@@ -176,8 +181,9 @@
 	UpSince  int64  `json:"up_since_ms"`
 }
 
-// EndpointList returns an event that lists endpoints: all of them if complete, else those that changed.
+// EndpointList returns an event with a list of endpoints. The list has all endpoints if complete is true, and otherwise
+// only those that changed.
 func EndpointList(complete bool, endpoints ...Endpoint) string {
-	list, _ := json.Marshal(endpoints) // cannot fail: strings and numbers only
+	list, _ := json.Marshal(endpoints) // cannot fail, since all fields are strings and numbers
 	return fmt.Sprintf("{\"roster\":{\"revision\":1,\"complete\":%v,\"members\":%s}}", complete, list)
 }
