--- a/internal/extproc/callers.go
+++ b/internal/extproc/callers.go
@@ -25,32 +25,32 @@
 
 // What callers do against the contract, as Anomalies names it beside package retry's. The names stand in logs.
 const (
-	anomalyCallersFull        = "callers_full"
-	anomalyStreamsFull        = "streams_full"
-	anomalyRefusedWhileBlock  = "refused_while_barred"
-	anomalyBlocked            = "barred"
-	anomalyMessageRate        = "messages_past_rate"
-	anomalyByteRate           = "bytes_past_rate"
-	anomalyMessageTooLarge    = "message_too_large"
-	anomalyPhaseOutOfOrder    = "phase_out_of_order"
-	anomalyReportOutOfOrder   = "report_out_of_order"
-	anomalyStreamSilent       = "stream_silent"
-	anomalyObserveOnly        = "watched" // no fault: a message that is for others to see
-	anomalyValidOtherCopy     = "valid_for_another_copy"
-	anomalyCreationUnreported = "birth_untold"
+	anomalyCallersFull         = "callers_full"
+	anomalyStreamsFull         = "streams_full"
+	anomalyRefusedWhileBlocked = "refused_while_barred"
+	anomalyBlocked             = "barred"
+	anomalyMessageRate         = "messages_past_rate"
+	anomalyByteRate            = "bytes_past_rate"
+	anomalyMessageTooLarge     = "message_too_large"
+	anomalyPhaseOutOfOrder     = "phase_out_of_order"
+	anomalyReportOutOfOrder    = "report_out_of_order"
+	anomalyStreamSilent        = "stream_silent"
+	anomalyObserveOnly         = "watched" // no fault: a message that is for others to see
+	anomalyValidOtherCopy      = "valid_for_another_copy"
+	anomalyCreationUnreported  = "birth_untold"
 )
 
 // caller is a proxy that has streams open, or had lately.
 type caller struct {
-	name         string
-	streams      int
-	messages     *rate.Limiter // nil: no limit
-	bytes        *rate.Limiter // nil: no limit
-	faults       *rate.Limiter
-	blockedUntil time.Time
-	blocksInRow  int
-	burstDropped bool      // what it saved up while it was blocked
-	idleSince    time.Time // since when it has no stream
+	name              string
+	streams           int
+	messages          *rate.Limiter // nil: no limit
+	bytes             *rate.Limiter // nil: no limit
+	faults            *rate.Limiter
+	blockedUntil      time.Time
+	consecutiveBlocks int
+	burstDropped      bool      // what it saved up while it was blocked
+	idleSince         time.Time // since when it has no stream
 }
 
 // newLimiter limits a rate of events; nil if it is 0.
@@ -122,10 +122,10 @@
 		return true
 	}
 	if !now.After(c.blockedUntil) {
-		s.anomalies[anomalyRefusedWhileBlock]++
+		s.anomalies[anomalyRefusedWhileBlocked]++
 		return false
 	}
-	if c.blocksInRow > 0 && !c.burstDropped {
+	if c.consecutiveBlocks > 0 && !c.burstDropped {
 		c.dropBurst(now)
 	}
 	return true
@@ -161,11 +161,11 @@
 	if c.faults.AllowN(now, 1) || !now.After(c.blockedUntil) {
 		return
 	}
-	c.blocksInRow++
+	c.consecutiveBlocks++
 	if now.Sub(c.blockedUntil) > blockMemory {
-		c.blocksInRow = 1
+		c.consecutiveBlocks = 1
 	}
-	c.blockedUntil = now.Add(blockTime << min(c.blocksInRow-1, maxBlockDoublings))
+	c.blockedUntil = now.Add(blockTime << min(c.consecutiveBlocks-1, maxBlockDoublings))
 	c.burstDropped = false
 	s.anomalies[anomalyBlocked]++
 }
--- a/internal/extproc/frozen_test.go
+++ b/internal/extproc/frozen_test.go
@@ -21,21 +21,21 @@
 
 // TestFrozenReplies compares the fields, statuses and texts that callers get with those that an earlier build sent.
 func TestFrozenReplies(t *testing.T) {
-	g, caches := env.NewSystem(io.Discard, slog.LevelInfo), &cacheregistry.Registry{}
+	environment, caches := env.NewSystem(io.Discard, slog.LevelInfo), &cacheregistry.Registry{}
 	edge, origin := caches.Register("c0", "10.1.0.1:1000").Policy, caches.Register("c1", "10.1.0.1:1001").Policy
-	its, err := settings.Parse([]byte(`{"classes":[{"aim":1,"deadline":2,"effect":"idempotent"}],"ceilings":{"retry_after":true,"max_retry_after":2500000}}`))
+	parsed, err := settings.Parse([]byte(`{"classes":[{"aim":1,"deadline":2,"effect":"idempotent"}],"ceilings":{"retry_after":true,"max_retry_after":2500000}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := New(Dependencies{Environment: g, Settings: its, Caches: caches}, nil, Limits{})
-	full := dispatch.Step{Kind: dispatch.StepFetch, Attempt: 2, FetchRequest: policy.FetchRequest{Cache: edge, Source: origin, Rank: 3,
+	server := New(Dependencies{Environment: environment, Settings: parsed, Caches: caches}, nil, Limits{})
+	complete := dispatch.Step{Kind: dispatch.StepFetch, Attempt: 2, FetchRequest: policy.FetchRequest{Cache: edge, Source: origin, Rank: 3,
 		Mode: policy.ModeCoalesce | policy.ModeCachedOnly | policy.ModeSourceNoStore | policy.ModeRevalidate, Timeout: 1234567, SilenceTimeout: 99, MaxAge: 2500}}
-	bare := dispatch.Step{Kind: dispatch.StepFetch, FetchRequest: policy.FetchRequest{Cache: policy.NewCache("unknown"), MaxAge: 1, Mode: policy.ModeRevalidate}}
-	bare.Source = bare.Cache
-	routed := &rollout.Ticket{Version: 7}
-	routed.Decision.Route = "films"
+	minimal := dispatch.Step{Kind: dispatch.StepFetch, FetchRequest: policy.FetchRequest{Cache: policy.NewCache("unknown"), MaxAge: 1, Mode: policy.ModeRevalidate}}
+	minimal.Source = minimal.Cache
+	ticket := &rollout.Ticket{Version: 7}
+	ticket.Decision.Route = "films"
 	var got strings.Builder
-	reply := func(name string, r Reply) {
+	writeReply := func(name string, r Reply) {
 		fmt.Fprintf(&got, "%s: status %d %q wait %v ends %d %q\n", name, r.Status, r.Text, r.RetryAfter, r.End, r.End.Error())
 		for _, f := range r.Headers {
 			fmt.Fprintf(&got, "  field %s=%q\n", f.Name, f.Value)
@@ -44,14 +44,14 @@
 			fmt.Fprintf(&got, "  send %s=%q\n", f.Name, f.Value)
 		}
 	}
-	reply("go", d.replyFor(retry.Answer{Kind: retry.AnswerAttempt, Step: full, Lookup: &retry.Lookup{Ticket: routed}}))
-	reply("go without routes", d.replyFor(retry.Answer{Kind: retry.AnswerAttempt, Step: bare, Lookup: &retry.Lookup{}}))
+	writeReply("go", server.replyFor(retry.Answer{Kind: retry.AnswerAttempt, Step: complete, Lookup: &retry.Lookup{Ticket: ticket}}))
+	writeReply("go without routes", server.replyFor(retry.Answer{Kind: retry.AnswerAttempt, Step: minimal, Lookup: &retry.Lookup{}}))
 	for _, answer := range []struct {
 		name string
 		kind retry.AnswerKind
 	}{{"accepted", retry.AnswerAccepted}, {"again", retry.AnswerAskAgain}, {"nack", retry.AnswerReject}, {"fail", retry.AnswerFail}, {"twice", retry.AnswerOpenElsewhere},
 		{"known", retry.AnswerAlreadyGiven}, {"full", retry.AnswerFull}, {"disorder", retry.AnswerOutOfOrder}} {
-		reply(answer.name, d.replyFor(retry.Answer{Kind: answer.kind, RetryAfter: 1500 * time.Millisecond}))
+		writeReply(answer.name, server.replyFor(retry.Answer{Kind: answer.kind, RetryAfter: 1500 * time.Millisecond}))
 	}
 	for end := NotEnded; end <= EndedClosing; end++ {
 		fmt.Fprintf(&got, "end %d %s\n", end, end.Error())
@@ -75,11 +75,11 @@
 			return value, n
 		}
 		r := parseReport(get)
-		born := int64(0)
+		createdAtMS := int64(0)
 		if !r.createdAt.IsZero() {
-			born = r.createdAt.UnixMilli()
+			createdAtMS = r.createdAt.UnixMilli()
 		}
-		fmt.Fprintf(&got, "outcome %d remark %d waited %d born %d tag %q same %v\n", r.outcome, r.detail, r.sourceWait, born, r.etag, r.notModified)
+		fmt.Fprintf(&got, "outcome %d remark %d waited %d born %d tag %q same %v\n", r.outcome, r.detail, r.sourceWait, createdAtMS, r.etag, r.notModified)
 	}
 	frozen.Equal(t, "reports.read.txt", []byte(got.String()))
 }
--- a/internal/extproc/handlers.go
+++ b/internal/extproc/handlers.go
@@ -20,9 +20,9 @@
 	if errors.As(err, &invalid) {
 		return finalReply(invalid.Status, invalid.Text), true
 	}
-	longest := time.Duration(s.Settings.Router.Kinds[request.Kind].Deadline) * time.Microsecond
-	if request.TimeAllowed < 0 || request.TimeAllowed > longest {
-		request.TimeAllowed = longest
+	maxAllowed := time.Duration(s.Settings.Router.Kinds[request.Kind].Deadline) * time.Microsecond
+	if request.TimeAllowed < 0 || request.TimeAllowed > maxAllowed {
+		request.TimeAllowed = maxAllowed
 	}
 	s.mu.Lock()
 	lookup, commands, rejected := s.openLookup(st, message.Get, &request, arrivedAt)
--- a/internal/extproc/stream.go
+++ b/internal/extproc/stream.go
@@ -149,7 +149,7 @@
 		}
 		if message.ObserveOnly { // no reply, and nothing of it reaches the dispatcher
 			st.server.countAnomaly(anomalyObserveOnly)
-			st.noteActivity()
+			st.recordActivity()
 			continue
 		}
 		if !st.handleMessage(message) {
@@ -175,7 +175,7 @@
 	case RequestHeaders:
 		st.awaitAnswer(message.Phase)
 		if reply, ok := st.server.handleRequest(st, message); ok {
-			st.answerAwaited(reply)
+			st.replyToAwaitedPhase(reply)
 		}
 	case ResponseHeaders:
 		if earlyAnswer != nil {
@@ -212,14 +212,14 @@
 	st.awaitedPhase = phase
 }
 
-func (st *stream) noteActivity() {
+func (st *stream) recordActivity() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.lastActivity = st.server.Environment.Now()
 }
 
-// answerAwaited replies to the phase that waits.
-func (st *stream) answerAwaited(reply Reply) {
+// replyToAwaitedPhase replies to the phase that waits.
+func (st *stream) replyToAwaitedPhase(reply Reply) {
 	st.mu.Lock()
 	reply.Phase = st.awaitedPhase
 	st.awaitedPhase = 0
@@ -243,7 +243,7 @@
 	}
 	st.mu.Unlock()
 	if isAwaited {
-		st.answerAwaited(st.server.replyFor(answer))
+		st.replyToAwaitedPhase(st.server.replyFor(answer))
 	}
 }
 
