--- a/internal/extproc/callers.go
+++ b/internal/extproc/callers.go
@@ -9,21 +9,26 @@
 )
 
 const (
-	maxCallers      = 1024 // remembered at once
-	callerRetention = time.Minute
+	maxCallers      = 1024        // callers remembered at the same time
+	callerRetention = time.Minute // time without streams after which a caller may be evicted
 
-	// A caller that commits more faults (messages past its rate or too large, or out of order) opens no streams for blockTime, doubled each
-	// time in a row. It is in a row within blockMemory of the last one.
+	// A caller that commits faults at a rate above faultsPerSecond is blocked: it cannot open streams for
+	// blockTime. Faults are messages above the caller's rates, messages that are too large, and messages out
+	// of order. Each consecutive block lasts twice as long as the one before, with at most maxBlockDoublings
+	// doublings. A block is consecutive if it starts within blockMemory after the end of the previous block.
 	faultsPerSecond   = 20
 	blockTime         = 500 * time.Millisecond
 	maxBlockDoublings = 5
 	blockMemory       = 10 * time.Second
 
-	burstsPerSecond = 10 // that a rate is divided into: what a caller may send comes in no larger bursts
+	// The burst of a rate limit is the rate divided by burstsPerSecond, and
+	// at least minBurst events. It bounds how much a caller may send at once.
+	burstsPerSecond = 10
 	minBurst        = 10
 )
 
-// What callers do against the contract, as Anomalies names it beside package retry's. The names stand in logs.
+// Names under which Server.Anomalies counts deviations of callers from the contract, in addition to those of package
+// retry. The names appear in logs.
 const (
 	anomalyCallersFull         = "callers_full"
 	anomalyStreamsFull         = "streams_full"
@@ -35,25 +40,25 @@
 	anomalyPhaseOutOfOrder     = "phase_out_of_order"
 	anomalyReportOutOfOrder    = "report_out_of_order"
 	anomalyStreamSilent        = "stream_silent"
-	anomalyObserveOnly         = "watched" // no fault: a message that is for others to see
+	anomalyObserveOnly         = "watched" // allowed: a message that the caller sends for observation only
 	anomalyValidOtherCopy      = "valid_for_another_copy"
 	anomalyCreationUnreported  = "birth_untold"
 )
 
-// caller is a proxy that has streams open, or had lately.
+// caller is the state of one proxy. It is kept while the proxy has open streams and for some time after.
 type caller struct {
 	name              string
-	streams           int
-	messages          *rate.Limiter // nil: no limit
-	bytes             *rate.Limiter // nil: no limit
+	streams           int           // open streams
+	messages          *rate.Limiter // nil: unlimited
+	bytes             *rate.Limiter // nil: unlimited
 	faults            *rate.Limiter
 	blockedUntil      time.Time
 	consecutiveBlocks int
-	burstDropped      bool      // what it saved up while it was blocked
-	idleSince         time.Time // since when it has no stream
+	burstDropped      bool      // the message tokens accumulated during the last block have been discarded
+	idleSince         time.Time // when the last stream closed; valid while streams is 0
 }
 
-// newLimiter limits a rate of events; nil if it is 0.
+// newLimiter returns a limiter for a rate of events, or nil if the rate is 0, which means unlimited.
 func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return nil
@@ -61,7 +66,8 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(minBurst, int(perSecond/burstsPerSecond)))
 }
 
-// acquireCaller finds or makes a caller and counts one more stream of it; nil if it or the Server has all that it may.
+// acquireCaller returns the caller of the given name and counts one more open stream for it. A caller that is not known
+// is added. acquireCaller returns nil if the caller has MaxStreams open or if no caller can be added.
 func (s *Server) acquireCaller(name string) *caller {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,7 +86,8 @@
 	return c
 }
 
-// addCaller makes a caller, in place of idle ones if there are too many; nil if all are in use.
+// addCaller adds a caller. If maxCallers are known, it first evicts those that have been idle for longer than
+// callerRetention. It returns nil if there is still no room.
 func (s *Server) addCaller(name string) *caller {
 	now := s.Environment.Now()
 	if len(s.callers) >= maxCallers {
@@ -112,7 +119,8 @@
 	}
 }
 
-// AdmitsStream tells whether a caller may open a stream now, before anything is made for it.
+// AdmitsStream reports whether a caller may open a stream now, which a blocked caller may not. It is meant to be called
+// before resources are allocated for the stream.
 func (s *Server) AdmitsStream(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,7 +139,8 @@
 	return true
 }
 
-// dropBurst takes what a caller's rate of messages saved up while it was blocked, so that no burst comes after the wait.
+// dropBurst discards the message tokens that accumulated while the caller was blocked, so that the caller cannot send a
+// burst as soon as the block ends.
 func (c *caller) dropBurst(now time.Time) {
 	c.burstDropped = true
 	if c.messages != nil {
@@ -139,7 +148,8 @@
 	}
 }
 
-// chargeMessage counts a message of a caller against its rates; false, and a fault, if it is past them.
+// chargeMessage charges a message of the given size in bytes to the caller's message rate and byte rate. It returns
+// false and counts a fault if the message exceeds one of them.
 func (s *Server) chargeMessage(c *caller, size int) (ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,7 +165,8 @@
 	return true
 }
 
-// countFault counts an anomaly as a caller's fault, under the lock, and blocks a caller that commits too many.
+// countFault counts an anomaly as a fault of the caller and blocks the caller if it commits faults at a rate above
+// faultsPerSecond. s.mu must be held.
 func (s *Server) countFault(now time.Time, c *caller, anomaly string) {
 	s.anomalies[anomaly]++
 	if c.faults.AllowN(now, 1) || !now.After(c.blockedUntil) {
--- a/internal/extproc/frozen_test.go
+++ b/internal/extproc/frozen_test.go
@@ -19,7 +19,8 @@
 	"foldslip/internal/settings"
 )
 
-// TestFrozenReplies compares the fields, statuses and texts that callers get with those that an earlier build sent.
+// TestFrozenReplies checks that the headers, statuses and texts sent to callers are those that
+// an earlier build sent. It guards against unintended changes of the contract with callers.
 func TestFrozenReplies(t *testing.T) {
 	environment, caches := env.NewSystem(io.Discard, slog.LevelInfo), &cacheregistry.Registry{}
 	edge, origin := caches.Register("c0", "10.1.0.1:1000").Policy, caches.Register("c1", "10.1.0.1:1001").Policy
@@ -60,7 +61,8 @@
 	frozen.Equal(t, "replies.txt", []byte(got.String()))
 }
 
-// TestFrozenReports reads reports of callers, one a line of testdata/reports.txt, as an earlier build read them.
+// TestFrozenReports checks that reports of callers are parsed as an earlier build parsed them. Each line of
+// testdata/reports.txt is one report.
 func TestFrozenReports(t *testing.T) {
 	texts := frozen.Read(t, "reports.txt")
 	var got strings.Builder
--- a/internal/extproc/handlers.go
+++ b/internal/extproc/handlers.go
@@ -12,7 +12,8 @@
 	"foldslip/internal/route"
 )
 
-// handleRequest takes the headers of a request. It returns a reply if there is one at once; else the stream receives an answer later.
+// handleRequest handles the headers of a request. If the reply is known at once,
+// it returns the reply and true. Otherwise the stream receives an answer later.
 func (s *Server) handleRequest(st *stream, message Message) (reply Reply, ok bool) {
 	arrivedAt := s.Environment.Now()
 	request, err := s.currentTable().Match(message.Method, message.Path, message.Get)
@@ -31,7 +32,7 @@
 	case rejected != nil:
 		s.release(rejected)
 		return rejected.reply, true
-	case lookup == nil: // not a new one
+	case lookup == nil: // no new lookup: commands hold the answer, if there is one
 		s.apply(commands)
 	default:
 		s.deliverSteps(lookup)
@@ -39,14 +40,14 @@
 	return Reply{}, false
 }
 
-// rejection is a lookup that was not submitted.
+// rejection describes a lookup that was rejected on submission.
 type rejection struct {
 	reply  Reply
-	quota  *admission.Gate // to be released; nil: none
-	lookup *retry.Lookup   // whose ticket ends; nil: none
+	quota  *admission.Gate // gate that admitted the lookup and is to be released; nil: none
+	lookup *retry.Lookup   // lookup whose ticket is to be ended; nil: none
 }
 
-// release frees what a rejected lookup held, without the lock.
+// release frees the quota and the ticket of a rejected lookup. s.mu must not be held.
 func (s *Server) release(rejected *rejection) {
 	if rejected.quota != nil {
 		rejected.quota.Release()
@@ -56,10 +57,12 @@
 	}
 }
 
-// openLookup has the coordinator take a request and submits a new lookup to the dispatcher, under the lock. It returns the lookup if it is
-// new, and commands if it is not.
+// openLookup passes a request to the coordinator and submits a new lookup to the
+// dispatcher. It returns the lookup if the request opened one, a rejection if the
+// lookup was rejected, and otherwise the coordinator's commands. s.mu must be held.
 func (s *Server) openLookup(st *stream, get route.Attributes, request *route.Lookup, arrivedAt time.Time) (*retry.Lookup, retry.Commands, *rejection) {
-	if request.TimeAllowed <= 0 && !s.coordinator.Knows(&st.handle, request.ID) { // a known one has its end, however late it is requested
+	// A known lookup is answered even if the request leaves it no time.
+	if request.TimeAllowed <= 0 && !s.coordinator.Knows(&st.handle, request.ID) {
 		return nil, retry.Commands{}, &rejection{reply: finalReply(503, textNoTime)}
 	}
 	deadline := arrivedAt.Add(request.TimeAllowed)
@@ -78,7 +81,8 @@
 	return lookup, commands, nil
 }
 
-// submit admits a lookup by its caller's quota and its route, and hands it to the dispatcher.
+// submit checks a lookup against its caller's admission quota and the limits of its route, and submits it to the
+// dispatcher. It returns nil if the dispatcher accepted the lookup.
 func (s *Server) submit(st *stream, lookup *retry.Lookup, deadline time.Time) *rejection {
 	request := lookup.Request
 	lookup.Quota = s.Admission.Gate(st.caller.name, s.limits.Weight)
@@ -114,7 +118,7 @@
 	return nil
 }
 
-// handleReport takes the headers of a response: the end of an attempt.
+// handleReport handles the headers of a response, which report how an attempt ended.
 func (s *Server) handleReport(st *stream, message Message) {
 	report := parseReport(message.Get)
 	s.mu.Lock()
@@ -127,9 +131,12 @@
 	s.apply(commands)
 }
 
-// checkAnswer changes the report of an answer that is no use to its lookup, as the frontend does: a confirmation of another copy than the client's
-// is an error, and an answer from before a purge in force, or of unknown age beside one, counts as late, since the attempt has run. What ran
-// at the origin and reports no age is no copy, and no purge concerns it.
+// checkAnswer changes the report of an answer that its lookup cannot use. The frontend applies the same rules:
+//   - A not-modified answer counts as an error if its ETag is not that of the client's copy, or if the client has no copy.
+//   - An answer that was created before a purge in force counts as a timeout, because the attempt has run. So does an
+//     answer without a creation time while a purge is in force.
+//   - A pass-through answer without a creation time is accepted. It ran at the origin and is not a cached copy, so purges
+//     do not apply to it.
 func (s *Server) checkAnswer(st *stream, lookup *retry.Lookup, report *attemptReport) {
 	if report.notModified && (report.etag != lookup.ETag || lookup.ETag == "") {
 		s.anomalies[anomalyValidOtherCopy]++
--- a/internal/extproc/message.go
+++ b/internal/extproc/message.go
@@ -6,10 +6,10 @@
 	"foldslip/internal/route"
 )
 
-// Phase is what a message of a stream is about. Phases come in this order.
+// Phase is the part of a request or response that a message carries.
 type Phase int
 
-// The phases of a stream.
+// The phases of a stream, in the order in which they arrive.
 const (
 	RequestHeaders Phase = 1 + iota
 	RequestBody
@@ -19,35 +19,35 @@
 	ResponseTrailers
 )
 
-// Message is a caller's message.
+// Message is one message of a caller's stream.
 type Message struct {
 	Phase        Phase
 	Method, Path string
-	Get          route.Attributes // reads its headers, and what else its transport carries, by the names of the table
+	Get          route.Attributes // reads headers, attributes and metadata by the names used in the table
 	Size         int              // bytes on the wire
-	ObserveOnly  bool             // the caller waits for no reply
+	ObserveOnly  bool             // the caller expects no reply
 }
 
-// Reply is the answer to a message.
+// Reply is the reply to a message, or the end of the stream.
 type Reply struct {
-	Phase      Phase // that it answers
-	Status     int   // of a final answer to the caller's client; 0: go on
-	Text       string
-	RetryAfter time.Duration // of a final answer; 0: none
-	Headers    []Header      // of a final answer, beside these
-	Decision   []Header      // to set on the request; an empty value is to be removed, so that no client sets it
-	End        EndReason     // if set, the stream ends with it and without a reply
+	Phase      Phase         // phase of the message that is answered
+	Status     int           // HTTP status of a final answer to the caller's client; 0: the caller proceeds
+	Text       string        // body of a final answer
+	RetryAfter time.Duration // retry delay of a final answer; 0: none
+	Headers    []Header      // further headers of a final answer
+	Decision   []Header      // set on the request; one with an empty value is removed, so that no client can set it
+	End        EndReason     // if set, the stream ends for this reason and no reply is sent
 }
 
-// Header is a header by its full name.
+// Header is an HTTP header. Name is the complete header name.
 type Header struct{ Name, Value string }
 
 func finalReply(status int, text string) Reply { return Reply{Status: status, Text: text} }
 
-// EndReason is why a Server ends a stream. As an error it matches itself with errors.As and errors.Is.
+// EndReason is the reason why a Server ends a stream. It is an error that errors.Is and errors.As can match.
 type EndReason int
 
-// The reasons to end a stream.
+// The reasons why a Server ends a stream.
 const (
 	NotEnded EndReason = iota
 	EndedOutOfOrder
@@ -56,5 +56,5 @@
 	EndedClosing
 )
 
-// Error is the text that the caller gets.
+// Error returns the text that is sent to the caller.
 func (e EndReason) Error() string { return endTexts[e] }
--- a/internal/extproc/protocol.go
+++ b/internal/extproc/protocol.go
@@ -11,12 +11,14 @@
 	"foldslip/internal/route"
 )
 
-// This file alone holds the names and texts of the contract with callers (docs/external-processor.md) and maps them to this program's terms.
+// This file defines the names and texts of the contract with callers (docs/external-processor.md) and maps them to Go
+// types. No other file of this package contains any of them.
 
-// Prefix is that of the headers that this program sets and reads.
+// Prefix begins the names of the headers that a Server sets and reads.
 const Prefix = "x-foldslip-"
 
-// DecisionHeaders are the headers of a decision, without Prefix and in the order of Reply.Decision; version and route follow.
+// DecisionHeaders lists the headers of a decision, without Prefix, in the
+// order of Reply.Decision. The version and route headers follow them there.
 var DecisionHeaders = []string{"cache", "addr", "send", "source", "rank", "oldest-ms", "mode", "wait-ms"}
 
 const (
@@ -32,11 +34,11 @@
 	headerETag       = Prefix + "ver"
 )
 
-// Texts of final answers.
+// Texts of final answers to the caller's client.
 const (
 	textNoTime        = "no time left"
 	textFull          = "too many lookups"
-	textPastLimit     = "past a limit: " // and its name
+	textPastLimit     = "past a limit: " // followed by the limit.Reason
 	textAskAgain      = "ask again"
 	textRejected      = "nacked"
 	textFailed        = "failed"
@@ -52,19 +54,20 @@
 	EndedClosing:    "this door closes",
 }
 
-// ErrMessageTooLarge is a message larger than the Server takes; Transport.Receive returns it.
+// ErrMessageTooLarge is returned by Transport.Receive for a message that exceeds the transport's size limit.
 var ErrMessageTooLarge = errors.New("a message is larger than this door takes")
 
-// ErrTooManyStreams is a stream more than its caller may have.
+// ErrTooManyStreams is returned by Server.Serve if the caller has
+// Limits.MaxStreams streams open, or if the Server cannot add another caller.
 var ErrTooManyStreams = errors.New("too many streams of this caller")
 
-// modeLetters write a policy.FetchMode, joined by +.
+// modeLetters lists the flags of a policy.FetchMode with their letters on the wire, which are joined by +.
 var modeLetters = []struct {
 	mode   policy.FetchMode
 	letter string
 }{{policy.ModeCoalesce, "j"}, {policy.ModeCachedOnly, "h"}, {policy.ModeSourceNoStore, "n"}, {policy.ModeRevalidate, "r"}}
 
-// outcomesByWord are the values of headerOutcome.
+// outcomesByWord maps the values of headerOutcome to outcomes.
 var outcomesByWord = map[string]policy.AttemptOutcome{
 	"hit":         policy.OutcomeSatisfied,
 	"ok":          policy.OutcomeSatisfied,
@@ -78,10 +81,10 @@
 	"reset":       policy.OutcomeReset,
 }
 
-// wordValid says that the copy which the client holds is still valid.
+// wordValid means that the copy held by the client is still valid.
 const wordValid = "valid"
 
-// detailsByWord are the values of headerDetail.
+// detailsByWord maps the values of headerDetail to outcome details.
 var detailsByWord = map[string]policy.OutcomeDetail{
 	"hit":           policy.DetailHit,
 	"filled":        policy.DetailFilled,
@@ -95,26 +98,27 @@
 	"origin_failed": policy.DetailOriginFailed,
 }
 
-// maxSourceWaitMS bounds the wait that a caller may report, in milliseconds.
+// maxSourceWaitMS bounds the source wait that a caller may report, in milliseconds. Longer waits are ignored.
 const maxSourceWaitMS = 1e7
 
-// attemptReport is the end of an attempt as its caller reports it.
+// attemptReport is a caller's report of how an attempt ended.
 type attemptReport struct {
 	outcome     policy.AttemptOutcome
 	detail      policy.OutcomeDetail
 	sourceWait  policy.Micros
-	createdAt   time.Time // of the copy; zero: not reported
+	createdAt   time.Time // when the copy was created; zero: not reported
 	etag        string
-	notModified bool // the copy which the client holds is still valid
+	notModified bool // the copy held by the client is still valid
 }
 
-// markLate has an answer count as one that came too late.
+// markLate makes the answer count as one that came too late: a timeout without a detail.
 func (r *attemptReport) markLate() {
 	r.outcome = policy.OutcomeTimeout
 	r.detail = policy.DetailNone
 }
 
-// parseReport reads the end of an attempt: by headerOutcome, else by the status. An unknown word counts as an error, as the attempt may have run.
+// parseReport reads a report from the headers of a response. The outcome is taken from headerOutcome if that is
+// set, and from the status otherwise. An unknown outcome word counts as an error, because the attempt may have run.
 func parseReport(get route.Attributes) (report attemptReport) {
 	word, count := get(headerOutcome)
 	status, _ := get(headerStatus)
@@ -150,7 +154,7 @@
 	return policy.OutcomeError
 }
 
-// replyFor turns an answer of the coordinator into a reply.
+// replyFor returns the reply that carries an answer of the coordinator.
 func (s *Server) replyFor(answer retry.Answer) Reply {
 	switch answer.Kind {
 	case retry.AnswerAttempt:
@@ -177,7 +181,7 @@
 	return Reply{End: EndedOutOfOrder}
 }
 
-// fullReply is the reply to a lookup that there is no capacity for.
+// fullReply returns the reply to a lookup that is rejected for lack of capacity.
 func (s *Server) fullReply() Reply {
 	reply := finalReply(503, textFull)
 	if retryAfter := s.Settings.Router.MaxRetryAfter; retryAfter > 0 {
@@ -186,7 +190,8 @@
 	return reply
 }
 
-// decision is an attempt as headers, with the routes that it was decided under: empty where there are none.
+// decision returns the headers of an attempt, with the version of the routes and the
+// route that it was decided under. The last two are empty if routing is not configured.
 func (s *Server) decision(answer retry.Answer) []Header {
 	addr := ""
 	if cache := s.Caches.Find(answer.Step.Cache.Name); cache != nil {
@@ -199,7 +204,7 @@
 	return append(decisionHeaders(answer.Step, addr), Header{headerVersion, version}, Header{headerRoute, name})
 }
 
-// decisionHeaders are the DecisionHeaders of an attempt.
+// decisionHeaders returns the DecisionHeaders of an attempt.
 func decisionHeaders(step dispatch.Step, addr string) []Header {
 	values := [...]string{
 		step.Cache.Name,
@@ -211,14 +216,14 @@
 		formatMode(step.Mode),
 		strconv.FormatFloat(float64(max(1, step.Timeout))/1000, 'f', -1, 64),
 	}
-	headers := make([]Header, len(DecisionHeaders), len(DecisionHeaders)+2) // for version and route
+	headers := make([]Header, len(DecisionHeaders), len(DecisionHeaders)+2) // room for version and route
 	for i, name := range DecisionHeaders {
 		headers[i] = Header{Prefix + name, values[i]}
 	}
 	return headers
 }
 
-// sourceName is empty where a miss is not filled.
+// sourceName returns the name of the source that a miss is filled from, or "" if a miss is not filled.
 func sourceName(step dispatch.Step) string {
 	if step.Source == step.Cache {
 		return ""
@@ -226,7 +231,7 @@
 	return step.Source.Name
 }
 
-// maxAgeMS is empty where the object kind's own age holds.
+// maxAgeMS formats the maximum age of a copy in whole milliseconds, or "" if the limit of the object kind applies.
 func maxAgeMS(maxAge policy.Micros) string {
 	if maxAge <= 0 {
 		return ""
--- a/internal/extproc/server.go
+++ b/internal/extproc/server.go
@@ -1,12 +1,18 @@
-// Package extproc serves proxies that send lookups to caches themselves (external processing): for each lookup a proxy requests where an
-// attempt should go, makes it, and reports how it ended. Messages of a proxy's stream come in and replies go out in terms of this package;
-// a Transport is their form on a wire (package extprocgrpc). Which attempt a lookup has next is decided by the dispatcher, how the
-// streams of one lookup fit together by package retry.
+// Package extproc implements external processing: it serves proxies (callers) that send lookups to caches themselves.
+// For each lookup, a caller requests a decision on where an attempt goes, makes the attempt, and reports how it ended.
+// A Transport converts the messages and replies of a caller's stream to and from a wire protocol; package extprocgrpc
+// provides one. The dispatcher decides on the attempts of a lookup. Package retry joins the streams of one lookup.
 //
-// A stream has two goroutines while it lives: one receives messages, one sends replies. A lookup has none: a goroutine that reports
-// something to the dispatcher delivers the steps that follow from it, and Run those that come by themselves. Everything stands on
-// env.Environment, so that a Server also runs on simulated time. Bounds: Limits; a stream holds one message and at most maxQueuedReplies
-// replies, past which it is read no further.
+// A Server owns the callers, their streams, and the coordinator with
+// the open lookups. It serves until the lifetime passed to Run ends.
+//
+// A stream has two goroutines while it is open: one receives messages and one sends replies. A lookup has no goroutine.
+// The goroutine that reports an event to the dispatcher delivers the steps that follow from it, and Run delivers all
+// other steps. A Server uses only env.Environment for time and goroutines, so it also runs on simulated time.
+//
+// Limits bounds the lookups, the streams and the rates of messages, and a Server keeps the
+// state of at most maxCallers callers. A stream holds one message and at most maxQueuedReplies
+// replies. While it holds that many replies, no further messages are read from it.
 package extproc
 
 import (
@@ -28,49 +34,51 @@
 	"foldslip/internal/settings"
 )
 
-// tickInterval bounds the time between two ticks of the coordinator.
+// tickInterval is the longest time between two ticks of the coordinator.
 const tickInterval = 50 * time.Millisecond
 
 // Limits are the bounds of a Server.
 type Limits struct {
 	Lookups           retry.Limits
-	MaxStreams        int           // of one caller; 0: any number
-	MessagesPerSecond float64       // of one caller; 0: any number
-	BytesPerSecond    float64       // of one caller's messages; 0: any number
-	SilenceTimeout    time.Duration // of a stream on which a message is due; 0: none
-	Weight            float64       // of a caller's share of capacity, clients of the frontend having 1; 0: 1
+	MaxStreams        int           // open streams per caller; 0: unlimited
+	MessagesPerSecond float64       // per caller; 0: unlimited
+	BytesPerSecond    float64       // message bytes per caller; 0: unlimited
+	SilenceTimeout    time.Duration // time without a message or reply after which a stream is ended; 0: none
+	Weight            float64       // weight of a caller's admission quota; direct clients of the frontend have 1; 0: 1
 }
 
-// Dependencies are the parts of a gateway that a Server works with.
+// Dependencies are the components of a gateway that a Server uses.
 type Dependencies struct {
 	Environment env.Environment
 	Settings    *settings.Settings
 	Dispatcher  *dispatch.Dispatcher
 	Caches      *cacheregistry.Registry
-	Purges      *purgelog.Log // nil: the age of answers is not checked
+	Purges      *purgelog.Log // nil: answers are not checked against purges
 	Admission   *admission.Controller
-	Routes      *rollout.Controller // nil: a lookup may go anywhere
+	Routes      *rollout.Controller // nil: lookups may use any cache, and no route limits apply
 }
 
-// Server serves the streams of one listener. Make it with New; its methods may be called from any goroutine.
+// Server serves the streams of one listener. Create it with New. Its methods are safe for concurrent use.
 type Server struct {
 	Dependencies
 	limits     Limits
 	tracer     Tracer
 	streams    env.Group
-	stepsReady env.Notifier // when lookups have steps, and at the end of Run
+	stepsReady env.Notifier // notified when a lookup has steps to deliver and when the lifetime of Run ends
 
-	mu          sync.Mutex // of what follows; held while the dispatcher is called, which waits for nothing, never over a wait
+	// mu guards the fields up to anomalies. It may be held during calls to
+	// the dispatcher, which do not block. It is never held while waiting.
+	mu          sync.Mutex
 	table       *route.Table
 	coordinator *retry.Coordinator
 	callers     map[string]*caller
-	anomalies   map[string]int // beside those of the coordinator
+	anomalies   map[string]int // counts by name, in addition to those of the coordinator
 
-	readyMu sync.Mutex
-	ready   []*retry.Lookup // have steps that nobody is about to take
+	readyMu sync.Mutex      // guards ready
+	ready   []*retry.Lookup // lookups with steps that no goroutine is about to deliver
 }
 
-// New makes a Server whose lookups are read by a table.
+// New returns a Server that reads lookups from requests by the rules of a table.
 func New(dependencies Dependencies, table *route.Table, limits Limits) *Server {
 	if limits.Weight <= 0 {
 		limits.Weight = 1
@@ -88,10 +96,10 @@
 	}
 }
 
-// SetTracer sets the tracer of lookups; to be called before Run.
+// SetTracer sets the tracer of lookups. It must be called before Run.
 func (s *Server) SetTracer(tracer Tracer) { s.tracer = tracer }
 
-// SetTable replaces the table for the lookups to come.
+// SetTable replaces the table that later requests are matched against.
 func (s *Server) SetTable(table *route.Table) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,21 +112,22 @@
 	return s.table
 }
 
-// OpenLookups is the number of open lookups.
+// OpenLookups returns the number of open lookups.
 func (s *Server) OpenLookups() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.coordinator.OpenLookups()
 }
 
-// AttemptsOut is the number of attempts at callers, or decided for them.
+// AttemptsOut returns the number of attempts that callers are making,
+// and of those that are decided and wait for a request of their caller.
 func (s *Server) AttemptsOut() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.coordinator.AttemptsOut()
 }
 
-// Anomalies counts what callers did against the contract, by its name.
+// Anomalies returns how often callers deviated from the contract, by the name of the anomaly.
 func (s *Server) Anomalies() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,7 +138,7 @@
 	return anomalies
 }
 
-// AnomalySummary is Anomalies as one line, in the order of names.
+// AnomalySummary returns Anomalies as one line of name:count pairs, sorted by name.
 func (s *Server) AnomalySummary() string {
 	anomalies := s.Anomalies()
 	var b strings.Builder
@@ -145,8 +154,8 @@
 	s.anomalies[name]++
 }
 
-// Run delivers the steps that come by themselves and lets the coordinator's times pass until the lifetime ends, and then waits for the
-// streams.
+// Run delivers the steps that no other goroutine delivers and ticks the
+// coordinator, until the lifetime ends. It then waits for the streams to end.
 func (s *Server) Run(lifetime *env.Lifetime) error {
 	defer lifetime.OnEnd(s.stepsReady.Notify)()
 	for wait := time.Duration(0); !lifetime.Ended(); {
@@ -164,7 +173,8 @@
 	return err
 }
 
-// notifyReady notes that a lookup has steps. It is called under the dispatcher's lock.
+// notifyReady queues a lookup that has steps for delivery by Run, unless another
+// goroutine is about to deliver them. It is called under the dispatcher's lock.
 func (s *Server) notifyReady(lookup *retry.Lookup) {
 	if lookup.IsHandled() {
 		return
@@ -175,7 +185,7 @@
 	s.stepsReady.Notify()
 }
 
-// deliverReady delivers the steps of all lookups that notifyReady noted.
+// deliverReady delivers the steps of all lookups that notifyReady has queued.
 func (s *Server) deliverReady() {
 	for {
 		s.readyMu.Lock()
@@ -191,7 +201,8 @@
 	}
 }
 
-// deliverSteps gives the coordinator a lookup's steps, one after the other.
+// deliverSteps passes the steps of a lookup to the coordinator one by one and applies the
+// resulting commands. The step that ends the lookup also releases its quota and ends its ticket.
 func (s *Server) deliverSteps(lookup *retry.Lookup) {
 	for {
 		s.mu.Lock()
@@ -211,7 +222,7 @@
 	}
 }
 
-// apply carries out what the coordinator wants, without the lock.
+// apply carries out the commands of the coordinator. s.mu must not be held.
 func (s *Server) apply(commands retry.Commands) {
 	for _, report := range commands.Reports {
 		s.tracer.AttemptEnded(report.Lookup, report)
@@ -233,7 +244,7 @@
 	}
 }
 
-// endTicket tells the route that let a lookup in how it ended.
+// endTicket reports the result of a lookup to the route that admitted it.
 func (s *Server) endTicket(lookup *retry.Lookup, end dispatch.StepKind) {
 	if lookup.Ticket == nil {
 		return
--- a/internal/extproc/stream.go
+++ b/internal/extproc/stream.go
@@ -10,35 +10,37 @@
 	"foldslip/internal/retry"
 )
 
-// maxQueuedReplies is the number of replies on a stream that its caller has not read past which no more messages are read.
+// maxQueuedReplies is the number of queued replies at which a stream reads
+// no further messages, until its caller has read some of the replies.
 const maxQueuedReplies = 8
 
-// Transport is a stream of a caller in the form that it has on a wire.
+// Transport is a caller's stream in a wire protocol.
 type Transport interface {
-	// Receive waits for the next message. It returns io.EOF after the caller's last one.
+	// Receive waits for the next message. It returns io.EOF after the caller's last message.
 	Receive() (Message, error)
-	// Send may wait until the caller reads.
+	// Send sends a reply. It may block until the caller reads.
 	Send(Reply) error
 }
 
-// stream is a stream of a caller: one request of its client, whose phases come in order.
+// stream is a stream of a caller. It carries one request of the caller's client, whose phases arrive in order.
 type stream struct {
 	server       *Server
 	caller       *caller
 	handle       retry.Stream
-	repliesReady env.Notifier // for the replying side
-	queueSpace   env.Notifier // for the receiving side
+	repliesReady env.Notifier // wakes sendReplies
+	queueSpace   env.Notifier // wakes receiveMessages
 
-	mu           sync.Mutex // of what follows
+	mu           sync.Mutex // guards the fields below
 	replies      []Reply
-	awaitedPhase Phase         // that waits for the coordinator's answer; 0: none
-	earlyAnswer  *retry.Answer // the lookup's end, while the caller makes an attempt
-	receiveErr   error         // the receiving side has ended
-	ended        bool          // the replying side has ended
-	lastActivity time.Time
+	awaitedPhase Phase         // phase that awaits an answer of the coordinator; 0: none
+	earlyAnswer  *retry.Answer // final answer that arrived while the caller was making an attempt; nil: none
+	receiveErr   error         // error of the transport that ended receiveMessages; nil: none
+	ended        bool          // sendReplies has returned
+	lastActivity time.Time     // of the last message or queued reply
 }
 
-// Serve serves one stream until either side ends it, and ends what it had open.
+// Serve serves one stream until either side ends it, and then reports its end to the coordinator. It returns nil if the
+// caller ended the stream, an EndReason or ErrTooManyStreams if the Server did, and otherwise the transport's error.
 func (s *Server) Serve(transport Transport, callerName string) error {
 	caller := s.acquireCaller(callerName)
 	if caller == nil {
@@ -53,7 +55,7 @@
 		lastActivity: s.Environment.Now(),
 	}
 	st.handle = retry.Stream{Caller: callerName, Owner: st}
-	s.streams.Go("stream", func() error { // it ends with the transport, after Serve has returned
+	s.streams.Go("stream", func() error { // ends with the transport, possibly after Serve has returned
 		st.receiveMessages(transport)
 		return nil
 	})
@@ -91,7 +93,7 @@
 	}
 }
 
-// nextReply takes a queued reply.
+// nextReply removes the first reply from the queue. It returns false if the queue is empty.
 func (st *stream) nextReply() (reply Reply, ok bool) {
 	st.mu.Lock()
 	if len(st.replies) == 0 {
@@ -105,7 +107,8 @@
 	return reply, true
 }
 
-// waitForReply waits for a queued reply. It returns the error that ended the receiving side, or EndedSilent.
+// waitForReply waits until the queue should be checked again. It returns the error that ended receiveMessages, or
+// EndedSilent if the stream has been silent for the SilenceTimeout.
 func (st *stream) waitForReply() error {
 	st.mu.Lock()
 	if len(st.replies) > 0 {
@@ -129,7 +132,7 @@
 	return nil
 }
 
-// receiveMessages handles messages until the transport's end.
+// receiveMessages handles messages until the transport or the stream ends.
 func (st *stream) receiveMessages(transport Transport) {
 	for {
 		message, err := transport.Receive()
@@ -147,7 +150,7 @@
 			st.queueReply(Reply{End: EndedOverLimit})
 			return
 		}
-		if message.ObserveOnly { // no reply, and nothing of it reaches the dispatcher
+		if message.ObserveOnly { // gets no reply and does not reach the dispatcher
 			st.server.countAnomaly(anomalyObserveOnly)
 			st.recordActivity()
 			continue
@@ -158,7 +161,7 @@
 	}
 }
 
-// handleMessage handles one message. It returns false if no more are to be received.
+// handleMessage handles one message. It returns false if no further messages are to be received.
 func (st *stream) handleMessage(message Message) (ok bool) {
 	if !st.waitForSpace() {
 		return false
@@ -192,7 +195,7 @@
 	return true
 }
 
-// waitForSpace waits while the caller does not read its replies. It returns false if the replying side has ended.
+// waitForSpace waits while the queue of replies is full. It returns false if sendReplies has returned.
 func (st *stream) waitForSpace() (ok bool) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -205,7 +208,7 @@
 	return !st.ended
 }
 
-// awaitAnswer notes the phase that waits for the coordinator's answer.
+// awaitAnswer sets the phase that awaits an answer of the coordinator.
 func (st *stream) awaitAnswer(phase Phase) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -218,7 +221,7 @@
 	st.lastActivity = st.server.Environment.Now()
 }
 
-// replyToAwaitedPhase replies to the phase that waits.
+// replyToAwaitedPhase queues the reply to the phase that awaits an answer.
 func (st *stream) replyToAwaitedPhase(reply Reply) {
 	st.mu.Lock()
 	reply.Phase = st.awaitedPhase
@@ -227,11 +230,11 @@
 	st.queueReply(reply)
 }
 
-// receiveAnswer takes an answer of the coordinator. If no phase waits for one, the lookup has ended while the caller makes an attempt, and the
-// answer is kept for its report.
+// receiveAnswer handles an answer of the coordinator. If no phase awaits an answer, the lookup has ended
+// while the caller makes an attempt. The answer is then kept as the reply to the report of that attempt.
 func (st *stream) receiveAnswer(answer retry.Answer) {
 	st.mu.Lock()
-	if answer.Kind == retry.AnswerOutOfOrder && st.earlyAnswer != nil { // a report that crossed the end gets the end
+	if answer.Kind == retry.AnswerOutOfOrder && st.earlyAnswer != nil { // the report raced with the lookup's final answer
 		answer = *st.earlyAnswer
 	}
 	if answer.Kind == retry.AnswerOutOfOrder {
--- a/internal/extproc/tracer.go
+++ b/internal/extproc/tracer.go
@@ -6,7 +6,8 @@
 	"foldslip/internal/route"
 )
 
-// Tracer is notified of each lookup's steps. It must not wait: LookupStarted is called under the Server's lock.
+// Tracer is notified of the start and the steps of each lookup and of the ends of its
+// attempts. Its methods must not block: LookupStarted is called under the Server's lock.
 type Tracer interface {
 	LookupStarted(lookup *retry.Lookup, get route.Attributes)
 	StepDecided(lookup *retry.Lookup, step dispatch.Step)
