--- a/internal/extproc/extprocgrpc/authority_test.go
+++ b/internal/extproc/extprocgrpc/authority_test.go
@@ -38,7 +38,7 @@
 }
 
 // issue writes NAME.crt and NAME.key, signed by the authority or by itself.
-func (a *authority) issue(name string, by *authority) (*x509.Certificate, *ecdsa.PrivateKey) {
+func (a *authority) issue(name string, issuer *authority) (*x509.Certificate, *ecdsa.PrivateKey) {
 	a.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -46,11 +46,11 @@
 	}
 	a.serial++
 	template := &x509.Certificate{SerialNumber: big.NewInt(a.serial), Subject: pkix.Name{CommonName: name}, NotBefore: time.Now().Add(-time.Hour),
-		NotAfter: time.Now().Add(time.Hour), IsCA: by == nil, BasicConstraintsValid: true, IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
+		NotAfter: time.Now().Add(time.Hour), IsCA: issuer == nil, BasicConstraintsValid: true, IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
 		KeyUsage: x509.KeyUsageDigitalSignature | x509.KeyUsageCertSign, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}
 	parent, signer := template, key
-	if by != nil {
-		parent, signer = by.cert, by.key
+	if issuer != nil {
+		parent, signer = issuer.cert, issuer.key
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, parent, &key.PublicKey, signer)
 	if err != nil {
--- a/internal/extproc/extprocgrpc/listener.go
+++ b/internal/extproc/extprocgrpc/listener.go
@@ -174,17 +174,17 @@
 // PrepareReload checks a new configuration and returns what puts it in force: the table for the lookups to come, the certificates for the
 // connections to come. Streams and lookups that are open go on.
 func (l *Listener) PrepareReload(configuration *config.Config) (apply func(), err error) {
-	own := configuration.ExternalProcessor
-	if own == nil || own.Listen != l.address || (own.TLS != nil) != (l.certificates != nil) {
+	updated := configuration.ExternalProcessor
+	if updated == nil || updated.Listen != l.address || (updated.TLS != nil) != (l.certificates != nil) {
 		return nil, ErrNeedsRestart
 	}
-	table, err := route.Compile(own.Table, l.kinds)
+	table, err := route.Compile(updated.Table, l.kinds)
 	if err != nil {
 		return nil, err
 	}
 	certificates := l.certificates
-	if own.TLS != nil {
-		if certificates, err = LoadCertificates(own.TLS); err != nil {
+	if updated.TLS != nil {
+		if certificates, err = LoadCertificates(updated.TLS); err != nil {
 			return nil, err
 		}
 	}
@@ -193,7 +193,7 @@
 		if l.certificates != nil {
 			l.certificates.ReplaceWith(certificates)
 		}
-		l.environment.Log().Info("extproc_reloaded", "kind", "external_processor", "rules", len(own.Table))
+		l.environment.Log().Info("extproc_reloaded", "kind", "external_processor", "rules", len(updated.Table))
 	}, nil
 }
 
--- a/internal/extproc/extprocgrpc/listener_test.go
+++ b/internal/extproc/extprocgrpc/listener_test.go
@@ -74,7 +74,7 @@
 func TestClientLookups(t *testing.T) {
 	configuration := &config.ExternalProcessor{Listen: "unix:" + filepath.Join(t.TempDir(), "listener")}
 	startListener(t, configuration)
-	at := configuration.Listen
+	target := configuration.Listen
 	for i, test := range []struct {
 		name     string
 		words    []string
@@ -84,14 +84,14 @@
 		{"never connected, an error, a hit", []string{"unconnected", "fault", "hit"}, client.Satisfied, 3},
 		{"errors without end", []string{"fault"}, client.Rejected, 3}} {
 		t.Run(test.name, func(t *testing.T) {
-			result, err := lookUp(t, at, insecure.NewCredentials(), fmt.Sprint("a", i), test.words...)
+			result, err := lookUp(t, target, insecure.NewCredentials(), fmt.Sprint("a", i), test.words...)
 			if err != nil || result.Kind != test.result || len(result.Attempts) != test.attempts {
 				t.Errorf("%+v, %v", result, err)
 			}
 		})
 	}
 	t.Run("one that was answered before is refused", func(t *testing.T) {
-		if result, err := lookUp(t, at, insecure.NewCredentials(), "a0", "hit"); err != nil || result.Kind != client.Refused || result.Status != 409 {
+		if result, err := lookUp(t, target, insecure.NewCredentials(), "a0", "hit"); err != nil || result.Kind != client.Refused || result.Status != 409 {
 			t.Errorf("%+v, %v", result, err)
 		}
 	})
@@ -108,17 +108,17 @@
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != socketMode {
 		t.Error(info, err)
 	}
-	left, err := net.Listen("unix", path+"2")
+	stale, err := net.Listen("unix", path+"2")
 	if err != nil {
 		t.Fatal(err)
 	}
-	left.(*net.UnixListener).SetUnlinkOnClose(false)
-	left.Close()
-	again, err := listenAt(env.NewSystem(io.Discard, slog.LevelInfo), configuration.Listen+"2")
+	stale.(*net.UnixListener).SetUnlinkOnClose(false)
+	stale.Close()
+	replaced, err := listenAt(env.NewSystem(io.Discard, slog.LevelInfo), configuration.Listen+"2")
 	if err != nil {
 		t.Fatal(err)
 	}
-	again.Close()
+	replaced.Close()
 }
 
 // A configuration that moves the listener is refused, a table is taken.
@@ -132,11 +132,11 @@
 	}
 	other = *configuration
 	other.Table = []config.LookupRule{{Path: "/other", Kind: "segment", Object: "o", ID: "header:x-job-id"}}
-	change, err := l.PrepareReload(&config.Config{ExternalProcessor: &other})
+	apply, err := l.PrepareReload(&config.Config{ExternalProcessor: &other})
 	if err != nil {
 		t.Fatal(err)
 	}
-	change()
+	apply()
 	if result, err := lookUp(t, configuration.Listen, insecure.NewCredentials(), "b1", "hit"); err != nil || result.Status != 404 {
 		t.Errorf("%+v, %v", result, err)
 	}
@@ -145,47 +145,47 @@
 // Callers with certificates.
 func TestTLS(t *testing.T) {
 	dir := t.TempDir()
-	ours, theirs := newAuthority(t, dir), newAuthority(t, t.TempDir())
-	ours.issue("listener", ours)
-	ours.issue("edge", ours)
-	theirs.issue("stranger", theirs)
-	at := freeAddr()
-	configuration := &config.ExternalProcessor{Listen: at, TLS: &config.TLS{Cert: dir + "/listener.crt", Key: dir + "/listener.key", ClientCA: dir + "/ca.crt"}}
+	trusted, untrusted := newAuthority(t, dir), newAuthority(t, t.TempDir())
+	trusted.issue("listener", trusted)
+	trusted.issue("edge", trusted)
+	untrusted.issue("stranger", untrusted)
+	addr := freeAddr()
+	configuration := &config.ExternalProcessor{Listen: addr, TLS: &config.TLS{Cert: dir + "/listener.crt", Key: dir + "/listener.key", ClientCA: dir + "/ca.crt"}}
 	l := startListener(t, configuration)
-	creds := func(by *authority, name string) credentials.TransportCredentials {
-		return ours.clientCredentials(by, name)
+	creds := func(issuer *authority, name string) credentials.TransportCredentials {
+		return trusted.clientCredentials(issuer, name)
 	}
-	if result, err := lookUp(t, at, creds(ours, "edge"), "a", "hit"); err != nil || result.Kind != client.Satisfied {
+	if result, err := lookUp(t, addr, creds(trusted, "edge"), "a", "hit"); err != nil || result.Kind != client.Satisfied {
 		t.Fatalf("%+v, %v", result, err)
 	}
-	for name, c := range map[string]credentials.TransportCredentials{"no certificate": creds(nil, ""), "a stranger's": creds(theirs, "stranger"),
+	for name, c := range map[string]credentials.TransportCredentials{"no certificate": creds(nil, ""), "a stranger's": creds(untrusted, "stranger"),
 		"no TLS": insecure.NewCredentials()} {
 		t.Run(name+" is refused", func(t *testing.T) {
-			if result, err := lookUp(t, at, c, "b", "hit"); err == nil {
+			if result, err := lookUp(t, addr, c, "b", "hit"); err == nil {
 				t.Errorf("%+v", result)
 			}
 		})
 	}
 	t.Run("keys are reloaded, and open streams go on", func(t *testing.T) {
-		conn, err := grpc.NewClient(at, grpc.WithTransportCredentials(creds(ours, "edge")))
+		conn, err := grpc.NewClient(addr, grpc.WithTransportCredentials(creds(trusted, "edge")))
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		during := func(_ context.Context, d client.Decision) client.AttemptOutcome {
-			ours.issue("listener", ours) // a new certificate under the same name
-			change, err := l.PrepareReload(&config.Config{ExternalProcessor: configuration})
+		attempt := func(_ context.Context, d client.Decision) client.AttemptOutcome {
+			trusted.issue("listener", trusted) // a new certificate under the same name
+			apply, err := l.PrepareReload(&config.Config{ExternalProcessor: configuration})
 			if err != nil {
 				t.Error(err)
 				return client.AttemptOutcome{}
 			}
-			change()
-			if result, err := lookUp(t, at, creds(ours, "edge"), "d", "hit"); err != nil || result.Kind != client.Satisfied {
+			apply()
+			if result, err := lookUp(t, addr, creds(trusted, "edge"), "d", "hit"); err != nil || result.Kind != client.Satisfied {
 				t.Errorf("%+v, %v", result, err)
 			}
 			return client.AttemptOutcome{Word: "hit", CreatedAt: time.Now()}
 		}
-		result, err := client.New(conn).Lookup(context.Background(), client.Request{Path: "/call/segment/o/part-1", Header: http.Header{"X-Job-Id": {"c"}}}, during)
+		result, err := client.New(conn).Lookup(context.Background(), client.Request{Path: "/call/segment/o/part-1", Header: http.Header{"X-Job-Id": {"c"}}}, attempt)
 		if err != nil || result.Kind != client.Satisfied {
 			t.Errorf("%+v, %v", result, err)
 		}
@@ -207,19 +207,19 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	where := func(id string) string {
+	cacheFor := func(id string) string {
 		result, err := lookUp(t, configuration.Listen, insecure.NewCredentials(), id, "hit")
 		if err != nil || result.Kind != client.Satisfied {
 			t.Fatalf("%+v, %v", result, err)
 		}
 		return result.Attempts[0].Cache
 	}
-	before := where("before")
+	before := cacheFor("before")
 	for i := range 12 {
-		ctx, leave := context.WithCancel(context.Background())
+		ctx, cancel := context.WithCancel(context.Background())
 		client.New(conn).Lookup(ctx, client.Request{Path: "/call/segment/o/part-1", Header: http.Header{"X-Job-Id": {fmt.Sprint("left", i)}}},
 			func(context.Context, client.Decision) client.AttemptOutcome {
-				leave()
+				cancel()
 				time.Sleep(5 * time.Millisecond)
 				return client.AttemptOutcome{}
 			})
@@ -230,7 +230,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	if after := where("after"); after != before || l.Anomalies()["stream_ended_with_send"] != 12 {
+	if after := cacheFor("after"); after != before || l.Anomalies()["stream_ended_with_send"] != 12 {
 		t.Errorf("%s before, %s after, %v", before, after, l.Anomalies())
 	}
 }
--- a/internal/extproc/extprocgrpc/load_test.go
+++ b/internal/extproc/extprocgrpc/load_test.go
@@ -76,24 +76,24 @@
 	if err != nil {
 		panic(err)
 	}
-	guard := &Listener{}
+	extprocListener := &Listener{}
 	options := []grpc.ServerOption{grpc.MaxRecvMsgSize(MaxMessageBytes), grpc.MaxConcurrentStreams(4096)}
 	if kind == kindGuarded {
-		options = append(options, grpc.InTapHandle(guard.admitStream))
+		options = append(options, grpc.InTapHandle(extprocListener.admitStream))
 	}
 	server := grpc.NewServer(options...)
 	if kind == kindNoop {
 		extprocv3.RegisterExternalProcessorServer(server, noopService{})
 	} else {
-		guard.Service = Service{Server: newLoadedServer(kind)}
-		extprocv3.RegisterExternalProcessorServer(server, &guard.Service)
+		extprocListener.Service = Service{Server: newLoadedServer(kind)}
+		extprocv3.RegisterExternalProcessorServer(server, &extprocListener.Service)
 	}
 	go server.Serve(listener)
 	defer startProfile(kind)()
 	fmt.Println(listener.Addr())
 	defer func() {
-		if guard.Server != nil {
-			fmt.Fprintln(os.Stderr, "anomalies:", guard.AnomalySummary())
+		if extprocListener.Server != nil {
+			fmt.Fprintln(os.Stderr, "anomalies:", extprocListener.AnomalySummary())
 		}
 	}()
 	printUsage()
