--- a/internal/extproc/extprocgrpc/authority_test.go
+++ b/internal/extproc/extprocgrpc/authority_test.go
@@ -20,7 +20,7 @@
 	"google.golang.org/grpc/credentials"
 )
 
-// authority signs certificates for a test.
+// authority is a certificate authority for tests.
 type authority struct {
 	t      *testing.T
 	key    *ecdsa.PrivateKey
@@ -29,7 +29,7 @@
 	serial int64
 }
 
-// newAuthority makes an authority that writes its files to a folder.
+// newAuthority returns an authority that writes its files to a directory.
 func newAuthority(t *testing.T, dir string) *authority {
 	t.Helper()
 	a := &authority{t: t, dir: dir}
@@ -37,7 +37,8 @@
 	return a
 }
 
-// issue writes NAME.crt and NAME.key, signed by the authority or by itself.
+// issue creates a certificate and writes NAME.crt and NAME.key to the directory of a. The certificate is signed by the
+// issuer or, if that is nil, by its own key.
 func (a *authority) issue(name string, issuer *authority) (*x509.Certificate, *ecdsa.PrivateKey) {
 	a.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -69,7 +70,8 @@
 	}
 }
 
-// clientCredentials are a client's that trusts the authority, with a certificate that another one issued; none if name is empty.
+// clientCredentials returns the credentials of a client that trusts the authority. The client
+// presents the certificate of the given name from the directory of issuer, or none if name is empty.
 func (a *authority) clientCredentials(issuer *authority, name string) credentials.TransportCredentials {
 	a.t.Helper()
 	c := &tls.Config{RootCAs: x509.NewCertPool(), ServerName: "127.0.0.1"}
@@ -84,10 +86,11 @@
 	return credentials.NewTLS(c)
 }
 
-// usedAddrs counts the addresses that freeAddr gave.
+// usedAddrs counts the addresses that freeAddr has tried.
 var usedAddrs atomic.Uint32
 
-// freeAddr is a loopback address of this process alone, with a port below those that connections get.
+// freeAddr returns a loopback address that no other process uses.
+// Its port is below the ephemeral ports that connections are given.
 func freeAddr() string {
 	for {
 		n, pid := usedAddrs.Add(1), os.Getpid()
--- a/internal/extproc/extprocgrpc/certificates.go
+++ b/internal/extproc/extprocgrpc/certificates.go
@@ -11,17 +11,18 @@
 	"foldslip/internal/config"
 )
 
-// Errors of the files that the configuration names, wrapped with its key and the file.
+// Errors of the files that the configuration names. They are wrapped with the configuration key and the file.
 var (
-	ErrKeyReadable   = errors.New("others than its owner may read this key; chmod 600")
-	ErrNoCertificate = errors.New("no certificate in it; expected PEM")
+	ErrKeyReadable   = errors.New("key file is accessible to group or others; run chmod 600")
+	ErrNoCertificate = errors.New("no certificate found; expected PEM")
 )
 
-// Certificates are the listener's certificate and the authorities of callers' certificates. They are replaced as a whole: connections that are up
-// keep those that they began with. Methods may be called from any goroutine.
+// Certificates holds the listener's certificate and the authorities that callers'
+// certificates are verified against. All of them are replaced together. Open connections
+// keep the ones that they were opened with. Certificates is safe for concurrent use.
 type Certificates struct{ config atomic.Pointer[tls.Config] }
 
-// LoadCertificates reads the files that the configuration names.
+// LoadCertificates loads the certificate, the key and the authorities from the files that the configuration names.
 func LoadCertificates(files *config.TLS) (*Certificates, error) {
 	if err := checkKeyFile(files.Key); err != nil {
 		return nil, fmt.Errorf("external_processor.tls.key: %w", err)
@@ -54,7 +55,7 @@
 	return pool, nil
 }
 
-// checkKeyFile checks that only its owner may read a file.
+// checkKeyFile returns an error if a key file is accessible to group or others.
 func checkKeyFile(path string) error {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -66,10 +67,10 @@
 	return nil
 }
 
-// ConfigForClient is the configuration of a new connection.
+// ConfigForClient returns the TLS configuration of a new connection, as tls.Config.GetConfigForClient requires.
 func (c *Certificates) ConfigForClient(*tls.ClientHelloInfo) (*tls.Config, error) {
 	return c.config.Load(), nil
 }
 
-// ReplaceWith replaces the certificates for the connections to come.
+// ReplaceWith replaces the certificates that new connections use.
 func (c *Certificates) ReplaceWith(other *Certificates) { c.config.Store(other.config.Load()) }
--- a/internal/extproc/extprocgrpc/encoding.go
+++ b/internal/extproc/extprocgrpc/encoding.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	metadataNamespace = "foldslip" // of dynamic metadata
+	metadataNamespace = "foldslip" // of the dynamic metadata in replies
 	headerRetryAfter  = "x-wait-ms"
-	attributePrefix   = "attr:" // of the table's names for attributes
-	metadataPrefix    = "meta:" // and for metadata, followed by namespace/key
+	attributePrefix   = "attr:" // begins the table's name of an attribute
+	metadataPrefix    = "meta:" // begins the table's name of a metadata value; namespace/key follows
 )
 
-// transport is a stream of gRPC as an extproc.Transport.
+// transport implements extproc.Transport on a gRPC stream.
 type transport struct {
 	extprocv3.ExternalProcessor_ProcessServer
 }
@@ -34,7 +34,7 @@
 // Receive waits for the next message.
 func (t transport) Receive() (extproc.Message, error) {
 	request, err := t.ExternalProcessor_ProcessServer.Recv()
-	if status.Code(err) == codes.ResourceExhausted { // so the library reports a message past MaxMessageBytes
+	if status.Code(err) == codes.ResourceExhausted { // the code for a message larger than MaxMessageBytes
 		return extproc.Message{}, fmt.Errorf("%w: %w", extproc.ErrMessageTooLarge, err)
 	}
 	if err != nil {
@@ -48,7 +48,7 @@
 	return t.ExternalProcessor_ProcessServer.Send(encodeReply(reply))
 }
 
-// parseMessage reads a message. One of an unknown phase has phase 0.
+// parseMessage converts a message of the protocol. The Phase of a message of unknown type is 0.
 func parseMessage(request *extprocv3.ProcessingRequest) extproc.Message {
 	message := extproc.Message{Size: proto.Size(request), ObserveOnly: request.ObservabilityMode}
 	var headers *extprocv3.HttpHeaders
@@ -72,7 +72,7 @@
 	return message
 }
 
-// attributeReader reads headers, attributes and metadata by the table's names.
+// attributeReader returns a function that reads headers, attributes and metadata of a message by the table's names.
 func attributeReader(request *extprocv3.ProcessingRequest, headers *extprocv3.HttpHeaders) route.Attributes {
 	return func(name string) (value string, count int) {
 		if attribute, ok := strings.CutPrefix(name, attributePrefix); ok {
@@ -85,7 +85,8 @@
 	}
 }
 
-// readAttribute reads an attribute, which stands under the name of each extension; the protocol has one.
+// readAttribute reads an attribute and counts how often it occurs. Attributes
+// are grouped by the name of an extension; the protocol has one extension.
 func readAttribute(request *extprocv3.ProcessingRequest, name string) (value string, count int) {
 	for _, extension := range request.GetAttributes() {
 		if field := extension.GetFields()[name]; field != nil {
@@ -123,7 +124,7 @@
 	return value, count
 }
 
-// scalarText is a value as text; empty for a list or an object.
+// scalarText formats a string, number or boolean as text. It returns "" for other values, such as a list or an object.
 func scalarText(v *structpb.Value) string {
 	switch kind := v.Kind.(type) {
 	case *structpb.Value_StringValue:
@@ -136,7 +137,8 @@
 	return ""
 }
 
-// processingMode asks the caller for what the contract needs: the headers of the response, no bodies, no trailers.
+// processingMode tells the caller which phases to send. The contract needs the
+// headers of the request and of the response, but no bodies and no trailers.
 var processingMode = &filterv3.ProcessingMode{
 	RequestHeaderMode:   filterv3.ProcessingMode_SEND,
 	ResponseHeaderMode:  filterv3.ProcessingMode_SEND,
@@ -144,7 +146,7 @@
 	ResponseTrailerMode: filterv3.ProcessingMode_SKIP,
 }
 
-// encodeReply writes a reply in the form of the phase that it answers.
+// encodeReply converts a reply to the response type of the phase that it answers.
 func encodeReply(reply extproc.Reply) *extprocv3.ProcessingResponse {
 	response := &extprocv3.ProcessingResponse{}
 	switch {
@@ -166,7 +168,7 @@
 	return response
 }
 
-// finalResponse answers the caller's client.
+// finalResponse returns the immediate response that the caller sends to its client.
 func finalResponse(reply extproc.Reply) *extprocv3.ProcessingResponse_ImmediateResponse {
 	headers := &extprocv3.HeaderMutation{}
 	for _, header := range reply.Headers {
@@ -184,7 +186,8 @@
 	}}
 }
 
-// addDecision sets the headers of a decision on the request, and the same values as dynamic metadata.
+// addDecision sets the headers of a decision on the request and reports the same values
+// as dynamic metadata. Headers with an empty value are removed from the request.
 func addDecision(response *extprocv3.ProcessingResponse, decision []extproc.Header) {
 	headers := &extprocv3.HeaderMutation{}
 	metadata := make(map[string]*structpb.Value, len(decision))
--- a/internal/extproc/extprocgrpc/fixture_test.go
+++ b/internal/extproc/extprocgrpc/fixture_test.go
@@ -32,7 +32,8 @@
 {"name":"order","aim":400000,"deadline":5000000,"points":1,"effect":"at_most_once"}],
 "specifics":{"parent_kind":1,"source_kind":2,"flow_kb_per_s":100000,"max_age":[0,0],"grace_for":[0,0],"pass_on":[false,true],"seats_by_zone":[1],"merges_fills":true}}`)
 
-// newDependencies are those of a gateway that has listed four edge caches, two parents and an origin, or nothing yet.
+// newDependencies returns the dependencies of a gateway. With withCaches, its endpoint list has
+// four edge caches, two parents and an origin. Without, the gateway has no endpoint list yet.
 func newDependencies(withCaches bool) (extproc.Dependencies, error) {
 	parsed, err := settings.Parse(testSettings)
 	if err != nil {
@@ -58,14 +59,14 @@
 	}, nil
 }
 
-// tick lets the dispatcher's time pass, as a gateway does, until the lifetime ends.
+// tick calls the dispatcher's Tick whenever it is due, as a gateway does, until the lifetime ends.
 func tick(dispatcher *dispatch.Dispatcher, lifetime *env.Lifetime) {
 	for !lifetime.Ended() {
 		time.Sleep(max(time.Millisecond, dispatcher.Tick(nil, false, nil)))
 	}
 }
 
-// fixture is a Service on loopback.
+// fixture is a Service that listens on loopback, and a client connected to it.
 type fixture struct {
 	t *testing.T
 	extproc.Dependencies
@@ -73,7 +74,7 @@
 	client  extprocv3.ExternalProcessorClient
 }
 
-// newFixture serves a gateway, with caches or with none.
+// newFixture starts a Service of a gateway, with caches or without. It runs until the end of the test.
 func newFixture(t *testing.T, withCaches bool) *fixture {
 	t.Helper()
 	dependencies, err := newDependencies(withCaches)
@@ -92,14 +93,14 @@
 	return f
 }
 
-// serve serves until the test's end, and checks then that nothing is left open.
+// serve runs the Service until the end of the test and then checks that no attempt and no lookup is open.
 func (f *fixture) serve() {
 	f.t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	server := grpc.NewServer(grpc.MaxRecvMsgSize(MaxMessageBytes), grpc.WaitForHandlers(true)) // as a Listener makes it
+	server := grpc.NewServer(grpc.MaxRecvMsgSize(MaxMessageBytes), grpc.WaitForHandlers(true)) // as in Listener.serverOptions
 	extprocv3.RegisterExternalProcessorServer(server, f.service)
 	go server.Serve(listener)
 	lifetime, ended := env.NewLifetime(nil), make(chan error)
@@ -117,12 +118,12 @@
 		lifetime.End()
 		<-ended
 		if n, _ := f.Dispatcher.InFlight(); n != 0 || f.Dispatcher.OpenLookups() != 0 || f.service.OpenLookups() != 0 {
-			f.t.Errorf("left behind: %d attempts, %d lookups, %d at the coordinator", n, f.Dispatcher.OpenLookups(), f.service.OpenLookups())
+			f.t.Errorf("open at the end: %d attempts and %d lookups at the dispatcher, %d lookups at the coordinator; expected none", n, f.Dispatcher.OpenLookups(), f.service.OpenLookups())
 		}
 	})
 }
 
-// checkSettled checks that everything open ends within two seconds.
+// checkSettled checks that all open attempts and lookups end within two seconds.
 func (f *fixture) checkSettled() {
 	f.t.Helper()
 	for range 2000 {
@@ -131,10 +132,10 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	f.t.Error("something stays open")
+	f.t.Error("attempts or lookups are still open after 2 s")
 }
 
-// testStream is the stream of one request of a client.
+// testStream is a stream that carries one request of a client.
 type testStream struct {
 	stream extprocv3.ExternalProcessor_ProcessClient
 	stop   context.CancelFunc
@@ -151,9 +152,9 @@
 	return &testStream{stream, stop}
 }
 
-// testReply is a reply as a caller reads it.
+// testReply is a reply as a caller receives it.
 type testReply struct {
-	status  int // of an immediate response; 0: go on
+	status  int // HTTP status of an immediate response; 0: the caller proceeds
 	headers map[string]string
 	err     error
 }
@@ -171,13 +172,14 @@
 	return reply
 }
 
-// request sends the headers of a request for a lookup, and more of them as names and values, and reads the reply.
+// request sends the request headers of a lookup and returns the
+// reply. more holds the names and values of further headers, in turn.
 func (s *testStream) request(id, kind, object string, more ...string) testReply {
 	s.stream.Send(requestHeaders(append([]string{":method", "GET", ":path", "/call/" + kind + "/" + object + "/part-0", "x-job-id", id, "x-ram-kb", "100"}, more...)...))
 	return s.read()
 }
 
-// report sends the headers of a response and reads the reply.
+// report sends response headers, given as names and values in turn, and returns the reply.
 func (s *testStream) report(namesAndValues ...string) testReply {
 	s.stream.Send(responseHeaders(namesAndValues...))
 	return s.read()
--- a/internal/extproc/extprocgrpc/frozen_test.go
+++ b/internal/extproc/extprocgrpc/frozen_test.go
@@ -17,7 +17,8 @@
 	"foldslip/internal/lab/frozen"
 )
 
-// TestFrozenResponses compares the messages that callers get with those that an earlier build sent.
+// TestFrozenResponses checks that replies are encoded as an earlier build encoded
+// them. It guards against unintended changes of the messages that callers receive.
 func TestFrozenResponses(t *testing.T) {
 	var got strings.Builder
 	for _, r := range []extproc.Reply{
@@ -31,7 +32,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var lines bytes.Buffer // the library varies its spaces
+		var lines bytes.Buffer // protojson varies its whitespace
 		if err := json.Indent(&lines, text, "", " "); err != nil {
 			t.Fatal(err)
 		}
@@ -40,7 +41,7 @@
 	frozen.Equal(t, "responses.txt", []byte(got.String()))
 }
 
-// TestFrozenMessages reads messages of a caller as an earlier build read them.
+// TestFrozenMessages checks that messages of callers are parsed as an earlier build parsed them.
 func TestFrozenMessages(t *testing.T) {
 	header := &extprocv3.HttpHeaders{Headers: &corev3.HeaderMap{Headers: []*corev3.HeaderValue{{Key: ":method", RawValue: []byte("GET")},
 		{Key: ":path", Value: "/call/segment/o/part-0"}, {Key: "x-job-id", RawValue: []byte("a1")}, {Key: "x-job-id", Value: "a2"}}}}
--- a/internal/extproc/extprocgrpc/fuzz_test.go
+++ b/internal/extproc/extprocgrpc/fuzz_test.go
@@ -8,7 +8,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// FuzzParseMessage expects that each message that a proxy can encode is read without a panic, its attributes too.
+// FuzzParseMessage checks that no message that a proxy can encode causes a panic when it is parsed or when its headers,
+// attributes and metadata are read.
 func FuzzParseMessage(f *testing.F) {
 	headers := &extprocv3.HttpHeaders{Headers: &corev3.HeaderMap{Headers: []*corev3.HeaderValue{{Key: ":path", RawValue: []byte("/m/x")}}}}
 	for _, request := range []*extprocv3.ProcessingRequest{
--- a/internal/extproc/extprocgrpc/listener.go
+++ b/internal/extproc/extprocgrpc/listener.go
@@ -30,18 +30,18 @@
 const (
 	drainPollInterval  = 10 * time.Millisecond
 	maxConnectionIdle  = 5 * time.Minute
-	keepaliveInterval  = 20 * time.Second // of silence, after which a caller is pinged
+	keepaliveInterval  = 20 * time.Second // silence after which a caller is pinged, and time allowed for its answer
 	handshakeTimeout   = 2 * time.Second
-	refusalDelay       = 5 * time.Millisecond // before a stream is refused
-	maxConnections     = 1024                 // of all callers
-	socketMode         = 0o660                // of a Unix socket: its owner and group may call
+	refusalDelay       = 5 * time.Millisecond // delay before the refusal of a stream
+	maxConnections     = 1024                 // of all callers together
+	socketMode         = 0o660                // of a Unix socket: owner and group may connect
 	anomalyLogInterval = 10 * time.Second
 )
 
-// ErrNeedsRestart is the refusal of a configuration that a running Listener can't take.
-var ErrNeedsRestart = errors.New("external_processor: listen and tls are changed by a restart only")
+// ErrNeedsRestart is returned by PrepareReload for a configuration that a running Listener cannot apply.
+var ErrNeedsRestart = errors.New("external_processor: removing it, changing listen, or turning tls on or off requires a restart")
 
-// Listener is a Service with the address where it listens. Make it with Listen, serve it with Run.
+// Listener is a Service and the address on which it listens. Create it with Listen and serve it with Run.
 type Listener struct {
 	Service
 	environment  env.Environment
@@ -49,12 +49,13 @@
 	listener     net.Listener
 	grpc         *grpc.Server
 	health       *health.Server
-	certificates *Certificates // nil: no TLS
-	kinds        []string
-	tracer       *telemetry.Tracer // nil: off
+	certificates *Certificates     // nil: no TLS
+	kinds        []string          // names of the object kinds
+	tracer       *telemetry.Tracer // nil: lookups are not traced
 }
 
-// Listen listens as the configuration says. name is the gateway's, for its spans.
+// Listen opens the address of the configuration and returns a Listener for it. name is the name of the gateway in trace
+// spans.
 func Listen(name string, dependencies extproc.Dependencies, configuration *config.ExternalProcessor) (*Listener, error) {
 	kinds := dependencies.Settings.Kinds
 	table, err := route.Compile(configuration.Table, kinds)
@@ -121,7 +122,7 @@
 	}
 }
 
-// listenAt listens at an address, or at a Unix socket that its owner and group may use.
+// listenAt listens on an address. After the prefix unix:, the address is the path of a Unix socket with socketMode.
 func listenAt(environment env.Environment, address string) (net.Listener, error) {
 	if path, ok := strings.CutPrefix(address, "unix:"); ok {
 		return env.ListenUnix(path, socketMode)
@@ -129,8 +130,8 @@
 	return environment.Listen(address)
 }
 
-// admitStream refuses a new stream of a caller past its rate, on the reading side of its connection and before anything is made for it. The
-// delay slows that connection alone.
+// admitStream refuses a new stream of a blocked caller. gRPC calls it in the goroutine that reads the
+// connection, before any resources are allocated for the stream, so the delay slows only that connection.
 func (l *Listener) admitStream(ctx context.Context, _ *tap.Info) (context.Context, error) {
 	if !l.AdmitsStream(callerName(ctx)) {
 		time.Sleep(refusalDelay)
@@ -139,7 +140,7 @@
 	return ctx, nil
 }
 
-// Addr is the address of the listener.
+// Addr returns the address of the listener.
 func (l *Listener) Addr() net.Addr { return l.listener.Addr() }
 
 // Run serves until the lifetime ends.
@@ -159,7 +160,7 @@
 	return nil
 }
 
-// logAnomalies logs what callers do against the contract, at most every anomalyLogInterval and where it has changed.
+// logAnomalies logs the counts of anomalies whenever they have changed, at most once per anomalyLogInterval.
 func (l *Listener) logAnomalies(lifetime *env.Lifetime) {
 	end := l.environment.NewNotifier()
 	defer lifetime.OnEnd(end.Notify)()
@@ -171,8 +172,8 @@
 	}
 }
 
-// PrepareReload checks a new configuration and returns what puts it in force: the table for the lookups to come, the certificates for the
-// connections to come. Streams and lookups that are open go on.
+// PrepareReload checks a new configuration and returns a function that applies it: later requests use
+// the new table, and new connections use the new certificates. Open streams and lookups continue.
 func (l *Listener) PrepareReload(configuration *config.Config) (apply func(), err error) {
 	updated := configuration.ExternalProcessor
 	if updated == nil || updated.Listen != l.address || (updated.TLS != nil) != (l.certificates != nil) {
@@ -197,10 +198,11 @@
 	}, nil
 }
 
-// Drain tells callers that the listener closes, and takes no more streams. It does not wait.
+// Drain announces the shutdown to callers through health checks and
+// GOAWAY, and refuses new streams. It does not wait for open streams.
 func (l *Listener) Drain() {
 	l.health.Shutdown()
-	go l.grpc.GracefulStop() // ends with the last stream, or with Run
+	go l.grpc.GracefulStop() // returns after the last stream, or when Run stops the server
 }
 
 // Wait waits until no lookups are open.
--- a/internal/extproc/extprocgrpc/listener_test.go
+++ b/internal/extproc/extprocgrpc/listener_test.go
@@ -24,7 +24,8 @@
 	"foldslip/internal/env"
 )
 
-// startListener starts a Listener of a configuration, with what that leaves out, until the test's end.
+// startListener starts a Listener that runs until the end of the test. It sets the
+// limits and the table of the configuration; the caller of startListener sets the rest.
 func startListener(t *testing.T, configuration *config.ExternalProcessor) *Listener {
 	t.Helper()
 	dependencies, err := newDependencies(true)
@@ -54,7 +55,8 @@
 	return l
 }
 
-// lookUp makes a lookup through the client package. Its attempts end with these words, the last one again and again.
+// lookUp makes a lookup through package client. Its attempts end with the
+// given outcome words in order. Any further attempts end with the last word.
 func lookUp(t *testing.T, target string, creds credentials.TransportCredentials, id string, words ...string) (client.Result, error) {
 	t.Helper()
 	conn, err := grpc.NewClient(target, grpc.WithTransportCredentials(creds))
@@ -70,7 +72,7 @@
 		})
 }
 
-// Lookups through the client.
+// TestClientLookups checks the results of lookups through package client and the number of their attempts.
 func TestClientLookups(t *testing.T) {
 	configuration := &config.ExternalProcessor{Listen: "unix:" + filepath.Join(t.TempDir(), "listener")}
 	startListener(t, configuration)
@@ -80,24 +82,25 @@
 		words    []string
 		result   client.ResultKind
 		attempts int
-	}{{"a hit", []string{"hit"}, client.Satisfied, 1}, {"rejected, then a hit elsewhere", []string{"shed", "hit"}, client.Satisfied, 2},
-		{"never connected, an error, a hit", []string{"unconnected", "fault", "hit"}, client.Satisfied, 3},
-		{"errors without end", []string{"fault"}, client.Rejected, 3}} {
+	}{{"hit", []string{"hit"}, client.Satisfied, 1}, {"rejection, then hit at another cache", []string{"shed", "hit"}, client.Satisfied, 2},
+		{"connection failure, then error, then hit", []string{"unconnected", "fault", "hit"}, client.Satisfied, 3},
+		{"only errors", []string{"fault"}, client.Rejected, 3}} {
 		t.Run(test.name, func(t *testing.T) {
 			result, err := lookUp(t, target, insecure.NewCredentials(), fmt.Sprint("a", i), test.words...)
 			if err != nil || result.Kind != test.result || len(result.Attempts) != test.attempts {
-				t.Errorf("%+v, %v", result, err)
+				t.Errorf("wrong result or number of attempts: %+v, %v", result, err)
 			}
 		})
 	}
-	t.Run("one that was answered before is refused", func(t *testing.T) {
+	t.Run("lookup that was answered before is refused", func(t *testing.T) {
 		if result, err := lookUp(t, target, insecure.NewCredentials(), "a0", "hit"); err != nil || result.Kind != client.Refused || result.Status != 409 {
-			t.Errorf("%+v, %v", result, err)
+			t.Errorf("got %+v, %v; expected a refusal with status 409", result, err)
 		}
 	})
 }
 
-// A Unix socket in use is refused, one left behind is taken over.
+// TestUnixSocket checks the mode of the Unix socket, that a socket in use is refused,
+// and that a socket whose process has ended without removing it is replaced.
 func TestUnixSocket(t *testing.T) {
 	configuration := &config.ExternalProcessor{Listen: "unix:" + filepath.Join(t.TempDir(), "listener")}
 	startListener(t, configuration)
@@ -121,7 +124,7 @@
 	replaced.Close()
 }
 
-// A configuration that moves the listener is refused, a table is taken.
+// TestPrepareReload checks that a reload cannot change the listen address, and that a new table is applied.
 func TestPrepareReload(t *testing.T) {
 	configuration := &config.ExternalProcessor{Listen: "unix:" + filepath.Join(t.TempDir(), "listener")}
 	l := startListener(t, configuration)
@@ -138,11 +141,12 @@
 	}
 	apply()
 	if result, err := lookUp(t, configuration.Listen, insecure.NewCredentials(), "b1", "hit"); err != nil || result.Status != 404 {
-		t.Errorf("%+v, %v", result, err)
+		t.Errorf("got %+v, %v; expected status 404", result, err)
 	}
 }
 
-// Callers with certificates.
+// TestTLS checks callers with and without a valid certificate, the reload
+// of certificates, and the refusal of a key file that others may read.
 func TestTLS(t *testing.T) {
 	dir := t.TempDir()
 	trusted, untrusted := newAuthority(t, dir), newAuthority(t, t.TempDir())
@@ -156,17 +160,17 @@
 		return trusted.clientCredentials(issuer, name)
 	}
 	if result, err := lookUp(t, addr, creds(trusted, "edge"), "a", "hit"); err != nil || result.Kind != client.Satisfied {
-		t.Fatalf("%+v, %v", result, err)
+		t.Fatalf("lookup with a valid certificate not satisfied: %+v, %v", result, err)
 	}
-	for name, c := range map[string]credentials.TransportCredentials{"no certificate": creds(nil, ""), "a stranger's": creds(untrusted, "stranger"),
+	for name, c := range map[string]credentials.TransportCredentials{"no certificate": creds(nil, ""), "certificate of another authority": creds(untrusted, "stranger"),
 		"no TLS": insecure.NewCredentials()} {
 		t.Run(name+" is refused", func(t *testing.T) {
 			if result, err := lookUp(t, addr, c, "b", "hit"); err == nil {
-				t.Errorf("%+v", result)
+				t.Errorf("lookup was not refused: %+v", result)
 			}
 		})
 	}
-	t.Run("keys are reloaded, and open streams go on", func(t *testing.T) {
+	t.Run("certificates are reloaded and open streams continue", func(t *testing.T) {
 		conn, err := grpc.NewClient(addr, grpc.WithTransportCredentials(creds(trusted, "edge")))
 		if err != nil {
 			t.Fatal(err)
@@ -181,16 +185,16 @@
 			}
 			apply()
 			if result, err := lookUp(t, addr, creds(trusted, "edge"), "d", "hit"); err != nil || result.Kind != client.Satisfied {
-				t.Errorf("%+v, %v", result, err)
+				t.Errorf("lookup after the reload not satisfied: %+v, %v", result, err)
 			}
 			return client.AttemptOutcome{Word: "hit", CreatedAt: time.Now()}
 		}
 		result, err := client.New(conn).Lookup(context.Background(), client.Request{Path: "/call/segment/o/part-1", Header: http.Header{"X-Job-Id": {"c"}}}, attempt)
 		if err != nil || result.Kind != client.Satisfied {
-			t.Errorf("%+v, %v", result, err)
+			t.Errorf("lookup that was open during the reload not satisfied: %+v, %v", result, err)
 		}
 	})
-	t.Run("a key that others may read is refused", func(t *testing.T) {
+	t.Run("key file that others may read is refused", func(t *testing.T) {
 		os.Chmod(dir+"/listener.key", 0o644)
 		if _, err := l.PrepareReload(&config.Config{ExternalProcessor: configuration}); err == nil || !strings.Contains(err.Error(), "chmod 600") {
 			t.Error(err)
@@ -198,7 +202,8 @@
 	})
 }
 
-// A caller that breaks off many streams says nothing of the caches: another caller's lookups go where they went.
+// TestBrokenStreamsEjectNoCache guards against ejecting a cache because a caller breaks off many streams during
+// attempts. Such a stream is no evidence about the cache. Later lookups must go to the same cache as before.
 func TestBrokenStreamsEjectNoCache(t *testing.T) {
 	configuration := &config.ExternalProcessor{Listen: "unix:" + filepath.Join(t.TempDir(), "listener")}
 	l := startListener(t, configuration)
@@ -210,7 +215,7 @@
 	cacheFor := func(id string) string {
 		result, err := lookUp(t, configuration.Listen, insecure.NewCredentials(), id, "hit")
 		if err != nil || result.Kind != client.Satisfied {
-			t.Fatalf("%+v, %v", result, err)
+			t.Fatalf("lookup not satisfied: %+v, %v", result, err)
 		}
 		return result.Attempts[0].Cache
 	}
@@ -231,6 +236,6 @@
 		time.Sleep(time.Millisecond)
 	}
 	if after := cacheFor("after"); after != before || l.Anomalies()["stream_ended_with_send"] != 12 {
-		t.Errorf("%s before, %s after, %v", before, after, l.Anomalies())
+		t.Errorf("cache %s before and %s after the broken streams, expected the same; anomalies %v, expected stream_ended_with_send:12", before, after, l.Anomalies())
 	}
 }
--- a/internal/extproc/extprocgrpc/load_test.go
+++ b/internal/extproc/extprocgrpc/load_test.go
@@ -29,7 +29,8 @@
 	"foldslip/internal/route"
 )
 
-// noopService answers each message with nothing to change.
+// noopService answers each message with a response that changes nothing. It is the baseline that a Service is compared
+// with.
 type noopService struct {
 	extprocv3.UnimplementedExternalProcessorServer
 }
@@ -53,7 +54,8 @@
 	}
 }
 
-// TestMain becomes the process under load where FOLDSLIP_SERVE names a kind of server.
+// TestMain serves as the process under load, instead of running the
+// tests, if the variable FOLDSLIP_SERVE names a kind of server.
 func TestMain(m *testing.M) {
 	if kind := os.Getenv("FOLDSLIP_SERVE"); kind != "" {
 		serveUnderLoad(kind)
@@ -65,11 +67,12 @@
 // The kinds of servers under load.
 const (
 	kindNoop    = "noop"    // noopService
-	kindPlain   = "plain"   // a Service without limits
-	kindGuarded = "guarded" // a Service with the limits of the default configuration, but for the rate
+	kindPlain   = "plain"   // a Service without limits on streams and rates
+	kindGuarded = "guarded" // a Service with the limits of the default configuration, except for the rate
 )
 
-// serveUnderLoad is the process under load: it serves until its input ends, and prints its memory and allocations for each line.
+// serveUnderLoad runs the process under load. It serves until its
+// input ends and prints its resource usage for each line of input.
 func serveUnderLoad(kind string) {
 	runtime.GOMAXPROCS(1)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -99,7 +102,7 @@
 	printUsage()
 }
 
-// newLoadedServer starts a Server for load.
+// newLoadedServer starts the Server of a process under load.
 func newLoadedServer(kind string) *extproc.Server {
 	dependencies, err := newDependencies(true)
 	if err != nil {
@@ -125,7 +128,8 @@
 	return server
 }
 
-// startProfile writes a profile of the processor to the file that FOLDSLIP_PROFILE names, until stop.
+// startProfile writes a CPU profile until stop is called. The file is named by the variable
+// FOLDSLIP_PROFILE, with the kind as its suffix. Without the variable, no profile is written.
 func startProfile(kind string) (stop func()) {
 	path := os.Getenv("FOLDSLIP_PROFILE")
 	if path == "" {
@@ -139,7 +143,8 @@
 	return pprof.StopCPUProfile
 }
 
-// printUsage prints a line of memory, allocations and goroutines for each line of input.
+// printUsage prints one line for each line of input: allocations, allocated bytes,
+// resident memory in KB and goroutines, in the order of the fields of usage.
 func printUsage() {
 	var line [1]byte
 	for {
@@ -154,7 +159,7 @@
 	}
 }
 
-// loadedProcess is a process under load.
+// loadedProcess is a process under load and the connections to it.
 type loadedProcess struct {
 	cmd   *exec.Cmd
 	in    io.WriteCloser
@@ -163,7 +168,7 @@
 	addr  string
 }
 
-// startProcess starts a process of a kind and opens connections to it.
+// startProcess starts a process under load that serves the given kind, and opens connections to it.
 func startProcess(t *testing.T, kind string, conns int) *loadedProcess {
 	p := &loadedProcess{cmd: exec.Command(os.Args[0])}
 	p.cmd.Env = append(os.Environ(), "FOLDSLIP_SERVE="+kind)
@@ -195,7 +200,8 @@
 	p.cmd.Wait()
 }
 
-// usage is what a process uses: allocations and bytes since its start, resident KB, goroutines.
+// usage is the resource usage of a process: allocations and allocated bytes since its start, resident memory in KB, and
+// goroutines.
 type usage struct{ mallocs, bytes, rss, goroutines uint64 }
 
 func (p *loadedProcess) usage() (u usage) {
@@ -204,8 +210,9 @@
 	return u
 }
 
-// load keeps so many streams open at a time, each for a lookup and the report of its attempt; one in broken is broken off instead. It ends after n
-// lookups or the duration, and returns the times to decisions in microseconds.
+// load keeps a number of streams open at a time. Each stream requests one lookup and reports its attempt, except
+// that one in broken streams is broken off after the decision; 0 breaks off none. load ends after n lookups or
+// after the duration. It returns the latencies of the decisions in microseconds, their number and the elapsed time.
 func (p *loadedProcess) load(streams, broken int, n int64, duration time.Duration) (latencies *hdrhistogram.Histogram, done int64, elapsed time.Duration) {
 	var mu sync.Mutex
 	var left, decided atomic.Int64
@@ -235,7 +242,8 @@
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 10_000_000, 3) }
 
-// decideAndReport requests a lookup, and reports its attempt unless it is to be broken off. It returns the time to the decision.
+// decideAndReport requests a lookup and, if report is set, reports its attempt.
+// Otherwise it breaks off the stream. It returns the latency of the decision.
 func decideAndReport(client extprocv3.ExternalProcessorClient, id string, k int, report bool) (latency time.Duration, ok bool) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -248,7 +256,7 @@
 		"user-agent", "kiosk", "accept", "*/*", "x-request-id", "5f3c"))
 	response, err := stream.Recv()
 	latency, ok = time.Since(requestedAt), err == nil
-	if response.GetImmediateResponse() != nil { // rejected: the lookup is over
+	if response.GetImmediateResponse() != nil { // the lookup is rejected, so there is no attempt to report
 		return latency, ok
 	}
 	if report {
@@ -260,10 +268,11 @@
 	return latency, ok
 }
 
-// failures are the errors of loadPaced.
+// failures holds the texts of the errors that occurred in loadPaced.
 var failures sync.Map
 
-// loadPaced requests a thousand lookups a second and returns the times to their decisions from when each was due, so that waiting counts.
+// loadPaced requests a thousand lookups per second and returns the latencies of their decisions in microseconds. Each
+// latency counts from the time at which the request was due, so it includes any delay before the request is sent.
 func (p *loadedProcess) loadPaced(duration time.Duration) *hdrhistogram.Histogram {
 	latencies, mu := newHistogram(), sync.Mutex{}
 	var workers sync.WaitGroup
@@ -286,7 +295,8 @@
 	return latencies
 }
 
-// decideDue requests a lookup that is due and returns the microseconds to its decision; 10 s for a failure.
+// decideDue requests a lookup and returns the time from due to its decision in microseconds. It returns 10 s for a
+// failure.
 func decideDue(client extprocv3.ExternalProcessorClient, id string, k int, due time.Time) (micros int64) {
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 	defer stop()
--- a/internal/extproc/extprocgrpc/measure_test.go
+++ b/internal/extproc/extprocgrpc/measure_test.go
@@ -15,20 +15,24 @@
 	"google.golang.org/grpc/credentials/insecure"
 )
 
-// The measurements of docs/external-processor.md: a Service on one core of a process of its own, against the smallest server of the protocol.
-// They take minutes and are no part of CI: FOLDSLIP_MEASURE=1 go test -run Measure -v ./internal/extproc/extprocgrpc
+// The tests in this file make the measurements for docs/external-processor.md. They
+// compare a Service, which runs on one core in its own process, with noopService, a
+// minimal server of the protocol. They take minutes and are not run in CI. To run them:
+//
+//	FOLDSLIP_MEASURE=1 go test -run Measure -v ./internal/extproc/extprocgrpc
 
 func skipUnlessMeasuring(t *testing.T) {
 	t.Helper()
 	if os.Getenv("FOLDSLIP_MEASURE") == "" {
-		t.Skip("a measurement of minutes: FOLDSLIP_MEASURE=1")
+		t.Skip("measurement takes minutes; set FOLDSLIP_MEASURE=1 to run it")
 	}
 }
 
-// rounds is how often each is measured, in turn.
+// rounds is how often each kind of server is measured. The kinds take turns.
 const rounds = 2
 
-// Decisions a second, and their latency, by streams at a time.
+// TestMeasureSpeed measures decisions per second, their latency and the allocations for each stream, by the number of
+// concurrent streams.
 func TestMeasureSpeed(t *testing.T) {
 	skipUnlessMeasuring(t)
 	for _, streams := range []int{1, 100, 1000} {
@@ -48,7 +52,7 @@
 	}
 }
 
-// Memory over a million streams.
+// TestMeasureMemory measures resident memory and goroutines over a million streams, a tenth of which are broken off.
 func TestMeasureMemory(t *testing.T) {
 	skipUnlessMeasuring(t)
 	p := startProcess(t, kindPlain, 8)
@@ -59,10 +63,10 @@
 	}
 }
 
-// flood is what a hundred streams of another caller send.
+// flood is a kind of traffic that a second caller sends on a hundred concurrent streams.
 type flood struct {
 	name string
-	send func(stream extprocv3.ExternalProcessor_ProcessClient, i, k int) // nil: nothing
+	send func(stream extprocv3.ExternalProcessor_ProcessClient, i, k int) // sends on stream k of worker i; nil: no flood
 }
 
 var floods = []flood{
@@ -81,14 +85,15 @@
 	}},
 }
 
-// runningFlood counts a flood's streams until it ends.
+// runningFlood is a flood in progress. It counts the streams of the flood and those that ended with an error.
 type runningFlood struct {
 	ended         atomic.Bool
 	workers       sync.WaitGroup
 	sent, refused atomic.Int64
 }
 
-// startFlood floods a process over four connections from an address of their own.
+// startFlood floods a process over four connections. They come from an
+// address of their own, so that the flood counts as another caller.
 func startFlood(t *testing.T, p *loadedProcess, f flood) *runningFlood {
 	t.Helper()
 	running := &runningFlood{}
@@ -111,7 +116,7 @@
 	return running
 }
 
-// run opens one stream after the other until the flood ends.
+// run opens streams one after another until the flood ends.
 func (r *runningFlood) run(client extprocv3.ExternalProcessorClient, f flood, i int) {
 	for k := 0; !r.ended.Load(); k++ {
 		ctx, stop := context.WithTimeout(context.Background(), time.Second)
@@ -131,7 +136,7 @@
 	r.workers.Wait()
 }
 
-// The latency of one caller beside the flood of another.
+// TestMeasureFloods measures the decision latency of one caller while another caller floods the process.
 func TestMeasureFloods(t *testing.T) {
 	skipUnlessMeasuring(t)
 	for _, kind := range []string{kindGuarded, kindPlain} {
--- a/internal/extproc/extprocgrpc/service.go
+++ b/internal/extproc/extprocgrpc/service.go
@@ -1,8 +1,11 @@
-// Package extprocgrpc serves package extproc's streams on gRPC, as the external-processing service of Envoy (envoy.service.ext_proc.v3), which a
-// proxy calls for each request. It turns the protocol's messages into those of package extproc and replies back, and decides nothing. The
-// contract with callers is docs/external-processor.md.
+// Package extprocgrpc serves the streams of package extproc over gRPC. It implements Envoy's
+// external processing service (envoy.service.ext_proc.v3), which a proxy calls for each request.
+// It converts the messages of the protocol to messages of package extproc, and replies back, and
+// makes no decisions. The contract with callers is documented in docs/external-processor.md.
 //
-// A stream of gRPC is one of package extproc. Messages are bounded by MaxMessageBytes, streams and connections by the Listener's configuration.
+// Each gRPC stream is one stream of package extproc. A Listener owns the listening socket, the gRPC
+// server and the certificates, and serves until the lifetime passed to Run ends. MaxMessageBytes bounds
+// a message, maxConnections bounds the connections, and the Listener's configuration bounds the streams.
 package extprocgrpc
 
 import (
@@ -19,16 +22,16 @@
 	"foldslip/internal/extproc"
 )
 
-// MaxMessageBytes bounds one message of a caller.
+// MaxMessageBytes is the maximum size of a message from a caller.
 const MaxMessageBytes = 64 << 10
 
-// Service is the gRPC service of a Server.
+// Service implements the gRPC service with a Server.
 type Service struct {
 	extprocv3.UnimplementedExternalProcessorServer
 	*extproc.Server
 }
 
-// Process serves one stream of a caller.
+// Process serves one stream of a caller. gRPC calls it for each stream.
 func (s *Service) Process(stream extprocv3.ExternalProcessor_ProcessServer) error {
 	err := s.Serve(transport{stream}, callerName(stream.Context()))
 	if code, ok := statusCode(err); ok {
@@ -37,7 +40,7 @@
 	return err
 }
 
-// statusCode is the gRPC status of an error of package extproc.
+// statusCode returns the gRPC status code for an error of package extproc. It returns false for any other error.
 func statusCode(err error) (code codes.Code, ok bool) {
 	var reason extproc.EndReason
 	switch {
@@ -59,8 +62,9 @@
 	return codes.OK, false
 }
 
-// callerName names a caller: by its certificate if it has shown one, else by its address without the port. All callers at a Unix socket are
-// one.
+// callerName returns the name of a caller. If the caller has presented a verified certificate, the
+// name is the first URI of the certificate or, without URIs, its common name. Otherwise the name
+// is the address of the caller without the port. All callers on a Unix socket share one name.
 func callerName(ctx context.Context) string {
 	p, ok := peer.FromContext(ctx)
 	if !ok {
--- a/internal/extproc/extprocgrpc/service_test.go
+++ b/internal/extproc/extprocgrpc/service_test.go
@@ -14,65 +14,66 @@
 	"foldslip/internal/route"
 )
 
-// A lookup by its decisions, reports and replies.
+// TestLookups checks the decisions and final answers of lookups, depending on the reports of their attempts.
 func TestLookups(t *testing.T) {
-	t.Run("a decision, a hit, the answer goes on", func(t *testing.T) {
+	t.Run("hit is accepted", func(t *testing.T) {
 		f := newFixture(t, true)
 		stream := f.openStream()
 		got := stream.request("a1", "segment", "o")
 		if got.status != 0 || got.headers["x-foldslip-cache"] == "" || got.headers["x-foldslip-addr"] == "" || got.headers["x-foldslip-rank"] == "" ||
 			got.headers["x-foldslip-source"] == "" || got.headers["x-foldslip-mode"] != "j" {
-			t.Fatalf("%+v", got)
+			t.Fatalf("got %+v, expected a decision with cache, addr, rank and source, and mode j", got)
 		}
 		if end := stream.report(":status", "200", "x-foldslip-end", "hit", "x-foldslip-note", "hit"); end.err != nil || end.status != 0 {
-			t.Fatalf("%+v", end)
+			t.Fatalf("reply to a hit: %+v, expected to proceed", end)
 		}
 		f.checkSettled()
 	})
-	t.Run("a cache that rejects it: requested again, another cache is named", func(t *testing.T) {
+	t.Run("rejection by a cache leads to an attempt at another cache", func(t *testing.T) {
 		f := newFixture(t, true)
 		stream := f.openStream()
 		first := stream.request("a1", "segment", "o")
 		if again := stream.report(":status", "503", "x-foldslip-end", "shed"); again.status != 503 || again.headers["x-foldslip-again"] != "1" {
-			t.Fatalf("%+v", again)
+			t.Fatalf("reply to a rejection: %+v, expected status 503 with x-foldslip-again", again)
 		}
 		stream.stop()
 		stream = f.openStream()
 		second := stream.request("a1", "segment", "o")
 		if second.status != 0 || second.headers["x-foldslip-cache"] == first.headers["x-foldslip-cache"] || second.headers["x-foldslip-send"] != "1" {
-			t.Fatalf("%+v, then %+v", first, second)
+			t.Fatalf("first decision %+v, second %+v; expected another cache and attempt 1", first, second)
 		}
 		if end := stream.report(":status", "200"); end.err != nil || end.status != 0 {
-			t.Fatalf("%+v", end)
+			t.Fatalf("reply to status 200: %+v, expected to proceed", end)
 		}
 		f.checkSettled()
 	})
-	t.Run("a side-effecting attempt that may have run is not repeated", func(t *testing.T) {
+	t.Run("attempt with side effects that may have run is not retried", func(t *testing.T) {
 		f := newFixture(t, true)
 		stream := f.openStream()
 		if got := stream.request("a1", "order", "o"); got.status != 0 {
-			t.Fatalf("%+v", got)
+			t.Fatalf("got %+v, expected a decision", got)
 		}
 		if end := stream.report(":status", "502", "x-foldslip-end", "reset"); end.status != 502 {
-			t.Errorf("%+v", end)
+			t.Errorf("reply to a reset: %+v, expected status 502", end)
 		}
 		if again := f.openStream().request("a1", "order", "o"); again.status != 502 {
-			t.Errorf("%+v", again)
+			t.Errorf("repeated request: %+v, expected status 502", again)
 		}
 		f.checkSettled()
 	})
-	t.Run("no cache: rejected at once, with a time to come back", func(t *testing.T) {
+	t.Run("without caches the lookup is rejected with a retry delay", func(t *testing.T) {
 		f := newFixture(t, false)
 		if got := f.openStream().request("a1", "segment", "o"); got.status != 503 || got.headers["x-wait-ms"] != "2000" {
-			t.Errorf("%+v", got)
+			t.Errorf("got %+v, expected status 503 with x-wait-ms 2000", got)
 		}
 		f.checkSettled()
 	})
 }
 
-// A caller that ends its stream, or does not return.
+// TestCallersThatGoAway checks that lookups end and that nothing stays open if a caller ends its stream early, does not
+// request the next attempt, or does not report an attempt.
 func TestCallersThatGoAway(t *testing.T) {
-	t.Run("amid an attempt", func(t *testing.T) {
+	t.Run("stream ends during an attempt", func(t *testing.T) {
 		f := newFixture(t, true)
 		stream := f.openStream()
 		stream.request("a1", "segment", "o")
@@ -82,106 +83,106 @@
 			t.Error(anomalies)
 		}
 	})
-	t.Run("while the router decides: nothing more is decided for it", func(t *testing.T) {
+	t.Run("stream ends while a retry is delayed: no further attempt is decided", func(t *testing.T) {
 		f := newFixture(t, true)
 		stream := f.openStream()
 		stream.request("a1", "segment", "o")
 		stream.stream.Send(responseHeaders(":status", "503",
-			"x-foldslip-end", "shed")) // the retry waits 30 ms
+			"x-foldslip-end", "shed")) // the retry is delayed by 30 ms
 		for f.service.AttemptsOut() > 0 {
 			time.Sleep(time.Millisecond)
 		}
 		stream.stop()
 		f.checkSettled()
 		if got := f.openStream().request("a1", "segment", "o"); got.status != 502 || got.headers["x-foldslip-cache"] != "" {
-			t.Errorf("%+v", got)
+			t.Errorf("repeated request: %+v, expected status 502 and no decision", got)
 		}
 	})
-	t.Run("it does not request the next attempt", func(t *testing.T) {
+	t.Run("next attempt is not requested", func(t *testing.T) {
 		f := newFixture(t, true)
 		stream := f.openStream()
 		stream.request("a1", "segment", "o")
 		if again := stream.report(":status", "503", "x-foldslip-end", "shed"); again.headers["x-foldslip-again"] != "1" {
-			t.Fatalf("%+v", again)
+			t.Fatalf("reply to a rejection: %+v, expected x-foldslip-again", again)
 		}
 		stream.stop()
 		f.checkSettled()
 		if got := f.openStream().request("a1", "segment", "o"); got.status != 502 || got.headers["x-foldslip-cache"] != "" {
-			t.Errorf("%+v", got)
+			t.Errorf("request after the time for it: %+v, expected status 502 and no decision", got)
 		}
 	})
-	t.Run("it never reports: the lookup fails in time, and that is the reply to a late report", func(t *testing.T) {
+	t.Run("attempt is not reported in time: the lookup fails, and a late report gets that result", func(t *testing.T) {
 		f := newFixture(t, true)
 		stream := f.openStream()
 		stream.request("a1", "segment", "o", "x-allow-ms", "120")
 		time.Sleep(250 * time.Millisecond)
 		if got := stream.report(":status", "200"); got.status != 503 && got.status != 502 {
-			t.Errorf("%+v", got)
+			t.Errorf("reply to a late report: %+v, expected status 502 or 503", got)
 		}
 		f.checkSettled()
 	})
 }
 
-// Requests and messages against the contract.
+// TestContract checks the replies to requests and messages that deviate from the contract or exceed a limit.
 func TestContract(t *testing.T) {
-	t.Run("the same lookup on two streams, and after its answer", func(t *testing.T) {
+	t.Run("lookup is requested on a second stream and after its answer", func(t *testing.T) {
 		f := newFixture(t, true)
 		stream := f.openStream()
 		stream.request("a1", "segment", "o")
 		if got := f.openStream().request("a1", "segment", "o"); got.status != 409 {
-			t.Errorf("%+v", got)
+			t.Errorf("request on a second stream: %+v, expected status 409", got)
 		}
 		stream.report(":status", "200")
 		if got := f.openStream().request("a1", "segment", "o"); got.status != 409 {
-			t.Errorf("%+v", got)
+			t.Errorf("request after the answer: %+v, expected status 409", got)
 		}
 		f.checkSettled()
 	})
 	t.Run("phases out of order end the stream", func(t *testing.T) {
 		f := newFixture(t, true)
 		if got := f.openStream().report(":status", "200"); status.Code(got.err) != codes.FailedPrecondition {
-			t.Errorf("%+v", got)
+			t.Errorf("report without a request: %+v, expected code FailedPrecondition", got)
 		}
 		stream := f.openStream()
 		stream.request("a1", "segment", "o")
 		if got := stream.request("a2", "segment", "o"); status.Code(got.err) != codes.FailedPrecondition {
-			t.Errorf("%+v", got)
+			t.Errorf("second request on a stream: %+v, expected code FailedPrecondition", got)
 		}
 		f.checkSettled()
 	})
-	t.Run("a stream that says nothing, and one that only observes", func(t *testing.T) {
+	t.Run("silent stream and stream that only observes", func(t *testing.T) {
 		f := newFixture(t, true)
 		silent := f.openStream()
 		observing := f.openStream()
 		observing.stream.Send(&extprocv3.ProcessingRequest{ObservabilityMode: true, Request: &extprocv3.ProcessingRequest_RequestHeaders{
 			RequestHeaders: httpHeaders([]string{":method", "GET", ":path", "/call/segment/o/part-0", "x-job-id", "a1"})}})
 		if got := silent.read(); status.Code(got.err) != codes.DeadlineExceeded {
-			t.Errorf("%+v", got)
+			t.Errorf("silent stream: %+v, expected code DeadlineExceeded", got)
 		}
 		if anomalies := f.service.Anomalies(); anomalies["watched"] != 1 || f.Dispatcher.OpenLookups() != 0 {
 			t.Error(anomalies)
 		}
 	})
-	t.Run("more lookups than there is capacity for, a message too large, a header that cannot be used", func(t *testing.T) {
+	t.Run("lookup past the limit, message too large, invalid lookup id", func(t *testing.T) {
 		f := newFixture(t, true)
 		for i := range 6 {
 			f.openStream().request(fmt.Sprint("a", i), "segment", "o")
 		}
 		if got := f.openStream().request("a9", "segment", "o"); got.status != 503 {
-			t.Errorf("%+v", got)
+			t.Errorf("lookup past the limit: %+v, expected status 503", got)
 		}
 		if got := f.openStream().request("a9", "segment", "o", "x-big", string(make([]byte, MaxMessageBytes))); status.Code(got.err) != codes.ResourceExhausted {
-			t.Errorf("%+v", got)
+			t.Errorf("message too large: %+v, expected code ResourceExhausted", got)
 		}
 		if got := f.openStream().request("a 9", "segment", "o"); got.status != 400 {
-			t.Errorf("%+v", got)
+			t.Errorf("invalid lookup id: %+v, expected status 400", got)
 		}
 	})
 }
 
-// Answers from before a purge.
+// TestPurgedAnswers guards against accepting copies that were created before a purge.
 func TestPurgedAnswers(t *testing.T) {
-	t.Run("they are not passed on, nor those of unknown age", func(t *testing.T) {
+	t.Run("answers from before the purge and of unknown age are not accepted", func(t *testing.T) {
 		f := newFixture(t, true)
 		f.Purges.Record("o", 0, time.Now())
 		time.Sleep(time.Millisecond)
@@ -189,19 +190,19 @@
 			stream := f.openStream()
 			stream.request(fmt.Sprint("a", i), "segment", "o")
 			if got := stream.report(":status", "200", "x-foldslip-end", "hit", "x-foldslip-born", createdAt); got.status != 503 || got.headers["x-foldslip-again"] != "1" {
-				t.Errorf("created %q: %+v", createdAt, got)
+				t.Errorf("answer created at %q: %+v, expected status 503 with x-foldslip-again", createdAt, got)
 			}
 			if again := f.openStream().request(fmt.Sprint("a", i), "segment", "o"); again.status != 0 {
-				t.Errorf("%+v", again)
+				t.Errorf("repeated request: %+v, expected a decision", again)
 			}
 		}
 		stream := f.openStream()
 		stream.request("b", "segment", "o")
 		if got := stream.report(":status", "200", "x-foldslip-born", fmt.Sprint(time.Now().Add(time.Second).UnixMilli())); got.status != 0 || got.err != nil {
-			t.Errorf("%+v", got)
+			t.Errorf("answer created after the purge: %+v, expected to proceed", got)
 		}
 	})
-	t.Run("the attempt has run: a side-effecting lookup is not sent again", func(t *testing.T) {
+	t.Run("lookup with side effects is not retried, because its attempt has run", func(t *testing.T) {
 		f := newFixture(t, true)
 		f.Purges.Record("o", 0, time.Now())
 		time.Sleep(time.Millisecond)
@@ -209,18 +210,18 @@
 		stream.request("a1", "order", "o")
 		got := stream.report(":status", "200", "x-foldslip-end", "hit", "x-foldslip-born", fmt.Sprint(time.Now().Add(-time.Hour).UnixMilli()))
 		if got.status != 502 || got.headers["x-foldslip-again"] != "" {
-			t.Errorf("%+v", got)
+			t.Errorf("answer from before the purge: %+v, expected status 502 without x-foldslip-again", got)
 		}
 		if again := f.openStream().request("a1", "order", "o"); again.status != 502 {
-			t.Errorf("%+v", again)
+			t.Errorf("repeated request: %+v, expected status 502", again)
 		}
 		f.checkSettled()
 	})
 }
 
-// A table that is replaced amid a lookup.
+// TestTableReplaced checks the replacement of the table while a lookup is open.
 func TestTableReplaced(t *testing.T) {
-	t.Run("open lookups go on, new ones are read by it", func(t *testing.T) {
+	t.Run("open lookups continue and new requests are matched against the new table", func(t *testing.T) {
 		f := newFixture(t, true)
 		stream := f.openStream()
 		stream.request("a1", "segment", "o")
@@ -230,16 +231,16 @@
 		}
 		f.service.SetTable(other)
 		if end := stream.report(":status", "200"); end.err != nil || end.status != 0 {
-			t.Fatalf("%+v", end)
+			t.Fatalf("open lookup after SetTable: %+v, expected to proceed", end)
 		}
 		if got := f.openStream().request("a2", "segment", "o"); got.status != 404 {
-			t.Errorf("%+v", got)
+			t.Errorf("request by the old table: %+v, expected status 404", got)
 		}
 		stream = f.openStream()
 		stream.stream.Send(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestHeaders{RequestHeaders: httpHeaders([]string{":method", "GET", ":path", "/other/x"})}, Attributes: map[string]*structpb.Struct{"envoy.filters.http.ext_proc": {Fields: map[string]*structpb.Value{
 			"request.id": structpb.NewStringValue("i1")}}}})
 		if got := stream.read(); got.status != 0 || got.err != nil || got.headers["x-foldslip-cache"] == "" {
-			t.Errorf("%+v", got)
+			t.Errorf("request by the new table: %+v, expected a decision", got)
 		}
 	})
 }
