--- a/internal/extproc/extprocgrpc/listener_test.go
+++ b/internal/extproc/extprocgrpc/listener_test.go
@@ -24,7 +24,8 @@
 	"foldslip/internal/env"
 )
 
-// startListener starts a Listener of a configuration, with what that leaves out, until the test's end.
+// startListener starts a Listener that runs until the end of the test. It sets the
+// limits and the table of the configuration; the caller of startListener sets the rest.
 func startListener(t *testing.T, configuration *config.ExternalProcessor) *Listener {
 	t.Helper()
 	dependencies, err := newDependencies(true)
@@ -54,7 +55,8 @@
 	return l
 }
 
-// lookUp makes a lookup through the client package. Its attempts end with these words, the last one again and again.
+// lookUp makes a lookup through package client. Its attempts end with the
+// given outcome words in order. Any further attempts end with the last word.
 func lookUp(t *testing.T, target string, creds credentials.TransportCredentials, id string, words ...string) (client.Result, error) {
 	t.Helper()
 	conn, err := grpc.NewClient(target, grpc.WithTransportCredentials(creds))
@@ -70,34 +72,35 @@
 		})
 }
 
-// Lookups through the client.
+// TestClientLookups checks the results of lookups through package client and the number of their attempts.
 func TestClientLookups(t *testing.T) {
 	configuration := &config.ExternalProcessor{Listen: "unix:" + filepath.Join(t.TempDir(), "listener")}
 	startListener(t, configuration)
-	at := configuration.Listen
+	target := configuration.Listen
 	for i, test := range []struct {
 		name     string
 		words    []string
 		result   client.ResultKind
 		attempts int
-	}{{"a hit", []string{"hit"}, client.Satisfied, 1}, {"rejected, then a hit elsewhere", []string{"shed", "hit"}, client.Satisfied, 2},
-		{"never connected, an error, a hit", []string{"unconnected", "fault", "hit"}, client.Satisfied, 3},
-		{"errors without end", []string{"fault"}, client.Rejected, 3}} {
+	}{{"hit", []string{"hit"}, client.Satisfied, 1}, {"rejection, then hit at another cache", []string{"shed", "hit"}, client.Satisfied, 2},
+		{"connection failure, then error, then hit", []string{"unconnected", "fault", "hit"}, client.Satisfied, 3},
+		{"only errors", []string{"fault"}, client.Rejected, 3}} {
 		t.Run(test.name, func(t *testing.T) {
-			result, err := lookUp(t, at, insecure.NewCredentials(), fmt.Sprint("a", i), test.words...)
+			result, err := lookUp(t, target, insecure.NewCredentials(), fmt.Sprint("a", i), test.words...)
 			if err != nil || result.Kind != test.result || len(result.Attempts) != test.attempts {
-				t.Errorf("%+v, %v", result, err)
+				t.Errorf("wrong result or number of attempts: %+v, %v", result, err)
 			}
 		})
 	}
-	t.Run("one that was answered before is refused", func(t *testing.T) {
-		if result, err := lookUp(t, at, insecure.NewCredentials(), "a0", "hit"); err != nil || result.Kind != client.Refused || result.Status != 409 {
-			t.Errorf("%+v, %v", result, err)
+	t.Run("lookup that was answered before is refused", func(t *testing.T) {
+		if result, err := lookUp(t, target, insecure.NewCredentials(), "a0", "hit"); err != nil || result.Kind != client.Refused || result.Status != 409 {
+			t.Errorf("got %+v, %v; expected a refusal with status 409", result, err)
 		}
 	})
 }
 
-// A Unix socket in use is refused, one left behind is taken over.
+// TestUnixSocket checks the mode of the Unix socket, that a socket in use is refused,
+// and that a socket whose process has ended without removing it is replaced.
 func TestUnixSocket(t *testing.T) {
 	configuration := &config.ExternalProcessor{Listen: "unix:" + filepath.Join(t.TempDir(), "listener")}
 	startListener(t, configuration)
@@ -108,20 +111,20 @@
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != socketMode {
 		t.Error(info, err)
 	}
-	left, err := net.Listen("unix", path+"2")
+	stale, err := net.Listen("unix", path+"2")
 	if err != nil {
 		t.Fatal(err)
 	}
-	left.(*net.UnixListener).SetUnlinkOnClose(false)
-	left.Close()
-	again, err := listenAt(env.NewSystem(io.Discard, slog.LevelInfo), configuration.Listen+"2")
+	stale.(*net.UnixListener).SetUnlinkOnClose(false)
+	stale.Close()
+	replaced, err := listenAt(env.NewSystem(io.Discard, slog.LevelInfo), configuration.Listen+"2")
 	if err != nil {
 		t.Fatal(err)
 	}
-	again.Close()
+	replaced.Close()
 }
 
-// A configuration that moves the listener is refused, a table is taken.
+// TestPrepareReload checks that a reload cannot change the listen address, and that a new table is applied.
 func TestPrepareReload(t *testing.T) {
 	configuration := &config.ExternalProcessor{Listen: "unix:" + filepath.Join(t.TempDir(), "listener")}
 	l := startListener(t, configuration)
@@ -132,65 +135,66 @@
 	}
 	other = *configuration
 	other.Table = []config.LookupRule{{Path: "/other", Kind: "segment", Object: "o", ID: "header:x-job-id"}}
-	change, err := l.PrepareReload(&config.Config{ExternalProcessor: &other})
+	apply, err := l.PrepareReload(&config.Config{ExternalProcessor: &other})
 	if err != nil {
 		t.Fatal(err)
 	}
-	change()
+	apply()
 	if result, err := lookUp(t, configuration.Listen, insecure.NewCredentials(), "b1", "hit"); err != nil || result.Status != 404 {
-		t.Errorf("%+v, %v", result, err)
+		t.Errorf("got %+v, %v; expected status 404", result, err)
 	}
 }
 
-// Callers with certificates.
+// TestTLS checks callers with and without a valid certificate, the reload
+// of certificates, and the refusal of a key file that others may read.
 func TestTLS(t *testing.T) {
 	dir := t.TempDir()
-	ours, theirs := newAuthority(t, dir), newAuthority(t, t.TempDir())
-	ours.issue("listener", ours)
-	ours.issue("edge", ours)
-	theirs.issue("stranger", theirs)
-	at := freeAddr()
-	configuration := &config.ExternalProcessor{Listen: at, TLS: &config.TLS{Cert: dir + "/listener.crt", Key: dir + "/listener.key", ClientCA: dir + "/ca.crt"}}
+	trusted, untrusted := newAuthority(t, dir), newAuthority(t, t.TempDir())
+	trusted.issue("listener", trusted)
+	trusted.issue("edge", trusted)
+	untrusted.issue("stranger", untrusted)
+	addr := freeAddr()
+	configuration := &config.ExternalProcessor{Listen: addr, TLS: &config.TLS{Cert: dir + "/listener.crt", Key: dir + "/listener.key", ClientCA: dir + "/ca.crt"}}
 	l := startListener(t, configuration)
-	creds := func(by *authority, name string) credentials.TransportCredentials {
-		return ours.clientCredentials(by, name)
+	creds := func(issuer *authority, name string) credentials.TransportCredentials {
+		return trusted.clientCredentials(issuer, name)
 	}
-	if result, err := lookUp(t, at, creds(ours, "edge"), "a", "hit"); err != nil || result.Kind != client.Satisfied {
-		t.Fatalf("%+v, %v", result, err)
+	if result, err := lookUp(t, addr, creds(trusted, "edge"), "a", "hit"); err != nil || result.Kind != client.Satisfied {
+		t.Fatalf("lookup with a valid certificate not satisfied: %+v, %v", result, err)
 	}
-	for name, c := range map[string]credentials.TransportCredentials{"no certificate": creds(nil, ""), "a stranger's": creds(theirs, "stranger"),
+	for name, c := range map[string]credentials.TransportCredentials{"no certificate": creds(nil, ""), "certificate of another authority": creds(untrusted, "stranger"),
 		"no TLS": insecure.NewCredentials()} {
 		t.Run(name+" is refused", func(t *testing.T) {
-			if result, err := lookUp(t, at, c, "b", "hit"); err == nil {
-				t.Errorf("%+v", result)
+			if result, err := lookUp(t, addr, c, "b", "hit"); err == nil {
+				t.Errorf("lookup was not refused: %+v", result)
 			}
 		})
 	}
-	t.Run("keys are reloaded, and open streams go on", func(t *testing.T) {
-		conn, err := grpc.NewClient(at, grpc.WithTransportCredentials(creds(ours, "edge")))
+	t.Run("certificates are reloaded and open streams continue", func(t *testing.T) {
+		conn, err := grpc.NewClient(addr, grpc.WithTransportCredentials(creds(trusted, "edge")))
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		during := func(_ context.Context, d client.Decision) client.AttemptOutcome {
-			ours.issue("listener", ours) // a new certificate under the same name
-			change, err := l.PrepareReload(&config.Config{ExternalProcessor: configuration})
+		attempt := func(_ context.Context, d client.Decision) client.AttemptOutcome {
+			trusted.issue("listener", trusted) // a new certificate under the same name
+			apply, err := l.PrepareReload(&config.Config{ExternalProcessor: configuration})
 			if err != nil {
 				t.Error(err)
 				return client.AttemptOutcome{}
 			}
-			change()
-			if result, err := lookUp(t, at, creds(ours, "edge"), "d", "hit"); err != nil || result.Kind != client.Satisfied {
-				t.Errorf("%+v, %v", result, err)
+			apply()
+			if result, err := lookUp(t, addr, creds(trusted, "edge"), "d", "hit"); err != nil || result.Kind != client.Satisfied {
+				t.Errorf("lookup after the reload not satisfied: %+v, %v", result, err)
 			}
 			return client.AttemptOutcome{Word: "hit", CreatedAt: time.Now()}
 		}
-		result, err := client.New(conn).Lookup(context.Background(), client.Request{Path: "/call/segment/o/part-1", Header: http.Header{"X-Job-Id": {"c"}}}, during)
+		result, err := client.New(conn).Lookup(context.Background(), client.Request{Path: "/call/segment/o/part-1", Header: http.Header{"X-Job-Id": {"c"}}}, attempt)
 		if err != nil || result.Kind != client.Satisfied {
-			t.Errorf("%+v, %v", result, err)
+			t.Errorf("lookup that was open during the reload not satisfied: %+v, %v", result, err)
 		}
 	})
-	t.Run("a key that others may read is refused", func(t *testing.T) {
+	t.Run("key file that others may read is refused", func(t *testing.T) {
 		os.Chmod(dir+"/listener.key", 0o644)
 		if _, err := l.PrepareReload(&config.Config{ExternalProcessor: configuration}); err == nil || !strings.Contains(err.Error(), "chmod 600") {
 			t.Error(err)
@@ -198,7 +202,8 @@
 	})
 }
 
-// A caller that breaks off many streams says nothing of the caches: another caller's lookups go where they went.
+// TestBrokenStreamsEjectNoCache guards against ejecting a cache because a caller breaks off many streams during
+// attempts. Such a stream is no evidence about the cache. Later lookups must go to the same cache as before.
 func TestBrokenStreamsEjectNoCache(t *testing.T) {
 	configuration := &config.ExternalProcessor{Listen: "unix:" + filepath.Join(t.TempDir(), "listener")}
 	l := startListener(t, configuration)
@@ -207,19 +212,19 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	where := func(id string) string {
+	cacheFor := func(id string) string {
 		result, err := lookUp(t, configuration.Listen, insecure.NewCredentials(), id, "hit")
 		if err != nil || result.Kind != client.Satisfied {
-			t.Fatalf("%+v, %v", result, err)
+			t.Fatalf("lookup not satisfied: %+v, %v", result, err)
 		}
 		return result.Attempts[0].Cache
 	}
-	before := where("before")
+	before := cacheFor("before")
 	for i := range 12 {
-		ctx, leave := context.WithCancel(context.Background())
+		ctx, cancel := context.WithCancel(context.Background())
 		client.New(conn).Lookup(ctx, client.Request{Path: "/call/segment/o/part-1", Header: http.Header{"X-Job-Id": {fmt.Sprint("left", i)}}},
 			func(context.Context, client.Decision) client.AttemptOutcome {
-				leave()
+				cancel()
 				time.Sleep(5 * time.Millisecond)
 				return client.AttemptOutcome{}
 			})
@@ -230,7 +235,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	if after := where("after"); after != before || l.Anomalies()["stream_ended_with_send"] != 12 {
-		t.Errorf("%s before, %s after, %v", before, after, l.Anomalies())
+	if after := cacheFor("after"); after != before || l.Anomalies()["stream_ended_with_send"] != 12 {
+		t.Errorf("cache %s before and %s after the broken streams, expected the same; anomalies %v, expected stream_ended_with_send:12", before, after, l.Anomalies())
 	}
 }
