--- a/internal/freshness/assess.go
+++ b/internal/freshness/assess.go
@@ -68,8 +68,8 @@
 		age = 0
 	}
 	departuresPerHour := (priorDepartures + float64(max(0, history.Departures))) / (priorHours + max(0, history.CacheHours))
-	lasts := math.Exp(-departuresPerHour * age.Hours())
-	return (float64(history.Responded) + priorWeight*lasts) / (float64(history.Responded+history.Failed) + priorWeight)
+	survival := math.Exp(-departuresPerHour * age.Hours())
+	return (float64(history.Responded) + priorWeight*survival) / (float64(history.Responded+history.Failed) + priorWeight)
 }
 
 // Assess returns how far an entry is relied on, and the share of a warm cache's work that it may get at first.
--- a/internal/freshness/assess_test.go
+++ b/internal/freshness/assess_test.go
@@ -6,28 +6,28 @@
 )
 
 func TestAssess(t *testing.T) {
-	calm := History{CacheHours: 10000, Departures: 5}
-	churned := History{CacheHours: 1000, Departures: 900}
+	stable := History{CacheHours: 10000, Departures: 5}
+	churning := History{CacheHours: 1000, Departures: 900}
 	for _, test := range []struct {
 		name     string
 		history  History
 		evidence Evidence
 		want     Confidence
 	}{
-		{"current this moment: it may have restarted since", calm, Evidence{Age: time.Second}, OnProbation},
-		{"a minute old", calm, Evidence{Age: time.Minute}, OnProbation},
-		{"an hour old in a calm fleet", calm, Evidence{Age: time.Hour}, OnProbation},
-		{"a month old in a calm fleet", calm, Evidence{Age: 30 * 24 * time.Hour}, OnProbation},
+		{"current this moment: it may have restarted since", stable, Evidence{Age: time.Second}, OnProbation},
+		{"a minute old", stable, Evidence{Age: time.Minute}, OnProbation},
+		{"an hour old in a stable fleet", stable, Evidence{Age: time.Hour}, OnProbation},
+		{"a month old in a stable fleet", stable, Evidence{Age: 30 * 24 * time.Hour}, OnProbation},
 		{"a month old, nothing known of the fleet", History{}, Evidence{Age: 30 * 24 * time.Hour}, Suspect},
-		{"two hours old where caches last an hour", churned, Evidence{Age: 2 * time.Hour}, Suspect},
-		{"a day old there", churned, Evidence{Age: 24 * time.Hour}, Excluded},
-		{"draining, however new", calm, Evidence{Withdrawn: true}, Excluded},
-		{"ejected when the list was stored", calm, Evidence{Age: time.Second, Ejected: true}, Suspect},
-		{"failed", calm, Evidence{Age: time.Second, Failed: true}, Suspect},
-		{"responded: it is there, and perhaps empty", churned, Evidence{Age: 24 * time.Hour, Responded: true}, OnProbation},
-		{"from an operator's file", calm, Evidence{Age: time.Second, Imported: true}, OnProbation},
+		{"two hours old where caches last an hour", churning, Evidence{Age: 2 * time.Hour}, Suspect},
+		{"a day old there", churning, Evidence{Age: 24 * time.Hour}, Excluded},
+		{"draining, however new", stable, Evidence{Withdrawn: true}, Excluded},
+		{"ejected when the list was stored", stable, Evidence{Age: time.Second, Ejected: true}, Suspect},
+		{"failed", stable, Evidence{Age: time.Second, Failed: true}, Suspect},
+		{"responded: it is there, and perhaps empty", churning, Evidence{Age: 24 * time.Hour, Responded: true}, OnProbation},
+		{"from an operator's file", stable, Evidence{Age: time.Second, Imported: true}, OnProbation},
 		{"from the future: a clock was wrong", History{}, Evidence{Age: -time.Hour}, Suspect},
-		{"a little from the future: clocks differ", calm, Evidence{Age: -time.Second}, OnProbation},
+		{"a little from the future: clocks differ", stable, Evidence{Age: -time.Second}, OnProbation},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got, _ := Assess(test.history, test.evidence); got != test.want {
--- a/internal/freshness/tracker.go
+++ b/internal/freshness/tracker.go
@@ -89,15 +89,15 @@
 		return
 	}
 	if observation == Failure {
-		t.noteFailure(e)
+		t.recordFailure(e)
 		return
 	}
-	t.noteResponse(e)
+	t.recordResponse(e)
 	switch {
 	case observation == Hit && e.isParent:
-		e.odds *= t.fadedFactor(parentHitFactor, now)
+		e.odds *= t.decayedFactor(parentHitFactor, now)
 	case observation == Hit:
-		e.odds *= t.fadedFactor(hitFactor, now)
+		e.odds *= t.decayedFactor(hitFactor, now)
 	case observation == Miss && e.isParent:
 		e.odds *= parentMissFactor
 	case observation == Miss:
@@ -105,8 +105,8 @@
 	}
 }
 
-// noteFailure counts a failure. An entry that has responded stays so: what it does from then on is the policy's to assess.
-func (t *Tracker) noteFailure(e *entry) {
+// recordFailure counts a failure. An entry that has responded stays so: what it does from then on is the policy's to assess.
+func (t *Tracker) recordFailure(e *entry) {
 	e.failures++
 	if e.failures >= failuresUntilFailed && !e.evidence.Responded && !e.evidence.Failed {
 		e.evidence.Failed = true
@@ -114,7 +114,7 @@
 	}
 }
 
-func (t *Tracker) noteResponse(e *entry) {
+func (t *Tracker) recordResponse(e *entry) {
 	e.failures = 0
 	if e.evidence.Responded {
 		return
@@ -127,8 +127,8 @@
 	}
 }
 
-// fadedFactor lets a hit's factor fall to 1 over hitEvidenceWindow.
-func (t *Tracker) fadedFactor(factor float64, now time.Time) float64 {
+// decayedFactor lets a hit's factor fall to 1 over hitEvidenceWindow.
+func (t *Tracker) decayedFactor(factor float64, now time.Time) float64 {
 	return 1 + (factor-1)*max(0, 1-now.Sub(t.startedAt).Seconds()/hitEvidenceWindow.Seconds())
 }
 
--- a/internal/purgelog/size_test.go
+++ b/internal/purgelog/size_test.go
@@ -34,7 +34,7 @@
 type recordCost struct {
 	microseconds float64 // of a core, for one Record
 	heapBytes    float64 // of one purge held
-	left         int     // purges held at the end
+	retained     int     // purges held at the end
 }
 
 // measureRecord holds so many purges of different objects and then records 100 or more, 10 ms of the clock apart, as 100 a second come.
@@ -59,7 +59,7 @@
 		clock.now = clock.now.Add(10 * time.Millisecond)
 	}
 	measured.microseconds = float64((cpuTime() - start).Microseconds()) / float64(more)
-	measured.left = len(l.objects)
+	measured.retained = len(l.objects)
 	return measured
 }
 
@@ -76,8 +76,8 @@
 			m := measureRecord(held)
 			t.Logf("held %d run %d: %.1f us of a core a purge, %.2f%% of a core at 100/s, %.0f bytes one held", held, run+1, m.microseconds,
 				m.microseconds*100/1e6*100, m.heapBytes)
-			if m.left < held || m.left > held+100 {
-				t.Errorf("%d held of %d: the test measures another number", m.left, held)
+			if m.retained < held || m.retained > held+100 {
+				t.Errorf("%d held of %d: the test measures another number", m.retained, held)
 			}
 		}
 	}
--- a/internal/store/snapshot/kill_test.go
+++ b/internal/store/snapshot/kill_test.go
@@ -17,10 +17,10 @@
 )
 
 // listIn names the directory in which this program updates a list, as the process that the test kills.
-const listIn = "FOLDSLIP_LIST_IN"
+const listDirEnv = "FOLDSLIP_LIST_IN"
 
 func TestMain(m *testing.M) {
-	if path := os.Getenv(listIn); path != "" {
+	if path := os.Getenv(listDirEnv); path != "" {
 		updateForever(path)
 	}
 	os.Exit(m.Run())
@@ -46,7 +46,7 @@
 func killUpdater(t *testing.T, path string, after time.Duration, awaited int64) (printed int64) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), listIn+"="+path)
+	cmd.Env = append(os.Environ(), listDirEnv+"="+path)
 	out, err := cmd.StdoutPipe()
 	if err != nil || cmd.Start() != nil {
 		t.Fatal(err)
--- a/internal/store/snapshot/snapshotter_test.go
+++ b/internal/store/snapshot/snapshotter_test.go
@@ -134,7 +134,7 @@
 	t.Fatal("waited in vain: ", what)
 }
 
-func TestUpdatesAreThereAtTheNextStart(t *testing.T) {
+func TestUpdatesAreRestoredAtTheNextStart(t *testing.T) {
 	e, _ := newTestEnv(simenv.NewDirectory())
 	s, stop := startSnapshotter(t, e, wideLimits)
 	for n := int64(1); n <= 170; n++ {
--- a/internal/store/snapshot/writer.go
+++ b/internal/store/snapshot/writer.go
@@ -11,13 +11,13 @@
 func (s *Snapshotter) Run(lifetime *env.Lifetime) error {
 	defer lifetime.OnEnd(s.wakeup.Notify)()
 	defer s.log.Close()
-	pace := &tokenBucket{rate: s.limits.WritesPerSecond, tokens: maxWriteBurst, updatedAt: s.env.Now()}
+	limiter := &tokenBucket{rate: s.limits.WritesPerSecond, tokens: maxWriteBurst, updatedAt: s.env.Now()}
 	retries := retryState{delay: minRetryDelay}
 	for {
 		if !lifetime.Ended() {
 			s.wakeup.Wait(-1)
 		}
-		if wait := pace.reserve(s.env.Now()); wait > 0 && !lifetime.Ended() {
+		if wait := limiter.reserve(s.env.Now()); wait > 0 && !lifetime.Ended() {
 			s.pause(lifetime, wait)
 		}
 		isLast := lifetime.Ended()
@@ -36,19 +36,19 @@
 
 // retryState is what the writer remembers of failed writes.
 type retryState struct {
-	failure string // the last one's text; "": the last write succeeded
-	delay   time.Duration
+	lastError string // the last one's text; "": the last write succeeded
+	delay     time.Duration
 }
 
 // logTransition logs a write's result if it differs from that of the write before.
 func (s *Snapshotter) logTransition(retries *retryState, err error) {
 	switch {
-	case err == nil && retries.failure != "":
-		s.env.Log().Info("list_write_recovered", "after", retries.failure)
+	case err == nil && retries.lastError != "":
+		s.env.Log().Info("list_write_recovered", "after", retries.lastError)
 		*retries = retryState{delay: minRetryDelay}
-	case err != nil && retries.failure != err.Error():
-		retries.failure = err.Error()
-		s.env.Log().Warn("list_write_failed", "error", retries.failure, "retry_ms", retries.delay.Milliseconds())
+	case err != nil && retries.lastError != err.Error():
+		retries.lastError = err.Error()
+		s.env.Log().Warn("list_write_failed", "error", retries.lastError, "retry_ms", retries.delay.Milliseconds())
 	}
 }
 
--- a/internal/store/wal/frozen_test.go
+++ b/internal/store/wal/frozen_test.go
@@ -17,11 +17,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fresh, err := env.OpenOSDirectory(t.TempDir())
+	rewritten, err := env.OpenOSDirectory(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	log, _, err := wal.Open(fresh, "list")
+	log, _, err := wal.Open(rewritten, "list")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,23 +30,23 @@
 		if err := os.WriteFile(filepath.Join(old.Path, name), frozen.Read(t, name), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		held, err := wal.Read(old, "list")
-		if err != nil || held.Generation != uint64(i+1) || held.LostBytes != 0 || len(held.Skipped) != 0 {
-			t.Fatal(held, err)
+		contents, err := wal.Read(old, "list")
+		if err != nil || contents.Generation != uint64(i+1) || contents.LostBytes != 0 || len(contents.Skipped) != 0 {
+			t.Fatal(contents, err)
 		}
-		if err := log.WriteSnapshot(held.Snapshot); err != nil {
+		if err := log.WriteSnapshot(contents.Snapshot); err != nil {
 			t.Fatal(err)
 		}
-		if err := log.Append(held.Changes...); err != nil {
+		if err := log.Append(contents.Changes...); err != nil {
 			t.Fatal(err)
 		}
-		written, err := fresh.Read(name)
+		written, err := rewritten.Read(name)
 		if err != nil {
 			t.Fatal(err)
 		}
 		frozen.Equal(t, name, written)
 	}
-	if names, err := fresh.Names(); err != nil || !slices.Contains(names, "list-1.rec") || !slices.Contains(names, "list-2.rec") {
+	if names, err := rewritten.Names(); err != nil || !slices.Contains(names, "list-1.rec") || !slices.Contains(names, "list-2.rec") {
 		t.Error(names, err)
 	}
 }
--- a/internal/store/wal/kill_test.go
+++ b/internal/store/wal/kill_test.go
@@ -15,11 +15,11 @@
 	"foldslip/internal/store/wal"
 )
 
-// countIn names the directory in which this program counts, as the process that the test kills.
-const countIn = "FOLDSLIP_COUNT_ON"
+// countDirEnv names the directory in which this program counts, as the process that the test kills.
+const countDirEnv = "FOLDSLIP_COUNT_ON"
 
 func TestMain(m *testing.M) {
-	if path := os.Getenv(countIn); path != "" {
+	if path := os.Getenv(countDirEnv); path != "" {
 		countForever(path)
 	}
 	os.Exit(m.Run())
@@ -65,7 +65,7 @@
 func killCounter(t *testing.T, path string, after time.Duration) (printed uint64) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), countIn+"="+path)
+	cmd.Env = append(os.Environ(), countDirEnv+"="+path)
 	out, err := cmd.StdoutPipe()
 	if err != nil || cmd.Start() != nil {
 		t.Fatal(err)
--- a/internal/store/wal/wal_test.go
+++ b/internal/store/wal/wal_test.go
@@ -138,9 +138,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			underWay := states[slices.Index(states, synced)+1] // the first state where none was synced
-			if got := describe(contents); got != synced && got != underWay {
-				t.Fatalf("at operation %d, seed %d: %s, synced %s, under way %s", operations, seed, got, synced, underWay)
+			next := states[slices.Index(states, synced)+1] // the first state where none was synced
+			if got := describe(contents); got != synced && got != next {
+				t.Fatalf("at operation %d, seed %d: %s, synced %s, under way %s", operations, seed, got, synced, next)
 			}
 		}
 	}
--- a/internal/warmstart/discovery.go
+++ b/internal/warmstart/discovery.go
@@ -77,15 +77,15 @@
 	if r == nil {
 		return false
 	}
-	hasRestarted = r.noteRegression(reported < known)
+	hasRestarted = r.countRegression(reported < known)
 	if reported == known {
 		r.snapshotter.MarkCurrent()
 	}
 	return hasRestarted
 }
 
-// noteRegression counts numbers below the last one known and reports whether they are enough.
-func (r *Reconciler) noteRegression(isRegression bool) bool {
+// countRegression counts numbers below the last one known and reports whether they are enough.
+func (r *Reconciler) countRegression(isRegression bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !isRegression {
--- a/internal/warmstart/reconciler_test.go
+++ b/internal/warmstart/reconciler_test.go
@@ -182,7 +182,7 @@
 	})
 }
 
-func TestDiscoveryComesBack(t *testing.T) {
+func TestDiscoveryRecovery(t *testing.T) {
 	t.Run("a complete list ends the use of the stored one, and is logged", func(t *testing.T) {
 		f := newFixture(t, completeList)
 		f.reconciler.Start(f.purges)
