--- a/internal/store/endpoints/apply.go
+++ b/internal/store/endpoints/apply.go
@@ -8,7 +8,8 @@
 
 const hourMS = 3_600_000
 
-// Apply carries an update out. A time that runs backwards counts as standing still.
+// Apply applies an update. An update that is older than the state adds no cache-hours, and neither ChangedAt nor
+// CurrentAsOf ever decreases.
 func (s *State) Apply(u Update) {
 	if u.DiscoveryAddr != "" {
 		s.DiscoveryAddr = u.DiscoveryAddr
@@ -18,7 +19,8 @@
 	}
 	isFromDiscovery := u.StillCurrent || u.Complete || len(u.Endpoints) > 0
 	if isFromDiscovery && s.ChangedAt > 0 && u.At > s.ChangedAt {
-		watchedMS := min(u.At-s.ChangedAt, hourMS) // a longer gap was not watched
+		// At most one hour is added, because the gateway did not watch the list during a longer gap.
+		watchedMS := min(u.At-s.ChangedAt, hourMS)
 		s.CacheHours += float64(watchedMS) / hourMS * float64(len(s.Endpoints))
 	}
 	s.ChangedAt = max(s.ChangedAt, u.At)
@@ -41,7 +43,8 @@
 	s.enforceLimits()
 }
 
-// Import adds an operator's endpoints. They say nothing of how long the list was current.
+// Import adds endpoints from an operator's file. It changes neither CurrentAsOf nor CacheHours, because the file does
+// not show until when the list was current.
 func (s *State) Import(u Update) {
 	for _, e := range u.Endpoints {
 		e.Source = Imported
@@ -50,7 +53,7 @@
 	s.enforceLimits()
 }
 
-// removeUnlisted removes the endpoints that a complete list does not name.
+// removeUnlisted removes the endpoints that are missing from a complete list.
 func (s *State) removeUnlisted(u Update) {
 	listed := idSet(u.Endpoints)
 	for id := range s.Endpoints {
@@ -68,7 +71,8 @@
 	return ids
 }
 
-// applyEndpoint takes one row of a list. Only discovery brings a cache back that drains or was removed, an imported list does not.
+// applyEndpoint adds, updates or removes one endpoint. Only discovery can bring back a cache that is draining or was
+// removed. An imported endpoint is ignored if its cache has a tombstone or was reported by discovery.
 func (s *State) applyEndpoint(e Endpoint, at int64) {
 	before, isKnown := s.Endpoints[e.ID]
 	tombstone := s.Tombstones[e.ID]
@@ -81,7 +85,8 @@
 	case e.Source == Imported && isKnown && before.Source == Discovered:
 		return
 	}
-	if tombstone.Removed && e.Source == Discovered { // it had not left: discovery read the list from its beginning
+	// The cache had not left: it is listed again because discovery read its list from the beginning.
+	if tombstone.Removed && e.Source == Discovered {
 		s.Departures = max(0, s.Departures-1)
 	}
 	if e.Phase == Draining {
@@ -101,7 +106,8 @@
 	s.Endpoints[e.ID] = e
 }
 
-// claimAddr gives an address to the endpoint that was listed there last: a draining one that had it goes.
+// claimAddr assigns an address to the endpoint that was listed with it last. A draining endpoint that had the address
+// is removed.
 func (s *State) claimAddr(e Endpoint, addrBefore string) {
 	if id := s.drainingByAddr[e.Addr]; id != "" && id != e.ID {
 		delete(s.Endpoints, id)
@@ -123,7 +129,7 @@
 	s.Tombstones[id] = Tombstone{ID: id, At: at, Removed: true}
 }
 
-// applyHealth notes which endpoints are ejected and which responded.
+// applyHealth updates the ejection times and the last response times of the endpoints.
 func (s *State) applyHealth(u Update) {
 	isEjected := map[string]bool{}
 	for _, id := range u.Ejected {
@@ -145,9 +151,11 @@
 	}
 }
 
-// enforceLimits drops what is past the bounds, oldest first.
+// enforceLimits drops the oldest tombstones and endpoints above the limits. Imported endpoints are dropped before those
+// that discovery reported.
 func (s *State) enforceLimits() {
-	if n := len(s.Tombstones) - MaxTombstones; n > tombstoneSlack { // in one sort for many, since an update must cost little
+	// One sort drops many tombstones, so that the average cost of an update stays low.
+	if n := len(s.Tombstones) - MaxTombstones; n > tombstoneSlack {
 		oldest := slices.SortedFunc(maps.Values(s.Tombstones), func(a, b Tombstone) int {
 			return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.ID, b.ID))
 		})
--- a/internal/store/endpoints/codec.go
+++ b/internal/store/endpoints/codec.go
@@ -7,26 +7,28 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// FormatVersion stands in front of each encoded form. An older one is read, a newer one refused.
+// FormatVersion is the first byte of each encoded snapshot and update. Older versions are decoded. Newer versions are
+// rejected with ErrNewerVersion.
 const FormatVersion = 1
 
-// ErrNewerVersion reports a form of a newer version than this program reads. Run a program of that version, or forget the list.
+// ErrNewerVersion reports an encoding whose version is newer than FormatVersion. The remedy is to run a program of that
+// version or to remove the stored list.
 var ErrNewerVersion = errors.New("written by a newer version of this program")
 
-var errEmpty = errors.New("nothing written")
+var errEmpty = errors.New("empty encoding: the version byte is missing")
 
-// RestoreError says which part of a stored list cannot be read. What was before it is restored.
+// RestoreError reports the part of a stored list that cannot be decoded. All parts before it are restored.
 type RestoreError struct {
-	Update int // its number after the snapshot, from 1; 0: the snapshot itself
+	Update int // number of the update after the snapshot, counted from 1; 0 means the snapshot
 	Err    error
 }
 
-// Error names the part and the cause.
+// Error returns the name of the part and the cause.
 func (e *RestoreError) Error() string {
 	if e.Update == 0 {
 		return fmt.Sprintf("snapshot: %v", e.Err)
 	}
-	return fmt.Sprintf("change %d: %v", e.Update, e.Err)
+	return fmt.Sprintf("update %d after the snapshot: %v", e.Update, e.Err)
 }
 
 // Unwrap returns the cause.
@@ -42,17 +44,17 @@
 var decoder = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: 4 * MaxEndpoints, MaxMapPairs: 64, MaxNestedLevels: 8}.DecMode()
 	if err != nil {
-		panic(err) // the options are constants
+		panic(err) // impossible: the options are constants
 	}
 	return mode
 }()
 
-// Snapshot encodes the state. Equal states give equal bytes.
+// Snapshot returns the encoded state. Equal states have equal encodings.
 func (s *State) Snapshot() ([]byte, error) {
 	return encode(encodedState{State: *s, Endpoints: s.Sorted(), Tombstones: s.SortedTombstones(), Purges: s.Purges})
 }
 
-// Encode encodes the update.
+// Encode returns the encoded update.
 func (u Update) Encode() ([]byte, error) { return encode(u) }
 
 func encode(value any) ([]byte, error) {
@@ -65,13 +67,14 @@
 	case len(encoded) == 0:
 		return errEmpty
 	case encoded[0] > FormatVersion:
-		return fmt.Errorf("version %d: %w", encoded[0], ErrNewerVersion)
+		return fmt.Errorf("format version %d, expected at most %d: %w", encoded[0], FormatVersion, ErrNewerVersion)
 	}
 	return decoder.Unmarshal(encoded[1:], into)
 }
 
-// Restore builds a state from a snapshot, nil if there is none, and the updates since. At the first part that cannot be read it stops and
-// returns what was restored so far, with a *RestoreError.
+// Restore rebuilds a state from an encoded snapshot and the encoded updates that followed it. snapshot is nil if there
+// is none. Restore stops at the first part that cannot be decoded and returns the state restored so far with a
+// *RestoreError.
 func Restore(snapshot []byte, updates [][]byte) (*State, error) {
 	s := New()
 	if snapshot != nil {
--- a/internal/store/endpoints/endpoints_test.go
+++ b/internal/store/endpoints/endpoints_test.go
@@ -11,7 +11,7 @@
 	return Endpoint{ID: id, Addr: addr, Zone: "town", MachineType: "edge"}
 }
 
-// encodedUpdates encodes updates one by one.
+// encodedUpdates returns the encoding of each update.
 func encodedUpdates(t *testing.T, updates ...Update) (encoded [][]byte) {
 	t.Helper()
 	for _, u := range updates {
@@ -33,7 +33,8 @@
 	return encoded
 }
 
-// A snapshot at any point and the updates since then give the same state again.
+// Guards against a snapshot that omits part of the state. The test takes a snapshot before each update in turn. The
+// snapshot and the updates after it must restore the same state as all updates together.
 func TestSnapshotAndUpdatesGiveTheSameState(t *testing.T) {
 	encoded := encodedUpdates(t,
 		Update{At: 1 * hourMS, DiscoveryAddr: "10.0.0.1:8500", LastEvent: 1, Complete: true, Endpoints: []Endpoint{endpointAt("a", "1:1"), endpointAt("b", "2:1"), endpointAt("c", "3:1")}},
@@ -55,35 +56,35 @@
 			t.Fatal(err)
 		}
 		if got := snapshotOf(t, restored); !bytes.Equal(got, want) {
-			t.Errorf("another state after a snapshot at %d:\n%+v\n%+v", i, restored, complete)
+			t.Errorf("snapshot of the first %d updates and the rest: got state\n%+v\nwant\n%+v", i, restored, complete)
 		}
 	}
 	if len(complete.Endpoints) != 3 || !complete.Tombstones["a"].Removed || complete.Departures != 1 || complete.Endpoints["c"].EjectedAt == 0 || complete.LastEvent != 4 {
-		t.Errorf("%+v", complete)
+		t.Errorf("unexpected state after all updates: %+v", complete)
 	}
 	if d := complete.Endpoints["d"]; d.LastResponseAt != 0 || d.ListedAt != 5*hourMS || complete.CurrentAsOf != 6*hourMS {
-		t.Errorf("the new cache at an old address: %+v", d)
+		t.Errorf("unexpected endpoint of the new cache at the address of a removed one: %+v", d)
 	}
 }
 
 func TestUpdates(t *testing.T) {
-	t.Run("a drain is not undone by an imported list, only by discovery", func(t *testing.T) {
+	t.Run("discovery can undo a drain, an imported list cannot", func(t *testing.T) {
 		s := New()
 		s.Apply(Update{At: 1, Endpoints: []Endpoint{endpointAt("a", "1:1")}})
 		s.Apply(Update{At: 2, Endpoints: []Endpoint{{ID: "a", Addr: "1:1", Phase: Draining}}})
 		s.Apply(Update{At: 3, Endpoints: []Endpoint{{ID: "a", Addr: "1:1", Source: Imported}}})
 		if s.Endpoints["a"].Phase != Draining || s.Tombstones["a"].ID == "" {
-			t.Errorf("%+v", s)
+			t.Errorf("imported endpoint undid the drain: %+v", s)
 		}
 		s.Apply(Update{At: 4, Endpoints: []Endpoint{endpointAt("a", "1:1")}})
 		if s.Endpoints["a"].Phase != Up || s.Tombstones["a"].ID != "" {
-			t.Errorf("%+v", s)
+			t.Errorf("discovery did not undo the drain: %+v", s)
 		}
 	})
-	t.Run("a list read from its beginning counts no departures that were none", func(t *testing.T) {
+	t.Run("reading the list again from its first event counts no departures", func(t *testing.T) {
 		s := New()
 		s.Apply(Update{At: 1, Complete: true, Endpoints: []Endpoint{endpointAt("a", "1:1"), endpointAt("b", "2:1")}})
-		s.Apply(Update{At: 2, Complete: true, Endpoints: []Endpoint{endpointAt("a", "1:1")}}) // its first event once more
+		s.Apply(Update{At: 2, Complete: true, Endpoints: []Endpoint{endpointAt("a", "1:1")}}) // the first event again
 		s.Apply(Update{At: 2, Endpoints: []Endpoint{endpointAt("b", "2:1")}})
 		if s.Departures != 0 {
 			t.Error(s.Departures)
@@ -93,13 +94,13 @@
 			t.Error(s.Departures)
 		}
 	})
-	t.Run("a late start or another address is another incarnation", func(t *testing.T) {
+	t.Run("a new start time begins a new incarnation", func(t *testing.T) {
 		s := New()
 		s.Apply(Update{At: 1, Endpoints: []Endpoint{endpointAt("a", "1:1")}})
 		s.Apply(Update{At: 2, HasHealth: true, Responded: []string{"a"}})
 		s.Apply(Update{At: 3, Endpoints: []Endpoint{{ID: "a", Addr: "1:1", StartedAt: 3}}})
 		if s.Endpoints["a"].LastResponseAt != 0 {
-			t.Error("it inherits what was learnt of the incarnation before")
+			t.Error("the new incarnation has the last response time of the previous one")
 		}
 	})
 	t.Run("tombstones, purges and endpoints are bounded", func(t *testing.T) {
@@ -114,21 +115,22 @@
 		}
 		s.Apply(Update{At: 3, Complete: true})
 		if len(s.Endpoints) != 0 || len(s.Tombstones) != MaxTombstones || len(s.Purges) != MaxPurges || s.Purges[0].IssuedAt != 10 {
-			t.Errorf("%d endpoints, %d tombstones, %d purges", len(s.Endpoints), len(s.Tombstones), len(s.Purges))
+			t.Errorf("%d endpoints, %d tombstones, %d purges; want none, MaxTombstones and the newest MaxPurges", len(s.Endpoints), len(s.Tombstones), len(s.Purges))
 		}
 	})
 }
 
-// A newer version is refused, and restoring ends at what cannot be read.
+// Restore must reject a newer format version. At an update that cannot be decoded it must stop and return the state
+// from before that update.
 func TestRestoreErrors(t *testing.T) {
 	if _, err := Restore([]byte{FormatVersion + 1, 0xa0}, nil); !errors.Is(err, ErrNewerVersion) {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want ErrNewerVersion", err)
 	}
 	update := encodedUpdates(t, Update{At: 1, Endpoints: []Endpoint{endpointAt("a", "1:1")}})[0]
 	s, err := Restore(nil, [][]byte{update, {FormatVersion, 0xff}, update})
 	var restoreErr *RestoreError
 	if !errors.As(err, &restoreErr) || restoreErr.Update != 2 || len(s.Endpoints) != 1 {
-		t.Errorf("%v, %+v", err, s)
+		t.Errorf("got error %v and state %+v, want a RestoreError for update 2 and one endpoint", err, s)
 	}
 }
 
@@ -149,7 +151,7 @@
 			t.Fatal(err)
 		}
 		if _, err := Restore(encoded, nil); err != nil {
-			t.Fatal("a restored state cannot be read again:", err)
+			t.Fatal("the snapshot of a restored state cannot be decoded:", err)
 		}
 	})
 }
--- a/internal/store/endpoints/frozen_test.go
+++ b/internal/store/endpoints/frozen_test.go
@@ -6,7 +6,7 @@
 	"foldslip/internal/lab/frozen"
 )
 
-// rewrite restores a state from a snapshot file and update files and encodes it again.
+// rewrite restores a state from a snapshot file and update files and returns the snapshot of that state.
 func rewrite(t *testing.T, snapshotFile string, updateFiles ...string) []byte {
 	t.Helper()
 	var updates [][]byte
@@ -24,7 +24,8 @@
 	return written
 }
 
-// The files under testdata were written by the build before the names of Go changed.
+// Guards against a change of the stored format. The files under testdata were written by the last build before the Go
+// identifiers were renamed.
 func TestSnapshotsKeepTheirForm(t *testing.T) {
 	frozen.Equal(t, "snapshot.bin", rewrite(t, "snapshot.bin"))
 	frozen.Equal(t, "empty-snapshot.bin", rewrite(t, "empty-snapshot.bin"))
@@ -55,7 +56,7 @@
 		}
 		frozen.Equal(t, name, written)
 		if name == "change.bin" {
-			update.Endpoints = update.Endpoints[1:] // the one with all fields
+			update.Endpoints = update.Endpoints[1:] // the next endpoint has all fields set
 			frozen.Complete(t, name, update)
 		}
 	}
