--- a/internal/store/snapshot/bench_test.go
+++ b/internal/store/snapshot/bench_test.go
@@ -27,7 +27,7 @@
 	return update
 }
 
-// openFleet opens a list on the file system and writes the fleet to it.
+// openFleet opens a list in a directory of the file system and writes the endpoints of the whole fleet to it.
 func openFleet(b *testing.B, path string) *Snapshotter {
 	b.Helper()
 	s, _, err := Open(env.NewSystem(io.Discard, slog.LevelInfo), path, Limits{8 << 20, 2})
@@ -41,8 +41,9 @@
 	return s
 }
 
-// BenchmarkApply takes one update of a cache in a fleet of 10,000, on the file system. It reports the time that the caller waits, and the
-// bytes on disk and the syncs of an update at 2 writes and 100 updates a second.
+// BenchmarkApply measures Apply for one changed endpoint of a fleet of 10,000 caches, with a list on the file system. It
+// reports the time that the caller waits, the bytes written to disk per update and the syncs per update. There is one
+// write for every 50 updates, which corresponds to 2 writes and 100 updates a second.
 func BenchmarkApply(b *testing.B) {
 	s := openFleet(b, b.TempDir())
 	updates, writes := 0, 0
@@ -51,7 +52,7 @@
 	for b.Loop() {
 		updates++
 		s.Apply(endpoints.Update{LastEvent: int64(1 + updates), Endpoints: []endpoints.Endpoint{fleetEndpoint(updates%fleetSize, endpoints.Phase(updates/fleetSize%2))}})
-		if updates%50 == 0 { // half a second of them
+		if updates%50 == 0 { // half a second of updates
 			b.StopTimer()
 			if err := s.flush(); err != nil {
 				b.Fatal(err)
@@ -71,7 +72,8 @@
 	s.log.Close()
 }
 
-// BenchmarkStart reads a list of 10,000 caches with 1,000 updates since its snapshot.
+// BenchmarkStart measures reading and restoring a stored list of 10,000 caches with 1,000 updates after its snapshot. It
+// also reports the heap that the restored list occupies.
 func BenchmarkStart(b *testing.B) {
 	path := b.TempDir()
 	s := openFleet(b, path)
--- a/internal/store/snapshot/frozen_test.go
+++ b/internal/store/snapshot/frozen_test.go
@@ -14,7 +14,7 @@
 	"foldslip/internal/store/endpoints"
 )
 
-// adjustableClock is the system's environment with a clock that the test moves.
+// adjustableClock is the system environment with a clock that the test sets.
 type adjustableClock struct {
 	env.Environment
 	milliseconds atomic.Int64
@@ -22,7 +22,8 @@
 
 func (c *adjustableClock) Now() time.Time { return time.UnixMilli(c.milliseconds.Load()) }
 
-// recordedGeneration plays one list into an empty directory and returns its first generation's file.
+// recordedGeneration writes a fixed sequence of updates to a list in an empty directory and returns the file of the
+// first generation.
 func recordedGeneration(t *testing.T) []byte {
 	t.Helper()
 	directory := t.TempDir()
@@ -58,10 +59,10 @@
 		waitForGrowth("an update")
 	}
 	s.UpdateHealth([]string{"edge-0"}, []string{"edge-0"})
-	waitForGrowth("health")
+	waitForGrowth("the health update")
 	clock.milliseconds.Add(time.Minute.Milliseconds())
 	s.MarkCurrent()
-	waitForGrowth("that the list is current")
+	waitForGrowth("the confirmation that the list is current")
 	s.Apply(endpoints.Update{Complete: true, LastEvent: 9, DiscoveryAddr: "10.7.0.1:8500", Endpoints: []endpoints.Endpoint{
 		{ID: "c1", Addr: "10.0.0.1:80", Zone: "town", MachineType: "edge"}}})
 	waitForGrowth("a complete list")
@@ -72,7 +73,8 @@
 	return content
 }
 
-// The file under testdata was written by the build before the names of Go changed.
+// Guards against a change of the stored format. The file under testdata was written by the last build before the Go
+// identifiers were renamed.
 func TestTheStoredListFormatIsUnchanged(t *testing.T) {
 	frozen.Equal(t, "list-1.rec", recordedGeneration(t))
 }
--- a/internal/store/snapshot/kill_test.go
+++ b/internal/store/snapshot/kill_test.go
@@ -16,7 +16,8 @@
 	"foldslip/internal/store/wal"
 )
 
-// listIn names the directory in which this program updates a list, as the process that the test kills.
+// listDirEnv is the environment variable with the directory of the list. If it is set, the test binary runs as the
+// process that the test kills and updates that list.
 const listDirEnv = "FOLDSLIP_LIST_IN"
 
 func TestMain(m *testing.M) {
@@ -26,7 +27,8 @@
 	os.Exit(m.Run())
 }
 
-// updateForever applies numbered updates and prints, now and then, the last that is on disk.
+// updateForever applies numbered updates until the process is killed. After every third update it prints the number of
+// the last update that is on disk.
 func updateForever(path string) {
 	s, _, err := Open(env.NewSystem(io.Discard, slog.LevelInfo), path, Limits{64 << 10, 1e6})
 	if err != nil {
@@ -41,8 +43,9 @@
 	}
 }
 
-// killUpdater starts a process that updates the list and kills it some time after it is at work, or after it has printed more than
-// awaited. It returns the last number that the process printed.
+// killUpdater starts a process that updates the list. It kills the process the given time after the process has printed
+// a number above awaited. With an awaited of -1 the time starts at the first line of output. It returns the highest
+// number that the process printed.
 func killUpdater(t *testing.T, path string, after time.Duration, awaited int64) (printed int64) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
@@ -78,8 +81,10 @@
 	return s
 }
 
-// A gateway killed at random points, again and again in one directory: the list is exactly that of some number of updates, and of none fewer
-// than were printed as being on disk; so each drain that was, is there. FOLDSLIP_KILLS sets how often.
+// Guards against updates that are lost or mixed when a process is killed while it writes. The test kills processes at
+// random points, one after the other in one directory. After each kill the stored list must equal the list after some
+// number of updates, at least the number that was printed as being on disk. So no drain that was on disk is lost.
+// FOLDSLIP_KILLS sets the number of kills.
 func TestAProcessKilledWhileItWrites(t *testing.T) {
 	kills, _ := strconv.Atoi(os.Getenv("FOLDSLIP_KILLS"))
 	if kills == 0 {
@@ -91,8 +96,8 @@
 	last := int64(0)
 	want := endpoints.New()
 	for i := range kills {
-		// Every other process is left until it has written something, so that on a busy machine, where the time may be over before the
-		// disk was reached once, some are killed in their writing too.
+		// On a busy machine the time may end before a process has written anything. So every other process is killed
+		// only after it has written something, which ensures that some are killed while they write.
 		awaited := int64(-1)
 		if i%2 == 1 {
 			awaited = last
@@ -100,7 +105,7 @@
 		printed := killUpdater(t, path, time.Duration(random.IntN(8000))*time.Microsecond, awaited)
 		s := storedList(t, path)
 		if s.LastEvent < printed || s.LastEvent < last {
-			t.Fatalf("kill %d: the list ends at %d, %d was printed as being on disk", i, s.LastEvent, max(printed, last))
+			t.Fatalf("kill %d: the stored list ends at update %d, want at least %d, which was printed as being on disk", i, s.LastEvent, max(printed, last))
 		}
 		if s.LastEvent > last {
 			advanced++
@@ -109,11 +114,11 @@
 			want.Apply(numberedUpdate(last + 1))
 		}
 		if describe(s) != describe(want) {
-			t.Fatalf("kill %d: not the list of %d updates:\n%s\n%s", i, s.LastEvent, describe(s), describe(want))
+			t.Fatalf("kill %d: the stored list differs from the list after %d updates: got\n%s\nwant\n%s", i, s.LastEvent, describe(s), describe(want))
 		}
 	}
 	if advanced < kills/3 {
-		t.Errorf("only %d of %d processes wrote anything", advanced, kills)
+		t.Errorf("only %d of %d processes wrote an update, want at least a third", advanced, kills)
 	}
 	t.Logf("%d kills, %d updates", kills, last)
 }
--- a/internal/store/snapshot/snapshotter.go
+++ b/internal/store/snapshot/snapshotter.go
@@ -1,10 +1,15 @@
-// Package snapshot writes the endpoint list to disk while a gateway works and reads it at the start. An update is taken into a state in
-// memory at once, under a lock that is never held over a write, and written by one goroutine: updates that came together go out in one
-// synced append, at most so many a second. Lookups and the dispatcher's lock never wait for it.
+// Package snapshot writes the endpoint list to disk while the gateway runs and reads it at the start. Each update is
+// applied at once to a state in memory, under a lock that is never held during a write. One goroutine writes to disk. It
+// combines the pending updates into one synced append, and the rate of its writes is limited. Lookups and the
+// dispatcher's lock never wait for a write.
 //
-// A disk that is full, read-only or failing costs the list on disk and nothing else: it is logged once when that changes, and tried again
-// with backoff, with the complete state. Bounds: Limits.MaxBytes on disk for each of the two generations retained, and maxPendingBytes of
-// updates that wait; past that the next write is a snapshot.
+// If the disk is full, read-only or failing, only the list on disk is affected. A write error is logged if it differs
+// from the previous one, and the recovery is logged once. Writes are retried with backoff, and each retry writes the
+// complete state.
+//
+// Limits.MaxBytes bounds the size of each of the two generations retained on disk. maxPendingBytes bounds the updates
+// that wait for a write. Above it the next write is a snapshot, which replaces these updates. A Snapshotter lives as
+// long as the gateway.
 package snapshot
 
 import (
@@ -22,53 +27,54 @@
 
 const (
 	maxPendingBytes     = 256 << 10
-	minCompactionSize   = 64 << 10 // bytes; a smaller generation is not compacted
+	minCompactionSize   = 64 << 10 // bytes; smaller generations are not compacted
 	markCurrentInterval = 15 * time.Second
-	minRetryDelay       = time.Second // after a failed write; doubled up to maxRetryDelay
+	minRetryDelay       = time.Second // after the first failed write; doubles up to maxRetryDelay
 	maxRetryDelay       = time.Minute
-	maxWriteBurst       = 4 // writes that may follow each other at once
+	maxWriteBurst       = 4 // writes allowed in succession without a delay
 )
 
-// Limits are set by the operator.
+// Limits are the limits that the operator sets.
 type Limits struct {
-	MaxBytes        int64   // of a generation on disk; a larger snapshot is not written
-	WritesPerSecond float64 // appends and snapshots, each with its sync
+	MaxBytes        int64   // size limit of a generation on disk; a larger snapshot is not written
+	WritesPerSecond float64 // limit for appends and snapshots, each of which is synced
 }
 
-// DamagedFileError names a file that was not used because it is damaged. The list is that of the generation before.
+// DamagedFileError reports a generation's file that was skipped because it is damaged. The list was read from an older
+// generation.
 type DamagedFileError struct{ Reason string }
 
 // Error returns the file's name and the reason.
 func (e *DamagedFileError) Error() string { return e.Reason }
 
-// TooLargeError reports a list that is larger on disk than the operator allows. Raise list.bytes.
+// TooLargeError reports a list whose snapshot is larger than the operator allows. The remedy is to raise list.bytes.
 type TooLargeError struct{ Size, MaxSize int64 } // bytes
 
-// Error names both sizes.
+// Error returns both sizes.
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("the list takes %d bytes, list.bytes allows %d", e.Size, e.MaxSize)
+	return fmt.Sprintf("the list's snapshot has %d bytes, list.bytes allows %d", e.Size, e.MaxSize)
 }
 
-// Snapshotter is an open list on disk. All methods but Run are safe for concurrent use, and those that take news do nothing on a nil one, as
-// where no list is configured.
+// Snapshotter is an open list on disk. All methods except Run are safe for concurrent use. Apply, UpdateHealth and
+// MarkCurrent do nothing on a nil Snapshotter, which a gateway without a configured list uses.
 type Snapshotter struct {
 	env    env.Environment
 	limits Limits
-	log    *wal.Log     // owned by the goroutine of Run
-	wakeup env.Notifier // of that goroutine
+	log    *wal.Log     // used only by the goroutine of Run
+	wakeup env.Notifier // wakes the goroutine of Run
 
-	mu           sync.Mutex // of what follows
+	mu           sync.Mutex // guards the fields below
 	state        *endpoints.State
-	pending      [][]byte // encoded updates that are not written
+	pending      [][]byte // encoded updates that wait for a write
 	pendingBytes int
-	snapshotDue  bool            // the next write is a snapshot, and pending stays empty
-	ejected      map[string]bool // ids as last reported
+	snapshotDue  bool            // the next write is a snapshot; until then pending stays empty
+	ejected      map[string]bool // ids of the ejected caches in the last call of UpdateHealth
 	durableEvent int64
 }
 
-// Open reads the list in a directory and locks it. A directory that another process has open is an error. If the list can't be read in full,
-// damage says why: the snapshotter has what could be read, and the generation with the damage stays on disk as long as it is one of the two
-// newest. Run must follow, since it closes the list.
+// Open locks a directory and reads the list in it. It fails if another process has the directory open. If part of the
+// list cannot be read, damage is the reason, and the snapshotter holds the part that could be read. The damaged
+// generation stays on disk as long as it is one of the two newest. The caller must call Run, which closes the list.
 func Open(e env.Environment, path string, limits Limits) (s *Snapshotter, damage error, err error) {
 	directory, err := e.OpenDirectory(path)
 	if err != nil {
@@ -85,7 +91,7 @@
 	for _, reason := range contents.Skipped {
 		damage = &DamagedFileError{reason}
 	}
-	s.wakeup.Notify() // to begin a generation of its own
+	s.wakeup.Notify() // Run then begins a new generation
 	return s, damage, nil
 }
 
@@ -96,7 +102,7 @@
 	return s.state.Clone()
 }
 
-// Apply takes an update, with the present time. It does not wait for the disk.
+// Apply applies an update with the current time and queues it for the next write. It does not wait for the disk.
 func (s *Snapshotter) Apply(update endpoints.Update) {
 	if s == nil {
 		return
@@ -116,15 +122,16 @@
 	s.wakeup.Notify()
 }
 
-// requireSnapshot makes the next write a snapshot. The lock is held.
+// requireSnapshot makes the next write a snapshot and drops the pending updates, which the snapshot contains. The caller
+// holds s.mu.
 func (s *Snapshotter) requireSnapshot() {
 	s.snapshotDue = true
 	s.pending = nil
 	s.pendingBytes = 0
 }
 
-// UpdateHealth takes which caches are ejected now and which responded successfully since the last call. The list is updated if the former
-// changed.
+// UpdateHealth receives the ids of the caches that responded successfully since the last call and of those that are
+// ejected now. It updates the list only if the set of ejected caches has changed.
 func (s *Snapshotter) UpdateHealth(responded, ejected []string) {
 	if s == nil {
 		return
@@ -145,7 +152,8 @@
 	}
 }
 
-// MarkCurrent takes that discovery responded and had no changes. The list is updated at most once in markCurrentInterval.
+// MarkCurrent records that discovery responded and reported no changes. It updates the list at most once per
+// markCurrentInterval.
 func (s *Snapshotter) MarkCurrent() {
 	if s == nil {
 		return
@@ -158,7 +166,7 @@
 	}
 }
 
-// DurableEvent returns the number of the last discovery event that is safe on disk.
+// DurableEvent returns the number of the last discovery event that is synced to disk.
 func (s *Snapshotter) DurableEvent() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/snapshot/snapshotter_test.go
+++ b/internal/store/snapshot/snapshotter_test.go
@@ -17,7 +17,7 @@
 	"foldslip/internal/store/wal"
 )
 
-// testEnv is the system's environment with another directory.
+// testEnv is the system environment, except that it opens the given directory.
 type testEnv struct {
 	env.Environment
 	directory env.Directory
@@ -25,13 +25,14 @@
 
 func (e testEnv) OpenDirectory(string) (env.Directory, error) { return e.directory, nil }
 
-// newTestEnv returns an environment with a directory, and its log.
+// newTestEnv returns an environment that opens the given directory, and the buffer that it logs to.
 func newTestEnv(directory env.Directory) (testEnv, *bytes.Buffer) {
 	log := &bytes.Buffer{}
 	return testEnv{env.NewSystem(log, slog.LevelInfo), directory}, log
 }
 
-// failingDirectory fails while an error is set, and counts its syncs.
+// failingDirectory is a simulated directory. While an error is set, its creates and writes fail with that error. It
+// counts the syncs of its files.
 type failingDirectory struct {
 	*simenv.Directory
 	mu        sync.Mutex
@@ -76,14 +77,14 @@
 	return f.File.Sync()
 }
 
-// numberedUpdate is the update of a number: fifty caches that come up, drain and go in turn.
+// numberedUpdate returns update number n of a fixed sequence, in which 50 caches come up, drain and are removed in turn.
 func numberedUpdate(n int64) endpoints.Update {
 	phase := []endpoints.Phase{endpoints.Up, endpoints.Draining, endpoints.Removed}[n/50%3]
 	return endpoints.Update{LastEvent: n, DiscoveryAddr: "10.7.0.1:8500", Endpoints: []endpoints.Endpoint{
 		{ID: fmt.Sprint("edge-", n%50), Addr: fmt.Sprint("10.1.0.1:", 1000+n%50), Zone: "town", MachineType: "edge", Phase: phase}}}
 }
 
-// stateAfter describes the list after so many numbered updates.
+// stateAfter returns the description of the list after the first n numbered updates.
 func stateAfter(n int64) string {
 	s := endpoints.New()
 	for i := int64(1); i <= n; i++ {
@@ -105,7 +106,7 @@
 
 var wideLimits = Limits{MaxBytes: 1 << 20, WritesPerSecond: 1000}
 
-// startSnapshotter opens a list and runs its writer until stop is called, at the latest at the end of the test.
+// startSnapshotter opens a list and runs its writer until stop is called or the test ends.
 func startSnapshotter(t *testing.T, e env.Environment, limits Limits) (s *Snapshotter, stop func()) {
 	t.Helper()
 	s, damage, err := Open(e, "/list", limits)
@@ -131,7 +132,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("waited in vain: ", what)
+	t.Fatal("timed out while waiting for ", what)
 }
 
 func TestUpdatesAreRestoredAtTheNextStart(t *testing.T) {
@@ -147,7 +148,8 @@
 	}
 }
 
-// A directory that fails is logged once, and once when it works again; no update is lost.
+// Guards against lost updates and repeated log events when the disk fails for a while. The failure and the recovery must
+// each be logged once.
 func TestADirectoryThatFailsForAWhile(t *testing.T) {
 	directory := &failingDirectory{Directory: simenv.NewDirectory()}
 	e, log := newTestEnv(directory)
@@ -202,7 +204,7 @@
 	directory.mu.Unlock()
 	stop()
 	if maxSyncs := maxWriteBurst + 2 + int(20*elapsed.Seconds()); syncs > maxSyncs || syncs < 2 {
-		t.Errorf("%d syncs in %v, at most %d", syncs, elapsed, maxSyncs)
+		t.Errorf("%d syncs in %v, want 2 to %d", syncs, elapsed, maxSyncs)
 	}
 }
 
@@ -220,7 +222,7 @@
 	names, _ := directory.Names()
 	for _, name := range names {
 		if directory.Size(name) > 200<<10 {
-			t.Errorf("%s has %d bytes", name, directory.Size(name))
+			t.Errorf("%s has %d bytes, want at most 200 KiB", name, directory.Size(name))
 		}
 	}
 	if len(names) > 3 || s.log.Generation() < 3 {
@@ -243,7 +245,8 @@
 }
 
 func TestASecondProcessIsLockedOut(t *testing.T) {
-	// A directory of the system: the simulated one is used by one goroutine at a time, and here the snapshotter writes meanwhile.
+	// The test uses a directory of the file system. A simulated one allows only one goroutine at a time, and here the
+	// snapshotter writes during the second Open.
 	e, _ := newTestEnv(env.OSDirectory{Path: t.TempDir()})
 	startSnapshotter(t, e, wideLimits)
 	if _, _, err := Open(e, "/list", wideLimits); !errors.Is(err, wal.ErrLocked) {
@@ -262,6 +265,6 @@
 		t.Error(first, now)
 	}
 	if s.UpdateHealth(nil, nil); s.State().Endpoints["edge-1"].EjectedAt != 0 {
-		t.Error("it is still ejected")
+		t.Error("edge-1 is still ejected after UpdateHealth without ejected caches")
 	}
 }
--- a/internal/store/snapshot/writer.go
+++ b/internal/store/snapshot/writer.go
@@ -7,7 +7,7 @@
 	"foldslip/internal/store/endpoints"
 )
 
-// Run writes until the lifetime ends, and once more then. It closes the list.
+// Run writes the pending updates until the lifetime ends. Then it writes once more and closes the list.
 func (s *Snapshotter) Run(lifetime *env.Lifetime) error {
 	defer lifetime.OnEnd(s.wakeup.Notify)()
 	defer s.log.Close()
@@ -34,13 +34,13 @@
 	}
 }
 
-// retryState is what the writer remembers of failed writes.
+// retryState is the state that the writer retains between writes to handle errors.
 type retryState struct {
-	lastError string // the last one's text; "": the last write succeeded
-	delay     time.Duration
+	lastError string        // text of the last write's error; "" if that write succeeded
+	delay     time.Duration // delay before the next write after an error
 }
 
-// logTransition logs a write's result if it differs from that of the write before.
+// logTransition logs the result of a write if it differs from the result of the previous write.
 func (s *Snapshotter) logTransition(retries *retryState, err error) {
 	switch {
 	case err == nil && retries.lastError != "":
@@ -59,14 +59,14 @@
 	ended.Wait(duration)
 }
 
-// batch is what goes to disk in one write: a snapshot of a state, or else updates.
+// batch is the content of one write. It is either a snapshot of a state or a list of updates.
 type batch struct {
-	state     *endpoints.State // nil: updates
+	state     *endpoints.State // nil if the batch is a list of updates
 	updates   [][]byte
 	lastEvent int64
 }
 
-// flush writes what is pending. After an error the next write is a snapshot.
+// flush writes the pending updates, or a snapshot if one is due. After an error the next write is a snapshot.
 func (s *Snapshotter) flush() error {
 	b, isEmpty := s.takeBatch()
 	if isEmpty {
@@ -83,7 +83,9 @@
 	return nil
 }
 
-// takeBatch takes what is pending, as a snapshot if one is due or the generation has grown past half of its bytes.
+// takeBatch removes the pending updates and returns them as the next batch. The batch is a snapshot instead if one is
+// due, or if the updates would make the generation larger than both minCompactionSize and half of Limits.MaxBytes.
+// isEmpty reports that there is nothing to write.
 func (s *Snapshotter) takeBatch() (b batch, isEmpty bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,14 +117,14 @@
 	return s.log.WriteSnapshot(encoded)
 }
 
-// tokenBucket allows so many writes a second, and bursts of maxWriteBurst.
+// tokenBucket limits the rate of writes and allows bursts of maxWriteBurst.
 type tokenBucket struct {
-	rate      float64 // tokens a second; 0 or less: any number
+	rate      float64 // tokens per second; 0 or less means unlimited
 	tokens    float64
 	updatedAt time.Time
 }
 
-// reserve takes a token and returns how long to wait for it.
+// reserve takes a token and returns the time to wait until it is available.
 func (b *tokenBucket) reserve(now time.Time) time.Duration {
 	b.tokens = min(maxWriteBurst, b.tokens+b.rate*now.Sub(b.updatedAt).Seconds())
 	b.updatedAt = now
