--- a/internal/store/wal/format.go
+++ b/internal/store/wal/format.go
@@ -9,9 +9,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A file is a header and entries. The header is the magic, the format version (4 bytes), the generation (8 bytes) and their checksum
-// (8 bytes). An entry is its length (4 bytes), its checksum (8 bytes) and its content. Numbers are little-endian, checksums xxhash. The
-// first entry is the snapshot.
+// A file consists of a header and entries. The header contains the magic string, the format version (4 bytes), the
+// generation (8 bytes) and the checksum of these fields (8 bytes). An entry contains its length (4 bytes), its checksum
+// (8 bytes) and its content. Numbers are little-endian. Checksums are computed with xxhash. The first entry is the
+// snapshot.
 const (
 	magic           = "foldslip"
 	checksumSize    = 8
@@ -19,27 +20,30 @@
 	entryHeaderSize = 4 + checksumSize
 )
 
-// FormatVersion is the version of the file format. An older one is read, a newer one refused.
+// FormatVersion is the version of the file format. Files of older versions are read. Files of newer versions are
+// rejected with ErrNewerFormat.
 const FormatVersion = 1
 
-// MaxEntrySize is how many bytes one snapshot or change may have.
+// MaxEntrySize is the maximum size in bytes of one snapshot or change.
 const MaxEntrySize = 16 << 20
 
-// ErrNewerFormat reports files of a newer format than this program reads. Run a program that does, or remove them.
-var ErrNewerFormat = errors.New("the files are of a newer form than this program reads")
+// ErrNewerFormat reports a file whose format version is newer than FormatVersion. The remedy is to run a program that
+// supports it or to remove the files.
+var ErrNewerFormat = errors.New("the file format is newer than this program supports")
 
-// Reasons why a generation's file cannot be used.
+// Errors of a generation's file that cannot be used.
 var (
-	errNoHeader       = errors.New("no head of a record")
-	errHeaderChecksum = errors.New("the head's checksum does not hold")
-	errNoSnapshot     = errors.New("the snapshot is not whole")
+	errNoHeader       = errors.New("the file header is truncated or lacks the magic string \"foldslip\"")
+	errHeaderChecksum = errors.New("the checksum of the file header does not match")
+	errNoSnapshot     = errors.New("the snapshot is truncated or its checksum does not match")
 )
 
-// wrongGenerationError is a file whose header has another generation than its name.
+// wrongGenerationError reports a file whose header has a different generation than the file name. Its value is the
+// generation in the header.
 type wrongGenerationError uint64
 
 func (e wrongGenerationError) Error() string {
-	return fmt.Sprintf("the head is of generation %d", uint64(e))
+	return fmt.Sprintf("the file header has generation %d, which differs from the file name", uint64(e))
 }
 
 func appendHeader(b []byte, generation uint64) []byte {
@@ -54,7 +58,7 @@
 	return binary.LittleEndian.AppendUint64(b, xxhash.Sum64(b))
 }
 
-// checkHeader checks the header of a file that should be of a generation.
+// checkHeader returns an error unless content begins with a valid header of the given generation.
 func checkHeader(content []byte, generation uint64) error {
 	if len(content) < headerSize || string(content[:len(magic)]) != magic {
 		return errNoHeader
@@ -64,7 +68,7 @@
 		return errHeaderChecksum
 	}
 	if version := binary.LittleEndian.Uint32(header[len(magic):]); version > FormatVersion {
-		return ErrNewerFormat
+		return fmt.Errorf("format version %d, expected at most %d: %w", version, FormatVersion, ErrNewerFormat)
 	}
 	if got := binary.LittleEndian.Uint64(header[len(magic)+4:]); got != generation {
 		return wrongGenerationError(got)
@@ -78,7 +82,8 @@
 	return append(b, entry...)
 }
 
-// entryChecksum covers the entry and its place, so that bytes of an older file at the same place are not taken for it.
+// entryChecksum returns the checksum of an entry and its place, which is its generation, index and length. The place is
+// included so that bytes of an older file at the same offset are not accepted as this entry.
 func entryChecksum(generation, index uint64, entry []byte) uint64 {
 	var place [20]byte
 	binary.LittleEndian.PutUint64(place[:], generation)
@@ -90,8 +95,8 @@
 	return hash.Sum64()
 }
 
-// parseGeneration returns the entries of a file up to the first that is not complete, and how many bytes follow the last of them. A file
-// without a complete first entry is an error.
+// parseGeneration returns the entries of a file up to the first one that is truncated or damaged, and the number of
+// bytes after the last entry returned. It fails if the first entry is truncated or damaged.
 func parseGeneration(content []byte, generation uint64) (entries [][]byte, lostBytes int, err error) {
 	if err := checkHeader(content, generation); err != nil {
 		return nil, 0, err
--- a/internal/store/wal/frozen_test.go
+++ b/internal/store/wal/frozen_test.go
@@ -11,7 +11,8 @@
 	"foldslip/internal/store/wal"
 )
 
-// The files under testdata were written by the build before the names of Go changed.
+// Guards against a change of the file format or the file names. The files under testdata were written by the last build
+// before the Go identifiers were renamed.
 func TestGenerationFormsAndNamesAreUnchanged(t *testing.T) {
 	old, err := env.OpenOSDirectory(t.TempDir())
 	if err != nil {
--- a/internal/store/wal/kill_test.go
+++ b/internal/store/wal/kill_test.go
@@ -15,7 +15,8 @@
 	"foldslip/internal/store/wal"
 )
 
-// countDirEnv names the directory in which this program counts, as the process that the test kills.
+// countDirEnv is the environment variable with the directory of the log. If it is set, the test binary runs as the
+// process that the test kills and counts in that log.
 const countDirEnv = "FOLDSLIP_COUNT_ON"
 
 func TestMain(m *testing.M) {
@@ -25,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-// countForever counts up in a log and prints each number once it is synced.
+// countForever writes increasing numbers to a log until the process is killed. It prints each number after the sync.
 func countForever(path string) {
 	log, contents, err := wal.Open(env.OSDirectory{Path: path}, "count")
 	if err != nil {
@@ -61,7 +62,8 @@
 	return binary.LittleEndian.Uint64(last)
 }
 
-// killCounter starts a process that counts, kills it after a time, and returns the last number that it printed; 0: none.
+// killCounter starts a process that runs countForever and kills it the given time after its first line of output. It
+// returns the last number that the process printed, or 0 if there is none.
 func killCounter(t *testing.T, path string, after time.Duration) (printed uint64) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
@@ -72,9 +74,9 @@
 	}
 	defer cmd.Wait()
 	lines := bufio.NewReader(out)
-	line, err := lines.ReadString('\n') // it is at work
+	line, err := lines.ReadString('\n') // the process has begun to write
 	if err != nil {
-		t.Fatal("it did not start: ", err)
+		t.Fatal("the counting process printed nothing: ", err)
 	}
 	time.Sleep(after)
 	cmd.Process.Kill()
@@ -86,8 +88,10 @@
 	return printed
 }
 
-// A process that is killed at random points, again and again in one directory: what it printed as synced is there, and at most the one
-// change that was under way beside it. FOLDSLIP_KILLS sets how often, for a long measurement.
+// Guards against synced entries that are lost when a process is killed while it writes. The test kills processes at
+// random points, one after the other in one directory. After each kill the log must end with the last number that was
+// printed as synced or with the next one, which was being written. FOLDSLIP_KILLS sets the number of kills for a long
+// measurement.
 func TestAProcessKilledWhileItWrites(t *testing.T) {
 	kills, _ := strconv.Atoi(os.Getenv("FOLDSLIP_KILLS"))
 	if kills == 0 {
@@ -108,12 +112,12 @@
 			t.Fatal(err)
 		}
 		if got := lastCount(contents); got != synced && got != synced+1 {
-			t.Fatalf("kill %d: %d on disk, %d were printed as synced", i, got, synced)
+			t.Fatalf("kill %d: the log ends with %d, want the last number printed as synced, %d, or the next one", i, got, synced)
 		}
 		synced = lastCount(contents)
 	}
 	if advanced < kills/2 {
-		t.Errorf("only %d of %d processes wrote anything", advanced, kills)
+		t.Errorf("only %d of %d processes wrote an entry, want at least half", advanced, kills)
 	}
 	t.Logf("%d kills, counted to %d", kills, synced)
 }
--- a/internal/store/wal/wal.go
+++ b/internal/store/wal/wal.go
@@ -1,12 +1,14 @@
-// Package wal keeps a state on disk as a write-ahead log: a snapshot, then the changes since, each with a checksum. What can be read back
-// after any cut, flipped byte or kill is the newest complete state, never a mix of two.
+// Package wal stores a state on disk as a write-ahead log, which is a snapshot followed by the changes since. Each entry
+// has a checksum. After a truncation, a flipped byte or a kill at any point, the newest complete state is read back, and
+// never a mix of two states.
 //
-// A log is a set of files NAME-GENERATION.rec in a directory. A generation is written under another name, synced, renamed and the directory
-// synced before it counts; the generation before it is retained. Opening reads the newest generation whose snapshot is complete, with the
-// changes behind it up to the first that is not. The log then has to begin a generation of its own: nothing is ever appended behind a torn
-// end. What follows a damaged change is lost with it, since later changes may build on it.
+// A log is a set of files NAME-GENERATION.rec in a directory. A new generation is written under a temporary name, synced
+// and renamed, and the directory is synced. Only then does the generation take effect. The previous generation is
+// retained. Open reads the newest generation whose snapshot is complete, and its changes up to the first incomplete or
+// damaged one. Later changes may depend on a damaged one, so they are lost with it. After Open the log must begin a new
+// generation, so that nothing is ever appended after a torn entry.
 //
-// The package knows nothing of what it stores.
+// The package does not interpret the snapshots and changes that it stores.
 package wal
 
 import (
@@ -19,59 +21,61 @@
 	"foldslip/internal/env"
 )
 
-// Directory is where the files of a log are, and File is one of them.
+// Directory holds the files of a log. File is one of them.
 type (
 	Directory = env.Directory
 	File      = env.File
 )
 
-// ErrLocked reports that another process has the directory open. Stop it, or name another directory.
+// ErrLocked reports that another process has the directory open. The remedy is to stop that process or to use another
+// directory.
 var ErrLocked = env.ErrLocked
 
-// ErrSnapshotNeeded reports an Append to a log whose generation cannot take it: there is none, or a write to it has failed.
-var ErrSnapshotNeeded = errors.New("a snapshot must be written first")
+// ErrSnapshotNeeded reports an Append to a log that has not begun a generation yet or whose last write has failed.
+var ErrSnapshotNeeded = errors.New("the log needs a snapshot before it accepts changes")
 
 // TooLargeError reports an entry that is larger than MaxEntrySize. Nothing was written.
 type TooLargeError struct {
-	Kind string // of entry: snapshot or change
+	Kind string // kind of the entry: snapshot or change
 	Size int    // bytes
 }
 
-// Error names the size and the bound.
+// Error returns the size and the limit.
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("a %s of %d bytes, at most %d can be kept", e.Kind, e.Size, MaxEntrySize)
+	return fmt.Sprintf("the %s has %d bytes, the limit is %d", e.Kind, e.Size, MaxEntrySize)
 }
 
-// ShortWriteError reports a write that took fewer bytes than it was given and no other error. The disk may be full.
+// ShortWriteError reports a write that wrote fewer bytes than it was given and returned no error. The disk may be full.
 type ShortWriteError struct{ Written, Size int }
 
-// Error names both sizes.
+// Error returns both sizes.
 func (e *ShortWriteError) Error() string {
-	return fmt.Sprintf("only %d of %d bytes were written", e.Written, e.Size)
+	return fmt.Sprintf("short write: wrote %d of %d bytes", e.Written, e.Size)
 }
 
-// Contents is what a log held when it was read.
+// Contents is the content of a log at the time of reading.
 type Contents struct {
-	Generation uint64   // 0: there was none
-	Snapshot   []byte   // nil: there was none
-	Changes    [][]byte // since the snapshot, oldest first
-	LostBytes  int      // behind the last complete entry of the generation
-	Skipped    []string // newer files that are not complete, with the reason
+	Generation uint64   // 0 if no generation could be read
+	Snapshot   []byte   // nil if no generation could be read
+	Changes    [][]byte // changes since the snapshot, oldest first
+	LostBytes  int      // number of bytes after the last complete entry of the generation
+	Skipped    []string // newer files that could not be used, each with the reason
 }
 
-// Log is an open log. Its owner is the caller of Open, one process at a time by a lock on the directory. It is not safe for concurrent use.
+// Log is an open log. It is owned by the caller of Open. A lock on the directory ensures that only one process at a time
+// has the log open. A Log is not safe for concurrent use.
 type Log struct {
 	directory  Directory
 	name       string
 	unlock     func()
 	generation uint64
-	file       File   // of the generation; nil before the first snapshot
-	entryCount uint64 // in file
-	size       int64  // of file
-	writeErr   error  // the last write failed: the next must be a snapshot
+	file       File   // file of the current generation; nil before the first snapshot
+	entryCount uint64 // number of entries in file
+	size       int64  // size of file in bytes
+	writeErr   error  // error of the last write; if set, the next write must be a snapshot
 }
 
-// Read reads a log and changes nothing. It takes no lock.
+// Read reads a log without changing or locking it.
 func Read(directory Directory, name string) (Contents, error) {
 	var contents Contents
 	names, err := directory.Names()
@@ -101,7 +105,8 @@
 	return contents, nil
 }
 
-// Open locks the directory and reads the log. WriteSnapshot must follow before Append, and Close at the end.
+// Open locks the directory and reads the log. The caller must call WriteSnapshot before the first Append, and Close at
+// the end.
 func Open(directory Directory, name string) (*Log, Contents, error) {
 	unlock, err := directory.Lock()
 	if err != nil {
@@ -113,7 +118,8 @@
 		return nil, contents, err
 	}
 	newest := contents.Generation
-	if names, err := directory.Names(); err == nil { // a newer one that is not complete is never overwritten
+	// The numbers of newer generations that cannot be used are skipped as well, so that their files are not overwritten.
+	if names, err := directory.Names(); err == nil {
 		if all := generations(names, name); len(all) > 0 {
 			newest = max(newest, all[len(all)-1])
 		}
@@ -121,7 +127,8 @@
 	return &Log{directory: directory, name: name, unlock: unlock, generation: newest}, contents, nil
 }
 
-// WriteSnapshot begins a new generation with a snapshot. Until it has returned without an error, the generation before counts.
+// WriteSnapshot begins a new generation with a snapshot. The previous generation remains in effect until WriteSnapshot
+// has returned without an error.
 func (l *Log) WriteSnapshot(snapshot []byte) error {
 	if len(snapshot) > MaxEntrySize {
 		return &TooLargeError{"snapshot", len(snapshot)}
@@ -145,7 +152,8 @@
 	return nil
 }
 
-// createGeneration writes the file of a new generation and returns it, open, once it is safe on disk under its name.
+// createGeneration writes the file of a new generation. It returns the open file after the content and the final name
+// have been synced to disk.
 func (l *Log) createGeneration(generation uint64, content []byte) (File, error) {
 	temporary := l.name + ".new"
 	file, err := l.directory.Create(temporary)
@@ -172,7 +180,8 @@
 	return l.directory.Sync()
 }
 
-// removeOlderThan removes the files of older generations. A file that cannot be removed now goes with a later one.
+// removeOlderThan removes the files of the generations below the given one. It ignores errors, because a file that
+// cannot be removed now is removed with a later generation.
 func (l *Log) removeOlderThan(generation uint64) {
 	names, err := l.directory.Names()
 	if err != nil {
@@ -185,7 +194,8 @@
 	}
 }
 
-// Append adds changes and syncs them together. After an error they may be lost, and WriteSnapshot must follow.
+// Append appends changes to the current generation with a single sync. After an error the changes may be lost, and the
+// caller must call WriteSnapshot before the next Append.
 func (l *Log) Append(changes ...[]byte) error {
 	if l.writeErr != nil {
 		return fmt.Errorf("%w: %w", ErrSnapshotNeeded, l.writeErr)
@@ -232,7 +242,7 @@
 	return err
 }
 
-// RemoveAll removes all generations of a log and returns how many files it removed.
+// RemoveAll removes all generations of a log and returns the number of files removed.
 func RemoveAll(directory Directory, name string) (removed int, err error) {
 	unlock, err := directory.Lock()
 	if err != nil {
@@ -256,7 +266,7 @@
 	return fmt.Sprintf("%s-%d.rec", name, generation)
 }
 
-// generations returns the numbers of a log's files in rising order.
+// generations returns the generation numbers of a log's files in ascending order.
 func generations(files []string, name string) (numbers []uint64) {
 	for _, file := range files {
 		digits, hasPrefix := strings.CutPrefix(file, name+"-")
--- a/internal/store/wal/wal_test.go
+++ b/internal/store/wal/wal_test.go
@@ -14,12 +14,13 @@
 	"foldslip/internal/store/wal"
 )
 
-// describe gives the contents as text: the snapshot and the changes since.
+// describe returns the snapshot and the changes after it as text.
 func describe(c wal.Contents) string {
 	return fmt.Sprintf("%s+%s", c.Snapshot, bytes.Join(c.Changes, []byte(",")))
 }
 
-// writeEntries opens a log, writes snapshots and appends by a fixed script. It passes each state to onSynced once it is synced.
+// writeEntries opens a log and writes a fixed sequence of snapshots and changes. It passes each state to onSynced after
+// the state has been synced.
 func writeEntries(directory wal.Directory, onSynced func(state string)) error {
 	log, before, err := wal.Open(directory, "list")
 	if err != nil {
@@ -58,7 +59,7 @@
 func TestReadReturnsWhatWasWritten(t *testing.T) {
 	directory := simenv.NewDirectory()
 	if contents, err := wal.Read(directory, "list"); err != nil || contents.Generation != 0 || contents.Snapshot != nil {
-		t.Fatalf("%+v, %v", contents, err)
+		t.Fatalf("empty directory: got contents %+v and error %v", contents, err)
 	}
 	last := ""
 	if err := writeEntries(directory, func(state string) { last = state }); err != nil {
@@ -66,10 +67,10 @@
 	}
 	contents, err := wal.Read(directory, "list")
 	if err != nil || describe(contents) != last || contents.Generation != 2 || contents.LostBytes != 0 {
-		t.Errorf("%s, expected %s, %+v, %v", describe(contents), last, contents, err)
+		t.Errorf("got state %s, want %s; contents %+v, error %v", describe(contents), last, contents, err)
 	}
 	if names, _ := directory.Names(); len(names) != 2 {
-		t.Errorf("files: %v", names)
+		t.Errorf("got files %v, want two", names)
 	}
 }
 
@@ -83,7 +84,7 @@
 		t.Fatal(err)
 	}
 	if _, _, err := wal.Open(directory, "list"); !errors.Is(err, wal.ErrLocked) {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want ErrLocked", err)
 	}
 	log.Close()
 	if log, _, err = wal.Open(directory, "list"); err != nil {
@@ -92,7 +93,9 @@
 	log.Close()
 }
 
-// A file that is cut or has a flipped byte gives the newest complete state, or the generation before.
+// Guards against reading a mixed state from a damaged file. At each offset in turn, the newest file is truncated or has
+// a byte flipped. Read must return a state that was synced in this generation, or the last state of the previous one,
+// and the log must be able to begin a new generation.
 func TestDamagedFiles(t *testing.T) {
 	intact := simenv.NewDirectory()
 	isSynced := map[string]bool{}
@@ -105,42 +108,43 @@
 			directory.Corrupt("list-2.rec", at, cut)
 			contents, err := wal.Read(directory, "list")
 			if err != nil || !isSynced[describe(contents)] {
-				t.Fatalf("byte %d, cut %v: %s, %v", at, cut, describe(contents), err)
+				t.Fatalf("byte %d, truncated %v: got state %s, want one that was synced; error %v", at, cut, describe(contents), err)
 			}
 			if contents.Generation == 1 && describe(contents) != "s++c0,c1,c2,c3" {
-				t.Fatalf("byte %d, cut %v: %s of the generation before", at, cut, describe(contents))
+				t.Fatalf("byte %d, truncated %v: got state %s of the previous generation, want its last one", at, cut, describe(contents))
 			}
 			if log, _, err := wal.Open(directory, "list"); err != nil || log.WriteSnapshot([]byte("n")) != nil || log.Generation() != 3 {
-				t.Fatalf("byte %d: no new generation: %v", at, err)
+				t.Fatalf("byte %d: cannot begin generation 3: %v", at, err)
 			}
 		}
 	}
 }
 
-// Power lost at any operation, with many random outcomes of what was not synced: nothing synced is lost.
+// Guards against synced state that is lost in a power failure. The power fails at each operation in turn, with 40 random
+// outcomes each for the data that was not synced. Read must return the last synced state or the next one.
 func TestPowerLoss(t *testing.T) {
 	var states []string
 	intact := simenv.NewDirectory()
 	if err := writeEntries(intact, func(state string) { states = append(states, state) }); err != nil {
 		t.Fatal(err)
 	}
-	states = append(states, "") // behind the last there is none
+	states = append(states, "") // no state follows the last one
 	for operations := range intact.Ops {
 		for seed := range uint64(40) {
 			directory := simenv.NewDirectory()
 			directory.OpsLeft = operations
 			synced := "+"
 			if err := writeEntries(directory, func(state string) { synced = state }); err == nil {
-				t.Fatal("the power held")
+				t.Fatal("writing succeeded although the power failed")
 			}
 			directory.Crash(rand.New(rand.NewPCG(seed, 1)))
 			contents, err := wal.Read(directory, "list")
 			if err != nil {
 				t.Fatal(err)
 			}
-			next := states[slices.Index(states, synced)+1] // the first state where none was synced
+			next := states[slices.Index(states, synced)+1] // the first state if none was synced
 			if got := describe(contents); got != synced && got != next {
-				t.Fatalf("at operation %d, seed %d: %s, synced %s, under way %s", operations, seed, got, synced, next)
+				t.Fatalf("power failure at operation %d, seed %d: got state %s, want the last synced state %s or the next state %s", operations, seed, got, synced, next)
 			}
 		}
 	}
@@ -156,10 +160,10 @@
 		t.Fatal(err)
 	}
 	if _, _, err := wal.Open(directory, "list"); !errors.Is(err, wal.ErrNewerFormat) {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want ErrNewerFormat", err)
 	}
 	if got, _ := os.ReadFile(directory.Path + "/list-7.rec"); !bytes.Equal(got, header) {
-		t.Error("the file was changed")
+		t.Error("the file of the newer format was changed")
 	}
 }
 
@@ -170,18 +174,18 @@
 		t.Fatal(err)
 	}
 	if err := log.Append([]byte("a")); !errors.Is(err, wal.ErrSnapshotNeeded) {
-		t.Errorf("appended without a generation: %v", err)
+		t.Errorf("Append without a generation: got error %v, want ErrSnapshotNeeded", err)
 	}
 	if err := log.WriteSnapshot([]byte("a")); err != nil {
 		t.Fatal(err)
 	}
 	directory.OpsLeft = 0
 	if log.Append([]byte("b")) == nil {
-		t.Fatal("appended without power")
+		t.Fatal("Append succeeded although the power failed")
 	}
 	directory.OpsLeft = -1
 	if err := log.Append([]byte("c")); !errors.Is(err, wal.ErrSnapshotNeeded) {
-		t.Errorf("appended behind what may be torn: %v", err)
+		t.Errorf("Append after a failed write: got error %v, want ErrSnapshotNeeded", err)
 	}
 	if err := log.WriteSnapshot([]byte("d")); err != nil || log.Append([]byte("e")) != nil {
 		t.Error(err)
@@ -203,7 +207,7 @@
 		file.Write(content)
 		contents, err := wal.Read(directory, "list")
 		if err == nil && contents.Generation == 2 && contents.Snapshot == nil {
-			t.Error("a generation without a snapshot")
+			t.Error("generation 2 was read without a snapshot")
 		}
 	})
 }
