--- a/internal/freshness/assess.go
+++ b/internal/freshness/assess.go
@@ -1,6 +1,10 @@
-// Package freshness assesses an endpoint list that was stored on disk: how far each entry may be relied on, from its age, its source, how
-// long entries of this list have lasted so far, and how many of them responded or failed since the start. It does no I/O, keeps no clock and
-// holds nothing but counts. Which cache gets a lookup is decided by the policy, which gets an entry's confidence with its row of the list.
+// Package freshness assesses the entries of an endpoint list that was stored on disk. The confidence in an entry depends
+// on its age, its source, the rate at which caches have left the list so far, and the number of entries that responded
+// or failed since the start. The policy receives the confidence with each endpoint and decides which cache gets a
+// lookup.
+//
+// The package does no I/O and reads no clock. Its only state is a Tracker, which holds counts and odds for the entries of
+// one stored list until discovery has reported a list.
 package freshness
 
 import (
@@ -8,14 +12,14 @@
 	"time"
 )
 
-// Confidence is how far an entry is relied on, best first.
+// Confidence is the degree to which an entry is relied on. The constants are in descending order.
 type Confidence int
 
 const (
-	Confirmed   Confidence = iota // fully: its responses show that it has not restarted since the list was stored
-	OnProbation                   // as a cache that has just started: little at first, more as it bears it
-	Suspect                       // with probes only, until one succeeds
-	Excluded                      // not at all
+	Confirmed   Confidence = iota // full load: its responses show that it has not restarted since the list was stored
+	OnProbation                   // slow start: the load is low at first and rises as the cache handles it
+	Suspect                       // probes only, until one succeeds
+	Excluded                      // no load
 )
 
 // String returns the word that the list command prints.
@@ -24,42 +28,44 @@
 }
 
 const (
-	// Until a list's own history shows more, entries are taken to leave at the rate of priorDepartures in priorHours cache-hours: a fleet
-	// that is replaced about every 17 days.
+	// The departure rate assumed before the list's own history outweighs it is priorDepartures in priorHours
+	// cache-hours. It corresponds to a fleet that is replaced about every 17 days.
 	priorDepartures = 1.0
 	priorHours      = 400.0
 
-	priorWeight = 4.0 // the prior counts as so many entries that responded or failed
+	priorWeight = 4.0 // weight of the estimate from the age, as a number of entries that responded or failed
 
-	// Least probabilities that an entry is still valid. Below suspectThreshold it is excluded.
+	// Minimum probabilities that an entry is still valid, for OnProbation and for Suspect. Below suspectThreshold the
+	// entry is excluded.
 	probationThreshold = 0.5
 	suspectThreshold   = 0.05
 
-	importedFactor = 0.8                 // of the probability, for entries of an operator's file
-	unknownAge     = 30 * 24 * time.Hour // assumed where the age cannot be known
-	maxClockSkew   = 10 * time.Second    // a list from further in the future has a clock that cannot be relied on
+	importedFactor = 0.8                 // factor of the probability for entries from an operator's file
+	unknownAge     = 30 * 24 * time.Hour // age assumed if the actual age is unknown
+	maxClockSkew   = 10 * time.Second    // a list from further in the future was stored with an unreliable clock
 )
 
-// History is what is known of the complete list.
+// History holds the counts for the complete list.
 type History struct {
-	CacheHours float64 // that it was watched
-	Departures int     // caches that left it in these hours
+	CacheHours float64 // sum over the caches of the hours for which the list was watched
+	Departures int     // caches that left the list during CacheHours
 	Responded  int     // entries that responded since the start
 	Failed     int     // entries that failed since the start
 }
 
-// Evidence is what is known of one entry.
+// Evidence is the information about one entry.
 type Evidence struct {
-	Age       time.Duration // since the list was last current with it; below 0: it is from the future
-	Imported  bool          // from an operator's file, not confirmed by discovery
-	Ejected   bool          // it was ejected when the list was stored
-	Withdrawn bool          // discovery reported that it drains or was removed
-	Responded bool          // it responded since the start
-	Failed    bool          // it refused connections, was silent or was no cache of this list since the start
+	Age       time.Duration // time since the list with the entry was last current; negative if that time is in the future
+	Imported  bool          // read from an operator's file and not confirmed by discovery
+	Ejected   bool          // ejected when the list was stored
+	Withdrawn bool          // reported by discovery as draining or removed
+	Responded bool          // responded since the start
+	Failed    bool          // since the start refused connections, did not respond or was not a cache of this list
 }
 
-// ValidProbability estimates whether an entry is still valid: the probability that a cache lasts that long at this list's rate of departures,
-// corrected by how many of the entries used so far were valid.
+// ValidProbability returns the estimated probability that an entry is still valid. The estimate is the probability that
+// a cache stays in the list for the given age at the list's departure rate, corrected by the share of the entries tried
+// so far that responded.
 func ValidProbability(history History, age time.Duration) float64 {
 	switch {
 	case age < -maxClockSkew:
@@ -72,7 +78,7 @@
 	return (float64(history.Responded) + priorWeight*survival) / (float64(history.Responded+history.Failed) + priorWeight)
 }
 
-// Assess returns how far an entry is relied on, and the share of a warm cache's work that it may get at first.
+// Assess returns the confidence in an entry and the share of a warm cache's load that may be admitted to it at first.
 func Assess(history History, evidence Evidence) (confidence Confidence, share float64) {
 	if evidence.Withdrawn {
 		return Excluded, 0
@@ -80,7 +86,7 @@
 	if evidence.Failed {
 		return Suspect, 0
 	}
-	if evidence.Responded { // it is there, but it may have restarted and be empty
+	if evidence.Responded { // the cache is up, but it may have restarted and be empty
 		return OnProbation, 1
 	}
 	if evidence.Ejected {
--- a/internal/freshness/tracker.go
+++ b/internal/freshness/tracker.go
@@ -7,49 +7,50 @@
 )
 
 const (
-	// A cache that responds may have restarted since the list was stored. Hits show a warm one: it finds what is requested about two and a
-	// half times as often as one that has just started, and so it misses less than half as often. Of a parent many caches request: one that
-	// has restarted soon finds half, a warm one nearly all, so that a miss shows most. Each factor multiplies the odds that a cache is warm.
+	// A cache that responds may have restarted since the list was stored. Hits indicate a warm cache: its hit ratio is
+	// about two and a half times that of a cache that has just started, and its miss ratio is less than half. A parent
+	// gets requests from many caches. After a restart its hit ratio soon reaches a half, while that of a warm parent is
+	// close to 1, so a miss is the strongest evidence. Each factor multiplies the odds that a cache is warm.
 	hitFactor        = 2.5
 	missFactor       = 0.4
 	parentHitFactor  = 1.5
 	parentMissFactor = 0.1
 
-	hitEvidenceWindow = 6 * time.Second // after the start; a restarted cache has filled up by then, and hits show nothing
+	hitEvidenceWindow = 6 * time.Second // after the start; later a restarted cache is full, and hits are no evidence
 
-	maxInitialOdds = 3.0  // of an entry being warm before its first response, however young the list
-	confirmedOdds  = 99.0 // from which an entry counts as warm
+	maxInitialOdds = 3.0  // maximum odds that an entry is warm before its first response, even if the list is new
+	confirmedOdds  = 99.0 // minimum odds at which an entry counts as warm
 
-	// Entries that are clearly warm or clearly restarted change the odds of all others: what happened to some has most likely happened to
-	// others. They do so by at most maxPeerFactor, either way.
+	// Entries that are clearly warm or clearly restarted change the odds of all entries, because an event that affected
+	// some caches has most likely affected others. The change is at most maxPeerFactor in either direction.
 	clearlyWarmOdds      = 10.0
 	clearlyRestartedOdds = 1 / 5.0
 	maxPeerFactor        = 9.0
 
-	failuresUntilFailed = 2 // in a row, with no response before
+	failuresUntilFailed = 2 // consecutive failures of an entry that has not responded
 )
 
-// Observation is what one attempt showed of an entry.
+// Observation is the evidence that one attempt gives about an entry.
 type Observation int
 
 const (
-	Hit      Observation = iota // it responded from a copy that it had
-	Miss                        // it responded and had no copy
-	Response                    // it responded otherwise
-	Failure                     // it refused the connection, broke it, sent what cannot be read, or was silent
+	Hit      Observation = iota // it responded from its stored copy
+	Miss                        // it responded but had no copy
+	Response                    // it responded in any other way
+	Failure                     // it refused or broke the connection, sent an unreadable response or did not respond
 )
 
-// Assessment is how far an entry is relied on from now on.
+// Assessment is the current confidence in an entry.
 type Assessment struct {
 	ID         string
 	Confidence Confidence
 }
 
-// Tracker follows the entries of one stored list from the start until discovery has reported its list. It is bounded by the list and not safe
-// for concurrent use.
+// Tracker assesses the entries of one stored list from the start until discovery has reported a list. Its size is
+// bounded by the stored list. It is not safe for concurrent use.
 type Tracker struct {
 	history   History
-	entries   []*entry // by id
+	entries   []*entry // sorted by id
 	byID      map[string]*entry
 	startedAt time.Time
 }
@@ -58,18 +59,18 @@
 	id         string
 	evidence   Evidence
 	isParent   bool
-	odds       float64 // that it is warm, given that it is valid
-	failures   int     // in a row
+	odds       float64 // odds that the cache is warm, given that the entry is valid
+	failures   int     // consecutive failures since the last response
 	reported   Assessment
 	isReported bool
 }
 
-// NewTracker returns a tracker of a list. The entries' ages are as of now.
+// NewTracker returns a tracker without entries. now is the time at which the ages of its entries are measured.
 func NewTracker(history History, now time.Time) *Tracker {
 	return &Tracker{history: history, byID: map[string]*entry{}, startedAt: now}
 }
 
-// Add adds an entry if its id is not known.
+// Add adds an entry unless its id is already known.
 func (t *Tracker) Add(id string, isParent bool, evidence Evidence) {
 	if t.byID[id] != nil {
 		return
@@ -82,7 +83,7 @@
 	t.entries = slices.Insert(t.entries, i, e)
 }
 
-// Observe takes what an attempt showed of an entry. Unknown ids are ignored.
+// Observe updates an entry with the observation of one attempt. It ignores unknown ids.
 func (t *Tracker) Observe(id string, observation Observation, now time.Time) {
 	e := t.byID[id]
 	if e == nil {
@@ -105,7 +106,8 @@
 	}
 }
 
-// recordFailure counts a failure. An entry that has responded stays so: what it does from then on is the policy's to assess.
+// recordFailure counts a failure. It never marks an entry as failed that has responded, because the policy assesses the
+// entry from its first response on.
 func (t *Tracker) recordFailure(e *entry) {
 	e.failures++
 	if e.failures >= failuresUntilFailed && !e.evidence.Responded && !e.evidence.Failed {
@@ -121,25 +123,26 @@
 	}
 	e.evidence.Responded = true
 	t.history.Responded++
-	if e.evidence.Failed { // it was only slow
+	if e.evidence.Failed { // the cache was slow, not failed
 		e.evidence.Failed = false
 		t.history.Failed--
 	}
 }
 
-// decayedFactor lets a hit's factor fall to 1 over hitEvidenceWindow.
+// decayedFactor returns the factor of a hit, which decreases to 1 over hitEvidenceWindow.
 func (t *Tracker) decayedFactor(factor float64, now time.Time) float64 {
 	return 1 + (factor-1)*max(0, 1-now.Sub(t.startedAt).Seconds()/hitEvidenceWindow.Seconds())
 }
 
-// Counts are the entries of a list by confidence, as last reported, and those that responded or failed.
+// Counts holds the number of entries by their last reported confidence, and the numbers of entries that responded or
+// failed.
 type Counts struct {
 	ByConfidence [Excluded + 1]int
 	Responded    int
 	Failed       int
 }
 
-// Counts returns the entries' counts.
+// Counts returns the counts of the tracker's entries.
 func (t *Tracker) Counts() Counts {
 	counts := Counts{Responded: t.history.Responded, Failed: t.history.Failed}
 	for _, e := range t.entries {
@@ -148,7 +151,8 @@
 	return counts
 }
 
-// Changes returns the assessments that have changed since the last call, by id; at first all.
+// Changes returns the assessments that have changed since the last call, sorted by id. The first call returns all of
+// them.
 func (t *Tracker) Changes() (changed []Assessment) {
 	factor := t.peerFactor()
 	for _, e := range t.entries {
@@ -163,7 +167,8 @@
 	return changed
 }
 
-// assess returns an entry's confidence. One that was confirmed stays so as long as it is valid.
+// assess returns the confidence in an entry. A confirmed entry stays confirmed as long as its evidence allows
+// OnProbation, even if its odds decrease.
 func (t *Tracker) assess(e *entry, peerFactor float64) Confidence {
 	confidence, _ := Assess(t.history, e.evidence)
 	if confidence != OnProbation || !e.evidence.Responded {
@@ -176,7 +181,8 @@
 	return confidence
 }
 
-// peerFactor returns the factor by which the entries that are clearly warm or clearly restarted change the odds of all.
+// peerFactor returns the factor by which the entries that are clearly warm or clearly restarted change the odds of all
+// entries.
 func (t *Tracker) peerFactor() float64 {
 	warm, restarted := 1.0, 1.0
 	for _, e := range t.entries {
--- a/internal/freshness/tracker_test.go
+++ b/internal/freshness/tracker_test.go
@@ -9,7 +9,7 @@
 
 var youngEvidence = Evidence{Age: time.Minute}
 
-// newTestTracker tracks so many edges, named from a on, and a parent p.
+// newTestTracker returns a tracker of the given number of edges, which are named a, b and so on, and of a parent p.
 func newTestTracker(history History, edges int, evidence Evidence) *Tracker {
 	tracker := NewTracker(history, startTime)
 	for i := range edges {
@@ -19,7 +19,7 @@
 	return tracker
 }
 
-// observe makes the same observation a number of times, so long after the start.
+// observe passes the same observation to the tracker several times, at the given time after the start.
 func observe(tracker *Tracker, id string, observation Observation, times int, after time.Duration) {
 	for range times {
 		tracker.Observe(id, observation, startTime.Add(after))
@@ -30,30 +30,30 @@
 	t.Helper()
 	tracker.Changes()
 	if got := tracker.byID[id].reported.Confidence; got != want {
-		t.Errorf("%s is %v, want %v", id, got, want)
+		t.Errorf("confidence in %s is %v, want %v", id, got, want)
 	}
 }
 
 func requireCounts(t *testing.T, tracker *Tracker, responded, failed int) {
 	t.Helper()
 	if counts := tracker.Counts(); counts.Responded != responded || counts.Failed != failed {
-		t.Errorf("%+v, want %d that responded and %d that failed", counts, responded, failed)
+		t.Errorf("got counts %+v, want %d responded and %d failed", counts, responded, failed)
 	}
 }
 
 func TestHitsConfirm(t *testing.T) {
-	t.Run("however young the list, nothing is confirmed before it has responded", func(t *testing.T) {
+	t.Run("an entry of a new list is not confirmed before it responds", func(t *testing.T) {
 		tracker := newTestTracker(History{CacheHours: 1e6}, 3, Evidence{Age: time.Millisecond})
 		requireConfidence(t, tracker, "a", OnProbation)
 	})
-	t.Run("hits without a miss confirm a cache, and it stays so", func(t *testing.T) {
+	t.Run("hits without a miss confirm a cache, and later misses do not change that", func(t *testing.T) {
 		tracker := newTestTracker(History{}, 3, youngEvidence)
 		observe(tracker, "a", Hit, 5, time.Second)
 		requireConfidence(t, tracker, "a", Confirmed)
 		observe(tracker, "a", Miss, 5, time.Second)
 		requireConfidence(t, tracker, "a", Confirmed)
 	})
-	t.Run("hits among misses do not", func(t *testing.T) {
+	t.Run("hits mixed with misses do not confirm a cache", func(t *testing.T) {
 		tracker := newTestTracker(History{}, 3, youngEvidence)
 		for range 10 {
 			observe(tracker, "a", Hit, 1, time.Second)
@@ -61,12 +61,12 @@
 		}
 		requireConfidence(t, tracker, "a", OnProbation)
 	})
-	t.Run("nor do late hits: an empty cache has filled by then", func(t *testing.T) {
+	t.Run("late hits do not confirm a cache, since an empty one has filled by then", func(t *testing.T) {
 		tracker := newTestTracker(History{}, 3, youngEvidence)
 		observe(tracker, "a", Hit, 100, hitEvidenceWindow)
 		requireConfidence(t, tracker, "a", OnProbation)
 	})
-	t.Run("a parent needs more hits, and one miss undoes many", func(t *testing.T) {
+	t.Run("a parent needs more hits, and one miss outweighs many", func(t *testing.T) {
 		tracker := newTestTracker(History{}, 3, youngEvidence)
 		observe(tracker, "p", Hit, 5, 0)
 		requireConfidence(t, tracker, "p", OnProbation)
@@ -74,7 +74,7 @@
 		observe(tracker, "p", Hit, 5, 0)
 		requireConfidence(t, tracker, "p", OnProbation)
 	})
-	t.Run("what some showed counts for others", func(t *testing.T) {
+	t.Run("clear evidence about some entries counts for the others", func(t *testing.T) {
 		warm, restarted := newTestTracker(History{}, 8, youngEvidence), newTestTracker(History{}, 8, youngEvidence)
 		for _, id := range []string{"a", "b", "c", "d", "e"} {
 			observe(warm, id, Hit, 6, 0)
@@ -88,7 +88,7 @@
 }
 
 func TestFailures(t *testing.T) {
-	t.Run("two in a row make an entry suspect, a response takes that back", func(t *testing.T) {
+	t.Run("two in a row make an entry suspect, and a response reverts that", func(t *testing.T) {
 		tracker := newTestTracker(History{}, 3, youngEvidence)
 		observe(tracker, "a", Failure, 1, 0)
 		requireConfidence(t, tracker, "a", OnProbation)
@@ -99,13 +99,13 @@
 		requireConfidence(t, tracker, "a", OnProbation)
 		requireCounts(t, tracker, 1, 0)
 	})
-	t.Run("those of an entry that has responded are the policy's to assess", func(t *testing.T) {
+	t.Run("failures after a response do not mark an entry as failed", func(t *testing.T) {
 		tracker := newTestTracker(History{}, 3, youngEvidence)
 		observe(tracker, "a", Response, 1, 0)
 		observe(tracker, "a", Failure, 9, 0)
 		requireCounts(t, tracker, 1, 0)
 	})
-	t.Run("of many entries make the others suspect", func(t *testing.T) {
+	t.Run("failures of many entries make the others suspect", func(t *testing.T) {
 		tracker := newTestTracker(History{}, 12, Evidence{Age: 200 * time.Hour})
 		requireConfidence(t, tracker, "l", OnProbation)
 		for i := range 10 {
@@ -126,6 +126,6 @@
 	requireChanges(4)
 	requireChanges(0)
 	tracker.Observe("unknown", Hit, startTime)
-	tracker.Add("a", false, Evidence{Withdrawn: true}) // it is known
+	tracker.Add("a", false, Evidence{Withdrawn: true}) // already known
 	requireChanges(0)
 }
