--- a/internal/warmstart/discovery.go
+++ b/internal/warmstart/discovery.go
@@ -5,9 +5,13 @@
 	"foldslip/internal/store/endpoints"
 )
 
-// KeepDraining changes endpoints that a discovery event reports as ready although the stored list knows that they drain: that list is newer than
-// a discovery service that is behind it. Events past the last number in the list are taken as they are, and so does a later start of a cache. A
-// complete list ends the use of the stored one before the dispatcher gets it, so that the stored one can't follow it. ids and list are in the
+// KeepDraining sets the state of endpoints back to draining if a discovery event reports them as ready but the stored
+// list records a drain. The discovery service is then behind the stored list. A drain no longer applies if the event's
+// number is above the last one in the stored list, if the cache has started after the drain, if discovery itself no
+// longer reports the cache as ready, or after drainHold.
+//
+// If the list is complete, KeepDraining ends the use of the stored list. The caller calls it before it passes the list
+// to the dispatcher, so that endpoints of the stored list cannot reach the dispatcher later. ids and list are in the
 // same order.
 func (r *Reconciler) KeepDraining(event int64, isComplete bool, ids []string, list []policy.Endpoint) {
 	if r == nil {
@@ -36,7 +40,7 @@
 
 const microsPerMilli = 1000
 
-// discardStored ends the use of the stored list, when discovery has reported a complete list of the given ids.
+// discardStored ends the use of the stored list after discovery has reported a complete list with the given ids.
 func (r *Reconciler) discardStored(ids []string) {
 	r.listMu.Lock()
 	defer r.listMu.Unlock()
@@ -60,7 +64,8 @@
 		"in_both", inBoth, "responded", counts.Responded, "failed", counts.Failed)
 }
 
-// Apply passes what discovery has reported to the snapshotter, once the dispatcher has it.
+// Apply passes an update from discovery to the snapshotter. The caller calls it after it has passed the update to the
+// dispatcher.
 func (r *Reconciler) Apply(update endpoints.Update) {
 	if r == nil {
 		return
@@ -71,8 +76,9 @@
 	r.snapshotter.Apply(update)
 }
 
-// ObserveEventNumber takes the number that discovery reports as its last, beside the last one known here. It reports whether discovery began
-// anew: its events are to be read from the first.
+// ObserveEventNumber compares the number that discovery reports for its last event with the last number known to the
+// gateway. It reports whether the discovery service has restarted its event numbers. The caller must then read the
+// events again from the first one.
 func (r *Reconciler) ObserveEventNumber(reported, known int64) (hasRestarted bool) {
 	if r == nil {
 		return false
@@ -84,7 +90,8 @@
 	return hasRestarted
 }
 
-// countRegression counts numbers below the last one known and reports whether they are enough.
+// countRegression counts consecutive event numbers below the last known one. It reports whether there have been
+// maxRegressions of them.
 func (r *Reconciler) countRegression(isRegression bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/warmstart/reconciler.go
+++ b/internal/warmstart/reconciler.go
@@ -1,10 +1,11 @@
-// Package warmstart starts the gateway from the endpoint list stored on disk while discovery does not answer, and reconciles that list with
-// discovery's. At the start it gives the dispatcher the stored endpoints, each with a confidence (package freshness); it follows how they
-// respond, and drops the stored list when discovery has reported a complete one. From then on it passes what discovery reports to the snapshotter,
-// and holds drains that the stored list knows against a discovery service that is behind it.
+// Package warmstart starts the gateway from the endpoint list stored on disk while discovery does not respond, and
+// reconciles that list with discovery's list. At the start it passes the stored endpoints to the dispatcher, each with a
+// confidence from package freshness. It updates the confidence from the outcomes of attempts and drops the stored list
+// when discovery has reported a complete one. It passes updates from discovery to the snapshotter. While a discovery
+// service is behind the stored list, the drains in the stored list remain in effect.
 //
-// Lock order: listMu, then the dispatcher's lock, then mu. The dispatcher reports outcomes under its own lock, so mu is never held over a call
-// to the dispatcher.
+// Lock order: listMu, then the dispatcher's lock, then mu. The dispatcher reports outcomes under its own lock, so mu is
+// never held during a call to the dispatcher.
 package warmstart
 
 import (
@@ -26,17 +27,21 @@
 const (
 	reviewInterval = 100 * time.Millisecond // between reviews of the stored endpoints
 	healthInterval = 5 * time.Second        // between updates of the stored list with ejections and responses
-	// A parent that is not known to be warm counts as started so long after this process: it bears little for longest, and one large fill
-	// reserved by each gateway at once weighs most there.
+	// A parent that is not confirmed as warm is treated as if it started this long after this process. A cold parent can
+	// bear only a low load for longer than other caches, and it is affected most if every gateway reserves one large
+	// fill at the same time.
 	parentStartDelay = 2 * time.Second
-	// For so long from the start a drain in the stored list holds against discovery. Then discovery's word counts.
+	// For this long after the start, a drain in the stored list takes precedence over what discovery reports. After that,
+	// discovery takes precedence.
 	drainHold = 10 * time.Minute
-	// Event numbers reported so often in a row below the last one known are those of a discovery service that began anew.
+	// After this many consecutive event numbers below the last known one, the discovery service is assumed to have
+	// restarted its event numbers.
 	maxRegressions = 3
 )
 
-// Reconciler reconciles the stored list with discovery. It lives as long as the process, is bounded by the list and safe for concurrent use. A
-// nil one does nothing, as where no list is configured.
+// Reconciler reconciles the stored list with discovery. It lives as long as the process. Its size is bounded by the list.
+// It is safe for concurrent use. KeepDraining, Apply and ObserveEventNumber do nothing on a nil Reconciler, which a
+// gateway without a configured list uses.
 type Reconciler struct {
 	env         env.Environment
 	settings    *settings.Settings
@@ -45,23 +50,23 @@
 	snapshotter *snapshot.Snapshotter
 	startedAt   time.Time
 
-	listMu sync.Mutex // held while the stored list goes to the dispatcher or is dropped
+	listMu sync.Mutex // held while changes of the stored list are passed to the dispatcher and while the list is dropped
 
-	mu          sync.Mutex // of what follows
+	mu          sync.Mutex // guards the fields below
 	tracker     *freshness.Tracker
-	stored      map[string]policy.Endpoint // by id; nil, as tracker, once discovery has reported a complete list
+	stored      map[string]policy.Endpoint // by id; nil, like tracker, after discovery has reported a complete list
 	knownDrains map[string]*knownDrain     // by id
 	lastEvent   int64                      // number of the last discovery event in the stored list
-	regressions int                        // event numbers reported below the last one known, in a row
+	regressions int                        // consecutive event numbers below the last known one
 }
 
-// knownDrain is a cache that the stored list knows to drain or to be removed.
+// knownDrain is a cache that the stored list records as draining or removed.
 type knownDrain struct {
 	tombstone endpoints.Tombstone
-	latest    *policy.Endpoint // as discovery has reported it since; nil: it has not
+	latest    *policy.Endpoint // what discovery reported last while the drain was in effect; nil if nothing
 }
 
-// New returns a reconciler over an open list.
+// New returns a reconciler for an open list.
 func New(e env.Environment, s *settings.Settings, dispatcher *dispatch.Dispatcher, caches *cacheregistry.Registry, snapshotter *snapshot.Snapshotter) *Reconciler {
 	r := &Reconciler{env: e, settings: s, dispatcher: dispatcher, caches: caches, snapshotter: snapshotter, startedAt: e.Now(),
 		knownDrains: map[string]*knownDrain{}}
@@ -73,8 +78,8 @@
 	return r
 }
 
-// Run reviews the stored endpoints, releases the known drains when their time is over, and updates the stored list with the caches' health,
-// until the lifetime ends.
+// Run works until the lifetime ends. It passes changes in the confidence of the stored endpoints to the dispatcher,
+// releases the known drains after drainHold, and updates the stored list with the health of the caches.
 func (r *Reconciler) Run(lifetime *env.Lifetime) error {
 	ended := r.env.NewNotifier()
 	defer lifetime.OnEnd(ended.Notify)()
@@ -99,7 +104,7 @@
 	return healthInterval
 }
 
-// publishChanges gives the dispatcher the stored endpoints whose confidence has changed.
+// publishChanges passes the stored endpoints whose confidence has changed to the dispatcher.
 func (r *Reconciler) publishChanges() {
 	r.listMu.Lock()
 	defer r.listMu.Unlock()
@@ -114,7 +119,8 @@
 	}
 }
 
-// releaseDrains gives the dispatcher the caches whose drains no longer hold, as discovery reported them last.
+// releaseDrains ends the known drains after drainHold. It passes the endpoints that were set back to draining to the
+// dispatcher, as discovery reported them last.
 func (r *Reconciler) releaseDrains() {
 	r.mu.Lock()
 	var released []policy.Endpoint
--- a/internal/warmstart/reconciler_test.go
+++ b/internal/warmstart/reconciler_test.go
@@ -18,11 +18,11 @@
 	"foldslip/internal/store/snapshot"
 )
 
-// recordingRouter records the endpoints that the policy's router gets.
+// recordingRouter records the endpoints that are passed to the policy's router.
 type recordingRouter struct {
 	dispatch.Router
 	kind policy.UpdateKind
-	rows map[string]policy.Endpoint // nil: none came
+	rows map[string]policy.Endpoint // nil before the first update
 }
 
 func (r *recordingRouter) UpdateEndpoints(now policy.Micros, kind policy.UpdateKind, list []policy.Endpoint) {
@@ -36,7 +36,7 @@
 	r.Router.UpdateEndpoints(now, kind, list)
 }
 
-// fixture is a reconciler over a list that an earlier gateway stored, and what it works with.
+// fixture is a reconciler for a list that an earlier gateway stored, with the components that it uses.
 type fixture struct {
 	log         bytes.Buffer
 	router      *recordingRouter
@@ -49,7 +49,7 @@
 var testSettings = []byte(`{"areas":["town"],"machine_types":["edge","parent","origin"],"classes":[{"name":"segment","aim":400000,"deadline":5000000,"effect":"idempotent"}],
 "specifics":{"parent_kind":1,"source_kind":2,"max_age":[0],"grace_for":[0],"pass_on":[false],"seats_by_zone":[1],"cleared_within":6000000}}`)
 
-// newFixture starts from a directory into which an earlier gateway wrote updates.
+// newFixture returns a fixture for a directory to which an earlier gateway wrote the given updates.
 func newFixture(t *testing.T, stored ...endpoints.Update) *fixture {
 	t.Helper()
 	f := &fixture{caches: &cacheregistry.Registry{}}
@@ -93,22 +93,22 @@
 	edge("c", endpoints.Draining)}}
 
 func TestStartFromStoredList(t *testing.T) {
-	t.Run("without a list there are no endpoints", func(t *testing.T) {
+	t.Run("without a stored list there are no endpoints", func(t *testing.T) {
 		f := newFixture(t)
 		if n := f.reconciler.Start(f.purges); n != 0 || f.router.rows != nil {
-			t.Errorf("%d, %+v", n, f.router.rows)
+			t.Errorf("got %d endpoints and rows %+v, want none", n, f.router.rows)
 		}
 	})
 	t.Run("a draining cache is gone, the others are on probation", func(t *testing.T) {
 		f := newFixture(t, completeList)
 		f.reconciler.Start(f.purges)
 		if f.router.kind != policy.UpdateCached || len(f.router.rows) != 3 || f.router.rows["c"].State != policy.Gone {
-			t.Fatalf("%+v", f.router)
+			t.Fatalf("unexpected endpoints of the stored list: %+v", f.router)
 		}
 		delete(f.router.rows, "c")
 		for _, row := range f.router.rows {
 			if row.Confidence != policy.OnProbation || row.StartedAt == 0 || row.State != policy.Ready {
-				t.Errorf("%+v", row)
+				t.Errorf("got %+v, want a ready endpoint on probation with a start time", row)
 			}
 		}
 		if !strings.Contains(f.log.String(), "event=started_from_stored_list caches=3") {
@@ -119,10 +119,10 @@
 		f := newFixture(t, completeList, endpoints.Update{HasHealth: true, Ejected: []string{"b"}})
 		f.reconciler.Start(f.purges)
 		if f.router.rows["a"].Confidence != policy.OnProbation || f.router.rows["b"].Confidence != policy.Suspect {
-			t.Errorf("%+v", f.router.rows)
+			t.Errorf("got %+v, want a on probation and b suspect", f.router.rows)
 		}
 	})
-	t.Run("purges in force are applied, old ones not", func(t *testing.T) {
+	t.Run("purges within their retention are restored, older ones are not", func(t *testing.T) {
 		now := time.Now()
 		f := newFixture(t, completeList, endpoints.Update{Purges: []endpoints.Purge{{Object: "new", IssuedAt: now.UnixMilli()}, {Object: "old", IssuedAt: 1000}}})
 		f.reconciler.Start(f.purges)
@@ -133,7 +133,7 @@
 			t.Error(issuedAt)
 		}
 	})
-	t.Run("hits confirm an endpoint, and the policy gets it as warm", func(t *testing.T) {
+	t.Run("hits confirm an endpoint, and the policy receives it as warm", func(t *testing.T) {
 		f := newFixture(t, completeList)
 		f.reconciler.Start(f.purges)
 		a := f.caches.Find("a").Policy
@@ -142,12 +142,12 @@
 		}
 		f.reconciler.publishChanges()
 		if f.router.kind != policy.UpdateDelta || f.router.rows["a"].StartedAt != 0 || f.router.rows["b"].StartedAt == 0 {
-			t.Errorf("%+v", f.router)
+			t.Errorf("got %+v, want a without a start time and b with one", f.router)
 		}
 	})
 }
 
-// stateOfC returns the state in which the dispatcher gets c when a discovery event tells it as ready.
+// stateOfC returns the state that KeepDraining gives cache c if a discovery event reports it as ready.
 func (f *fixture) stateOfC(event int64, startedAt policy.Micros) policy.EndpointState {
 	list := []policy.Endpoint{{Cache: f.caches.Register("c", "10.0.0.1:9").Policy, StartedAt: startedAt}}
 	f.reconciler.KeepDraining(event, false, []string{"c"}, list)
@@ -161,7 +161,7 @@
 			t.Errorf("state %v, want %v", got, want)
 		}
 	}
-	t.Run("hold against a discovery service that is behind the list", func(t *testing.T) {
+	t.Run("take precedence over a discovery service that is behind the stored list", func(t *testing.T) {
 		f := newFixture(t, completeList)
 		requireState(t, f.stateOfC(3, 0), policy.Draining)
 	})
@@ -173,7 +173,7 @@
 		f := newFixture(t, completeList)
 		requireState(t, f.stateOfC(3, time.Now().Add(time.Second).UnixMicro()), policy.Ready)
 	})
-	t.Run("hold until drainHold after the start, however old", func(t *testing.T) {
+	t.Run("hold until drainHold after the start, whatever their age", func(t *testing.T) {
 		f := newFixture(t, completeList)
 		f.reconciler.knownDrains["c"].tombstone.At -= 24 * time.Hour.Milliseconds()
 		requireState(t, f.stateOfC(3, 0), policy.Draining)
@@ -183,7 +183,7 @@
 }
 
 func TestDiscoveryRecovery(t *testing.T) {
-	t.Run("a complete list ends the use of the stored one, and is logged", func(t *testing.T) {
+	t.Run("a complete list ends the use of the stored list, and that is logged", func(t *testing.T) {
 		f := newFixture(t, completeList)
 		f.reconciler.Start(f.purges)
 		f.reconciler.KeepDraining(1, true, []string{"a", "d"}, make([]policy.Endpoint, 2))
@@ -191,7 +191,7 @@
 		a := f.caches.Find("a").Policy
 		f.reconciler.observe(a, a, policy.OutcomeSatisfied, policy.DetailHit)
 		if f.reconciler.publishChanges(); f.router.rows != nil {
-			t.Error("the stored list follows discovery's")
+			t.Error("endpoints of the stored list reached the dispatcher after discovery's complete list")
 		}
 		f.reconciler.Apply(endpoints.Update{LastEvent: 1, Complete: true, Endpoints: []endpoints.Endpoint{edge("a", endpoints.Up), edge("d", endpoints.Up)}})
 		if !strings.Contains(f.log.String(), "event=stored_list_replaced") || !strings.Contains(f.log.String(), "discovered=2 stored=3 in_both=1") {
@@ -201,11 +201,11 @@
 			t.Errorf("%+v", list)
 		}
 	})
-	t.Run("event numbers below the last known, three in a row, mean that discovery began anew", func(t *testing.T) {
+	t.Run("three consecutive event numbers below the last known one mean that discovery has restarted its event numbers", func(t *testing.T) {
 		f := newFixture(t, completeList)
 		for i, reported := range []int64{3, 3, 41, 3, 3, 3} {
 			if hasRestarted := f.reconciler.ObserveEventNumber(reported, 41); hasRestarted != (i == 5) {
-				t.Errorf("%d: %v", i, hasRestarted)
+				t.Errorf("event number at index %d: got hasRestarted %v, want true only at index 5", i, hasRestarted)
 			}
 		}
 	})
--- a/internal/warmstart/start.go
+++ b/internal/warmstart/start.go
@@ -11,8 +11,8 @@
 	"foldslip/internal/store/endpoints"
 )
 
-// Start gives the dispatcher the stored endpoints, each with its confidence, and the purges that are still in force. It returns the number of
-// endpoints; 0: there is no list to start from.
+// Start passes the stored endpoints with their confidence to the dispatcher, and restores the purges that are still
+// within their retention. It returns the number of endpoints, which is 0 if there is no list to start from.
 func (r *Reconciler) Start(purges *purgelog.Log) int {
 	list := r.snapshotter.State()
 	now := r.env.Now()
@@ -35,7 +35,8 @@
 	return len(stored)
 }
 
-// listAge returns the time since discovery last confirmed a list. For an operator's file alone that is the time since it was imported.
+// listAge returns the time since discovery last confirmed a list. If discovery has never confirmed it, as for a list from
+// an operator's file alone, listAge returns the time since ChangedAt.
 func listAge(list *endpoints.State, now time.Time) time.Duration {
 	if list.CurrentAsOf == 0 {
 		return now.Sub(time.UnixMilli(list.ChangedAt))
@@ -43,7 +44,8 @@
 	return now.Sub(time.UnixMilli(list.CurrentAsOf))
 }
 
-// assessList returns a tracker of the stored endpoints and their rows by id. Endpoints of other platform settings are left out.
+// assessList returns a tracker of the stored endpoints, and the same endpoints by id in the policy's form. It omits
+// endpoints whose zone or machine type is not in the platform settings.
 func (r *Reconciler) assessList(list *endpoints.State, now time.Time) (*freshness.Tracker, map[string]policy.Endpoint) {
 	tracker := freshness.NewTracker(freshness.History{CacheHours: list.CacheHours, Departures: list.Departures}, now)
 	stored := map[string]policy.Endpoint{}
@@ -62,7 +64,7 @@
 	return tracker, stored
 }
 
-// restorePurges records the stored purges that are still in force. Discovery reports those since.
+// restorePurges records the stored purges that are still within their retention. Discovery reports the later ones.
 func (r *Reconciler) restorePurges(list *endpoints.State, purges *purgelog.Log, now time.Time) {
 	for _, p := range list.Purges {
 		issuedAt := time.UnixMilli(p.IssuedAt)
@@ -73,7 +75,7 @@
 	}
 }
 
-// assessedEndpoints returns the rows of assessments, as the policy takes them. The lock is held.
+// assessedEndpoints returns the endpoints of the given assessments in the policy's form. The caller holds r.mu.
 func (r *Reconciler) assessedEndpoints(assessments []freshness.Assessment) (list []policy.Endpoint) {
 	for _, a := range assessments {
 		list = append(list, r.assessedEndpoint(a))
@@ -86,7 +88,7 @@
 	switch {
 	case a.Confidence == freshness.Excluded:
 		row.State = policy.Gone
-	case row.Kind == r.settings.Router.OriginKind: // there is no other
+	case row.Kind == r.settings.Router.OriginKind: // stays Confirmed, because there is no other origin
 	case a.Confidence == freshness.Suspect:
 		row.Confidence = policy.Suspect
 	default:
@@ -101,7 +103,7 @@
 	return row
 }
 
-// observe takes how an attempt ended. The dispatcher calls it under its lock.
+// observe passes the outcome of an attempt to the tracker. The dispatcher calls it under its own lock.
 func (r *Reconciler) observe(edge, source *policy.Cache, outcome policy.AttemptOutcome, detail policy.OutcomeDetail) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -120,7 +122,7 @@
 	}
 }
 
-// edgeObservation returns what an attempt showed of the edge; not ok: nothing.
+// edgeObservation returns the evidence that the outcome of an attempt gives about the edge. ok is false if there is none.
 func edgeObservation(outcome policy.AttemptOutcome, detail policy.OutcomeDetail) (observation freshness.Observation, ok bool) {
 	switch {
 	case outcome == policy.OutcomeConnectFailed, outcome == policy.OutcomeReset:
@@ -135,7 +137,8 @@
 	return 0, false
 }
 
-// sourceObservation returns what an attempt showed of the source of its fill; not ok: nothing.
+// sourceObservation returns the evidence that the outcome of an attempt gives about the source of its fill. ok is false
+// if there is none.
 func sourceObservation(outcome policy.AttemptOutcome, detail policy.OutcomeDetail) (observation freshness.Observation, ok bool) {
 	switch {
 	case outcome == policy.OutcomeSatisfied && detail == policy.DetailFilled:
