--- a/internal/purgelog/cost_test.go
+++ b/internal/purgelog/cost_test.go
@@ -10,10 +10,10 @@
 
 var costs = cost.NewProbes("./internal/purgelog")
 
-// objectName spreads numbers over names as objects' names are spread.
+// objectName returns an object name for a number. The names are spread widely, as the names of objects are.
 func objectName(i int) string { return fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15) }
 
-// Heap of the purges held, by number (docs/CAPACITY.md).
+// TestCostRetainedPurges measures the heap that the purges held occupy, by their number (docs/CAPACITY.md).
 func TestCostRetainedPurges(t *testing.T) {
 	costs.Measure(t, cost.Figure{Name: "memory-purges-heap", Title: "purgelog.Log: heap of the purges held", XLabel: "purges held", YLabel: "bytes", Budget: 2 << 20,
 		BudgetOf: "purges held, 2 MB of 128", PlanSize: 1100}, []int{600, 1100, 6000, 60000, 360000}, func(held int) float64 {
@@ -24,14 +24,14 @@
 				l.Record(objectName(i), 0, clock.now)
 			}
 			if len(l.objects) != held {
-				t.Errorf("%d held of %d", len(l.objects), held)
+				t.Errorf("%d purges held, want %d", len(l.objects), held)
 			}
 			return l
 		})
 	})
 }
 
-// Processor time of one Record where so many are held, purges coming 10 ms apart.
+// TestCostRecord measures the CPU time of one Record, by the number of purges held. The purges arrive 10 ms apart.
 func TestCostRecord(t *testing.T) {
 	costs.Measure(t, cost.Figure{Name: "memory-note", Title: "purgelog.Log.Record: processor time of one purge", XLabel: "purges held", YLabel: "us of a core", Budget: 40,
 		BudgetOf: "a purge, 0.4% of a core at 100/s", PlanSize: 1100}, []int{600, 1100, 2200, 6000, 20000, 60000, 360000}, func(held int) float64 {
@@ -46,7 +46,7 @@
 		}
 		us := costs.MicrosPerCall(func(i int) { record(held + i) })
 		if n := len(l.objects); n < held || n > held+2 {
-			t.Errorf("%d held, not %d: the test measures another number", n, held)
+			t.Errorf("%d purges held, want %d: the cost was measured at a different number", n, held)
 		}
 		return us
 	})
--- a/internal/purgelog/purgelog.go
+++ b/internal/purgelog/purgelog.go
@@ -1,4 +1,5 @@
-// Package purgelog records the purges that the gateway has received, for as long as older copies may lie in caches.
+// Package purgelog records the purges that the gateway has received. It retains them for as long as caches may hold
+// copies from before the purge.
 package purgelog
 
 import (
@@ -8,12 +9,16 @@
 	"foldslip/internal/env"
 )
 
-// maxPending bounds the purges of one object or group that are held apart. Past it the last two become one that is as strict as either.
+// maxPending is the maximum number of purges of one object or group that are held separately. Above it, a new purge is
+// merged with the last one into a purge that is as strict as each of them.
 const maxPending = 16
 
-// Log holds purges of objects and of groups. A purge takes effect once Grace has passed since it was received: caches have that long to
-// drop their copies. An object's purges are forgotten once Retention has passed since the last of them; those of groups stay, being as few
-// as groups. It is bounded by the rate of purges times Retention, and safe for concurrent use. Set the exported fields before the first use.
+// Log holds purges of objects and of groups. A purge takes effect when Grace has passed since it was received, because
+// caches have that long to drop their copies. The purges of an object are dropped when Retention has passed since the
+// last of them was received. The purges of groups are never dropped, because the number of groups is small.
+//
+// The size of a Log is bounded by the rate of purges times Retention. It is safe for concurrent use. The exported fields
+// must be set before the first use.
 type Log struct {
 	Retention time.Duration
 	Grace     time.Duration
@@ -22,11 +27,11 @@
 	mu      sync.Mutex
 	objects map[string][]entry
 	groups  map[int][]entry
-	queue   []queuedObject // objects in the order in which their purges were received, from head on
+	queue   []queuedObject // objects in the order in which their purges were received; the first one is at head
 	head    int
 }
 
-// entry is one purge: copies from before issuedAt are out of date.
+// entry is one purge. Copies from before issuedAt are out of date.
 type entry struct{ issuedAt, receivedAt time.Time }
 
 type queuedObject struct {
@@ -34,7 +39,7 @@
 	receivedAt time.Time
 }
 
-// Record adds a purge of an object, or of a group where the object is "".
+// Record adds a purge of an object, or of a group if object is empty.
 func (l *Log) Record(object string, group int, issuedAt time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,8 +63,9 @@
 
 func last(entries []entry) entry { return entries[len(entries)-1] }
 
-// expire forgets the objects whose last purge was received longer than Retention ago. The queue makes its cost independent of the number
-// of purges held: it has an element for each of them, in the order in which they were received.
+// expire drops the objects whose last purge was received more than Retention ago. The queue has an element for each
+// purge held, in the order in which they were received. So the cost of expire does not depend on the number of purges
+// held.
 func (l *Log) expire(now time.Time) {
 	for l.head < len(l.queue) && now.Sub(l.queue[l.head].receivedAt) > l.Retention {
 		queued := l.queue[l.head]
@@ -75,10 +81,12 @@
 	}
 }
 
-// merge adds a purge to those of the same object or group, which are in the order of both their times. Each takes effect after its own
-// grace, so that a later one does not delay an earlier one.
+// merge adds a purge to the entries of the same object or group and returns them. The entries are in ascending order of
+// issuedAt and of receivedAt. Each entry takes effect after its own grace period, so a later purge does not delay an
+// earlier one.
 func (l *Log) merge(entries []entry, issuedAt, now time.Time) []entry {
-	for len(entries) > 1 && now.Sub(entries[1].receivedAt) > l.Grace { // the second is in effect and stricter than the first
+	// The first entry is dropped if the second one is in effect, because the second one is stricter.
+	for len(entries) > 1 && now.Sub(entries[1].receivedAt) > l.Grace {
 		entries = entries[1:]
 	}
 	n := len(entries)
@@ -92,8 +100,8 @@
 	return append(entries, entry{issuedAt, now})
 }
 
-// InForce returns when the latest purge in effect for an object of a group was issued and when it was received. Both are zero if there is
-// none.
+// InForce returns the times at which the latest purge in effect for an object of a group was issued and received. Both
+// are zero if no purge is in effect.
 func (l *Log) InForce(object string, group int) (issuedAt, receivedAt time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/purgelog/purgelog_test.go
+++ b/internal/purgelog/purgelog_test.go
@@ -23,7 +23,7 @@
 	l := &Log{Retention: time.Hour, Grace: -1, Clock: env.NewSystem(io.Discard, 0)}
 	issuedAt := time.Now()
 	l.Record("a", 0, issuedAt)
-	l.Record("a", 0, issuedAt.Add(-time.Second)) // an earlier one, received late
+	l.Record("a", 0, issuedAt.Add(-time.Second)) // issued earlier, received later
 	l.Record("", 3, issuedAt.Add(-time.Minute))
 	for _, test := range []struct {
 		object string
@@ -31,12 +31,12 @@
 		want   time.Time
 	}{{"a", 3, issuedAt}, {"b", 3, issuedAt.Add(-time.Minute)}, {"b", 4, time.Time{}}} {
 		if got, _ := l.InForce(test.object, test.group); !got.Equal(test.want) {
-			t.Errorf("%s in %d: %v", test.object, test.group, got)
+			t.Errorf("object %s in group %d: got a purge issued at %v", test.object, test.group, got)
 		}
 	}
 	l.Retention = -1
 	if l.Record("c", 0, issuedAt); len(l.objects) != 1 {
-		t.Errorf("%d purges held past their retention", len(l.objects))
+		t.Errorf("purges of %d objects held, want only that of c after the others' retention", len(l.objects))
 	}
 }
 
@@ -50,29 +50,29 @@
 		l.Record("a", 0, first.Add(200*time.Millisecond))
 		clock.now = clock.now.Add(101 * time.Millisecond)
 		if got, receivedAt := l.InForce("a", 0); !got.Equal(first) || !receivedAt.Equal(first) {
-			t.Errorf("issued %v, received %v", got, receivedAt)
+			t.Errorf("got a purge issued at %v and received at %v, want the first one", got, receivedAt)
 		}
 		clock.now = clock.now.Add(200 * time.Millisecond)
 		if got, _ := l.InForce("a", 0); !got.Equal(first.Add(200 * time.Millisecond)) {
-			t.Errorf("issued %v past the grace of both", got)
+			t.Errorf("after both grace periods: got a purge issued at %v, want the second one", got)
 		}
 	})
-	t.Run("a thousand at once are bounded, and none is delayed", func(t *testing.T) {
+	t.Run("a thousand purges at once are bounded, and none of them is delayed", func(t *testing.T) {
 		start := clock.now
 		for i := range 1000 {
 			l.Record("b", 0, start.Add(time.Duration(i)*time.Microsecond))
 		}
 		if len(l.objects["b"]) != maxPending {
-			t.Errorf("%d held", len(l.objects["b"]))
+			t.Errorf("%d purges held, want maxPending", len(l.objects["b"]))
 		}
 		clock.now = clock.now.Add(301 * time.Millisecond)
 		if got, _ := l.InForce("b", 0); !got.Equal(start.Add(999 * time.Microsecond)) {
-			t.Errorf("issued %v", got)
+			t.Errorf("got a purge issued at %v, want the last one", got)
 		}
 	})
 }
 
-// scanningLog is the reference for expiry: each purge scans all objects that are held.
+// scanningLog is the reference implementation of expiry. It scans all objects held at each purge.
 type scanningLog struct{ Log }
 
 func (l *scanningLog) record(object string, group int, issuedAt time.Time) {
@@ -93,7 +93,8 @@
 	}
 }
 
-// Expiry by the queue holds and applies what a scan of all would, whatever is received when.
+// Guards against purges that the queue drops too early or too late. For random sequences of purges, a log that expires
+// by the queue and one that scans all objects must hold the same number of objects and apply the same purges.
 func TestPurgesExpireAsByAFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := &adjustableClock{now: time.Unix(1_764_576_000, 0)}
@@ -113,12 +114,12 @@
 			queued.Record(object, group, issuedAt)
 			scanned.record(object, group, issuedAt)
 			if len(queued.objects) != len(scanned.objects) {
-				t.Fatalf("%d objects held, a full scan holds %d", len(queued.objects), len(scanned.objects))
+				t.Fatalf("%d objects held, want %d as with a full scan", len(queued.objects), len(scanned.objects))
 			}
 			clock.now = clock.now.Add(pause.Draw(t, "pause"))
 			requireEqualEffect(t, queued, &scanned.Log)
 			if n := len(queued.queue) - queued.head; n > maxPending*max(1, len(queued.objects)) {
-				t.Fatalf("%d wait to expire for %d objects", n, len(queued.objects))
+				t.Fatalf("%d elements in the queue for %d objects, want at most maxPending for each", n, len(queued.objects))
 			}
 		}
 	})
@@ -133,7 +134,7 @@
 			gotIssued, gotReceived := got.InForce(object, group)
 			wantIssued, wantReceived := want.InForce(object, group)
 			if !gotIssued.Equal(wantIssued) || !gotReceived.Equal(wantReceived) {
-				t.Fatalf("%s, group %d: issued %v received %v, a full scan %v received %v", object, group, gotIssued, gotReceived, wantIssued, wantReceived)
+				t.Fatalf("%s, group %d: got a purge issued at %v and received at %v, want one issued at %v and received at %v", object, group, gotIssued, gotReceived, wantIssued, wantReceived)
 			}
 		}
 	}
