--- a/internal/cacheregistry/cacheregistry.go
+++ b/internal/cacheregistry/cacheregistry.go
@@ -1,5 +1,5 @@
-// Package cacheregistry knows the caches of the endpoint list by id, as the network code needs them: the address to connect to and the
-// policy's state of each.
+// Package cacheregistry maps the ids of the caches in the endpoint list to the data that the network code needs, which
+// are the address to connect to and the policy's state of the cache. A Registry is bounded by the endpoint list.
 package cacheregistry
 
 import (
@@ -8,21 +8,23 @@
 	"foldslip/internal/policy"
 )
 
-// Cache is a server that the gateway sends to. It never changes: another address makes another Cache with the same Policy.
+// Cache is a server to which the gateway sends requests. It is immutable. A new address is stored in a new Cache with
+// the same Policy.
 type Cache struct {
 	ID     string
-	Addr   string        // host and port; "" until the endpoint list has named one
-	Policy *policy.Cache // what the policy knows of it
+	Addr   string        // host and port; "" until the endpoint list has provided the address
+	Policy *policy.Cache // the policy's state of the cache
 }
 
-// Registry holds the caches of the endpoint list by id. A cache that left the list is forgotten: if it comes back it is a new one. The zero
-// value is an empty registry. It is bounded by the endpoint list and safe for concurrent use.
+// Registry holds the caches of the endpoint list by id. A cache that leaves the list is removed. If it returns, it is a
+// new cache with a new policy state. The zero value is an empty registry. A Registry is safe for concurrent use.
 type Registry struct {
 	mu   sync.Mutex
 	byID map[string]*Cache
 }
 
-// Register returns the cache of an id and adds it if it is not known. A changed address replaces the entry; "" leaves the address as it is.
+// Register returns the cache with the given id and adds it if it is unknown. A changed address replaces the Cache. An
+// empty address leaves it as it is.
 func (r *Registry) Register(id, addr string) *Cache {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -41,7 +43,7 @@
 	return cache
 }
 
-// Find returns the cache of an id, or nil.
+// Find returns the cache with the given id, or nil if it is unknown.
 func (r *Registry) Find(id string) *Cache {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,14 +57,14 @@
 	return len(r.byID)
 }
 
-// Remove forgets one cache.
+// Remove removes the cache with the given id.
 func (r *Registry) Remove(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.byID, id)
 }
 
-// Retain forgets all caches but those of the given ids.
+// Retain removes all caches except those with the given ids.
 func (r *Registry) Retain(ids map[string]bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/cacheregistry/cacheregistry_test.go
+++ b/internal/cacheregistry/cacheregistry_test.go
@@ -10,9 +10,9 @@
 	}
 	r.Remove("s")
 	if returned := r.Register("s", "1.2.3.4:1"); returned.Policy == first.Policy {
-		t.Error("a cache that was removed and came back has the old policy state")
+		t.Error("a cache that was removed and registered again has the old policy state")
 	}
 	if r.Retain(map[string]bool{}); r.Find("s") != nil {
-		t.Error("a cache is retained though its id is not among those named")
+		t.Error("Retain did not remove a cache whose id was not given")
 	}
 }
