--- a/internal/lab/ci/floors_test.go
+++ b/internal/lab/ci/floors_test.go
@@ -12,7 +12,7 @@
 
 // floors are the packages of the program from the top down, as docs/architecture.md draws them. A package stands with all below its path
 // that are not named themselves. It imports from its own floor and those below.
-var floors = [][]string{
+var layers = [][]string{
 	{"cmd", "internal/cli", "internal/gateway", "internal/simadapter", "client", "example"},
 	{"internal/frontend", "internal/extproc", "internal/admin"},
 	{"internal/upstream", "internal/discovery"},
@@ -27,13 +27,13 @@
 // labFolder holds what only tests and the command lines use; it may import everything.
 const labFolder = "internal/lab"
 
-// floorOf is the floor of a package's folder, 0 the highest, or -1 if it has none.
-func floorOf(folder string) int {
+// layerOf is the floor of a package's folder, 0 the highest, or -1 if it has none.
+func layerOf(folder string) int {
 	for at := folder; at != "."; at = path.Dir(at) {
-		for floor, names := range floors {
+		for layer, names := range layers {
 			for _, name := range names {
 				if name == at {
-					return floor
+					return layer
 				}
 			}
 		}
@@ -52,9 +52,9 @@
 		return "imports the lab"
 	case isLab(from) || isLab(to):
 		return ""
-	case floorOf(from) < 0:
+	case layerOf(from) < 0:
 		return "stands on no floor"
-	case floorOf(to) < floorOf(from):
+	case layerOf(to) < layerOf(from):
 		return "imports from a floor above"
 	}
 	return ""
@@ -84,7 +84,7 @@
 func TestImportsThatPointUpAreFound(t *testing.T) {
 	for _, c := range []struct {
 		from, to string
-		isFine   bool
+		allowed  bool
 	}{
 		{"internal/gateway", "internal/policy", true},
 		{"internal/fleet/gossip", "internal/fleet/limits", true},
@@ -96,7 +96,7 @@
 		{"internal/lab/fleet", "internal/gateway", true},
 		{"internal/unknown", "internal/env", false},
 	} {
-		if fault := checkImport(c.from, c.to); (fault == "") != c.isFine {
+		if fault := checkImport(c.from, c.to); (fault == "") != c.allowed {
 			t.Errorf("%s imports %s: %q", c.from, c.to, fault)
 		}
 	}
--- a/internal/lab/ci/known_red_test.go
+++ b/internal/lab/ci/known_red_test.go
@@ -173,7 +173,7 @@
 	const command = "go test ./one, seed 1"
 	entry := func(fields ...string) string { return strings.Join(fields, " | ") + "\n" }
 	const malformed = "not 'PACKAGE.TestName | command and seed | what was seen | issue N'"
-	for _, wrong := range []struct{ known, says string }{
+	for _, wrong := range []struct{ known, want string }{
 		{"made/one.TestRed |  | its answer comes late | issue 7\n", "no command"},
 		{entry("made/one.TestRed", "run it, seed 4", "its answer comes late", "issue 7"), "no command"},
 		{entry("made/one.TestRed", "go test", "its answer comes late", "issue 7"), "no command"},
@@ -200,7 +200,7 @@
 		{knownRedLine + entry("made/two.TestGone", command, "one good line before it", "issue 7"), "matches 0 tests"},
 	} {
 		passed, printed, ran := runWithKnownRed(t, root, wrong.known)
-		if passed || !strings.Contains(printed, wrong.says) || len(ran) > 0 {
+		if passed || !strings.Contains(printed, wrong.want) || len(ran) > 0 {
 			t.Errorf("%q: passed %v, ran %v, printed\n%s", wrong.known, passed, ran, printed)
 		}
 	}
--- a/internal/lab/simenv/conn.go
+++ b/internal/lab/simenv/conn.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	windowBytes     = 64 << 10 // on their way or unread in one direction of a connection
-	partReadOneIn   = 8        // how often a read, or a segment of an actor, ends at any byte
-	partWriteOneIn  = 16       // how often a write does
-	firstClientPort = 20000
-	clientPorts     = 40000
+	windowBytes       = 64 << 10 // on their way or unread in one direction of a connection
+	partialReadOneIn  = 8        // how often a read, or a segment of an actor, ends at any byte
+	partialWriteOneIn = 16       // how often a write does
+	firstClientPort   = 20000
+	clientPorts       = 40000
 )
 
 // addr is an address of the simulated network.
@@ -34,21 +34,21 @@
 
 // Conn is a process's end of a connection. It implements env.Conn.
 type Conn struct {
-	process       *Process
-	sim           *Simulation
-	number        uint64
-	local, remote addr
-	out, in       *direction
-	peer          *End
-	received      []byte // arrived and not read
-	inFlight      int    // bytes that were written and that the peer has not taken
-	eof, reset    bool   // by the peer
-	closed, fin   bool   // by this end
-	lingersNot    bool   // its end drops what has not been delivered
-	readDeadline  time.Duration
-	writeDeadline time.Duration
-	reader        *task // that waits
-	writer        *task // that waits
+	process        *Process
+	sim            *Simulation
+	number         uint64
+	local, remote  addr
+	out, in        *direction
+	peer           *End
+	received       []byte // arrived and not read
+	inFlight       int    // bytes that were written and that the peer has not taken
+	eof, reset     bool   // by the peer
+	closed, fin    bool   // by this end
+	discardOnClose bool   // its end drops what has not been delivered
+	readDeadline   time.Duration
+	writeDeadline  time.Duration
+	reader         *task // that waits
+	writer         *task // that waits
 }
 
 // connect makes the connection between a process and an actor's end.
@@ -123,27 +123,27 @@
 
 // readReceived reads what has arrived; now and then only a part, as what the kernel has may end at any byte.
 func (c *Conn) readReceived(b []byte) int {
-	n := c.sim.partOf(min(len(b), len(c.received)), partReadOneIn)
+	n := c.sim.partialCount(min(len(b), len(c.received)), partialReadOneIn)
 	copy(b, c.received[:n])
 	c.received = c.received[n:]
 	if len(c.received) == 0 {
 		c.received = nil
 	}
 	c.peer.flush()
-	c.sim.Note(StepRead, c.process.Name, "", c.noteNumber(n))
+	c.sim.Note(StepRead, c.process.Name, "", c.stepNumber(n))
 	return n
 }
 
-// partOf is n, or now and then less, but not 0.
-func (s *Simulation) partOf(n, oneIn int) int {
+// partialCount is n, or now and then less, but not 0.
+func (s *Simulation) partialCount(n, oneIn int) int {
 	if n > 1 && s.Rand.Uint32()%uint32(oneIn) == 0 {
 		return 1 + s.Rand.IntN(n)
 	}
 	return n
 }
 
-// noteNumber is the number of a step in the digest: the connection and the bytes.
-func (c *Conn) noteNumber(bytes int) int64 { return int64(c.number)<<32 | int64(bytes) }
+// stepNumber is the number of a step in the digest: the connection and the bytes.
+func (c *Conn) stepNumber(bytes int) int64 { return int64(c.number)<<32 | int64(bytes) }
 
 // Write writes all of b, and waits for the window where it must.
 func (c *Conn) Write(b []byte) (int, error) {
@@ -178,10 +178,10 @@
 	if n <= 0 {
 		return 0
 	}
-	n = c.sim.partOf(n, partWriteOneIn)
+	n = c.sim.partialCount(n, partialWriteOneIn)
 	data := slices.Clone(b[:n])
 	c.inFlight += n
-	c.sim.Note(StepWrite, c.process.Name, "", c.noteNumber(n))
+	c.sim.Note(StepWrite, c.process.Name, "", c.stepNumber(n))
 	c.sim.digest.Write(data)
 	c.out.send(segment{data: data})
 	if c.peer.handler != nil {
@@ -215,17 +215,17 @@
 		return tcpError("close", net.ErrClosed)
 	}
 	c.sim.Note(StepClose, c.process.Name, "", int64(c.number))
-	if c.lingersNot {
+	if c.discardOnClose {
 		c.out.dropUndeliverable()
 	}
-	c.closeWith(len(c.received) > 0 || c.lingersNot)
+	c.closeWith(len(c.received) > 0 || c.discardOnClose)
 	return nil
 }
 
 // SetLinger with 0 seconds makes Close send a reset and drop what the network could not deliver, as package net says of a TCPConn. Other
 // numbers are as without it.
 func (c *Conn) SetLinger(seconds int) error {
-	c.lingersNot = seconds == 0
+	c.discardOnClose = seconds == 0
 	return nil
 }
 
--- a/internal/lab/simenv/conn_test.go
+++ b/internal/lab/simenv/conn_test.go
@@ -192,14 +192,14 @@
 // TestNonBlockingWriteThatTakesNothingCountsAsBlocked guards against a checker that takes a line behind a peer that reads nothing for one that was
 // held back.
 func TestNonBlockingWriteThatTakesNothingCountsAsBlocked(t *testing.T) {
-	taken := 0
+	written := 0
 	s := newEchoSimulation(t, 6, func(e env.Environment, dial dialFunc) {
 		c, _ := dial()
 		io.WriteString(c, "x")
 		e.NewNotifier().Wait(time.Second)
 		write := e.NonBlockingWriter(c)
 		for range 1000 {
-			taken += write(make([]byte, 10))
+			written += write(make([]byte, 10))
 		}
 	})
 	s.After(500*time.Millisecond, func() {
@@ -207,7 +207,7 @@
 		s.echo.end.Window = 300
 	})
 	s.Run(time.Minute)
-	if taken != 300 || s.process.LastBlocked() < time.Second {
-		t.Errorf("%d bytes taken, last blocked at %v", taken, s.process.LastBlocked())
+	if written != 300 || s.process.LastBlocked() < time.Second {
+		t.Errorf("%d bytes taken, last blocked at %v", written, s.process.LastBlocked())
 	}
 }
--- a/internal/lab/simenv/dial.go
+++ b/internal/lab/simenv/dial.go
@@ -73,7 +73,7 @@
 func (d *dial) wait(lifetime *env.Lifetime, timeout time.Duration) (woken, cancelled bool) {
 	p, s := d.process, d.process.sim
 	p.openDials++
-	drop := lifetime.OnEnd(func() {
+	unregister := lifetime.OnEnd(func() {
 		cancelled = true
 		s.wake(d.caller, true)
 	})
@@ -81,7 +81,7 @@
 	p.openDials--
 	p.lastDialed = s.now
 	s.Cancel(d.pending)
-	drop()
+	unregister()
 	return woken, cancelled
 }
 
--- a/internal/lab/simenv/directory.go
+++ b/internal/lab/simenv/directory.go
@@ -29,7 +29,7 @@
 }
 
 // ErrPower is the error of a directory without power.
-var ErrPower = errors.New("the disk has no power")
+var ErrPowerLoss = errors.New("the disk has no power")
 
 // NewDirectory makes an empty directory.
 func NewDirectory() *Directory {
@@ -38,7 +38,7 @@
 
 func (d *Directory) countOp() error {
 	if d.OpsLeft == 0 {
-		return ErrPower
+		return ErrPowerLoss
 	}
 	d.OpsLeft = max(-1, d.OpsLeft-1)
 	d.Ops++
--- a/internal/lab/simenv/end.go
+++ b/internal/lab/simenv/end.go
@@ -102,12 +102,12 @@
 // flush sends what the window has room for, and the end after the last byte.
 func (e *End) flush() {
 	for len(e.unsent) > 0 && !e.closed {
-		free := windowBytes - len(e.conn.received) - e.conn.in.bytes()
+		free := windowBytes - len(e.conn.received) - e.conn.in.inFlightBytes()
 		n := min(free, len(e.unsent))
 		if n <= 0 {
 			return
 		}
-		n = e.sim.partOf(n, partReadOneIn)
+		n = e.sim.partialCount(n, partialReadOneIn)
 		data := slices.Clone(e.unsent[:n])
 		e.unsent = e.unsent[n:]
 		if len(e.unsent) == 0 {
--- a/internal/lab/simenv/link.go
+++ b/internal/lab/simenv/link.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// bytes is how many bytes are on their way.
-func (d *direction) bytes() (n int) {
+// inFlightBytes is how many bytes are on their way.
+func (d *direction) inFlightBytes() (n int) {
 	for _, s := range d.queue {
 		n += len(s.data)
 	}
--- a/internal/lab/simenv/simulation.go
+++ b/internal/lab/simenv/simulation.go
@@ -155,7 +155,7 @@
 func (s *Simulation) Run(until time.Duration) {
 	for !s.halted {
 		if len(s.ready) > 0 {
-			s.resume(s.takeReady())
+			s.resume(s.nextReady())
 			continue
 		}
 		if s.OnIdle != nil {
@@ -175,8 +175,8 @@
 	}
 }
 
-// takeReady takes the goroutine that goes next: any of them, or the first in lockstep.
-func (s *Simulation) takeReady() *task {
+// nextReady takes the goroutine that goes next: any of them, or the first in lockstep.
+func (s *Simulation) nextReady() *task {
 	if s.Lockstep {
 		t := s.ready[0]
 		s.ready = s.ready[1:]
--- a/internal/simadapter/server.go
+++ b/internal/simadapter/server.go
@@ -19,8 +19,8 @@
 
 // Errors of input that ends too early.
 var (
-	ErrLineCut  = errors.New("the line is cut short, expected a line end")
-	ErrBatchCut = errors.New("input ends within a batch, expected " + messageBatchEnd)
+	ErrLineTruncated  = errors.New("the line is cut short, expected a line end")
+	ErrBatchTruncated = errors.New("input ends within a batch, expected " + messageBatchEnd)
 )
 
 // server answers the batches of one simulator.
@@ -61,7 +61,7 @@
 	}
 	s.line++
 	if err == io.EOF {
-		return "", ErrLineCut
+		return "", ErrLineTruncated
 	}
 	return strings.TrimSuffix(strings.TrimSuffix(text, "\n"), "\r"), err
 }
@@ -70,7 +70,7 @@
 func (s *server) readBatchLine() (string, error) {
 	text, err := s.readLine()
 	if err == io.EOF {
-		return "", ErrBatchCut
+		return "", ErrBatchTruncated
 	}
 	return text, err
 }
