--- a/internal/simadapter/fields.go
+++ b/internal/simadapter/fields.go
@@ -9,53 +9,54 @@
 	"foldslip/internal/policy"
 )
 
-// FieldError says that a line could not be read, and what was expected.
+// FieldError reports a line that could not be parsed, and states what was expected.
 type FieldError struct {
-	Message string // of the protocol
+	Message string // name of the protocol message
 	Problem string
 }
 
-// Error says which message, which field and what was expected.
+// Error returns the name of the message and the problem, which names the field and what was expected.
 func (e *FieldError) Error() string { return e.Message + ": " + e.Problem }
 
-// UnexpectedMessageError says that a line of another message was expected.
+// UnexpectedMessageError reports a line that begins with a message name other than the expected one.
 type UnexpectedMessageError struct {
 	Message  string
 	Expected string
 }
 
-// Error says what came and what was expected.
+// Error returns the name that was read and the name that was expected.
 func (e *UnexpectedMessageError) Error() string {
 	return fmt.Sprintf("message %q, expected %s", e.Message, e.Expected)
 }
 
-// fields are the values of one line, read in order. The first one that cannot be read sets err; the methods return zero values from then on.
+// fields parses the values of one line in order. The first value that cannot be parsed sets
+// err. Later failures do not replace it. Callers discard the values of a line with an error.
 type fields struct {
 	message   string
-	remaining string
-	more      bool // remaining holds a value, which may be empty
+	remaining string // the part of the line that has not been parsed
+	more      bool   // remaining holds a value, which may be empty
 	err       error
 }
 
-// splitLine splits a line into its message and values.
+// splitLine splits a line into the name of its message and its values, which are not parsed yet.
 func splitLine(line string) *fields {
 	message, remaining, more := strings.Cut(line, " ")
 	return &fields{message: message, remaining: remaining, more: more}
 }
 
-// reject notes that a field could not be read.
+// reject records that the value of a field is invalid. want describes the valid values.
 func (f *fields) reject(field, got, want string) {
 	f.fail(fmt.Sprintf("%s is %q, expected %s", field, got, want))
 }
 
-// fail notes the line's first problem.
+// fail records a problem with the line. Only the first problem is kept.
 func (f *fields) fail(problem string) {
 	if f.err == nil {
 		f.err = &FieldError{Message: f.message, Problem: problem}
 	}
 }
 
-// finish returns the line's error, which may be that values are left over.
+// finish returns the first error of the line. A value after the last expected one is an error, too.
 func (f *fields) finish() error {
 	if f.more {
 		f.fail(fmt.Sprintf("%q is left over, expected the line's end", f.remaining))
@@ -63,7 +64,7 @@
 	return f.err
 }
 
-// optional reads a value that may be absent, which is empty then.
+// optional reads a value that may be absent. It returns an empty string for "-", which stands for an absent value.
 func (f *fields) optional(field string) string {
 	if !f.more {
 		f.fail(field + " is missing, the line has too few values")
@@ -80,7 +81,7 @@
 	return value
 }
 
-// text reads a value that must be there.
+// text reads a value that must be present.
 func (f *fields) text(field string) string {
 	value := f.optional(field)
 	if value == "" {
@@ -89,7 +90,7 @@
 	return value
 }
 
-// rest reads everything up to the line's end.
+// rest reads the remainder of the line.
 func (f *fields) rest(field string) string {
 	if !f.more {
 		f.reject(field, "", "text to the line's end")
@@ -99,7 +100,7 @@
 	return value
 }
 
-// micros reads a whole number; 0 if it is absent.
+// micros reads a 64-bit integer, in most fields a time in microseconds. An absent value is 0.
 func (f *fields) micros(field string) policy.Micros {
 	value := f.optional(field)
 	if value == "" {
@@ -112,7 +113,7 @@
 	return n
 }
 
-// int reads a whole number of 32 bits from 0; 0 if it is absent.
+// int reads a 32-bit integer that is not negative. An absent value is 0.
 func (f *fields) int(field string) int {
 	n := f.micros(field)
 	if n < 0 || n > math.MaxInt32 {
@@ -121,6 +122,7 @@
 	return int(n)
 }
 
+// seed reads an unsigned 64-bit integer that must be present.
 func (f *fields) seed(field string) uint64 {
 	value := f.text(field)
 	n, err := strconv.ParseUint(value, 10, 64)
@@ -130,7 +132,7 @@
 	return n
 }
 
-// float reads a number from 0; 0 if it is absent.
+// float reads a finite number that is not negative. An absent value is 0.
 func (f *fields) float(field string) float64 {
 	value := f.optional(field)
 	if value == "" {
@@ -143,7 +145,7 @@
 	return n
 }
 
-// floats reads numbers set apart by commas; nil if they are absent.
+// floats reads finite numbers that are separated by commas. It returns nil if the value is absent.
 func (f *fields) floats(field string) []float64 {
 	value := f.optional(field)
 	if value == "" {
@@ -160,7 +162,7 @@
 	return numbers
 }
 
-// bool reads 0 or 1; false if it is absent.
+// bool reads a flag, which is 0 or 1. An absent value is false.
 func (f *fields) bool(field string) bool {
 	value := f.optional(field)
 	if value != "" && value != "0" && value != "1" {
--- a/internal/simadapter/frozen_test.go
+++ b/internal/simadapter/frozen_test.go
@@ -9,7 +9,8 @@
 	"foldslip/internal/lab/frozen"
 )
 
-// TestFrozenSession plays recorded lines of the simulator, every event among them: testdata/session.out holds what an earlier build wrote.
+// TestFrozenSession guards against changes of the protocol. It replays recorded input of the simulator, which
+// contains every kind of event, and compares the output with testdata/session.out, which an earlier build wrote.
 func TestFrozenSession(t *testing.T) {
 	in := frozen.Read(t, "session.in")
 	got, err := serve(string(in))
@@ -19,7 +20,7 @@
 	frozen.Equal(t, "session.out", []byte(got))
 }
 
-// TestFrozenActions compares the line of each action that the adapter writes.
+// TestFrozenActions compares the lines of the actions that name no lookup with testdata/actions.out.
 func TestFrozenActions(t *testing.T) {
 	var got strings.Builder
 	out := bufio.NewWriter(&got)
@@ -34,13 +35,14 @@
 	frozen.Equal(t, "actions.out", []byte(got.String()))
 }
 
-// TestFrozenRefusals compares the errors for lines that can't be read; | stands for a line's end.
+// TestFrozenRefusals compares the errors for invalid input with
+// testdata/refused.errors.txt. In testdata/refused.txt, | stands for a line end.
 func TestFrozenRefusals(t *testing.T) {
 	texts := frozen.Read(t, "refused.txt")
 	var got strings.Builder
 	for text := range strings.Lines(string(texts)) {
 		out, err := serve(strings.ReplaceAll(text, "|", "\n"))
-		reason, _, _ := strings.Cut(fmt.Sprint(err), " json: ") // the library's part names Go types
+		reason, _, _ := strings.Cut(fmt.Sprint(err), " json: ") // the text of the JSON library names Go types
 		fmt.Fprintf(&got, "%q %s\n", out, reason)
 	}
 	frozen.Equal(t, "refused.errors.txt", []byte(got.String()))
--- a/internal/simadapter/gateway.go
+++ b/internal/simadapter/gateway.go
@@ -7,24 +7,24 @@
 	"foldslip/internal/settings"
 )
 
-// gateway is one simulated gateway: a router, and the caches and lookups that the simulator names by ids. Gateways share nothing. It is the
-// executor of its router.
+// gateway is one simulated gateway. It owns a router, and the caches and lookups that the simulator
+// identifies by their names and ids. Gateways share no state. A gateway is also the executor of its router.
 type gateway struct {
 	name     string
 	settings *policy.Settings
 	router   *policy.Router
-	caches   map[string]*policy.Cache
-	lookups  map[string]*openLookup
+	caches   map[string]*policy.Cache // by name
+	lookups  map[string]*openLookup   // by id
 	out      *bufio.Writer
 }
 
-// openLookup is a lookup that has not ended or has attempts whose end has not been reported.
+// openLookup is a lookup that has not ended, or that has attempts whose end has not been reported.
 type openLookup struct {
-	lookup       *policy.Lookup // nil after a fault of the router
-	openAttempts int
+	lookup       *policy.Lookup // nil if the router panicked at the start of the lookup
+	openAttempts int            // attempts whose end has not been reported
 }
 
-// newGateway makes a gateway, without its router, from a settings text.
+// newGateway returns a gateway with the settings in text. The gateway has no router yet.
 func newGateway(name, text string, out *bufio.Writer) (*gateway, error) {
 	read, err := settings.Parse([]byte(text))
 	if err != nil {
@@ -39,7 +39,7 @@
 	}, nil
 }
 
-// run makes a call of the router. A panic there is reported as this gateway's fault.
+// run calls the router. It recovers a panic of the router and reports it as a fault of this gateway.
 func (g *gateway) run(call func()) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -49,6 +49,7 @@
 	call()
 }
 
+// cacheNamed returns the cache with a name. It creates the cache on first use.
 func (g *gateway) cacheNamed(name string) *policy.Cache {
 	if g.caches[name] == nil {
 		g.caches[name] = policy.NewCache(name)
@@ -56,6 +57,7 @@
 	return g.caches[name]
 }
 
+// startLookup reads the arrival of a lookup and passes it to the router.
 func (g *gateway) startLookup(now policy.Micros, f *fields) error {
 	arrival := readArrival(f)
 	if arrival.Kind >= len(g.settings.Kinds) {
@@ -76,6 +78,8 @@
 	return nil
 }
 
+// endAttempt reads the end of an attempt and passes it to the router.
+// It ignores unknown ids, such as those of lookups that have ended.
 func (g *gateway) endAttempt(now policy.Micros, f *fields) error {
 	id, report := readReport(f)
 	err := f.finish()
@@ -91,6 +95,8 @@
 	return nil
 }
 
+// clientGone reads the id of a lookup whose client has disconnected and passes the event
+// to the router. It ignores unknown ids, such as those of lookups that have ended.
 func (g *gateway) clientGone(now policy.Micros, f *fields) error {
 	id := readClientGone(f)
 	err := f.finish()
--- a/internal/simadapter/protocol.go
+++ b/internal/simadapter/protocol.go
@@ -8,33 +8,34 @@
 	"foldslip/internal/policy"
 )
 
-// This file alone knows the names of the simulator's protocol and maps them to those of package policy. Each message is a line of its name
-// and values set apart by blanks, "-" standing for an absent value; numbers of outcomes, details and fetch modes are those of package policy.
+// This file maps the names of the simulator's protocol to those of package policy. No other file contains names of the
+// protocol. A message is one line that consists of its name and its values, separated by single spaces. "-" stands for an
+// absent value. The numbers of outcomes, details and fetch modes are those of package policy.
 
-// Lines that frame a batch.
+// Lines that delimit a batch.
 const (
 	messageBatchStart = "MARK"
 	messageBatchEnd   = "FLUSH"
-	messageBatchDone  = "YIELD" // ours
+	messageBatchDone  = "YIELD" // written by the adapter
 )
 
-// Events of the simulator.
+// Events that the simulator sends.
 const (
 	messageStart         = "UP"
 	messageStop          = "STOP"
-	messageEndpoints     = "VIEW"  // its rows follow
-	messageEndpoint      = "CACHE" // one such row
+	messageEndpoints     = "VIEW"  // followed by its rows
+	messageEndpoint      = "CACHE" // one row of an endpoint update
 	messageLookup        = "ASK"
 	messageAttemptEnded  = "RESULT"
 	messageClientGone    = "ABANDONED"
 	messagePurge         = "SUPERSEDED"
 	messageTimer         = "ELAPSED"
-	messageProbeEnded    = "CHECK_RESULT" // the router sends no probes of its own
-	messageGossip        = "MAIL"         // routers exchange nothing here
-	messageStreamStarted = "UNDER_WAY"    // no deployment streams
+	messageProbeEnded    = "CHECK_RESULT" // ignored: the router sends no probes of its own
+	messageGossip        = "MAIL"         // ignored: simulated routers exchange no messages
+	messageStreamStarted = "UNDER_WAY"    // ignored: no deployment uses streaming
 )
 
-// Actions of a gateway.
+// Actions that a gateway writes.
 const (
 	messageFetch         = "SERVE_OR_FILL"
 	messageCancelAttempt = "ABORT_ATTEMPT"
@@ -46,7 +47,7 @@
 	messageFault         = "INTERNAL_ERROR"
 )
 
-// readBatchStart reads the time of a batch.
+// readBatchStart reads the simulated time of a batch.
 func readBatchStart(f *fields) policy.Micros { return f.micros("clock") }
 
 // readStart reads the seed and the settings text of a gateway.
@@ -54,13 +55,13 @@
 	return f.seed("entropy"), f.rest("boot_info")
 }
 
-// readEndpointsHeader reads what an endpoint update brings, and the number of its rows.
+// readEndpointsHeader reads the kind of an endpoint update and the number of its rows.
 func readEndpointsHeader(f *fields) (kind policy.UpdateKind, rows int) {
 	f.int("generation")
 	return f.updateKind("kind"), f.int("rows_in")
 }
 
-// readEndpoint reads a row of the endpoint list; its cache is found by the name.
+// readEndpoint reads one row of the endpoint list. It returns the name of the cache and leaves endpoint.Cache unset.
 func readEndpoint(f *fields) (name string, endpoint policy.Endpoint) {
 	name = f.text("cache")
 	endpoint.Zone = f.int("dc")
@@ -72,7 +73,7 @@
 	return name, endpoint
 }
 
-// readArrival reads a lookup.
+// readArrival reads the arrival of a lookup.
 func readArrival(f *fields) (arrival policy.Arrival) {
 	arrival.ID = f.text("job")
 	arrival.IsWrite = f.bool("mutates")
@@ -87,7 +88,7 @@
 	return arrival
 }
 
-// readReport reads the end of an attempt of a lookup.
+// readReport reads the end of an attempt. It returns the id of the lookup and the report for the router.
 func readReport(f *fields) (id string, report policy.AttemptReport) {
 	id = f.text("job")
 	report.Outcome = f.outcome("result")
@@ -101,10 +102,10 @@
 	return id, report
 }
 
-// readClientGone reads the lookup whose client has gone.
+// readClientGone reads the id of a lookup whose client has disconnected.
 func readClientGone(f *fields) (id string) { return f.text("job") }
 
-// readPurge reads a purge of an object, or of a group where the object is empty.
+// readPurge reads a purge of an object, or of a group if the object is empty.
 func readPurge(f *fields) (object string, group int, age policy.Micros) {
 	return f.optional("resource"), f.int("group"), f.micros("age")
 }
@@ -112,7 +113,7 @@
 // readTimer reads the token of a timer.
 func readTimer(f *fields) (token int64) { return f.micros("mark") }
 
-// skipProbe reads over the end of a probe.
+// skipProbe parses the end of a probe and discards it.
 func skipProbe(f *fields) {
 	f.micros("took")
 	f.text("cache")
@@ -120,7 +121,7 @@
 	f.floats("usage")
 }
 
-// writeAction writes one action of the gateway; an empty text stands for an absent value.
+// writeAction writes one action of the gateway. An empty string is written as "-", which stands for an absent value.
 func (g *gateway) writeAction(message string, values ...any) {
 	fmt.Fprintf(g.out, "%s %s", message, g.name)
 	for _, v := range values {
@@ -132,31 +133,32 @@
 	g.out.WriteByte('\n')
 }
 
-// Fetch writes that an attempt starts. The simulator closes silent connections by its own rule.
+// Fetch writes the start of an attempt. It leaves out the request's
+// SilenceTimeout, because the simulator closes silent connections by its own rule.
 func (g *gateway) Fetch(lookup *policy.Lookup, request policy.FetchRequest) {
 	g.lookups[lookup.ID].openAttempts++
 	g.writeAction(messageFetch, lookup.ID, request.Rank, int(request.Mode), request.Source.Name, request.Cache.Name, request.Timeout, request.MaxAge)
 }
 
-// CancelAttempt writes that an attempt is cancelled.
+// CancelAttempt writes the cancellation of an attempt.
 func (g *gateway) CancelAttempt(lookup *policy.Lookup, attempt int) {
 	g.writeAction(messageCancelAttempt, lookup.ID, attempt)
 }
 
-// Reject writes that a lookup is rejected.
+// Reject writes the rejection of a lookup.
 func (g *gateway) Reject(lookup *policy.Lookup, retryAfter policy.Micros) {
 	g.writeAction(messageReject, lookup.ID, retryAfter)
 }
 
-// Fail writes that a lookup fails.
+// Fail writes the failure of a lookup.
 func (g *gateway) Fail(lookup *policy.Lookup) { g.writeAction(messageFail, lookup.ID) }
 
-// SetTimer asks for a timer.
+// SetTimer writes a request for a timer.
 func (g *gateway) SetTimer(delay policy.Micros, token int64) {
 	g.writeAction(messageSetTimer, delay, token)
 }
 
-// SubscribeEndpoints asks for changes of the endpoint list, or for no more of them.
+// SubscribeEndpoints writes a request to start or to stop updates of the endpoint list.
 func (g *gateway) SubscribeEndpoints(on bool) {
 	if on {
 		g.writeAction(messageSubscribe, 1)
@@ -168,27 +170,28 @@
 // Log writes a line of the router's log.
 func (g *gateway) Log(line string) { g.writeAction(messageLog, oneLine(line)) }
 
-// reportFault writes that the router failed.
+// reportFault writes the value of a panic in the router.
 func (g *gateway) reportFault(fault any) { g.writeAction(messageFault, oneLine(fmt.Sprint(fault))) }
 
+// oneLine replaces each run of white space, line ends among them, by one space and trims the text.
 func oneLine(text string) string { return strings.Join(strings.Fields(text), " ") }
 
-// rejectGateway notes that an event names a gateway that does not run.
+// rejectGateway records that an event names a gateway that has not been started.
 func (f *fields) rejectGateway(name string) {
 	f.fail(fmt.Sprintf("gateway %q has not been started", name))
 }
 
-// rejectKind notes that the settings have no such object kind.
+// rejectKind records an object kind that the settings do not define.
 func (f *fields) rejectKind(kind int) {
 	f.fail(fmt.Sprintf("profile %d, expected a place in classes", kind))
 }
 
-// rejectID notes that a lookup of this id is open.
+// rejectID records a lookup id that is already in use.
 func (f *fields) rejectID(id string) {
 	f.fail(fmt.Sprintf("job %q is known already, expected a new one", id))
 }
 
-// settingsError wraps the error of a settings text.
+// settingsError adds the names of the message and the field to the error of a settings text.
 func (f *fields) settingsError(err error) error {
 	return fmt.Errorf("%s: boot_info: %w", f.message, err)
 }
--- a/internal/simadapter/server.go
+++ b/internal/simadapter/server.go
@@ -1,7 +1,8 @@
-// Package simadapter connects routers with the bench's simulator: it reads the simulator's events line by line, reports each to the router of
-// the gateway concerned, and writes what that decides. It makes no decision of its own.
+// Package simadapter connects routers to the simulator of the bench. It reads the simulator's events line by line,
+// passes each event to the router of its gateway, and writes the actions of the router. It makes no routing decisions.
 //
-// It serves one simulator from one goroutine. protocol.go alone knows its protocol.
+// The package serves one simulator from one goroutine and owns the simulated gateways until the input ends. It limits
+// neither the length of a line nor the number of gateways. Only protocol.go contains the names of the protocol.
 package simadapter
 
 import (
@@ -14,10 +15,10 @@
 	"foldslip/internal/policy"
 )
 
-// ioBufferSize is that of the buffers for input and output, in bytes.
+// ioBufferSize is the size of the input buffer and of the output buffer, in bytes.
 const ioBufferSize = 1 << 20
 
-// Errors of input that ends too early.
+// Errors for input that ends too early.
 var (
 	ErrLineTruncated  = errors.New("the line is cut short, expected a line end")
 	ErrBatchTruncated = errors.New("input ends within a batch, expected " + messageBatchEnd)
@@ -27,12 +28,13 @@
 type server struct {
 	in       *bufio.Reader
 	out      *bufio.Writer
-	line     int // number of the last line read
-	now      policy.Micros
-	gateways map[string]*gateway
+	line     int                 // number of the last line that was read
+	now      policy.Micros       // time of the current batch
+	gateways map[string]*gateway // by name
 }
 
-// Serve answers batches until the input ends. Its error names the line and the field that could not be read.
+// Serve answers batches until the input ends. An error about the input
+// names the line, the message and the field that could not be parsed.
 func Serve(in io.Reader, out io.Writer) error {
 	s := &server{
 		in:       bufio.NewReaderSize(in, ioBufferSize),
@@ -53,7 +55,7 @@
 	}
 }
 
-// readLine reads a line. It returns io.EOF only where no line has begun.
+// readLine reads a line without its line end. It returns io.EOF only if the input ends before the line begins.
 func (s *server) readLine() (string, error) {
 	text, err := s.in.ReadString('\n')
 	if err == io.EOF && text == "" {
@@ -66,7 +68,7 @@
 	return strings.TrimSuffix(strings.TrimSuffix(text, "\n"), "\r"), err
 }
 
-// readBatchLine reads a line within a batch.
+// readBatchLine reads a line within a batch, where the end of the input is an error.
 func (s *server) readBatchLine() (string, error) {
 	text, err := s.readLine()
 	if err == io.EOF {
@@ -103,7 +105,7 @@
 	}
 }
 
-// handleEvent reports one event to its gateway.
+// handleEvent passes one event to its gateway.
 func (s *server) handleEvent(f *fields) error {
 	name := f.text("gateway")
 	switch f.message {
@@ -142,7 +144,7 @@
 	return &UnexpectedMessageError{Message: f.message, Expected: "an event"}
 }
 
-// updateEndpoints reads an endpoint update with its rows.
+// updateEndpoints reads the rows of an endpoint update and passes the update to the router.
 func (s *server) updateEndpoints(g *gateway, f *fields) error {
 	kind, rows := readEndpointsHeader(f)
 	if err := f.finish(); err != nil {
@@ -169,7 +171,7 @@
 	return nil
 }
 
-// startGateway starts a gateway, in place of an earlier one of its name.
+// startGateway starts a gateway. The new gateway replaces an earlier one with the same name.
 func (s *server) startGateway(name string, f *fields) error {
 	seed, text := readStart(f)
 	if f.err != nil {
