--- a/internal/lab/simenv/conn.go
+++ b/internal/lab/simenv/conn.go
@@ -13,45 +13,45 @@
 )
 
 const (
-	windowBytes       = 64 << 10 // on their way or unread in one direction of a connection
-	partialReadOneIn  = 8        // how often a read, or a segment of an actor, ends at any byte
-	partialWriteOneIn = 16       // how often a write does
-	firstClientPort   = 20000
-	clientPorts       = 40000
+	windowBytes       = 64 << 10 // limit on bytes in flight or unread in one direction of a connection
+	partialReadOneIn  = 8        // one in so many reads and segments of an actor ends at a random byte
+	partialWriteOneIn = 16       // one in so many writes ends at a random byte
+	firstClientPort   = 20000    // lowest port of the side that connects
+	clientPorts       = 40000    // number of ports of the side that connects
 )
 
 // addr is an address of the simulated network.
 type addr struct{ ip, port string }
 
-// Network is "tcp".
+// Network returns "tcp".
 func (a addr) Network() string { return "tcp" }
 
-// String is the address as IP and port.
+// String returns the address as IP:port.
 func (a addr) String() string { return a.ip + ":" + a.port }
 
-// tcpError is an error as package net makes it.
+// tcpError returns an error in the form that package net uses.
 func tcpError(op string, err error) error { return &net.OpError{Op: op, Net: "tcp", Err: err} }
 
-// Conn is a process's end of a connection. It implements env.Conn.
+// Conn is a process's end of a connection to an actor. It implements env.Conn.
 type Conn struct {
 	process        *Process
 	sim            *Simulation
-	number         uint64
+	number         uint64 // number of the connection in the digest
 	local, remote  addr
 	out, in        *direction
 	peer           *End
-	received       []byte // arrived and not read
-	inFlight       int    // bytes that were written and that the peer has not taken
-	eof, reset     bool   // by the peer
-	closed, fin    bool   // by this end
-	discardOnClose bool   // its end drops what has not been delivered
+	received       []byte // bytes that have arrived and have not been read
+	inFlight       int    // bytes that were written and that the peer has not read
+	eof, reset     bool   // received from the peer
+	closed, fin    bool   // this end is closed, or half-closed by CloseWrite
+	discardOnClose bool   // Close sends a reset and discards bytes that the network could not deliver
 	readDeadline   time.Duration
 	writeDeadline  time.Duration
-	reader         *task // that waits
-	writer         *task // that waits
+	reader         *task // waiting in Read, or nil
+	writer         *task // waiting in Write, or nil
 }
 
-// connect makes the connection between a process and an actor's end.
+// connect creates the connection between a process and an actor's end.
 func (s *Simulation) connect(p *Process, e *End, local, remote addr) *Conn {
 	s.Steps++
 	c := &Conn{process: p, sim: s, number: e.Number, local: local, remote: remote, peer: e, readDeadline: forever, writeDeadline: forever}
@@ -62,18 +62,18 @@
 	return c
 }
 
-// remove takes a connection off the process's list.
+// remove removes a connection from the list of the process.
 func (p *Process) remove(c *Conn) {
 	if i := slices.Index(p.conns, c); i >= 0 {
 		p.conns = append(p.conns[:i:i], p.conns[i+1:]...)
 	}
 }
 
-// arrive takes a segment that reaches the process.
+// arrive handles a segment that reaches the process.
 func (c *Conn) arrive(s segment) {
 	if c.closed {
 		if len(s.data) > 0 {
-			c.out.send(segment{reset: true}) // nobody reads it
+			c.out.send(segment{reset: true}) // the data can no longer be read
 		}
 		return
 	}
@@ -94,12 +94,13 @@
 	c.wakeWaiters()
 }
 
+// wakeWaiters wakes the goroutines that wait in Read and Write.
 func (c *Conn) wakeWaiters() {
 	c.sim.wakeIfAny(c.reader)
 	c.sim.wakeIfAny(c.writer)
 }
 
-// Read reads what has arrived, or waits for it.
+// Read reads bytes that have arrived. It waits if there are none.
 func (c *Conn) Read(b []byte) (int, error) {
 	c.sim.maybeYield()
 	for {
@@ -121,7 +122,8 @@
 	}
 }
 
-// readReceived reads what has arrived; now and then only a part, as what the kernel has may end at any byte.
+// readReceived reads bytes that have arrived. Some reads return only
+// a part of them, because a read from the kernel may end at any byte.
 func (c *Conn) readReceived(b []byte) int {
 	n := c.sim.partialCount(min(len(b), len(c.received)), partialReadOneIn)
 	copy(b, c.received[:n])
@@ -134,7 +136,7 @@
 	return n
 }
 
-// partialCount is n, or now and then less, but not 0.
+// partialCount returns n. In one of oneIn cases it returns a random number from 1 to n instead.
 func (s *Simulation) partialCount(n, oneIn int) int {
 	if n > 1 && s.Rand.Uint32()%uint32(oneIn) == 0 {
 		return 1 + s.Rand.IntN(n)
@@ -142,10 +144,11 @@
 	return n
 }
 
-// stepNumber is the number of a step in the digest: the connection and the bytes.
+// stepNumber returns the number of a read or write step in the digest.
+// It combines the number of the connection and the number of bytes.
 func (c *Conn) stepNumber(bytes int) int64 { return int64(c.number)<<32 | int64(bytes) }
 
-// Write writes all of b, and waits for the window where it must.
+// Write writes all of b. It waits while the window is full.
 func (c *Conn) Write(b []byte) (int, error) {
 	c.sim.maybeYield()
 	written := 0
@@ -172,7 +175,7 @@
 	return written, nil
 }
 
-// writeNow writes what the window has room for, or a part of it, and returns the number of bytes.
+// writeNow writes as many bytes as the window allows, or a random part of them, and returns the number written.
 func (c *Conn) writeNow(b []byte) int {
 	n := min(len(b), cmp.Or(c.peer.Window, windowBytes)-c.inFlight)
 	if n <= 0 {
@@ -190,7 +193,8 @@
 	return n
 }
 
-// NonBlockingWriter returns a function that writes to a connection without waiting; nil for a connection that is wrapped.
+// NonBlockingWriter returns a function that writes to a connection without waiting.
+// It returns nil if conn is not a *Conn, which is the case for a wrapped connection.
 func (p *Process) NonBlockingWriter(conn net.Conn) env.NonBlockingWrite {
 	c, ok := conn.(*Conn)
 	if !ok {
@@ -209,7 +213,8 @@
 	}
 }
 
-// Close sends an end, or a reset where something was not read.
+// Close closes the connection. It sends a reset if received bytes have
+// not been read or after SetLinger(0), and an end of stream otherwise.
 func (c *Conn) Close() error {
 	if c.closed {
 		return tcpError("close", net.ErrClosed)
@@ -222,20 +227,21 @@
 	return nil
 }
 
-// SetLinger with 0 seconds makes Close send a reset and drop what the network could not deliver, as package net says of a TCPConn. Other
-// numbers are as without it.
+// SetLinger with 0 seconds makes Close send a reset and discard data that the network could
+// not deliver, as documented for net.TCPConn. Any other value has no effect on Close.
 func (c *Conn) SetLinger(seconds int) error {
 	c.discardOnClose = seconds == 0
 	return nil
 }
 
-// abort closes the connection with a reset.
+// abort closes the connection with a reset, unless it is already closed.
 func (c *Conn) abort() {
 	if !c.closed {
 		c.closeWith(true)
 	}
 }
 
+// closeWith closes the connection, sends a reset or an end of stream, and releases the descriptor.
 func (c *Conn) closeWith(reset bool) {
 	c.closed = true
 	c.process.descriptors--
@@ -250,7 +256,7 @@
 	c.wakeWaiters()
 }
 
-// CloseWrite sends an end; the connection can still be read.
+// CloseWrite sends an end of stream. The connection can still be read.
 func (c *Conn) CloseWrite() error {
 	if c.closed || c.fin {
 		return tcpError("close", net.ErrClosed)
@@ -260,19 +266,19 @@
 	return nil
 }
 
-// LocalAddr is the process's address.
+// LocalAddr returns the process's address.
 func (c *Conn) LocalAddr() net.Addr { return c.local }
 
-// RemoteAddr is the actor's address.
+// RemoteAddr returns the actor's address.
 func (c *Conn) RemoteAddr() net.Addr { return c.remote }
 
-// SetDeadline sets both deadlines.
+// SetDeadline sets the deadlines of reads and writes.
 func (c *Conn) SetDeadline(t time.Time) error {
 	c.SetReadDeadline(t)
 	return c.SetWriteDeadline(t)
 }
 
-// SetReadDeadline sets the deadline of reads; one that waits goes on with the new deadline.
+// SetReadDeadline sets the deadline of reads. It also applies to a read that is already waiting.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	if c.closed {
 		return tcpError("set", net.ErrClosed)
@@ -282,7 +288,7 @@
 	return nil
 }
 
-// SetWriteDeadline sets the deadline of writes; one that waits goes on with the new deadline.
+// SetWriteDeadline sets the deadline of writes. It also applies to a write that is already waiting.
 func (c *Conn) SetWriteDeadline(t time.Time) error {
 	if c.closed {
 		return tcpError("set", net.ErrClosed)
--- a/internal/lab/simenv/conn_test.go
+++ b/internal/lab/simenv/conn_test.go
@@ -18,22 +18,22 @@
 		check := func(name string, err, want error) {
 			checked++
 			if !errors.Is(err, want) {
-				t.Errorf("%s: %v", name, err)
+				t.Errorf("%s: got unexpected error %v", name, err)
 			}
 		}
 		lifetime := env.NewLifetime(nil)
 		_, err := e.Dial(lifetime, "10.0.0.2:81", time.Second)
-		check("nobody listens", err, syscall.ECONNREFUSED)
+		check("no listener", err, syscall.ECONNREFUSED)
 		_, err = e.Dial(lifetime, "10.0.0.9:80", time.Second)
-		check("no such host", err, os.ErrDeadlineExceeded)
+		check("unknown host", err, os.ErrDeadlineExceeded)
 		first, _ := dial()
 		first.SetReadDeadline(e.Now().Add(time.Second))
 		_, err = first.Read(make([]byte, 1))
-		check("nothing arrives", err, os.ErrDeadlineExceeded)
+		check("nothing to read", err, os.ErrDeadlineExceeded)
 		second, _ := dial()
 		third, _ := dial()
 		_, err = dial()
-		check("no descriptor is left", err, syscall.EMFILE)
+		check("no descriptor left", err, syscall.EMFILE)
 		second.Close()
 		_, err = second.Write([]byte("x"))
 		check("closed by this end", err, net.ErrClosed)
@@ -49,7 +49,7 @@
 	s.After(10*time.Second, func() { s.processes[0].conns[0].peer.Reset() })
 	s.Run(time.Minute)
 	if checked != 7 {
-		t.Errorf("%d of 7 errors, %+v", checked, s.echo)
+		t.Errorf("checked %d of 7 errors, echo %+v", checked, s.echo)
 	}
 }
 
@@ -68,7 +68,7 @@
 	s.After(5*time.Second, func() { s.Heal("near", "far") })
 	s.Run(time.Minute)
 	if echoedAt < 5*time.Second || echoedAt > 6*time.Second {
-		t.Errorf("echoed at %v", echoedAt)
+		t.Errorf("byte echoed at %v, want 5 s to 6 s", echoedAt)
 	}
 }
 
@@ -94,7 +94,7 @@
 	}
 	s.Run(time.Minute)
 	if read > 4 || !errors.Is(readErr, syscall.ECONNRESET) {
-		t.Errorf("%d bytes, then %v", read, readErr)
+		t.Errorf("read %d bytes, then error %v, want at most 4 bytes and ECONNRESET", read, readErr)
 	}
 }
 
@@ -102,7 +102,7 @@
 	written := 0
 	s := newEchoSimulation(t, 5, func(e env.Environment, dial dialFunc) {
 		c, _ := dial()
-		defer func() { written = 100 }() // runs, but nothing of a killed process shows outside
+		defer func() { written = 100 }() // runs, but has no effect outside the killed process
 		for {
 			io.WriteString(c, "x")
 			written++
@@ -112,10 +112,10 @@
 	s.After(3500*time.Millisecond, s.process.Kill)
 	s.Run(time.Minute)
 	if s.echo.closed != "closed, reset true" || s.echo.received != 4 {
-		t.Errorf("%q, %d bytes, written %d", s.echo.closed, s.echo.received, written)
+		t.Errorf("echo reports %q after %d bytes, want 4 bytes and a reset; process wrote %d", s.echo.closed, s.echo.received, written)
 	}
 	if goroutines, _, descriptors := s.process.Resources(); goroutines != 0 || descriptors != 0 {
-		t.Errorf("%d goroutines, %d descriptors left", goroutines, descriptors)
+		t.Errorf("%d goroutines and %d descriptors left, want none", goroutines, descriptors)
 	}
 }
 
@@ -136,12 +136,13 @@
 	})
 	s.Run(time.Minute)
 	if written != 300 || !errors.Is(writeErr, os.ErrDeadlineExceeded) {
-		t.Errorf("%d bytes, %v", written, writeErr)
+		t.Errorf("wrote %d bytes, then error %v, want 300 bytes and os.ErrDeadlineExceeded", written, writeErr)
 	}
 }
 
-// TestAbortAcrossASplitDeliversNothing guards against a simulated network that delivers, after a cut, what a reset connection had written: a
-// plain close does, as the kernel goes on to send.
+// TestAbortAcrossASplitDeliversNothing guards against a simulated network that, after
+// a partition, delivers data that was written before the connection was reset. After
+// a plain close the data is delivered, because the kernel continues to send it.
 func TestAbortAcrossASplitDeliversNothing(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -164,13 +165,14 @@
 			s.After(5*time.Second, func() { s.Heal("near", "far") })
 			s.Run(time.Minute)
 			if s.echo.received != c.received || s.echo.closed != c.closed {
-				t.Errorf("%d bytes arrived, %s", s.echo.received, s.echo.closed)
+				t.Errorf("%d bytes arrived, echo reports %q", s.echo.received, s.echo.closed)
 			}
 		})
 	}
 }
 
-// TestEndArrivesOnceASplitHeals guards against a checker that takes a connection's end for known to a process before it has arrived.
+// TestEndArrivesOnceASplitHeals guards against a checker that assumes that
+// a process knows of the end of a connection before the end has arrived.
 func TestEndArrivesOnceASplitHeals(t *testing.T) {
 	var arrivedAt time.Duration
 	s := newEchoSimulation(t, 4, func(e env.Environment, dial dialFunc) {
@@ -185,12 +187,12 @@
 	s.After(5*time.Second, func() { s.Heal("near", "far") })
 	s.Run(time.Minute)
 	if arrivedAt < 5*time.Second || arrivedAt > 6*time.Second {
-		t.Errorf("arrived at %v", arrivedAt)
+		t.Errorf("reset arrived at %v, want 5 s to 6 s", arrivedAt)
 	}
 }
 
-// TestNonBlockingWriteThatTakesNothingCountsAsBlocked guards against a checker that takes a line behind a peer that reads nothing for one that was
-// held back.
+// TestNonBlockingWriteThatTakesNothingCountsAsBlocked guards against a checker that
+// reports a protocol line as held back by the process although the peer reads nothing.
 func TestNonBlockingWriteThatTakesNothingCountsAsBlocked(t *testing.T) {
 	written := 0
 	s := newEchoSimulation(t, 6, func(e env.Environment, dial dialFunc) {
@@ -208,6 +210,6 @@
 	})
 	s.Run(time.Minute)
 	if written != 300 || s.process.LastBlocked() < time.Second {
-		t.Errorf("%d bytes taken, last blocked at %v", written, s.process.LastBlocked())
+		t.Errorf("wrote %d bytes, want 300; last blocked at %v, want 1 s or later", written, s.process.LastBlocked())
 	}
 }
--- a/internal/lab/simenv/dial.go
+++ b/internal/lab/simenv/dial.go
@@ -14,20 +14,20 @@
 
 var errDialCanceled = errors.New("operation was canceled")
 
-// dial is a connection that a process is making.
+// dial is a connection attempt of a process.
 type dial struct {
 	process *Process
-	caller  *task
-	remote  *Host // nil: no host has the address
+	caller  *task // goroutine that waits in Dial
+	remote  *Host // nil if no host has the address
 	ip      string
 	port    string
 	end     *End
-	conn    *Conn // nil: not accepted yet
+	conn    *Conn // nil until the attempt is accepted
 	result  connectResult
-	pending *Event
+	pending *Event // arrival of the request, or of its answer
 }
 
-// Dial connects to an address. Its errors are those of package net.
+// Dial connects to an address. It returns the errors of package net.
 func (p *Process) Dial(lifetime *env.Lifetime, to string, timeout time.Duration) (net.Conn, error) {
 	s := p.sim
 	s.maybeYield()
@@ -58,7 +58,7 @@
 	}
 	if d.conn != nil {
 		d.conn.abort()
-		p.descriptors++ // abort gave the descriptor back, and fail does again
+		p.descriptors++ // abort has released the descriptor, and fail releases it again
 	}
 	switch {
 	case cancelled:
@@ -69,7 +69,7 @@
 	return fail(os.ErrDeadlineExceeded)
 }
 
-// wait waits for the answer, the timeout or the end of the lifetime.
+// wait waits until the answer arrives, the timeout has passed or the lifetime has ended.
 func (d *dial) wait(lifetime *env.Lifetime, timeout time.Duration) (woken, cancelled bool) {
 	p, s := d.process, d.process.sim
 	p.openDials++
@@ -85,7 +85,8 @@
 	return woken, cancelled
 }
 
-// try is the request to connect that arrives at the remote host.
+// try handles the connection request when it arrives at the remote
+// host. If the hosts are partitioned, it tries again later.
 func (d *dial) try() {
 	p, s := d.process, d.process.sim
 	d.pending = nil
@@ -93,7 +94,7 @@
 		return
 	}
 	if d.remote.Vanished || p.host.Vanished {
-		return // never answered
+		return // the request stays unanswered
 	}
 	if !s.isReachable(p.host, d.remote) {
 		d.pending = s.After(retransmitAfter, d.try)
@@ -109,7 +110,7 @@
 	})
 }
 
-// connect asks the listener at the remote port.
+// connect passes the request to the listener at the remote port. It returns refused if there is no listener.
 func (d *dial) connect() connectResult {
 	listener := d.remote.listeners[d.port]
 	if listener == nil {
@@ -126,5 +127,5 @@
 	return result
 }
 
-// clientPort is the port of the side that connects.
+// clientPort returns the port of the side that connects.
 func clientPort(e *End) string { return strconv.Itoa(firstClientPort + int(e.Number%clientPorts)) }
--- a/internal/lab/simenv/directory.go
+++ b/internal/lab/simenv/directory.go
@@ -10,32 +10,34 @@
 	"foldslip/internal/store/wal"
 )
 
-// Directory is a directory whose machine may lose power: what was not synced is then there in part or not at all. It implements
-// env.Directory, and outlives its processes.
+// Directory is a simulated directory of a machine that may lose power. After a power loss, data that was not
+// synced exists in part or not at all. It implements env.Directory and outlives the processes that use it.
 type Directory struct {
-	// OpsLeft is how many more operations succeed; below 0 all do. At 0 every operation fails with ErrPower.
+	// OpsLeft is the number of operations that still succeed. A negative
+	// value means no limit. At 0 every operation fails with ErrPowerLoss.
 	OpsLeft int
-	// Ops counts operations.
+	// Ops counts the operations that did not fail with ErrPowerLoss.
 	Ops    int
-	files  map[string]*inode // as the running system has the directory
-	synced map[string]*inode // as it is after a loss of power
+	files  map[string]*inode // entries as the running system sees them
+	synced map[string]*inode // entries after a power loss
 	locked bool
 }
 
-// inode is the content of a file.
+// inode is the content of a file. Its first syncedBytes bytes survive a power loss.
 type inode struct {
 	data        []byte
 	syncedBytes int
 }
 
-// ErrPower is the error of a directory without power.
-var ErrPowerLoss = errors.New("the disk has no power")
+// ErrPowerLoss is returned by every operation on a directory that has lost power.
+var ErrPowerLoss = errors.New("disk operation failed: the machine has lost power")
 
-// NewDirectory makes an empty directory.
+// NewDirectory returns an empty directory without a limit on operations.
 func NewDirectory() *Directory {
 	return &Directory{OpsLeft: -1, files: map[string]*inode{}, synced: map[string]*inode{}}
 }
 
+// countOp counts one operation. It returns ErrPowerLoss if no operations are left.
 func (d *Directory) countOp() error {
 	if d.OpsLeft == 0 {
 		return ErrPowerLoss
@@ -45,7 +47,8 @@
 	return nil
 }
 
-// Crash is a loss of power: of what was not synced a random part survives. Afterwards the directory works again.
+// Crash simulates a power loss. A random part of the data that was not synced
+// survives. Afterwards the directory is unlocked and has no limit on operations.
 func (d *Directory) Crash(rng *rand.Rand) {
 	d.OpsLeft = -1
 	d.locked = false
@@ -59,16 +62,16 @@
 	d.synced = maps.Clone(d.files)
 }
 
-// afterCrash is what is left of a file.
+// afterCrash returns the file as it is after a power loss.
 func (i *inode) afterCrash(rng *rand.Rand) *inode {
 	left := slices.Clone(i.data[:i.syncedBytes+rng.IntN(len(i.data)-i.syncedBytes+1)])
-	if len(left) > i.syncedBytes && rng.IntN(4) == 0 { // a block that was being written may hold anything
+	if len(left) > i.syncedBytes && rng.IntN(4) == 0 { // a block that was being written may contain arbitrary bytes
 		left[i.syncedBytes+rng.IntN(len(left)-i.syncedBytes)] ^= byte(1 + rng.IntN(255))
 	}
 	return &inode{left, len(left)}
 }
 
-// Corrupt changes a byte of a file, or truncates the file there.
+// Corrupt flips a bit of the byte at an offset, or truncates the file there. The resulting content counts as synced.
 func (d *Directory) Corrupt(name string, at int, truncate bool) {
 	i := d.files[name]
 	if truncate {
@@ -79,7 +82,7 @@
 	i.syncedBytes = len(i.data)
 }
 
-// Size is the length of a file, -1 where there is none.
+// Size returns the length of a file, or -1 if the file does not exist.
 func (d *Directory) Size(name string) int {
 	if i := d.files[name]; i != nil {
 		return len(i.data)
@@ -87,7 +90,7 @@
 	return -1
 }
 
-// Copy returns a directory with the same files, all synced.
+// Copy returns a directory with a copy of each file. All copies are synced.
 func (d *Directory) Copy() *Directory {
 	c := NewDirectory()
 	for name, i := range d.files {
@@ -117,7 +120,7 @@
 	return slices.Clone(i.data), nil
 }
 
-// Create makes an empty file.
+// Create creates an empty file. It replaces a file with the same name.
 func (d *Directory) Create(name string) (wal.File, error) {
 	if err := d.countOp(); err != nil {
 		return nil, err
@@ -127,7 +130,7 @@
 	return &file{d, i}, nil
 }
 
-// Rename renames a file.
+// Rename renames a file. It replaces a file with the new name.
 func (d *Directory) Rename(from, to string) error {
 	if err := d.countOp(); err != nil {
 		return err
@@ -150,7 +153,7 @@
 	return nil
 }
 
-// Sync makes renames and removals survive a loss of power.
+// Sync makes the creation, renaming and removal of files survive a power loss.
 func (d *Directory) Sync() error {
 	if err := d.countOp(); err != nil {
 		return err
@@ -159,7 +162,7 @@
 	return nil
 }
 
-// Lock locks the directory for one process.
+// Lock locks the directory for one process. It returns wal.ErrLocked if the directory is already locked.
 func (d *Directory) Lock() (unlock func(), err error) {
 	if err := d.countOp(); err != nil {
 		return nil, err
@@ -177,7 +180,7 @@
 	inode     *inode
 }
 
-// Write appends b, or half of it when the power goes.
+// Write appends b. If the machine has lost power, it appends the first half of b and returns ErrPowerLoss.
 func (f *file) Write(b []byte) (int, error) {
 	if err := f.directory.countOp(); err != nil {
 		half := len(b) / 2
@@ -188,7 +191,7 @@
 	return len(b), nil
 }
 
-// Sync makes what was written survive a loss of power.
+// Sync makes the bytes written so far survive a power loss.
 func (f *file) Sync() error {
 	if err := f.directory.countOp(); err != nil {
 		return err
@@ -197,5 +200,5 @@
 	return nil
 }
 
-// Close does nothing.
+// Close does nothing and returns nil.
 func (f *file) Close() error { return nil }
--- a/internal/lab/simenv/end.go
+++ b/internal/lab/simenv/end.go
@@ -5,43 +5,46 @@
 	"strings"
 )
 
-// Handler is an actor's side of a connection; it is called for what arrives there.
+// Handler is the actor's side of a connection. The simulation calls it for each event on the connection.
 type Handler interface {
-	// Opened is called when the connection is up.
+	// Opened is called when the connection is established.
 	Opened()
-	// Data brings bytes; b is valid for the call only.
+	// Data is called with bytes that arrive. b is valid only during the call.
 	Data(b []byte)
-	// Closed is called when the other side ended or reset the connection, or it never came up.
+	// Closed is called when the process closes or resets its end, when a connection attempt
+	// is refused, and after a reset that was planned by ResetAfterIn or ResetAfterOut.
 	Closed(reset bool)
-	// Written brings what the process's side has just written, as seen on its wire; n below 0: it closed the connection.
+	// Written is called with bytes that the process has just written, before they
+	// arrive. A negative n means that the process has closed the connection.
 	Written(n int, b []byte)
 }
 
 // End is an actor's end of a connection.
 type End struct {
 	Host    *Host
-	Peer    *Host // the process's
+	Peer    *Host // host of the process
 	Port    string
-	Number  uint64
-	Stalled bool // it reads nothing
-	Window  int  // bytes from the process that may be on their way or not taken; 0: the usual
-	// OnArrived, if it is set, is called with what reaches the process.
+	Number  uint64 // number of the connection
+	Stalled bool   // the actor reads nothing
+	Window  int    // limit on bytes from the process in flight or unread; 0 means windowBytes
+	// OnArrived, if set, is called with the bytes that reach the process.
 	OnArrived func(b []byte)
-	// OnEndArrived, if it is set, is called when this side's end or reset reaches the process.
+	// OnEndArrived, if set, is called when the end of stream or the reset of this end reaches the process.
 	OnEndArrived func()
-	// ResetAfterIn, when above 0, resets the connection after so many more bytes towards the process; ResetAfterOut likewise from it.
+	// ResetAfterIn, if above 0, resets the connection after that many more bytes
+	// towards the process. ResetAfterOut does the same for bytes from the process.
 	ResetAfterIn, ResetAfterOut int
 
 	sim         *Simulation
 	handler     Handler
 	conn        *Conn
-	unsent      []byte   // past the window
-	stalledData [][]byte // arrived while Stalled
+	unsent      []byte   // queued because the window is full
+	stalledData [][]byte // arrived while Stalled was set
 	closed      bool
 	fin         bool
 }
 
-// arrive takes a segment that reaches the actor.
+// arrive handles a segment that reaches the actor.
 func (e *End) arrive(s segment) {
 	if e.closed {
 		if len(s.data) > 0 {
@@ -68,7 +71,8 @@
 	}
 }
 
-// resetsWithin counts bytes down to a planned reset and reports whether it falls within them; left is then 0 or below.
+// resetsWithin subtracts bytes from left, the number of bytes before a planned reset. It reports whether
+// the reset falls within these bytes. In that case -left is the number of bytes after the reset.
 func (e *End) resetsWithin(left *int, bytes int) bool {
 	if *left <= 0 {
 		return false
@@ -77,7 +81,7 @@
 	return *left <= 0
 }
 
-// Resume goes on reading after Stalled.
+// Resume clears Stalled and passes the data that arrived in the meantime to the handler.
 func (e *End) Resume() {
 	e.Stalled = false
 	stalled := e.stalledData
@@ -87,7 +91,7 @@
 	}
 }
 
-// Send writes bytes towards the process; those past the window wait at this side.
+// Send sends bytes to the process. Bytes that exceed the window are queued at this end.
 func (e *End) Send(b []byte) {
 	if e.closed || e.fin {
 		return
@@ -96,10 +100,10 @@
 	e.flush()
 }
 
-// Unsent is how many bytes wait at this side.
+// Unsent returns the number of bytes that are queued at this end.
 func (e *End) Unsent() int { return len(e.unsent) }
 
-// flush sends what the window has room for, and the end after the last byte.
+// flush sends queued bytes as far as the window allows, and the end of stream after the last byte.
 func (e *End) flush() {
 	for len(e.unsent) > 0 && !e.closed {
 		free := windowBytes - len(e.conn.received) - e.conn.in.inFlightBytes()
@@ -127,7 +131,7 @@
 	}
 }
 
-// Close ends the connection after what was written.
+// Close ends the connection after the queued bytes.
 func (e *End) Close() {
 	if e.closed || e.fin {
 		return
@@ -136,7 +140,8 @@
 	e.flush()
 }
 
-// Reset breaks the connection; what has not arrived yet is lost.
+// Reset resets the connection. Queued bytes are lost, and so are
+// bytes that the process has not read when the reset arrives.
 func (e *End) Reset() {
 	if e.closed || e.conn == nil {
 		e.closed = true
@@ -147,19 +152,22 @@
 	e.conn.in.send(segment{reset: true})
 }
 
+// endArrived calls OnEndArrived, if it is set.
 func (e *End) endArrived() {
 	if e.OnEndArrived != nil {
 		e.OnEndArrived()
 	}
 }
 
-// IsClosed reports whether the connection has ended at this side.
+// IsClosed reports whether this end is closed.
 func (e *End) IsClosed() bool { return e.closed }
 
-// IsAccepted reports whether the process has the connection.
+// IsAccepted reports whether the process has an open end of the
+// connection. The connection may still wait in the listener's queue.
 func (e *End) IsAccepted() bool { return e.conn != nil && !e.conn.closed }
 
-// Connect has an actor on a host connect to an address. The handler learns the outcome by Opened or Closed.
+// Connect connects an actor on the host to an address. It calls Opened or Closed of
+// the handler with the outcome. It calls neither if the attempt stays unanswered.
 func (h *Host) Connect(to string, handler Handler) *End {
 	s := h.sim
 	ip, port, _ := strings.Cut(to, ":")
@@ -191,7 +199,7 @@
 	return e
 }
 
-// connected tells the handler the outcome of Connect.
+// connected reports the outcome of Connect to the handler.
 func (e *End) connected(result connectResult) {
 	if e.closed {
 		return
--- a/internal/lab/simenv/host.go
+++ b/internal/lab/simenv/host.go
@@ -11,19 +11,19 @@
 // Host is a machine with an address in the simulated network.
 type Host struct {
 	IP           string
-	Group        string // splits of the network separate groups from each other
-	ExtraLatency time.Duration
-	Vanished     bool // it sends nothing and receives nothing any more
+	Group        string        // group of hosts for Split and Heal
+	ExtraLatency time.Duration // added to each message from or to the host
+	Vanished     bool          // the host neither sends nor receives any more
 	sim          *Simulation
 	listeners    map[string]acceptor // by port
 }
 
-// acceptor takes connections at a port.
+// acceptor accepts connections at a port.
 type acceptor interface {
 	connect(e *End) connectResult
 }
 
-// connectResult is what becomes of an attempt to connect.
+// connectResult is the result of a connection attempt.
 type connectResult int
 
 const (
@@ -32,7 +32,7 @@
 	unanswered
 )
 
-// Host returns the host of an address; it is made if it does not exist.
+// Host returns the host with an IP address. It creates the host in group if there is none.
 func (s *Simulation) Host(ip, group string) *Host {
 	h := s.hosts[ip]
 	if h == nil {
@@ -42,10 +42,10 @@
 	return h
 }
 
-// Split cuts two groups of hosts from each other until Heal.
+// Split partitions the network between two groups of hosts until Heal is called.
 func (s *Simulation) Split(a, b string) { s.splits = append(s.splits, [2]string{a, b}) }
 
-// Heal ends all splits between two groups, in the order in which Split named them.
+// Heal ends all partitions between two groups. The groups must be in the same order as in the call of Split.
 func (s *Simulation) Heal(a, b string) {
 	left := s.splits[:0]
 	for _, split := range s.splits {
@@ -56,7 +56,7 @@
 	s.splits = left
 }
 
-// IsSplit reports whether two groups are cut from each other.
+// IsSplit reports whether the network is partitioned between two groups, which may be in either order.
 func (s *Simulation) IsSplit(a, b string) bool {
 	for _, split := range s.splits {
 		if split == [2]string{a, b} || split == [2]string{b, a} {
@@ -66,12 +66,12 @@
 	return false
 }
 
-// isReachable reports whether messages between two hosts arrive.
+// isReachable reports whether messages between two hosts can be delivered.
 func (s *Simulation) isReachable(a, b *Host) bool {
 	return !s.IsSplit(a.Group, b.Group) && !a.Vanished && !b.Vanished
 }
 
-// latency is the time that a message takes, with jitter.
+// latency returns the time that a message between two hosts takes, with random jitter.
 func (s *Simulation) latency(a, b *Host) time.Duration {
 	if s.Lockstep {
 		return 0
@@ -83,15 +83,16 @@
 	return base + a.ExtraLatency + b.ExtraLatency + time.Duration(s.Rand.Uint32()%latencyJitterMicros)*time.Microsecond
 }
 
-// Serve has an actor listen at a port of the host; accept returns the handler of a connection, or nil to refuse it.
+// Serve makes an actor listen at a port of the host. accept returns
+// the handler of a new connection, or nil to refuse the connection.
 func (h *Host) Serve(port string, accept func(e *End) Handler) {
 	h.listeners[port] = actorListener{accept}
 }
 
-// StopServing ends Serve: connections are refused.
+// StopServing ends Serve. New connections are refused.
 func (h *Host) StopServing(port string) { delete(h.listeners, port) }
 
-// actorListener takes connections for an actor.
+// actorListener accepts connections for an actor.
 type actorListener struct{ accept func(*End) Handler }
 
 func (l actorListener) connect(e *End) connectResult {
--- a/internal/lab/simenv/link.go
+++ b/internal/lab/simenv/link.go
@@ -3,29 +3,30 @@
 import "time"
 
 const (
-	retransmitAfter     = 120 * time.Millisecond // of a message into a split, as TCP does
-	bytesPerMicrosecond = 100
+	// retransmitAfter is the interval at which messages across a partition are sent again, as TCP retransmits them.
+	retransmitAfter     = 120 * time.Millisecond
+	bytesPerMicrosecond = 100 // bandwidth of one direction of a connection
 )
 
-// segment is a part of a stream on its way: bytes, an end or a reset.
+// segment is a part of a stream in flight: bytes, an end of stream or a reset.
 type segment struct {
 	arrivesAt  time.Duration
 	data       []byte
 	fin, reset bool
 }
 
-// direction is one direction of a connection.
+// direction carries the segments of one direction of a connection.
 type direction struct {
 	sim         *Simulation
 	from, to    *Host
-	queue       []segment
+	queue       []segment // in flight, in order
 	lastArrival time.Duration
-	delivery    *Event // nil: none is due
-	arrive      func(s segment)
-	dropped     bool // an end vanished: nothing arrives any more
+	delivery    *Event          // next delivery; nil if none is scheduled
+	arrive      func(s segment) // called for each segment that arrives
+	dropped     bool            // a host has vanished, and no further segment arrives
 }
 
-// send puts a segment on its way, after all that was sent before.
+// send queues a segment, which arrives after all segments that were sent before it.
 func (d *direction) send(s segment) {
 	if d.dropped {
 		return
@@ -43,15 +44,16 @@
 	}
 }
 
-// dropUndeliverable drops what waits for a split network, which a sender stops to repeat once it has reset the connection. What is on its way
-// through a whole one arrives.
+// dropUndeliverable drops all segments in flight if the hosts are partitioned. A sender that has reset
+// the connection no longer retransmits them. Without a partition, segments in flight still arrive.
 func (d *direction) dropUndeliverable() {
 	if !d.sim.isReachable(d.from, d.to) {
 		d.queue = nil
 	}
 }
 
-// deliver has segments that are due arrive, or tries again later where the network is split.
+// deliver delivers the segments that are due. If the hosts are partitioned,
+// it tries again later. If one of them has vanished, it drops all segments.
 func (d *direction) deliver() {
 	d.delivery = nil
 	if !d.sim.isReachable(d.from, d.to) {
@@ -73,7 +75,7 @@
 	}
 }
 
-// inFlightBytes is how many bytes are on their way.
+// inFlightBytes returns the number of bytes in flight.
 func (d *direction) inFlightBytes() (n int) {
 	for _, s := range d.queue {
 		n += len(s.data)
--- a/internal/lab/simenv/listener.go
+++ b/internal/lab/simenv/listener.go
@@ -11,26 +11,26 @@
 	"time"
 )
 
-const maxBacklog = 128 // connections that a listener has not accepted yet
+const maxBacklog = 128 // connections per listener that have not been accepted yet
 
-// ErrAddress is the error of Listen for an address that the host does not have.
-var ErrAddress = errors.New("the host does not have the address")
+// ErrAddress is returned by Listen for an address that the host does not have.
+var ErrAddress = errors.New("address is not assigned to the host")
 
 // listener is a process's listener. It implements net.Listener.
 type listener struct {
 	process  *Process
 	port     string
-	queue    []*Conn
-	waiter   *task         // in Accept
+	queue    []*Conn       // connections that have not been accepted
+	waiter   *task         // waiting in Accept, or nil
 	deadline time.Duration // of Accept
 	closed   bool
 }
 
-// Listen listens at an address of the process's host.
+// Listen returns a listener on an address of the process's host.
 func (p *Process) Listen(address string) (net.Listener, error) {
 	ip, port, ok := strings.Cut(address, ":")
 	if !ok || ip != p.host.IP {
-		return nil, tcpError("listen", fmt.Errorf("%s at %s: %w", address, p.host.IP, ErrAddress))
+		return nil, tcpError("listen", fmt.Errorf("address %s on host %s: %w", address, p.host.IP, ErrAddress))
 	}
 	if p.host.listeners[port] != nil {
 		return nil, tcpError("listen", os.NewSyscallError("bind", syscall.EADDRINUSE))
@@ -44,7 +44,7 @@
 	return l, nil
 }
 
-// connect queues a connection, or leaves it without an answer where too many wait.
+// connect queues a connection. If the queue is full, the connection attempt stays unanswered.
 func (l *listener) connect(e *End) connectResult {
 	if len(l.queue) >= maxBacklog {
 		return unanswered
@@ -56,7 +56,7 @@
 	return accepted
 }
 
-// Accept returns the next connection, or waits for one.
+// Accept returns the next connection. It waits if there is none.
 func (l *listener) Accept() (net.Conn, error) {
 	p, s := l.process, l.process.sim
 	s.maybeYield()
@@ -75,6 +75,7 @@
 	}
 }
 
+// acceptFirst accepts the connection that has waited longest.
 func (l *listener) acceptFirst() (net.Conn, error) {
 	p := l.process
 	if !p.acquireDescriptor() {
@@ -86,14 +87,14 @@
 	return c, nil
 }
 
-// SetDeadline sets the deadline of Accept, as *net.TCPListener does; a call that waits goes on with the new deadline.
+// SetDeadline sets the deadline of Accept, as *net.TCPListener does. It also applies to a call that is already waiting.
 func (l *listener) SetDeadline(t time.Time) error {
 	l.deadline = l.process.deadline(t)
 	l.process.sim.wakeIfAny(l.waiter)
 	return nil
 }
 
-// Close closes the listener, and resets the connections that were not accepted.
+// Close closes the listener and resets the connections that were not accepted.
 func (l *listener) Close() error {
 	if l.closed {
 		return tcpError("close", net.ErrClosed)
@@ -114,12 +115,13 @@
 		p.listeners = append(p.listeners[:i:i], p.listeners[i+1:]...)
 	}
 	for _, c := range l.queue {
-		p.descriptors++ // it had none, and closeWith gives one back
+		// closeWith releases a descriptor, but a connection that was not accepted has none.
+		p.descriptors++
 		c.closeWith(true)
 	}
 	l.queue = nil
 	p.sim.wakeIfAny(l.waiter)
 }
 
-// Addr is the address that the listener listens at.
+// Addr returns the address that the listener listens on.
 func (l *listener) Addr() net.Addr { return addr{l.process.host.IP, l.port} }
--- a/internal/lab/simenv/process.go
+++ b/internal/lab/simenv/process.go
@@ -12,41 +12,42 @@
 	"foldslip/internal/env"
 )
 
-// Process is a process on a host. It implements env.Environment for its own goroutines. Its exported fields are set before
-// Simulation.Start.
+// Process is a process on a host. It implements env.Environment for its
+// own goroutines. Its exported fields are set before Simulation.Start.
 type Process struct {
 	Name           string
-	Variables      map[string]string // of its environment
-	Files          map[string][]byte
+	Variables      map[string]string     // environment variables
+	Files          map[string][]byte     // by path
 	Directories    map[string]*Directory // by path
-	MaxDescriptors int                   // 0: no limit
-	// Skew is how far the clock of its machine was from the true time when it started.
+	MaxDescriptors int                   // 0 means no limit
+	// Skew is the difference between the clock of its machine and
+	// the true time. It does not change while the process runs.
 	Skew time.Duration
-	// OnLogLine gets each line of its log, if it is set.
+	// OnLogLine, if set, is called with each line of the process's log.
 	OnLogLine func(p *Process, level slog.Level, line string)
-	// OnEnd is called when its main function returns, if it is set.
+	// OnEnd, if set, is called when the main function of the process returns.
 	OnEnd func(p *Process, err error)
 
 	sim             *Simulation
 	host            *Host
 	tasks           []*task
-	taskCount       uint64 // that were ever spawned
-	timerCount      int    // that are running
+	taskCount       uint64 // goroutines spawned so far
+	timerCount      int    // running timers
 	killed          bool
 	ended           bool
-	descriptors     int // that are open
+	descriptors     int // open descriptors
 	peakDescriptors int
 	conns           []*Conn
 	listeners       []*listener
-	openDials       int
+	openDials       int           // dials in progress
 	lastDialed      time.Duration // when a dial last ended
-	blockedWrites   int
-	lastBlocked     time.Duration // when a blocked write last ended
+	blockedWrites   int           // writes that wait for room in the window
+	lastBlocked     time.Duration // when a write was last blocked
 	onSignal        func(env.Signal)
 	logger          *slog.Logger
 }
 
-// Start starts a process and calls main in a goroutine of it.
+// Start starts a process on a host. It calls main in a goroutine of the process.
 func (s *Simulation) Start(h *Host, p *Process, main func(environment env.Environment) error) *Process {
 	p.sim = s
 	p.host = h
@@ -66,12 +67,12 @@
 // IsAlive reports whether the process has neither ended nor been killed.
 func (p *Process) IsAlive() bool { return !p.killed && !p.ended }
 
-// Resources are the goroutines, timers and descriptors that it has now.
+// Resources returns the numbers of goroutines, running timers and open descriptors.
 func (p *Process) Resources() (goroutines, timers, descriptors int) {
 	return len(p.tasks), p.timerCount, p.descriptors
 }
 
-// LastDialing is when a connection was last being made.
+// LastDialing returns the last time at which a dial was in progress.
 func (p *Process) LastDialing() time.Duration {
 	if p.openDials > 0 {
 		return p.sim.now
@@ -79,7 +80,8 @@
 	return p.lastDialed
 }
 
-// LastBlocked is when a write last waited for a peer that reads nothing, or a write that does not wait found that it would have to.
+// LastBlocked returns the last time at which a write waited for a peer that
+// did not read. It includes a non-blocking write that could write nothing.
 func (p *Process) LastBlocked() time.Duration {
 	if p.blockedWrites > 0 {
 		return p.sim.now
@@ -87,10 +89,10 @@
 	return p.lastBlocked
 }
 
-// PeakDescriptors is how many descriptors it had at once.
+// PeakDescriptors returns the largest number of descriptors that were open at the same time.
 func (p *Process) PeakDescriptors() int { return p.peakDescriptors }
 
-// GoroutineNames are the names of its goroutines, separated by spaces.
+// GoroutineNames returns the names of the goroutines, separated by spaces.
 func (p *Process) GoroutineNames() string {
 	var names []string
 	for _, t := range p.tasks {
@@ -99,7 +101,7 @@
 	return strings.Join(names, " ")
 }
 
-// Kill ends the process at once: its connections are reset, nothing of it runs any more.
+// Kill ends the process at once. Its listeners close, its connections are reset and its goroutines are unwound.
 func (p *Process) Kill() {
 	if p.killed {
 		return
@@ -118,7 +120,7 @@
 	p.stopTasks()
 }
 
-// stopTasks unwinds all goroutines.
+// stopTasks unwinds all goroutines of the process.
 func (p *Process) stopTasks() {
 	s := p.sim
 	before := s.current
@@ -134,7 +136,7 @@
 	p.tasks = nil
 }
 
-// Signal sends the process a signal. It is killed if it does not handle signals.
+// Signal sends a signal to the process. A process that does not handle signals is killed.
 func (p *Process) Signal(signal env.Signal) {
 	if !p.IsAlive() {
 		return
@@ -147,7 +149,7 @@
 	p.onSignal(signal)
 }
 
-// acquireDescriptor reports whether the process may open one more descriptor, and counts it.
+// acquireDescriptor counts one more open descriptor. It reports false if MaxDescriptors descriptors are already open.
 func (p *Process) acquireDescriptor() bool {
 	if p.MaxDescriptors > 0 && p.descriptors >= p.MaxDescriptors {
 		return false
@@ -157,13 +159,14 @@
 	return true
 }
 
-// Now is the time by the process's machine; a step of its clock shows in processes that start after it.
+// Now returns the time on the clock of the process's machine. A
+// step of that clock affects only processes that start after it.
 func (p *Process) Now() time.Time { return Epoch.Add(p.sim.now + p.Skew) }
 
-// simTime is the time of the simulation at a time of the process's machine.
+// simTime converts a time on the clock of the process's machine to a time of the simulation.
 func (p *Process) simTime(t time.Time) time.Duration { return t.Sub(Epoch) - p.Skew }
 
-// deadline is the time of the simulation at a deadline as package net has it; forever for the zero one.
+// deadline converts a deadline in the form of package net to a time of the simulation. The zero time means forever.
 func (p *Process) deadline(t time.Time) time.Duration {
 	if t.IsZero() {
 		return forever
@@ -171,7 +174,7 @@
 	return max(0, p.simTime(t))
 }
 
-// untilDeadline is how long a wait for a deadline lasts.
+// untilDeadline returns the time limit of a wait that ends at a deadline.
 func (p *Process) untilDeadline(deadline time.Duration) time.Duration {
 	if deadline < 0 {
 		return forever
@@ -179,12 +182,13 @@
 	return deadline - p.sim.now
 }
 
+// isPast reports whether a deadline has passed.
 func (p *Process) isPast(deadline time.Duration) bool { return deadline >= 0 && p.sim.now >= deadline }
 
-// Getenv returns a variable of the process's environment.
+// Getenv returns a variable of the process's environment, or "" if it is not set.
 func (p *Process) Getenv(name string) string { return p.Variables[name] }
 
-// OpenDirectory returns the directory that the process's machine has at a path.
+// OpenDirectory returns the directory at a path of the process's machine. It fails if there is none.
 func (p *Process) OpenDirectory(path string) (env.Directory, error) {
 	d := p.Directories[path]
 	if d == nil {
@@ -193,7 +197,7 @@
 	return d, nil
 }
 
-// ReadFile returns a file of the process's machine.
+// ReadFile returns the content of a file on the process's machine.
 func (p *Process) ReadFile(path string) ([]byte, error) {
 	b, exists := p.Files[path]
 	if !exists {
@@ -202,31 +206,31 @@
 	return b, nil
 }
 
-// OnSignal sets what is called for each signal, until stop.
+// OnSignal sets the function that is called for each signal until stop is called.
 func (p *Process) OnSignal(handle func(env.Signal)) (stop func()) {
 	p.onSignal = handle
 	return func() { p.onSignal = nil }
 }
 
-// SetResourceLimits does nothing: the simulation has no cores and no memory limit.
+// SetResourceLimits does nothing, because the simulation has no cores and no memory limit.
 func (p *Process) SetResourceLimits(int, int64) {}
 
 // ReleaseMemory does nothing.
 func (p *Process) ReleaseMemory() {}
 
-// DescriptorLimit is MaxDescriptors.
+// DescriptorLimit returns MaxDescriptors.
 func (p *Process) DescriptorLimit() uint64 { return uint64(p.MaxDescriptors) }
 
-// Log returns the process's logger, whose lines go to OnLogLine and the trace.
+// Log returns the logger of the process. Its lines go to OnLogLine and to the trace.
 func (p *Process) Log() *slog.Logger { return p.logger }
 
-// logHandler formats log lines without their time, which the simulation has.
+// logHandler formats log records without their time, because the simulation has its own time.
 type logHandler struct{ process *Process }
 
-// Enabled reports true: all levels are handled.
+// Enabled reports true for every level.
 func (h *logHandler) Enabled(context.Context, slog.Level) bool { return true }
 
-// WithAttrs returns the handler unchanged: the gateway's loggers have no attributes of their own.
+// WithAttrs returns the handler unchanged, because the gateway's loggers have no attributes of their own.
 func (h *logHandler) WithAttrs([]slog.Attr) slog.Handler { return h }
 
 // WithGroup returns the handler unchanged.
@@ -237,7 +241,7 @@
 	var b strings.Builder
 	b.WriteString("event=" + r.Message)
 	r.Attrs(func(a slog.Attr) bool {
-		if a.Key != "stack" { // it has addresses, which differ from run to run
+		if a.Key != "stack" { // a stack contains addresses, which differ from run to run
 			fmt.Fprintf(&b, " %s=%v", a.Key, a.Value)
 		}
 		return true
--- a/internal/lab/simenv/simulation.go
+++ b/internal/lab/simenv/simulation.go
@@ -1,10 +1,12 @@
-// Package simenv simulates the environment of processes: a clock that moves when all wait, goroutines that run one at a time, and a
-// network of hosts. The gateway's own network code runs in it unchanged, on a Process, which is its env.Environment. Everything that the
-// real environment leaves open (which goroutine goes first, which of two events of one instant, how a message is cut) is drawn from one
-// seed, so that a run of a seed can be repeated.
+// Package simenv simulates the environment of processes: a clock, goroutines that run one at a time, and
+// a network of hosts. The clock advances only when all goroutines wait. The network code of the gateway
+// runs unchanged on a Process, which is its env.Environment. The real environment leaves some choices
+// open: which goroutine runs next, which of two events at one instant comes first, where a message is
+// cut. The simulation draws all of them from one seed, so that a run can be repeated from its seed.
 //
-// A goroutine of a process is a coroutine (iter.Pull): it runs until it waits in a method of its environment, and then yields. Other actors
-// are state machines that the simulation calls; they have no goroutines. A Simulation is not safe for concurrent use; Close ends every
+// A goroutine of a process is a coroutine (iter.Pull). It runs until it waits in a method of its environment, and then
+// yields. Other actors have no goroutines; they are state machines that the simulation calls. A Simulation owns its
+// hosts, processes and events and does not limit their number. It is not safe for concurrent use. Close ends every
 // coroutine.
 package simenv
 
@@ -19,49 +21,51 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Epoch is the Unix time at which every simulation begins.
+// Epoch is the true time of day at which every simulation starts.
 var Epoch = time.Unix(1764576000, 0).UTC()
 
-// Simulation is one simulated environment. Its exported fields are set before Run.
+// Simulation is one simulated environment. Its exported fields, except Steps, are set before Run.
 type Simulation struct {
-	Steps uint64 // goroutines that were resumed and events that ran
-	// Trace gets a line a step, if it is set; the digest is the same with and without.
+	Steps uint64 // resumed goroutines, events and created connections so far
+	// Trace, if set, is called with one line per step. It does not affect the digest.
 	Trace func(at time.Duration, line string)
-	// OnIdle is called whenever all goroutines wait, before the clock moves.
+	// OnIdle, if set, is called whenever all goroutines wait, before the clock advances.
 	OnIdle func()
-	// OnCrash is called when a goroutine of a process ends in a panic.
+	// OnCrash, if set, is called when a goroutine of a process panics.
 	OnCrash func(p *Process, text string)
 
-	Rand        *rand.Rand
-	Lockstep    bool // messages take no time, and things of one instant go in the order they came: two runs can be compared
+	Rand *rand.Rand
+	// Lockstep makes messages take no time, and runs events of one instant in
+	// the order in which they were scheduled. Two runs can then be compared.
+	Lockstep    bool
 	now         time.Duration
 	queue       eventQueue
-	ready       []*task
-	current     *task // nil outside goroutines
-	hosts       map[string]*Host
+	ready       []*task          // goroutines that can run
+	current     *task            // goroutine that runs; nil while an event runs
+	hosts       map[string]*Host // by IP
 	processes   []*Process
 	digest      *xxhash.Digest
 	hashBuffer  [8]byte
-	splits      [][2]string // groups of hosts that cannot reach each other
+	splits      [][2]string // pairs of groups of hosts that cannot reach each other
 	halted      bool
-	connections uint64
+	connections uint64 // number of the connection that was created last
 }
 
-// New makes a simulation of a seed.
+// New returns a simulation that draws its random choices from seed.
 func New(seed uint64) *Simulation {
 	s := &Simulation{Rand: rand.New(rand.NewPCG(seed, 0x666f6c64736c6970)), hosts: map[string]*Host{}, digest: xxhash.New()}
 	s.hashNumber(seed)
 	return s
 }
 
-// Now is the time since the simulation began.
+// Now returns the time since the start of the simulation.
 func (s *Simulation) Now() time.Duration { return s.now }
 
-// Unix is the true time of day.
+// Unix returns the true time of day. The clock of a process may deviate from it by Process.Skew.
 func (s *Simulation) Unix() time.Time { return Epoch.Add(s.now) }
 
-// Digest is a hash over what was done so far: which goroutine ran when, bytes on connections, decisions, outcomes. Text that is meant for
-// people (log lines, names of goroutines, lines of a trace) is not in it.
+// Digest returns a hash of everything done so far: which goroutine ran when, bytes on connections, decisions
+// and outcomes. It excludes text for people, such as log lines, names of goroutines and lines of the trace.
 func (s *Simulation) Digest() uint64 { return s.digest.Sum64() }
 
 func (s *Simulation) hashNumber(n uint64) {
@@ -69,7 +73,7 @@
 	s.digest.Write(s.hashBuffer[:])
 }
 
-// Step is the kind of a step. Its number goes into the digest, its name into the trace only: numbers are never changed.
+// Step is the kind of a step. Its number goes into the digest and must not change. Its name appears only in the trace.
 type Step uint64
 
 // The kinds of steps.
@@ -111,10 +115,11 @@
 	StepDecision: "decision",
 }
 
-// String is the name of a step in traces.
+// String returns the name of a step in traces.
 func (s Step) String() string { return stepNames[s] }
 
-// Note adds a step to the digest, and to the trace if there is one. The subject is hashed, the detail is not.
+// Note records a step in the digest, and in the trace if there
+// is one. The digest includes subject and n, but not detail.
 func (s *Simulation) Note(step Step, subject, detail string, n int64) {
 	s.hashNumber(uint64(s.now))
 	s.hashNumber(uint64(step))
@@ -123,14 +128,15 @@
 	s.trace(step, subject, detail, n)
 }
 
-// trace adds a line to the trace, if there is one, and nothing to the digest.
+// trace adds a line to the trace if there is one. It does not change the digest.
 func (s *Simulation) trace(step Step, subject, detail string, n int64) {
 	if s.Trace != nil {
 		s.Trace(s.now, strings.Join(strings.Fields(fmt.Sprintf("%s %s %s %d", step, subject, detail, n)), " "))
 	}
 }
 
-// After runs f once d has passed; among events that are due at one instant the seed decides.
+// After schedules f to run once d has passed. The seed decides the order
+// of events that are due at the same instant, unless Lockstep is set.
 func (s *Simulation) After(d time.Duration, f func()) *Event {
 	s.queue.sequence++
 	e := &Event{at: s.now + max(0, d), sequence: s.queue.sequence, run: f}
@@ -141,7 +147,7 @@
 	return e
 }
 
-// Cancel takes an event off the queue; it reports false if the event has run, or is nil.
+// Cancel removes an event from the queue. It reports false if the event is nil, has run or was cancelled before.
 func (s *Simulation) Cancel(e *Event) bool {
 	if e == nil || e.index < 0 {
 		return false
@@ -151,7 +157,7 @@
 	return true
 }
 
-// Run runs goroutines and events until a time, or until Halt.
+// Run runs goroutines and events until the clock reaches until, or until Halt is called.
 func (s *Simulation) Run(until time.Duration) {
 	for !s.halted {
 		if len(s.ready) > 0 {
@@ -175,7 +181,8 @@
 	}
 }
 
-// nextReady takes the goroutine that goes next: any of them, or the first in lockstep.
+// nextReady removes the goroutine that runs next from the ready goroutines
+// and returns it. The choice is random, or the first one if Lockstep is set.
 func (s *Simulation) nextReady() *task {
 	if s.Lockstep {
 		t := s.ready[0]
@@ -192,10 +199,10 @@
 	return t
 }
 
-// Halt ends Run after the present step.
+// Halt makes Run return after the current step.
 func (s *Simulation) Halt() { s.halted = true }
 
-// Close ends all processes without a trace. The simulation must not be used after it.
+// Close ends all processes without recording a step. The simulation must not be used afterwards.
 func (s *Simulation) Close() {
 	for _, p := range s.processes {
 		p.killed = true
--- a/internal/lab/simenv/simulation_test.go
+++ b/internal/lab/simenv/simulation_test.go
@@ -11,14 +11,14 @@
 	"foldslip/internal/env"
 )
 
-// echo is an actor that sends back what it gets.
+// echo is an actor that sends back the bytes that it receives.
 type echo struct {
-	end      *End // of the last connection
+	end      *End // of the connection that was opened last
 	received int
-	closed   string // how the last connection ended
+	closed   string // how the connection that closed last ended
 }
 
-// echoConn is one connection of an echo.
+// echoConn is one connection of an echo actor.
 type echoConn struct {
 	echo *echo
 	end  *End
@@ -38,16 +38,17 @@
 
 func (c echoConn) Written(int, []byte) {}
 
-// echoSimulation is a simulation with a process on one host and an echo on another.
+// echoSimulation is a simulation with a process on one host and an echo actor on another.
 type echoSimulation struct {
 	*Simulation
 	echo    *echo
 	process *Process
 }
 
-// dialFunc connects to the echo.
+// dialFunc connects to the echo actor.
 type dialFunc func() (net.Conn, error)
 
+// newEchoSimulation starts a process that runs main. The process may open 3 descriptors.
 func newEchoSimulation(t *testing.T, seed uint64, main func(e env.Environment, dial dialFunc)) *echoSimulation {
 	t.Helper()
 	s := &echoSimulation{Simulation: New(seed), echo: &echo{}}
@@ -89,7 +90,7 @@
 		})
 		s.Run(time.Minute)
 		if woken != 2 || !wasKept {
-			t.Errorf("%d woken, kept %v", woken, wasKept)
+			t.Errorf("%d goroutines woken, want 2; notification kept %v, want true", woken, wasKept)
 		}
 	})
 	t.Run("a stopped timer does not fire, and reports once that it was stopped", func(t *testing.T) {
@@ -98,13 +99,13 @@
 			stopped := e.AfterFunc(time.Second, func() { fired += "stopped " })
 			e.AfterFunc(2*time.Second, func() { fired += "running" })
 			if !stopped.Stop() || stopped.Stop() {
-				t.Error("Stop reports otherwise")
+				t.Error("Stop did not report true and then false")
 			}
 			e.NewNotifier().Wait(3 * time.Second)
 		})
 		s.Run(time.Minute)
 		if _, timers, _ := s.process.Resources(); fired != "running" || timers != 0 {
-			t.Errorf("fired %q, %d timers left", fired, timers)
+			t.Errorf("fired %q, want \"running\"; %d timers left, want none", fired, timers)
 		}
 	})
 	t.Run("a wait outside the goroutines of the simulation panics", func(t *testing.T) {
@@ -112,14 +113,15 @@
 		s.Run(time.Second)
 		defer func() {
 			if recover() == nil {
-				t.Error("it did not panic")
+				t.Error("Wait did not panic")
 			}
 		}()
 		s.process.NewNotifier().Wait(time.Second)
 	})
 }
 
-// Two simulations of one seed are the same step by step; the order of what is due at one instant depends on the seed.
+// TestEqualSeedsGiveEqualRuns checks that two simulations with the same seed run
+// identically, and that the order of events at one instant depends on the seed.
 func TestEqualSeedsGiveEqualRuns(t *testing.T) {
 	run := func(seed uint64) (order string, digest uint64) {
 		s := newEchoSimulation(t, seed, func(e env.Environment, _ dialFunc) {
@@ -136,16 +138,17 @@
 		firstOrder, firstDigest := run(seed)
 		secondOrder, secondDigest := run(seed)
 		if firstOrder != secondOrder || firstDigest != secondDigest {
-			t.Fatalf("seed %d: %s %x, then %s %x", seed, firstOrder, firstDigest, secondOrder, secondDigest)
+			t.Fatalf("seed %d: the first run gave order %s and digest %x, the second %s and %x", seed, firstOrder, firstDigest, secondOrder, secondDigest)
 		}
 		orders[firstOrder] = true
 	}
 	if len(orders) < 10 {
-		t.Errorf("only %d of 24 orders in 40 seeds", len(orders))
+		t.Errorf("40 seeds gave only %d of 24 orders, want at least 10", len(orders))
 	}
 }
 
-// The digest depends on what a process does, not on how it calls things.
+// TestDigestHoldsActionsAndNoText checks that the digest depends on the actions of
+// a process, but not on the text of its log lines or the names of its goroutines.
 func TestDigestHoldsActionsAndNoText(t *testing.T) {
 	run := func(data, logLine, goroutine string, delay time.Duration) uint64 {
 		s := newEchoSimulation(t, 1, func(e env.Environment, dial dialFunc) {
@@ -171,13 +174,13 @@
 	}
 	first := run("abc", "began", "writer", time.Second)
 	if got := run("abc", "started", "sender", time.Second); got != first {
-		t.Error("another log line or name of a goroutine changes the digest")
+		t.Error("the digest depends on a log line or on the name of a goroutine")
 	}
 	if got := run("abd", "began", "writer", time.Second); got == first {
-		t.Error("another byte on a connection does not change the digest")
+		t.Error("the digest does not depend on the bytes on a connection")
 	}
 	if got := run("abc", "began", "writer", time.Second+time.Microsecond); got == first {
-		t.Error("another instant does not change the digest")
+		t.Error("the digest does not depend on the time of a write")
 	}
 }
 
@@ -197,20 +200,20 @@
 		})
 		got := make([]byte, len(text))
 		if _, err := io.ReadFull(c, got); err != nil || string(got) != text {
-			t.Errorf("%v, equal %v", err, string(got) == text)
+			t.Errorf("read error %v, text equal %v", err, string(got) == text)
 		}
 		if err := group.Wait(); err != nil {
 			t.Error(err)
 		}
 		c.(env.Conn).CloseWrite()
 		if n, err := c.Read(got); err != io.EOF {
-			t.Errorf("read %d after the end, %v", n, err)
+			t.Errorf("read %d bytes and error %v after the end of stream, want io.EOF", n, err)
 		}
 		c.Close()
 		isDone = true
 	})
 	s.Run(time.Minute)
 	if goroutines, timers, descriptors := s.process.Resources(); !isDone || s.echo.received != len(text) || goroutines+timers+descriptors != 0 {
-		t.Errorf("done %v, %d bytes, %d goroutines, %d timers, %d descriptors left", isDone, s.echo.received, goroutines, timers, descriptors)
+		t.Errorf("done %v, %d bytes received; %d goroutines, %d timers, %d descriptors left, want none", isDone, s.echo.received, goroutines, timers, descriptors)
 	}
 }
--- a/internal/lab/simenv/sync.go
+++ b/internal/lab/simenv/sync.go
@@ -7,13 +7,13 @@
 	"foldslip/internal/env"
 )
 
-// timer is a call of AfterFunc.
+// timer is the timer of one call of AfterFunc.
 type timer struct {
 	process *Process
 	event   *Event
 }
 
-// Stop stops the timer; it reports false if it has fired or was stopped.
+// Stop stops the timer. It reports false if the timer has fired or was stopped before.
 func (t *timer) Stop() bool {
 	if !t.process.sim.Cancel(t.event) {
 		return false
@@ -31,17 +31,17 @@
 	})}
 }
 
-// notifier keeps one notification that nobody has waited for.
+// notifier wakes waiting goroutines. It keeps at most one notification that no goroutine has received.
 type notifier struct {
 	process *Process
 	pending bool
 	waiters []*task
 }
 
-// NewNotifier makes a notifier without a notification.
+// NewNotifier returns a notifier without a pending notification.
 func (p *Process) NewNotifier() env.Notifier { return &notifier{process: p} }
 
-// Notify wakes the first goroutine that waits, or is kept for the next.
+// Notify wakes the goroutine that has waited longest. If none waits, the notification stays pending for the next wait.
 func (n *notifier) Notify() {
 	for len(n.waiters) > 0 {
 		t := n.waiters[0]
@@ -54,7 +54,8 @@
 	n.pending = true
 }
 
-// Wait waits for a notification, for a time unless that is below 0; it reports whether one came.
+// Wait waits for a notification until timeout has passed. A negative
+// timeout means no limit. It reports whether a notification arrived.
 func (n *notifier) Wait(timeout time.Duration) bool {
 	s := n.process.sim
 	s.maybeYield()
@@ -76,18 +77,18 @@
 	return false
 }
 
-// group is goroutines that are waited for together.
+// group is a set of goroutines that are waited for together.
 type group struct {
 	process *Process
-	open    int
-	err     error // the first
+	open    int   // goroutines that have not ended
+	err     error // first error of a goroutine
 	waiters []*task
 }
 
-// NewGroup makes a group without goroutines.
+// NewGroup returns a group without goroutines.
 func (p *Process) NewGroup() env.Group { return &group{process: p} }
 
-// Go calls f in a goroutine.
+// Go calls f in a new goroutine of the group.
 func (g *group) Go(name string, f func() error) {
 	g.open++
 	g.process.sim.spawn(g.process, name, func() {
@@ -98,6 +99,7 @@
 	})
 }
 
+// taskEnded wakes the waiters when the last goroutine of the group has ended.
 func (g *group) taskEnded() {
 	g.open--
 	if g.open > 0 {
@@ -109,7 +111,7 @@
 	g.waiters = nil
 }
 
-// Wait waits until all goroutines have ended, and returns the first error.
+// Wait waits until all goroutines of the group have ended. It returns their first error.
 func (g *group) Wait() error {
 	for g.open > 0 {
 		g.waiters = append(g.waiters, g.process.sim.current)
--- a/internal/lab/simenv/task.go
+++ b/internal/lab/simenv/task.go
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// forever is the limit of a wait that has none.
+// forever stands for the absence of a time limit or a deadline.
 const forever = time.Duration(-1)
 
-// yieldOneIn is how often a call that might wait in reality lets others go first.
+// yieldOneIn sets how often a call that could wait in reality lets other goroutines run first: one in so many calls.
 const yieldOneIn = 4
 
 // task is a goroutine of a process.
 type task struct {
 	process *Process
-	number  uint64 // within its process
+	number  uint64 // unique within its process
 	name    string
 	next    func() (struct{}, bool)
 	stop    func()
 	yield   func(struct{}) bool
-	parked  bool // waits and was not made ready
-	woken   bool // by what it waited for; false: by the time
-	timeout *Event
+	parked  bool   // waiting, and not ready to run
+	woken   bool   // the last wait was ended by wake, not by its time limit
+	timeout *Event // ends the wait at its time limit; nil without one
 	ended   bool
 }
 
-// killedPanic unwinds a goroutine of a process that was killed.
+// killedPanic is the panic value that unwinds a goroutine of a killed process.
 type killedPanic struct{}
 
-// spawn makes a goroutine of a process that is ready to run.
+// spawn creates a goroutine of a process. The goroutine is ready to run.
 func (s *Simulation) spawn(p *Process, name string, f func()) {
 	if p.killed {
 		return
@@ -47,7 +47,7 @@
 	s.ready = append(s.ready, t)
 }
 
-// recoverTask reports the panic of a goroutine, unless its process was killed.
+// recoverTask recovers a panic of a goroutine. It calls OnCrash unless the process was killed.
 func (s *Simulation) recoverTask(p *Process) {
 	cause := recover()
 	if cause == nil {
@@ -75,11 +75,12 @@
 	}
 }
 
-// park has the present goroutine wait until wake, or for a limit of time unless that is below 0; it reports whether it was woken.
+// park makes the current goroutine wait until it is woken or limit has passed. A negative
+// limit means no limit. It reports whether the goroutine was woken before limit had passed.
 func (s *Simulation) park(limit time.Duration) bool {
 	t := s.current
 	if t == nil {
-		panic("simenv: a wait outside the goroutines of the simulation")
+		panic("simenv: wait called outside the goroutines of the simulation")
 	}
 	if t.process.killed {
 		panic(killedPanic{})
@@ -98,7 +99,7 @@
 	return t.woken
 }
 
-// wake makes a parked goroutine ready.
+// wake makes a parked goroutine ready to run. park returns woken in that goroutine.
 func (s *Simulation) wake(t *task, woken bool) {
 	if !t.parked {
 		return
@@ -110,14 +111,14 @@
 	s.ready = append(s.ready, t)
 }
 
-// wakeIfAny wakes a goroutine if there is one.
+// wakeIfAny wakes t unless it is nil.
 func (s *Simulation) wakeIfAny(t *task) {
 	if t != nil {
 		s.wake(t, true)
 	}
 }
 
-// maybeYield lets others go first now and then, where the real environment might.
+// maybeYield lets other goroutines run first in one of yieldOneIn calls, because the real environment might do so.
 func (s *Simulation) maybeYield() {
 	t := s.current
 	if t == nil {
