--- a/internal/lab/testbed/gates.go
+++ b/internal/lab/testbed/gates.go
@@ -9,25 +9,26 @@
 	"foldslip/internal/env"
 )
 
-// clientReadBuffer holds all that a test's client sends ahead, whatever is read of it.
+// clientReadBuffer is the size in bytes of the receive buffer of a client connection whose reads wait at
+// IdleReadGate. It holds everything that a test client sends in advance, even if the server reads none of it.
 const clientReadBuffer = 1 << 20
 
-// GatedEnv is the system's environment with gates in it: what waits at a gate goes on once the test sends to it, and no longer waits once
-// the test closes it. A nil gate is open.
+// GatedEnv is the system environment with gates. A call that waits at a gate continues when the test
+// sends to the gate. When the test closes a gate, calls no longer wait there. A nil gate is open.
 type GatedEnv struct {
 	*env.System
-	DialGate       chan bool    // each connection to a cache, before it is dialled
+	DialGate       chan bool    // each dial of a cache
 	AcceptGate     chan bool    // each Accept
-	ReadGate       chan bool    // each read of a client's connection
-	ReadWaiting    chan bool    // receives for each read that waits at ReadGate
-	IdleReadGate   chan bool    // each read of a client's connection without a deadline, as while a lookup is open
+	ReadGate       chan bool    // each read from a client connection
+	ReadWaiting    chan bool    // receives a value for each read that waits at ReadGate
+	IdleReadGate   chan bool    // each read without a deadline from a client connection, as while a lookup is open
 	WriteGate      chan bool    // each write to a cache
-	WriteWaiting   chan bool    // receives for each write that waits at WriteGate
-	Unblock        chan bool    // caches take nothing, not a byte, until it is closed
-	AcceptFailures atomic.Int32 // so many Accepts fail, as without a descriptor
+	WriteWaiting   chan bool    // receives a value for each write that waits at WriteGate
+	Unblock        chan bool    // until it is closed, connections to caches accept no bytes
+	AcceptFailures atomic.Int32 // number of Accept calls that still fail with EMFILE, as without a free descriptor
 }
 
-// Dial connects to a cache.
+// Dial connects to a cache. It waits at DialGate before it dials.
 func (g *GatedEnv) Dial(lifetime *env.Lifetime, addr string, timeout time.Duration) (net.Conn, error) {
 	if g.DialGate != nil {
 		<-g.DialGate
@@ -42,7 +43,8 @@
 	return conn, err
 }
 
-// NonBlockingWriter returns nil where writes are gated, so that they wait, and takes nothing while caches are blocked.
+// NonBlockingWriter returns nil if writes are gated, so that the caller uses Write, which
+// waits at the gate. While caches are blocked, the returned function writes no bytes.
 func (g *GatedEnv) NonBlockingWriter(conn net.Conn) env.NonBlockingWrite {
 	if g.WriteGate != nil {
 		return nil
@@ -62,38 +64,38 @@
 	}
 }
 
-// blockedWriter is a connection that takes nothing, and whose Write waits, until it is unblocked.
+// blockedWriter is a connection to a cache that accepts no bytes until Unblock is closed.
 type blockedWriter struct {
 	net.Conn
 	gates *GatedEnv
 }
 
-// Write waits until the connection is unblocked.
+// Write waits until Unblock is closed.
 func (w *blockedWriter) Write(b []byte) (int, error) {
 	<-w.gates.Unblock
 	return w.Conn.Write(b)
 }
 
-// gatedWriter is a connection whose peer takes nothing until the gate lets it.
+// gatedWriter is a connection whose writes wait at WriteGate.
 type gatedWriter struct {
 	net.Conn
 	gates *GatedEnv
 }
 
-// Write waits at the gate.
+// Write waits at WriteGate.
 func (w *gatedWriter) Write(b []byte) (int, error) {
 	w.gates.WriteWaiting <- true
 	<-w.gates.WriteGate
 	return w.Conn.Write(b)
 }
 
-// gatedListener accepts clients through the gates.
+// gatedListener accepts client connections and gates their reads.
 type gatedListener struct {
 	*net.TCPListener
 	gates *GatedEnv
 }
 
-// Accept waits at the gate and gives the connection those of its reads.
+// Accept waits at AcceptGate. The connection that it returns waits at ReadGate or IdleReadGate if one of them is set.
 func (l gatedListener) Accept() (net.Conn, error) {
 	if l.gates.AcceptGate != nil {
 		<-l.gates.AcceptGate
@@ -116,33 +118,33 @@
 	return conn, nil
 }
 
-// gatedReader is a connection whose reads wait at the gate.
+// gatedReader is a connection whose reads wait at ReadGate.
 type gatedReader struct {
 	*net.TCPConn
 	gates *GatedEnv
 }
 
-// Read waits at the gate.
+// Read waits at ReadGate.
 func (r *gatedReader) Read(b []byte) (int, error) {
 	r.gates.ReadWaiting <- true
 	<-r.gates.ReadGate
 	return r.TCPConn.Read(b)
 }
 
-// gatedIdleReader is a connection whose reads without a deadline wait at the gate.
+// gatedIdleReader is a connection whose reads without a deadline wait at IdleReadGate.
 type gatedIdleReader struct {
 	*net.TCPConn
 	gates       *GatedEnv
 	hasDeadline atomic.Bool
 }
 
-// SetReadDeadline notes whether there is a deadline.
+// SetReadDeadline sets the deadline and records whether there is one.
 func (r *gatedIdleReader) SetReadDeadline(deadline time.Time) error {
 	r.hasDeadline.Store(!deadline.IsZero())
 	return r.TCPConn.SetReadDeadline(deadline)
 }
 
-// Read waits at the gate if there is no deadline.
+// Read waits at IdleReadGate if there is no deadline.
 func (r *gatedIdleReader) Read(b []byte) (int, error) {
 	if !r.hasDeadline.Load() {
 		<-r.gates.IdleReadGate
--- a/internal/lab/testbed/testbed.go
+++ b/internal/lab/testbed/testbed.go
@@ -1,5 +1,6 @@
-// Package testbed puts the real front end and the real pool of connections before stand-in caches on loopback, in an environment whose
-// gates hold an exact instant: what is held goes on by a step of the test, never by the passing of time. Only tests import it.
+// Package testbed runs the real front end and the real connection pool with stand-in caches on loopback. Gates in
+// the environment stop calls at exact points. A stopped call continues when the test opens its gate, not when time
+// passes. A testbed owns its servers and connections, and they end with the test. Only tests import the package.
 package testbed
 
 import (
@@ -25,7 +26,7 @@
 )
 
 const (
-	// MaxBytes is the admission's bound on bytes of bodies and objects.
+	// MaxBytes is the admission limit on the bytes of bodies and objects.
 	MaxBytes = 1 << 20
 
 	maxLookups     = 100
@@ -33,33 +34,35 @@
 	clientTimeout  = 20 * time.Second
 	receiveTimeout = 10 * time.Second
 	waitTimeout    = 6 * time.Second
-	originKind     = 2 // in testSettings
+	originKind     = 2 // the machine type "origin" in testSettings
 )
 
-// testSettings has an object kind of each effect: segment (idempotent), order (with side effects, runs at the origin) and berth
-// (deduplicated within 2 s, runs at the origin).
+// testSettings has one object kind for each effect: segment (idempotent), order (at most once, because
+// it has side effects; runs at the origin) and berth (deduplicated within 2 s, runs at the origin).
 const testSettings = `{"areas":["town"],"machine_types":["edge","parent","origin"],"ceilings":{"cancelling":CANCEL,"try_limit":6,
 "retry_after":true,"max_retry_after":2000000,"connect_timeout":8000000},"classes":[{"name":"segment","aim":4000000,"deadline":9000000,"points":1,"effect":"idempotent"},
 {"name":"order","aim":4000000,"deadline":9000000,"points":1,"effect":"at_most_once"},
 {"name":"berth","aim":4000000,"deadline":9000000,"points":1,"effect":"deduplicated","group":"all","window":2000000}],
 "specifics":{"parent_kind":1,"source_kind":2,"flow_kb_per_s":100000,"max_age":[0,0,0],"grace_for":[0,0,0],"pass_on":[false,true,true],"seats_by_zone":[1],"cleared_within":6000000}}`
 
-// Testbed is a front end and a pool before two edges, edge0 and edge1, and an origin that cannot be reached.
+// Testbed is a front end and a connection pool with two edge
+// caches, edge0 and edge1, and an origin that cannot be reached.
 type Testbed struct {
 	Dispatcher *dispatch.Dispatcher
 	Server     *frontend.Server
 	Pool       *upstream.Pool
 	Listener   net.Listener
 	Registry   *cacheregistry.Registry
-	Purges     *purgelog.Log // without a grace: a purge is in force at once
+	Purges     *purgelog.Log // without a grace period: a purge takes effect at once
 	Edges      []*standin.Cache
-	Received   chan standin.Request // by either edge
-	LastID     int                  // of the lookup that RequestText made last
+	Received   chan standin.Request // requests that reached an edge
+	LastID     int                  // id of the lookup that RequestText returned last
 
 	t *testing.T
 }
 
-// New starts a testbed that ends with the test. canCancel is the settings' word on cancelling attempts.
+// New starts a testbed that ends with the test. canCancel sets whether
+// caches can cancel attempts, and maxClients limits client connections.
 func New(t *testing.T, gates *GatedEnv, canCancel bool, maxClients int) *Testbed {
 	t.Helper()
 	parsed, err := settings.Parse([]byte(strings.Replace(testSettings, "CANCEL", fmt.Sprint(canCancel), 1)))
@@ -91,7 +94,7 @@
 	return b
 }
 
-// startCaches starts the edges and lists them and the origin.
+// startCaches starts the edges, and adds them and the origin to the endpoint list.
 func (b *Testbed) startCaches() {
 	b.t.Helper()
 	var endpoints []policy.Endpoint
@@ -109,7 +112,7 @@
 	b.Dispatcher.Tick(endpoints, true, nil)
 }
 
-// Connect opens a client's connection.
+// Connect opens a client connection.
 func (b *Testbed) Connect() net.Conn {
 	b.t.Helper()
 	conn, err := net.Dial("tcp", b.Listener.Addr().String())
@@ -121,13 +124,13 @@
 	return conn
 }
 
-// RequestText is the text of a lookup's request, with an id of its own and further header lines.
+// RequestText returns the request of a lookup with a new id and the given additional header lines.
 func (b *Testbed) RequestText(kind string, headers ...string) string {
 	b.LastID++
 	return fmt.Sprintf("GET /call/%s/o HTTP/1.1\r\nHost: x\r\nX-Job-Id: %016x\r\n%s\r\n", kind, b.LastID, strings.Join(headers, ""))
 }
 
-// SendRequest sends a lookup on a connection of its own.
+// SendRequest sends a lookup on a new connection.
 func (b *Testbed) SendRequest(kind string, headers ...string) net.Conn {
 	b.t.Helper()
 	conn := b.Connect()
@@ -135,23 +138,23 @@
 	return conn
 }
 
-// WaitFor waits until a condition holds.
+// WaitFor waits until a condition holds. The test fails if that takes longer than waitTimeout.
 func (b *Testbed) WaitFor(what string, condition func() bool) {
 	b.t.Helper()
 	for end := time.Now().Add(waitTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			b.t.Fatal("no ", what)
+			b.t.Fatal("timed out while waiting for: ", what)
 		}
 	}
 }
 
-// WaitOpenLookups waits until so many lookups are open.
+// WaitOpenLookups waits until n lookups are open.
 func (b *Testbed) WaitOpenLookups(n int) {
 	b.t.Helper()
 	b.WaitFor(fmt.Sprint(n, " lookups open"), func() bool { return b.Dispatcher.OpenLookups() == n })
 }
 
-// WaitOpenAttempts waits until the policy counts so many attempts and none of them waits to be started.
+// WaitOpenAttempts waits until the policy counts n open attempts and none of them is queued to start.
 func (b *Testbed) WaitOpenAttempts(n int) {
 	b.t.Helper()
 	b.WaitFor(fmt.Sprint(n, " open attempts"), func() bool {
@@ -160,20 +163,20 @@
 	})
 }
 
-// WaitQueued waits until so many lookups are open and none has an attempt.
+// WaitQueued waits until n lookups are open and no attempt is open.
 func (b *Testbed) WaitQueued(n int) {
 	b.t.Helper()
 	b.WaitOpenAttempts(0)
 	b.WaitOpenLookups(n)
 }
 
-// WaitNoConns waits until the server has no connection left: it has noticed each client that left.
+// WaitNoConns waits until the server has no connections left and so has noticed that each client disconnected.
 func (b *Testbed) WaitNoConns() {
 	b.t.Helper()
-	b.WaitFor("server without connections", func() bool { return b.Server.ConnCount() == 0 })
+	b.WaitFor("a server without connections", func() bool { return b.Server.ConnCount() == 0 })
 }
 
-// TickTimes gives the dispatcher its timers, which nobody else does here, some 10 ms apart.
+// TickTimes ticks the dispatcher n times, some 10 ms apart. Nothing else in the testbed fires the dispatcher's timers.
 func (b *Testbed) TickTimes(n int) {
 	for range n {
 		b.Dispatcher.Tick(nil, false, nil)
@@ -181,7 +184,7 @@
 	}
 }
 
-// ExpectStatus reads a response with that status and returns its body.
+// ExpectStatus reads a response, checks its status and returns its body.
 func (b *Testbed) ExpectStatus(conn net.Conn, status int) string {
 	b.t.Helper()
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -190,41 +193,41 @@
 	}
 	body, err := io.ReadAll(response.Body)
 	if response.StatusCode != status || err != nil {
-		b.t.Fatalf("status %d, %v, expected %d", response.StatusCode, err, status)
+		b.t.Fatalf("got status %d and error %v, want status %d", response.StatusCode, err, status)
 	}
 	return string(body)
 }
 
-// NextReceived returns the next request that reached an edge.
+// NextReceived waits for the next request that reaches an edge and returns it.
 func (b *Testbed) NextReceived() standin.Request {
 	b.t.Helper()
 	select {
 	case request := <-b.Received:
 		return request
 	case <-time.After(receiveTimeout):
-		b.t.Fatal("nothing was sent")
+		b.t.Fatal("no request reached an edge")
 	}
-	panic("not reached")
+	panic("unreachable")
 }
 
-// ExpectNothingReceived checks that no request is on its way to an edge. What was written before is read before what follows on the same
-// connection; a lookup of its own shows that.
+// ExpectNothingReceived checks that no request is on its way to an edge. It sends a lookup of its
+// own. A request that was written earlier on the same connection would be read before that lookup.
 func (b *Testbed) ExpectNothingReceived() {
 	b.t.Helper()
 	conn := b.SendRequest("segment")
 	select {
 	case request := <-b.Received:
 		if request.ID != fmt.Sprintf("%016x", b.LastID) {
-			b.t.Fatalf("%s was sent, expected only %016x", request.ID, b.LastID)
+			b.t.Fatalf("request %s reached an edge, want only %016x", request.ID, b.LastID)
 		}
 		request.Hit(time.Now(), "hit", "ok")
 	case <-time.After(receiveTimeout):
-		b.t.Fatal("the lookup after it was not sent")
+		b.t.Fatal("the lookup of ExpectNothingReceived did not reach an edge")
 	}
 	b.ExpectStatus(conn, http.StatusOK)
 }
 
-// SetEndpointState lists a cache in another state.
+// SetEndpointState sets the state of a cache in the endpoint list.
 func (b *Testbed) SetEndpointState(name string, state policy.EndpointState) {
 	endpoint := policy.Endpoint{Cache: b.Registry.Find(name).Policy, State: state}
 	if name == "origin" {
@@ -233,14 +236,14 @@
 	b.Dispatcher.Tick([]policy.Endpoint{endpoint}, false, nil)
 }
 
-// ReachEachEdge looks up objects until each edge has had an attempt, and answers each at once.
+// ReachEachEdge looks up objects until each edge has received an attempt. It answers each attempt at once.
 func (b *Testbed) ReachEachEdge() {
 	b.t.Helper()
 	const maxObjects = 200
 	reached := map[string]bool{}
 	for n := 0; len(reached) < len(b.Edges); n++ {
 		if n > maxObjects {
-			b.t.Fatalf("%d of %d edges had an attempt", len(reached), len(b.Edges))
+			b.t.Fatalf("only %d of %d edges received an attempt", len(reached), len(b.Edges))
 		}
 		conn := b.Connect()
 		b.LastID++
