--- a/internal/lab/ci/floors_test.go
+++ b/internal/lab/ci/floors_test.go
@@ -10,8 +10,9 @@
 
 const modulePrefix = "foldslip/"
 
-// floors are the packages of the program from the top down, as docs/architecture.md draws them. A package stands with all below its path
-// that are not named themselves. It imports from its own floor and those below.
+// layers lists the packages of the program from the highest layer to the lowest, as in
+// docs/architecture.md. An entry includes the packages below its path, except those with an
+// entry of their own. A package may import packages of its own layer and of lower layers.
 var layers = [][]string{
 	{"cmd", "internal/cli", "internal/gateway", "internal/simadapter", "client", "example"},
 	{"internal/frontend", "internal/extproc", "internal/admin"},
@@ -24,10 +25,10 @@
 	{"internal/env"},
 }
 
-// labFolder holds what only tests and the command lines use; it may import everything.
+// labFolder contains packages that only tests and the command lines use. They may import any package.
 const labFolder = "internal/lab"
 
-// layerOf is the floor of a package's folder, 0 the highest, or -1 if it has none.
+// layerOf returns the layer of a package's folder. The highest layer is 0. It returns -1 for a folder without a layer.
 func layerOf(folder string) int {
 	for at := folder; at != "."; at = path.Dir(at) {
 		for layer, names := range layers {
@@ -41,26 +42,28 @@
 	return -1
 }
 
+// isLab reports whether a folder is in the lab.
 func isLab(folder string) bool { return strings.HasPrefix(folder+"/", labFolder+"/") }
 
+// isCommandLine reports whether a folder is in internal/cli.
 func isCommandLine(folder string) bool { return strings.HasPrefix(folder+"/", "internal/cli/") }
 
-// checkImport tells what is wrong with an import of a package by another, or nothing.
+// checkImport returns the problem with an import of the package to by the package from, or "" if there is none.
 func checkImport(from, to string) string {
 	switch {
 	case isLab(to) && !isLab(from) && !isCommandLine(from):
-		return "imports the lab"
+		return "imports from the lab"
 	case isLab(from) || isLab(to):
 		return ""
 	case layerOf(from) < 0:
-		return "stands on no floor"
+		return "has no layer, yet imports"
 	case layerOf(to) < layerOf(from):
-		return "imports from a floor above"
+		return "imports from a higher layer"
 	}
 	return ""
 }
 
-// TestImportsPointDown holds the packages to the floors of the architecture page.
+// TestImportsPointDown checks that no package imports a package of a higher layer.
 func TestImportsPointDown(t *testing.T) {
 	for _, file := range parseModule(t, token.NewFileSet()) {
 		folder := path.Dir(file.path)
@@ -80,7 +83,7 @@
 	}
 }
 
-// TestImportsThatPointUpAreFound gives the check imports of each kind.
+// TestImportsThatPointUpAreFound checks checkImport with allowed and forbidden imports of each kind.
 func TestImportsThatPointUpAreFound(t *testing.T) {
 	for _, c := range []struct {
 		from, to string
@@ -97,7 +100,7 @@
 		{"internal/unknown", "internal/env", false},
 	} {
 		if fault := checkImport(c.from, c.to); (fault == "") != c.allowed {
-			t.Errorf("%s imports %s: %q", c.from, c.to, fault)
+			t.Errorf("import by %s of %s: got problem %q", c.from, c.to, fault)
 		}
 	}
 }
--- a/internal/lab/ci/fuzz_test.go
+++ b/internal/lab/ci/fuzz_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// fuzzSource is a test file with one fuzz target. The condition on the length of the input replaces CONDITION.
 const fuzzSource = `package made
 
 import "testing"
@@ -22,7 +23,8 @@
 }
 `
 
-// TestFuzzScriptFailsOnAFoundInput guards against fuzz targets that CI only replays by their seeds: the input that fails is none of them.
+// TestFuzzScriptFailsOnAFoundInput guards against a CI that only replays the seed inputs of fuzz targets.
+// The seed input of the generated target does not fail, so the script must generate one that does.
 func TestFuzzScriptFailsOnAFoundInput(t *testing.T) {
 	script, err := os.ReadFile("../../../.ci/fuzz")
 	if err != nil {
@@ -37,7 +39,7 @@
 		command.Env = append(os.Environ(), "GOPROXY=off", "GOFLAGS=", "GOWORK=off", "GOTOOLCHAIN=local")
 		out, err := command.CombinedOutput()
 		if (err == nil) != passes || passes == strings.Contains(string(out), "FuzzTwoBytes of ./internal/made found an input") {
-			t.Errorf("%q: %v, printed\n%s", condition, err, out)
+			t.Errorf("condition %q: the script ended with %v and printed\n%s", condition, err, out)
 		}
 	}
 	run, err := os.ReadFile("../../../.ci/run")
--- a/internal/lab/ci/known_red_test.go
+++ b/internal/lab/ci/known_red_test.go
@@ -1,4 +1,4 @@
-// Package ci tests the scripts that check every commit.
+// Package ci tests the scripts in .ci, and checks the imports and the style of all packages. It contains only tests.
 package ci
 
 import (
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// Each made-up test leaves a mark in its package's folder, so that what ran can be told from what was passed over.
+// markSource defines the function mark, which the generated tests call. It creates a file in
+// the package's folder, so that the tests that ran can be told from those that were skipped.
 const markSource = `package PACKAGE
 
 import (
@@ -45,7 +46,8 @@
 
 const knownRedLine = "made/one.TestRed | go test ./one -run TestRed, seed 4 | its answer comes late | issue 7\n"
 
-// newModule is a small module that has the script, and packages by name with the source of their tests.
+// newModule creates a small module with the script and the given packages, and returns its root.
+// The keys of packages are the names of the packages. The values are the sources of their tests.
 func newModule(t *testing.T, packages map[string]string) string {
 	t.Helper()
 	root := t.TempDir()
@@ -72,13 +74,15 @@
 	}
 }
 
-// runWithKnownRed runs the script with what KNOWN-RED.txt holds: whether it passed, what it printed, and the marks of the tests that ran.
+// runWithKnownRed writes KNOWN-RED.txt with the content known and runs the script. It
+// returns whether the script passed, its output, and the names of the tests that ran.
 func runWithKnownRed(t *testing.T, root, known string) (passed bool, printed string, ran []string) {
 	t.Helper()
 	writeFile(t, filepath.Join(root, "KNOWN-RED.txt"), known)
 	return runScript(t, root)
 }
 
+// runScript runs the script. It returns the same values as runWithKnownRed.
 func runScript(t *testing.T, root string) (passed bool, printed string, ran []string) {
 	t.Helper()
 	command := exec.Command("bash", filepath.Join(root, ".ci", "known-red"))
@@ -104,20 +108,20 @@
 	all := []string{"one.TestRed", "one.TestRedder", "one.inner", "two.TestRed"}
 	passed, printed, ran := runScript(t, root)
 	if !passed || strings.Contains(printed, "known red") || !slices.Equal(ran, all) {
-		t.Errorf("no file: passed %v, ran %v, printed\n%s", passed, ran, printed)
+		t.Errorf("without KNOWN-RED.txt: passed %v, ran %v, printed\n%s", passed, ran, printed)
 	}
 	for _, known := range []string{"", "\n \n"} {
 		passed, printed, ran := runWithKnownRed(t, root, known)
 		if !passed || strings.Contains(printed, "known red") || !slices.Equal(ran, all) {
-			t.Errorf("%q: passed %v, ran %v, printed\n%s", known, passed, ran, printed)
+			t.Errorf("KNOWN-RED.txt %q: passed %v, ran %v, printed\n%s", known, passed, ran, printed)
 		}
 	}
 	root = newModule(t, map[string]string{"one": redTest})
 	if passed, printed, _ := runScript(t, root); passed {
-		t.Errorf("a red test with no file passed:\n%s", printed)
+		t.Errorf("the script passed with a failing test and no KNOWN-RED.txt, and printed\n%s", printed)
 	}
 	if passed, printed, _ := runWithKnownRed(t, root, ""); passed {
-		t.Errorf("a red test with an empty file passed:\n%s", printed)
+		t.Errorf("the script passed with a failing test and an empty KNOWN-RED.txt, and printed\n%s", printed)
 	}
 }
 
@@ -126,14 +130,14 @@
 	for range 2 {
 		passed, printed, ran := runWithKnownRed(t, root, knownRedLine)
 		if !passed || !strings.Contains(printed, "known red, passed over: "+knownRedLine) {
-			t.Errorf("passed %v, printed\n%s", passed, printed)
+			t.Errorf("the script passed: %v, want true and the entry in the output; printed\n%s", passed, printed)
 		}
 		if want := []string{"one.TestRedder", "one.inner", "two.TestRed"}; !slices.Equal(ran, want) {
 			t.Errorf("ran %v, want %v", ran, want)
 		}
 	}
 	if passed, printed, _ := runWithKnownRed(t, root, strings.TrimSpace(knownRedLine)); !passed {
-		t.Errorf("with no newline at the end:\n%s", printed)
+		t.Errorf("the script failed for a last line without a newline, and printed\n%s", printed)
 	}
 }
 
@@ -145,15 +149,16 @@
 	} {
 		passed, printed, ran := runWithKnownRed(t, newModule(t, packages), knownRedLine)
 		if passed || !strings.Contains(printed, "--- FAIL: ") {
-			t.Errorf("%s: passed %v, printed\n%s", where, passed, printed)
+			t.Errorf("%s: the script passed: %v, want a failing test; printed\n%s", where, passed, printed)
 		}
 		if slices.Contains(ran, "one.TestRed") || len(ran) == 0 {
-			t.Errorf("%s: ran %v", where, ran)
+			t.Errorf("%s: ran %v, want other tests and not one.TestRed", where, ran)
 		}
 	}
 }
 
-// One entry a test, however many there are: two faults in one grouped test would hide each other.
+// TestManyKnownRedTestsArePassedOver checks that any number of tests can be listed, with one entry
+// each. In one test with several cases, the failure of one case would hide the failure of another.
 func TestManyKnownRedTestsArePassedOver(t *testing.T) {
 	root := newModule(t, map[string]string{"one": redTest + secondRedTest + otherTests, "two": redTest + secondRedTest})
 	known := knownRedLine + "made/one.TestAlsoRed | go test ./one, no seed | not found yet | issue 7\n" +
@@ -161,7 +166,7 @@
 		"made/two.TestAlsoRed | go test ./two, seed 9 | a fourth | issue 12\n"
 	passed, printed, ran := runWithKnownRed(t, root, known)
 	if !passed || strings.Count(printed, "known red, passed over: ") != 4 {
-		t.Errorf("passed %v, printed\n%s", passed, printed)
+		t.Errorf("the script passed: %v, want true and 4 entries in the output; printed\n%s", passed, printed)
 	}
 	if want := []string{"one.TestRedder", "one.inner"}; !slices.Equal(ran, want) {
 		t.Errorf("ran %v, want %v", ran, want)
@@ -201,17 +206,18 @@
 	} {
 		passed, printed, ran := runWithKnownRed(t, root, wrong.known)
 		if passed || !strings.Contains(printed, wrong.want) || len(ran) > 0 {
-			t.Errorf("%q: passed %v, ran %v, printed\n%s", wrong.known, passed, ran, printed)
+			t.Errorf("KNOWN-RED.txt %q: passed %v, ran %v, printed\n%s", wrong.known, passed, ran, printed)
 		}
 	}
 }
 
-// A package and its outside tests may each have a test of one name: the line would pass over both.
+// TestAmbiguousNameIsRefused guards against an entry that skips two tests. A
+// package and its external test package may each have a test with the same name.
 func TestAmbiguousNameIsRefused(t *testing.T) {
 	root := newModule(t, map[string]string{"one": redTest})
 	writeFile(t, filepath.Join(root, "one", "outside_test.go"), "package one_test\n\nimport \"testing\"\n\nfunc TestRed(t *testing.T) {}\n")
 	if passed, printed, ran := runWithKnownRed(t, root, knownRedLine); passed || !strings.Contains(printed, "matches 2 tests") || len(ran) > 0 {
-		t.Errorf("passed %v, ran %v, printed\n%s", passed, ran, printed)
+		t.Errorf("the script passed: %v, ran %v, want an error about 2 tests and no run; printed\n%s", passed, ran, printed)
 	}
 }
 
@@ -226,7 +232,7 @@
 	}
 	for _, line := range lines {
 		if strings.HasPrefix(strings.TrimSpace(line), "go test") {
-			t.Errorf(".ci/run runs tests past the script: %s", line)
+			t.Errorf(".ci/run bypasses .ci/known-red: %s", line)
 		}
 	}
 }
--- a/internal/lab/ci/style_test.go
+++ b/internal/lab/ci/style_test.go
@@ -17,16 +17,17 @@
 	maxFunctionLines = 60
 )
 
-// unfinished are the packages that do not keep the rules of TestStyle yet. A package that does must leave the list: it only shrinks.
+// unfinished lists the packages that do not follow the rules of TestStyle yet. A
+// package that follows them must be removed from the list, and no package is added.
 var unfinished = []string{}
 
-// sourceFile is a parsed Go file that is no test.
+// sourceFile is a parsed Go file that is not a test file.
 type sourceFile struct {
-	path   string // from the root, with slashes
+	path   string // relative to the root of the repository, with slashes
 	syntax *ast.File
 }
 
-// parseModule parses every Go file of the module that is no test.
+// parseModule parses every Go file of the module except test files. It skips the folders .git, journal and testdata.
 func parseModule(t *testing.T, positions *token.FileSet) (files []sourceFile) {
 	t.Helper()
 	err := filepath.WalkDir(repositoryRoot, func(path string, entry fs.DirEntry, err error) error {
@@ -56,7 +57,8 @@
 	return files
 }
 
-// undocumented lists the exported names of a file that have no doc comment. A group's comment serves all of its names.
+// undocumented returns the exported names of a file that have no doc
+// comment. The comment of a declaration group covers all names in it.
 func undocumented(file *ast.File) (names []string) {
 	for _, declaration := range file.Decls {
 		switch declared := declaration.(type) {
@@ -73,6 +75,8 @@
 	return names
 }
 
+// undocumentedSpec returns the exported names of a type, constant or variable
+// declaration that have no doc comment. group is the comment of its declaration group.
 func undocumentedSpec(group *ast.CommentGroup, spec ast.Spec) (names []string) {
 	switch spec := spec.(type) {
 	case *ast.TypeSpec:
@@ -92,7 +96,7 @@
 	return names
 }
 
-// hasExportedReceiver is true for functions and for methods of exported types.
+// hasExportedReceiver reports whether a function has no receiver or a receiver of an exported type.
 func hasExportedReceiver(function *ast.FuncDecl) bool {
 	if function.Recv == nil {
 		return true
@@ -108,8 +112,8 @@
 	return ok && name.IsExported()
 }
 
-// TestStyle holds finished packages to what staticcheck does not look at: a doc comment on each exported name, no function and no file
-// too long to read.
+// TestStyle checks packages that are not listed as unfinished for rules that staticcheck does not
+// cover: each exported name has a doc comment, and no function or file exceeds its limit of lines.
 func TestStyle(t *testing.T) {
 	positions := token.NewFileSet()
 	faults := map[string][]string{}
@@ -121,12 +125,12 @@
 			faults[folder] = append(faults[folder], file.path+": "+name+" has no doc comment")
 		}
 		if lines := positions.File(file.syntax.Pos()).LineCount(); lines > maxFileLines {
-			faults[folder] = append(faults[folder], file.path+" is too long")
+			faults[folder] = append(faults[folder], file.path+" has too many lines")
 		}
 		for _, declaration := range file.syntax.Decls {
 			function, ok := declaration.(*ast.FuncDecl)
 			if ok && positions.Position(function.End()).Line-positions.Position(function.Pos()).Line > maxFunctionLines {
-				faults[folder] = append(faults[folder], file.path+": "+function.Name.Name+" is too long")
+				faults[folder] = append(faults[folder], file.path+": "+function.Name.Name+" has too many lines")
 			}
 		}
 	}
@@ -137,15 +141,15 @@
 	}
 	for _, folder := range unfinished {
 		if !packages[folder] {
-			t.Errorf("%s is listed as unfinished and is no package", folder)
+			t.Errorf("%s is listed as unfinished but is not a package", folder)
 		}
 		if len(faults[folder]) == 0 {
-			t.Errorf("%s keeps the rules: take it off the list", folder)
+			t.Errorf("%s is listed as unfinished but follows the rules: remove it from the list", folder)
 		}
 	}
 }
 
-// TestStyleFindsFaults gives the checks a file with each fault.
+// TestStyleFindsFaults checks undocumented with a file that has an exported name of each kind without a doc comment.
 func TestStyleFindsFaults(t *testing.T) {
 	const source = `package made
 
@@ -175,6 +179,6 @@
 		t.Fatal(err)
 	}
 	if got, want := undocumented(file), []string{"Undocumented", "Bare", "Method", "Loose"}; !slices.Equal(got, want) {
-		t.Errorf("found %v, want %v", got, want)
+		t.Errorf("undocumented returned %v, want %v", got, want)
 	}
 }
