--- a/internal/lab/scenario/checkattempts.go
+++ b/internal/lab/scenario/checkattempts.go
@@ -14,7 +14,7 @@
 		return
 	}
 	l := c.lookups[request.id]
-	if !c.isOfLookup(process, request, l) {
+	if !c.matchesLookup(process, request, l) {
 		return
 	}
 	if !c.mayBeSent(conn, request, l, firstByteAt) {
@@ -35,8 +35,8 @@
 	}
 }
 
-// isOfLookup checks that an attempt says what its client's lookup says.
-func (c *checker) isOfLookup(process *gatewayProcess, request *attemptRequest, l *lookup) bool {
+// matchesLookup checks that an attempt says what its client's lookup says.
+func (c *checker) matchesLookup(process *gatewayProcess, request *attemptRequest, l *lookup) bool {
 	if l == nil || l.process != process {
 		c.violated(ruleProtocol, "%s sends %s, which no client asked of it", process.name(), request.id)
 		return false
@@ -68,18 +68,18 @@
 	if len(l.attempts) >= maxAttempts {
 		c.violated(ruleProtocol, "%s sends %s more than %d times", process.name(), request.id, maxAttempts)
 	}
-	if !c.isUndrained(process, "sends to", cacheID, firstByteAt) || !c.isUndrained(process, "names as source", request.source, firstByteAt) {
+	if !c.mayUseCache(process, "sends to", cacheID, firstByteAt) || !c.mayUseCache(process, "names as source", request.source, firstByteAt) {
 		return false
 	}
-	if process.reliesOnKeptList() && (process.actor.knownDraining[cacheID] || process.actor.knownDraining[request.source]) {
+	if process.reliesOnStoredList() && (process.actor.knownDraining[cacheID] || process.actor.knownDraining[request.source]) {
 		c.violated(ruleDrained, "%s sends to %s (source %q), of which its list on disk knows that it drains", process.name(), cacheID, request.source)
 		return false
 	}
 	return true
 }
 
-// isUndrained checks that a gateway does not use a cache that it was notified drains or is gone, past the grace.
-func (c *checker) isUndrained(process *gatewayProcess, use, cacheID string, firstByteAt time.Duration) bool {
+// mayUseCache checks that a gateway does not use a cache that it was notified drains or is gone, past the grace.
+func (c *checker) mayUseCache(process *gatewayProcess, use, cacheID string, firstByteAt time.Duration) bool {
 	event := c.drainEvents[cacheID]
 	if event == 0 {
 		return true
--- a/internal/lab/scenario/checker.go
+++ b/internal/lab/scenario/checker.go
@@ -26,7 +26,7 @@
 	ruleRoutes     = "routes"
 )
 
-const lookupMemory = 15 * time.Second // after its end for which a lookup is remembered
+const lookupRetention = 15 * time.Second // after its end for which a lookup is remembered
 
 // checker checks the rules after each step. It sees the wires and the true state of every actor, and of a gateway's own view only its
 // counts, which must agree with its sockets.
@@ -102,7 +102,7 @@
 	if isSatisfied(outcome) && l.isEarly() {
 		c.scenario.earlyLookups.Satisfied++
 	}
-	c.scenario.after(lookupMemory, func() { delete(c.lookups, l.id) })
+	c.scenario.after(lookupRetention, func() { delete(c.lookups, l.id) })
 }
 
 // isSatisfied reports whether an outcome is a status that satisfies a lookup.
--- a/internal/lab/scenario/checkgateways.go
+++ b/internal/lab/scenario/checkgateways.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	idlesPerGatewayCheck = 4
-	idlesPerNotification = 256
-	notifiedAfter        = 7 * time.Second         // from its publication an event counts as known to a gateway that could receive it
-	reachableFor         = 4500 * time.Millisecond // that such a gateway must have been reachable
-	lookupsPerMB         = 8                       // of a gateway's memory limit
+	idlesPerGatewayCheck        = 4
+	idlesPerAssumedNotification = 256
+	assumedNotifiedAfter        = 7 * time.Second         // from its publication an event counts as known to a gateway that could receive it
+	minReachable                = 4500 * time.Millisecond // that such a gateway must have been reachable
+	lookupsPerMB                = 8                       // of a gateway's memory limit
 )
 
 // gatewayKilled ends what a killed process owed.
@@ -59,8 +59,8 @@
 			}
 		}
 	}
-	if c.idleCount%idlesPerNotification == 0 {
-		c.countAsNotified()
+	if c.idleCount%idlesPerAssumedNotification == 0 {
+		c.assumeNotified()
 	}
 }
 
@@ -96,8 +96,8 @@
 	}
 }
 
-// countAsNotified has events that were published long ago count as known to gateways that could receive them.
-func (c *checker) countAsNotified() {
+// assumeNotified has events that were published long ago count as known to gateways that could receive them.
+func (c *checker) assumeNotified() {
 	s, now := c.scenario, c.now()
 	for _, g := range s.gateways {
 		process := g.current
@@ -108,9 +108,9 @@
 		if server.down || server.silent || server.lag > 0 || s.sim.IsSplit(groupGateways, groupDiscovery) || g.host.Vanished {
 			process.cutOffAt = now
 		}
-		wasReachable := now-max(process.startedAt, process.cutOffAt) > reachableFor
+		wasReachable := now-max(process.startedAt, process.cutOffAt) > minReachable
 		for _, event := range s.events {
-			if process.notifiedAt(event.Number) == 0 && now-event.publishedAt > notifiedAfter && wasReachable {
+			if process.notifiedAt(event.Number) == 0 && now-event.publishedAt > assumedNotifiedAfter && wasReachable {
 				process.markNotified(event.Number, now)
 			}
 		}
--- a/internal/lab/scenario/coldstart.go
+++ b/internal/lab/scenario/coldstart.go
@@ -122,8 +122,8 @@
 			left = append(left, gone)
 		}
 	}
-	s.writeKeptLists(rows, left)
-	s.keptList = rows
+	s.writeStoredLists(rows, left)
+	s.storedList = rows
 }
 
 // prefill stores in a cache what one has that has been up for long: the most popular objects.
@@ -165,8 +165,8 @@
 	s.byID[c.id] = c
 }
 
-// writeKeptLists writes the list to each gateway's disk as a gateway does.
-func (s *Scenario) writeKeptLists(rows, left []kept.Endpoint) {
+// writeStoredLists writes the list to each gateway's disk as a gateway does.
+func (s *Scenario) writeStoredLists(rows, left []kept.Endpoint) {
 	cold := s.Plan.ColdStart
 	if cold.StartFrom != startFromList {
 		return
@@ -210,7 +210,7 @@
 	members := []endpoint{}
 	switch cold.StartFrom {
 	case startFromFresh:
-		for _, r := range s.keptList {
+		for _, r := range s.storedList {
 			members = append(members, endpoint{ID: r.ID, HostPort: r.Addr, Locality: r.Zone, Flavor: r.MachineType, Cell: r.Cell, Phase: "up",
 				Size: r.Size})
 		}
@@ -224,8 +224,8 @@
 	return map[string]any{"no": 0, "items": []any{map[string]any{"no": 0, "roster": &endpointUpdate{Revision: 1, Complete: true, Endpoints: members}}}}
 }
 
-// setUpKeptList configures a gateway's process to keep its list on its disk.
-func (g *gatewayActor) setUpKeptList(p *simenv.Process) {
+// setUpStoredList configures a gateway's process to keep its list on its disk.
+func (g *gatewayActor) setUpStoredList(p *simenv.Process) {
 	if g.scenario.Plan.ColdStart.StartFrom != startFromList && g.scenario.Plan.ColdStart.StartFrom != startFromWait {
 		return
 	}
--- a/internal/lab/scenario/decisions.go
+++ b/internal/lab/scenario/decisions.go
@@ -26,7 +26,7 @@
 	process string
 }
 
-func (d *decisionDigester) note(lk *policy.Lookup, decision string, numbers ...policy.Micros) {
+func (d *decisionDigester) add(lk *policy.Lookup, decision string, numbers ...policy.Micros) {
 	d.sim.Note(simenv.StepDecision, d.process+" "+lk.ID+" "+decision, "", int64(len(numbers)))
 	for _, m := range numbers {
 		d.sim.Note(simenv.StepDecision, "", "", int64(m))
@@ -34,22 +34,22 @@
 }
 
 func (d *decisionDigester) Fetch(lk *policy.Lookup, request policy.FetchRequest) {
-	d.note(lk, "fetch "+request.Cache.Name+" "+request.Source.Name, policy.Micros(request.Rank), policy.Micros(request.Mode), request.Timeout,
+	d.add(lk, "fetch "+request.Cache.Name+" "+request.Source.Name, policy.Micros(request.Rank), policy.Micros(request.Mode), request.Timeout,
 		request.SilenceTimeout, request.MaxAge)
 	d.Executor.Fetch(lk, request)
 }
 
 func (d *decisionDigester) CancelAttempt(lk *policy.Lookup, attempt int) {
-	d.note(lk, "cancel", policy.Micros(attempt))
+	d.add(lk, "cancel", policy.Micros(attempt))
 	d.Executor.CancelAttempt(lk, attempt)
 }
 
 func (d *decisionDigester) Reject(lk *policy.Lookup, retryIn policy.Micros) {
-	d.note(lk, "reject", retryIn)
+	d.add(lk, "reject", retryIn)
 	d.Executor.Reject(lk, retryIn)
 }
 
 func (d *decisionDigester) Fail(lk *policy.Lookup) {
-	d.note(lk, "fail")
+	d.add(lk, "fail")
 	d.Executor.Fail(lk)
 }
--- a/internal/lab/scenario/differential.go
+++ b/internal/lab/scenario/differential.go
@@ -102,7 +102,7 @@
 		script.decidedAt = append(script.decidedAt, s.sim.Now())
 	}
 	return func(h policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
-		return start(&decisionRecorder{Executor: h, script: script, scenario: s, note: note})
+		return start(&decisionRecorder{Executor: h, script: script, scenario: s, record: note})
 	}
 }
 
@@ -111,22 +111,22 @@
 	policy.Executor
 	script   *differentialScript
 	scenario *Scenario
-	note     func(format string, a ...any)
+	record   func(format string, a ...any)
 }
 
 func (n *decisionRecorder) Fetch(lk *policy.Lookup, request policy.FetchRequest) {
-	n.note("send %s to %s from %s rank %d how %d for %d oldest %d", lk.ID, request.Cache.Name, request.Source.Name, request.Rank, request.Mode,
+	n.record("send %s to %s from %s rank %d how %d for %d oldest %d", lk.ID, request.Cache.Name, request.Source.Name, request.Rank, request.Mode,
 		request.Timeout, request.MaxAge)
 	n.Executor.Fetch(lk, request)
 }
 
 func (n *decisionRecorder) Reject(lk *policy.Lookup, in policy.Micros) {
-	n.note("nack %s, again in %d", lk.ID, in)
+	n.record("nack %s, again in %d", lk.ID, in)
 	n.Executor.Reject(lk, in)
 }
 
 func (n *decisionRecorder) Fail(lk *policy.Lookup) {
-	n.note("fail %s", lk.ID)
+	n.record("fail %s", lk.ID)
 	n.Executor.Fail(lk)
 }
 
--- a/internal/lab/scenario/draw.go
+++ b/internal/lab/scenario/draw.go
@@ -93,7 +93,7 @@
 }
 
 const (
-	targets      = 1 << 16 // of faults; taken modulo the actors of a kind
+	targetRange  = 1 << 16 // of faults; taken modulo the actors of a kind
 	firstFaultMS = 3000
 	lastFaultMS  = 57000
 )
@@ -130,7 +130,7 @@
 }
 
 func drawFault(rng *rand.Rand, kind FaultKind, focusMS [2]int) Fault {
-	fault := Fault{Kind: kind.Name, Target: rng.IntN(targets), Variant: rng.IntN(targets), DurationMS: kind.minMS + rng.IntN(kind.maxMS-kind.minMS+1)}
+	fault := Fault{Kind: kind.Name, Target: rng.IntN(targetRange), Variant: rng.IntN(targetRange), DurationMS: kind.minMS + rng.IntN(kind.maxMS-kind.minMS+1)}
 	switch rng.IntN(3) {
 	case 0:
 		fault.AtMS = focusMS[rng.IntN(2)] // at one instant with others
@@ -147,7 +147,7 @@
 
 func drawRouteChanges(rng *rand.Rand) (changes []Fault) {
 	for range 3 + rng.IntN(6) {
-		changes = append(changes, Fault{Kind: kindRouteChange, AtMS: 2000 + rng.IntN(55000), Target: rng.IntN(targets), Variant: rng.IntN(targets),
+		changes = append(changes, Fault{Kind: kindRouteChange, AtMS: 2000 + rng.IntN(55000), Target: rng.IntN(targetRange), Variant: rng.IntN(targetRange),
 			DurationMS: 50 + rng.IntN(2000)})
 	}
 	return changes
--- a/internal/lab/scenario/extprocserver_test.go
+++ b/internal/lab/scenario/extprocserver_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func endsAtLeast(word string, least int) func() (Hooks, func(r Result) bool) {
+func outcomeAtLeast(word string, least int) func() (Hooks, func(r Result) bool) {
 	return func() (Hooks, func(r Result) bool) {
 		return Hooks{}, func(r Result) bool { return r.Outcomes[word] >= least }
 	}
@@ -36,19 +36,19 @@
 // TestExtprocCases runs cases of the external processor.
 func TestExtprocCases(t *testing.T) {
 	all := func(kind string) []Fault { return []Fault{{AtMS: 2000, Kind: kind, DurationMS: 9000}} }
-	t.Run("the caller gives up halfway through a request", func(t *testing.T) { runExtprocCase(t, all("caller_leaves"), endsAtLeast("client left", 5)) })
-	t.Run("a caller that never reports", func(t *testing.T) { runExtprocCase(t, all("caller_mute"), endsAtLeast("caller says nothing", 5)) })
-	t.Run("a caller that lies about how sends ended", func(t *testing.T) { runExtprocCase(t, all("caller_lies"), endsAtLeast("odd", 5)) })
-	t.Run("a caller that does not read", func(t *testing.T) { runExtprocCase(t, all("caller_deaf"), endsAtLeast("200", 100)) })
-	t.Run("the same request on two streams, while a send is out and after it", func(t *testing.T) { runExtprocCase(t, all("caller_twice"), endsAtLeast("200", 100)) })
+	t.Run("the caller gives up halfway through a request", func(t *testing.T) { runExtprocCase(t, all("caller_leaves"), outcomeAtLeast("client left", 5)) })
+	t.Run("a caller that never reports", func(t *testing.T) { runExtprocCase(t, all("caller_mute"), outcomeAtLeast("caller says nothing", 5)) })
+	t.Run("a caller that lies about how sends ended", func(t *testing.T) { runExtprocCase(t, all("caller_lies"), outcomeAtLeast("odd", 5)) })
+	t.Run("a caller that does not read", func(t *testing.T) { runExtprocCase(t, all("caller_deaf"), outcomeAtLeast("200", 100)) })
+	t.Run("the same request on two streams, while a send is out and after it", func(t *testing.T) { runExtprocCase(t, all("caller_twice"), outcomeAtLeast("200", 100)) })
 	t.Run("one caller dies and comes back, the other goes on", func(t *testing.T) {
-		runExtprocCase(t, []Fault{{AtMS: 3000, Kind: "caller_dies"}, {AtMS: 5000, Kind: "caller_dies", Target: 1}, {AtMS: 5000, Kind: "burst", DurationMS: 2000}}, endsAtLeast("caller gone", 1))
+		runExtprocCase(t, []Fault{{AtMS: 3000, Kind: "caller_dies"}, {AtMS: 5000, Kind: "caller_dies", Target: 1}, {AtMS: 5000, Kind: "burst", DurationMS: 2000}}, outcomeAtLeast("caller gone", 1))
 	})
 	t.Run("a flood of another caller beside usual ones", func(t *testing.T) {
-		runExtprocCase(t, []Fault{{AtMS: 3000, Kind: "caller_flood", DurationMS: 4000}}, endsAtLeast("200", 500))
+		runExtprocCase(t, []Fault{{AtMS: 3000, Kind: "caller_flood", DurationMS: 4000}}, outcomeAtLeast("200", 500))
 	})
 	t.Run("gateways' clocks step by seconds between the lives of gateways", func(t *testing.T) {
-		runExtprocCase(t, []Fault{{AtMS: 2000, Kind: "clock_step", DurationMS: 5000}, {AtMS: 3000, Kind: "gateway_kill", DurationMS: 500}, {AtMS: 5000, Kind: "purge_object"}}, endsAtLeast("200", 100))
+		runExtprocCase(t, []Fault{{AtMS: 2000, Kind: "clock_step", DurationMS: 5000}, {AtMS: 3000, Kind: "gateway_kill", DurationMS: 500}, {AtMS: 5000, Kind: "purge_object"}}, outcomeAtLeast("200", 100))
 	})
 	t.Run("SIGTERM amid a burst, with sends at their callers", func(t *testing.T) {
 		runExtprocCase(t, []Fault{{AtMS: 4000, Kind: "burst", DurationMS: 3000}, {AtMS: 5000, Kind: "gateway_restart"}}, func() (Hooks, func(r Result) bool) {
--- a/internal/lab/scenario/forms_test.go
+++ b/internal/lab/scenario/forms_test.go
@@ -26,8 +26,8 @@
 	frozen.IndentedJSON(t, "cells.json", &[]ColdStartCell{})
 }
 
-// TestPlatformSideKeepsItsForm does so with what stands in for the platform: discovery events and the settings' text.
-func TestPlatformSideKeepsItsForm(t *testing.T) {
+// TestDiscoveryAndSettingsKeepTheirForm does so with what stands in for the platform: discovery events and the settings' text.
+func TestDiscoveryAndSettingsKeepTheirForm(t *testing.T) {
 	frozen.IndentedJSON(t, "events.json", &[]discoveryEvent{})
 	s := &Scenario{Plan: Plan{Gateways: 3}, zoneCount: 2}
 	frozen.EqualIndented(t, "settings.json", json.RawMessage(mustMarshal(s.settings(1))))
--- a/internal/lab/scenario/gateway.go
+++ b/internal/lab/scenario/gateway.go
@@ -116,7 +116,7 @@
 		OnEnd:          func(_ *simenv.Process, err error) { s.checker.gatewayEnded(p, err) },
 	}
 	if s.Plan.ColdStart != nil {
-		g.setUpKeptList(p.process)
+		g.setUpStoredList(p.process)
 	}
 	if s.Plan.changesRoutes() {
 		if g.routeSides == nil {
@@ -252,8 +252,8 @@
 	return 0
 }
 
-// reliesOnKeptList reports whether the process knows which caches drain from its kept list alone.
-func (p *gatewayProcess) reliesOnKeptList() bool {
+// reliesOnStoredList reports whether the process knows which caches drain from its kept list alone.
+func (p *gatewayProcess) reliesOnStoredList() bool {
 	cold := p.actor.scenario.Plan.ColdStart
 	if cold == nil || cold.Torn {
 		return false
--- a/internal/lab/scenario/gatewaylog.go
+++ b/internal/lab/scenario/gatewaylog.go
@@ -16,7 +16,7 @@
 		key += " " + reason
 	}
 	if event == "policy" {
-		key += " " + noteMode(attributes)
+		key += " " + policyNoteKind(attributes)
 	}
 	s.reasons[key]++
 	if t := s.hooks.routeChangeRun; t != nil && event == "route_change_step" && strings.Contains(attributes, "stage=undone") && t.RolledBackAfter == 0 {
@@ -30,8 +30,8 @@
 	}
 }
 
-// noteMode is the policy's note in a log line without its names and figures.
-func noteMode(attributes string) string {
+// policyNoteKind is the policy's note in a log line without its names and figures.
+func policyNoteKind(attributes string) string {
 	note := strings.TrimPrefix(attributes, "note=")
 	for _, mode := range []string{"ejected: unreachable", "ejected: errors", "ejected: silent", "ejected: fills fail", "ejected: slow",
 		"readmitted after", "fills pressed", "overload true", "overload false"} {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -41,7 +41,7 @@
 	reasons          map[string]int
 	corruption       answerCorruption
 	hooks            Hooks
-	keptList         []endpoints.Endpoint // of a cold start
+	storedList       []endpoints.Endpoint // of a cold start
 	earlyLookups     EarlyLookups
 	callers          map[*gatewayActor]*extprocCaller // nil: clients send to gateways themselves
 	firstEdges       []string                         // ids of the edges at the start
