--- a/internal/lab/scenario/bench_test.go
+++ b/internal/lab/scenario/bench_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// BenchmarkScenario runs the plans of seeds 1 to 20.
+// BenchmarkScenario runs one scenario an iteration, with the plans of seeds 1 to 20 in turn.
 func BenchmarkScenario(b *testing.B) {
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
--- a/internal/lab/scenario/checker.go
+++ b/internal/lab/scenario/checker.go
@@ -8,39 +8,39 @@
 	"foldslip/internal/lab/simenv"
 )
 
-// Rules, as reports spell them. The numbered ones are the users' own (docs/faults.md).
+// Rules, as reports spell them. The numbered rules are the requirements of the users (docs/faults.md).
 const (
-	ruleOneAnswer  = "rule 1" // each lookup gets one right answer in time
-	ruleOneAttempt = "rule 2" // no two attempts at once, and no effect twice
-	ruleDrained    = "rule 3" // no attempt to a cache that drains or is gone
-	ruleColdLoad   = "rule 4" // no more work to a cold cache than it bears
-	rulePurged     = "rule 5" // no copy older than a purge
-	ruleProtocol   = "protocol"
-	ruleHeldBack   = "held back"
-	ruleClientGone = "gone client"
-	ruleInFlight   = "in flight"
-	ruleBounds     = "bounds"
-	ruleLeak       = "leak"
-	ruleStop       = "stop"
-	ruleCrash      = "crash"
-	ruleRoutes     = "routes"
+	ruleOneAnswer  = "rule 1"      // each lookup gets exactly one correct answer before its deadline
+	ruleOneAttempt = "rule 2"      // at most one attempt in flight, and no effect runs more often than its kind allows
+	ruleDrained    = "rule 3"      // no attempt is sent to a cache that drains or has been removed
+	ruleColdLoad   = "rule 4"      // a cold cache receives no more load than it can bear
+	rulePurged     = "rule 5"      // no copy older than a purge is served
+	ruleProtocol   = "protocol"    // messages are well-formed, and attempts match their lookups
+	ruleHeldBack   = "held back"   // no lookup waits idly before it is rejected or failed; rejections say when to retry
+	ruleClientGone = "gone client" // no attempt is sent for a client that has gone
+	ruleInFlight   = "in flight"   // a gateway's counts of attempts agree with its connections
+	ruleBounds     = "bounds"      // a gateway holds no more lookups and connections than its limits allow
+	ruleLeak       = "leak"        // a gateway releases its goroutines, timers and descriptors
+	ruleStop       = "stop"        // a terminated gateway ends in time
+	ruleCrash      = "crash"       // a gateway does not panic or end by itself
+	ruleRoutes     = "routes"      // the attempts of a lookup follow routes that were active when it arrived
 )
 
-const lookupRetention = 15 * time.Second // after its end for which a lookup is remembered
+const lookupRetention = 15 * time.Second // a lookup is removed this long after its end
 
-// checker checks the rules after each step. It sees the wires and the true state of every actor, and of a gateway's own view only its
-// counts, which must agree with its sockets.
+// checker checks the rules after each step. It sees every connection and the true state of every actor. Of the state of
+// a gateway it reads only the counts, which must agree with the gateway's connections.
 type checker struct {
 	scenario     *Scenario
 	violations   []Violation
-	lookups      map[string]*lookup // by id, until some time after their end
+	lookups      map[string]*lookup // by ID, until lookupRetention after their end
 	lookupCount  int
 	outcomes     map[string]int
-	versions     map[string]int  // purges so far, of objects and of groups (see groupKey)
-	deduplicated map[string]bool // ids of deduplicated lookups that ran, with their zone
+	versions     map[string]int  // number of purges so far, by object or by groupKey
+	deduplicated map[string]bool // zone followed by lookup ID, for deduplicated lookups that ran
 	purges       []purge
 	idleCount    uint64
-	drainEvents  map[string]int // by cache: number of the event that says that it drains or is gone
+	drainEvents  map[string]int // by cache ID: number of the event that announces its drain or removal
 }
 
 func newChecker(s *Scenario) *checker {
@@ -56,7 +56,7 @@
 
 func (c *checker) now() time.Duration { return c.scenario.now() }
 
-// violated notes a violation and ends the run.
+// violated records a violation and ends the run.
 func (c *checker) violated(rule, format string, a ...any) {
 	v := Violation{rule, c.now(), fmt.Sprintf(format, a...)}
 	c.violations = append(c.violations, v)
@@ -64,7 +64,7 @@
 	c.scenario.sim.Halt()
 }
 
-// lookupSent follows a lookup from now on.
+// lookupSent starts to track a lookup that its client sends now.
 func (c *checker) lookupSent(l *lookup) {
 	c.lookupCount++
 	if l.repeats == 0 {
@@ -77,22 +77,23 @@
 	c.scenario.sim.Note(simenv.StepLookup, l.id, "", 0)
 }
 
-// lookupReceived notes that all of a lookup has reached its gateway, and watches over its deadline.
+// lookupReceived records that a lookup has reached its gateway completely, and schedules the check of its deadline.
 func (c *checker) lookupReceived(l *lookup) {
 	l.receivedAt = c.now()
 	if c.scenario.hooks.onReceived != nil {
 		c.scenario.hooks.onReceived(c.scenario, l)
 	}
 	c.scenario.after(l.deadline+socketSlack+time.Millisecond, func() {
-		if l.ended || !l.conn.isOwedAnswer(l) || l.conn.isAnswering() { // an answer that its client is slow to read has begun
+		// An answer that has begun in time may wait for its client to read it.
+		if l.ended || !l.conn.isOwedAnswer(l) || l.conn.isAnswering() {
 			return
 		}
-		c.violated(ruleOneAnswer, "lookup %s (%s) taken by %s has no answer after %v of %v", l.id, l.kindSettings().name, l.process.name(),
-			c.now()-l.receivedAt, l.deadline)
+		c.violated(ruleOneAnswer, "lookup %s (%s), received by %s, has no answer after %v; its deadline is %v", l.id, l.kindSettings().name,
+			l.process.name(), c.now()-l.receivedAt, l.deadline)
 	})
 }
 
-// lookupEnded notes that no answer is owed any more.
+// lookupEnded records the outcome of a lookup, to which no answer is owed from now on.
 func (c *checker) lookupEnded(l *lookup, outcome string) {
 	if l.ended {
 		return
@@ -105,10 +106,10 @@
 	c.scenario.after(lookupRetention, func() { delete(c.lookups, l.id) })
 }
 
-// isSatisfied reports whether an outcome is a status that satisfies a lookup.
+// isSatisfied reports whether an outcome is a status that satisfies a lookup, 200 or 304.
 func isSatisfied(outcome string) bool { return outcome == "200" || outcome == "304" }
 
-// clientAnswer is an answer on a gateway's wire to a client.
+// clientAnswer is a complete answer that a gateway wrote to a client.
 type clientAnswer struct {
 	status     int
 	etag       string
@@ -116,11 +117,11 @@
 	retryAfter time.Duration
 }
 
-// clientAnswered checks a complete answer.
+// clientAnswered checks a complete answer and ends its lookup.
 func (c *checker) clientAnswered(l *lookup, answer clientAnswer) {
-	// An answer that began in time and that the network or its client is slow to take is not late: the gateway writes it at once.
+	// The first byte counts. The gateway writes the rest at once, so a slow network or client causes any further delay.
 	if late := l.answerStartedAt() - (l.receivedAt + l.deadline + socketSlack); late > 0 {
-		c.violated(ruleOneAnswer, "answer %d to %s is %v late", answer.status, l.id, late)
+		c.violated(ruleOneAnswer, "the answer %d to lookup %s is %v late", answer.status, l.id, late)
 	}
 	switch answer.status {
 	case 200, 304:
@@ -128,30 +129,33 @@
 	case 503, 429, 502:
 		c.checkUnsatisfied(l, answer)
 	default:
-		c.violated(ruleOneAnswer, "%s was answered with status %d", l.id, answer.status)
+		c.violated(ruleOneAnswer, "lookup %s was answered with status %d, expected 200, 304, 429, 502 or 503", l.id, answer.status)
 	}
 	c.lookupEnded(l, strconv.Itoa(answer.status))
 }
 
-// checkUnsatisfied checks an answer that rejects or fails a lookup.
+// checkUnsatisfied checks an answer that rejects or fails a lookup: the gateway must not have let time pass without an
+// attempt, and a rejection after an attempt must say when to retry.
 func (c *checker) checkUnsatisfied(l *lookup, answer clientAnswer) {
 	now := c.now()
-	// An attempt may wait for its connection to come up, or behind a line that its cache does not read.
+	// An attempt may also wait for its connection to open, or behind a line that its cache does not read.
 	lastBusy := max(l.lastInFlight, l.receivedAt, l.process.process.LastDialing(), l.process.process.LastBlocked())
 	if l.isHeldBack(now, lastBusy) {
-		c.violated(ruleHeldBack, "%s was answered %d after %v of %v, with nothing out for it for %v", l.id, answer.status, now-l.receivedAt, l.deadline,
-			now-lastBusy)
+		c.violated(ruleHeldBack, "lookup %s was answered %d after %v of its deadline of %v, with no attempt in flight for %v", l.id, answer.status,
+			now-l.receivedAt, l.deadline, now-lastBusy)
 	}
 	if answer.status != 502 && answer.retryAfter <= 0 && len(l.attempts) > 0 {
-		c.violated(ruleHeldBack, "%s was nacked without a time to come back", l.id)
+		c.violated(ruleHeldBack, "lookup %s was rejected without a time to retry", l.id)
 	}
 }
 
-// checkSatisfied checks that a copy that is served came from an attempt, and is not too old.
+// checkSatisfied checks that a served copy came from an attempt of its lookup. The copy must not be older than a purge
+// of which the gateway was notified more than purgeGrace before the attempt.
 func (c *checker) checkSatisfied(l *lookup, answer clientAnswer) {
 	from, served := l.attemptOf(answer)
 	if from == nil {
-		c.violated(ruleOneAnswer, "%s was served with %d, tag %s and %d bytes that no cache made for it", l.id, answer.status, answer.etag, len(answer.body))
+		c.violated(ruleOneAnswer, "lookup %s was served status %d, tag %s and %d bytes, which no cache answered for it", l.id, answer.status,
+			answer.etag, len(answer.body))
 		return
 	}
 	for _, p := range c.purges {
@@ -159,13 +163,13 @@
 			continue
 		}
 		if notified := l.process.notifiedAt(p.number); notified > 0 && from.firstByteAt > notified+purgeGrace+socketSlack {
-			c.violated(rulePurged, "%s (%s) was served a copy %v older than a purge that %s was told of %v before the send", l.id, l.object,
+			c.violated(rulePurged, "lookup %s (%s) was served a copy %v older than a purge of which %s was notified %v before the attempt", l.id, l.object,
 				p.issued.Sub(served.createdAt), l.process.name(), from.firstByteAt-notified)
 		}
 	}
 }
 
-// attemptOf returns the attempt, and its copy, that an answer can have come from; nil where there is none.
+// attemptOf returns the attempt and the copy from which an answer can have come, nil if there are none.
 func (l *lookup) attemptOf(answer clientAnswer) (from *attempt, served *cachedCopy) {
 	for _, a := range l.attempts {
 		for _, copied := range a.answers {
@@ -183,15 +187,15 @@
 	return from, served
 }
 
-// checkForwardedAnswer checks an answer that a gateway lets a caller forward now: no copy older than a purge that the gateway was notified
-// of past the grace, whenever the attempt was sent.
+// checkForwardedAnswer checks an answer that a gateway allows a caller to forward now. The copy must not be older than
+// a purge of which the gateway was notified more than purgeGrace ago, whenever the attempt was sent.
 func (c *checker) checkForwardedAnswer(l *lookup, forwarded *cachedCopy) {
 	for _, p := range c.purges {
 		if !p.makesStale(l, forwarded) {
 			continue
 		}
 		if notified := l.process.notifiedAt(p.number); notified > 0 && c.now() > notified+purgeGrace+socketSlack {
-			c.violated(rulePurged, "%s (%s): an answer %v older than a purge that %s was told of %v ago is let pass", l.id, l.object,
+			c.violated(rulePurged, "lookup %s (%s): an answer %v older than a purge is accepted; %s was notified of the purge %v ago", l.id, l.object,
 				p.issued.Sub(forwarded.createdAt), l.process.name(), c.now()-notified)
 		}
 	}
--- a/internal/lab/scenario/checkgateways.go
+++ b/internal/lab/scenario/checkgateways.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	idlesPerGatewayCheck        = 4
-	idlesPerAssumedNotification = 256
-	assumedNotifiedAfter        = 7 * time.Second         // from its publication an event counts as known to a gateway that could receive it
-	minReachable                = 4500 * time.Millisecond // that such a gateway must have been reachable
-	lookupsPerMB                = 8                       // of a gateway's memory limit
+	idlesPerGatewayCheck        = 4                       // calls of checkIdle per check of the gateways' counts
+	idlesPerAssumedNotification = 256                     // calls of checkIdle per call of assumeNotified
+	assumedNotifiedAfter        = 7 * time.Second         // age of an event at which a gateway counts as notified of it
+	minReachable                = 4500 * time.Millisecond // time for which that gateway must have been reachable
+	lookupsPerMB                = 8                       // lookups for which a gateway has room, per MB of its memory limit
 )
 
-// gatewayKilled ends what a killed process owed.
+// gatewayKilled ends the lookups that a killed process had not answered.
 func (c *checker) gatewayKilled(process *gatewayProcess) {
 	for _, id := range sortedKeys(c.lookups) {
 		if l := c.lookups[id]; l.process == process && !l.ended {
@@ -19,12 +19,13 @@
 	}
 }
 
-// gatewayEnded checks a process that has ended by itself.
+// gatewayEnded checks a process that has ended without being killed. It must have been
+// terminated, and must have answered what it received.
 func (c *checker) gatewayEnded(process *gatewayProcess, err error) {
 	process.ended = true
 	process.endedAt = c.now()
 	if err != nil || process.terminatedAt == 0 {
-		c.violated(ruleCrash, "%s ended by itself: %v", process.name(), err)
+		c.violated(ruleCrash, "%s ended without being terminated, or with an error: %v", process.name(), err)
 		return
 	}
 	c.scenario.after(0, func() { c.checkReleased(process) })
@@ -34,22 +35,22 @@
 			continue
 		}
 		if l.receivedAt > 0 && l.receivedAt < process.terminatedAt+terminateGrace && l.conn.end.IsAccepted() && !l.conn.isSplit {
-			c.violated(ruleOneAnswer, "%s ended and left %s, taken %v after SIGTERM, without an answer", process.name(), l.id, l.receivedAt-process.terminatedAt)
+			c.violated(ruleOneAnswer, "%s ended without an answer to lookup %s, received %v after SIGTERM", process.name(), l.id, l.receivedAt-process.terminatedAt)
 		}
 		c.lookupEnded(l, outcomeGatewayGone)
 	}
 }
 
-// checkReleased checks that a process that has ended left nothing.
+// checkReleased checks that a process has released its goroutines, timers and descriptors at its end.
 func (c *checker) checkReleased(process *gatewayProcess) {
 	goroutines, timers, descriptors := process.process.Resources()
 	if goroutines > 0 || timers > 0 || descriptors > 0 {
-		c.violated(ruleLeak, "%s has ended and left %d goroutines (%s), %d timers, %d descriptors", process.name(), goroutines,
+		c.violated(ruleLeak, "%s has ended without releasing %d goroutines (%s), %d timers, %d descriptors", process.name(), goroutines,
 			process.process.GoroutineNames(), timers, descriptors)
 	}
 }
 
-// checkIdle checks what must hold whenever all goroutines wait.
+// checkIdle runs whenever all goroutines wait. At each fourth call it checks the counts of all gateways.
 func (c *checker) checkIdle() {
 	c.idleCount++
 	if c.idleCount%idlesPerGatewayCheck == 0 {
@@ -64,7 +65,7 @@
 	}
 }
 
-// checkCounts checks a gateway's own counts against its wires and its bounds.
+// checkCounts checks the counts that a gateway reports against its connections and its limits.
 func (c *checker) checkCounts(g *gatewayActor, process *gatewayProcess) {
 	load := process.instance.Load()
 	atCallers, streams := 0, 0
@@ -73,30 +74,32 @@
 		streams = process.extproc.openStreams()
 	}
 	if load.OpenAttempts != load.ConnAttempts+load.QueuedAttempts+atCallers {
-		c.violated(ruleInFlight, "%s: the module counts %d sends, its connections %d, %d wait to be written, %d are at callers", process.name(),
-			load.OpenAttempts, load.ConnAttempts, load.QueuedAttempts, atCallers)
+		c.violated(ruleInFlight, "%s: the module counts %d open attempts, but its connections count %d, %d wait to be written and %d are at callers",
+			process.name(), load.OpenAttempts, load.ConnAttempts, load.QueuedAttempts, atCallers)
 	}
 	if capacity := int(g.memoryMB * lookupsPerMB); load.Lookups > 4*capacity || load.ClientConns > g.descriptors/2+1 {
-		c.violated(ruleBounds, "%s holds %d lookups (room %d), %d clients of %d descriptors", process.name(), load.Lookups, capacity, load.ClientConns,
-			g.descriptors)
+		c.violated(ruleBounds, "%s holds %d lookups (capacity %d) and %d client connections with %d descriptors", process.name(), load.Lookups, capacity,
+			load.ClientConns, g.descriptors)
 	}
 	inFlight := 0
-	for conn := range process.conns { // a sum: the order does not matter
+	for conn := range process.conns { // a sum does not depend on the order
 		inFlight += len(conn.attempts)
 	}
 	if inFlight > load.ConnAttempts {
-		c.violated(ruleInFlight, "%s: %d sends are out on its wires, it counts %d", process.name(), inFlight, load.ConnAttempts)
+		c.violated(ruleInFlight, "%s has %d attempts in flight on its connections but counts %d", process.name(), inFlight, load.ConnAttempts)
 	}
-	// Beside these there are the listeners, the discovery watch, and one connection that is being accepted or closed.
+	// The other descriptors are the listeners, the discovery watch, and
+	// one connection that is being accepted or closed.
 	const others = 3
 	_, _, descriptors := process.process.Resources()
 	if descriptors > load.ClientConns+load.CacheConns+streams+others+min(1, streams) && process.terminatedAt == 0 {
-		c.violated(ruleLeak, "%s holds %d descriptors for %d clients and %d connections to caches", process.name(), descriptors, load.ClientConns,
+		c.violated(ruleLeak, "%s holds %d descriptors for %d client connections and %d cache connections", process.name(), descriptors, load.ClientConns,
 			load.CacheConns)
 	}
 }
 
-// assumeNotified has events that were published long ago count as known to gateways that could receive them.
+// assumeNotified marks gateways as notified of events that were published more than assumedNotifiedAfter ago, if the
+// gateway has been reachable from discovery for more than minReachable.
 func (c *checker) assumeNotified() {
 	s, now := c.scenario, c.now()
 	for _, g := range s.gateways {
@@ -117,11 +120,12 @@
 	}
 }
 
-// checkEnd checks what must hold at the end of a run.
+// checkEnd checks, at the end of a run, that all gateways have ended and that
+// all lookups that they received were answered.
 func (c *checker) checkEnd() {
 	for _, g := range c.scenario.gateways {
 		if g.current != nil && !g.current.ended {
-			c.violated(ruleStop, "%s has not ended", g.current.name())
+			c.violated(ruleStop, "%s has not ended at the end of the run", g.current.name())
 		}
 	}
 	unanswered := 0
@@ -131,6 +135,6 @@
 		}
 	}
 	if unanswered > 0 && len(c.violations) == 0 {
-		c.violated(ruleOneAnswer, "%d lookups were never answered", unanswered)
+		c.violated(ruleOneAnswer, "%d lookups have no answer at the end of the run", unanswered)
 	}
 }
--- a/internal/lab/scenario/coldload.go
+++ b/internal/lab/scenario/coldload.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// capacityShare is the share of its capacity that a cold cache has.
+// capacityShare returns the share of its full capacity that a cache has now. It rises linearly from the cold share at
+// the start of the cache to 1 at the end of its warmup.
 func (c *cache) capacityShare(now time.Duration) float64 {
 	from, span := edgeColdShare, edgeWarmup
 	if c.flavor == flavorParent {
@@ -14,9 +15,12 @@
 	return from + (1-from)*float64(now-c.startedAt)/float64(span)
 }
 
-// checkColdLoad counts work that is sent to a cold cache; too much breaks rule 4. Only attempts of gateways that were
-// notified of the start count: before that, a cache that vanished and came back under its id looks like one that hung. Nor does what was on its
-// way when the notice came, and arrives within socketSlack of it.
+// checkColdLoad adds work to the recent load of a cold cache and checks rule 4, which limits the load on cold caches.
+//
+// Only attempts of gateways that were notified of the start of the cache count. Before the notification, a cache that
+// vanished and came back under the same ID looks like a cache that hung. An attempt that was in flight when the
+// notification came, and arrives within socketSlack of it, does not count either. If a cache is cold from the start of
+// the scenario, attempts of gateways that were not notified count too.
 func (c *cache) checkColdLoad(p *gatewayProcess, work, firstByteAt time.Duration) {
 	now := c.scenario.sim.Now()
 	if c.startEvent == 0 || p == nil {
@@ -41,13 +45,13 @@
 		}
 	}
 	c.recentWork = kept
-	more := edgeOverloadFactor
+	factor := edgeOverloadFactor
 	if c.flavor == flavorParent {
-		more = parentOverloadFactor
+		factor = parentOverloadFactor
 	}
-	most := more * share * c.size * overloadWindow.Seconds()
-	if sum.Seconds() > most && c.scenario.Plan.ColdStart != nil && c.scenario.Plan.ColdStart.StartFrom != startFromList {
-		c.scenario.earlyLookups.Overloads++ // it fails, and restarts cold
+	limit := factor * share * c.size * overloadWindow.Seconds()
+	if sum.Seconds() > limit && c.scenario.Plan.ColdStart != nil && c.scenario.Plan.ColdStart.StartFrom != startFromList {
+		c.scenario.earlyLookups.Overloads++ // the cache fails, and restarts cold after overloadRestart
 		c.stop(false)
 		c.scenario.after(overloadRestart, func() {
 			if !c.up {
@@ -57,7 +61,7 @@
 		})
 		return
 	}
-	if sum.Seconds() > most {
-		c.scenario.checker.violated("rule 4", "cold %s was sent %.2f s of work within %v, bears %.2f", c.id, sum.Seconds(), overloadWindow, most)
+	if sum.Seconds() > limit {
+		c.scenario.checker.violated("rule 4", "cold %s received %.2f s of work within %v, expected at most %.2f s", c.id, sum.Seconds(), overloadWindow, limit)
 	}
 }
--- a/internal/lab/scenario/coldstart.go
+++ b/internal/lab/scenario/coldstart.go
@@ -8,28 +8,29 @@
 	"time"
 
 	"foldslip/internal/lab/simenv"
-	kept "foldslip/internal/store/endpoints"
+	"foldslip/internal/store/endpoints"
 	"foldslip/internal/store/snapshot"
 	"foldslip/internal/store/wal"
 )
 
-// ColdStart is the part of a plan in which gateways start while discovery is away. Which entries of the kept list are
-// wrong is drawn from the plan's seed.
+// ColdStart is the part of a plan that describes a start of gateways while discovery is unreachable. Which entries of
+// the stored list are wrong is drawn from the plan's seed.
 type ColdStart struct {
-	// StartFrom is what gateways start from: "list" (the one kept on disk), or for comparison "wait" (nothing: they
-	// wait for discovery), "trust" (the kept list, taken as received this moment), "true" (the list as it really is).
+	// StartFrom is what gateways start from: "list", the list stored on disk. The other values
+	// are for comparison: "wait" (no list; gateways wait for discovery), "trust" (the stored
+	// list, taken as current), "true" (the true list).
 	StartFrom        string  `json:"from"`
-	AgeSeconds       int     `json:"age_s"`   // of the list
-	WrongShare       float64 `json:"wrong"`   // share of its edges and parents that are no more what it says
-	AwayMS           int     `json:"away_ms"` // how long discovery is away, from the start; 0: to the end
-	Cold             bool    `json:"cold"`    // what is wrong is that they have just started, cold
-	Torn             bool    `json:"torn"`    // the last bytes of the list are torn
-	SkewSeconds      int     `json:"skew_s"`  // the clock that wrote it was wrong by
-	DrainUnannounced bool    `json:"behind"`  // discovery announces the drain later than the list has it
-	NumbersRestarted bool    `json:"spans"`   // the list's event numbers are beyond discovery's, which started again
+	AgeSeconds       int     `json:"age_s"`   // age of the list
+	WrongShare       float64 `json:"wrong"`   // share of the edges and parents in the list whose state has changed since
+	AwayMS           int     `json:"away_ms"` // time from the start for which discovery is unreachable; 0: to the end
+	Cold             bool    `json:"cold"`    // the changed edges and parents have just started, cold, under the same IDs
+	Torn             bool    `json:"torn"`    // the last bytes of the stored list are corrupted
+	SkewSeconds      int     `json:"skew_s"`  // error of the clock with which the list was written
+	DrainUnannounced bool    `json:"behind"`  // discovery announces a drain later than the list
+	NumbersRestarted bool    `json:"spans"`   // discovery has restarted its event numbers, which are below the list's
 }
 
-// Values of ColdStart.StartFrom, as plans spell them.
+// Values of ColdStart.StartFrom in plans.
 const (
 	startFromList  = "list"
 	startFromWait  = "wait"
@@ -40,17 +41,18 @@
 const (
 	configPath      = "/etc/foldslip.jsonnet"
 	listDir         = "/var/lib/foldslip"
-	startedAtBegin  = time.Duration(1) // start of a cache that is cold when the scenario starts
-	syncedAfter     = 2 * time.Second  // what a gateway received this long before its end is on its disk
-	overloadRestart = 3 * time.Second  // from a cache's overload to its restart
-	earlyPeriod     = 30 * time.Second // from the first lookup; what a kept list is for shows in the share satisfied meanwhile
+	startedAtBegin  = time.Duration(1) // start time of a cache that is cold at the start of the scenario
+	syncedAfter     = 2 * time.Second  // events that a gateway received this long before its end are on its disk
+	overloadRestart = 3 * time.Second  // from the overload of a cache to its restart
+	earlyPeriod     = 30 * time.Second // from the first lookup; the share satisfied in it shows the benefit of a stored list
 )
 
-// EarlyLookups counts the lookups of a scenario's first 30 s; a repeat counts with the lookup that it repeats.
+// EarlyLookups counts the lookups of the first 30 s of a scenario. A lookup and its repeats count as one:
+// Sent counts the first, and Satisfied whichever is satisfied.
 type EarlyLookups struct {
 	Sent      int `json:"Asked"`
 	Satisfied int `json:"Satisfied"`
-	Overloads int `json:"Pushed"` // times that a cold cache or parent was overloaded
+	Overloads int `json:"Pushed"` // number of times that a cold edge or parent was overloaded
 }
 
 func (cold *ColdStart) validate() error {
@@ -58,22 +60,22 @@
 	case !slices.Contains([]string{startFromList, startFromWait, startFromFresh, startFromTrue}, cold.StartFrom):
 		return invalidPlan("morning.from %q is unknown, expected list, wait, trust or true", cold.StartFrom)
 	case cold.AgeSeconds < 0 || cold.AwayMS < 0 || cold.WrongShare < 0 || cold.WrongShare > 1:
-		return invalidPlan("morning: age_s and away_ms from 0, wrong 0 to 1")
+		return invalidPlan("morning: age_s %d and away_ms %d must be at least 0, wrong %g must be from 0 to 1", cold.AgeSeconds, cold.AwayMS, cold.WrongShare)
 	}
 	return nil
 }
 
-// drawStartState draws the true state of the caches and what the kept list says of them.
+// drawStartState draws how the true state of the caches differs from the stored list, and writes the stored lists.
 func (s *Scenario) drawStartState() {
 	cold := s.Plan.ColdStart
-	var rows []kept.Endpoint
-	var left []kept.Endpoint
-	row := func(c *cache) kept.Endpoint {
-		return kept.Endpoint{ID: c.id, Addr: c.addr(), Zone: c.zone, MachineType: c.flavor, Cell: c.cell, Size: c.size}
+	var rows []endpoints.Endpoint
+	var departed []endpoints.Endpoint
+	row := func(c *cache) endpoints.Endpoint {
+		return endpoints.Endpoint{ID: c.id, Addr: c.addr(), Zone: c.zone, MachineType: c.flavor, Cell: c.cell, Size: c.size}
 	}
 	for i := range len(s.caches) + len(s.parents) {
-		place := s.cacheSlot(i)
-		c := *place
+		slot := s.cacheSlot(i)
+		c := *slot
 		rows = append(rows, row(c))
 		if float64(s.randN(1000)) >= cold.WrongShare*1000 {
 			continue
@@ -83,13 +85,13 @@
 			n = 0
 		}
 		switch n {
-		case 0: // the same machine, started anew and cold
+		case 0: // the same cache has restarted, cold
 			c.startedAt, c.startEvent = startedAtBegin, 1
-		case 1: // another cache, just started, stands at its address
+		case 1: // another cache has just started, cold, at its address
 			s.replaceIdentity(c)
 			c.startedAt, c.startEvent = startedAtBegin, 1
-		default: // it is elsewhere under another id; its old address refuses, is silent, or takes all and answers nothing
-			*place = s.newCache(c.flavor, c.zone, fmt.Sprintf("10.5.%d.%d", i/200, i%200+1), c.size)
+		default: // it has another address and ID; its old address refuses, is silent, or accepts everything and answers nothing
+			*slot = s.newCache(c.flavor, c.zone, fmt.Sprintf("10.5.%d.%d", i/200, i%200+1), c.size)
 			switch n {
 			case 2:
 				c.stop(false)
@@ -106,7 +108,7 @@
 		}
 	}
 	rows = append(rows, row(s.origin))
-	if s.randN(2) == 0 && len(s.caches) > 3 { // one drains, and both know it
+	if s.randN(2) == 0 && len(s.caches) > 3 { // one edge drains, and both the list and discovery say so
 		c := s.caches[s.randN(len(s.caches))]
 		if c.startEvent == 0 && rows[slices.Index(s.caches, c)].ID == c.id {
 			c.phase = "draining"
@@ -117,20 +119,20 @@
 			for _, g := range s.gateways {
 				g.knownDraining[c.id] = true
 			}
-			gone := row(c)
-			gone.Phase = kept.Draining
-			left = append(left, gone)
+			draining := row(c)
+			draining.Phase = endpoints.Draining
+			departed = append(departed, draining)
 		}
 	}
-	s.writeStoredLists(rows, left)
+	s.writeStoredLists(rows, departed)
 	s.storedList = rows
 }
 
-// prefill stores in a cache what one has that has been up for long: the most popular objects.
+// prefill stores the most popular objects in a cache, as a cache that has long been up holds them.
 func (c *cache) prefill() {
-	s, most := c.scenario, edgeCapacity
+	s, capacity := c.scenario, edgeCapacity
 	if c.flavor == flavorParent {
-		most = parentCapacity
+		capacity = parentCapacity
 	}
 	for i := range 60 {
 		for part := range 5 {
@@ -138,17 +140,17 @@
 			if part == 4 {
 				request = &attemptRequest{object: fmt.Sprintf("p%d", i)}
 			}
-			if len(c.stored) >= most {
+			if len(c.stored) >= capacity {
 				return
 			}
-			got := s.originCopy(request)
-			got.createdAt = got.createdAt.Add(-time.Duration(s.randN(8000)) * time.Millisecond)
-			c.store(request.key(), got, 1, most)
+			copied := s.originCopy(request)
+			copied.createdAt = copied.createdAt.Add(-time.Duration(s.randN(8000)) * time.Millisecond)
+			c.store(request.key(), copied, 1, capacity)
 		}
 	}
 }
 
-// cacheSlot is the place of an edge or a parent in the scenario's lists.
+// cacheSlot returns the element of the scenario's lists for the i-th cache, edges first and then parents.
 func (s *Scenario) cacheSlot(i int) **cache {
 	if i < len(s.caches) {
 		return &s.caches[i]
@@ -156,7 +158,7 @@
 	return &s.parents[i-len(s.caches)]
 }
 
-// replaceIdentity makes a cache another one at the same address.
+// replaceIdentity gives a cache a new ID and a new cell, as if another cache had taken its address.
 func (s *Scenario) replaceIdentity(c *cache) {
 	delete(s.byID, c.id)
 	s.lastCacheID++
@@ -165,8 +167,8 @@
 	s.byID[c.id] = c
 }
 
-// writeStoredLists writes the list to each gateway's disk as a gateway does.
-func (s *Scenario) writeStoredLists(rows, left []kept.Endpoint) {
+// writeStoredLists writes the list to the disk of each gateway in the files that a gateway writes.
+func (s *Scenario) writeStoredLists(rows, departed []endpoints.Endpoint) {
 	cold := s.Plan.ColdStart
 	if cold.StartFrom != startFromList {
 		return
@@ -177,20 +179,20 @@
 		last = 500
 	}
 	for _, g := range s.gateways {
-		list := kept.New()
-		list.Apply(kept.Update{At: at, DiscoveryAddr: s.discoveryServers[0].addr(), LastEvent: last, Complete: true, Endpoints: rows})
-		list.Apply(kept.Update{At: at, Endpoints: left, LastEvent: last})
+		list := endpoints.New()
+		list.Apply(endpoints.Update{At: at, DiscoveryAddr: s.discoveryServers[0].addr(), LastEvent: last, Complete: true, Endpoints: rows})
+		list.Apply(endpoints.Update{At: at, Endpoints: departed, LastEvent: last})
 		list.CacheHours, list.Departures = 2000, 4
 		snap, err := list.Snapshot()
 		if err != nil {
-			panic(err) // of our own plain types
+			panic(err) // cannot happen: the list holds plain types only
 		}
-		rec, _, err := wal.Open(g.directory, snapshot.LogName)
+		log, _, err := wal.Open(g.directory, snapshot.LogName)
 		if err != nil {
 			panic(err)
 		}
-		text, _ := kept.Update{At: at, StillCurrent: true}.Encode()
-		if err := errors.Join(rec.WriteSnapshot(snap), rec.Append(text), rec.Close()); err != nil {
+		text, _ := endpoints.Update{At: at, StillCurrent: true}.Encode()
+		if err := errors.Join(log.WriteSnapshot(snap), log.Append(text), log.Close()); err != nil {
 			panic(err)
 		}
 		if cold.Torn {
@@ -204,7 +206,8 @@
 	}
 }
 
-// initialList is the list of caches that a gateway receives at its start, in place of the events so far.
+// initialList returns the list of caches that the configuration gives to a gateway at its start, in place of the events
+// so far. It is nil if the gateway starts from its disk or waits for discovery.
 func (s *Scenario) initialList() any {
 	cold := s.Plan.ColdStart
 	members := []endpoint{}
@@ -224,7 +227,7 @@
 	return map[string]any{"no": 0, "items": []any{map[string]any{"no": 0, "roster": &endpointUpdate{Revision: 1, Complete: true, Endpoints: members}}}}
 }
 
-// setUpStoredList configures a gateway's process to keep its list on its disk.
+// setUpStoredList configures a gateway process to store its list on its disk.
 func (g *gatewayActor) setUpStoredList(p *simenv.Process) {
 	if g.scenario.Plan.ColdStart.StartFrom != startFromList && g.scenario.Plan.ColdStart.StartFrom != startFromWait {
 		return
@@ -235,8 +238,9 @@
 	p.Directories = map[string]*simenv.Directory{listDir: g.directory}
 }
 
-// restoreMachine brings a gateway's machine back; its power may have gone with the process. The drains that the previous
-// process received syncedAfter before its end, or earlier, are on disk and bind the next one.
+// restoreMachine prepares the disk of a gateway's machine for the next process. With probability 1/2 the machine lost
+// power with the previous process, so that writes that were not synced are lost. The drains that the previous process
+// received at least syncedAfter before its end are on disk, and the next process must respect them.
 func (g *gatewayActor) restoreMachine(was *gatewayProcess) {
 	s := g.scenario
 	if was == nil || g.directory == nil || s.Plan.ColdStart.StartFrom != startFromList {
@@ -246,8 +250,8 @@
 		g.directory.Crash(s.sim.Rand)
 	}
 	for _, e := range s.events {
-		told := was.notifiedAt(e.Number)
-		if e.Endpoints == nil || told == 0 || told+syncedAfter > was.endedAt {
+		notified := was.notifiedAt(e.Number)
+		if e.Endpoints == nil || notified == 0 || notified+syncedAfter > was.endedAt {
 			continue
 		}
 		for _, m := range e.Endpoints.Endpoints {
@@ -256,7 +260,7 @@
 	}
 }
 
-// stopDiscovery makes both discovery servers unreachable from the start.
+// stopDiscovery makes both discovery servers unreachable for the time that the plan says, from now on.
 func (s *Scenario) stopDiscovery() {
 	span := time.Duration(s.Plan.ColdStart.AwayMS) * time.Millisecond
 	if span == 0 {
@@ -267,5 +271,6 @@
 	}
 }
 
-// isEarly reports whether a lookup was first sent in the time that EarlyLookups counts.
+// isEarly reports whether the lookup was first sent within earlyPeriod of the end
+// of the warmup, so that EarlyLookups counts it.
 func (l *lookup) isEarly() bool { return l.firstSentAt < warmup+earlyPeriod }
--- a/internal/lab/scenario/comparecoldstarts.go
+++ b/internal/lab/scenario/comparecoldstarts.go
@@ -2,25 +2,26 @@
 
 import "sync"
 
-// ColdStartCell is one kind of morning: the age of the list and the share of it that is wrong.
+// ColdStartCell is one combination of the age of the stored list and the share of its entries
+// that are wrong, with the results of its runs.
 type ColdStartCell struct {
 	AgeSeconds int     `json:"age_s"`
 	WrongShare float64 `json:"wrong"`
-	// By what gateways start from, in the order of Ways: the share satisfied of the first 30 s' lookups, and how often a cold
-	// cache or parent was sent more than it bears.
+	// Satisfied and Overloads are indexed as StartSources. Satisfied is the share of the lookups of the first 30 s that
+	// were satisfied. Overloads is the number of times that a cold edge or parent received more load than it can bear.
 	Satisfied  [4]float64 `json:"satisfied"`
 	Overloads  [4]int     `json:"pushed"`
-	BrokenRuns int        `json:"broken"` // days with the list that broke a rule
-	Runs       int        `json:"days"`   // of each way
+	BrokenRuns int        `json:"broken"` // runs from the stored list that broke a rule
+	Runs       int        `json:"days"`   // runs from each start source
 	sent       [4]int
 	satisfied  [4]int
 }
 
-// StartSources are the values of ColdStart.StartFrom that are compared: the kept list, nothing until discovery answers,
-// the kept list trusted wholly, and the list as it really is.
+// StartSources lists the values of ColdStart.StartFrom that are compared: the stored list, no list until discovery
+// answers, the stored list taken as current, and the true list.
 var StartSources = [4]string{startFromList, startFromWait, startFromFresh, startFromTrue}
 
-// ColdStartCells are the cold starts that are compared.
+// ColdStartCells returns the cells that are compared: each combination of four ages and four shares of wrong entries.
 func ColdStartCells() (cells []*ColdStartCell) {
 	for _, age := range []int{2, 60, 3600, 30 * 86400} {
 		for _, wrong := range []float64{0, 0.1, 0.5, 1} {
@@ -30,56 +31,58 @@
 	return cells
 }
 
-// CompareColdStarts runs each cell's scenarios from each of StartSources with the same seeds, jobs at a time: the same
-// caches are wrong in the same manner, and clients ask the same. There are no other faults, and discovery stays away.
-func CompareColdStarts(cells []*ColdStartCell, first, last uint64, jobs int, played func()) error {
+// CompareColdStarts runs the scenarios of each cell from each of StartSources and adds the results to the cell. It runs
+// as many scenarios at once as jobs says, and calls finished after each. The start sources of a cell run with the same
+// seeds, first to last, so that the same entries are wrong in the same manner and clients send the same lookups. There
+// are no other faults, and discovery stays unreachable.
+func CompareColdStarts(cells []*ColdStartCell, first, last uint64, jobs int, finished func()) error {
 	var mu sync.Mutex
-	var fault error
+	var lastErr error
 	type job struct {
-		cell *ColdStartCell
-		seed uint64
-		way  int
+		cell   *ColdStartCell
+		seed   uint64
+		source int
 	}
-	todo := make(chan job)
+	queue := make(chan job)
 	var workers sync.WaitGroup
 	for range max(1, jobs) {
 		workers.Go(func() {
-			for j := range todo {
+			for j := range queue {
 				p := DrawPlan(j.seed, "calm")
 				p.Seconds = int(earlyPeriod.Seconds())
-				p.ColdStart = &ColdStart{StartFrom: StartSources[j.way], AgeSeconds: j.cell.AgeSeconds, WrongShare: j.cell.WrongShare}
+				p.ColdStart = &ColdStart{StartFrom: StartSources[j.source], AgeSeconds: j.cell.AgeSeconds, WrongShare: j.cell.WrongShare}
 				r, err := Run(p, Hooks{})
 				mu.Lock()
 				if err != nil {
-					fault = err
+					lastErr = err
 				}
-				if j.way == 0 {
+				if j.source == 0 {
 					j.cell.Runs++
 					if len(r.Violations) > 0 {
 						j.cell.BrokenRuns++
 					}
 				}
-				j.cell.sent[j.way] += r.EarlyLookups.Sent
-				j.cell.satisfied[j.way] += r.EarlyLookups.Satisfied
-				j.cell.Overloads[j.way] += r.EarlyLookups.Overloads
+				j.cell.sent[j.source] += r.EarlyLookups.Sent
+				j.cell.satisfied[j.source] += r.EarlyLookups.Satisfied
+				j.cell.Overloads[j.source] += r.EarlyLookups.Overloads
 				mu.Unlock()
-				played()
+				finished()
 			}
 		})
 	}
 	for _, c := range cells {
 		for seed := first; seed <= last; seed++ {
-			for way := range StartSources {
-				todo <- job{c, seed, way}
+			for source := range StartSources {
+				queue <- job{c, seed, source}
 			}
 		}
 	}
-	close(todo)
+	close(queue)
 	workers.Wait()
 	for _, c := range cells {
-		for way := range StartSources {
-			c.Satisfied[way] = float64(c.satisfied[way]) / float64(max(1, c.sent[way]))
+		for source := range StartSources {
+			c.Satisfied[source] = float64(c.satisfied[source]) / float64(max(1, c.sent[source]))
 		}
 	}
-	return fault
+	return lastErr
 }
--- a/internal/lab/scenario/decisions.go
+++ b/internal/lab/scenario/decisions.go
@@ -6,20 +6,21 @@
 	"foldslip/internal/policy"
 )
 
-// recordDecisions adds every decision of the module to the digest, ahead of any other interceptor.
+// recordDecisions returns an interceptor that adds every decision of the module to the digest before
+// the interceptor next sees it. next may be nil.
 func (s *Scenario) recordDecisions(process string, next dispatch.Interceptor) dispatch.Interceptor {
-	return func(h policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
-		digested := func(h policy.Executor) dispatch.Router {
-			return start(&decisionDigester{Executor: h, sim: s.sim, process: process})
+	return func(executor policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
+		digested := func(executor policy.Executor) dispatch.Router {
+			return start(&decisionDigester{Executor: executor, sim: s.sim, process: process})
 		}
 		if next == nil {
-			return digested(h)
+			return digested(executor)
 		}
-		return next(h, digested)
+		return next(executor, digested)
 	}
 }
 
-// decisionDigester adds the module's decisions to the digest.
+// decisionDigester is an executor that adds the module's decisions to the digest and passes them on.
 type decisionDigester struct {
 	policy.Executor
 	sim     *simenv.Simulation
--- a/internal/lab/scenario/differential.go
+++ b/internal/lab/scenario/differential.go
@@ -11,23 +11,24 @@
 	"foldslip/internal/policy"
 )
 
-// A differential run makes the same lookups, with the same outcomes of their requests at the same instants, once through
-// a gateway and once through its external processor with a stand-in caller. Messages take no time, so that the routing
-// module receives every call in the same microsecond in both, and its decisions can be compared one by one.
+// A differential run sends the same lookups twice: once through a gateway and once through its external processor with
+// a simulated caller. The attempts have the same outcomes at the same instants in both. Messages take no time, so that
+// the routing module receives every call in the same microsecond in both, and its decisions can be compared one by one.
 
-// differentialScript determines the lookups and their outcomes, in place of clients and caches.
+// differentialScript determines the lookups of one half of a differential run and the outcomes of their attempts, in
+// place of clients and caches. It records the decisions of the module.
 type differentialScript struct {
 	seed         uint64
 	atExtproc    bool
 	decisions    []string // in the order in which they were made
 	decidedAt    []time.Duration
-	divergesAt   time.Duration // from here on the contract allows the two to differ; -1: never
+	divergesAt   time.Duration // from then on the contract allows the two halves to differ; -1: never
 	divergence   string
 	lookups      int
 	attemptCount int
 }
 
-// schedule has the script's lookups sent at their times.
+// schedule schedules the script's lookups.
 func (script *differentialScript) schedule(s *Scenario) {
 	r := rand.New(rand.NewPCG(script.seed, 0x7477696e))
 	at := warmup
@@ -56,7 +57,8 @@
 	}
 }
 
-// answerAttempt answers a request as drawn from the lookup and the cache.
+// answerAttempt answers a request. The outcome is drawn from the script's seed, the ID of the lookup and the ID of the
+// cache, so that it is the same in both halves of the run.
 func (script *differentialScript) answerAttempt(c *cache, request *attemptRequest) {
 	script.attemptCount++
 	r := rand.New(rand.NewPCG(script.seed^hashString(request.id), hashString(c.id)))
@@ -81,32 +83,32 @@
 		after += time.Duration(r.IntN(300_000)) * time.Microsecond
 		waited = float64(after.Microseconds()) / 1000
 	}
-	got := c.scenario.originCopy(request)
-	got.createdAt = got.createdAt.Add(-time.Duration(r.IntN(4000)) * time.Millisecond)
+	copied := c.scenario.originCopy(request)
+	copied.createdAt = copied.createdAt.Add(-time.Duration(r.IntN(4000)) * time.Millisecond)
 	c.scenario.after(after, func() {
 		if request.ended || !c.up || request.conn.deliver == nil && request.conn.requests[request.id] != request {
 			return
 		}
-		fields := fmt.Sprintf("note=%s,waited=%.3f,ver=%s,born=%d", note, waited, got.version, got.createdAt.UnixMilli())
-		body := got.body(request.key())
-		c.scenario.checker.cacheAnswered(request, got, false)
+		fields := fmt.Sprintf("note=%s,waited=%.3f,ver=%s,born=%d", note, waited, copied.version, copied.createdAt.UnixMilli())
+		body := copied.body(request.key())
+		c.scenario.checker.cacheAnswered(request, copied, false)
 		request.ended = true
 		request.conn.send(request, fmt.Sprintf("%s HIT %s %d\r\n%s\r\n", request.id, fields, len(body), body))
 	})
 }
 
-// interceptor records every decision of the module.
+// interceptor returns an interceptor that records every decision of the module.
 func (script *differentialScript) interceptor(s *Scenario) dispatch.Interceptor {
-	note := func(format string, a ...any) {
+	record := func(format string, a ...any) {
 		script.decisions = append(script.decisions, fmt.Sprintf("%d us ", s.sim.Now().Microseconds())+fmt.Sprintf(format, a...))
 		script.decidedAt = append(script.decidedAt, s.sim.Now())
 	}
-	return func(h policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
-		return start(&decisionRecorder{Executor: h, script: script, scenario: s, record: note})
+	return func(executor policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
+		return start(&decisionRecorder{Executor: executor, script: script, scenario: s, record: record})
 	}
 }
 
-// decisionRecorder wraps the module's executor and records its decisions.
+// decisionRecorder wraps the module's executor and records the module's decisions.
 type decisionRecorder struct {
 	policy.Executor
 	script   *differentialScript
@@ -114,47 +116,49 @@
 	record   func(format string, a ...any)
 }
 
-func (n *decisionRecorder) Fetch(lk *policy.Lookup, request policy.FetchRequest) {
-	n.record("send %s to %s from %s rank %d how %d for %d oldest %d", lk.ID, request.Cache.Name, request.Source.Name, request.Rank, request.Mode,
-		request.Timeout, request.MaxAge)
-	n.Executor.Fetch(lk, request)
+func (d *decisionRecorder) Fetch(lk *policy.Lookup, request policy.FetchRequest) {
+	d.record("fetch %s from %s, source %s, rank %d, mode %d, timeout %d us, max age %d us", lk.ID, request.Cache.Name, request.Source.Name,
+		request.Rank, request.Mode, request.Timeout, request.MaxAge)
+	d.Executor.Fetch(lk, request)
 }
 
-func (n *decisionRecorder) Reject(lk *policy.Lookup, in policy.Micros) {
-	n.record("nack %s, again in %d", lk.ID, in)
-	n.Executor.Reject(lk, in)
+func (d *decisionRecorder) Reject(lk *policy.Lookup, retryIn policy.Micros) {
+	d.record("reject %s, retry in %d us", lk.ID, retryIn)
+	d.Executor.Reject(lk, retryIn)
 }
 
-func (n *decisionRecorder) Fail(lk *policy.Lookup) {
-	n.record("fail %s", lk.ID)
-	n.Executor.Fail(lk)
+func (d *decisionRecorder) Fail(lk *policy.Lookup) {
+	d.record("fail %s", lk.ID)
+	d.Executor.Fail(lk)
 }
 
-// CancelAttempt records that the runs may differ from now on: a gateway cancels at the cache, but a caller cannot be called
-// back, as the contract says.
-func (n *decisionRecorder) CancelAttempt(lk *policy.Lookup, send int) {
-	n.script.mayDiverge(n.scenario.sim.Now(), "cancelled")
-	n.Executor.CancelAttempt(lk, send)
+// CancelAttempt records that the halves may differ from now on. A gateway cancels the attempt at the cache, but the
+// contract of the external processor does not let it recall an attempt that a caller makes.
+func (d *decisionRecorder) CancelAttempt(lk *policy.Lookup, attempt int) {
+	d.script.mayDiverge(d.scenario.sim.Now(), "cancelled")
+	d.Executor.CancelAttempt(lk, attempt)
 }
 
-func (script *differentialScript) mayDiverge(at time.Duration, why string) {
+// mayDiverge records the first time from which the halves may differ, and the reason.
+func (script *differentialScript) mayDiverge(at time.Duration, reason string) {
 	if script.divergesAt < 0 {
-		script.divergesAt, script.divergence = at, why
+		script.divergesAt, script.divergence = at, reason
 	}
 }
 
-// DifferentialResult is the comparison of a differential run.
+// DifferentialResult is the result of a differential run.
 type DifferentialResult struct {
 	Seed       uint64 `json:"seed"`
 	Lookups    int    `json:"lookups"`
 	Attempts   int    `json:"sends"`
-	Compared   int    `json:"compared"`            // decisions
-	Divergence string `json:"term,omitempty"`      // the case of the contract after which they may differ
-	Different  string `json:"different,omitempty"` // the first decision that differs before that
-	Broken     string `json:"broken,omitempty"`
+	Compared   int    `json:"compared"`            // number of decisions compared
+	Divergence string `json:"term,omitempty"`      // the case of the contract from which on the halves may differ
+	Different  string `json:"different,omitempty"` // the first decision that differs before that case
+	Broken     string `json:"broken,omitempty"`    // the first rule that was broken in a half
 }
 
-// RunDifferential runs a seed through a gateway and through its external processor, and compares each decision of the module.
+// RunDifferential runs the script of a seed through a gateway and through its external processor, and compares the
+// decisions of the module one by one, up to the first that may differ.
 func RunDifferential(seed uint64) (DifferentialResult, error) {
 	r := rand.New(rand.NewPCG(seed, 0x7477696e73))
 	p := Plan{Form: PlanForm, Seed: seed, Profile: "calm", Seconds: 20, Gateways: 1, Caches: 4 + r.IntN(5), Parents: 2, Rate: 1, MemoryMB: 64, Descriptors: 384}
@@ -163,28 +167,29 @@
 		p.Faults = append(p.Faults, Fault{AtMS: 500 + r.IntN(18000), Kind: kind, Target: r.IntN(100), DurationMS: 500 + r.IntN(3000), Variant: r.IntN(100)})
 	}
 	slices.SortStableFunc(p.Faults, func(a, b Fault) int { return a.AtMS - b.AtMS })
-	var both [2]*differentialScript
-	pair := DifferentialResult{Seed: seed}
-	for i := range both {
+	var halves [2]*differentialScript
+	result := DifferentialResult{Seed: seed}
+	for i := range halves {
 		script := &differentialScript{seed: seed, atExtproc: i == 1, divergesAt: -1}
-		both[i] = script
-		day, err := Run(p, Hooks{script: script})
+		halves[i] = script
+		half, err := Run(p, Hooks{script: script})
 		if err != nil {
-			return pair, err
+			return result, err
 		}
-		if len(day.Violations) > 0 {
-			pair.Broken = day.Violations[0].String()
+		if len(half.Violations) > 0 {
+			result.Broken = half.Violations[0].String()
 		}
-		if n := day.Reasons["cache_closed silent"]; n > 0 { // a gateway detects a silent connection by several attempts, a caller sees one
-			pair.Divergence = "silent"
+		// A gateway detects a silent connection by several attempts on it. A caller sees only one attempt.
+		if n := half.Reasons["cache_closed silent"]; n > 0 {
+			result.Divergence = "silent"
 		}
 	}
-	a, b := both[0], both[1]
-	pair.Lookups, pair.Attempts = a.lookups, a.attemptCount
+	a, b := halves[0], halves[1]
+	result.Lookups, result.Attempts = a.lookups, a.attemptCount
 	until := 1000 * time.Hour
-	for _, script := range both {
+	for _, script := range halves {
 		if script.divergesAt >= 0 {
-			until, pair.Divergence = min(until, script.divergesAt), script.divergence
+			until, result.Divergence = min(until, script.divergesAt), script.divergence
 		}
 	}
 	for i := range max(len(a.decisions), len(b.decisions)) {
@@ -199,16 +204,17 @@
 			y = b.decisions[i]
 		}
 		if !sameDecision(x, y) {
-			pair.Different = fmt.Sprintf("%s at the gateway, %s at the door", x, y)
+			result.Different = fmt.Sprintf("%s at the gateway, %s at the external processor", x, y)
 			break
 		}
-		pair.Compared++
+		result.Compared++
 	}
-	return pair, nil
+	return result, nil
 }
 
-// sameDecision reports whether two decisions are the same at instants at most 1 us apart: a gateway and its external
-// processor round the instant of the same event differently, so that one's sweep may be a microsecond before the other's.
+// sameDecision reports whether two recorded decisions are the same and at most 1 us apart. A gateway and
+// its external processor round the time of the same event differently, so that the periodic sweep of one
+// may run a microsecond before that of the other.
 func sameDecision(x, y string) bool {
 	var a, b int64
 	var restA, restB string
--- a/internal/lab/scenario/differential_test.go
+++ b/internal/lab/scenario/differential_test.go
@@ -5,28 +5,30 @@
 	"testing"
 )
 
-// TestDifferentialRunsDecideAlike checks that a gateway and its external processor make the same decisions.
+// TestDifferentialRunsDecideAlike guards against a routing module that decides differently behind a gateway and behind
+// its external processor for the same lookups and outcomes.
 func TestDifferentialRunsDecideAlike(t *testing.T) {
 	for seed := uint64(1); seed <= 30; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			p, err := RunDifferential(seed)
-			if err != nil || p.Broken != "" {
-				t.Fatal(err, p.Broken)
+			result, err := RunDifferential(seed)
+			if err != nil || result.Broken != "" {
+				t.Fatal(err, result.Broken)
 			}
-			if p.Different != "" && p.Divergence == "" || p.Compared == 0 {
-				t.Errorf("%+v", p)
+			if result.Different != "" && result.Divergence == "" || result.Compared == 0 {
+				t.Errorf("expected the same decisions and at least one compared, got %+v", result)
 			}
 		})
 	}
 }
 
-// TestSameDecision checks that decisions a microsecond apart are the same; others, or other decisions, are not.
+// TestSameDecision checks that equal decisions at most a microsecond apart are the same, and that
+// decisions further apart or with other texts are not.
 func TestSameDecision(t *testing.T) {
-	for x, want := range map[[2]string]bool{{"5 us nack a", "4 us nack a"}: true, {"5 us nack a", "3 us nack a"}: false,
-		{"5 us nack a", "5 us nack b"}: false, {"nothing", "5 us nack a"}: false, {"nothing", "nothing"}: true} {
+	for x, want := range map[[2]string]bool{{"5 us reject a", "4 us reject a"}: true, {"5 us reject a", "3 us reject a"}: false,
+		{"5 us reject a", "5 us reject b"}: false, {"nothing", "5 us reject a"}: false, {"nothing", "nothing"}: true} {
 		if sameDecision(x[0], x[1]) != want {
-			t.Errorf("%q, %q: %v", x[0], x[1], !want)
+			t.Errorf("sameDecision(%q, %q) = %v", x[0], x[1], !want)
 		}
 	}
 }
--- a/internal/lab/scenario/draw.go
+++ b/internal/lab/scenario/draw.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Profiles of scenarios, as commands and plans spell them.
+// Names of profiles in commands and plans.
 const (
 	profileMixed     = "mixed"
 	profileCalm      = "calm"
@@ -20,22 +20,23 @@
 	profileColdStart = "morning"
 )
 
-// Profiles are the profiles that plans are drawn for, and what each is.
+// Profiles holds the help text of each profile that plans are drawn for, by name.
 var Profiles = map[string]string{
-	profileMixed:     "faults of every kind, two to nine a day, overlapping",
+	profileMixed:     "two to nine overlapping faults of every kind in a day",
 	profileCalm:      "no faults",
-	profileGateways:  "gateways die, restart and read anew",
+	profileGateways:  "gateways are killed, restarted and reloaded",
 	profileCaches:    "caches, parents and the origin fail",
-	profileWires:     "resets, spoilt answers, splits and the bulletin",
+	profileWires:     "connection resets, corrupted answers, network splits and discovery faults",
 	profileClients:   "bursts, floods and clients that misbehave",
-	profileExtproc:   "other proxies ask at the door and make the sends themselves; callers that break the contract, and faults besides",
-	profileBoth:      "as door, with half of the clients at the gateway itself",
-	profileRoutes:    "operators change the routes of gateways at any time, and confirm, undo or forget it; faults besides",
-	profileColdStart: "gateways start from a list on disk, young or old, while the bulletin is away; few faults besides",
+	profileExtproc:   "other proxies ask the external processor and send the attempts themselves; callers break the contract, besides other faults",
+	profileBoth:      "as door, with half of the clients sending to the gateway directly",
+	profileRoutes:    "operators change the routes of gateways at any time and confirm, roll back or forget the change, besides other faults",
+	profileColdStart: "gateways start from a list on disk of any age while discovery is unreachable, besides a few other faults",
 }
 
-// drawnPrefixes are the beginnings of the names of faults that a profile draws, besides those of ProfileDraws. What happens on a gateway's
-// own connections to caches does not happen with the external processor.
+// drawnPrefixes holds, by profile, the prefixes of the kinds of faults that the profile draws in addition to
+// those that ProfileDraws names. Profiles with the external processor draw no faults of a gateway's own
+// connections to caches, since callers send the attempts.
 var drawnPrefixes = map[string][]string{
 	profileExtproc:  extprocPrefixes,
 	profileBoth:     extprocPrefixes,
@@ -63,7 +64,7 @@
 	return slices.ContainsFunc(drawnPrefixes[profile], func(prefix string) bool { return strings.HasPrefix(kind, prefix) })
 }
 
-// kindDrawer draws kinds of faults by their weights.
+// kindDrawer draws kinds of faults with probabilities proportional to their weights.
 type kindDrawer struct {
 	rng       *rand.Rand
 	kinds     []FaultKind
@@ -93,12 +94,12 @@
 }
 
 const (
-	targetRange  = 1 << 16 // of faults; taken modulo the actors of a kind
+	targetRange  = 1 << 16 // exclusive bound of drawn values of Fault.Target and Fault.Variant
 	firstFaultMS = 3000
 	lastFaultMS  = 57000
 )
 
-// DrawPlan draws the plan of a seed for a profile.
+// DrawPlan returns the plan that a seed gives for a profile. One plan in eight is large.
 func DrawPlan(seed uint64, profile string) Plan {
 	rng := rand.New(rand.NewPCG(seed, 0x6461792d706c616e))
 	plan := Plan{Form: PlanForm, Seed: seed, Profile: profile, Seconds: 60, Gateways: 3, Caches: 8, Parents: 2, Rate: 6 + 6*rng.Float64(), MemoryMB: 64,
@@ -113,7 +114,8 @@
 	if len(kinds.kinds) == 0 {
 		return plan
 	}
-	focusMS := [2]int{4000 + rng.IntN(50000), 4000 + rng.IntN(50000)} // most faults begin about one of two times
+	// Two in three faults begin at one of these two times or within 3 s after it.
+	focusMS := [2]int{4000 + rng.IntN(50000), 4000 + rng.IntN(50000)}
 	faults := 2 + rng.IntN(8)
 	if profile == profileRoutes {
 		plan.Faults = drawRouteChanges(rng)
@@ -133,7 +135,7 @@
 	fault := Fault{Kind: kind.Name, Target: rng.IntN(targetRange), Variant: rng.IntN(targetRange), DurationMS: kind.minMS + rng.IntN(kind.maxMS-kind.minMS+1)}
 	switch rng.IntN(3) {
 	case 0:
-		fault.AtMS = focusMS[rng.IntN(2)] // at one instant with others
+		fault.AtMS = focusMS[rng.IntN(2)] // at the same instant as other faults
 	case 1:
 		fault.AtMS = focusMS[rng.IntN(2)] + rng.IntN(3000)
 	default:
--- a/internal/lab/scenario/faultkinds.go
+++ b/internal/lab/scenario/faultkinds.go
@@ -2,30 +2,30 @@
 
 import "slices"
 
-// kindRouteChange is the kind of a change of routes, as plans spell it.
+// kindRouteChange is the kind of the fault in which an operator changes routes, as plans spell it.
 const kindRouteChange = "route_change"
 
-// FaultKind is a kind of fault.
+// FaultKind describes a kind of fault: its name, its range of durations, its weight in draws and its effect.
 type FaultKind struct {
 	Name, Help   string
-	minMS, maxMS int // duration
-	weight       int
-	fromStart    bool // is there from the start of the scenario to its end
+	minMS, maxMS int  // bounds of the drawn duration, in milliseconds
+	weight       int  // share in draws, relative to other kinds
+	fromStart    bool // lasts from the start of the scenario to its end
 	begin        func(s *Scenario, f Fault)
 }
 
-// FaultKinds are the kinds of faults. A kind's begin does at once what it does and arranges for its own end; two faults of
-// a kind may overlap.
+// FaultKinds lists the kinds of faults. The begin function of a kind starts a fault at once and schedules its
+// end. Two faults of the same kind may overlap.
 var FaultKinds []FaultKind
 
 func init() {
-	// The order is that in which plans draw: another one changes the plan of every seed.
+	// DrawPlan draws kinds in this order. A change of the order changes the plan of every seed.
 	FaultKinds = slices.Concat(gatewayFaultKinds(), cacheFaultKinds(), connectionFaultKinds(), discoveryFaultKinds(), clientFaultKinds(),
 		callerFaultKinds(), otherFaultKinds())
 }
 
-// pick takes one of a list by a number that may be larger.
-func pick[T any](list []T, who int) T { return list[who%len(list)] }
+// pick returns the element of a list at index modulo the length of the list.
+func pick[T any](list []T, index int) T { return list[index%len(list)] }
 
 func findFaultKind(name string) *FaultKind {
 	for i := range FaultKinds {
@@ -36,16 +36,16 @@
 	return nil
 }
 
-// otherFaultKinds are operators' changes of routes, and small machines.
+// otherFaultKinds returns the faults in which operators change routes or machines have few resources.
 func otherFaultKinds() []FaultKind {
 	return []FaultKind{
-		{"route_change", "an operator changes the routes of a gateway, and confirms, undoes or forgets it", 50, 2000, 4, false, (*Scenario).routeChange},
-		{"little_memory", "gateways are told of 8 MB", 1, 1, 1, true, func(s *Scenario, _ Fault) {
+		{"route_change", "an operator changes the routes of a gateway and confirms, rolls back or forgets the change", 50, 2000, 4, false, (*Scenario).routeChange},
+		{"little_memory", "the configuration of gateways says that they have 8 MB of memory", 1, 1, 1, true, func(s *Scenario, _ Fault) {
 			for _, g := range s.gateways {
 				g.memoryMB = 8
 			}
 		}},
-		{"few_descriptors", "gateways have 48 descriptors", 1, 1, 1, true, func(s *Scenario, _ Fault) {
+		{"few_descriptors", "gateways have 48 file descriptors", 1, 1, 1, true, func(s *Scenario, _ Fault) {
 			for _, g := range s.gateways {
 				g.descriptors = 48
 			}
--- a/internal/lab/scenario/faultyenvironment.go
+++ b/internal/lab/scenario/faultyenvironment.go
@@ -9,13 +9,14 @@
 	"foldslip/internal/env"
 )
 
-// faultyEnvironment is a process's environment with some of it replaced.
+// faultyEnvironment wraps the environment of a process to inject faults. A nil field
+// leaves its part of the environment unchanged.
 type faultyEnvironment struct {
 	env.Environment
 	wrapConn          func(c env.Conn, dialled bool) env.Conn
 	wrapTimer         func(t env.Timer) env.Timer
 	wrapGroup         func(g env.Group) env.Group
-	wrapSignals       func(hear func(env.Signal)) func(env.Signal)
+	wrapSignals       func(handler func(env.Signal)) func(env.Signal)
 	changeDescriptors func(n uint64) uint64
 	changeFile        func(text []byte) []byte
 }
@@ -28,6 +29,7 @@
 	return c, err
 }
 
+// faultyListener wraps each connection that it accepts with the wrapConn function of its environment.
 type faultyListener struct {
 	net.Listener
 	environment *faultyEnvironment
@@ -65,11 +67,11 @@
 	return e.Environment.NewGroup()
 }
 
-func (e *faultyEnvironment) OnSignal(hear func(env.Signal)) func() {
+func (e *faultyEnvironment) OnSignal(handler func(env.Signal)) func() {
 	if e.wrapSignals != nil {
-		hear = e.wrapSignals(hear)
+		handler = e.wrapSignals(handler)
 	}
-	return e.Environment.OnSignal(hear)
+	return e.Environment.OnSignal(handler)
 }
 
 func (e *faultyEnvironment) ReadFile(path string) ([]byte, error) {
@@ -87,12 +89,13 @@
 	return e.Environment.DescriptorLimit()
 }
 
-// faultyConn is a connection whose bytes or end are tampered with.
+// faultyConn wraps a connection to inject faults into its reads, its writes and
+// its close. A nil field leaves them unchanged.
 type faultyConn struct {
 	env.Conn
 	write     func(c env.Conn, b []byte) (int, error)
-	read      func(b []byte) []byte // of the same length
-	beforeEnd func()                // called before the peer's close is reported
+	read      func(b []byte) []byte // replaces the bytes read; must return as many
+	beforeEnd func()                // called before the end of the connection is reported
 	close     func(c env.Conn) error
 }
 
@@ -121,8 +124,10 @@
 	return c.Conn.Close()
 }
 
+// stuckTimer is a timer that Stop does not stop.
 type stuckTimer struct{ env.Timer }
 
+// leakyGroup leaks a goroutine at one in 50 lookups.
 type leakyGroup struct {
 	env.Group
 	scenario    *Scenario
--- a/internal/lab/scenario/forms_test.go
+++ b/internal/lab/scenario/forms_test.go
@@ -7,7 +7,8 @@
 	"foldslip/internal/lab/frozen"
 )
 
-// TestPlansKeepTheirForm reads plans, one with every field set and one with those alone that every plan has, and writes the same bytes.
+// TestPlansKeepTheirForm guards against a change of the format of plan files. It reads one plan with every field set
+// and one with only the required fields, and expects the same bytes when it writes them.
 func TestPlansKeepTheirForm(t *testing.T) {
 	for _, name := range []string{"plan.json", "plan-small.json"} {
 		plan, err := ReadPlan(frozen.Read(t, name))
@@ -18,7 +19,7 @@
 	}
 }
 
-// TestReportsKeepTheirForm does so with what the commands print, all fields set.
+// TestReportsKeepTheirForm guards against a change of the JSON that the commands print, with all fields set.
 func TestReportsKeepTheirForm(t *testing.T) {
 	frozen.IndentedJSON(t, "result.json", &Result{})
 	frozen.IndentedJSON(t, "pair.json", &DifferentialResult{})
@@ -26,7 +27,8 @@
 	frozen.IndentedJSON(t, "cells.json", &[]ColdStartCell{})
 }
 
-// TestDiscoveryAndSettingsKeepTheirForm does so with what stands in for the platform: discovery events and the settings' text.
+// TestDiscoveryAndSettingsKeepTheirForm guards against a change of the simulated platform's formats:
+// discovery events and the text of the settings.
 func TestDiscoveryAndSettingsKeepTheirForm(t *testing.T) {
 	frozen.IndentedJSON(t, "events.json", &[]discoveryEvent{})
 	s := &Scenario{Plan: Plan{Gateways: 3}, zoneCount: 2}
--- a/internal/lab/scenario/found_test.go
+++ b/internal/lab/scenario/found_test.go
@@ -6,30 +6,32 @@
 	"testing"
 )
 
-// TestFoundPlansKeepTheRules guards against the failures that the plans in testdata/regressions showed, each the smallest that broke a rule before its
-// fault was mended. A file is named for the fault and the seed that found it (docs/incidents).
+// TestFoundPlansKeepTheRules guards against the return of faults that scenarios found. Each plan in
+// testdata/regressions is the smallest that broke a rule before its fault was fixed. A file is named after the fault
+// and the seed that found it (docs/incidents).
 func TestFoundPlansKeepTheRules(t *testing.T) {
 	paths, err := filepath.Glob("testdata/regressions/*.json")
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("%v, %v", paths, err)
+		t.Fatalf("no plans in testdata/regressions: %v, error %v", paths, err)
 	}
 	for _, path := range paths {
 		t.Run(filepath.Base(path), func(t *testing.T) { checkPlan(t, path) })
 	}
 }
 
-// TestColdParentKeepsItsLineAcrossACut guards against a cold parent that is sent more than it bears by attempts that were under way, at caches
-// that a cut hid, before its start was known.
+// TestColdParentKeepsItsLineAcrossACut guards against an overload of a cold parent. The load comes from attempts that
+// were in flight, at caches behind a network split, before the gateways learned of the start of the parent.
 func TestColdParentKeepsItsLineAcrossACut(t *testing.T) {
 	checkPlan(t, "testdata/open/cold-parent-3796.json")
 }
 
-// TestColdEdgeKeepsItsLineFromAStoredList guards against a cold edge that gateways which start from a stored list send more than it bears.
+// TestColdEdgeKeepsItsLineFromAStoredList guards against an overload of a cold
+// edge by gateways that start from a stored list.
 func TestColdEdgeKeepsItsLineFromAStoredList(t *testing.T) {
 	checkPlan(t, "testdata/open/cold-edge-2408.json")
 }
 
-// checkPlan plays a plan and expects that it breaks no rule.
+// checkPlan runs a plan and reports each rule that it breaks as an error.
 func checkPlan(t *testing.T, path string) {
 	t.Helper()
 	text, err := os.ReadFile(path)
--- a/internal/lab/scenario/gateway.go
+++ b/internal/lab/scenario/gateway.go
@@ -13,10 +13,10 @@
 
 const (
 	gatewayConfigPath = "/config.json"
-	restartDelay      = 50 * time.Millisecond // from a process's end to the start of the next
+	restartDelay      = 50 * time.Millisecond // from the time of the platform's kill to the start of the next process
 )
 
-// gatewayActor is a machine on which a gateway runs, one process after another.
+// gatewayActor is a machine on which gateway processes run, one after another.
 type gatewayActor struct {
 	scenario       *Scenario
 	index, zone    int
@@ -29,8 +29,8 @@
 	current        *gatewayProcess
 	starts         int
 	directory      *simenv.Directory
-	routeSides     map[uint64]routeSide // configurations by version, where operators change routes
-	knownDraining  map[string]bool      // caches that drain according to its list on disk
+	routeSides     map[uint64]routeSide // route configurations by version, if operators change routes
+	knownDraining  map[string]bool      // IDs of caches that drain according to its list on disk
 }
 
 // gatewayProcess is one process of a gateway, from its start to its end.
@@ -38,16 +38,16 @@
 	actor           *gatewayActor
 	process         *simenv.Process
 	instance        *gateway.Gateway
-	extproc         *extprocServer // where other proxies ask
+	extproc         *extprocServer // nil if the scenario has no callers
 	startedAt       time.Duration
 	ready           bool
-	terminatedAt    time.Duration // when it was signalled to stop; 0: not yet
+	terminatedAt    time.Duration // time of SIGTERM; 0: not yet
 	ended           bool
 	endedAt         time.Duration
-	notified        []time.Duration // by number of the event, 0: not yet
-	cutOffAt        time.Duration   // when it was last cut off from discovery
+	notified        []time.Duration // time of notification by event number; 0: not yet
+	cutOffAt        time.Duration   // last time at which it was cut off from discovery
 	conns           map[*cacheConn]bool
-	activeRoutes    []activeRoutes // routes in force by time
+	activeRoutes    []activeRoutes // in the order of time
 	routesCheckedAt time.Duration
 }
 
@@ -70,7 +70,7 @@
 
 func (g *gatewayActor) addr() string { return g.ip + ":10080" }
 
-// config is the text of the configuration file now.
+// config returns the text of the configuration file for the current state. It draws a seed for the gateway.
 func (g *gatewayActor) config() []byte {
 	s := g.scenario
 	config := map[string]any{
@@ -93,7 +93,7 @@
 	return mustMarshal(config)
 }
 
-// start starts a process, unless one is running.
+// start starts a process if none is running.
 func (g *gatewayActor) start() {
 	if g.current != nil && !g.current.ended {
 		return
@@ -132,15 +132,16 @@
 	}
 	var wrapEnvironment func(env.Environment) env.Environment
 	hooks.Interceptor, wrapEnvironment = p.interceptors()
-	s.sim.Start(g.host, p.process, func(under env.Environment) error {
+	s.sim.Start(g.host, p.process, func(inner env.Environment) error {
 		if wrapEnvironment != nil {
-			under = wrapEnvironment(under)
+			inner = wrapEnvironment(inner)
 		}
-		return gateway.Run(under, hooks)
+		return gateway.Run(inner, hooks)
 	})
 }
 
-// newProcess makes the state of a process that starts now: it knows all events so far, except in a cold start.
+// newProcess returns the state of a process that starts now. The process counts as notified
+// of all events so far, except in a cold start.
 func (g *gatewayActor) newProcess() *gatewayProcess {
 	s := g.scenario
 	p := &gatewayProcess{actor: g, startedAt: s.now(), conns: map[*cacheConn]bool{}}
@@ -155,7 +156,7 @@
 	return p
 }
 
-// started is called by the gateway once it serves.
+// started is called by the gateway when it begins to serve.
 func (p *gatewayProcess) started(instance *gateway.Gateway) {
 	p.instance = instance
 	p.ready = true
@@ -166,7 +167,7 @@
 	}
 }
 
-// newServices makes the gateway's external processor on the simulation's wire.
+// newServices creates the gateway's external processor on a simulated connection.
 func (p *gatewayProcess) newServices(dependencies gateway.Dependencies) ([]gateway.Service, error) {
 	var err error
 	p.extproc, err = newExtprocServer(dependencies, p.actor.ip+":"+extprocPort, p.actor.scenario)
@@ -176,7 +177,9 @@
 	return []gateway.Service{p.extproc}, nil
 }
 
-// interceptors are what stands between the gateway and its module and environment: hooks, the script or an injected fault.
+// interceptors returns what the scenario inserts between the gateway and its module, and between the
+// gateway and its environment: a hook, the script of a differential run or an injected fault. The second
+// result is nil if the environment stays as it is.
 func (p *gatewayProcess) interceptors() (dispatch.Interceptor, func(env.Environment) env.Environment) {
 	s := p.actor.scenario
 	var interceptor dispatch.Interceptor
@@ -193,7 +196,7 @@
 	return s.recordDecisions(p.name(), interceptor), wrapEnvironment
 }
 
-// callOnDecision is the interceptor that calls the scenario's onDecision hook after each decision to send an attempt.
+// callOnDecision is an interceptor that calls the scenario's onDecision hook after each decision to send an attempt.
 func (p *gatewayProcess) callOnDecision(executor policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
 	s := p.actor.scenario
 	return start(&executorInterceptor{Executor: executor, fetch: func(executor policy.Executor, lk *policy.Lookup, request policy.FetchRequest) {
@@ -202,7 +205,7 @@
 	}})
 }
 
-// kill kills the process; the lookups that it had received are lost, and no answer is owed.
+// kill kills the process. The lookups that it received and did not answer are lost, and no answer is owed to them.
 func (g *gatewayActor) kill() {
 	if p := g.current; p != nil && !p.ended {
 		p.ended = true
@@ -212,7 +215,8 @@
 	}
 }
 
-// terminate stops the gateway as the platform does, and starts it again if restarts is true.
+// terminate stops the gateway as the platform does: with SIGTERM, and by a kill when the time to answer its lookups is
+// over. If restarts is true, it starts the gateway again after that.
 func (g *gatewayActor) terminate(restarts bool) {
 	p := g.current
 	if p == nil || p.ended || p.terminatedAt > 0 {
@@ -223,7 +227,7 @@
 	p.process.Signal(env.Terminate)
 	s.after(longestDeadline()+terminateGrace, func() {
 		if !p.ended {
-			s.checker.violated(ruleStop, "%s still runs when the platform kills it, %s", p.name(), p.process.GoroutineNames())
+			s.checker.violated(ruleStop, "%s still runs when the platform kills it, with goroutines %s", p.name(), p.process.GoroutineNames())
 			p.ended = true
 			p.process.Kill()
 			s.checker.gatewayKilled(p)
@@ -234,7 +238,7 @@
 	})
 }
 
-// reload replaces the configuration file and has the gateway read it.
+// reload replaces the configuration file and sends SIGHUP to the gateway.
 func (g *gatewayActor) reload(text []byte) {
 	if p := g.current; p != nil && !p.ended && p.ready && p.terminatedAt == 0 {
 		p.process.Files[gatewayConfigPath] = text
@@ -244,7 +248,7 @@
 
 func (p *gatewayProcess) name() string { return p.process.Name }
 
-// notifiedAt is when the process was notified of an event; 0: not yet.
+// notifiedAt returns when the process was notified of an event, 0 if it was not yet.
 func (p *gatewayProcess) notifiedAt(number int) time.Duration {
 	if number < len(p.notified) {
 		return p.notified[number]
@@ -252,7 +256,8 @@
 	return 0
 }
 
-// reliesOnStoredList reports whether the process knows which caches drain from its kept list alone.
+// reliesOnStoredList reports whether the process knows only from its stored list which caches drain. A torn list may
+// lack that, so the result is false for one.
 func (p *gatewayProcess) reliesOnStoredList() bool {
 	cold := p.actor.scenario.Plan.ColdStart
 	if cold == nil || cold.Torn {
--- a/internal/lab/scenario/gatewayfaults.go
+++ b/internal/lab/scenario/gatewayfaults.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// gatewayFaultKinds are the faults of gateways.
+// gatewayFaultKinds returns the faults of gateways.
 func gatewayFaultKinds() []FaultKind {
 	return []FaultKind{
-		{"gateway_kill", "a gateway is killed and started again after the span", 500, 5000, 3, false, (*Scenario).gatewayKill},
-		{"gateway_half", "nearly half of the gateways are killed at one instant", 500, 4000, 2, false, (*Scenario).gatewayHalf},
+		{"gateway_kill", "a gateway is killed and starts again after the duration of the fault", 500, 5000, 3, false, (*Scenario).gatewayKill},
+		{"gateway_half", "about 48 % of the gateways are killed at the same instant", 500, 4000, 2, false, (*Scenario).gatewayHalf},
 		{"gateway_restart", "gateways are restarted one after another by SIGTERM", 1000, 1000, 2, false, (*Scenario).gatewayRestart},
-		{"reload_good", "SIGHUP with a file that names the other bulletin", 1000, 1000, 2, false, (*Scenario).reloadGood},
-		{"reload_half", "SIGHUP while the file is half written, and again with the whole of it after the span", 20, 800, 1, false, (*Scenario).reloadHalf},
-		{"reload_bad", "SIGHUP with a file that cannot be used", 1000, 1000, 1, false, (*Scenario).reloadBad},
-		{"clock_step", "clocks step by seconds: gateways started from then on have another time of day", 2000, 9000, 1, false, (*Scenario).clockStep},
+		{"reload_good", "SIGHUP with a configuration file that names the other discovery server", 1000, 1000, 2, false, (*Scenario).reloadGood},
+		{"reload_half", "SIGHUP with a truncated configuration file, and again with the complete file after the duration of the fault", 20, 800, 1, false, (*Scenario).reloadHalf},
+		{"reload_bad", "SIGHUP with an invalid configuration file", 1000, 1000, 1, false, (*Scenario).reloadBad},
+		{"clock_step", "clocks step by up to 5 s: gateways that start during the fault have another time of day", 2000, 9000, 1, false, (*Scenario).clockStep},
 	}
 }
 
@@ -45,7 +45,7 @@
 
 func (s *Scenario) reloadGood(f Fault) {
 	for _, g := range s.gateways {
-		was := s.discoveryServers[g.discoveryIndex]
+		previous := s.discoveryServers[g.discoveryIndex]
 		g.discoveryIndex = 1 - g.discoveryIndex
 		p := g.current
 		g.reload(g.config())
@@ -53,7 +53,7 @@
 			p.cutOffAt = s.sim.Now()
 		}
 		s.after(1500*time.Millisecond, func() {
-			for _, c := range append([]*watchConn(nil), was.conns...) {
+			for _, c := range append([]*watchConn(nil), previous.conns...) {
 				if c.process == p {
 					c.end.Close()
 				}
@@ -71,9 +71,9 @@
 
 func (s *Scenario) reloadBad(f Fault) {
 	g := pick(s.gateways, f.Target)
-	bad := []string{"", "{}", "null", `{"listen":"x","bulletin":"y","known":{},"seed":"zz"}`,
+	texts := []string{"", "{}", "null", `{"listen":"x","bulletin":"y","known":{},"seed":"zz"}`,
 		strings.Replace(string(g.config()), `"classes":[`, `"classes":[7,`, 1)}
-	g.reload([]byte(pick(bad, f.Variant)))
+	g.reload([]byte(pick(texts, f.Variant)))
 	s.after(50*time.Millisecond, func() {
 		if p := g.current; p != nil && !p.ended {
 			p.process.Files["/config.json"] = g.config()
--- a/internal/lab/scenario/gatewaylog.go
+++ b/internal/lab/scenario/gatewaylog.go
@@ -7,7 +7,8 @@
 	"foldslip/internal/lab/simenv"
 )
 
-// handleLogLine counts a line of a gateway's log by its event and reason, and records it if it tells much.
+// handleLogLine counts a line of a gateway's log by its event and reason. It records warnings, policy notes and reloads
+// as recent events, and reports a policy fault as a violation.
 func (s *Scenario) handleLogLine(p *simenv.Process, level slog.Level, line string) {
 	event, attributes, _ := strings.Cut(strings.TrimPrefix(line, "event="), " ")
 	key := event
@@ -30,7 +31,7 @@
 	}
 }
 
-// policyNoteKind is the policy's note in a log line without its names and figures.
+// policyNoteKind returns the part of a policy note that names its kind, without the names and numbers in it.
 func policyNoteKind(attributes string) string {
 	note := strings.TrimPrefix(attributes, "note=")
 	for _, mode := range []string{"ejected: unreachable", "ejected: errors", "ejected: silent", "ejected: fills fail", "ejected: slow",
--- a/internal/lab/scenario/injectedfaults.go
+++ b/internal/lab/scenario/injectedfaults.go
@@ -11,14 +11,16 @@
 	"foldslip/internal/policy"
 )
 
-// injectedFault is a fault of the gateway itself, injected at its interfaces (its environment, or between executor and
-// module) to prove that the checker sees it. None of this is in the gateway's own code.
+// injectedFault is a fault of the gateway itself. It is injected at an interface of the gateway,
+// either its environment or the interface between executor and module, to prove that the checker finds
+// it. The gateway's own code contains none of it.
 type injectedFault struct {
 	help   string
 	inject injection
 }
 
-// injection makes the interceptors of an injected fault for one process; either may be nil.
+// injection returns the interceptors of an injected fault for one process: one for the module
+// and one for the environment. Either may be nil.
 type injection func(s *Scenario, p *gatewayProcess) (dispatch.Interceptor, func(env.Environment) env.Environment)
 
 // InjectedFaults returns the names of the faults that can be injected.
@@ -26,73 +28,81 @@
 	return append(sortedKeys(injectedFaults), sortedKeys(extprocFaults)...)
 }
 
-// onAnswers injects into one in so many of the answers on connections of clients.
-func onAnswers(one int, do func(s *Scenario, p *gatewayProcess, g env.Environment, c env.Conn, b []byte) (int, error)) injection {
-	return onConnections(func(s *Scenario, p *gatewayProcess, g env.Environment, c env.Conn, dialled bool) env.Conn {
+// onAnswers returns an injection that calls do in place of the write of one
+// in oneIn answers on the connections of clients.
+func onAnswers(oneIn int, do func(s *Scenario, p *gatewayProcess, e env.Environment, c env.Conn, b []byte) (int, error)) injection {
+	return onConnections(func(s *Scenario, p *gatewayProcess, e env.Environment, c env.Conn, dialled bool) env.Conn {
 		if dialled {
 			return c
 		}
 		return &faultyConn{Conn: c, write: func(c env.Conn, b []byte) (int, error) {
-			if bytes.HasPrefix(b, []byte("HTTP/1.1 ")) && s.randN(one) == 0 {
-				return do(s, p, g, c, b)
+			if bytes.HasPrefix(b, []byte("HTTP/1.1 ")) && s.randN(oneIn) == 0 {
+				return do(s, p, e, c, b)
 			}
 			return c.Write(b)
 		}}
 	})
 }
 
-func onConnections(do func(s *Scenario, p *gatewayProcess, g env.Environment, c env.Conn, dialled bool) env.Conn) injection {
+// onConnections returns an injection that wraps each connection of the gateway with do. dialled is true for connections
+// that the gateway opened, and false for those that it accepted.
+func onConnections(do func(s *Scenario, p *gatewayProcess, e env.Environment, c env.Conn, dialled bool) env.Conn) injection {
 	return func(s *Scenario, p *gatewayProcess) (dispatch.Interceptor, func(env.Environment) env.Environment) {
-		return nil, func(under env.Environment) env.Environment {
-			e := &faultyEnvironment{Environment: under}
-			e.wrapConn = func(c env.Conn, dialled bool) env.Conn { return do(s, p, under, c, dialled) }
+		return nil, func(inner env.Environment) env.Environment {
+			e := &faultyEnvironment{Environment: inner}
+			e.wrapConn = func(c env.Conn, dialled bool) env.Conn { return do(s, p, inner, c, dialled) }
 			return e
 		}
 	}
 }
 
-// delayClientClose delays the report of the end of a client's connection.
-func delayClientClose(by time.Duration) injection {
-	return onConnections(func(_ *Scenario, _ *gatewayProcess, g env.Environment, c env.Conn, dialled bool) env.Conn {
+// delayClientClose returns an injection that delays the report of the end of a client's connection.
+func delayClientClose(delay time.Duration) injection {
+	return onConnections(func(_ *Scenario, _ *gatewayProcess, e env.Environment, c env.Conn, dialled bool) env.Conn {
 		if dialled {
 			return c
 		}
-		return &faultyConn{Conn: c, beforeEnd: func() { g.NewNotifier().Wait(by) }}
+		return &faultyConn{Conn: c, beforeEnd: func() { e.NewNotifier().Wait(delay) }}
 	})
 }
 
+// changeEnvironment returns an injection that changes the environment of the gateway.
 func changeEnvironment(change func(s *Scenario, e *faultyEnvironment)) injection {
 	return func(s *Scenario, _ *gatewayProcess) (dispatch.Interceptor, func(env.Environment) env.Environment) {
-		return nil, func(under env.Environment) env.Environment {
-			e := &faultyEnvironment{Environment: under}
+		return nil, func(inner env.Environment) env.Environment {
+			e := &faultyEnvironment{Environment: inner}
 			change(s, e)
 			return e
 		}
 	}
 }
 
+// interceptModule returns an injection that changes calls to the module.
 func interceptModule(change func(s *Scenario, p *gatewayProcess, i *moduleInterceptor)) injection {
 	return func(s *Scenario, p *gatewayProcess) (dispatch.Interceptor, func(env.Environment) env.Environment) {
-		return func(h policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
-			i := &moduleInterceptor{Router: start(h)}
+		return func(executor policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
+			i := &moduleInterceptor{Router: start(executor)}
 			change(s, p, i)
 			return i
 		}, nil
 	}
 }
 
+// interceptExecutor returns an injection that changes calls of the module to its executor.
 func interceptExecutor(change func(s *Scenario, i *executorInterceptor)) injection {
 	return func(s *Scenario, _ *gatewayProcess) (dispatch.Interceptor, func(env.Environment) env.Environment) {
-		return func(h policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
-			i := &executorInterceptor{Executor: h}
+		return func(executor policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
+			i := &executorInterceptor{Executor: executor}
 			change(s, i)
 			return start(i)
 		}, nil
 	}
 }
 
+// Stop reports that the timer was stopped, but does not stop it.
 func (stuckTimer) Stop() bool { return true }
 
+// injectedFaults holds the faults by name, except those of the external processor, which extprocFaults holds.
 var injectedFaults map[string]injectedFault
 
 func init() {
@@ -102,7 +112,7 @@
 	}
 }
 
-// injectedAnswerFaults are wrong, late or missing answers to clients.
+// injectedAnswerFaults returns the faults in which answers to clients are wrong, late or missing.
 func injectedAnswerFaults() map[string]injectedFault {
 	return map[string]injectedFault{
 		"answer_lost": {"an answer is not written", onAnswers(60, func(_ *Scenario, _ *gatewayProcess, _ env.Environment, _ env.Conn, b []byte) (int, error) {
@@ -112,8 +122,8 @@
 			c.Write(b)
 			return c.Write(b)
 		})},
-		"answer_late": {"an answer is held up past its time", onAnswers(60, func(_ *Scenario, _ *gatewayProcess, g env.Environment, c env.Conn, b []byte) (int, error) {
-			g.NewNotifier().Wait(5100 * time.Millisecond)
+		"answer_late": {"an answer is written 5.1 s late, past the deadline", onAnswers(60, func(_ *Scenario, _ *gatewayProcess, e env.Environment, c env.Conn, b []byte) (int, error) {
+			e.NewNotifier().Wait(5100 * time.Millisecond)
 			return c.Write(b)
 		})},
 		"answer_spoilt": {"a byte of an answer is changed", onAnswers(60, func(_ *Scenario, _ *gatewayProcess, _ env.Environment, c env.Conn, b []byte) (int, error) {
@@ -121,50 +131,51 @@
 			b[len(b)-1] ^= 1
 			return c.Write(b)
 		})},
-		"answer_mixed": {"an answer brings another's bytes", mixAnswers},
-		"nack_kept_back": {"a nack is written near the deadline", onConnections(func(s *Scenario, _ *gatewayProcess, g env.Environment, c env.Conn, dialled bool) env.Conn {
+		"answer_mixed": {"an answer has the bytes of the answer before it", mixAnswers},
+		"nack_kept_back": {"a rejection is written 1.2 s late, near the deadline", onConnections(func(s *Scenario, _ *gatewayProcess, e env.Environment, c env.Conn, dialled bool) env.Conn {
 			if dialled {
 				return c
 			}
 			return &faultyConn{Conn: c, write: func(c env.Conn, b []byte) (int, error) {
 				if bytes.HasPrefix(b, []byte("HTTP/1.1 503 ")) && bytes.Contains(b, []byte("X-Wait-Ms")) {
-					g.NewNotifier().Wait(1200 * time.Millisecond)
+					e.NewNotifier().Wait(1200 * time.Millisecond)
 				}
 				return c.Write(b)
 			}}
 		})},
-		"wait_untold": {"a nack does not say when to come back", interceptExecutor(func(_ *Scenario, i *executorInterceptor) {
-			i.reject = func(h policy.Executor, lk *policy.Lookup, _ policy.Micros) { h.Reject(lk, 0) }
+		"wait_untold": {"a rejection does not say when to retry", interceptExecutor(func(_ *Scenario, i *executorInterceptor) {
+			i.reject = func(executor policy.Executor, lk *policy.Lookup, _ policy.Micros) { executor.Reject(lk, 0) }
 		})},
 	}
 }
 
-// injectedNotificationFaults are signals and ends of connections that the gateway misses.
+// injectedNotificationFaults returns the faults in which the gateway misses a signal
+// or learns too late of the end of a connection.
 func injectedNotificationFaults() map[string]injectedFault {
 	return map[string]injectedFault{
-		"leave_unheard": {"that a client left is heard 1.5 s late", delayClientClose(1500 * time.Millisecond)},
-		"leave_late":    {"that a client left is heard 0.2 s late", delayClientClose(200 * time.Millisecond)},
-		"stop_unheard": {"SIGTERM is not heard", changeEnvironment(func(_ *Scenario, e *faultyEnvironment) {
-			e.wrapSignals = func(hear func(env.Signal)) func(env.Signal) {
+		"leave_unheard": {"the end of a client's connection is reported 1.5 s late", delayClientClose(1500 * time.Millisecond)},
+		"leave_late":    {"the end of a client's connection is reported 0.2 s late", delayClientClose(200 * time.Millisecond)},
+		"stop_unheard": {"SIGTERM is ignored", changeEnvironment(func(_ *Scenario, e *faultyEnvironment) {
+			e.wrapSignals = func(handler func(env.Signal)) func(env.Signal) {
 				return func(s env.Signal) {
 					if s != env.Terminate {
-						hear(s)
+						handler(s)
 					}
 				}
 			}
 		})},
-		"reread_ends": {"SIGHUP ends the gateway", changeEnvironment(func(_ *Scenario, e *faultyEnvironment) {
-			e.wrapSignals = func(hear func(env.Signal)) func(env.Signal) {
-				return func(s env.Signal) { hear(env.Terminate) }
+		"reread_ends": {"SIGHUP terminates the gateway", changeEnvironment(func(_ *Scenario, e *faultyEnvironment) {
+			e.wrapSignals = func(handler func(env.Signal)) func(env.Signal) {
+				return func(s env.Signal) { handler(env.Terminate) }
 			}
 		})},
 	}
 }
 
-// injectedDiscoveryFaults are what discovery publishes and the module does not get.
+// injectedDiscoveryFaults returns the faults in which the module does not learn what discovery or the settings say.
 func injectedDiscoveryFaults() map[string]injectedFault {
 	return map[string]injectedFault{
-		"drain_unheard": {"a drain does not reach the module", interceptModule(func(_ *Scenario, _ *gatewayProcess, interceptor *moduleInterceptor) {
+		"drain_unheard": {"the drain of a cache does not reach the module", interceptModule(func(_ *Scenario, _ *gatewayProcess, interceptor *moduleInterceptor) {
 			interceptor.changeRows = func(rows []policy.Endpoint) []policy.Endpoint {
 				for i := range rows {
 					if rows[i].State == policy.Draining {
@@ -174,12 +185,12 @@
 				return rows
 			}
 		})},
-		"gone_unheard": {"word that a cache has gone does not reach the module", interceptModule(func(_ *Scenario, _ *gatewayProcess, interceptor *moduleInterceptor) {
+		"gone_unheard": {"drains and removals of caches do not reach the module", interceptModule(func(_ *Scenario, _ *gatewayProcess, interceptor *moduleInterceptor) {
 			interceptor.changeRows = func(rows []policy.Endpoint) []policy.Endpoint {
 				return slices.DeleteFunc(rows, func(r policy.Endpoint) bool { return r.State != policy.Ready })
 			}
 		})},
-		"purge_unheard": {"recalls are read as of another object", onConnections(func(_ *Scenario, _ *gatewayProcess, _ env.Environment, c env.Conn, _ bool) env.Conn {
+		"purge_unheard": {"purges are read as purges of another object", onConnections(func(_ *Scenario, _ *gatewayProcess, _ env.Environment, c env.Conn, _ bool) env.Conn {
 			return &faultyConn{Conn: c, read: func(b []byte) []byte {
 				for _, old := range []string{`"item":"s`, `"item":"p`} {
 					b = bytes.ReplaceAll(b, []byte(old), []byte(old[:len(old)-1]+"z"))
@@ -187,18 +198,18 @@
 				return b
 			}}
 		})},
-		"purge_late": {"the bulletin is read three seconds late", onConnections(func(_ *Scenario, _ *gatewayProcess, g env.Environment, c env.Conn, dialled bool) env.Conn {
+		"purge_late": {"purges are read from discovery 3 s late", onConnections(func(_ *Scenario, _ *gatewayProcess, e env.Environment, c env.Conn, dialled bool) env.Conn {
 			if !dialled || c.RemoteAddr().String()[:5] != "10.7." {
 				return c
 			}
 			return &faultyConn{Conn: c, read: func(b []byte) []byte {
 				if bytes.Contains(b, []byte("recall")) {
-					g.NewNotifier().Wait(3 * time.Second)
+					e.NewNotifier().Wait(3 * time.Second)
 				}
 				return b
 			}}
 		})},
-		"cold_cache": {"the module is not told that a cache is cold", interceptModule(func(s *Scenario, p *gatewayProcess, interceptor *moduleInterceptor) {
+		"cold_cache": {"the module does not learn that an edge has just started, cold", interceptModule(func(s *Scenario, p *gatewayProcess, interceptor *moduleInterceptor) {
 			interceptor.changeRows = func(rows []policy.Endpoint) []policy.Endpoint {
 				for i := range rows {
 					if rows[i].Kind == 0 {
@@ -208,7 +219,7 @@
 				return rows
 			}
 		})},
-		"cold_parent": {"the settings say that parents are warm at once", changeEnvironment(func(_ *Scenario, e *faultyEnvironment) {
+		"cold_parent": {"the settings say that parents warm up at once", changeEnvironment(func(_ *Scenario, e *faultyEnvironment) {
 			e.changeFile = func(text []byte) []byte {
 				return bytes.Replace(text, []byte(`"parent_ramp":21000000`), []byte(`"parent_ramp":1`), 1)
 			}
@@ -216,26 +227,26 @@
 	}
 }
 
-// injectedAttemptFaults are attempts that are sent or ended wrongly.
+// injectedAttemptFaults returns the faults in which attempts are sent or ended wrongly.
 func injectedAttemptFaults() map[string]injectedFault {
 	return map[string]injectedFault{
-		"doubled_send": {"a side-effecting send goes out twice", interceptExecutor(func(_ *Scenario, interceptor *executorInterceptor) {
-			interceptor.fetch = func(h policy.Executor, lk *policy.Lookup, request policy.FetchRequest) {
-				h.Fetch(lk, request)
+		"doubled_send": {"an attempt with a side effect is sent twice", interceptExecutor(func(_ *Scenario, interceptor *executorInterceptor) {
+			interceptor.fetch = func(executor policy.Executor, lk *policy.Lookup, request policy.FetchRequest) {
+				executor.Fetch(lk, request)
 				if request.MaxAge == 0 && request.Rank == 0 && request.Mode == 0 {
-					h.Fetch(lk, request)
+					executor.Fetch(lk, request)
 				}
 			}
 		})},
-		"two_at_once": {"an idempotent send goes out twice at once", interceptExecutor(func(s *Scenario, interceptor *executorInterceptor) {
-			interceptor.fetch = func(h policy.Executor, lk *policy.Lookup, request policy.FetchRequest) {
-				h.Fetch(lk, request)
+		"two_at_once": {"an idempotent attempt is sent twice at once", interceptExecutor(func(s *Scenario, interceptor *executorInterceptor) {
+			interceptor.fetch = func(executor policy.Executor, lk *policy.Lookup, request policy.FetchRequest) {
+				executor.Fetch(lk, request)
 				if request.Rank > 0 && s.randN(40) == 0 {
-					h.Fetch(lk, request)
+					executor.Fetch(lk, request)
 				}
 			}
 		})},
-		"undo_unsaid": {"a send that is given up is not undone", onConnections(func(_ *Scenario, _ *gatewayProcess, _ env.Environment, c env.Conn, dialled bool) env.Conn {
+		"undo_unsaid": {"a cancelled attempt is not cancelled at its cache", onConnections(func(_ *Scenario, _ *gatewayProcess, _ env.Environment, c env.Conn, dialled bool) env.Conn {
 			return &faultyConn{Conn: c, write: func(c env.Conn, b []byte) (int, error) {
 				if bytes.HasPrefix(b, []byte("undo ")) {
 					return len(b), nil
@@ -243,13 +254,13 @@
 				return c.Write(b)
 			}}
 		})},
-		"ending_untold": {"the module is not told how a send ended", interceptModule(func(s *Scenario, _ *gatewayProcess, i *moduleInterceptor) {
+		"ending_untold": {"the outcome of an attempt does not reach the module", interceptModule(func(s *Scenario, _ *gatewayProcess, i *moduleInterceptor) {
 			i.passEnded = func() bool { return s.randN(100) > 0 }
 		})},
 	}
 }
 
-// injectedLeakFaults are resources that are not released.
+// injectedLeakFaults returns the faults in which the gateway does not release a resource.
 func injectedLeakFaults() map[string]injectedFault {
 	return map[string]injectedFault{
 		"conn_leaked": {"a connection is not closed", onConnections(func(s *Scenario, _ *gatewayProcess, _ env.Environment, c env.Conn, _ bool) env.Conn {
@@ -263,44 +274,44 @@
 		"timer_leaked": {"timers are not stopped", changeEnvironment(func(s *Scenario, e *faultyEnvironment) {
 			e.wrapTimer = func(t env.Timer) env.Timer { return stuckTimer{t} }
 		})},
-		"goroutine_leaked": {"a goroutine stays", changeEnvironment(func(s *Scenario, e *faultyEnvironment) {
-			e.wrapGroup = func(of env.Group) env.Group { return leakyGroup{of, s, e.Environment} }
+		"goroutine_leaked": {"a goroutine does not end", changeEnvironment(func(s *Scenario, e *faultyEnvironment) {
+			e.wrapGroup = func(group env.Group) env.Group { return leakyGroup{group, s, e.Environment} }
 		})},
 	}
 }
 
-// injectedRouteFaults are routes of lookups that the module gets wrong.
+// injectedRouteFaults returns the faults in which the module receives a wrong scope for a lookup.
 func injectedRouteFaults() map[string]injectedFault {
 	return map[string]injectedFault{
-		"scope_lost": {"a lookup's scope does not reach the module", interceptModule(func(d *Scenario, _ *gatewayProcess, i *moduleInterceptor) {
-			i.changeScope = func(s *policy.Scope) *policy.Scope {
-				if d.randN(30) == 0 {
+		"scope_lost": {"a lookup's scope does not reach the module", interceptModule(func(s *Scenario, _ *gatewayProcess, i *moduleInterceptor) {
+			i.changeScope = func(scope *policy.Scope) *policy.Scope {
+				if s.randN(30) == 0 {
 					return nil
 				}
-				return s
+				return scope
 			}
 		})},
-		"scope_mixed": {"a lookup has the scope of the one before it", interceptModule(func(_ *Scenario, _ *gatewayProcess, i *moduleInterceptor) {
+		"scope_mixed": {"a lookup has the scope of the lookup before it", interceptModule(func(_ *Scenario, _ *gatewayProcess, i *moduleInterceptor) {
 			var last *policy.Scope
-			i.changeScope = func(s *policy.Scope) *policy.Scope {
-				was := last
-				if last = s; was == nil {
-					was = s
+			i.changeScope = func(scope *policy.Scope) *policy.Scope {
+				previous := last
+				if last = scope; previous == nil {
+					previous = scope
 				}
-				return was
+				return previous
 			}
 		})},
 	}
 }
 
-// mixAnswers writes, now and then, the answer before in place of an answer.
+// mixAnswers writes the gateway's previous answer in place of one in 80 answers with status 200.
 func mixAnswers(s *Scenario, p *gatewayProcess) (dispatch.Interceptor, func(env.Environment) env.Environment) {
 	var last []byte
 	return onAnswers(1, func(s *Scenario, _ *gatewayProcess, _ env.Environment, c env.Conn, b []byte) (int, error) {
-		before := last
+		previous := last
 		last = slices.Clone(b)
-		if before != nil && bytes.HasPrefix(b, []byte("HTTP/1.1 200")) && s.randN(80) == 0 {
-			c.Write(before)
+		if previous != nil && bytes.HasPrefix(b, []byte("HTTP/1.1 200")) && s.randN(80) == 0 {
+			c.Write(previous)
 			return len(b), nil
 		}
 		return c.Write(b)
--- a/internal/lab/scenario/injectedfaults_test.go
+++ b/internal/lab/scenario/injectedfaults_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// foundAt is a seed of each injected fault at which the checker finds it, and by which rule; docs/faults.md has the table.
+// foundAt holds, for each injected fault, a seed whose scenario finds it and the rule that
+// it breaks. docs/faults.md has the same table.
 var foundAt = map[string]struct {
 	seed uint64
 	rule string
@@ -44,31 +45,32 @@
 	"door_wait_untold":      {2, "held back"},
 }
 
-// TestInjectedFaultsAreFound checks that each injected fault is found at its seed by its rule, and nothing without it.
+// TestInjectedFaultsAreFound guards against a checker that misses faults of the gateway. At its seed in foundAt, each
+// injected fault must break its rule, and the same scenario without the fault must break none.
 func TestInjectedFaultsAreFound(t *testing.T) {
 	for _, name := range InjectedFaults() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			at, known := foundAt[name]
 			if !known {
-				t.Fatal("no seed is known to find it")
+				t.Fatal("foundAt has no seed for this injected fault")
 			}
-			days := "mixed"
+			profile := "mixed"
 			if extprocFaults[name].help != "" {
-				days = "door"
+				profile = "door"
 			}
 			if name == "scope_lost" || name == "scope_mixed" {
-				days = "routes"
+				profile = "routes"
 			}
-			p := DrawPlan(at.seed, days)
+			p := DrawPlan(at.seed, profile)
 			clean, err := Run(p, Hooks{})
 			if err != nil || len(clean.Violations) > 0 {
-				t.Fatal("with nothing injected:", clean.Violations, err)
+				t.Fatal("without the injected fault:", clean.Violations, err)
 			}
 			p.InjectedFault = name
 			r, err := Run(p, Hooks{})
 			if err != nil || len(r.Violations) == 0 || r.Violations[0].Rule != at.rule {
-				t.Fatalf("expected %s, got %v, %v", at.rule, r.Violations, err)
+				t.Fatalf("expected a violation of %s, got %v, error %v", at.rule, r.Violations, err)
 			}
 		})
 	}
--- a/internal/lab/scenario/interceptors.go
+++ b/internal/lab/scenario/interceptors.go
@@ -7,12 +7,12 @@
 	"foldslip/internal/policy"
 )
 
-// moduleInterceptor wraps the routing module: it passes every call on, except for those that a fault replaces.
+// moduleInterceptor wraps the routing module. It passes on every call, except those that an injected fault changes.
 type moduleInterceptor struct {
 	dispatch.Router
 	changeRows  func(rows []policy.Endpoint) []policy.Endpoint
-	passPurge   func() bool // whether a purge is passed on
-	passEnded   func() bool
+	passPurge   func() bool // reports whether to pass on a purge
+	passEnded   func() bool // reports whether to pass on the outcome of an attempt
 	changeScope func(s *policy.Scope) *policy.Scope
 }
 
@@ -42,11 +42,12 @@
 	}
 }
 
-// executorInterceptor wraps the module's executor: it passes every call on, except for those that a fault replaces.
+// executorInterceptor wraps the module's executor. It passes on every call, except
+// those that an injected fault or a hook replaces.
 type executorInterceptor struct {
 	policy.Executor
-	fetch  func(h policy.Executor, lk *policy.Lookup, request policy.FetchRequest)
-	reject func(h policy.Executor, lk *policy.Lookup, in policy.Micros)
+	fetch  func(executor policy.Executor, lk *policy.Lookup, request policy.FetchRequest)
+	reject func(executor policy.Executor, lk *policy.Lookup, retryIn policy.Micros)
 }
 
 func (i *executorInterceptor) Fetch(lk *policy.Lookup, request policy.FetchRequest) {
@@ -57,10 +58,10 @@
 	i.Executor.Fetch(lk, request)
 }
 
-func (i *executorInterceptor) Reject(lk *policy.Lookup, in policy.Micros) {
+func (i *executorInterceptor) Reject(lk *policy.Lookup, retryIn policy.Micros) {
 	if i.reject != nil {
-		i.reject(i.Executor, lk, in)
+		i.reject(i.Executor, lk, retryIn)
 		return
 	}
-	i.Executor.Reject(lk, in)
+	i.Executor.Reject(lk, retryIn)
 }
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,8 +1,11 @@
-// Package scenario runs scenarios of faults: gateways of the real program, with actors that are state machines, in a simulated environment,
-// under faults drawn from a seed, watched by a checker that sees the wires and the true state of every actor.
+// Package scenario runs fault scenarios. A scenario runs the gateway program in a simulated environment, together with
+// actors for caches, clients, callers and discovery, which are state machines. Faults drawn from a seed strike the
+// gateways and the actors. A checker watches every connection and the true state of every actor, and ends the run when
+// a rule is broken.
 //
-// A Plan is all that a scenario is made of; the same plan gives the same run, byte for byte. Run runs it, Shrink finds the smallest plan
-// that still violates a rule. A Scenario owns its simulation and everything in it, and leaves nothing behind; several may run at once.
+// A Plan determines a scenario completely: the same plan gives the same run, byte for byte. Run runs a plan, and Shrink
+// finds the smallest plan that still breaks a rule. A Scenario owns its simulation and all state in it, and releases
+// both at its end. Several scenarios may run at once.
 package scenario
 
 import (
@@ -17,18 +20,18 @@
 
 const (
 	maxRecentEvents = 60
-	finishTime      = 6 * time.Second  // after the last lookup, before gateways are terminated
-	shutdownTime    = 16 * time.Second // after the last lookup, before the run ends
-	minTwoZones     = 5                // gateways from which on a location has two zones
+	finishTime      = 6 * time.Second  // from the last lookup to the termination of the gateways
+	shutdownTime    = 16 * time.Second // from the last lookup to the end of the run
+	minTwoZones     = 5                // a location with at least this many gateways has two zones
 )
 
-// Scenario is a scenario that is running.
+// Scenario is a running scenario.
 type Scenario struct {
 	Plan             Plan
 	sim              *simenv.Simulation
 	checker          *checker
 	gateways         []*gatewayActor
-	caches           []*cache // edges, as discovery has them now
+	caches           []*cache // edges that discovery publishes now
 	parents          []*cache
 	origin           *cache
 	byID             map[string]*cache
@@ -37,24 +40,24 @@
 	clients          *clientActor
 	lastCacheID      int
 	zoneCount        int
-	recentEvents     []string // for people
+	recentEvents     []string // the last maxRecentEvents events, for reports
 	reasons          map[string]int
 	corruption       answerCorruption
 	hooks            Hooks
-	storedList       []endpoints.Endpoint // of a cold start
+	storedList       []endpoints.Endpoint // list on the gateways' disks at a cold start
 	earlyLookups     EarlyLookups
-	callers          map[*gatewayActor]*extprocCaller // nil: clients send to gateways themselves
-	firstEdges       []string                         // ids of the edges at the start
+	callers          map[*gatewayActor]*extprocCaller // nil if clients send to the gateways directly
+	firstEdges       []string                         // IDs of the edges at the start of the scenario
 }
 
-// Violation is a rule that was broken.
+// Violation describes a rule that was broken.
 type Violation struct {
 	Rule   string        `json:"rule"`
 	At     time.Duration `json:"at_ns"`
 	Detail string        `json:"detail"`
 }
 
-// String is the violation as commands print it.
+// String returns the violation as commands print it.
 func (v Violation) String() string {
 	return fmt.Sprintf("%.6f s: %s: %s", v.At.Seconds(), v.Rule, v.Detail)
 }
@@ -67,28 +70,29 @@
 	Steps        uint64         `json:"steps"`
 	VirtualTime  time.Duration  `json:"virtual_ns"`
 	Lookups      int            `json:"lookups"`
-	Outcomes     map[string]int `json:"ends"`            // of lookups: the status of the final answer, or how else they ended
-	Reasons      map[string]int `json:"reasons"`         // reason codes and modes in the gateways' logs
-	RecentEvents []string       `json:"story,omitempty"` // the last before a violation
+	Outcomes     map[string]int `json:"ends"`            // lookups by final status, or by how else they ended
+	Reasons      map[string]int `json:"reasons"`         // log lines of the gateways by event and reason code
+	RecentEvents []string       `json:"story,omitempty"` // events before the first violation
 	EarlyLookups EarlyLookups   `json:"early"`
 }
 
-// Hooks are called while a scenario runs.
+// Hooks are functions that a scenario calls while it runs. All are optional.
 type Hooks struct {
-	// Trace gets a line a step.
+	// Trace is called with one line for each step.
 	Trace func(at time.Duration, line string)
 
-	// The rest is for tests that need a fault at one exact point of a lookup's way.
+	// The other hooks are for tests that need a fault at one exact point in the processing of a lookup.
 	onStart        func(s *Scenario)
 	onDecision     func(s *Scenario, p *gatewayProcess, cacheID string)     // an attempt is decided and not yet written
-	onAttempt      func(s *Scenario, c *cacheConn, request *attemptRequest) // an attempt is on the wire
+	onAttempt      func(s *Scenario, c *cacheConn, request *attemptRequest) // the gateway has written an attempt completely
 	onAnswer       func(s *Scenario, request *attemptRequest)               // a cache is about to write its answer
-	onReceived     func(s *Scenario, l *lookup)                             // a lookup has reached its gateway
+	onReceived     func(s *Scenario, l *lookup)                             // a lookup has reached its gateway completely
 	routeChangeRun *RouteChangeRun
-	script         *differentialScript // lookups and outcomes of attempts, in place of clients and caches
+	script         *differentialScript // determines the lookups and the outcomes of attempts, in place of clients and caches
 }
 
-// Run runs a scenario. It returns the error of Plan.Validate for a plan that cannot be run.
+// Run runs a scenario to its end or to the first violation. It returns the
+// error of Plan.Validate if the plan cannot be run.
 func Run(plan Plan, hooks Hooks) (Result, error) {
 	if err := plan.Validate(); err != nil {
 		return Result{}, err
@@ -131,7 +135,7 @@
 	return s
 }
 
-// createActors makes all actors and publishes the first endpoint list.
+// createActors creates all actors and publishes the first endpoint list.
 func (s *Scenario) createActors() {
 	for i := range s.Plan.Parents {
 		s.parents = append(s.parents, s.newCache(flavorParent, hubZone, fmt.Sprintf("10.8.0.%d", i+1), parentTransfers))
@@ -162,7 +166,7 @@
 	s.clients = newClientActor(s)
 }
 
-// publishedEndpoints are all caches as discovery has them.
+// publishedEndpoints returns the endpoint of every cache, with the phase that discovery publishes.
 func (s *Scenario) publishedEndpoints() []endpoint {
 	list := []endpoint{}
 	for _, c := range slices.Concat(s.caches, s.parents, []*cache{s.origin}) {
@@ -171,7 +175,7 @@
 	return list
 }
 
-// scheduleFaults has the plan's faults begin at their times.
+// scheduleFaults schedules the start of each fault of the plan. Faults that last from the start begin at once.
 func (s *Scenario) scheduleFaults() {
 	for _, fault := range s.Plan.Faults {
 		kind := findFaultKind(fault.Kind)
@@ -222,7 +226,7 @@
 	return result
 }
 
-// record adds a line to the recent events.
+// record adds a line to the recent events, of which it keeps the last maxRecentEvents.
 func (s *Scenario) record(format string, a ...any) {
 	if len(s.recentEvents) >= maxRecentEvents {
 		s.recentEvents = slices.Delete(s.recentEvents, 0, 1)
@@ -231,10 +235,10 @@
 	s.sim.Note(simenv.StepReport, "", format, 0)
 }
 
-// randN draws a number below n.
+// randN draws a number from 0 to n-1 from the scenario's seed.
 func (s *Scenario) randN(n int) int { return s.sim.Rand.IntN(n) }
 
-// randMillis draws a time below so many milliseconds.
+// randMillis draws a whole number of milliseconds from 0 to n-1.
 func (s *Scenario) randMillis(n int) time.Duration {
 	return time.Duration(s.randN(n)) * time.Millisecond
 }
@@ -243,7 +247,7 @@
 
 func (s *Scenario) after(d time.Duration, f func()) { s.sim.After(d, f) }
 
-// mustMarshal encodes a value of plain types.
+// mustMarshal encodes a value as JSON. It panics for a value that JSON cannot encode; callers pass plain types only.
 func mustMarshal(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -7,11 +7,12 @@
 	"testing"
 )
 
-// TestEqualPlansGiveEqualRuns runs each plan three times, among others in the same process.
+// TestEqualPlansGiveEqualRuns guards against runs that depend on anything but their plan, such as map order, garbage
+// collection or other scenarios of the same process. It runs each plan three times, several plans at once.
 func TestEqualPlansGiveEqualRuns(t *testing.T) {
-	var days sync.WaitGroup
+	var runs sync.WaitGroup
 	for seed := uint64(1); seed <= 12; seed++ {
-		days.Go(func() {
+		runs.Go(func() {
 			var first Result
 			for i := range 3 {
 				r, err := Run(DrawPlan(seed, "mixed"), Hooks{})
@@ -22,11 +23,11 @@
 				if i == 0 {
 					first = r
 				} else if r.Digest != first.Digest || r.Steps != first.Steps || fmt.Sprint(r.Outcomes) != fmt.Sprint(first.Outcomes) {
-					t.Errorf("seed %d: %s after %d steps, then %s after %d", seed, first.Digest, first.Steps, r.Digest, r.Steps)
+					t.Errorf("seed %d: run 1 has digest %s after %d steps, a later run %s after %d", seed, first.Digest, first.Steps, r.Digest, r.Steps)
 				}
 				runtime.GC()
 			}
 		})
 	}
-	days.Wait()
+	runs.Wait()
 }
--- a/internal/lab/scenario/shrink.go
+++ b/internal/lab/scenario/shrink.go
@@ -8,11 +8,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ErrNothingToShrink is the error of Shrink for a plan that breaks no rule.
-var ErrNothingToShrink = errors.New("this day breaks no rule: nothing to shrink")
+// ErrNothingToShrink is the error of Shrink for a plan whose scenario breaks no rule.
+var ErrNothingToShrink = errors.New("the scenario breaks no rule: nothing to shrink")
 
-// Shrink finds the smallest plan that still breaks the rule which p breaks: faults, gateways, caches and time are taken
-// away as long as the rule breaks, and durations are halved. It returns the number of plans it ran.
+// Shrink finds a smaller plan that still breaks the rule that p breaks first. It removes faults, gateways, caches,
+// parents, lookups and time and halves the durations of faults, until no removal keeps the rule broken. It calls report
+// with its progress after each round, and returns the plan, its result and the number of plans that it ran.
 func Shrink(p Plan, report func(string)) (Plan, Result, int, error) {
 	best, err := Run(p, Hooks{})
 	if err != nil {
@@ -34,32 +35,32 @@
 		p, best = q, r
 		return true
 	}
-	for again := true; again; {
-		again = false
-		// Nothing after the violation matters.
+	for reduced := true; reduced; {
+		reduced = false
+		// The run ends at the violation, so faults and lookups after it have no effect.
 		if last := int((best.Violations[0].At - warmup).Seconds()) + 1; last >= 1 && last < p.Seconds {
 			q := p
 			q.Seconds = last
 			q.Faults = slices.DeleteFunc(slices.Clone(p.Faults), func(f Fault) bool { return f.AtMS > last*1000 })
-			again = try(q) || again
+			reduced = try(q) || reduced
 		}
-		for size := max(1, len(p.Faults)/2); size >= 1; size /= 2 { // by halves, then one by one
+		for size := max(1, len(p.Faults)/2); size >= 1; size /= 2 { // half of the faults at a time, down to single faults
 			for i := 0; i+size <= len(p.Faults); {
 				q := p
 				q.Faults = slices.Delete(slices.Clone(p.Faults), i, i+size)
 				if try(q) {
-					again = true
+					reduced = true
 				} else {
 					i += size
 				}
 			}
 		}
-		for _, less := range []func(*Plan){func(q *Plan) { q.Gateways = (q.Gateways + 1) / 2 }, func(q *Plan) { q.Gateways-- },
+		for _, reduce := range []func(*Plan){func(q *Plan) { q.Gateways = (q.Gateways + 1) / 2 }, func(q *Plan) { q.Gateways-- },
 			func(q *Plan) { q.Caches = (q.Caches + 1) / 2 }, func(q *Plan) { q.Caches-- }, func(q *Plan) { q.Parents-- },
 			func(q *Plan) { q.Rate /= 2 }} {
 			q := p
-			if less(&q); q.Gateways != p.Gateways || q.Caches != p.Caches || q.Parents != p.Parents || q.Rate >= 0.5 && q.Rate != p.Rate {
-				again = try(q) || again
+			if reduce(&q); q.Gateways != p.Gateways || q.Caches != p.Caches || q.Parents != p.Parents || q.Rate >= 0.5 && q.Rate != p.Rate {
+				reduced = try(q) || reduced
 			}
 		}
 		for i := range p.Faults {
@@ -73,14 +74,14 @@
 	return p, best, tried, nil
 }
 
-// withHalfDuration is a plan with the duration of one fault halved.
+// withHalfDuration returns the plan with the duration of one fault halved.
 func withHalfDuration(p Plan, fault int) Plan {
 	p.Faults = slices.Clone(p.Faults)
 	p.Faults[fault].DurationMS /= 2
 	return p
 }
 
-// CombineDigests is a digest over digests.
+// CombineDigests returns one digest of a list of digests, which depends on their order.
 func CombineDigests(digests []string) string {
 	h := xxhash.New()
 	for _, d := range digests {
@@ -89,31 +90,31 @@
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-// UnmetPairs returns the pairs of kinds of a profile that never overlapped, how often the rarest pair did, and how many
-// pairs there are.
-func UnmetPairs(profile string, pairs map[string]int) (none []string, least, all int) {
-	least = -1
+// UnmetPairs returns the pairs of fault kinds of a profile that never overlapped, given the number of overlaps by pair.
+// It also returns the number of overlaps of the rarest pair and the number of pairs.
+func UnmetPairs(profile string, pairs map[string]int) (uncovered []string, fewest, total int) {
+	fewest = -1
 	for i, a := range FaultKinds {
 		for _, b := range FaultKinds[i+1:] {
 			if !ProfileDraws(profile, a.Name) || !ProfileDraws(profile, b.Name) {
 				continue
 			}
 			key := min(a.Name, b.Name) + " " + max(a.Name, b.Name)
-			if all++; pairs[key] == 0 {
-				none = append(none, key)
+			if total++; pairs[key] == 0 {
+				uncovered = append(uncovered, key)
 			}
-			if least < 0 || pairs[key] < least {
-				least = pairs[key]
+			if fewest < 0 || pairs[key] < fewest {
+				fewest = pairs[key]
 			}
 		}
 	}
-	return none, max(least, 0), all
+	return uncovered, max(fewest, 0), total
 }
 
-// SortedNames returns a table's names, in order.
+// SortedNames returns the keys of a table in alphabetical order.
 func SortedNames(table map[string]string) []string { return sortedKeys(table) }
 
-// InjectedFaultHelp returns what each injected fault does, by name.
+// InjectedFaultHelp returns the help text of each injected fault, by name.
 func InjectedFaultHelp() map[string]string {
 	help := map[string]string{}
 	for name, p := range injectedFaults {
