--- a/internal/lab/scenario/decisions.go
+++ b/internal/lab/scenario/decisions.go
@@ -6,27 +6,28 @@
 	"foldslip/internal/policy"
 )
 
-// recordDecisions adds every decision of the module to the digest, ahead of any other interceptor.
+// recordDecisions returns an interceptor that adds every decision of the module to the digest before
+// the interceptor next sees it. next may be nil.
 func (s *Scenario) recordDecisions(process string, next dispatch.Interceptor) dispatch.Interceptor {
-	return func(h policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
-		digested := func(h policy.Executor) dispatch.Router {
-			return start(&decisionDigester{Executor: h, sim: s.sim, process: process})
+	return func(executor policy.Executor, start func(policy.Executor) dispatch.Router) dispatch.Router {
+		digested := func(executor policy.Executor) dispatch.Router {
+			return start(&decisionDigester{Executor: executor, sim: s.sim, process: process})
 		}
 		if next == nil {
-			return digested(h)
+			return digested(executor)
 		}
-		return next(h, digested)
+		return next(executor, digested)
 	}
 }
 
-// decisionDigester adds the module's decisions to the digest.
+// decisionDigester is an executor that adds the module's decisions to the digest and passes them on.
 type decisionDigester struct {
 	policy.Executor
 	sim     *simenv.Simulation
 	process string
 }
 
-func (d *decisionDigester) note(lk *policy.Lookup, decision string, numbers ...policy.Micros) {
+func (d *decisionDigester) add(lk *policy.Lookup, decision string, numbers ...policy.Micros) {
 	d.sim.Note(simenv.StepDecision, d.process+" "+lk.ID+" "+decision, "", int64(len(numbers)))
 	for _, m := range numbers {
 		d.sim.Note(simenv.StepDecision, "", "", int64(m))
@@ -34,22 +35,22 @@
 }
 
 func (d *decisionDigester) Fetch(lk *policy.Lookup, request policy.FetchRequest) {
-	d.note(lk, "fetch "+request.Cache.Name+" "+request.Source.Name, policy.Micros(request.Rank), policy.Micros(request.Mode), request.Timeout,
+	d.add(lk, "fetch "+request.Cache.Name+" "+request.Source.Name, policy.Micros(request.Rank), policy.Micros(request.Mode), request.Timeout,
 		request.SilenceTimeout, request.MaxAge)
 	d.Executor.Fetch(lk, request)
 }
 
 func (d *decisionDigester) CancelAttempt(lk *policy.Lookup, attempt int) {
-	d.note(lk, "cancel", policy.Micros(attempt))
+	d.add(lk, "cancel", policy.Micros(attempt))
 	d.Executor.CancelAttempt(lk, attempt)
 }
 
 func (d *decisionDigester) Reject(lk *policy.Lookup, retryIn policy.Micros) {
-	d.note(lk, "reject", retryIn)
+	d.add(lk, "reject", retryIn)
 	d.Executor.Reject(lk, retryIn)
 }
 
 func (d *decisionDigester) Fail(lk *policy.Lookup) {
-	d.note(lk, "fail")
+	d.add(lk, "fail")
 	d.Executor.Fail(lk)
 }
