--- a/internal/lab/scenario/cache.go
+++ b/internal/lab/scenario/cache.go
@@ -21,29 +21,29 @@
 
 // cache is an edge cache, a parent or the origin.
 type cache struct {
-	scenario      *Scenario
-	id, zone      string
-	flavor        string
-	host          *simenv.Host
-	size          float64
-	cell          int
-	startedAt     time.Duration // 0: long before the scenario
-	up            bool
-	phase         string // as published
-	hung          bool   // accepts everything and answers nothing
-	failsAll      bool   // answers everything with an error
-	stopsReading  bool   // reads nothing on its connections
-	slowdown      float64
-	stored        map[string]*cachedCopy
-	uses          uint64
-	conns         []*cacheConn
-	running       int
-	filling       int
-	fills         map[string]*pendingFill
-	recentWork    []timedWork // in overloadWindow, for rule 4
-	effects       map[string]int
-	startEvent    int     // number of the event that publishes its start
-	appliedPurges []purge // that it knows by itself
+	scenario       *Scenario
+	id, zone       string
+	flavor         string
+	host           *simenv.Host
+	size           float64
+	cell           int
+	startedAt      time.Duration // 0: long before the scenario
+	up             bool
+	phase          string // as published
+	hung           bool   // accepts everything and answers nothing
+	failsAll       bool   // answers everything with an error
+	stopsReading   bool   // reads nothing on its connections
+	slowdown       float64
+	stored         map[string]*cachedCopy
+	uses           uint64
+	conns          []*cacheConn
+	activeRequests int
+	activeFills    int
+	fills          map[string]*pendingFill
+	recentWork     []timedWork // in overloadWindow, for rule 4
+	effectRuns     map[string]int
+	startEvent     int     // number of the event that publishes its start
+	appliedPurges  []purge // that it knows by itself
 }
 
 type timedWork struct {
@@ -67,7 +67,7 @@
 func (s *Scenario) newCache(flavor, zone, ip string, size float64) *cache {
 	s.lastCacheID++
 	c := &cache{scenario: s, id: fmt.Sprintf("%s-%d", flavor, s.lastCacheID), zone: zone, flavor: flavor, size: size, cell: s.lastCacheID, slowdown: 1,
-		host: s.sim.Host(ip, flavor+"s"), stored: map[string]*cachedCopy{}, fills: map[string]*pendingFill{}, effects: map[string]int{},
+		host: s.sim.Host(ip, flavor+"s"), stored: map[string]*cachedCopy{}, fills: map[string]*pendingFill{}, effectRuns: map[string]int{},
 		phase: "up"}
 	s.byID[c.id] = c
 	c.start(0)
@@ -90,7 +90,7 @@
 	c.up, c.hung, c.startedAt, c.startEvent = true, false, at, 0
 	c.host.Vanished = false
 	clear(c.stored)
-	c.recentWork, c.running, c.filling = nil, 0, 0
+	c.recentWork, c.activeRequests, c.activeFills = nil, 0, 0
 	c.fills = map[string]*pendingFill{}
 	c.host.Serve("10080", func(e *simenv.End) simenv.Handler {
 		conn := &cacheConn{cache: c, end: e}
@@ -168,7 +168,7 @@
 	case c.failsAll || c.scenario.corruption.failsRequest(c):
 		c.scenario.after(2*time.Millisecond, func() { c.respond(request, "FAULT", "-") })
 		return
-	case c.running >= maxQueue:
+	case c.activeRequests >= maxQueue:
 		c.respond(request, "SHED", "-")
 		return
 	}
@@ -203,7 +203,7 @@
 		})
 		return
 	}
-	if c.filling >= edgeMaxFills {
+	if c.activeFills >= edgeMaxFills {
 		c.respond(request, "SHED", "note=no_slot")
 		return
 	}
@@ -237,14 +237,14 @@
 	if c.fills[key] == nil {
 		c.fills[key] = f
 	}
-	c.filling++
+	c.activeFills++
 	ended := false
 	end := func(got *cachedCopy, note string) {
 		if ended || c.fills == nil {
 			return
 		}
 		ended = true
-		c.filling--
+		c.activeFills--
 		if c.fills[key] == f {
 			delete(c.fills, key)
 		}
@@ -296,8 +296,8 @@
 				return
 			}
 			if request.kindSettings().passesThrough {
-				c.effects[request.object]++
-				s.checker.effectRan(request, c.effects[request.object])
+				c.effectRuns[request.object]++
+				s.checker.effectRan(request, c.effectRuns[request.object])
 			}
 			done(s.originCopy(request), "via_origin")
 		})
@@ -310,13 +310,13 @@
 		s.after(time.Duration(float64(2*time.Millisecond)*c.slowdown), func() { done(held, "filled") })
 		return
 	}
-	if c.filling >= parentMaxFills {
+	if c.activeFills >= parentMaxFills {
 		s.after(time.Millisecond, func() { done(nil, "src_refused") })
 		return
 	}
-	c.filling++
+	c.activeFills++
 	s.origin.serveFill(c, request, func(got *cachedCopy, note string) {
-		c.filling--
+		c.activeFills--
 		if got != nil && !request.kindSettings().passesThrough {
 			c.store(request.key(), got, request.rank, parentCapacity)
 		}
@@ -355,7 +355,7 @@
 }
 
 // store stores a copy; past the capacity it evicts the lowest rank, and within it the least recently used.
-func (c *cache) store(key string, got *cachedCopy, rank, most int) {
+func (c *cache) store(key string, got *cachedCopy, rank, capacity int) {
 	for _, p := range c.appliedPurges {
 		if p.coversKey(key) && got.createdAt.Before(p.issued) {
 			return
@@ -365,34 +365,34 @@
 	kept := *got
 	kept.lastUse, kept.rank = c.uses, rank
 	c.stored[key] = &kept
-	if len(c.stored) <= most {
+	if len(c.stored) <= capacity {
 		return
 	}
-	var last *cachedCopy
-	var lastKey string
+	var victim *cachedCopy
+	var victimKey string
 	for k, o := range c.stored { // exactly one is least: lastUse is unique
-		if last == nil || o.rank < last.rank || o.rank == last.rank && o.lastUse < last.lastUse {
-			last, lastKey = o, k
+		if victim == nil || o.rank < victim.rank || o.rank == victim.rank && o.lastUse < victim.lastUse {
+			victim, victimKey = o, k
 		}
 	}
-	delete(c.stored, lastKey)
+	delete(c.stored, victimKey)
 }
 
 // serve answers a request with a copy, after a time that depends on the cache's load.
 func (c *cache) serve(request *attemptRequest, got *cachedCopy, note string, waited time.Duration) {
 	s := c.scenario
-	c.running++
-	able := c.size * c.capacityShare(s.sim.Now())
-	took := time.Duration(float64(request.work) * max(1, float64(c.running)/max(0.5, able)/3) * c.slowdown)
+	c.activeRequests++
+	capacity := c.size * c.capacityShare(s.sim.Now())
+	took := time.Duration(float64(request.work) * max(1, float64(c.activeRequests)/max(0.5, capacity)/3) * c.slowdown)
 	if note == "joined" || note == "filled" || note == "via_origin" {
 		took /= 4
 	}
-	same := request.etag != "" && request.etag == got.version
-	if same {
+	notModified := request.etag != "" && request.etag == got.version
+	if notModified {
 		took /= 20
 	}
 	s.after(took, func() {
-		c.running--
+		c.activeRequests--
 		if request.ended || !c.up || c.hung || s.sim.Now() > request.receivedAt+request.timeout {
 			return
 		}
@@ -401,7 +401,7 @@
 		if request.kindSettings().passesThrough && request.conn.deliver == nil { // the answer of an effect is not a copy
 			fields = fmt.Sprintf("note=%s,waited=%.3f", note, float64(waited.Microseconds())/1000)
 		}
-		if same {
+		if notModified {
 			s.checker.cacheAnswered(request, got, true)
 			c.respond(request, "VALID", fields)
 			return
--- a/internal/lab/scenario/cacheconn.go
+++ b/internal/lab/scenario/cacheconn.go
@@ -10,22 +10,22 @@
 
 // cacheConn is a gateway's connection to a cache, seen from the cache.
 type cacheConn struct {
-	cache          *cache
-	end            *simenv.End
-	process        *gatewayProcess
-	in             []byte
-	requests       map[string]*attemptRequest
-	written        []byte // written by the gateway and not yet a complete line
-	lineStartedAt  time.Duration
-	sentBytes      int // bytes to the gateway, and how many have arrived
-	arrivedBytes   int
-	pendingAnswers []pendingAnswer
-	attempts       []*attempt // in flight, as seen on the wire
-	closed         bool
-	torn           bool                                 // an answer on it was cut off, so nothing more is sent
-	deliver        func(q *attemptRequest, text string) // for the one request of a proxy, which has no simulated connection: takes its answer
-	onReset        func()
-	attemptID      string // of that request
+	cache           *cache
+	end             *simenv.End
+	process         *gatewayProcess
+	in              []byte
+	requests        map[string]*attemptRequest
+	written         []byte // written by the gateway and not yet a complete line
+	lineStartedAt   time.Duration
+	sentBytes       int // bytes to the gateway, and how many have arrived
+	arrivedBytes    int
+	pendingAnswers  []pendingAnswer
+	attempts        []*attempt // in flight, as seen on the wire
+	closed          bool
+	answerTruncated bool                                 // an answer on it was cut off, so nothing more is sent
+	deliver         func(q *attemptRequest, text string) // for the one request of a proxy, which has no simulated connection: takes its answer
+	onReset         func()
+	attemptID       string // of that request
 }
 
 // reset resets the connection.
@@ -118,7 +118,7 @@
 
 // send writes an answer.
 func (conn *cacheConn) send(request *attemptRequest, text string) {
-	if conn.torn {
+	if conn.answerTruncated {
 		delete(conn.requests, request.id)
 		return
 	}
--- a/internal/lab/scenario/cachefaults.go
+++ b/internal/lab/scenario/cachefaults.go
@@ -25,17 +25,17 @@
 	}
 }
 
-// successor starts a new, cold cache in the place of another.
-func (s *Scenario) successor(c *cache, ip string) *cache {
-	n := s.newCache(c.flavor, c.zone, ip, c.size)
-	n.start(max(1, s.sim.Now()))
+// replaceCache starts a new, cold cache in the place of another.
+func (s *Scenario) replaceCache(c *cache, ip string) *cache {
+	successor := s.newCache(c.flavor, c.zone, ip, c.size)
+	successor.start(max(1, s.sim.Now()))
 	for i, o := range s.caches {
 		if o == c {
-			s.caches[i] = n
+			s.caches[i] = successor
 		}
 	}
-	n.publishPhase("up", 0)
-	return n
+	successor.publishPhase("up", 0)
+	return successor
 }
 
 func (s *Scenario) newIP(c *cache) string {
@@ -73,7 +73,7 @@
 	c.phase = "going"
 	c.stop(false)
 	s.publishDrain(c, "removed", f.duration())
-	s.after(f.duration()+time.Second, func() { s.successor(c, s.newIP(c)) })
+	s.after(f.duration()+time.Second, func() { s.replaceCache(c, s.newIP(c)) })
 }
 
 func (s *Scenario) cacheBack(c *cache, f Fault) {
@@ -97,7 +97,7 @@
 	s.after(f.duration()+2500*time.Millisecond, func() {
 		c.publishPhase("removed", 0)
 		s.after(100*time.Millisecond, func() { c.stop(false) })
-		s.after(400*time.Millisecond, func() { s.successor(c, s.newIP(c)) })
+		s.after(400*time.Millisecond, func() { s.replaceCache(c, s.newIP(c)) })
 	})
 }
 
@@ -107,7 +107,7 @@
 	s.after(f.duration(), func() {
 		c.stop(false)
 		c.publishPhase("removed", 0)
-		s.after(200*time.Millisecond, func() { s.successor(c, c.host.IP) })
+		s.after(200*time.Millisecond, func() { s.replaceCache(c, c.host.IP) })
 	})
 }
 
--- a/internal/lab/scenario/caller.go
+++ b/internal/lab/scenario/caller.go
@@ -37,7 +37,7 @@
 	arrivedBytes  int
 	owedSince     time.Duration // since when the gateway owes a reply; -1: it owes none
 	decidedAt     time.Duration // when the gateway wrote the decision to send
-	finals        int
+	finalReplies  int
 	ended         bool
 	duplicate     bool // a second lookup under the same id, which callers must not make
 	conn          *cacheConn
@@ -48,11 +48,11 @@
 	retriedLate   bool // it asked again long after the answer to do so
 }
 
-func newExtprocCaller(s *Scenario, g *gatewayActor, no int) *extprocCaller {
-	return &extprocCaller{scenario: s, gateway: g, host: s.sim.Host(fmt.Sprintf("10.0.%d.%d", 100+no, g.index+1), groupGateways), streams: map[*callerStream]bool{}}
+func newExtprocCaller(s *Scenario, g *gatewayActor, index int) *extprocCaller {
+	return &extprocCaller{scenario: s, gateway: g, host: s.sim.Host(fmt.Sprintf("10.0.%d.%d", 100+index, g.index+1), groupGateways), streams: map[*callerStream]bool{}}
 }
 
-func (caller *extprocCaller) oneIn(in int) bool { return in > 0 && caller.scenario.randN(in) == 0 }
+func (caller *extprocCaller) oneIn(n int) bool { return n > 0 && caller.scenario.randN(n) == 0 }
 
 // sendLookup asks the gateway's external processor about a lookup of a client.
 func (caller *extprocCaller) sendLookup(l *lookup) {
@@ -101,9 +101,9 @@
 	}
 	if stream.caller.oneIn(stream.caller.malformedOneIn) { // what no caller may send
 		stream.caller.malformedCount++
-		odd := []string{"P4\n:status: 200\n\n", "P2\n\n", "P77\n\n", "garbage\n\n", "P1\nx: " + strings.Repeat("y", 70000) + "\n\n"}
+		malformed := []string{"P4\n:status: 200\n\n", "P2\n\n", "P77\n\n", "garbage\n\n", "P1\nx: " + strings.Repeat("y", 70000) + "\n\n"}
 		stream.brokeContract = true
-		stream.end.Send([]byte(odd[s.randN(len(odd))]))
+		stream.end.Send([]byte(malformed[s.randN(len(malformed))]))
 		if s.randN(2) == 0 {
 			stream.send(1, head(l.id))
 			stream.send(1, head(l.id))
@@ -174,7 +174,7 @@
 		if strings.HasPrefix(first, "E") {
 			return // the stream ends with a reason
 		}
-		if stream.owedSince < 0 || stream.finals > 0 {
+		if stream.owedSince < 0 || stream.finalReplies > 0 {
 			s.checker.violated("rule 1", "%s tells %q on the stream of %s, which nothing is owed for", stream.lookup.process.process.Name, first, stream.lookup.id)
 			return
 		}
@@ -183,7 +183,7 @@
 			stream.decidedAt = s.sim.Now()
 			return
 		}
-		stream.finals++
+		stream.finalReplies++
 		if first == "C4" && stream.attempt != nil && len(stream.attempt.answers) > 0 {
 			s.checker.checkForwardedAnswer(stream.lookup, stream.attempt.answers[len(stream.attempt.answers)-1])
 		}
@@ -245,27 +245,27 @@
 }
 
 // decisionReceived makes the attempt that the gateway decided, at once.
-func (stream *callerStream) decisionReceived(f map[string]string) {
+func (stream *callerStream) decisionReceived(fields map[string]string) {
 	s, l := stream.caller.scenario, stream.lookup
-	part := func(name string) int { n, _ := strconv.ParseFloat(f["x-foldslip-"+name], 64); return int(n) }
-	ms, _ := strconv.ParseFloat(f["x-foldslip-wait-ms"], 64)
+	number := func(name string) int { n, _ := strconv.ParseFloat(fields["x-foldslip-"+name], 64); return int(n) }
+	ms, _ := strconv.ParseFloat(fields["x-foldslip-wait-ms"], 64)
 	wait := time.Duration(ms*1000) * time.Microsecond
-	request := &attemptRequest{id: l.id, kind: lookupKinds[l.kind].name, kindIndex: l.kind, object: l.object, part: l.part, source: f["x-foldslip-source"],
-		rank: part("rank"), maxAge: time.Duration(part("oldest-ms")) * time.Millisecond, mode: f["x-foldslip-mode"],
+	request := &attemptRequest{id: l.id, kind: lookupKinds[l.kind].name, kindIndex: l.kind, object: l.object, part: l.part, source: fields["x-foldslip-source"],
+		rank: number("rank"), maxAge: time.Duration(number("oldest-ms")) * time.Millisecond, mode: fields["x-foldslip-mode"],
 		timeout: wait, etag: l.etag, work: partWork(l.object, l.part)}
-	c := s.byID[f["x-foldslip-cache"]]
-	if c == nil || c.addr() != f["x-foldslip-addr"] {
-		s.checker.violated("protocol", "%s names cache %q at %q", l.process.process.Name, f["x-foldslip-cache"], f["x-foldslip-addr"])
+	c := s.byID[fields["x-foldslip-cache"]]
+	if c == nil || c.addr() != fields["x-foldslip-addr"] {
+		s.checker.violated("protocol", "%s names cache %q at %q", l.process.process.Name, fields["x-foldslip-cache"], fields["x-foldslip-addr"])
 		return
 	}
 	stream.conn = &cacheConn{cache: c, process: l.process, attemptID: l.id, deliver: stream.cacheAnswered, onReset: func() { stream.report("reset", nil, nil) }, requests: map[string]*attemptRequest{l.id: request}}
 	request.conn, stream.request = stream.conn, request
-	began := len(l.attempts)
+	attemptsBefore := len(l.attempts)
 	s.checker.attemptSent(stream.conn, request, stream.decidedAt)
-	if len(l.attempts) == began {
+	if len(l.attempts) == attemptsBefore {
 		return // a rule is broken or the gateway has gone
 	}
-	stream.attempt = l.attempts[began]
+	stream.attempt = l.attempts[attemptsBefore]
 	lag := s.callerLatency()
 	if stream.caller.oneIn(stream.caller.delayOneIn) {
 		lag = time.Duration(s.randN(1500)) * time.Millisecond
@@ -315,7 +315,7 @@
 }
 
 // report sends the outcome of the attempt to the gateway.
-func (stream *callerStream) report(word string, f map[string]string, _ *attemptRequest) {
+func (stream *callerStream) report(word string, fields map[string]string, _ *attemptRequest) {
 	caller, s := stream.caller, stream.caller.scenario
 	if stream.request == nil || stream.ended {
 		return
@@ -334,7 +334,7 @@
 	}
 	text := ":status: 200\nx-foldslip-end: " + word + "\n"
 	for _, k := range [][2]string{{"note", "note"}, {"waited", "waited-ms"}, {"ver", "ver"}, {"born", "born"}} {
-		if v := f[k[0]]; v != "" {
+		if v := fields[k[0]]; v != "" {
 			text += "x-foldslip-" + k[1] + ": " + v + "\n"
 		}
 	}
@@ -455,9 +455,9 @@
 }
 
 // flood sends a number of lookups to the gateway at a rate that no caller should.
-func (caller *extprocCaller) flood(asks int) {
+func (caller *extprocCaller) flood(count int) {
 	other := newExtprocCaller(caller.scenario, caller.gateway, 3)
-	for i := range asks {
+	for i := range count {
 		caller.scenario.after(time.Duration(i*4)*time.Millisecond, func() {
 			p := caller.gateway.current
 			if p == nil || !p.ready || p.ended {
--- a/internal/lab/scenario/client.go
+++ b/internal/lab/scenario/client.go
@@ -21,17 +21,17 @@
 
 // clientActor is the well-behaved clients: their lookups come at random, mostly of popular objects, on shared connections.
 type clientActor struct {
-	scenario    *Scenario
-	open        bool
-	host        *simenv.Host
-	pool        map[*gatewayActor][]*clientConn
-	lookupCount uint64
-	rateFactor  float64 // multiplies the plan's
-	hotObject   string  // of half of the large lookups
-	cancelOneIn int     // one client in so many closes before its answer; 0: none
-	keepsAll    bool
-	stallOneIn  int // one client in so many stops reading; 0: none
-	etags       map[string]string
+	scenario         *Scenario
+	open             bool
+	host             *simenv.Host
+	pool             map[*gatewayActor][]*clientConn
+	lookupCount      uint64
+	rateFactor       float64 // multiplies the plan's
+	hotObject        string  // of half of the large lookups
+	cancelOneIn      int     // one client in so many closes before its answer; 0: none
+	ignoresConnLimit bool
+	stallOneIn       int // one client in so many stops reading; 0: none
+	etags            map[string]string
 }
 
 func newClientActor(s *Scenario) *clientActor {
@@ -71,12 +71,12 @@
 	}
 	a.lookupCount++
 	l := &lookup{kind: kind}
-	few := int(60 * math.Pow(s.sim.Rand.Float64(), 2.5)) // the first are the most popular
+	popularityRank := int(60 * math.Pow(s.sim.Rand.Float64(), 2.5)) // the first are the most popular
 	switch lookupKinds[kind].name {
 	case "segment":
-		l.object, l.part = fmt.Sprintf("s%d", few), s.randN(4)
+		l.object, l.part = fmt.Sprintf("s%d", popularityRank), s.randN(4)
 	case "page":
-		l.object = fmt.Sprintf("p%d", few)
+		l.object = fmt.Sprintf("p%d", popularityRank)
 	case "order":
 		l.object = fmt.Sprintf("o%d", a.lookupCount)
 	case "till":
@@ -114,12 +114,12 @@
 	if s.randN(8) == 0 {
 		l.deadline = l.deadline / time.Duration(2+s.randN(4))
 	}
-	again, object := l.repeats, l
+	repeats, original := l.repeats, l
 	l.onAnswer = func(status int, wait time.Duration) {
-		if status != 503 && status != 429 || again >= 2 || !a.open {
+		if status != 503 && status != 429 || repeats >= 2 || !a.open {
 			return
 		}
-		next := &lookup{kind: object.kind, object: object.object, part: object.part, group: object.group, repeats: again + 1, firstSentAt: object.firstSentAt}
+		next := &lookup{kind: original.kind, object: original.object, part: original.part, group: original.group, repeats: repeats + 1, firstSentAt: original.firstSentAt}
 		s.after(max(wait, 30*time.Millisecond), func() { a.tryGateway(g, next) })
 	}
 	s.checker.lookupSent(l)
@@ -134,7 +134,7 @@
 			return
 		}
 	}
-	if len(pool) >= g.descriptors/3 && !a.keepsAll {
+	if len(pool) >= g.descriptors/3 && !a.ignoresConnLimit {
 		s.checker.lookupEnded(l, "no connection")
 		return
 	}
--- a/internal/lab/scenario/clientfaults.go
+++ b/internal/lab/scenario/clientfaults.go
@@ -81,7 +81,7 @@
 }
 
 func (s *Scenario) clientsGreedy(f Fault) {
-	s.clients.keepsAll = true
+	s.clients.ignoresConnLimit = true
 	for _, c := range s.caches {
 		c.slowdown = 12
 	}
@@ -93,7 +93,7 @@
 		})
 	}
 	s.after(f.duration(), func() {
-		s.clients.keepsAll = false
+		s.clients.ignoresConnLimit = false
 		for _, c := range s.caches {
 			c.slowdown = 1
 		}
--- a/internal/lab/scenario/corruption.go
+++ b/internal/lab/scenario/corruption.go
@@ -18,28 +18,28 @@
 	}
 }
 
-func (a answerCorruption) hits(s *Scenario, kind string, one int) bool {
-	return a.until[kind] > s.sim.Now() && s.randN(one) == 0
+func (a answerCorruption) shouldCorrupt(s *Scenario, kind string, oneIn int) bool {
+	return a.until[kind] > s.sim.Now() && s.randN(oneIn) == 0
 }
 
 func (a answerCorruption) failsRequest(c *cache) bool {
-	return c.flavor == "edge" && a.hits(c.scenario, "fault", 4)
+	return c.flavor == "edge" && a.shouldCorrupt(c.scenario, "fault", 4)
 }
 
 // corrupt writes a corrupted answer in place of a good one, and reports whether it did.
 func (a answerCorruption) corrupt(request *attemptRequest, got *cachedCopy, fields, body string) bool {
 	s, conn := request.conn.cache.scenario, request.conn
 	good := fmt.Sprintf("%s HIT %s %d\r\n%s\r\n", request.id, fields, len(body), body)
-	last := func(text string) bool {
+	finish := func(text string) bool {
 		request.ended = true
 		conn.send(request, text)
 		return true
 	}
-	torn := func(text string) bool { // not a complete answer: the attempt is in flight until its gateway cancels it
-		if conn.torn {
+	truncate := func(text string) bool { // not a complete answer: the attempt is in flight until its gateway cancels it
+		if conn.answerTruncated {
 			return true
 		}
-		request.ended, conn.torn = true, true
+		request.ended, conn.answerTruncated = true, true
 		delete(conn.requests, request.id)
 		conn.sentBytes += len(text)
 		conn.end.Send([]byte(text))
@@ -48,18 +48,18 @@
 	switch {
 	case a.until == nil:
 		return false
-	case conn.torn:
+	case conn.answerTruncated:
 		return true
-	case a.hits(s, "noise", 8):
-		return torn("\x01\x02 noise " + strings.Repeat("~", s.randN(200)) + "\r\n")
-	case a.hits(s, "endless", 8):
-		return torn(fmt.Sprintf("%s HIT %s 239999\r\n%s", request.id, fields, body))
-	case a.hits(s, "short", 8):
-		return torn(good[:s.randN(len(good))])
-	case a.hits(s, "double", 4):
+	case a.shouldCorrupt(s, "noise", 8):
+		return truncate("\x01\x02 noise " + strings.Repeat("~", s.randN(200)) + "\r\n")
+	case a.shouldCorrupt(s, "endless", 8):
+		return truncate(fmt.Sprintf("%s HIT %s 239999\r\n%s", request.id, fields, body))
+	case a.shouldCorrupt(s, "short", 8):
+		return truncate(good[:s.randN(len(good))])
+	case a.shouldCorrupt(s, "double", 4):
 		s.checker.cacheAnswered(request, got, false)
-		return last(good + good)
-	case a.hits(s, "late", 6):
+		return finish(good + good)
+	case a.shouldCorrupt(s, "late", 6):
 		s.after(request.receivedAt+request.timeout-s.sim.Now()+time.Duration(s.randN(200))*time.Millisecond, func() {
 			if !request.ended || conn.requests[request.id] == request {
 				s.checker.cacheAnswered(request, got, false)
@@ -69,7 +69,7 @@
 			}
 		})
 		return true
-	case a.hits(s, "stray", 4):
+	case a.shouldCorrupt(s, "stray", 4):
 		conn.sendStray("ffffffffffffffff HIT note=hit,waited=0,ver=x,born=1764576000000 2\r\nhi\r\n")
 	}
 	return false
--- a/internal/lab/scenario/discovery.go
+++ b/internal/lab/scenario/discovery.go
@@ -62,8 +62,8 @@
 	conns      []*watchConn
 }
 
-func newDiscoveryServer(s *Scenario, no int) *discoveryServer {
-	d := &discoveryServer{scenario: s, index: no, host: s.sim.Host(fmt.Sprintf("10.7.0.%d", no+1), groupDiscovery)}
+func newDiscoveryServer(s *Scenario, index int) *discoveryServer {
+	d := &discoveryServer{scenario: s, index: index, host: s.sim.Host(fmt.Sprintf("10.7.0.%d", index+1), groupDiscovery)}
 	d.serve()
 	d.heartbeat()
 	return d
@@ -111,15 +111,15 @@
 	if d == nil {
 		return
 	}
-	tell := func() {
+	sendDue := func() {
 		for _, c := range append([]*watchConn(nil), d.conns...) {
 			c.sendDue()
 		}
 	}
 	if d.lag > 0 {
-		d.scenario.after(d.lag, tell)
+		d.scenario.after(d.lag, sendDue)
 	} else {
-		tell()
+		sendDue()
 	}
 }
 
@@ -155,8 +155,8 @@
 
 func (c *watchConn) Data(data []byte) {
 	c.in = append(c.in, data...)
-	line, _, whole := bytes.Cut(c.in, []byte("\n"))
-	if !whole || c.next > 0 {
+	line, _, isComplete := bytes.Cut(c.in, []byte("\n"))
+	if !isComplete || c.next > 0 {
 		return
 	}
 	n, err := strconv.Atoi(string(bytes.TrimPrefix(line, []byte("after "))))
@@ -216,11 +216,11 @@
 }
 
 // markNotified notes that a process counts as notified of an event from a time on.
-func (p *gatewayProcess) markNotified(no int, at time.Duration) {
-	for len(p.notified) <= no {
+func (p *gatewayProcess) markNotified(number int, at time.Duration) {
+	for len(p.notified) <= number {
 		p.notified = append(p.notified, 0)
 	}
-	if p.notified[no] == 0 {
-		p.notified[no] = max(1, at)
+	if p.notified[number] == 0 {
+		p.notified[number] = max(1, at)
 	}
 }
--- a/internal/lab/scenario/extprocserver.go
+++ b/internal/lab/scenario/extprocserver.go
@@ -48,22 +48,22 @@
 	scenario    *Scenario
 }
 
-func newExtprocServer(in gateway.Dependencies, at string, s *Scenario) (*extprocServer, error) {
-	terms, plant := extprocLimits, extprocFaults[s.Plan.InjectedFault]
-	if plant.limits != nil {
-		plant.limits(&in, &terms)
+func newExtprocServer(in gateway.Dependencies, addr string, s *Scenario) (*extprocServer, error) {
+	limits, fault := extprocLimits, extprocFaults[s.Plan.InjectedFault]
+	if fault.limits != nil {
+		fault.limits(&in, &limits)
 	}
 	table, err := route.Compile(extprocRoutes, in.Settings.Kinds)
 	if err != nil {
 		return nil, err
 	}
-	l, err := in.Environment.Listen(at)
+	l, err := in.Environment.Listen(addr)
 	if err != nil {
 		return nil, err
 	}
 	return &extprocServer{Server: extproc.New(extproc.Dependencies{Environment: in.Environment, Settings: in.Settings, Dispatcher: in.Dispatcher,
-		Caches: in.Registry, Purges: in.Purges, Admission: in.Admission}, table, terms), environment: in.Environment, listener: l,
-		conns: map[net.Conn]int{}, group: in.Environment.NewGroup(), fault: plant, scenario: s}, nil
+		Caches: in.Registry, Purges: in.Purges, Admission: in.Admission}, table, limits), environment: in.Environment, listener: l,
+		conns: map[net.Conn]int{}, group: in.Environment.NewGroup(), fault: fault, scenario: s}, nil
 }
 
 // openStreams is the number of open streams.
@@ -101,10 +101,10 @@
 				host, _, _ := net.SplitHostPort(c.RemoteAddr().String())
 				w := &textStream{conn: c, in: bufio.NewReader(c), server: p}
 				err := p.Serve(w, host)
-				var why extproc.EndReason
-				if errors.As(err, &why) {
+				var reason extproc.EndReason
+				if errors.As(err, &reason) {
 					c.SetWriteDeadline(p.environment.Now().Add(100 * time.Millisecond))
-					fmt.Fprintf(c, "E%d\n\n", why)
+					fmt.Fprintf(c, "E%d\n\n", reason)
 				}
 				c.Close()
 				p.mu.Lock()
@@ -197,9 +197,9 @@
 // extprocFault is a fault injected into the external processor, at its wire or its limits.
 type extprocFault struct {
 	help   string
-	limits func(in *gateway.Dependencies, t *extproc.Limits)
-	recv   func(d *Scenario, m *extproc.Message, fields []string)
-	send   func(d *Scenario, g env.Environment, r extproc.Reply, text string) string
+	limits func(in *gateway.Dependencies, limits *extproc.Limits)
+	recv   func(s *Scenario, m *extproc.Message, fields []string)
+	send   func(s *Scenario, e env.Environment, r extproc.Reply, text string) string
 }
 
 var extprocFaults = map[string]extprocFault{
@@ -215,14 +215,14 @@
 		}
 		return text
 	}},
-	"door_end_kept_back": {help: "a final answer is written near the deadline", send: func(s *Scenario, g env.Environment, r extproc.Reply, text string) string {
+	"door_end_kept_back": {help: "a final answer is written near the deadline", send: func(s *Scenario, e env.Environment, r extproc.Reply, text string) string {
 		if r.Status == 503 && r.RetryAfter > 0 {
-			g.NewNotifier().Wait(1400 * time.Millisecond)
+			e.NewNotifier().Wait(1400 * time.Millisecond)
 		}
 		return text
 	}},
 	"door_purges_unheard": {help: "births of answers are not held against purges", limits: func(in *gateway.Dependencies, _ *extproc.Limits) { in.Purges = nil }},
-	"door_forgetful":      {help: "an ended lookup is forgotten at once", limits: func(_ *gateway.Dependencies, t *extproc.Limits) { t.Lookups.Retention = 1 }},
+	"door_forgetful":      {help: "an ended lookup is forgotten at once", limits: func(_ *gateway.Dependencies, limits *extproc.Limits) { limits.Lookups.Retention = 1 }},
 	"door_answer_never_ran": {help: "a send that brought its answer is taken for one that did not run", recv: func(s *Scenario, m *extproc.Message, fields []string) {
 		for i, f := range fields {
 			if f == "x-foldslip-end: hit" && s.randN(40) == 0 {
--- a/internal/lab/scenario/objects.go
+++ b/internal/lab/scenario/objects.go
@@ -12,7 +12,7 @@
 const (
 	purgeGroups = 16
 	largeKB     = 1200 // of one part in twelve of a segment
-	kbToBytes   = 12   // a cached part has so many bytes for each KB of its work, to keep runs small
+	bytesPerKB  = 12   // a cached part has so many bytes for each KB of its work, to keep runs small
 )
 
 // objectName is the name of an object of a kind.
@@ -51,7 +51,7 @@
 	if kb >= largeKB && hashString(object)%2 == 0 {
 		return maxBody
 	}
-	return int(kb * kbToBytes)
+	return int(kb * bytesPerKB)
 }
 
 // partWork is the time that the transfer of a part takes at a cache.
--- a/internal/lab/scenario/purges.go
+++ b/internal/lab/scenario/purges.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	firstPurgeApplied  = 500 // milliseconds after which a cache may have applied a purge itself
-	purgeAppliedSpread = 5000
+	minPurgeDelayMS    = 500 // milliseconds after which a cache may have applied a purge itself
+	purgeDelaySpreadMS = 5000
 )
 
 // purge is a purge that was published.
@@ -32,8 +32,8 @@
 }
 
 // makesStale reports whether a copy of a lookup's object is older than a purge of it.
-func (p purge) makesStale(l *lookup, copied *cachedCopy) bool {
-	return (p.object == l.object || p.object == "" && p.group == l.group) && copied.createdAt.Before(p.issued)
+func (p purge) makesStale(l *lookup, held *cachedCopy) bool {
+	return (p.object == l.object || p.object == "" && p.group == l.group) && held.createdAt.Before(p.issued)
 }
 
 // groupKey is the key of a group among objects.
@@ -58,6 +58,6 @@
 	s.checker.purges = append(s.checker.purges, p)
 	s.publish(event)
 	for _, c := range slices.Concat(s.caches, s.parents) {
-		s.after(firstPurgeApplied*time.Millisecond+s.randMillis(purgeAppliedSpread), func() { c.applyPurge(p) })
+		s.after(minPurgeDelayMS*time.Millisecond+s.randMillis(purgeDelaySpreadMS), func() { c.applyPurge(p) })
 	}
 }
--- a/internal/lab/scenario/routechange.go
+++ b/internal/lab/scenario/routechange.go
@@ -68,8 +68,8 @@
 		change.edgeIDs = s.firstEdges
 		change.startedAt = warmup + 15*time.Second
 		count := func() (ok, all int) {
-			for end, n := range s.checker.outcomes {
-				if all += n; isSatisfied(end) {
+			for outcome, n := range s.checker.outcomes {
+				if all += n; isSatisfied(outcome) {
 					ok += n
 				}
 			}
--- a/internal/lab/scenario/routes.go
+++ b/internal/lab/scenario/routes.go
@@ -27,8 +27,8 @@
 
 // routesExclude reports whether a configuration excludes a cache. Both include the caches that start later.
 func (s *Scenario) routesExclude(side routeSide, id string) bool {
-	for i, was := range s.firstEdges {
-		if was == id {
+	for i, edgeID := range s.firstEdges {
+		if edgeID == id {
 			return i%3 == int(side)
 		}
 	}
@@ -47,28 +47,28 @@
 
 // setUpRoutes configures a gateway's process to keep its changes of routes on its disk.
 func (g *gatewayActor) setUpRoutes(p *simenv.Process) {
-	own := struct {
+	routing := struct {
 		Folder string              `json:"folder"`
 		Guards *change.GuardLimits `json:"guards,omitempty"`
 		config.RouteConfig
 	}{routesDir, nil, g.scenario.routesFor(0)}
-	if t := g.scenario.hooks.routeChangeRun; t != nil {
-		own.RouteConfig = t.configBefore()
-		if !t.Guarded {
-			own.Guards = &change.GuardLimits{MinLookups: 1, Deviations: 1}
+	if run := g.scenario.hooks.routeChangeRun; run != nil {
+		routing.RouteConfig = run.configBefore()
+		if !run.Guarded {
+			routing.Guards = &change.GuardLimits{MinLookups: 1, Deviations: 1}
 		}
 	}
-	p.Files[configPath] = mustMarshal(map[string]any{"routing": own})
+	p.Files[configPath] = mustMarshal(map[string]any{"routing": routing})
 	p.Variables["FOLDSLIP_SETTINGS"] = configPath
 	p.Directories = map[string]*simenv.Directory{routesDir: g.directory}
 }
 
 // recordRoutes notes which configurations are active at a gateway from now on.
 func (p *gatewayProcess) recordRoutes() {
-	_, f := p.instance.Routes().History()
-	now := activeRoutes{p.actor.scenario.sim.Now(), p.actor.scenario.sim.Now(), p.actor.routeSides[f.Base], -1}
-	if f.Next != 0 {
-		now.next = p.actor.routeSides[f.Next]
+	_, active := p.instance.Routes().History()
+	now := activeRoutes{p.actor.scenario.sim.Now(), p.actor.scenario.sim.Now(), p.actor.routeSides[active.Base], -1}
+	if active.Next != 0 {
+		now.next = p.actor.routeSides[active.Next]
 	}
 	p.activeRoutes = append(p.activeRoutes, now)
 }
@@ -85,9 +85,9 @@
 	if l.routeSides == nil {
 		l.process.refreshRoutes()
 		l.routeSides = &[2]bool{}
-		in := l.receivedAt + 20*time.Millisecond
+		latest := l.receivedAt + 20*time.Millisecond
 		for i, f := range l.process.activeRoutes {
-			if f.from <= in && (i+1 == len(l.process.activeRoutes) || l.process.activeRoutes[i+1].seenAt >= l.receivedAt) {
+			if f.from <= latest && (i+1 == len(l.process.activeRoutes) || l.process.activeRoutes[i+1].seenAt >= l.receivedAt) {
 				l.routeSides[f.base] = true
 				if f.next >= 0 {
 					l.routeSides[f.next] = true
@@ -115,7 +115,7 @@
 	routes := p.instance.Routes()
 	_, now := routes.History()
 	to := 1 - g.routeSides[now.Base]
-	took := func(step change.Step, err error) bool {
+	recordStep := func(step change.Step, err error) bool {
 		if p.ended {
 			return false
 		}
@@ -130,47 +130,47 @@
 	if step.Version != 0 {
 		g.routeSides[step.Version] = to
 	}
-	if !took(step, err) {
+	if !recordStep(step, err) {
 		return
 	}
-	within := time.Duration(1000+f.Variant%3000) * time.Millisecond
-	rest := func(after time.Duration, do func() bool, then func()) {
-		s.after(after, func() {
+	timeout := time.Duration(1000+f.Variant%3000) * time.Millisecond
+	schedule := func(delay time.Duration, do func() bool, then func()) {
+		s.after(delay, func() {
 			if !p.ended && p.terminatedAt == 0 && do() && then != nil {
 				then()
 			}
 		})
 	}
 	end := func() {
-		rest(time.Duration(f.DurationMS)*time.Millisecond, func() bool {
+		schedule(time.Duration(f.DurationMS)*time.Millisecond, func() bool {
 			switch f.Variant % 3 {
 			case 0:
-				return took(routes.Confirm(step.Version))
+				return recordStep(routes.Confirm(step.Version))
 			case 1:
-				return took(routes.RollBack(step.Version, "a day"))
+				return recordStep(routes.RollBack(step.Version, "a day"))
 			}
 			return false // forgotten: the gateway rolls it back
 		}, nil)
 	}
 	apply := func() {
-		rest(time.Duration(100+f.Variant%700)*time.Millisecond, func() bool { return took(routes.Apply(step.Version, within)) }, end)
+		schedule(time.Duration(100+f.Variant%700)*time.Millisecond, func() bool { return recordStep(routes.Apply(step.Version, timeout)) }, end)
 	}
 	if f.Variant%2 == 0 {
 		apply()
 		return
 	}
-	rest(10*time.Millisecond, func() bool { return took(routes.Stage(step.Version, 0.1+float64(f.Variant%7)/10, within)) }, apply)
+	schedule(10*time.Millisecond, func() bool { return recordStep(routes.Stage(step.Version, 0.1+float64(f.Variant%7)/10, timeout)) }, apply)
 }
 
 // refreshRoutes notes which configurations a gateway has activated by itself since the last look.
 func (p *gatewayProcess) refreshRoutes() {
-	_, f := p.instance.Routes().History()
+	_, active := p.instance.Routes().History()
 	last := p.activeRoutes[len(p.activeRoutes)-1]
 	next := routeSide(-1)
-	if f.Next != 0 {
-		next = p.actor.routeSides[f.Next]
+	if active.Next != 0 {
+		next = p.actor.routeSides[active.Next]
 	}
-	if p.actor.routeSides[f.Base] != last.base || next != last.next {
+	if p.actor.routeSides[active.Base] != last.base || next != last.next {
 		p.recordRoutes()
 		p.activeRoutes[len(p.activeRoutes)-1].from = p.routesCheckedAt
 	}
