--- a/internal/lab/scenario/cache.go
+++ b/internal/lab/scenario/cache.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	edgeCapacity   = 120 // stored copies
-	parentCapacity = 600
-	edgeMaxFills   = 8 // fills at once
-	parentMaxFills = 24
-	maxQueue       = 30 // requests in service before a cache sheds more
-	maxBody        = 100000
+	edgeCapacity   = 120    // copies that an edge stores
+	parentCapacity = 600    // copies that a parent stores
+	edgeMaxFills   = 8      // concurrent fills at an edge
+	parentMaxFills = 24     // concurrent fills at a parent
+	maxQueue       = 30     // requests in service from which a cache sheds further requests
+	maxBody        = 100000 // bytes of the largest cached part
 )
 
-// cache is an edge cache, a parent or the origin.
+// cache simulates an edge cache, a parent cache or the origin.
 type cache struct {
 	scenario       *Scenario
 	id, zone       string
 	flavor         string
 	host           *simenv.Host
-	size           float64
+	size           float64 // concurrent transfers at full capacity
 	cell           int
-	startedAt      time.Duration // 0: long before the scenario
+	startedAt      time.Duration // 0: it started long before the scenario
 	up             bool
-	phase          string // as published
-	hung           bool   // accepts everything and answers nothing
-	failsAll       bool   // answers everything with an error
-	stopsReading   bool   // reads nothing on its connections
+	phase          string // lifecycle phase; a fault may set it before discovery publishes it
+	hung           bool   // it accepts requests and does not answer them
+	failsAll       bool   // it answers every request with an error
+	stopsReading   bool   // it does not read from its connections
 	slowdown       float64
 	stored         map[string]*cachedCopy
 	uses           uint64
@@ -40,26 +40,28 @@
 	activeRequests int
 	activeFills    int
 	fills          map[string]*pendingFill
-	recentWork     []timedWork // in overloadWindow, for rule 4
-	effectRuns     map[string]int
-	startEvent     int     // number of the event that publishes its start
-	appliedPurges  []purge // that it knows by itself
+	recentWork     []timedWork    // received within overloadWindow, for rule 4, which limits the load on cold caches
+	effectRuns     map[string]int // by object: how often the effect of its lookups ran at the origin
+	startEvent     int            // number of the event that publishes the cache's start; 0: none
+	appliedPurges  []purge        // purges that the cache has applied to its store
 }
 
+// timedWork is the service time of a request and when the request arrived.
 type timedWork struct {
 	at   time.Duration
 	work time.Duration
 }
 
-// cachedCopy is a copy of a part that the origin served at createdAt.
+// cachedCopy is a copy of a part. createdAt is when the origin served it.
 type cachedCopy struct {
 	version   string
 	createdAt time.Time
 	size      int
-	lastUse   uint64
-	rank      int
+	lastUse   uint64 // value of the cache's use counter
+	rank      int    // of the request that stored the copy or, at an edge, last used it
 }
 
+// pendingFill is a fill in progress. Its waiters are called when the fill ends, with a nil copy if it failed.
 type pendingFill struct {
 	waiters []func(c *cachedCopy, note string)
 }
@@ -85,7 +87,7 @@
 		UpSince: since}
 }
 
-// start starts the machine; it is cold if at is above 0.
+// start starts the cache with an empty store. The cache is cold if at is above 0.
 func (c *cache) start(at time.Duration) {
 	c.up, c.hung, c.startedAt, c.startEvent = true, false, at, 0
 	c.host.Vanished = false
@@ -111,7 +113,7 @@
 	})
 }
 
-// stop ends the machine: its connections are reset, or go silent with it.
+// stop stops the cache. Its connections are reset, or, if silent is set, end without notice to their gateways.
 func (c *cache) stop(silent bool) {
 	if !c.up {
 		return
@@ -120,7 +122,9 @@
 	c.host.StopServing("10080")
 	c.host.Vanished = silent
 	conns := slices.Clone(c.conns)
-	if c.scenario.sim.Lockstep { // a gateway sees the attempts on one connection end in the order of their ids
+	if c.scenario.sim.Lockstep {
+		// A gateway sees the attempts on one connection end in the order of
+		// their ids. The requests of a proxy end in the same order.
 		slices.SortStableFunc(conns, func(a, b *cacheConn) int { return strings.Compare(a.attemptID, b.attemptID) })
 	}
 	if script := c.scenario.hooks.script; script != nil {
@@ -128,7 +132,7 @@
 		for _, conn := range conns {
 			open += len(conn.requests)
 		}
-		if open > 1 { // their order is not promised
+		if open > 1 { // the order in which these requests end is not guaranteed
 			script.mayDiverge(c.scenario.sim.Now(), "broken together")
 		}
 	}
@@ -144,7 +148,7 @@
 	}
 }
 
-// publishPhase publishes the cache's phase after a lag.
+// publishPhase sets the cache's phase and publishes it after a delay.
 func (c *cache) publishPhase(phase string, lag time.Duration) {
 	c.scenario.after(lag, func() {
 		c.phase = phase
@@ -155,7 +159,8 @@
 	})
 }
 
-// handle answers a request.
+// handle serves a request from the store, by a fill from the request's source, or by joining a fill in progress. It
+// sheds the request if the cache is at its limits.
 func (c *cache) handle(request *attemptRequest) {
 	request.receivedAt = c.scenario.sim.Now()
 	if c.scenario.hooks.script != nil {
@@ -229,7 +234,8 @@
 	return k.maxAge == 0 || age <= k.maxAge
 }
 
-// fill gets a copy from the source that the request names.
+// fill fetches a copy from the source that the request names, and stores it. It calls done and the waiters of the
+// fill with the copy, or with nil if the fill fails.
 func (c *cache) fill(request *attemptRequest, done func(*cachedCopy, string)) {
 	s, from := c.scenario, c.scenario.byID[request.source]
 	f := &pendingFill{waiters: []func(*cachedCopy, string){done}}
@@ -258,8 +264,8 @@
 			w(got, note)
 		}
 	}
-	s.after(6*time.Second, func() { end(nil, "src_broke") }) // the source does not answer
-	if from == nil {                                         // the gateway has an old list
+	s.after(6*time.Second, func() { end(nil, "src_broke") }) // the source did not answer within 6 s
+	if from == nil {                                         // the gateway's endpoint list is outdated and names an unknown source
 		s.after(3*time.Millisecond, func() { end(nil, "src_refused") })
 		return
 	}
@@ -268,11 +274,13 @@
 			end(nil, note)
 			return
 		}
-		s.after(time.Duration(float64(request.work)*from.slowdown/4), func() { end(got, note) }) // fills are faster than answers to gateways
+		// A fill transfers a copy four times as fast as an answer to a gateway.
+		s.after(time.Duration(float64(request.work)*from.slowdown/4), func() { end(got, note) })
 	})
 }
 
-// serveFill serves a copy to another cache. If the request or the answer is lost, done is not called.
+// serveFill serves a copy to another cache. It calls done with nil if the fill fails. It does not call done if the
+// request or the answer is lost.
 func (c *cache) serveFill(to *cache, request *attemptRequest, done func(*cachedCopy, string)) {
 	s := c.scenario
 	if !c.up {
@@ -327,7 +335,8 @@
 	})
 }
 
-// passThrough runs a lookup that is never cached at the origin; all caches of a zone know the deduplicated ones that ran.
+// passThrough runs a lookup whose kind is never cached at the origin. The caches of a zone share the ids of the
+// deduplicated lookups that have run, and answer a repeat without running it again.
 func (c *cache) passThrough(request *attemptRequest) {
 	if request.kindSettings().effect == effectDeduplicated {
 		if c.scenario.checker.deduplicated[c.zone+request.id] {
@@ -344,17 +353,18 @@
 	from.serveFill(c, request, func(got *cachedCopy, note string) { c.fillEnded(request, got, note, began) })
 }
 
-// applyPurge drops the copies that a purge makes stale, as every cache does within the time that the settings promise.
+// applyPurge drops the copies that a purge makes stale. Each cache does so within the time that the settings promise.
 func (c *cache) applyPurge(p purge) {
 	c.appliedPurges = append(c.appliedPurges, p)
-	for key, got := range c.stored { // each by itself: the order does not matter
+	for key, got := range c.stored { // each copy is checked on its own, so the order does not matter
 		if p.coversKey(key) && got.createdAt.Before(p.issued) {
 			delete(c.stored, key)
 		}
 	}
 }
 
-// store stores a copy; past the capacity it evicts the lowest rank, and within it the least recently used.
+// store stores a copy, unless a purge that the cache has applied makes it stale. Above the capacity, it evicts the
+// copy of the lowest rank, and among several of that rank the least recently used.
 func (c *cache) store(key string, got *cachedCopy, rank, capacity int) {
 	for _, p := range c.appliedPurges {
 		if p.coversKey(key) && got.createdAt.Before(p.issued) {
@@ -370,7 +380,7 @@
 	}
 	var victim *cachedCopy
 	var victimKey string
-	for k, o := range c.stored { // exactly one is least: lastUse is unique
+	for k, o := range c.stored { // lastUse is unique, so the victim does not depend on the order
 		if victim == nil || o.rank < victim.rank || o.rank == victim.rank && o.lastUse < victim.lastUse {
 			victim, victimKey = o, k
 		}
@@ -378,7 +388,7 @@
 	delete(c.stored, victimKey)
 }
 
-// serve answers a request with a copy, after a time that depends on the cache's load.
+// serve answers a request with a copy. The service time grows with the load on the cache.
 func (c *cache) serve(request *attemptRequest, got *cachedCopy, note string, waited time.Duration) {
 	s := c.scenario
 	c.activeRequests++
@@ -398,7 +408,7 @@
 		}
 		fields := fmt.Sprintf("note=%s,waited=%.3f,ver=%s,born=%d", note, float64(waited.Microseconds())/1000, got.version,
 			got.createdAt.UnixMilli())
-		if request.kindSettings().passesThrough && request.conn.deliver == nil { // the answer of an effect is not a copy
+		if request.kindSettings().passesThrough && request.conn.deliver == nil { // not a cached copy: it has no version and no creation time
 			fields = fmt.Sprintf("note=%s,waited=%.3f", note, float64(waited.Microseconds())/1000)
 		}
 		if notModified {
@@ -419,7 +429,7 @@
 	})
 }
 
-// respond answers with a status word and no body.
+// respond answers a request with a status word and no body.
 func (c *cache) respond(request *attemptRequest, word, fields string) {
 	if request.ended || !c.up || c.hung {
 		return
@@ -428,13 +438,13 @@
 	request.conn.send(request, fmt.Sprintf("%s %s %s 0\r\n\r\n", request.id, word, fields))
 }
 
-// body is the bytes of a copy: its key and version, padded to its size.
+// body returns the bytes of a copy: its key, version and creation time, padded to its size.
 func (got *cachedCopy) body(key string) string {
 	head := key + " " + got.version + " " + strconv.FormatInt(got.createdAt.UnixMilli(), 10) + "|"
 	return head + strings.Repeat("x", max(0, got.size-len(head)))
 }
 
-// originCopy is the copy that the origin serves now.
+// originCopy returns the copy that the origin serves at the current time.
 func (s *Scenario) originCopy(request *attemptRequest) *cachedCopy {
 	return &cachedCopy{version: fmt.Sprintf("v%d-%s-%d", request.part, request.object, s.checker.version(request.object)),
 		createdAt: s.sim.Unix().Truncate(time.Millisecond), size: partBytes(request.object, request.part)}
--- a/internal/lab/scenario/cacheconn.go
+++ b/internal/lab/scenario/cacheconn.go
@@ -8,24 +8,25 @@
 	"foldslip/internal/lab/simenv"
 )
 
-// cacheConn is a gateway's connection to a cache, seen from the cache.
+// cacheConn is the cache's side of a gateway's connection to it. A request that a proxy makes itself has a cacheConn
+// of its own, without a simulated connection: deliver gets its answer and onReset reports a reset.
 type cacheConn struct {
 	cache           *cache
 	end             *simenv.End
 	process         *gatewayProcess
 	in              []byte
 	requests        map[string]*attemptRequest
-	written         []byte // written by the gateway and not yet a complete line
+	written         []byte // bytes of an incomplete line that the gateway has written
 	lineStartedAt   time.Duration
-	sentBytes       int // bytes to the gateway, and how many have arrived
-	arrivedBytes    int
+	sentBytes       int // bytes sent to the gateway
+	arrivedBytes    int // of sentBytes, those that have reached the gateway
 	pendingAnswers  []pendingAnswer
-	attempts        []*attempt // in flight, as seen on the wire
+	attempts        []*attempt // attempts in flight, as seen on the wire
 	closed          bool
-	answerTruncated bool                                 // an answer on it was cut off, so nothing more is sent
-	deliver         func(q *attemptRequest, text string) // for the one request of a proxy, which has no simulated connection: takes its answer
-	onReset         func()
-	attemptID       string // of that request
+	answerTruncated bool                                 // an answer was cut off, so nothing more is sent
+	deliver         func(q *attemptRequest, text string) // gets the answer to a proxy's request; nil: a simulated connection
+	onReset         func()                               // reports the reset of a proxy's request
+	attemptID       string                               // id of a proxy's request
 }
 
 // reset resets the connection.
@@ -49,7 +50,8 @@
 
 func (conn *cacheConn) Opened() {}
 
-// endAtCache ends the connection at the cache's side; if silent, the gateway cannot know.
+// endAtCache ends the connection at the cache's side, and all requests
+// on it. If silent is set, the gateway is not notified.
 func (conn *cacheConn) endAtCache(silent bool) {
 	conn.detach()
 	for _, request := range conn.requests {
@@ -72,7 +74,7 @@
 	}
 }
 
-// Data takes what reaches the cache.
+// Data handles bytes that reach the cache: requests, and cancellations ("undo").
 func (conn *cacheConn) Data(b []byte) {
 	conn.in = append(conn.in, b...)
 	for {
@@ -97,7 +99,7 @@
 		conn.in = conn.in[i+n+4:]
 		request, err := parseRequest(line, text)
 		if err != nil {
-			conn.cache.scenario.checker.violated("protocol", "%s reads: %v", conn.cache.id, err)
+			conn.cache.scenario.checker.violated("protocol", "%s cannot parse a request: %v", conn.cache.id, err)
 			conn.end.Reset()
 			conn.endAtCache(false)
 			return
@@ -108,7 +110,7 @@
 			conn.requests = map[string]*attemptRequest{}
 		}
 		conn.requests[request.id] = request
-		conn.cache.checkColdLoad(conn.process, meanWork[request.kindIndex], request.firstByteAt()) // as rule 4 counts it
+		conn.cache.checkColdLoad(conn.process, meanWork[request.kindIndex], request.firstByteAt()) // rule 4 counts the mean work of the kind
 		conn.cache.handle(request)
 		if conn.end.IsClosed() {
 			return
@@ -116,7 +118,7 @@
 	}
 }
 
-// send writes an answer.
+// send writes the answer to a request, unless an answer before it was cut off.
 func (conn *cacheConn) send(request *attemptRequest, text string) {
 	if conn.answerTruncated {
 		delete(conn.requests, request.id)
@@ -134,12 +136,14 @@
 	conn.end.Send([]byte(text))
 }
 
-// pendingAnswer is an answer that has reached the gateway once endByte bytes have.
+// pendingAnswer is an answer that the cache has written. It has reached the
+// gateway when endByte bytes of the connection have arrived.
 type pendingAnswer struct {
 	endByte int
 	attempt *attempt
 }
 
+// arrived is called with bytes that reach the gateway.
 func (conn *cacheConn) arrived(b []byte) {
 	conn.arrivedBytes += len(b)
 	for len(conn.pendingAnswers) > 0 && conn.pendingAnswers[0].endByte <= conn.arrivedBytes {
@@ -148,7 +152,8 @@
 	}
 }
 
-// Written follows what the gateway writes.
+// Written parses what the gateway writes and reports each attempt and
+// cancellation to the checker. A negative n is the end of the connection.
 func (conn *cacheConn) Written(n int, b []byte) {
 	if n < 0 {
 		conn.closed = true
@@ -183,7 +188,7 @@
 	}
 }
 
-// sendStray writes an answer that no request asked for.
+// sendStray writes an answer to which there is no request.
 func (conn *cacheConn) sendStray(text string) {
 	conn.sentBytes += len(text)
 	conn.end.Send([]byte(text))
--- a/internal/lab/scenario/cachefaults.go
+++ b/internal/lab/scenario/cachefaults.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// cacheFaultKinds are the faults of caches, parents and the origin.
+// cacheFaultKinds returns the kinds of faults of caches, parents and the origin.
 func cacheFaultKinds() []FaultKind {
 	return []FaultKind{
-		{"cache_kill", "a cache dies, is told gone later and a new one takes its place", 500, 3000, 3, false, ofUndisturbedCache((*Scenario).cacheKill)},
-		{"cache_back", "a cache dies and comes back cold under its id", 800, 6000, 2, false, ofUndisturbedCache((*Scenario).cacheBack)},
-		{"cache_vanish", "a cache vanishes in silence and comes back cold", 1500, 6000, 2, false, ofUndisturbedCache((*Scenario).cacheVanish)},
-		{"cache_hang", "a cache takes lookups and answers none", 1000, 6000, 2, false, ofUndisturbedCache((*Scenario).cacheHang)},
-		{"cache_drain", "a cache drains, goes and is replaced", 800, 5000, 3, false, ofUndisturbedCache((*Scenario).cacheDrain)},
+		{"cache_kill", "a cache dies; discovery removes it later and a new cache replaces it", 500, 3000, 3, false, ofUndisturbedCache((*Scenario).cacheKill)},
+		{"cache_back", "a cache dies and restarts cold under its id", 800, 6000, 2, false, ofUndisturbedCache((*Scenario).cacheBack)},
+		{"cache_vanish", "a cache vanishes without closing its connections and restarts cold", 1500, 6000, 2, false, ofUndisturbedCache((*Scenario).cacheVanish)},
+		{"cache_hang", "a cache accepts lookups and answers none", 1000, 6000, 2, false, ofUndisturbedCache((*Scenario).cacheHang)},
+		{"cache_drain", "a cache drains, stops and is replaced", 800, 5000, 3, false, ofUndisturbedCache((*Scenario).cacheDrain)},
 		{"cache_replace", "a cache is replaced under a new id at its old address", 300, 3000, 2, false, ofUndisturbedCache((*Scenario).cacheReplace)},
 		{"cache_slow", "a cache is slow", 2000, 8000, 2, false, (*Scenario).cacheSlow},
-		{"cache_errors", "a cache answers everything with an error", 1000, 6000, 2, false, (*Scenario).cacheErrors},
-		{"cold_mass", "half of the caches start cold at once", 1000, 1000, 1, false, (*Scenario).coldMass},
-		{"parent_kill", "a parent dies and comes back cold", 1000, 8000, 2, false, (*Scenario).parentKill},
+		{"cache_errors", "a cache answers every request with an error", 1000, 6000, 2, false, (*Scenario).cacheErrors},
+		{"cold_mass", "half of the caches stop at once and restart cold", 1000, 1000, 1, false, (*Scenario).coldMass},
+		{"parent_kill", "a parent dies and restarts cold", 1000, 8000, 2, false, (*Scenario).parentKill},
 		{"parent_slow", "a parent is slow", 2000, 8000, 1, false, (*Scenario).parentSlow},
-		{"parent_hang", "a parent takes fills and gives none", 2000, 6000, 1, false, (*Scenario).parentHang},
+		{"parent_hang", "a parent accepts fills and completes none", 2000, 6000, 1, false, (*Scenario).parentHang},
 		{"origin_slow", "the origin is slow", 2000, 8000, 2, false, (*Scenario).originSlow},
-		{"origin_gone", "the origin is gone", 500, 4000, 1, false, (*Scenario).originGone},
+		{"origin_gone", "the origin is down", 500, 4000, 1, false, (*Scenario).originGone},
 	}
 }
 
-// replaceCache starts a new, cold cache in the place of another.
+// replaceCache starts a new, cold cache that replaces another one, publishes its start and returns it.
 func (s *Scenario) replaceCache(c *cache, ip string) *cache {
 	successor := s.newCache(c.flavor, c.zone, ip, c.size)
 	successor.start(max(1, s.sim.Now()))
@@ -38,10 +38,13 @@
 	return successor
 }
 
+// newIP returns an address for the replacement of a cache.
 func (s *Scenario) newIP(c *cache) string {
 	return fmt.Sprintf("10.1.%d.%d", 2+s.lastCacheID/200, 1+s.lastCacheID%200)
 }
 
+// publishDrain publishes after a delay that a cache drains or is removed.
+// The checker measures the drain from the first such event.
 func (s *Scenario) publishDrain(c *cache, phase string, lag time.Duration) {
 	s.after(lag, func() {
 		if s.checker.drainEvents[c.id] == 0 {
@@ -51,10 +54,11 @@
 	})
 }
 
-// isUndisturbed reports whether a cache is in its usual state, so that a fault can begin.
+// isUndisturbed reports whether no other fault stops, drains or hangs the cache, so that a new one can begin.
 func (c *cache) isUndisturbed() bool { return c.up && c.phase == "up" && !c.hung }
 
-// ofUndisturbedCache makes a fault of a cache that begins only if the target is undisturbed.
+// ofUndisturbedCache returns the begin function of a cache fault that
+// is skipped if another fault already affects the target.
 func ofUndisturbedCache(begin func(*Scenario, *cache, Fault)) func(*Scenario, Fault) {
 	return func(s *Scenario, f Fault) {
 		if c := pick(s.caches, f.Target); c.isUndisturbed() {
@@ -63,7 +67,7 @@
 	}
 }
 
-// restart starts the cache again, cold, under its id.
+// restart starts the cache again under the same id, with a cold store, and publishes its start.
 func (c *cache) restart() {
 	c.start(c.scenario.sim.Now())
 	c.publishPhase("up", 0)
--- a/internal/lab/scenario/cachesend.go
+++ b/internal/lab/scenario/cachesend.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// errRequest is the error of a line from a gateway that is not a request.
+// errRequest is returned for a line from a gateway that is not a valid request.
 var errRequest = errors.New("invalid request")
 
-// attemptRequest is the request of an attempt as a cache reads it from its line.
+// attemptRequest is the request of an attempt as a cache parses it from the gateway's line.
 type attemptRequest struct {
 	id, kind, object, source, etag, mode string
 	body                                 string
@@ -19,12 +19,13 @@
 	timeout, maxAge                      time.Duration
 	conn                                 *cacheConn
 	kindIndex                            int
-	work                                 time.Duration
+	work                                 time.Duration // time of the transfer at a cache without other load
 	receivedAt                           time.Duration
 	ended                                bool
 }
 
-// firstByteAt is when the gateway wrote the first byte of the request's line; now where no attempt of it is known.
+// firstByteAt returns when the gateway wrote the first byte of the request's line. It returns the current time if the
+// connection has no attempt with the request's id.
 func (request *attemptRequest) firstByteAt() time.Duration {
 	for _, a := range request.conn.attempts {
 		if a.lookup.id == request.id {
@@ -38,7 +39,7 @@
 
 func (request *attemptRequest) kindSettings() *lookupKind { return &lookupKinds[request.kindIndex] }
 
-// requestBodyLength is the number of bytes that follow the line of a request; -1 if the line is not one.
+// requestBodyLength returns the number of body bytes that follow a request's line, or -1 if the line is not a request.
 func requestBodyLength(line string) int {
 	words := strings.Split(line, " ")
 	if len(words) != 4 || words[0] != "do" {
@@ -51,11 +52,11 @@
 	return int(n)
 }
 
-// parseRequest reads the line of a request, without the line's end, and the bytes that follow it.
+// parseRequest parses a request from its line, without the line end, and its body.
 func parseRequest(line, body string) (*attemptRequest, error) {
 	words := strings.Split(line, " ")
 	if requestBodyLength(line) < 0 {
-		return nil, fmt.Errorf("%w: %q is no send", errRequest, line)
+		return nil, fmt.Errorf("%w: line %q, expected \"do ID FIELDS LENGTH\"", errRequest, line)
 	}
 	request := &attemptRequest{id: words[1], kindIndex: -1, body: body}
 	for _, f := range strings.Split(words[2], ",") {
@@ -67,7 +68,7 @@
 			n, err = strconv.Atoi(v)
 		}
 		if err != nil || n < 0 {
-			return nil, fmt.Errorf("%w: %q in a send cannot be read", errRequest, f)
+			return nil, fmt.Errorf("%w: field %q, expected a number of at least 0", errRequest, f)
 		}
 		switch name {
 		case "c":
@@ -89,7 +90,7 @@
 		case "seen":
 			request.etag = v
 		default:
-			return nil, fmt.Errorf("%w: field %q of a send is unknown", errRequest, name)
+			return nil, fmt.Errorf("%w: unknown field %q", errRequest, name)
 		}
 	}
 	for i, k := range lookupKinds {
@@ -98,7 +99,7 @@
 		}
 	}
 	if request.kindIndex < 0 || request.rank > 3 || request.timeout <= 0 || request.object == "" {
-		return nil, fmt.Errorf("%w: %q has fields that cannot be used", errRequest, line)
+		return nil, fmt.Errorf("%w: line %q, expected a known kind, an object, a rank of at most 3 and a timeout above 0 ms", errRequest, line)
 	}
 	return request, nil
 }
--- a/internal/lab/scenario/caller.go
+++ b/internal/lab/scenario/caller.go
@@ -9,52 +9,54 @@
 	"foldslip/internal/lab/simenv"
 )
 
-// extprocCaller is a stand-in for another proxy beside a gateway: it asks the gateway's external processor about each
-// lookup, makes the request to the cache that it is answered, and reports the outcome. It is written from the contract
-// in docs/external-processor.md only. Plans draw its faults.
+// extprocCaller simulates another proxy beside a gateway. It asks the gateway's external processor about
+// each lookup, sends the request to the cache that the gateway chose, and reports the outcome. It is
+// written only from the contract in docs/external-processor.md. Plans draw its faults.
 type extprocCaller struct {
 	scenario   *Scenario
 	gateway    *gatewayActor
 	host       *simenv.Host
 	streams    map[*callerStream]bool
-	generation int // it has been restarted so often
-	// one in so many, 0 none:
+	generation int // number of restarts so far
+	// Each field is the n of a fault that affects one stream, attempt or retry in n. 0 means none.
 	cancelOneIn, silentOneIn, duplicateOneIn, misreportOneIn, delayOneIn, malformedOneIn, lateRetryOneIn, stallOneIn int
 	malformedCount                                                                                                   uint64
 }
 
-// callerStream is one lookup at a proxy, and its stream to the gateway.
+// callerStream is a lookup at a proxy and its stream to the gateway's external processor.
 type callerStream struct {
 	caller        *extprocCaller
 	generation    int
 	lookup        *lookup
 	end           *simenv.End
-	written       []byte // written by the gateway and not yet a complete message
+	written       []byte // bytes of an incomplete message that the gateway has written
 	received      []byte
-	messageEnds   []int // for each message, the bytes that will have arrived at the gateway with its last
-	phases        []int
-	sentBytes     int
-	arrivedBytes  int
-	owedSince     time.Duration // since when the gateway owes a reply; -1: it owes none
-	decidedAt     time.Duration // when the gateway wrote the decision to send
-	finalReplies  int
+	messageEnds   []int         // by message not yet arrived: the stream offset at which it ends
+	phases        []int         // phases of these messages
+	sentBytes     int           // bytes sent to the gateway
+	arrivedBytes  int           // of sentBytes, those that have reached the gateway
+	owedSince     time.Duration // when the message arrived that the gateway has not replied to; -1: none
+	decidedAt     time.Duration // when the gateway wrote its decision on an attempt
+	finalReplies  int           // number of final replies that the gateway has written
 	ended         bool
-	duplicate     bool // a second lookup under the same id, which callers must not make
+	duplicate     bool // a second stream for the lookup, which breaks the contract
 	conn          *cacheConn
 	attempt       *attempt
 	request       *attemptRequest
 	notModified   bool
-	brokeContract bool // its caller broke the contract, so that no answer is owed
-	retriedLate   bool // it asked again long after the answer to do so
+	brokeContract bool // the caller broke the contract, so the gateway owes no answer
+	retriedLate   bool // it retried more than 50 ms after the gateway asked for the retry
 }
 
 func newExtprocCaller(s *Scenario, g *gatewayActor, index int) *extprocCaller {
 	return &extprocCaller{scenario: s, gateway: g, host: s.sim.Host(fmt.Sprintf("10.0.%d.%d", 100+index, g.index+1), groupGateways), streams: map[*callerStream]bool{}}
 }
 
+// oneIn draws whether a fault that affects one in n happens now.
 func (caller *extprocCaller) oneIn(n int) bool { return n > 0 && caller.scenario.randN(n) == 0 }
 
-// sendLookup asks the gateway's external processor about a lookup of a client.
+// sendLookup opens a stream to the gateway's external processor for a
+// lookup of a client, and sometimes a duplicate of it.
 func (caller *extprocCaller) sendLookup(l *lookup) {
 	if l.conn == nil {
 		l.conn = &clientConn{clients: caller.scenario.clients, gateway: caller.gateway, process: l.process}
@@ -68,6 +70,8 @@
 	}
 }
 
+// openStream connects a stream, which fails if the caller or the gateway
+// has restarted or the connection is not accepted within 2 s.
 func (caller *extprocCaller) openStream(stream *callerStream) {
 	if stream.generation != caller.generation || stream.lookup.process != caller.gateway.current {
 		stream.fail(outcomeGatewayGone)
@@ -83,6 +87,7 @@
 	})
 }
 
+// Opened sends the lookup's first message, or malformed messages.
 func (stream *callerStream) Opened() {
 	if stream.lookup.process != stream.caller.gateway.current || stream.ended {
 		stream.fail(outcomeGatewayGone)
@@ -99,7 +104,7 @@
 		}
 		return text
 	}
-	if stream.caller.oneIn(stream.caller.malformedOneIn) { // what no caller may send
+	if stream.caller.oneIn(stream.caller.malformedOneIn) { // messages that the contract does not allow
 		stream.caller.malformedCount++
 		malformed := []string{"P4\n:status: 200\n\n", "P2\n\n", "P77\n\n", "garbage\n\n", "P1\nx: " + strings.Repeat("y", 70000) + "\n\n"}
 		stream.brokeContract = true
@@ -118,7 +123,7 @@
 	}
 }
 
-// elapsed is how long the lookup has been at the gateway.
+// elapsed returns the time since the lookup arrived at the gateway, or 0 before that.
 func (stream *callerStream) elapsed() time.Duration {
 	if stream.lookup.receivedAt == 0 {
 		return 0
@@ -126,7 +131,7 @@
 	return stream.caller.scenario.sim.Now() - stream.lookup.receivedAt
 }
 
-// send sends a message.
+// send sends a message of a phase with its header lines.
 func (stream *callerStream) send(phase int, fields string) {
 	text := fmt.Sprintf("P%d\n%s\n", phase, fields)
 	stream.sentBytes += len(text)
@@ -134,7 +139,8 @@
 	stream.end.Send([]byte(text))
 }
 
-// messageArrived is called with bytes that reach the gateway; a complete message is owed a reply in time.
+// messageArrived is called with bytes that reach the gateway. The gateway must
+// reply to each complete message before the lookup's deadline.
 func (stream *callerStream) messageArrived(b []byte) {
 	s, l := stream.caller.scenario, stream.lookup
 	stream.arrivedBytes += len(b)
@@ -154,14 +160,14 @@
 		s.after(max(0, l.receivedAt+l.deadline-s.sim.Now())+socketSlack+time.Millisecond, func() {
 			if stream.owedSince == since && !stream.ended && !l.process.ended && !stream.brokeContract && !stream.end.Stalled && stream.end.IsAccepted() &&
 				!(l.process.terminatedAt > 0 && since > l.process.terminatedAt+700*time.Millisecond) {
-				s.checker.violated("rule 1", "%s owes a caller the answer to %s (%s), phase %d, for %v of %v", l.process.process.Name, l.id, lookupKinds[l.kind].name, phase,
+				s.checker.violated("rule 1", "%s has not replied to a caller for %s (%s), phase %d, after %v (deadline %v)", l.process.process.Name, l.id, lookupKinds[l.kind].name, phase,
 					s.sim.Now()-since, l.deadline)
 			}
 		})
 	}
 }
 
-// Written checks what the gateway writes: one reply to a message, and nothing after the final one.
+// Written checks what the gateway writes: at most one reply to each message, and nothing after the final reply.
 func (stream *callerStream) Written(n int, b []byte) {
 	if n < 0 || stream.ended {
 		return
@@ -172,10 +178,10 @@
 			return
 		}
 		if strings.HasPrefix(first, "E") {
-			return // the stream ends with a reason
+			return // the gateway ends the stream and gives a reason
 		}
 		if stream.owedSince < 0 || stream.finalReplies > 0 {
-			s.checker.violated("rule 1", "%s tells %q on the stream of %s, which nothing is owed for", stream.lookup.process.process.Name, first, stream.lookup.id)
+			s.checker.violated("rule 1", "%s wrote %q on the stream of %s, where no reply is due", stream.lookup.process.process.Name, first, stream.lookup.id)
 			return
 		}
 		stream.owedSince = -1
@@ -194,7 +200,8 @@
 	})
 }
 
-// checkFinal checks a final answer as the gateway writes it.
+// checkFinal checks a final answer when the gateway writes it: its status, the retry time, and that the lookup was
+// not held back without an attempt.
 func (stream *callerStream) checkFinal(status string, again bool, wait time.Duration) {
 	s, l := stream.caller.scenario, stream.lookup
 	if again || stream.duplicate || stream.retriedLate || l.ended {
@@ -206,18 +213,18 @@
 	switch code {
 	case 502, 503, 409:
 		if l.isHeldBack(now, lastBusy) {
-			s.checker.violated(ruleHeldBack, "%s was answered %d after %v of %v at the door, with nothing out for it for %v", l.id, code, now-l.receivedAt,
+			s.checker.violated(ruleHeldBack, "%s was answered %d by the external processor after %v (deadline %v), with no attempt in flight for %v", l.id, code, now-l.receivedAt,
 				l.deadline, now-lastBusy)
 		}
 		if code == 503 && wait <= 0 && len(l.attempts) > 0 {
-			s.checker.violated("held back", "%s was nacked at the door without a time to come back", l.id)
+			s.checker.violated("held back", "%s was rejected by the external processor without a retry time", l.id)
 		}
 	default:
-		s.checker.violated("rule 1", "%s was answered with status %d at the door", l.id, code)
+		s.checker.violated("rule 1", "%s was answered with unexpected status %d by the external processor", l.id, code)
 	}
 }
 
-// Data takes what reaches the proxy.
+// Data handles the gateway's replies when they reach the proxy.
 func (stream *callerStream) Data(b []byte) {
 	stream.received = splitMessages(append(stream.received, b...), func(first string, fields map[string]string) {
 		if stream.ended {
@@ -233,7 +240,8 @@
 		case first[0] == 'F':
 			status, _ := strconv.Atoi(first[1:])
 			wait, _ := strconv.Atoi(fields["x-wait-ms"])
-			stream.lookup.clientGone = stream.lookup.clientGone || status == 409 // it goes on, or has ended, on another stream of a caller that asks twice
+			// A 409 means that a caller opened two streams and the lookup continues, or has ended, on the other one.
+			stream.lookup.clientGone = stream.lookup.clientGone || status == 409
 			stream.close(first[1:])
 			if stream.lookup.onAnswer != nil && !stream.duplicate {
 				stream.lookup.onAnswer(status, time.Duration(wait)*time.Millisecond)
@@ -244,7 +252,7 @@
 	})
 }
 
-// decisionReceived makes the attempt that the gateway decided, at once.
+// decisionReceived starts the attempt that the gateway decided on.
 func (stream *callerStream) decisionReceived(fields map[string]string) {
 	s, l := stream.caller.scenario, stream.lookup
 	number := func(name string) int { n, _ := strconv.ParseFloat(fields["x-foldslip-"+name], 64); return int(n) }
@@ -255,7 +263,7 @@
 		timeout: wait, etag: l.etag, work: partWork(l.object, l.part)}
 	c := s.byID[fields["x-foldslip-cache"]]
 	if c == nil || c.addr() != fields["x-foldslip-addr"] {
-		s.checker.violated("protocol", "%s names cache %q at %q", l.process.process.Name, fields["x-foldslip-cache"], fields["x-foldslip-addr"])
+		s.checker.violated("protocol", "%s names cache %q at address %q, which no cache has", l.process.process.Name, fields["x-foldslip-cache"], fields["x-foldslip-addr"])
 		return
 	}
 	stream.conn = &cacheConn{cache: c, process: l.process, attemptID: l.id, deliver: stream.cacheAnswered, onReset: func() { stream.report("reset", nil, nil) }, requests: map[string]*attemptRequest{l.id: request}}
@@ -263,7 +271,7 @@
 	attemptsBefore := len(l.attempts)
 	s.checker.attemptSent(stream.conn, request, stream.decidedAt)
 	if len(l.attempts) == attemptsBefore {
-		return // a rule is broken or the gateway has gone
+		return // the attempt broke a rule, or the gateway has ended
 	}
 	stream.attempt = l.attempts[attemptsBefore]
 	lag := s.callerLatency()
@@ -292,7 +300,7 @@
 	})
 }
 
-// cacheAnswered takes the answer of the cache to the attempt.
+// cacheAnswered handles the cache's answer to the attempt, and reports it to the gateway when it reaches the proxy.
 func (stream *callerStream) cacheAnswered(request *attemptRequest, text string) {
 	if stream.request != request || stream.attempt == nil || !stream.attempt.inFlight {
 		return
@@ -314,7 +322,8 @@
 	})
 }
 
-// report sends the outcome of the attempt to the gateway.
+// report ends the attempt and sends its outcome to the gateway,
+// unless a fault suppresses the report or changes the outcome.
 func (stream *callerStream) report(word string, fields map[string]string, _ *attemptRequest) {
 	caller, s := stream.caller, stream.caller.scenario
 	if stream.request == nil || stream.ended {
@@ -341,7 +350,7 @@
 	stream.send(4, text)
 }
 
-// answerAccepted forwards the answer to the client.
+// answerAccepted forwards the answer that the gateway accepted to the client, and checks it.
 func (stream *callerStream) answerAccepted() {
 	l := stream.lookup
 	if stream.attempt == nil || stream.duplicate || stream.brokeContract {
@@ -361,10 +370,11 @@
 		stream.close(strconv.Itoa(status))
 		return
 	}
-	stream.caller.scenario.checker.violated("rule 1", "%s accepts an answer to %s that no cache made", l.process.process.Name, l.id)
+	stream.caller.scenario.checker.violated("rule 1", "%s accepted an answer to %s that no cache sent", l.process.process.Name, l.id)
 }
 
-// retry sends the lookup again under the same id on a new stream.
+// retry sends the lookup again under the same id on a new stream, after a short delay, or
+// after up to 800 ms with the fault caller_slow.
 func (stream *callerStream) retry() {
 	next := &callerStream{caller: stream.caller, lookup: stream.lookup, generation: stream.generation, owedSince: -1, duplicate: stream.duplicate}
 	stream.finish()
@@ -376,7 +386,7 @@
 	stream.caller.scenario.after(wait, func() { stream.caller.openStream(next) })
 }
 
-// finish ends the stream and its attempt at this side.
+// finish closes the stream at the proxy's side.
 func (stream *callerStream) finish() {
 	stream.ended = true
 	delete(stream.caller.streams, stream)
@@ -385,6 +395,7 @@
 	}
 }
 
+// close closes the stream and ends its lookup with an outcome.
 func (stream *callerStream) close(why string) {
 	stream.finish()
 	if !stream.duplicate {
@@ -393,7 +404,7 @@
 	}
 }
 
-// fail resets the stream and ends its lookup.
+// fail resets the stream, gives up its attempt and ends its lookup with an outcome.
 func (stream *callerStream) fail(why string) {
 	if stream.ended {
 		return
@@ -422,7 +433,7 @@
 	}
 }
 
-// restart makes the caller die and come back: its streams are reset, and it remembers none of them.
+// restart simulates a crash and restart of the caller. All its streams are reset and their state is lost.
 func (caller *extprocCaller) restart() {
 	caller.generation++
 	for _, stream := range caller.orderedStreams() {
@@ -430,7 +441,7 @@
 	}
 }
 
-// orderedStreams are the streams in an order that is the same in every run.
+// orderedStreams returns the open streams in an order that is the same in every run.
 func (caller *extprocCaller) orderedStreams() (all []*callerStream) {
 	by := map[string]*callerStream{}
 	for stream := range caller.streams {
@@ -446,7 +457,8 @@
 	return all
 }
 
-// callerLatency draws the time of a caller's request to a cache, or of the answer back.
+// callerLatency returns the network latency between a caller and a
+// cache, in each direction. It is 0 in a differential run.
 func (s *Scenario) callerLatency() time.Duration {
 	if s.sim.Lockstep {
 		return 0
@@ -454,7 +466,7 @@
 	return 300 * time.Microsecond
 }
 
-// flood sends a number of lookups to the gateway at a rate that no caller should.
+// flood sends lookups from another caller to the gateway, one every 4 ms, regardless of the replies.
 func (caller *extprocCaller) flood(count int) {
 	other := newExtprocCaller(caller.scenario, caller.gateway, 3)
 	for i := range count {
--- a/internal/lab/scenario/client.go
+++ b/internal/lab/scenario/client.go
@@ -11,27 +11,28 @@
 	"foldslip/internal/lab/simenv"
 )
 
-// outcomeGatewayGone is the outcome of a lookup whose gateway ended, as reports spell it.
+// outcomeGatewayGone is the outcome of a lookup whose gateway process has ended, as reports contain it.
 const outcomeGatewayGone = "gateway gone"
 
 const (
-	idleTimeout = 4 * time.Second
-	answerSlack = 150 * time.Millisecond // that a client waits past the deadline
+	idleTimeout = 4 * time.Second        // after which a client closes an idle connection
+	answerSlack = 150 * time.Millisecond // for which a client waits beyond the lookup's deadline
 )
 
-// clientActor is the well-behaved clients: their lookups come at random, mostly of popular objects, on shared connections.
+// clientActor simulates well-behaved clients. Lookups arrive at
+// random, mostly for popular objects, and share connections.
 type clientActor struct {
 	scenario         *Scenario
 	open             bool
 	host             *simenv.Host
 	pool             map[*gatewayActor][]*clientConn
 	lookupCount      uint64
-	rateFactor       float64 // multiplies the plan's
-	hotObject        string  // of half of the large lookups
-	cancelOneIn      int     // one client in so many closes before its answer; 0: none
-	ignoresConnLimit bool
-	stallOneIn       int // one client in so many stops reading; 0: none
-	etags            map[string]string
+	rateFactor       float64           // factor on the plan's rate of lookups
+	hotObject        string            // object of half of the segment lookups; empty: none
+	cancelOneIn      int               // one client in this many closes its connection before the answer; 0: none
+	ignoresConnLimit bool              // clients open connections beyond a third of a gateway's descriptors
+	stallOneIn       int               // one client in this many stops reading; 0: none
+	etags            map[string]string // by part key: the last ETag received
 }
 
 func newClientActor(s *Scenario) *clientActor {
@@ -39,6 +40,7 @@
 		etags: map[string]string{}}
 }
 
+// start starts the lookups at all gateways.
 func (a *clientActor) start() {
 	a.open = true
 	for _, g := range a.scenario.gateways {
@@ -46,10 +48,10 @@
 	}
 }
 
-// stop ends the lookups.
+// stop stops new lookups.
 func (a *clientActor) stop() { a.open = false }
 
-// scheduleNext schedules the next lookup at a gateway, after an exponentially distributed time.
+// scheduleNext schedules the next lookup at a gateway after an exponentially distributed time.
 func (a *clientActor) scheduleNext(g *gatewayActor) {
 	gap := -math.Log(1-a.scenario.sim.Rand.Float64()) / (a.scenario.Plan.Rate * a.rateFactor)
 	a.scenario.after(time.Duration(gap*float64(time.Second)), func() {
@@ -61,7 +63,7 @@
 	})
 }
 
-// drawLookup draws a lookup and sends it to a gateway.
+// drawLookup draws the kind and object of a lookup and sends it to a gateway.
 func (a *clientActor) drawLookup(g *gatewayActor) {
 	s := a.scenario
 	n, kind := s.randN(100), 0
@@ -71,7 +73,7 @@
 	}
 	a.lookupCount++
 	l := &lookup{kind: kind}
-	popularityRank := int(60 * math.Pow(s.sim.Rand.Float64(), 2.5)) // the first are the most popular
+	popularityRank := int(60 * math.Pow(s.sim.Rand.Float64(), 2.5)) // 0 is the most popular
 	switch lookupKinds[kind].name {
 	case "segment":
 		l.object, l.part = fmt.Sprintf("s%d", popularityRank), s.randN(4)
@@ -92,7 +94,7 @@
 	a.tryGateway(g, l)
 }
 
-// tryGateway sends a lookup to a gateway, or to another of its zone if that one is known to be down.
+// tryGateway sends a lookup to a gateway, or to another gateway of the same zone if the first one is known to be down.
 func (a *clientActor) tryGateway(g *gatewayActor, l *lookup) {
 	s := a.scenario
 	for i := range s.gateways {
@@ -106,6 +108,8 @@
 	s.checker.outcomes["no gateway"]++
 }
 
+// send sends a lookup to a gateway: through its external processor, over an idle connection, or over a new
+// connection. After a 429 or 503 the client repeats the lookup up to twice.
 func (a *clientActor) send(g *gatewayActor, l *lookup) {
 	s := a.scenario
 	l.process = g.current
@@ -148,7 +152,7 @@
 	})
 }
 
-// clientConn is a connection of a client, with one lookup at a time.
+// clientConn is a client's connection to a gateway. It carries one lookup at a time.
 type clientConn struct {
 	clients       *clientActor
 	gateway       *gatewayActor
@@ -156,37 +160,38 @@
 	end           *simenv.End
 	up            bool
 	closed        bool
-	isSplit       bool // the network lost something on it
-	misbehaves    bool // it does what clients should not
+	isSplit       bool // a network partition may have lost or delayed bytes on it
+	misbehaves    bool // a fault may reset it at any byte, so the gateway owes no answer on it
 	lookup        *lookup
-	next          *lookup // to be sent once it is up
-	sentBytes     int     // bytes towards the gateway, and how many of them reached it
-	arrivedBytes  int
-	written       []byte        // written by the gateway and not yet a complete answer
-	firstByteAt   time.Duration // its first byte
-	gatewayClosed bool          // the gateway ended its side
+	next          *lookup       // lookup to send when the connection is up
+	sentBytes     int           // bytes sent to the gateway
+	arrivedBytes  int           // of sentBytes, those that have reached the gateway
+	written       []byte        // bytes of an incomplete answer that the gateway has written
+	firstByteAt   time.Duration // when the gateway wrote the first byte of its last answer
+	gatewayClosed bool          // the gateway has closed the connection
 	answeredAt    time.Duration
 	received      []byte
 	lastUsed      time.Duration
-	keepsOpen     bool // asks once and stays for good
+	keepsOpen     bool // the client leaves the connection open and sends no more lookups on it
 }
 
+// isIdle reports whether another lookup can be sent on the connection.
 func (c *clientConn) isIdle() bool {
 	return c.up && !c.closed && c.lookup == nil && !c.gatewayClosed && !c.keepsOpen && !c.misbehaves && c.clients.scenario.sim.Now() < c.lastUsed+idleTimeout
 }
 
-// isOwedAnswer reports whether the gateway must answer a lookup that has reached it on the connection.
+// isOwedAnswer reports whether the gateway must answer a lookup that reached it on this connection.
 func (c *clientConn) isOwedAnswer(l *lookup) bool {
 	isLate := l.process.terminatedAt > 0 && l.receivedAt > l.process.terminatedAt+terminateGrace
 	return !l.process.ended && !c.isSplit && !isLate && c.end.IsAccepted() && !c.end.Stalled && !c.misbehaves
 }
 
-// isAnswering reports whether an answer has begun and is not whole.
+// isAnswering reports whether the gateway has written a part of an answer and not all of it.
 func (c *clientConn) isAnswering() bool { return len(c.written) > 0 }
 
 func (c *clientConn) Opened() {
 	c.up = true
-	if c.process != c.gateway.current { // the gateway was restarted meanwhile, and its new process accepted the connection
+	if c.process != c.gateway.current { // the gateway has restarted, and its new process accepted the connection
 		c.close(outcomeGatewayGone)
 		return
 	}
@@ -203,7 +208,7 @@
 	}
 }
 
-// send sends a lookup.
+// send sends a lookup on the connection and closes the connection if no answer arrives in time.
 func (c *clientConn) send(l *lookup) {
 	s := c.clients.scenario
 	c.lookup, l.conn = l, c
@@ -212,7 +217,7 @@
 	if l.etag != "" {
 		text += "If-None-Match: \"" + l.etag + "\"\r\n"
 	}
-	if l.kindSettings().passesThrough { // with a body whose length depends on the id; some have none
+	if l.kindSettings().passesThrough { // the body's length is computed from the id and may be 0
 		if n := int(hashString(l.id) % 9000); n > 1000 {
 			l.body = strings.Repeat(l.id+"\r\n", n/18)
 			text = fmt.Sprintf("PUT%sContent-Length: %d\r\n", text[3:], len(l.body))
@@ -238,7 +243,7 @@
 	}
 }
 
-// close ends the connection at the client's side.
+// close closes or resets the connection at the client's side and ends its lookup with an outcome.
 func (c *clientConn) close(why string) {
 	if c.closed {
 		return
@@ -255,7 +260,7 @@
 	c.abandon(why)
 }
 
-// abandon ends the lookup of the connection and removes the connection from the pool.
+// abandon ends the connection's lookup with an outcome and removes the connection from the pool.
 func (c *clientConn) abandon(why string) {
 	l := c.lookup
 	if l == nil {
@@ -288,7 +293,7 @@
 	c.abandon("connection ended")
 }
 
-// Data takes what reaches the client, and ends the lookup with its complete answer.
+// Data handles bytes that reach the client. A complete answer ends the lookup at the client.
 func (c *clientConn) Data(b []byte) {
 	c.received = append(c.received, b...)
 	status, _, _, wait, size := readAnswer(c.received)
@@ -319,7 +324,7 @@
 	})
 }
 
-// Written checks what the gateway writes to the client; n below 0 is the end of the connection.
+// Written checks what the gateway writes to the client. A negative n is the end of the connection.
 func (c *clientConn) Written(n int, b []byte) {
 	checker := c.clients.scenario.checker
 	now := c.clients.scenario.sim.Now()
@@ -333,13 +338,13 @@
 			return
 		}
 		if len(c.written) == 0 && now-l.receivedAt >= socketSlack && !c.end.Stalled {
-			checker.violated("rule 1", "%s ended the connection of %s, taken %v before, without an answer", c.process.process.Name, l.id, now-l.receivedAt)
+			checker.violated("rule 1", "%s closed the connection of %s, received %v earlier, without an answer", c.process.process.Name, l.id, now-l.receivedAt)
 		}
 		checker.lookupEnded(l, "connection ended")
 		return
 	}
 	if c.closed {
-		return // the client has gone, and the gateway does not know yet
+		return // the client has closed the connection, and the gateway has not yet seen it
 	}
 	if len(c.written) == 0 {
 		c.firstByteAt = now
@@ -353,13 +358,13 @@
 	l := c.lookup
 	if l == nil || l.receivedAt == 0 || l.ended {
 		if l == nil && status == 503 || l != nil && !l.ended && status == 503 || c.misbehaves {
-			return // too many connections: rejected before any lookup
+			return // the gateway rejects a connection above its limit before it reads a lookup
 		}
-		checker.violated("rule 1", "%s writes an answer %d that nothing is owed for", c.process.process.Name, status)
+		checker.violated("rule 1", "%s wrote an answer with status %d where no answer is due", c.process.process.Name, status)
 		return
 	}
 	if len(c.written) > 0 {
-		checker.violated("rule 1", "%s writes %d bytes after its answer to %s", c.process.process.Name, len(c.written), l.id)
+		checker.violated("rule 1", "%s wrote %d bytes after its answer to %s", c.process.process.Name, len(c.written), l.id)
 		return
 	}
 	c.answeredAt = now
@@ -369,7 +374,8 @@
 	checker.clientAnswered(l, clientAnswer{status: status, etag: tag, body: body, retryAfter: wait})
 }
 
-// readAnswer parses an answer at the front of b; size 0 if it is not complete.
+// readAnswer parses the answer at the start of b and returns the
+// answer's size. The size is 0 if the answer is incomplete.
 func readAnswer(b []byte) (status int, tag, body string, wait time.Duration, size int) {
 	end := bytes.Index(b, []byte("\r\n\r\n"))
 	if end < 0 {
@@ -398,7 +404,7 @@
 	return status, tag, string(b[end+4 : end+4+length]), wait, end + 4 + length
 }
 
-// invalidClient is a client that sends one invalid text and reads whatever comes.
+// invalidClient is a client that sends one invalid request and ignores what the gateway answers.
 type invalidClient struct {
 	scenario *Scenario
 	end      *simenv.End
@@ -415,7 +421,7 @@
 func (c *invalidClient) Closed(bool)         { c.end.Close() }
 func (c *invalidClient) Written(int, []byte) {}
 
-// sendInvalid sends one of the texts that no client should send.
+// sendInvalid sends one of a list of invalid requests on a new connection, and resets the connection 1 to 8 s later.
 func (a *clientActor) sendInvalid(g *gatewayActor, n int) {
 	s := a.scenario
 	id := fmt.Sprintf("%016x", s.sim.Rand.Uint64())
--- a/internal/lab/scenario/clientfaults.go
+++ b/internal/lab/scenario/clientfaults.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// clientFaultKinds are purges, and the faults of clients.
+// clientFaultKinds returns the kinds of purges and of faults of clients.
 func clientFaultKinds() []FaultKind {
 	return []FaultKind{
 		{"purge_object", "a popular object is purged", 100, 100, 3, false, (*Scenario).purgeObject},
 		{"purge_group", "a group is purged", 100, 100, 2, false, (*Scenario).purgeGroup},
-		{"purge_overlap", "objects and their groups are purged over and over", 500, 3000, 2, false, (*Scenario).purgeOverlap},
-		{"burst", "eight times as many lookups", 1000, 4000, 2, false, (*Scenario).burst},
-		{"hot_object", "half of the large lookups are for one object", 3000, 15000, 1, false, (*Scenario).hotObject},
-		{"bad_flood", "clients send what no client should, by the hundred", 500, 3000, 2, false, (*Scenario).badFlood},
-		{"clients_leave", "one client in three leaves before its answer", 2000, 8000, 2, false, (*Scenario).clientsCancel},
-		{"clients_greedy", "clients hold as many connections as they can get, while caches are slow", 2000, 6000, 1, false, (*Scenario).clientsGreedy},
+		{"purge_overlap", "objects and their groups are purged repeatedly", 500, 3000, 2, false, (*Scenario).purgeOverlap},
+		{"burst", "clients send eight times as many lookups", 1000, 4000, 2, false, (*Scenario).burst},
+		{"hot_object", "half of the segment lookups are for one object", 3000, 15000, 1, false, (*Scenario).hotObject},
+		{"bad_flood", "clients send hundreds of invalid requests", 500, 3000, 2, false, (*Scenario).badFlood},
+		{"clients_leave", "one client in three closes its connection before the answer", 2000, 8000, 2, false, (*Scenario).clientsCancel},
+		{"clients_greedy", "clients open connections without limit while all caches are slow", 2000, 6000, 1, false, (*Scenario).clientsGreedy},
 		{"clients_mute", "one client in six stops reading", 1000, 5000, 1, false, (*Scenario).clientsStall},
 	}
 }
@@ -42,7 +42,7 @@
 
 func (s *Scenario) burst(f Fault) {
 	s.clients.rateFactor = 8
-	for _, g := range s.gateways { // at once, besides the usual ones
+	for _, g := range s.gateways { // 12 lookups, one every 10 ms, in addition to the higher rate
 		for i := range 12 {
 			s.after(time.Duration(i)*10*time.Millisecond, func() {
 				if s.clients.open {
--- a/internal/lab/scenario/connectionfaults.go
+++ b/internal/lab/scenario/connectionfaults.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// connectionFaultKinds are the faults of networks, connections and answers on them.
+// connectionFaultKinds returns the kinds of faults of networks, of connections and of caches' answers on them.
 func connectionFaultKinds() []FaultKind {
 	return []FaultKind{
-		{"split_caches", "the network splits gateways from caches", 200, 4000, 2, false, split(groupGateways, "edges")},
-		{"split_clients", "the network splits clients from gateways", 200, 3000, 1, false, split(groupClients, groupGateways)},
-		{"split_bulletin", "the network splits gateways from the bulletin", 200, 4000, 1, false, split(groupGateways, groupDiscovery)},
-		{"cache_deaf", "a cache reads nothing on its connections", 1000, 4000, 1, false, ofUndisturbedCache((*Scenario).cacheStopsReading)},
-		{"close_cache", "caches close connections in order, with sends open on them or not", 500, 4000, 2, false, (*Scenario).closeCache},
+		{"split_caches", "a network partition separates gateways from edges", 200, 4000, 2, false, split(groupGateways, "edges")},
+		{"split_clients", "a network partition separates clients from gateways", 200, 3000, 1, false, split(groupClients, groupGateways)},
+		{"split_bulletin", "a network partition separates gateways from discovery", 200, 4000, 1, false, split(groupGateways, groupDiscovery)},
+		{"cache_deaf", "a cache does not read from its connections", 1000, 4000, 1, false, ofUndisturbedCache((*Scenario).cacheStopsReading)},
+		{"close_cache", "caches close connections gracefully, with or without attempts in flight", 500, 4000, 2, false, (*Scenario).closeCache},
 		{"reset_cache", "connections to caches are reset at any byte, in either direction", 500, 4000, 3, false, (*Scenario).resetCache},
 		{"reset_client", "connections of clients are reset at any byte, in either direction", 500, 4000, 2, false, (*Scenario).resetClient},
-		{"spoilt_noise", "answers of caches come as noise", 500, 4000, 1, false, corrupting("noise")},
-		{"spoilt_endless", "answers of caches say a length that never comes", 500, 4000, 1, false, corrupting("endless")},
-		{"spoilt_short", "answers of caches stop short", 500, 4000, 1, false, corrupting("short")},
-		{"spoilt_double", "answers of caches come twice", 500, 4000, 1, false, corrupting("double")},
-		{"spoilt_late", "answers of caches come after their time", 500, 4000, 1, false, corrupting("late")},
-		{"spoilt_stray", "answers to nothing come before answers", 500, 4000, 1, false, corrupting("stray")},
-		{"spoilt_fault", "one answer in four is an error, at every cache", 500, 4000, 1, false, corrupting("fault")},
+		{"spoilt_noise", "caches send bytes that are not an answer", 500, 4000, 1, false, corrupting("noise")},
+		{"spoilt_endless", "answers of caches announce more bytes than they have", 500, 4000, 1, false, corrupting("endless")},
+		{"spoilt_short", "answers of caches are truncated", 500, 4000, 1, false, corrupting("short")},
+		{"spoilt_double", "answers of caches are sent twice", 500, 4000, 1, false, corrupting("double")},
+		{"spoilt_late", "answers of caches are sent after their timeout", 500, 4000, 1, false, corrupting("late")},
+		{"spoilt_stray", "caches send answers without a request before their answers", 500, 4000, 1, false, corrupting("stray")},
+		{"spoilt_fault", "every edge answers one request in four with an error", 500, 4000, 1, false, corrupting("fault")},
 	}
 }
 
-// Groups of hosts that networks can be split between, as digests spell them.
+// Names of host groups that a network partition can separate, as digests contain them.
 const (
 	groupGateways  = "gateways"
 	groupDiscovery = "bulletin"
 	groupClients   = "clients"
 )
 
-// split makes a fault that cuts the network between two groups of hosts.
+// split returns the begin function of a fault that cuts the network between two groups of hosts.
 func split(a, b string) func(*Scenario, Fault) {
 	return func(s *Scenario, f Fault) {
 		s.sim.Split(a, b)
@@ -40,7 +40,8 @@
 	}
 }
 
-// markSplit marks all connections of clients: what is written on them may arrive late or not at all.
+// markSplit marks all open connections of clients as affected by a network
+// partition. Bytes written on them may arrive late or not at all.
 func (a *clientActor) markSplit() {
 	for _, g := range a.scenario.gateways {
 		for _, c := range a.pool[g] {
@@ -49,6 +50,7 @@
 	}
 }
 
+// resetCache lets random connections to caches be reset after a random number of bytes, until the fault ends.
 func (s *Scenario) resetCache(f Fault) {
 	till := s.sim.Now() + f.duration()
 	var next func()
@@ -69,6 +71,7 @@
 	next()
 }
 
+// resetClient lets random connections of clients be reset after a random number of bytes, until the fault ends.
 func (s *Scenario) resetClient(f Fault) {
 	till := s.sim.Now() + f.duration()
 	var next func()
@@ -91,6 +94,7 @@
 	next()
 }
 
+// closeCache closes random connections at the caches' side until the fault ends.
 func (s *Scenario) closeCache(f Fault) {
 	till := s.sim.Now() + f.duration()
 	var next func()
--- a/internal/lab/scenario/corruption.go
+++ b/internal/lab/scenario/corruption.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// answerCorruption is until when caches corrupt their answers, by kind.
+// answerCorruption holds, by kind of corruption, the time until which caches corrupt some of their answers.
 type answerCorruption struct{ until map[string]time.Duration }
 
+// corrupting returns the begin function of a fault that corrupts answers in one way.
 func corrupting(kind string) func(*Scenario, Fault) {
 	return func(s *Scenario, f Fault) {
 		if s.corruption.until == nil {
@@ -18,15 +19,18 @@
 	}
 }
 
+// shouldCorrupt reports whether a corruption of a kind is active and a draw of one in oneIn selects the answer.
 func (a answerCorruption) shouldCorrupt(s *Scenario, kind string, oneIn int) bool {
 	return a.until[kind] > s.sim.Now() && s.randN(oneIn) == 0
 }
 
+// failsRequest reports whether an edge answers a request with an error because of the corruption "fault".
 func (a answerCorruption) failsRequest(c *cache) bool {
 	return c.flavor == "edge" && a.shouldCorrupt(c.scenario, "fault", 4)
 }
 
-// corrupt writes a corrupted answer in place of a good one, and reports whether it did.
+// corrupt may write a corrupted answer instead of the correct one. It
+// reports whether it did, so that the caller writes no answer.
 func (a answerCorruption) corrupt(request *attemptRequest, got *cachedCopy, fields, body string) bool {
 	s, conn := request.conn.cache.scenario, request.conn
 	good := fmt.Sprintf("%s HIT %s %d\r\n%s\r\n", request.id, fields, len(body), body)
@@ -35,7 +39,7 @@
 		conn.send(request, text)
 		return true
 	}
-	truncate := func(text string) bool { // not a complete answer: the attempt is in flight until its gateway cancels it
+	truncate := func(text string) bool { // the answer stays incomplete: the attempt is in flight until its gateway cancels it
 		if conn.answerTruncated {
 			return true
 		}
--- a/internal/lab/scenario/discovery.go
+++ b/internal/lab/scenario/discovery.go
@@ -9,6 +9,7 @@
 	"foldslip/internal/lab/simenv"
 )
 
+// discoveryEvent is an event of the discovery stream: an update of the endpoint list or a purge.
 type discoveryEvent struct {
 	Number      int             `json:"no"`
 	Endpoints   *endpointUpdate `json:"roster,omitempty"`
@@ -16,12 +17,14 @@
 	publishedAt time.Duration
 }
 
+// endpointUpdate is a complete endpoint list, or the endpoints that have changed.
 type endpointUpdate struct {
 	Revision  int        `json:"revision"`
 	Complete  bool       `json:"complete"`
 	Endpoints []endpoint `json:"members"`
 }
 
+// endpoint is a cache as discovery publishes it.
 type endpoint struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
@@ -33,13 +36,14 @@
 	UpSince  int64   `json:"up_since_ms"`
 }
 
+// purgeEvent is a purge of an object or, if Group is set, of a group.
 type purgeEvent struct {
 	Object string `json:"item,omitempty"`
 	Group  *int   `json:"lot,omitempty"`
 	Issued int64  `json:"issued"`
 }
 
-// publish adds an event, which both discovery servers send.
+// publish numbers an event and appends it to the stream that both discovery servers send.
 func (s *Scenario) publish(e discoveryEvent) {
 	e.Number, e.publishedAt = len(s.events)+1, s.sim.Now()
 	s.events = append(s.events, e)
@@ -49,16 +53,16 @@
 	}
 }
 
-// discoveryServer sends numbered events to the gateways that watch it.
+// discoveryServer sends the numbered events to the gateways that watch it.
 type discoveryServer struct {
 	scenario   *Scenario
 	index      int
 	host       *simenv.Host
-	lag        time.Duration
-	silent     bool // keeps connections open and sends nothing
+	lag        time.Duration // delay of each event
+	silent     bool          // it keeps connections open and sends nothing
 	down       bool
-	duplicates bool
-	skipsEvent bool // leaves the next event out, once for each connection
+	duplicates bool // it sends each event twice
+	skipsEvent bool // it leaves out the next event, once on each connection
 	conns      []*watchConn
 }
 
@@ -86,7 +90,7 @@
 	})
 }
 
-// stopFor makes the discovery server unreachable for a span: its connections break and new ones are refused.
+// stopFor stops the discovery server for a duration. Its connections are reset and new ones are refused.
 func (d *discoveryServer) stopFor(span time.Duration) {
 	d.down = true
 	d.host.StopServing("8500")
@@ -97,6 +101,7 @@
 	d.scenario.after(span, d.serve)
 }
 
+// heartbeat sends the number of the last event sent on each connection, once a second.
 func (d *discoveryServer) heartbeat() {
 	for _, c := range d.conns {
 		if c.next > 0 && !d.silent {
@@ -106,7 +111,7 @@
 	d.scenario.after(time.Second, d.heartbeat)
 }
 
-// notifyWatches sends the events that are due to all connections.
+// notifyWatches sends the events that are due on all connections, after the server's lag.
 func (d *discoveryServer) notifyWatches() {
 	if d == nil {
 		return
@@ -129,14 +134,15 @@
 	end          *simenv.End
 	process      *gatewayProcess
 	in           []byte
-	after        int // last event that the gateway has; -1 until it says so
-	next         int // event
-	sentBytes    int // bytes
-	arrivedBytes int // bytes that reached the gateway
+	after        int // number of the last event that the gateway has; -1 before its request
+	next         int // number of the next event to send; 0: the gateway has not sent its request
+	sentBytes    int // bytes sent to the gateway
+	arrivedBytes int // of sentBytes, those that have reached the gateway
 	marks        []sentMark
-	skipped      bool
+	skipped      bool // an event has been left out on this connection
 }
 
+// sentMark is the offset in a connection's bytes at which an event ends.
 type sentMark struct{ endByte, event int }
 
 func (c *watchConn) Opened()             { c.after = -1 }
@@ -161,7 +167,7 @@
 	}
 	n, err := strconv.Atoi(string(bytes.TrimPrefix(line, []byte("after "))))
 	if err != nil || n < 0 || n > len(c.server.scenario.events) {
-		c.server.scenario.checker.violated("protocol", "bulletin was asked with %q", line)
+		c.server.scenario.checker.violated("protocol", "watch request %q, expected \"after N\" with the number of a published event or 0", line)
 		c.end.Reset()
 		return
 	}
@@ -174,6 +180,7 @@
 	c.end.Send([]byte(text))
 }
 
+// sendDue sends the events that are due on the connection.
 func (c *watchConn) sendDue() {
 	d := c.server
 	for c.next > 0 && !d.silent && c.next <= len(d.scenario.events) {
@@ -197,14 +204,15 @@
 	}
 }
 
-// breakInEvent breaks the connection in the middle of an event.
+// breakInEvent sends a part of an event and closes the connection.
 func (c *watchConn) breakInEvent() {
 	text := mustMarshal(discoveryEvent{Number: c.next, Purge: &purgeEvent{Object: "s1", Issued: c.server.scenario.sim.Unix().UnixMilli()}})
 	c.send(string(text[:1+c.server.scenario.randN(len(text)-1)]))
 	c.end.Close()
 }
 
-// arrived notes which events have reached the gateway completely.
+// arrived is called with bytes that reach the gateway, and marks the
+// gateway's process as notified of each event that is complete.
 func (c *watchConn) arrived(data []byte) {
 	c.arrivedBytes += len(data)
 	for len(c.marks) > 0 && c.marks[0].endByte <= c.arrivedBytes {
@@ -215,7 +223,7 @@
 	}
 }
 
-// markNotified notes that a process counts as notified of an event from a time on.
+// markNotified records the time from which a process counts as notified of an event. Only the first time counts.
 func (p *gatewayProcess) markNotified(number int, at time.Duration) {
 	for len(p.notified) <= number {
 		p.notified = append(p.notified, 0)
--- a/internal/lab/scenario/discoveryfaults.go
+++ b/internal/lab/scenario/discoveryfaults.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// discoveryFaultKinds are the faults of the discovery servers.
+// discoveryFaultKinds returns the kinds of faults of the discovery servers.
 func discoveryFaultKinds() []FaultKind {
 	return []FaultKind{
-		{"bulletin_lag", "the bulletin tells late", 2000, 8000, 2, false, (*Scenario).discoveryLag},
-		{"bulletin_break", "the bulletin breaks off in an event", 100, 100, 2, false, (*Scenario).discoveryBreak},
-		{"bulletin_stop", "the bulletin says nothing and stays open", 1000, 3500, 1, false, (*Scenario).discoveryStall},
-		{"bulletin_double", "the bulletin tells every event twice", 3000, 20000, 1, false, (*Scenario).discoveryDuplicate},
-		{"bulletin_spoilt", "the bulletin tells a line that cannot be read", 100, 100, 1, false, (*Scenario).discoveryGarbage},
-		{"bulletin_gap", "the bulletin leaves an event out", 500, 4000, 1, false, (*Scenario).discoveryGap},
-		{"bulletin_gone", "the bulletin is gone", 200, 3000, 1, false, (*Scenario).discoveryGone},
+		{"bulletin_lag", "a discovery server sends events late", 2000, 8000, 2, false, (*Scenario).discoveryLag},
+		{"bulletin_break", "the discovery servers close their connections in the middle of an event", 100, 100, 2, false, (*Scenario).discoveryBreak},
+		{"bulletin_stop", "a discovery server keeps its connections open and sends nothing", 1000, 3500, 1, false, (*Scenario).discoveryStall},
+		{"bulletin_double", "the discovery servers send every event twice", 3000, 20000, 1, false, (*Scenario).discoveryDuplicate},
+		{"bulletin_spoilt", "the discovery servers send an invalid line", 100, 100, 1, false, (*Scenario).discoveryGarbage},
+		{"bulletin_gap", "the discovery servers leave out an event", 500, 4000, 1, false, (*Scenario).discoveryGap},
+		{"bulletin_gone", "a discovery server is unreachable", 200, 3000, 1, false, (*Scenario).discoveryGone},
 	}
 }
 
--- a/internal/lab/scenario/extprocserver.go
+++ b/internal/lab/scenario/extprocserver.go
@@ -20,34 +20,39 @@
 	"foldslip/internal/route"
 )
 
-// The external processor on the virtual clock: its streams and decisions are the program's own (package extproc). Only
-// the wire is the simulation's, plain text in place of gRPC, whose library has timers and goroutines of its own.
+// This file runs the gateway's external processor on the virtual clock. Streams and
+// decisions are those of package extproc. Only the transport is simulated: plain text
+// instead of gRPC, because the gRPC library has timers and goroutines of its own.
 
 const extprocPort = "18200"
 
-// errTextMessage is the error of a message that the plain text wire cannot read.
-var errTextMessage = errors.New("a message that cannot be read")
+// errTextMessage is returned for a message of the plain text transport whose phase is not a number.
+var errTextMessage = errors.New("invalid message: the phase is not a number")
 
-// doorTable is the operator's configuration of the external processor.
+// extprocRoutes is the operator's configuration of the external processor: how a lookup is read from a request.
 var extprocRoutes = []config.LookupRule{{Path: "/call/{kind}/{object}/part-{part}", Kind: "path:kind", Object: "path:object", Part: "path:part",
 	Group: "header:x-group", KB: "header:x-ram-kb", ID: "header:x-job-id", AllowMS: "header:x-allow-ms", Tag: "header:x-tag"}}
 
+// extprocLimits are the limits of the external processor in all scenarios.
 var extprocLimits = extproc.Limits{MaxStreams: 200, SilenceTimeout: 8 * time.Second, MessagesPerSecond: 400, BytesPerSecond: 200_000,
 	Lookups: retry.Limits{MaxLookups: 256, MaxPerCaller: 200, ReturnTimeout: 300 * time.Millisecond, Retention: 5 * time.Second}}
 
-// extprocServer is the gateway's external processor on the simulation's wire.
+// extprocServer is a gateway's external processor on the simulated transport. It owns the listener and the open
+// connections from newExtprocServer until the end of Run.
 type extprocServer struct {
 	*extproc.Server
 	environment env.Environment
 	listener    net.Listener
 	mu          sync.Mutex
-	conns       map[net.Conn]int
-	accepted    int
+	conns       map[net.Conn]int // open connections, each with its number in the order of acceptance
+	accepted    int              // number of connections accepted so far
 	group       env.Group
 	fault       extprocFault
 	scenario    *Scenario
 }
 
+// newExtprocServer listens at an address and returns the external processor of a gateway. The plan's injected fault
+// may change its limits and messages.
 func newExtprocServer(in gateway.Dependencies, addr string, s *Scenario) (*extprocServer, error) {
 	limits, fault := extprocLimits, extprocFaults[s.Plan.InjectedFault]
 	if fault.limits != nil {
@@ -66,13 +71,14 @@
 		conns: map[net.Conn]int{}, group: in.Environment.NewGroup(), fault: fault, scenario: s}, nil
 }
 
-// openStreams is the number of open streams.
+// openStreams returns the number of open streams.
 func (p *extprocServer) openStreams() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.conns)
 }
 
+// Run serves connections until the lifetime ends, then closes them in the order in which they were accepted.
 func (p *extprocServer) Run(life *env.Lifetime) error {
 	defer life.OnEnd(func() {
 		p.listener.Close()
@@ -126,13 +132,15 @@
 	}
 }
 
-// textStream is a stream on the wire: a message is a line with the phase, lines of headers, and an empty line.
+// textStream is a stream on the plain text transport. A message is a line
+// with the phase, one line for each header, and an empty line.
 type textStream struct {
 	conn   net.Conn
 	in     *bufio.Reader
 	server *extprocServer
 }
 
+// Receive reads a message of at most 64 KiB.
 func (w *textStream) Receive() (extproc.Message, error) {
 	first, err := w.in.ReadString('\n')
 	if err != nil {
@@ -171,6 +179,7 @@
 	return m, nil
 }
 
+// Send writes a reply: "F" and the status of a final one, otherwise "C" and the phase that continues.
 func (w *textStream) Send(r extproc.Reply) error {
 	var b strings.Builder
 	if r.Status != 0 {
@@ -194,7 +203,7 @@
 	return err
 }
 
-// extprocFault is a fault injected into the external processor, at its wire or its limits.
+// extprocFault is a fault that is injected into the external processor, at its transport or its limits.
 type extprocFault struct {
 	help   string
 	limits func(in *gateway.Dependencies, limits *extproc.Limits)
@@ -202,6 +211,7 @@
 	send   func(s *Scenario, e env.Environment, r extproc.Reply, text string) string
 }
 
+// extprocFaults are the faults that can be injected into the external processor, by name.
 var extprocFaults = map[string]extprocFault{
 	"door_reply_lost": {help: "a reply is not written", send: func(s *Scenario, _ env.Environment, _ extproc.Reply, text string) string {
 		if s.randN(60) == 0 {
@@ -215,25 +225,25 @@
 		}
 		return text
 	}},
-	"door_end_kept_back": {help: "a final answer is written near the deadline", send: func(s *Scenario, e env.Environment, r extproc.Reply, text string) string {
+	"door_end_kept_back": {help: "a rejection is delayed by 1.4 s, to near the deadline", send: func(s *Scenario, e env.Environment, r extproc.Reply, text string) string {
 		if r.Status == 503 && r.RetryAfter > 0 {
 			e.NewNotifier().Wait(1400 * time.Millisecond)
 		}
 		return text
 	}},
-	"door_purges_unheard": {help: "births of answers are not held against purges", limits: func(in *gateway.Dependencies, _ *extproc.Limits) { in.Purges = nil }},
+	"door_purges_unheard": {help: "creation times of answers are not compared with purges", limits: func(in *gateway.Dependencies, _ *extproc.Limits) { in.Purges = nil }},
 	"door_forgetful":      {help: "an ended lookup is forgotten at once", limits: func(_ *gateway.Dependencies, limits *extproc.Limits) { limits.Lookups.Retention = 1 }},
-	"door_answer_never_ran": {help: "a send that brought its answer is taken for one that did not run", recv: func(s *Scenario, m *extproc.Message, fields []string) {
+	"door_answer_never_ran": {help: "an attempt with an answer is taken for one that was shed", recv: func(s *Scenario, m *extproc.Message, fields []string) {
 		for i, f := range fields {
 			if f == "x-foldslip-end: hit" && s.randN(40) == 0 {
 				fields[i] = "x-foldslip-end: shed"
 			}
 		}
 	}},
-	"door_wait_untold": {help: "a nack does not say when to come back", send: func(_ *Scenario, _ env.Environment, r extproc.Reply, text string) string {
+	"door_wait_untold": {help: "a rejection has no retry time", send: func(_ *Scenario, _ env.Environment, r extproc.Reply, text string) string {
 		return strings.ReplaceAll(text, "x-wait-ms", "x-wait")
 	}},
-	"door_other_cache": {help: "a decision names another cache than the module's", send: func(s *Scenario, _ env.Environment, _ extproc.Reply, text string) string {
+	"door_other_cache": {help: "a decision has the address of another cache", send: func(s *Scenario, _ env.Environment, _ extproc.Reply, text string) string {
 		if s.randN(40) > 0 {
 			return text
 		}
@@ -241,7 +251,7 @@
 	}},
 }
 
-// splitMessages splits complete messages from the front of b.
+// splitMessages calls each for the complete messages at the start of b, and returns the rest of b.
 func splitMessages(b []byte, each func(first string, fields map[string]string)) []byte {
 	for {
 		i := strings.Index(string(b), "\n\n")
--- a/internal/lab/scenario/location.go
+++ b/internal/lab/scenario/location.go
@@ -2,63 +2,63 @@
 
 import "time"
 
-// What the simulated location is like, as its platform settings say.
+// The properties of the simulated location, as the platform settings describe it.
 const (
-	warmup               = 1500 * time.Millisecond // from the start to the first lookup
-	flowKBPerSecond      = 2400.0                  // of one transfer
-	edgeTransfers        = 1.5                     // at once
-	parentTransfers      = 3.0
-	originTransfers      = 1000
-	edgeWarmup           = 13 * time.Second
-	edgeColdShare        = 0.16 // of its capacity that an edge has at its start
-	overloadWindow       = time.Second
-	edgeOverloadFactor   = 3.0
-	parentWarmup         = 21 * time.Second
-	parentColdShare      = 0.064
-	parentOverloadFactor = 2.0
-	purgeGrace           = 300 * time.Millisecond // to apply a purge
-	drainGrace           = 2 * time.Second        // to stop sending to a cache that drains
-	cancelGrace          = 100 * time.Millisecond // after a client has gone, in which its lookup may still be sent
-	socketSlack          = 50 * time.Millisecond  // for sockets, beside each of these
-	terminateGrace       = 700 * time.Millisecond // after SIGTERM, in which a lookup that arrives must be answered
-	maxAttempts          = 6
+	warmup               = 1500 * time.Millisecond // from the start of the gateways to the first lookup
+	flowKBPerSecond      = 2400.0                  // rate of one transfer at a cache
+	edgeTransfers        = 1.5                     // concurrent transfers of an edge at full capacity
+	parentTransfers      = 3.0                     // concurrent transfers of a parent
+	originTransfers      = 1000                    // concurrent transfers of the origin
+	edgeWarmup           = 13 * time.Second        // from the start of an edge until it has its full capacity
+	edgeColdShare        = 0.16                    // share of its capacity that an edge has at its start
+	overloadWindow       = time.Second             // over which the load on a cold cache is measured
+	edgeOverloadFactor   = 3.0                     // multiple of its current capacity that a cold edge bears within overloadWindow
+	parentWarmup         = 21 * time.Second        // the same as edgeWarmup, for a parent
+	parentColdShare      = 0.064                   // the same as edgeColdShare, for a parent
+	parentOverloadFactor = 2.0                     // the same as edgeOverloadFactor, for a parent
+	purgeGrace           = 300 * time.Millisecond  // time for a gateway to apply a purge after its notification
+	drainGrace           = 2 * time.Second         // time for a gateway to stop sending to a draining cache after its notification
+	cancelGrace          = 100 * time.Millisecond  // time after a client has left within which its lookup may still be sent
+	socketSlack          = 50 * time.Millisecond   // allowance for socket delays, in addition to each of these times
+	terminateGrace       = 700 * time.Millisecond  // time after SIGTERM within which an arriving lookup must still be answered
+	maxAttempts          = 6                       // limit on the attempts of one lookup
 )
 
-// Flavors of caches, as discovery spells them.
+// Flavors of caches, as discovery publishes them.
 const (
 	flavorEdge   = "edge"
 	flavorParent = "parent"
 	flavorOrigin = "origin"
 )
 
-// hubZone is the zone of parents and the origin.
+// hubZone is the zone of the parents and the origin.
 const hubZone = "hub"
 
-// zoneName is the name of a zone of gateways and edges.
+// zoneName returns the name of a zone of gateways and edges.
 func zoneName(i int) string { return [...]string{"town", "hill"}[i] }
 
-// lookupKind is a kind of lookups in the platform settings.
+// lookupKind is a kind of lookup in the platform settings.
 type lookupKind struct {
 	name             string
 	effect           string
 	group            string
-	objective        time.Duration // of latency
+	objective        time.Duration // latency objective, without the share for the part's size
 	deadline         time.Duration
-	objectiveStretch float64
-	maxAge           time.Duration // 0: any
-	staleGrace       time.Duration
-	passesThrough    bool // is never cached
-	percent          int  // of lookups
+	objectiveStretch float64       // factor on the part's transfer time, which is added to the objective
+	maxAge           time.Duration // of a copy; 0: any age
+	staleGrace       time.Duration // how long beyond maxAge a stale copy may be served
+	passesThrough    bool          // answers are never cached
+	percent          int           // share of all lookups
 }
 
-// Effects of kinds, as the settings spell them.
+// Effects of kinds of lookups, as the settings name them.
 const (
 	effectIdempotent   = "idempotent"
 	effectAtMostOnce   = "at_most_once"
 	effectDeduplicated = "deduplicated"
 )
 
-// lookupKinds are in the order of the settings.
+// lookupKinds are the kinds of lookups, in the order of the settings.
 var lookupKinds = []lookupKind{
 	{name: "segment", effect: effectIdempotent, objective: 400 * time.Millisecond, deadline: 5 * time.Second, objectiveStretch: 1.6, percent: 50},
 	{name: "page", effect: effectIdempotent, objective: 250 * time.Millisecond, deadline: 2500 * time.Millisecond, objectiveStretch: 2,
@@ -69,7 +69,7 @@
 		passesThrough: true, percent: 4},
 }
 
-// longestDeadline is the longest deadline of any kind, and 3 s at least.
+// longestDeadline returns the longest deadline of all kinds, and at least 3 s.
 func longestDeadline() time.Duration {
 	longest := 3 * time.Second
 	for _, kind := range lookupKinds {
@@ -78,7 +78,7 @@
 	return longest
 }
 
-// settings is the platform settings that a gateway of a zone gets.
+// settings returns the platform settings of the gateways of a zone.
 func (s *Scenario) settings(zone int) map[string]any {
 	gatewaysByZone := []int{0, 0, 0}
 	for i := range s.Plan.Gateways {
@@ -113,7 +113,7 @@
 	}
 }
 
-// settings is the kind's class in the platform settings.
+// settings returns the kind's entry in the platform settings.
 func (k lookupKind) settings() map[string]any {
 	return map[string]any{"name": k.name, "aim": k.objective.Microseconds(), "aim_stretch": k.objectiveStretch, "deadline": k.deadline.Microseconds(),
 		"effect": k.effect, "group": k.group, "late_worth": 0.2, "points": 1.0, "window": 5000000}
--- a/internal/lab/scenario/objects.go
+++ b/internal/lab/scenario/objects.go
@@ -7,23 +7,24 @@
 	"time"
 )
 
-// The name of an object is the initial of its lookups' kind and a number. All that is known of one is computed from its name.
+// The name of an object is the first letter of its kind of lookup and a number.
+// Its group and the sizes of its parts are computed from the name.
 
 const (
-	purgeGroups = 16
-	largeKB     = 1200 // of one part in twelve of a segment
-	bytesPerKB  = 12   // a cached part has so many bytes for each KB of its work, to keep runs small
+	purgeGroups = 16   // number of purge groups
+	largeKB     = 1200 // size of one in twelve parts of segments
+	bytesPerKB  = 12   // bytes of a simulated part for each KB of its declared size, which keeps runs small
 )
 
-// objectName is the name of an object of a kind.
+// objectName returns the name of an object of a kind.
 func objectName(kind, number int) string {
 	return fmt.Sprintf("%c%d", lookupKinds[kind].name[0], number)
 }
 
-// partKey is the key of a part in caches.
+// partKey returns the key under which caches store a part.
 func partKey(object string, part int) string { return object + "/" + strconv.Itoa(part) }
 
-// groupOf is the purge group of an object.
+// groupOf returns the purge group of an object.
 func groupOf(object string) int { return int(hashString(object) % purgeGroups) }
 
 func hashString(s string) uint64 {
@@ -32,7 +33,7 @@
 	return h.Sum64()
 }
 
-// partKB is the size of a part as lookups say it.
+// partKB returns the size of a part that lookups declare, in KB.
 func partKB(object string, part int) float64 {
 	n := hashString(partKey(object, part))
 	isSegment := object[0] == 's'
@@ -45,7 +46,7 @@
 	return 10 + float64(n%50)
 }
 
-// partBytes is the number of bytes of a cached part.
+// partBytes returns the number of bytes of a part in the simulation.
 func partBytes(object string, part int) int {
 	kb := partKB(object, part)
 	if kb >= largeKB && hashString(object)%2 == 0 {
@@ -54,12 +55,12 @@
 	return int(kb * bytesPerKB)
 }
 
-// partWork is the time that the transfer of a part takes at a cache.
+// partWork returns the time that the transfer of a part takes at a cache.
 func partWork(object string, part int) time.Duration {
 	return time.Duration(partKB(object, part) / flowKBPerSecond * float64(time.Second))
 }
 
-// meanWork is the mean of partWork by kind.
+// meanWork is the mean transfer time of a part, by kind.
 var meanWork = func() (mean [4]time.Duration) {
 	const samples = 300
 	for kind := range lookupKinds {
--- a/internal/lab/scenario/purges.go
+++ b/internal/lab/scenario/purges.go
@@ -8,45 +8,46 @@
 )
 
 const (
-	minPurgeDelayMS    = 500 // milliseconds after which a cache may have applied a purge itself
-	purgeDelaySpreadMS = 5000
+	minPurgeDelayMS    = 500  // milliseconds after a purge at which a cache may apply it at the earliest
+	purgeDelaySpreadMS = 5000 // milliseconds over which the caches' purges are spread
 )
 
-// purge is a purge that was published.
+// purge is a published purge of an object or, if object is empty, of a group.
 type purge struct {
-	number int // of its event
+	number int // of its discovery event
 	object string
 	group  int
 	issued time.Time
 }
 
-// covers reports whether a purge is of an object or its group.
+// covers reports whether the purge applies to an object, directly or through its group.
 func (p purge) covers(object string) bool {
 	return p.object == object || p.object == "" && p.group == groupOf(object)
 }
 
-// coversKey reports whether a purge is of a part.
+// coversKey reports whether the purge applies to the part with a key.
 func (p purge) coversKey(key string) bool {
 	object, _, _ := strings.Cut(key, "/")
 	return p.covers(object)
 }
 
-// makesStale reports whether a copy of a lookup's object is older than a purge of it.
+// makesStale reports whether the purge applies to a lookup's object and a copy of it was created before the purge.
 func (p purge) makesStale(l *lookup, held *cachedCopy) bool {
 	return (p.object == l.object || p.object == "" && p.group == l.group) && held.createdAt.Before(p.issued)
 }
 
-// groupKey is the key of a group among objects.
+// groupKey returns the key of a group in maps that are otherwise keyed by object.
 func groupKey(group int) string { return "lot" + strconv.Itoa(group) }
 
-// version is how often an object or its group was purged: the origin has that version.
+// version returns the origin's version of an object, which is the number of purges of it and of its group so far.
 func (c *checker) version(object string) int {
 	return c.versions[object] + c.versions[groupKey(groupOf(object))]
 }
 
-// purge publishes a purge of an object, or of a group where the object is empty; caches apply it themselves some time later.
+// purge publishes a purge of an object or, if the object is empty, of a
+// group. Each cache applies the purge itself 0.5 to 5.5 s later.
 func (s *Scenario) purge(object string, group int) {
-	issued := s.sim.Unix().Truncate(time.Millisecond).Add(time.Millisecond) // all copies up to now are older
+	issued := s.sim.Unix().Truncate(time.Millisecond).Add(time.Millisecond) // later than the creation time of all copies so far
 	p := purge{number: len(s.events) + 1, object: object, group: group, issued: issued}
 	event := discoveryEvent{Purge: &purgeEvent{Object: object, Issued: issued.UnixMilli()}}
 	if object == "" {
--- a/internal/lab/scenario/routechange.go
+++ b/internal/lab/scenario/routechange.go
@@ -9,32 +9,34 @@
 	"foldslip/internal/config"
 )
 
-// errRouteChange is the error of a change of routes that could not be made.
+// errRouteChange is returned if a gateway rejects the change of routes.
 var errRouteChange = errors.New("route change failed")
 
-// RouteChangeRun is one change of routes, good or bad, on all gateways of a calm scenario: how soon its guards roll it back,
-// and what it costs.
+// RouteChangeRun is the run of a scenario without faults in which the routes of all gateways are changed, for better
+// or worse. It measures how soon the guards roll the change back and what share of lookups is satisfied.
 type RouteChangeRun struct {
 	Seed            uint64        `json:"seed"`
 	Kind            string        `json:"kind"`
 	Guarded         bool          `json:"guarded"`
-	Staged          bool          `json:"staged"`    // for three tenths of the objects at first
-	RolledBackAfter time.Duration `json:"undone_ns"` // from its beginning; 0: never
-	Served          float64       `json:"served"`    // share of lookups that were satisfied, from its beginning to the end
+	Staged          bool          `json:"staged"`    // for three tenths of the objects, during the first 10 s
+	RolledBackAfter time.Duration `json:"undone_ns"` // time from the change to its rollback; 0: not rolled back
+	Served          float64       `json:"served"`    // share of lookups that were satisfied, from the change to the end
 	startedAt       time.Duration
 	rng             *rand.Rand
 	edgeIDs         []string
 }
 
-// RouteChangeKinds are the kinds of changes, and what is bad about each; "" for good ones.
+// RouteChangeKinds maps each kind of change to what is wrong with it. The text of a correct change is empty.
 var RouteChangeKinds = map[string]string{"half": "half of the caches are left out", "one": "all goes to one cache", "tight": "limits tenfold too small",
 	"renamed": "", "wide": "", "one_less": ""}
 
+// configBefore returns the routes before the change.
 func (r *RouteChangeRun) configBefore() config.RouteConfig {
 	return config.RouteConfig{Pools: map[string]config.Pool{"all": {Locations: []string{"town", "hill"}, Limits: &config.Limits{MaxOpen: 60}}},
 		Routes: []config.Route{{Name: "all", Targets: []config.Target{{Pool: "all"}}}}}
 }
 
+// configAfter returns the routes that the change proposes.
 func (r *RouteChangeRun) configAfter() config.RouteConfig {
 	c := r.configBefore()
 	all := c.Pools["all"]
@@ -58,7 +60,8 @@
 	return c
 }
 
-// RunRouteChange runs one change. With the kind "none" no change is made, as by an oracle that knows that it is bad.
+// RunRouteChange runs a scenario with a change of routes. With the kind "none" it makes no change. This is the
+// reference result of an oracle that knows which changes are bad.
 func RunRouteChange(seed uint64, kind string, guarded bool) (*RouteChangeRun, error) {
 	r := rand.New(rand.NewPCG(seed, 0x747269616c))
 	change := &RouteChangeRun{Seed: seed, Kind: kind, Guarded: guarded, Staged: r.IntN(2) == 0, rng: r}
@@ -85,7 +88,7 @@
 				routes := g.current.instance.Routes()
 				step, err := routes.Propose(1, change.configAfter(), "operator", "a trial")
 				if err != nil {
-					s.checker.violated(ruleRoutes, "the trial cannot be proposed: %v", err)
+					s.checker.violated(ruleRoutes, "cannot propose the route change: %v", err)
 					return
 				}
 				if !change.Staged {
--- a/internal/lab/scenario/routes.go
+++ b/internal/lab/scenario/routes.go
@@ -8,24 +8,26 @@
 	"foldslip/internal/lab/simenv"
 )
 
-// In scenarios of the profile "routes" operators change the routes of gateways at any time between two configurations, left
-// and right, each of which excludes some edges that the other includes. The checker knows which was active when, and
-// checks every attempt against it.
+// In scenarios of the profile "routes", operators change the routes of gateways at any time between two
+// configurations, left and right. Each of them excludes some edges that the other one includes. The checker
+// knows which configuration was active at which time, and checks every attempt against it.
 
 const routesDir = "/routes"
 
-// routeSide is a configuration: 0 is left, 1 is right.
+// routeSide is one of the two configurations: 0 is left, 1 is right.
 type routeSide int
 
-// activeRoutes are the configurations that are active from a time on: base for all objects, and next for some if it is staged.
+// activeRoutes are the configurations that are active from a time on: base for all objects or, during a staged
+// change, next for some of them.
 type activeRoutes struct {
-	from   time.Duration // the earliest time from which they may be active
-	seenAt time.Duration // when they were seen to be active: those before them count up to here
+	from   time.Duration // earliest time at which they may have become active
+	seenAt time.Duration // when they were seen to be active; until then, their predecessors may have been active
 	base   routeSide
 	next   routeSide // -1: none
 }
 
-// routesExclude reports whether a configuration excludes a cache. Both include the caches that start later.
+// routesExclude reports whether a configuration excludes a cache. Both
+// configurations include all caches that start during the scenario.
 func (s *Scenario) routesExclude(side routeSide, id string) bool {
 	for i, edgeID := range s.firstEdges {
 		if edgeID == id {
@@ -35,6 +37,7 @@
 	return false
 }
 
+// routesFor returns the configuration of a side.
 func (s *Scenario) routesFor(side routeSide) config.RouteConfig {
 	p := config.Pool{Locations: []string{"town", "hill"}}
 	for _, id := range s.firstEdges {
@@ -45,7 +48,8 @@
 	return config.RouteConfig{Pools: map[string]config.Pool{"some": p}, Routes: []config.Route{{Name: []string{"left", "right"}[side], Targets: []config.Target{{Pool: "some"}}}}}
 }
 
-// setUpRoutes configures a gateway's process to keep its changes of routes on its disk.
+// setUpRoutes gives a gateway's process a routing configuration, and a
+// directory on the gateway's disk for its changes of routes.
 func (g *gatewayActor) setUpRoutes(p *simenv.Process) {
 	routing := struct {
 		Folder string              `json:"folder"`
@@ -63,7 +67,7 @@
 	p.Directories = map[string]*simenv.Directory{routesDir: g.directory}
 }
 
-// recordRoutes notes which configurations are active at a gateway from now on.
+// recordRoutes records the configurations that are active at a gateway from now on.
 func (p *gatewayProcess) recordRoutes() {
 	_, active := p.instance.Routes().History()
 	now := activeRoutes{p.actor.scenario.sim.Now(), p.actor.scenario.sim.Now(), p.actor.routeSides[active.Base], -1}
@@ -73,13 +77,13 @@
 	p.activeRoutes = append(p.activeRoutes, now)
 }
 
-// checkRoutes checks that one configuration, active when a lookup reached its gateway or a moment later, allows all its
-// attempts so far and one more to a cache.
+// checkRoutes checks an attempt of a lookup at a cache against the routes. One configuration that was active when the
+// lookup reached its gateway, or up to 20 ms later, must allow all attempts of the lookup, including this one.
 func (c *checker) checkRoutes(l *lookup, id string) {
 	if c.scenario.hooks.routeChangeRun != nil {
 		return
 	}
-	if l.receivedAt == 0 { // unknown, after a split
+	if l.receivedAt == 0 { // unknown: a network partition hid the arrival
 		return
 	}
 	if l.routeSides == nil {
@@ -101,11 +105,12 @@
 		}
 	}
 	if !l.routeSides[0] && !l.routeSides[1] {
-		c.violated(ruleRoutes, "%s sends %s to %s, to which no configuration leads all its sends that was in force when it came", l.process.name(), l.id, id)
+		c.violated(ruleRoutes, "%s sent %s to %s, but no configuration active at the lookup's arrival allows all its attempts", l.process.name(), l.id, id)
 	}
 }
 
-// routeChange changes the routes of a gateway as an operator does, and confirms the change, rolls it back or forgets it.
+// routeChange changes the routes of a gateway like an operator. It then confirms the change, rolls it back, or leaves
+// it to the gateway, which rolls back an unconfirmed change.
 func (s *Scenario) routeChange(f Fault) {
 	g := pick(s.gateways, f.Target)
 	p := g.current
@@ -149,7 +154,7 @@
 			case 1:
 				return recordStep(routes.RollBack(step.Version, "a day"))
 			}
-			return false // forgotten: the gateway rolls it back
+			return false // neither: the gateway rolls the change back after its timeout
 		}, nil)
 	}
 	apply := func() {
@@ -162,7 +167,8 @@
 	schedule(10*time.Millisecond, func() bool { return recordStep(routes.Stage(step.Version, 0.1+float64(f.Variant%7)/10, timeout)) }, apply)
 }
 
-// refreshRoutes notes which configurations a gateway has activated by itself since the last look.
+// refreshRoutes records the configurations if the gateway has changed them
+// itself since the last check. They may have been active since that check.
 func (p *gatewayProcess) refreshRoutes() {
 	_, active := p.instance.Routes().History()
 	last := p.activeRoutes[len(p.activeRoutes)-1]
@@ -177,7 +183,7 @@
 	p.routesCheckedAt = p.actor.scenario.sim.Now()
 }
 
-// watchRoutes calls refreshRoutes every few milliseconds.
+// watchRoutes calls refreshRoutes every 5 ms until the process ends.
 func (p *gatewayProcess) watchRoutes() {
 	if !p.ended {
 		p.refreshRoutes()
