--- a/internal/lab/scenario/caller.go
+++ b/internal/lab/scenario/caller.go
@@ -149,7 +149,7 @@
 		stream.messageEnds, stream.phases = stream.messageEnds[1:], stream.phases[1:]
 		if l.receivedAt == 0 {
 			l.receivedAt = s.sim.Now()
-			s.sim.Note(simenv.StepReceived, l.id, "", 0)
+			s.sim.RecordStep(simenv.StepReceived, l.id, "", 0)
 		}
 		if phase == 4 && stream.attempt != nil {
 			s.checker.attemptEnded(stream.attempt)
--- a/internal/lab/scenario/checkattempts.go
+++ b/internal/lab/scenario/checkattempts.go
@@ -30,7 +30,7 @@
 	a := &attempt{lookup: l, conn: conn, firstByteAt: firstByteAt, inFlight: true, awaited: true}
 	l.attempts = append(l.attempts, a)
 	conn.attempts = append(conn.attempts, a)
-	c.scenario.sim.Note(simenv.StepAttempt, request.id, "", int64(len(l.attempts)))
+	c.scenario.sim.RecordStep(simenv.StepAttempt, request.id, "", int64(len(l.attempts)))
 	if c.scenario.hooks.onAttempt != nil {
 		c.scenario.hooks.onAttempt(c.scenario, conn, request)
 	}
--- a/internal/lab/scenario/checker.go
+++ b/internal/lab/scenario/checker.go
@@ -74,7 +74,7 @@
 		}
 	}
 	c.lookups[l.id] = l
-	c.scenario.sim.Note(simenv.StepLookup, l.id, "", 0)
+	c.scenario.sim.RecordStep(simenv.StepLookup, l.id, "", 0)
 }
 
 // lookupReceived records that a lookup has reached its gateway completely, and schedules the check of its deadline.
--- a/internal/lab/scenario/decisions.go
+++ b/internal/lab/scenario/decisions.go
@@ -28,9 +28,9 @@
 }
 
 func (d *decisionDigester) add(lk *policy.Lookup, decision string, numbers ...policy.Micros) {
-	d.sim.Note(simenv.StepDecision, d.process+" "+lk.ID+" "+decision, "", int64(len(numbers)))
+	d.sim.RecordStep(simenv.StepDecision, d.process+" "+lk.ID+" "+decision, "", int64(len(numbers)))
 	for _, m := range numbers {
-		d.sim.Note(simenv.StepDecision, "", "", int64(m))
+		d.sim.RecordStep(simenv.StepDecision, "", "", int64(m))
 	}
 }
 
--- a/internal/lab/scenario/discovery.go
+++ b/internal/lab/scenario/discovery.go
@@ -47,7 +47,7 @@
 func (s *Scenario) publish(e discoveryEvent) {
 	e.Number, e.publishedAt = len(s.events)+1, s.sim.Now()
 	s.events = append(s.events, e)
-	s.sim.Note(simenv.StepPublish, "", "", int64(e.Number))
+	s.sim.RecordStep(simenv.StepPublish, "", "", int64(e.Number))
 	for _, d := range s.discoveryServers {
 		d.notifyWatches()
 	}
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -232,7 +232,7 @@
 		s.recentEvents = slices.Delete(s.recentEvents, 0, 1)
 	}
 	s.recentEvents = append(s.recentEvents, fmt.Sprintf("%10.6f ", s.sim.Now().Seconds())+fmt.Sprintf(format, a...))
-	s.sim.Note(simenv.StepReport, "", format, 0)
+	s.sim.RecordStep(simenv.StepReport, "", format, 0)
 }
 
 // randN draws a number from 0 to n-1 from the scenario's seed.
--- a/internal/lab/simenv/conn.go
+++ b/internal/lab/simenv/conn.go
@@ -132,7 +132,7 @@
 		c.received = nil
 	}
 	c.peer.flush()
-	c.sim.Note(StepRead, c.process.Name, "", c.stepNumber(n))
+	c.sim.RecordStep(StepRead, c.process.Name, "", c.stepNumber(n))
 	return n
 }
 
@@ -184,7 +184,7 @@
 	n = c.sim.partialCount(n, partialWriteOneIn)
 	data := slices.Clone(b[:n])
 	c.inFlight += n
-	c.sim.Note(StepWrite, c.process.Name, "", c.stepNumber(n))
+	c.sim.RecordStep(StepWrite, c.process.Name, "", c.stepNumber(n))
 	c.sim.digest.Write(data)
 	c.out.send(segment{data: data})
 	if c.peer.handler != nil {
@@ -219,7 +219,7 @@
 	if c.closed {
 		return tcpError("close", net.ErrClosed)
 	}
-	c.sim.Note(StepClose, c.process.Name, "", int64(c.number))
+	c.sim.RecordStep(StepClose, c.process.Name, "", int64(c.number))
 	if c.discardOnClose {
 		c.out.dropUndeliverable()
 	}
--- a/internal/lab/simenv/dial.go
+++ b/internal/lab/simenv/dial.go
@@ -50,7 +50,7 @@
 	}
 	woken, cancelled := d.wait(lifetime, timeout)
 	if woken && !cancelled && d.result == accepted {
-		s.Note(StepDial, p.Name+" "+to, "", int64(d.end.Number))
+		s.RecordStep(StepDial, p.Name+" "+to, "", int64(d.end.Number))
 		if !d.conn.reset {
 			d.end.handler.Opened()
 		}
--- a/internal/lab/simenv/listener.go
+++ b/internal/lab/simenv/listener.go
@@ -83,7 +83,7 @@
 	}
 	c := l.queue[0]
 	l.queue = l.queue[1:]
-	p.sim.Note(StepAccept, p.Name, "", int64(c.number))
+	p.sim.RecordStep(StepAccept, p.Name, "", int64(c.number))
 	return c, nil
 }
 
--- a/internal/lab/simenv/process.go
+++ b/internal/lab/simenv/process.go
@@ -53,7 +53,7 @@
 	p.host = h
 	p.logger = slog.New(&logHandler{process: p})
 	s.processes = append(s.processes, p)
-	s.Note(StepStart, p.Name, "", 0)
+	s.RecordStep(StepStart, p.Name, "", 0)
 	s.spawn(p, "main", func() {
 		err := main(p)
 		p.ended = true
@@ -106,7 +106,7 @@
 	if p.killed {
 		return
 	}
-	p.sim.Note(StepKill, p.Name, "", 0)
+	p.sim.RecordStep(StepKill, p.Name, "", 0)
 	p.killed = true
 	for _, d := range p.Directories {
 		d.locked = false
@@ -141,7 +141,7 @@
 	if !p.IsAlive() {
 		return
 	}
-	p.sim.Note(StepSignal, p.Name, "", int64(signal))
+	p.sim.RecordStep(StepSignal, p.Name, "", int64(signal))
 	if p.onSignal == nil {
 		p.Kill()
 		return
--- a/internal/lab/simenv/simulation.go
+++ b/internal/lab/simenv/simulation.go
@@ -118,9 +118,9 @@
 // String returns the name of a step in traces.
 func (s Step) String() string { return stepNames[s] }
 
-// Note records a step in the digest, and in the trace if there
+// RecordStep records a step in the digest, and in the trace if there
 // is one. The digest includes subject and n, but not detail.
-func (s *Simulation) Note(step Step, subject, detail string, n int64) {
+func (s *Simulation) RecordStep(step Step, subject, detail string, n int64) {
 	s.hashNumber(uint64(s.now))
 	s.hashNumber(uint64(step))
 	s.digest.WriteString(subject)
--- a/internal/lab/simenv/task.go
+++ b/internal/lab/simenv/task.go
@@ -64,7 +64,7 @@
 		return
 	}
 	s.Steps++
-	s.Note(StepRun, t.process.Name, t.name, int64(t.number))
+	s.RecordStep(StepRun, t.process.Name, t.name, int64(t.number))
 	before := s.current
 	s.current = t
 	_, yielded := t.next()
