--- a/internal/lab/cost/cost.go
+++ b/internal/lab/cost/cost.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	sizesInShortForm = 2
-	maxBatch         = 1024 // calls between two looks at the processor time
+	sizesWithoutOutput = 2
+	maxCallsPerBatch   = 1024 // calls between two looks at the processor time
 )
 
 // Probes are the cost measurements of a package's tests, with their flags.
@@ -47,7 +47,7 @@
 func (p *Probes) Measure(t testing.TB, f Figure, sizes []int, measure func(size int) float64) Figure {
 	t.Helper()
 	if !p.AllSizes() {
-		sizes = sizes[:min(sizesInShortForm, len(sizes))]
+		sizes = sizes[:min(sizesWithoutOutput, len(sizes))]
 	}
 	for _, size := range sizes {
 		point := Point{Size: float64(size)}
@@ -81,7 +81,7 @@
 	runtime.GC() // garbage of earlier measurements does not count
 	start := ProcessorTime()
 	calls := 0
-	for batch := 1; ; batch = min(2*batch, maxBatch) {
+	for batch := 1; ; batch = min(2*batch, maxCallsPerBatch) {
 		for range batch {
 			f(calls)
 			calls++
--- a/internal/lab/cost/forms_test.go
+++ b/internal/lab/cost/forms_test.go
@@ -37,14 +37,14 @@
 			}
 			continue
 		}
-		if !reflect.DeepEqual(values(t, got), values(t, want)) {
+		if !reflect.DeepEqual(decodeJSON(t, got), decodeJSON(t, want)) {
 			t.Errorf("%s has other values written as\n%s", path, got)
 		}
 	}
 }
 
-// values is what a text in JSON says.
-func values(t *testing.T, text []byte) (v any) {
+// decodeJSON is what a text in JSON says.
+func decodeJSON(t *testing.T, text []byte) (v any) {
 	t.Helper()
 	if err := json.Unmarshal(text, &v); err != nil {
 		t.Fatal(err)
--- a/internal/lab/fleet/addresses_test.go
+++ b/internal/lab/fleet/addresses_test.go
@@ -23,28 +23,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, past := range [][2]int{{1025, 6}, {6, 1025}} {
-		if _, err := read(past[0], past[1]); err == nil {
-			t.Errorf("%d gateways and %d caches are not rejected", past[0], past[1])
+	for _, counts := range [][2]int{{1025, 6}, {6, 1025}} {
+		if _, err := read(counts[0], counts[1]); err == nil {
+			t.Errorf("%d gateways and %d caches are not rejected", counts[0], counts[1])
 		}
 	}
 	if wanted := 1024 * (1024 + 2); s.maxStreams() < wanted {
 		t.Errorf("%d streams, fewer than a connection of each gateway to each cache: %d", s.maxStreams(), wanted)
 	}
 	r := newRig(s, Options{})
-	taken := map[netip.AddrPort]string{}
-	take := func(at netip.AddrPort, owner string) {
-		if other, twice := taken[at]; twice {
+	owners := map[netip.AddrPort]string{}
+	claim := func(at netip.AddrPort, owner string) {
+		if other, duplicate := owners[at]; duplicate {
 			t.Fatalf("%v is of %s and of %s", at, other, owner)
 		}
-		taken[at] = owner
+		owners[at] = owner
 	}
-	take(r.address(discoveryBlock, 0, discoveryAndCachePort), "discovery")
+	claim(r.address(discoveryBlock, 0, discoveryAndCachePort), "discovery")
 	for i := range maxGateways {
-		take(r.address(relayBlocks, i, peerPort), fmt.Sprint("public listener ", i))
-		take(r.address(listenBlocks, i, peerPort), fmt.Sprint("gateway ", i))
-		take(r.address(privateBlocks, i, discoveryAndCachePort), fmt.Sprint("private listener ", i))
-		take(r.address(cacheBlocks, i, discoveryAndCachePort), fmt.Sprint("cache ", i))
-		take(r.address(privateBlocks, i, firstCachePort+maxCaches+1), fmt.Sprint("private listener of the last cache ", i))
+		claim(r.address(relayBlocks, i, peerPort), fmt.Sprint("public listener ", i))
+		claim(r.address(listenBlocks, i, peerPort), fmt.Sprint("gateway ", i))
+		claim(r.address(privateBlocks, i, discoveryAndCachePort), fmt.Sprint("private listener ", i))
+		claim(r.address(cacheBlocks, i, discoveryAndCachePort), fmt.Sprint("cache ", i))
+		claim(r.address(privateBlocks, i, firstCachePort+maxCaches+1), fmt.Sprint("private listener of the last cache ", i))
 	}
 }
--- a/internal/lab/fleet/mixed_test.go
+++ b/internal/lab/fleet/mixed_test.go
@@ -16,10 +16,10 @@
 )
 
 // buildBefore is the commit whose gateway the mixed fleet runs beside the one of this tree.
-const buildBefore = "58d6067"
+const earlierCommit = "58d6067"
 
-// programBefore builds the gateway of buildBefore from the repository's history.
-func programBefore(t *testing.T) string {
+// buildEarlierGateway builds the gateway of buildBefore from the repository's history.
+func buildEarlierGateway(t *testing.T) string {
 	t.Helper()
 	root, err := exec.Command("git", "rev-parse", "--show-toplevel").Output()
 	if err != nil {
@@ -28,11 +28,11 @@
 	git := func(args ...string) *exec.Cmd {
 		return exec.Command("git", append([]string{"-C", strings.TrimSpace(string(root))}, args...)...)
 	}
-	if out, err := git("cat-file", "-e", buildBefore+"^{commit}").CombinedOutput(); err != nil {
-		t.Fatalf("the mixed fleet needs commit %s in the repository, whose history has no such commit (fetch the whole history): %s", buildBefore, out)
+	if out, err := git("cat-file", "-e", earlierCommit+"^{commit}").CombinedOutput(); err != nil {
+		t.Fatalf("the mixed fleet needs commit %s in the repository, whose history has no such commit (fetch the whole history): %s", earlierCommit, out)
 	}
 	source, archive := t.TempDir(), filepath.Join(t.TempDir(), "source.tar")
-	if out, err := git("archive", "--output", archive, buildBefore, ":(exclude)journal").CombinedOutput(); err != nil {
+	if out, err := git("archive", "--output", archive, earlierCommit, ":(exclude)journal").CombinedOutput(); err != nil {
 		t.Fatalf("git archive: %v: %s", err, out)
 	}
 	if out, err := exec.Command("tar", "-xf", archive, "-C", source).CombinedOutput(); err != nil {
@@ -42,7 +42,7 @@
 	build := exec.Command("go", "build", "-o", built, "./cmd/foldslip")
 	build.Dir = source
 	if out, err := build.CombinedOutput(); err != nil {
-		t.Fatalf("the gateway of %s cannot be built: %v: %s", buildBefore, err, out)
+		t.Fatalf("the gateway of %s cannot be built: %v: %s", earlierCommit, err, out)
 	}
 	return built
 }
@@ -90,9 +90,9 @@
 	if err := rig.setUp(); err != nil {
 		t.Fatal(err)
 	}
-	before, current := rig.byName["n1"], rig.byName["n2"]
-	before.program = programBefore(t)
-	for _, p := range []*process{before, current} {
+	earlier, current := rig.byName["n1"], rig.byName["n2"]
+	earlier.program = buildEarlierGateway(t)
+	for _, p := range []*process{earlier, current} {
 		if err := p.start(); err != nil {
 			t.Fatal(err)
 		}
@@ -102,18 +102,18 @@
 	settled := func(report membership.Report, row membership.MemberReport) bool {
 		return report.State == "settled" && row.State == view.Alive && row.Agrees && row.Locality == localities[row.Name]
 	}
-	for _, pair := range []struct{ observer, other *process }{{before, current}, {current, before}} {
+	for _, pair := range []struct{ observer, other *process }{{earlier, current}, {current, earlier}} {
 		waitForRow(t, pair.observer, pair.other.name, "is alive, at its locality, and agrees", settled)
 	}
-	for _, pair := range []struct{ stays, leaves *process }{{before, current}, {current, before}} {
-		if err := pair.leaves.signalAndWait(syscall.SIGTERM, stopTimeout); err != nil {
+	for _, pair := range []struct{ remaining, leaving *process }{{earlier, current}, {current, earlier}} {
+		if err := pair.leaving.signalAndWait(syscall.SIGTERM, stopTimeout); err != nil {
 			t.Fatal(err)
 		}
-		waitForRow(t, pair.stays, pair.leaves.name, "left", func(_ membership.Report, row membership.MemberReport) bool { return row.State == view.Left })
-		if err := pair.leaves.start(); err != nil {
+		waitForRow(t, pair.remaining, pair.leaving.name, "left", func(_ membership.Report, row membership.MemberReport) bool { return row.State == view.Left })
+		if err := pair.leaving.start(); err != nil {
 			t.Fatal(err)
 		}
-		waitForRow(t, pair.stays, pair.leaves.name, "is back as another process", func(report membership.Report, row membership.MemberReport) bool {
+		waitForRow(t, pair.remaining, pair.leaving.name, "is back as another process", func(report membership.Report, row membership.MemberReport) bool {
 			return settled(report, row) && row.Restarts == 1 && row.Deaths == 0
 		})
 	}
--- a/internal/lab/fleet/networks_test.go
+++ b/internal/lab/fleet/networks_test.go
@@ -44,8 +44,8 @@
 	return net.Listen("tcp", fmt.Sprintf("127.%d.255.1:%d", firstNetwork+network, claimPort))
 }
 
-// TestNetworksOfThisProcessAreItsOwn guards against two test processes on one machine whose gateways listen on the same addresses.
-func TestNetworksOfThisProcessAreItsOwn(t *testing.T) {
+// TestClaimedNetworksAreExclusive guards against two test processes on one machine whose gateways listen on the same addresses.
+func TestClaimedNetworksAreExclusive(t *testing.T) {
 	if claim, err := claimNetwork(testNetwork); err == nil {
 		claim.Close()
 		t.Error("another claim of the same networks is granted")
--- a/internal/lab/fleet/scale_test.go
+++ b/internal/lab/fleet/scale_test.go
@@ -13,9 +13,9 @@
 )
 
 var (
-	sizes   = flag.String("fleet.sizes", "12,50", "sizes of the fleets on the virtual clock")
-	reports = flag.String("fleet.out", "", "folder for figures (JSON) and plots")
-	runs    = flag.Int("fleet.runs", 1, "runs of each size")
+	sizes     = flag.String("fleet.sizes", "12,50", "sizes of the fleets on the virtual clock")
+	outputDir = flag.String("fleet.out", "", "folder for figures (JSON) and plots")
+	runs      = flag.Int("fleet.runs", 1, "runs of each size")
 )
 
 // SizeReport are the measurements of one fleet on the virtual clock. Times are in seconds, traffic is that of one gateway a second.
@@ -75,7 +75,7 @@
 		heapBefore := heapBytes()
 		m := &sizeMeasurement{t: t, size: size, fleet: NewVirtualFleet(size, uint64(run), DefaultSettings()), report: SizeReport{Gateways: size, Run: run}}
 		defer m.fleet.Close()
-		m.measureRest(heapBefore)
+		m.measureAtRest(heapBefore)
 		m.measureCrash()
 		m.measureSplit()
 		m.measureLoss()
@@ -85,8 +85,8 @@
 	return report
 }
 
-// wait waits for agreement, or until all have settled, and returns the seconds that it took.
-func (m *sizeMeasurement) wait(change string, untilSettled bool, timeout time.Duration) float64 {
+// waitForAgreement waits for agreement, or until all have settled, and returns the seconds that it took.
+func (m *sizeMeasurement) waitForAgreement(change string, untilSettled bool, timeout time.Duration) float64 {
 	m.t.Helper()
 	took, ok := m.fleet.WaitForAgreement(untilSettled, timeout)
 	if !ok {
@@ -110,11 +110,11 @@
 	return (packetsAfter - packetsBefore) / span.Seconds(), (bytesAfter - bytesBefore) / span.Seconds()
 }
 
-// measureRest starts the fleet and measures it once it has settled.
-func (m *sizeMeasurement) measureRest(heapBefore float64) {
+// measureAtRest starts the fleet and measures it once it has settled.
+func (m *sizeMeasurement) measureAtRest(heapBefore float64) {
 	m.t.Helper()
 	m.start(m.fleet.names...)
-	m.report.Ready = m.wait("ready", true, 2*time.Minute)
+	m.report.Ready = m.waitForAgreement("ready", true, 2*time.Minute)
 	time.Sleep(20 * time.Second)
 	m.report.RestPackets, m.report.RestBytes = m.trafficRate(60 * time.Second)
 	m.report.MemberBytes = (heapBytes() - heapBefore) / float64(m.size) / float64(m.size)
@@ -132,13 +132,13 @@
 		}
 	}
 	m.report.Suspected = time.Since(at).Seconds()
-	m.wait("crash", false, 2*time.Minute)
+	m.waitForAgreement("crash", false, 2*time.Minute)
 	m.report.Crash = time.Since(at).Seconds()
-	m.wait("crash settled", true, 2*time.Minute)
+	m.waitForAgreement("crash settled", true, 2*time.Minute)
 	m.report.CrashSettled = time.Since(at).Seconds()
 	<-m.fleet.byName[crashed].ended
 	m.start(crashed)
-	m.report.RestartSettled = m.wait("restart", true, 2*time.Minute)
+	m.report.RestartSettled = m.waitForAgreement("restart", true, 2*time.Minute)
 }
 
 // measureSplit splits the fleet into two fifths and the others for a minute.
@@ -154,11 +154,11 @@
 		}
 	}
 	m.report.Minority = time.Since(at).Seconds()
-	m.wait("split", false, 3*time.Minute)
+	m.waitForAgreement("split", false, 3*time.Minute)
 	m.report.Split = time.Since(at).Seconds()
 	time.Sleep(max(0, 60*time.Second-time.Since(at)))
 	m.fleet.Links.Heal()
-	m.report.Heal = m.wait("heal", true, 2*time.Minute)
+	m.report.Heal = m.waitForAgreement("heal", true, 2*time.Minute)
 }
 
 // measureLoss loses one datagram in five for a minute.
@@ -170,7 +170,7 @@
 	m.report.LossPackets, m.report.LossBytes = m.trafficRate(60 * time.Second)
 	m.report.LossFalse = m.fleet.FalseDeaths
 	m.fleet.Links.Heal()
-	m.wait("after loss", true, time.Minute)
+	m.waitForAgreement("after loss", true, time.Minute)
 }
 
 // measureStorm lets a quarter more gateways join at once.
@@ -183,7 +183,7 @@
 		m.fleet.names = append(m.fleet.names, name)
 	}
 	m.start(m.fleet.names[m.size:]...)
-	m.report.StormSettled = m.wait("storm", true, 2*time.Minute)
+	m.report.StormSettled = m.waitForAgreement("storm", true, 2*time.Minute)
 }
 
 // TestLargerFleetsSettleAtEqualCostPerGateway: a gateway's traffic must not grow with the fleet, and what it learns must come in a time
@@ -206,8 +206,8 @@
 		t.Errorf("traffic of a gateway at rest grows: %.1f datagrams and %.0f bytes a second at %d, %.1f and %.0f at %d", first.RestPackets,
 			first.RestBytes, first.Gateways, last.RestPackets, last.RestBytes, last.Gateways)
 	}
-	if *reports != "" {
-		if err := writeReports(all, *reports); err != nil {
+	if *outputDir != "" {
+		if err := writeReports(all, *outputDir); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/lab/fleet/virtual_fleet_test.go
+++ b/internal/lab/fleet/virtual_fleet_test.go
@@ -142,7 +142,7 @@
 func (v *VirtualFleet) Kill(names ...string) {
 	for _, name := range names {
 		g := v.byName[name]
-		v.Network.Unplug(g.addr)
+		v.Network.CloseAddress(g.addr)
 		v.endGateway(g)
 	}
 }
--- a/internal/lab/fleet/virtual_network_test.go
+++ b/internal/lab/fleet/virtual_network_test.go
@@ -23,24 +23,24 @@
 )
 
 // errRefused is a dial to an address that nobody has open.
-var errRefused = errors.New("connection refused")
+var errConnectionRefused = errors.New("connection refused")
 
 // Network carries the failure detector's messages between gateways of one process, with the faults of Links. With testing/synctest its
 // time is virtual: the same code of fleet/membership and of the detector, hundreds of gateways, hours in seconds. It takes the place of
 // Relay.
 type Network struct {
-	links *Links
-	mu    sync.Mutex
-	ports map[string]*port // by address
+	links      *Links
+	mu         sync.Mutex
+	transports map[string]*virtualTransport // by address
 }
 
 // NewNetwork returns a network over links.
 func NewNetwork(links *Links) *Network {
-	return &Network{links: links, ports: map[string]*port{}}
+	return &Network{links: links, transports: map[string]*virtualTransport{}}
 }
 
-// port is a gateway's transport. It implements memberlist.NodeAwareTransport.
-type port struct {
+// virtualTransport is a gateway's transport. It implements memberlist.NodeAwareTransport.
+type virtualTransport struct {
 	network *Network
 	name    string
 	addr    *net.UDPAddr
@@ -51,16 +51,16 @@
 	closed  bool
 }
 
-var _ memberlist.NodeAwareTransport = (*port)(nil)
+var _ memberlist.NodeAwareTransport = (*virtualTransport)(nil)
 
 // Open returns a gateway's transport at an address, which must not be open.
 func (n *Network) Open(name, addr string, counts *transport.Counts) (memberlist.Transport, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.ports[addr] != nil {
+	if n.transports[addr] != nil {
 		return nil, fmt.Errorf("%s: %w", addr, syscall.EADDRINUSE)
 	}
-	p := &port{
+	p := &virtualTransport{
 		network: n,
 		name:    name,
 		addr:    net.UDPAddrFromAddrPort(netip.MustParseAddrPort(addr)),
@@ -68,41 +68,41 @@
 		packets: make(chan *memberlist.Packet, virtualPacketQueue),
 		streams: make(chan net.Conn, virtualStreamQueue),
 	}
-	n.ports[addr] = p
+	n.transports[addr] = p
 	return p, nil
 }
 
-func (n *Network) portAt(addr string) *port {
+func (n *Network) transportAt(addr string) *virtualTransport {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.ports[addr]
+	return n.transports[addr]
 }
 
-// Unplug closes the transport at an address at once, as a kill does.
-func (n *Network) Unplug(addr string) {
-	if p := n.portAt(addr); p != nil {
+// CloseAddress closes the transport at an address at once, as a kill does.
+func (n *Network) CloseAddress(addr string) {
+	if p := n.transportAt(addr); p != nil {
 		p.Shutdown()
 	}
 }
 
-func (p *port) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
+func (p *virtualTransport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	return p.addr.IP, p.addr.Port, nil
 }
 
-func (p *port) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
+func (p *virtualTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	return p.WriteTo(b, a.Addr)
 }
 
-func (p *port) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
+func (p *virtualTransport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return p.DialTimeout(a.Addr, timeout)
 }
 
-func (p *port) PacketCh() <-chan *memberlist.Packet { return p.packets }
-func (p *port) StreamCh() <-chan net.Conn           { return p.streams }
+func (p *virtualTransport) PacketCh() <-chan *memberlist.Packet { return p.packets }
+func (p *virtualTransport) StreamCh() <-chan net.Conn           { return p.streams }
 
-func (p *port) WriteTo(b []byte, addr string) (time.Time, error) {
+func (p *virtualTransport) WriteTo(b []byte, addr string) (time.Time, error) {
 	now := time.Now()
-	to := p.network.portAt(addr)
+	to := p.network.transportAt(addr)
 	if p.isClosed() {
 		return now, net.ErrClosed
 	}
@@ -120,7 +120,7 @@
 	return now, nil
 }
 
-func (p *port) receive(datagram []byte, from net.Addr) {
+func (p *virtualTransport) receive(datagram []byte, from net.Addr) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
@@ -135,9 +135,9 @@
 	}
 }
 
-func (p *port) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+func (p *virtualTransport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	p.counts.StreamsOut.Add(1)
-	to := p.network.portAt(addr)
+	to := p.network.transportAt(addr)
 	if to != nil && !p.network.links.IsOpen(p.name, to.name) {
 		time.Sleep(timeout)
 		p.counts.StreamsFailed.Add(1)
@@ -146,13 +146,13 @@
 	time.Sleep(2 * virtualLatency)
 	if to == nil || to.isClosed() {
 		p.counts.StreamsFailed.Add(1)
-		return nil, errRefused
+		return nil, errConnectionRefused
 	}
 	local, remote := net.Pipe()
 	to.mu.Lock()
 	defer to.mu.Unlock()
 	if to.closed {
-		return nil, errRefused
+		return nil, errConnectionRefused
 	}
 	select {
 	case to.streams <- &countedPipe{remote, to.counts, p.addr}:
@@ -163,14 +163,14 @@
 	return &countedPipe{local, p.counts, to.addr}, nil
 }
 
-func (p *port) isClosed() bool {
+func (p *virtualTransport) isClosed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.closed
 }
 
 // Shutdown closes the port and the streams that nobody has taken, and frees the address.
-func (p *port) Shutdown() error {
+func (p *virtualTransport) Shutdown() error {
 	p.mu.Lock()
 	p.closed = true
 	for len(p.streams) > 0 {
@@ -179,8 +179,8 @@
 	p.mu.Unlock()
 	p.network.mu.Lock()
 	defer p.network.mu.Unlock()
-	if p.network.ports[p.addr.String()] == p {
-		delete(p.network.ports, p.addr.String())
+	if p.network.transports[p.addr.String()] == p {
+		delete(p.network.transports, p.addr.String())
 	}
 	return nil
 }
--- a/internal/lab/fleet/virtual_seeds_test.go
+++ b/internal/lab/fleet/virtual_seeds_test.go
@@ -21,9 +21,9 @@
 	random *rand.Rand
 }
 
-// eachSeed plays a case once for each of -fleet.seeds. The seed draws the case and the faults of links; the detector draws for itself, so
+// forEachSeed plays a case once for each of -fleet.seeds. The seed draws the case and the faults of links; the detector draws for itself, so
 // that a seed does not fix all of a run.
-func eachSeed(t *testing.T, play func(t *testing.T, run *virtualRun)) {
+func forEachSeed(t *testing.T, test func(t *testing.T, run *virtualRun)) {
 	t.Helper()
 	for seed := uint64(1); seed <= *fleetSeeds; seed++ {
 		synctest.Test(t, func(t *testing.T) {
@@ -36,7 +36,7 @@
 			if took, ok := run.fleet.WaitForAgreement(true, 30*time.Second); !ok {
 				t.Fatalf("seed %d: not settled within %v", seed, took)
 			}
-			play(t, run)
+			test(t, run)
 			if t.Failed() {
 				logViews(t, run.fleet)
 				t.Fatalf("seed %d; the log:\n%s", seed, run.log.text.String())
@@ -49,7 +49,7 @@
 // know within the stated time that it is a minority.
 func TestSmallerSideKnowsInTimeBySeeds(t *testing.T) {
 	const stated = 15 * time.Second // docs/fleet.md
-	eachSeed(t, func(t *testing.T, run *virtualRun) {
+	forEachSeed(t, func(t *testing.T, run *virtualRun) {
 		names := run.fleet.names
 		run.random.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 		small := names[:1+run.random.IntN(len(names)/2)]
@@ -67,7 +67,7 @@
 // TestLeavesOutOfOrderAreNotDeathsBySeeds guards against a member that left and is marked dead by a gateway that received the leave before the
 // metadata that announces it, over links that delay, lose and reorder datagrams.
 func TestLeavesOutOfOrderAreNotDeathsBySeeds(t *testing.T) {
-	eachSeed(t, func(t *testing.T, run *virtualRun) {
+	forEachSeed(t, func(t *testing.T, run *virtualRun) {
 		names := run.fleet.names
 		run.fleet.Links.Set(names, names, LinkFault{
 			Loss:    0.2 * run.random.Float64(),
@@ -87,7 +87,7 @@
 		}
 		time.Sleep(3 * time.Second)
 		for _, name := range leaving {
-			if run.log.has("event=fleet_member ", "name="+name+" ", "state=dead") {
+			if run.log.hasLine("event=fleet_member ", "name="+name+" ", "state=dead") {
 				t.Errorf("%s left and was marked dead", name)
 			}
 			for _, observer := range run.fleet.Running() {
--- a/internal/lab/fleet/virtual_test.go
+++ b/internal/lab/fleet/virtual_test.go
@@ -31,8 +31,8 @@
 	return l.text.Write(b)
 }
 
-// has reports whether a line contains all parts.
-func (l *logRecorder) has(parts ...string) bool {
+// hasLine reports whether a line contains all parts.
+func (l *logRecorder) hasLine(parts ...string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for line := range strings.Lines(l.text.String()) {
@@ -112,7 +112,7 @@
 		v.Kill("n5")
 		waitSettled(t, v, "crash", 45*time.Second)
 		// The detector reports a failed probe only in its log: this fails if a new version words it differently.
-		if !log.has("event=fleet_member", "name=n5", "state=suspect", "was=alive", "why=probe_failed") {
+		if !log.hasLine("event=fleet_member", "name=n5", "state=suspect", "was=alive", "why=probe_failed") {
 			t.Error("no gateway logged a suspicion before the death")
 		}
 		if v.FalseDeaths > 0 {
@@ -182,7 +182,7 @@
 	withSettledFleet(t, 12, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
 		v.Links.Set([]string{"n4"}, []string{"n7"}, LinkFault{Cut: true})
 		time.Sleep(60 * time.Second)
-		if agree, _ := v.Agreement(); !agree || log.has("state=dead") {
+		if agree, _ := v.Agreement(); !agree || log.hasLine("state=dead") {
 			t.Error("a gateway was marked dead, though others receive from both")
 		}
 	})
@@ -244,7 +244,7 @@
 		if r, _ := v.Fleet("twin").Report(false, ""); r.State != "yielded" || r.Counts.NameDeferrals != 1 {
 			t.Errorf("the twin does not yield: %s, %+v", r.State, r.Counts)
 		}
-		if !log.has("level=ERROR", "event=fleet_name_deferred", "name=n3") || !log.has("event=fleet_name_conflict") {
+		if !log.hasLine("level=ERROR", "event=fleet_name_deferred", "name=n3") || !log.hasLine("event=fleet_name_conflict") {
 			t.Error("the conflict is not logged")
 		}
 		for _, name := range v.names {
@@ -306,7 +306,7 @@
 		defer m.Shutdown()
 		m.Join([]string{v.byName["n1"].addr})
 		time.Sleep(5 * time.Second)
-		if agree, _ := v.Agreement(); !agree || !log.has("event=fleet_detector", "incompatible") {
+		if agree, _ := v.Agreement(); !agree || !log.hasLine("event=fleet_detector", "incompatible") {
 			t.Error("it was accepted, or refused without a log line")
 		}
 	})
@@ -366,7 +366,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(10 * time.Second)
-		if agree, _ := v.Agreement(); !agree || !log.has("event=fleet_member_refused", "name=m1", "why=full") {
+		if agree, _ := v.Agreement(); !agree || !log.hasLine("event=fleet_member_refused", "name=m1", "why=full") {
 			t.Error("a fifth is in a view of four, or was refused without a log line")
 		}
 	}, func(s *membership.Settings) { s.MaxMembers = 4 })
