--- a/internal/lab/cost/cost.go
+++ b/internal/lab/cost/cost.go
@@ -1,8 +1,12 @@
-// Package cost measures what one gateway spends on a piece of its control, for docs/CAPACITY.md: processor time of the process (getrusage,
-// user and system, the collector's share with it, so that other work of the machine counts for little) and bytes of heap. Tests beside each
-// package measure a Figure at some sizes; with -cost.out each figure becomes a small file that `foldslip-rig scale plot` fits and draws.
+// Package cost measures the processor time and the heap bytes that one part of a gateway's control code uses, for docs/CAPACITY.md. The
+// tests of each package measure a Figure at several sizes. With -cost.out, each figure is written to a small file that
+// `foldslip-rig scale plot` fits and draws.
 //
-// It imports the standard library only, so that tests of every package can use it. Bound: maxPoints sizes of a figure and runs of a size.
+// Processor time is the user and system time of the process (getrusage). It includes the garbage collector. It excludes other
+// processes, so other load on the machine has little effect on it.
+//
+// The package imports the standard library only, so that the tests of every package can use it. Its only state is the flag values of
+// Probes. Bounds: Measure makes at most maxPoints runs of a size, and Read accepts at most maxPoints sizes and maxPoints runs of a size.
 package cost
 
 import (
@@ -16,12 +20,12 @@
 
 const (
 	sizesWithoutOutput = 2
-	maxCallsPerBatch   = 1024 // calls between two looks at the processor time
+	maxCallsPerBatch   = 1024 // calls between two reads of the processor time
 )
 
-// Probes are the cost measurements of a package's tests, with their flags.
+// Probes runs the cost measurements of one package's tests. It holds the values of their flags.
 type Probes struct {
-	Package string // as the go command has it; goes into the figures
+	Package string // argument of `go test`, stored in the command of each figure
 
 	out     *string
 	commit  *string
@@ -29,21 +33,23 @@
 	minTime *time.Duration
 }
 
-// NewProbes registers the flags of the probes of a package. Without -cost.out the first two sizes of each figure are measured once.
+// NewProbes registers the -cost flags and returns the probes of a package. Without -cost.out, only the first two sizes of each figure are
+// measured, and nothing is written.
 func NewProbes(pkg string) *Probes {
 	return &Probes{
 		Package: pkg,
-		out:     flag.String("cost.out", "", "folder for the figures of the cost probes; all sizes are measured then"),
-		commit:  flag.String("cost.commit", "", "commit that is measured, put down with the figures"),
-		runs:    flag.Int("cost.runs", 1, "runs of each size of the cost probes"),
-		minTime: flag.Duration("cost.least", 2*time.Millisecond, "processor time of each figure of the cost probes, at least"),
+		out:     flag.String("cost.out", "", "directory to write the cost figures to; if set, all sizes are measured"),
+		commit:  flag.String("cost.commit", "", "measured commit, stored with the cost figures"),
+		runs:    flag.Int("cost.runs", 1, "number of runs of each size of a cost figure"),
+		minTime: flag.Duration("cost.least", 2*time.Millisecond, "minimum processor time of one cost measurement"),
 	}
 }
 
-// AllSizes reports whether all sizes are measured, and figures written.
+// AllSizes reports whether all sizes are measured and the figures are written to files.
 func (p *Probes) AllSizes() bool { return *p.out != "" }
 
-// Measure measures a figure: measure returns the value at a size. With -cost.out the figure is written to its file.
+// Measure calls measure for the runs of each size and returns the figure with the measured points. With -cost.out it also writes the
+// figure to its file.
 func (p *Probes) Measure(t testing.TB, f Figure, sizes []int, measure func(size int) float64) Figure {
 	t.Helper()
 	if !p.AllSizes() {
@@ -69,16 +75,17 @@
 	return f
 }
 
-// ProcessorTime is the processor time that this process has used.
+// ProcessorTime returns the user and system time that this process has used.
 func ProcessorTime() time.Duration {
 	var usage syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// MicrosPerCall is the processor time of one call in microseconds: f is called with 0, 1, 2 and on until -cost.least is used.
+// MicrosPerCall returns the mean processor time of one call of f in microseconds. It calls f with 0, 1, 2 and so on until the calls have
+// used the processor time of -cost.least.
 func (p *Probes) MicrosPerCall(f func(i int)) float64 {
-	runtime.GC() // garbage of earlier measurements does not count
+	runtime.GC() // so that garbage of earlier measurements is not collected at the expense of this one
 	start := ProcessorTime()
 	calls := 0
 	for batch := 1; ; batch = min(2*batch, maxCallsPerBatch) {
@@ -92,7 +99,7 @@
 	}
 }
 
-// HeapBytes is what the result of build holds on the heap.
+// HeapBytes returns the heap bytes that the result of build keeps reachable.
 func HeapBytes(build func() any) float64 {
 	before := heapInUse()
 	result := build()
@@ -101,7 +108,7 @@
 	return float64(after) - float64(before)
 }
 
-// heapInUse is the size of all reachable objects.
+// heapInUse collects garbage twice and returns the bytes of the remaining heap objects.
 func heapInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
--- a/internal/lab/cost/cost_test.go
+++ b/internal/lab/cost/cost_test.go
@@ -11,7 +11,7 @@
 
 func TestHeapBytesCountsReachableMemory(t *testing.T) {
 	if n := HeapBytes(func() any { return make([]byte, 1<<20) }); n < 1<<20 || n > 1<<20+1<<16 {
-		t.Errorf("a megabyte is counted as %.0f bytes", n)
+		t.Errorf("HeapBytes of a slice of 1 MiB is %.0f, want at least 1 MiB and at most 64 KiB more", n)
 	}
 }
 
@@ -29,7 +29,7 @@
 	}
 	few, many := probes.MicrosPerCall(rounds(1_000)), probes.MicrosPerCall(rounds(1_000_000))
 	if many < 20*few {
-		t.Errorf("1,000 rounds %.2f us, a thousand times as many %.2f us", few, many)
+		t.Errorf("1,000 rounds take %.2f us and 1,000,000 rounds %.2f us, want at least 20 times as much", few, many)
 	}
 }
 
@@ -37,16 +37,16 @@
 	for name, text := range map[string]string{
 		"empty":     "",
 		"no points": `{"name":"a"}`,
-		"a path":    `{"name":"../a","points":[{"size":1,"values":[1]}]}`,
-		"no size":   `{"name":"a","points":[{"size":0,"values":[1]}]}`,
-		"no value":  `{"name":"a","points":[{"size":1,"values":[]}]}`,
+		"directory": `{"name":"../a","points":[{"size":1,"values":[1]}]}`,
+		"size 0":    `{"name":"a","points":[{"size":0,"values":[1]}]}`,
+		"no values": `{"name":"a","points":[{"size":1,"values":[]}]}`,
 	} {
 		_, err := Read(writeFigure(t, text))
 		if err == nil {
-			t.Errorf("%s: read", name)
+			t.Errorf("%s: Read accepted the file", name)
 		}
 		if text != "" && !errors.Is(err, ErrFigure) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: Read returned %v, want ErrFigure", name, err)
 		}
 	}
 }
@@ -57,11 +57,11 @@
 		t.Fatal(err)
 	}
 	if median, lowest, highest := f.Points[0].Median(); median != 2 || lowest != 1 || highest != 3 {
-		t.Errorf("median %g, from %g to %g", median, lowest, highest)
+		t.Errorf("Median returned %g, %g and %g, want 2, 1 and 3", median, lowest, highest)
 	}
 }
 
-// writeFigure writes a file and returns its path.
+// writeFigure writes text to a file in a temporary directory and returns its path.
 func writeFigure(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "f.json")
--- a/internal/lab/cost/forms_test.go
+++ b/internal/lab/cost/forms_test.go
@@ -10,13 +10,14 @@
 	"testing"
 )
 
-// TestFiguresKeepTheirForm reads a figure with every field set, and all those of docs/capacity, and writes the same bytes again. Figures
-// that were not written by a probe, but by other means from another command's report, may write the same numbers in another way (44.0).
+// TestFiguresKeepTheirForm guards against a change of the stored JSON encoding of figures. It decodes a figure with every field set and all
+// figures of docs/capacity, and encodes them again. Figures that a probe wrote must encode to the same bytes. Other figures were
+// converted from the report of another command and may write the same number differently (44.0), so only their values are compared.
 func TestFiguresKeepTheirForm(t *testing.T) {
 	const full = "testdata/figure.json"
 	paths, err := filepath.Glob("../../../docs/capacity/*.json")
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("figures of docs/capacity: %d, %v", len(paths), err)
+		t.Fatalf("found %d figures in docs/capacity, error %v; want at least 1 figure", len(paths), err)
 	}
 	for _, path := range append(paths, full) {
 		want, err := os.ReadFile(path)
@@ -33,17 +34,17 @@
 		}
 		if byProbe := path == full || strings.HasPrefix(figure.Command, "go test "); byProbe {
 			if got = append(got, '\n'); !bytes.Equal(got, want) {
-				t.Errorf("%s is written as\n%s", path, got)
+				t.Errorf("%s is encoded with other bytes:\n%s", path, got)
 			}
 			continue
 		}
 		if !reflect.DeepEqual(decodeJSON(t, got), decodeJSON(t, want)) {
-			t.Errorf("%s has other values written as\n%s", path, got)
+			t.Errorf("%s is encoded with other values:\n%s", path, got)
 		}
 	}
 }
 
-// decodeJSON is what a text in JSON says.
+// decodeJSON decodes text into maps, slices and scalars.
 func decodeJSON(t *testing.T, text []byte) (v any) {
 	t.Helper()
 	if err := json.Unmarshal(text, &v); err != nil {
