--- a/internal/lab/cost/cost.go
+++ b/internal/lab/cost/cost.go
@@ -1,12 +1,13 @@
-// Package cost measures the processor time and the heap bytes that one part of a gateway's control code uses, for docs/CAPACITY.md. The
-// tests of each package measure a Figure at several sizes. With -cost.out, each figure is written to a small file that
-// `foldslip-rig scale plot` fits and draws.
+// Package cost measures the processor time and the heap bytes that one part of a gateway's control
+// code uses, for docs/CAPACITY.md. The tests of each package measure a Figure at several sizes. With
+// -cost.out, each figure is written to a small file that `foldslip-rig scale plot` fits and draws.
 //
-// Processor time is the user and system time of the process (getrusage). It includes the garbage collector. It excludes other
-// processes, so other load on the machine has little effect on it.
+// Processor time is the user and system time of the process (getrusage). It includes the garbage
+// collector. It excludes other processes, so other load on the machine has little effect on it.
 //
-// The package imports the standard library only, so that the tests of every package can use it. Its only state is the flag values of
-// Probes. Bounds: Measure makes at most maxPoints runs of a size, and Read accepts at most maxPoints sizes and maxPoints runs of a size.
+// The package imports the standard library only, so that the tests of every package can use it. Its
+// only state is the flag values of Probes. Bounds: Measure makes at most maxPoints runs of a size, and
+// Read accepts at most maxPoints sizes and maxPoints runs of a size.
 package cost
 
 import (
@@ -33,8 +34,8 @@
 	minTime *time.Duration
 }
 
-// NewProbes registers the -cost flags and returns the probes of a package. Without -cost.out, only the first two sizes of each figure are
-// measured, and nothing is written.
+// NewProbes registers the -cost flags and returns the probes of a package. Without -cost.out, only the
+// first two sizes of each figure are measured, and nothing is written.
 func NewProbes(pkg string) *Probes {
 	return &Probes{
 		Package: pkg,
@@ -48,8 +49,8 @@
 // AllSizes reports whether all sizes are measured and the figures are written to files.
 func (p *Probes) AllSizes() bool { return *p.out != "" }
 
-// Measure calls measure for the runs of each size and returns the figure with the measured points. With -cost.out it also writes the
-// figure to its file.
+// Measure calls measure for the runs of each size and returns the figure with the measured points.
+// With -cost.out it also writes the figure to its file.
 func (p *Probes) Measure(t testing.TB, f Figure, sizes []int, measure func(size int) float64) Figure {
 	t.Helper()
 	if !p.AllSizes() {
@@ -82,8 +83,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// MicrosPerCall returns the mean processor time of one call of f in microseconds. It calls f with 0, 1, 2 and so on until the calls have
-// used the processor time of -cost.least.
+// MicrosPerCall returns the mean processor time of one call of f in microseconds. It calls f with 0,
+// 1, 2 and so on until the calls have used the processor time of -cost.least.
 func (p *Probes) MicrosPerCall(f func(i int)) float64 {
 	runtime.GC() // so that garbage of earlier measurements is not collected at the expense of this one
 	start := ProcessorTime()
--- a/internal/lab/cost/figure.go
+++ b/internal/lab/cost/figure.go
@@ -12,7 +12,8 @@
 // maxPoints is the maximum number of points of a figure and of values of a point.
 const maxPoints = 64
 
-// ErrFigure is wrapped by the error that Read returns for a figure with an invalid name, size or number of points or values.
+// ErrFigure is wrapped by the error that Read returns for a figure with an invalid name, size or
+// number of points or values.
 var ErrFigure = errors.New("invalid figure")
 
 // Figure is a cost that is measured at several sizes.
@@ -44,7 +45,8 @@
 	return sorted[len(sorted)/2], sorted[0], sorted[len(sorted)-1]
 }
 
-// Read reads a figure from a file and checks it. The error wraps ErrFigure if the file can be decoded but holds no valid figure.
+// Read reads a figure from a file and checks it. The error wraps ErrFigure if the file can be decoded
+// but holds no valid figure.
 func Read(path string) (*Figure, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/lab/cost/forms_test.go
+++ b/internal/lab/cost/forms_test.go
@@ -10,9 +10,10 @@
 	"testing"
 )
 
-// TestFiguresKeepTheirForm guards against a change of the stored JSON encoding of figures. It decodes a figure with every field set and all
-// figures of docs/capacity, and encodes them again. Figures that a probe wrote must encode to the same bytes. Other figures were
-// converted from the report of another command and may write the same number differently (44.0), so only their values are compared.
+// TestFiguresKeepTheirForm guards against a change of the stored JSON encoding of figures. It decodes
+// a figure with every field set and all figures of docs/capacity, and encodes them again. Figures that
+// a probe wrote must encode to the same bytes. Other figures were converted from the report of another
+// command and may write the same number differently (44.0), so only their values are compared.
 func TestFiguresKeepTheirForm(t *testing.T) {
 	const full = "testdata/figure.json"
 	paths, err := filepath.Glob("../../../docs/capacity/*.json")
