--- a/internal/lab/fleet/addresses_test.go
+++ b/internal/lab/fleet/addresses_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// TestLargestScenarioHasDistinctAddresses: a scenario may have maxGateways gateways and maxCaches caches, and no two of their addresses
-// are equal.
+// TestLargestScenarioHasDistinctAddresses guards against address blocks that overlap in a large scenario. A scenario
+// may have maxGateways gateways and maxCaches caches. Each listener must have its own address and port, and the
+// relay must allow a stream from each gateway to each cache. A scenario beyond either maximum must be rejected.
 func TestLargestScenarioHasDistinctAddresses(t *testing.T) {
 	read := func(gateways, caches int) (*Scenario, error) {
 		path := filepath.Join(t.TempDir(), "many.jsonnet")
@@ -25,17 +26,17 @@
 	}
 	for _, counts := range [][2]int{{1025, 6}, {6, 1025}} {
 		if _, err := read(counts[0], counts[1]); err == nil {
-			t.Errorf("%d gateways and %d caches are not rejected", counts[0], counts[1])
+			t.Errorf("a scenario of %d gateways and %d caches is not rejected", counts[0], counts[1])
 		}
 	}
 	if wanted := 1024 * (1024 + 2); s.maxStreams() < wanted {
-		t.Errorf("%d streams, fewer than a connection of each gateway to each cache: %d", s.maxStreams(), wanted)
+		t.Errorf("maxStreams() = %d, want at least one stream from each gateway to each cache, %d", s.maxStreams(), wanted)
 	}
 	r := newRig(s, Options{})
 	owners := map[netip.AddrPort]string{}
 	claim := func(at netip.AddrPort, owner string) {
 		if other, duplicate := owners[at]; duplicate {
-			t.Fatalf("%v is of %s and of %s", at, other, owner)
+			t.Fatalf("address %v is used by %s and by %s", at, other, owner)
 		}
 		owners[at] = owner
 	}
--- a/internal/lab/fleet/cost_test.go
+++ b/internal/lab/fleet/cost_test.go
@@ -10,8 +10,10 @@
 
 var costs = cost.NewProbes("./internal/lab/fleet")
 
-// trafficAtRest is what one gateway of a settled fleet sends and gets a second over five virtual minutes (one in the short form), without headers of UDP, TCP
-// and IP: in datagrams, and on streams (full state exchanges of the detector). The detector's own random numbers are not seeded.
+// trafficAtRest returns the bytes per second of one gateway in a settled fleet of n gateways, as the mean
+// over all gateways and five virtual minutes (one minute without -cost.out). datagrams counts sent and
+// received datagrams. streams counts the bytes written to streams, on which the detector exchanges its
+// full state. Headers of UDP, TCP and IP are not counted. The detector's random numbers are not seeded.
 func trafficAtRest(t *testing.T, n int) (datagrams, streams float64) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -21,9 +23,9 @@
 			t.Fatal(err)
 		}
 		if took, ok := v.WaitForAgreement(true, 2*time.Minute); !ok {
-			t.Fatalf("%d gateways have not settled after %v", n, took)
+			t.Fatalf("%d gateways did not settle within %v", n, took)
 		}
-		time.Sleep(40 * time.Second) // the messages after a change are over
+		time.Sleep(40 * time.Second) // until gossip about the start has ended
 		count := func() (packets, bytes uint64) {
 			for _, name := range v.names {
 				c := v.byName[name].counts
@@ -35,7 +37,7 @@
 		packetsBefore, streamsBefore := count()
 		span := time.Minute
 		if costs.AllSizes() {
-			span = 5 * time.Minute // full exchanges are 30 s to 90 s apart at these sizes
+			span = 5 * time.Minute // full state exchanges are 30 s to 90 s apart at these sizes
 		}
 		time.Sleep(span)
 		packetsAfter, streamsAfter := count()
@@ -45,9 +47,9 @@
 	return datagrams, streams
 }
 
-// TestCostAtRest measures the traffic of membership at rest by the size of the fleet.
+// TestCostAtRest measures the membership traffic of a settled fleet at several sizes.
 func TestCostAtRest(t *testing.T) {
-	streamsBySize := map[int][]float64{} // of the runs that are not reported yet
+	streamsBySize := map[int][]float64{} // stream bytes of each run that the second figure has yet to report
 	costs.Measure(t, cost.Figure{Name: "membership-datagrams", Title: "fleet/membership at rest: bytes of datagrams, in and out, heads left out", XLabel: "gateways", YLabel: "bytes a second", Budget: 2000,
 		BudgetOf: "the view, 2 KB a second", PlanSize: 100}, []int{12, 25, 50, 100}, func(n int) float64 {
 		datagrams, streams := trafficAtRest(t, n)
@@ -59,7 +61,7 @@
 		bytes := streamsBySize[n][0]
 		streamsBySize[n] = append(streamsBySize[n][1:], bytes)
 		if bytes <= 0 {
-			t.Errorf("%d gateways: no full exchange", n)
+			t.Errorf("%d gateways: no full state exchange was measured", n)
 		}
 		return bytes
 	})
--- a/internal/lab/fleet/forms_test.go
+++ b/internal/lab/fleet/forms_test.go
@@ -11,13 +11,15 @@
 	"foldslip/internal/lab/frozen"
 )
 
-// TestReportsKeepTheirForm reads a report and a scenario with every field set and writes the same bytes again.
+// TestReportsKeepTheirForm guards against a change of the stored JSON encoding. A report and a
+// scenario with every field set must decode and encode to the same bytes.
 func TestReportsKeepTheirForm(t *testing.T) {
 	frozen.IndentedJSON(t, "report.json", &Report{})
 	frozen.IndentedJSON(t, "scenario.json", &Scenario{})
 }
 
-// TestShippedScenariosReadAsBefore compares all scenarios that come with the rig, as they are read, with what they were read as.
+// TestShippedScenariosReadAsBefore guards against a change of how scenario files are read. All
+// scenarios that come with the rig must decode to the values in testdata/shipped.json.
 func TestShippedScenariosReadAsBefore(t *testing.T) {
 	var all []*Scenario
 	for _, name := range HardCases() {
@@ -30,7 +32,8 @@
 	frozen.EqualIndented(t, "shipped.json", all)
 }
 
-// TestGatewayFilesKeepTheirForm compares the two files that a gateway of the rig is started with.
+// TestGatewayFilesKeepTheirForm compares the settings file and the configuration file of a rig gateway
+// with those in testdata, and checks the gateway's command line.
 func TestGatewayFilesKeepTheirForm(t *testing.T) {
 	s := &Scenario{Name: "x", Gateways: 2, KeepMembers: true, Fleet: config.Fleet{BroadcastsPurges: true, MaxMembers: 8}, ClockOffsets: []ClockOffset{{"n2", 250}},
 		Limit:      &Limit{LookupsPerSecond: 20, FleetWide: true},
@@ -56,10 +59,10 @@
 			t.Fatal(err)
 		}
 		if got := strings.ReplaceAll(string(got), p.dir, "DIR"); got != string(want) {
-			t.Errorf("%s is written as\n%s", name, got)
+			t.Errorf("%s differs from testdata:\n%s", name, got)
 		}
 	}
 	if args := strings.ReplaceAll(strings.Join(p.args, " "), p.dir, "DIR"); args != "serve --settings DIR/settings.jsonnet --clock-offset=250ms" {
-		t.Errorf("a gateway is started with %s", args)
+		t.Errorf("gateway arguments are %s", args)
 	}
 }
--- a/internal/lab/fleet/scale_plot_test.go
+++ b/internal/lab/fleet/scale_plot_test.go
@@ -12,13 +12,13 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// sizeSeries is a line of a plot over sizes.
+// sizeSeries is one line of a plot over the size of the fleet.
 type sizeSeries struct {
 	name  string
 	value func(SizeReport) float64
 }
 
-// writeReports writes the reports as JSON and plots of them into a folder.
+// writeReports writes the reports as JSON, and two plots of them, into a directory.
 func writeReports(all []SizeReport, dir string) error {
 	text, err := json.MarshalIndent(all, "", " ")
 	if err != nil {
@@ -27,19 +27,22 @@
 	if err := os.WriteFile(filepath.Join(dir, "sizes.json"), text, 0o644); err != nil {
 		return err
 	}
-	// Expected: a failed probe ends its protocol period, and the first probe of the crashed member comes
-	// e/(e-1) periods after the crash (SWIM, 4.1); a suspicion that others confirm lasts 4 max(1, log10 n) periods (Lifeguard, 4.2; memberlist's SuspicionMult).
+	// expected returns the expected time until all views mark a crashed member dead, in protocol periods of
+	// 1 s. The first probe of the member follows e/(e-1) periods after the crash (SWIM, section 4.1). The
+	// failed probe lasts until the end of its period, which is 1 period. A suspicion that others confirm
+	// lasts 4 max(1, log10 n) periods (Lifeguard, section 4.2; the 4 is memberlist's SuspicionMult).
 	expected := func(n float64) float64 { return math.E/(math.E-1) + 1 + 4*math.Max(1, math.Log10(n)) }
-	if err := drawSizes(all, filepath.Join(dir, "settling.png"), "Until all agree, virtual clock", "seconds", []sizeSeries{{"crash", func(s SizeReport) float64 { return s.Crash }},
-		{"split of 2 in 5", func(s SizeReport) float64 { return s.Split }}, {"healed", func(s SizeReport) float64 { return s.Heal }},
-		{"a quarter more at once", func(s SizeReport) float64 { return s.StormSettled }}, {"smaller side knows", func(s SizeReport) float64 { return s.Minority }}}, expected); err != nil {
+	if err := drawSizes(all, filepath.Join(dir, "settling.png"), "Time until all views agree, virtual clock", "seconds", []sizeSeries{{"crash", func(s SizeReport) float64 { return s.Crash }},
+		{"split of 2/5", func(s SizeReport) float64 { return s.Split }}, {"healed", func(s SizeReport) float64 { return s.Heal }},
+		{"join of 1/4 more", func(s SizeReport) float64 { return s.StormSettled }}, {"minority detected", func(s SizeReport) float64 { return s.Minority }}}, expected); err != nil {
 		return err
 	}
 	return drawSizes(all, filepath.Join(dir, "traffic.png"), "Traffic of one gateway, virtual clock", "bytes a second", []sizeSeries{{"at rest", func(s SizeReport) float64 { return s.RestBytes }},
-		{"one datagram in five lost", func(s SizeReport) float64 { return s.LossBytes }}}, nil)
+		{"20% datagram loss", func(s SizeReport) float64 { return s.LossBytes }}}, nil)
 }
 
-// drawSizes plots series over the size of the fleet into a file; expected, if not nil, is drawn dashed.
+// drawSizes plots series over the size of the fleet and saves the plot to a file. If expected is not
+// nil, it is drawn as a dashed line.
 func drawSizes(all []SizeReport, path, title, yLabel string, series []sizeSeries, expected func(float64) float64) error {
 	p := plot.New()
 	p.Title.Text = title
@@ -69,7 +72,7 @@
 		function.Dashes, function.Color = []vg.Length{vg.Points(4), vg.Points(3)}, color.Gray{100}
 		function.XMin, function.XMax = float64(all[0].Gateways), float64(all[len(all)-1].Gateways)
 		p.Add(function)
-		p.Legend.Add("expected of a crash (SWIM, Lifeguard)", function)
+		p.Legend.Add("expected for a crash (SWIM, Lifeguard)", function)
 	}
 	return p.Save(20*vg.Centimeter, 12*vg.Centimeter, path)
 }
--- a/internal/lab/fleet/scale_test.go
+++ b/internal/lab/fleet/scale_test.go
@@ -13,34 +13,36 @@
 )
 
 var (
-	sizes     = flag.String("fleet.sizes", "12,50", "sizes of the fleets on the virtual clock")
-	outputDir = flag.String("fleet.out", "", "folder for figures (JSON) and plots")
-	runs      = flag.Int("fleet.runs", 1, "runs of each size")
+	sizes     = flag.String("fleet.sizes", "12,50", "comma-separated sizes of the fleets on the virtual clock, in gateways")
+	outputDir = flag.String("fleet.out", "", "directory to write measurements (JSON) and plots to; none are written if it is empty")
+	runs      = flag.Int("fleet.runs", 1, "number of runs of each size")
 )
 
-// SizeReport are the measurements of one fleet on the virtual clock. Times are in seconds, traffic is that of one gateway a second.
+// SizeReport holds the measurements of one fleet on the virtual clock. Times are in seconds. Traffic
+// is the mean per gateway and second. Views agree once the live members of each view are the gateways
+// that run on its side of the links.
 type SizeReport struct {
 	Gateways       int     `json:"gateways"`
 	Run            int     `json:"run"`
-	Ready          float64 `json:"ready_s"`
-	Suspected      float64 `json:"crash_first_suspected_s"`
-	Crash          float64 `json:"crash_agreed_s"`
-	CrashSettled   float64 `json:"crash_told_s"`
-	RestartSettled float64 `json:"restart_told_s"`
-	Split          float64 `json:"split_agreed_s"`
-	Minority       float64 `json:"minority_known_s"` // until all of the smaller side knew
-	Heal           float64 `json:"heal_agreed_s"`
-	LossFalse      int     `json:"loss_false_deaths"`
-	LossSeconds    float64 `json:"loss_s"`
-	StormSettled   float64 `json:"storm_told_s"` // a quarter more join at once
+	Ready          float64 `json:"ready_s"`                 // from the start until all gateways have settled
+	Suspected      float64 `json:"crash_first_suspected_s"` // from the crash until gateway n1 no longer counts the member as alive
+	Crash          float64 `json:"crash_agreed_s"`          // from the crash until the views agree
+	CrashSettled   float64 `json:"crash_told_s"`            // from the crash until all gateways have settled
+	RestartSettled float64 `json:"restart_told_s"`          // from the restart until all gateways have settled
+	Split          float64 `json:"split_agreed_s"`          // from the split until the views agree
+	Minority       float64 `json:"minority_known_s"`        // from the split until the whole smaller side reports a minority
+	Heal           float64 `json:"heal_agreed_s"`           // from the heal until all gateways have settled
+	LossFalse      int     `json:"loss_false_deaths"`       // with one datagram in five lost
+	LossSeconds    float64 `json:"loss_s"`                  // length of the period with loss
+	StormSettled   float64 `json:"storm_told_s"`            // from the join of a quarter more gateways until all settled
 	RestPackets    float64 `json:"rest_packets_s"`
 	RestBytes      float64 `json:"rest_bytes_s"`
 	LossPackets    float64 `json:"loss_packets_s"`
 	LossBytes      float64 `json:"loss_bytes_s"`
-	MemberBytes    float64 `json:"member_bytes"` // of heap, for one member in one gateway
+	MemberBytes    float64 `json:"member_bytes"` // heap bytes per member in the view of one gateway
 }
 
-// fleetSizes are the sizes of -fleet.sizes.
+// fleetSizes returns the sizes of -fleet.sizes.
 func fleetSizes(t *testing.T) (counts []int) {
 	t.Helper()
 	for _, text := range strings.Split(*sizes, ",") {
@@ -53,6 +55,7 @@
 	return counts
 }
 
+// heapBytes collects garbage and returns the bytes of the remaining heap objects.
 func heapBytes() float64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -60,15 +63,15 @@
 	return float64(stats.HeapAlloc)
 }
 
-// sizeMeasurement measures one fleet on the virtual clock.
+// sizeMeasurement is the state of one measurement on the virtual clock.
 type sizeMeasurement struct {
 	t      *testing.T
 	fleet  *VirtualFleet
-	size   int // gateways at the start
+	size   int // number of gateways at the start
 	report SizeReport
 }
 
-// measureSize runs a fleet through a crash, a restart, a split, loss and a storm of joins.
+// measureSize measures a fleet at rest and in a crash, a restart, a split, datagram loss and a join storm.
 func measureSize(t *testing.T, size, run int) (report SizeReport) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -85,16 +88,18 @@
 	return report
 }
 
-// waitForAgreement waits for agreement, or until all have settled, and returns the seconds that it took.
+// waitForAgreement waits until the views agree or, with untilSettled, until all gateways have settled.
+// It returns the seconds that it waited. A timeout is a test error. change names what happened before.
 func (m *sizeMeasurement) waitForAgreement(change string, untilSettled bool, timeout time.Duration) float64 {
 	m.t.Helper()
 	took, ok := m.fleet.WaitForAgreement(untilSettled, timeout)
 	if !ok {
-		m.t.Errorf("%d gateways: %s not done within %v", m.size, change, timeout)
+		m.t.Errorf("%d gateways, %s: no agreement within %v", m.size, change, timeout)
 	}
 	return took.Seconds()
 }
 
+// start starts gateways and ends the test if one fails to start.
 func (m *sizeMeasurement) start(names ...string) {
 	m.t.Helper()
 	if err := m.fleet.Start(names...); err != nil {
@@ -102,7 +107,7 @@
 	}
 }
 
-// trafficRate is the traffic of one gateway a second over a span of time.
+// trafficRate returns the mean traffic per gateway and second over the next span of time.
 func (m *sizeMeasurement) trafficRate(span time.Duration) (packets, bytes float64) {
 	packetsBefore, bytesBefore := m.fleet.Traffic()
 	time.Sleep(span)
@@ -110,7 +115,7 @@
 	return (packetsAfter - packetsBefore) / span.Seconds(), (bytesAfter - bytesBefore) / span.Seconds()
 }
 
-// measureAtRest starts the fleet and measures it once it has settled.
+// measureAtRest starts the fleet and, once it has settled, measures its traffic and heap.
 func (m *sizeMeasurement) measureAtRest(heapBefore float64) {
 	m.t.Helper()
 	m.start(m.fleet.names...)
@@ -120,7 +125,7 @@
 	m.report.MemberBytes = (heapBytes() - heapBefore) / float64(m.size) / float64(m.size)
 }
 
-// measureCrash kills the last gateway and starts it again.
+// measureCrash kills the last gateway, waits until all others have settled, and starts it again.
 func (m *sizeMeasurement) measureCrash() {
 	m.t.Helper()
 	crashed := m.fleet.names[m.size-1]
@@ -141,7 +146,7 @@
 	m.report.RestartSettled = m.waitForAgreement("restart", true, 2*time.Minute)
 }
 
-// measureSplit splits the fleet into two fifths and the others for a minute.
+// measureSplit splits the fleet into two fifths and three fifths for at least a minute, then heals the split.
 func (m *sizeMeasurement) measureSplit() {
 	m.t.Helper()
 	small, large := m.fleet.names[:m.size*2/5], m.fleet.names[m.size*2/5:]
@@ -161,7 +166,7 @@
 	m.report.Heal = m.waitForAgreement("heal", true, 2*time.Minute)
 }
 
-// measureLoss loses one datagram in five for a minute.
+// measureLoss measures the fleet for a minute in which one datagram in five is lost.
 func (m *sizeMeasurement) measureLoss() {
 	m.t.Helper()
 	m.fleet.FalseDeaths = 0
@@ -173,7 +178,7 @@
 	m.waitForAgreement("after loss", true, time.Minute)
 }
 
-// measureStorm lets a quarter more gateways join at once.
+// measureStorm makes a quarter more gateways join at once.
 func (m *sizeMeasurement) measureStorm() {
 	m.t.Helper()
 	for i := range m.size / 4 {
@@ -186,8 +191,10 @@
 	m.report.StormSettled = m.waitForAgreement("storm", true, 2*time.Minute)
 }
 
-// TestLargerFleetsSettleAtEqualCostPerGateway: a gateway's traffic must not grow with the fleet, and what it learns must come in a time
-// that grows with its logarithm (SWIM).
+// TestLargerFleetsSettleAtEqualCostPerGateway guards against a cost per gateway that grows with the
+// fleet. From the first size to the last, a gateway may send at most 1.3 times as many datagrams and 3
+// times as many bytes. The time until a change is known may grow only with the logarithm of the size
+// (SWIM); the timeouts of the single measurements bound it.
 func TestLargerFleetsSettleAtEqualCostPerGateway(t *testing.T) {
 	var all []SizeReport
 	for _, size := range fleetSizes(t) {
@@ -203,7 +210,7 @@
 	}
 	first, last := all[0], all[len(all)-1]
 	if last.RestPackets > 1.3*first.RestPackets || last.RestBytes > 3*first.RestBytes {
-		t.Errorf("traffic of a gateway at rest grows: %.1f datagrams and %.0f bytes a second at %d, %.1f and %.0f at %d", first.RestPackets,
+		t.Errorf("traffic of a gateway at rest grows with the fleet: %.1f datagrams and %.0f bytes a second at %d gateways, %.1f and %.0f at %d", first.RestPackets,
 			first.RestBytes, first.Gateways, last.RestPackets, last.RestBytes, last.Gateways)
 	}
 	if *outputDir != "" {
--- a/internal/lab/fleet/scenario_check_test.go
+++ b/internal/lab/fleet/scenario_check_test.go
@@ -7,7 +7,9 @@
 	"testing"
 )
 
-// TestInvalidScenariosAreRefusedWithTheirPath: the error says where in the file the fault is.
+// TestInvalidScenariosAreRefusedWithTheirPath guards against invalid scenarios that are run, and
+// against errors that do not say which setting is wrong. Each error must contain the path of the
+// setting or the text that is listed with the scenario.
 func TestInvalidScenariosAreRefusedWithTheirPath(t *testing.T) {
 	for text, want := range map[string]string{
 		`{ gateways: 3, steps: [{ at_ms: 1, do: 'explode' }] }`:                                              "steps[0].do",
@@ -28,12 +30,12 @@
 			t.Fatal(err)
 		}
 		if _, err := ReadScenario(path); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("scenario %s: unexpected result of ReadScenario: %v", text, err)
 		}
 	}
 }
 
-// TestHardCasesAreValid reads each scenario that comes with the rig.
+// TestHardCasesAreValid reads and checks each scenario that comes with the rig.
 func TestHardCasesAreValid(t *testing.T) {
 	for _, name := range HardCases() {
 		if _, err := ReadScenario(name); err != nil {
--- a/internal/lab/fleet/virtual_fleet_test.go
+++ b/internal/lab/fleet/virtual_fleet_test.go
@@ -15,30 +15,32 @@
 	"foldslip/internal/fleet/view"
 )
 
-// VirtualFleet is a fleet on a Network, for use with testing/synctest. Its methods are for one goroutine.
+// VirtualFleet is a fleet of gateways that exchange messages over a Network, for use with
+// testing/synctest. Its methods must be called from one goroutine.
 type VirtualFleet struct {
 	Links       *Links
 	Network     *Network
-	Log         *slog.Logger // of gateways that are started from now on
+	Log         *slog.Logger // logger of the gateways that are started after it is set
 	base        membership.Settings
-	seeds       int // the first gateways, whose addresses the others start with
+	seeds       int // number of gateways whose addresses each gateway gets as seeds
 	names       []string
 	byName      map[string]*gateway
-	FalseDeaths int        // views that marked a gateway dead that ran and could be reached
-	mu          sync.Mutex // guards FalseDeaths and the gateways' fields while they run
+	FalseDeaths int        // changes of views that marked a running and reachable gateway dead
+	mu          sync.Mutex // guards FalseDeaths, and the fields of gateways while gateways run
 }
 
+// gateway is one gateway of a VirtualFleet, over all of its starts.
 type gateway struct {
 	name, addr    string
-	announcedName string            // empty: its own
-	fleet         *membership.Fleet // nil: does not run
-	stop          chan struct{}
-	ended         chan struct{}
+	announcedName string            // name that it announces to the fleet; empty: its own name
+	fleet         *membership.Fleet // nil: the gateway does not run
+	stop          chan struct{}     // closed to end fleet
+	ended         chan struct{}     // closed when fleet has ended
 	counts        *transport.Counts
-	directory     env.Directory // nil: keeps no members
+	directory     env.Directory // where it stores its members; nil: it stores none
 }
 
-// NewVirtualFleet returns a fleet of size gateways, none of which runs. The caller must call Close.
+// NewVirtualFleet returns a fleet of size gateways. No gateway runs yet. The caller must call Close.
 func NewVirtualFleet(size int, seed uint64, base membership.Settings) *VirtualFleet {
 	links := NewLinks(seed)
 	v := &VirtualFleet{
@@ -58,7 +60,7 @@
 	return v
 }
 
-// DefaultSettings are the default settings of config.Fleet.
+// DefaultSettings returns the default settings of config.Fleet.
 func DefaultSettings() membership.Settings {
 	return membership.Settings{
 		MaxMembers:     1024,
@@ -71,7 +73,7 @@
 	}
 }
 
-// Start starts gateways that don't run.
+// Start starts gateways. A gateway that runs already is an error.
 func (v *VirtualFleet) Start(names ...string) error {
 	for _, name := range names {
 		if err := v.startGateway(v.byName[name]); err != nil {
@@ -126,7 +128,8 @@
 	return nil
 }
 
-// countFalseDeath counts a change of a gateway's view if it marks dead a gateway that runs and can be reached.
+// countFalseDeath increments FalseDeaths if a change of the observer's view marks a gateway dead that
+// runs and whose link with the observer is open in both directions.
 func (v *VirtualFleet) countFalseDeath(observer string, change view.Change) {
 	if change.To != view.Dead || !v.Links.IsOpen(observer, change.Name) {
 		return
@@ -138,7 +141,7 @@
 	}
 }
 
-// Kill ends gateways without a message to the others.
+// Kill ends gateways at once. The other gateways receive no message about it.
 func (v *VirtualFleet) Kill(names ...string) {
 	for _, name := range names {
 		g := v.byName[name]
@@ -147,7 +150,7 @@
 	}
 }
 
-// Stop makes gateways leave the fleet, and waits until they have ended.
+// Stop makes gateways leave the fleet gracefully, one after the other, and waits until they have ended.
 func (v *VirtualFleet) Stop(names ...string) {
 	for _, name := range names {
 		g := v.byName[name]
@@ -165,6 +168,7 @@
 	return v.Start(names...)
 }
 
+// endGateway tells a gateway to end, if it runs, and does not wait for the end.
 func (v *VirtualFleet) endGateway(g *gateway) {
 	v.mu.Lock()
 	fleet := g.fleet
@@ -175,18 +179,20 @@
 	}
 }
 
-// Add adds a gateway that does not run and is not among the fleet's names. announcedName is the name that it announces; empty: its own.
+// Add adds a gateway that does not run. Methods that cover the whole fleet, except Close, ignore it
+// unless its name is appended to names. announcedName is the name that it announces to the fleet; if
+// it is empty, it announces its own name.
 func (v *VirtualFleet) Add(name, announcedName string) {
 	addr := fmt.Sprintf("10.9.9.%d:7946", len(v.byName)%250+1)
 	v.byName[name] = &gateway{name: name, announcedName: announcedName, addr: addr, counts: &transport.Counts{}}
 }
 
-// SetDirectory sets where a gateway keeps its members.
+// SetDirectory sets the directory in which a gateway stores its members from its next start on.
 func (v *VirtualFleet) SetDirectory(name string, directory env.Directory) {
 	v.byName[name].directory = directory
 }
 
-// Running are the names of the gateways that run.
+// Running returns the names of the gateways that run.
 func (v *VirtualFleet) Running() (names []string) {
 	for _, name := range v.names {
 		if v.byName[name].fleet != nil {
@@ -196,8 +202,8 @@
 	return names
 }
 
-// Agreement reports whether the live members of each running gateway are those that run on its side of the links (agreed), and
-// whether each has also settled (settled).
+// Agreement compares the views of the running gateways. agreed reports whether the live members of each view are the
+// gateways that run on its side of the links. settled reports whether the views agree and each gateway has settled.
 func (v *VirtualFleet) Agreement() (agreed, settled bool) {
 	settled = true
 	running := v.Running()
@@ -224,7 +230,8 @@
 	return true, settled
 }
 
-// WaitForAgreement waits for agreement, or until all gateways have settled, for at most timeout, and returns how long it took.
+// WaitForAgreement waits until the views agree or, with untilSettled, until all gateways have also
+// settled. ok is false if that takes longer than timeout. took is the time that it waited.
 func (v *VirtualFleet) WaitForAgreement(untilSettled bool, timeout time.Duration) (took time.Duration, ok bool) {
 	for began := time.Now(); ; time.Sleep(viewInterval) {
 		agreed, settled := v.Agreement()
@@ -238,7 +245,8 @@
 	}
 }
 
-// Traffic is what running gateways have sent since they started, the mean of one.
+// Traffic returns what a running gateway has sent since its start, as the mean over all running
+// gateways: the number of datagrams, and the bytes of datagrams and streams.
 func (v *VirtualFleet) Traffic() (packets, bytes float64) {
 	running := v.Running()
 	for _, name := range running {
@@ -250,7 +258,7 @@
 	return packets / gateways, bytes / gateways
 }
 
-// Fleet is a gateway's membership; nil if it does not run.
+// Fleet returns a gateway's membership, or nil if the gateway does not run.
 func (v *VirtualFleet) Fleet(name string) *membership.Fleet { return v.byName[name].fleet }
 
 // Close kills all gateways and waits until they have ended.
@@ -265,7 +273,8 @@
 			<-g.ended
 		}
 	}
-	time.Sleep(time.Minute) // streams to killed gateways end at their deadlines: synctest requires that no goroutine is left
+	// Streams to killed gateways end at their deadlines. synctest requires that all goroutines have ended.
+	time.Sleep(time.Minute)
 }
 
 // HasFaults reports whether any link has a fault.
--- a/internal/lab/fleet/virtual_network_test.go
+++ b/internal/lab/fleet/virtual_network_test.go
@@ -17,29 +17,29 @@
 )
 
 const (
-	virtualLatency     = 200 * time.Microsecond // one way, on links without fault
-	virtualPacketQueue = 512                    // datagrams that wait at a gateway
-	virtualStreamQueue = 32                     // streams that wait at a gateway
+	virtualLatency     = 200 * time.Microsecond // one-way latency, to which the delay of a link fault is added
+	virtualPacketQueue = 512                    // datagrams queued at a gateway; further ones are dropped
+	virtualStreamQueue = 32                     // streams queued at a gateway; further ones are closed
 )
 
-// errRefused is a dial to an address that nobody has open.
+// errConnectionRefused is returned by a dial to an address at which no transport is open.
 var errConnectionRefused = errors.New("connection refused")
 
-// Network carries the failure detector's messages between gateways of one process, with the faults of Links. With testing/synctest its
-// time is virtual: the same code of fleet/membership and of the detector, hundreds of gateways, hours in seconds. It takes the place of
-// Relay.
+// Network carries the messages of the failure detector between gateways of one process, with the faults of Links.
+// It takes the place of Relay. With testing/synctest its time is virtual. The code of fleet/membership and of the
+// detector is the same as in a real fleet, but hundreds of gateways run for hours of virtual time within seconds.
 type Network struct {
 	links      *Links
 	mu         sync.Mutex
-	transports map[string]*virtualTransport // by address
+	transports map[string]*virtualTransport // open transports, by address
 }
 
-// NewNetwork returns a network over links.
+// NewNetwork returns a network without transports that applies the faults of links.
 func NewNetwork(links *Links) *Network {
 	return &Network{links: links, transports: map[string]*virtualTransport{}}
 }
 
-// virtualTransport is a gateway's transport. It implements memberlist.NodeAwareTransport.
+// virtualTransport is a gateway's transport on a Network. It implements memberlist.NodeAwareTransport.
 type virtualTransport struct {
 	network *Network
 	name    string
@@ -53,7 +53,7 @@
 
 var _ memberlist.NodeAwareTransport = (*virtualTransport)(nil)
 
-// Open returns a gateway's transport at an address, which must not be open.
+// Open opens a gateway's transport at an address. The error wraps syscall.EADDRINUSE if a transport is open there.
 func (n *Network) Open(name, addr string, counts *transport.Counts) (memberlist.Transport, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -72,13 +72,15 @@
 	return p, nil
 }
 
+// transportAt returns the open transport at an address, or nil.
 func (n *Network) transportAt(addr string) *virtualTransport {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.transports[addr]
 }
 
-// CloseAddress closes the transport at an address at once, as a kill does.
+// CloseAddress closes the transport at an address, if one is open. Messages in flight to it are lost,
+// as when a process is killed.
 func (n *Network) CloseAddress(addr string) {
 	if p := n.transportAt(addr); p != nil {
 		p.Shutdown()
@@ -169,7 +171,7 @@
 	return p.closed
 }
 
-// Shutdown closes the port and the streams that nobody has taken, and frees the address.
+// Shutdown closes the transport and the streams in its queue, and frees the address.
 func (p *virtualTransport) Shutdown() error {
 	p.mu.Lock()
 	p.closed = true
@@ -185,7 +187,7 @@
 	return nil
 }
 
-// countedPipe is one end of a stream; it counts what is written.
+// countedPipe is one end of a stream. It counts the bytes that are written to it.
 type countedPipe struct {
 	net.Conn
 	counts *transport.Counts
--- a/internal/lab/fleet/virtual_seeds_test.go
+++ b/internal/lab/fleet/virtual_seeds_test.go
@@ -12,17 +12,18 @@
 	"foldslip/internal/fleet/view"
 )
 
-var fleetSeeds = flag.Uint64("fleet.seeds", 12, "seeds of the splits and leaves on the virtual clock; 1,000 take some ten minutes")
+var fleetSeeds = flag.Uint64("fleet.seeds", 12, "number of seeds of the splits and leaves on the virtual clock; 1,000 take about ten minutes")
 
-// virtualRun is a settled fleet of a seed on the virtual clock.
+// virtualRun is one run of a test on the virtual clock, with a fleet that has settled.
 type virtualRun struct {
 	fleet  *VirtualFleet
-	log    *logRecorder
-	random *rand.Rand
+	log    *logRecorder // log of all gateways
+	random *rand.Rand   // seeded with the seed of the run
 }
 
-// forEachSeed plays a case once for each of -fleet.seeds. The seed draws the case and the faults of links; the detector draws for itself, so
-// that a seed does not fix all of a run.
+// forEachSeed runs a test once for each seed from 1 to -fleet.seeds. The seed determines the test's
+// random choices and the random faults of links. The detector draws random numbers of its own, so a
+// seed does not determine a run completely.
 func forEachSeed(t *testing.T, test func(t *testing.T, run *virtualRun)) {
 	t.Helper()
 	for seed := uint64(1); seed <= *fleetSeeds; seed++ {
@@ -39,33 +40,33 @@
 			test(t, run)
 			if t.Failed() {
 				logViews(t, run.fleet)
-				t.Fatalf("seed %d; the log:\n%s", seed, run.log.text.String())
+				t.Fatalf("failed with seed %d; log of the gateways:\n%s", seed, run.log.text.String())
 			}
 		})
 	}
 }
 
-// TestSmallerSideKnowsInTimeBySeeds guards against a side of a split that counts members as alive that none of it has probed, and so does not
-// know within the stated time that it is a minority.
+// TestSmallerSideKnowsInTimeBySeeds guards against a smaller side of a split that does not detect within the documented
+// time that it is in a minority. This happens if the side counts members as alive that none of its gateways has probed.
 func TestSmallerSideKnowsInTimeBySeeds(t *testing.T) {
-	const stated = 15 * time.Second // docs/fleet.md
+	const limit = 15 * time.Second // documented in docs/fleet.md
 	forEachSeed(t, func(t *testing.T, run *virtualRun) {
 		names := run.fleet.names
 		run.random.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 		small := names[:1+run.random.IntN(len(names)/2)]
 		time.Sleep(time.Duration(run.random.IntN(2000)) * time.Millisecond)
 		run.fleet.Links.Split([][]string{small, names[len(small):]})
-		time.Sleep(stated)
+		time.Sleep(limit)
 		for _, name := range small {
 			if state := run.fleet.Fleet(name).State(); !state.InMinority {
-				t.Errorf("%s, one of %d, does not know after %v that it is in a minority: %+v", name, len(small), stated, state)
+				t.Errorf("%s, on a side of %d gateways, does not report a minority after %v: %+v", name, len(small), limit, state)
 			}
 		}
 	})
 }
 
-// TestLeavesOutOfOrderAreNotDeathsBySeeds guards against a member that left and is marked dead by a gateway that received the leave before the
-// metadata that announces it, over links that delay, lose and reorder datagrams.
+// TestLeavesOutOfOrderAreNotDeathsBySeeds guards against a member that leaves and is marked dead. This happens if
+// a gateway receives the leave before the metadata that announces it, as links delay, lose and reorder datagrams.
 func TestLeavesOutOfOrderAreNotDeathsBySeeds(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, run *virtualRun) {
 		names := run.fleet.names
--- a/internal/lab/fleet/virtual_test.go
+++ b/internal/lab/fleet/virtual_test.go
@@ -19,7 +19,7 @@
 	"foldslip/internal/fleet/view"
 )
 
-// logRecorder keeps the lines of a log.
+// logRecorder is a writer that keeps the text of a log in memory.
 type logRecorder struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -31,7 +31,7 @@
 	return l.text.Write(b)
 }
 
-// hasLine reports whether a line contains all parts.
+// hasLine reports whether a line of the log contains all parts.
 func (l *logRecorder) hasLine(parts ...string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -43,7 +43,8 @@
 	return false
 }
 
-// withSettledFleet runs a test on the virtual clock with a fleet that has settled.
+// withSettledFleet starts a fleet of n gateways on the virtual clock, waits until it has settled, and
+// runs a test with it. Each option may change the settings before the start.
 func withSettledFleet(t *testing.T, n int, test func(t *testing.T, v *VirtualFleet, log *logRecorder), options ...func(*membership.Settings)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -60,19 +61,19 @@
 		}
 		if took, ok := v.WaitForAgreement(true, 30*time.Second); !ok {
 			logViews(t, v)
-			t.Fatalf("the fleet did not settle within %v", took)
+			t.Fatalf("the fleet did not settle within %v of its start", took)
 		}
 		test(t, v, log)
 	})
 }
 
-// logViews logs each running gateway's view and the members that don't agree with it.
+// logViews logs a summary of each running gateway's view, with the members that do not agree with it.
 func logViews(t *testing.T, v *VirtualFleet) {
 	t.Helper()
 	for _, name := range v.Running() {
 		r, err := v.Fleet(name).Report(true, "")
 		if err != nil {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("report of %s: %v", name, err)
 			continue
 		}
 		disagreeing := ""
@@ -81,22 +82,23 @@
 				disagreeing += " " + m.Name + "=" + m.State.String()
 			}
 		}
-		t.Logf("%s live %d digest %s %s changed %d counts %+v: %s", name, r.Live, r.Digest, r.State, r.ChangedAgoMS, r.Counts, disagreeing)
+		t.Logf("%s: %d live members, digest %s, %s, changed %d ms ago, counts %+v, disagreeing members:%s", name, r.Live, r.Digest, r.State, r.ChangedAgoMS, r.Counts, disagreeing)
 	}
 }
 
-// waitSettled waits until all gateways have settled; change names what was done in the failure.
+// waitSettled waits until all gateways have settled. A timeout is a test error. change names the
+// preceding change in the test's log.
 func waitSettled(t *testing.T, v *VirtualFleet, change string, timeout time.Duration) {
 	t.Helper()
 	if took, ok := v.WaitForAgreement(true, timeout); !ok {
-		t.Errorf("%s: not settled within %v", change, timeout)
+		t.Errorf("%s: the fleet did not settle within %v", change, timeout)
 		logViews(t, v)
 	} else {
-		t.Logf("%s: settled within %v", change, took)
+		t.Logf("%s: the fleet settled within %v", change, took)
 	}
 }
 
-// memberRow is a member in a gateway's report.
+// memberRow returns the row for the member name in the observer's membership report.
 func memberRow(t *testing.T, v *VirtualFleet, observer, name string) membership.MemberReport {
 	t.Helper()
 	r, err := v.Fleet(observer).Report(true, name)
@@ -106,89 +108,98 @@
 	return r.Members[0]
 }
 
-// TestCrashIsSuspectedThenKnownToAll: a crash is suspected by a failed probe, then known to all.
+// TestCrashIsSuspectedThenKnownToAll guards against a crash that the fleet does not detect. A failed probe must make
+// a gateway suspect the member, and all gateways must then mark it dead. The prober must be named in the evidence.
 func TestCrashIsSuspectedThenKnownToAll(t *testing.T) {
 	withSettledFleet(t, 12, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
 		v.Kill("n5")
 		waitSettled(t, v, "crash", 45*time.Second)
-		// The detector reports a failed probe only in its log: this fails if a new version words it differently.
+		// The detector reports a failed probe only in its log. This check fails if a new version of the
+		// detector changes that text.
 		if !log.hasLine("event=fleet_member", "name=n5", "state=suspect", "was=alive", "why=probe_failed") {
-			t.Error("no gateway logged a suspicion before the death")
+			t.Error("no gateway logged that it suspects n5 after a failed probe")
 		}
 		if v.FalseDeaths > 0 {
 			t.Errorf("%d false deaths", v.FalseDeaths)
 		}
 		evidence := memberRow(t, v, "n1", "n5").Evidence
 		if !slices.ContainsFunc(evidence, func(e membership.Evidence) bool { return e.What == "probe failed" && e.By != "" }) {
-			t.Errorf("the prober is not in the evidence: %+v", evidence)
+			t.Errorf("the evidence does not name the prober: %+v", evidence)
 		}
 	})
 }
 
-// TestMemberThatLeavesIsNotDead: a member that leaves is in state left and no longer counts.
+// TestMemberThatLeavesIsNotDead guards against a member that leaves and is marked dead, or still
+// counts in the size of the fleet.
 func TestMemberThatLeavesIsNotDead(t *testing.T) {
 	withSettledFleet(t, 12, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
 		v.Stop("n5")
 		waitSettled(t, v, "leave", 10*time.Second)
 		for _, name := range v.Running() {
 			if got := memberRow(t, v, name, "n5").State; got != view.Left {
-				t.Errorf("%s sees it as %v", name, got)
+				t.Errorf("%s reports n5 as %v, want left", name, got)
 			}
 		}
 		if s := v.Fleet("n1").State(); s.FleetSize != 11 {
-			t.Errorf("it still counts: a fleet of %d", s.FleetSize)
+			t.Errorf("n1 reports a fleet size of %d after n5 left, want 11", s.FleetSize)
 		}
 	})
 }
 
-// TestSplitIsKnownOnBothSidesAndHeals: the smaller side knows that it is a minority, and both sides settle again.
+// TestSplitIsKnownOnBothSidesAndHeals guards against a split that one side does not detect, and
+// against sides that do not merge after it. The smaller side must report a minority, the larger side
+// must not, and all gateways must settle after the links are healed.
 func TestSplitIsKnownOnBothSidesAndHeals(t *testing.T) {
 	withSettledFleet(t, 12, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
 		small, large := v.names[:5], v.names[5:]
 		v.Links.Split([][]string{small, large})
-		time.Sleep(15 * time.Second) // twice as long as a crash takes to be known: by then the smaller side must know what it is
+		// This is twice the time after which a crash is known. By then the smaller side must report a minority.
+		time.Sleep(15 * time.Second)
 		for _, name := range small {
 			if !v.Fleet(name).State().InMinority {
-				t.Errorf("%s does not know after 15 s that it is in a minority: %+v", name, v.Fleet(name).State())
+				t.Errorf("%s does not report a minority 15 s after the split: %+v", name, v.Fleet(name).State())
 			}
 		}
 		waitSettled(t, v, "split", 45*time.Second)
 		for _, name := range large {
 			if s := v.Fleet(name).State(); s.InMinority || s.Alive != 7 || s.FleetSize != 12 {
-				t.Errorf("%s of the larger side: %+v", name, s)
+				t.Errorf("%s of the larger side reports %+v, want no minority, 7 alive and a fleet size of 12", name, s)
 			}
 		}
-		time.Sleep(60 * time.Second) // past the time that the detector gossips to the dead
+		time.Sleep(60 * time.Second) // longer than the detector gossips to dead members
 		v.Links.Heal()
 		waitSettled(t, v, "heal", 20*time.Second)
 	})
 }
 
-// TestSidesThatForgotEachOtherRejoinBySeeds: sides that have reaped each other rejoin by their seeds.
+// TestSidesThatForgotEachOtherRejoinBySeeds guards against a split that stays after the links are
+// healed. During a long split, the sides remove each other's members from their views. They must find
+// each other again by their seed addresses.
 func TestSidesThatForgotEachOtherRejoinBySeeds(t *testing.T) {
 	withSettledFleet(t, 6, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
 		v.Links.Split([][]string{v.names[:3], v.names[3:]})
 		time.Sleep(2 * time.Minute)
 		if r, err := v.Fleet("n5").Report(true, "n1"); err == nil {
-			t.Errorf("n1 is not forgotten: %+v", r.Members)
+			t.Errorf("n5 still reports n1 after a split longer than ReapAfter: %+v", r.Members)
 		}
 		v.Links.Heal()
 		waitSettled(t, v, "heal", 90*time.Second)
 	}, func(s *membership.Settings) { s.ReapAfter = 30 * time.Second })
 }
 
-// TestOneDirectionCutMarksNobodyDead: others still receive from both ends of the cut link.
+// TestOneDirectionCutMarksNobodyDead guards against a false death if a link is cut in one direction.
+// The other gateways can still reach both ends of the link, so neither end may be marked dead.
 func TestOneDirectionCutMarksNobodyDead(t *testing.T) {
 	withSettledFleet(t, 12, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
 		v.Links.Set([]string{"n4"}, []string{"n7"}, LinkFault{Cut: true})
 		time.Sleep(60 * time.Second)
 		if agree, _ := v.Agreement(); !agree || log.hasLine("state=dead") {
-			t.Error("a gateway was marked dead, though others receive from both")
+			t.Error("views do not agree or a gateway was marked dead, though only one direction of one link is cut")
 		}
 	})
 }
 
-// TestLossOfOneInFiveMarksNobodyDead: the loss of one datagram in five causes no false death.
+// TestLossOfOneInFiveMarksNobodyDead guards against false deaths if one datagram in five is lost.
 func TestLossOfOneInFiveMarksNobodyDead(t *testing.T) {
 	withSettledFleet(t, 12, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
 		v.Links.Set(v.names, v.names, LinkFault{Loss: 0.2})
@@ -201,24 +212,27 @@
 	})
 }
 
-// TestRestartUnderSameNameReachesAllViews: a restart before anybody missed the member is known to all as a restart.
+// TestRestartUnderSameNameReachesAllViews guards against a restart that other gateways do not notice.
+// The member restarts before it is suspected, so no gateway marks it dead. All views must still report
+// the new incarnation as a restart.
 func TestRestartUnderSameNameReachesAllViews(t *testing.T) {
 	withSettledFleet(t, 12, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
 		before := memberRow(t, v, "n1", "n5").Incarnation
 		v.Kill("n5")
-		if err := v.Start("n5"); err != nil { // before it is suspected, at incarnation 1, with nothing kept
+		if err := v.Start("n5"); err != nil { // before it is suspected; it starts at incarnation 1 and has no stored members
 			t.Fatal(err)
 		}
 		waitSettled(t, v, "restart", 15*time.Second)
 		for _, name := range v.Running() {
 			if m := memberRow(t, v, name, "n5"); m.Incarnation == before || m.Deaths > 0 || name != "n5" && m.Restarts != 1 {
-				t.Errorf("on %s: %+v", name, m)
+				t.Errorf("%s reports %+v, want a new incarnation, no deaths and, except at n5 itself, 1 restart", name, m)
 			}
 		}
 	})
 }
 
-// TestJoinStormSettles: a fleet settles that grows to three times its size at once.
+// TestJoinStormSettles guards against a fleet that does not settle after many gateways join at once.
+// The fleet grows to three times its size.
 func TestJoinStormSettles(t *testing.T) {
 	withSettledFleet(t, 12, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
 		for i := range 24 {
@@ -228,11 +242,12 @@
 		if err := v.Start(v.names[12:]...); err != nil {
 			t.Fatal(err)
 		}
-		waitSettled(t, v, "storm", 20*time.Second)
+		waitSettled(t, v, "join storm", 20*time.Second)
 	})
 }
 
-// TestNameConflictLaterMemberWithdrawsAndReturns: the later one of two members of a name defers until the name is free.
+// TestNameConflictLaterMemberWithdrawsAndReturns guards against two members that both use one name. The later
+// member must withdraw, and must join the fleet once the earlier member has ended and the name is free.
 func TestNameConflictLaterMemberWithdrawsAndReturns(t *testing.T) {
 	withSettledFleet(t, 5, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
 		v.Add("twin", "n3")
@@ -242,53 +257,56 @@
 		}
 		time.Sleep(10 * time.Second)
 		if r, _ := v.Fleet("twin").Report(false, ""); r.State != "yielded" || r.Counts.NameDeferrals != 1 {
-			t.Errorf("the twin does not yield: %s, %+v", r.State, r.Counts)
+			t.Errorf("the later member did not withdraw: state %s, counts %+v", r.State, r.Counts)
 		}
 		if !log.hasLine("level=ERROR", "event=fleet_name_deferred", "name=n3") || !log.hasLine("event=fleet_name_conflict") {
-			t.Error("the conflict is not logged")
+			t.Error("the name conflict or the withdrawal is not logged")
 		}
 		for _, name := range v.names {
 			if m := memberRow(t, v, name, "n3"); m.Addr != v.byName["n3"].addr || !m.State.IsLive() {
-				t.Errorf("%s does not see the first one: %+v", name, m)
+				t.Errorf("%s does not report the earlier member as live: %+v", name, m)
 			}
 		}
-		v.Kill("n3") // now the name is free
+		v.Kill("n3") // frees the name
 		time.Sleep(90 * time.Second)
 		for _, name := range []string{"n1", "n2", "n4", "n5"} {
 			if m := memberRow(t, v, name, "n3"); m.Addr != v.byName["twin"].addr || !m.State.IsLive() {
-				t.Errorf("%s does not see the twin: %+v", name, m)
+				t.Errorf("%s does not report the later member as live after the name became free: %+v", name, m)
 			}
 		}
 	})
 }
 
-// TestNameConflictEarlierMemberReclaimsName: a member that was only cut off gets its name back.
+// TestNameConflictEarlierMemberReclaimsName guards against a member that loses its name to a
+// replacement. The member is only cut off from the fleet while the replacement starts under its name.
+// Once the links are healed, the replacement must withdraw.
 func TestNameConflictEarlierMemberReclaimsName(t *testing.T) {
 	withSettledFleet(t, 5, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
 		v.Links.Split([][]string{{"n3"}, {"n1", "n2", "n4", "n5", "twin"}})
 		time.Sleep(60 * time.Second)
-		v.Add("twin", "n3") // started in the place of one that had only been cut off
+		v.Add("twin", "n3") // a replacement for n3, which is only cut off
 		if err := v.Start("twin"); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(10 * time.Second)
 		if m := memberRow(t, v, "n1", "n3"); m.Addr != v.byName["twin"].addr {
-			t.Fatalf("the one in its place is not accepted: %+v", m)
+			t.Fatalf("n1 does not accept the replacement while n3 is cut off: %+v", m)
 		}
 		v.Links.Heal()
 		time.Sleep(40 * time.Second)
 		for _, name := range v.names {
 			if m := memberRow(t, v, name, "n3"); m.Addr != v.byName["n3"].addr || !m.State.IsLive() {
-				t.Errorf("%s sees %+v", name, m)
+				t.Errorf("%s does not report the original n3 as live: %+v", name, m)
 			}
 		}
 		if r, _ := v.Fleet("twin").Report(false, ""); r.State != "yielded" {
-			t.Errorf("the later one is %s", r.State)
+			t.Errorf("the replacement is in state %s, want yielded", r.State)
 		}
 	})
 }
 
-// TestOtherProtocolVersionIsRefusedAndLogged: a member of another protocol version is refused, with a log line.
+// TestOtherProtocolVersionIsRefusedAndLogged guards against a fleet that accepts a member of another
+// protocol version, or rejects it without a log line.
 func TestOtherProtocolVersionIsRefusedAndLogged(t *testing.T) {
 	withSettledFleet(t, 3, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
 		c := memberlist.DefaultLANConfig()
@@ -307,12 +325,13 @@
 		m.Join([]string{v.byName["n1"].addr})
 		time.Sleep(5 * time.Second)
 		if agree, _ := v.Agreement(); !agree || !log.hasLine("event=fleet_detector", "incompatible") {
-			t.Error("it was accepted, or refused without a log line")
+			t.Error("the member of another protocol version was accepted, or rejected without a log line")
 		}
 	})
 }
 
-// TestFleetOfAnotherLabelIsIgnored: fleets of different labels do not see each other.
+// TestFleetOfAnotherLabelIsIgnored guards against two fleets with different labels that merge. A
+// gateway with another label has the fleet's seed addresses. Neither may appear in the other's view.
 func TestFleetOfAnotherLabelIsIgnored(t *testing.T) {
 	withSettledFleet(t, 3, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
 		v.base.Label = "other"
@@ -322,15 +341,16 @@
 		}
 		time.Sleep(20 * time.Second)
 		if s := v.Fleet("stray").State(); s.Live != 1 {
-			t.Errorf("it sees %d", s.Live)
+			t.Errorf("the gateway with another label reports %d live members, want only itself", s.Live)
 		}
 		if agree, _ := v.Agreement(); !agree {
-			t.Error("the fleet sees it")
+			t.Error("the views of the fleet changed after a gateway with another label contacted it")
 		}
 	}, func(s *membership.Settings) { s.Label = "one" })
 }
 
-// TestFleetIsFoundFromDiskWithoutSeeds: a gateway without seeds rejoins by the members that it kept.
+// TestFleetIsFoundFromDiskWithoutSeeds guards against a gateway that cannot rejoin the fleet after a
+// restart without seeds. It must find the fleet by the members that it stored on disk.
 func TestFleetIsFoundFromDiskWithoutSeeds(t *testing.T) {
 	withSettledFleet(t, 5, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
 		disk, err := env.OpenOSDirectory(t.TempDir())
@@ -342,8 +362,8 @@
 		if err := v.Start("n5"); err != nil {
 			t.Fatal(err)
 		}
-		waitSettled(t, v, "with a disk", 10*time.Second)
-		time.Sleep(5 * time.Second) // it writes at most every 2 s
+		waitSettled(t, v, "start with a member store", 10*time.Second)
+		time.Sleep(5 * time.Second) // the gateway stores its members at most every 2 s
 		v.Kill("n5")
 		time.Sleep(time.Second)
 		v.seeds = 0
@@ -352,13 +372,14 @@
 			t.Fatal(err)
 		}
 		if s := v.Fleet("n5").State(); !s.InMinority || s.FleetSize != 5 {
-			t.Errorf("alone at its start it does not know of the others: %+v", s)
+			t.Errorf("n5 does not count its stored members right after the start: %+v", s)
 		}
-		waitSettled(t, v, "from disk", 15*time.Second)
+		waitSettled(t, v, "restart from the member store without seeds", 15*time.Second)
 	})
 }
 
-// TestFullViewRefusesMembersAndLogsIt: a member beyond MaxMembers is refused, with a log line.
+// TestFullViewRefusesMembersAndLogsIt guards against views that exceed MaxMembers, and against a
+// member that is rejected without a log line.
 func TestFullViewRefusesMembersAndLogsIt(t *testing.T) {
 	withSettledFleet(t, 4, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
 		v.Add("m1", "")
@@ -367,14 +388,15 @@
 		}
 		time.Sleep(10 * time.Second)
 		if agree, _ := v.Agreement(); !agree || !log.hasLine("event=fleet_member_refused", "name=m1", "why=full") {
-			t.Error("a fifth is in a view of four, or was refused without a log line")
+			t.Error("a fifth member was accepted with MaxMembers 4, or rejected without a log line")
 		}
 	}, func(s *membership.Settings) { s.MaxMembers = 4 })
 }
 
-var longRunHours = flag.Int("fleet.hours", 2, "hours of the long run; 24 take some 80 s")
+var longRunHours = flag.Int("fleet.hours", 2, "virtual hours of the long run; 24 take about 80 s")
 
-// TestLongRunStaysWithinBounds: with a restart every ten minutes and a split every hour nothing grows.
+// TestLongRunStaysWithinBounds guards against state of a gateway that grows without bound. A gateway restarts every ten
+// minutes, and the fleet is split every hour. The state of each gateway must stay within the bounds for a fleet of six.
 func TestLongRunStaysWithinBounds(t *testing.T) {
 	withSettledFleet(t, 6, func(t *testing.T, v *VirtualFleet, log *logRecorder) {
 		v.Log = slog.New(slog.DiscardHandler)
@@ -390,12 +412,12 @@
 			time.Sleep(8 * time.Minute)
 			v.Links.Heal()
 			if _, ok := v.WaitForAgreement(true, 2*time.Minute); !ok {
-				t.Fatalf("hour %d: not settled", hour)
+				t.Fatalf("hour %d: the fleet did not settle within 2 minutes of the heal", hour)
 			}
 		}
 		for _, name := range v.names {
 			if usage := v.Fleet(name).Usage(); usage.Members > 6 || usage.PendingLogLines > 64 || usage.Contacted > 8 || usage.LoggedConflicts > 8 {
-				t.Errorf("%s holds %+v", name, usage)
+				t.Errorf("%s holds %+v, want at most 6 members, 64 pending log lines, 8 contacted addresses and 8 logged conflicts", name, usage)
 			}
 		}
 	}, func(s *membership.Settings) { s.ReapAfter = 5 * time.Minute })
