--- a/internal/lab/scale/broadcast.go
+++ b/internal/lab/scale/broadcast.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	maxGateways   = 10_000
-	maxPurges     = 1 << 20
-	maxLateNamed  = 5                        // purges that a report names
-	idleDuration  = 20 * time.Second         // that a run goes on after all purges have arrived
-	freshDuration = 5 * time.Second          // after its start, within which a gateway is counted as fresh
-	notCounted    = math.MaxUint32           // latency of a gateway that was down or fresh when the purge was issued
-	epochMillis   = int64(1_764_576_000_000) // Unix milliseconds at the start of the Network's clock
+	maxGateways     = 10_000
+	maxPurges       = 1 << 20
+	maxLateReported = 5                        // purges that a report names
+	idleDuration    = 20 * time.Second         // that a run goes on after all purges have arrived
+	freshDuration   = 5 * time.Second          // after its start, within which a gateway is counted as fresh
+	notCounted      = math.MaxUint32           // latency of a gateway that was down or fresh when the purge was issued
+	epochMillis     = int64(1_764_576_000_000) // Unix milliseconds at the start of the Network's clock
 )
 
 // issuedPurge is a purge and who has received it.
@@ -37,31 +37,31 @@
 
 // broadcastRun is one run. The goroutine that runs its Network owns it.
 type broadcastRun struct {
-	options       BroadcastOptions
-	faultCase     *faultCase
-	net           *Network
-	locations     []Location
-	names         []string
-	indexByName   map[string]int
-	scratch       []string
-	allMembers    []broadcast.Member            // by gateway
-	sortedMembers []broadcast.Member            // in the tree's order
-	memberLists   map[string][]broadcast.Member // lists of live gateways, by the set of them
-	listKey       []byte
-	gateways      []gateway
-	views         *views
-	newSpreader   func(*gateway, int64) spreader
-	rng           *rand.Rand
-	purges        []issuedPurge
-	firstOpen     int // the first purge that is not finished
-	sources       []int
-	protected     gatewaySet // gateways that are not killed: the sources of purges
-	watchIsDeaf   func(i int, at time.Duration) bool
-	cutRegion     gatewaySet // the gateways of the region that is cut off; nil: no cut
-	cut           *Cut
-	cutAt         time.Duration
-	healAt        time.Duration
-	lastAcrossCut time.Duration // when the last purge reached the other side after the heal
+	options         BroadcastOptions
+	faultCase       *faultCase
+	net             *Network
+	locations       []Location
+	names           []string
+	indexByName     map[string]int
+	scratch         []string
+	allMembers      []broadcast.Member            // by gateway
+	sortedMembers   []broadcast.Member            // in the tree's order
+	memberLists     map[string][]broadcast.Member // lists of live gateways, by the set of them
+	listKey         []byte
+	gateways        []gateway
+	views           *views
+	newSpreader     func(*gateway, int64) spreader
+	rng             *rand.Rand
+	purges          []issuedPurge
+	firstUnfinished int // the first purge that is not finished
+	sources         []int
+	protected       gatewaySet // gateways that are not killed: the sources of purges
+	isWatchSilent   func(i int, at time.Duration) bool
+	cutRegion       gatewaySet // the gateways of the region that is cut off; nil: no cut
+	cut             *Cut
+	cutAt           time.Duration
+	healAt          time.Duration
+	lastAcrossCut   time.Duration // when the last purge reached the other side after the heal
 
 	result          *BroadcastReport
 	everywhereAfter []float64 // by finished purge: seconds until it reached the last gateway
@@ -93,7 +93,7 @@
 	for now := time.Second; now <= end; now += time.Second {
 		r.net.Run(now)
 		r.finishPurges(false)
-		if now < o.Warmup+o.Duration || now < r.caseOverAt() || r.firstOpen < len(r.purges) {
+		if now < o.Warmup+o.Duration || now < r.caseOverAt() || r.firstUnfinished < len(r.purges) {
 			continue
 		}
 		if done == 0 {
@@ -207,7 +207,7 @@
 	})
 	r.net.Schedule(o.Warmup+o.Duration, func() {
 		for i := range r.gateways {
-			r.result.endedCounters = append(r.result.endedCounters, r.net.Counters(i))
+			r.result.countersAtEnd = append(r.result.countersAtEnd, r.net.Counters(i))
 		}
 	})
 	r.faultCase.schedule(r)
@@ -223,7 +223,7 @@
 	r.net.Kill(i)
 	r.result.Kills++
 	r.views.record(membershipEvent{gateway: int32(i), incarnation: g.incarnation})
-	for k := r.firstOpen; k < len(r.purges); k++ {
+	for k := r.firstUnfinished; k < len(r.purges); k++ {
 		p := &r.purges[k]
 		if p.latencies == nil {
 			continue
--- a/internal/lab/scale/broadcast_faults.go
+++ b/internal/lab/scale/broadcast_faults.go
@@ -28,11 +28,11 @@
 	{"cut", "a region is cut off (for half the time, or --fault) and healed; purges are told on both sides", "two", scheduleCut},
 	{"release", "gateways are restarted one after the other, evenly over the time, each down for 2 s", "one", scheduleRelease},
 	{"control", "all are told by their own watches; those of one of 14 control machines tell nothing for 30 s (or --fault)", "all", func(r *broadcastRun) {
-		r.deafen(30*time.Second, func(i int) bool { return i%FullControls == 5 })
+		r.silenceWatches(30*time.Second, func(i int) bool { return i%FullControls == 5 })
 	}},
 	{"region", "all are told by their own watches; those of a region tell nothing for half the time (or --fault)", "all", func(r *broadcastRun) {
 		region := r.locations[r.sources[0]].Region
-		r.deafen(r.options.Duration/2, func(i int) bool { return r.locations[i].Region == region })
+		r.silenceWatches(r.options.Duration/2, func(i int) bool { return r.locations[i].Region == region })
 	}},
 	{"watches", "all are told by their own watches, no fault", "all", func(*broadcastRun) {}},
 }
@@ -74,7 +74,7 @@
 
 // watchDelivers reports whether a gateway's watch, which may be silent, delivers a purge.
 func (r *broadcastRun) watchDelivers(i, k int) bool {
-	return r.watchIsDeaf == nil || !r.watchIsDeaf(i, r.purges[k].at)
+	return r.isWatchSilent == nil || !r.isWatchSilent(i, r.purges[k].at)
 }
 
 // side is the side of the cut that a gateway is on: 1 the region, 2 the others; 0 if there is no cut.
@@ -117,14 +117,14 @@
 	r.net.Schedule(r.options.Warmup+r.options.Duration/4, func() { r.restart(gateways, down) })
 }
 
-// deafen silences watches after a quarter of the duration, for a time or that of the options.
-func (r *broadcastRun) deafen(span time.Duration, isDeaf func(int) bool) {
+// silenceWatches silences watches after a quarter of the duration, for a time or that of the options.
+func (r *broadcastRun) silenceWatches(span time.Duration, isDeaf func(int) bool) {
 	if r.options.FaultDuration > 0 {
 		span = r.options.FaultDuration
 	}
 	from := r.options.Warmup + r.options.Duration/4
 	to := min(from+span, r.options.Warmup+r.options.Duration)
-	r.watchIsDeaf = func(i int, at time.Duration) bool { return at >= from && at < to && isDeaf(i) }
+	r.isWatchSilent = func(i int, at time.Duration) bool { return at >= from && at < to && isDeaf(i) }
 }
 
 // scheduleHeads kills, from time to time, an inner node of the tree that the new mechanism builds, whichever mechanism runs.
--- a/internal/lab/scale/broadcast_purges.go
+++ b/internal/lab/scale/broadcast_purges.go
@@ -70,7 +70,7 @@
 		if at := slices.Index(p.freshGateways, int32(g.index)); at >= 0 {
 			p.freshGateways = slices.Delete(p.freshGateways, at, at+1)
 			if r.result.FreshWorst = max(r.result.FreshWorst, lag.Seconds()); lag <= r.options.Deadline {
-				r.result.freshIn++
+				r.result.freshInTime++
 			}
 		}
 	}
@@ -78,13 +78,13 @@
 
 // finishPurges takes purges into the figures that have reached all gateways, or all that are left.
 func (r *broadcastRun) finishPurges(all bool) {
-	for k := r.firstOpen; k < len(r.purges); k++ {
+	for k := r.firstUnfinished; k < len(r.purges); k++ {
 		if p := &r.purges[k]; p.latencies != nil && (all || p.outstanding == 0 && len(p.freshGateways) == 0) {
 			r.countPurge(k)
 			p.latencies = nil
 		}
-		if k == r.firstOpen && r.purges[k].latencies == nil {
-			r.firstOpen++
+		if k == r.firstUnfinished && r.purges[k].latencies == nil {
+			r.firstUnfinished++
 		}
 	}
 }
@@ -112,7 +112,7 @@
 		default:
 			r.result.Pairs++
 			if v <= deadline {
-				r.result.pairsIn++
+				r.result.pairsInTime++
 			}
 			if v > worst {
 				worst, last = v, i
@@ -124,7 +124,7 @@
 	if worst > deadline {
 		r.result.Late = append(r.result.Late, LatePurge{(p.at - r.options.Warmup).Seconds(), last, float64(worst) / 1e6})
 		slices.SortStableFunc(r.result.Late, func(a, b LatePurge) int { return cmp.Compare(b.Latency, a.Latency) })
-		r.result.Late = r.result.Late[:min(len(r.result.Late), maxLateNamed)]
+		r.result.Late = r.result.Late[:min(len(r.result.Late), maxLateReported)]
 	}
 	r.result.LostPairs += int64(lost)
 	r.result.LostAcrossCut += int64(lostAcrossCut)
--- a/internal/lab/scale/broadcast_report.go
+++ b/internal/lab/scale/broadcast_report.go
@@ -101,9 +101,9 @@
 	Digest           string   `json:"digest"`
 	Violations       []string `json:"wrong"`
 
-	pairsIn, freshIn int64
-	roles            []string
-	endedCounters    []Counters
+	pairsInTime, freshInTime int64
+	roles                    []string
+	countersAtEnd            []Counters
 }
 
 // secondsOrNever is -1 for an infinite time.
@@ -132,7 +132,7 @@
 			inTime++
 		}
 	}
-	out.InTimeShare, out.InTimePairShare, out.FreshShare = share(int64(inTime), int64(len(r.everywhereAfter))), share(out.pairsIn, out.Pairs), share(out.freshIn, out.FreshPairs)
+	out.InTimeShare, out.InTimePairShare, out.FreshShare = share(int64(inTime), int64(len(r.everywhereAfter))), share(out.pairsInTime, out.Pairs), share(out.freshInTime, out.FreshPairs)
 	if len(r.everywhereAfter) > 0 {
 		out.P50, out.P99, out.P999, out.Max = secondsOrNever(quantile(r.everywhereAfter, 0.5)), secondsOrNever(quantile(r.everywhereAfter, 0.99)), secondsOrNever(quantile(r.everywhereAfter, 0.999)), secondsOrNever(r.everywhereAfter[len(r.everywhereAfter)-1])
 	}
@@ -147,7 +147,7 @@
 	var in, sent, both, datagrams []float64
 	roles := map[string]*RoleCost{}
 	for i := range r.gateways {
-		a, b, sec := r.countersAtStart[i], r.endCounters(i), o.Duration.Seconds()
+		a, b, sec := r.countersAtStart[i], r.countersAtEndOf(i), o.Duration.Seconds()
 		x, y := float64(b.BytesIn-a.BytesIn)/sec, float64(b.BytesOut-a.BytesOut)/sec
 		in, sent, both = append(in, x), append(sent, y), append(both, x+y)
 		datagrams = append(datagrams, float64(b.In-a.In+b.Out-a.Out)/sec)
@@ -183,10 +183,10 @@
 	out.checkLimits(o)
 }
 
-// endCounters returns a gateway's counters at the end of the time in which purges were published.
-func (r *broadcastRun) endCounters(i int) Counters {
-	if i < len(r.result.endedCounters) {
-		return r.result.endedCounters[i]
+// countersAtEndOf returns a gateway's counters at the end of the time in which purges were published.
+func (r *broadcastRun) countersAtEndOf(i int) Counters {
+	if i < len(r.result.countersAtEnd) {
+		return r.result.countersAtEnd[i]
 	}
 	return r.net.Counters(i)
 }
--- a/internal/lab/scale/broadcast_test.go
+++ b/internal/lab/scale/broadcast_test.go
@@ -46,7 +46,7 @@
 
 // The same faults show what the old mechanism loses, so that the simulation can tell. It has nothing to do while each gateway's own
 // watch works.
-func TestPurgesyncMissesWhatCapacityPageSays(t *testing.T) {
+func TestPurgesyncLossesUnderEachFault(t *testing.T) {
 	for _, name := range Cases() {
 		r := runShort(t, "old", name, 1)
 		t.Logf("%-8s in time %.3f, pairs %.3f, lost pairs %d", name, r.InTimeShare, r.InTimePairShare, r.LostPairs)
@@ -83,7 +83,7 @@
 
 // A gateway's list follows a crash after half of CrashSeenWithin at the earliest, each at its own time; a gateway that starts again sooner is not
 // removed.
-func TestMemberListsFollowAtTheirOwnTimes(t *testing.T) {
+func TestMemberListsSeeCrashAtDifferentTimes(t *testing.T) {
 	r := newIdleRun(t, 60)
 	r.net.Schedule(time.Second, func() { r.restart([]int{7}, time.Hour) })
 	r.net.Schedule(time.Second, func() { r.restart([]int{8}, 2*time.Second) })
--- a/internal/lab/scale/net.go
+++ b/internal/lab/scale/net.go
@@ -32,14 +32,14 @@
 // to Jitter (a fraction) longer, so that datagrams sent close together can be reordered. No latencies of the fleet are known:
 // DefaultLatency is an assumption, in the range that providers publish of their sites.
 type Latency struct {
-	Site, Zone, Region time.Duration
-	Far, Hop           time.Duration // regions: Far, and Hop for each step on the ring after the first
-	Jitter             float64
+	Site, Zone, Region        time.Duration
+	AdjacentRegion, RegionHop time.Duration // regions: Far, and Hop for each step on the ring after the first
+	Jitter                    float64
 }
 
 // DefaultLatency is used where a run sets no other; 30 to 105 ms one way between regions.
-var DefaultLatency = Latency{Site: 250 * time.Microsecond, Zone: time.Millisecond, Region: 4 * time.Millisecond, Far: 30 * time.Millisecond,
-	Hop: 15 * time.Millisecond, Jitter: 0.2}
+var DefaultLatency = Latency{Site: 250 * time.Microsecond, Zone: time.Millisecond, Region: 4 * time.Millisecond, AdjacentRegion: 30 * time.Millisecond,
+	RegionHop: 15 * time.Millisecond, Jitter: 0.2}
 
 // Counters are of one node since the Network was made, over all its starts. Bytes include DatagramHeaderBytes of each datagram.
 type Counters struct {
@@ -233,7 +233,7 @@
 		if hops < 0 {
 			hops = -hops
 		}
-		d = l.Far + time.Duration(min(hops, n.regions-hops)-1)*l.Hop
+		d = l.AdjacentRegion + time.Duration(min(hops, n.regions-hops)-1)*l.RegionHop
 	}
 	return d + time.Duration(float64(d)*l.Jitter*float64(n.rng.Uint64()>>11)/(1<<53))
 }
--- a/internal/lab/scale/net_test.go
+++ b/internal/lab/scale/net_test.go
@@ -225,8 +225,8 @@
 	}
 }
 
-// talker is a node that sends to pseudo-random peers at a rate, and hashes what it receives.
-type talker struct {
+// randomSender is a node that sends to pseudo-random peers at a rate, and hashes what it receives.
+type randomSender struct {
 	net    *Network
 	index  int
 	every  time.Duration
@@ -234,20 +234,20 @@
 	buf    [120]byte
 }
 
-func (n *talker) Datagram(now time.Duration, from int, b []byte) {
+func (n *randomSender) Datagram(now time.Duration, from int, b []byte) {
 	n.digest = (n.digest ^ uint64(now) ^ uint64(from)<<48 ^ uint64(len(b))<<40) * 0x9e3779b97f4a7c15
 }
-func (n *talker) TimerFired(now time.Duration) {
+func (n *randomSender) TimerFired(now time.Duration) {
 	x := (uint64(n.index)*0x9e3779b97f4a7c15 + uint64(now)) * 0xbf58476d1ce4e5b9
 	n.net.Send(n.index, int(x>>33)%n.net.Nodes(), n.buf[:])
 	n.net.SetTimer(n.index, now+n.every)
 }
 
-func newTalkerNetwork(seed uint64, nodes int, every time.Duration) (*Network, func() uint64) {
-	all := make([]*talker, nodes)
+func newRandomSenderNetwork(seed uint64, nodes int, every time.Duration) (*Network, func() uint64) {
+	all := make([]*randomSender, nodes)
 	var n *Network
 	n = NewNetwork(seed, ScaledLayout(nodes), DefaultLatency, func(i int) Node {
-		all[i] = &talker{net: n, index: i, every: every}
+		all[i] = &randomSender{net: n, index: i, every: every}
 		return all[i]
 	})
 	for i := range nodes {
@@ -263,7 +263,7 @@
 
 func TestEqualSeedsGiveEqualRuns(t *testing.T) {
 	play := func(seed uint64) uint64 {
-		n, digest := newTalkerNetwork(seed, 200, 50*time.Millisecond)
+		n, digest := newRandomSenderNetwork(seed, 200, 50*time.Millisecond)
 		n.SetLoss(0.1)
 		n.SetDuplication(0.05)
 		n.Schedule(2*time.Second, func() { n.Kill(7); n.Pause(8); n.Cut([]int{1, 2}, []int{3}) })
@@ -278,7 +278,7 @@
 }
 
 func TestLossMatchesProbability(t *testing.T) {
-	n, _ := newTalkerNetwork(3, 100, 10*time.Millisecond)
+	n, _ := newRandomSenderNetwork(3, 100, 10*time.Millisecond)
 	n.SetLoss(0.1)
 	n.SetDuplication(0.2)
 	n.Run(10 * time.Second)
@@ -297,7 +297,7 @@
 
 // Real time of one virtual second at the size of the whole fleet, with some 100,000 datagrams.
 func BenchmarkSecondOfFullFleet(b *testing.B) {
-	n, _ := newTalkerNetwork(1, FullGateways, 39*time.Millisecond)
+	n, _ := newRandomSenderNetwork(1, FullGateways, 39*time.Millisecond)
 	n.Run(time.Second)
 	var before int64
 	for i := range n.Nodes() {
--- a/internal/lab/scale/spreader.go
+++ b/internal/lab/scale/spreader.go
@@ -39,9 +39,9 @@
 	Unanswered       uint64 `json:"unanswered"` // of them, not completed
 	ReconciledPurges uint64 `json:"items"`      // purges received by reconciliation
 	Shed             uint64 `json:"shed"`       // batches not forwarded, over the rate limit
-	RefusedQuestions uint64 `json:"refused"`    // requests not answered, over the rate limit
-	Unannounced      uint64 `json:"unsaid"`     // purges of a watch that were left to reconciliation
-	OutsideWindow    uint64 `json:"unkept"`     // purges too old or too new to keep
+	RefusedRequests  uint64 `json:"refused"`    // requests not answered, over the rate limit
+	NotBatched       uint64 `json:"unsaid"`     // purges of a watch that were left to reconciliation
+	NotKept          uint64 `json:"unkept"`     // purges too old or too new to keep
 	Dropped          uint64 `json:"dropped"`    // kept ones dropped for lack of space
 }
 
@@ -57,8 +57,8 @@
 	t.Unanswered += other.Unanswered
 	t.ReconciledPurges += other.ReconciledPurges
 	t.Shed += other.Shed
-	t.RefusedQuestions += other.RefusedQuestions
-	t.Unannounced += other.Unannounced
-	t.OutsideWindow += other.OutsideWindow
+	t.RefusedRequests += other.RefusedRequests
+	t.NotBatched += other.NotBatched
+	t.NotKept += other.NotKept
 	t.Dropped += other.Dropped
 }
--- a/internal/lab/scale/spreader_broadcast.go
+++ b/internal/lab/scale/spreader_broadcast.go
@@ -68,5 +68,5 @@
 func (s *broadcastSpreader) tally() Tally {
 	a := s.node.Stats()
 	return Tally{Batches: a.BatchesSent, Purges: a.PurgesSent, BatchesReceived: a.BatchesReceived, Duplicates: a.DuplicateBatches, Requests: a.RepairRequests, Repairs: a.Repairs, GivenUp: a.GivenUp, Reconciliations: a.ReconcilePasses,
-		Unanswered: a.UnfinishedPasses, ReconciledPurges: a.PurgesReceived, Shed: a.Shed, RefusedQuestions: a.RefusedRequests, Unannounced: a.NotBatched, OutsideWindow: a.NotKept, Dropped: a.Dropped}
+		Unanswered: a.UnfinishedPasses, ReconciledPurges: a.PurgesReceived, Shed: a.Shed, RefusedRequests: a.RefusedRequests, NotBatched: a.NotBatched, NotKept: a.NotKept, Dropped: a.Dropped}
 }
--- a/internal/lab/scale/spreader_purgesync.go
+++ b/internal/lab/scale/spreader_purgesync.go
@@ -8,7 +8,7 @@
 
 // Times of the old mechanism in microseconds, as fleet/gossip sets them.
 const (
-	purgesyncTurn           = 250_000
+	purgesyncStepInterval   = 250_000
 	purgesyncDigestInterval = 500_000
 	purgesyncKeep           = 60_000_000
 )
@@ -16,15 +16,15 @@
 // purgesyncSpreader is fleet/purgesync as fleet/gossip transports it: a turn each 0.25 s, digests to two gateways each 0.5 s, deltas at
 // once.
 type purgesyncSpreader struct {
-	gateway  *gateway
-	node     *purgesync.Replica
-	nextTurn int64
-	received uint64
+	gateway    *gateway
+	node       *purgesync.Replica
+	nextStepAt int64
+	received   uint64
 }
 
 func newPurgesyncSpreader(g *gateway, now int64) spreader {
 	random := rand.New(rand.NewPCG(g.run.options.Seed, uint64(g.index)<<32|uint64(g.incarnation)))
-	return &purgesyncSpreader{gateway: g, node: purgesync.New(purgesync.Settings{DigestInterval: purgesyncDigestInterval, KeepFor: purgesyncKeep}, random, now), nextTurn: now + random.Int64N(purgesyncTurn)}
+	return &purgesyncSpreader{gateway: g, node: purgesync.New(purgesync.Settings{DigestInterval: purgesyncDigestInterval, KeepFor: purgesyncKeep}, random, now), nextStepAt: now + random.Int64N(purgesyncStepInterval)}
 }
 
 func (s *purgesyncSpreader) publish(last int64, numbers []int64, purges []watchPurge, now int64) {
@@ -55,10 +55,10 @@
 }
 
 func (s *purgesyncSpreader) step(now int64) {
-	if now < s.nextTurn {
+	if now < s.nextStepAt {
 		return
 	}
-	s.nextTurn += purgesyncTurn
+	s.nextStepAt += purgesyncStepInterval
 	r := s.gateway.run
 	live := r.scratch[:0]
 	for j, name := range r.names {
@@ -72,6 +72,6 @@
 	}
 }
 
-func (s *purgesyncSpreader) nextStep() int64 { return s.nextTurn }
+func (s *purgesyncSpreader) nextStep() int64 { return s.nextStepAt }
 func (s *purgesyncSpreader) tally() Tally    { return Tally{BatchesReceived: s.received} }
 func (s *purgesyncSpreader) isBehind() bool  { return false }
