--- a/internal/lab/scale/arrivals.go
+++ b/internal/lab/scale/arrivals.go
@@ -5,21 +5,23 @@
 	"time"
 )
 
-// ArrivalLog records when each event reached the last of many gateways. It is safe for concurrent use and keeps maxArrivals events.
+// ArrivalLog counts the gateways that each event has reached and records when it reached the last one. It is safe for
+// concurrent use. It keeps the arrivals at the positions 1 to maxArrivals.
 type ArrivalLog struct {
 	mu       sync.Mutex
-	entries  []Arrival // by position, from 1
-	overflow int64     // arrivals of positions that are not kept
+	entries  []Arrival // entries[0] is for position 1
+	overflow int64     // arrivals at positions outside 1 to maxArrivals
 }
 
-// Arrival is of one event: how many gateways it reached, and when it reached the last, in Unix microseconds.
+// Arrival holds the number of gateways that one event has reached and the time, in Unix microseconds, at which it
+// reached the last one.
 type Arrival struct {
 	Gateways   int32 `json:"n"`
 	LastMicros int64 `json:"t"`
 }
 
-// Record counts the arrival of an event at one more gateway. A zero time stands for a gateway that was down when the event was
-// published.
+// Record counts the arrival of an event at one more gateway. A zero time marks a gateway that was down when the event
+// was published. Such a gateway is counted, but the time of the last arrival stays as it is.
 func (l *ArrivalLog) Record(position int64, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -37,7 +39,8 @@
 	}
 }
 
-// Since returns the arrivals of a range of positions; those of events that reached no gateway are zero. The error is ErrPositionNotKept.
+// Since returns the arrivals at the positions from to to, both included. The arrival of an event that has reached no
+// gateway is zero. Since returns ErrPositionNotKept if a position lies outside 1 to maxArrivals or if to is below from.
 func (l *ArrivalLog) Since(from, to int64) ([]Arrival, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/scale/broadcast.go
+++ b/internal/lab/scale/broadcast.go
@@ -17,25 +17,28 @@
 const (
 	maxGateways     = 10_000
 	maxPurges       = 1 << 20
-	maxLateReported = 5                        // purges that a report names
-	idleDuration    = 20 * time.Second         // that a run goes on after all purges have arrived
-	freshDuration   = 5 * time.Second          // after its start, within which a gateway is counted as fresh
-	notCounted      = math.MaxUint32           // latency of a gateway that was down or fresh when the purge was issued
-	epochMillis     = int64(1_764_576_000_000) // Unix milliseconds at the start of the Network's clock
+	maxLateReported = 5                        // late purges that a report lists
+	idleDuration    = 20 * time.Second         // time that a run continues after all purges have arrived
+	freshDuration   = 5 * time.Second          // time after its start in which a gateway counts as fresh
+	notCounted      = math.MaxUint32           // latency that does not count; see issuedPurge
+	epochMillis     = int64(1_764_576_000_000) // Unix time, in milliseconds, at which the Network's clock is 0
 )
 
-// issuedPurge is a purge and who has received it.
+// issuedPurge is a purge that has been published, with its latency at each gateway.
 type issuedPurge struct {
 	watchPurge
-	at            time.Duration
-	latencies     []uint32 // by gateway: microseconds plus 1; 0: not received; or notCounted. nil: the purge is finished
-	outstanding   int      // gateways that count and have not received it
-	acrossCut     bool     // published on one side of a cut while it lasted: the other side counts from its heal
-	side          int8
+	at time.Duration
+	// latencies holds, by gateway, the latency in microseconds plus 1, or 0 if the purge has not arrived. It is
+	// notCounted for a gateway that was down or fresh when the purge was issued, or that ended before the purge
+	// arrived. The slice is nil once the purge is finished.
+	latencies     []uint32
+	outstanding   int     // gateways with a latency of 0
+	acrossCut     bool    // published on one side of a cut, from freshDuration before the cut until its heal
+	side          int8    // side of the cut on which it was published; see broadcastRun.side
 	freshGateways []int32 // fresh gateways that have not received it
 }
 
-// broadcastRun is one run. The goroutine that runs its Network owns it.
+// broadcastRun is the state of one run. The goroutine that runs the Network owns it.
 type broadcastRun struct {
 	options         BroadcastOptions
 	faultCase       *faultCase
@@ -45,26 +48,26 @@
 	indexByName     map[string]int
 	scratch         []string
 	allMembers      []broadcast.Member            // by gateway
-	sortedMembers   []broadcast.Member            // in the tree's order
-	memberLists     map[string][]broadcast.Member // lists of live gateways, by the set of them
+	sortedMembers   []broadcast.Member            // in the order of the broadcast tree
+	memberLists     map[string][]broadcast.Member // shared member lists, by the encoded set of live gateways
 	listKey         []byte
 	gateways        []gateway
 	views           *views
 	newSpreader     func(*gateway, int64) spreader
 	rng             *rand.Rand
 	purges          []issuedPurge
-	firstUnfinished int // the first purge that is not finished
+	firstUnfinished int // index of the first purge that is not finished
 	sources         []int
-	protected       gatewaySet // gateways that are not killed: the sources of purges
-	isWatchSilent   func(i int, at time.Duration) bool
-	cutRegion       gatewaySet // the gateways of the region that is cut off; nil: no cut
+	protected       gatewaySet                         // gateways that are never killed: the sources
+	isWatchSilent   func(i int, at time.Duration) bool // nil: all watches deliver
+	cutRegion       gatewaySet                         // gateways of the region that is cut off; nil: the case has no cut
 	cut             *Cut
 	cutAt           time.Duration
 	healAt          time.Duration
-	lastAcrossCut   time.Duration // when the last purge reached the other side after the heal
+	lastAcrossCut   time.Duration // time at which a purge last reached the other side of the cut after the heal
 
 	result          *BroadcastReport
-	everywhereAfter []float64 // by finished purge: seconds until it reached the last gateway
+	everywhereAfter []float64 // by finished purge: seconds until it reached the last gateway; infinite if it did not
 	digest          *xxhash.Digest
 	seconds         []secondSample
 	countersAtStart []Counters
@@ -73,11 +76,12 @@
 	worstOut        []int64
 }
 
-// secondSample is the greatest number of bytes, in and out, of any gateway in a second of the virtual clock.
+// secondSample holds a second of the virtual clock and the greatest number of bytes that one gateway sent and received
+// in it.
 type secondSample struct{ at, bytes int64 }
 
-// Broadcast plays a run on the caller's goroutine. Equal options give equal reports but for CoreShare and Heap. Its error is an
-// *OptionError.
+// Broadcast simulates a run on the caller's goroutine and returns its report. Equal options give equal reports, except
+// for CoreShare and Heap, which are measured on this process. The error is an *OptionError.
 func Broadcast(o BroadcastOptions) (*BroadcastReport, error) {
 	if err := o.setDefaults(); err != nil {
 		return nil, err
@@ -99,7 +103,7 @@
 		if done == 0 {
 			done = now
 		}
-		if now >= done+idleDuration { // enough for gateways to learn that they lack none
+		if now >= done+idleDuration { // long enough for gateways to find out that they lack no purges
 			break
 		}
 	}
@@ -117,7 +121,7 @@
 	return r.result, nil
 }
 
-// newBroadcastRun sets up a run with valid options.
+// newBroadcastRun sets up a run. The options must be valid, with their defaults filled in.
 func newBroadcastRun(o BroadcastOptions) *broadcastRun {
 	c := findCase(o.Case)
 	if o.Source == "" {
@@ -153,7 +157,8 @@
 	return r
 }
 
-// caseOverAt is when the fault case has ended.
+// caseOverAt returns the time at which the fault case has ended: one second after the heal of a cut, and 0 for a case
+// without a cut.
 func (r *broadcastRun) caseOverAt() time.Duration {
 	if r.healAt > 0 {
 		return r.healAt + time.Second
@@ -161,7 +166,8 @@
 	return 0
 }
 
-// heapBytes is the heap of a gateway's spreader, measured by dropping all of them.
+// heapBytes returns the mean heap size of a gateway's spreader in bytes. It compares the heap before and after it drops
+// all spreaders, so the run cannot continue afterwards.
 func (r *broadcastRun) heapBytes() float64 {
 	use := func() float64 {
 		var m runtime.MemStats
@@ -178,7 +184,7 @@
 	return (full - empty) / float64(len(r.gateways))
 }
 
-// schedule schedules purges, samples and the fault case.
+// schedule schedules the purges, the samples of the traffic and the fault case.
 func (r *broadcastRun) schedule() {
 	o := &r.options
 	count := int(o.Rate * o.Duration.Seconds())
@@ -213,7 +219,7 @@
 	r.faultCase.schedule(r)
 }
 
-// kill ends a gateway; purges that it has not received no longer count for it.
+// kill ends a gateway unless it is down or protected. Purges that it has not received no longer count for it.
 func (r *broadcastRun) kill(i int) {
 	if !r.net.IsUp(i) || r.protected.has(i) {
 		return
@@ -239,7 +245,7 @@
 	}
 }
 
-// restart kills gateways and starts them again after a time.
+// restart kills the gateways and starts them again later.
 func (r *broadcastRun) restart(gateways []int, after time.Duration) {
 	for _, i := range gateways {
 		r.kill(i)
@@ -251,7 +257,7 @@
 	})
 }
 
-// sampleSecond records the bytes of the last second.
+// sampleSecond records the bytes of each gateway in the last second, and how many gateways know that they lack purges.
 func (r *broadcastRun) sampleSecond() {
 	var most, behind int64
 	for i := range r.gateways {
--- a/internal/lab/scale/broadcast_gateway.go
+++ b/internal/lab/scale/broadcast_gateway.go
@@ -5,33 +5,36 @@
 	"time"
 )
 
-// gateway is a simulated gateway: its spreader of purges, its list of live gateways and its discovery watch.
+// gateway is a simulated gateway with its spreader of purges, its list of live gateways and its discovery watch.
 type gateway struct {
 	run         *broadcastRun
 	index       int
-	incarnation int32 // number of its start, from 1
-	started     time.Duration
+	incarnation int32         // 1 at the first start, one more at each later one
+	started     time.Duration // time of the last start
 	spreader    spreader
-	view        gatewaySet
-	joined      bool
-	viewedAt    time.Duration
-	nextView    time.Duration
-	nextWatch   time.Duration // never: it has no watch
-	watchLag    time.Duration // delay of its watch
-	nextPurge   int           // number of purges that its watch has read
-	lastEvent   int64         // number of the last event of its watch
+	view        gatewaySet    // gateways that it considers live
+	joined      bool          // its view is complete, and a gateway that starts may copy it
+	viewedAt    time.Duration // time of the last update of the view
+	nextView    time.Duration // time of the next update of the view
+	nextWatch   time.Duration // time of the next read of the watch; never: it has no watch
+	watchLag    time.Duration // delay with which the watch delivers an event
+	nextPurge   int           // index of the first purge that has not been read from the watch
+	lastEvent   int64         // number of the last event of the watch that was due, delivered or not
 }
 
 const (
-	watchInterval  = 50 * time.Millisecond // between reads of a watch
-	clockStart     = int64(1_000_000)      // microseconds of a gateway's clock when the Network's clock is 0: some fields mean "never" by 0
-	maxWatchEvents = 1000                  // events read from a watch at once
+	watchInterval = 50 * time.Millisecond // time between reads of a watch
+	// clockStart is the time of a gateway's clock, in microseconds, at which the Network's clock is 0. It is not 0,
+	// because 0 means "never" in some fields.
+	clockStart     = int64(1_000_000)
+	maxWatchEvents = 1000 // events that one read of a watch returns at most
 )
 
-// clockMicros is a gateway's clock at a time of the Network's clock.
+// clockMicros returns a gateway's clock, in microseconds, at a time of the Network's clock.
 func clockMicros(now time.Duration) int64 { return clockStart + now.Microseconds() }
 
-// newGateway starts a gateway: at time 0 with all gateways in its list, later with the list of another.
+// newGateway creates the program of gateway i, which starts now. A gateway that starts at time 0 has all gateways in
+// its list. A gateway that starts later copies the list of another one.
 func (r *broadcastRun) newGateway(i int) Node {
 	g := &r.gateways[i]
 	now := r.net.Now()
@@ -63,9 +66,10 @@
 	return g
 }
 
+// send sends a datagram to another gateway.
 func (g *gateway) send(to int, b []byte) { g.run.net.Send(g.index, to, b) }
 
-// Datagram delivers a datagram of another gateway.
+// Datagram passes a datagram from another gateway to the spreader and records the purges that were new in it.
 func (g *gateway) Datagram(now time.Duration, from int, b []byte) {
 	for _, p := range g.spreader.receive(from, b, clockMicros(now)) {
 		g.run.purgeReceived(g, p, false)
@@ -73,7 +77,7 @@
 	g.setTimer()
 }
 
-// TimerFired updates the list of live gateways, reads the watch and steps the spreader, as far as each is due.
+// TimerFired updates the list of live gateways, reads the watch and runs a step of the spreader, each if it is due.
 func (g *gateway) TimerFired(now time.Duration) {
 	if now >= g.nextView {
 		if g.run.views.update(g, g.viewedAt, now) {
@@ -91,6 +95,7 @@
 	g.setTimer()
 }
 
+// setTimer sets the timer to the earliest time at which TimerFired has work to do.
 func (g *gateway) setTimer() {
 	due := time.Duration(max(g.spreader.nextStep()-clockStart, 0))
 	if due < never/time.Microsecond {
@@ -101,7 +106,8 @@
 	g.run.net.SetTimer(g.index, min(g.nextView, g.nextWatch, due))
 }
 
-// readWatch reads the events that the watch has by now. They are numbered from 1 at the gateway's start; those of a silent watch count.
+// readWatch reads the events that are due on the watch by now. Events are numbered from 1 at the gateway's start. An
+// event that a silent watch does not deliver has a number too.
 func (g *gateway) readWatch(now time.Duration) {
 	r := g.run
 	var numbers []int64
--- a/internal/lab/scale/broadcast_plot.go
+++ b/internal/lab/scale/broadcast_plot.go
@@ -13,11 +13,12 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-const neverSeconds = 1000 // seconds: stands for never in a plot
+const neverSeconds = 1000 // seconds that a plot shows for a purge that some gateway never received
 
-// PlotBroadcast draws two SVG files in a folder, on log axes against the number of gateways, each with its bound: the time until a purge
-// is everywhere, and the bytes of the most loaded gateway. A line goes through the medians of each case and mechanism, with a mark for
-// each run. Runs without a positive value are left out.
+// PlotBroadcast writes two SVG files into a folder. One shows the 99th percentile of the time until a purge is
+// everywhere, the other the bytes a second of the most loaded gateway, both against the number of gateways on log axes
+// and with their bounds. There is a mark for each run and, for each mechanism and case, a line through the medians.
+// Runs without a positive value are left out.
 func PlotBroadcast(dir string, runs []*BroadcastReport, deadline time.Duration, bytesPerSecond float64) error {
 	for _, f := range []struct {
 		name, title string
@@ -44,13 +45,14 @@
 	plotGlyphs = []draw.GlyphDrawer{draw.CircleGlyph{}, draw.TriangleGlyph{}, draw.SquareGlyph{}, draw.CrossGlyph{}, draw.PlusGlyph{}, draw.RingGlyph{}}
 )
 
-// plotSeries names a line of a plot.
+// plotSeries identifies a line of a plot by the mechanism and the fault case.
 type plotSeries struct{ mechanism, faultCase string }
 
-// valuesBySize are the values of one series by number of gateways.
+// valuesBySize holds the values of one series by the number of gateways.
 type valuesBySize map[int][]float64
 
-// collectSeries gives the positive values of runs by series, the series in the order of the runs, and the least and greatest size.
+// collectSeries groups the positive values of runs by series. It returns the series in the order in which the runs
+// first name them, their values, and the least and greatest number of gateways.
 func collectSeries(runs []*BroadcastReport, value func(*BroadcastReport) float64) (order []plotSeries, values map[plotSeries]valuesBySize, minSize, maxSize float64) {
 	values = map[plotSeries]valuesBySize{}
 	for _, r := range runs {
@@ -72,7 +74,8 @@
 	return order, values, minSize, maxSize
 }
 
-// points gives a point for each value, and one for the median of each size, by size. It sorts the values.
+// points returns a point for each value and a point for the median of each size, both in the order of sizes. It sorts
+// the values in place.
 func (values valuesBySize) points() (all, medians plotter.XYs) {
 	for size, sorted := range values {
 		slices.Sort(sorted)
@@ -87,7 +90,7 @@
 	return all, medians
 }
 
-// addSeries draws one series in the style of an index.
+// addSeries draws one series in the color and with the glyph that belong to index.
 func addSeries(p *plot.Plot, series plotSeries, values valuesBySize, index int) error {
 	all, medians := values.points()
 	dots, err := plotter.NewScatter(all)
@@ -110,7 +113,8 @@
 	return nil
 }
 
-// plotBroadcast draws one figure of runs by size into an SVG file; without positive values it writes none.
+// plotBroadcast plots one figure of the runs against size into an SVG file. It writes no file if there are no positive
+// values.
 func plotBroadcast(path, title string, bound float64, runs []*BroadcastReport, value func(*BroadcastReport) float64) error {
 	order, values, minSize, maxSize := collectSeries(runs, value)
 	if len(order) == 0 {
--- a/internal/lab/scale/broadcast_purges.go
+++ b/internal/lab/scale/broadcast_purges.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// issuePurge issues the next purge: of an object, each fiftieth of one of eight groups.
+// issuePurge issues the next purge. Every fiftieth purge is of one of eight groups, each other one is of an object of
+// its own.
 func (r *broadcastRun) issuePurge() {
 	k, now := len(r.purges), r.net.Now()
 	p := issuedPurge{at: now, watchPurge: watchPurge{Object: fmt.Sprintf("%016x", mix(r.options.Seed^uint64(k)<<20)), Issued: epochMillis + now.Milliseconds()}}
@@ -38,7 +39,8 @@
 	r.purges = append(r.purges, p)
 }
 
-// purgeReceived records that a gateway received a purge, by its own watch or from another gateway.
+// purgeReceived records that a gateway received a purge. own is true if the purge came from the gateway's own watch and
+// not from another gateway.
 func (r *broadcastRun) purgeReceived(g *gateway, purge watchPurge, own bool) {
 	k := int(math.Round((time.Duration(purge.Issued-epochMillis)*time.Millisecond - r.options.Warmup).Seconds() * r.options.Rate))
 	for k = max(k-2, 0); k < len(r.purges) && r.purges[k].watchPurge != purge; k++ {
@@ -76,7 +78,8 @@
 	}
 }
 
-// finishPurges takes purges into the figures that have reached all gateways, or all that are left.
+// finishPurges adds the purges that have reached all gateways to the figures of the report. If all is set, it adds the
+// unfinished ones too.
 func (r *broadcastRun) finishPurges(all bool) {
 	for k := r.firstUnfinished; k < len(r.purges); k++ {
 		if p := &r.purges[k]; p.latencies != nil && (all || p.outstanding == 0 && len(p.freshGateways) == 0) {
@@ -89,13 +92,13 @@
 	}
 }
 
-// countPurge takes one purge into the figures and the digest.
+// countPurge adds one purge to the figures of the report and to the digest.
 func (r *broadcastRun) countPurge(k int) {
 	p := &r.purges[k]
 	var worst uint32
 	last := 0
 	lost, lostAcrossCut := 0, 0
-	deadline := uint32(r.options.Deadline.Microseconds() + 1) // as latencies count
+	deadline := uint32(r.options.Deadline.Microseconds() + 1) // in microseconds plus 1, as in latencies
 	sum := make([]byte, 0, 4*len(p.latencies)+8)
 	sum = binary.LittleEndian.AppendUint64(sum, uint64(k))
 	for i, v := range p.latencies {
--- a/internal/lab/scale/broadcast_report.go
+++ b/internal/lab/scale/broadcast_report.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// Distribution sums up a figure over all gateways.
+// Distribution summarizes a figure over all gateways.
 type Distribution struct {
 	Median float64 `json:"median"`
 	P99    float64 `json:"p99"`
@@ -22,30 +22,31 @@
 	return Distribution{quantile(all, 0.5), quantile(all, 0.99), all[len(all)-1]}
 }
 
-// quantile is the smallest of sorted values that a fraction q of them do not exceed.
+// quantile returns the smallest of the sorted values for which a fraction q of them, or more, are not greater.
 func quantile(sorted []float64, q float64) float64 {
 	return sorted[max(0, int(math.Ceil(q*float64(len(sorted))))-1)]
 }
 
-// RoleCost is the traffic of the gateways of one role in the tree.
+// RoleCost is the traffic of the gateways that have one role in the broadcast tree.
 type RoleCost struct {
 	Role     string  `json:"role"`
 	Gateways int     `json:"gateways"`
-	In       float64 `json:"in"` // bytes a second, mean
-	Out      float64 `json:"out"`
-	Max      float64 `json:"most"` // bytes a second in and out, of the gateway with most
+	In       float64 `json:"in"`   // mean of the bytes a second received
+	Out      float64 `json:"out"`  // mean of the bytes a second sent
+	Max      float64 `json:"most"` // bytes a second, in and out, of the gateway with the most traffic
 }
 
-// LatePurge is a purge that reached some gateway after the deadline.
+// LatePurge is a purge that reached at least one gateway after the deadline.
 type LatePurge struct {
-	Issued  float64 `json:"issued"`  // seconds after purges began
-	Gateway int     `json:"gateway"` // the last one to receive it
-	Latency float64 `json:"took"`
+	Issued  float64 `json:"issued"`  // seconds after the end of the warm-up
+	Gateway int     `json:"gateway"` // index of the last gateway to receive it
+	Latency float64 `json:"took"`    // seconds until that gateway received it
 }
 
-// BroadcastReport is the result of a run. Times are in seconds, -1: never. "Everywhere" is at each gateway that had been up for
-// freshDuration when the purge was issued and did not end before it received it; bytes are a second, with IP and UDP headers, while
-// purges are published.
+// BroadcastReport is the result of a run. Times are in seconds; -1 means never. A purge is everywhere when it has
+// reached each gateway that had been up for freshDuration when the purge was issued and that did not end before it
+// received the purge. Figures of bytes include the IP and UDP headers. Unless stated otherwise they are means per
+// second over the time in which purges are published.
 type BroadcastReport struct {
 	Kind      string  `json:"what"`
 	Gateways  int     `json:"gateways"`
@@ -57,56 +58,58 @@
 	Seconds   float64 `json:"seconds"`
 
 	Purges          int     `json:"purges"`
-	InTimeShare     float64 `json:"share"`   // of purges that were everywhere within the deadline
-	InTimePairShare float64 `json:"by_pair"` // of pairs of a purge and a gateway, within the deadline
-	P50             float64 `json:"p50"`     // until a purge was everywhere
-	P99             float64 `json:"p99"`
-	P999            float64 `json:"p999"`
-	Max             float64 `json:"most"`
-
-	Late []LatePurge `json:"late,omitempty"` // the latest ones
-
-	Pairs         int64   `json:"pairs"`
-	Lost          int64   `json:"lost"` // purges that some gateway had not received when the run ended
-	LostPairs     int64   `json:"lost_pairs"`
-	FreshPairs    int64   `json:"fresh_pairs"` // pairs of a purge and a fresh gateway
-	FreshShare    float64 `json:"fresh_share"` // of them, within the deadline
-	FreshWorst    float64 `json:"fresh_worst"`
-	LostFresh     int64   `json:"lost_fresh"`
-	AcrossCut     int     `json:"far"` // purges published on one side of a cut, from freshDuration before it
-	LostAcrossCut int64   `json:"lost_far"`
-	CaughtUp      float64 `json:"caught_up"`  // from the heal until the last of these reached the other side
-	HealBytes     float64 `json:"heal_bytes"` // greatest of a gateway in a second after the heal, in and out
+	InTimeShare     float64 `json:"share"`   // share of the purges that were everywhere within the deadline
+	InTimePairShare float64 `json:"by_pair"` // share of Pairs in which the purge arrived within the deadline
+	// Quantiles and maximum of the time until a purge was everywhere.
+	P50  float64 `json:"p50"`
+	P99  float64 `json:"p99"`
+	P999 float64 `json:"p999"`
+	Max  float64 `json:"most"`
+
+	Late []LatePurge `json:"late,omitempty"` // the purges with the greatest latencies
+
+	Pairs         int64   `json:"pairs"`       // pairs of a purge and a gateway that it has to reach
+	Lost          int64   `json:"lost"`        // purges that had not reached all these gateways when the run ended
+	LostPairs     int64   `json:"lost_pairs"`  // Pairs in which the purge had not arrived when the run ended
+	FreshPairs    int64   `json:"fresh_pairs"` // pairs of a purge and a gateway that was fresh when the purge was issued
+	FreshShare    float64 `json:"fresh_share"` // share of FreshPairs in which the purge arrived within the deadline
+	FreshWorst    float64 `json:"fresh_worst"` // greatest latency at a fresh gateway
+	LostFresh     int64   `json:"lost_fresh"`  // FreshPairs in which the purge had not arrived when the run ended
+	AcrossCut     int     `json:"far"`         // purges published on one side of a cut; see issuedPurge.acrossCut
+	LostAcrossCut int64   `json:"lost_far"`    // pairs of such a purge and a gateway on the other side, without arrival
+	CaughtUp      float64 `json:"caught_up"`   // time from the heal until the last of these purges reached the other side
+	HealBytes     float64 `json:"heal_bytes"`  // most bytes of a gateway in one second after the heal, in and out
 
 	In                 Distribution `json:"in"`
 	Out                Distribution `json:"out"`
 	Both               Distribution `json:"both"`
-	Datagrams          Distribution `json:"datagrams"` // in and out, a second
-	WorstSecond        float64      `json:"worst"`     // bytes of the busiest second of a gateway, in or out
+	Datagrams          Distribution `json:"datagrams"` // datagrams a second, in and out
+	WorstSecond        float64      `json:"worst"`     // most bytes of a gateway in one second, in or out
 	Roles              []RoleCost   `json:"roles"`
-	BatchesPerPurge    float64      `json:"said"`   // batches that contained a purge, of all gateways
-	DeliveriesPerBatch float64      `json:"copies"` // times that such a batch reached a gateway; old: that a purge did
+	BatchesPerPurge    float64      `json:"said"`   // batches of all gateways that contained a purge; old mechanism: 1
+	DeliveriesPerBatch float64      `json:"copies"` // times that a batch reached a gateway; old mechanism: a purge
 	Totals             Tally        `json:"sums"`
-	Applied            int64        `json:"heeded"`
-	// Gateways that know that they lack purges: the most at once, at the end, and the sum of their seconds.
+	Applied            int64        `json:"heeded"` // purges that gateways received first from another gateway
+	// Gateways that know that they lack purges: the greatest number at one time, the number at the end, and the sum
+	// over all gateways of the seconds in this state.
 	MaxBehind        int64    `json:"behind_most"`
 	BehindAtEnd      int64    `json:"behind_end"`
 	BehindTime       float64  `json:"behind_time"`
-	UnreadableFrames int64    `json:"unread"`  // frames that could not be read
-	UnknownPurges    int64    `json:"unknown"` // purges applied that were never issued
-	RefusedDatagrams int64    `json:"refused"` // datagrams that were too long
-	Kills            int      `json:"kills"`
-	CoreShare        float64  `json:"core"` // part of a core for a gateway, with the simulation's own; 0: not measured
-	Heap             float64  `json:"heap"` // bytes of a gateway's spreader; 0: not measured
-	Digest           string   `json:"digest"`
-	Violations       []string `json:"wrong"`
+	UnreadableFrames int64    `json:"unread"`  // received frames with an error
+	UnknownPurges    int64    `json:"unknown"` // received purges that were never issued
+	RefusedDatagrams int64    `json:"refused"` // datagrams that the Network refused; see Counters
+	Kills            int      `json:"kills"`   // kills of gateways by the fault case
+	CoreShare        float64  `json:"core"`    // share of a core per gateway, simulation included; 0: not measured
+	Heap             float64  `json:"heap"`    // bytes of heap of a gateway's spreader, mean; 0: not measured
+	Digest           string   `json:"digest"`  // hash of the latencies and the traffic; equal for equal runs
+	Violations       []string `json:"wrong"`   // limits that the run exceeded
 
 	pairsInTime, freshInTime int64
 	roles                    []string
 	countersAtEnd            []Counters
 }
 
-// secondsOrNever is -1 for an infinite time.
+// secondsOrNever returns s, or -1 if s is infinite.
 func secondsOrNever(s float64) float64 {
 	if math.IsInf(s, 1) {
 		return -1
@@ -114,7 +117,7 @@
 	return s
 }
 
-// share is part/all, and 1 if all is 0.
+// share returns part/all, or 1 if all is 0.
 func share(part, all int64) float64 {
 	if all == 0 {
 		return 1
@@ -122,7 +125,7 @@
 	return float64(part) / float64(all)
 }
 
-// fillReport computes the figures of the report when the run has ended.
+// fillReport computes the figures of the report after the run has ended.
 func (r *broadcastRun) fillReport() {
 	out, o := r.result, &r.options
 	slices.Sort(r.everywhereAfter)
@@ -183,7 +186,8 @@
 	out.checkLimits(o)
 }
 
-// countersAtEndOf returns a gateway's counters at the end of the time in which purges were published.
+// countersAtEndOf returns a gateway's counters at the end of the time in which purges were published, or the present
+// ones before that.
 func (r *broadcastRun) countersAtEndOf(i int) Counters {
 	if i < len(r.result.countersAtEnd) {
 		return r.result.countersAtEnd[i]
@@ -191,7 +195,7 @@
 	return r.net.Counters(i)
 }
 
-// checkLimits adds the violations of limits to the report.
+// checkLimits adds a violation to the report for each limit that the run exceeded.
 func (b *BroadcastReport) checkLimits(o *BroadcastOptions) {
 	violation := func(violated bool, format string, a ...any) {
 		if violated {
--- a/internal/lab/scale/broadcast_tree.go
+++ b/internal/lab/scale/broadcast_tree.go
@@ -7,18 +7,19 @@
 	"foldslip/internal/fleet/broadcast"
 )
 
-// spreaders make a gateway's spreader, by mechanism.
+// spreaders holds, by mechanism, the function that creates the spreader of a gateway.
 var spreaders = map[string]func(g *gateway, now int64) spreader{"old": newPurgesyncSpreader, "new": newBroadcastSpreader}
 
-const maxSharedLists = 64 // lists of live gateways that are kept for sharing
+const maxSharedLists = 64 // member lists that are kept for sharing
 
-// member is a gateway as the broadcast mechanism knows it.
+// member returns gateway i as a member of fleet/broadcast.
 func (r *broadcastRun) member(i int) broadcast.Member {
 	p := r.locations[i]
 	return broadcast.Member{Name: r.names[i], Locality: broadcast.Locality{Region: fmt.Sprintf("r%02d", p.Region), Zone: fmt.Sprintf("z%02d", p.Zone), Site: fmt.Sprintf("s%03d", p.Site)}}
 }
 
-// members gives the list of the gateways in a view. Gateways with equal views share a list, so that 3,900 fit in memory.
+// members returns the member list of a view. Gateways with equal views share a list, so that the lists of 3,900
+// gateways fit in memory. When maxSharedLists lists are kept, all of them are dropped before another one is added.
 func (r *broadcastRun) members(view gatewaySet) []broadcast.Member {
 	key := r.listKey[:0]
 	for _, word := range view {
@@ -29,7 +30,8 @@
 		return list
 	}
 	var list []broadcast.Member
-	for _, m := range r.sortedMembers { // in the tree's order, so that the broadcast node does not copy the list to sort it
+	// The list is in the order of the tree, so that the broadcast node does not copy it to sort it.
+	for _, m := range r.sortedMembers {
 		if view.has(r.indexByName[m.Name]) {
 			list = append(list, m)
 		}
@@ -41,8 +43,8 @@
 	return list
 }
 
-// treeOrder gives the gateways that are up in the order of the new mechanism's tree, and the level of each: 0 the root, 1 a region's
-// head, 2 a zone's, 3 a site's, 4 any other.
+// treeOrder returns the gateways that are up, in the order of the new mechanism's tree, and the level of each: 0 for
+// the root, 1 for the head of a region, 2 for the head of a zone, 3 for the head of a site, 4 for any other gateway.
 func (r *broadcastRun) treeOrder() (gateways []int, levels []int) {
 	var list []broadcast.Member
 	for i := range r.gateways {
@@ -68,7 +70,7 @@
 	return gateways, levels
 }
 
-// heads gives the inner nodes of the tree over all live gateways, but for sources: the root, regions' heads and zones' heads.
+// heads returns the root, the region heads and the zone heads of the tree over all live gateways. Sources are left out.
 func (r *broadcastRun) heads() (out [3][]int) {
 	gateways, levels := r.treeOrder()
 	for k, level := range levels {
@@ -79,7 +81,8 @@
 	return out
 }
 
-// roles gives each gateway's role in the tree, or that it is a source.
+// roles returns the role of each gateway in the tree. A source has the role "told" instead, unless all gateways are
+// sources.
 func (r *broadcastRun) roles() []string {
 	out := make([]string, len(r.gateways))
 	gateways, levels := r.treeOrder()
--- a/internal/lab/scale/broadcast_views.go
+++ b/internal/lab/scale/broadcast_views.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// gatewaySet is a set of gateways, a bit each.
+// gatewaySet is a set of gateways with one bit for each.
 type gatewaySet []uint64
 
 func newGatewaySet(n int) gatewaySet { return make(gatewaySet, (n+63)/64) }
 
 func (s gatewaySet) has(i int) bool { return s[i>>6]>>(i&63)&1 != 0 }
 
-// put adds or removes a gateway and reports whether that changed the set.
+// put adds gateway i to the set or removes it, and reports whether the set changed.
 func (s gatewaySet) put(i int, member bool) bool {
 	if s.has(i) == member {
 		return false
@@ -21,27 +21,28 @@
 	return true
 }
 
-// membershipEvent is a change that the membership protocol reports: a gateway is down, or up. Each other gateway sees it at a time of
-// its own, so that lists differ for a while.
+// membershipEvent is a change that the membership protocol reports: a gateway went down or came up. Each other gateway
+// sees the event at a time of its own, so that member lists differ for a while.
 type membershipEvent struct {
 	at          time.Duration
 	gateway     int32
-	incarnation int32 // of the gateway at the time: a later start supersedes the event
+	incarnation int32 // incarnation of the gateway at the time of the event, which a later start supersedes
 	up          bool
-	cutSide     int8 // 0: for all; 1, 2: for the gateways on that side of the cut
+	cutSide     int8 // 0: all gateways see the event; 1 or 2: only the gateways on that side of the cut
 }
 
-// views stands in for the gateways' membership (SWIM): a crash is seen within CrashSeenWithin, by each gateway at a time of its own in
-// the second half of that; a start within StartSeenWithin. A gateway that starts again sooner is not seen dead. A gateway starts with
-// the list of another one, as memberlist's join does.
+// views simulates the membership protocol (SWIM) of all gateways. Each gateway sees a crash at a time of its own in the
+// second half of CrashSeenWithin. It sees a start half to one and a half times StartSeenWithin after it. A gateway that
+// restarts before others see its crash stays in their lists. A gateway that starts copies the list of another one, as a
+// join of memberlist does.
 type views struct {
 	run     *broadcastRun
-	pending []membershipEvent // that some gateway may not have seen, by time
+	pending []membershipEvent // events that some gateways may not have seen, in the order of time
 }
 
-const viewInterval = 250 * time.Millisecond // between updates of a gateway's list, as in fleet/gossip
+const viewInterval = 250 * time.Millisecond // time between updates of a gateway's list, as in fleet/gossip
 
-// record adds an event of the present time.
+// record adds an event that happens now.
 func (v *views) record(s membershipEvent) {
 	s.at = v.run.net.Now()
 	v.pending = append(v.pending, s)
@@ -58,7 +59,7 @@
 	}
 }
 
-// mix is splitmix64.
+// mix is the hash function of splitmix64.
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -66,10 +67,11 @@
 	return x ^ x>>31
 }
 
-// hashUnit is a pseudo-random number from 0 to 1 that depends on its arguments alone.
+// hashUnit returns a pseudo-random number from 0 up to 1 that depends only on its arguments.
 func hashUnit(a, b, c uint64) float64 { return float64(mix(a^mix(b^mix(c)))>>11) / (1 << 53) }
 
-// update applies the events that a gateway sees between two times, and reports whether its list changed.
+// update applies the events that a gateway sees after the time from, up to the time to, and reports whether its list
+// changed.
 func (v *views) update(g *gateway, from, to time.Duration) (changed bool) {
 	o := &v.run.options
 	v.prune(to)
@@ -100,7 +102,7 @@
 	return changed
 }
 
-// join gives a starting gateway the list of another that it can reach.
+// join copies the list of another gateway, one that it can reach, to a gateway that starts.
 func (v *views) join(g *gateway) {
 	clear(g.view)
 	for k := range v.run.gateways {
--- a/internal/lab/scale/capacity.go
+++ b/internal/lab/scale/capacity.go
@@ -18,17 +18,18 @@
 )
 
 const (
-	maxFigures       = 256  // files in a folder
-	maxExtrapolation = 1000 // times the largest size measured
+	maxFigures       = 256  // figure files in a folder
+	maxExtrapolation = 1000 // limit of extrapolation, as a multiple of the largest measured size
 )
 
-// CapacityFigure is a figure of docs/CAPACITY.md with the line that was fitted to it.
+// CapacityFigure is a figure of docs/CAPACITY.md with the line that is fitted to it.
 type CapacityFigure struct {
 	*cost.Figure
-	Fit *Fit // nil where there are fewer than two sizes
+	Fit *Fit // nil if the figure has fewer than two sizes
 }
 
-// ReadFitted reads a figure and fits a line to it. Values of 0 or less, which a short run can give, are a *LogAxisError.
+// ReadFitted reads a figure from a file and fits a line to it if the figure has at least two sizes. The error wraps a
+// *LogAxisError if one of the values is 0 or less, which can happen in a short run.
 func ReadFitted(path string) (*CapacityFigure, error) {
 	f, err := cost.Read(path)
 	if err != nil {
@@ -47,7 +48,8 @@
 	return c, nil
 }
 
-// MaxDeviation is the greatest factor by which a mean lies above or below the line; 1 if there is no line.
+// MaxDeviation returns the greatest factor by which the mean of a size lies above or below the line. It returns 1 if
+// there is no line.
 func (c *CapacityFigure) MaxDeviation() float64 {
 	deviation := 1.0
 	if c.Fit != nil {
@@ -58,8 +60,9 @@
 	return deviation
 }
 
-// ExceedsBudgetAt is the size at which the figure first exceeds its budget, and whether that was measured; otherwise it was extrapolated
-// on the straight line through the last two sizes, on log axes. It is 0 if there is no such size up to maxExtrapolation times the largest.
+// ExceedsBudgetAt returns the size at which the figure first exceeds its budget, and whether that size lies within the
+// measured sizes. A size beyond them is extrapolated along the straight line through the last two sizes on log axes.
+// ExceedsBudgetAt returns 0 if there is no such size up to maxExtrapolation times the largest measured one.
 func (c *CapacityFigure) ExceedsBudgetAt() (size float64, measured bool) {
 	if c.Budget <= 0 || len(c.Points) == 0 {
 		return 0, false
@@ -91,8 +94,9 @@
 	return 0, false
 }
 
-// Value is the median at a size, and whether it was measured; otherwise it lies on the straight line, on log axes, between the sizes
-// beside it or through the last two.
+// Value returns the median at a size, and whether that size was measured. The value of any other size is taken from a
+// straight line on log axes. The line goes through the measured sizes below and above it, or through the two sizes at
+// that end of the measured range.
 func (c *CapacityFigure) Value(size float64) (value float64, measured bool) {
 	points := slices.Clone(c.Points)
 	slices.SortFunc(points, func(a, b cost.Point) int { return int(math.Copysign(1, a.Size-b.Size)) })
@@ -109,7 +113,7 @@
 	return 0, false
 }
 
-// formatShort formats a value with three significant digits and commas between thousands.
+// formatShort formats a value with three significant digits and with commas between thousands.
 func formatShort(v float64) string {
 	if math.Abs(v) < 1000 {
 		return strconv.FormatFloat(v, 'g', 3, 64)
@@ -122,7 +126,8 @@
 	return text
 }
 
-// MarkdownRow is the figure's row of a Markdown table; its head is CapacityTableHead. M marks a measured value, X an extrapolated one.
+// MarkdownRow returns the figure's row of the Markdown table that CapacityTableHead begins. M marks a measured value, X
+// a computed one.
 func (c *CapacityFigure) MarkdownRow() string {
 	at, measured := c.Value(c.PlanSize)
 	spread := ""
@@ -157,11 +162,11 @@
 		origin, formatShort(c.PlanSize), formatShort(at), spread, c.YLabel, c.BudgetOf, formatShort(c.Budget), used, misses)
 }
 
-// CapacityTableHead is the head of the table of MarkdownRow.
+// CapacityTableHead is the header of the Markdown table whose rows MarkdownRow returns.
 const CapacityTableHead = "| figure | sizes | line on log axes | at the plan's size | budget | used | first misses at |\n| --- | --- | --- | --- | --- | --- | --- |"
 
-// Draw writes an SVG file of the figure into a folder, on log axes: a point for each run, the fitted line, the budget and the planned
-// size. Values of 0 or less are a *LogAxisError.
+// Draw writes an SVG file of the figure into a folder. On log axes it shows a point for each run, the fitted line, the
+// budget and the planned size. The error is a *LogAxisError if one of the values is 0 or less.
 func (c *CapacityFigure) Draw(dir string) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Title, c.XLabel, c.YLabel
@@ -224,7 +229,8 @@
 	return p.Save(16*vg.Centimeter, 10*vg.Centimeter, filepath.Join(dir, c.Name+".svg"))
 }
 
-// ReadCapacityFigures reads all figures of a folder, sorted by name. A folder with none, or with too many, is a *FigureCountError.
+// ReadCapacityFigures reads all figures of a folder and sorts them by name. The error is a *FigureCountError if the
+// folder has no figures or more than maxFigures.
 func ReadCapacityFigures(dir string) (all []*CapacityFigure, err error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -8,20 +8,22 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Fit is a line through values on log axes: value = Factor * size^Slope. A slope near 0 is a cost that does not grow with the fleet, 1
-// one that grows in proportion. Whether a line is the right shape is decided by the lack-of-fit test of regression, which compares how
-// far the means at the sizes lie off the line with how far runs of one size lie apart: Curved if P is below curvedBelowP.
+// Fit is a line that is fitted to values on log axes: value = Factor * size^Slope. With a slope near 0 the cost does
+// not grow with the fleet. With a slope of 1 it grows in proportion. The lack-of-fit test of regression decides whether
+// a line is the right shape. It compares the distances between the line and the means at the sizes with the scatter of
+// the runs of one size. P is the significance of the test. Curved is set if P is below curvedBelowP.
 type Fit struct {
 	Figure string     `json:"figure"`
 	Factor float64    `json:"factor"`
 	Slope  float64    `json:"slope"`
 	R2     float64    `json:"r2"`
 	Points []FitPoint `json:"at"`
-	P      *float64   `json:"lack_of_fit_p,omitempty"` // nil: fewer than three sizes, or no two runs of a size
+	P      *float64   `json:"lack_of_fit_p,omitempty"` // nil: fewer than three sizes, or no size with two runs
 	Curved bool       `json:"curved"`
 }
 
-// FitPoint is one size: the geometric mean of its runs, their minimum and maximum, and the factor between the mean and the line.
+// FitPoint describes the runs of one size: their geometric mean, their minimum and maximum, and the factor by which the
+// mean lies above the line.
 type FitPoint struct {
 	Size      int     `json:"size"`
 	Runs      int     `json:"runs"`
@@ -31,11 +33,12 @@
 	Deviation float64 `json:"off"`
 }
 
-// curvedBelowP is the significance level below which values are taken not to lie on a line.
+// curvedBelowP is the significance level of the lack-of-fit test. Values with a lower P are considered not to lie on a
+// line.
 const curvedBelowP = 0.01
 
-// FitLine fits a line to the values of a figure by size. Values of 0 or less are a *LogAxisError, fewer than two sizes are a
-// *TooFewSizesError.
+// FitLine fits a line to the values of a figure by size. The error is a *LogAxisError if a size or a value is 0 or less
+// or a value is infinite, and a *TooFewSizesError if there are fewer than two sizes.
 func FitLine(figure string, bySize map[int][]float64) (*Fit, error) {
 	var sizes []int
 	var xs, ys []float64
@@ -56,7 +59,7 @@
 	}
 	a, b := stat.LinearRegression(xs, ys, nil, false)
 	f := &Fit{Figure: figure, Factor: math.Pow(10, a), Slope: b, R2: stat.RSquared(xs, ys, nil, a, b)}
-	var pure, lack float64 // sums of squares
+	var pureError, lackOfFit float64 // sums of squares
 	for _, n := range sizes {
 		logs := make([]float64, len(bySize[n]))
 		for i, v := range bySize[n] {
@@ -64,18 +67,18 @@
 		}
 		mean := stat.Mean(logs, nil)
 		for _, v := range logs {
-			pure += (v - mean) * (v - mean)
+			pureError += (v - mean) * (v - mean)
 		}
 		residual := mean - a - b*math.Log10(float64(n))
-		lack += float64(len(logs)) * residual * residual
+		lackOfFit += float64(len(logs)) * residual * residual
 		f.Points = append(f.Points, FitPoint{Size: n, Runs: len(logs), Mean: math.Pow(10, mean), Min: slices.Min(bySize[n]), Max: slices.Max(bySize[n]), Deviation: math.Pow(10, residual)})
 	}
 	if k, all := len(sizes), len(xs); k > 2 && all > k {
 		p := 0.0
-		if pure > 0 {
+		if pureError > 0 {
 			df1, df2 := float64(k-2), float64(all-k)
-			p = distuv.F{D1: df1, D2: df2}.Survival(lack / df1 / (pure / df2))
-		} else if lack < 1e-18 {
+			p = distuv.F{D1: df1, D2: df2}.Survival(lackOfFit / df1 / (pureError / df2))
+		} else if lackOfFit < 1e-18 {
 			p = 1
 		}
 		f.P, f.Curved = &p, p < curvedBelowP
@@ -83,5 +86,5 @@
 	return f, nil
 }
 
-// Value is the line's value at a size.
+// Value returns the value of the line at a size.
 func (f *Fit) Value(size float64) float64 { return f.Factor * math.Pow(size, f.Slope) }
--- a/internal/lab/scale/fit_test.go
+++ b/internal/lab/scale/fit_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// noise is a factor that differs from run to run and has no trend.
+// noise returns a factor that differs from run to run and has no trend.
 func noise(i int) float64 { return math.Pow(1.03, float64((i*7)%5-2)) }
 
 func TestFitLineFindsLinesAndFlagsCurves(t *testing.T) {
@@ -21,19 +21,19 @@
 	}
 	f, err := FitLine("a", line)
 	if err != nil || math.Abs(f.Slope-0.5) > 0.02 || f.Curved || math.Abs(f.Value(3900)/(3*math.Sqrt(3900))-1) > 0.1 {
-		t.Errorf("line: %+v, %v", f, err)
+		t.Errorf("fit of a line: %+v, error %v", f, err)
 	}
 	if f, err = FitLine("b", curve); err != nil || !f.Curved || f.R2 < 0.95 {
-		t.Errorf("curve: %+v, %v", f, err)
+		t.Errorf("fit of a curve: %+v, error %v, want it flagged as curved", f, err)
 	}
 	if f, err = FitLine("c", map[int][]float64{10: {1, 1}, 100: {10, 10}, 1000: {100, 100}}); err != nil || f.Curved || math.Abs(f.Slope-1) > 1e-9 {
-		t.Errorf("exact: %+v, %v", f, err)
+		t.Errorf("fit of an exact line: %+v, error %v, want slope 1", f, err)
 	}
 	if _, err = FitLine("d", map[int][]float64{10: {1}, 100: {0}}); err == nil {
-		t.Error("a figure of 0 on a log axis")
+		t.Error("FitLine accepts a value of 0, which log axes cannot show")
 	}
 	if _, err = FitLine("e", map[int][]float64{10: {1, 2}}); err == nil {
-		t.Error("a line through one size")
+		t.Error("FitLine accepts a single size")
 	}
 }
 
@@ -56,7 +56,7 @@
 			t.Fatal(err)
 		}
 		if s, err := os.Stat(filepath.Join(dir, g.Name+".svg")); err != nil || s.Size() < 1000 {
-			t.Errorf("%s: %v", g.Name, err)
+			t.Errorf("%s: no SVG file of at least 1000 bytes: error %v", g.Name, err)
 		}
 		if err := g.Plot(dir, nil); err != nil {
 			t.Error(err)
--- a/internal/lab/scale/forms_test.go
+++ b/internal/lab/scale/forms_test.go
@@ -6,8 +6,8 @@
 	"foldslip/internal/lab/frozen"
 )
 
-// TestReportsKeepTheirForm reads reports and the lines to and from a process of hollow gateways, with every field set, and writes the
-// same bytes again.
+// TestReportsKeepTheirForm decodes stored reports, and a stored command to and reply from a process of hollow gateways,
+// with every field set. Encoding them again has to give the same bytes.
 func TestReportsKeepTheirForm(t *testing.T) {
 	frozen.IndentedJSON(t, "watch-report.json", &WatchReport{})
 	frozen.IndentedJSON(t, "broadcast-report.json", &BroadcastReport{})
--- a/internal/lab/scale/layout.go
+++ b/internal/lab/scale/layout.go
@@ -1,28 +1,31 @@
-// Package scale measures what a gateway's control side costs at the size of the users' whole fleet, where a real process for each
-// gateway does not fit on a machine. It has four parts.
+// Package scale measures what the control code of a gateway costs at the size of the users' whole fleet. One machine
+// cannot run a real process for each gateway of that fleet. The package has four parts.
 //
-// Network is a network on a virtual clock for pure modules (inputs and time in, actions out): one event queue, a latency for each pair
-// of locations, loss, cuts, kills, pauses and counters of each node. One goroutine owns a Network; concurrent runs each have their own.
+// Network simulates a network on a virtual clock for pure modules, which receive inputs and the time and return
+// actions. It has one event queue, a latency for each pair of locations, datagram loss, cuts, kills, pauses and
+// counters for each node. One goroutine owns a Network. Concurrent runs each have their own. Constants in net.go bound
+// its queues.
 //
-// Discovery is a stand-in for the platform's discovery service on loopback TCP: thousands of watches, the events of each numbered from
-// 1 at its gateway's start, at the rate of the whole fleet.
+// Discovery stands in for the platform's discovery service on loopback TCP. It serves thousands of watches at the event
+// rate of the whole fleet. The events of a watch are numbered from 1 at the start of its gateway.
 //
-// A HollowGateway is the real control code (discovery watch, purges, caches, dispatcher) without traffic, many of them in a process, in
-// the manner of kubemark. Real processes run beside them to show that both cost the same.
+// A HollowGateway runs the real control code (discovery watch, purges, caches, dispatcher) without traffic. A process
+// holds many hollow gateways, as in kubemark. Real gateway processes run beside them to show that both cost the same.
 //
-// Broadcast simulates how purges spread among gateways over a Network, by the old mechanism and the new one, under faults
-// (broadcast_faults.go) and with member lists that differ for a while (broadcast_views.go).
+// Broadcast simulates how purges spread among gateways over a Network, with the old mechanism or the new one. Faults
+// are injected (broadcast_faults.go), and the member lists of the gateways differ for a while after each change
+// (broadcast_views.go).
 //
-// Nothing of the gateway imports this package; cli/rigcli and tests do.
+// The gateway does not import this package. Only cli/rigcli and tests import it.
 package scale
 
 import "fmt"
 
-// Location is where a node runs. Sites, zones and regions are numbered through the whole fleet: a site is in one zone, a zone in one
-// region.
+// Location is where a node runs. Sites, zones and regions are numbered across the whole fleet. A site is in one zone
+// and a zone in one region.
 type Location struct{ Site, Zone, Region int }
 
-// Sizes of the whole fleet as planned (issue 39).
+// Planned sizes of the whole fleet (issue 39).
 const (
 	FullGateways = 3900
 	FullSites    = 300
@@ -32,22 +35,24 @@
 	FullControls = 14 // control machines
 )
 
-// Layout spreads gateways evenly: as many at a site as at any other, or one more; the same for sites in zones and zones in regions.
-// It panics if a level has fewer members than the one above it.
+// Layout spreads gateways evenly over sites, sites over zones and zones over regions. The numbers of gateways at two
+// sites differ by one at most, as do those of sites in two zones and of zones in two regions. Layout panics if there
+// are fewer gateways than sites, fewer sites than zones, fewer zones than regions, or no region.
 func Layout(gateways, sites, zones, regions int) []Location {
 	if regions < 1 || zones < regions || sites < zones || gateways < sites {
-		panic(fmt.Sprintf("scale.Layout: %d gateways, %d sites, %d zones, %d regions: each level needs one of the next at least", gateways, sites, zones, regions))
+		panic(fmt.Sprintf("scale.Layout: %d gateways, %d sites, %d zones, %d regions: expected gateways >= sites >= zones >= regions >= 1", gateways, sites, zones, regions))
 	}
-	places := make([]Location, gateways)
-	for i := range places {
+	locations := make([]Location, gateways)
+	for i := range locations {
 		site := i * sites / gateways
 		zone := site * zones / sites
-		places[i] = Location{Site: site, Zone: zone, Region: zone * regions / zones}
+		locations[i] = Location{Site: site, Zone: zone, Region: zone * regions / zones}
 	}
-	return places
+	return locations
 }
 
-// ScaledLayout is the layout of the planned fleet at another size: 13 gateways a site, 12 sites a zone and two zones a region, as nearly as the size allows.
+// ScaledLayout returns the layout of the planned fleet at another size: 13 gateways a site, 12 sites a zone and two
+// zones a region, as nearly as the size allows.
 func ScaledLayout(gateways int) []Location {
 	scaled := func(full, upper int) int { return min(upper, max(1, gateways*full/FullGateways)) }
 	sites := scaled(FullSites, gateways)
@@ -55,10 +60,10 @@
 	return Layout(gateways, sites, zones, scaled(FullRegions, zones))
 }
 
-// NodesWhere gives the nodes whose location matches.
-func NodesWhere(places []Location, is func(Location) bool) (nodes []int) {
-	for i, p := range places {
-		if is(p) {
+// NodesWhere returns the indexes of the nodes whose location matches.
+func NodesWhere(locations []Location, matches func(Location) bool) (nodes []int) {
+	for i, p := range locations {
+		if matches(p) {
 			nodes = append(nodes, i)
 		}
 	}
--- a/internal/lab/scale/net.go
+++ b/internal/lab/scale/net.go
@@ -7,53 +7,58 @@
 )
 
 const (
-	// MaxDatagram is the longest payload that a Network carries: an Ethernet frame of 1,500 bytes less the IPv4 and UDP headers.
+	// MaxDatagram is the greatest length, in bytes, of a payload that a Network carries: an Ethernet frame of 1,500
+	// bytes less the IPv4 and UDP headers.
 	MaxDatagram = 1472
-	// DatagramHeaderBytes is what IPv4 and UDP add to each datagram, in bytes.
+	// DatagramHeaderBytes is the length of the IPv4 and UDP headers of each datagram.
 	DatagramHeaderBytes = 28
 
-	maxInFlight   = 1 << 21 // datagrams in flight, about 20 s of 100,000 a second
-	maxInboxBytes = 212992  // bytes queued for a paused node: Linux's default of net.core.rmem_default
-	maxCuts       = 64
-	maxCalls      = 1 << 20 // scheduled calls
-	never         = time.Duration(math.MaxInt64)
+	maxInFlight   = 1 << 21                      // datagrams in flight, enough for about 20 s at 100,000 a second
+	maxInboxBytes = 212992                       // bytes queued for a paused node; default of net.core.rmem_default on Linux
+	maxCuts       = 64                           // cuts in force at the same time
+	maxCalls      = 1 << 20                      // scheduled calls
+	never         = time.Duration(math.MaxInt64) // time of a timer that is not set
 )
 
-// Node is the program of one node: a pure module and what feeds it. Its methods are called one at a time, on the goroutine that runs
-// the Network, and may call the Network's methods.
+// Node is the program of one node. It consists of a pure module and the code that feeds it. Its methods are called one
+// at a time on the goroutine that runs the Network. They may call the Network's methods.
 type Node interface {
-	// Datagram delivers bytes from another node. They are valid during the call only.
+	// Datagram delivers the payload of a datagram from another node. The bytes are valid only during the call.
 	Datagram(now time.Duration, from int, b []byte)
-	// TimerFired is called at the time that SetTimer set last.
+	// TimerFired is called at the time that was last set, by SetTimer or by the start of the node.
 	TimerFired(now time.Duration)
 }
 
-// Latency is the one-way delay between two nodes, by the smallest location they share. Regions stand on a ring. Each datagram takes up
-// to Jitter (a fraction) longer, so that datagrams sent close together can be reordered. No latencies of the fleet are known:
-// DefaultLatency is an assumption, in the range that providers publish of their sites.
+// Latency holds the one-way delays between two nodes, by the smallest location that they share. Regions form a ring.
+// The delay between adjacent regions is AdjacentRegion, and each further step on the ring adds RegionHop. A datagram
+// takes up to the fraction Jitter longer, so that datagrams sent close together can be reordered. The latencies of the
+// users' fleet are not known. DefaultLatency is an assumption within the range that providers publish for their sites.
 type Latency struct {
 	Site, Zone, Region        time.Duration
-	AdjacentRegion, RegionHop time.Duration // regions: Far, and Hop for each step on the ring after the first
+	AdjacentRegion, RegionHop time.Duration
 	Jitter                    float64
 }
 
-// DefaultLatency is used where a run sets no other; 30 to 105 ms one way between regions.
+// DefaultLatency is the latency of runs that set no other. Between regions it is 30 to 105 ms one way, without jitter.
 var DefaultLatency = Latency{Site: 250 * time.Microsecond, Zone: time.Millisecond, Region: 4 * time.Millisecond, AdjacentRegion: 30 * time.Millisecond,
 	RegionHop: 15 * time.Millisecond, Jitter: 0.2}
 
-// Counters are of one node since the Network was made, over all its starts. Bytes include DatagramHeaderBytes of each datagram.
+// Counters counts the traffic of one node since the Network was created, over all starts of the node. Bytes include
+// DatagramHeaderBytes for each datagram. Datagrams are Lost to random loss, to a cut, or because the receiver is down
+// or has a full inbox. Datagrams are Refused if they are longer than MaxDatagram, exceed maxInFlight or are sent to an
+// unknown node. That is a defect of the program or the scenario.
 type Counters struct {
 	Out, In                         int64 // datagrams
 	BytesOut, BytesIn               int64
 	MaxOutPerSecond, MaxInPerSecond int64 // bytes in the busiest whole second of the virtual clock
-	StreamOut                       int64 // the part of BytesOut and BytesIn that control machines' watches make up, with TCP headers
-	StreamIn                        int64
-	Lost                            int64 // sent by this node and not delivered: loss, a cut, a receiver that is down or whose inbox is full
-	Refused                         int64 // longer than MaxDatagram, or beyond the bound of datagrams in flight: a defect of the program or the scenario
+	StreamOut                       int64 // part of BytesOut that belongs to watches of control machines, with TCP headers
+	StreamIn                        int64 // the same part of BytesIn
+	Lost                            int64 // datagrams of this node that were not delivered
+	Refused                         int64 // datagrams of this node that the Network did not carry
 }
 
-// Network is a network on a virtual clock. Equal seeds, calls and nodes give equal runs. It is not safe for concurrent use: one
-// goroutine owns it.
+// Network is a simulated network on a virtual clock. Equal seeds, calls and nodes give equal runs. It is not safe for
+// concurrent use. One goroutine owns it.
 type Network struct {
 	locations          []Location
 	latency            Latency
@@ -68,22 +73,22 @@
 	calls              []func()
 	freeCalls          []int32 // free slots of calls
 	rng                *rand.PCG
-	lossThreshold      uint64 // of 2^64
-	duplicateThreshold uint64
+	lossThreshold      uint64 // probability times 2^64
+	duplicateThreshold uint64 // probability times 2^64
 	cuts               []*Cut
 	steps              int64
 }
 
 type nodeState struct {
-	program    Node // nil: down
+	program    Node // nil: the node is down
 	paused     bool
 	starts     int
-	timerAt    time.Duration // set by SetTimer; never: no timer
-	queuedAt   time.Duration // time of the queued event that may fire the timer; never: none
+	timerAt    time.Duration // time set by SetTimer; never: no timer is set
+	queuedAt   time.Duration // time of the queued event that is to fire the timer; never: none is queued
 	inbox      []datagram
 	inboxBytes int // bytes in the inbox
 	counters   Counters
-	second     int64 // the whole second that secondOut and secondIn count
+	second     int64 // whole second of the virtual clock to which secondOut and secondIn belong
 	secondOut  int64
 	secondIn   int64
 }
@@ -93,7 +98,8 @@
 	data     []byte
 }
 
-// NewNetwork makes a network; startProgram makes the program of a node each time the node starts. All nodes are down until Start.
+// NewNetwork creates a network with one node at each location. startProgram creates the program of a node each time the
+// node starts. All nodes are down until Start is called.
 func NewNetwork(seed uint64, locations []Location, latency Latency, startProgram func(i int) Node) *Network {
 	n := &Network{locations: locations, latency: latency, startProgram: startProgram, rng: rand.NewPCG(seed, 0x7363616c65)}
 	n.nodes = append(n.nodes, newNodeStates(len(locations))...)
@@ -111,16 +117,16 @@
 	return all
 }
 
-// Now is the virtual time since the Network was made.
+// Now returns the virtual time since the Network was created.
 func (n *Network) Now() time.Duration { return n.now }
 
-// Nodes is the number of nodes, up or down.
+// Nodes returns the number of nodes, both those that are up and those that are down.
 func (n *Network) Nodes() int { return len(n.nodes) }
 
-// Location is where a node runs.
+// Location returns the location of a node.
 func (n *Network) Location(i int) Location { return n.locations[i] }
 
-// IsUp reports whether a node runs; a paused one does.
+// IsUp reports whether a node is up. A paused node is up.
 func (n *Network) IsUp(i int) bool { return n.nodes[i].program != nil }
 
 // Counters returns the counters of a node.
@@ -131,10 +137,10 @@
 	return c
 }
 
-// Steps is the number of events processed.
+// Steps returns the number of events processed so far.
 func (n *Network) Steps() int64 { return n.steps }
 
-// Start starts a node that is down, with a new program.
+// Start starts a node with a new program, whose timer fires at once. It does nothing if the node is up.
 func (n *Network) Start(i int) {
 	if v := &n.nodes[i]; v.program == nil {
 		v.program, v.paused = n.startProgram(i), false
@@ -143,7 +149,8 @@
 	}
 }
 
-// Kill ends a node at once. Its state is gone, and datagrams in flight to it are lost unless it starts before they arrive.
+// Kill ends a node at once and discards its state and its inbox. Datagrams in flight to the node are lost unless it
+// starts again before they arrive.
 func (n *Network) Kill(i int) {
 	v := &n.nodes[i]
 	for _, d := range v.inbox {
@@ -152,10 +159,10 @@
 	v.program, v.paused, v.timerAt, v.inbox, v.inboxBytes = nil, false, never, nil, 0
 }
 
-// Pause stops a node: datagrams that arrive are queued, up to the size of a socket's buffer.
+// Pause stops a node that is up. Datagrams that arrive for it are queued in its inbox, up to maxInboxBytes.
 func (n *Network) Pause(i int) { n.nodes[i].paused = n.nodes[i].program != nil }
 
-// Resume continues a paused node and delivers its queued datagrams at once.
+// Resume continues a paused node and delivers the datagrams of its inbox at once.
 func (n *Network) Resume(i int) {
 	v := &n.nodes[i]
 	if !v.paused {
@@ -176,8 +183,8 @@
 	}
 }
 
-// SetTimer sets the time of a node's next TimerFired call, or now if that has passed, in place of the time set before. The greatest
-// Duration means no call.
+// SetTimer sets the time of the next call of a node's TimerFired, in place of the time set before. A time that has
+// passed counts as now. The greatest Duration means that there is no call.
 func (n *Network) SetTimer(i int, at time.Duration) {
 	v := &n.nodes[i]
 	if v.timerAt = max(at, n.now); at == never {
@@ -189,7 +196,8 @@
 	}
 }
 
-// Schedule calls f at a time, for scenarios. It panics if more than maxCalls calls are scheduled.
+// Schedule calls f at a virtual time. Scenarios use it for faults and load. It panics if maxCalls calls are scheduled
+// already.
 func (n *Network) Schedule(at time.Duration, f func()) {
 	slot := int32(len(n.calls))
 	if k := len(n.freeCalls); k > 0 {
@@ -203,13 +211,13 @@
 	n.push(max(at, n.now), callIsDue, slot)
 }
 
-// SetLoss sets the probability that a datagram is lost from now on, besides cuts.
+// SetLoss sets the probability that a datagram sent from now on is lost. Cuts lose datagrams in addition.
 func (n *Network) SetLoss(p float64) { n.lossThreshold = threshold(p) }
 
-// SetDuplication sets the probability that a datagram is delivered twice from now on.
+// SetDuplication sets the probability that a datagram sent from now on is delivered twice.
 func (n *Network) SetDuplication(p float64) { n.duplicateThreshold = threshold(p) }
 
-// threshold is a probability as a part of the generator's range.
+// threshold returns a probability as a fraction of the 64-bit range of the random generator.
 func threshold(p float64) uint64 {
 	if p >= 1 {
 		return math.MaxUint64
@@ -217,7 +225,7 @@
 	return uint64(max(p, 0) * (1 << 32) * (1 << 32))
 }
 
-// DrawLatency draws the latency of a datagram between two nodes, jitter included.
+// DrawLatency draws the latency of a datagram between two nodes, including jitter.
 func (n *Network) DrawLatency(from, to int) time.Duration {
 	a, b, l := &n.locations[from], &n.locations[to], &n.latency
 	var d time.Duration
@@ -238,7 +246,7 @@
 	return d + time.Duration(float64(d)*l.Jitter*float64(n.rng.Uint64()>>11)/(1<<53))
 }
 
-// Send sends a datagram; b is copied. Datagrams of a node that is down or paused are dropped and not counted.
+// Send sends a copy of b as a datagram. A datagram from a node that is down or paused is dropped and not counted.
 func (n *Network) Send(from, to int, b []byte) {
 	v := &n.nodes[from]
 	if v.program == nil || v.paused {
@@ -263,6 +271,7 @@
 	}
 }
 
+// transmit puts a datagram in flight.
 func (n *Network) transmit(from, to int, b []byte) {
 	slot := int32(len(n.inFlight))
 	if k := len(n.freeSlots); k > 0 {
@@ -278,7 +287,7 @@
 	n.push(n.now+n.DrawLatency(from, to), datagramArrives, slot)
 }
 
-// rollSecond closes the counters of the previous second if another has begun.
+// rollSecond ends the second of the per-second counters if another second has begun.
 func (v *nodeState) rollSecond(now time.Duration) {
 	if s := int64(now / time.Second); s != v.second {
 		v.counters.MaxOutPerSecond, v.counters.MaxInPerSecond = max(v.counters.MaxOutPerSecond, v.secondOut), max(v.counters.MaxInPerSecond, v.secondIn)
@@ -286,7 +295,7 @@
 	}
 }
 
-// countStream counts bytes of a TCP connection.
+// countStream counts the bytes of a TCP connection: out for the sender from, in for the receiver to.
 func (n *Network) countStream(from, to int, out, in int64) {
 	a, b := &n.nodes[from], &n.nodes[to]
 	a.counters.BytesOut += out
@@ -299,7 +308,7 @@
 	b.secondIn += in
 }
 
-// Run processes all events up to a time and sets the clock to it.
+// Run processes all events that are due up to the time until and then sets the clock to it.
 func (n *Network) Run(until time.Duration) {
 	for len(n.queue) > 0 && n.queue[0].at <= until {
 		e := n.queue.pop()
@@ -320,8 +329,9 @@
 	n.now = max(n.now, until)
 }
 
+// arrive delivers the datagram of a slot to its receiver, queues it or counts it as lost, and frees the slot.
 func (n *Network) arrive(slot int32) {
-	d := n.inFlight[slot] // the slot stays in use until its bytes have been handled
+	d := n.inFlight[slot] // the slot is not reused before the receiver has read the bytes
 	v := &n.nodes[d.to]
 	switch {
 	case v.program == nil || len(n.cuts) > 0 && !n.CanReach(int(d.from), int(d.to)):
@@ -351,7 +361,7 @@
 
 func (n *Network) fireTimer(i int) {
 	v := &n.nodes[i]
-	if v.queuedAt != n.now { // replaced by an earlier one
+	if v.queuedAt != n.now { // a timer set later queued an earlier event in place of this one
 		return
 	}
 	v.queuedAt = never
@@ -360,7 +370,7 @@
 	case v.timerAt > n.now:
 		v.queuedAt = v.timerAt
 		n.push(v.timerAt, timerFires, int32(i))
-	case v.paused: // Resume sets it again
+	case v.paused: // Resume sets the timer again
 	default:
 		v.timerAt = never
 		if v.program != nil {
--- a/internal/lab/scale/net_cut.go
+++ b/internal/lab/scale/net_cut.go
@@ -4,13 +4,14 @@
 	"fmt"
 )
 
-// Cut is a fault between two groups of nodes: no datagram passes in either direction.
+// Cut is a fault that separates two groups of nodes of a Network. No datagram passes between them in either direction.
 type Cut struct {
 	net  *Network
-	side []uint8 // by node: 1 in the first, 2 in the second
+	side []uint8 // by node: 1 in the first group, 2 in the second, 3 in both, 0 in neither
 }
 
-// Cut separates two groups of nodes until Heal; datagrams in flight between them are lost. It panics if there are more than maxCuts.
+// Cut separates two groups of nodes until Heal is called. Datagrams in flight between them are lost if they arrive
+// before the heal. Cut panics if maxCuts cuts are in force.
 func (n *Network) Cut(a, b []int) *Cut {
 	if len(n.cuts) >= maxCuts {
 		panic(fmt.Sprintf("scale.Network: more than %d cuts at once", maxCuts))
@@ -26,7 +27,7 @@
 	return c
 }
 
-// Heal removes the cut.
+// Heal removes the cut. It does nothing if the cut is healed already.
 func (c *Cut) Heal() {
 	for i, o := range c.net.cuts {
 		if o == c {
--- a/internal/lab/scale/net_queue.go
+++ b/internal/lab/scale/net_queue.go
@@ -16,7 +16,7 @@
 	at       time.Duration
 	sequence uint64
 	kind     eventKind
-	index    int32 // slot of the datagram or call, or node
+	index    int32 // slot of the datagram, index of the node whose timer fires, or slot of the call
 }
 
 func (n *Network) push(at time.Duration, kind eventKind, index int32) {
@@ -24,8 +24,8 @@
 	n.queue.push(networkEvent{at, n.sequence, kind, index})
 }
 
-// eventHeap is a heap with four children a node, by time and then by order of insertion: it has fewer levels than a binary heap, and the
-// four children lie in two cache lines.
+// eventHeap is a heap of events, ordered by time and then by order of insertion. Each element has four children. The
+// heap therefore has fewer levels than a binary heap, and the four children lie in two cache lines.
 type eventHeap []networkEvent
 
 func (a *networkEvent) before(b *networkEvent) bool {
--- a/internal/lab/scale/net_test.go
+++ b/internal/lab/scale/net_test.go
@@ -9,10 +9,10 @@
 )
 
 func TestLayoutSpreadsGatewaysEvenly(t *testing.T) {
-	places := Layout(FullGateways, FullSites, FullZones, FullRegions)
+	locations := Layout(FullGateways, FullSites, FullZones, FullRegions)
 	sites, zones, regions := map[int]int{}, map[int]int{}, map[int]int{}
 	zoneOf, regionOf := map[int]int{}, map[int]int{}
-	for _, p := range places {
+	for _, p := range locations {
 		sites[p.Site]++
 		zones[p.Zone]++
 		regions[p.Region]++
@@ -25,26 +25,26 @@
 		zoneOf[p.Site], regionOf[p.Zone] = p.Zone, p.Region
 	}
 	if len(sites) != FullSites || len(zones) != FullZones || len(regions) != FullRegions {
-		t.Fatalf("%d sites, %d zones, %d regions", len(sites), len(zones), len(regions))
+		t.Fatalf("layout has %d sites, %d zones and %d regions, want those of the whole fleet", len(sites), len(zones), len(regions))
 	}
 	for s, n := range sites {
 		if n != 13 {
-			t.Errorf("site %d has %d gateways", s, n)
+			t.Errorf("site %d has %d gateways, want 13", s, n)
 		}
 	}
 	for z, n := range zones {
 		if n != 156 {
-			t.Errorf("zone %d has %d gateways", z, n)
+			t.Errorf("zone %d has %d gateways, want 156", z, n)
 		}
 	}
 	for _, n := range []int{1, 2, 12, 13, 50, 200, 1000, 2000} {
 		if got := len(ScaledLayout(n)); got != n {
-			t.Errorf("ScaledLayout(%d) has %d", n, got)
+			t.Errorf("ScaledLayout(%d) has %d gateways", n, got)
 		}
 	}
 }
 
-// recorder is a node that records datagrams and timers.
+// recorder is a node that records the datagrams it receives and the times at which its timer fires.
 type recorder struct {
 	net         *Network
 	index       int
@@ -61,7 +61,7 @@
 }
 func (r *recorder) TimerFired(now time.Duration) { r.timersFired = append(r.timersFired, now) }
 
-// newRecorderNetwork makes a network of started recorders, without jitter.
+// newRecorderNetwork creates a network of started recorders, with latencies that have no jitter.
 func newRecorderNetwork(locations []Location) (*Network, []*recorder) {
 	latency := DefaultLatency
 	latency.Jitter = 0
@@ -79,15 +79,16 @@
 }
 
 func TestLatencyFollowsNearestSharedLocation(t *testing.T) {
-	places := []Location{{0, 0, 0}, {0, 0, 0}, {1, 0, 0}, {2, 1, 0}, {3, 2, 1}, {4, 3, 2}, {5, 4, 3}, {6, 5, 4}}
-	n, all := newRecorderNetwork(places)
-	for to := 1; to < len(places); to++ {
+	locations := []Location{{0, 0, 0}, {0, 0, 0}, {1, 0, 0}, {2, 1, 0}, {3, 2, 1}, {4, 3, 2}, {5, 4, 3}, {6, 5, 4}}
+	n, all := newRecorderNetwork(locations)
+	for to := 1; to < len(locations); to++ {
 		n.Send(0, to, []byte("x"))
 	}
 	n.Run(time.Second)
-	for to, want := range map[int]string{1: "250µs", 2: "1ms", 3: "4ms", 4: "30ms", 5: "45ms", 6: "45ms", 7: "30ms"} { // five regions on a ring
+	// The five regions form a ring.
+	for to, want := range map[int]string{1: "250µs", 2: "1ms", 3: "4ms", 4: "30ms", 5: "45ms", 6: "45ms", 7: "30ms"} {
 		if !slices.Equal(all[to].got, []string{want + " 0 x"}) {
-			t.Errorf("node %d got %q, want after %s", to, all[to].got, want)
+			t.Errorf("node %d received %q, want one datagram after %s", to, all[to].got, want)
 		}
 	}
 }
@@ -102,10 +103,10 @@
 	n.Run(2 * time.Second)
 	a, b := n.Counters(0), n.Counters(1)
 	if want := (Counters{Out: 2, In: 2, BytesOut: 110 + 56, BytesIn: 118 + 56, MaxOutPerSecond: 128, MaxInPerSecond: 132, Refused: 1}); a != want {
-		t.Errorf("sender: %+v, want %+v", a, want)
+		t.Errorf("counters of the sender: %+v, want %+v", a, want)
 	}
 	if want := (Counters{Out: 2, In: 2, BytesOut: 118 + 56, BytesIn: 110 + 56, MaxOutPerSecond: 132, MaxInPerSecond: 128}); b != want {
-		t.Errorf("receiver: %+v, want %+v", b, want)
+		t.Errorf("counters of the receiver: %+v, want %+v", b, want)
 	}
 }
 
@@ -130,15 +131,15 @@
 		return got
 	}
 	if got := send(); got != [3]int{0, 1, 1} {
-		t.Errorf("both cuts: %v", got)
+		t.Errorf("with both cuts the nodes received %v datagrams, want 0, 1 and 1", got)
 	}
 	one.Heal()
 	if got := send(); got != [3]int{1, 1, 2} {
-		t.Errorf("one cut: %v", got)
+		t.Errorf("with one cut the nodes received %v datagrams, want 1, 1 and 2", got)
 	}
 	two.Heal()
 	if got := send(); got != [3]int{2, 2, 2} {
-		t.Errorf("healed: %v", got)
+		t.Errorf("after both heals the nodes received %v datagrams, want 2 each", got)
 	}
 	n.Send(0, 1, []byte("x"))
 	n.Run(n.Now() + time.Millisecond)
@@ -146,13 +147,13 @@
 	all[1].got = nil
 	n.Run(n.Now() + time.Second)
 	if len(all[1].got) != 0 || n.Counters(0).Lost != 4 {
-		t.Errorf("in flight at a cut: got %v, lost %d", all[1].got, n.Counters(0).Lost)
+		t.Errorf("datagram in flight at the start of a cut: received %v, %d datagrams lost, want none received and 4 lost", all[1].got, n.Counters(0).Lost)
 	}
 }
 
 func TestKilledNodeReceivesNothingAndRestartsEmpty(t *testing.T) {
 	n, all := newRecorderNetwork(Layout(2, 1, 1, 1))
-	was := all[1]
+	killed := all[1]
 	n.SetTimer(1, 5*time.Second)
 	n.Kill(1)
 	n.Send(0, 1, []byte("lost"))
@@ -161,11 +162,11 @@
 	n.Start(1)
 	n.Send(0, 1, []byte("heard"))
 	n.Run(10 * time.Second)
-	if len(was.got) != 0 || len(was.timersFired) != 1 || len(all[0].got) != 0 {
-		t.Errorf("the killed one got %q and had timers at %v; its peer got %q", was.got, was.timersFired, all[0].got)
+	if len(killed.got) != 0 || len(killed.timersFired) != 1 || len(all[0].got) != 0 {
+		t.Errorf("killed program received %q and its timer fired at %v; its peer received %q", killed.got, killed.timersFired, all[0].got)
 	}
-	if all[1] == was || len(all[1].got) != 1 || !slices.Equal(all[1].timersFired, []time.Duration{time.Second}) || n.Counters(0).Lost != 1 {
-		t.Errorf("the new one got %q and had timers at %v, lost %d", all[1].got, all[1].timersFired, n.Counters(0).Lost)
+	if all[1] == killed || len(all[1].got) != 1 || !slices.Equal(all[1].timersFired, []time.Duration{time.Second}) || n.Counters(0).Lost != 1 {
+		t.Errorf("new program received %q and its timer fired at %v; %d datagrams lost, want 1", all[1].got, all[1].timersFired, n.Counters(0).Lost)
 	}
 }
 
@@ -179,18 +180,18 @@
 		n.Run(n.Now() + time.Millisecond)
 	}
 	n.Run(10 * time.Second)
-	n.Send(1, 0, []byte("a still one sends nothing"))
+	n.Send(1, 0, []byte("a paused node sends nothing"))
 	if len(all[1].got) != 0 || len(all[1].timersFired) != 1 {
-		t.Fatal("a paused node received datagrams or timers")
+		t.Fatal("a paused node received datagrams or its timer fired")
 	}
 	n.Resume(1)
 	n.Run(11 * time.Second)
-	held := maxInboxBytes / 1028
-	if len(all[1].got) != held || n.Counters(0).Lost != int64(sent-held) || len(all[0].got) != 0 {
-		t.Errorf("got %d and lost %d of %d; its peer got %d", len(all[1].got), n.Counters(0).Lost, sent, len(all[0].got))
+	queued := maxInboxBytes / 1028
+	if len(all[1].got) != queued || n.Counters(0).Lost != int64(sent-queued) || len(all[0].got) != 0 {
+		t.Errorf("node received %d and lost %d of %d datagrams; its peer received %d", len(all[1].got), n.Counters(0).Lost, sent, len(all[0].got))
 	}
 	if !slices.Equal(all[1].timersFired, []time.Duration{0, 10 * time.Second}) {
-		t.Errorf("timers fired at %v", all[1].timersFired)
+		t.Errorf("timer fired at %v, want 0s and 10s", all[1].timersFired)
 	}
 }
 
@@ -207,7 +208,7 @@
 	n.SetTimer(0, never)
 	n.Run(8 * time.Second)
 	if want := []time.Duration{3 * time.Second, 5 * time.Second}; !slices.Equal(all[0].timersFired, want) {
-		t.Errorf("timers fired at %v, want %v", all[0].timersFired, want)
+		t.Errorf("timer fired at %v, want %v", all[0].timersFired, want)
 	}
 }
 
@@ -221,11 +222,11 @@
 	n.Schedule(0, func() { got = append(got, 0) })
 	n.Run(5 * time.Second)
 	if !slices.Equal(got, []int{1, 1, 2, 0, 3}) {
-		t.Errorf("%v", got)
+		t.Errorf("calls ran in the order %v, want 1, 1, 2, 0, 3", got)
 	}
 }
 
-// randomSender is a node that sends to pseudo-random peers at a rate, and hashes what it receives.
+// randomSender is a node that sends to pseudo-random peers at a fixed interval and hashes the datagrams it receives.
 type randomSender struct {
 	net    *Network
 	index  int
@@ -273,7 +274,7 @@
 	}
 	a, b, other := play(1), play(1), play(2)
 	if a != b || a == other {
-		t.Errorf("digests %x and %x of seed 1, %x of seed 2", a, b, other)
+		t.Errorf("digests %x and %x with seed 1, want them equal; %x with seed 2, want another one", a, b, other)
 	}
 }
 
@@ -288,14 +289,15 @@
 		out, in, lost = out+c.Out, in+c.In, lost+c.Lost
 	}
 	if share := float64(lost) / float64(out); share < 0.095 || share > 0.105 {
-		t.Errorf("%.3f lost", share)
+		t.Errorf("share %.3f of the datagrams lost, want 0.095 to 0.105", share)
 	}
 	if share := float64(in) / float64(out-lost); share < 1.19 || share > 1.21 {
-		t.Errorf("%.3f came of each", share)
+		t.Errorf("%.3f deliveries of each datagram that was not lost, want 1.19 to 1.21", share)
 	}
 }
 
-// Real time of one virtual second at the size of the whole fleet, with some 100,000 datagrams.
+// BenchmarkSecondOfFullFleet measures the real time of one virtual second of the whole fleet, in which some 100,000
+// datagrams are sent.
 func BenchmarkSecondOfFullFleet(b *testing.B) {
 	n, _ := newRandomSenderNetwork(1, FullGateways, 39*time.Millisecond)
 	n.Run(time.Second)
--- a/internal/lab/scale/plots.go
+++ b/internal/lab/scale/plots.go
@@ -13,16 +13,17 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// SizePlot is a figure of runs by number of gateways.
+// SizePlot is a plot of one figure of several runs against the number of gateways.
 type SizePlot struct {
-	Name       string // of the file, without extension
+	Name       string // name of the file without its extension
 	Title      string
-	Budget     float64 // drawn as a horizontal line; 0: none
+	Budget     float64 // drawn as a horizontal line; 0: no budget
 	BySize     map[int][]float64
 	RealBySize map[int][]float64 // values of real gateways; may be empty
 }
 
-// WatchPlots gives the plots of the results of Watch, with a value for each run.
+// WatchPlots returns the plots of the reports of Watch. Each plot has a value for each run, except values of 0 or less,
+// which log axes cannot show.
 func WatchPlots(runs []*WatchReport, budget Budget) []SizePlot {
 	all := []SizePlot{
 		{Name: "core", Title: "processor, part of a core", Budget: budget.Core},
@@ -56,7 +57,8 @@
 	return all
 }
 
-// decadeTicks labels 1, 2 and 5 times each power of ten, so that a range within one decade has labels too.
+// decadeTicks returns ticks with labels at 1, 2 and 5 times each power of ten, so that a range within one decade has
+// labels too.
 func decadeTicks(least, most float64) (all []plot.Tick) {
 	for e := math.Floor(math.Log10(least)); e <= math.Log10(most); e++ {
 		for _, m := range []float64{1, 2, 5} {
@@ -68,8 +70,8 @@
 	return all
 }
 
-// Plot writes an SVG file into a folder: the values against size on log axes, the fitted line if fit is not nil, and the budget.
-// Without values it writes none.
+// Plot writes an SVG file into a folder. It shows the values against the number of gateways on log axes, the fitted
+// line if fit is not nil, and the budget. Plot writes no file if there are no values.
 func (g *SizePlot) Plot(dir string, fit *Fit) error {
 	if len(g.BySize) == 0 {
 		return nil
--- a/internal/lab/scale/spreader_broadcast.go
+++ b/internal/lab/scale/spreader_broadcast.go
@@ -6,7 +6,7 @@
 	"foldslip/internal/fleet/broadcast"
 )
 
-// broadcastSpreader is fleet/broadcast on the simulated network.
+// broadcastSpreader runs a node of fleet/broadcast on the simulated network.
 type broadcastSpreader struct {
 	gateway *gateway
 	node    *broadcast.Node
@@ -55,7 +55,7 @@
 	s.send()
 }
 
-// send sends the messages that the node has queued.
+// send sends the messages that the node has queued to their gateways.
 func (s *broadcastSpreader) send() {
 	for _, message := range s.node.TakeMessages() {
 		s.gateway.send(s.gateway.run.indexByName[message.To], message.Frame)
--- a/internal/lab/scale/spreader_purgesync.go
+++ b/internal/lab/scale/spreader_purgesync.go
@@ -6,15 +6,15 @@
 	"foldslip/internal/fleet/purgesync"
 )
 
-// Times of the old mechanism in microseconds, as fleet/gossip sets them.
+// Times of the old mechanism in microseconds, with the values that fleet/gossip sets.
 const (
 	purgesyncStepInterval   = 250_000
 	purgesyncDigestInterval = 500_000
 	purgesyncKeep           = 60_000_000
 )
 
-// purgesyncSpreader is fleet/purgesync as fleet/gossip transports it: a turn each 0.25 s, digests to two gateways each 0.5 s, deltas at
-// once.
+// purgesyncSpreader runs a replica of fleet/purgesync on the simulated network, with the schedule of fleet/gossip: a
+// step every 0.25 s, digests to two gateways every 0.5 s, and a delta at once in answer to a digest.
 type purgesyncSpreader struct {
 	gateway    *gateway
 	node       *purgesync.Replica
