--- a/internal/lab/scale/broadcast_purges.go
+++ b/internal/lab/scale/broadcast_purges.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// issuePurge issues the next purge: of an object, each fiftieth of one of eight groups.
+// issuePurge issues the next purge. Every fiftieth purge is of one of eight groups, each other one is of an object of
+// its own.
 func (r *broadcastRun) issuePurge() {
 	k, now := len(r.purges), r.net.Now()
 	p := issuedPurge{at: now, watchPurge: watchPurge{Object: fmt.Sprintf("%016x", mix(r.options.Seed^uint64(k)<<20)), Issued: epochMillis + now.Milliseconds()}}
@@ -38,7 +39,8 @@
 	r.purges = append(r.purges, p)
 }
 
-// purgeReceived records that a gateway received a purge, by its own watch or from another gateway.
+// purgeReceived records that a gateway received a purge. own is true if the purge came from the gateway's own watch and
+// not from another gateway.
 func (r *broadcastRun) purgeReceived(g *gateway, purge watchPurge, own bool) {
 	k := int(math.Round((time.Duration(purge.Issued-epochMillis)*time.Millisecond - r.options.Warmup).Seconds() * r.options.Rate))
 	for k = max(k-2, 0); k < len(r.purges) && r.purges[k].watchPurge != purge; k++ {
@@ -70,32 +72,33 @@
 		if at := slices.Index(p.freshGateways, int32(g.index)); at >= 0 {
 			p.freshGateways = slices.Delete(p.freshGateways, at, at+1)
 			if r.result.FreshWorst = max(r.result.FreshWorst, lag.Seconds()); lag <= r.options.Deadline {
-				r.result.freshIn++
+				r.result.freshInTime++
 			}
 		}
 	}
 }
 
-// finishPurges takes purges into the figures that have reached all gateways, or all that are left.
+// finishPurges adds the purges that have reached all gateways to the figures of the report. If all is set, it adds the
+// unfinished ones too.
 func (r *broadcastRun) finishPurges(all bool) {
-	for k := r.firstOpen; k < len(r.purges); k++ {
+	for k := r.firstUnfinished; k < len(r.purges); k++ {
 		if p := &r.purges[k]; p.latencies != nil && (all || p.outstanding == 0 && len(p.freshGateways) == 0) {
 			r.countPurge(k)
 			p.latencies = nil
 		}
-		if k == r.firstOpen && r.purges[k].latencies == nil {
-			r.firstOpen++
+		if k == r.firstUnfinished && r.purges[k].latencies == nil {
+			r.firstUnfinished++
 		}
 	}
 }
 
-// countPurge takes one purge into the figures and the digest.
+// countPurge adds one purge to the figures of the report and to the digest.
 func (r *broadcastRun) countPurge(k int) {
 	p := &r.purges[k]
 	var worst uint32
 	last := 0
 	lost, lostAcrossCut := 0, 0
-	deadline := uint32(r.options.Deadline.Microseconds() + 1) // as latencies count
+	deadline := uint32(r.options.Deadline.Microseconds() + 1) // in microseconds plus 1, as in latencies
 	sum := make([]byte, 0, 4*len(p.latencies)+8)
 	sum = binary.LittleEndian.AppendUint64(sum, uint64(k))
 	for i, v := range p.latencies {
@@ -112,7 +115,7 @@
 		default:
 			r.result.Pairs++
 			if v <= deadline {
-				r.result.pairsIn++
+				r.result.pairsInTime++
 			}
 			if v > worst {
 				worst, last = v, i
@@ -124,7 +127,7 @@
 	if worst > deadline {
 		r.result.Late = append(r.result.Late, LatePurge{(p.at - r.options.Warmup).Seconds(), last, float64(worst) / 1e6})
 		slices.SortStableFunc(r.result.Late, func(a, b LatePurge) int { return cmp.Compare(b.Latency, a.Latency) })
-		r.result.Late = r.result.Late[:min(len(r.result.Late), maxLateNamed)]
+		r.result.Late = r.result.Late[:min(len(r.result.Late), maxLateReported)]
 	}
 	r.result.LostPairs += int64(lost)
 	r.result.LostAcrossCut += int64(lostAcrossCut)
--- a/internal/lab/scale/spreader_broadcast.go
+++ b/internal/lab/scale/spreader_broadcast.go
@@ -6,7 +6,7 @@
 	"foldslip/internal/fleet/broadcast"
 )
 
-// broadcastSpreader is fleet/broadcast on the simulated network.
+// broadcastSpreader runs a node of fleet/broadcast on the simulated network.
 type broadcastSpreader struct {
 	gateway *gateway
 	node    *broadcast.Node
@@ -55,7 +55,7 @@
 	s.send()
 }
 
-// send sends the messages that the node has queued.
+// send sends the messages that the node has queued to their gateways.
 func (s *broadcastSpreader) send() {
 	for _, message := range s.node.TakeMessages() {
 		s.gateway.send(s.gateway.run.indexByName[message.To], message.Frame)
@@ -68,5 +68,5 @@
 func (s *broadcastSpreader) tally() Tally {
 	a := s.node.Stats()
 	return Tally{Batches: a.BatchesSent, Purges: a.PurgesSent, BatchesReceived: a.BatchesReceived, Duplicates: a.DuplicateBatches, Requests: a.RepairRequests, Repairs: a.Repairs, GivenUp: a.GivenUp, Reconciliations: a.ReconcilePasses,
-		Unanswered: a.UnfinishedPasses, ReconciledPurges: a.PurgesReceived, Shed: a.Shed, RefusedQuestions: a.RefusedRequests, Unannounced: a.NotBatched, OutsideWindow: a.NotKept, Dropped: a.Dropped}
+		Unanswered: a.UnfinishedPasses, ReconciledPurges: a.PurgesReceived, Shed: a.Shed, RefusedRequests: a.RefusedRequests, NotBatched: a.NotBatched, NotKept: a.NotKept, Dropped: a.Dropped}
 }
