--- a/internal/lab/fleet/broadcast_report.go
+++ b/internal/lab/fleet/broadcast_report.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// broadcastWithin is in what time after its announcement a purge must reach gateways by broadcast.
-const broadcastWithin = 4500 * time.Millisecond
+// broadcastDeadline is in what time after its announcement a purge must reach gateways by broadcast.
+const broadcastDeadline = 4500 * time.Millisecond
 
 // BroadcastReport is how announced purges reached gateways that had no discovery watch. A pair is a purge and a gateway that ran for
-// broadcastWithin from the announcement on, had no link to discovery and could reach, through others too, a gateway with a watch; a
+// broadcastDeadline from the announcement on, had no link to discovery and could reach, through others too, a gateway with a watch; a
 // gateway that was started or became reachable counts once all views agreed.
 type BroadcastReport struct {
 	Purges                int     `json:"told"`
 	Pairs                 int     `json:"pairs"`
-	InTime                int     `json:"within"` // pairs whose purge arrived within broadcastWithin
+	InTime                int     `json:"within"` // pairs whose purge arrived within broadcastDeadline
 	Share                 float64 `json:"share"`  // of InTime in Pairs
 	P50                   int64   `json:"p50_ms"` // of the pairs whose purge arrived
 	P99                   int64   `json:"p99_ms"`
@@ -69,7 +69,7 @@
 			continue
 		}
 		latenciesMS = append(latenciesMS, max(0, appliedAt-purge.at).Milliseconds())
-		if appliedAt-purge.at <= broadcastWithin {
+		if appliedAt-purge.at <= broadcastDeadline {
 			report.InTime++
 		}
 	}
@@ -120,7 +120,7 @@
 		found = append(found, fmt.Sprintf("%d purges of %d are lost at gateways that ran at the end", r.MissingPairs, r.FinalPairs))
 	}
 	if r.Share < load.MinShare {
-		found = append(found, fmt.Sprintf("%.4f of %d purges came to gateways within %v, at least %.4f are wanted", r.Share, r.Pairs, broadcastWithin, load.MinShare))
+		found = append(found, fmt.Sprintf("%.4f of %d purges came to gateways within %v, at least %.4f are wanted", r.Share, r.Pairs, broadcastDeadline, load.MinShare))
 	}
 	if load.MinShare > 0 && r.Pairs == 0 {
 		found = append(found, "no purge had to come from a peer: the scenario shows nothing")
--- a/internal/lab/fleet/links.go
+++ b/internal/lab/fleet/links.go
@@ -64,7 +64,7 @@
 
 // Split cuts all links between parties that are in no group together. A party may be in several groups.
 func (l *Links) Split(groups [][]string) {
-	areTogether := func(a, b string) bool {
+	shareGroup := func(a, b string) bool {
 		return slices.ContainsFunc(groups, func(group []string) bool { return slices.Contains(group, a) && slices.Contains(group, b) })
 	}
 	for i, senders := range groups {
@@ -74,7 +74,7 @@
 			}
 			for _, sender := range senders {
 				for _, receiver := range receivers {
-					if !areTogether(sender, receiver) {
+					if !shareGroup(sender, receiver) {
 						l.Set([]string{sender}, []string{receiver}, LinkFault{Cut: true})
 					}
 				}
--- a/internal/lab/fleet/load.go
+++ b/internal/lab/fleet/load.go
@@ -117,7 +117,7 @@
 	due := time.Now()
 	status, err := doLookup(p.clients, number, int64(number)%l.objects)
 	p.mu.Lock()
-	ranThroughout := p.starts == start && p.unpaused
+	ranThroughout := p.starts == start && p.running
 	p.mu.Unlock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -29,7 +29,7 @@
 	mu         sync.Mutex    // guards what follows
 	cmd        *exec.Cmd     // nil: does not run
 	ended      chan struct{} // closed when cmd has ended
-	unpaused   bool          // runs and is not paused
+	running    bool          // runs and is not paused
 	ready      bool          // and has logged that it started: clients may connect
 	paused     bool
 	expectedUp bool // its end would be a crash
@@ -57,7 +57,7 @@
 		return err
 	}
 	p.cmd = cmd
-	p.unpaused = true
+	p.running = true
 	p.ready = false
 	p.paused = false
 	p.expectedUp = true
@@ -75,7 +75,7 @@
 	p.mu.Lock()
 	if p.cmd == cmd {
 		p.cmd = nil
-		p.unpaused = false
+		p.running = false
 		p.ready = false
 		if p.expectedUp || p.stopped && err != nil {
 			p.crash = &CrashError{Gateway: p.name, Exit: err}
@@ -93,7 +93,7 @@
 	cmd := p.cmd
 	ended := p.ended
 	p.expectedUp = false
-	p.unpaused = false
+	p.running = false
 	p.stopped = signal == syscall.SIGTERM
 	if cmd != nil && p.paused && signal != syscall.SIGKILL {
 		cmd.Process.Signal(syscall.SIGCONT)
@@ -128,20 +128,20 @@
 		signal = syscall.SIGSTOP
 	}
 	p.paused = paused
-	p.unpaused = !paused
+	p.running = !paused
 	return p.cmd.Process.Signal(signal)
 }
 
 func (p *process) isRunning() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.unpaused
+	return p.running
 }
 
 func (p *process) isServing() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.unpaused && p.ready
+	return p.running && p.ready
 }
 
 func (p *process) startCount() int {
--- a/internal/lab/fleet/report.go
+++ b/internal/lab/fleet/report.go
@@ -103,23 +103,23 @@
 
 // violations are where a step's end breaks what the scenario requires of it.
 func (r StepReport) violations(index int, step Step) []string {
-	one := func(format string, args ...any) []string {
+	violation := func(format string, args ...any) []string {
 		return []string{fmt.Sprintf("step %d (%s): ", index, step.Action) + fmt.Sprintf(format, args...)}
 	}
 	settledMS := max(r.AgreedMS, r.SettledMS)
 	switch {
 	case step.Action == actionPurge:
 		if r.PurgeReceivers < int(step.MinReceivers) || step.BoundMS > 0 && r.PurgeReceivedMS > step.BoundMS {
-			return one("%d gateways heard it of peers, the last after %d ms; at least %d within %d ms",
+			return violation("%d gateways heard it of peers, the last after %d ms; at least %d within %d ms",
 				r.PurgeReceivers, r.PurgeReceivedMS, step.MinReceivers, step.BoundMS)
 		}
 	case !r.Awaited:
 	case !r.Agreed:
-		return one("views do not agree with what is before the next step")
+		return violation("views do not agree with what is before the next step")
 	case !r.Settled:
-		return one("not all gateways said that they had settled")
+		return violation("not all gateways said that they had settled")
 	case step.BoundMS > 0 && settledMS > step.BoundMS:
-		return one("settled after %d ms, bound %d ms", settledMS, step.BoundMS)
+		return violation("settled after %d ms, bound %d ms", settledMS, step.BoundMS)
 	}
 	return nil
 }
--- a/internal/lab/fleet/scenario.go
+++ b/internal/lab/fleet/scenario.go
@@ -125,14 +125,14 @@
 // those among gateways.
 func (s *Scenario) maxStreams() int {
 	const (
-		watches        = 1
-		toPeers        = 4
-		toEachCache    = 4
-		parentOrigin   = 2
-		smallestNumber = 2_000
+		watches      = 1
+		toPeers      = 4
+		toEachCache  = 4
+		parentOrigin = 2
+		minStreams   = 2_000
 	)
 	perGateway := watches + toPeers + toEachCache*(int(s.Caches)+parentOrigin)
-	return max(smallestNumber, int(s.Gateways)*perGateway)
+	return max(minStreams, int(s.Gateways)*perGateway)
 }
 
 // names are those of all gateways, in order.
--- a/internal/lab/fleet/selector.go
+++ b/internal/lab/fleet/selector.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// names resolves * and @name.
-func (s *Selector) names(references []string) (names []string) {
+// resolve resolves * and @name.
+func (s *Selector) resolve(references []string) (names []string) {
 	for _, reference := range references {
 		pick, isPick := strings.CutPrefix(reference, "@")
 		switch {
@@ -48,7 +48,7 @@
 		targets = s.shuffled(running)
 		targets = targets[:min(int(step.PickCount), len(targets))]
 	} else {
-		targets = s.names(step.Targets)
+		targets = s.resolve(step.Targets)
 	}
 	if step.PickName != "" {
 		s.picked[step.PickName] = targets
@@ -60,7 +60,7 @@
 func (s *Selector) Groups(step Step) (groups [][]string) {
 	if len(step.Groups) > 0 {
 		for _, group := range step.Groups {
-			groups = append(groups, s.names(group))
+			groups = append(groups, s.resolve(group))
 		}
 		return groups
 	}
--- a/internal/lab/fleet/steps.go
+++ b/internal/lab/fleet/steps.go
@@ -29,8 +29,8 @@
 // runSteps starts the fleet, waits until it has settled and carries out the scenario's steps.
 func (r *Rig) runSteps() error {
 	r.startedAt = time.Now()
-	early := len(r.processes) - int(r.scenario.LateGateways)
-	for _, p := range r.processes[:early] {
+	initial := len(r.processes) - int(r.scenario.LateGateways)
+	for _, p := range r.processes[:initial] {
 		if err := p.start(); err != nil {
 			return err
 		}
@@ -100,7 +100,7 @@
 	case actionPurge:
 		r.announcePurge(fmt.Sprintf("%016x", r.elapsed().Milliseconds()))
 	case actionLink:
-		r.links.Set(r.selector.names(step.From), r.selector.names(step.To), step.LinkFault())
+		r.links.Set(r.selector.resolve(step.From), r.selector.resolve(step.To), step.LinkFault())
 	}
 	var wait sync.WaitGroup
 	errs := make([]error, len(targets))
--- a/internal/lab/fleet/topology.go
+++ b/internal/lab/fleet/topology.go
@@ -5,8 +5,8 @@
 )
 
 const (
-	// rewatchWithin bounds how long after a link to discovery is healed a gateway has its watch back: a silence timeout and a pause.
-	rewatchWithin = 12 * time.Second
+	// watchRecoveryTime bounds how long after a link to discovery is healed a gateway has its watch back: a silence timeout and a pause.
+	watchRecoveryTime = 12 * time.Second
 	// observationDelay is how long an observation of the views may still show what was before a step.
 	observationDelay = 5 * viewInterval
 )
@@ -58,7 +58,7 @@
 
 // spanOf is the span of a purge; mu is held.
 func (b *broadcastRun) spanOf(purge publishedPurge) topologySpan {
-	end := purge.at + broadcastWithin
+	end := purge.at + broadcastDeadline
 	first, last := 0, 0
 	for i, t := range b.topologies {
 		if t.from <= purge.at {
@@ -80,7 +80,7 @@
 	}
 	for i := span.first; i > 0; i-- {
 		if !b.topologies[i-1].isWatching(name) {
-			return span.at-b.topologies[i].completeAt >= rewatchWithin
+			return span.at-b.topologies[i].completeAt >= watchRecoveryTime
 		}
 	}
 	return true
@@ -88,14 +88,14 @@
 
 // reachableThroughout reports whether two gateways can reach each other during the span, and, if they could not before, whether all
 // views agreed since then; mu is held.
-func (b *broadcastRun) reachableThroughout(one, other string, span topologySpan, states []viewState) bool {
+func (b *broadcastRun) reachableThroughout(name, peer string, span topologySpan, states []viewState) bool {
 	for _, t := range span.during {
-		if !t.areConnected(one, other) {
+		if !t.areConnected(name, peer) {
 			return false
 		}
 	}
 	for i := span.first; i > 0; i-- {
-		if !b.topologies[i-1].areConnected(one, other) {
+		if !b.topologies[i-1].areConnected(name, peer) {
 			return agreedBetween(states, b.topologies[i].completeAt+observationDelay, span.at)
 		}
 	}
--- a/internal/lab/fleet/views.go
+++ b/internal/lab/fleet/views.go
@@ -76,16 +76,16 @@
 		for _, name := range side {
 			p := r.byName[name]
 			p.mu.Lock()
-			seen := p.view
-			agrees := maps.Equal(seen.live, expected)
-			state.minLive = min(state.minLive, len(seen.live))
-			state.maxLive = max(state.maxLive, len(seen.live))
+			view := p.view
+			agrees := maps.Equal(view.live, expected)
+			state.minLive = min(state.minLive, len(view.live))
+			state.maxLive = max(state.maxLive, len(view.live))
 			p.mu.Unlock()
 			if digest == "" {
-				digest = seen.digest
+				digest = view.digest
 			}
 			state.agreed = state.agreed && agrees
-			state.settled = state.settled && agrees && seen.settled && seen.digest == digest
+			state.settled = state.settled && agrees && view.settled && view.digest == digest
 		}
 	}
 	return state
