--- a/internal/lab/fleet/broadcast.go
+++ b/internal/lab/fleet/broadcast.go
@@ -12,40 +12,41 @@
 )
 
 const (
-	pollInterval    = 500 * time.Millisecond // between polls of the gateways
-	pollTimeout     = 4 * time.Second        // of one poll
-	firstPurgeIndex = 0x100000               // so that purged objects differ from those of lookups
+	pollInterval    = 500 * time.Millisecond // between two polls of the gateways
+	pollTimeout     = 4 * time.Second        // of one poll of all gateways
+	firstPurgeIndex = 0x100000               // keeps purged objects apart from the objects of lookups
 )
 
-// broadcastRun announces purges by discovery at a steady rate and polls the gateways for the purges that they applied.
+// broadcastRun announces purges through discovery at a steady
+// rate and polls the gateways for the purges that they applied.
 type broadcastRun struct {
 	rig    *Rig
 	cancel context.CancelFunc
 	wait   sync.WaitGroup
 
-	mu         sync.Mutex // guards what follows
+	mu         sync.Mutex // guards the fields below
 	purges     []publishedPurge
-	applied    map[string]*appliedPurges // by gateway
-	topologies []topology                // the first at the start, then one for each step
+	applied    map[string]*appliedPurges // by gateway name
+	topologies []topology                // the first from the start, then one for each step
 }
 
 // publishedPurge is a purge that discovery announced.
 type publishedPurge struct {
 	object string
-	at     time.Duration // since the run's start
+	at     time.Duration // since the start of the run
 }
 
-// appliedPurges are the purges that a gateway reported as applied.
+// appliedPurges holds the purges that a gateway reported as applied.
 type appliedPurges struct {
-	start          int                      // of the gateway, that the fields of its process are of
-	lastNumber     uint64                   // of the process: purges up to it were reported
-	current        map[string]bool          // of the process: objects
-	bytesPerSecond float64                  // of the process
-	reported       bool                     // the last poll was answered
-	firstAt        map[string]time.Duration // by object, the first time in any process
+	start          int                      // start count of the process that the next three fields describe
+	lastNumber     uint64                   // number of the last purge that the process applied
+	current        map[string]bool          // objects of the purges that the process applied
+	bytesPerSecond float64                  // mean traffic in and out since the start of the process
+	reported       bool                     // whether the gateway answered the last poll
+	firstAt        map[string]time.Duration // by object: when any process of the gateway first applied the purge
 }
 
-// startBroadcastRun starts announcing and polling. The caller must call stop.
+// startBroadcastRun starts the announcements and the polling in the background. The caller must call stop.
 func startBroadcastRun(r *Rig) *broadcastRun {
 	ctx, cancel := context.WithCancel(context.Background())
 	b := &broadcastRun{rig: r, cancel: cancel, applied: map[string]*appliedPurges{}, topologies: []topology{r.topology(0)}}
@@ -57,7 +58,8 @@
 	return b
 }
 
-// publish announces the scenario's purges, each of an object of its own. Each has its own time, however late the one before was.
+// publish announces the purges of the scenario, each for a distinct object. The times are fixed in advance, so that a
+// late announcement does not delay the next ones.
 func (b *broadcastRun) publish(ctx context.Context, ready time.Duration) {
 	load := b.rig.scenario.Purges
 	begin := ready + config.Milliseconds(load.FromMS)
@@ -90,7 +92,7 @@
 	}
 }
 
-// poll requests from all running gateways at once what they applied since the last poll.
+// poll requests from all running gateways concurrently the purges that they applied since the last poll.
 func (b *broadcastRun) poll(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
@@ -126,7 +128,8 @@
 	applied.add(report, at)
 }
 
-// add takes in a report that arrived at a time. Times of purges are no earlier than they were, as the report took time to arrive.
+// add merges a report that arrived at the given time after the start of the run. The resulting times of purges are
+// never too early, because the report took time to arrive.
 func (a *appliedPurges) add(report *driver.Report, at time.Duration) {
 	a.lastNumber = report.Applied
 	a.reported = true
@@ -141,7 +144,8 @@
 	}
 }
 
-// fetchBroadcastReport requests a gateway's report of broadcast, with the purges after a number.
+// fetchBroadcastReport requests a gateway's broadcast report,
+// with the applied purges whose numbers are higher than after.
 func fetchBroadcastReport(ctx context.Context, p *process, after uint64) (*driver.Report, error) {
 	response, err := admin.Send(ctx, p.socket(), admin.Request{Command: "broadcast", Version: after})
 	if err != nil {
@@ -153,7 +157,7 @@
 	return response.Broadcast, nil
 }
 
-// stop ends announcing and polling and polls once more.
+// stop ends the announcements and the polling, then polls once more.
 func (b *broadcastRun) stop() {
 	b.cancel()
 	b.wait.Wait()
--- a/internal/lab/fleet/broadcast_report.go
+++ b/internal/lab/fleet/broadcast_report.go
@@ -7,28 +7,30 @@
 	"time"
 )
 
-// broadcastDeadline is in what time after its announcement a purge must reach gateways by broadcast.
+// broadcastDeadline is the time after its announcement within which a purge must reach gateways by broadcast.
 const broadcastDeadline = 4500 * time.Millisecond
 
-// BroadcastReport is how announced purges reached gateways that had no discovery watch. A pair is a purge and a gateway that ran for
-// broadcastDeadline from the announcement on, had no link to discovery and could reach, through others too, a gateway with a watch; a
-// gateway that was started or became reachable counts once all views agreed.
+// BroadcastReport summarizes how announced purges reached gateways without a discovery watch. A pair consists of a
+// purge and a gateway. It counts if, for broadcastDeadline after the announcement, the gateway ran, had no link to
+// discovery and could reach a gateway with a watch, directly or through other gateways. After a gateway was started or
+// became reachable, its pairs count only once all views have agreed.
 type BroadcastReport struct {
 	Purges                int     `json:"told"`
 	Pairs                 int     `json:"pairs"`
 	InTime                int     `json:"within"` // pairs whose purge arrived within broadcastDeadline
-	Share                 float64 `json:"share"`  // of InTime in Pairs
-	P50                   int64   `json:"p50_ms"` // of the pairs whose purge arrived
+	Share                 float64 `json:"share"`  // InTime divided by Pairs
+	P50                   int64   `json:"p50_ms"` // median latency over the pairs whose purge arrived
 	P99                   int64   `json:"p99_ms"`
 	Max                   int64   `json:"most_ms"`
-	ByWatch               int     `json:"own"`             // purges and gateways with a watch of their own
-	FinalPairs            int     `json:"final"`           // purges and gateways that ran at the end
-	MissingPairs          int     `json:"lost"`            // of FinalPairs, those that the gateway's process never applied
-	BusiestBytesPerSecond float64 `json:"busiest_bytes_s"` // in and out, the mean since its start, of the busiest process at the end
+	ByWatch               int     `json:"own"`             // pairs of a purge and a gateway with a watch of its own
+	FinalPairs            int     `json:"final"`           // pairs with a gateway that ran and reported at the end
+	MissingPairs          int     `json:"lost"`            // of FinalPairs: the gateway's last process never applied the purge
+	BusiestBytesPerSecond float64 `json:"busiest_bytes_s"` // of the busiest process at the end: in and out, mean since its start
 	Unreported            int     `json:"unasked"`         // gateways that ran at the end and gave no report
 }
 
-// report judges the run by what the rig did. The rig's mu is held.
+// report evaluates the run. Which gateways had to receive a purge
+// follows from the rig's own actions. The caller holds the rig's mu.
 func (b *broadcastRun) report(states []viewState) *BroadcastReport {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -49,7 +51,7 @@
 	return report
 }
 
-// reportPurge counts the pairs of one purge and returns the latencies of those that arrived.
+// reportPurge adds the pairs of one purge to the report and returns the latencies of the pairs whose purge arrived.
 func (b *broadcastRun) reportPurge(report *BroadcastReport, purge publishedPurge, names []string, states []viewState) (latenciesMS []int64) {
 	span := b.spanOf(purge)
 	watchers := map[string]bool{}
@@ -76,8 +78,8 @@
 	return latenciesMS
 }
 
-// mustReceive reports whether a gateway must receive a purge by broadcast: it has no watch at any time of the span and can reach a
-// watcher throughout.
+// mustReceive reports whether a gateway must receive a purge by broadcast. This holds if it has no watch at any time of
+// the span and can reach one of the watchers during the whole span.
 func (b *broadcastRun) mustReceive(name string, watchers map[string]bool, span topologySpan, states []viewState) bool {
 	for _, t := range span.during {
 		if t.watching[name] {
@@ -92,7 +94,7 @@
 	return false
 }
 
-// reportFinal counts what the gateways that run at the end have applied.
+// reportFinal adds to the report what the gateways that run at the end have applied.
 func (b *broadcastRun) reportFinal(report *BroadcastReport, names []string) {
 	last := b.topologies[len(b.topologies)-1]
 	for _, name := range names {
@@ -114,7 +116,7 @@
 	}
 }
 
-// violations are where the report breaks what the scenario requires.
+// violations returns a text for each requirement of the scenario that the report does not meet.
 func (r *BroadcastReport) violations(load *PurgeLoad) (found []string) {
 	if r.MissingPairs > 0 {
 		found = append(found, fmt.Sprintf("%d purges of %d are lost at gateways that ran at the end", r.MissingPairs, r.FinalPairs))
--- a/internal/lab/fleet/errors.go
+++ b/internal/lab/fleet/errors.go
@@ -9,11 +9,11 @@
 
 // Errors that a GatewayError wraps.
 var (
-	ErrRunning    = errors.New("runs already")
-	ErrNotRunning = errors.New("does not run")
+	ErrRunning    = errors.New("is already running")
+	ErrNotRunning = errors.New("is not running")
 )
 
-// GatewayError is an operation on one gateway that failed.
+// GatewayError reports a failed operation on one gateway.
 type GatewayError struct {
 	Gateway string // its name in the scenario
 	Err     error
@@ -25,7 +25,7 @@
 // Unwrap returns the cause.
 func (e *GatewayError) Unwrap() error { return e.Err }
 
-// StopTimeoutError is a process that did not end after a signal and was killed.
+// StopTimeoutError reports a process that did not exit in time after a signal and was killed.
 type StopTimeoutError struct {
 	Signal  syscall.Signal
 	Timeout time.Duration
@@ -33,17 +33,18 @@
 
 // Error names the timeout and the signal.
 func (e *StopTimeoutError) Error() string {
-	return fmt.Sprintf("did not end within %v of signal %v", e.Timeout, e.Signal)
+	return fmt.Sprintf("did not exit within %v of signal %v and was killed", e.Timeout, e.Signal)
 }
 
-// CrashError is a gateway process that ended by itself, ended badly after SIGTERM, or logged a fault of the program.
+// CrashError reports a gateway process that exited by itself, exited
+// with an error after SIGTERM, or logged a fault of the program.
 type CrashError struct {
 	Gateway string
-	LogLine string // the line that shows the fault; empty: the process ended
-	Exit    error  // how the process ended; nil with exit code 0
+	LogLine string // the line that shows the fault; empty: the process exited
+	Exit    error  // how the process exited; nil: exit code 0
 }
 
-// Error names the gateway and the log line, or how the process ended.
+// Error names the gateway and the log line, or how the process exited.
 func (e *CrashError) Error() string {
 	if e.LogLine != "" {
 		return e.Gateway + ": " + e.LogLine
@@ -51,21 +52,21 @@
 	return fmt.Sprintf("%s ended by itself: %v", e.Gateway, e.Exit)
 }
 
-// Unwrap returns how the process ended.
+// Unwrap returns how the process exited.
 func (e *CrashError) Unwrap() error { return e.Exit }
 
-// NotReadyError is a fleet whose gateways did not settle in time after their start.
+// NotReadyError reports a fleet whose gateways did not settle in time after their start.
 type NotReadyError struct {
 	Timeout time.Duration
-	Dir     string // where the gateways' logs are
+	Dir     string // folder with the gateways' logs
 }
 
-// Error names the timeout and where the logs are.
+// Error names the timeout and the folder with the logs.
 func (e *NotReadyError) Error() string {
-	return fmt.Sprintf("the fleet was not ready within %v: see the logs in %s", e.Timeout, e.Dir)
+	return fmt.Sprintf("the fleet did not settle within %v of its start; the logs are in %s", e.Timeout, e.Dir)
 }
 
-// StepError is a step that could not be carried out.
+// StepError reports a step that could not be carried out.
 type StepError struct {
 	Step   int // index into Scenario.Steps
 	Action string
@@ -78,20 +79,21 @@
 // Unwrap returns the cause.
 func (e *StepError) Unwrap() error { return e.Err }
 
-// RepeatError is a repeated step without an interval, without a step after it, or with too many repeats.
+// RepeatError reports a repeated step without an interval,
+// without a following step, or with more than maxSteps repeats.
 type RepeatError struct {
-	Step int // index into Scenario.Steps as they were written
+	Step int // index into Scenario.Steps before repeated steps are unrolled
 }
 
-// Error names the step and what it needs.
+// Error names the step and what a repeated step needs.
 func (e *RepeatError) Error() string {
-	return fmt.Sprintf("steps[%d] repeats: it needs every_ms and a step after it", e.Step)
+	return fmt.Sprintf("steps[%d]: a repeated step needs every_ms above 0, a step after it, and no more repeats than a scenario may have steps", e.Step)
 }
 
-// AdminError is the text of an error that a gateway's admin socket answered with.
+// AdminError reports an error that a gateway returned on its admin socket.
 type AdminError struct {
 	Text string
 }
 
-// Error is the gateway's text.
+// Error returns the gateway's error text.
 func (e *AdminError) Error() string { return e.Text }
--- a/internal/lab/fleet/events.go
+++ b/internal/lab/fleet/events.go
@@ -4,27 +4,28 @@
 	"time"
 )
 
-// maxEvents bounds the events that a run keeps; later ones are dropped.
+// maxEvents bounds the events that a run keeps. Later events are dropped.
 const maxEvents = 20_000
 
-// Values of Event.State beside those of a member's state.
+// Values of Event.State that the rig interprets. Any other value is a state of the member.
 const (
-	eventPurge = "purge" // a purge that came from a peer first; Event.Name is the object
+	eventPurge = "purge" // a purge that the gateway received from a peer first; Event.Name is the object
 	eventDead  = "dead"
 )
 
-// Event is a change of a view, or a purge that was received, as a gateway logged it.
+// Event is a change in a gateway's view, or a purge that the gateway received, as the gateway logged it.
 type Event struct {
-	AtMS       int64  `json:"at_ms"` // since the run's start
-	Observer   string `json:"on"`    // the gateway that logged it
-	Name       string `json:"name"`  // the member that changed
+	AtMS       int64  `json:"at_ms"` // since the start of the run
+	Observer   string `json:"on"`    // the gateway that logged the event
+	Name       string `json:"name"`  // the member that changed, or the purged object
 	State      string `json:"state"`
 	Source     string `json:"by,omitempty"`
 	Reason     string `json:"why,omitempty"`
-	FalseDeath bool   `json:"false,omitempty"` // the member was marked dead while it ran and could be reached in both directions
+	FalseDeath bool   `json:"false,omitempty"` // dead while it ran and its links with the observer were open
 }
 
-// handleLogEvent records a line of a gateway's log, by the line's fields.
+// handleLogEvent records the event in a line of the observer's log, given as the fields of the line, and requests an
+// observation of the views.
 func (r *Rig) handleLogEvent(observer string, fields map[string]string, at time.Time) {
 	defer r.requestObservation()
 	event := Event{AtMS: at.Sub(r.startedAt).Milliseconds(), Observer: observer}
@@ -51,7 +52,7 @@
 	}
 }
 
-// isReachable reports whether a gateway runs and its links with another one are open in both directions.
+// isReachable reports whether the named gateway runs and its links with the gateway from are open in both directions.
 func (r *Rig) isReachable(from, name string) bool {
 	p := r.byName[name]
 	return p != nil && p.isRunning() && r.links.IsOpen(from, name)
--- a/internal/lab/fleet/gateway_files.go
+++ b/internal/lab/fleet/gateway_files.go
@@ -10,17 +10,17 @@
 	"foldslip/example/standin"
 )
 
-// gatewayFiles are the parts of a gateway's configuration that differ from gateway to gateway.
+// gatewayFiles holds the parts of a gateway's configuration that differ between gateways.
 type gatewayFiles struct {
-	index     int // of the gateway in the scenario, from 0
+	index     int // position of the gateway in the scenario, from 0
 	endpoints []standin.Endpoint
-	seeds     []string // addresses of the gateways that it joins
+	seeds     []string // addresses of the gateways that it contacts to join the fleet
 	listen    netip.AddrPort
-	advertise netip.AddrPort // the relay's listener: the address that peers know
+	advertise netip.AddrPort // address of the relay's public listener, which peers know
 }
 
-// writeGatewayFiles writes a gateway's configuration and settings and sets the process's arguments and environment. Keys are those
-// of the configuration files.
+// writeGatewayFiles writes the configuration and the settings of a gateway and sets the arguments and the environment
+// of its process. Map keys are the keys of the files.
 func (r *Rig) writeGatewayFiles(p *process, files gatewayFiles) error {
 	settingsPath := filepath.Join(p.dir, "settings.jsonnet")
 	if err := writeJSON(settingsPath, r.operatorSettings(p, files)); err != nil {
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// operatorSettings are a gateway's settings of the fleet and of the limit on lookups.
+// operatorSettings returns a gateway's operator settings: the fleet, and the limit on lookups if the scenario has one.
 func (r *Rig) operatorSettings(p *process, files gatewayFiles) map[string]any {
 	fleet := r.scenario.Fleet
 	fleet.Listen = files.listen.String()
@@ -83,7 +83,7 @@
 	return os.WriteFile(path, text, 0o600)
 }
 
-// gatewaySettings are the platform settings of the example, in the form that the platform sends them.
+// gatewaySettings holds the platform settings of the example in the form in which the platform sends them.
 const gatewaySettings = `{"areas":["town","hub"],"az":0,"balancers":12,"discovery":"push","weights":"off",
 "machine_types":["edge","parent","origin"],"ceilings":{"cancelling":true,"connect_timeout":400000,"keepalive":30000000,
 "max_retry_after":2000000,"max_streams":100,"retry_after":true,"second_copies":true,"try_limit":6},
--- a/internal/lab/fleet/links.go
+++ b/internal/lab/fleet/links.go
@@ -7,35 +7,36 @@
 	"time"
 )
 
-// LinkFault is the fault of one direction of a link. The zero value is no fault.
+// LinkFault describes the injected faults of one direction of a link. The zero value is no fault.
 type LinkFault struct {
 	Cut            bool
-	Loss           float64       // probability that a datagram is lost; a stream's bytes are delayed by retransmitAfter instead
-	Delay          time.Duration // in this direction
-	Jitter         time.Duration // further delay, random up to this
+	Loss           float64       // probability that a datagram is lost; stream bytes are delayed by retransmitAfter instead
+	Delay          time.Duration // fixed delay
+	Jitter         time.Duration // maximum of a random delay that is added to Delay
 	Reorder        float64       // probability that a datagram is delayed by reorderDelay
-	BytesPerSecond int64         // 0: no limit
+	BytesPerSecond int64         // bandwidth; 0: unlimited
 }
 
 const (
 	retransmitAfter = 200 * time.Millisecond // smallest retransmission timeout of TCP in Linux
 	reorderDelay    = 30 * time.Millisecond
 
-	linksStream = 0x6c696e6b73 // separates the random numbers of Links from others of the same seed
+	linksStream = 0x6c696e6b73 // keeps the random numbers of Links apart from others of the same seed
 )
 
-// linkKey names one direction of a link.
+// linkKey identifies one direction of a link.
 type linkKey struct{ from, to string }
 
-// Links are the directed links between named parties: gateways and stub servers. They are safe for concurrent use.
+// Links holds the faults of the directed links between named parties,
+// which are gateways and stub servers. It is safe for concurrent use.
 type Links struct {
 	mu        sync.Mutex
 	random    *rand.Rand
 	faults    map[linkKey]LinkFault
-	busyUntil map[linkKey]time.Time // when a link with limited bytes has sent what was given to it
+	busyUntil map[linkKey]time.Time // when a link with limited bandwidth has sent the bytes given to it so far
 }
 
-// NewLinks returns links without faults. Random faults are drawn from the seed.
+// NewLinks returns links without faults. The seed initializes the generator that random faults are drawn from.
 func NewLinks(seed uint64) *Links {
 	return &Links{
 		random:    rand.New(rand.NewPCG(seed, linksStream)),
@@ -44,7 +45,8 @@
 	}
 }
 
-// Set puts a fault on the links from each of some parties to each of others; the zero value removes their fault.
+// Set puts a fault on the links from each party in from to each
+// party in to. The zero value removes the fault of these links.
 func (l *Links) Set(from, to []string, fault LinkFault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,7 +64,8 @@
 	}
 }
 
-// Split cuts all links between parties that are in no group together. A party may be in several groups.
+// Split cuts all links between parties of different groups, except
+// between parties that share a group. A party may be in several groups.
 func (l *Links) Split(groups [][]string) {
 	shareGroup := func(a, b string) bool {
 		return slices.ContainsFunc(groups, func(group []string) bool { return slices.Contains(group, a) && slices.Contains(group, b) })
@@ -105,8 +108,8 @@
 	return l.faults[linkKey{from, to}].Cut
 }
 
-// Transfer decides what becomes of size bytes on a link: they are lost, or arrive after a delay. Bytes of a stream are lost only by a
-// cut.
+// Transfer decides what happens to size bytes that are sent on a link. They are lost or arrive after a delay. Bytes of
+// a stream are lost only if the link is cut.
 func (l *Links) Transfer(from, to string, size int, isStream bool) (lost bool, delay time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -140,7 +143,8 @@
 	return fault.Cut, delay
 }
 
-// Partitions groups parties by which can reach each other over links that are open in both directions, directly or through others.
+// Partitions groups the parties that can reach each other, directly or
+// through other parties, over links that are open in both directions.
 func (l *Links) Partitions(parties []string) (sides [][]string) {
 	seen := map[string]bool{}
 	for _, party := range parties {
--- a/internal/lab/fleet/load.go
+++ b/internal/lab/fleet/load.go
@@ -15,45 +15,47 @@
 )
 
 const (
-	slotsPerSecond   = 10 // of lookupLoad.satisfiedBySlot
+	slotsPerSecond   = 10 // resolution of lookupLoad.satisfiedBySlot
 	maxOpenLookups   = 256
-	lookupTimeout    = 6 * time.Second // a little longer than the longest deadline of a lookup
+	lookupTimeout    = 6 * time.Second // slightly longer than the longest deadline of a lookup
 	dialTimeout      = time.Second
 	maxLatencyMicros = 60_000_000
 	defaultObjects   = 200
 )
 
-// lookupLoad sends lookups at a steady rate to the running gateways in turn, each on a connection of its own, at most maxOpenLookups at
-// once. Latency counts from when a lookup was due, not from when it could be sent (coordinated omission).
+// lookupLoad sends lookups at a steady rate to the running gateways in turn. Each lookup has its
+// own connection, and at most maxOpenLookups are in flight. Latency counts from when the rate
+// limiter releases a lookup and includes the time to connect. A lookup does not wait for earlier
+// ones, so slow responses do not hide the latency of later lookups (coordinated omission).
 type lookupLoad struct {
 	rig       *Rig
 	cancel    context.CancelFunc
 	wait      sync.WaitGroup
 	startedAt time.Time
-	through   map[string]bool // gateways that get lookups; empty: all
-	objects   int64
+	through   map[string]bool // gateways that receive lookups; empty: all
+	objects   int64           // number of different objects
 
-	mu              sync.Mutex // guards what follows
+	mu              sync.Mutex // guards the fields below
 	counts          LoadReport
-	satisfiedBySlot []int                   // by the time at which the lookup was due
-	latencies       *hdrhistogram.Histogram // microseconds
+	satisfiedBySlot []int                   // satisfied lookups by the slot in which they were due
+	latencies       *hdrhistogram.Histogram // of satisfied lookups, in microseconds
 }
 
-// LoadReport is how the lookups of a run ended.
+// LoadReport counts the lookups of a run by their results and gives the latencies of the satisfied ones.
 type LoadReport struct {
 	Sent        int64 `json:"asked"`
 	Satisfied   int64 `json:"satisfied"`
-	Rejected    int64 `json:"nacked"`
-	Failed      int64 `json:"failed"`  // answered with an error
-	Interrupted int64 `json:"broken"`  // no answer, and the gateway was killed, paused or stopped meanwhile
-	Lost        int64 `json:"lost"`    // no answer of a gateway that ran all the time: never allowed
-	Skipped     int64 `json:"skipped"` // not sent: too many were open, or no gateway ran
+	Rejected    int64 `json:"nacked"`  // answered with status 503 or 429
+	Failed      int64 `json:"failed"`  // answered with any other status than 200
+	Interrupted int64 `json:"broken"`  // no complete answer; the gateway was killed, paused or stopped meanwhile
+	Lost        int64 `json:"lost"`    // no complete answer from a gateway that ran all the time; must be 0
+	Skipped     int64 `json:"skipped"` // not sent, because too many lookups were in flight or no gateway ran
 	P50         int64 `json:"p50_us"`
 	P99         int64 `json:"p99_us"`
 	Max         int64 `json:"max_us"`
 }
 
-// startLoad starts sending lookups. The caller must call stop.
+// startLoad starts sending lookups in the background. The caller must call stop.
 func startLoad(load Load, r *Rig) *lookupLoad {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &lookupLoad{
@@ -95,7 +97,7 @@
 	}
 }
 
-// serving are the gateways that get lookups now.
+// serving returns the gateways that receive lookups at present.
 func (l *lookupLoad) serving() (processes []*process) {
 	for _, p := range l.rig.processes {
 		if p.isServing() && (len(l.through) == 0 || l.through[p.name]) {
@@ -136,7 +138,7 @@
 	}
 }
 
-// countSatisfied counts a satisfied lookup; mu is held.
+// countSatisfied counts a satisfied lookup and its latency. The caller holds mu.
 func (l *lookupLoad) countSatisfied(due time.Time) {
 	l.counts.Satisfied++
 	slot := int(due.Sub(l.startedAt) * slotsPerSecond / time.Second)
@@ -147,7 +149,7 @@
 	l.latencies.RecordValue(min(time.Since(due).Microseconds(), maxLatencyMicros))
 }
 
-// doLookup sends a lookup on a connection of its own and returns the status of the complete response.
+// doLookup sends a lookup on a new connection, reads the whole response and returns its status.
 func doLookup(address string, number int, object int64) (status int, err error) {
 	conn, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
@@ -166,7 +168,7 @@
 	return response.StatusCode, err
 }
 
-// stop ends the load and waits for its open lookups.
+// stop ends the load and waits for the lookups in flight.
 func (l *lookupLoad) stop() {
 	l.cancel()
 	l.wait.Wait()
--- a/internal/lab/fleet/memory_cache.go
+++ b/internal/lab/fleet/memory_cache.go
@@ -8,17 +8,17 @@
 	"foldslip/example/standin"
 )
 
-// maxStoredObjects bounds a memoryCache; later fills are answered but not stored.
+// maxStoredObjects bounds the entries of a memoryCache. Further fills are answered but not stored.
 const maxStoredObjects = 100_000
 
-// memoryCache answers a stub cache's requests. It makes up an object the first time that it is requested with a source to fill from,
-// and stores it from then on.
+// memoryCache answers the requests to a stub cache. It generates an object when a request for it first names a source
+// to fill from, and serves the object as stored from then on.
 type memoryCache struct {
 	mu       sync.Mutex
-	storedAt map[string]time.Time // by key and part of the object
+	storedAt map[string]time.Time // time of the fill, by key and part of the object
 }
 
-// respond answers one request of the caches' protocol.
+// respond answers one request of the cache protocol.
 func (c *memoryCache) respond(request standin.Request) {
 	key := request.Fields["k"] + "/" + request.Fields["p"]
 	hasSource := request.Fields["from"] != ""
--- a/internal/lab/fleet/plot.go
+++ b/internal/lab/fleet/plot.go
@@ -14,8 +14,9 @@
 	plotHeight = 12 * vg.Centimeter
 )
 
-// Plot draws the views over time into a file, in the format of its extension: the fewest and the most live members that a running
-// gateway sees, how many gateways run, and the steps.
+// Plot draws the views over time into a file, in the format that the file's
+// extension names. The plot shows the lowest and the highest number of live members
+// in the view of a running gateway, the number of running gateways, and the steps.
 func (r *Report) Plot(path string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s, seed %d: live members in the views of running gateways", r.Scenario, r.Seed)
@@ -54,7 +55,7 @@
 	return p.Save(plotWidth, plotHeight, path)
 }
 
-// steppedLine are the points of a value that holds until the next sample.
+// steppedLine returns the points of a stepped line, on which each value holds until the next sample.
 func (r *Report) steppedLine(value func(ViewSample) int) (points plotter.XYs) {
 	for i, sample := range r.Views {
 		x := float64(sample.AtMS) / 1000
@@ -66,7 +67,7 @@
 	return points
 }
 
-// plotStep draws a vertical line with the step's action.
+// plotStep draws a vertical line at the time of a step and labels it with the step's action.
 func (r *Report) plotStep(p *plot.Plot, step StepReport) error {
 	x := float64(step.AtMS+r.ReadyMS) / 1000
 	line, err := plotter.NewLine(plotter.XYs{{X: x, Y: 0}, {X: x, Y: float64(r.Gateways) + 1}})
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -14,32 +14,33 @@
 	"foldslip/internal/fleet/membership"
 )
 
-// process is one gateway of the rig, over all of its starts.
+// process is one gateway of the rig. It covers all starts of the
+// gateway, of which each has its own operating system process.
 type process struct {
 	name      string
-	dir       string // its settings, log, admin socket and kept members
+	dir       string // folder of its settings, log, admin socket and kept members
 	program   string
 	env       []string
 	args      []string
-	clients   string // address for clients
-	discovery string // address of its discovery server: a private listener of the relay
+	clients   string // address that clients connect to
+	discovery string // address of its discovery server, which is a private listener of the relay
 	rig       *Rig
 	log       *os.File // written by followLog only
 
-	mu         sync.Mutex    // guards what follows
-	cmd        *exec.Cmd     // nil: does not run
-	ended      chan struct{} // closed when cmd has ended
-	running    bool          // runs and is not paused
-	ready      bool          // and has logged that it started: clients may connect
+	mu         sync.Mutex    // guards the fields below
+	cmd        *exec.Cmd     // nil: no process runs
+	ended      chan struct{} // closed when cmd has exited
+	running    bool          // a process runs and is not paused
+	ready      bool          // the process has logged that it started; clients may connect
 	paused     bool
-	expectedUp bool // its end would be a crash
-	stopped    bool // SIGTERM was sent: its exit code must be 0
-	crash      error
-	starts     int
-	view       loggedView
+	expectedUp bool       // an exit would be a crash
+	stopped    bool       // SIGTERM was sent; the exit code must be 0
+	crash      error      // the last crash; nil: none
+	starts     int        // number of starts so far
+	view       loggedView // according to its log
 }
 
-// start starts the gateway's process; its log is followed until it ends.
+// start starts the gateway's process and follows its log until the process exits.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// follow reads the process's log until it ends, and closes ended.
+// follow reads the log of the process until the process exits, records the exit and closes ended.
 func (p *process) follow(output io.Reader, cmd *exec.Cmd, ended chan struct{}) {
 	p.followLog(output)
 	err := cmd.Wait()
@@ -86,8 +87,8 @@
 	close(ended)
 }
 
-// signalAndWait sends the process a signal that ends it and waits for its end. After the timeout it is killed. A process that does
-// not run is no error.
+// signalAndWait sends the process a signal that ends it and waits for its exit. After the timeout it kills the process
+// and returns an error. It returns nil if no process runs.
 func (p *process) signalAndWait(signal syscall.Signal, timeout time.Duration) error {
 	p.mu.Lock()
 	cmd := p.cmd
@@ -116,7 +117,7 @@
 	}
 }
 
-// setPaused stops the process by SIGSTOP, or continues it.
+// setPaused pauses the process with SIGSTOP or resumes it with SIGCONT.
 func (p *process) setPaused(paused bool) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -156,7 +157,7 @@
 	return p.crash
 }
 
-// report requests the gateway's membership report at its admin socket.
+// report requests the gateway's membership report on its admin socket.
 func (p *process) report(ctx context.Context) (*membership.Report, error) {
 	response, err := admin.Send(ctx, p.socket(), admin.Request{Command: "fleet"})
 	if err != nil {
@@ -168,8 +169,8 @@
 	return response.Fleet, nil
 }
 
-// socket is the path of the admin socket, short because of the kernel's limit.
+// socket returns the path of the admin socket. The file name is short because the kernel limits the length of the path.
 func (p *process) socket() string { return filepath.Join(p.dir, "s") }
 
-// memberDir is where the gateway keeps its members, in scenarios where it does.
+// memberDir returns the folder in which the gateway keeps its members if Scenario.KeepMembers is set.
 func (p *process) memberDir() string { return filepath.Join(p.dir, "kept") }
--- a/internal/lab/fleet/process_log.go
+++ b/internal/lab/fleet/process_log.go
@@ -9,17 +9,18 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// maxLineBytes is the longest line of a log that the rig interprets; longer ones are written in parts and otherwise ignored.
+// maxLineBytes is the length of the longest log line that the rig interprets as a whole. A longer line is copied to the
+// log file in parts, each on a line of its own, and only the last part is interpreted.
 const maxLineBytes = 64 << 10
 
-// loggedView is a gateway's view of the fleet by its own log.
+// loggedView is a gateway's view of the fleet according to the gateway's own log.
 type loggedView struct {
-	live    map[string]bool
-	settled bool
-	digest  string
+	live    map[string]bool // names of live members
+	settled bool            // the gateway has logged that it settled since the last change
+	digest  string          // of the set of members that it last settled on
 }
 
-// apply changes the view by one line of the log of the gateway self.
+// apply updates the view by the fields of one line of the log of the gateway self.
 func (v *loggedView) apply(self string, fields map[string]string) {
 	switch fields["event"] {
 	case "fleet_member":
@@ -44,7 +45,7 @@
 	}
 }
 
-// followLog copies the process's log to its file and interprets each line, until the log ends.
+// followLog copies the log of the process to the log file and interprets each line until the log ends.
 func (p *process) followLog(output io.Reader) {
 	reader := bufio.NewReaderSize(output, maxLineBytes)
 	for {
@@ -82,14 +83,14 @@
 	p.rig.handleLogEvent(p.name, fields, at)
 }
 
-// recordFault notes a line of the log that shows a fault of the program.
+// recordFault records a log line that shows a fault of the program as a crash.
 func (p *process) recordFault(line string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.crash = &CrashError{Gateway: p.name, LogLine: line}
 }
 
-// logFields decodes a line in logfmt; what cannot be decoded is left out.
+// logFields decodes a line in logfmt. It leaves out what follows the first syntax error.
 func logFields(line string) map[string]string {
 	decoder := logfmt.NewDecoder(strings.NewReader(line))
 	fields := map[string]string{}
--- a/internal/lab/fleet/relay.go
+++ b/internal/lab/fleet/relay.go
@@ -9,16 +9,19 @@
 	"time"
 )
 
-// Relay carries datagrams and streams between gateways, and from gateways to the stub servers, with the faults of Links. Each gateway
-// has a public listener of the relay, whose address the others know. What arrives there from another gateway's own address is
-// forwarded to the gateway as the links say, from the sender's public address. No rule of the kernel's network is changed.
+// Relay forwards datagrams and streams between gateways, and streams from gateways to the stub
+// servers, with the faults of Links. Each gateway has a public listener of the relay, whose address
+// is the one that other gateways know. The relay forwards what arrives there from another gateway's
+// own address to the listener's gateway, subject to the faults of the link. The receiver sees the
+// public address of the sender as the source. The relay changes no rule of the kernel's network.
 //
-// Bounds: maxDatagramsInFlight delayed datagrams and maxStreams streams; what comes beyond them is dropped or closed.
+// The relay holds at most maxDatagramsInFlight delayed datagrams and maxStreams streams. It drops datagrams and closes
+// streams beyond these bounds.
 type Relay struct {
 	links       *Links
 	mu          sync.Mutex // guards listeners and byTarget
 	listeners   map[listenerKey]*relayListener
-	byTarget    map[netip.Addr]*relayListener // public listeners by the gateway's own address
+	byTarget    map[netip.Addr]*relayListener // public listeners by the IP address of their gateway's own listener
 	inFlight    atomic.Int64                  // delayed datagrams
 	openStreams atomic.Int64
 	maxStreams  int64
@@ -29,33 +32,35 @@
 const (
 	maxDatagramsInFlight = 20_000
 	maxDatagramBytes     = 65536
-	readBufferBytes      = 4 << 20          // the kernel's, of one listener
-	cutTimeout           = 10 * time.Second // a stream into a cut stays open and silent so long
+	readBufferBytes      = 4 << 20          // kernel's receive buffer of one datagram listener
+	cutTimeout           = 10 * time.Second // how long a stream over a cut link stays open and silent
 	relayDialTimeout     = 2 * time.Second
-	acceptErrorPause     = 10 * time.Millisecond // before the next accept
+	acceptErrorPause     = 10 * time.Millisecond // from a failed accept to the next one
 	copyBufferBytes      = 16 << 10
 )
 
-// listenerKey names a listener: private ones are of one gateway, public ones have no from.
+// listenerKey identifies a listener. A private listener serves
+// the gateway named from. A public listener has an empty from.
 type listenerKey struct{ from, to string }
 
-// relayListener is where the relay listens for traffic to one target.
+// relayListener is a listener of the relay for traffic to one target.
 type relayListener struct {
-	name   string         // of the target
-	target netip.AddrPort // where the target listens
-	public netip.AddrPort // the relay's address
-	udp    *net.UDPConn   // nil: private
+	name   string         // name of the target
+	target netip.AddrPort // address at which the target listens
+	public netip.AddrPort // address at which the relay listens
+	udp    *net.UDPConn   // nil: a private listener
 	tcp    *net.TCPListener
 }
 
-// streamRoute is the way of one stream through the relay.
+// streamRoute is the route of one stream through the relay.
 type streamRoute struct {
 	from, to string
-	source   *net.TCPAddr // address that the target sees; nil: any
+	source   *net.TCPAddr // address that the target sees; nil: chosen by the kernel
 	target   netip.AddrPort
 }
 
-// NewRelay returns a relay over links, for at most maxStreams streams at once. The caller must call Close.
+// NewRelay returns a relay with the faults of links, for at most
+// maxStreams concurrent streams. The caller must call Close.
 func NewRelay(links *Links, maxStreams int) *Relay {
 	return &Relay{
 		links:      links,
@@ -66,7 +71,8 @@
 	}
 }
 
-// Add opens a gateway's public listener. What arrives there is forwarded to target, whose address no other gateway shares.
+// Add opens a gateway's public listener and forwards what arrives
+// there to target. No other gateway may have the IP address of target.
 func (r *Relay) Add(name string, public, target netip.AddrPort) error {
 	udp, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(public))
 	if err != nil {
@@ -88,7 +94,8 @@
 	return nil
 }
 
-// AddPrivate opens a listener for the streams of one gateway to a target, with the faults of the links from it to the target's name.
+// AddPrivate opens a listener for the streams of the gateway named from to the target named to. The faults of the links
+// between the two apply to these streams.
 func (r *Relay) AddPrivate(from, to string, private, target netip.AddrPort) error {
 	tcp, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(private))
 	if err != nil {
@@ -109,7 +116,7 @@
 	return nil
 }
 
-// sender is the public listener of the gateway whose own address that is; nil: nobody's.
+// sender returns the public listener of the gateway with the given own address, or nil if no gateway has it.
 func (r *Relay) sender(address netip.Addr) *relayListener {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -132,7 +139,8 @@
 	}
 }
 
-// forwardDatagram sends a datagram on, at once or after the delay of the link, or drops it. It keeps no reference to datagram.
+// forwardDatagram forwards a datagram, at once or after the delay
+// of the link, or drops it. It keeps no reference to datagram.
 func (r *Relay) forwardDatagram(from, to *relayListener, datagram []byte) {
 	lost, delay := r.links.Transfer(from.name, to.name, len(datagram), false)
 	if lost || r.inFlight.Load() >= maxDatagramsInFlight {
@@ -172,7 +180,7 @@
 	}
 }
 
-// openStream relays an accepted stream in a goroutine of its own, or closes it if too many are open.
+// openStream relays an accepted stream in a new goroutine, or closes the stream if maxStreams are open.
 func (r *Relay) openStream(conn *net.TCPConn, route streamRoute) {
 	if r.openStreams.Load() >= r.maxStreams {
 		conn.Close()
@@ -185,9 +193,9 @@
 	})
 }
 
-// pipe relays a stream in both directions until it ends, and closes it.
+// pipe relays a stream in both directions until it ends or the relay is closed, and then closes both connections.
 func (r *Relay) pipe(client *net.TCPConn, route streamRoute) {
-	if !r.links.IsOpen(route.from, route.to) { // neither the first byte nor the answer to it would come through
+	if !r.links.IsOpen(route.from, route.to) { // the first byte or the answer to it would be lost
 		r.holdSilent(client)
 		return
 	}
@@ -197,7 +205,7 @@
 	}
 	conn, err := dialer.Dial("tcp", route.target.String())
 	if err != nil {
-		client.SetLinger(0) // nobody listens there: the client gets a reset
+		client.SetLinger(0) // the client gets a reset, as from a port without a listener
 		client.Close()
 		return
 	}
@@ -219,7 +227,8 @@
 	<-copied
 }
 
-// copyStream moves bytes in one direction; at a cut it holds the stream open and silent, then ends it.
+// copyStream copies bytes in one direction until the stream ends. Once the link is cut, it holds the stream open and
+// silent for cutTimeout and then closes it.
 func (r *Relay) copyStream(in, out *net.TCPConn, from, to string) {
 	buffer := make([]byte, copyBufferBytes)
 	for {
@@ -244,7 +253,8 @@
 	}
 }
 
-// holdSilent keeps a stream open and silent for cutTimeout, as one into a cut is, and closes it.
+// holdSilent keeps a stream open and silent for cutTimeout, as a cut
+// link would, and then closes it. Closing the relay ends the wait.
 func (r *Relay) holdSilent(conn net.Conn) {
 	timer := time.NewTimer(cutTimeout)
 	defer timer.Stop()
@@ -255,7 +265,7 @@
 	conn.Close()
 }
 
-// Close ends the relay and waits until all of its goroutines have ended.
+// Close closes all listeners and streams of the relay and waits until its goroutines have ended.
 func (r *Relay) Close() {
 	close(r.done)
 	r.mu.Lock()
--- a/internal/lab/fleet/report.go
+++ b/internal/lab/fleet/report.go
@@ -9,49 +9,50 @@
 	"foldslip/internal/config"
 )
 
-// Report is the result of one run. JSON keys are a stored form.
+// Report is the result of one run. Its JSON keys are a stored format.
 type Report struct {
 	Scenario    string           `json:"scenario"`
 	Seed        uint64           `json:"seed"`
 	Gateways    int64            `json:"gateways"`
-	ReadyMS     int64            `json:"ready_ms"` // until all started gateways had settled
+	ReadyMS     int64            `json:"ready_ms"` // from the start until all started gateways had settled
 	Steps       []StepReport     `json:"steps"`
-	FalseDeaths int              `json:"false_deaths"` // log lines that marked a gateway dead that ran and could be reached
-	AtRest      Traffic          `json:"at_rest"`      // between ready and the first step
-	InChurn     Traffic          `json:"in_churn"`     // from the first step on
+	FalseDeaths int              `json:"false_deaths"` // log lines that marked a running, reachable gateway dead
+	AtRest      Traffic          `json:"at_rest"`      // from the ready time to the first step that is not a mark
+	InChurn     Traffic          `json:"in_churn"`     // from that step to the end of the run
 	Load        *LoadReport      `json:"load,omitempty"`
 	Limit       *LimitReport     `json:"limit,omitempty"`
-	Broadcast   *BroadcastReport `json:"spread,omitempty"` // of purges announced at a rate
+	Broadcast   *BroadcastReport `json:"spread,omitempty"` // of the scenario's Purges; nil: it has none
 	Events      []Event          `json:"events,omitempty"`
 	Views       []ViewSample     `json:"views,omitempty"`
-	Violations  []string         `json:"wrong,omitempty"` // faults of the fleet; empty: the run passed
+	Violations  []string         `json:"wrong,omitempty"` // unmet requirements and crashes; empty: the run passed
 }
 
-// StepReport is how a step ended. Times are in milliseconds after the step.
+// StepReport is the result of a step. A step lasts until the next one or the end of the run. Times are in milliseconds
+// after the start of the step, except AtMS.
 type StepReport struct {
 	AtMS            int64  `json:"at_ms"` // after the fleet was ready
 	Action          string `json:"do"`
-	Awaited         bool   `json:"awaited"`   // the fleet must settle before the next step
-	Agreed          bool   `json:"agreed"`    // all views were right at the end of the step
-	AgreedMS        int64  `json:"agreed_ms"` // until they were right and stayed so
-	Settled         bool   `json:"told"`      // and each gateway had logged that it settled, on the same set
-	SettledMS       int64  `json:"told_ms"`
-	BoundMS         int64  `json:"bound_ms,omitempty"` // on AgreedMS, SettledMS and PurgeReceivedMS; 0: none
-	PurgeReceivers  int    `json:"heeded,omitempty"`   // gateways that received a purge from a peer first
-	PurgeReceivedMS int64  `json:"heeded_ms,omitempty"`
+	Awaited         bool   `json:"awaited"`             // the fleet must settle before the next step
+	Agreed          bool   `json:"agreed"`              // all views were right at the end of the step
+	AgreedMS        int64  `json:"agreed_ms"`           // until the views were right and stayed right
+	Settled         bool   `json:"told"`                // Agreed, and all gateways had logged that they settled on the same set
+	SettledMS       int64  `json:"told_ms"`             // until the gateways had settled and stayed settled
+	BoundMS         int64  `json:"bound_ms,omitempty"`  // bound on AgreedMS, SettledMS and PurgeReceivedMS; 0: none
+	PurgeReceivers  int    `json:"heeded,omitempty"`    // gateways that received the purge from a peer first
+	PurgeReceivedMS int64  `json:"heeded_ms,omitempty"` // until the last of them received it
 }
 
-// ViewSample is a state of the running gateways' views.
+// ViewSample is the state of the running gateways' views from a time on, until the next sample.
 type ViewSample struct {
 	AtMS    int64 `json:"at_ms"`
-	MinLive int   `json:"least"` // fewest live members in a view
-	MaxLive int   `json:"most"`
-	Running int   `json:"up"`
+	MinLive int   `json:"least"` // lowest number of live members in a view
+	MaxLive int   `json:"most"`  // highest number of live members in a view
+	Running int   `json:"up"`    // running gateways
 	Agreed  bool  `json:"agree"`
 	Settled bool  `json:"told"`
 }
 
-// report judges the run.
+// report evaluates the run.
 func (r *Rig) report() *Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -80,7 +81,7 @@
 	return report
 }
 
-// stepReport is how a step ended; mu is held.
+// stepReport returns the result of a step. The caller holds mu.
 func (r *Rig) stepReport(index int, step Step) StepReport {
 	ready := r.trafficSamples[0].at
 	from := r.trafficSamples[index+1].at
@@ -101,7 +102,7 @@
 	return report
 }
 
-// violations are where a step's end breaks what the scenario requires of it.
+// violations returns a text for each requirement of the scenario that the result of a step does not meet.
 func (r StepReport) violations(index int, step Step) []string {
 	violation := func(format string, args ...any) []string {
 		return []string{fmt.Sprintf("step %d (%s): ", index, step.Action) + fmt.Sprintf(format, args...)}
@@ -124,7 +125,8 @@
 	return nil
 }
 
-// reportTraffic splits the run's traffic at the first step that changes something; mu is held.
+// reportTraffic splits the traffic of the run at the first step that
+// changes something, which a mark does not. The caller holds mu.
 func (r *Rig) reportTraffic(report *Report) {
 	samples := r.trafficSamples
 	first := 1
@@ -135,7 +137,7 @@
 	report.InChurn = trafficBetween(samples[first], samples[len(samples)-1])
 }
 
-// reportLoad judges the lookups and the limit on them.
+// reportLoad evaluates the lookups and the limit on them.
 func (r *Rig) reportLoad(report *Report) {
 	if r.load == nil {
 		return
@@ -150,7 +152,8 @@
 	}
 }
 
-// heldSince reports whether a predicate held at the end of a span of time, and since how many milliseconds after the span's begin.
+// heldSince reports whether a predicate held at the end of a time span. If it did, sinceMS is the number of
+// milliseconds from the start of the span until it held for good.
 func heldSince(states []viewState, from, to time.Duration, holds func(viewState) bool) (held bool, sinceMS int64) {
 	since := time.Duration(-1)
 	for _, state := range states {
@@ -166,7 +169,7 @@
 	return held, max(0, (since - from).Milliseconds())
 }
 
-// MedianAndMax are the median and the largest of figures, NaN if there are none.
+// MedianAndMax returns the median and the maximum of figures, or NaN for both if there are none.
 func MedianAndMax(figures []float64) (median, largest float64) {
 	if len(figures) == 0 {
 		return math.NaN(), math.NaN()
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -8,19 +8,20 @@
 	"foldslip/example/standin"
 )
 
-// stopTimeout is for a gateway's process to end after a signal.
+// stopTimeout is the time that a gateway's process has to exit after a signal.
 const stopTimeout = 12 * time.Second
 
-// Options say how a scenario is run.
+// Options configure one run of a scenario.
 type Options struct {
 	Program  string // path of the gateway's program
-	Dir      string // for settings and logs; created, never removed
+	Dir      string // folder for settings and logs; it is created and never removed
 	Seed     uint64
-	Network  int                              // second byte of the loopback networks, less 60; concurrent runs need different ones
+	Network  int                              // second byte of the loopback networks, less 60; unique among concurrent runs
 	Progress func(format string, args ...any) // nil: progress is not reported
 }
 
-// Rig is one run of a scenario on real processes. Its fields before mu are set before the first goroutine starts.
+// Rig is one run of a scenario on real processes. The fields before mu are set before the first gateway starts, except
+// load and broadcast, which only the goroutine of Run uses.
 type Rig struct {
 	scenario  *Scenario
 	options   Options
@@ -35,17 +36,17 @@
 	load      *lookupLoad   // nil: the scenario sends no lookups
 	broadcast *broadcastRun // nil: the scenario announces no purges at a rate
 
-	viewsChanged chan struct{} // capacity 1: asks watchViews for an observation at once
+	viewsChanged chan struct{} // capacity 1; requests an observation by watchViews at once
 	done         chan struct{} // closed when the run ends
 
-	mu             sync.Mutex // guards what follows
+	mu             sync.Mutex // guards the fields below
 	viewStates     []viewState
 	events         []Event // at most maxEvents
 	falseDeaths    int
 	trafficSamples []trafficSample
 }
 
-// newRig returns a rig that has started nothing yet. The caller must call close.
+// newRig returns a rig that has not started anything yet. The caller must call close.
 func newRig(scenario *Scenario, options Options) *Rig {
 	if options.Progress == nil {
 		options.Progress = func(string, ...any) {}
@@ -63,8 +64,8 @@
 	}
 }
 
-// Run plays a scenario once. An error is a failure of the rig or a crash while the fleet starts; faults of the fleet during the
-// scenario are Report.Violations.
+// Run plays a scenario once. It returns an error if the rig fails or a gateway crashes while the fleet starts. It
+// reports faults of the fleet during the scenario as Report.Violations.
 func Run(scenario *Scenario, options Options) (*Report, error) {
 	r := newRig(scenario, options)
 	defer r.close()
@@ -93,10 +94,10 @@
 	return names
 }
 
-// elapsed is the time since the first gateway was started.
+// elapsed returns the time since the start of the run, which is when the first gateway is started.
 func (r *Rig) elapsed() time.Duration { return time.Since(r.startedAt) }
 
-// checkCrashes returns the first crash of any gateway.
+// checkCrashes returns the crash of the first gateway that has one, or nil.
 func (r *Rig) checkCrashes() error {
 	for _, p := range r.processes {
 		if err := p.crashError(); err != nil {
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// close kills all processes and ends the relay and the stub servers.
+// close kills all processes and closes the relay and the stub servers.
 func (r *Rig) close() {
 	var wait sync.WaitGroup
 	for _, p := range r.processes {
@@ -126,7 +127,7 @@
 	}
 }
 
-// discard receives from a channel that has no other reader, until done is closed.
+// discard receives and drops the values of a channel that has no other reader, until done is closed.
 func discard[T any](channel <-chan T, done <-chan struct{}) {
 	for {
 		select {
--- a/internal/lab/fleet/scenario_check.go
+++ b/internal/lab/fleet/scenario_check.go
@@ -8,7 +8,7 @@
 	"foldslip/internal/config"
 )
 
-// Defaults of a scenario.
+// Defaults of the fields of a Scenario.
 const (
 	defaultSeeds   = 3
 	defaultReadyMS = 30_000
@@ -23,7 +23,7 @@
 	scenario *Scenario
 }
 
-// check sets defaults, unrolls repeated steps and checks the scenario. file is its name in errors.
+// check sets defaults, unrolls repeated steps and checks the scenario. Errors name the file.
 func (s *Scenario) check(file string) error {
 	c := scenarioCheck{file: file, scenario: s}
 	if err := c.checkSizes(); err != nil {
@@ -57,17 +57,17 @@
 func (c scenarioCheck) checkSizes() error {
 	s := c.scenario
 	if s.Gateways < 1 || s.Gateways > maxGateways || s.LateGateways < 0 || s.LateGateways >= s.Gateways {
-		return c.errorAt("gateways", fmt.Sprintf("%d, %d of them late", s.Gateways, s.LateGateways), fmt.Sprintf("expected 1 to %d, some of them not late", maxGateways))
+		return c.errorAt("gateways", fmt.Sprintf("is %d, of which %d are late", s.Gateways, s.LateGateways), fmt.Sprintf("expected 1 to %d, of which at least one is not late", maxGateways))
 	}
 	if s.Caches < 0 || s.Caches > maxCaches {
 		return c.errorAt("caches", fmt.Sprintf("is %d", s.Caches), fmt.Sprintf("expected 0 to %d", maxCaches))
 	}
 	if s.Load.PerSecond < 0 || s.Load.PerSecond > maxLoad || s.Load.PerSecond > 0 && s.Caches == 0 {
-		return c.errorAt("load.per_second", fmt.Sprintf("is %g", s.Load.PerSecond), fmt.Sprintf("expected 0 to %d, and caches to ask", maxLoad))
+		return c.errorAt("load.per_second", fmt.Sprintf("is %g", s.Load.PerSecond), fmt.Sprintf("expected 0 to %d, and at least one cache for a load above 0", maxLoad))
 	}
 	limit := s.Limit
 	if limit != nil && (limit.LookupsPerSecond < 1 || limit.MaxOverrun < 0 || s.Load.PerSecond == 0) {
-		return c.errorAt("limit", fmt.Sprintf("%+v", *limit), "a limit of at least 1 lookup a second, and a load")
+		return c.errorAt("limit", fmt.Sprintf("%+v", *limit), "expected lookups_a_second of at least 1, over not below 0, and load.per_second above 0")
 	}
 	return nil
 }
@@ -80,7 +80,7 @@
 	count := purges.PerSecond * float64(purges.ForMS) / 1000
 	isShare := purges.MinShare >= 0 && purges.MinShare <= 1
 	if purges.PerSecond <= 0 || purges.FromMS < 0 || count > maxPurges || !isShare || !c.scenario.Fleet.BroadcastsPurges {
-		return c.errorAt("purges", fmt.Sprintf("%+v", *purges), fmt.Sprintf("expected per_second above 0, at most %d in all, and fleet.broadcast", maxPurges))
+		return c.errorAt("purges", fmt.Sprintf("%+v", *purges), fmt.Sprintf("expected per_second above 0, from_ms not below 0, share from 0 to 1, at most %d purges in all, and fleet.broadcast", maxPurges))
 	}
 	return nil
 }
@@ -101,11 +101,11 @@
 	return nil
 }
 
-// checkSteps checks the steps, repeated ones written out, and the length of the run.
+// checkSteps checks the unrolled steps and the length of the run.
 func (c scenarioCheck) checkSteps() error {
 	s := c.scenario
 	if len(s.Steps) > maxSteps {
-		return c.errorAt("steps", fmt.Sprintf("has %d", len(s.Steps)), fmt.Sprintf("at most %d", maxSteps))
+		return c.errorAt("steps", fmt.Sprintf("has %d steps, repeats included", len(s.Steps)), fmt.Sprintf("expected at most %d", maxSteps))
 	}
 	lastMS := int64(0)
 	picked := map[string]bool{}
@@ -115,7 +115,7 @@
 	for i, step := range s.Steps {
 		path := fmt.Sprintf("steps[%d]", i)
 		if step.AtMS < lastMS {
-			return c.errorAt(path+".at_ms", fmt.Sprintf("is %d, before the step before it", step.AtMS), "steps stand in order")
+			return c.errorAt(path+".at_ms", fmt.Sprintf("is %d, before the step before it", step.AtMS), "expected steps in the order of at_ms")
 		}
 		lastMS = step.AtMS
 		if err := c.checkStep(path, step, picked); err != nil {
@@ -126,12 +126,12 @@
 		}
 	}
 	if length := config.Milliseconds(lastMS + s.EndMS + s.ReadyMS); length > maxDuration {
-		return c.errorAt("end_ms", fmt.Sprintf("makes %v", length), fmt.Sprintf("a run takes at most %v", maxDuration))
+		return c.errorAt("end_ms", fmt.Sprintf("makes the run %v long", length), fmt.Sprintf("a run takes at most %v", maxDuration))
 	}
 	return nil
 }
 
-// checkStep checks one step by itself. picked are the names that it may refer to by @.
+// checkStep checks a single step. picked holds the names that the step may refer to with @.
 func (c scenarioCheck) checkStep(path string, step Step, picked map[string]bool) error {
 	if !slices.Contains(actions, step.Action) {
 		last := len(actions) - 1
@@ -148,7 +148,7 @@
 			known = picked[pick]
 		}
 		if !known {
-			return c.errorAt(path, fmt.Sprintf("%q is nobody", name), fmt.Sprintf("expected n1 to n%d, * or @ and what a step before has as", c.scenario.Gateways))
+			return c.errorAt(path, fmt.Sprintf("%q is nobody", name), fmt.Sprintf("expected n1 to n%d, *, bulletin, or @ followed by root, first-SITE or the as of an earlier step", c.scenario.Gateways))
 		}
 	}
 	return nil
--- a/internal/lab/fleet/scenario_read.go
+++ b/internal/lab/fleet/scenario_read.go
@@ -15,7 +15,8 @@
 
 const scenarioExtension = ".jsonnet"
 
-// HardCases are the names of the scenarios that come with the rig. Files whose names begin with _ are libraries of these.
+// HardCases returns the names of the scenarios that come with the rig. It leaves out files whose names begin with _,
+// which are libraries that these scenarios import.
 func HardCases() (names []string) {
 	files, err := shippedScenarios.ReadDir("scenarios")
 	if err != nil {
@@ -30,8 +31,8 @@
 	return names
 }
 
-// ReadScenario reads and checks a scenario: one of HardCases by its name, or a file by its path. What is wrong in a file is a
-// config.Error.
+// ReadScenario reads and checks a scenario. The name is one of HardCases or the path of a file. A fault in the file is
+// returned as a config.Error.
 func ReadScenario(name string) (*Scenario, error) {
 	read := os.ReadFile
 	if slices.Contains(HardCases(), name) {
@@ -48,7 +49,8 @@
 	return scenario, scenario.check(name)
 }
 
-// unrollSteps returns the steps with repeated ones written out. A repeated step that picks gateways picks the same ones each time.
+// unrollSteps returns the steps with each repeat of a step, and of the step after it, as steps of their own. A repeated
+// step that draws gateways at random and names them draws only once, and its repeats use the same gateways.
 func unrollSteps(steps []Step) (unrolled []Step, err error) {
 	for i := 0; i < len(steps); i++ {
 		step := steps[i]
--- a/internal/lab/fleet/selector.go
+++ b/internal/lab/fleet/selector.go
@@ -6,18 +6,18 @@
 	"strings"
 )
 
-// selectorStream separates a Selector's random numbers from others of the same seed.
+// selectorStream keeps the random numbers of a Selector apart from others of the same seed.
 const selectorStream = 0x63617374
 
-// Selector chooses the gateways of steps, those that are drawn at random included. The same seed and the same calls choose the same
-// gateways. It is not safe for concurrent use.
+// Selector selects the gateways of steps, including those that are drawn at random. The same seed and the same sequence
+// of calls select the same gateways. It is not safe for concurrent use.
 type Selector struct {
 	random   *rand.Rand
 	gateways []string
-	picked   map[string][]string // what @name refers to
+	picked   map[string][]string // gateways that @name refers to, by name
 }
 
-// NewSelector returns the selector of one run.
+// NewSelector returns a selector for one run of the scenario.
 func (s *Scenario) NewSelector(seed uint64) *Selector {
 	return &Selector{
 		random:   rand.New(rand.NewPCG(seed, selectorStream)),
@@ -26,7 +26,7 @@
 	}
 }
 
-// resolve resolves * and @name.
+// resolve replaces * and @name by the names of the gateways.
 func (s *Selector) resolve(references []string) (names []string) {
 	for _, reference := range references {
 		pick, isPick := strings.CutPrefix(reference, "@")
@@ -42,7 +42,8 @@
 	return names
 }
 
-// Targets are a step's gateways; running are those that may be drawn.
+// Targets returns the gateways of a step. Random gateways are drawn from running. If the step has a PickName, later
+// steps can refer to the result.
 func (s *Selector) Targets(step Step, running []string) (targets []string) {
 	if step.PickCount > 0 {
 		targets = s.shuffled(running)
@@ -56,7 +57,7 @@
 	return targets
 }
 
-// Groups are the sides of a split.
+// Groups returns the sides of a split.
 func (s *Selector) Groups(step Step) (groups [][]string) {
 	if len(step.Groups) > 0 {
 		for _, group := range step.Groups {
@@ -75,7 +76,7 @@
 	return groups
 }
 
-// shuffled is a copy in random order.
+// shuffled returns a copy of names in random order.
 func (s *Selector) shuffled(names []string) []string {
 	copied := slices.Clone(names)
 	s.random.Shuffle(len(copied), func(i, j int) { copied[i], copied[j] = copied[j], copied[i] })
--- a/internal/lab/fleet/setup.go
+++ b/internal/lab/fleet/setup.go
@@ -11,13 +11,14 @@
 	"foldslip/example/standin"
 )
 
-// Cache localities and types of the rig's endpoint list. There are as many edge caches as the scenario wants, one parent and one origin.
+// Cache localities in the rig's endpoint list. The list has the
+// scenario's number of edge caches, one parent and one origin.
 const (
 	edgeLocality   = "town"
 	sourceLocality = "hub"
 )
 
-// setUp starts the stub servers and the relay and writes each gateway's files. It starts no gateway.
+// setUp starts the stub servers and the relay's listeners, and writes the files of each gateway. It starts no gateway.
 func (r *Rig) setUp() error {
 	if err := os.MkdirAll(r.options.Dir, 0o700); err != nil {
 		return err
@@ -49,7 +50,7 @@
 	return nil
 }
 
-// startCaches starts the stub caches and returns the endpoint list with their own addresses.
+// startCaches starts the stub caches and returns the endpoint list with the caches' own addresses.
 func (r *Rig) startCaches() (endpoints []standin.Endpoint, err error) {
 	edges := int(r.scenario.Caches)
 	for i := range edges + 2 {
@@ -72,8 +73,8 @@
 	return endpoints, nil
 }
 
-// addGateway opens the relay's listeners for a gateway and writes its files. In files, endpoints have the caches' own addresses;
-// the gateway gets those of its private listeners.
+// addGateway opens the relay's listeners for a gateway and writes the gateway's files. The endpoints in files have the
+// caches' own addresses, which addGateway replaces by the addresses of the gateway's private listeners.
 func (r *Rig) addGateway(name string, files gatewayFiles) error {
 	if err := r.relay.Add(name, files.advertise, files.listen); err != nil {
 		return err
--- a/internal/lab/fleet/steps.go
+++ b/internal/lab/fleet/steps.go
@@ -23,10 +23,10 @@
 	actionHeal   = "heal"   // remove all link faults
 	actionLink   = "link"   // put a fault on links
 	actionPurge  = "purge"  // announce a purge by discovery
-	actionMark   = "mark"   // only take a traffic sample
+	actionMark   = "mark"   // take a traffic sample and change nothing
 )
 
-// runSteps starts the fleet, waits until it has settled and carries out the scenario's steps.
+// runSteps starts the fleet, waits until it has settled, starts the loads and carries out the steps of the scenario.
 func (r *Rig) runSteps() error {
 	r.startedAt = time.Now()
 	initial := len(r.processes) - int(r.scenario.LateGateways)
@@ -71,7 +71,8 @@
 	return nil
 }
 
-// waitReady waits until all started gateways have settled.
+// waitReady waits until all started gateways have settled. It
+// returns an error after Scenario.ReadyMS or if a gateway crashes.
 func (r *Rig) waitReady() error {
 	timeout := config.Milliseconds(r.scenario.ReadyMS)
 	for !r.isSettled() {
@@ -86,7 +87,7 @@
 	return nil
 }
 
-// runStep carries out one step: first on the network, then on all of its gateways at once.
+// runStep carries out one step. It changes the network first and then acts on all targets concurrently.
 func (r *Rig) runStep(step Step) error {
 	var targets []*process
 	for _, name := range r.selector.Targets(step, r.running()) {
@@ -116,7 +117,7 @@
 	return errors.Join(errs...)
 }
 
-// apply carries out a step on one process; steps on the network do nothing here.
+// apply carries out a step on one process. It does nothing for a step that changes only the network.
 func (p *process) apply(step Step) error {
 	switch step.Action {
 	case actionKill:
@@ -138,7 +139,7 @@
 	return nil
 }
 
-// announcePurge sends all gateways that have a discovery watch a purge of an object.
+// announcePurge announces the purge of an object to all gateways that have a discovery watch.
 func (r *Rig) announcePurge(object string) {
 	r.discovery.Announce(fmt.Sprintf(`{"recall":{"item":"%s","issued":%d}}`, object, time.Now().UnixMilli()))
 }
--- a/internal/lab/fleet/topology.go
+++ b/internal/lab/fleet/topology.go
@@ -5,22 +5,23 @@
 )
 
 const (
-	// watchRecoveryTime bounds how long after a link to discovery is healed a gateway has its watch back: a silence timeout and a pause.
+	// watchRecoveryTime bounds the time that a gateway needs to restore its discovery watch after the link is healed.
+	// This takes a silence timeout and a retry delay.
 	watchRecoveryTime = 12 * time.Second
-	// observationDelay is how long an observation of the views may still show what was before a step.
+	// observationDelay is how long after a step an observation of the views may still show the state before the step.
 	observationDelay = 5 * viewInterval
 )
 
-// topology is which gateways run and which links are open, from the begin of a step until the next.
+// topology holds which gateways run and which links are open, from the start of one step to the start of the next.
 type topology struct {
-	from       time.Duration   // the step's begin, since the run's start
-	completeAt time.Duration   // the step's end
-	running    map[string]bool // gateways
-	watching   map[string]bool // gateways with open links to discovery
-	side       map[string]int  // of the running gateways: equal for two that can reach each other
+	from       time.Duration   // start of the step, since the start of the run
+	completeAt time.Duration   // end of the step, since the start of the run
+	running    map[string]bool // running gateways
+	watching   map[string]bool // running gateways with open links to discovery
+	side       map[string]int  // number of the side of each running gateway; gateways of one side can reach each other
 }
 
-// topology is that of now, of a step that began at a time.
+// topology returns the current topology, for a step that began at the time from.
 func (r *Rig) topology(from time.Duration) topology {
 	running := r.running()
 	current := topology{from: from, completeAt: r.elapsed(), running: nameSet(running), watching: map[string]bool{}, side: map[string]int{}}
@@ -41,7 +42,7 @@
 	return t.running[a] && t.running[b] && t.side[a] == t.side[b]
 }
 
-// recordTopology records what a step that began at a time made of the fleet.
+// recordTopology records the current topology, for a step that began at the time from.
 func (b *broadcastRun) recordTopology(from time.Duration) {
 	current := b.rig.topology(from)
 	b.mu.Lock()
@@ -49,14 +50,14 @@
 	b.mu.Unlock()
 }
 
-// topologySpan are the topologies in force from when a purge was announced until it must have been received.
+// topologySpan holds the topologies in force from the announcement of a purge until the purge must have been received.
 type topologySpan struct {
-	at     time.Duration // when the purge was announced
+	at     time.Duration // announcement of the purge, since the start of the run
 	first  int           // index of during[0] in broadcastRun.topologies
 	during []topology
 }
 
-// spanOf is the span of a purge; mu is held.
+// spanOf returns the span of a purge. The caller holds mu.
 func (b *broadcastRun) spanOf(purge publishedPurge) topologySpan {
 	end := purge.at + broadcastDeadline
 	first, last := 0, 0
@@ -71,7 +72,8 @@
 	return topologySpan{at: purge.at, first: first, during: b.topologies[first : last+1]}
 }
 
-// watchedThroughout reports whether a gateway has a discovery watch during the span, and had it for long enough before; mu is held.
+// watchedThroughout reports whether a gateway has a discovery watch during the whole span. After an earlier
+// interruption, the gateway must have had watchRecoveryTime to restore the watch before the span. The caller holds mu.
 func (b *broadcastRun) watchedThroughout(name string, span topologySpan) bool {
 	for _, t := range span.during {
 		if !t.isWatching(name) {
@@ -86,8 +88,8 @@
 	return true
 }
 
-// reachableThroughout reports whether two gateways can reach each other during the span, and, if they could not before, whether all
-// views agreed since then; mu is held.
+// reachableThroughout reports whether two gateways can reach each other during the whole span. If they could not at an
+// earlier time, all views must have agreed between then and the span. The caller holds mu.
 func (b *broadcastRun) reachableThroughout(name, peer string, span topologySpan, states []viewState) bool {
 	for _, t := range span.during {
 		if !t.areConnected(name, peer) {
@@ -102,7 +104,7 @@
 	return true
 }
 
-// agreedBetween reports whether all views agreed at any time between two. A state holds until the next one.
+// agreedBetween reports whether all views agreed at any time between from and to. A state holds until the next one.
 func agreedBetween(states []viewState, from, to time.Duration) bool {
 	for i, state := range states {
 		end := to
--- a/internal/lab/fleet/traffic.go
+++ b/internal/lab/fleet/traffic.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-const trafficTimeout = 2 * time.Second // for all gateways to answer
+const trafficTimeout = 2 * time.Second // for the reports of all gateways
 
-// Traffic is what one gateway sends a second, the mean over gateways that ran all the time.
+// Traffic is the mean traffic that a gateway sends per second, over the gateways that ran during the whole span.
 type Traffic struct {
 	PacketsPerSecond float64 `json:"packets_s"`
 	BytesPerSecond   float64 `json:"bytes_s"`
 	StreamsPerSecond float64 `json:"streams_s"`
-	Seconds          float64 `json:"seconds"` // that the figures are of
+	Seconds          float64 `json:"seconds"` // length of the span
 }
 
-// trafficSample are the counts of all running gateways at a time. A run takes one when it is ready, one before each step and one at
-// the end.
+// trafficSample holds the counts of all running gateways at a time. A run takes a sample when the fleet is ready, one
+// before each step and one at the end.
 type trafficSample struct {
 	at     time.Duration
 	counts map[processStart]trafficCounts
 }
 
-// processStart names one process of a gateway; start counts from 1.
+// processStart identifies one process of a gateway. The start counts from 1.
 type processStart struct {
 	gateway string
 	start   int
 }
 
-// trafficCounts are what a process sent since it started.
+// trafficCounts holds what a process has sent since it started.
 type trafficCounts struct{ packets, bytes, streams uint64 }
 
-// sampleTraffic reads the counts of all running gateways. A gateway that does not answer is left out.
+// sampleTraffic records the counts of all running gateways. It leaves out gateways that do not answer.
 func (r *Rig) sampleTraffic() {
 	sample := trafficSample{at: r.elapsed(), counts: map[processStart]trafficCounts{}}
 	ctx, cancel := context.WithTimeout(context.Background(), trafficTimeout)
@@ -53,7 +53,7 @@
 			defer mu.Unlock()
 			sample.counts[key] = trafficCounts{
 				packets: report.PacketsOut,
-				bytes:   report.BytesOut + report.StreamBytes/2, // StreamBytes are of both directions
+				bytes:   report.BytesOut + report.StreamBytes/2, // StreamBytes counts both directions
 				streams: report.Streams,
 			}
 		})
@@ -64,7 +64,7 @@
 	r.mu.Unlock()
 }
 
-// trafficBetween is the traffic of the processes that are in both samples.
+// trafficBetween returns the mean traffic of the processes that are in both samples.
 func trafficBetween(first, last trafficSample) (traffic Traffic) {
 	traffic.Seconds = (last.at - first.at).Seconds()
 	processes := 0.0
--- a/internal/lab/fleet/views.go
+++ b/internal/lab/fleet/views.go
@@ -8,25 +8,25 @@
 // viewInterval is the longest time between two observations of the views.
 const viewInterval = 20 * time.Millisecond
 
-// viewState is what the rig observed of the gateways' views at a time.
+// viewState is the state of the gateways' views as the rig observed it at a time.
 type viewState struct {
-	at               time.Duration // since the run's start
-	agreed           bool          // each running gateway's live members are those on its side of the links
-	settled          bool          // and each has logged that it settled, on the same digest as the others of its side
-	minLive, maxLive int           // live members in the views of running gateways
-	running          int
+	at               time.Duration // since the start of the run
+	agreed           bool          // each view's live members are the running gateways on its side of the links
+	settled          bool          // agreed, and all gateways of each side have logged that they settled on the same digest
+	minLive, maxLive int           // lowest and highest number of live members in the view of a running gateway
+	running          int           // number of running gateways
 }
 
 func (s viewState) isAgreed() bool  { return s.agreed }
 func (s viewState) isSettled() bool { return s.settled }
 
-// equalViews reports whether two states differ in nothing but their time.
+// equalViews reports whether two states are equal, apart from their times.
 func (s viewState) equalViews(other viewState) bool {
 	s.at = other.at
 	return s == other
 }
 
-// requestObservation makes watchViews observe at once.
+// requestObservation makes watchViews observe the views at once.
 func (r *Rig) requestObservation() {
 	select {
 	case r.viewsChanged <- struct{}{}:
@@ -42,7 +42,8 @@
 	return count > 0 && r.viewStates[count-1].settled
 }
 
-// watchViews records each change of the views until stop is closed.
+// watchViews observes the views on request, and at least every
+// viewInterval, until stop is closed. It records each change.
 func (r *Rig) watchViews(stop chan struct{}) {
 	ticker := time.NewTicker(viewInterval)
 	defer ticker.Stop()
