--- a/internal/discovery/event.go
+++ b/internal/discovery/event.go
@@ -120,7 +120,7 @@
 	if parsed.State != policy.Gone {
 		if _, err := netip.ParseAddrPort(m.Addr); err != nil || parsed.Zone < 0 || parsed.Kind < 0 {
 			return parsed, &endpointError{m.ID, fmt.Sprintf(
-				"host_port %q, locality %q, flavor %q: expected IP:port and a locality and flavor of the settings",
+				"host_port %.40q, locality %.40q, flavor %.40q: expected IP:port and a locality and flavor of the settings",
 				m.Addr, m.Zone, m.MachineType)}
 		}
 	}
--- a/internal/upstream/protocol.go
+++ b/internal/upstream/protocol.go
@@ -209,7 +209,7 @@
 	case responseNotSent:
 		r.outcome = policy.OutcomeNotSent
 	default:
-		return invalidResponseError(fmt.Sprintf("unknown outcome word %q in response", word))
+		return invalidResponseError(fmt.Sprintf("unknown outcome word %.40q in response", word))
 	}
 	if err := r.parseFields(fields); err != nil {
 		return err
@@ -229,7 +229,7 @@
 	for _, field := range strings.Split(fields, ",") {
 		name, value, ok := strings.Cut(field, "=")
 		if !ok || name == "" {
-			return invalidResponseError(fmt.Sprintf("response field %q does not have the form name=value", field))
+			return invalidResponseError(fmt.Sprintf("response field %.40q does not have the form name=value", field))
 		}
 		if err := r.parseField(name, value); err != nil {
 			return err
@@ -245,18 +245,18 @@
 	case fieldSourceWait:
 		ms, err := strconv.ParseFloat(value, 64)
 		if err != nil || !(ms >= 0 && ms < maxSourceWaitMS) {
-			return invalidResponseError(fmt.Sprintf("response field waited is %q, expected milliseconds from 0 to below %g", value, maxSourceWaitMS))
+			return invalidResponseError(fmt.Sprintf("response field waited is %.40q, expected milliseconds from 0 to below %g", value, maxSourceWaitMS))
 		}
 		r.sourceWait = policy.Micros(math.Round(ms * 1000))
 	case fieldVersion:
 		if !IsName(value) {
-			return invalidResponseError(fmt.Sprintf("response field ver is %q, expected a name", value))
+			return invalidResponseError(fmt.Sprintf("response field ver is %.40q, expected a name", value))
 		}
 		r.etag = value
 	case fieldCreatedAt:
 		ms, err := strconv.ParseFloat(value, 64)
 		if err != nil || !(ms > 0 && ms < maxCreatedAtMS) {
-			return invalidResponseError(fmt.Sprintf("response field born is %q, expected milliseconds above 0 and below %g", value, maxCreatedAtMS))
+			return invalidResponseError(fmt.Sprintf("response field born is %.40q, expected milliseconds above 0 and below %g", value, maxCreatedAtMS))
 		}
 		r.createdAt = time.UnixMicro(int64(ms * 1000))
 	}
