--- a/deploy/foldslip.jsonnet
+++ b/deploy/foldslip.jsonnet
@@ -1,12 +1,14 @@
-// The operators' own settings, beside what the platform tells. A gateway reads them if FOLDSLIP_SETTINGS names this file, at
-// its start and at SIGHUP; `foldslip config check deploy/foldslip.jsonnet` tells whether they can be used.
-// The platform has no lasting disk, so its run line does not name it.
+// Operator settings, in addition to the configuration that the platform provides. A gateway reads this file at startup
+// and at each SIGHUP if the environment variable FOLDSLIP_SETTINGS names it. The command
+// `foldslip config check deploy/foldslip.jsonnet` reports whether the settings are valid. The platform has no persistent
+// disk, so the run command in deploy/balancer.toml does not set the variable.
 local MB = 1024 * 1024;
 {
-  // The list of caches kept on disk, to start from when the bulletin is away (docs/starting.md).
+  // Storage of the endpoint list on disk. A gateway that starts while discovery is unavailable uses the stored list
+  // (docs/starting.md).
   list: {
-    folder: '/var/lib/foldslip',  // of this gateway alone
-    bytes: 8 * MB,  // of each of two generations
-    writes_per_second: 2,  // synced
+    folder: '/var/lib/foldslip',  // must not be shared with another gateway
+    bytes: 8 * MB,  // size limit of each of the two generations on disk
+    writes_per_second: 2,  // limit on writes, each of which is synced
   },
 }
