--- a/internal/dispatch/lookup.go
+++ b/internal/dispatch/lookup.go
@@ -135,8 +135,8 @@
 	return Step{}, false
 }
 
-// MaySend reports whether an attempt may still start whose step was taken some time ago. If not, the caller must report
-// the attempt's end as policy.OutcomeNotSent.
+// MaySend reports whether an attempt may still start. The network side calls it before it sends an attempt whose step it
+// took some time ago. If the result is false, the caller must report the attempt's end as policy.OutcomeNotSent.
 func (d *Dispatcher) MaySend(lookup *Lookup, step Step) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -145,9 +145,9 @@
 
 // maySend reports whether an attempt that the router decided on earlier may still start. The attempt may have waited
 // for its lookup's goroutine, for a connection, or behind data that the cache was slow to read. In the meantime the
-// lookup may have ended or passed its deadline, and the cache or its source may be draining or gone. Rule 3, which
-// forbids new attempts to such caches, counts an attempt from its first byte. The router checks rule 2, which limits
-// where and when a lookup may run again. If the router panics, maySend returns false.
+// lookup may have ended or passed its deadline, and the cache or its source may be draining or gone. Rule 3 forbids new
+// attempts to such caches. An attempt is new until its first byte is sent. The router checks rule 2, which forbids
+// concurrent attempts and repeated side effects. If the router panics, maySend returns false.
 func (d *Dispatcher) maySend(lookup *Lookup, step Step) (ok bool) {
 	defer d.recoverRouterPanic()
 	return !lookup.ended &&
@@ -159,7 +159,7 @@
 
 // AttemptEnded reports the end of an attempt to the router. sourceWait is the time that the cache waited for the first
 // byte of its source. It returns true if the attempt's answer is the result of the lookup. It returns false if the
-// attempt has no answer or if the lookup had already ended.
+// attempt was not satisfied or if the lookup had already ended.
 func (d *Dispatcher) AttemptEnded(lookup *Lookup, attempt int, outcome policy.AttemptOutcome, detail policy.OutcomeDetail,
 	sourceWait policy.Micros) (used bool) {
 	d.mu.Lock()
--- a/internal/policy/edge.go
+++ b/internal/policy/edge.go
@@ -12,15 +12,15 @@
 	maxHitBudgetShare = 0.4
 	// initialLimit is the concurrency limit of a cache, and the limit of open fills, before any measurement.
 	initialLimit = 16.0
-	// minOpen is the number of open attempts, and of open fills for each edge cache, below which the limits of all
-	// routers together are not cut.
+	// minOpen is a lower bound for cuts of limits. Cuts leave the routers of a zone together at least minOpen open
+	// attempts at each edge cache, and at least minOpen open fills for each edge cache.
 	minOpen = 2.0
 	// spillShare is the share of its limit up to which a cache accepts lookups that spill over from a full one. A
 	// limit counts as nearly reached from this share on.
 	spillShare = 0.7
 	// rejectedCut is the factor by which a cache's limit is cut when the cache rejects an attempt.
 	rejectedCut = 0.75
-	// limitGrowth is the factor by which a limit grows that is nearly reached.
+	// limitGrowth is the factor by which a nearly reached limit grows.
 	limitGrowth = 1.1
 	// limitInterval is the minimum time between two adjustments of a cache's limit by its hits.
 	limitInterval = 200 * millisecond
@@ -32,13 +32,14 @@
 
 	// maxFailures is the number of consecutive connection failures after which a cache is ejected.
 	maxFailures = 2
-	// attemptsBeforeMove is the number of attempts up to which a connection reset leaves a lookup at its cache. The
-	// copies that the cache holds are worth a second attempt.
+	// attemptsBeforeMove is the number of attempts up to which a connection reset does not move a lookup to another
+	// cache. The copies that the cache holds are worth another attempt there.
 	attemptsBeforeMove = 2
 )
 
-// chooseEdge chooses the first cache in the rendezvous order of the lookup's part that is a candidate and has
-// capacity. If a candidate lacks capacity the lookup may be queued; if there is no candidate it is given up.
+// chooseEdge chooses the first candidate in the rendezvous order of the lookup's part that has capacity and, during a
+// slow start, already gets this part again. If there are candidates but none is chosen, the lookup is queued. It is also
+// queued if it avoided failedEdge, because it may use this cache later. Otherwise the lookup is given up.
 func (r *Router) chooseEdge(attempt *Attempt) stageResult {
 	lookup := attempt.lookup
 	mustWait := false
@@ -62,7 +63,7 @@
 		}
 	}
 	if mustWait || lookup.failedEdge != nil {
-		lookup.failedEdge = nil // the failed cache may have capacity again
+		lookup.failedEdge = nil // the failed cache may be chosen when the lookup leaves the queue
 		return holdLookup
 	}
 	r.giveUp(lookup)
@@ -79,7 +80,8 @@
 }
 
 // isFull reports whether a cache has no capacity for another attempt. That is the case when its open attempts, not
-// counting fills, have reached limitShare of its concurrency limit, and while it is paused.
+// counting fills, have reached limitShare of its concurrency limit. It is also the case before pausedUntil, which spaces
+// out the attempts if the limit is below one.
 func (r *Router) isFull(cache *Cache, limitShare float64) bool {
 	return float64(cache.openCount)-r.countOpenFills(cache.attempts) >= limitShare*cache.attemptLimit || r.now < cache.pausedUntil
 }
@@ -125,8 +127,8 @@
 	cache.pausedUntil = r.nextTurn(cache.attemptLimit, report.Latency)
 }
 
-// observeEdgeRejection cuts the limit of a cache that rejected an attempt, so that further attempts do not overload
-// it where hits are not reported.
+// observeEdgeRejection cuts the limit of a cache that rejected an attempt, so that further attempts do not overload it.
+// If caches do not report hits, adjustLimit has no latencies of hits and never cuts the limit.
 func (r *Router) observeEdgeRejection(cache *Cache, lookup *Lookup) {
 	cache.lastSuccessAt = r.now
 	if lookup.missedAt == cache { // the cache reported a miss before, so only the fill was rejected
@@ -136,8 +138,8 @@
 	cache.attemptLimit = max(minOpen/r.zoneRouterCount(), rejectedCut*min(cache.attemptLimit, float64(cache.openCount+1)))
 }
 
-// observeEdgeDisconnection counts a connection that was refused or broke. A reset alone is no evidence that the cache
-// has died.
+// observeEdgeDisconnection counts a connection that was refused or broke. Only a refused connection is evidence that the
+// cache has died and will restart cold. A reset alone is not.
 func (r *Router) observeEdgeDisconnection(attempt *Attempt, report AttemptReport) {
 	cache, lookup := attempt.edge, attempt.lookup
 	isRefused := report.Outcome == OutcomeConnectFailed
@@ -153,7 +155,7 @@
 }
 
 // observeEdgeError counts an unexplained error. Errors are quick, so a cache that fails every lookup would attract
-// more of them. Errors are counted separately from failed connections. Many consecutive errors are required, because
+// more lookups. Errors are counted separately from failed connections. Many consecutive errors are required, because
 // moving lookups or ejecting a cache does not help when every cache fails some lookups.
 func (r *Router) observeEdgeError(cache *Cache, lookup *Lookup) {
 	cache.errorsInRow++
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -159,7 +159,7 @@
 	c.isOnlySlow = old.isOnlySlow
 }
 
-// StartLookup creates the lookup of a request, counts it and starts its first attempt, queues it or ends it.
+// StartLookup creates and counts the lookup of a request. It then starts the first attempt, queues the lookup or ends it.
 func (r *Router) StartLookup(now Micros, arrival Arrival) *Lookup {
 	r.now = now
 	lookup := r.newLookup(arrival)
@@ -225,8 +225,8 @@
 	}
 }
 
-// MayStartAttempt reports whether rule 2, which forbids concurrent attempts and repeated side effects, still allows
-// an attempt to start that was decided earlier. In the meantime the lookup's deduplication window may have passed, or
+// MayStartAttempt reports whether an attempt that was decided earlier may still start under rule 2, which forbids
+// concurrent attempts and repeated side effects. In the meantime the lookup's deduplication window may have passed, or
 // the attempt's cache may have left the deduplication scope. An attempt that may not start must be reported with
 // OutcomeNotSent. The result is true for an attempt number that the lookup does not have.
 func (r *Router) MayStartAttempt(now Micros, lookup *Lookup, attempt int) bool {
--- a/internal/policy/silence.go
+++ b/internal/policy/silence.go
@@ -12,9 +12,10 @@
 
 // ejectSilent ejects caches that do not answer and cancels the attempts that are stuck there. A late fill alone
 // does not eject an edge cache, because a saturated link delays fills too. While a cache has overdue attempts,
-// lookups first send it an attempt without a fill (mustCheckCacheFirst), and silentAttempts of these overdue
-// eject it. Overdue pass-through attempts count as well. A parent is ejected after silentFills overdue fills,
-// provided that another parent has completed fills since and most of the overdue fills are at this one.
+// lookups first send it an attempt without a fill (mustCheckCacheFirst). The cache is ejected once silentAttempts of
+// these attempts are overdue. Overdue pass-through attempts count as well. A parent is ejected after silentFills
+// overdue fills, each of which started before another parent last completed a fill. These must also be more than two
+// thirds of all overdue fills.
 func (r *Router) ejectSilent() {
 	overdueFills := r.countOverdue()
 	for _, cache := range r.caches {
@@ -57,8 +58,8 @@
 	return overdueFills
 }
 
-// cancelStuckAttempts cancels overdue attempts of idempotent lookups at
-// ejected caches, if the lookup has time left for another attempt.
+// cancelStuckAttempts cancels overdue attempts of idempotent lookups that are stuck at an ejected edge cache or source.
+// It does so only if the lookup has time for another attempt and has not reached the maximum number of attempts.
 func (r *Router) cancelStuckAttempts() {
 	for _, attempt := range r.openAttempts {
 		lookup := attempt.lookup
@@ -70,7 +71,7 @@
 	}
 }
 
-// isStuckAt reports whether a cache is ejected and has given no good answer since the attempt started.
+// isStuckAt reports whether a cache is ejected and has not answered as a working cache since the attempt started.
 func (a *Attempt) isStuckAt(cache *Cache) bool {
 	return cache.ejected && cache.lastSuccessAt < a.startedAt
 }
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -39,8 +39,8 @@
 	c.carriedWork = decayingSum{}
 }
 
-// slowStartShare returns the guaranteed share of its full capacity that a
-// cache has reached in its slow start. It returns 1 for a warm cache.
+// slowStartShare returns the guaranteed share of its full capacity that a cache has reached in its slow start. It
+// returns 1 for a warm cache. If the time of the slow start has passed, it marks the cache as warm.
 func (r *Router) slowStartShare(cache *Cache) float64 {
 	initial, duration := r.settings.SlowStartShare, r.settings.SlowStartTime
 	if cache.Kind == r.settings.ParentKind {
@@ -53,15 +53,16 @@
 	return initial + (1-initial)*float64(max(0, r.now-cache.warmingSince))/float64(duration)
 }
 
-// isWarmFor reports whether a part is routed to a cache again during its
-// slow start. Parts return one by one, in the same order each time.
+// isWarmFor reports whether a part may be routed to a cache. A warm cache gets every part. During a slow start, parts
+// return to the cache one by one as slowStartShare grows. Their order is the same in every slow start of the cache.
 func (r *Router) isWarmFor(cache *Cache, partHash uint64) bool {
 	return cache.warmingSince == 0 || float64(mixHash(partHash, cache.nameHash+1)>>40)/(1<<24) < r.slowStartShare(cache)
 }
 
 // admitSlowStart enforces rule 4 (the limit on the load of warming caches) for this router's share of the
-// budget in any break window. It reports whether the cache admits the work: always if it is warm, within its
-// budget during slow start. It charges the budget and stores the charge in attempt.slowStartCharge.
+// budget in any break window. It reports whether the cache admits the work. A warm cache admits all work. A cache
+// in slow start admits work within its remaining budget. Work that exceeds the remaining budget may be admitted at
+// random. admitSlowStart charges the budget and stores the charge in attempt.slowStartCharge.
 func (r *Router) admitSlowStart(attempt *Attempt, cache *Cache, work float64) bool {
 	share := r.slowStartShare(cache)
 	attempt.slowStartCharge = 0
@@ -97,10 +98,12 @@
 	breakMultiple float64 // multiple of the capacity above which the cache breaks
 }
 
-// slowStartBudget returns the budget of a cache that has reached a share of its full capacity. The likely full
-// capacity is derived from the endpoint weight if weights are capacities, otherwise from the load that the
-// warm caches of its group carry for this router, multiplied by the number of routers. The conservative
-// estimate is a part of the latter, at least one transfer, and at least the load that the cache has carried.
+// slowStartBudget returns the budget of a cache that has reached a share of its full capacity. It uses a likely and
+// a conservative estimate of the full capacity. If weights are capacities, both are derived from the endpoint
+// weight. Otherwise the likely estimate is the mean load that a warm cache of the group carries for this router,
+// multiplied by the number of routers, and the conservative estimate is conservativeShare of it. The conservative
+// estimate is at least one transfer. The capacity that the cache has reached is its share of the conservative
+// estimate, but at least the load that it has recently carried for this router, multiplied by the number of routers.
 func (r *Router) slowStartBudget(cache *Cache, share float64) slowStartBudget {
 	carried, multiple, routerShare := r.edgeCapacity, r.settings.BreakMultiple, 1/r.zoneRouterCount()
 	if cache.Kind == r.settings.ParentKind {
--- a/internal/policy/source.go
+++ b/internal/policy/source.go
@@ -7,9 +7,10 @@
 	maxFillFailures = 3
 )
 
-// chooseSource sets the source from which a miss is filled: the first usable parent in
-// the rendezvous order of the object. A pass-through lookup uses the origin directly,
-// because parents cache nothing for it and would only add latency.
+// chooseSource sets the source from which a miss is filled. This is the first usable parent in the rendezvous order of
+// the object, or the origin if no parent is usable. A pass-through lookup uses the origin directly, because parents cache
+// nothing for it and would only add latency. If the edge cache must first get an attempt without a fill, it is set as the
+// source itself. The lookup may be queued while fills are limited.
 func (r *Router) chooseSource(attempt *Attempt) stageResult {
 	lookup := attempt.lookup
 	fillsLimited := r.fills.limitedUntil > r.now
@@ -17,7 +18,9 @@
 		if lookup.missedAt == nil || lookup.acceptsStale {
 			attempt.source = attempt.edge
 			if !fillsLimited {
-				attempt.mode &^= ModeCoalesce // an immediate miss shows that a cache with overdue fills is alive
+				// Without coalescing, the cache reports a miss at once instead of waiting for an open fill. This
+				// shows that a cache with overdue fills is alive.
+				attempt.mode &^= ModeCoalesce
 			}
 			return proceed
 		}
