--- a/internal/lab/scale/controls.go
+++ b/internal/lab/scale/controls.go
@@ -114,14 +114,14 @@
 	if o.Gateways < 1 || o.Machines < 1 || n.Nodes() < o.Gateways+o.Machines {
 		panic(fmt.Sprintf("scale.NewControlMachines: %d gateways and %d machines on %d nodes", o.Gateways, o.Machines, n.Nodes()))
 	}
-	usual := func(v *int, d int) {
+	setDefault := func(v *int, d int) {
 		if *v == 0 {
 			*v = d
 		}
 	}
-	usual(&o.MaxWatches, o.Gateways*4/(3*o.Machines)+1)
-	usual(&o.EventBytes, 72)
-	usual(&o.ListBytes, 270_000)
+	setDefault(&o.MaxWatches, o.Gateways*4/(3*o.Machines)+1)
+	setDefault(&o.EventBytes, 72)
+	setDefault(&o.ListBytes, 270_000)
 	if o.SilenceTimeout == 0 {
 		o.SilenceTimeout = 2500 * time.Millisecond
 	}
@@ -143,8 +143,8 @@
 }
 
 // everySecond calls f each second from a time on.
-func (c *ControlMachines) everySecond(from time.Duration, f func()) {
-	at := c.net.Now() + from
+func (c *ControlMachines) everySecond(delay time.Duration, f func()) {
+	at := c.net.Now() + delay
 	var again func()
 	again = func() {
 		f()
@@ -160,31 +160,31 @@
 func (c *ControlMachines) Publish() int64 {
 	now := c.net.Now()
 	c.publishedAt, c.lastArrival = append(c.publishedAt, now), append(c.lastArrival, 0)
-	no := int64(len(c.publishedAt) - 1)
-	from := c.source()
+	number := int64(len(c.publishedAt) - 1)
+	source := c.source()
 	for j := range c.lastEvent {
-		if j == from {
-			c.storeEvents(j, no)
-		} else if from >= 0 && c.canReach(c.node(from), c.node(j)) {
-			c.syncedAt[j] = max(c.syncedAt[j], now+c.net.DrawLatency(c.node(from), c.node(j)))
+		if j == source {
+			c.storeEvents(j, number)
+		} else if source >= 0 && c.canReach(c.node(source), c.node(j)) {
+			c.syncedAt[j] = max(c.syncedAt[j], now+c.net.DrawLatency(c.node(source), c.node(j)))
 			c.net.Schedule(c.syncedAt[j], func() {
-				if c.net.IsUp(c.node(j)) && c.lastEvent[j] == no-1 {
-					c.storeEvents(j, no)
+				if c.net.IsUp(c.node(j)) && c.lastEvent[j] == number-1 {
+					c.storeEvents(j, number)
 				}
 			})
 		}
 	}
-	return no
+	return number
 }
 
 // LastEvent is the number of the last event published.
 func (c *ControlMachines) LastEvent() int64 { return int64(len(c.publishedAt) - 1) }
 
 // PublishedAt is when an event was published.
-func (c *ControlMachines) PublishedAt(no int64) time.Duration { return c.publishedAt[no] }
+func (c *ControlMachines) PublishedAt(number int64) time.Duration { return c.publishedAt[number] }
 
 // LastArrival is when an event last reached a gateway so far.
-func (c *ControlMachines) LastArrival(no int64) time.Duration { return c.lastArrival[no] }
+func (c *ControlMachines) LastArrival(number int64) time.Duration { return c.lastArrival[number] }
 
 // Received is the last event that a gateway has received.
 func (c *ControlMachines) Received(gateway int) int64 { return c.watches[gateway].received }
@@ -210,8 +210,8 @@
 }
 
 // storeEvents gives a machine the events up to a number, and sends them to its watches.
-func (c *ControlMachines) storeEvents(j int, no int64) {
-	c.lastEvent[j] = max(c.lastEvent[j], no)
+func (c *ControlMachines) storeEvents(j int, number int64) {
+	c.lastEvent[j] = max(c.lastEvent[j], number)
 	push := func() {
 		c.batchPending[j] = false
 		for g := range c.watches {
@@ -256,8 +256,8 @@
 	bytes := (last - first + 1) * int64(c.options.EventBytes)
 	c.send(g, bytes, func() {
 		w.received = last
-		for no := first; no <= last; no++ {
-			c.lastArrival[no] = max(c.lastArrival[no], c.net.now)
+		for number := first; number <= last; number++ {
+			c.lastArrival[number] = max(c.lastArrival[number], c.net.now)
 		}
 		if receiver, ok := c.net.nodes[g].program.(EventReceiver); ok {
 			receiver.EventsArrived(c.net.now, first, last)
@@ -265,12 +265,12 @@
 	})
 	if behind {
 		epoch := w.epoch
-		pause := time.Duration(0)
+		delay := time.Duration(0)
 		if c.options.CatchUpBytesPerSecond > 0 {
-			pause = time.Duration(float64(bytes) / float64(c.options.CatchUpBytesPerSecond) * float64(time.Second))
+			delay = time.Duration(float64(bytes) / float64(c.options.CatchUpBytesPerSecond) * float64(time.Second))
 		}
 		w.catchingUp = true
-		c.net.Schedule(now+pause, func() {
+		c.net.Schedule(now+delay, func() {
 			if w.epoch == epoch {
 				w.catchingUp = false
 				c.push(g)
@@ -376,7 +376,7 @@
 }
 
 // dial tries the next machine, each gateway in an order of its own, and another after a growing pause.
-func (c *ControlMachines) dial(g int, pause time.Duration) {
+func (c *ControlMachines) dial(g int, backoff time.Duration) {
 	w := &c.watches[g]
 	starts, epoch := w.starts, w.epoch
 	obsolete := func() bool {
@@ -387,9 +387,9 @@
 	w.dialing = true
 	m := c.node(j)
 	retry := func(after time.Duration) {
-		c.net.Schedule(c.net.now+after+time.Duration(c.rng.Int64N(int64(pause)+1)), func() {
+		c.net.Schedule(c.net.now+after+time.Duration(c.rng.Int64N(int64(backoff)+1)), func() {
 			if !obsolete() {
-				c.dial(g, min(2*pause, maxBackoff))
+				c.dial(g, min(2*backoff, maxBackoff))
 			}
 		})
 	}
--- a/internal/lab/scale/controls_test.go
+++ b/internal/lab/scale/controls_test.go
@@ -11,18 +11,18 @@
 
 // watchingNode is a gateway that only follows its watch, and checks that events arrive in order.
 type watchingNode struct {
-	t        *testing.T
-	received int64
-	any      bool
+	t           *testing.T
+	received    int64
+	hasReceived bool
 }
 
 func (*watchingNode) Datagram(time.Duration, int, []byte) {}
 func (*watchingNode) TimerFired(time.Duration)            {}
 func (n *watchingNode) EventsArrived(_ time.Duration, first, last int64) {
-	if n.any && first != n.received+1 || last < first {
+	if n.hasReceived && first != n.received+1 || last < first {
 		n.t.Errorf("events %d to %d arrived after %d", first, last, n.received)
 	}
-	n.received, n.any = last, true
+	n.received, n.hasReceived = last, true
 }
 
 // watchedFleet is a fleet of gateways and control machines on a network, with its faults.
@@ -66,10 +66,10 @@
 	return w
 }
 
-// behind gives the gateways that run and have not received an event.
-func (w *watchedFleet) behind(no int64) (gateways []int) {
+// lagging gives the gateways that run and have not received an event.
+func (w *watchedFleet) lagging(number int64) (gateways []int) {
 	for i := range w.FaultSchedule.Gateways {
-		if w.IsUp(i) && w.Received(i) < no {
+		if w.IsUp(i) && w.Received(i) < number {
 			gateways = append(gateways, i)
 		}
 	}
@@ -80,10 +80,10 @@
 func (w *watchedFleet) requireCaughtUp(t *testing.T, until, lag time.Duration) {
 	t.Helper()
 	w.Run(until - lag)
-	no := w.LastEvent()
+	number := w.LastEvent()
 	w.Run(until)
-	if who := w.behind(no); len(who) > 0 {
-		t.Errorf("at %v: %d gateways do not hold event %d of %v before, the first is %d with %d", until, len(who), no, lag, who[0], w.Received(who[0]))
+	if lagging := w.lagging(number); len(lagging) > 0 {
+		t.Errorf("at %v: %d gateways do not hold event %d of %v before, the first is %d with %d", until, len(lagging), number, lag, lagging[0], w.Received(lagging[0]))
 	}
 }
 
@@ -92,8 +92,8 @@
 	w.SetLoss(0.02)
 	w.requireCaughtUp(t, 60*time.Second, time.Second)
 	var slowest time.Duration
-	for no := int64(1); no <= w.LastEvent()-20; no++ {
-		slowest = max(slowest, w.LastArrival(no)-w.PublishedAt(no))
+	for number := int64(1); number <= w.LastEvent()-20; number++ {
+		slowest = max(slowest, w.LastArrival(number)-w.PublishedAt(number))
 	}
 	if slowest < 200*time.Millisecond || slowest > 800*time.Millisecond {
 		t.Errorf("the slowest event was everywhere after %v; a loss costs 200 ms", slowest)
@@ -141,8 +141,8 @@
 	w.Run(20 * time.Second)
 	at := w.LastEvent()
 	w.Run(cut)
-	if who := w.behind(w.LastEvent() - 40); !slices.Equal(who, cutOff) {
-		t.Errorf("%d are behind in the cut, expected the %d of the region", len(who), len(cutOff))
+	if lagging := w.lagging(w.LastEvent() - 40); !slices.Equal(lagging, cutOff) {
+		t.Errorf("%d are behind in the cut, expected the %d of the region", len(lagging), len(cutOff))
 	}
 	if held := w.Received(cutOff[0]); held < at-5 || held > at {
 		t.Errorf("cut off at event %d, holds %d", at, held)
@@ -182,8 +182,8 @@
 	w.FailZone(10*time.Second, time.Minute, 3)
 	w.requireCaughtUp(t, 15*time.Second, time.Second)
 	var slowest time.Duration
-	for no := int64(1); no <= w.LastEvent()-200; no++ {
-		slowest = max(slowest, w.LastArrival(no)-w.PublishedAt(no))
+	for number := int64(1); number <= w.LastEvent()-200; number++ {
+		slowest = max(slowest, w.LastArrival(number)-w.PublishedAt(number))
 	}
 	t.Logf("%d events, the slowest everywhere after %v, %d steps", w.LastEvent(), slowest, w.Steps())
 	if slowest > 4500*time.Millisecond {
@@ -203,7 +203,7 @@
 		t.Fatalf("%d events behind after %v", missed, *cutDuration)
 	}
 	at := w.Now()
-	for len(w.behind(w.LastEvent()-200)) > 0 && w.Now() < at+2**cutDuration+time.Minute { // 2 s of events
+	for len(w.lagging(w.LastEvent()-200)) > 0 && w.Now() < at+2**cutDuration+time.Minute { // 2 s of events
 		w.Run(w.Now() + time.Second)
 	}
 	elapsed := w.Now() - at
--- a/internal/lab/scale/discovery.go
+++ b/internal/lab/scale/discovery.go
@@ -22,7 +22,7 @@
 	maxWriteBytes    = 64 << 10        // bytes of one write, and of the buffer of each watch
 	defaultHeartbeat = time.Second     // between lines with only the last number
 	maxWatches       = 8192            // gateways
-	maxTurnEvents    = 64              // events looked up under the lock at once
+	maxBatchEvents   = 64              // events looked up under the lock at once
 )
 
 // Discovery is a stand-in for the discovery service of the whole fleet: one listener on loopback, one watch a gateway, events numbered
@@ -39,16 +39,16 @@
 	heartbeat  time.Duration
 	handshakes chan struct{} // a slot for each connection whose request has not been read
 
-	mu          sync.Mutex
-	maxEvents   int
-	members     []standin.Endpoint
-	indexByID   map[string]int // index in members by id
-	encodedList []byte         // the list as an event without its number; nil: to be encoded
-	first       int64          // position of events[0]; positions go on over all starts, numbers are a gateway's own
-	events      [][]byte       // events without their numbers
-	watchers    []*watcher
-	isRefused   func(gateway int) bool // nil: none
-	closed      bool
+	mu            sync.Mutex
+	maxEvents     int
+	members       []standin.Endpoint
+	indexByID     map[string]int // index in members by id
+	encodedList   []byte         // the list as an event without its number; nil: to be encoded
+	firstPosition int64          // position of events[0]; positions go on over all starts, numbers are a gateway's own
+	events        [][]byte       // events without their numbers
+	watchers      []*watcher
+	isRefused     func(gateway int) bool // nil: none
+	closed        bool
 }
 
 // watcher is the state of one gateway's watch, over all its connections.
@@ -100,7 +100,7 @@
 		return nil, err
 	}
 	d := &Discovery{listener: l, port: l.Addr().(*net.TCPAddr).AddrPort().Port(), maxEvents: o.KeepEvents, heartbeat: o.Heartbeat, members: slices.Clone(o.Members), indexByID: map[string]int{},
-		first: 1, watchers: make([]*watcher, o.Gateways), handshakes: make(chan struct{}, 256)}
+		firstPosition: 1, watchers: make([]*watcher, o.Gateways), handshakes: make(chan struct{}, 256)}
 	for i, m := range d.members {
 		d.indexByID[m.ID] = i
 	}
@@ -137,7 +137,7 @@
 	defer d.mu.Unlock()
 	w := d.watchers[gateway]
 	w.disconnect()
-	w.joined, w.basePosition, w.listEvent = true, d.last(), d.listUpdate()
+	w.joined, w.basePosition, w.listEvent = true, d.lastPosition(), d.listUpdate()
 	if !listInConfig {
 		return json.RawMessage(`{"no":0,"items":[]}`), w.basePosition
 	}
@@ -176,14 +176,14 @@
 	return d.encodedList
 }
 
-// last is the position of the last event. The lock is held.
-func (d *Discovery) last() int64 { return d.first + int64(len(d.events)) - 1 }
+// lastPosition is the position of the last event. The lock is held.
+func (d *Discovery) lastPosition() int64 { return d.firstPosition + int64(len(d.events)) - 1 }
 
 // Last is the position of the last event published.
 func (d *Discovery) Last() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.last()
+	return d.lastPosition()
 }
 
 // Purge publishes a purge of an object, or of a group if the object is empty, and returns its position.
@@ -206,9 +206,9 @@
 	defer d.mu.Unlock()
 	d.encodedList = nil
 	for _, m := range members {
-		i, held := d.indexByID[m.ID]
+		i, known := d.indexByID[m.ID]
 		switch {
-		case m.Phase == "removed" && held:
+		case m.Phase == "removed" && known:
 			d.members = slices.Delete(d.members, i, i+1)
 			delete(d.indexByID, m.ID)
 			for id, j := range d.indexByID {
@@ -217,7 +217,7 @@
 				}
 			}
 		case m.Phase == "removed":
-		case held:
+		case known:
 			d.members[i] = m
 		default:
 			d.indexByID[m.ID] = len(d.members)
@@ -238,16 +238,16 @@
 func (d *Discovery) publish(event []byte) int64 {
 	d.events = append(d.events, event)
 	if len(d.events) >= 2*d.maxEvents { // at twice the bound, so that each event is copied once
-		gone := len(d.events) - d.maxEvents
-		d.first += int64(gone)
-		d.events = append([][]byte(nil), d.events[gone:]...)
+		dropped := len(d.events) - d.maxEvents
+		d.firstPosition += int64(dropped)
+		d.events = append([][]byte(nil), d.events[dropped:]...)
 	}
 	for _, w := range d.watchers {
 		if w.conn != nil {
 			w.notify()
 		}
 	}
-	return d.last()
+	return d.lastPosition()
 }
 
 // RefuseWatches ends the watches of some gateways and refuses them until it is called again, as if their control machine were lost or
--- a/internal/lab/scale/discovery_serve.go
+++ b/internal/lab/scale/discovery_serve.go
@@ -43,7 +43,7 @@
 			return after, len(buf), err
 		}
 		if err == nil && len(buf) == maxRequestBytes {
-			err = errWatchLineTooLong
+			err = errRequestTooLong
 		}
 		if err != nil {
 			return 0, len(buf), err
@@ -83,30 +83,30 @@
 	}
 }
 
-// turn is what one pass of a watch has to send.
-type turn struct {
+// watchBatch is what one pass of a watch has to send.
+type watchBatch struct {
 	events   [][]byte // without their numbers
 	last     int64    // number of the gateway's last event; those up to it that are not in events are sent in later turns
 	replaced bool     // the gateway has another connection, or none: this watch ends
 	behind   bool     // an event that the watcher lacks is no longer kept
 }
 
-// nextTurn gives the events after a number, as many as buffer has room for.
-func (d *Discovery) nextTurn(w *watcher, conn net.Conn, base, after int64, buffer [][]byte) turn {
+// nextBatch gives the events after a number, as many as buffer has room for.
+func (d *Discovery) nextBatch(w *watcher, conn net.Conn, base, after int64, buffer [][]byte) watchBatch {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if w.conn != conn {
-		return turn{replaced: true}
+		return watchBatch{replaced: true}
 	}
-	next := turn{events: buffer[:0], last: d.last() - base + 1}
+	next := watchBatch{events: buffer[:0], last: d.lastPosition() - base + 1}
 	for number := after + 1; number <= next.last && len(next.events) < cap(buffer); number++ {
 		switch position := base + number - 1; {
 		case number == 1:
 			next.events = append(next.events, w.listEvent)
-		case position < d.first:
+		case position < d.firstPosition:
 			next.behind = true
 		default:
-			next.events = append(next.events, d.events[position-d.first])
+			next.events = append(next.events, d.events[position-d.firstPosition])
 		}
 	}
 	return next
@@ -151,10 +151,10 @@
 	heartbeat := time.NewTicker(d.heartbeat)
 	defer heartbeat.Stop()
 	var lines []byte
-	var events [maxTurnEvents][]byte
+	var events [maxBatchEvents][]byte
 	heartbeatDue := false
 	for {
-		next := d.nextTurn(w, conn, base, after, events[:0])
+		next := d.nextBatch(w, conn, base, after, events[:0])
 		if next.replaced {
 			return
 		}
--- a/internal/lab/scale/discovery_test.go
+++ b/internal/lab/scale/discovery_test.go
@@ -110,9 +110,9 @@
 		d.Purge(fmt.Sprintf("%016x", i), 0, issued)
 	}
 	l := openWatch(t, d, 0, 51)
-	for no := int64(52); no <= 151; no++ {
-		if got := l.event(); !strings.HasPrefix(got, fmt.Sprintf(`{"no":%d,`, no)) || !strings.Contains(got, fmt.Sprintf(`"%016x"`, no-2)) {
-			t.Fatalf("number %d: %s", no, got)
+	for number := int64(52); number <= 151; number++ {
+		if got := l.event(); !strings.HasPrefix(got, fmt.Sprintf(`{"no":%d,`, number)) || !strings.Contains(got, fmt.Sprintf(`"%016x"`, number-2)) {
+			t.Fatalf("number %d: %s", number, got)
 		}
 	}
 	for i := range 100 {
--- a/internal/lab/scale/errors.go
+++ b/internal/lab/scale/errors.go
@@ -6,8 +6,8 @@
 )
 
 var (
-	errUnknownAddress   = errors.New("nobody's address")
-	errWatchLineTooLong = errors.New("a watch began with a line that is too long")
+	errUnknownAddress = errors.New("nobody's address")
+	errRequestTooLong = errors.New("a watch began with a line that is too long")
 	// ErrPositionNotKept reports that an ArrivalLog was asked for positions outside 1 to its bound, or in the wrong order.
 	ErrPositionNotKept = errors.New("positions that no ledger keeps")
 )
@@ -121,7 +121,7 @@
 
 // Error names the program.
 func (e *StopTimeoutError) Error() string {
-	return fmt.Sprintf("%s did not end within %v of SIGTERM", e.Program, stopTimeout)
+	return fmt.Sprintf("%s did not end within %v of SIGTERM", e.Program, realStopTimeout)
 }
 
 // MissedEventsError reports a real gateway that did not hold all events when it ended, or whose watch was interrupted.
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -22,13 +22,13 @@
 }
 
 // GatewaysWhere gives the gateways whose location matches.
-func (f *FaultSchedule) GatewaysWhere(is func(Location) bool) []int {
-	return NodesWhere(f.Net.locations[:f.Gateways], is)
+func (f *FaultSchedule) GatewaysWhere(match func(Location) bool) []int {
+	return NodesWhere(f.Net.locations[:f.Gateways], match)
 }
 
 // NodesWhere gives the gateways and control machines whose location matches.
-func (f *FaultSchedule) NodesWhere(is func(Location) bool) []int {
-	return NodesWhere(f.Net.locations, is)
+func (f *FaultSchedule) NodesWhere(match func(Location) bool) []int {
+	return NodesWhere(f.Net.locations, match)
 }
 
 func (f *FaultSchedule) kill(nodes []int) {
@@ -52,39 +52,39 @@
 }
 
 // TakeDown kills nodes at a time and starts them again later.
-func (f *FaultSchedule) TakeDown(at, after time.Duration, nodes []int) {
+func (f *FaultSchedule) TakeDown(at, downtime time.Duration, nodes []int) {
 	f.Net.Schedule(at, func() { f.kill(nodes) })
-	f.Net.Schedule(at+after, func() { f.start(nodes) })
+	f.Net.Schedule(at+downtime, func() { f.start(nodes) })
 }
 
 // FailRack takes down all gateways of a site at once.
-func (f *FaultSchedule) FailRack(at, after time.Duration, site int) {
-	f.TakeDown(at, after, f.GatewaysWhere(func(p Location) bool { return p.Site == site }))
+func (f *FaultSchedule) FailRack(at, downtime time.Duration, site int) {
+	f.TakeDown(at, downtime, f.GatewaysWhere(func(p Location) bool { return p.Site == site }))
 }
 
 // FailZone takes down all nodes of a zone at once, control machines too.
-func (f *FaultSchedule) FailZone(at, after time.Duration, zone int) {
-	f.TakeDown(at, after, f.NodesWhere(func(p Location) bool { return p.Zone == zone }))
+func (f *FaultSchedule) FailZone(at, downtime time.Duration, zone int) {
+	f.TakeDown(at, downtime, f.NodesWhere(func(p Location) bool { return p.Zone == zone }))
 }
 
 // CutRegion cuts a region, with its control machines, off from all others for a time.
-func (f *FaultSchedule) CutRegion(at, after time.Duration, region int) {
+func (f *FaultSchedule) CutRegion(at, duration time.Duration, region int) {
 	var cut *Cut
 	f.Net.Schedule(at, func() {
 		cut = f.Net.Cut(f.NodesWhere(func(p Location) bool { return p.Region == region }), f.NodesWhere(func(p Location) bool { return p.Region != region }))
 	})
-	f.Net.Schedule(at+after, func() { cut.Heal() })
+	f.Net.Schedule(at+duration, func() { cut.Heal() })
 }
 
 // SplitRegions cuts every region off from every other for a time. It takes a cut for each region but the last.
-func (f *FaultSchedule) SplitRegions(at, after time.Duration) {
+func (f *FaultSchedule) SplitRegions(at, duration time.Duration) {
 	var cuts []*Cut
 	f.Net.Schedule(at, func() {
 		for r := range f.Net.regions - 1 {
 			cuts = append(cuts, f.Net.Cut(f.NodesWhere(func(p Location) bool { return p.Region == r }), f.NodesWhere(func(p Location) bool { return p.Region > r })))
 		}
 	})
-	f.Net.Schedule(at+after, func() {
+	f.Net.Schedule(at+duration, func() {
 		for _, c := range cuts {
 			c.Heal()
 		}
@@ -102,7 +102,7 @@
 // FailAtRates takes down single gateways at random times at rates a day, from a time on for a span: failures last half an hour, restarts
 // five seconds.
 func (f *FaultSchedule) FailAtRates(at, span time.Duration, failures, restarts float64) {
-	play := func(perDay float64, down time.Duration) {
+	takeDownAtRate := func(perDay float64, down time.Duration) {
 		if perDay <= 0 {
 			return
 		}
@@ -111,11 +111,11 @@
 			f.TakeDown(t, down, []int{f.Rand.IntN(f.Gateways)})
 		}
 	}
-	play(failures, 30*time.Minute)
-	play(restarts, 5*time.Second)
+	takeDownAtRate(failures, 30*time.Minute)
+	takeDownAtRate(restarts, 5*time.Second)
 }
 
 // FailControlMachine takes down a control machine; its watches move.
-func (f *FaultSchedule) FailControlMachine(at, after time.Duration, machine int) {
-	f.TakeDown(at, after, []int{f.Gateways + machine})
+func (f *FaultSchedule) FailControlMachine(at, downtime time.Duration, machine int) {
+	f.TakeDown(at, downtime, []int{f.Gateways + machine})
 }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -39,7 +39,7 @@
 	Seed             uint64
 	LookupsPerSecond float64 // of which each is satisfied at once; 0: none
 	// OnEvent, if not nil, is called with the number of each event that was applied; it must not block.
-	OnEvent func(no int64)
+	OnEvent func(number int64)
 }
 
 // StartHollowGateway starts a hollow gateway in an environment.
@@ -56,7 +56,7 @@
 		return nil, err
 	}
 	if s.OnEvent != nil {
-		watch.OnEvent = func(no int64, _ []dispatch.Purge) { s.OnEvent(no) }
+		watch.OnEvent = func(number int64, _ []dispatch.Purge) { s.OnEvent(number) }
 	}
 	h.group.Go("bulletin", func() error { return watch.Run(h.lifetime) })
 	h.group.Go("tick", func() error { return h.runTimers(g) })
@@ -79,9 +79,9 @@
 func (h *HollowGateway) runLookups(g env.Environment, parsed *settings.Settings, s HollowOptions) error {
 	end := g.NewNotifier()
 	defer h.lifetime.OnEnd(end.Notify)()
-	chance := rand.New(rand.NewPCG(s.Seed, 0x6c6f6f6b))
-	for n := 0; !end.Wait(time.Duration(chance.ExpFloat64() / s.LookupsPerSecond * float64(time.Second))); n++ {
-		l := h.Router.Submit(dispatch.Request{ID: fmt.Sprintf("%016x", n), Object: fmt.Sprintf("%016x", chance.Uint64N(1000)), SizeKB: 449,
+	rng := rand.New(rand.NewPCG(s.Seed, 0x6c6f6f6b))
+	for n := 0; !end.Wait(time.Duration(rng.ExpFloat64() / s.LookupsPerSecond * float64(time.Second))); n++ {
+		l := h.Router.Submit(dispatch.Request{ID: fmt.Sprintf("%016x", n), Object: fmt.Sprintf("%016x", rng.Uint64N(1000)), SizeKB: 449,
 			Deadline: g.Now().Add(parsed.LatencyBudget(0, 449))})
 		for l != nil {
 			step := h.Router.WaitStep(l)
--- a/internal/lab/scale/hollow_process.go
+++ b/internal/lab/scale/hollow_process.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-const endTimeout = 20 * time.Second
+const hollowStopTimeout = 20 * time.Second
 
 // hollowProcess is a process of hollow gateways, as seen by the run that started it.
 type hollowProcess struct {
@@ -65,7 +65,7 @@
 // end closes the process's input and waits for it; after endTimeout it is killed.
 func (c *hollowProcess) end() error {
 	c.in.Close()
-	late := time.AfterFunc(endTimeout, func() { c.cmd.Process.Kill() })
-	defer late.Stop()
+	killTimer := time.AfterFunc(hollowStopTimeout, func() { c.cmd.Process.Kill() })
+	defer killTimer.Stop()
 	return c.cmd.Wait()
 }
--- a/internal/lab/scale/hollow_server.go
+++ b/internal/lab/scale/hollow_server.go
@@ -57,11 +57,11 @@
 			}
 		}
 	case "halt":
-		was := c.gateways[o.First]
-		if was == nil {
+		h := c.gateways[o.First]
+		if h == nil {
 			return &UnknownGatewayError{o.First}
 		}
-		return was.Stop()
+		return h.Stop()
 	case "restart":
 		if at := c.lastEvents[o.First]; at != nil { // events published while it was down are part of the list that it starts with
 			for pos := at.Load() + 1; pos <= o.Base; pos++ {
@@ -107,9 +107,9 @@
 	at.Store(base)
 	c.lastEvents[i] = at
 	c.gateways[i], err = StartHollowGateway(c.environment, HollowOptions{DiscoveryAddr: watch, Known: known, Settings: Settings(c.locations, i, c.startCommand.Zones), Seed: uint64(i) + 1,
-		LookupsPerSecond: c.startCommand.Lookups, OnEvent: func(no int64) {
-			at.Store(base + no - 1)
-			c.arrivals.Record(base+no-1, c.environment.Now())
+		LookupsPerSecond: c.startCommand.Lookups, OnEvent: func(number int64) {
+			at.Store(base + number - 1)
+			c.arrivals.Record(base+number-1, c.environment.Now())
 		}})
 	return err
 }
--- a/internal/lab/scale/hollow_test.go
+++ b/internal/lab/scale/hollow_test.go
@@ -69,7 +69,7 @@
 	known, _ := d.Join(0, true)
 	received := make(chan int64, 10)
 	h, err := StartHollowGateway(NewEnvironment(NewSlowClock(0, 1)), HollowOptions{DiscoveryAddr: d.Addr(0), Known: known, Settings: Settings(ScaledLayout(1), 0, 25), Seed: 1, LookupsPerSecond: 200,
-		OnEvent: func(no int64) { received <- no }})
+		OnEvent: func(number int64) { received <- number }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,9 +83,9 @@
 	d.Change(removed)
 	for want := int64(2); want <= 3; want++ {
 		select {
-		case no := <-received:
-			if no != want {
-				t.Errorf("received number %d, want %d", no, want)
+		case number := <-received:
+			if number != want {
+				t.Errorf("received number %d, want %d", number, want)
 			}
 		case <-time.After(20 * time.Second):
 			t.Fatal("no event received")
@@ -108,8 +108,8 @@
 	if r.Events < 100 || r.Events > 112 || r.LostEvents != 0 || r.Processes != 4 || r.Hollow.Gateways != 6 || r.Real.Gateways != 2 {
 		t.Errorf("%+v", r)
 	}
-	each := r.Hollow.In * r.Seconds / float64(r.Events) // 71 bytes for an object, 53 for a group, a few longer changes, a number a second
-	if each < 65 || each > 100 || r.Hollow.In/r.Real.In > 1.1 || r.Real.In/r.Hollow.In > 1.1 {
+	bytesPerEvent := r.Hollow.In * r.Seconds / float64(r.Events) // 71 bytes for an object, 53 for a group, a few longer changes, a number a second
+	if bytesPerEvent < 65 || bytesPerEvent > 100 || r.Hollow.In/r.Real.In > 1.1 || r.Real.In/r.Hollow.In > 1.1 {
 		t.Errorf("%.0f bytes a second to a hollow one, %.0f to a real one", r.Hollow.In, r.Real.In)
 	}
 	if r.Hollow.Core <= 0 || r.Real.Core <= 0 || r.Hollow.Resident <= 0 || r.Real.Resident <= 0 || r.Hollow.Heap <= 0 || r.Max <= 0 {
@@ -153,8 +153,8 @@
 	if elapsed := time.Since(began); elapsed < 4400*time.Millisecond {
 		t.Errorf("a second and a tenth took %v", elapsed)
 	}
-	each := r.Hollow.In * r.Seconds / float64(r.Events)
-	if r.Events < 50 || r.Events > 56 || each < 65 || each > 110 || r.LostEvents != 0 {
-		t.Errorf("%d events of %.0f bytes, %d lost", r.Events, each, r.LostEvents)
+	bytesPerEvent := r.Hollow.In * r.Seconds / float64(r.Events)
+	if r.Events < 50 || r.Events > 56 || bytesPerEvent < 65 || bytesPerEvent > 110 || r.LostEvents != 0 {
+		t.Errorf("%d events of %.0f bytes, %d lost", r.Events, bytesPerEvent, r.LostEvents)
 	}
 }
--- a/internal/lab/scale/real.go
+++ b/internal/lab/scale/real.go
@@ -22,8 +22,8 @@
 }
 
 const (
-	realMemoryMB = 192 // its configured limit, as in the fleet's rig
-	stopTimeout  = 15 * time.Second
+	realMemoryMB    = 192 // its configured limit, as in the fleet's rig
+	realStopTimeout = 15 * time.Second
 )
 
 // freeAddress returns the address 127.66.x.y of a gateway with a port that nobody listens on there, so that measurements may run side by side.
@@ -101,12 +101,12 @@
 func (r *realGateway) stop() error {
 	defer r.log.Close()
 	r.cmd.Process.Signal(syscall.SIGTERM)
-	late := time.NewTimer(stopTimeout)
-	defer late.Stop()
+	killTimer := time.NewTimer(realStopTimeout)
+	defer killTimer.Stop()
 	select {
 	case err := <-r.ended:
 		return err
-	case <-late.C:
+	case <-killTimer.C:
 		r.cmd.Process.Kill()
 		<-r.ended
 		return &StopTimeoutError{r.cmd.Path}
--- a/internal/lab/scale/watch.go
+++ b/internal/lab/scale/watch.go
@@ -14,24 +14,24 @@
 
 // watchRun is one run in progress. Watch owns it; only restarts runs beside Watch.
 type watchRun struct {
-	options     WatchOptions
-	locations   []Location
-	zones       int
-	startMicros int64
-	clock       SlowClock
-	discovery   *Discovery
-	processes   []*hollowProcess
-	reals       []*realGateway
-	known       json.RawMessage
-	base        int64
-	published   []publishedEvent // by position, from 1
-	lateness    *hdrhistogram.Histogram
-	rng         *rand.Rand
-	nextChanged int // half of it: the next cache to drain or bring back
-	restartRand *rand.Rand
-	mu          sync.Mutex // guards what follows; both are read once play has returned
-	starts      int
-	failed      error
+	options          WatchOptions
+	locations        []Location
+	zones            int
+	startMicros      int64
+	clock            SlowClock
+	discovery        *Discovery
+	processes        []*hollowProcess
+	realGateways     []*realGateway
+	known            json.RawMessage
+	base             int64
+	published        []publishedEvent // by position, from 1
+	lateness         *hdrhistogram.Histogram
+	rng              *rand.Rand
+	changesPublished int // half of it: the next cache to drain or bring back
+	restartRand      *rand.Rand
+	mu               sync.Mutex // guards what follows; both are read once play has returned
+	restartCount     int
+	restartErr       error
 
 	allArrived bool // all events have reached all hollow gateways
 }
@@ -65,10 +65,10 @@
 	if err := w.setUp(); err != nil {
 		return nil, err
 	}
-	r.Ready, r.Processes = time.Since(began).Seconds(), len(w.processes)+len(w.reals)
+	r.Ready, r.Processes = time.Since(began).Seconds(), len(w.processes)+len(w.realGateways)
 	o.Progress("%d gateways watch after %.1fs in %d processes", o.Gateways, r.Ready, r.Processes)
 	w.play(o.Warmup)
-	warmed := w.starts
+	warmed := w.restartCount
 	if err := w.toggleProfile(); err != nil {
 		return nil, err
 	}
@@ -87,14 +87,14 @@
 		return nil, err
 	}
 	to := w.discovery.Last()
-	if w.failed != nil {
-		return nil, w.failed
+	if w.restartErr != nil {
+		return nil, w.restartErr
 	}
-	r.Restarts = w.starts - warmed
-	if err := w.arrivals(r, from, to); err != nil {
+	r.Restarts = w.restartCount - warmed
+	if err := w.measureArrivals(r, from, to); err != nil {
 		return nil, err
 	}
-	if err := w.costs(r, before, after); err != nil {
+	if err := w.measureCosts(r, before, after); err != nil {
 		return nil, err
 	}
 	w.checkLimits(r)
@@ -120,7 +120,7 @@
 		if err != nil {
 			return err
 		}
-		w.reals = append(w.reals, p)
+		w.realGateways = append(w.realGateways, p)
 	}
 	for first := 0; first < o.Gateways-o.Real; first += o.PerProcess {
 		c, err := startHollowProcess(o.HollowCommand())
@@ -139,7 +139,7 @@
 		o.Progress("%d of %d hollow gateways started", first+c.count, o.Gateways-o.Real)
 	}
 	for end := time.Now().Add(time.Minute); w.discovery.Watching() < o.Gateways; time.Sleep(20 * time.Millisecond) {
-		for _, p := range w.reals {
+		for _, p := range w.realGateways {
 			select {
 			case err := <-p.ended:
 				p.ended <- err
@@ -171,7 +171,7 @@
 	if w.discovery != nil {
 		published = w.discovery.Last() - w.base + 1
 	}
-	for _, p := range w.reals {
+	for _, p := range w.realGateways {
 		wait.Go(func() {
 			err := p.stop()
 			if last, ends, e := p.watchResult(); err == nil && e != nil {
--- a/internal/lab/scale/watch_measure.go
+++ b/internal/lab/scale/watch_measure.go
@@ -10,17 +10,17 @@
 
 // resourceSnapshot is what all processes have spent up to an instant.
 type resourceSnapshot struct {
-	at           time.Time
-	cpu          time.Duration // of this process
-	hollow       time.Duration
-	runQueueWait time.Duration // of hollow gateways, for a core
-	real         time.Duration
-	busy         time.Duration
-	usage        Usage
-	hollowIn     [2]int64 // payload and writes
-	realIn       [2]int64
-	events       [2]int64 // hollow, real
-	connects     int64
+	at            time.Time
+	cpu           time.Duration // of this process
+	hollowCPU     time.Duration
+	runQueueWait  time.Duration // of hollow gateways, for a core
+	realCPU       time.Duration
+	machineBusy   time.Duration
+	usage         Usage
+	hollowTraffic [2]int64 // payload and writes
+	realTraffic   [2]int64
+	events        [2]int64 // hollow, real
+	connects      int64
 }
 
 // snapshot reads what all have spent so far.
@@ -29,7 +29,7 @@
 	if s.cpu, err = cpuOf(os.Getpid()); err != nil {
 		return s, err
 	}
-	if s.busy, err = machineBusy(); err != nil {
+	if s.machineBusy, err = machineBusy(); err != nil {
 		return s, err
 	}
 	for _, c := range w.processes {
@@ -37,35 +37,35 @@
 		if err != nil {
 			return s, err
 		}
-		s.hollow += t
+		s.hollowCPU += t
 		if t, err = runQueueWaitOf(c.cmd.Process.Pid); err != nil {
 			return s, err
 		}
 		s.runQueueWait += t
 	}
-	for _, p := range w.reals {
+	for _, p := range w.realGateways {
 		t, err := cpuOf(p.cmd.Process.Pid)
 		if err != nil {
 			return s, err
 		}
-		s.real += t
+		s.realCPU += t
 	}
 	for i := range w.options.Gateways {
-		c, at, k := w.discovery.Counts(i), &s.hollowIn, 0
+		c, at, k := w.discovery.Counts(i), &s.hollowTraffic, 0
 		if i >= w.options.Gateways-w.options.Real {
-			at, k = &s.realIn, 1
+			at, k = &s.realTraffic, 1
 		}
 		at[0] += c.BytesOut.Load()
 		at[1] += c.Writes.Load()
 		s.events[k] += c.Events.Load()
 		s.connects += c.Connects.Load()
 	}
-	s.usage, err = w.usage(false)
+	s.usage, err = w.totalUsage(false)
 	return s, err
 }
 
-// usage is the sum over all processes of hollow gateways.
-func (w *watchRun) usage(gc bool) (sum Usage, err error) {
+// totalUsage is the sum over all processes of hollow gateways.
+func (w *watchRun) totalUsage(gc bool) (sum Usage, err error) {
 	sum.EventCounts = map[string]int64{}
 	for _, c := range w.processes {
 		a, err := c.call(command{Action: "usage", GC: gc})
@@ -99,8 +99,8 @@
 	return err
 }
 
-// arrivals waits for the events of the window to reach all hollow gateways, for 30 s at most, and reports their latencies.
-func (w *watchRun) arrivals(r *WatchReport, from, to int64) error {
+// measureArrivals waits for the events of the window to reach all hollow gateways, for 30 s at most, and reports their latencies.
+func (w *watchRun) measureArrivals(r *WatchReport, from, to int64) error {
 	if r.Events = int(to - from + 1); r.Events <= 0 || len(w.processes) == 0 {
 		return nil
 	}
--- a/internal/lab/scale/watch_play.go
+++ b/internal/lab/scale/watch_play.go
@@ -27,9 +27,9 @@
 	defer restarts.Wait()
 	defer close(stop)
 	if o.RestartsPerSecond > 0 && o.Gateways > o.Real {
-		restarts.Go(func() { w.restarts(w.clock.realDuration(gap(o.RestartsPerSecond)), stop) })
+		restarts.Go(func() { w.runRestarts(w.clock.realDuration(gap(o.RestartsPerSecond)), stop) })
 	}
-	nextPurge, nextChange, said := purge, change, time.Duration(0)
+	nextPurge, nextChange, reportedAt := purge, change, time.Duration(0)
 	for {
 		due := min(nextPurge, nextChange, span)
 		if wait := due - w.clock.Now().Sub(began); wait > 0 {
@@ -51,23 +51,23 @@
 			w.discovery.Purge(object, group, now)
 		case nextChange:
 			nextChange += change
-			m := w.discovery.memberAt(w.nextChanged / 2)
-			if m.Phase = "draining"; w.nextChanged%2 == 1 {
+			m := w.discovery.memberAt(w.changesPublished / 2)
+			if m.Phase = "draining"; w.changesPublished%2 == 1 {
 				m.Phase = "up"
 			}
-			w.nextChanged++
+			w.changesPublished++
 			w.published = append(w.published, publishedEvent{at: now})
 			w.discovery.Change(m)
 		}
-		if at := now.Sub(began); w.clock.realDuration(at-said) >= 10*time.Second {
-			said = at
+		if at := now.Sub(began); w.clock.realDuration(at-reportedAt) >= 10*time.Second {
+			reportedAt = at
 			o.Progress("%d gateways, %.0f of %.0f s", o.Gateways, at.Seconds(), span.Seconds())
 		}
 	}
 }
 
-// restarts restarts hollow gateways, one after the other, until stop is closed or one fails.
-func (w *watchRun) restarts(every time.Duration, stop chan struct{}) {
+// runRestarts restarts hollow gateways, one after the other, until stop is closed or one fails.
+func (w *watchRun) runRestarts(every time.Duration, stop chan struct{}) {
 	next := time.NewTicker(every)
 	defer next.Stop()
 	for {
@@ -79,7 +79,7 @@
 		i := w.restartRand.IntN(w.options.Gateways - w.options.Real)
 		if err := w.restart(i); err != nil {
 			w.mu.Lock()
-			w.failed = fmt.Errorf("restart of gateway %d: %w", i, err)
+			w.restartErr = fmt.Errorf("restart of gateway %d: %w", i, err)
 			w.mu.Unlock()
 			return
 		}
@@ -99,7 +99,7 @@
 		return err
 	}
 	w.mu.Lock()
-	w.starts++
+	w.restartCount++
 	w.mu.Unlock()
 	return nil
 }
--- a/internal/lab/scale/watch_report.go
+++ b/internal/lab/scale/watch_report.go
@@ -59,8 +59,8 @@
 	LateMax float64 `json:"pace_late_max_ms"`
 }
 
-// costs reports what gateways and the machine spent between two snapshots.
-func (w *watchRun) costs(r *WatchReport, a, b resourceSnapshot) error {
+// measureCosts reports what gateways and the machine spent between two snapshots.
+func (w *watchRun) measureCosts(r *WatchReport, a, b resourceSnapshot) error {
 	elapsed := b.at.Sub(a.at).Seconds()
 	span := elapsed / w.options.Stretch
 	r.Seconds = span
@@ -68,18 +68,18 @@
 		if n == 0 {
 			return Cost{}
 		}
-		each := float64(n) * span
+		gatewaySeconds := float64(n) * span
 		in, writes := after[0]-before[0], after[1]-before[1]
 		down, up := TCPOverhead(in, writes)
-		c := Cost{Gateways: n, Core: cpu.Seconds() / each, In: float64(in) / each, WireIn: float64(down) / each, WireOut: float64(up) / each,
-			Writes: float64(writes) / each, Resident: resident / float64(n)}
+		c := Cost{Gateways: n, Core: cpu.Seconds() / gatewaySeconds, In: float64(in) / gatewaySeconds, WireIn: float64(down) / gatewaySeconds, WireOut: float64(up) / gatewaySeconds,
+			Writes: float64(writes) / gatewaySeconds, Resident: resident / float64(n)}
 		if events > 0 {
 			c.EventMicros = cpu.Seconds() * 1e6 / float64(events)
 		}
 		return c
 	}
 	var hollowRSS, realRSS int64
-	u, err := w.usage(true)
+	u, err := w.totalUsage(true)
 	if err != nil {
 		return err
 	}
@@ -90,7 +90,7 @@
 		}
 		hollowRSS += n
 	}
-	for _, p := range w.reals {
+	for _, p := range w.realGateways {
 		n, err := residentOf(p.cmd.Process.Pid)
 		if err != nil {
 			return err
@@ -98,18 +98,18 @@
 		realRSS += n
 	}
 	hollow := w.options.Gateways - w.options.Real
-	r.Hollow = cost(hollow, b.hollow-a.hollow, a.hollowIn, b.hollowIn, b.events[0]-a.events[0], float64(hollowRSS))
-	r.Real = cost(w.options.Real, b.real-a.real, a.realIn, b.realIn, b.events[1]-a.events[1], float64(realRSS))
+	r.Hollow = cost(hollow, b.hollowCPU-a.hollowCPU, a.hollowTraffic, b.hollowTraffic, b.events[0]-a.events[0], float64(hollowRSS))
+	r.Real = cost(w.options.Real, b.realCPU-a.realCPU, a.realTraffic, b.realTraffic, b.events[1]-a.events[1], float64(realRSS))
 	if hollow > 0 {
 		r.Hollow.Heap = float64(u.Heap) / float64(hollow)
 		r.Hollow.Allocs = float64(b.usage.Mallocs-a.usage.Mallocs) / float64(hollow) / span
 		r.Hollow.Alloc = float64(b.usage.AllocBytes-a.usage.AllocBytes) / float64(hollow) / span
 	}
 	r.LogCounts = countsSince(b.usage.EventCounts, a.usage.EventCounts)
-	r.Reconnects = b.connects - a.connects - int64(w.starts)
-	r.Machine.Busy = (b.busy - a.busy).Seconds() / elapsed
-	r.Machine.Ours = (b.cpu - a.cpu + b.hollow - a.hollow + b.real - a.real).Seconds() / elapsed
-	if ran, waited := (b.hollow - a.hollow).Seconds(), (b.runQueueWait - a.runQueueWait).Seconds(); ran+waited > 0 {
+	r.Reconnects = b.connects - a.connects - int64(w.restartCount)
+	r.Machine.Busy = (b.machineBusy - a.machineBusy).Seconds() / elapsed
+	r.Machine.Ours = (b.cpu - a.cpu + b.hollowCPU - a.hollowCPU + b.realCPU - a.realCPU).Seconds() / elapsed
+	if ran, waited := (b.hollowCPU - a.hollowCPU).Seconds(), (b.runQueueWait - a.runQueueWait).Seconds(); ran+waited > 0 {
 		r.Machine.Starved = max(0, waited/(ran+waited))
 	}
 	r.Machine.Late, r.Machine.LateMax = float64(w.lateness.ValueAtQuantile(99))/1000, float64(w.lateness.Max())/1000
