--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -24,11 +24,11 @@
 // together as gateway.Run does. It serves no clients and has no connections to caches, no snapshot, no routes and no fleet membership.
 // Its goroutines end with Stop.
 type HollowGateway struct {
-	Router   *dispatch.Dispatcher
-	Caches   *cacheregistry.Registry
-	Purges   *purgelog.Log
-	lifetime *env.Lifetime
-	group    env.Group
+	Dispatcher *dispatch.Dispatcher
+	Caches     *cacheregistry.Registry
+	Purges     *purgelog.Log
+	lifetime   *env.Lifetime
+	group      env.Group
 }
 
 // HollowOptions configure a hollow gateway.
@@ -50,8 +50,8 @@
 	}
 	h := &HollowGateway{Caches: &cacheregistry.Registry{}, lifetime: env.NewLifetime(nil), group: g.NewGroup()}
 	h.Purges = &purgelog.Log{Clock: g, Grace: time.Duration(parsed.PurgeGrace) * time.Microsecond, Retention: time.Duration(parsed.Router.PurgeSettleTime)*time.Microsecond + purgeSlack}
-	h.Router = dispatch.New(g, s.Seed, parsed.Router, nil)
-	watch := discovery.NewWatch(discovery.Config{Environment: g, Addr: s.DiscoveryAddr, Settings: parsed, Dispatcher: h.Router, Registry: h.Caches, Purges: h.Purges})
+	h.Dispatcher = dispatch.New(g, s.Seed, parsed.Router, nil)
+	watch := discovery.NewWatch(discovery.Config{Environment: g, Addr: s.DiscoveryAddr, Settings: parsed, Dispatcher: h.Dispatcher, Registry: h.Caches, Purges: h.Purges})
 	if err := watch.LoadKnown(s.Known); err != nil {
 		return nil, err
 	}
@@ -70,7 +70,7 @@
 func (h *HollowGateway) runTimers(g env.Environment) error {
 	end := g.NewNotifier()
 	defer h.lifetime.OnEnd(end.Notify)()
-	for !end.Wait(max(h.Router.Tick(nil, false, nil), time.Millisecond)) {
+	for !end.Wait(max(h.Dispatcher.Tick(nil, false, nil), time.Millisecond)) {
 	}
 	return nil
 }
@@ -81,12 +81,12 @@
 	defer h.lifetime.OnEnd(end.Notify)()
 	rng := rand.New(rand.NewPCG(s.Seed, 0x6c6f6f6b))
 	for n := 0; !end.Wait(time.Duration(rng.ExpFloat64() / s.LookupsPerSecond * float64(time.Second))); n++ {
-		l := h.Router.Submit(dispatch.Request{ID: fmt.Sprintf("%016x", n), Object: fmt.Sprintf("%016x", rng.Uint64N(1000)), SizeKB: 449,
+		l := h.Dispatcher.Submit(dispatch.Request{ID: fmt.Sprintf("%016x", n), Object: fmt.Sprintf("%016x", rng.Uint64N(1000)), SizeKB: 449,
 			Deadline: g.Now().Add(parsed.LatencyBudget(0, 449))})
 		for l != nil {
-			step := h.Router.WaitStep(l)
+			step := h.Dispatcher.WaitStep(l)
 			if step.Kind == dispatch.StepFetch {
-				h.Router.AttemptEnded(l, step.Attempt, policy.OutcomeSatisfied, policy.DetailHit, 0)
+				h.Dispatcher.AttemptEnded(l, step.Attempt, policy.OutcomeSatisfied, policy.DetailHit, 0)
 			} else if step.Kind != dispatch.StepCancel {
 				break
 			}
--- a/internal/lab/scale/watch.go
+++ b/internal/lab/scale/watch.go
@@ -68,7 +68,7 @@
 	r.Ready, r.Processes = time.Since(began).Seconds(), len(w.processes)+len(w.realGateways)
 	o.Progress("%d gateways watch after %.1fs in %d processes", o.Gateways, r.Ready, r.Processes)
 	w.play(o.Warmup)
-	warmed := w.restartCount
+	warmupRestarts := w.restartCount
 	if err := w.toggleProfile(); err != nil {
 		return nil, err
 	}
@@ -90,7 +90,7 @@
 	if w.restartErr != nil {
 		return nil, w.restartErr
 	}
-	r.Restarts = w.restartCount - warmed
+	r.Restarts = w.restartCount - warmupRestarts
 	if err := w.measureArrivals(r, from, to); err != nil {
 		return nil, err
 	}
