--- a/internal/lab/scale/controls.go
+++ b/internal/lab/scale/controls.go
@@ -7,87 +7,91 @@
 	"time"
 )
 
-// EventReceiver is a Node that follows the discovery watch: events are delivered to it in order, each once.
+// EventReceiver is a Node that follows the discovery watch. Events are delivered to it in order, each once.
 type EventReceiver interface {
-	// EventsArrived delivers the events numbered first to last.
+	// EventsArrived delivers the events with the numbers first to last.
 	EventsArrived(now time.Duration, first, last int64)
 }
 
-// ControlOptions configure the control machines of a Network.
+// ControlOptions configures the control machines of a Network.
 type ControlOptions struct {
-	Gateways              int           // nodes 0 to Gateways-1; the machines are the nodes after them
-	Machines              int           // 14 if 0
-	MaxWatches            int           // of one machine; a third more than an even share if 0
-	EventBytes            int           // 72 if 0
-	ListBytes             int           // of the whole list, which a gateway receives when it starts; 270,000 if 0
-	CatchUpBytesPerSecond int           // rate at which one watch receives the events it missed; 0: unlimited
-	BatchInterval         time.Duration // a machine sends events to its watches this often; 0: each event at once
-	SilenceTimeout        time.Duration // after which a gateway dials another machine; 2.5 s if 0, as in package discovery
-	HasWatch              func(gateway int) bool
+	Gateways              int                    // number of gateways, nodes 0 to Gateways-1; the control machines are the nodes after them
+	Machines              int                    // number of control machines; 14 if 0
+	MaxWatches            int                    // limit per machine; a third more than an even share if 0
+	EventBytes            int                    // size of one event; 72 if 0
+	ListBytes             int                    // size of the endpoint list, which a gateway receives when it starts; 270,000 if 0
+	CatchUpBytesPerSecond int                    // rate limit per watch for missed events; 0: unlimited
+	BatchInterval         time.Duration          // time for which a machine collects events before it sends them; 0: sends each at once
+	SilenceTimeout        time.Duration          // silence after which a gateway dials another machine; 2.5 s if 0, as in package discovery
+	HasWatch              func(gateway int) bool // reports whether a gateway has a watch; nil: all have one
 	Seed                  uint64
 }
 
-// ControlMachines are the control machines of a fleet on a Network, a model of TCP watches: the events of a machine reach each of its
-// gateways in order, a loss delays them by retransmitAfter, a cut or a dead machine is noticed by silence, and a gateway then requests
-// from the next machine the events after its last one. An event is published to the first machine that is up, and from it to the others
-// that it can reach; a machine that is behind fetches the rest each checkInterval.
+// ControlMachines models the control machines of a fleet on a Network, and the TCP watches that gateways have on
+// them. The events of a machine reach each of its gateways in order, and a loss delays them by retransmitAfter. A
+// gateway detects a cut or a dead machine by the silence of its watch. It then connects to the next machine and
+// requests the events after its last one. A gateway that starts receives the whole endpoint list first.
 //
-// Machines and gateways are started and killed through the Network, whose goroutine owns this state. A gateway that starts receives the
-// whole list first.
+// An event is published to the first machine that is up, which forwards it to the other machines that it can reach.
+// Each checkInterval, a machine that lacks events fetches them from the others.
+//
+// Machines and gateways are started and killed through the Network, whose goroutine owns this state.
 type ControlMachines struct {
 	net          *Network
 	options      ControlOptions
 	rng          *rand.Rand
-	lastEvent    []int64         // by machine: the last event it has
-	watchCount   []int           // by machine: the number of its watches
-	syncedAt     []time.Duration // by machine: when all events sent to it have arrived
-	batchPending []bool          // by machine: a batch to its watches is scheduled
+	lastEvent    []int64         // by machine: number of the last event that it has
+	watchCount   []int           // by machine: number of its watches
+	syncedAt     []time.Duration // by machine: time at which all events forwarded to it have arrived
+	batchPending []bool          // by machine: whether a batch for its watches is scheduled
 	watches      []watch
-	publishedAt  []time.Duration // by event, from 1
-	lastArrival  []time.Duration // by event: when it last reached a gateway
-	Moves        int64           // watches that moved to another machine
-	Denied       int64           // requests to a machine that was full
+	publishedAt  []time.Duration // by event number, from 1: time of publication
+	lastArrival  []time.Duration // by event number: time of its latest arrival at a gateway
+	Moves        int64           // silent watches that gateways ended to dial another machine
+	Denied       int64           // requests that a machine denied because it had MaxWatches
 }
 
 // watch is one gateway's watch.
 type watch struct {
-	starts                   int // starts of the gateway when the watch was set up
-	machineStart             int // starts of the machine when the connection was set up
-	hasList                  bool
-	machine                  int // -1: none
-	epoch                    int // of the connection; data in flight of an earlier one is lost
-	sent                     int64
-	received                 int64
-	sendingUntil             time.Duration // when all data sent before has arrived
-	lastLineAt               time.Duration // when the last line arrived
-	dialing, silenceTimerSet bool          // an attempt to connect is under way; a check for silence is scheduled
-	catchingUp               bool          // the next part of the missed events is scheduled
-	attempts                 int
-	waiting                  []func() // deliveries to a paused gateway, in its socket
+	starts                   int           // start count of the gateway when the watch was set up
+	machineStart             int           // start count of the machine when the connection was set up
+	hasList                  bool          // the endpoint list has arrived since the gateway started
+	machine                  int           // -1: no watch
+	epoch                    int           // number of the connection; data in flight on an earlier one is lost
+	sent                     int64         // number of the last event sent
+	received                 int64         // number of the last event received
+	sendingUntil             time.Duration // time at which all data sent so far has arrived
+	lastLineAt               time.Duration // time at which the last line arrived
+	dialing, silenceTimerSet bool          // a connection attempt is in progress; a check for silence is scheduled
+	catchingUp               bool          // the next batch of missed events is scheduled
+	attempts                 int           // connection attempts since the last connection
+	waiting                  []func()      // deliveries in the socket buffer of a paused gateway
 }
 
 const (
-	segmentHeaderBytes = 52 // bytes of IPv4 and TCP with timestamps
-	heartbeatBytes     = 12 // bytes of a line with only the last number
+	segmentHeaderBytes = 52 // IPv4 and TCP headers with timestamps
+	heartbeatBytes     = 12 // a line with only the number of the last event
 	retransmitAfter    = 200 * time.Millisecond
 	checkInterval      = time.Second
 	dialTimeout        = 500 * time.Millisecond
 	minBackoff         = 50 * time.Millisecond
 	maxBackoff         = 800 * time.Millisecond
-	maxCatchUpBytes    = 64 << 10 // bytes at once
-	catchUpThreshold   = 64       // events after which a watch is catching up
+	maxCatchUpBytes    = 64 << 10 // bytes of missed events sent at once
+	catchUpThreshold   = 64       // a watch that lacks more events than this receives them in batches
 )
 
-// ControlMachine is the program of a control machine's node. It does nothing: ControlMachines models all of them.
+// ControlMachine is the program of a control machine's node. It does nothing, since ControlMachines models all
+// machines.
 type ControlMachine struct{}
 
-// Datagram drops the datagram: watches are streams.
+// Datagram drops the datagram, since watches are streams.
 func (ControlMachine) Datagram(time.Duration, int, []byte) {}
 
 // TimerFired does nothing.
 func (ControlMachine) TimerFired(time.Duration) {}
 
-// WithControlMachines appends the locations of control machines, spread over the zones, to those of gateways.
+// WithControlMachines returns the locations of gateways followed by those of control machines. The machines are
+// spread evenly over the zones, each at a site of its own.
 func WithControlMachines(places []Location, machines int) []Location {
 	var zones []Location
 	for _, p := range places {
@@ -105,14 +109,14 @@
 	return out
 }
 
-// NewControlMachines starts control machines as the last nodes of a Network, and follows all gateways from then on. It panics if the
-// Network has too few nodes.
+// NewControlMachines starts the control machines on the nodes after the gateways, and from then on serves the watches
+// of all gateways that have one. It panics if there is no gateway, no machine, or not a node for each.
 func NewControlMachines(n *Network, o ControlOptions) *ControlMachines {
 	if o.Machines == 0 {
 		o.Machines = FullControls
 	}
 	if o.Gateways < 1 || o.Machines < 1 || n.Nodes() < o.Gateways+o.Machines {
-		panic(fmt.Sprintf("scale.NewControlMachines: %d gateways and %d machines on %d nodes", o.Gateways, o.Machines, n.Nodes()))
+		panic(fmt.Sprintf("scale.NewControlMachines: %d gateways and %d machines on %d nodes, expected one of each at least and a node for each", o.Gateways, o.Machines, n.Nodes()))
 	}
 	setDefault := func(v *int, d int) {
 		if *v == 0 {
@@ -142,7 +146,7 @@
 	return c
 }
 
-// everySecond calls f each second from a time on.
+// everySecond calls f after a delay and each checkInterval from then on.
 func (c *ControlMachines) everySecond(delay time.Duration, f func()) {
 	at := c.net.Now() + delay
 	var again func()
@@ -154,9 +158,10 @@
 	c.net.Schedule(at, again)
 }
 
+// node returns the number of a machine's node.
 func (c *ControlMachines) node(machine int) int { return c.options.Gateways + machine }
 
-// Publish publishes one more event and returns its number.
+// Publish publishes an event and returns its number.
 func (c *ControlMachines) Publish() int64 {
 	now := c.net.Now()
 	c.publishedAt, c.lastArrival = append(c.publishedAt, now), append(c.lastArrival, 0)
@@ -177,25 +182,25 @@
 	return number
 }
 
-// LastEvent is the number of the last event published.
+// LastEvent returns the number of the last event published.
 func (c *ControlMachines) LastEvent() int64 { return int64(len(c.publishedAt) - 1) }
 
-// PublishedAt is when an event was published.
+// PublishedAt returns the time at which an event was published.
 func (c *ControlMachines) PublishedAt(number int64) time.Duration { return c.publishedAt[number] }
 
-// LastArrival is when an event last reached a gateway so far.
+// LastArrival returns the time at which an event last reached a gateway so far; 0: it has reached none.
 func (c *ControlMachines) LastArrival(number int64) time.Duration { return c.lastArrival[number] }
 
-// Received is the last event that a gateway has received.
+// Received returns the number of the last event that a gateway has received.
 func (c *ControlMachines) Received(gateway int) int64 { return c.watches[gateway].received }
 
-// Machine is the machine of a gateway's watch; -1: none.
+// Machine returns the machine that serves a gateway's watch; -1: none.
 func (c *ControlMachines) Machine(gateway int) int { return c.watches[gateway].machine }
 
-// Watches is the number of watches of each machine.
+// Watches returns the number of watches of each machine.
 func (c *ControlMachines) Watches() []int { return slices.Clone(c.watchCount) }
 
-// source is the machine that events are published to, the first that runs; -1: none does.
+// source returns the machine that events are published to, which is the first that is up; -1: none is up.
 func (c *ControlMachines) source() int {
 	for j := range c.lastEvent {
 		if c.net.IsUp(c.node(j)) {
@@ -205,11 +210,13 @@
 	return -1
 }
 
+// canReach reports whether two nodes are up and no cut separates them.
 func (c *ControlMachines) canReach(a, b int) bool {
 	return c.net.IsUp(a) && c.net.IsUp(b) && c.net.CanReach(a, b)
 }
 
-// storeEvents gives a machine the events up to a number, and sends them to its watches.
+// storeEvents stores the events up to a number on a machine and sends them to its watches, at once or with the next
+// batch.
 func (c *ControlMachines) storeEvents(j int, number int64) {
 	c.lastEvent[j] = max(c.lastEvent[j], number)
 	push := func() {
@@ -228,7 +235,8 @@
 	}
 }
 
-// syncMachine lets a machine that is behind fetch events from the others.
+// syncMachine makes a machine fetch the events that it lacks from the others that it can reach, once the first of
+// them was published more than 2*checkInterval ago.
 func (c *ControlMachines) syncMachine(j int) {
 	if !c.net.IsUp(c.node(j)) {
 		return
@@ -240,7 +248,8 @@
 	}
 }
 
-// push sends a gateway the events that its machine has and has not sent yet.
+// push sends a gateway the events that its machine has stored but not sent yet. More than catchUpThreshold events are
+// sent in batches of at most maxCatchUpBytes, at CatchUpBytesPerSecond.
 func (c *ControlMachines) push(g int) {
 	w := &c.watches[g]
 	if w.catchingUp || w.sent >= c.lastEvent[w.machine] || !c.isConnected(g) {
@@ -248,7 +257,7 @@
 	}
 	now := c.net.now
 	first, last := w.sent+1, c.lastEvent[w.machine]
-	behind := last-first >= catchUpThreshold // more than those of the moment
+	behind := last-first >= catchUpThreshold // it has missed events and does not lack only the latest ones
 	if limit := int64(maxCatchUpBytes / c.options.EventBytes); behind && last-first >= limit {
 		last = first + limit - 1
 	}
@@ -279,7 +288,8 @@
 	}
 }
 
-// send calls deliver when bytes reach a gateway, after all bytes sent before, if the connection still exists then.
+// send sends bytes on a gateway's watch and calls deliver when they arrive, after all bytes sent before. It does not
+// call deliver if the connection has ended by then.
 func (c *ControlMachines) send(g int, bytes int64, deliver func()) {
 	w := &c.watches[g]
 	m := c.node(w.machine)
@@ -296,7 +306,7 @@
 		if w.epoch != epoch || c.net.nodes[g].starts != w.starts || c.net.nodes[g].program == nil {
 			return
 		}
-		if !c.isConnected(g) { // lost with the connection; the gateway's next request names its last event
+		if !c.isConnected(g) { // the data is lost with the connection; the gateway's next request names its last event
 			c.endWatch(g)
 			return
 		}
@@ -305,7 +315,7 @@
 	})
 }
 
-// deliverWaiting delivers what waits for a gateway, unless it is paused.
+// deliverWaiting makes the deliveries that wait in a gateway's socket buffer, unless the gateway is paused.
 func (c *ControlMachines) deliverWaiting(g int) {
 	w := &c.watches[g]
 	if len(w.waiting) == 0 || c.net.nodes[g].paused {
@@ -318,14 +328,15 @@
 	}
 }
 
-// isConnected reports whether a gateway's connection can deliver anything.
+// isConnected reports whether a gateway and its machine can reach each other and the machine has not restarted since
+// they connected.
 func (c *ControlMachines) isConnected(g int) bool {
 	w := &c.watches[g]
 	m := c.node(w.machine)
 	return c.canReach(m, g) && c.net.nodes[m].starts == w.machineStart
 }
 
-// endWatch ends a watch.
+// endWatch ends a gateway's watch, if it has one.
 func (c *ControlMachines) endWatch(g int) {
 	if w := &c.watches[g]; w.machine >= 0 {
 		c.watchCount[w.machine]--
@@ -335,7 +346,9 @@
 	}
 }
 
-// checkWatch runs for each gateway each checkInterval: it begins a watch, counts the heartbeat and notices silence.
+// checkWatch runs for each gateway each checkInterval. It dials a machine for a gateway that has started, counts the
+// heartbeat of a connected watch, checks a disconnected one for silence, and ends the watch of a gateway that is
+// down.
 func (c *ControlMachines) checkWatch(g int) {
 	w, v := &c.watches[g], &c.net.nodes[g]
 	switch {
@@ -356,7 +369,7 @@
 	}
 }
 
-// checkSilence lets a gateway dial another machine once its watch has been silent for too long.
+// checkSilence makes a gateway dial another machine once its watch has been silent for SilenceTimeout.
 func (c *ControlMachines) checkSilence(g int) {
 	w, v := &c.watches[g], &c.net.nodes[g]
 	if w.dialing || w.silenceTimerSet || w.starts != v.starts || v.program == nil || v.paused || w.machine >= 0 && c.isConnected(g) {
@@ -375,7 +388,8 @@
 	c.dial(g, minBackoff)
 }
 
-// dial tries the next machine, each gateway in an order of its own, and another after a growing pause.
+// dial connects a gateway to its next machine; each gateway tries the machines in an order of its own. After a
+// failure it tries another machine after a random backoff, whose upper limit doubles up to maxBackoff.
 func (c *ControlMachines) dial(g int, backoff time.Duration) {
 	w := &c.watches[g]
 	starts, epoch := w.starts, w.epoch
@@ -397,7 +411,7 @@
 		retry(dialTimeout)
 		return
 	}
-	c.net.Schedule(c.net.now+c.net.DrawLatency(g, m)+c.net.DrawLatency(m, g)+c.net.DrawLatency(g, m), func() { // the handshake and the request
+	c.net.Schedule(c.net.now+c.net.DrawLatency(g, m)+c.net.DrawLatency(m, g)+c.net.DrawLatency(g, m), func() { // the TCP handshake and the request
 		switch {
 		case obsolete():
 		case !c.canReach(g, m):
@@ -409,7 +423,7 @@
 			c.watchCount[j]++
 			w.machine, w.machineStart, w.attempts, w.dialing, w.lastLineAt = j, c.net.nodes[m].starts, 0, false, c.net.now
 			w.sendingUntil = c.net.now
-			if !w.hasList { // after a start: the list stands for all earlier events
+			if !w.hasList { // after a start, the list replaces all earlier events
 				upTo := c.lastEvent[j]
 				w.sent = upTo
 				c.send(g, int64(c.options.ListBytes), func() { w.received, w.hasList = upTo, true })
--- a/internal/lab/scale/controls_test.go
+++ b/internal/lab/scale/controls_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-var cutDuration = flag.Duration("scale.cut", 20*time.Second, "how long a region of the whole fleet is cut off; an hour is the plan's")
+var cutDuration = flag.Duration("scale.cut", 20*time.Second, "how long a region is cut off from the whole fleet; the plan says an hour")
 
-// watchingNode is a gateway that only follows its watch, and checks that events arrive in order.
+// watchingNode is a gateway that only follows its watch and checks that events arrive in order.
 type watchingNode struct {
 	t           *testing.T
 	received    int64
@@ -20,12 +20,12 @@
 func (*watchingNode) TimerFired(time.Duration)            {}
 func (n *watchingNode) EventsArrived(_ time.Duration, first, last int64) {
 	if n.hasReceived && first != n.received+1 || last < first {
-		n.t.Errorf("events %d to %d arrived after %d", first, last, n.received)
+		n.t.Errorf("events %d to %d arrived after event %d, expected the next ones in order", first, last, n.received)
 	}
 	n.received, n.hasReceived = last, true
 }
 
-// watchedFleet is a fleet of gateways and control machines on a network, with its faults.
+// watchedFleet is a fleet of gateways and control machines on a Network with a schedule of faults.
 type watchedFleet struct {
 	*Network
 	*ControlMachines
@@ -33,13 +33,15 @@
 	nodes []*watchingNode
 }
 
-// newSmallFleet starts 390 gateways at 30 sites, 5 zones and 3 regions with 4 control machines that publish 20 events a second.
+// newSmallFleet starts 390 gateways at 30 sites in 5 zones and 3 regions, with 4 control machines that publish 20
+// events a second.
 func newSmallFleet(t *testing.T, o ControlOptions) *watchedFleet {
 	t.Helper()
 	return newWatchedFleet(t, Layout(390, 30, 5, 3), 4, 20, o)
 }
 
-// newWatchedFleet starts gateways and control machines that publish events at a rate a second from 5 s on.
+// newWatchedFleet starts gateways and control machines. From 5 s on, events are published at the given rate per
+// second.
 func newWatchedFleet(t *testing.T, locations []Location, machines int, rate float64, o ControlOptions) *watchedFleet {
 	t.Helper()
 	o.Gateways, o.Machines = len(locations), machines
@@ -66,7 +68,7 @@
 	return w
 }
 
-// lagging gives the gateways that run and have not received an event.
+// lagging returns the gateways that are up and have not received the event with the given number.
 func (w *watchedFleet) lagging(number int64) (gateways []int) {
 	for i := range w.FaultSchedule.Gateways {
 		if w.IsUp(i) && w.Received(i) < number {
@@ -76,14 +78,15 @@
 	return gateways
 }
 
-// requireCaughtUp runs until a time and checks that all running gateways have received the events published up to lag before it.
+// requireCaughtUp runs until a time and checks that all gateways that are up then have received the events published
+// up to lag before.
 func (w *watchedFleet) requireCaughtUp(t *testing.T, until, lag time.Duration) {
 	t.Helper()
 	w.Run(until - lag)
 	number := w.LastEvent()
 	w.Run(until)
 	if lagging := w.lagging(number); len(lagging) > 0 {
-		t.Errorf("at %v: %d gateways do not hold event %d of %v before, the first is %d with %d", until, len(lagging), number, lag, lagging[0], w.Received(lagging[0]))
+		t.Errorf("at %v: %d gateways lack event %d, which was published at least %v before; the first is gateway %d, whose last event is %d", until, len(lagging), number, lag, lagging[0], w.Received(lagging[0]))
 	}
 }
 
@@ -96,18 +99,18 @@
 		slowest = max(slowest, w.LastArrival(number)-w.PublishedAt(number))
 	}
 	if slowest < 200*time.Millisecond || slowest > 800*time.Millisecond {
-		t.Errorf("the slowest event was everywhere after %v; a loss costs 200 ms", slowest)
+		t.Errorf("the slowest event reached all gateways after %v, expected 200 to 800 ms (a loss delays an event by 200 ms)", slowest)
 	}
 	loads := w.Watches()
 	if slices.Min(loads) < 80 || slices.Max(loads) > 131 {
-		t.Errorf("watches of machines: %v", loads)
+		t.Errorf("watches per machine: %v, expected 80 to 131 on each", loads)
 	}
 	c, m := w.Counters(0), w.Counters(390)
 	if want := int64(55 * 20 * (72 + 52)); c.StreamIn < want || c.StreamIn > want+270_000*104/100+60*64 || c.StreamOut < want/6 {
-		t.Errorf("a gateway's watch brought %d bytes, %d of events, and took %d", c.StreamIn, want, c.StreamOut)
+		t.Errorf("a gateway received %d bytes on its watch, expected %d of events and at most the list and heartbeats besides; it sent %d", c.StreamIn, want, c.StreamOut)
 	}
 	if m.StreamOut < 60*c.StreamIn {
-		t.Errorf("a machine sent %d bytes, a gateway heard %d", m.StreamOut, c.StreamIn)
+		t.Errorf("a machine sent %d bytes and a gateway received %d, expected the machine to send at least 60 times as much", m.StreamOut, c.StreamIn)
 	}
 }
 
@@ -117,24 +120,24 @@
 	w.Run(20 * time.Second)
 	before := w.Watches()[2]
 	w.Run(19 * time.Second)
-	w.requireCaughtUp(t, 30*time.Second, time.Second) // 1 s to look, 2.5 s of silence, 0.5 s of dialling, and the backoff, twice at worst
+	w.requireCaughtUp(t, 30*time.Second, time.Second) // up to 1 s until the check, 2.5 s of silence, 0.5 s of dialing and the backoff, at worst twice
 	if w.Watches()[2] != 0 || w.Moves < int64(before) || before == 0 {
-		t.Errorf("%d watches moved of %d, the lost machine has %v", w.Moves, before, w.Watches())
+		t.Errorf("%d watches moved, expected all %d of the lost machine; watches per machine: %v", w.Moves, before, w.Watches())
 	}
 	w.requireCaughtUp(t, 120*time.Second, time.Second)
 }
 
 func TestFullMachineRedirectsWatches(t *testing.T) {
-	w := newSmallFleet(t, ControlOptions{MaxWatches: 130}) // a third of all: just enough with one lost
+	w := newSmallFleet(t, ControlOptions{MaxWatches: 130}) // a third of all watches: just enough if one machine is lost
 	w.FailControlMachine(10*time.Second, time.Hour, 1)
 	w.requireCaughtUp(t, 40*time.Second, time.Second)
 	if loads := w.Watches(); !slices.Equal(loads, []int{130, 0, 130, 130}) || w.Denied == 0 {
-		t.Errorf("%v, %d denied", loads, w.Denied)
+		t.Errorf("watches per machine %v after %d denied requests, expected [130 0 130 130] after at least one", loads, w.Denied)
 	}
 }
 
 func TestCutOffRegionGetsAllEventsAfterHeal(t *testing.T) {
-	const cut = 3 * time.Minute // the hour of the plan takes minutes to simulate
+	const cut = 3 * time.Minute // the plan's cut of an hour takes minutes to simulate
 	w := newSmallFleet(t, ControlOptions{CatchUpBytesPerSecond: 20_000, ListBytes: 1000})
 	w.CutRegion(20*time.Second, cut, 2)
 	cutOff := w.GatewaysWhere(func(p Location) bool { return p.Region == 2 })
@@ -142,14 +145,14 @@
 	at := w.LastEvent()
 	w.Run(cut)
 	if lagging := w.lagging(w.LastEvent() - 40); !slices.Equal(lagging, cutOff) {
-		t.Errorf("%d are behind in the cut, expected the %d of the region", len(lagging), len(cutOff))
+		t.Errorf("%d gateways are behind during the cut, expected exactly the %d gateways of the region", len(lagging), len(cutOff))
 	}
 	if held := w.Received(cutOff[0]); held < at-5 || held > at {
-		t.Errorf("cut off at event %d, holds %d", at, held)
+		t.Errorf("a gateway cut off at event %d has received up to event %d, expected at most 5 fewer", at, held)
 	}
-	w.requireCaughtUp(t, 20*time.Second+cut+25*time.Second, 2*time.Second) // 3,600 events of 72 bytes at 20 KB/s are 13 s, and those published meanwhile
+	w.requireCaughtUp(t, 20*time.Second+cut+25*time.Second, 2*time.Second) // 3,600 events of 72 bytes take 13 s at 20 KB/s; more are published meanwhile
 	if c := w.Counters(cutOff[0]); c.MaxInPerSecond > 3*maxCatchUpBytes/2 {
-		t.Errorf("the catching up took %d bytes in a second; one turn is %d", c.MaxInPerSecond, maxCatchUpBytes)
+		t.Errorf("a gateway that caught up received %d bytes in a second, expected at most 1.5 times a batch of %d", c.MaxInPerSecond, maxCatchUpBytes)
 	}
 }
 
@@ -170,13 +173,14 @@
 			play(w)
 			w.requireCaughtUp(t, 100*time.Second, time.Second)
 			if w.LastEvent() < 1800 {
-				t.Errorf("%d events", w.LastEvent())
+				t.Errorf("%d events published, expected at least 1800", w.LastEvent())
 			}
 		})
 	}
 }
 
-// The whole fleet at the plan's rates, with a zone that fails.
+// TestFullFleetReceivesHundredPurgesPerSecond runs a fleet of the planned size at the planned rate of purges while a
+// zone fails.
 func TestFullFleetReceivesHundredPurgesPerSecond(t *testing.T) {
 	w := newWatchedFleet(t, Layout(FullGateways, FullSites, FullZones, FullRegions), FullControls, 100, ControlOptions{})
 	w.FailZone(10*time.Second, time.Minute, 3)
@@ -185,13 +189,14 @@
 	for number := int64(1); number <= w.LastEvent()-200; number++ {
 		slowest = max(slowest, w.LastArrival(number)-w.PublishedAt(number))
 	}
-	t.Logf("%d events, the slowest everywhere after %v, %d steps", w.LastEvent(), slowest, w.Steps())
+	t.Logf("%d events, the slowest reached all gateways after %v, %d steps", w.LastEvent(), slowest, w.Steps())
 	if slowest > 4500*time.Millisecond {
-		t.Errorf("an event took %v", slowest)
+		t.Errorf("the slowest event reached all gateways after %v, expected at most 4.5 s", slowest)
 	}
 }
 
-// A region is cut off and healed, at the plan's size and rates, with the backlog sent at the budget of a gateway.
+// TestFullFleetCatchesUpAfterRegionCut cuts a region off from a fleet of the planned size and rates, and heals the
+// cut. The backlog is sent to each gateway at its budget of bytes per second.
 func TestFullFleetCatchesUpAfterRegionCut(t *testing.T) {
 	const bytesPerSecond = 15 << 10
 	w := newWatchedFleet(t, Layout(FullGateways, FullSites, FullZones, FullRegions), FullControls, 100, ControlOptions{BatchInterval: 100 * time.Millisecond, CatchUpBytesPerSecond: bytesPerSecond, ListBytes: 1000})
@@ -200,16 +205,16 @@
 	w.Run(10*time.Second + *cutDuration)
 	missed := w.LastEvent() - w.Received(region[0])
 	if missed < int64(cutDuration.Seconds()*95) {
-		t.Fatalf("%d events behind after %v", missed, *cutDuration)
+		t.Fatalf("a gateway is %d events behind after a cut of %v, expected at least 95 for each second", missed, *cutDuration)
 	}
 	at := w.Now()
-	for len(w.lagging(w.LastEvent()-200)) > 0 && w.Now() < at+2**cutDuration+time.Minute { // 2 s of events
+	for len(w.lagging(w.LastEvent()-200)) > 0 && w.Now() < at+2**cutDuration+time.Minute { // 200 events are those of 2 s
 		w.Run(w.Now() + time.Second)
 	}
 	elapsed := w.Now() - at
 	c := w.Counters(region[0])
-	t.Logf("%d events missed, caught up after %v, %d bytes in the worst second of a gateway, %d moves, %d steps", missed, elapsed, c.MaxInPerSecond, w.Moves, w.Steps())
-	if limit := time.Duration(float64(*cutDuration)*0.95) + 15*time.Second; elapsed > limit { // 7.2 KB/s are missed and 7.2 KB/s come beside 15 KB/s
-		t.Errorf("caught up only after %v", elapsed)
+	t.Logf("%d events missed, caught up after %v, %d bytes in the busiest second of a gateway, %d moves, %d steps", missed, elapsed, c.MaxInPerSecond, w.Moves, w.Steps())
+	if limit := time.Duration(float64(*cutDuration)*0.95) + 15*time.Second; elapsed > limit { // a gateway misses 7.2 KB/s during the cut; afterwards it receives 15 KB/s, of which new events take 7.2 KB/s
+		t.Errorf("caught up after %v, expected at most %v", elapsed, limit)
 	}
 }
--- a/internal/lab/scale/discovery.go
+++ b/internal/lab/scale/discovery.go
@@ -16,67 +16,70 @@
 )
 
 const (
-	requestTimeout   = 5 * time.Second // for the line "after N" that begins a watch
-	maxRequestBytes  = 64              // bytes of that line
-	writeTimeout     = 5 * time.Second // for a write to a watcher; a slower one is dropped
-	maxWriteBytes    = 64 << 10        // bytes of one write, and of the buffer of each watch
-	defaultHeartbeat = time.Second     // between lines with only the last number
-	maxWatches       = 8192            // gateways
-	maxBatchEvents   = 64              // events looked up under the lock at once
+	requestTimeout   = 5 * time.Second // for a watcher to send its request, the line "after N"
+	maxRequestBytes  = 64              // length of a request
+	writeTimeout     = 5 * time.Second // for one write to a watcher; a watcher that takes longer is dropped
+	maxWriteBytes    = 64 << 10        // bytes of one write, and of the buffer that is kept for each watch
+	defaultHeartbeat = time.Second     // between heartbeats, which are lines with only the number of the last event
+	maxWatches       = 8192            // limit of Gateways
+	maxBatchEvents   = 64              // events copied at once while the lock is held
 )
 
-// Discovery is a stand-in for the discovery service of the whole fleet: one listener on loopback, one watch a gateway, events numbered
-// from 1 at each start of each gateway. A gateway is identified by the address that it dials, 127.64.x.y, so that programs that only
-// have an address in their configuration can use it too; the listener is bound to the loopback device.
+// Discovery is a stand-in for the discovery service of the whole fleet. It has one listener and serves one watch to
+// each gateway. The events of a gateway are numbered from 1 at each of its starts. The address that a gateway dials,
+// 127.64.x.y, identifies the gateway, so that programs which have only an address in their configuration can use the
+// stand-in too. The listener is bound to the loopback device.
 //
-// Its methods are safe for concurrent use. Bounds: Gateways watches, each with one goroutine and one buffer of 64 KB at most, and
-// KeepEvents events for watchers that return. A watcher that lacks older ones is dropped and counted, as is one that reads nothing for
-// writeTimeout.
+// Its methods are safe for concurrent use. It serves at most Gateways watches, each with one goroutine and one buffer
+// of at most 64 KB. It keeps at least KeepEvents events, and fewer than twice as many, for watchers that reconnect. A
+// watcher that needs older events is dropped and counted, as is one that reads nothing for writeTimeout.
 type Discovery struct {
 	listener   net.Listener
 	port       uint16
 	wait       sync.WaitGroup
 	heartbeat  time.Duration
-	handshakes chan struct{} // a slot for each connection whose request has not been read
+	handshakes chan struct{} // holds a slot for each connection whose request has not been read
 
 	mu            sync.Mutex
 	maxEvents     int
 	members       []standin.Endpoint
-	indexByID     map[string]int // index in members by id
-	encodedList   []byte         // the list as an event without its number; nil: to be encoded
-	firstPosition int64          // position of events[0]; positions go on over all starts, numbers are a gateway's own
-	events        [][]byte       // events without their numbers
+	indexByID     map[string]int // index in members by endpoint ID
+	encodedList   []byte         // the whole list as an encoded event without its number; nil: not encoded since it changed
+	firstPosition int64          // position of events[0]; positions count the events of the stand-in, numbers those of one gateway's start
+	events        [][]byte       // encoded events without their numbers
 	watchers      []*watcher
-	isRefused     func(gateway int) bool // nil: none
+	isRefused     func(gateway int) bool // reports whether a gateway's watches are refused; nil: none are
 	closed        bool
 }
 
-// watcher is the state of one gateway's watch, over all its connections.
+// watcher is the state of one gateway's watch over all its connections.
 type watcher struct {
 	joined       bool
-	basePosition int64  // position of the event that is its number 1
-	listEvent    []byte // event 1, where it comes over the watch
-	conn         net.Conn
-	wakeup       chan struct{}
+	basePosition int64         // position that corresponds to the gateway's event number 1
+	listEvent    []byte        // event number 1, the whole list, for a gateway that receives it over the watch
+	conn         net.Conn      // nil: not connected
+	wakeup       chan struct{} // signals new events or the end of the connection
 	counts       WatchCounts
 }
 
-// WatchCounts are of one gateway's watch since the stand-in was started. Bytes are payload; see TCPOverhead.
+// WatchCounts counts the traffic of one gateway's watch since the stand-in was started. Bytes are payload only;
+// TCPOverhead estimates the bytes with headers.
 type WatchCounts struct {
 	BytesOut, Writes, Events   atomic.Int64
 	BytesIn, Connects          atomic.Int64
-	DroppedBehind, DroppedSlow atomic.Int64 // times that it was dropped
+	DroppedBehind, DroppedSlow atomic.Int64 // times that the watch was dropped for needing events no longer kept, and for reading too slowly
 }
 
-// DiscoveryOptions configure a stand-in.
+// DiscoveryOptions configures a stand-in.
 type DiscoveryOptions struct {
-	Gateways   int // 1 to 8192
-	KeepEvents int // events kept for watchers that return; 65,536 if 0 (ten minutes of 100 a second)
-	Members    []standin.Endpoint
-	Heartbeat  time.Duration // between lines with only the last number; a second if 0
+	Gateways   int                // number of gateways, 1 to 8192
+	KeepEvents int                // events kept for watchers that reconnect; 65,536 if 0, which is ten minutes of 100 events a second
+	Members    []standin.Endpoint // the endpoint list at the start
+	Heartbeat  time.Duration      // between lines with only the number of the last event; a second if 0
 }
 
-// NewDiscovery starts a stand-in on a free port; Close ends it. Its error is an *OptionError or that of the listener.
+// NewDiscovery starts a stand-in on a free port. Close stops it. The error is an *OptionError or that of the
+// listener.
 func NewDiscovery(o DiscoveryOptions) (*Discovery, error) {
 	if o.Gateways < 1 || o.Gateways > maxWatches {
 		return nil, newOptionError("Gateways", "%d gateways watch, expected 1 to %d", o.Gateways, maxWatches)
@@ -111,12 +114,12 @@
 	return d, nil
 }
 
-// Addr is the address that a gateway has to dial.
+// Addr returns the address that a gateway must dial.
 func (d *Discovery) Addr(gateway int) string {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 64, byte(gateway >> 8), byte(gateway)}), d.port).String()
 }
 
-// gatewayAt is the gateway of a dialled address; -1: none.
+// gatewayAt returns the gateway that a dialed address identifies; -1: none.
 func (d *Discovery) gatewayAt(a net.Addr) int {
 	t, ok := a.(*net.TCPAddr)
 	if !ok {
@@ -129,9 +132,9 @@
 	return -1
 }
 
-// Join starts a gateway: its events are numbered from 1 again, and the first is the whole list. It returns the value of `known` in the
-// gateway's configuration, and the position from which its numbers count. With listInConfig that value holds the list; otherwise the
-// list is sent over the watch.
+// Join registers the start of a gateway. The gateway's events are numbered from 1 again, and the first is the whole
+// list. Join returns the value of `known` for the gateway's configuration, and the position that corresponds to event
+// number 1. If listInConfig is set, the value holds the list. Otherwise the list is sent over the watch.
 func (d *Discovery) Join(gateway int, listInConfig bool) (known json.RawMessage, base int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -144,7 +147,7 @@
 	return fmt.Appendf(nil, `{"no":1,"items":[{"no":1,%s]}`, w.listEvent), w.basePosition
 }
 
-// RemoveGateway ends a gateway's watch; it is refused until the gateway joins again.
+// RemoveGateway ends a gateway's watch and refuses new ones until the gateway joins again.
 func (d *Discovery) RemoveGateway(gateway int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -152,7 +155,7 @@
 	d.watchers[gateway].disconnect()
 }
 
-// disconnect closes the watch's connection. The lock is held.
+// disconnect closes the watch's connection, if it has one. The caller holds the Discovery's lock.
 func (w *watcher) disconnect() {
 	if w.conn != nil {
 		w.conn.Close()
@@ -161,6 +164,7 @@
 	}
 }
 
+// notify wakes the goroutine that serves the watch.
 func (w *watcher) notify() {
 	select {
 	case w.wakeup <- struct{}{}:
@@ -168,7 +172,8 @@
 	}
 }
 
-// listUpdate is the whole list as an event, shared by all that join before it changes. The lock is held.
+// listUpdate returns the whole list as an encoded event. All gateways that join before the list changes share it. The
+// caller holds the lock.
 func (d *Discovery) listUpdate() []byte {
 	if d.encodedList == nil {
 		d.encodedList = []byte(standin.EndpointList(true, d.members...)[1:])
@@ -176,17 +181,17 @@
 	return d.encodedList
 }
 
-// lastPosition is the position of the last event. The lock is held.
+// lastPosition returns the position of the last event published. The caller holds the lock.
 func (d *Discovery) lastPosition() int64 { return d.firstPosition + int64(len(d.events)) - 1 }
 
-// Last is the position of the last event published.
+// Last returns the position of the last event published.
 func (d *Discovery) Last() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.lastPosition()
 }
 
-// Purge publishes a purge of an object, or of a group if the object is empty, and returns its position.
+// Purge publishes a purge of an object, or of a group if object is empty, and returns the position of the event.
 func (d *Discovery) Purge(object string, group int, issued time.Time) int64 {
 	var b []byte
 	if object != "" {
@@ -199,7 +204,8 @@
 	return d.publish(b)
 }
 
-// Change publishes changed, new or removed members of the list, and returns the event's position.
+// Change publishes members of the list that have changed, are new or were removed, and returns the position of the
+// event.
 func (d *Discovery) Change(members ...standin.Endpoint) int64 {
 	b := []byte(standin.EndpointList(false, members...)[1:])
 	d.mu.Lock()
@@ -227,17 +233,17 @@
 	return d.publish(b)
 }
 
-// memberAt is a member of the present list by index, modulo its length.
+// memberAt returns the member of the current list at an index, which is taken modulo the list's length.
 func (d *Discovery) memberAt(i int) standin.Endpoint {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.members[i%len(d.members)]
 }
 
-// publish adds an event and wakes all watches. The lock is held.
+// publish appends an event, wakes all watches and returns the position of the event. The caller holds the lock.
 func (d *Discovery) publish(event []byte) int64 {
 	d.events = append(d.events, event)
-	if len(d.events) >= 2*d.maxEvents { // at twice the bound, so that each event is copied once
+	if len(d.events) >= 2*d.maxEvents { // drop old events only at twice the bound, so that each event is copied at most once
 		dropped := len(d.events) - d.maxEvents
 		d.firstPosition += int64(dropped)
 		d.events = append([][]byte(nil), d.events[dropped:]...)
@@ -250,8 +256,8 @@
 	return d.lastPosition()
 }
 
-// RefuseWatches ends the watches of some gateways and refuses them until it is called again, as if their control machine were lost or
-// they were cut off. Nil refuses none.
+// RefuseWatches ends the watches of the gateways for which isRefused is true, and refuses new ones until it is called
+// again. This simulates the loss of their control machine or a cut of the network. Nil refuses none.
 func (d *Discovery) RefuseWatches(isRefused func(gateway int) bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -263,7 +269,7 @@
 	}
 }
 
-// Watching is the number of gateways that have a watch.
+// Watching returns the number of gateways that have a connected watch.
 func (d *Discovery) Watching() (n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -275,7 +281,7 @@
 	return n
 }
 
-// Counts returns the counters of a gateway's watch, which go on counting.
+// Counts returns the counters of a gateway's watch. They continue to change.
 func (d *Discovery) Counts(gateway int) *WatchCounts { return &d.watchers[gateway].counts }
 
 // Close ends all watches and waits for their goroutines.
--- a/internal/lab/scale/discovery_serve.go
+++ b/internal/lab/scale/discovery_serve.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// accept serves connections until Close.
+// accept accepts and serves connections until Close.
 func (d *Discovery) accept() {
 	for {
 		conn, err := d.listener.Accept()
 		if err != nil {
 			if !errors.Is(err, net.ErrClosed) {
-				time.Sleep(10 * time.Millisecond) // out of descriptors
+				time.Sleep(10 * time.Millisecond) // the process is out of file descriptors
 				continue
 			}
 			return
 		}
-		d.handshakes <- struct{}{} // waits for a slot, requestTimeout at most
+		d.handshakes <- struct{}{} // blocks until a slot is free, for at most requestTimeout
 		d.wait.Go(func() {
 			d.serve(conn)
 			conn.Close()
@@ -27,7 +27,8 @@
 	}
 }
 
-// readRequest reads the number of the last event that a watcher has. It also returns the number of bytes read.
+// readRequest reads a watcher's request. It returns the number of the last event that the watcher has and the number
+// of bytes read.
 func readRequest(conn net.Conn) (after int64, n int, err error) {
 	conn.SetReadDeadline(time.Now().Add(requestTimeout))
 	buf := make([]byte, 0, maxRequestBytes)
@@ -51,7 +52,7 @@
 	}
 }
 
-// serve begins a watch on a connection, in place of the watch that its gateway may have.
+// serve serves a gateway's watch on a connection and ends the watch that the gateway may have on an earlier one.
 func (d *Discovery) serve(conn net.Conn) {
 	i := d.gatewayAt(conn.LocalAddr())
 	after, requestBytes := int64(0), 0
@@ -69,7 +70,7 @@
 		d.mu.Unlock()
 		return
 	}
-	w.disconnect() // a gateway has one watch
+	w.disconnect() // a gateway has at most one connection
 	w.conn = conn
 	base := w.basePosition
 	d.mu.Unlock()
@@ -83,15 +84,15 @@
 	}
 }
 
-// watchBatch is what one pass of a watch has to send.
+// watchBatch is the next part of the events that a watch has to send.
 type watchBatch struct {
-	events   [][]byte // without their numbers
-	last     int64    // number of the gateway's last event; those up to it that are not in events are sent in later turns
-	replaced bool     // the gateway has another connection, or none: this watch ends
+	events   [][]byte // encoded, without their numbers
+	last     int64    // number of the gateway's last event; later batches hold the events up to it that are not in this one
+	replaced bool     // the gateway has another connection or none, so that this watch ends
 	behind   bool     // an event that the watcher lacks is no longer kept
 }
 
-// nextBatch gives the events after a number, as many as buffer has room for.
+// nextBatch returns the events after a number, as many as fit into the capacity of buffer.
 func (d *Discovery) nextBatch(w *watcher, conn net.Conn, base, after int64, buffer [][]byte) watchBatch {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -112,8 +113,8 @@
 	return next
 }
 
-// appendEvents appends the lines of events whose numbers follow after, all or as many as maxWriteBytes takes, and returns the number of
-// the last one appended.
+// appendEvents appends the lines of events, which are numbered from after+1, until lines exceed maxWriteBytes. It
+// returns the lines and the number of the last event appended.
 func appendEvents(lines []byte, events [][]byte, after int64) ([]byte, int64) {
 	for _, event := range events {
 		after++
@@ -126,12 +127,12 @@
 	return lines, after
 }
 
-// appendHeartbeat appends a line with the number of the last event alone.
+// appendHeartbeat appends a line with only the number of the last event.
 func appendHeartbeat(lines []byte, last int64) []byte {
 	return append(strconv.AppendInt(append(lines, `{"no":`...), last, 10), "}\n"...)
 }
 
-// write sends lines and counts them. It reports whether the watch goes on.
+// write sends lines and counts them. It reports whether the watch can continue.
 func (w *watcher) write(conn net.Conn, lines []byte) bool {
 	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	n, err := conn.Write(lines)
@@ -146,7 +147,8 @@
 	return false
 }
 
-// watch sends one watcher the events that it lacks, for as long as the connection is the gateway's watch.
+// watch sends a watcher the events that it lacks, and heartbeats. It returns when the gateway has another connection
+// or none, when a write fails, or when an event that the watcher lacks is no longer kept.
 func (d *Discovery) watch(w *watcher, conn net.Conn, base, after int64) {
 	heartbeat := time.NewTicker(d.heartbeat)
 	defer heartbeat.Stop()
@@ -174,7 +176,7 @@
 			}
 			w.counts.Events.Add(after - from)
 			if cap(lines) > maxWriteBytes {
-				lines = nil // the buffer of a whole list is not kept
+				lines = nil // do not keep a buffer that has grown to hold a whole list
 			}
 			if after < next.last {
 				continue
@@ -188,8 +190,9 @@
 	}
 }
 
-// TCPOverhead is an estimate of a watch's bytes with TCP over IPv4: 52 bytes of headers (20 and 20, and 12 of timestamps) for each segment of
-// up to 1,448 bytes, and for each acknowledgement in the other direction, one for two segments. A write is at least one segment.
+// TCPOverhead estimates the bytes that a watch transfers with TCP over IPv4, down to the gateway and up from it. Each
+// segment of up to 1,448 bytes has 52 bytes of headers: 20 of IPv4, 20 of TCP and 12 of timestamps. Each write is at
+// least one segment. An acknowledgement of 52 bytes is sent up for every two segments.
 func TCPOverhead(payload, writes int64) (down, up int64) {
 	segments := max(writes, (payload+1447)/1448)
 	return payload + 52*segments, 52 * (segments + 1) / 2
--- a/internal/lab/scale/discovery_test.go
+++ b/internal/lab/scale/discovery_test.go
@@ -13,7 +13,7 @@
 	"foldslip/example/standin"
 )
 
-// newDiscovery starts a stand-in that is closed at the end of the test.
+// newDiscovery starts a stand-in and closes it at the end of the test.
 func newDiscovery(t *testing.T, o DiscoveryOptions) *Discovery {
 	t.Helper()
 	d, err := NewDiscovery(o)
@@ -31,7 +31,7 @@
 	t  *testing.T
 }
 
-// openWatch requests the events after a number.
+// openWatch dials a gateway's address and requests the events after a number.
 func openWatch(t *testing.T, d *Discovery, gateway int, after int64) *testWatch {
 	t.Helper()
 	conn, err := net.Dial("tcp", d.Addr(gateway))
@@ -44,7 +44,7 @@
 	return &testWatch{conn, bufio.NewReader(conn), t}
 }
 
-// event reads the next event, skipping heartbeats.
+// event returns the next event and skips heartbeats.
 func (w *testWatch) event() (text string) {
 	w.t.Helper()
 	for {
@@ -58,7 +58,7 @@
 	}
 }
 
-// requireEnded reads until the stand-in closes the connection.
+// requireEnded reads until the stand-in closes or resets the connection.
 func (w *testWatch) requireEnded() {
 	w.t.Helper()
 	if _, err := io.Copy(io.Discard, w.in); err != nil && !strings.Contains(err.Error(), "reset") {
@@ -76,21 +76,21 @@
 		Items []json.RawMessage
 	}
 	if err := json.Unmarshal(known, &held); err != nil || held.No != 1 || len(held.Items) != 1 || !strings.Contains(string(held.Items[0]), `"id":"c0000"`) {
-		t.Fatalf("known: %s, %v", known, err)
+		t.Fatalf("Join returned the known list %s (%v), expected number 1 with the whole list as its only item", known, err)
 	}
 	d.Purge("00000000000000aa", 0, issued)
 	d.Join(299, false)
 	a, b := openWatch(t, d, 2, 1), openWatch(t, d, 299, 0)
 	if got := a.event(); got != `{"no":2,"recall":{"item":"00000000000000aa","issued":1764576000123}}` {
-		t.Errorf("the first: %s", got)
+		t.Errorf("gateway 2 received %s, expected the purge as number 2", got)
 	}
 	if got := b.event(); !strings.HasPrefix(got, `{"no":1,"roster":{"revision":1,"complete":true,"members":[{"id":"c0000"`) {
-		t.Errorf("the second: %s", got)
+		t.Errorf("gateway 299 received %s, expected the list as number 1", got)
 	}
 	d.Purge("", 17, issued)
 	for number, watch := range map[int64]*testWatch{3: a, 2: b} {
 		if got := watch.event(); got != fmt.Sprintf(`{"no":%d,"recall":{"lot":17,"issued":1764576000123}}`, number) {
-			t.Errorf("received %s, expected number %d", got, number)
+			t.Errorf("received %s, expected the purge of group 17 as number %d", got, number)
 		}
 	}
 	d.Join(2, true) // a restart
@@ -98,7 +98,7 @@
 	a = openWatch(t, d, 2, 1)
 	d.Purge("00000000000000bb", 0, issued)
 	if got := a.event(); !strings.HasPrefix(got, `{"no":2,`) || !strings.Contains(got, "bb") {
-		t.Errorf("after a restart: %s", got)
+		t.Errorf("received %s after a restart, expected the second purge as number 2", got)
 	}
 }
 
@@ -112,7 +112,7 @@
 	l := openWatch(t, d, 0, 51)
 	for number := int64(52); number <= 151; number++ {
 		if got := l.event(); !strings.HasPrefix(got, fmt.Sprintf(`{"no":%d,`, number)) || !strings.Contains(got, fmt.Sprintf(`"%016x"`, number-2)) {
-			t.Fatalf("number %d: %s", number, got)
+			t.Fatalf("received %s, expected the purge with number %d", got, number)
 		}
 	}
 	for i := range 100 {
@@ -120,10 +120,10 @@
 	}
 	openWatch(t, d, 1, 1).requireEnded()
 	if got := d.Counts(1).DroppedBehind.Load(); got != 1 {
-		t.Errorf("dropped %d times for being behind", got)
+		t.Errorf("the watcher was dropped %d times for being behind, expected once", got)
 	}
 	if c := d.Counts(0); c.Events.Load() < 100 || c.BytesOut.Load() < 100*70 {
-		t.Errorf("counted %d events, %d bytes", c.Events.Load(), c.BytesOut.Load())
+		t.Errorf("counted %d events and %d bytes, expected at least 100 events of 70 bytes", c.Events.Load(), c.BytesOut.Load())
 	}
 }
 
@@ -134,11 +134,11 @@
 	began := time.Now()
 	for range 2 {
 		if line, err := l.in.ReadString('\n'); err != nil || line != "{\"no\":1}\n" {
-			t.Fatalf("%q, %v", line, err)
+			t.Fatalf("read %q (%v), expected a heartbeat with number 1", line, err)
 		}
 	}
 	if took := time.Since(began); took < 1500*time.Millisecond {
-		t.Errorf("two within %v", took)
+		t.Errorf("two heartbeats within %v, expected one a second", took)
 	}
 }
 
@@ -151,15 +151,15 @@
 	second := openWatch(t, d, 0, 1)
 	second.event()
 	first.requireEnded()
-	openWatch(t, d, 1, 1).requireEnded() // has not joined
-	openWatch(t, d, 7, 1).requireEnded() // no such gateway
+	openWatch(t, d, 1, 1).requireEnded() // this gateway has not joined
+	openWatch(t, d, 7, 1).requireEnded() // this gateway does not exist
 	d.RefuseWatches(func(i int) bool { return i == 0 })
 	second.requireEnded()
 	openWatch(t, d, 0, 2).requireEnded()
 	d.RefuseWatches(nil)
 	d.Purge("00000000000000bb", 0, issued)
 	if got := openWatch(t, d, 0, 2).event(); !strings.Contains(got, "bb") {
-		t.Errorf("after it came back: %s", got)
+		t.Errorf("received %s after watches were allowed again, expected the second purge", got)
 	}
 	d.RemoveGateway(0)
 	openWatch(t, d, 0, 3).requireEnded()
@@ -170,7 +170,7 @@
 	fmt.Fprintf(bad, "%s\n", strings.Repeat("x", maxRequestBytes))
 	bad.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if n, err := bad.Read(make([]byte, 1)); n != 0 || err == nil {
-		t.Error("a watch without a valid request received something")
+		t.Error("a connection without a valid request received a byte, expected none")
 	}
 	bad.Close()
 }
@@ -187,10 +187,10 @@
 	known, base := d.Join(0, true)
 	for word, want := range map[string]bool{members[0].ID: true, members[1].ID: false, members[2].ID: true, `"draining"`: true, `"new"`: true} {
 		if strings.Contains(string(known), word) != want {
-			t.Errorf("%s in the list: %v", word, !want)
+			t.Errorf("%s in the list of a joining gateway: %v, expected %v", word, !want, want)
 		}
 	}
 	if base != 2 || d.Last() != 2 {
-		t.Errorf("base %d, last %d", base, d.Last())
+		t.Errorf("base position %d and last position %d, expected 2 for both", base, d.Last())
 	}
 }
--- a/internal/lab/scale/environment.go
+++ b/internal/lab/scale/environment.go
@@ -11,28 +11,29 @@
 	"foldslip/internal/env"
 )
 
-// Environment is the system's environment with counted connections, a log that only counts events, and a slow clock. It is safe for
-// concurrent use.
+// Environment is the system's environment with a slow clock, connections that count their bytes and a log that only
+// counts events. Many hollow gateways may share one. It is safe for concurrent use.
 type Environment struct {
 	*env.System
 	clock SlowClock
 	log   *slog.Logger
-	// In and Out are payload bytes, Reads and Writes calls that moved any, Dials connections established.
+	// In and Out count payload bytes, Reads and Writes the calls that transferred any, and Dials the connections
+	// established.
 	In, Out, Reads, Writes, Dials atomic.Int64
 	counter                       *eventCounter
 }
 
-// NewEnvironment makes an environment; many hollow gateways may share it.
+// NewEnvironment returns an environment on a clock, with all counts at 0.
 func NewEnvironment(clock SlowClock) *Environment {
 	g := &Environment{System: &env.System{}, clock: clock, counter: &eventCounter{counts: map[string]int64{}}}
 	g.log = slog.New(g.counter)
 	return g
 }
 
-// Log is a logger whose lines are counted; see LogCounts.
+// Log returns a logger that only counts its lines; see LogCounts.
 func (g *Environment) Log() *slog.Logger { return g.log }
 
-// LogCounts returns how often each event was logged.
+// LogCounts returns the number of log lines by event and reason.
 func (g *Environment) LogCounts() map[string]int64 {
 	g.counter.mu.Lock()
 	defer g.counter.mu.Unlock()
@@ -43,15 +44,15 @@
 	return out
 }
 
-// Now is the slow clock's time.
+// Now returns the slow clock's time.
 func (g *Environment) Now() time.Time { return g.clock.Now() }
 
-// AfterFunc calls f after a time of the slow clock.
+// AfterFunc calls f after a duration of the slow clock.
 func (g *Environment) AfterFunc(d time.Duration, f func()) env.Timer {
 	return g.System.AfterFunc(g.clock.realDuration(d), f)
 }
 
-// NewNotifier makes a notifier whose timeouts are times of the slow clock.
+// NewNotifier returns a notifier whose timeouts are durations of the slow clock.
 func (g *Environment) NewNotifier() env.Notifier {
 	if g.clock.factor == 1 {
 		return g.System.NewNotifier()
@@ -59,7 +60,8 @@
 	return slowNotifier{g.System.NewNotifier(), g.clock}
 }
 
-// Dial connects as the system does, with a timeout of the slow clock, and counts the bytes of the connection.
+// Dial connects to an address. The timeout is a duration of the slow clock, and the bytes of the connection are
+// counted.
 func (g *Environment) Dial(lifetime *env.Lifetime, addr string, timeout time.Duration) (net.Conn, error) {
 	conn, err := g.System.Dial(lifetime, addr, g.clock.realDuration(timeout))
 	if err != nil {
@@ -72,6 +74,7 @@
 	return &countedConn{conn, g}, nil
 }
 
+// countedConn is a connection whose payload bytes and calls are counted in its environment.
 type countedConn struct {
 	net.Conn
 	environment *Environment
@@ -95,9 +98,10 @@
 	return n, err
 }
 
-const maxEventKinds = 64 // events and reasons that are counted
+const maxEventKinds = 64 // limit of distinct pairs of event and reason that are counted
 
-// eventCounter is a log handler that counts lines by event and reason, maxEventKinds of them at most.
+// eventCounter is a log handler that counts lines by event and reason. Lines of further kinds than the first
+// maxEventKinds are not counted.
 type eventCounter struct {
 	mu     sync.Mutex
 	counts map[string]int64
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -5,28 +5,29 @@
 	"time"
 )
 
-// FaultSchedule schedules the faults of the plan on a Network: 6 machines fail a day, 1,900 gateways restart a day and in releases, a rack
-// fails each week, a zone once a year, regions are cut off from each other for an hour, a control machine is lost. Each method schedules
-// its calls on the Network and returns; times are of the Network's clock.
+// FaultSchedule schedules faults on a Network. The plan expects that 6 machines fail and 1,900 gateways restart each
+// day, that more restart in releases, that a rack fails each week and a zone once a year, that regions are cut off
+// from each other for an hour, and that a control machine is lost. Each method schedules its calls on the Network and
+// returns. Times are those of the Network's clock.
 type FaultSchedule struct {
 	Net      *Network
-	Gateways int // nodes 0 to Gateways-1; those after them are control machines
+	Gateways int // number of gateways, nodes 0 to Gateways-1; the nodes after them are control machines
 	Rand     *rand.Rand
-	// Kill and Start end and start a gateway; nil: as the Network does.
+	// Kill and Start replace the Network's methods for gateways; nil: the Network's methods are used.
 	Kill, Start func(i int)
 }
 
-// NewFaultSchedule makes a schedule with a random source of a seed.
+// NewFaultSchedule returns a schedule whose random source is seeded with seed.
 func NewFaultSchedule(n *Network, gateways int, seed uint64) *FaultSchedule {
 	return &FaultSchedule{Net: n, Gateways: gateways, Rand: rand.New(rand.NewPCG(seed, 0x6661756c74))}
 }
 
-// GatewaysWhere gives the gateways whose location matches.
+// GatewaysWhere returns the gateways whose location matches.
 func (f *FaultSchedule) GatewaysWhere(match func(Location) bool) []int {
 	return NodesWhere(f.Net.locations[:f.Gateways], match)
 }
 
-// NodesWhere gives the gateways and control machines whose location matches.
+// NodesWhere returns the nodes of gateways and control machines whose location matches.
 func (f *FaultSchedule) NodesWhere(match func(Location) bool) []int {
 	return NodesWhere(f.Net.locations, match)
 }
@@ -51,23 +52,23 @@
 	}
 }
 
-// TakeDown kills nodes at a time and starts them again later.
+// TakeDown kills nodes at a time and starts them again after a downtime.
 func (f *FaultSchedule) TakeDown(at, downtime time.Duration, nodes []int) {
 	f.Net.Schedule(at, func() { f.kill(nodes) })
 	f.Net.Schedule(at+downtime, func() { f.start(nodes) })
 }
 
-// FailRack takes down all gateways of a site at once.
+// FailRack takes down all gateways of a site at the same time.
 func (f *FaultSchedule) FailRack(at, downtime time.Duration, site int) {
 	f.TakeDown(at, downtime, f.GatewaysWhere(func(p Location) bool { return p.Site == site }))
 }
 
-// FailZone takes down all nodes of a zone at once, control machines too.
+// FailZone takes down all nodes of a zone at the same time, control machines included.
 func (f *FaultSchedule) FailZone(at, downtime time.Duration, zone int) {
 	f.TakeDown(at, downtime, f.NodesWhere(func(p Location) bool { return p.Zone == zone }))
 }
 
-// CutRegion cuts a region, with its control machines, off from all others for a time.
+// CutRegion cuts a region, including its control machines, off from all other regions for a duration.
 func (f *FaultSchedule) CutRegion(at, duration time.Duration, region int) {
 	var cut *Cut
 	f.Net.Schedule(at, func() {
@@ -76,7 +77,7 @@
 	f.Net.Schedule(at+duration, func() { cut.Heal() })
 }
 
-// SplitRegions cuts every region off from every other for a time. It takes a cut for each region but the last.
+// SplitRegions cuts all regions off from each other for a duration. It uses one cut for each region but the last.
 func (f *FaultSchedule) SplitRegions(at, duration time.Duration) {
 	var cuts []*Cut
 	f.Net.Schedule(at, func() {
@@ -91,7 +92,8 @@
 	})
 }
 
-// Release restarts a number of gateways, evenly over a time and site by site, each down for a while.
+// Release restarts a number of gateways site by site, at even intervals over a duration. Each is down for the time
+// given.
 func (f *FaultSchedule) Release(at, over, down time.Duration, count int) {
 	count = min(count, f.Gateways)
 	for k := range count {
@@ -99,8 +101,8 @@
 	}
 }
 
-// FailAtRates takes down single gateways at random times at rates a day, from a time on for a span: failures last half an hour, restarts
-// five seconds.
+// FailAtRates takes down single gateways at random times within a span, at the given rates per day. A failure lasts
+// half an hour and a restart five seconds.
 func (f *FaultSchedule) FailAtRates(at, span time.Duration, failures, restarts float64) {
 	takeDownAtRate := func(perDay float64, down time.Duration) {
 		if perDay <= 0 {
@@ -115,7 +117,7 @@
 	takeDownAtRate(restarts, 5*time.Second)
 }
 
-// FailControlMachine takes down a control machine; its watches move.
+// FailControlMachine takes down a control machine. Its gateways move their watches to other machines.
 func (f *FaultSchedule) FailControlMachine(at, downtime time.Duration, machine int) {
 	f.TakeDown(at, downtime, []int{f.Gateways + machine})
 }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	purgeSlack  = 5 * time.Second // as in package gateway
+	purgeSlack  = 5 * time.Second // added to the settle time of purges for their retention, as in package gateway
 	maxArrivals = 1 << 20         // positions that an ArrivalLog keeps
 )
 
-// HollowGateway is one gateway without traffic: the discovery watch, the cache registry, the purges and the dispatcher on real TCP, put
-// together as gateway.Run does. It serves no clients and has no connections to caches, no snapshot, no routes and no fleet membership.
-// Its goroutines end with Stop.
+// HollowGateway is one gateway without traffic. It runs the real discovery watch over TCP, the cache registry, the
+// purge log and the dispatcher, connected as in gateway.Run. It serves no clients and has no connections to caches,
+// no snapshot, no routes and no fleet membership. Its goroutines run until Stop.
 type HollowGateway struct {
 	Dispatcher *dispatch.Dispatcher
 	Caches     *cacheregistry.Registry
@@ -31,18 +31,18 @@
 	group      env.Group
 }
 
-// HollowOptions configure a hollow gateway.
+// HollowOptions configures a hollow gateway.
 type HollowOptions struct {
 	DiscoveryAddr    string          // address of the discovery watch
-	Known            json.RawMessage // as in a gateway's configuration
-	Settings         json.RawMessage
+	Known            json.RawMessage // the value of `known` in a gateway's configuration
+	Settings         json.RawMessage // the platform's settings
 	Seed             uint64
-	LookupsPerSecond float64 // of which each is satisfied at once; 0: none
-	// OnEvent, if not nil, is called with the number of each event that was applied; it must not block.
+	LookupsPerSecond float64 // mean rate of lookups, each satisfied at once; 0: none
+	// OnEvent, if not nil, is called with the number of each event after it was applied. It must not block.
 	OnEvent func(number int64)
 }
 
-// StartHollowGateway starts a hollow gateway in an environment.
+// StartHollowGateway starts a hollow gateway in an environment. Stop ends it.
 func StartHollowGateway(g env.Environment, s HollowOptions) (*HollowGateway, error) {
 	parsed, err := settings.Parse(s.Settings)
 	if err != nil {
@@ -66,7 +66,8 @@
 	return h, nil
 }
 
-// runTimers calls the dispatcher when its timers are due, as package gateway does.
+// runTimers calls the dispatcher's Tick when its timers are due, as package gateway does, until the gateway is
+// stopped.
 func (h *HollowGateway) runTimers(g env.Environment) error {
 	end := g.NewNotifier()
 	defer h.lifetime.OnEnd(end.Notify)()
@@ -75,7 +76,8 @@
 	return nil
 }
 
-// runLookups submits lookups at the given rate. Each attempt ends satisfied at once, so that only decisions cost.
+// runLookups submits lookups at random intervals with the given mean rate. Each attempt is satisfied at once, so that
+// only the dispatcher's decisions use processor time.
 func (h *HollowGateway) runLookups(g env.Environment, parsed *settings.Settings, s HollowOptions) error {
 	end := g.NewNotifier()
 	defer h.lifetime.OnEnd(end.Notify)()
@@ -95,7 +97,7 @@
 	return nil
 }
 
-// Stop ends the gateway and waits for its goroutines.
+// Stop stops the gateway and waits for its goroutines.
 func (h *HollowGateway) Stop() error {
 	h.lifetime.End()
 	return h.group.Wait()
--- a/internal/lab/scale/hollow_command.go
+++ b/internal/lab/scale/hollow_command.go
@@ -4,10 +4,11 @@
 	"encoding/json"
 )
 
-// Hollow gateways run in processes of their own, so that what a process spends is theirs alone. Each reads commands, a line of JSON
-// each, from its standard input and replies to each with a line on its standard output, until the input ends.
+// Hollow gateways run in separate processes, so that all resources that such a process uses are theirs. A process
+// reads commands from its standard input, one line of JSON each. It replies to each with a line of JSON on its
+// standard output, until the input ends.
 
-// command is a line to a process of hollow gateways.
+// command is a line sent to a process of hollow gateways.
 type command struct {
 	Action   string          `json:"do"` // start, halt, restart, usage, arrivals, profile, stop
 	First    int             `json:"first,omitempty"`
@@ -18,7 +19,7 @@
 	Gateways int             `json:"gateways,omitempty"`
 	Zones    int             `json:"zones,omitempty"`
 	Lookups  float64         `json:"lookups,omitempty"`
-	Since    int64           `json:"since,omitempty"` // Unix microseconds at which the slow clock was right
+	Since    int64           `json:"since,omitempty"` // Unix microseconds at which the slow clock showed the machine's time
 	Stretch  float64         `json:"stretch,omitempty"`
 	GC       bool            `json:"gc,omitempty"`
 	From     int64           `json:"from,omitempty"`
@@ -26,14 +27,15 @@
 	File     string          `json:"file,omitempty"`
 }
 
-// reply is a line from a process of hollow gateways.
+// reply is the line with which a process of hollow gateways answers a command.
 type reply struct {
 	Error    string    `json:"error,omitempty"`
 	Usage    *Usage    `json:"usage,omitempty"`
 	Arrivals []Arrival `json:"arrivals,omitempty"`
 }
 
-// Usage is what a process of hollow gateways has used since it began; see runtime.MemStats.
+// Usage is the heap in use by a process of hollow gateways, and what the process has used since its gateways were
+// started. Heap, Mallocs and AllocBytes are HeapAlloc, Mallocs and TotalAlloc of runtime.MemStats.
 type Usage struct {
 	Heap        uint64           `json:"Heap"`
 	Mallocs     uint64           `json:"Mallocs"`
@@ -47,4 +49,4 @@
 	EventCounts map[string]int64 `json:"Closed"` // log lines by event and reason
 }
 
-const maxCommandBytes = 4 << 20 // bytes of a line: a whole list is some 300 KB
+const maxCommandBytes = 4 << 20 // bytes of a command's line, which may hold a whole list of some 300 KB
--- a/internal/lab/scale/hollow_server.go
+++ b/internal/lab/scale/hollow_server.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// RunHollowProcess runs hollow gateways by the commands read from in, and writes replies to out, until in ends. It is foldslip-rig's
-// hidden command.
+// RunHollowProcess executes the commands that it reads from in and writes the replies to out, until in ends. Then it
+// stops all hollow gateways. It is foldslip-rig's hidden command.
 func RunHollowProcess(in io.Reader, out io.Writer) error {
 	c := &hollowServer{environment: NewEnvironment(NewSlowClock(0, 1)), arrivals: &ArrivalLog{}, gateways: map[int]*HollowGateway{}, lastEvents: map[int]*atomic.Int64{}}
 	defer c.stop()
@@ -36,17 +36,18 @@
 	return lines.Err()
 }
 
-// hollowServer runs the hollow gateways of this process. It is used by one goroutine.
+// hollowServer runs the hollow gateways of this process. One goroutine owns it.
 type hollowServer struct {
 	environment  *Environment
 	arrivals     *ArrivalLog
 	gateways     map[int]*HollowGateway
-	lastEvents   map[int]*atomic.Int64 // position of the last event that was applied
-	startCommand command               // the last one
+	lastEvents   map[int]*atomic.Int64 // by gateway: position of the last event applied
+	startCommand command               // the last "start" command
 	locations    []Location
-	profile      *os.File // processor profile in progress; nil: none
+	profile      *os.File // file of the processor profile in progress; nil: none
 }
 
+// handle executes a command and fills in its reply.
 func (c *hollowServer) handle(o *command, a *reply) error {
 	switch o.Action {
 	case "start":
@@ -63,7 +64,7 @@
 		}
 		return h.Stop()
 	case "restart":
-		if at := c.lastEvents[o.First]; at != nil { // events published while it was down are part of the list that it starts with
+		if at := c.lastEvents[o.First]; at != nil { // the list that the gateway starts with covers the events published while it was down
 			for pos := at.Load() + 1; pos <= o.Base; pos++ {
 				c.arrivals.Record(pos, time.Time{})
 			}
@@ -102,6 +103,7 @@
 	return nil
 }
 
+// start starts gateway i, whose event number 1 corresponds to position base.
 func (c *hollowServer) start(i int, base int64, known json.RawMessage, watch string) (err error) {
 	at := &atomic.Int64{}
 	at.Store(base)
@@ -114,9 +116,10 @@
 	return err
 }
 
+// stop stops all gateways and waits for their goroutines.
 func (c *hollowServer) stop() error {
 	var errs []error
-	for _, h := range c.gateways { // all at once, before waiting for any
+	for _, h := range c.gateways { // end all before waiting for any
 		h.lifetime.End()
 	}
 	for _, h := range c.gateways {
--- a/internal/lab/scale/process_usage.go
+++ b/internal/lab/scale/process_usage.go
@@ -13,10 +13,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// cpuOf is the processor time that all threads of a process have used, from the kernel's clock of that process (getrusage serves only
-// the calling process).
+// cpuOf returns the processor time that all threads of a process have used. It reads the kernel's CPU clock of that
+// process, since getrusage serves only the calling process.
 func cpuOf(pid int) (time.Duration, error) {
-	const ofProcess = 2 // CPUCLOCK_SCHED of the whole process
+	const ofProcess = 2 // CPUCLOCK_SCHED for the whole process
 	var t unix.Timespec
 	if err := unix.ClockGettime(int32(^pid)<<3|ofProcess, &t); err != nil {
 		return 0, fmt.Errorf("processor time of process %d: %w", pid, err)
@@ -24,7 +24,8 @@
 	return time.Duration(t.Nano()), nil
 }
 
-// runQueueWaitOf is how long the present threads of a process have been runnable without a core since they began.
+// runQueueWaitOf returns how long the current threads of a process have been runnable without a core since they
+// began, summed over the threads.
 func runQueueWaitOf(pid int) (sum time.Duration, err error) {
 	tasks, err := os.ReadDir(fmt.Sprintf("/proc/%d/task", pid))
 	if err != nil {
@@ -47,7 +48,7 @@
 	return sum, nil
 }
 
-// residentOf is the anonymous resident memory of a process in bytes.
+// residentOf returns the anonymous resident memory of a process in bytes.
 func residentOf(pid int) (int64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -62,7 +63,7 @@
 	return 0, &ProcessMemoryError{pid}
 }
 
-// machineBusy is the processor time that all cores of the machine have been busy since it started.
+// machineBusy returns the processor time used on the machine since it started, summed over its cores.
 func machineBusy() (time.Duration, error) {
 	text, err := os.ReadFile("/proc/stat")
 	if err != nil {
@@ -71,7 +72,7 @@
 	line, _, _ := strings.Cut(string(text), "\n")
 	var sum int64
 	for i, word := range strings.Fields(line) {
-		if i == 0 || i == 4 || i == 5 || i > 8 { // the label, idle, iowait, and guests, which user includes
+		if i == 0 || i == 4 || i == 5 || i > 8 { // skip the label, idle, iowait, and guest times, which the user time includes
 			continue
 		}
 		n, err := strconv.ParseInt(word, 10, 64)
@@ -80,12 +81,12 @@
 		}
 		sum += n
 	}
-	return time.Duration(sum) * 10 * time.Millisecond, nil // USER_HZ is 100
+	return time.Duration(sum) * 10 * time.Millisecond, nil // in ticks of 10 ms, since USER_HZ is 100
 }
 
 func cores() int { return runtime.NumCPU() }
 
-// countsSince is the increase of each count between two usages; unchanged ones are left out.
+// countsSince returns the increase of each count between two readings, without the counts that are unchanged.
 func countsSince(after, before map[string]int64) map[string]int64 {
 	out := maps.Clone(after)
 	for k, n := range before {
--- a/internal/lab/scale/real.go
+++ b/internal/lab/scale/real.go
@@ -14,19 +14,21 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// realGateway is a process of the gateway's program beside the hollow ones, with a watch on the same stand-in.
+// realGateway is a process of the gateway's program. It runs beside the hollow gateways and has a watch on the same
+// stand-in.
 type realGateway struct {
 	cmd   *exec.Cmd
 	log   *os.File
-	ended chan error
+	ended chan error // receives the result of waiting for the process
 }
 
 const (
-	realMemoryMB    = 192 // its configured limit, as in the fleet's rig
+	realMemoryMB    = 192 // configured memory limit, as in package internal/lab/fleet
 	realStopTimeout = 15 * time.Second
 )
 
-// freeAddress returns the address 127.66.x.y of a gateway with a port that nobody listens on there, so that measurements may run side by side.
+// freeAddress returns a gateway's address 127.66.x.y with a port that is free there, so that measurements can run
+// side by side.
 func freeAddress(i int) (string, error) {
 	listener, err := net.Listen("tcp", fmt.Sprintf("127.66.%d.%d:0", i>>8, i&255))
 	if err != nil {
@@ -35,7 +37,8 @@
 	return listener.Addr().String(), listener.Close()
 }
 
-// startReal writes a gateway's configuration into a folder and starts it, with a listen address of its own.
+// startReal writes a gateway's configuration into a folder and starts the gateway, which gets a listen address of its
+// own.
 func startReal(program, dir string, i int, watch string, known, settings json.RawMessage) (*realGateway, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -70,8 +73,8 @@
 	return r, nil
 }
 
-// watchResult reads from the log of a gateway that has ended the number of the last event that it received, and how often its watch
-// ended before the gateway was stopped.
+// watchResult reads the log of a gateway that has ended. It returns the number of the last event that the gateway
+// received, and how often its watch ended before the gateway was stopped.
 func (r *realGateway) watchResult() (last int64, ends int, err error) {
 	file, err := os.Open(r.log.Name())
 	if err != nil {
@@ -97,7 +100,8 @@
 	return last, ends, d.Err()
 }
 
-// stop sends SIGTERM and waits. A process that does not end within stopTimeout is killed, and that is an error.
+// stop sends SIGTERM and waits for the process to end. If it does not end within realStopTimeout, stop kills it and
+// returns a *StopTimeoutError.
 func (r *realGateway) stop() error {
 	defer r.log.Close()
 	r.cmd.Process.Signal(syscall.SIGTERM)
--- a/internal/lab/scale/settings.go
+++ b/internal/lab/scale/settings.go
@@ -7,8 +7,9 @@
 	"foldslip/example/standin"
 )
 
-// Members is a list of caches like that of the fleet: edges evenly over zones z00, z01, ..., two parents in each zone where it has more
-// than three, and one origin, the last. Their addresses are on loopback, where nobody listens.
+// Members returns a list of caches like that of the fleet. Edge caches are spread evenly over zones z00, z01, and so
+// on. Each zone has two parents if zones have more than three caches on average. The last cache is the only origin.
+// The addresses are on loopback, and nothing listens on them.
 func Members(caches, zones int) []standin.Endpoint {
 	all := make([]standin.Endpoint, caches)
 	for i := range all {
@@ -28,9 +29,10 @@
 
 func zoneName(zone int) string { return fmt.Sprintf("z%02d", zone) }
 
-// Settings are the platform's settings text for one gateway of the fleet: the example's figures with the zones of the locations. Purges
-// apply 0.3 s after they were published and are kept for 11 s (obey_after, cleared_within + 5 s), changes apply within 3 s
-// (stop_sending_within), so that a watch times out after 2.5 s of silence.
+// Settings returns the platform's settings text for one gateway of the fleet. It has the example's values with the
+// zones of the locations. Purges apply 0.3 s after they were published (obey_after) and are kept for 11 s
+// (cleared_within + 5 s). Changes of the list apply within 3 s (stop_sending_within), so that a watch times out after
+// 2.5 s of silence.
 func Settings(locations []Location, gateway, zones int) json.RawMessage {
 	gatewaysByZone, names := make([]int, zones), make([]string, zones)
 	for _, p := range locations {
@@ -41,7 +43,7 @@
 	for z := range names {
 		names[z] = zoneName(z)
 	}
-	text, _ := json.Marshal(map[string]any{ // of strings and numbers: cannot fail
+	text, _ := json.Marshal(map[string]any{ // encoding strings, numbers and booleans cannot fail
 		"areas": names, "az": locations[gateway].Zone, "balancers": len(locations), "discovery": "push", "weights": "off",
 		"machine_types": []string{"edge", "parent", "origin"},
 		"ceilings": map[string]any{"cancelling": true, "connect_timeout": 400000, "keepalive": 30000000, "max_retry_after": 2000000,
--- a/internal/lab/scale/watch.go
+++ b/internal/lab/scale/watch.go
@@ -12,7 +12,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// watchRun is one run in progress. Watch owns it; only restarts runs beside Watch.
+// watchRun is one run in progress. Watch owns it. Only runRestarts runs on another goroutine.
 type watchRun struct {
 	options          WatchOptions
 	locations        []Location
@@ -24,26 +24,26 @@
 	realGateways     []*realGateway
 	known            json.RawMessage
 	base             int64
-	published        []publishedEvent // by position, from 1
-	lateness         *hdrhistogram.Histogram
+	published        []publishedEvent        // by position, from 1
+	lateness         *hdrhistogram.Histogram // microseconds by which purges were published late
 	rng              *rand.Rand
-	changesPublished int // half of it: the next cache to drain or bring back
-	restartRand      *rand.Rand
-	mu               sync.Mutex // guards what follows; both are read once play has returned
+	changesPublished int        // number of list changes; half of it is the index of the next cache to drain or bring back
+	restartRand      *rand.Rand // of runRestarts
+	mu               sync.Mutex // guards restartCount and restartErr, which are read without it only after play has returned
 	restartCount     int
 	restartErr       error
 
 	allArrived bool // all events have reached all hollow gateways
 }
 
-// publishedEvent is an event of the stand-in: a purge, or a change of the list.
+// publishedEvent is an event that the stand-in has published: a purge or a change of the list.
 type publishedEvent struct {
 	at      time.Time
 	isPurge bool
 }
 
-// Watch plays one run and blocks until it has ended. An error is an *OptionError, or a failure of the rig or the machine; what gateways
-// did wrong is listed in the report's Violations.
+// Watch plays one run and blocks until it has ended. The error is an *OptionError or a failure of the rig or the
+// machine. Limits that gateways exceeded and other faults of gateways are listed in the report's Violations.
 func Watch(o WatchOptions) (r *WatchReport, err error) {
 	if err := o.validate(); err != nil {
 		return nil, err
@@ -66,7 +66,7 @@
 		return nil, err
 	}
 	r.Ready, r.Processes = time.Since(began).Seconds(), len(w.processes)+len(w.realGateways)
-	o.Progress("%d gateways watch after %.1fs in %d processes", o.Gateways, r.Ready, r.Processes)
+	o.Progress("%d gateways have a watch after %.1fs, in %d processes", o.Gateways, r.Ready, r.Processes)
 	w.play(o.Warmup)
 	warmupRestarts := w.restartCount
 	if err := w.toggleProfile(); err != nil {
@@ -102,7 +102,7 @@
 	return r, nil
 }
 
-// setUp starts the stand-in and all gateways, and waits until all of them watch.
+// setUp starts the stand-in and all gateways, and waits until each gateway has a watch.
 func (w *watchRun) setUp() error {
 	o := &w.options
 	var err error
@@ -114,7 +114,7 @@
 	for i := range o.Gateways {
 		w.known, w.base = w.discovery.Join(i, o.ListInConfig)
 	}
-	for i := range o.Real { // the last ones
+	for i := range o.Real { // real gateways have the highest numbers
 		at := o.Gateways - o.Real + i
 		p, err := startReal(o.Program, filepath.Join(o.Dir, fmt.Sprintf("g%04d", at)), at, w.discovery.Addr(at), w.known, Settings(w.locations, at, w.zones))
 		if err != nil {
@@ -154,7 +154,8 @@
 	return nil
 }
 
-// close ends all processes and the stand-in. Its error tells of processes that failed and of real gateways that missed events.
+// close ends all processes and the stand-in. It returns the errors of processes that failed and of real gateways that
+// missed events.
 func (w *watchRun) close() error {
 	var wait sync.WaitGroup
 	var mu sync.Mutex
@@ -167,7 +168,7 @@
 			errs = append(errs, err)
 		})
 	}
-	var published int64 // as a gateway counts that has the list as number 1
+	var published int64 // number of the last event for a gateway whose event number 1 is the list
 	if w.discovery != nil {
 		published = w.discovery.Last() - w.base + 1
 	}
--- a/internal/lab/scale/watch_measure.go
+++ b/internal/lab/scale/watch_measure.go
@@ -8,22 +8,22 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// resourceSnapshot is what all processes have spent up to an instant.
+// resourceSnapshot is what all processes have used up to an instant.
 type resourceSnapshot struct {
 	at            time.Time
-	cpu           time.Duration // of this process
-	hollowCPU     time.Duration
-	runQueueWait  time.Duration // of hollow gateways, for a core
-	realCPU       time.Duration
-	machineBusy   time.Duration
-	usage         Usage
-	hollowTraffic [2]int64 // payload and writes
-	realTraffic   [2]int64
-	events        [2]int64 // hollow, real
-	connects      int64
+	cpu           time.Duration // processor time of this process
+	hollowCPU     time.Duration // processor time of the hollow gateways
+	runQueueWait  time.Duration // time that hollow gateways waited for a core
+	realCPU       time.Duration // processor time of the real gateways
+	machineBusy   time.Duration // processor time of all processes on the machine
+	usage         Usage         // of the hollow gateways
+	hollowTraffic [2]int64      // payload bytes and writes to hollow gateways
+	realTraffic   [2]int64      // payload bytes and writes to real gateways
+	events        [2]int64      // events sent to hollow and to real gateways
+	connects      int64         // connections that watches have made
 }
 
-// snapshot reads what all have spent so far.
+// snapshot reads what all processes have used so far.
 func (w *watchRun) snapshot() (s resourceSnapshot, err error) {
 	s.at = time.Now()
 	if s.cpu, err = cpuOf(os.Getpid()); err != nil {
@@ -64,7 +64,8 @@
 	return s, err
 }
 
-// totalUsage is the sum over all processes of hollow gateways.
+// totalUsage returns the sum of the usage of all processes of hollow gateways. If gc is set, each process collects
+// garbage first.
 func (w *watchRun) totalUsage(gc bool) (sum Usage, err error) {
 	sum.EventCounts = map[string]int64{}
 	for _, c := range w.processes {
@@ -86,7 +87,8 @@
 	return sum, nil
 }
 
-// toggleProfile begins the processor profile if there is to be one, or ends it.
+// toggleProfile starts the processor profile of the first process of hollow gateways, or ends it if it is in
+// progress. It does nothing if the options name no file for a profile.
 func (w *watchRun) toggleProfile() error {
 	if w.options.Profile == "" || len(w.processes) == 0 {
 		return nil
@@ -99,7 +101,8 @@
 	return err
 }
 
-// measureArrivals waits for the events of the window to reach all hollow gateways, for 30 s at most, and reports their latencies.
+// measureArrivals waits for at most 30 s until the events of the measurement have reached all hollow gateways. It
+// reports how many did not, and the latencies of the purges that did.
 func (w *watchRun) measureArrivals(r *WatchReport, from, to int64) error {
 	if r.Events = int(to - from + 1); r.Events <= 0 || len(w.processes) == 0 {
 		return nil
--- a/internal/lab/scale/watch_play.go
+++ b/internal/lab/scale/watch_play.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// play publishes events at the rates of the options for a time. Events that fall due while this process does not run are published
-// at once afterwards.
+// play publishes events and restarts gateways at the rates of the options for a duration. Events that become due
+// while this process does not run are published at once afterwards.
 func (w *watchRun) play(span time.Duration) {
 	o := &w.options
 	began := w.clock.Now()
@@ -66,7 +66,7 @@
 	}
 }
 
-// runRestarts restarts hollow gateways, one after the other, until stop is closed or one fails.
+// runRestarts restarts random hollow gateways, one at a time, until stop is closed or a restart fails.
 func (w *watchRun) runRestarts(every time.Duration, stop chan struct{}) {
 	next := time.NewTicker(every)
 	defer next.Stop()
@@ -79,15 +79,15 @@
 		i := w.restartRand.IntN(w.options.Gateways - w.options.Real)
 		if err := w.restart(i); err != nil {
 			w.mu.Lock()
-			w.restartErr = fmt.Errorf("restart of gateway %d: %w", i, err)
+			w.restartErr = fmt.Errorf("restarting gateway %d: %w", i, err)
 			w.mu.Unlock()
 			return
 		}
 	}
 }
 
-// restart restarts one hollow gateway and gives it the position from which its event numbers count, so that arrivals are recorded by
-// the positions of the whole run.
+// restart restarts one hollow gateway and passes it the position that corresponds to its event number 1, so that its
+// arrivals are recorded under the positions of the whole run.
 func (w *watchRun) restart(i int) error {
 	c := w.processes[i/w.options.PerProcess]
 	w.discovery.RemoveGateway(i)
--- a/internal/lab/scale/watch_report.go
+++ b/internal/lab/scale/watch_report.go
@@ -14,14 +14,14 @@
 	Gateways   int              `json:"gateways"`
 	Run        int              `json:"run"`
 	Stretch    float64          `json:"stretch"` // times and rates are those of a clock this many times slower than the machine's; see SlowClock
-	Seconds    float64          `json:"seconds"` // of the measurement, as measured
+	Seconds    float64          `json:"seconds"` // duration of the measurement, as measured
 	Purges     float64          `json:"purges_s"`
 	Caches     int              `json:"caches"`
 	Processes  int              `json:"processes"`
-	Ready      float64          `json:"ready_s"` // from the first start until all watched
-	Events     int              `json:"told"`    // events in the window
-	LostEvents int              `json:"lost"`    // of them, those that did not reach all hollow gateways within 30 s
-	LatePurges int              `json:"late"`    // purges that reached the last gateway after the deadline
+	Ready      float64          `json:"ready_s"` // from the first start until all gateways had a watch
+	Events     int              `json:"told"`    // events published during the measurement
+	LostEvents int              `json:"lost"`    // number of these events that did not reach all hollow gateways within 30 s
+	LatePurges int              `json:"late"`    // purges that reached the last hollow gateway after the deadline
 	Median     float64          `json:"everywhere_p50_ms"`
 	P99        float64          `json:"everywhere_p99_ms"`
 	Max        float64          `json:"everywhere_max_ms"`
@@ -29,37 +29,38 @@
 	Real       Cost             `json:"real"`
 	Restarts   int              `json:"restarts"`
 	Reconnects int64            `json:"reconnects"`
-	LogCounts  map[string]int64 `json:"log,omitempty"` // log lines of hollow gateways in the window
+	LogCounts  map[string]int64 `json:"log,omitempty"` // log lines of hollow gateways during the measurement, by event and reason
 	Machine    Machine          `json:"machine"`
 	Violations []string         `json:"wrong,omitempty"`
 }
 
-// Cost is what one gateway spends: the mean of all of its kind.
+// Cost is what one gateway uses, as a mean over the hollow or the real gateways.
 type Cost struct {
 	Gateways    int     `json:"gateways"`
-	Core        float64 `json:"core"`         // of one core
-	EventMicros float64 `json:"event_us"`     // all processor time divided by the events received
-	In          float64 `json:"in_bytes_s"`   // payload
-	WireIn      float64 `json:"wire_in_b_s"`  // with TCP and IP, computed; see TCPOverhead
+	Core        float64 `json:"core"`         // fraction of one core
+	EventMicros float64 `json:"event_us"`     // processor time divided by the number of events received
+	In          float64 `json:"in_bytes_s"`   // payload bytes
+	WireIn      float64 `json:"wire_in_b_s"`  // with TCP and IP headers, computed; see TCPOverhead
 	WireOut     float64 `json:"wire_out_b_s"` // acknowledgements, computed
-	Writes      float64 `json:"writes_s"`     // by the stand-in: a lower bound of segments
+	Writes      float64 `json:"writes_s"`     // writes of the stand-in, which are a lower bound for TCP segments
 	Resident    float64 `json:"resident_bytes"`
-	Heap        float64 `json:"heap_bytes,omitempty"` // hollow only, after a collection
-	Allocs      float64 `json:"allocs_s,omitempty"`   // hollow only
+	Heap        float64 `json:"heap_bytes,omitempty"` // after a garbage collection; hollow gateways only
+	Allocs      float64 `json:"allocs_s,omitempty"`   // hollow gateways only
 	Alloc       float64 `json:"alloc_bytes_s,omitempty"`
 }
 
-// Machine is what the whole machine did meanwhile, by its own clock: it shows figures that were measured beside other work.
+// Machine is what the whole machine did during the measurement, by its own clock. It reveals figures that were
+// measured while other work ran on the machine.
 type Machine struct {
 	Cores   int     `json:"cores"`
-	Busy    float64 `json:"busy_cores"`      // of the whole machine
-	Ours    float64 `json:"our_cores"`       // of the stand-in and all gateways
-	Starved float64 `json:"starved"`         // part of the time in which threads of hollow gateways were runnable that they had no core
-	Late    float64 `json:"pace_late_p99ms"` // by how much the stand-in published purges late
+	Busy    float64 `json:"busy_cores"`      // cores used on the whole machine
+	Ours    float64 `json:"our_cores"`       // cores used by the stand-in and all gateways
+	Starved float64 `json:"starved"`         // fraction of the time for which threads of hollow gateways ran or were runnable that they had no core
+	Late    float64 `json:"pace_late_p99ms"` // time by which the stand-in published purges late
 	LateMax float64 `json:"pace_late_max_ms"`
 }
 
-// measureCosts reports what gateways and the machine spent between two snapshots.
+// measureCosts reports what the gateways and the machine used between two snapshots.
 func (w *watchRun) measureCosts(r *WatchReport, a, b resourceSnapshot) error {
 	elapsed := b.at.Sub(a.at).Seconds()
 	span := elapsed / w.options.Stretch
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// checkLimits adds the violations of limits to the report.
+// checkLimits adds the limits that the run exceeded to the report's violations.
 func (w *watchRun) checkLimits(r *WatchReport) {
 	violation := func(format string, a ...any) { r.Violations = append(r.Violations, fmt.Sprintf(format, a...)) }
 	if r.LostEvents > 0 {
