--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -16,33 +16,33 @@
 )
 
 const (
-	purgeSlack  = 5 * time.Second // as in package gateway
+	purgeSlack  = 5 * time.Second // added to the settle time of purges for their retention, as in package gateway
 	maxArrivals = 1 << 20         // positions that an ArrivalLog keeps
 )
 
-// HollowGateway is one gateway without traffic: the discovery watch, the cache registry, the purges and the dispatcher on real TCP, put
-// together as gateway.Run does. It serves no clients and has no connections to caches, no snapshot, no routes and no fleet membership.
-// Its goroutines end with Stop.
+// HollowGateway is one gateway without traffic. It runs the real discovery watch over TCP, the cache registry, the
+// purge log and the dispatcher, connected as in gateway.Run. It serves no clients and has no connections to caches,
+// no snapshot, no routes and no fleet membership. Its goroutines run until Stop.
 type HollowGateway struct {
-	Router   *dispatch.Dispatcher
-	Caches   *cacheregistry.Registry
-	Purges   *purgelog.Log
-	lifetime *env.Lifetime
-	group    env.Group
+	Dispatcher *dispatch.Dispatcher
+	Caches     *cacheregistry.Registry
+	Purges     *purgelog.Log
+	lifetime   *env.Lifetime
+	group      env.Group
 }
 
-// HollowOptions configure a hollow gateway.
+// HollowOptions configures a hollow gateway.
 type HollowOptions struct {
 	DiscoveryAddr    string          // address of the discovery watch
-	Known            json.RawMessage // as in a gateway's configuration
-	Settings         json.RawMessage
+	Known            json.RawMessage // the value of `known` in a gateway's configuration
+	Settings         json.RawMessage // the platform's settings
 	Seed             uint64
-	LookupsPerSecond float64 // of which each is satisfied at once; 0: none
-	// OnEvent, if not nil, is called with the number of each event that was applied; it must not block.
-	OnEvent func(no int64)
+	LookupsPerSecond float64 // mean rate of lookups, each satisfied at once; 0: none
+	// OnEvent, if not nil, is called with the number of each event after it was applied. It must not block.
+	OnEvent func(number int64)
 }
 
-// StartHollowGateway starts a hollow gateway in an environment.
+// StartHollowGateway starts a hollow gateway in an environment. Stop ends it.
 func StartHollowGateway(g env.Environment, s HollowOptions) (*HollowGateway, error) {
 	parsed, err := settings.Parse(s.Settings)
 	if err != nil {
@@ -50,13 +50,13 @@
 	}
 	h := &HollowGateway{Caches: &cacheregistry.Registry{}, lifetime: env.NewLifetime(nil), group: g.NewGroup()}
 	h.Purges = &purgelog.Log{Clock: g, Grace: time.Duration(parsed.PurgeGrace) * time.Microsecond, Retention: time.Duration(parsed.Router.PurgeSettleTime)*time.Microsecond + purgeSlack}
-	h.Router = dispatch.New(g, s.Seed, parsed.Router, nil)
-	watch := discovery.NewWatch(discovery.Config{Environment: g, Addr: s.DiscoveryAddr, Settings: parsed, Dispatcher: h.Router, Registry: h.Caches, Purges: h.Purges})
+	h.Dispatcher = dispatch.New(g, s.Seed, parsed.Router, nil)
+	watch := discovery.NewWatch(discovery.Config{Environment: g, Addr: s.DiscoveryAddr, Settings: parsed, Dispatcher: h.Dispatcher, Registry: h.Caches, Purges: h.Purges})
 	if err := watch.LoadKnown(s.Known); err != nil {
 		return nil, err
 	}
 	if s.OnEvent != nil {
-		watch.OnEvent = func(no int64, _ []dispatch.Purge) { s.OnEvent(no) }
+		watch.OnEvent = func(number int64, _ []dispatch.Purge) { s.OnEvent(number) }
 	}
 	h.group.Go("bulletin", func() error { return watch.Run(h.lifetime) })
 	h.group.Go("tick", func() error { return h.runTimers(g) })
@@ -66,27 +66,29 @@
 	return h, nil
 }
 
-// runTimers calls the dispatcher when its timers are due, as package gateway does.
+// runTimers calls the dispatcher's Tick when its timers are due, as package gateway does, until the gateway is
+// stopped.
 func (h *HollowGateway) runTimers(g env.Environment) error {
 	end := g.NewNotifier()
 	defer h.lifetime.OnEnd(end.Notify)()
-	for !end.Wait(max(h.Router.Tick(nil, false, nil), time.Millisecond)) {
+	for !end.Wait(max(h.Dispatcher.Tick(nil, false, nil), time.Millisecond)) {
 	}
 	return nil
 }
 
-// runLookups submits lookups at the given rate. Each attempt ends satisfied at once, so that only decisions cost.
+// runLookups submits lookups at random intervals with the given mean rate. Each attempt is satisfied at once, so that
+// only the dispatcher's decisions use processor time.
 func (h *HollowGateway) runLookups(g env.Environment, parsed *settings.Settings, s HollowOptions) error {
 	end := g.NewNotifier()
 	defer h.lifetime.OnEnd(end.Notify)()
-	chance := rand.New(rand.NewPCG(s.Seed, 0x6c6f6f6b))
-	for n := 0; !end.Wait(time.Duration(chance.ExpFloat64() / s.LookupsPerSecond * float64(time.Second))); n++ {
-		l := h.Router.Submit(dispatch.Request{ID: fmt.Sprintf("%016x", n), Object: fmt.Sprintf("%016x", chance.Uint64N(1000)), SizeKB: 449,
+	rng := rand.New(rand.NewPCG(s.Seed, 0x6c6f6f6b))
+	for n := 0; !end.Wait(time.Duration(rng.ExpFloat64() / s.LookupsPerSecond * float64(time.Second))); n++ {
+		l := h.Dispatcher.Submit(dispatch.Request{ID: fmt.Sprintf("%016x", n), Object: fmt.Sprintf("%016x", rng.Uint64N(1000)), SizeKB: 449,
 			Deadline: g.Now().Add(parsed.LatencyBudget(0, 449))})
 		for l != nil {
-			step := h.Router.WaitStep(l)
+			step := h.Dispatcher.WaitStep(l)
 			if step.Kind == dispatch.StepFetch {
-				h.Router.AttemptEnded(l, step.Attempt, policy.OutcomeSatisfied, policy.DetailHit, 0)
+				h.Dispatcher.AttemptEnded(l, step.Attempt, policy.OutcomeSatisfied, policy.DetailHit, 0)
 			} else if step.Kind != dispatch.StepCancel {
 				break
 			}
@@ -95,7 +97,7 @@
 	return nil
 }
 
-// Stop ends the gateway and waits for its goroutines.
+// Stop stops the gateway and waits for its goroutines.
 func (h *HollowGateway) Stop() error {
 	h.lifetime.End()
 	return h.group.Wait()
--- a/internal/lab/scale/watch_measure.go
+++ b/internal/lab/scale/watch_measure.go
@@ -8,28 +8,28 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// resourceSnapshot is what all processes have spent up to an instant.
+// resourceSnapshot is what all processes have used up to an instant.
 type resourceSnapshot struct {
-	at           time.Time
-	cpu          time.Duration // of this process
-	hollow       time.Duration
-	runQueueWait time.Duration // of hollow gateways, for a core
-	real         time.Duration
-	busy         time.Duration
-	usage        Usage
-	hollowIn     [2]int64 // payload and writes
-	realIn       [2]int64
-	events       [2]int64 // hollow, real
-	connects     int64
+	at            time.Time
+	cpu           time.Duration // processor time of this process
+	hollowCPU     time.Duration // processor time of the hollow gateways
+	runQueueWait  time.Duration // time that hollow gateways waited for a core
+	realCPU       time.Duration // processor time of the real gateways
+	machineBusy   time.Duration // processor time of all processes on the machine
+	usage         Usage         // of the hollow gateways
+	hollowTraffic [2]int64      // payload bytes and writes to hollow gateways
+	realTraffic   [2]int64      // payload bytes and writes to real gateways
+	events        [2]int64      // events sent to hollow and to real gateways
+	connects      int64         // connections that watches have made
 }
 
-// snapshot reads what all have spent so far.
+// snapshot reads what all processes have used so far.
 func (w *watchRun) snapshot() (s resourceSnapshot, err error) {
 	s.at = time.Now()
 	if s.cpu, err = cpuOf(os.Getpid()); err != nil {
 		return s, err
 	}
-	if s.busy, err = machineBusy(); err != nil {
+	if s.machineBusy, err = machineBusy(); err != nil {
 		return s, err
 	}
 	for _, c := range w.processes {
@@ -37,35 +37,36 @@
 		if err != nil {
 			return s, err
 		}
-		s.hollow += t
+		s.hollowCPU += t
 		if t, err = runQueueWaitOf(c.cmd.Process.Pid); err != nil {
 			return s, err
 		}
 		s.runQueueWait += t
 	}
-	for _, p := range w.reals {
+	for _, p := range w.realGateways {
 		t, err := cpuOf(p.cmd.Process.Pid)
 		if err != nil {
 			return s, err
 		}
-		s.real += t
+		s.realCPU += t
 	}
 	for i := range w.options.Gateways {
-		c, at, k := w.discovery.Counts(i), &s.hollowIn, 0
+		c, at, k := w.discovery.Counts(i), &s.hollowTraffic, 0
 		if i >= w.options.Gateways-w.options.Real {
-			at, k = &s.realIn, 1
+			at, k = &s.realTraffic, 1
 		}
 		at[0] += c.BytesOut.Load()
 		at[1] += c.Writes.Load()
 		s.events[k] += c.Events.Load()
 		s.connects += c.Connects.Load()
 	}
-	s.usage, err = w.usage(false)
+	s.usage, err = w.totalUsage(false)
 	return s, err
 }
 
-// usage is the sum over all processes of hollow gateways.
-func (w *watchRun) usage(gc bool) (sum Usage, err error) {
+// totalUsage returns the sum of the usage of all processes of hollow gateways. If gc is set, each process collects
+// garbage first.
+func (w *watchRun) totalUsage(gc bool) (sum Usage, err error) {
 	sum.EventCounts = map[string]int64{}
 	for _, c := range w.processes {
 		a, err := c.call(command{Action: "usage", GC: gc})
@@ -86,7 +87,8 @@
 	return sum, nil
 }
 
-// toggleProfile begins the processor profile if there is to be one, or ends it.
+// toggleProfile starts the processor profile of the first process of hollow gateways, or ends it if it is in
+// progress. It does nothing if the options name no file for a profile.
 func (w *watchRun) toggleProfile() error {
 	if w.options.Profile == "" || len(w.processes) == 0 {
 		return nil
@@ -99,8 +101,9 @@
 	return err
 }
 
-// arrivals waits for the events of the window to reach all hollow gateways, for 30 s at most, and reports their latencies.
-func (w *watchRun) arrivals(r *WatchReport, from, to int64) error {
+// measureArrivals waits for at most 30 s until the events of the measurement have reached all hollow gateways. It
+// reports how many did not, and the latencies of the purges that did.
+func (w *watchRun) measureArrivals(r *WatchReport, from, to int64) error {
 	if r.Events = int(to - from + 1); r.Events <= 0 || len(w.processes) == 0 {
 		return nil
 	}
