--- a/internal/dispatch/lookup.go
+++ b/internal/dispatch/lookup.go
@@ -9,8 +9,9 @@
 	"foldslip/internal/policy"
 )
 
-// DeadlineSlack is the time after its deadline at which a lookup without a result fails. It is within the slack that is
-// allowed for an answer. WaitStep fails such a lookup. A caller of NextStep has to call FailOverdue.
+// DeadlineSlack is the time after its deadline at which a lookup without a result fails. It is shorter than
+// socketSlack (50 ms), which is the time after the deadline within which the checker of internal/lab/scenario requires
+// the first byte of an answer. WaitStep fails such a lookup. A caller of NextStep has to call FailOverdue.
 const DeadlineSlack = 20 * time.Millisecond
 
 // StepKind is the kind of a Step.
@@ -45,8 +46,8 @@
 	SizeKB   float64
 	Deadline time.Time
 	Scope    *policy.Scope // nil: every cache is allowed
-	// OnReady, if set, is called under the Dispatcher's lock whenever a step is added, which NextStep then returns. It
-	// must not block. If it is nil, use WaitStep.
+	// OnReady, if set, is called under the Dispatcher's lock whenever a step is added. It must not block. NextStep
+	// returns the added steps, except fetch steps of attempts that may no longer start. If OnReady is nil, use WaitStep.
 	OnReady func()
 }
 
--- a/internal/policy/cache.go
+++ b/internal/policy/cache.go
@@ -19,7 +19,7 @@
 	lastFailureAt Micros   // attempts that started before this time count as the same failure
 	lastSuccessAt Micros   // last response of a working cache; for a parent, last successful fill; 0 if none
 	overdueCount  int      // attempts that were overdue at the last sweep and started after lastSuccessAt
-	overdueNoFill int      // attempts in overdueCount that asked for no fill
+	overdueNoFill int      // attempts in overdueCount that asked for no fill or were pass-through
 	latency       latencyWindow
 
 	// Slow start (slowstart.go).
--- a/internal/policy/edge.go
+++ b/internal/policy/edge.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// maxHitBudgetShare is the share of their latency budgets that hits may take. A cache whose hits take more has
-	// its limit cut.
+	// maxHitBudgetShare is the highest acceptable ratio of the summed latencies of a cache's recent hits to their
+	// summed latency budgets. Above it, the cache's concurrency limit is cut.
 	maxHitBudgetShare = 0.4
 	// initialLimit is the concurrency limit of a cache, and the limit of open fills, before any measurement.
 	initialLimit = 16.0
 	// minOpen is a lower bound for cuts of limits. Cuts leave the routers of a zone together at least minOpen open
 	// attempts at each edge cache, and at least minOpen open fills for each edge cache.
 	minOpen = 2.0
-	// spillShare is the share of its limit up to which a cache accepts lookups that spill over from a full one. A
-	// limit counts as nearly reached from this share on.
+	// spillShare is the share of its limit up to which a cache accepts lookups that spill over from a full one. It is
+	// also the smallest share of a limit, in open attempts, at which the limit counts as nearly reached.
 	spillShare = 0.7
 	// rejectedCut is the factor by which a cache's limit is cut when the cache rejects an attempt.
 	rejectedCut = 0.75
@@ -25,8 +25,8 @@
 	// limitInterval is the minimum time between two adjustments of a cache's limit by its hits.
 	limitInterval = 200 * millisecond
 
-	// The latency and the latency budget of one usual hit are added to the measured sums, because a single slow hit
-	// is weak evidence.
+	// usualHitLatency and usualHitBudget are the latency and the latency budget of an assumed hit. They are added to
+	// the sums over recent hits to reduce the weight of a single slow hit, which is weak evidence.
 	usualHitLatency = 40 * millisecond
 	usualHitBudget  = 160 * millisecond
 
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -8,10 +8,10 @@
 // equal settings, seeds and events make equal decisions, because random draws, floating-point sums and iterations
 // happen in a fixed order.
 //
-// A Router owns the listed caches, its lookups and attempts, the lookup counts and the recorded purges. Each sweep
-// prunes the lookup counts if there are more than maxCounts of them. A purge is dropped once no cache can hold a copy
-// from before it. When settings change, the owner makes a new Router, which copies the state that is still valid with
-// InheritFrom.
+// A Router owns the listed caches, its lookups and attempts, the lookup counts and the recorded purges. It halves the
+// lookup counts every countDecayInterval, or earlier if a sweep finds more than maxCounts of them, and deletes those
+// that fall below one. At the same time it deletes each purge for which no cache can hold an older copy any more. When
+// settings change, the owner makes a new Router, which copies the state that is still valid with InheritFrom.
 //
 // A lookup passes through the stages checkTime, chooseCaching, chooseEdge, chooseSource and startAttempt, which fill
 // in its next Attempt. Each stage lets the lookup proceed, queues it or ends it. The report of an attempt's end passes
@@ -71,8 +71,8 @@
 	overloaded   bool
 	fills        fillLimit
 
-	// The mean load that a warm edge cache and a warm parent carry for this router, in concurrent transfers at full
-	// pace.
+	// edgeCapacity is the mean load that one warm edge cache carries for this router, and parentCapacity is that of one
+	// warm parent. Both are moving averages, in concurrent transfers at full pace.
 	edgeCapacity   float64
 	parentCapacity float64
 }
@@ -86,8 +86,10 @@
 	endLookup
 )
 
-// stage is one step in the routing of a lookup. decide decides about the lookup and may fill in a part of its next
-// attempt. observe processes the report of an attempt's end; it is nil if the stage does not use reports.
+// stage is one step in the routing of a lookup. decide lets the lookup proceed, queues it or ends it, and may fill in a
+// part of its next attempt. observe processes the report of an attempt's end; it is nil if the stage does not use
+// reports. The observe function of the first stage, decideNext, is called last. It decides what follows: nothing, a
+// retry or the lookup's end.
 type stage struct {
 	decide  func(*Router, *Attempt) stageResult
 	observe func(*Router, *Attempt, AttemptReport)
@@ -147,7 +149,7 @@
 // inheritFrom copies the slow start and the ejection of the earlier router's cache of the same name.
 func (c *Cache) inheritFrom(old *Cache) {
 	c.warmingSince = max(c.warmingSince, old.warmingSince)
-	if old.warmingSince != 0 { // otherwise the earlier router did not know of this slow start
+	if old.warmingSince != 0 { // otherwise the earlier router knew of no slow start of this cache, or it was over
 		c.slowStartSent = old.slowStartSent
 		c.slowStartScale = old.slowStartScale
 		c.scaleUpdatedAt = old.scaleUpdatedAt
@@ -228,7 +230,8 @@
 // MayStartAttempt reports whether an attempt that was decided earlier may still start under rule 2, which forbids
 // concurrent attempts and repeated side effects. In the meantime the lookup's deduplication window may have passed, or
 // the attempt's cache may have left the deduplication scope. An attempt that may not start must be reported with
-// OutcomeNotSent. The result is true for an attempt number that the lookup does not have.
+// OutcomeNotSent. An attempt number that the lookup does not have belongs to an attempt that a wrapper of the Executor
+// added, as some injected faults do. MayStartAttempt returns true for such a number.
 func (r *Router) MayStartAttempt(now Micros, lookup *Lookup, attempt int) bool {
 	r.now = now
 	return attempt >= len(lookup.attempts) || r.mayRunOn(lookup, lookup.attempts[attempt].edge, 1)
@@ -268,7 +271,8 @@
 }
 
 // zoneRouterCount returns the number of routers in this router's zone. If FleetSize exceeds the configured number of
-// routers, the zone's number grows in proportion and may be fractional.
+// routers, the zone's number grows in proportion and may be fractional. If Settings.ZoneGateways has no entry for the
+// zone, zoneRouterCount returns the number of all routers.
 func (r *Router) zoneRouterCount() float64 {
 	if r.settings.Zone < len(r.settings.ZoneGateways) {
 		inZone := float64(max(r.settings.ZoneGateways[r.settings.Zone], 1))
--- a/internal/policy/silence.go
+++ b/internal/policy/silence.go
@@ -3,7 +3,9 @@
 import "fmt"
 
 const (
-	silentAttempts = 2 // number of overdue attempts without a fill that ejects a cache
+	// silentAttempts is the number of overdue attempts that ejects a cache. Only attempts without a fill and
+	// pass-through attempts count.
+	silentAttempts = 2
 	// silentFills is the number of overdue fills that ejects a parent, if it has more than two thirds
 	// of all overdue fills.
 	silentFills      = 3
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -17,16 +17,17 @@
 
 	// If the remaining budget is smaller than the work of a lookup, the lookup is admitted at random. The probability
 	// is the remaining budget divided by the work, so that the mean of the admitted work equals the remaining budget.
+	// The lookup is not admitted if the remaining budget is below both minimums.
 	randomAdmitMaxShare       = 0.35 // largest work of such a lookup at a parent, as a share of the work that breaks it
-	randomAdmitMinWorkShare   = 0.25 // smallest remaining budget, as a share of the lookup's work
-	randomAdmitMinBudgetShare = 0.9  // alternative minimum, as a share of the whole budget; the smaller one applies
+	randomAdmitMinWorkShare   = 0.25 // first minimum of the remaining budget, as a share of the lookup's work
+	randomAdmitMinBudgetShare = 0.9  // second minimum, as a share of this router's whole budget
 
 	// The budget of a cache shrinks, down to minSlowStartScale, while its transfers
 	// take more than slowTransferMultiple times their duration at full pace.
 	slowTransferMultiple = 2.0
 	minSlowStartScale    = 0.125
 	paceFloor            = 10 * millisecond // fixed work of each transfer in addition to its size
-	maxScaleStep         = 0.5
+	maxScaleStep         = 0.5              // largest relative change of the scale of the budget in one step
 
 	capacityTime = 2 * second // averaging time of the capacities of warm caches
 )
--- a/internal/policy/source.go
+++ b/internal/policy/source.go
@@ -1,7 +1,8 @@
 package policy
 
 const (
-	// rejectedPause is the delay before the next attempt of a lookup whose fill was rejected.
+	// rejectedPause is the delay before the next attempt of a lookup after the rejection of an attempt that has a source
+	// for its fill.
 	rejectedPause = 30 * millisecond
 	// maxFillFailures is the number of consecutive failed fills that ejects a parent.
 	maxFillFailures = 3
