--- a/internal/cli/admin_socket.go
+++ b/internal/cli/admin_socket.go
@@ -46,7 +46,7 @@
 		printStep(streams.Out, step)
 	}
 	if step.Stage == change.RolledBack && request.Command != "undo" {
-		return program.Failedf("version %d is undone: %s", step.Version, step.Reason)
+		return program.Failedf("version %d was rolled back: %s", step.Version, step.Reason)
 	}
 	return nil
 }
