--- a/internal/admission/quotas.go
+++ b/internal/admission/quotas.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// MaxClaimants is the number of claimants with quotas of their own. Beyond it, new claimants share one.
+// MaxClaimants is the number of claimants with quotas of their own. Beyond it, new names share one further claimant.
 const MaxClaimants = 1024
 
 const (
-	demandHalfLife = time.Second      // of a claimant's demand beyond its open lookups
+	demandHalfLife = time.Second      // half-life of a claimant's demand beyond its open lookups
 	levelLifetime  = time.Millisecond // how long a computed fair level is used
-	idleDemand     = 0.5              // lookups; a claimant with none open and less demand may be removed
+	idleDemand     = 0.5              // demand, in lookups, below which a claimant without open lookups may be removed
 )
 
 // Unlimited is the capacity of Quotas that admit every lookup and only count the open ones.
@@ -24,9 +24,9 @@
 
 // Quotas divides a capacity of open lookups among claimants by max-min fairness. A single claimant may
 // use the whole capacity. Among several, the recent demand of each is met up to a common level times its
-// weight. Above that level a claimant gets only capacity that no other claimant is entitled to.
-// Therefore a flood of one claimant uses only idle capacity. The demand of a new claimant grows with
-// each rejection, until the capacity that others release goes to it.
+// weight. Above that level a claimant gets only capacity that no other claimant is entitled to, so that
+// a flood of one claimant uses only idle capacity there. The demand of a new claimant grows with each
+// rejection, until the capacity that others release goes to it.
 type Quotas struct {
 	capacity, open int
 	claimants      []*Claimant
@@ -79,7 +79,7 @@
 }
 
 func (q *Quotas) removeIdle(now time.Time) {
-	permanent := q.claimants[0].Name // the claimant of the gateway's own clients
+	permanent := q.claimants[0].Name // in a Controller, the claimant of the gateway's own clients
 	q.claimants = slices.DeleteFunc(q.claimants, func(c *Claimant) bool {
 		return c.open == 0 && c.currentDemand(now) < idleDemand && c.Name != permanent
 	})
@@ -132,8 +132,10 @@
 	return open + (c.demand-open)*math.Exp2(-now.Sub(c.demandAt).Seconds()/demandHalfLife.Seconds())
 }
 
-// admits reports whether a claimant may open one more lookup. Below the fair level it always may. Above
-// the level it may only use capacity that no other claimant is entitled to.
+// admits reports whether a claimant may open one more lookup. It may not if no capacity is free. A
+// single claimant, or one of Quotas with unlimited capacity, may use all free capacity. One of several
+// claimants may use any free capacity up to the fair level times its weight. Above that it may only use
+// capacity that no other claimant is entitled to.
 func (q *Quotas) admits(now time.Time, c *Claimant) bool {
 	free := q.capacity - q.open
 	switch {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -1,6 +1,7 @@
 // Package discovery receives the events of the discovery service: numbered changes of the endpoint list and purges.
-// They arrive over one connection, which is opened again after missing events, a silence or an invalid event. Each
-// event is applied to the dispatcher, the registry of caches, the purge log and the stored endpoint list.
+// They arrive over one connection, which is opened again whenever it ends. Missing events, a silence or an invalid
+// event end it. Each event is applied to the dispatcher, the registry of caches, the purge log and the stored endpoint
+// list.
 //
 // A Watch owns the number of the last applied event and the connection. An event has at most maxEventBytes. The backoff
 // between connections grows up to maxRetryDelay. A Watch lives as long as Watch.Run, whose goroutine owns it.
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -45,7 +45,7 @@
 type Dispatcher struct {
 	environment  env.Environment
 	startedAt    time.Time
-	startMicros  policy.Micros // startedAt in Unix time; later times add the monotonic time since startedAt
+	startMicros  policy.Micros // startedAt in Unix time; now adds the monotonic time since startedAt to it
 	mu           sync.Mutex    // guards the fields below
 	router       Router
 	policyRouter *policy.Router // router itself, or the router that it wraps if there is an interceptor
@@ -81,15 +81,15 @@
 }
 
 // recoverRouterPanic is deferred around calls of the router. It logs a panic of the router, which would otherwise end
-// the gateway. The affected lookup then fails at its deadline.
+// the gateway. A lookup that gets no result because of the panic fails after its deadline (see DeadlineSlack).
 func (d *Dispatcher) recoverRouterPanic() {
 	if p := recover(); p != nil {
 		d.environment.Log().Error("policy_fault", "text", fmt.Sprint(p), "stack", string(debug.Stack()))
 	}
 }
 
-// Purge invalidates the copies of an object that are older than IssuedAt. If Object is empty,
-// it invalidates those of a group.
+// Purge invalidates the copies of an object that are older than IssuedAt. If Object is empty, it
+// invalidates the copies of all objects of a group.
 type Purge struct {
 	Object   string
 	Group    int
@@ -157,8 +157,8 @@
 	d.policyRouter.FleetSize = n
 }
 
-// Health returns the names of the caches that have answered successfully since the given time, and the names of the
-// ejected caches. Both lists are in the order of the router's caches.
+// Health returns the names of the caches whose last response that showed them to work is not older than the given time,
+// and the names of the ejected caches. Both lists are in the order of the router's caches.
 func (d *Dispatcher) Health(since time.Time) (answered, ejected []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -181,8 +181,8 @@
 	return len(d.lookups)
 }
 
-// InFlight returns the number of attempts that are in flight for the router, and the number of attempts
-// whose fetch step has not been taken yet.
+// InFlight returns the number of attempts whose end has not been reported to the router, and the number
+// of attempts whose fetch step has not been taken yet.
 func (d *Dispatcher) InFlight() (attempts, queued int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -153,9 +153,9 @@
 	return c.inputClosed
 }
 
-// lingeringClose closes the connection for writing and discards input until the timeout. Bytes that the client still
-// sends then do not reset the connection before the client has read the response. The connection may be evicted
-// meanwhile, or closed at the end of a drain.
+// lingeringClose closes the connection for writing and discards up to maxLingerBytes of input until the timeout. Bytes
+// that the client still sends then do not reset the connection before the client has read the response. The caller
+// closes the connection afterwards. The connection may be evicted meanwhile, or closed at the end of a drain.
 func (c *clientConn) lingeringClose(timeout time.Duration) {
 	if conn, ok := c.conn.(env.Conn); ok && conn.CloseWrite() == nil {
 		conn.SetReadDeadline(c.server.env.Now().Add(timeout))
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -28,7 +28,7 @@
 	FleetWide        bool    // the rates and MaxOpen hold for all gateways together; a Lease grants this gateway its part
 }
 
-// Reason tells why a lookup or a retry is rejected.
+// Reason is the reason for which a lookup or a retry is rejected, or Allowed.
 type Reason string
 
 // The values of Reason are sent to clients and written to logs.
@@ -187,8 +187,9 @@
 	return l.quotas.TryAcquire(now, permit.claimant)
 }
 
-// takeTokens takes one lookup and its bytes from their token buckets. If either bucket has too few tokens, it takes
-// nothing and returns the reason and the time after which to retry.
+// takeTokens takes one lookup and its bytes from their token buckets. Bytes beyond the burst of their bucket are not
+// charged. If either bucket has too few tokens, it takes nothing and returns the reason and the time after which to
+// retry.
 func (l *Limit) takeTokens(now time.Time, bytes int) (Reason, time.Duration) {
 	if l.bytes != nil && (l.bytes.Burst() == 0 || l.bytes.TokensAt(now) < float64(min(bytes, l.bytes.Burst()))) {
 		return ByteRateExceeded, bucketRetryAfter(now, l.bytes, bytes)
@@ -202,7 +203,8 @@
 	return Allowed, 0
 }
 
-// bucketRetryAfter returns the time until the bucket holds the given number of tokens, or is full if that is less.
+// bucketRetryAfter returns the time until the bucket holds the given number of tokens, or is full if its burst is
+// smaller. The result is at least minRetryAfter, and one second if the bucket has no rate.
 func bucketRetryAfter(now time.Time, bucket *rate.Limiter, tokens int) time.Duration {
 	if bucket.Limit() <= 0 { // the limit is fleet-wide, and the lease grants nothing of its rate
 		return time.Second
@@ -250,7 +252,7 @@
 }
 
 // AllowRetry decides whether a lookup may send one more attempt now. Without a limit on retries it returns Allowed.
-// Otherwise it takes one retry from the budget, or returns RetriesExceeded if none is left.
+// Otherwise it takes one retry from the budget. It returns RetriesExceeded if none is left or RetryRatio is negative.
 func (l *Limit) AllowRetry(now time.Time) Reason {
 	if l.retries == nil {
 		return Allowed
--- a/internal/retry/coordinator.go
+++ b/internal/retry/coordinator.go
@@ -8,10 +8,11 @@
 // The Coordinator does no I/O and makes no routing decisions. Its input is requests, steps of the dispatcher, reports,
 // ends of streams and the time. Its output is Commands.
 //
-// The following holds whatever a caller does. A lookup has one final answer. No attempt is sent to a caller after it, and
-// a caller never has two attempts of one lookup at once. The number of attempts is limited, and all state is freed in
-// time. Only the caller can ensure that an attempt is made once and at the given cache, and that its report is true. If
-// a stream ends during an attempt, the attempt may have run.
+// The following holds whatever a caller does. A lookup has one result. If that is a rejection or a failure, a repeated
+// request is answered with it again. No attempt is sent to a caller after the result, and a caller never has two
+// attempts of one lookup at once. The number of attempts is limited, and all state is freed in time. Only the caller can
+// ensure that an attempt is made once and at the given cache, and that its report is true. If a stream ends during an
+// attempt, the attempt may have run.
 //
 // A Coordinator is not safe for concurrent use; its owner calls it under a lock. It holds at most Limits.MaxLookups open
 // lookups, and as many ended ones, each for Limits.Retention.
@@ -31,7 +32,7 @@
 	MaxLookups    int           // open lookups of all callers; further ones are answered with AnswerFull
 	MaxPerCaller  int           // open lookups of one caller; further ones are answered with AnswerFull
 	ReturnTimeout time.Duration // time for a caller to request an open lookup again
-	Retention     time.Duration // time for which an ended lookup is remembered, so that a repeated request is not a new one
+	Retention     time.Duration // time for which an ended lookup is remembered, so that a repeat does not open a new one
 }
 
 // The kinds of contract violations by callers that Anomalies counts. The values appear in logs.
@@ -195,8 +196,9 @@
 	return commands
 }
 
-// deliver answers the lookup's stream with the decided step. If the lookup has no stream, a decided attempt waits up to
-// Limits.ReturnTimeout for the caller's request.
+// deliver answers the lookup's stream with the step, if a step has been decided. If the stream waits for the answer to
+// a report, a decided attempt is answered with AnswerAskAgain and the stream is detached. While the lookup has no
+// stream, a decided attempt waits up to Limits.ReturnTimeout for the caller's request.
 func (c *Coordinator) deliver(now time.Time, lookup *Lookup, commands *Commands) {
 	if lookup.phase != phaseDecided {
 		return
@@ -295,8 +297,8 @@
 }
 
 // Tick handles the timeouts that are due. It ends lookups that their callers did not request again, times out attempts
-// that were not reported by the lookup's deadline, names overdue lookups, and forgets lookups that ended
-// Limits.Retention ago. It returns the time of the next call, which is at most one second later.
+// that were not reported by the lookup's deadline, adds overdue lookups to Commands.Overdue, and forgets lookups that
+// ended Limits.Retention ago. It returns the time of the next call, which is at most one second later.
 func (c *Coordinator) Tick(now time.Time) (commands Commands, next time.Time) {
 	for e := c.ended.Front(); e != nil && !e.Value.(*Lookup).forgetAt.After(now); e = c.ended.Front() {
 		c.forget(e.Value.(*Lookup))
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -24,7 +24,7 @@
 	silentAttemptsToClose = 2
 )
 
-// cacheConn is one connection to a cache, from the start of its dial. The goroutine of run owns input.
+// cacheConn is one connection to a cache, from the start of its dial. The goroutine of run owns input and evictFirst.
 // mu guards all other fields that change, except the atomic ones.
 type cacheConn struct {
 	pool       *Pool
@@ -45,9 +45,9 @@
 	lastResponseAt time.Time            // time of the last response, or of the connect if there was none
 	attempts       map[string]*attempt  // by lookup id
 	givenUpAt      map[string]time.Time // by lookup id: when an attempt was given up whose response may still arrive
-	givenUp        []givenUpAttempt     // outcomes not reported yet, by line number
+	givenUp        []givenUpAttempt     // given-up attempts whose outcomes are not reported yet, in order of lineNumber
 	responses      int                  // responses to open attempts
-	strayResponses int                  // responses to no open attempt: given up, answered already, or an unknown id
+	strayResponses int                  // responses to attempts that were given up or answered, or to unknown ids
 
 	outgoing
 }
@@ -71,7 +71,7 @@
 	}
 }
 
-// load returns the connection's load as it matters to an attempt of a lookup.
+// load returns the state of the connection that pickConn compares for an attempt of a lookup.
 func (c *cacheConn) load(lookupID string) connLoad {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,8 +107,8 @@
 }
 
 // remove removes an attempt from the connection. It returns false if the attempt was removed before; a
-// caller that gets true reports the attempt's outcome. givenUp says that a response may still arrive.
-// The caller holds the connection's lock.
+// caller that gets true reports the attempt's outcome. givenUp is set if the attempt was given up. If its
+// line has begun to be written, a response may then still arrive. The caller holds the connection's lock.
 func (c *cacheConn) remove(a *attempt, givenUp bool) bool {
 	id := a.lookup.ID
 	if c.attempts[id] != a {
@@ -217,8 +217,8 @@
 	}
 }
 
-// run dials, reads responses until the connection ends, and reports the outcomes of the attempts that
-// are still open then.
+// run closes evictFirst, dials, reads responses until the connection ends, and reports the outcomes of
+// the attempts that are still open then.
 func (c *cacheConn) run() {
 	startedAt := c.pool.env.Now()
 	if c.evictFirst != nil {
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// writeTimeout is how long a cache may accept none of the bytes that are queued for it.
+	// writeTimeout is how long a cache may accept none of the bytes of a line, and how long a blocking write may take.
 	writeTimeout = time.Second
 	// maxQueuedBytes is the maximum number of bytes of lines that are queued for a cache because it has
 	// not accepted earlier ones.
@@ -31,7 +31,7 @@
 	linesBegun   int64                // number of the last line that began to be written
 	linesWritten int64                // number of the last line that was written completely
 	partialLine  []byte               // rest of the last line that began to be written
-	lastLine     *line                // line that nextLine last took from the queue; nil: it returned a partial line
+	lastLine     *line                // line whose text nextLine last returned; nil: it returned a partial line or nothing
 	writing      bool                 // a goroutine is writing; only one does so at a time
 	writeNow     env.NonBlockingWrite // nil: the connection does not support it
 }
@@ -104,10 +104,11 @@
 }
 
 // withdraw withdraws an attempt that was decided earlier and may not be sent any more. The reasons are
-// that its deduplication window has passed (rule 2, which forbids a second effect), that its cache is
-// draining or gone (rule 3, which forbids attempts to such a cache), that its lookup has ended, or that
-// its client has disconnected. Nothing of the attempt has been written, so it is reported as not sent,
-// and the policy decides on the next step. The caller holds the connection's lock.
+// that its deduplication window has passed (rule 2, which forbids a second effect), that its cache or
+// source is draining or gone (rule 3, which forbids attempts to such a cache), that its lookup has ended
+// or passed its deadline, or that its client has disconnected. Nothing of the attempt has been written,
+// so it is reported as not sent, and the policy decides on the next step. The caller holds the
+// connection's lock.
 func (c *cacheConn) withdraw(l *line) {
 	a := l.attempt
 	delete(c.attempts, a.lookup.ID)
